--- a/benchmarks/src/main/java/clayhook/benchmarks/Classifying.java
+++ b/benchmarks/src/main/java/clayhook/benchmarks/Classifying.java
@@ -25,7 +25,9 @@
  * time. {@code inFlood}: the same known ones while 19 of 20 statements have shapes that never come again.
  */
 @State(Scope.Thread)
-@Fork(value = 1, jvmArgsAppend = {"-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1"})
+@Fork(
+        value = 1,
+        jvmArgsAppend = {"-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1"})
 @Warmup(iterations = 3, time = 1)
 @Measurement(iterations = 5, time = 1)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -34,8 +36,9 @@
         "SELECT val FROM state%t WHERE uid = 'k%d'",
         "INSERT INTO posts%t (id, account, amount) VALUES (%d, 'acct-kd6b5sum7ecwe', 12.50) ON CONFLICT (id) DO NOTHING",
         "select t.id, t.name, count(*) from tags%t t join accounts a on a.id = t.account where a.region in (1, 2, 3)"
-            + " and t.seen > now() - interval '1 day' group by t.id, t.name order by 3 desc limit 20 -- %d",
-        "with recent as (select * from passes%t where plate = 'A%d' order by at desc limit 5) select max(at) from recent"};
+                + " and t.seen > now() - interval '1 day' group by t.id, t.name order by 3 desc limit 20 -- %d",
+        "with recent as (select * from passes%t where plate = 'A%d' order by at desc limit 5) select max(at) from recent"
+    };
     private static final int MANY = 20_000;
     /** Shapes that repeat. */
     private static final int HOT = 200;
@@ -49,7 +52,10 @@
     private long asked;
 
     private static byte[] statement(int form, String table, int literal) {
-        return FORMS[form].replace("%t", table).replace("%d", Integer.toString(literal)).getBytes(UTF_8);
+        return FORMS[form]
+                .replace("%t", table)
+                .replace("%d", Integer.toString(literal))
+                .getBytes(UTF_8);
     }
 
     @Setup
@@ -126,8 +132,9 @@
 
         @TearDown(Level.Iteration)
         public void tell() {
-            System.out.printf("%nhot shapes found: %.4f; held %d shapes in %d KiB%n", (double) all.hits / all.asked,
-                    all.classifier.size(), all.classifier.weight() / 1024);
+            System.out.printf(
+                    "%nhot shapes found: %.4f; held %d shapes in %d KiB%n",
+                    (double) all.hits / all.asked, all.classifier.size(), all.classifier.weight() / 1024);
         }
     }
 
--- a/benchmarks/src/main/java/clayhook/benchmarks/GatherWeighing.java
+++ b/benchmarks/src/main/java/clayhook/benchmarks/GatherWeighing.java
@@ -8,12 +8,13 @@
 import java.util.function.IntFunction;
 
 /**
- * A gather of ten parts beside the naive way, in turns: the most live heap, rows being made as they are read, and the processor
- * time, which unlike the time on the clock hardly depends on what else runs.
+ * A gather of ten parts beside the naive way, in turns: the most live heap, rows being made as they are read, and the
+ * processor time, which unlike the time on the clock hardly depends on what else runs.
  */
 public final class GatherWeighing {
     /** Every so many looks one is taken: each is a whole collection. */
     private static final int EVERY = 3;
+
     private static final int ROUNDS = 101, WARMUP = 60;
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
     private static long most;
@@ -21,8 +22,7 @@
     private static long rows;
     private static int looks;
 
-    private GatherWeighing() {
-    }
+    private GatherWeighing() {}
 
     private static long used() {
         System.gc();
@@ -59,8 +59,8 @@
         long gathered = most;
         long base = used();
         Gathering.naive(sources, limit, row -> rows++, () -> most = used() - base);
-        System.out.println("to " + limit + " rows: live heap of a gather " + gathered / 1024 + " KiB (taken of its allowance " + peak / 1024
-                + "), naive " + most / 1024 + " KiB");
+        System.out.println("to " + limit + " rows: live heap of a gather " + gathered / 1024
+                + " KiB (taken of its allowance " + peak / 1024 + "), naive " + most / 1024 + " KiB");
     }
 
     private static long cpu(Runnable work) {
@@ -73,8 +73,8 @@
         long[] gathered = new long[ROUNDS];
         long[] naive = new long[ROUNDS];
         for (int round = -WARMUP; round < ROUNDS; round++) {
-            long one = cpu(() -> Gathering.gather(sources, limit, row -> rows++, any -> { }));
-            long other = cpu(() -> Gathering.naive(sources, limit, row -> rows++, () -> { }));
+            long one = cpu(() -> Gathering.gather(sources, limit, row -> rows++, any -> {}));
+            long other = cpu(() -> Gathering.naive(sources, limit, row -> rows++, () -> {}));
             if (round >= 0) {
                 gathered[round] = one;
                 naive[round] = other;
@@ -82,7 +82,8 @@
         }
         Arrays.sort(gathered);
         Arrays.sort(naive);
-        System.out.printf("to %d rows: median processor time of a gather %.3f ms, naive %.3f ms%n", limit, gathered[ROUNDS / 2] / 1e6,
-                naive[ROUNDS / 2] / 1e6);
+        System.out.printf(
+                "to %d rows: median processor time of a gather %.3f ms, naive %.3f ms%n",
+                limit, gathered[ROUNDS / 2] / 1e6, naive[ROUNDS / 2] / 1e6);
     }
 }
--- a/benchmarks/src/main/java/clayhook/benchmarks/Gathering.java
+++ b/benchmarks/src/main/java/clayhook/benchmarks/Gathering.java
@@ -33,20 +33,26 @@
 import org.openjdk.jmh.annotations.Warmup;
 import org.openjdk.jmh.infra.Blackhole;
 
-/** Ten sorted parts of 10,000 rows become one answer of 100 or of all, by a gather and the naive way: collect all, sort. */
+/**
+ * Ten sorted parts of 10,000 rows become one answer of 100 or of all, by a gather and the naive way: collect all, sort.
+ */
 @State(Scope.Thread)
-@Fork(value = 1, jvmArgsAppend = {"-XX:+UseSerialGC"})
+@Fork(
+        value = 1,
+        jvmArgsAppend = {"-XX:+UseSerialGC"})
 @Warmup(iterations = 3, time = 1)
 @Measurement(iterations = 5, time = 1)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MILLISECONDS)
 public class Gathering {
     static final int PARTS = 10, ROWS = 10_000;
-    private static final List<Column> COLUMNS = List.of(Column.of("amount", 20), Column.of("plate", 25), Column.of("rest", 25));
+    private static final List<Column> COLUMNS =
+            List.of(Column.of("amount", 20), Column.of("plate", 25), Column.of("rest", 25));
     private static final String REST = "x".repeat(80);
 
     @Param({"100", "100000"})
     public int limit;
+
     private List<IntFunction<byte[]>> sources;
 
     /** Row of a part, sorted by amount, which many rows share, then by plate. */
@@ -73,7 +79,8 @@
         for (int i = 0; i < PARTS; i++) {
             parts.add(new Part("p" + i, i));
         }
-        Plan plan = Plan.of(Merging.by(Key.ascending("amount"), Key.ascending("plate")).cut(Limit.rows(limit)));
+        Plan plan = Plan.of(
+                Merging.by(Key.ascending("amount"), Key.ascending("plate")).cut(Limit.rows(limit)));
         var gather = new Gather(plan, parts, Allowance.of(64 << 20), feed);
         gather.begin(0, 1);
         gather.room(Integer.MAX_VALUE);
@@ -97,14 +104,17 @@
 
     /** A row with its keys as the naive way reads them. */
     private record Kept(long amount, String plate, byte[] message) {
-        private static final Comparator<Kept> ORDER = Comparator.comparingLong(Kept::amount).thenComparing(Kept::plate);
+        private static final Comparator<Kept> ORDER =
+                Comparator.comparingLong(Kept::amount).thenComparing(Kept::plate);
 
         static Kept of(byte[] message) {
             ByteBuffer in = ByteBuffer.wrap(message);
             int first = in.getInt(7);
             int second = in.getInt(11 + first);
-            return new Kept(Long.parseLong(new String(message, 11, first, ISO_8859_1)),
-                    new String(message, 15 + first, second, ISO_8859_1), message);
+            return new Kept(
+                    Long.parseLong(new String(message, 11, first, ISO_8859_1)),
+                    new String(message, 15 + first, second, ISO_8859_1),
+                    message);
         }
     }
 
@@ -125,12 +135,12 @@
 
     @Benchmark
     public Verdict gathered(Blackhole out) {
-        return gather(sources, limit, out::consume, any -> { });
+        return gather(sources, limit, out::consume, any -> {});
     }
 
     @Benchmark
     public void naive(Blackhole out) {
-        naive(sources, limit, out::consume, () -> { });
+        naive(sources, limit, out::consume, () -> {});
     }
 
     private static final class Feed implements Acts {
@@ -143,8 +153,7 @@
         }
 
         @Override
-        public void ask(Part part) {
-        }
+        public void ask(Part part) {}
 
         @Override
         public void recall(Part part) {
@@ -157,8 +166,7 @@
         }
 
         @Override
-        public void columns(List<Column> columns) {
-        }
+        public void columns(List<Column> columns) {}
 
         @Override
         public void emit(byte[] row) {
--- a/benchmarks/src/main/java/clayhook/benchmarks/Routing.java
+++ b/benchmarks/src/main/java/clayhook/benchmarks/Routing.java
@@ -30,9 +30,13 @@
 import org.openjdk.jmh.annotations.TearDown;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** One client's read through a router on loopback, there and back: the same text, with and without reading statements. */
+/**
+ * One client's read through a router on loopback, there and back: the same text, with and without reading statements.
+ */
 @State(Scope.Thread)
-@Fork(value = 1, jvmArgsAppend = {"-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1"})
+@Fork(
+        value = 1,
+        jvmArgsAppend = {"-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1"})
 @Warmup(iterations = 3, time = 2)
 @Measurement(iterations = 5, time = 2)
 @BenchmarkMode(Mode.SampleTime)
@@ -40,6 +44,7 @@
 public class Routing {
     @Param({"false", "true"})
     public boolean statements;
+
     private Transport transport;
     private Transport own;
     private Server server;
@@ -53,14 +58,32 @@
         var node = new StandInNode(transport, transport.spare(0), "replica", any -> Deed.answer("value"));
         var primary = new StandInNode(transport, transport.spare(0), "primary", any -> Deed.answer("value"));
         var discovery = new StandInDiscovery(transport, transport.spare(0), call -> null);
-        var groups = List.of(group("read", Effect.REPLAYABLE, ReadLevel.ANY), group("write", Effect.MUTATING, ReadLevel.WRITE));
-        var settings = new Settings(1, "a", groups, true, true, false, true, true, true, true, true, 1, 9, 0.2, 10, 3, 3, 1, 15);
-        String list = "{\"rev\":2,\"all\":true,\"targets\":[" + entry("p", primary, "primary") + "," + entry("r", node, "replica") + "]}";
-        var rules = new StatementRules(true, Set.of(), Set.of(), Set.of(), Set.of(), Set.of(), 4 << 20, 2000, false, List.of(),
-                "read", "write", 1);
-        server = new Server(own, new Configuration("bench", transport.spare(0), discovery.address(), 1, 1 << 27, 1024,
-                NodeList.parse(list), settings, 2), new Operator(statements ? new Operator.Statements(rules, false, 0, 1 << 20)
-                : null, "clayhook", "core", null));
+        var groups = List.of(
+                group("read", Effect.REPLAYABLE, ReadLevel.ANY), group("write", Effect.MUTATING, ReadLevel.WRITE));
+        var settings = new Settings(
+                1, "a", groups, true, true, false, true, true, true, true, true, 1, 9, 0.2, 10, 3, 3, 1, 15);
+        String list = "{\"rev\":2,\"all\":true,\"targets\":[" + entry("p", primary, "primary") + ","
+                + entry("r", node, "replica") + "]}";
+        var rules = new StatementRules(
+                true, Set.of(), Set.of(), Set.of(), Set.of(), Set.of(), 4 << 20, 2000, false, List.of(), "read",
+                "write", 1);
+        server = new Server(
+                own,
+                new Configuration(
+                        "bench",
+                        transport.spare(0),
+                        discovery.address(),
+                        1,
+                        1 << 27,
+                        1024,
+                        NodeList.parse(list),
+                        settings,
+                        2),
+                new Operator(
+                        statements ? new Operator.Statements(rules, false, 0, 1 << 20) : null,
+                        "clayhook",
+                        "core",
+                        null));
         client = new StandInClient(transport, server.address());
         client.send(StandInClient.hello(statement()));
         client.next();
@@ -72,8 +95,9 @@
     }
 
     private static String entry(String id, StandInNode node, String role) {
-        return "{\"uid\":\"" + id + "\",\"endpoint\":\"127.0.0.1:" + node.address().getPort()
-                + "\",\"az\":\"a\",\"pod_group\":1,\"state\":\"up\",\"role\":\"" + role + "\",\"boot_ms\":0}";
+        return "{\"uid\":\"" + id + "\",\"endpoint\":\"127.0.0.1:"
+                + node.address().getPort() + "\",\"az\":\"a\",\"pod_group\":1,\"state\":\"up\",\"role\":\"" + role
+                + "\",\"boot_ms\":0}";
     }
 
     private io.netty.buffer.ByteBuf statement() {
--- a/benchmarks/src/main/java/clayhook/benchmarks/Weighing.java
+++ b/benchmarks/src/main/java/clayhook/benchmarks/Weighing.java
@@ -11,8 +11,7 @@
     /** Enough to fill the bound several times over; one in twenty repeats. */
     private static final int STATEMENTS = 60_000, HOT = 200;
 
-    private Weighing() {
-    }
+    private Weighing() {}
 
     private static long used() {
         System.gc();
@@ -36,7 +35,7 @@
         long before = used();
         Classifier classifier = filled(STATEMENTS);
         long heap = used() - before;
-        System.out.println("shapes " + classifier.size() + ", by its own reckoning " + classifier.weight() / 1024 + " KiB, heap "
-                + heap / 1024 + " KiB");
+        System.out.println("shapes " + classifier.size() + ", by its own reckoning " + classifier.weight() / 1024
+                + " KiB, heap " + heap / 1024 + " KiB");
     }
 }
--- a/cli/src/main/java/clayhook/cli/AdapterCommand.java
+++ b/cli/src/main/java/clayhook/cli/AdapterCommand.java
@@ -10,7 +10,10 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 
-@Command(name = "adapter", mixinStandardHelpOptions = true, versionProvider = Commands.Version.class,
+@Command(
+        name = "adapter",
+        mixinStandardHelpOptions = true,
+        versionProvider = Commands.Version.class,
         description = "Speaks the simulator's wire on standard input and output.")
 final class AdapterCommand implements Callable<Integer> {
     @Override
--- a/cli/src/main/java/clayhook/cli/ClassifyCommand.java
+++ b/cli/src/main/java/clayhook/cli/ClassifyCommand.java
@@ -25,36 +25,53 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-@Command(name = "classify", mixinStandardHelpOptions = true, versionProvider = Commands.Version.class,
-        description = "Tells of each statement what the router would take it for: a read only if it is proven to change nothing.")
+@Command(
+        name = "classify",
+        mixinStandardHelpOptions = true,
+        versionProvider = Commands.Version.class,
+        description =
+                "Tells of each statement what the router would take it for: a read only if it is proven to change nothing.")
 final class ClassifyCommand implements Callable<Integer> {
     @Option(names = "--config", paramLabel = "FILE", description = "the operator's file, for its rules")
     private Path config;
+
     @Option(names = "--json", description = "one object a statement")
     private boolean json;
+
     @Option(names = "--nul", description = "statements are separated by NUL instead of line breaks")
     private boolean nul;
+
     @Option(names = "--user", description = "the client's user, for rules", defaultValue = "")
     private String user;
+
     @Option(names = "--database", description = "the client's database, for rules", defaultValue = "")
     private String database;
+
     @Option(names = "--application", description = "the client's application_name, for rules", defaultValue = "")
     private String application;
-    @Parameters(index = "0", arity = "0..1", paramLabel = "FILE", description = "statements; standard input if left out")
+
+    @Parameters(
+            index = "0",
+            arity = "0..1",
+            paramLabel = "FILE",
+            description = "statements; standard input if left out")
     private Path file;
 
     @Override
     public Integer call() throws IOException {
         StatementRules rules;
         try {
-            rules = config == null ? StatementRules.DEFAULT : OperatorFile.statements(config).rules();
+            rules = config == null
+                    ? StatementRules.DEFAULT
+                    : OperatorFile.statements(config).rules();
         } catch (BadConfig e) {
             return Main.wrong(e);
         }
         var classifier = new Classifier(rules, 1);
         var client = new Client(user, database, application);
         try (InputStream in = new BufferedInputStream(file == null ? System.in : Files.newInputStream(file), 1 << 16);
-                var out = new PrintStream(new BufferedOutputStream(System.out, 1 << 16), false, StandardCharsets.UTF_8)) {
+                var out =
+                        new PrintStream(new BufferedOutputStream(System.out, 1 << 16), false, StandardCharsets.UTF_8)) {
             int separator = nul ? 0 : '\n';
             var statement = new ByteArrayOutputStream();
             for (int b = in.read(); b >= 0 || statement.size() > 0; b = in.read()) {
@@ -84,9 +101,17 @@
     private static String line(Classed classed, String shape) {
         boolean refused = classed.verdict() == Verdict.REFUSED;
         String shown = shape.length() > SHOWN ? shape.substring(0, SHOWN) + " ..." : shape;
-        return String.format(Locale.ROOT, "%-7s %s  (%s)%n        %s", verdict(classed), refused ? "" : "to command group "
-                + classed.group() + ", nodes " + classed.nodes() + ", by " + classed.rule() + ", about "
-                + Math.round(classed.cost() * 1e4) / 10.0 + " ms", classed.why(), shown);
+        return String.format(
+                Locale.ROOT,
+                "%-7s %s  (%s)%n        %s",
+                verdict(classed),
+                refused
+                        ? ""
+                        : "to command group "
+                                + classed.group() + ", nodes " + classed.nodes() + ", by " + classed.rule() + ", about "
+                                + Math.round(classed.cost() * 1e4) / 10.0 + " ms",
+                classed.why(),
+                shown);
     }
 
     /** Characters of a shape that are shown to people. */
--- a/cli/src/main/java/clayhook/cli/Commands.java
+++ b/cli/src/main/java/clayhook/cli/Commands.java
@@ -8,10 +8,20 @@
 import picocli.CommandLine.Spec;
 
 /** All sub-commands and their options. */
-@Command(name = "clayhook", mixinStandardHelpOptions = true, versionProvider = Commands.Version.class,
+@Command(
+        name = "clayhook",
+        mixinStandardHelpOptions = true,
+        versionProvider = Commands.Version.class,
         description = "Routes reads and writes in replicated databases.",
-        subcommands = {ServeCommand.class, TryCommand.class, ClassifyCommand.class, LabCommand.class, PlanCommand.class,
-                AdapterCommand.class, RehearseCommand.class},
+        subcommands = {
+            ServeCommand.class,
+            TryCommand.class,
+            ClassifyCommand.class,
+            LabCommand.class,
+            PlanCommand.class,
+            AdapterCommand.class,
+            RehearseCommand.class
+        },
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {"0:done", "1:failed", "2:wrong use or a faulty configuration"})
 final class Commands implements Callable<Integer> {
@@ -33,9 +43,11 @@
     }
 
     static int run(String[] args) {
-        return new CommandLine(new Commands()).setExecutionExceptionHandler((fault, line, parsed) -> {
-            System.err.println("clayhook: " + (fault.getMessage() == null ? fault : fault.getMessage()));
-            return Main.FAILED;
-        }).execute(args);
+        return new CommandLine(new Commands())
+                .setExecutionExceptionHandler((fault, line, parsed) -> {
+                    System.err.println("clayhook: " + (fault.getMessage() == null ? fault : fault.getMessage()));
+                    return Main.FAILED;
+                })
+                .execute(args);
     }
 }
--- a/cli/src/main/java/clayhook/cli/LabCommand.java
+++ b/cli/src/main/java/clayhook/cli/LabCommand.java
@@ -29,8 +29,12 @@
 import picocli.CommandLine.Spec;
 import picocli.CommandLine.TypeConversionException;
 
-@Command(name = "lab", mixinStandardHelpOptions = true, versionProvider = Commands.Version.class,
-        description = "A laboratory: fleets, load and failures in virtual time.", subcommands = LabCommand.Run.class)
+@Command(
+        name = "lab",
+        mixinStandardHelpOptions = true,
+        versionProvider = Commands.Version.class,
+        description = "A laboratory: fleets, load and failures in virtual time.",
+        subcommands = LabCommand.Run.class)
 final class LabCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
@@ -41,19 +45,31 @@
         return Main.WRONG;
     }
 
-    @Command(name = "run", mixinStandardHelpOptions = true, versionProvider = Commands.Version.class,
+    @Command(
+            name = "run",
+            mixinStandardHelpOptions = true,
+            versionProvider = Commands.Version.class,
             description = "Plays an experiment and compares its variants; ends with 1 if a rule was broken.")
     static final class Run implements Callable<Integer> {
         @Option(names = "--json", description = "one object a run")
         private boolean json;
-        @Option(names = "--sockets", description = "play on loopback sockets with real routers, in real time, instead of the model's;"
-                + " ends with 1 if the machine was too slow for a verdict")
+
+        @Option(
+                names = "--sockets",
+                description = "play on loopback sockets with real routers, in real time, instead of the model's;"
+                        + " ends with 1 if the machine was too slow for a verdict")
         private boolean sockets;
+
         @Option(names = "--report", paramLabel = "HTML", description = "also write a page with pictures to this file")
         private Path report;
-        @Option(names = "--seed", paramLabel = "N[-M]", description = "play with this seed alone, or with those from N to M",
+
+        @Option(
+                names = "--seed",
+                paramLabel = "N[-M]",
+                description = "play with this seed alone, or with those from N to M",
                 converter = Seeds.class)
         private Seeds.Range seeds;
+
         @Parameters(paramLabel = "FILE", description = "the experiment; examples/ has some")
         private Path file;
 
@@ -77,14 +93,18 @@
                     System.err.println("playing " + name + " with seed " + number);
                 }
             };
-            List<Played> played = sockets ? Comparison.playOnSockets(experiment, progress) : Comparison.play(experiment, progress);
+            List<Played> played =
+                    sockets ? Comparison.playOnSockets(experiment, progress) : Comparison.play(experiment, progress);
             if (played.stream().anyMatch(one -> one.runs().contains(null))) {
                 System.err.println("clayhook: no verdict: this machine played late");
                 return Main.FAILED;
             }
             for (Played one : played) {
                 for (int i = 0; json && i < one.runs().size(); i++) {
-                    System.out.println(json(one.variant().name(), experiment.seeds().get(i), one.runs().get(i)));
+                    System.out.println(json(
+                            one.variant().name(),
+                            experiment.seeds().get(i),
+                            one.runs().get(i)));
                 }
             }
             if (!json) {
@@ -94,7 +114,9 @@
                 System.setProperty("java.awt.headless", "true");
                 Files.writeString(report, Report.html(file.getFileName().toString(), experiment, played));
             }
-            return played.stream().flatMap(one -> one.runs().stream()).allMatch(run -> run.broken().isEmpty()) ? Main.DONE
+            return played.stream().flatMap(one -> one.runs().stream()).allMatch(run -> run.broken()
+                            .isEmpty())
+                    ? Main.DONE
                     : Main.FAILED;
         }
 
@@ -126,11 +148,16 @@
         }
 
         private static void table(List<Played> played, PrintStream out) {
-            out.printf("%-24s %-18s %8s %8s %9s %8s %8s%n", "variant", "command group", "in time", "p50 ms", "p99 ms", "thrott.",
-                    "failed");
+            out.printf(
+                    "%-24s %-18s %8s %8s %9s %8s %8s%n",
+                    "variant", "command group", "in time", "p50 ms", "p99 ms", "thrott.", "failed");
             for (Played one : played) {
                 for (CommandGroup group : one.runs().get(0).groups().keySet()) {
-                    out.printf(Locale.ROOT, "%-24s %-18s %8.4f %8.1f %9.1f %8.4f %8.4f%n", one.variant().name(), group.name(),
+                    out.printf(
+                            Locale.ROOT,
+                            "%-24s %-18s %8.4f %8.1f %9.1f %8.4f %8.4f%n",
+                            one.variant().name(),
+                            group.name(),
                             mean(one, group, of -> (double) of.inTime / of.asked),
                             mean(one, group, of -> of.times.getValueAtPercentile(50) / 1e3),
                             mean(one, group, of -> of.times.getValueAtPercentile(99) / 1e3),
@@ -141,11 +168,24 @@
             out.println();
             for (Played one : played) {
                 Interval gain = Comparison.gain(played.get(0), one);
-                out.printf(Locale.ROOT, "%-24s service %.4f%s, busiest node %.2f, rules %s%n", one.variant().name(), one.service(),
-                        one == played.get(0) ? "" : String.format(Locale.ROOT, ", %+.4f to the first (95%%: +-%.4f)", gain.mean(),
-                                gain.reach()),
-                        one.runs().stream().flatMap(run -> run.busy().values().stream()).mapToDouble(d -> d).max().orElse(0),
-                        one.runs().stream().filter(run -> run.firstBroken() != null).map(Tally::firstBroken).findFirst()
+                out.printf(
+                        Locale.ROOT,
+                        "%-24s service %.4f%s, busiest node %.2f, rules %s%n",
+                        one.variant().name(),
+                        one.service(),
+                        one == played.get(0)
+                                ? ""
+                                : String.format(
+                                        Locale.ROOT, ", %+.4f to the first (95%%: +-%.4f)", gain.mean(), gain.reach()),
+                        one.runs().stream()
+                                .flatMap(run -> run.busy().values().stream())
+                                .mapToDouble(d -> d)
+                                .max()
+                                .orElse(0),
+                        one.runs().stream()
+                                .filter(run -> run.firstBroken() != null)
+                                .map(Tally::firstBroken)
+                                .findFirst()
                                 .orElse("kept"));
             }
         }
@@ -155,8 +195,12 @@
         }
 
         private static double mean(Played one, CommandGroup group, Figure figure) {
-            return one.runs().stream().map(run -> run.groups().get(group)).filter(of -> of != null && of.asked > 0)
-                    .mapToDouble(figure::of).average().orElse(0);
+            return one.runs().stream()
+                    .map(run -> run.groups().get(group))
+                    .filter(of -> of != null && of.asked > 0)
+                    .mapToDouble(figure::of)
+                    .average()
+                    .orElse(0);
         }
 
         private static String json(String variant, int seed, Tally run) throws IOException {
--- a/cli/src/main/java/clayhook/cli/Main.java
+++ b/cli/src/main/java/clayhook/cli/Main.java
@@ -6,8 +6,7 @@
 public final class Main {
     static final int DONE = 0, FAILED = 1, WRONG = 2;
 
-    private Main() {
-    }
+    private Main() {}
 
     public static void main(String[] args) {
         // The platform's own calls have no options, and clients wait for a start: nothing that reads options is loaded.
--- a/cli/src/main/java/clayhook/cli/PlanCommand.java
+++ b/cli/src/main/java/clayhook/cli/PlanCommand.java
@@ -16,11 +16,16 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-@Command(name = "plan", mixinStandardHelpOptions = true, versionProvider = Commands.Version.class,
-        description = "Tells what breaks first as load grows, how many replicas a goal needs, and what losing each site does.")
+@Command(
+        name = "plan",
+        mixinStandardHelpOptions = true,
+        versionProvider = Commands.Version.class,
+        description =
+                "Tells what breaks first as load grows, how many replicas a goal needs, and what losing each site does.")
 final class PlanCommand implements Callable<Integer> {
     @Option(names = "--json", description = "one object")
     private boolean json;
+
     @Parameters(paramLabel = "FILE", description = "fleet, load and goal; examples/ has some")
     private Path file;
 
@@ -50,25 +55,57 @@
     }
 
     private static String enough(Planner.Need need) {
-        return need.enough() == 0 ? "more than were tried" : need.least() == need.enough() ? "" + need.enough()
-                : need.least() + " to " + need.enough();
+        return need.enough() == 0
+                ? "more than were tried"
+                : need.least() == need.enough() ? "" + need.enough() : need.least() + " to " + need.enough();
     }
 
-    private static void tell(Experiment experiment, Planner.Breaks breaks, Planner.Need need, List<Planner.Loss> losses,
+    private static void tell(
+            Experiment experiment,
+            Planner.Breaks breaks,
+            Planner.Need need,
+            List<Planner.Loss> losses,
             PrintStream out) {
-        out.printf(Locale.ROOT, "Goal: service %.3f, each command group in time %.3f, rules kept; %d seeds.%n%n",
-                experiment.goal().service(), experiment.goal().inTime(), experiment.seeds().size());
-        out.printf(Locale.ROOT, "1. The load may grow to %.2f times; at %.2f times the goal is missed: service %.4f, in time %.4f.%n",
-                breaks.lastGood(), breaks.firstBad(), breaks.at().service(), breaks.at().inTime());
-        out.printf(Locale.ROOT, "   What is asked there, of what there is: replicas' cores %.2f, primaries' cores %.2f, all cores %.2f,"
-                + " log %.2f.%n   Busiest primary %.2f, busiest replica %.2f.%n", breaks.estimate().replicas(),
-                breaks.estimate().primary(), breaks.estimate().all(), breaks.estimate().log(), breaks.at().busiestPrimary(),
+        out.printf(
+                Locale.ROOT,
+                "Goal: service %.3f, each command group in time %.3f, rules kept; %d seeds.%n%n",
+                experiment.goal().service(),
+                experiment.goal().inTime(),
+                experiment.seeds().size());
+        out.printf(
+                Locale.ROOT,
+                "1. The load may grow to %.2f times; at %.2f times the goal is missed: service %.4f, in time %.4f.%n",
+                breaks.lastGood(),
+                breaks.firstBad(),
+                breaks.at().service(),
+                breaks.at().inTime());
+        out.printf(
+                Locale.ROOT,
+                "   What is asked there, of what there is: replicas' cores %.2f, primaries' cores %.2f, all cores %.2f,"
+                        + " log %.2f.%n   Busiest primary %.2f, busiest replica %.2f.%n",
+                breaks.estimate().replicas(),
+                breaks.estimate().primary(),
+                breaks.estimate().all(),
+                breaks.estimate().log(),
+                breaks.at().busiestPrimary(),
                 breaks.at().busiestReplica());
-        breaks.causes().forEach(cause -> out.printf(Locale.ROOT, "   With twice the %s: %+.4f%n", cause.resource(), cause.gain()));
-        out.printf("%n2. Replicas a group that the goal needs: %s (now %d).%n%n3. Losing a site:%n", enough(need), need.now());
-        losses.forEach(loss -> out.printf(Locale.ROOT, "   %s: service %.4f before, %.4f while it is gone, %.4f after, %.4f in the worst"
-                + " second; replicas that bear it: %s%s%n", loss.site(), loss.before(), loss.during(), loss.after(), loss.worst(),
-                enough(loss.need()), loss.broken() == null ? "" : "; a rule was broken: " + loss.broken()));
+        breaks.causes()
+                .forEach(cause ->
+                        out.printf(Locale.ROOT, "   With twice the %s: %+.4f%n", cause.resource(), cause.gain()));
+        out.printf(
+                "%n2. Replicas a group that the goal needs: %s (now %d).%n%n3. Losing a site:%n",
+                enough(need), need.now());
+        losses.forEach(loss -> out.printf(
+                Locale.ROOT,
+                "   %s: service %.4f before, %.4f while it is gone, %.4f after, %.4f in the worst"
+                        + " second; replicas that bear it: %s%s%n",
+                loss.site(),
+                loss.before(),
+                loss.during(),
+                loss.after(),
+                loss.worst(),
+                enough(loss.need()),
+                loss.broken() == null ? "" : "; a rule was broken: " + loss.broken()));
     }
 
     private static void write(JsonGenerator out, String name, Planner.Need need) throws IOException {
--- a/cli/src/main/java/clayhook/cli/RehearseCommand.java
+++ b/cli/src/main/java/clayhook/cli/RehearseCommand.java
@@ -10,11 +10,15 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 
-@Command(name = "rehearse", mixinStandardHelpOptions = true, versionProvider = Commands.Version.class,
+@Command(
+        name = "rehearse",
+        mixinStandardHelpOptions = true,
+        versionProvider = Commands.Version.class,
         description = "Serves stand-ins for a moment; the build keeps the classes that this loads.")
 final class RehearseCommand implements Callable<Integer> {
     /** Settings of every kind of command group. */
-    private static final String REHEARSED = """
+    private static final String REHEARSED =
+            """
             {"name": "rehearsal", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "seed": "1", "settings": {
             "balancers": 1, "zone": "a", "discovery": "subscribe", "report": {"how": "inline"},
             "domain": {"read_level": ["bounded", "any", "write"], "max_age": [200000000, 0, 0],
@@ -34,8 +38,9 @@
     /** Not for service: the build makes the archive of classes from what this loads. */
     static int run() {
         try {
-            Hangup.handle(() -> { });
-            Settings settings = Configuration.of(Json.parse(REHEARSED), Map.of()).settings();
+            Hangup.handle(() -> {});
+            Settings settings =
+                    Configuration.of(Json.parse(REHEARSED), Map.of()).settings();
             Rehearsal.run(settings, Transport.rehearsal(), false);
             Rehearsal.run(settings, Transport.tcp(), false);
             Rehearsal.run(settings, Transport.withinProcess(), false);
--- a/cli/src/main/java/clayhook/cli/ServeCommand.java
+++ b/cli/src/main/java/clayhook/cli/ServeCommand.java
@@ -17,10 +17,16 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-@Command(name = "serve", mixinStandardHelpOptions = true, versionProvider = Commands.Version.class,
+@Command(
+        name = "serve",
+        mixinStandardHelpOptions = true,
+        versionProvider = Commands.Version.class,
         description = "Routes on sockets, as the file named by LB_CONFIG says and the operator's own file.")
 final class ServeCommand implements Callable<Integer> {
-    @Option(names = "--config", paramLabel = "FILE", description = "the operator's file; deploy/clayhook.toml shows every key")
+    @Option(
+            names = "--config",
+            paramLabel = "FILE",
+            description = "the operator's file; deploy/clayhook.toml shows every key")
     private Path config;
 
     @Override
@@ -66,7 +72,9 @@
     }
 
     private static Operator operator(Path config, Configuration configuration) throws BadConfig {
-        return config == null ? Operator.OFF : OperatorFile.read(config, configuration.settings().groups());
+        return config == null
+                ? Operator.OFF
+                : OperatorFile.read(config, configuration.settings().groups());
     }
 
     /** A router that cannot rehearse is only slow at first. */
--- a/cli/src/test/java/clayhook/cli/CommandsTest.java
+++ b/cli/src/test/java/clayhook/cli/CommandsTest.java
@@ -15,8 +15,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class CommandsTest {
-    private record Ran(int exit, String out, String err) {
-    }
+    private record Ran(int exit, String out, String err) {}
 
     private static Ran run(String in, String... args) {
         var out = new ByteArrayOutputStream();
@@ -39,9 +38,20 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"--help, 0", "--version, 0", "classify --help, 0", "serve --help, 0", "adapter --help, 0", "rehearse --version, 0",
-        "'', 2", "nonsense, 2", "classify --nonsense, 2", "classify /there/is/no/such/file, 2", "classify --config /no/such/file, 2",
-        "serve --config, 2"})
+    @CsvSource({
+        "--help, 0",
+        "--version, 0",
+        "classify --help, 0",
+        "serve --help, 0",
+        "adapter --help, 0",
+        "rehearse --version, 0",
+        "'', 2",
+        "nonsense, 2",
+        "classify --nonsense, 2",
+        "classify /there/is/no/such/file, 2",
+        "classify --config /no/such/file, 2",
+        "serve --config, 2"
+    })
     void exitCodesTellDoneFromWrongUse(String line, int exit) {
         Ran ran = run("", line.isEmpty() ? new String[0] : line.split(" "));
         assertEquals(exit, ran.exit(), ran::err);
@@ -54,22 +64,35 @@
         assertEquals(0, ran.exit());
         String[] lines = ran.out().split("\n");
         assertEquals(3, lines.length);
-        assertTrue(lines[0].matches("\\{\"class\":\"read\",\"shape\":\"[0-9a-f]{32}\",\"group\":\"read\",\"nodes\":1,\"cost\":0.001,"
-                + "\"rule\":\"default\",\"why\":\"proven to change nothing\"}"), lines[0]);
+        assertTrue(
+                lines[0].matches(
+                        "\\{\"class\":\"read\",\"shape\":\"[0-9a-f]{32}\",\"group\":\"read\",\"nodes\":1,\"cost\":0.001,"
+                                + "\"rule\":\"default\",\"why\":\"proven to change nothing\"}"),
+                lines[0]);
         assertTrue(lines[1].startsWith("{\"class\":\"write\"") && lines[2].startsWith("{\"class\":\"refused\""));
         assertEquals("", run("", "classify", "--json").out());
-        assertEquals(2, run("select\n1\0delete\nfrom t\0", "classify", "--json", "--nul").out().split("\n").length);
+        assertEquals(
+                2,
+                run("select\n1\0delete\nfrom t\0", "classify", "--json", "--nul")
+                        .out()
+                        .split("\n")
+                        .length);
     }
 
     @Test
     void classifyFollowsTheOperatorsRules(@TempDir Path folder) throws Exception {
-        Path rules = Files.writeString(folder.resolve("c.toml"), "[[statements.rule]]\nname = \"mine\"\nclass = \"read\"\n"
-                + "application = \"rep*\"\ngroup = \"report\"\nnodes = [4]\n");
+        Path rules = Files.writeString(
+                folder.resolve("c.toml"),
+                "[[statements.rule]]\nname = \"mine\"\nclass = \"read\"\n"
+                        + "application = \"rep*\"\ngroup = \"report\"\nnodes = [4]\n");
         Path file = Files.writeString(folder.resolve("s.sql"), "select 1\n");
-        String[] args = {"classify", "--json", "--config", rules.toString(), "--application", "reports", file.toString()};
+        String[] args = {"classify", "--json", "--config", rules.toString(), "--application", "reports", file.toString()
+        };
         assertTrue(run("", args).out().contains("\"group\":\"report\",\"nodes\":4,"));
         assertTrue(run("", args).out().contains("\"rule\":\"mine\""));
         Files.writeString(rules, "[statements]\nx = 1\n");
-        assertEquals("clayhook: " + rules + ":2: statements.x: is no key that is known\n", run("", args).err());
+        assertEquals(
+                "clayhook: " + rules + ":2: statements.x: is no key that is known\n",
+                run("", args).err());
     }
 }
--- a/cli/src/test/java/clayhook/cli/ServeProcessTest.java
+++ b/cli/src/test/java/clayhook/cli/ServeProcessTest.java
@@ -28,8 +28,8 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
-import java.util.stream.Stream;
 import java.util.regex.Pattern;
+import java.util.stream.Stream;
 import java.util.zip.Deflater;
 import java.util.zip.ZipEntry;
 import java.util.zip.ZipOutputStream;
@@ -45,17 +45,20 @@
 class ServeProcessTest {
     /** Far more than anything here takes. */
     private static final int PATIENCE_S = 60;
+
     private static final String DOWN = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
     /** 128 + SIGTERM. */
     private static final int TERMINATED = 143;
     /** Of the jars on the class path; the other modules are jars as well once they are packed. */
     private static final Pattern PROGRAM = Pattern.compile("^(netty|picocli|jackson|clayhook)");
+
     private final Transport transport = Transport.tcp();
     private final LinkedBlockingQueue<String> calls = new LinkedBlockingQueue<>();
     private final List<Socket> flood = new ArrayList<>();
     private InetSocketAddress listen;
     private Process process;
     private Path log;
+
     @TempDir
     private Path folder;
 
@@ -81,28 +84,45 @@
 
     private InetSocketAddress discovery(Function<String, String> answers) throws InterruptedException {
         return new StandInDiscovery(transport, transport.spare(0), call -> {
-            calls.add(call);
-            return answers.apply(call);
-        }).address();
+                    calls.add(call);
+                    return answers.apply(call);
+                })
+                .address();
     }
 
     private static String list(int version, InetSocketAddress node) {
-        return "{\"rev\":" + version + ",\"all\":true,\"targets\":[{\"uid\":\"n" + version + "\",\"endpoint\":\"127.0.0.1:"
-                + node.getPort() + "\",\"az\":\"a\",\"pod_group\":1,\"state\":\"up\",\"role\":\"primary\",\"boot_ms\":0}]}";
+        return "{\"rev\":" + version + ",\"all\":true,\"targets\":[{\"uid\":\"n" + version
+                + "\",\"endpoint\":\"127.0.0.1:" + node.getPort()
+                + "\",\"az\":\"a\",\"pod_group\":1,\"state\":\"up\",\"role\":\"primary\",\"boot_ms\":0}]}";
     }
 
     /** {@code machine}: how many descriptors the process gets; {@code sockets}: how many it is told of. */
     private void start(InetSocketAddress discovery, String known, int machine, int sockets) throws Exception {
-        Path config = Files.writeString(folder.resolve("config.json"), "{\"name\":\"t\",\"listen\":\"127.0.0.1:" + listen.getPort()
-                + "\",\"discovery\":\"127.0.0.1:" + discovery.getPort() + "\",\"seed\":\"1\",\"limits\":{\"sockets\":" + sockets
-                + "},\"known\":" + known + ",\"settings\":{\"discovery\":\"subscribe\",\"limits\":{\"most_tries\":3},"
-                + "\"domain\":{\"read_level\":[\"any\",\"write\"]},\"grades\":[{\"name\":\"any\",\"effect\":\"idempotent\","
-                + "\"aim\":1e9,\"hard_limit\":1e9},{\"name\":\"mutating\",\"effect\":\"at_most_once\",\"aim\":1e9,"
-                + "\"hard_limit\":1e9}]}}");
+        Path config = Files.writeString(
+                folder.resolve("config.json"),
+                "{\"name\":\"t\",\"listen\":\"127.0.0.1:" + listen.getPort()
+                        + "\",\"discovery\":\"127.0.0.1:" + discovery.getPort()
+                        + "\",\"seed\":\"1\",\"limits\":{\"sockets\":" + sockets
+                        + "},\"known\":" + known
+                        + ",\"settings\":{\"discovery\":\"subscribe\",\"limits\":{\"most_tries\":3},"
+                        + "\"domain\":{\"read_level\":[\"any\",\"write\"]},\"grades\":[{\"name\":\"any\",\"effect\":\"idempotent\","
+                        + "\"aim\":1e9,\"hard_limit\":1e9},{\"name\":\"mutating\",\"effect\":\"at_most_once\",\"aim\":1e9,"
+                        + "\"hard_limit\":1e9}]}}");
         log = folder.resolve("log");
-        var builder = new ProcessBuilder("sh", "-c", "ulimit -n " + machine + " && exec \"$0\" \"$@\"",
-                Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:+UseSerialGC", "-Xmx72m", "-Xshare:auto",
-                "-XX:TieredStopAtLevel=1", "-Djava.io.tmpdir=" + folder, "-cp", jar().toString(), "clayhook.cli.Main", "serve");
+        var builder = new ProcessBuilder(
+                "sh",
+                "-c",
+                "ulimit -n " + machine + " && exec \"$0\" \"$@\"",
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-XX:+UseSerialGC",
+                "-Xmx72m",
+                "-Xshare:auto",
+                "-XX:TieredStopAtLevel=1",
+                "-Djava.io.tmpdir=" + folder,
+                "-cp",
+                jar().toString(),
+                "clayhook.cli.Main",
+                "serve");
         builder.environment().put("LB_CONFIG", config.toString());
         process = builder.redirectErrorStream(true).redirectOutput(log.toFile()).start();
     }
@@ -173,26 +193,31 @@
 
     /** What the process holds; 0 where the machine doesn't tell. */
     private int descriptors() {
-        String[] held = Path.of("/proc", Long.toString(process.pid()), "fd").toFile().list();
+        String[] held =
+                Path.of("/proc", Long.toString(process.pid()), "fd").toFile().list();
         return held == null ? 0 : held.length;
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"refuses", "is silent", "answers 503"})
     void itIsReadyWhateverDiscoveryDoes(String what) throws Exception {
-        InetSocketAddress discovery = what.equals("refuses") ? new InetSocketAddress("127.0.0.1", 1)
+        InetSocketAddress discovery = what.equals("refuses")
+                ? new InetSocketAddress("127.0.0.1", 1)
                 : discovery(call -> what.equals("is silent") ? null : DOWN);
         start(discovery, list(2, node(Deed.answer("served"))), 1024, 1024);
         assertEquals("ready", asked(emptyQuery()));
         assertEquals("served", asked(read()));
     }
 
-    /** Idle clients come without end and hold on; meanwhile discovery returns, and the list has moved to another node. */
+    /**
+     * Idle clients come without end and hold on; meanwhile discovery returns, and the list has moved to another node.
+     */
     @Test
     void idleClientsBeyondTheDescriptorsBarNeitherCommandsNorTheList() throws Exception {
         int most = 128;
         var lists = new LinkedBlockingQueue<String>();
-        InetSocketAddress discovery = discovery(call -> lists.isEmpty() ? DOWN : call.contains("after=3&") ? null : lists.peek());
+        InetSocketAddress discovery =
+                discovery(call -> lists.isEmpty() ? DOWN : call.contains("after=3&") ? null : lists.peek());
         start(discovery, list(2, node(Deed.answer("old"))), most, most);
         assertEquals("ready", asked(emptyQuery()));
         int held = 0;
@@ -218,7 +243,8 @@
     @Test
     void afterTheMachineHadNoDescriptorsItAcceptsAndConnectsAgainByItself() throws Exception {
         var lists = new LinkedBlockingQueue<String>();
-        InetSocketAddress discovery = discovery(call -> lists.isEmpty() ? DOWN : call.contains("after=3&") ? null : lists.peek());
+        InetSocketAddress discovery =
+                discovery(call -> lists.isEmpty() ? DOWN : call.contains("after=3&") ? null : lists.peek());
         start(discovery, list(2, node(Deed.answer("old"))), 64, 1024);
         assertEquals("ready", asked(emptyQuery()));
         for (int i = 0; i < 100; i++) {
@@ -243,8 +269,8 @@
         start(discovery(call -> null), list(2, node(Deed.silence())), 1024, 1024);
         assertEquals("ready", asked(emptyQuery()));
         var client = new StandInClient(transport, listen);
-        client.send(StandInClient.hello(StandInClient.statement(!group.equals("any"),
-                "id=1,c=" + group + ",d=1000,cluster=1")));
+        client.send(StandInClient.hello(
+                StandInClient.statement(!group.equals("any"), "id=1,c=" + group + ",d=1000,cluster=1")));
         assertEquals("ready", client.next());
         process.destroy();
         signal("HUP");
@@ -257,7 +283,11 @@
     }
 
     private void signal(String name) throws Exception {
-        assertEquals(0, new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor());
+        assertEquals(
+                0,
+                new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
+                        .start()
+                        .waitFor());
     }
 
     /** While it rehearses, which a folder for its sockets shows. */
--- a/cli/src/test/java/clayhook/cli/SharingOffTest.java
+++ b/cli/src/test/java/clayhook/cli/SharingOffTest.java
@@ -20,12 +20,18 @@
 
 /** What sharing costs a router that does not share: nothing, as a process of its own shows. */
 class SharingOffTest {
-    private static final String CONFIG = """
+    private static final String CONFIG =
+            """
             {"name":"n", "listen":"127.0.0.1:%d", "discovery":"127.0.0.1:%d", "seed":"1",
             "known":{"rev":1,"all":true,"targets":[]}, "settings":{"domain":{"read_level":["any"]},
             "grades":[{"name":"any","effect":"idempotent","aim":250000000,"hard_limit":600000000,"value":1}]}}""";
-    private static final List<String> OWN = List.of("clayhook.fleet.", "clayhook.peers.",
-            "com.fasterxml.jackson.dataformat.cbor.", "org.jctools.", "com.dynatrace.hash4j.");
+    private static final List<String> OWN = List.of(
+            "clayhook.fleet.",
+            "clayhook.peers.",
+            "com.fasterxml.jackson.dataformat.cbor.",
+            "org.jctools.",
+            "com.dynatrace.hash4j.");
+
     @TempDir
     private Path folder;
 
@@ -45,7 +51,8 @@
     private List<Object> seen(Process process, Path classes, int port) throws Exception {
         String loaded = Files.readString(classes);
         boolean thread = threads(process).contains("clayhook-peers");
-        boolean socket = Files.readString(Path.of("/proc/" + process.pid() + "/net/udp")).contains(":%04X ".formatted(port));
+        boolean socket =
+                Files.readString(Path.of("/proc/" + process.pid() + "/net/udp")).contains(":%04X ".formatted(port));
         return List.of(OWN.stream().filter(name -> loaded.contains("] " + name)).toList(), thread, socket);
     }
 
@@ -65,19 +72,30 @@
         int port = freePort();
         int peers = freeUdpPort();
         Path config = Files.writeString(folder.resolve("config.json"), CONFIG.formatted(port, freePort()));
-        Path operator = Files.writeString(folder.resolve("c.toml"),
+        Path operator = Files.writeString(
+                folder.resolve("c.toml"),
                 """
                 [sharing]
                 enabled = %b
                 listen = "127.0.0.1:%d"
                 seeds = ["127.0.0.1:%d"]
-                """.formatted(shares, peers, freeUdpPort()));
+                """
+                        .formatted(shares, peers, freeUdpPort()));
         Path classes = folder.resolve("classes");
-        var builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-XX:TieredStopAtLevel=1", "-Xlog:class+load:file=" + classes, "-cp", System.getProperty("java.class.path"),
-                "clayhook.cli.Main", "serve", "--config", operator.toString());
+        var builder = new ProcessBuilder(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-XX:TieredStopAtLevel=1",
+                "-Xlog:class+load:file=" + classes,
+                "-cp",
+                System.getProperty("java.class.path"),
+                "clayhook.cli.Main",
+                "serve",
+                "--config",
+                operator.toString());
         builder.environment().put("LB_CONFIG", config.toString());
-        Process process = builder.redirectErrorStream(true).redirectOutput(folder.resolve("log").toFile()).start();
+        Process process = builder.redirectErrorStream(true)
+                .redirectOutput(folder.resolve("log").toFile())
+                .start();
         Transport transport = Transport.tcp();
         try {
             String word = StandInClient.NO_CONNECTION;
--- a/core/src/main/java/clayhook/Choice.java
+++ b/core/src/main/java/clayhook/Choice.java
@@ -12,7 +12,13 @@
 public record Choice(Verdict verdict, Dispatch dispatch, double advice, List<Dispatch> recall) {
 
     /** NOT_YET leaves the command in hand until this router is asked again; DONE says it has its final answer. */
-    public enum Verdict { SEND, NOT_YET, THROTTLE, FAIL, DONE }
+    public enum Verdict {
+        SEND,
+        NOT_YET,
+        THROTTLE,
+        FAIL,
+        DONE
+    }
 
     static Choice notYet() {
         return new Choice(Verdict.NOT_YET, null, 0, List.of());
--- a/core/src/main/java/clayhook/Command.java
+++ b/core/src/main/java/clayhook/Command.java
@@ -11,15 +11,16 @@
     public final String session;
     /** When the session's last write was committed, where commands carry that; 0 for never. */
     public final double wroteAt;
+
     public final double arrived;
     /** When the client gives up. */
     public final double expires;
+
     public final List<Dispatch> dispatches = new ArrayList<>();
     /** It has its final answer, or its client has gone. */
     public boolean over;
 
-    public Command(CommandGroup group, int nodeGroup, String session, double wroteAt, double arrived,
-            double expires) {
+    public Command(CommandGroup group, int nodeGroup, String session, double wroteAt, double arrived, double expires) {
         this.group = group;
         this.nodeGroup = nodeGroup;
         this.session = session;
@@ -44,6 +45,9 @@
 
     /** The first dispatch that is not known never to have run, or null. */
     Dispatch firstThatMayHaveRun() {
-        return dispatches.stream().filter(d -> d.outcome == null || !d.outcome.neverRan).findFirst().orElse(null);
+        return dispatches.stream()
+                .filter(d -> d.outcome == null || !d.outcome.neverRan)
+                .findFirst()
+                .orElse(null);
     }
 }
--- a/core/src/main/java/clayhook/CommandGroup.java
+++ b/core/src/main/java/clayhook/CommandGroup.java
@@ -8,14 +8,37 @@
  * @param repeatWindow how long a repeat of a keyed command is dropped, from the first send that may have run
  * @param bound the greatest age of the data of a bounded read when it is sent
  */
-public record CommandGroup(String name, Effect effect, ReadLevel level, double responseTarget, double clientTimeout,
-        double benefit, double lateShare, Scope repeatScope, double repeatWindow, double bound) {
+public record CommandGroup(
+        String name,
+        Effect effect,
+        ReadLevel level,
+        double responseTarget,
+        double clientTimeout,
+        double benefit,
+        double lateShare,
+        Scope repeatScope,
+        double repeatWindow,
+        double bound) {
 
-    public enum Effect { REPLAYABLE, KEYED, MUTATING }
+    public enum Effect {
+        REPLAYABLE,
+        KEYED,
+        MUTATING
+    }
 
-    public enum Scope { ALL, ZONE, GROUP }
+    public enum Scope {
+        ALL,
+        ZONE,
+        GROUP
+    }
 
-    public enum ReadLevel { WRITE, FRESH, SESSION, BOUNDED, ANY }
+    public enum ReadLevel {
+        WRITE,
+        FRESH,
+        SESSION,
+        BOUNDED,
+        ANY
+    }
 
     /** Only the primary may take such a command. */
     public boolean primaryOnly() {
--- a/core/src/main/java/clayhook/Decide.java
+++ b/core/src/main/java/clayhook/Decide.java
@@ -13,9 +13,9 @@
 import java.util.Random;
 
 /**
- * All decisions of one router. A front asks {@link #where} for each command taken, {@link #after} for each
- * outcome and {@link #pause} once it has told all it heard; after the pause it asks {@link #where} for every
- * command in hand. News comes by {@link #listed}, {@link #listFailed} and {@link #probed}.
+ * All decisions of one router. A front asks {@link #where} for each command taken, {@link #after} for each outcome and
+ * {@link #pause} once it has told all it heard; after the pause it asks {@link #where} for every command in hand. News
+ * comes by {@link #listed}, {@link #listFailed} and {@link #probed}.
  */
 public final class Decide {
     private static final double NEVER = Double.NEGATIVE_INFINITY;
@@ -37,18 +37,23 @@
         final ArrayDeque<Dispatch> abandoned = new ArrayDeque<>();
         /** How many dispatches it may have, and its smoothed time of answer over the response target. */
         double window, slowness;
+
         double load; // commands that it last reported to hold
         /** Connections that should stand to it, as long as they are used. */
         int connections;
+
         double usedAt = NEVER;
         /** Failures since the last answer, or probe but for one. */
         int strikes;
+
         double benchedAt = NEVER;
         /** The last probe, and whether it is still out. */
         double probedAt = NEVER;
+
         boolean probing;
         /** It is left alone until then, the longer the more it was full or failed since its last answer. */
         double restUntil = NEVER;
+
         int rests;
         /** What it may still be sent while it is cold. */
         double coldBudget, coldBudgetAt = NEVER;
@@ -98,6 +103,7 @@
     private static final class Pressure {
         /** The same of all node groups, into which it fades while nothing comes; null for that itself. */
         final Pressure overall;
+
         double last, at = NEVER;
 
         Pressure(Pressure overall) {
@@ -122,7 +128,7 @@
     /** An outcome weighs a tenth where many come, more the longer none has come; a burst lasts seconds. */
     private static final double PRESS_MEMORY = 3;
 
-    private record Wrote(Team team, double position) { }
+    private record Wrote(Team team, double position) {}
 
     private final Settings settings;
     private final Random random;
@@ -134,10 +140,12 @@
     private final Map<CommandGroup, Long> taken = new LinkedHashMap<>();
     /** The last write of each session, where this router must remember; the oldest go when they are many. */
     private final Map<String, Wrote> wrote = new LinkedHashMap<>();
+
     private final double tightestGate, leastWindow, extrasCap;
     private double extras;
     /** Members to be probed, until the next pause; and the probes that may still be sent. */
     private final List<Node> looks = new ArrayList<>();
+
     private double looksLeft = LOOKS_CAP;
     /** What a dispatch takes longer when it opens a connection. */
     private double connecting = CONNECT_USUAL;
@@ -149,9 +157,11 @@
     private double dueAt = Double.POSITIVE_INFINITY, awakeSince, watchAt;
     /** Stands for all groups: it has no members, but the pressures that theirs fade into. */
     private final Team all = new Team(0, null);
+
     private int out;
     /** Nodes that bear work, and when they were counted. */
     private long bearers;
+
     private double bearersAt = NEVER;
     /** A command is held; and the one asked about waits for a look. */
     private boolean holding, looking;
@@ -163,8 +173,11 @@
         leastWindow = Math.max(1, LEAST_WINDOW / settings.routers());
         extrasCap = Math.max(1, EXTRAS_CAP / settings.routers());
         extras = extrasCap;
-        tightestGate = settings.groups().stream().filter(g -> g.level() == ReadLevel.BOUNDED)
-                .mapToDouble(g -> g.bound() * LAG_GATE).min().orElse(TIME_GATE);
+        tightestGate = settings.groups().stream()
+                .filter(g -> g.level() == ReadLevel.BOUNDED)
+                .mapToDouble(g -> g.bound() * LAG_GATE)
+                .min()
+                .orElse(TIME_GATE);
         settings.groups().forEach(group -> usual.put(group, group.responseTarget() / 4)); // until told better
     }
 
@@ -185,8 +198,7 @@
             return notYet(false);
         }
         boolean extra = cmd.firstThatMayHaveRun() != null;
-        if (cmd.dispatches.size() >= settings.mostDispatches()
-                || extra && (extras < 1 || !mayRepeat(cmd, now))) {
+        if (cmd.dispatches.size() >= settings.mostDispatches() || extra && (extras < 1 || !mayRepeat(cmd, now))) {
             return sent ? notYet(false) : giveUp(cmd);
         }
         looking = false;
@@ -280,10 +292,8 @@
         boolean write = cmd.group.primaryOnly();
         double target = Math.min(cmd.group.responseTarget(), cmd.expires - cmd.arrived);
         boolean election = write && !primaryIsWell(cmd.nodeGroup, now);
-        double hold = election ? ELECTION_HOLD * (cmd.expires - cmd.arrived)
-                : (write ? WRITE_HOLD : HOLD) * target;
-        return (election ? cmd.firstThatMayHaveRun() == null : cmd.dispatches.isEmpty())
-                && now > cmd.arrived + hold;
+        double hold = election ? ELECTION_HOLD * (cmd.expires - cmd.arrived) : (write ? WRITE_HOLD : HOLD) * target;
+        return (election ? cmd.firstThatMayHaveRun() == null : cmd.dispatches.isEmpty()) && now > cmd.arrived + hold;
     }
 
     /** A few looks for room: a client that is asked back at once does better than one that is held. */
@@ -301,25 +311,28 @@
 
     /** The final answer to a command that this router gives up: a throttle wherever the rules allow it. */
     public Choice giveUp(Command cmd) {
-        boolean harmless = cmd.group.effect() == Effect.REPLAYABLE || cmd.firstThatMayHaveRun() == null
+        boolean harmless = cmd.group.effect() == Effect.REPLAYABLE
+                || cmd.firstThatMayHaveRun() == null
                 || cmd.group.effect() == Effect.KEYED && cmd.group.repeatScope() == Scope.ALL;
         // Soon enough for an answer within the target, spread so that clients don't return together.
-        double advice = Math.min(settings.longestAdvice(),
-                cmd.group.responseTarget() * (0.1 + 0.2 * random.nextDouble()));
-        return new Choice(harmless ? Verdict.THROTTLE : Verdict.FAIL, null, advice,
-                settings.mayCancel() ? cmd.out() : List.of());
+        double advice =
+                Math.min(settings.longestAdvice(), cmd.group.responseTarget() * (0.1 + 0.2 * random.nextDouble()));
+        return new Choice(
+                harmless ? Verdict.THROTTLE : Verdict.FAIL, null, advice, settings.mayCancel() ? cmd.out() : List.of());
     }
 
     /** Rule 2: a command that may have run goes out again only as its effect allows. */
     private boolean mayRepeat(Command cmd, double now) {
-        return cmd.group.effect() == Effect.REPLAYABLE || cmd.group.effect() == Effect.KEYED
-                && now < cmd.firstThatMayHaveRun().sentAt + cmd.group.repeatWindow();
+        return cmd.group.effect() == Effect.REPLAYABLE
+                || cmd.group.effect() == Effect.KEYED
+                        && now < cmd.firstThatMayHaveRun().sentAt + cmd.group.repeatWindow();
     }
 
     /** Rule 2: repeats of a keyed command stay among the nodes that drop them; all here are of its group. */
     private static boolean dropsRepeats(Command cmd, Row row) {
         Dispatch first = cmd.group.effect() == Effect.KEYED ? cmd.firstThatMayHaveRun() : null;
-        return first == null || cmd.group.repeatScope() != Scope.ZONE
+        return first == null
+                || cmd.group.repeatScope() != Scope.ZONE
                 || first.node.zone().equals(row.node.zone());
     }
 
@@ -344,7 +357,9 @@
         Command cmd = dispatch.command;
         Row row = rows.get(dispatch.node);
         boolean checked = settings.replicasCheck() || cmd.group.primaryOnly() || row.claimsPrimary();
-        return !cmd.over && now < dispatch.limit && !row.closed()
+        return !cmd.over
+                && now < dispatch.limit
+                && !row.closed()
                 && (cmd.firstThatMayHaveRun() == dispatch || mayRepeat(cmd, now))
                 && (checked || covers(row, team(cmd.nodeGroup), cmd, now));
     }
@@ -358,8 +373,12 @@
             return null;
         }
         // Guards against sending the first write of every router to a primary that is one no more.
-        return !awaitsLook(row, now) && usable(row, now) && dropsRepeats(cmd, row)
-                && withinColdBudget(row, cmd.group, now) ? row : null;
+        return !awaitsLook(row, now)
+                        && usable(row, now)
+                        && dropsRepeats(cmd, row)
+                        && withinColdBudget(row, cmd.group, now)
+                ? row
+                : null;
     }
 
     /** Guards against throwing writes at a dead or hung primary while its successor is elected. */
@@ -370,8 +389,7 @@
 
     private Row pickReader(Command cmd, Team team, double now) {
         Row primary = primary(cmd.nodeGroup);
-        if (cmd.group.level() == ReadLevel.ANY && usual.get(cmd.group) > tightestGate
-                && rare(cmd.group, team)) {
+        if (cmd.group.level() == ReadLevel.ANY && usual.get(cmd.group) > tightestGate && rare(cmd.group, team)) {
             Row keeper = keeperOfLongReads(team, primary, cmd, now);
             if (keeper != null) {
                 return !awaitsLook(keeper, now) && usableFor(cmd, keeper, now) ? keeper : null;
@@ -406,9 +424,13 @@
         if (looking && !settings.replicasCheck()) {
             return null;
         }
-        Row ahead = team.rows.stream().filter(row -> settings.replicasCheck() && row != primary
-                && !benched(row, cmd, now) && usableFor(cmd, row, now))
-                .min(Comparator.comparingDouble(row -> behind(row, cmd))).orElse(null);
+        Row ahead = team.rows.stream()
+                .filter(row -> settings.replicasCheck()
+                        && row != primary
+                        && !benched(row, cmd, now)
+                        && usableFor(cmd, row, now))
+                .min(Comparator.comparingDouble(row -> behind(row, cmd)))
+                .orElse(null);
         if (ahead != null) {
             return ahead;
         }
@@ -419,8 +441,10 @@
 
     /** Where it was heard so seldom that none is known to cover: a replica that checks reads may be tried. */
     private boolean likelyCovers(Row row, Command cmd, double now) {
-        return settings.replicasCheck() && cmd.group.level() == ReadLevel.BOUNDED
-                && row.lag <= cmd.group.bound() * LAG_GATE && now < row.toldAt + LAG_LASTS;
+        return settings.replicasCheck()
+                && cmd.group.level() == ReadLevel.BOUNDED
+                && row.lag <= cmd.group.bound() * LAG_GATE
+                && now < row.toldAt + LAG_LASTS;
     }
 
     /** Lags come and go with the load of nodes, over seconds. */
@@ -432,8 +456,8 @@
     }
 
     /**
-     * One replica bears them all, for every router. Guards against sending it what is no exception: work or
-     * a line at crowded nodes made it long: such reads would all go to one node, whose line then confirms it.
+     * One replica bears them all, for every router. Guards against sending it what is no exception: work or a line at
+     * crowded nodes made it long: such reads would all go to one node, whose line then confirms it.
      */
     private boolean rare(CommandGroup group, Team team) {
         long all = taken.values().stream().mapToLong(Long::longValue).sum();
@@ -443,20 +467,24 @@
     /** Guards against long reads that stop the log on all replicas in turn: they keep to one everywhere. */
     private Row keeperOfLongReads(Team team, Row primary, Command cmd, double now) {
         boolean waits = now + 2 * usual.get(cmd.group) < cmd.arrived + cmd.group.responseTarget();
-        return team.rows.stream().filter(row -> row != primary && (!waits ? usableFor(cmd, row, now)
-                : row.strikes == 0 && !row.closed() && !silent(row, now)))
-                .min(Comparator.comparing(row -> row.node.id())).orElse(null);
+        return team.rows.stream()
+                .filter(row -> row != primary
+                        && (!waits ? usableFor(cmd, row, now) : row.strikes == 0 && !row.closed() && !silent(row, now)))
+                .min(Comparator.comparing(row -> row.node.id()))
+                .orElse(null);
     }
 
     /** The lag gate, the bench and the health of a replica; the time gate stands where looks are asked. */
     private boolean calm(Row row, Command cmd, double now) {
-        return !benched(row, cmd, now) && usableFor(cmd, row, now)
+        return !benched(row, cmd, now)
+                && usableFor(cmd, row, now)
                 && (cmd.group.level() != ReadLevel.BOUNDED || row.lag <= cmd.group.bound() * LAG_GATE);
     }
 
     /** Guards against one blip costing ten seconds: a position told since, within the gate, ends it. */
     private boolean benched(Row row, Command cmd, double now) {
-        return now < row.benchedAt + BENCH && cmd.group.level() != ReadLevel.ANY
+        return now < row.benchedAt + BENCH
+                && cmd.group.level() != ReadLevel.ANY
                 && row.position < row.benchedAt - cmd.group.bound() * LAG_GATE;
     }
 
@@ -489,14 +517,20 @@
     }
 
     private boolean usableFor(Command cmd, Row row, double now) {
-        return !cmd.tried(row.node) && usable(row, now) && dropsRepeats(cmd, row)
+        return !cmd.tried(row.node)
+                && usable(row, now)
+                && dropsRepeats(cmd, row)
                 && withinColdBudget(row, cmd.group, now);
     }
 
     /** A node with a failure against it gets one dispatch at a time. */
     private boolean usable(Row row, double now) {
-        return !row.closed() && now >= row.restUntil && row.strikes < STRIKES
-                && (row.strikes == 0 || row.out.isEmpty()) && !silent(row, now) && hasRoom(row, 1, now);
+        return !row.closed()
+                && now >= row.restUntil
+                && row.strikes < STRIKES
+                && (row.strikes == 0 || row.out.isEmpty())
+                && !silent(row, now)
+                && hasRoom(row, 1, now);
     }
 
     /** One failure can be chance; two in a row are a state. */
@@ -516,8 +550,8 @@
 
     private boolean overdue(Row row, double now) {
         Dispatch oldest = row.out.peek();
-        return oldest != null && now - Math.max(awakeSince, Math.max(row.answeredAt, oldest.sentAt))
-                > patience(oldest.command.group);
+        return oldest != null
+                && now - Math.max(awakeSince, Math.max(row.answeredAt, oldest.sentAt)) > patience(oldest.command.group);
     }
 
     private double patience(CommandGroup group) {
@@ -529,8 +563,11 @@
     /** A part of its turns for a node that is cold, crowded, or would have to be connected to. */
     private boolean takesTurn(Row row, double now) {
         // Guards against a node crowded by other routers or slow for another cause, if it reports that.
-        double usualLoad = team(row.node.group()).rows.stream().filter(r -> !r.claimsPrimary())
-                .mapToDouble(r -> r.load).average().orElse(0);
+        double usualLoad = team(row.node.group()).rows.stream()
+                .filter(r -> !r.claimsPrimary())
+                .mapToDouble(r -> r.load)
+                .average()
+                .orElse(0);
         double part = Math.min(warmth(row, now), (usualLoad + 1) / (row.load + 1));
         // Guards against opening connections all over while that is slow and takes more than the work itself.
         part = connects(row, now) ? Math.min(part, Math.pow(CONNECT_USUAL / connecting, 2)) : part;
@@ -562,7 +599,8 @@
         double rate = warmth(row, now) * settings.overloadFactor() * COLD_SAFETY * share;
         // What was sent before its start is past. Guards against the first commands of many routers coming at
         // once: a share of less than one command starts at any place in its turn.
-        row.coldBudget = row.coldBudgetAt < row.listing.startedAt() ? -random.nextDouble() * usual.get(group)
+        row.coldBudget = row.coldBudgetAt < row.listing.startedAt()
+                ? -random.nextDouble() * usual.get(group)
                 : Math.min(0, row.coldBudget + rate * (now - row.coldBudgetAt));
         row.coldBudgetAt = now;
         return row.coldBudget >= 0;
@@ -574,7 +612,9 @@
     /** Counted ten times a second. Guards against going through all nodes for each answer. */
     private long bearers(double now) {
         if (now > bearersAt + 0.1) {
-            bearers = rows.values().stream().filter(r -> r.strikes < STRIKES && !r.closed()).count();
+            bearers = rows.values().stream()
+                    .filter(r -> r.strikes < STRIKES && !r.closed())
+                    .count();
             bearersAt = now;
         }
         return bearers;
@@ -592,8 +632,10 @@
     }
 
     private Row primary(int group) {
-        return team(group).rows.stream().filter(Row::claimsPrimary)
-                .max(Comparator.comparingDouble(row -> row.primaryAt)).orElse(null);
+        return team(group).rows.stream()
+                .filter(Row::claimsPrimary)
+                .max(Comparator.comparingDouble(row -> row.primaryAt))
+                .orElse(null);
     }
 
     // ---- what to do after an outcome ----
@@ -616,7 +658,9 @@
         }
         learn(row, reply, now);
         judge(row, dispatch, reply, now);
-        if (reply.outcome() == Outcome.ANSWERED && cmd.group.level() == ReadLevel.WRITE && cmd.session != null
+        if (reply.outcome() == Outcome.ANSWERED
+                && cmd.group.level() == ReadLevel.WRITE
+                && cmd.session != null
                 && !settings.marksCarried()) {
             remember(cmd, reply, now);
         }
@@ -773,16 +817,18 @@
             });
             row.listing = entry.state() == Listing.State.GONE ? delisted(row) : entry;
         }
-        rows.values().removeIf(row -> row.listing == null && row.out.isEmpty()
-                && team(row.node.group()).rows.remove(row));
+        rows.values()
+                .removeIf(row -> row.listing == null
+                        && row.out.isEmpty()
+                        && team(row.node.group()).rows.remove(row));
         // The cached list comes before anything was asked; any later one shows that the watch stands.
         watchAt = watchAt > 0 ? Double.POSITIVE_INFINITY : watchAt;
         late = false;
     }
 
     /**
-     * For the log: how many nodes there are and were heard lately, and of those that are out of use or have
-     * something out the first few: what is out of the window, tenths of seconds since heard, what is special.
+     * For the log: how many nodes there are and were heard lately, and of those that are out of use or have something
+     * out the first few: what is out of the window, tenths of seconds since heard, what is special.
      */
     public String beliefs(double now) {
         // Guards against standing still for a line: no formats, no lists of any length.
@@ -798,8 +844,13 @@
                 continue;
             }
             told++;
-            text.append(", ").append(row.node.id()).append(' ')
-                    .append(row.out.size()).append('/').append((int) row.window).append(' ')
+            text.append(", ")
+                    .append(row.node.id())
+                    .append(' ')
+                    .append(row.out.size())
+                    .append('/')
+                    .append((int) row.window)
+                    .append(' ')
                     .append(row.heardAt == NEVER ? -1 : (long) (10 * (now - row.heardAt)))
                     .append(row.claimsPrimary() ? " primary" : "")
                     .append(row.closed() ? " closed" : out ? " out" : "");
--- a/core/src/main/java/clayhook/Dispatch.java
+++ b/core/src/main/java/clayhook/Dispatch.java
@@ -6,6 +6,7 @@
     public final Node node;
     /** It had to open a connection, as far as this router can tell. */
     public final boolean connects;
+
     public final double sentAt;
     /** When it is abandoned. */
     public final double limit;
--- a/core/src/main/java/clayhook/Listing.java
+++ b/core/src/main/java/clayhook/Listing.java
@@ -7,5 +7,9 @@
  */
 public record Listing(Node node, State state, boolean primary, double startedAt) {
 
-    public enum State { READY, DRAINING, GONE }
+    public enum State {
+        READY,
+        DRAINING,
+        GONE
+    }
 }
--- a/core/src/main/java/clayhook/Reply.java
+++ b/core/src/main/java/clayhook/Reply.java
@@ -8,8 +8,14 @@
  * @param reportedPosition the same from its load report, as old as that report
  * @param load the commands that the node reported to hold or to have waiting; below 0 where it told none
  */
-public record Reply(Outcome outcome, double took, Role role, double position, Role reportedRole,
-        double reportedPosition, double load) {
+public record Reply(
+        Outcome outcome,
+        double took,
+        Role role,
+        double position,
+        Role reportedRole,
+        double reportedPosition,
+        double load) {
 
     /** Nothing was told, or nothing that can be believed. */
     public static Reply untold(Outcome outcome, double took) {
--- a/core/src/main/java/clayhook/Role.java
+++ b/core/src/main/java/clayhook/Role.java
@@ -1,4 +1,8 @@
 package clayhook;
 
 /** The part that a node says it plays in its group. */
-public enum Role { UNKNOWN, PRIMARY, REPLICA }
+public enum Role {
+    UNKNOWN,
+    PRIMARY,
+    REPLICA
+}
--- a/core/src/main/java/clayhook/Settings.java
+++ b/core/src/main/java/clayhook/Settings.java
@@ -16,8 +16,23 @@
  * @param commandsAConnection how many dispatches a connection carries at once
  * @param connectionIdle an unused connection closes after this long
  */
-public record Settings(int routers, String zone, List<CommandGroup> groups, boolean listMustBeAsked,
-        boolean goneBinds, boolean replicasCheck, boolean marksCarried, boolean mayProbe, boolean mayCancel,
-        boolean secondCopies, boolean adviceHeeded, double longestAdvice, int mostDispatches, double coldShare,
-        double warmAfter, double overloadFactor, double overloadFor, int commandsAConnection, double connectionIdle) {
-}
+public record Settings(
+        int routers,
+        String zone,
+        List<CommandGroup> groups,
+        boolean listMustBeAsked,
+        boolean goneBinds,
+        boolean replicasCheck,
+        boolean marksCarried,
+        boolean mayProbe,
+        boolean mayCancel,
+        boolean secondCopies,
+        boolean adviceHeeded,
+        double longestAdvice,
+        int mostDispatches,
+        double coldShare,
+        double warmAfter,
+        double overloadFactor,
+        double overloadFor,
+        int commandsAConnection,
+        double connectionIdle) {}
--- a/core/src/main/java/clayhook/hand/Hand.java
+++ b/core/src/main/java/clayhook/hand/Hand.java
@@ -20,23 +20,23 @@
     private static final double ROUNDING = 1e-6;
 
     /** What the module wants done with a command. */
-    public record Order(Command command, Choice choice) {
-    }
+    public record Order(Command command, Choice choice) {}
 
     /**
      * What is to be carried out now.
      *
      * @param wake settle again after so many seconds; 0 if an earlier call already asked for that in time
      */
-    public record Turn(List<Order> orders, Pause pause, double wake) {
-    }
+    public record Turn(List<Order> orders, Pause pause, double wake) {}
 
     private final Decide decide;
     /** Each leaves with its final answer and the last outcome of its dispatches. */
     private final Set<Command> held = new LinkedHashSet<>();
+
     private List<Order> orders = new ArrayList<>();
     /** No dispatch that is out ends before. */
     private double nextLimit = Double.POSITIVE_INFINITY;
+
     private double dueAt = Double.POSITIVE_INFINITY;
 
     private final Consumer<RuntimeException> faults;
--- a/core/src/test/java/clayhook/ColdFleet.java
+++ b/core/src/test/java/clayhook/ColdFleet.java
@@ -14,8 +14,8 @@
 import java.util.Random;
 
 /**
- * A plain fleet in virtual time: real {@link Decide} instances with unequal traffic, nodes that serve one command
- * after another, some of them cold. It adds up what all routers together send to each cold node. Times are seconds.
+ * A plain fleet in virtual time: real {@link Decide} instances with unequal traffic, nodes that serve one command after
+ * another, some of them cold. It adds up what all routers together send to each cold node. Times are seconds.
  */
 final class ColdFleet {
     private static final double WARM_AFTER = 18, COLD_SHARE = 0.29, WINDOW = 3;
@@ -23,6 +23,7 @@
     private static final double WRITES = 0.08, WRITE_WORK = 1.6, MEAN_WORK = 1 + WRITES * (WRITE_WORK - 1);
     /** What a new connection and a probe cost a node, in reads. */
     private static final double CONNECT_WORK = 0.1, PROBE_WORK = 0.01;
+
     private static final int TEAMS = 4, MEMBERS = 6;
     private static final double START = 1000, COLD_AT = START + 5, END = START + 22;
 
@@ -49,9 +50,9 @@
         PRIMARY
     }
 
-    private record Event(double at, long order, Runnable what) { }
+    private record Event(double at, long order, Runnable what) {}
 
-    private record Work(double at, double amount, boolean told) { }
+    private record Work(double at, double amount, boolean told) {}
 
     private static final class Ask extends Command {
         final int tries;
@@ -66,9 +67,11 @@
         final Node node;
         /** 0 for long ago. */
         double startedAt;
+
         boolean dead, primary, draining;
         /** When it will have done all that it holds. */
         double freeAt;
+
         final List<Work> whileCold = new ArrayList<>();
 
         Machine(int team, int member) {
@@ -129,6 +132,7 @@
         final Map<Machine, Double> told = new HashMap<>();
         /** Outcomes of what an earlier life sent tell it nothing. */
         int life;
+
         private long turn;
 
         void begin() {
@@ -144,8 +148,8 @@
 
         Listing listing(Machine m) {
             told.put(m, m.startedAt);
-            return new Listing(m.node, m.draining ? Listing.State.DRAINING : Listing.State.READY, m.primary,
-                    m.startedAt);
+            return new Listing(
+                    m.node, m.draining ? Listing.State.DRAINING : Listing.State.READY, m.primary, m.startedAt);
         }
 
         void take(Ask cmd) {
@@ -180,7 +184,8 @@
             m.freeAt = Math.max(now, m.freeAt) + work / MEAN_WORK / (capacity * m.warmth(now));
             double took = m.freeAt - now + 0.002 * (0.5 + random.nextDouble());
             boolean late = now + took > dispatch.limit;
-            in(late ? dispatch.limit - now : took,
+            in(
+                    late ? dispatch.limit - now : took,
                     () -> ended(dispatch, sentBy, late ? Outcome.TIMED_OUT : Outcome.ANSWERED, m));
         }
 
@@ -191,7 +196,8 @@
             Ask cmd = (Ask) dispatch.command;
             double took = now - dispatch.sentAt;
             boolean spoke = (outcome == Outcome.ANSWERED || outcome == Outcome.FULL) && !m.dead;
-            Reply reply = spoke ? m.reply(outcome, took)
+            Reply reply = spoke
+                    ? m.reply(outcome, took)
                     : Reply.untold(outcome == Outcome.ANSWERED ? Outcome.RESET : outcome, took);
             boolean done = reply.outcome() == Outcome.ANSWERED && !cmd.over;
             served += done && now <= cmd.arrived + cmd.group.responseTarget() ? 1 : 0;
@@ -216,8 +222,10 @@
                 }
                 in(dead ? 0.25 : 0.002, () -> {
                     if (asked == life) {
-                        decide.probed(node, dead ? Reply.untold(Outcome.CONNECT_FAILED, 0.25)
-                                : m.reply(Outcome.ANSWERED, 0.002), now);
+                        decide.probed(
+                                node,
+                                dead ? Reply.untold(Outcome.CONNECT_FAILED, 0.25) : m.reply(Outcome.ANSWERED, 0.002),
+                                now);
                     }
                 });
             }
@@ -243,15 +251,18 @@
     private final List<Router> routers = new ArrayList<>();
     /** The part of the traffic that comes to the routers up to each. */
     private final double[] upTo;
+
     private final List<CommandGroup> groups;
     private double now = START, rate;
     /** The traffic of the first group over that of any other. */
     private double hot = 1;
+
     private long order;
     /** Commands, and those answered within the response target. */
     int offered, served;
     /** Cold nodes that fell, and those of them that break the rule; the greatest part of what one bears. */
     int falls, broken;
+
     double worst;
     /** What cold nodes were sent, and what they could do. */
     double coldWork, coldCapacity;
@@ -271,12 +282,30 @@
         double target = 20 / capacity;
         groups = List.of(
                 new CommandGroup("any", Effect.REPLAYABLE, ReadLevel.ANY, target, 2 * target, 2, 0, Scope.GROUP, 5, 0),
-                new CommandGroup("bounded", Effect.REPLAYABLE, ReadLevel.BOUNDED, target, 2 * target, 1, 0, Scope.GROUP,
-                        5, 0.2),
-                new CommandGroup("write", Effect.KEYED, ReadLevel.WRITE, target, 5 * target, 3, 0.5, Scope.GROUP,
-                        5, 0));
-        settings = new Settings(size, "north", groups, false, true, true, true, true, true, true, false, 0, 10,
-                COLD_SHARE, WARM_AFTER, factor, WINDOW, 1, 15);
+                new CommandGroup(
+                        "bounded", Effect.REPLAYABLE, ReadLevel.BOUNDED, target, 2 * target, 1, 0, Scope.GROUP, 5, 0.2),
+                new CommandGroup(
+                        "write", Effect.KEYED, ReadLevel.WRITE, target, 5 * target, 3, 0.5, Scope.GROUP, 5, 0));
+        settings = new Settings(
+                size,
+                "north",
+                groups,
+                false,
+                true,
+                true,
+                true,
+                true,
+                true,
+                true,
+                false,
+                0,
+                10,
+                COLD_SHARE,
+                WARM_AFTER,
+                factor,
+                WINDOW,
+                1,
+                15);
         for (int i = 0; i < TEAMS * MEMBERS; i++) {
             add(new Machine(i % TEAMS, i / TEAMS)).primary = i < TEAMS;
         }
@@ -340,13 +369,17 @@
         double before = COLD_AT - START;
         double then = before + 1 + 10 * random.nextDouble();
         if (trouble == Trouble.ZONE) {
-            List<Machine> lost = machines.stream().filter(m -> !m.primary && m.node.id().hashCode() % 3 == 0).toList();
+            List<Machine> lost = machines.stream()
+                    .filter(m -> !m.primary && m.node.id().hashCode() % 3 == 0)
+                    .toList();
             in(1, () -> lost.forEach(m -> m.dead = true));
-            in(before, () -> lost.forEach(m -> {
-                m.dead = false;
-                m.startedAt = now;
-                list(m);
-            }));
+            in(
+                    before,
+                    () -> lost.forEach(m -> {
+                        m.dead = false;
+                        m.startedAt = now;
+                        list(m);
+                    }));
             return;
         }
         List<Machine> old = List.copyOf(machines);
@@ -360,11 +393,11 @@
             }
         });
         switch (trouble) {
-            case DRAIN, DRAIN_IN_BURST, DRAIN_AND_RESTART -> in(then, () -> old.stream().filter(m -> !m.primary)
-                    .forEach(m -> {
-                        m.draining = true;
-                        list(m);
-                    }));
+            case DRAIN, DRAIN_IN_BURST, DRAIN_AND_RESTART ->
+                in(then, () -> old.stream().filter(m -> !m.primary).forEach(m -> {
+                    m.draining = true;
+                    list(m);
+                }));
             case DIE -> in(then, () -> old.stream().filter(m -> !m.primary).forEach(m -> m.dead = true));
             case PRIMARY -> {
                 in(then, () -> old.stream().filter(m -> m.primary).forEach(m -> {
@@ -373,7 +406,7 @@
                 }));
                 in(then + 3, () -> joining.forEach(m -> m.primary = true));
             }
-            default -> { }
+            default -> {}
         }
         if (trouble == Trouble.DRAIN_ONE_IN_BURST) {
             in(then, () -> {
@@ -394,7 +427,10 @@
             in(then + 5, () -> rate /= 2);
         }
         if (trouble == Trouble.RESTART || trouble == Trouble.DRAIN_AND_RESTART) {
-            in(then, () -> routers.stream().filter(r -> random.nextDouble() < 0.7).toList().forEach(Router::begin));
+            in(then, () -> routers.stream()
+                    .filter(r -> random.nextDouble() < 0.7)
+                    .toList()
+                    .forEach(Router::begin));
         }
     }
 }
--- a/core/src/test/java/clayhook/DecideTest.java
+++ b/core/src/test/java/clayhook/DecideTest.java
@@ -135,8 +135,18 @@
             Choice choice = fleet.ask(fleet.command(fleet.any, 0));
             if (choice.verdict() == Verdict.SEND) {
                 boolean behind = choice.dispatch().node == fleet.other;
-                fleet.decide.after(choice.dispatch(), new Reply(Outcome.ANSWERED, 0.4 * (behind ? slowness : 0.1),
-                        Role.REPLICA, fleet.now - (behind ? 9 : 0), Role.UNKNOWN, 0, -1), true, fleet.now);
+                fleet.decide.after(
+                        choice.dispatch(),
+                        new Reply(
+                                Outcome.ANSWERED,
+                                0.4 * (behind ? slowness : 0.1),
+                                Role.REPLICA,
+                                fleet.now - (behind ? 9 : 0),
+                                Role.UNKNOWN,
+                                0,
+                                -1),
+                        true,
+                        fleet.now);
             }
         }
         Set<Node> met = fleet.nodesOf(fleet.any, 3);
@@ -161,14 +171,20 @@
         fleet.tell(far, Role.REPLICA, fleet.now);
         for (int i = 0; i < 3; i++) {
             Choice calm = fleet.decide.where(new Command(fleet.any, 2, null, 0, fleet.now, fleet.now + 4), fleet.now);
-            fleet.decide.after(calm.dispatch(), new Reply(Outcome.ANSWERED, 0.04, Role.REPLICA, fleet.now,
-                    Role.UNKNOWN, 0, -1), true, fleet.now);
+            fleet.decide.after(
+                    calm.dispatch(),
+                    new Reply(Outcome.ANSWERED, 0.04, Role.REPLICA, fleet.now, Role.UNKNOWN, 0, -1),
+                    true,
+                    fleet.now);
         }
         for (int i = 0; i < 60; i++) {
             Choice crowded = fleet.ask(fleet.command(fleet.any, 0));
             if (crowded.verdict() == Verdict.SEND) {
-                fleet.decide.after(crowded.dispatch(), new Reply(Outcome.ANSWERED, 0.36, Role.REPLICA, fleet.now,
-                        Role.UNKNOWN, 0, -1), true, fleet.now);
+                fleet.decide.after(
+                        crowded.dispatch(),
+                        new Reply(Outcome.ANSWERED, 0.36, Role.REPLICA, fleet.now, Role.UNKNOWN, 0, -1),
+                        true,
+                        fleet.now);
             }
         }
         fleet.now += idle;
@@ -234,7 +250,9 @@
     }
 
     @ParameterizedTest
-    @EnumSource(value = State.class, names = {"DRAINING", "GONE"})
+    @EnumSource(
+            value = State.class,
+            names = {"DRAINING", "GONE"})
     void nothingNewGoesToANodeThatDrainsOrIsGone(State state) {
         fleet.list(fleet.replica, state, 0);
         assertEquals(Set.of(fleet.other), fleet.nodesOf(fleet.bounded, 4));
@@ -242,8 +260,12 @@
 
     @Test
     void aNodeMissingFromAWholeListIsGone() {
-        fleet.decide.listed(List.of(new Listing(fleet.primary, State.READY, true, 0),
-                new Listing(fleet.other, State.READY, false, 0)), true, fleet.now);
+        fleet.decide.listed(
+                List.of(
+                        new Listing(fleet.primary, State.READY, true, 0),
+                        new Listing(fleet.other, State.READY, false, 0)),
+                true,
+                fleet.now);
         assertEquals(Set.of(fleet.other), fleet.nodesOf(fleet.any, 4));
     }
 
@@ -329,18 +351,25 @@
             fleet.tellAll(fleet.now);
             Choice choice = fleet.ask(fleet.command(fleet.any, 0));
             if (choice.verdict() == Verdict.SEND) {
-                fleet.decide.after(choice.dispatch(), new Reply(Outcome.ANSWERED, 0.4 * slowness, Role.REPLICA,
-                        fleet.now, Role.UNKNOWN, 0, -1), true, fleet.now);
+                fleet.decide.after(
+                        choice.dispatch(),
+                        new Reply(Outcome.ANSWERED, 0.4 * slowness, Role.REPLICA, fleet.now, Role.UNKNOWN, 0, -1),
+                        true,
+                        fleet.now);
             }
         }
     }
 
     @Test
     void aReplicaThatReportsMuchLoadIsPassedOver() {
-        fleet.decide.probed(fleet.replica, new Reply(Outcome.ANSWERED, 0.001, Role.UNKNOWN, 0, Role.REPLICA,
-                fleet.now, 99), fleet.now);
-        fleet.decide.probed(fleet.other, new Reply(Outcome.ANSWERED, 0.001, Role.UNKNOWN, 0, Role.REPLICA,
-                fleet.now, 0), fleet.now);
+        fleet.decide.probed(
+                fleet.replica,
+                new Reply(Outcome.ANSWERED, 0.001, Role.UNKNOWN, 0, Role.REPLICA, fleet.now, 99),
+                fleet.now);
+        fleet.decide.probed(
+                fleet.other,
+                new Reply(Outcome.ANSWERED, 0.001, Role.UNKNOWN, 0, Role.REPLICA, fleet.now, 0),
+                fleet.now);
         int crowded = 0;
         for (int i = 0; i < 40; i++) {
             Dispatch read = fleet.send(fleet.any);
@@ -356,8 +385,11 @@
             fleet.now += 20;
             fleet.tellAll(fleet.now);
             Dispatch write = fleet.send(fleet.write);
-            fleet.decide.after(write, new Reply(Outcome.ANSWERED, 0.39, Role.PRIMARY, fleet.now, Role.UNKNOWN, 0,
-                    -1), true, fleet.now);
+            fleet.decide.after(
+                    write,
+                    new Reply(Outcome.ANSWERED, 0.39, Role.PRIMARY, fleet.now, Role.UNKNOWN, 0, -1),
+                    true,
+                    fleet.now);
         }
         Choice opening = fleet.ask(fleet.command(fleet.any, 0));
         while (opening.verdict() == Verdict.NOT_YET) {
@@ -372,9 +404,15 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"REPLAYABLE, RESET, 0.1, SEND", "KEYED, RESET, 0.1, SEND", "KEYED, RESET, 1.5, FAIL",
-        "MUTATING, RESET, 0.1, FAIL", "MUTATING, TIMED_OUT, 0.1, FAIL", "MUTATING, FULL, 0.1, NOT_YET",
-        "MUTATING, ERROR, 0.1, FAIL"})
+    @CsvSource({
+        "REPLAYABLE, RESET, 0.1, SEND",
+        "KEYED, RESET, 0.1, SEND",
+        "KEYED, RESET, 1.5, FAIL",
+        "MUTATING, RESET, 0.1, FAIL",
+        "MUTATING, TIMED_OUT, 0.1, FAIL",
+        "MUTATING, FULL, 0.1, NOT_YET",
+        "MUTATING, ERROR, 0.1, FAIL"
+    })
     void whatMayHaveRunIsRepeatedOnlyAsItsEffectAllows(Effect effect, Outcome outcome, double later, Verdict verdict) {
         Dispatch first = fleet.send(fleet.writes(effect));
         fleet.now += later;
@@ -394,14 +432,17 @@
         Dispatch write = fleet.send(fleet.writes(Effect.MUTATING));
         fleet.now += 3;
         fleet.tellAll(fleet.now);
-        assertEquals(Verdict.NOT_YET, fleet.decide.where(write.command, fleet.now).verdict());
+        assertEquals(
+                Verdict.NOT_YET, fleet.decide.where(write.command, fleet.now).verdict());
     }
 
     @ParameterizedTest
     @CsvSource({"REPLAYABLE, THROTTLE", "MUTATING, FAIL", "KEYED, FAIL"})
     void theFinalAnswerComesInTimeThoughNoOutcomeDoes(Effect effect, Verdict verdict) {
         Dispatch write = fleet.send(fleet.writes(effect));
-        assertEquals(verdict, fleet.decide.where(write.command, write.command.expires).verdict());
+        assertEquals(
+                verdict,
+                fleet.decide.where(write.command, write.command.expires).verdict());
     }
 
     @ParameterizedTest
@@ -428,8 +469,11 @@
             if (choice.verdict() == Verdict.SEND) {
                 read.dispatches.add(choice.dispatch());
                 double took = choice.dispatch().limit - fleet.now;
-                fleet.decide.after(choice.dispatch(), new Reply(Outcome.TIMED_OUT, took, Role.UNKNOWN, 0, Role.UNKNOWN, 0,
-                        -1), false, fleet.now);
+                fleet.decide.after(
+                        choice.dispatch(),
+                        new Reply(Outcome.TIMED_OUT, took, Role.UNKNOWN, 0, Role.UNKNOWN, 0, -1),
+                        false,
+                        fleet.now);
             }
         }
         int sent = 0;
@@ -461,7 +505,9 @@
     void writesWaitWhileThePrimaryIsSilentAndAllMembersAreProbed() {
         fleet.send(fleet.write);
         fleet.now += 0.5;
-        assertEquals(Verdict.NOT_YET, fleet.decide.where(fleet.command(fleet.write, 0), fleet.now).verdict());
+        assertEquals(
+                Verdict.NOT_YET,
+                fleet.decide.where(fleet.command(fleet.write, 0), fleet.now).verdict());
         assertEquals(3, fleet.decide.pause(fleet.now).probes().size());
     }
 
@@ -490,7 +536,9 @@
         fleet.tell(fleet.primary, Role.PRIMARY, fleet.now);
         fleet.now += later;
         fleet.tell(fleet.primary, Role.REPLICA, fleet.now - later - 0.5);
-        assertEquals(verdict, fleet.decide.where(fleet.command(fleet.write, 0), fleet.now).verdict());
+        assertEquals(
+                verdict,
+                fleet.decide.where(fleet.command(fleet.write, 0), fleet.now).verdict());
     }
 
     @Test
@@ -525,7 +573,8 @@
         fleet.decide.where(read.command, fleet.now);
         assertEquals(List.of(read.node), fleet.decide.pause(fleet.now).probes());
         fleet.tellAll(fleet.now);
-        assertEquals(Verdict.NOT_YET, fleet.decide.where(read.command, fleet.now).verdict());
+        assertEquals(
+                Verdict.NOT_YET, fleet.decide.where(read.command, fleet.now).verdict());
     }
 
     @Test
@@ -563,7 +612,9 @@
             }
             fleet.answer(broken, outcome, Role.UNKNOWN, 0);
         }
-        assertEquals(serves, fleet.decide.where(fleet.command(fleet.write, 0), fleet.now).verdict() == Verdict.SEND);
+        assertEquals(
+                serves,
+                fleet.decide.where(fleet.command(fleet.write, 0), fleet.now).verdict() == Verdict.SEND);
     }
 
     @Test
@@ -596,8 +647,8 @@
         for (int i = 0; i < 20; i++) {
             Dispatch read = fleet.send(fleet.any);
             Outcome outcome = read.node.equals(fleet.replica) ? Outcome.ERROR : Outcome.ANSWERED;
-            fleet.decide.after(read, new Reply(outcome, 0.01, Role.REPLICA, fleet.now, Role.UNKNOWN, 0, -1), true,
-                    fleet.now);
+            fleet.decide.after(
+                    read, new Reply(outcome, 0.01, Role.REPLICA, fleet.now, Role.UNKNOWN, 0, -1), true, fleet.now);
         }
         assertEquals(Set.of(fleet.other), fleet.nodesOf(fleet.any, 4));
     }
@@ -610,9 +661,13 @@
         Dispatch last = fleet.send(fleet.any);
         fleet.fill(fleet.any);
         fleet.answer(first, Outcome.CANCELLED, Role.UNKNOWN, 0);
-        assertEquals(Verdict.NOT_YET, fleet.decide.where(fleet.command(fleet.any, 0), fleet.now).verdict());
+        assertEquals(
+                Verdict.NOT_YET,
+                fleet.decide.where(fleet.command(fleet.any, 0), fleet.now).verdict());
         fleet.answer(last, Outcome.ANSWERED, Role.REPLICA, fleet.now);
-        assertEquals(Verdict.SEND, fleet.decide.where(fleet.command(fleet.any, 0), fleet.now).verdict());
+        assertEquals(
+                Verdict.SEND,
+                fleet.decide.where(fleet.command(fleet.any, 0), fleet.now).verdict());
     }
 
     @Test
@@ -620,8 +675,11 @@
         int before = new Fleet().fill(fleet.write);
         for (int i = 0; i < 60; i++) {
             Dispatch write = fleet.send(fleet.write);
-            fleet.decide.after(write, new Reply(Outcome.ANSWERED, 0.25, Role.PRIMARY, fleet.now, Role.UNKNOWN, 0, -1),
-                    true, fleet.now);
+            fleet.decide.after(
+                    write,
+                    new Reply(Outcome.ANSWERED, 0.25, Role.PRIMARY, fleet.now, Role.UNKNOWN, 0, -1),
+                    true,
+                    fleet.now);
         }
         int after = fleet.fill(fleet.write);
         assertTrue(after < before, after + " against " + before);
@@ -648,11 +706,27 @@
         assertTrue(asking.now <= 1000 + 1.52, asking.now + "");
     }
 
-    /** A replica's log covered all and it answered a peer {@code heard} seconds ago, and failed there {@code failed} ago. */
+    /**
+     * A replica's log covered all and it answered a peer {@code heard} seconds ago, and failed there {@code failed}
+     * ago.
+     */
     private static Told told(double startedAt, double now, double heard, double failed) {
         double seen = now - heard;
-        return new Told(startedAt, seen, seen, 0, seen, Double.NEGATIVE_INFINITY, seen, seen, now - failed,
-                failed < heard ? 1 : 0, 0, 0, 0, 0);
+        return new Told(
+                startedAt,
+                seen,
+                seen,
+                0,
+                seen,
+                Double.NEGATIVE_INFINITY,
+                seen,
+                seen,
+                now - failed,
+                failed < heard ? 1 : 0,
+                0,
+                0,
+                0,
+                0);
     }
 
     /** How many of two reads go to it at once; without a word of peers none does. */
@@ -695,10 +769,15 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"READY, 0.05, false, true", "DRAINING, 0.05, false, false", "READY, 0.35, false, false",
-        "READY, 0.41, false, false", "READY, 0.05, true, false"})
-    void aDispatchThatWaitedForItsConnectionGoesOutOnlyIfItStillMay(State state, double later, boolean over,
-            boolean goes) {
+    @CsvSource({
+        "READY, 0.05, false, true",
+        "DRAINING, 0.05, false, false",
+        "READY, 0.35, false, false",
+        "READY, 0.41, false, false",
+        "READY, 0.05, true, false"
+    })
+    void aDispatchThatWaitedForItsConnectionGoesOutOnlyIfItStillMay(
+            State state, double later, boolean over, boolean goes) {
         Dispatch dispatch = fleet.send(fleet.bounded);
         fleet.now += later;
         fleet.list(dispatch.node, state, 0);
--- a/core/src/test/java/clayhook/Fleet.java
+++ b/core/src/test/java/clayhook/Fleet.java
@@ -45,14 +45,42 @@
         this(routers, marksCarried, replicasCheck, listMustBeAsked, goneBinds, true);
     }
 
-    Fleet(int routers, boolean marksCarried, boolean replicasCheck, boolean listMustBeAsked, boolean goneBinds,
+    Fleet(
+            int routers,
+            boolean marksCarried,
+            boolean replicasCheck,
+            boolean listMustBeAsked,
+            boolean goneBinds,
             boolean mayProbe) {
-        decide = new Decide(new Settings(routers, "north",
-                List.of(bounded, session, any, report, write, mutating, fresh), listMustBeAsked, goneBinds,
-                replicasCheck, marksCarried, mayProbe, true, true, true, 1, 8, 0.2, 10, 3, 3, 1, 15), 1);
-        decide.listed(List.of(new Listing(primary, Listing.State.READY, false, 0),
-                new Listing(replica, Listing.State.READY, false, 0),
-                new Listing(other, Listing.State.READY, false, 0)), true, now);
+        decide = new Decide(
+                new Settings(
+                        routers,
+                        "north",
+                        List.of(bounded, session, any, report, write, mutating, fresh),
+                        listMustBeAsked,
+                        goneBinds,
+                        replicasCheck,
+                        marksCarried,
+                        mayProbe,
+                        true,
+                        true,
+                        true,
+                        1,
+                        8,
+                        0.2,
+                        10,
+                        3,
+                        3,
+                        1,
+                        15),
+                1);
+        decide.listed(
+                List.of(
+                        new Listing(primary, Listing.State.READY, false, 0),
+                        new Listing(replica, Listing.State.READY, false, 0),
+                        new Listing(other, Listing.State.READY, false, 0)),
+                true,
+                now);
         tellAll(now);
     }
 
@@ -135,7 +163,10 @@
     }
 
     Choice answer(Dispatch dispatch, Outcome outcome, Role role, double position) {
-        return decide.after(dispatch, new Reply(outcome, now - dispatch.sentAt, role, position, Role.UNKNOWN, 0, -1),
-                outcome == Outcome.ANSWERED, now);
+        return decide.after(
+                dispatch,
+                new Reply(outcome, now - dispatch.sentAt, role, position, Role.UNKNOWN, 0, -1),
+                outcome == Outcome.ANSWERED,
+                now);
     }
 }
--- a/core/src/test/java/clayhook/hand/HandTest.java
+++ b/core/src/test/java/clayhook/hand/HandTest.java
@@ -31,8 +31,28 @@
     private final Command command = new Command(GROUP, 1, null, 0, 1000, 1002);
 
     HandTest() {
-        var decide = new Decide(new Settings(1, "a", List.of(GROUP), false, true, false, true, false, true, true, true, 1,
-                3, 0.2, 10, 3, 3, 1, 15), 1);
+        var decide = new Decide(
+                new Settings(
+                        1,
+                        "a",
+                        List.of(GROUP),
+                        false,
+                        true,
+                        false,
+                        true,
+                        false,
+                        true,
+                        true,
+                        true,
+                        1,
+                        3,
+                        0.2,
+                        10,
+                        3,
+                        3,
+                        1,
+                        15),
+                1);
         decide.listed(List.of(new Listing(node, State.READY, true, 0)), true, 1000);
         hand = new Hand(decide, faults::add);
     }
@@ -74,7 +94,11 @@
 
     @Test
     void aCommandThatTheModuleFailsOnIsFailed() {
-        hand.ended(new Dispatch(command, new Node("unknown", "a", 1), false, 1000, 1001), reply(Outcome.RESET), false, 1000);
+        hand.ended(
+                new Dispatch(command, new Node("unknown", "a", 1), false, 1000, 1001),
+                reply(Outcome.RESET),
+                false,
+                1000);
         assertEquals(1, faults.size());
         Hand.Order order = hand.settle(1000).orders().get(0);
         assertSame(command, order.command());
--- a/daemon/src/main/java/clayhook/config/Configuration.java
+++ b/daemon/src/main/java/clayhook/config/Configuration.java
@@ -12,19 +12,28 @@
 import java.util.Map;
 
 /**
- * All that a real router is told at its start: a file of JSON named by LB_CONFIG; the variables LB_NAME, LB_LISTEN
- * and LB_DISCOVERY stand in for what the file leaves out.
+ * All that a real router is told at its start: a file of JSON named by LB_CONFIG; the variables LB_NAME, LB_LISTEN and
+ * LB_DISCOVERY stand in for what the file leaves out.
  *
  * @param known the list of nodes as this router last had it, perhaps old
  * @param connectTimeout seconds in which a connection to a node must stand
  * @param memory bytes that the whole process may take
  * @param sockets descriptors that the process may hold
  */
-public record Configuration(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed,
-        long memory, int sockets, NodeList known, Settings settings, double connectTimeout) {
+public record Configuration(
+        String name,
+        InetSocketAddress listen,
+        InetSocketAddress discovery,
+        long seed,
+        long memory,
+        int sockets,
+        NodeList known,
+        Settings settings,
+        double connectTimeout) {
 
     /** What the platform grants where it states nothing: the least that it hands out on scored days. */
     private static final double MEMORY_MB = 192;
+
     private static final double SOCKETS = 1024;
 
     /** Throws BadConfig naming the faulty key. */
@@ -59,11 +68,16 @@
         if (read.groups().isEmpty()) {
             throw new BadConfig("settings.grades: missing or empty");
         }
-        return new Configuration(text(map, "name", environment.get("LB_NAME")),
+        return new Configuration(
+                text(map, "name", environment.get("LB_NAME")),
                 address("listen", text(map, "listen", environment.get("LB_LISTEN"))),
                 address("discovery", text(map, "discovery", environment.get("LB_DISCOVERY"))),
-                seed(text(map, "seed", null)), (long) (limit(map, "memory_mb", MEMORY_MB) * 1024 * 1024),
-                (int) limit(map, "sockets", SOCKETS), known(map.get("known")), read, reader.connectTimeout());
+                seed(text(map, "seed", null)),
+                (long) (limit(map, "memory_mb", MEMORY_MB) * 1024 * 1024),
+                (int) limit(map, "sockets", SOCKETS),
+                known(map.get("known")),
+                read,
+                reader.connectTimeout());
     }
 
     /** It was there before, and clients may wait for it: where a deployment starts, its list has never changed. */
@@ -100,7 +114,9 @@
                 flatten(path + "." + i, list.get(i), values);
             }
         } else if (json instanceof List<?> list) {
-            values.put(path, String.join(",", list.stream().map(Configuration::plain).toList()));
+            values.put(
+                    path,
+                    String.join(",", list.stream().map(Configuration::plain).toList()));
         } else if (json != null) {
             values.put(path, plain(json));
         }
--- a/daemon/src/main/java/clayhook/config/Json.java
+++ b/daemon/src/main/java/clayhook/config/Json.java
@@ -9,6 +9,7 @@
 public final class Json {
     /** Deep enough for any message of ours; it bounds the stack. */
     private static final int MOST_DEPTH = 32;
+
     private final String text;
     private int at;
 
--- a/daemon/src/main/java/clayhook/config/LoadReport.java
+++ b/daemon/src/main/java/clayhook/config/LoadReport.java
@@ -11,6 +11,7 @@
 public record LoadReport(Role role, double position, double load) {
     /** No machine holds so many commands. */
     private static final double MOST_LOAD = 1e6;
+
     public static final LoadReport NONE = new LoadReport(Role.UNKNOWN, 0, -1);
 
     /** Reads name and value pairs; {@code origin} is the clock time of position 0. */
@@ -36,7 +37,7 @@
                     }
                     load = Math.max(load, value);
                 }
-                default -> { }
+                default -> {}
             }
         }
         return new LoadReport(role, position, load);
--- a/daemon/src/main/java/clayhook/config/Operator.java
+++ b/daemon/src/main/java/clayhook/config/Operator.java
@@ -23,8 +23,7 @@
      * @param timeout seconds that a client waits where neither rule nor client says so; 0 for its command group's time
      * @param longestAnswer bytes of an answer that are passed on
      */
-    public record Statements(StatementRules rules, boolean trustComments, double timeout, int longestAnswer) {
-    }
+    public record Statements(StatementRules rules, boolean trustComments, double timeout, int longestAnswer) {}
 
     /** Checks what it says against the command groups there are; throws BadConfig naming place and key. */
     interface GroupCheck {
@@ -32,19 +31,32 @@
 
         /** Where the command groups are not known, as in tools, any name will do. */
         static GroupCheck of(List<CommandGroup> groups, Toml toml) {
-            return groups == null ? (key, writes, marked, name) -> { } : (key, writes, marked, name) -> {
-                CommandGroup group = groups.stream().filter(g -> g.name().equals(name)).findFirst().orElse(null);
-                if (group == null) {
-                    throw toml.fault(key, "there is no command group '" + name + "'");
-                } else if (writes != (group.level() == CommandGroup.ReadLevel.WRITE)) {
-                    throw toml.fault(key, "command group '" + name + "' is for " + (writes ? "reads" : "writes"));
-                } else if (writes && marked != (group.effect() == CommandGroup.Effect.KEYED)) {
-                    throw toml.fault(key, "command group '" + name + "' is " + (marked ? "not keyed, but the rule names a mark"
-                            : group.effect() == CommandGroup.Effect.KEYED ? "keyed, which needs a rule with a mark" : "fit"));
-                } else if (writes && group.effect() == CommandGroup.Effect.REPLAYABLE) {
-                    throw toml.fault(key, "command group '" + name + "' is replayable, which no unknown write is");
-                }
-            };
+            return groups == null
+                    ? (key, writes, marked, name) -> {}
+                    : (key, writes, marked, name) -> {
+                        CommandGroup group = groups.stream()
+                                .filter(g -> g.name().equals(name))
+                                .findFirst()
+                                .orElse(null);
+                        if (group == null) {
+                            throw toml.fault(key, "there is no command group '" + name + "'");
+                        } else if (writes != (group.level() == CommandGroup.ReadLevel.WRITE)) {
+                            throw toml.fault(
+                                    key, "command group '" + name + "' is for " + (writes ? "reads" : "writes"));
+                        } else if (writes && marked != (group.effect() == CommandGroup.Effect.KEYED)) {
+                            throw toml.fault(
+                                    key,
+                                    "command group '" + name + "' is "
+                                            + (marked
+                                                    ? "not keyed, but the rule names a mark"
+                                                    : group.effect() == CommandGroup.Effect.KEYED
+                                                            ? "keyed, which needs a rule with a mark"
+                                                            : "fit"));
+                        } else if (writes && group.effect() == CommandGroup.Effect.REPLAYABLE) {
+                            throw toml.fault(
+                                    key, "command group '" + name + "' is replayable, which no unknown write is");
+                        }
+                    };
         }
     }
 }
--- a/daemon/src/main/java/clayhook/config/OperatorFile.java
+++ b/daemon/src/main/java/clayhook/config/OperatorFile.java
@@ -15,12 +15,14 @@
 public final class OperatorFile {
     /** Seconds; longer than any statement is waited for. */
     private static final double DAY = 86_400;
+
     private static final int LONGEST_ANSWER = 1 << 20;
 
-    private OperatorFile() {
-    }
+    private OperatorFile() {}
 
-    /** {@code groups} are the command groups there are; null where any name will do. Throws BadConfig naming the place. */
+    /**
+     * {@code groups} are the command groups there are; null where any name will do. Throws BadConfig naming the place.
+     */
     public static Operator read(Path file, List<CommandGroup> groups) throws BadConfig {
         return read(Toml.read(file), groups);
     }
@@ -57,14 +59,24 @@
         for (Toml rule : table.tables("rule")) {
             rules.add(rule(rule, groups, rules.size() + 1));
         }
-        var read = new StatementRules(table.flag("standard_conforming_strings", true), database.texts("reads"),
-                database.texts("writes"), database.texts("functions"), database.texts("types"),
+        var read = new StatementRules(
+                table.flag("standard_conforming_strings", true),
+                database.texts("reads"),
+                database.texts("writes"),
+                database.texts("functions"),
+                database.texts("types"),
                 database.texts("relations_that_write"),
                 table.whole("cache_bytes", (int) defaults.cacheBytes(), 1 << 16, 1 << 30),
                 table.whole("parse_budget", defaults.parseBudget(), 100, 1_000_000),
-                table.word("past_budget", "write", Set.of("write", "refuse")).equals("refuse"), List.copyOf(rules),
-                readGroup, writeGroup, table.whole("nodes", defaults.nodes(), 0, Integer.MAX_VALUE));
-        return new Operator.Statements(read, table.flag("trust_comments", false), table.number("timeout", 0, 0, DAY),
+                table.word("past_budget", "write", Set.of("write", "refuse")).equals("refuse"),
+                List.copyOf(rules),
+                readGroup,
+                writeGroup,
+                table.whole("nodes", defaults.nodes(), 0, Integer.MAX_VALUE));
+        return new Operator.Statements(
+                read,
+                table.flag("trust_comments", false),
+                table.number("timeout", 0, 0, DAY),
                 table.whole("answer_bytes", LONGEST_ANSWER, 1024, 1 << 28));
     }
 
@@ -79,10 +91,23 @@
         Operator.GroupCheck.of(groups, rule).check("group", writes, mark != null, group);
         double from = rule.number("cost_from", 0, 0, DAY);
         double to = rule.number("cost_to", Double.MAX_VALUE, from, Double.MAX_VALUE);
-        return new Rule(rule.text("name", "rule " + number), writes ? Verdict.WRITE : Verdict.READ, rule.texts("kinds"),
-                rule.texts("relations"), rule.texts("only"), rule.texts("functions"), rule.text("shape", null),
-                pattern(rule, "user"), pattern(rule, "database"), pattern(rule, "application"), from, to, group,
-                rule.number("timeout", 0, 0, DAY), mark, placement(rule));
+        return new Rule(
+                rule.text("name", "rule " + number),
+                writes ? Verdict.WRITE : Verdict.READ,
+                rule.texts("kinds"),
+                rule.texts("relations"),
+                rule.texts("only"),
+                rule.texts("functions"),
+                rule.text("shape", null),
+                pattern(rule, "user"),
+                pattern(rule, "database"),
+                pattern(rule, "application"),
+                from,
+                to,
+                group,
+                rule.number("timeout", 0, 0, DAY),
+                mark,
+                placement(rule));
     }
 
     private static Pattern pattern(Toml rule, String key) throws BadConfig {
--- a/daemon/src/main/java/clayhook/config/SettingsReader.java
+++ b/daemon/src/main/java/clayhook/config/SettingsReader.java
@@ -1,9 +1,9 @@
 package clayhook.config;
 
+import clayhook.CommandGroup;
 import clayhook.CommandGroup.Effect;
 import clayhook.CommandGroup.ReadLevel;
 import clayhook.CommandGroup.Scope;
-import clayhook.CommandGroup;
 import clayhook.Settings;
 import java.util.ArrayList;
 import java.util.List;
@@ -20,15 +20,26 @@
     }
 
     public Settings settings() throws BadConfig {
-        return new Settings((int) atLeast(1, "balancers", 1), text("zone", ""), groups(),
-                text("discovery", "automatic").equals("subscribe"), !flag("rules.gone_is_advice", false),
+        return new Settings(
+                (int) atLeast(1, "balancers", 1),
+                text("zone", ""),
+                groups(),
+                text("discovery", "automatic").equals("subscribe"),
+                !flag("rules.gone_is_advice", false),
                 !text("domain.when_behind", "off").equals("off"),
                 !text("domain.write_marks", "remembered").equals("remembered"),
-                flag("limits.probing", true), flag("limits.may_cancel", true), flag("limits.parallel_tries", true),
-                flag("limits.retry_after", false), seconds("limits.max_retry_after"),
-                (int) atLeast(1, "limits.most_tries", 1), number("rules.start_capacity", 1),
-                seconds("rules.warm_after"), number("rules.overload_factor", 1), seconds("rules.overload_for"),
-                (int) Math.max(1, number("limits.multiplex", 1)), number("limits.conn_idle", 15 * NANOS) / NANOS);
+                flag("limits.probing", true),
+                flag("limits.may_cancel", true),
+                flag("limits.parallel_tries", true),
+                flag("limits.retry_after", false),
+                seconds("limits.max_retry_after"),
+                (int) atLeast(1, "limits.most_tries", 1),
+                number("rules.start_capacity", 1),
+                seconds("rules.warm_after"),
+                number("rules.overload_factor", 1),
+                seconds("rules.overload_for"),
+                (int) Math.max(1, number("limits.multiplex", 1)),
+                number("limits.conn_idle", 15 * NANOS) / NANOS);
     }
 
     /** The clock time from which the simulator reckons positions, in nanoseconds. */
@@ -49,10 +60,16 @@
         for (int i = 0; i < count; i++) {
             String path = "grades." + i + ".";
             double clientTimeout = seconds(path + "hard_limit");
-            groups.add(new CommandGroup(text(path + "name", ""), effect(path + "effect"),
-                    level(i < levels.length ? levels[i] : "any"), seconds(path + "aim"), clientTimeout,
-                    number(path + "value", 1), number(path + "late_worth", 0),
-                    scope(path + "group"), seconds(path + "repeat_window"),
+            groups.add(new CommandGroup(
+                    text(path + "name", ""),
+                    effect(path + "effect"),
+                    level(i < levels.length ? levels[i] : "any"),
+                    seconds(path + "aim"),
+                    clientTimeout,
+                    number(path + "value", 1),
+                    number(path + "late_worth", 0),
+                    scope(path + "group"),
+                    seconds(path + "repeat_window"),
                     i < bounds.length && !bounds[i].isEmpty() ? parse("domain.max_age", bounds[i]) / NANOS : 0));
         }
         return groups;
--- a/daemon/src/main/java/clayhook/config/SharingSettings.java
+++ b/daemon/src/main/java/clayhook/config/SharingSettings.java
@@ -22,9 +22,23 @@
  * @param fates of writes in doubt; kept for {@code fatesKept}
  * @param limits use of limits that hold for all routers together
  */
-public record SharingSettings(InetSocketAddress listen, InetSocketAddress advertise, String name,
-        List<InetSocketAddress> seeds, double clockBound, double deadAfter, double roam, int newsBytes, int catchUpBytes,
-        double report, boolean evidence, boolean lists, boolean marks, boolean fates, double fatesKept, boolean limits) {
+public record SharingSettings(
+        InetSocketAddress listen,
+        InetSocketAddress advertise,
+        String name,
+        List<InetSocketAddress> seeds,
+        double clockBound,
+        double deadAfter,
+        double roam,
+        int newsBytes,
+        int catchUpBytes,
+        double report,
+        boolean evidence,
+        boolean lists,
+        boolean marks,
+        boolean fates,
+        double fatesKept,
+        boolean limits) {
     /** What only the machine it stands on can reach, as nothing is signed. */
     static final String LISTEN = "127.0.0.1:7400";
     /** Seconds. */
@@ -46,18 +60,43 @@
         } else if (name != null && name.length() > LONGEST_NAME) {
             throw table.fault("name", "is longer than " + LONGEST_NAME + " characters");
         }
-        return new SharingSettings(listen, advertise, name, table.addresses("seeds"),
-                table.number("clock_bound", 0.5, 0.01, MOST_CLOCK_BOUND), table.number("dead_after", 60, 1, 3600),
-                table.number("roam", 0.5, 0, 60), table.whole("bytes_a_second", 128 << 10, 1 << 10, 1 << 30),
-                table.whole("catch_up_bytes_a_second", 4 << 20, 1 << 10, 1 << 30), table.number("report", 10, 0.1, 3600),
-                table.flag("evidence", true), table.flag("lists", true), table.flag("marks", true), table.flag("fates", true),
-                table.number("fates_kept", DAY, 60, 7 * DAY), table.flag("limits", true));
+        return new SharingSettings(
+                listen,
+                advertise,
+                name,
+                table.addresses("seeds"),
+                table.number("clock_bound", 0.5, 0.01, MOST_CLOCK_BOUND),
+                table.number("dead_after", 60, 1, 3600),
+                table.number("roam", 0.5, 0, 60),
+                table.whole("bytes_a_second", 128 << 10, 1 << 10, 1 << 30),
+                table.whole("catch_up_bytes_a_second", 4 << 20, 1 << 10, 1 << 30),
+                table.number("report", 10, 0.1, 3600),
+                table.flag("evidence", true),
+                table.flag("lists", true),
+                table.flag("marks", true),
+                table.flag("fates", true),
+                table.number("fates_kept", DAY, 60, 7 * DAY),
+                table.flag("limits", true));
     }
 
     /** They differ in what only a start reads: all but the seeds. */
     public boolean unlike(SharingSettings other) {
-        return !equals(new SharingSettings(other.listen, other.advertise, other.name, seeds, other.clockBound,
-                other.deadAfter, other.roam, other.newsBytes, other.catchUpBytes, other.report, other.evidence, other.lists,
-                other.marks, other.fates, other.fatesKept, other.limits));
+        return !equals(new SharingSettings(
+                other.listen,
+                other.advertise,
+                other.name,
+                seeds,
+                other.clockBound,
+                other.deadAfter,
+                other.roam,
+                other.newsBytes,
+                other.catchUpBytes,
+                other.report,
+                other.evidence,
+                other.lists,
+                other.marks,
+                other.fates,
+                other.fatesKept,
+                other.limits));
     }
 }
--- a/daemon/src/main/java/clayhook/config/Toml.java
+++ b/daemon/src/main/java/clayhook/config/Toml.java
@@ -23,6 +23,7 @@
     private final TomlTable table;
     /** Where the table stands, for what it lacks. */
     private final TomlPosition place;
+
     private final Set<String> read = new HashSet<>();
     private final List<Toml> inner = new ArrayList<>();
     private final Map<String, Toml> named = new HashMap<>();
@@ -166,7 +167,11 @@
         TomlTable found = value(key, TomlTable.class, "table", org.tomlj.Toml.parse(""));
         Toml known = named.get(key);
         if (known == null) {
-            known = new Toml(file, path + key + ".", found, table.contains(List.of(key)) ? table.inputPositionOf(List.of(key)) : place);
+            known = new Toml(
+                    file,
+                    path + key + ".",
+                    found,
+                    table.contains(List.of(key)) ? table.inputPositionOf(List.of(key)) : place);
             named.put(key, known);
             inner.add(known);
         }
--- a/daemon/src/main/java/clayhook/discovery/Checks.java
+++ b/daemon/src/main/java/clayhook/discovery/Checks.java
@@ -7,7 +7,9 @@
  * to tell, and what it misses counts as told after six seconds; a call beside it, which does not wait, finds out.
  */
 final class Checks {
-    /** Seconds between a good answer and the next check: two of them, each with its turn, fit into what may be missed. */
+    /**
+     * Seconds between a good answer and the next check: two of them, each with its turn, fit into what may be missed.
+     */
     private static final double LEAST = 2;
     /** Above the time of a watch, which asks anew by itself: then hardly any check comes between. */
     private static final double MOST = 12;
--- a/daemon/src/main/java/clayhook/discovery/Discovery.java
+++ b/daemon/src/main/java/clayhook/discovery/Discovery.java
@@ -24,10 +24,16 @@
     private Source current;
     /** The one that told news last; it goes on until the current one has answered. */
     private Source former;
+
     private InetSocketAddress toldBy;
 
     /** {@code wait}: seconds that a call waits for news; {@code random} spreads the calls of many routers. */
-    public Discovery(Transport transport, InetSocketAddress address, long version, double wait, RandomGenerator random,
+    public Discovery(
+            Transport transport,
+            InetSocketAddress address,
+            long version,
+            double wait,
+            RandomGenerator random,
             Listener listener) {
         this.transport = transport;
         this.listener = listener;
--- a/daemon/src/main/java/clayhook/discovery/DiscoveryClient.java
+++ b/daemon/src/main/java/clayhook/discovery/DiscoveryClient.java
@@ -14,14 +14,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Watches one service: one call after the other, each as soon as the last is answered, on one connection while that answers;
- * beside it, now and then, a check that does not wait for news.
+ * Watches one service: one call after the other, each as soon as the last is answered, on one connection while that
+ * answers; beside it, now and then, a check that does not wait for news.
  */
 final class DiscoveryClient {
     /** Asks for the whole list. */
     static final long NO_VERSION = -1;
 
-    /** An answer that is later than this once its call's wait is over is told of; most come within some milliseconds. */
+    /**
+     * An answer that is later than this once its call's wait is over is told of; most come within some milliseconds.
+     */
     private static final int LATE_MS = 500;
     /** Above the time that a call may wait for its turn; below the time at which news count as told. */
     private static final int TURN_MS = 1900;
@@ -40,7 +42,9 @@
     private long version;
     /** The one in use, or null. */
     private Line current;
-    /** The one before, whose answer is late and still welcome; it leaves with any answer, or when its call is given up. */
+    /**
+     * The one before, whose answer is late and still welcome; it leaves with any answer, or when its call is given up.
+     */
     private Line former;
     /** The one for checks, or null; it stays as long as the service keeps it. */
     private Line side;
@@ -48,7 +52,12 @@
     private ScheduledFuture<?> nextCheck;
 
     /** {@code wait}: seconds that a call waits for news. */
-    DiscoveryClient(Transport transport, InetSocketAddress address, long version, double wait, Checks checks,
+    DiscoveryClient(
+            Transport transport,
+            InetSocketAddress address,
+            long version,
+            double wait,
+            Checks checks,
             Discovery.Listener listener) {
         this.transport = transport;
         this.address = address;
@@ -64,11 +73,15 @@
         private Channel channel;
         /** The call in hand, or null; each has an object of its own. */
         private Object call = new Object();
+
         private long askedAt;
         private boolean late;
 
         private void connect() {
-            channel = transport.connect(address, CONNECT_S, () -> new ChannelHandler[] {new HttpDecoder(), this},
+            channel = transport.connect(
+                    address,
+                    CONNECT_S,
+                    () -> new ChannelHandler[] {new HttpDecoder(), this},
                     () -> failed(this, "no connection", 0));
         }
 
@@ -88,11 +101,15 @@
 
         /** Runs that after so long where the call is still in hand. */
         private void unless(Object made, int milliseconds, Runnable then) {
-            channel.eventLoop().schedule(() -> {
-                if (call == made) {
-                    then.run();
-                }
-            }, milliseconds, TimeUnit.MILLISECONDS);
+            channel.eventLoop()
+                    .schedule(
+                            () -> {
+                                if (call == made) {
+                                    then.run();
+                                }
+                            },
+                            milliseconds,
+                            TimeUnit.MILLISECONDS);
         }
 
         private void isLate() {
@@ -109,7 +126,8 @@
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
-            if ((this == current || this == former || this == side) && call != null
+            if ((this == current || this == former || this == side)
+                    && call != null
                     && message instanceof HttpResponse response) {
                 answered(this, response);
             }
--- a/daemon/src/main/java/clayhook/discovery/HttpDecoder.java
+++ b/daemon/src/main/java/clayhook/discovery/HttpDecoder.java
@@ -11,10 +11,20 @@
 final class HttpDecoder extends ByteToMessageDecoder {
     /** Ten thousand nodes at some 200 bytes. */
     private static final int LONGEST_BODY = 2 << 20;
+
     private static final int LONGEST_LINE = 8192;
     private static final int UNTIL_END = -1;
 
-    private enum Part { STATUS, HEADERS, BODY, CHUNK_SIZE, CHUNK, CHUNK_END, TRAILER, BROKEN }
+    private enum Part {
+        STATUS,
+        HEADERS,
+        BODY,
+        CHUNK_SIZE,
+        CHUNK,
+        CHUNK_END,
+        TRAILER,
+        BROKEN
+    }
 
     private Part part = Part.STATUS;
     private int status;
@@ -35,7 +45,9 @@
                 in.skipBytes(in.readableBytes());
                 broken(out);
             } else if (length >= 0) {
-                String line = in.readCharSequence(length, StandardCharsets.ISO_8859_1).toString().strip();
+                String line = in.readCharSequence(length, StandardCharsets.ISO_8859_1)
+                        .toString()
+                        .strip();
                 in.skipBytes(1);
                 line(line, out);
             }
--- a/daemon/src/main/java/clayhook/discovery/NodeList.java
+++ b/daemon/src/main/java/clayhook/discovery/NodeList.java
@@ -14,9 +14,14 @@
 public record NodeList(long version, boolean whole, List<Entry> entries) {
 
     /** @param startedAt when its process last started, in seconds; 0 for long ago */
-    public record Entry(String id, InetSocketAddress address, String zone, int group, State state, boolean primary,
-            double startedAt) {
-    }
+    public record Entry(
+            String id,
+            InetSocketAddress address,
+            String zone,
+            int group,
+            State state,
+            boolean primary,
+            double startedAt) {}
 
     /** Throws IllegalArgumentException naming what cannot be understood. */
     public static NodeList parse(String text) {
@@ -25,7 +30,8 @@
 
     /** The same of a part of a larger text. */
     public static NodeList of(Object json) {
-        if (!(json instanceof Map<?, ?> map) || !(map.get("targets") instanceof List<?> targets)
+        if (!(json instanceof Map<?, ?> map)
+                || !(map.get("targets") instanceof List<?> targets)
                 || !(map.get("all") instanceof Boolean whole)) {
             throw new IllegalArgumentException("a list of nodes needs rev, all and targets");
         }
@@ -40,14 +46,20 @@
     }
 
     private static Entry entry(Map<?, ?> entry) {
-        State state = switch (text(entry, "state")) {
-            case "up" -> State.READY;
-            case "draining" -> State.DRAINING;
-            case "removed" -> State.GONE;
-            default -> throw new IllegalArgumentException("state: unknown '" + entry.get("state") + "'");
-        };
-        return new Entry(text(entry, "uid"), address(text(entry, "endpoint")), text(entry, "az"),
-                (int) number(entry, "pod_group"), state, "primary".equals(entry.get("role")),
+        State state =
+                switch (text(entry, "state")) {
+                    case "up" -> State.READY;
+                    case "draining" -> State.DRAINING;
+                    case "removed" -> State.GONE;
+                    default -> throw new IllegalArgumentException("state: unknown '" + entry.get("state") + "'");
+                };
+        return new Entry(
+                text(entry, "uid"),
+                address(text(entry, "endpoint")),
+                text(entry, "az"),
+                (int) number(entry, "pod_group"),
+                state,
+                "primary".equals(entry.get("role")),
                 entry.containsKey("boot_ms") ? number(entry, "boot_ms") / 1000 : 0);
     }
 
--- a/daemon/src/main/java/clayhook/front/CancelKeys.java
+++ b/daemon/src/main/java/clayhook/front/CancelKeys.java
@@ -9,6 +9,7 @@
 final class CancelKeys {
     /** Guards against clients that guess the keys of others. */
     private final SecureRandom random = new SecureRandom();
+
     private final Map<Long, Session> sessions = new HashMap<>();
 
     /** A key of its own. */
--- a/daemon/src/main/java/clayhook/front/ClientCommand.java
+++ b/daemon/src/main/java/clayhook/front/ClientCommand.java
@@ -22,7 +22,12 @@
 
     /** {@code wroteAt}: the position that a read of its session must cover, as far as others told it; 0 for none. */
     public ClientCommand(CommandGroup group, Statement statement, Session session, double wroteAt, double now) {
-        super(group, statement.nodeGroup, statement.key, Math.max(statement.after, wroteAt), now,
+        super(
+                group,
+                statement.nodeGroup,
+                statement.key,
+                Math.max(statement.after, wroteAt),
+                now,
                 now + Math.min(statement.wait, group.clientTimeout()));
         this.session = session;
         outgoing = statement;
@@ -32,8 +37,15 @@
     }
 
     /** {@code wait}: seconds that the client waits, at most those of its command group. */
-    public ClientCommand(CommandGroup group, int nodes, Outgoing outgoing, Classed classed, Session session,
-            double wroteAt, double now, double wait) {
+    public ClientCommand(
+            CommandGroup group,
+            int nodes,
+            Outgoing outgoing,
+            Classed classed,
+            Session session,
+            double wroteAt,
+            double now,
+            double wait) {
         super(group, nodes, session.name(), wroteAt, now, now + Math.min(wait, group.clientTimeout()));
         this.session = session;
         this.outgoing = outgoing;
--- a/daemon/src/main/java/clayhook/front/Front.java
+++ b/daemon/src/main/java/clayhook/front/Front.java
@@ -29,14 +29,18 @@
     private static final int MEMORY_PART = 8;
     /** Of what clients may hold here: whoever deals their connections out may grant them less. */
     private static final double CROWDED = 0.5;
-    /** Clients turned away that are waited for at once, so that they get their answer; from the reserve of descriptors. */
+    /**
+     * Clients turned away that are waited for at once, so that they get their answer; from the reserve of descriptors.
+     */
     private static final int MOST_REFUSALS = 16;
     /** At the end, for the first command of a client that has just connected; short beside what is left then. */
     private static final int FIRST_MS = 50;
+
     private final Set<Session> sessions = new LinkedHashSet<>();
     private final CancelKeys keys = new CancelKeys();
     /** Connections of clients that were turned away and have not closed yet. */
     private int refusals;
+
     private final Descriptors descriptors;
     private final InetSocketAddress asked;
     private final Transport transport;
@@ -45,8 +49,15 @@
     private boolean ending;
 
     /** {@code settings} makes those of a new session; null where only the two forms of statement are taken. */
-    public Front(Transport transport, InetSocketAddress address, Descriptors descriptors, long memory,
-            Supplier<SessionSettings> settings, DoubleSupplier clock, Session.Listener listener) throws InterruptedException {
+    public Front(
+            Transport transport,
+            InetSocketAddress address,
+            Descriptors descriptors,
+            long memory,
+            Supplier<SessionSettings> settings,
+            DoubleSupplier clock,
+            Session.Listener listener)
+            throws InterruptedException {
         this.transport = transport;
         this.descriptors = descriptors;
         asked = address;
@@ -58,8 +69,8 @@
                 return new ChannelHandler[] {new Refusal()};
             }
             var decoder = new ClientDecoder(allowance, settings != null);
-            var session = new Session(listener, decoder, settings == null ? null : settings.get(), keys, clock,
-                    this::ended);
+            var session =
+                    new Session(listener, decoder, settings == null ? null : settings.get(), keys, clock, this::ended);
             sessions.add(session);
             if (ending) {
                 end(session);
@@ -78,7 +89,7 @@
             if (refusals < MOST_REFUSALS) {
                 refusals++;
                 counted = true;
-                OrderlyClose.begin(ctx.channel()).end(error, () -> { });
+                OrderlyClose.begin(ctx.channel()).end(error, () -> {});
             } else {
                 ctx.writeAndFlush(error).addListener(ChannelFutureListener.CLOSE);
             }
@@ -130,8 +141,10 @@
     /** Ends those that have been silent for too long; where they are many, also those that asked once and stay. */
     public void sweep(double now) {
         List.copyOf(sessions).forEach(session -> session.sweep(now));
-        List<Session> atRest = sessions.stream().filter(Session::atRest)
-                .sorted(Comparator.comparingDouble(Session::worth)).toList();
+        List<Session> atRest = sessions.stream()
+                .filter(Session::atRest)
+                .sorted(Comparator.comparingDouble(Session::worth))
+                .toList();
         int tooMany = atRest.size() - (int) (descriptors.mostOfEach() * CROWDED);
         atRest.stream().limit(Math.max(0, tooMany)).forEach(session -> {
             Log.count("let go");
@@ -141,8 +154,10 @@
 
     /** Ends the session without a command that is worth least, to make room for one; false if there is none. */
     private boolean giveBack() {
-        Session least = sessions.stream().filter(session -> !session.busy())
-                .min(Comparator.comparingDouble(Session::worth)).orElse(null);
+        Session least = sessions.stream()
+                .filter(session -> !session.busy())
+                .min(Comparator.comparingDouble(Session::worth))
+                .orElse(null);
         if (least != null) {
             sessions.remove(least);
             descriptors.giveOfClient();
--- a/daemon/src/main/java/clayhook/front/OrderlyClose.java
+++ b/daemon/src/main/java/clayhook/front/OrderlyClose.java
@@ -10,13 +10,15 @@
 
 /**
  * Stands before all other handlers once nothing more is taken from a client. A close over unread bytes resets the
- * connection and takes the last answer with it, and only who reads sees the client close: what comes is read and dropped.
+ * connection and takes the last answer with it, and only who reads sees the client close: what comes is read and
+ * dropped.
  */
 final class OrderlyClose extends ChannelInboundHandlerAdapter {
     /** From the end of the sending side; many times what bytes that cross it take, also on a busy machine. */
     private static final int LINGER_MS = 1000;
     /** More than a client has on its way when it hears that nothing more is taken. */
     private static final int MOST_DROPPED = 1 << 20;
+
     private final Channel channel;
     private int dropped;
     private Future<?> linger;
--- a/daemon/src/main/java/clayhook/front/Session.java
+++ b/daemon/src/main/java/clayhook/front/Session.java
@@ -27,7 +27,10 @@
 public final class Session extends ChannelInboundHandlerAdapter {
     /** What a client may send ahead of its answers; one that sends more is ended after these. */
     private static final int MOST_AHEAD = 32;
-    /** What a client that says nothing, or no whole message, is given; a client may be closed after 2 s without a command. */
+    /**
+     * What a client that says nothing, or no whole message, is given; a client may be closed after 2 s without a
+     * command.
+     */
     private static final double SILENT = 2.2;
     /** An answer that is not read for so long is dropped with its connection; above any client timeout. */
     private static final double UNREAD = 10;
@@ -53,7 +56,9 @@
         /** The client has gone before it got its answer. */
         void left(Session session);
 
-        /** The client wants its command stopped; that gets {@link #cancelled(boolean)} unless its answer is on its way. */
+        /**
+         * The client wants its command stopped; that gets {@link #cancelled(boolean)} unless its answer is on its way.
+         */
         void cancelled(Session session);
     }
 
@@ -64,9 +69,11 @@
     private final DoubleSupplier clock;
     /** Null where only the two forms of statement are taken. */
     private final SessionSettings settings;
+
     private final ArrayDeque<Object> ahead = new ArrayDeque<>();
     /** Seconds; the position of its last write, for its own reads. */
     private double wroteAt;
+
     private ChannelHandlerContext context;
     private boolean started;
     private boolean waiting;
@@ -78,6 +85,7 @@
     private int unflushed;
     /** By which its commands are cancelled. */
     private long cancelKey = ClientDecoder.NO_KEY;
+
     private final double connectedAt;
     /** When the command in hand was begun. */
     private double begunAt;
@@ -85,12 +93,19 @@
     private boolean proven;
     /** When it connected or got its last answer, and since when part of a message has been there; 0 for none. */
     private double quietSince;
+
     private double partSince;
     /** It ends as soon as what it has taken is answered; and what had come by then was looked for once more. */
     private boolean endSoon;
+
     private boolean lookedOnce;
 
-    Session(Listener listener, ClientDecoder decoder, SessionSettings settings, CancelKeys keys, DoubleSupplier clock,
+    Session(
+            Listener listener,
+            ClientDecoder decoder,
+            SessionSettings settings,
+            CancelKeys keys,
+            DoubleSupplier clock,
             Consumer<Session> ended) {
         this.keys = keys;
         this.settings = settings;
@@ -230,7 +245,10 @@
         if (reply instanceof SessionSettings.Reply.Refused refused) {
             write(Encoder.error(false, "0A000", refused.why(), null));
         } else if (reply instanceof SessionSettings.Reply.Done done) {
-            String told = TOLD.stream().filter(name -> name.equalsIgnoreCase(done.name())).findFirst().orElse(null);
+            String told = TOLD.stream()
+                    .filter(name -> name.equalsIgnoreCase(done.name()))
+                    .findFirst()
+                    .orElse(null);
             write(Encoder.completed(done.tag(), told, done.value()));
         } else {
             await();
@@ -268,8 +286,10 @@
     }
 
     private void handle(Object message) {
-        if (skipping && !(message instanceof ClientMessage.Sync || message instanceof ClientMessage.Terminate
-                || message instanceof ClientMessage.Malformed)) {
+        if (skipping
+                && !(message instanceof ClientMessage.Sync
+                        || message instanceof ClientMessage.Terminate
+                        || message instanceof ClientMessage.Malformed)) {
             return;
         }
         if (message instanceof ClientMessage.Query query) {
@@ -332,8 +352,13 @@
 
     /** The client wanted it stopped. */
     public void cancelled(boolean mayHaveRun) {
-        conclude(Encoder.error(false, "57014", mayHaveRun ? "cancelled; it is not known whether the statement has run"
-                : "cancelled; the statement has not run", null));
+        conclude(Encoder.error(
+                false,
+                "57014",
+                mayHaveRun
+                        ? "cancelled; it is not known whether the statement has run"
+                        : "cancelled; the statement has not run",
+                null));
     }
 
     /** The statement could not be taken. */
@@ -394,8 +419,11 @@
 
     /** In what it has been so, or null. */
     private String tooSlow(double now) {
-        return !idle() ? null : partSince > 0 && now > partSince + SILENT ? "half a message"
-                : !proven && now > quietSince + SILENT ? "a client that says nothing" : null;
+        return !idle()
+                ? null
+                : partSince > 0 && now > partSince + SILENT
+                        ? "half a message"
+                        : !proven && now > quietSince + SILENT ? "a client that says nothing" : null;
     }
 
     /** Answers what it has taken and what has come by now, then ends. */
--- a/daemon/src/main/java/clayhook/log/LibraryLines.java
+++ b/daemon/src/main/java/clayhook/log/LibraryLines.java
@@ -12,8 +12,7 @@
     /** Held here, as the runtime forgets loggers that nobody holds. */
     private static final Logger NETTY = Logger.getLogger("io.netty");
 
-    private LibraryLines() {
-    }
+    private LibraryLines() {}
 
     public static void install() {
         NETTY.setUseParentHandlers(false);
@@ -29,10 +28,8 @@
     }
 
     @Override
-    public void flush() {
-    }
+    public void flush() {}
 
     @Override
-    public void close() {
-    }
+    public void close() {}
 }
--- a/daemon/src/main/java/clayhook/log/Log.java
+++ b/daemon/src/main/java/clayhook/log/Log.java
@@ -18,8 +18,7 @@
     /** Emptied by each summary. It is its own lock: the loop counts while another thread may be writing a line. */
     private static final Map<String, Integer> COUNTS = new TreeMap<>();
 
-    private Log() {
-    }
+    private Log() {}
 
     public static synchronized void info(String line) {
         LOGGER.log(System.Logger.Level.INFO, line);
--- a/daemon/src/main/java/clayhook/log/StandardError.java
+++ b/daemon/src/main/java/clayhook/log/StandardError.java
@@ -4,8 +4,8 @@
 import java.util.ResourceBundle;
 
 /**
- * Where the lines of {@code System.Logger} go: one each to standard error. The runtime's own way takes a tenth of
- * a second for its first line, while clients wait.
+ * Where the lines of {@code System.Logger} go: one each to standard error. The runtime's own way takes a tenth of a
+ * second for its first line, while clients wait.
  */
 public final class StandardError extends System.LoggerFinder {
     @Override
@@ -36,8 +36,11 @@
 
         @Override
         public void log(Level level, ResourceBundle bundle, String format, Object... values) {
-            log(level, bundle, values == null || values.length == 0 ? format
-                    : java.text.MessageFormat.format(format, values), (Throwable) null);
+            log(
+                    level,
+                    bundle,
+                    values == null || values.length == 0 ? format : java.text.MessageFormat.format(format, values),
+                    (Throwable) null);
         }
     }
 }
--- a/daemon/src/main/java/clayhook/nodes/Attempt.java
+++ b/daemon/src/main/java/clayhook/nodes/Attempt.java
@@ -9,6 +9,7 @@
     final Node node;
     /** Null for a probe. */
     final Dispatch dispatch;
+
     final Outgoing outgoing;
     final double startedAt;
     Stage stage = Stage.NOT_CONNECTED;
--- a/daemon/src/main/java/clayhook/nodes/Ending.java
+++ b/daemon/src/main/java/clayhook/nodes/Ending.java
@@ -38,15 +38,18 @@
 
     /**
      * How a whole answer ends that holds an error, or none. Where statements of any kind are sent, most errors say what
-     * is wrong with the statement, which has had no effect, and are answers; the classes that speak of the node are not.
-     * {@code opaque}: it may run transactions of its own, so that no error proves that nothing ran before it.
+     * is wrong with the statement, which has had no effect, and are answers; the classes that speak of the node are
+     * not. {@code opaque}: it may run transactions of its own, so that no error proves that nothing ran before it.
      */
     static Ending of(String code, boolean free, boolean opaque) {
         if (opaque && FULL.equals(code)) {
             return new Spoilt();
         }
-        boolean answer = code == null || free && !OF_NODES.contains(code) && (code.equals(CANCELLED)
-                || !CLASSES_OF_NODES.contains(code.substring(0, Math.min(2, code.length()))));
+        boolean answer = code == null
+                || free
+                        && !OF_NODES.contains(code)
+                        && (code.equals(CANCELLED)
+                                || !CLASSES_OF_NODES.contains(code.substring(0, Math.min(2, code.length()))));
         return answer ? new Answered() : new Refused(code);
     }
 
--- a/daemon/src/main/java/clayhook/nodes/NodeConnection.java
+++ b/daemon/src/main/java/clayhook/nodes/NodeConnection.java
@@ -30,13 +30,23 @@
     private static final int NO_ROWS = -1;
 
     /** What may come next. Nothing may come on a connection that is idle. */
-    private enum Next { WELCOME, TUNING, RESULTS, DESCRIPTION, ROW, COMPLETION, READINESS, NOTHING }
+    private enum Next {
+        WELCOME,
+        TUNING,
+        RESULTS,
+        DESCRIPTION,
+        ROW,
+        COMPLETION,
+        READINESS,
+        NOTHING
+    }
 
     final NodeDecoder decoder;
     private final Pool pool;
     final InetSocketAddress address;
     /** Since when it has been opening or is given other settings. */
     double gettingReadySince;
+
     double idleSince;
     private ChannelHandlerContext context;
     private Next next = Next.WELCOME;
@@ -46,17 +56,20 @@
     private Runnable afterReading;
     /** What it ran may have left something behind in its session. */
     private boolean retiring;
+
     private Attempt attempt;
     /** The last byte of the request in hand has gone out. */
     private boolean written;
     /** What this connection was given, and what it is being given. */
     private Map<String, String> settings = Map.of();
+
     private Map<String, String> wanted = Map.of();
     // what the answer in hand has told so far
     private int bytes;
     private int taken;
     /** Of the rows that may come now. */
     private int columns;
+
     private boolean whole;
     private List<byte[]> parts = List.of();
     private String probed;
@@ -121,7 +134,9 @@
         });
     }
 
-    /** Bytes of the request stand here yet; between channels of one process an answer may come before the write is told. */
+    /**
+     * Bytes of the request stand here yet; between channels of one process an answer may come before the write is told.
+     */
     private boolean unsent() {
         ChannelOutboundBuffer standing = context.channel().unsafe().outboundBuffer();
         return standing != null && !standing.isEmpty();
@@ -135,7 +150,8 @@
         try {
             // Guards against a request whose fate nobody can tell, and against what was there before as its answer.
             return !(context.channel().unsafe() instanceof AbstractNioChannel.NioUnsafe unsafe
-                    && unsafe.ch() instanceof SocketChannel socket && socket.read(ByteBuffer.allocate(1)) != 0);
+                    && unsafe.ch() instanceof SocketChannel socket
+                    && socket.read(ByteBuffer.allocate(1)) != 0);
         } catch (IOException e) {
             return false;
         }
@@ -153,7 +169,9 @@
             welcome(message);
         } else if (next == Next.TUNING) {
             tuning(message);
-        } else if (!written && unsent() && (message instanceof NodeMessage.Part || message instanceof NodeMessage.ReadyForQuery)) {
+        } else if (!written
+                && unsent()
+                && (message instanceof NodeMessage.Part || message instanceof NodeMessage.ReadyForQuery)) {
             // Guards against a request whose rest goes out after it was counted as answered.
             spoilt("an answer to what it was not sent whole");
         } else {
@@ -188,7 +206,8 @@
             Ending.Concluded refused = refusal == null ? null : new Ending.Concluded(parts);
             afterReading = () -> pool.tuned(this, refused, asked);
         } else if (!(message instanceof NodeMessage.Part part && part.type() == 'C'
-                || message instanceof NodeMessage.Notice || message instanceof NodeMessage.ParameterStatus)) {
+                || message instanceof NodeMessage.Notice
+                || message instanceof NodeMessage.ParameterStatus)) {
             spoilt("an answer out of order");
         }
     }
@@ -198,8 +217,8 @@
         attempt.stage = Stage.ANSWERING;
         if (message instanceof NodeMessage.ParameterStatus status) {
             status(status.name(), status.value());
-        } else if (message instanceof NodeMessage.Part part && (part.type() == 'D' ? part.columns() == columns
-                : part.type() == 'C' || columns == NO_ROWS)) {
+        } else if (message instanceof NodeMessage.Part part
+                && (part.type() == 'D' ? part.columns() == columns : part.type() == 'C' || columns == NO_ROWS)) {
             columns = part.type() == 'T' || part.type() == 'D' ? part.columns() : NO_ROWS;
             whole |= columns == NO_ROWS;
             add(part.message());
@@ -225,8 +244,11 @@
             taken += part.length;
             parts.add(part);
         } else if (attempt != null) {
-            String why = fits ? "no memory is left for its answer" : "its answer is longer than " + pool.longestAnswer() + " bytes";
-            end(new Ending.Concluded(List.of(Encoder.errorMessage(fits ? "53200" : "54000", "the statement has run, but " + why))));
+            String why = fits
+                    ? "no memory is left for its answer"
+                    : "its answer is longer than " + pool.longestAnswer() + " bytes";
+            end(new Ending.Concluded(
+                    List.of(Encoder.errorMessage(fits ? "53200" : "54000", "the statement has run, but " + why))));
             close();
         }
     }
@@ -273,15 +295,17 @@
     private void status(String name, String value) {
         try {
             switch (name) {
-                case "role" -> role = value.equals("primary") ? Role.PRIMARY
-                        : value.equals("replica") ? Role.REPLICA : Role.UNKNOWN;
+                case "role" ->
+                    role = value.equals("primary")
+                            ? Role.PRIMARY
+                            : value.equals("replica") ? Role.REPLICA : Role.UNKNOWN;
                 case "applied_ms" -> position = believable(Long.parseLong(value) / 1000.0);
                 case "load" -> {
                     LoadReport told = LoadReport.parse(value, '=', 0);
                     believable(told.position());
                     report = told;
                 }
-                default -> { }
+                default -> {}
             }
         } catch (IllegalArgumentException e) {
             pool.log("node " + pool.node.id() + " told " + name + " '" + value + "'");
@@ -325,13 +349,17 @@
 
     /** Waits a little before it is free. */
     private void settle() {
-        context.executor().schedule(() -> {
-            if (!closed && retiring) {
-                close();
-            } else if (!closed) {
-                pool.freed(this);
-            }
-        }, QUIET_MS, TimeUnit.MILLISECONDS);
+        context.executor()
+                .schedule(
+                        () -> {
+                            if (!closed && retiring) {
+                                close();
+                            } else if (!closed) {
+                                pool.freed(this);
+                            }
+                        },
+                        QUIET_MS,
+                        TimeUnit.MILLISECONDS);
     }
 
     private void end(Ending ending) {
@@ -348,7 +376,8 @@
     /** What was told with the answer in hand, if that was whole. */
     Reply reply(Ending ending, double took) {
         boolean told = ending instanceof Ending.Answered || ending instanceof Ending.Refused;
-        return told ? new Reply(ending.outcome(), took, role, position, report.role(), report.position(), report.load())
+        return told
+                ? new Reply(ending.outcome(), took, role, position, report.role(), report.position(), report.load())
                 : Reply.untold(ending.outcome(), took);
     }
 
--- a/daemon/src/main/java/clayhook/nodes/Nodes.java
+++ b/daemon/src/main/java/clayhook/nodes/Nodes.java
@@ -3,8 +3,8 @@
 import clayhook.Dispatch;
 import clayhook.Node;
 import clayhook.Reply;
-import clayhook.log.Log;
 import clayhook.config.Operator;
+import clayhook.log.Log;
 import clayhook.protocol.Allowance;
 import clayhook.protocol.Encoder;
 import clayhook.protocol.NodeMessage;
@@ -31,8 +31,8 @@
     /** Hears how attempts ended. */
     public interface Listener {
         /**
-         * {@code answer} holds the messages for the client after an answer, and the node's error where it sent one to
-         * a statement of any kind; {@code error} is that error's code. Either may be null.
+         * {@code answer} holds the messages for the client after an answer, and the node's error where it sent one to a
+         * statement of any kind; {@code error} is that error's code. Either may be null.
          */
         void ended(Dispatch dispatch, Reply reply, List<byte[]> answer, String error);
 
@@ -61,8 +61,15 @@
     /** Each leaves with its outcome. */
     private final Map<Dispatch, Attempt> attempts = new HashMap<>();
 
-    public Nodes(Transport transport, Clock clock, Descriptors descriptors, long memory, double connectTimeout,
-            double idle, Operator operator, Listener listener) {
+    public Nodes(
+            Transport transport,
+            Clock clock,
+            Descriptors descriptors,
+            long memory,
+            double connectTimeout,
+            double idle,
+            Operator operator,
+            Listener listener) {
         this.operator = operator;
         allowance = new Allowance(memory / MEMORY_PART);
         this.listener = listener;
@@ -169,7 +176,8 @@
         for (Pool pool : pools.values()) {
             oldest = oldest == null || pool.oldestIdle() < oldest.oldestIdle() ? pool : oldest;
         }
-        return oldest != null && oldest.oldestIdle() < Double.POSITIVE_INFINITY
+        return oldest != null
+                && oldest.oldestIdle() < Double.POSITIVE_INFINITY
                 && oldest.closeIdle(Math.nextUp(oldest.oldestIdle())) > 0;
     }
 
@@ -195,7 +203,10 @@
     }
 
     void connect(NodeConnection connection) {
-        transport.connect(connection.address, connectTimeout, () -> new ChannelHandler[] {connection.decoder, connection},
+        transport.connect(
+                connection.address,
+                connectTimeout,
+                () -> new ChannelHandler[] {connection.decoder, connection},
                 connection::close);
     }
 
@@ -208,17 +219,20 @@
     }
 
     ByteBuf startup() {
-        return operator.statements() == null ? Encoder.startup(operator.user(), operator.database())
+        return operator.statements() == null
+                ? Encoder.startup(operator.user(), operator.database())
                 : Encoder.startup(operator.user(), operator.database(), "client_encoding", "UTF8");
     }
 
     /** Whether a node that tells this of itself cuts statements as they are cut here. */
     boolean agrees(String name, String value) {
-        return operator.statements() == null || switch (name) {
-            case "client_encoding" -> value.equalsIgnoreCase("UTF8");
-            case "standard_conforming_strings" -> value.equals(operator.statements().rules().conforming() ? "on" : "off");
-            default -> true;
-        };
+        return operator.statements() == null
+                || switch (name) {
+                    case "client_encoding" -> value.equalsIgnoreCase("UTF8");
+                    case "standard_conforming_strings" ->
+                        value.equals(operator.statements().rules().conforming() ? "on" : "off");
+                    default -> true;
+                };
     }
 
     /** Bytes of an answer to a statement of any kind. */
@@ -238,7 +252,8 @@
         } else {
             attempts.remove(attempt.dispatch);
             boolean refused = ending instanceof Ending.Refused && by != null && attempt.outgoing.free();
-            List<byte[]> answer = ending instanceof Ending.Concluded concluded ? concluded.messages()
+            List<byte[]> answer = ending instanceof Ending.Concluded concluded
+                    ? concluded.messages()
                     : refused || ending instanceof Ending.Answered ? by.answer() : null;
             listener.ended(attempt.dispatch, reply, answer, refused ? by.refusal() : null);
         }
--- a/daemon/src/main/java/clayhook/nodes/Pool.java
+++ b/daemon/src/main/java/clayhook/nodes/Pool.java
@@ -18,6 +18,7 @@
     private final Nodes nodes;
     /** Newest first. */
     private final ArrayDeque<NodeConnection> idle = new ArrayDeque<>();
+
     private final Set<NodeConnection> opening = new LinkedHashSet<>();
     private final ArrayDeque<Attempt> waiting = new ArrayDeque<>();
     /** Connections that stand, open or carry something. */
@@ -111,7 +112,9 @@
         gotReady(connection);
     }
 
-    /** Guards against opening one after the other to a node that ends each at once: that is a connection that failed. */
+    /**
+     * Guards against opening one after the other to a node that ends each at once: that is a connection that failed.
+     */
     private void gotReady(NodeConnection connection) {
         if (connection.quiet()) {
             opening.remove(connection);
@@ -134,8 +137,13 @@
 
     /** A connection was given other settings, or its node refused them: then so is a statement that asks for them. */
     void tuned(NodeConnection connection, Ending.Concluded refusal, Map<String, String> asked) {
-        Attempt refused = refusal == null ? null : waiting.stream()
-                .filter(attempt -> attempt.outgoing != null && attempt.outgoing.settings().equals(asked)).findFirst().orElse(null);
+        Attempt refused = refusal == null
+                ? null
+                : waiting.stream()
+                        .filter(attempt -> attempt.outgoing != null
+                                && attempt.outgoing.settings().equals(asked))
+                        .findFirst()
+                        .orElse(null);
         if (refused != null) {
             waiting.remove(refused);
             ended(refused, refusal, null);
@@ -149,8 +157,12 @@
         idle.remove(connection);
         nodes.closed();
         if (opening.remove(connection) && waiting.size() > opening.size()) {
-            ended(waiting.poll(), !up && refusal != null && refusal.equals(Ending.FULL) ? new Ending.Refused(refusal)
-                    : new Ending.Broken(Stage.NOT_CONNECTED), null);
+            ended(
+                    waiting.poll(),
+                    !up && refusal != null && refusal.equals(Ending.FULL)
+                            ? new Ending.Refused(refusal)
+                            : new Ending.Broken(Stage.NOT_CONNECTED),
+                    null);
         }
     }
 
@@ -181,7 +193,9 @@
                 abandon(next, new Ending.CalledOff(next.stage));
             }
         }
-        List.copyOf(opening).stream().filter(c -> c.gettingReadySince < begunBefore).forEach(NodeConnection::close);
+        List.copyOf(opening).stream()
+                .filter(c -> c.gettingReadySince < begunBefore)
+                .forEach(NodeConnection::close);
         if (probe != null && probe.startedAt < begunBefore) {
             abandon(probe, new Ending.Silent(probe.stage));
         }
--- a/daemon/src/main/java/clayhook/nodes/Stage.java
+++ b/daemon/src/main/java/clayhook/nodes/Stage.java
@@ -2,7 +2,10 @@
 
 /** How far an attempt had come. */
 enum Stage {
-    NOT_CONNECTED, PARTLY_WRITTEN, WRITTEN, ANSWERING;
+    NOT_CONNECTED,
+    PARTLY_WRITTEN,
+    WRITTEN,
+    ANSWERING;
 
     /** The last byte of the request was written. */
     boolean mayHaveRun() {
--- a/daemon/src/main/java/clayhook/peers/Datagrams.java
+++ b/daemon/src/main/java/clayhook/peers/Datagrams.java
@@ -28,6 +28,7 @@
     private final SelectionKey key;
     /** A byte more than a packet may have, so that longer ones show. */
     private final ByteBuffer in = ByteBuffer.allocateDirect(Packet.LONGEST + 1);
+
     private final ByteBuffer out = ByteBuffer.allocateDirect(Packet.LONGEST);
     private long oversize;
     private long unsent;
@@ -41,8 +42,10 @@
 
     /** Throws IOException naming the address where nothing can be received there. */
     static Datagrams at(InetSocketAddress address) throws IOException {
-        var channel = DatagramChannel.open(address.getAddress() instanceof Inet4Address
-                ? StandardProtocolFamily.INET : StandardProtocolFamily.INET6);
+        var channel = DatagramChannel.open(
+                address.getAddress() instanceof Inet4Address
+                        ? StandardProtocolFamily.INET
+                        : StandardProtocolFamily.INET6);
         try {
             channel.setOption(StandardSocketOptions.SO_RCVBUF, ROOM);
             channel.setOption(StandardSocketOptions.SO_SNDBUF, ROOM);
@@ -50,8 +53,10 @@
             return new Datagrams(channel, Selector.open());
         } catch (IOException e) {
             channel.close();
-            throw new IOException("sharing.listen: " + address.getAddress().getHostAddress() + ":" + address.getPort() + ": "
-                    + e.getMessage(), e);
+            throw new IOException(
+                    "sharing.listen: " + address.getAddress().getHostAddress() + ":" + address.getPort() + ": "
+                            + e.getMessage(),
+                    e);
         }
     }
 
@@ -92,7 +97,9 @@
         }
     }
 
-    /** Waits until something comes, {@link #wake} is called or the time is over; deaf, it leaves what comes where it is. */
+    /**
+     * Waits until something comes, {@link #wake} is called or the time is over; deaf, it leaves what comes where it is.
+     */
     void await(double seconds, boolean deaf) throws IOException {
         key.interestOps(deaf ? 0 : SelectionKey.OP_READ);
         long milliseconds = (long) Math.ceil(Math.min(seconds, LONGEST_WAIT) * 1000);
--- a/daemon/src/main/java/clayhook/peers/Doubts.java
+++ b/daemon/src/main/java/clayhook/peers/Doubts.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 
 /**
- * Which fates of writes are put into what routers share: all that are in doubt, and what ran where any router is in doubt.
- * Guards against telling each write to all routers.
+ * Which fates of writes are put into what routers share: all that are in doubt, and what ran where any router is in
+ * doubt. Guards against telling each write to all routers.
  */
 final class Doubts {
     /** Writes that ran here lately; a client that got no answer elsewhere has tried again here within seconds. */
--- a/daemon/src/main/java/clayhook/peers/Exchange.java
+++ b/daemon/src/main/java/clayhook/peers/Exchange.java
@@ -38,13 +38,14 @@
 import java.util.stream.Collectors;
 
 /**
- * Puts what this router's loop tells into what routers share, and takes from there what the loop is to know. On the peers'
- * thread, but for {@link #need} and {@link #left}.
+ * Puts what this router's loop tells into what routers share, and takes from there what the loop is to know. On the
+ * peers' thread, but for {@link #need} and {@link #left}.
  */
 public final class Exchange implements Machine {
     /**
-     * Seconds between two snapshots of marks, and two puttings in: short beside the time in which a session comes to another
-     * router. Guards against a session that writes all the time, whose marks would come in faster than news of them goes round.
+     * Seconds between two snapshots of marks, and two puttings in: short beside the time in which a session comes to
+     * another router. Guards against a session that writes all the time, whose marks would come in faster than news of
+     * them goes round.
      */
     private static final double PUBLISH = 0.05;
     /** Seconds between two reckonings of shares, and looks at what is to be put in again. */
@@ -78,8 +79,7 @@
     }
 
     /** A node that this router's list has. */
-    private record Known(String id, double startedAt) {
-    }
+    private record Known(String id, double startedAt) {}
 
     private final Shared shared;
     private final Roster roster;
@@ -102,13 +102,23 @@
     private final Map<String, Mark> marks = new LinkedHashMap<>();
     /** What this router itself puts in is no news to it. */
     private boolean putting;
+
     private double publishAt, seldomAt;
     /** A list came that could not be told whole, or a value that cannot be. */
     private long senseless;
+
     private volatile Map<Sharing.Limit, Double> left = Map.of();
 
-    public Exchange(Kinds kinds, double roam, int routers, String source, Shared shared, Roster roster, SplittableRandom chance,
-            Executor loop, Sharing.Listener listener) {
+    public Exchange(
+            Kinds kinds,
+            double roam,
+            int routers,
+            String source,
+            Shared shared,
+            Roster roster,
+            SplittableRandom chance,
+            Executor loop,
+            Sharing.Listener listener) {
         this.kinds = kinds;
         this.shared = shared;
         this.roster = roster;
@@ -173,7 +183,10 @@
 
     private Fate fate(News.Written written) {
         var first = Fate.Sent.of(written.sentAt(), written.group(), written.commandGroup(), null);
-        return written.ran() ? Fate.ran(first, Fate.Witness.of(written.at(), roster.self().member().name(), written.node()))
+        return written.ran()
+                ? Fate.ran(
+                        first,
+                        Fate.Witness.of(written.at(), roster.self().member().name(), written.node()))
                 : Fate.unknown(first);
     }
 
@@ -214,17 +227,28 @@
         lists.own(source, list.version(), list.whole() && fits, entries, now);
         Set<String> heard = entries.stream().map(ListMerge.Entry::id).collect(Collectors.toSet());
         // The loop has heard the same from discovery itself.
-        lists.changes().stream().filter(change -> change.word().revision() != list.version()
-                || !(list.whole() || heard.contains(change.id()))).forEach(this::hand);
+        lists.changes().stream()
+                .filter(change ->
+                        change.word().revision() != list.version() || !(list.whole() || heard.contains(change.id())))
+                .forEach(this::hand);
     }
 
     private static ListMerge.Entry entry(NodeList.Entry entry, long revision, double now) {
         if (entry.id().length() > LONGEST_ID) {
             throw new IllegalArgumentException("a long id");
         }
-        return new ListMerge.Entry(entry.id(), new Listed(revision, Listed.State.valueOf(entry.state().name()), entry.startedAt(),
-                entry.primary(), entry.zone(), entry.group(), entry.address().getAddress().getHostAddress(),
-                entry.address().getPort(), now));
+        return new ListMerge.Entry(
+                entry.id(),
+                new Listed(
+                        revision,
+                        Listed.State.valueOf(entry.state().name()),
+                        entry.startedAt(),
+                        entry.primary(),
+                        entry.zone(),
+                        entry.group(),
+                        entry.address().getAddress().getHostAddress(),
+                        entry.address().getPort(),
+                        now));
     }
 
     // ---- to the loop ----
@@ -234,14 +258,19 @@
         double next = now + SELDOM;
         if (looks != null) {
             putting = true;
-            next = looks.turn(shared, key -> nodes.containsKey(key) ? nodes.get(key).startedAt() : 0, now);
+            next = looks.turn(
+                    shared, key -> nodes.containsKey(key) ? nodes.get(key).startedAt() : 0, now);
             putting = false;
             hand(now);
         }
         if (doubts != null) {
             doubts.turn(now);
-            fates.newConflicts().forEach(row -> Log.warn("sharing conflict", "sharing: command " + row.key() + " has run, says "
-                    + row.fate().ran().sight().by() + ", and has not, says " + row.fate().notRun().sight().by()));
+            fates.newConflicts()
+                    .forEach(row -> Log.warn(
+                            "sharing conflict",
+                            "sharing: command " + row.key() + " has run, says "
+                                    + row.fate().ran().sight().by() + ", and has not, says "
+                                    + row.fate().notRun().sight().by()));
         }
         if (now >= seldomAt) {
             seldomAt = now + SELDOM;
@@ -281,9 +310,23 @@
             Known node = nodes.get(key);
             Hearsay.Word word = node == null ? null : hearsay.on(node.id(), node.startedAt(), now);
             if (word != null) {
-                evidence.put(node.id(), new Told(word.nodeStart(), word.position(), word.positionAt(), word.lag(), word.lagAt(),
-                        word.primaryAt(), word.replicaAt(), word.heardAt(), word.failedAt(), word.strikes(), word.slowness(),
-                        word.slownessWeight(), word.load(), word.loadWeight()));
+                evidence.put(
+                        node.id(),
+                        new Told(
+                                word.nodeStart(),
+                                word.position(),
+                                word.positionAt(),
+                                word.lag(),
+                                word.lagAt(),
+                                word.primaryAt(),
+                                word.replicaAt(),
+                                word.heardAt(),
+                                word.failedAt(),
+                                word.strikes(),
+                                word.slowness(),
+                                word.slownessWeight(),
+                                word.load(),
+                                word.loadWeight()));
             }
         }
         changed.clear();
@@ -296,8 +339,19 @@
             senseless++;
             return;
         }
-        changes.put(change.id(), new NodeList(word.revision(), false, List.of(new NodeList.Entry(change.id(), address,
-                word.zone(), word.group(), Listing.State.valueOf(word.state().name()), word.primary(), word.nodeStart()))));
+        changes.put(
+                change.id(),
+                new NodeList(
+                        word.revision(),
+                        false,
+                        List.of(new NodeList.Entry(
+                                change.id(),
+                                address,
+                                word.zone(),
+                                word.group(),
+                                Listing.State.valueOf(word.state().name()),
+                                word.primary(),
+                                word.nodeStart()))));
     }
 
     /** The position that a read of that session must cover; 0 for none. For any thread. */
@@ -316,11 +370,18 @@
     String figures(double now) {
         var text = new StringBuilder("digests");
         for (Kind<?> kind : kinds.all()) {
-            text.append(' ').append(kind.name()).append('=').append(Long.toHexString(shared.digest(kind, now))).append('/')
+            text.append(' ')
+                    .append(kind.name())
+                    .append('=')
+                    .append(Long.toHexString(shared.digest(kind, now)))
+                    .append('/')
                     .append(shared.size(kind));
         }
         double certain = shared.certainUpTo(now);
-        text.append(certain == Double.NEGATIVE_INFINITY ? ", not certain" : ", certain " + tenths(now - certain) + " s ago");
+        text.append(
+                certain == Double.NEGATIVE_INFINITY
+                        ? ", not certain"
+                        : ", certain " + tenths(now - certain) + " s ago");
         if (lists != null) {
             text.append(", list behind ").append(lists.behind());
         }
--- a/daemon/src/main/java/clayhook/peers/Looks.java
+++ b/daemon/src/main/java/clayhook/peers/Looks.java
@@ -14,8 +14,8 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * What this router has seen of nodes, thinned to what the others do not know yet. Guards against traffic that grows with
- * commands, and against a hundred routers that all tell the same at once.
+ * What this router has seen of nodes, thinned to what the others do not know yet. Guards against traffic that grows
+ * with commands, and against a hundred routers that all tell the same at once.
  */
 final class Looks {
     /** Seconds; readers ask for a word of the last second, and a word is some tenths on its way. */
@@ -30,6 +30,7 @@
     private static final int ENOUGH = 3;
     /** Seconds; a report arrives at most so old, and is made anew so often. */
     private static final double OLDEST_REPORT = 5, REPORT_AGE = 0.25;
+
     private static final double NEVER = Double.NEGATIVE_INFINITY;
 
     /** Of one node since it was last told; times are those of what was seen. */
@@ -45,6 +46,7 @@
     private final SplittableRandom chance;
     /** By key; one a node that answers, emptied with the list of nodes. */
     private final Map<String, Look> looks = new HashMap<>();
+
     private double nextAt = NEVER;
 
     Looks(Roster roster, SplittableRandom chance) {
@@ -137,8 +139,13 @@
         boolean role = primary != at(known.primary()) > at(known.replica())
                 && roleAt > Math.max(at(known.primary()), at(known.replica()));
         boolean said = known.strikes().stream()
-                .anyMatch(strike -> strike.count() >= look.strikes && strike.sight().by().equals(self));
-        return role || look.strikes > 0 && look.failedAt > at(known.heard()) && known.strikes().size() < ENOUGH && !said;
+                .anyMatch(strike ->
+                        strike.count() >= look.strikes && strike.sight().by().equals(self));
+        return role
+                || look.strikes > 0
+                        && look.failedAt > at(known.heard())
+                        && known.strikes().size() < ENOUGH
+                        && !said;
     }
 
     private Evidence evidence(Look look, double start) {
--- a/daemon/src/main/java/clayhook/peers/Mailbox.java
+++ b/daemon/src/main/java/clayhook/peers/Mailbox.java
@@ -9,8 +9,8 @@
 import java.util.function.Consumer;
 
 /**
- * From a thread to the router's loop: of each key the latest value, and never more than one task that waits on the loop.
- * Guards against a loop that is late and finds a pile of news, most of it overtaken.
+ * From a thread to the router's loop: of each key the latest value, and never more than one task that waits on the
+ * loop. Guards against a loop that is late and finds a pile of news, most of it overtaken.
  */
 final class Mailbox<K, V> {
     /** Values handed over in one turn of the loop, tens of microseconds of it; the rest in the next. */
@@ -20,6 +20,7 @@
     private final Consumer<Map<K, V>> to;
     /** No more keys than there are entries of the kind; emptied on the loop. */
     private final Map<K, V> latest = new ConcurrentHashMap<>();
+
     private final AtomicBoolean awaited = new AtomicBoolean();
 
     Mailbox(Executor loop, Consumer<Map<K, V>> to) {
--- a/daemon/src/main/java/clayhook/peers/News.java
+++ b/daemon/src/main/java/clayhook/peers/News.java
@@ -10,27 +10,20 @@
 /** What the router's loop tells the peers' thread; times in seconds since 1970 on the loop's clock. */
 public sealed interface News {
     /** A dispatch or a probe came back. The next one tells as much, so that one may be lost. */
-    record Looked(Node node, Reply reply, double at) implements News {
-    }
+    record Looked(Node node, Reply reply, double at) implements News {}
 
     /** @param source where discovery is, as a text of host and port */
-    record Listed(String source, NodeList list) implements News {
-    }
+    record Listed(String source, NodeList list) implements News {}
 
-    record Moved(String source) implements News {
-    }
+    record Moved(String source) implements News {}
 
-    record Wrote(String session, int group, double position) implements News {
-    }
+    record Wrote(String session, int group, double position) implements News {}
 
     /** A write has run at that node, or for all that is known it may have. */
     record Written(String mark, double sentAt, int group, String commandGroup, boolean ran, String node, double at)
-            implements News {
-    }
+            implements News {}
 
-    record Used(Sharing.Limit limit, double units) implements News {
-    }
+    record Used(Sharing.Limit limit, double units) implements News {}
 
-    record Seeds(List<Address> seeds) implements News {
-    }
+    record Seeds(List<Address> seeds) implements News {}
 }
--- a/daemon/src/main/java/clayhook/peers/Outbound.java
+++ b/daemon/src/main/java/clayhook/peers/Outbound.java
@@ -16,6 +16,7 @@
     static final int PASSING = 1 << 13;
     /** What cannot: grows by need up to minutes of it. */
     static final int LASTING = 1 << 17;
+
     private static final int LASTING_AT_FIRST = 1 << 8;
     /** Taken in one turn, a few milliseconds of it. */
     private static final int MOST_AT_ONCE = 1 << 12;
--- a/daemon/src/main/java/clayhook/peers/Peers.java
+++ b/daemon/src/main/java/clayhook/peers/Peers.java
@@ -31,14 +31,18 @@
 import java.util.function.Function;
 
 /**
- * The edge of what routers share: a socket, a thread of its own, and queues between that and the router's loop. Whatever
- * comes in, stalls or fails here costs sharing and never a command.
+ * The edge of what routers share: a socket, a thread of its own, and queues between that and the router's loop.
+ * Whatever comes in, stalls or fails here costs sharing and never a command.
  */
 public final class Peers implements Sharing {
     /** Seconds that the thread sleeps where there was news or a flood; whole rounds of gossip are longer. */
     private static final double NAP = 0.02;
-    /** Seconds in which farewells go out, more than once as packets get lost; a part of what is left to a router that ends. */
+    /**
+     * Seconds in which farewells go out, more than once as packets get lost; a part of what is left to a router that
+     * ends.
+     */
     private static final double FAREWELL = 0.1;
+
     private static final long LONGEST_END_MS = 150;
     /** Seconds by which measured clocks may be off beyond their bound: the error of the measure. */
     private static final double CLOCK_ERROR = 0.5;
@@ -53,6 +57,7 @@
     private Members members;
     /** Null until sharing has begun; commands may come before. */
     private volatile Exchange exchange;
+
     private Fleet fleet;
     private Thread thread;
     private double reportAt;
@@ -60,7 +65,11 @@
     private volatile boolean closing;
     private volatile boolean leaving;
 
-    private Peers(SharingSettings settings, Configuration configuration, StateSettings usual, Datagrams datagrams,
+    private Peers(
+            SharingSettings settings,
+            Configuration configuration,
+            StateSettings usual,
+            Datagrams datagrams,
             Address address) {
         this.settings = settings;
         this.configuration = configuration;
@@ -78,7 +87,8 @@
     /** {@code usual}: what the operator's settings do not say. */
     static Peers open(SharingSettings settings, Configuration configuration, StateSettings usual) throws IOException {
         var datagrams = Datagrams.at(settings.listen());
-        Address address = settings.advertise() != null ? address(settings.advertise())
+        Address address = settings.advertise() != null
+                ? address(settings.advertise())
                 : new Address(settings.listen().getAddress().getHostAddress(), datagrams.port());
         return new Peers(settings, configuration, usual, datagrams, address);
     }
@@ -105,11 +115,23 @@
         var chance = new SplittableRandom(configuration.seed() ^ self.member().boot());
         members = new Members(memberSettings(), self, addresses(settings), chance.nextLong(), now, new RosterLog());
         boolean marks = settings.marks() && !configuration.settings().marksCarried();
-        var kinds = new Exchange.Kinds(settings.evidence(), settings.lists(), marks,
-                settings.fates() ? Fate.kept(settings.fatesKept()) : null, settings.limits());
+        var kinds = new Exchange.Kinds(
+                settings.evidence(),
+                settings.lists(),
+                marks,
+                settings.fates() ? Fate.kept(settings.fatesKept()) : null,
+                settings.limits());
         var state = new State(members, kinds.all(), stateSettings(), chance.nextLong(), now);
-        exchange = new Exchange(kinds, settings.roam(), configuration.settings().routers(), source(discovery), state, members,
-                chance.split(), loop, listener);
+        exchange = new Exchange(
+                kinds,
+                settings.roam(),
+                configuration.settings().routers(),
+                source(discovery),
+                state,
+                members,
+                chance.split(),
+                loop,
+                listener);
         exchange.know(configuration.known());
         // The state last: what the exchange puts in goes out in the same turn.
         fleet = new Fleet(self.member(), List.of(members, new Farewell(), exchange, state), datagrams::send);
@@ -118,7 +140,8 @@
 
     @Override
     public void start() {
-        Log.info("sharing as " + members.self().member().name() + " at " + address + ", seeds " + settings.seeds().size());
+        Log.info("sharing as " + members.self().member().name() + " at " + address + ", seeds "
+                + settings.seeds().size());
         thread = new Thread(this::run, "clayhook-peers");
         thread.setDaemon(true);
         thread.start();
@@ -126,16 +149,44 @@
 
     private MemberSettings memberSettings() {
         MemberSettings usual = MemberSettings.DEFAULT;
-        return new MemberSettings(usual.period(), usual.retry(), usual.helpers(), usual.gossip(), usual.fan(), usual.suspicion(),
-                usual.alone(), usual.knock(), usual.knockMost(), usual.remember(), settings.deadAfter(), settings.clockBound(),
-                usual.late(), usual.mostNames());
+        return new MemberSettings(
+                usual.period(),
+                usual.retry(),
+                usual.helpers(),
+                usual.gossip(),
+                usual.fan(),
+                usual.suspicion(),
+                usual.alone(),
+                usual.knock(),
+                usual.knockMost(),
+                usual.remember(),
+                settings.deadAfter(),
+                settings.clockBound(),
+                usual.late(),
+                usual.mostNames());
     }
 
     private StateSettings stateSettings() {
-        return new StateSettings(usual.round(), usual.fanout(), usual.newsParts(), settings.newsBytes(), usual.newsFor(),
-                usual.mostNews(), usual.digestEvery(), usual.digestBytes(), usual.answerWait(), usual.silence(), usual.window(),
-                settings.catchUpBytes(), usual.pushBytes(), usual.pairsEvery(), settings.clockBound() + CLOCK_ERROR,
-                usual.margin(), usual.aloneAfter(), usual.stood(), usual.sweep());
+        return new StateSettings(
+                usual.round(),
+                usual.fanout(),
+                usual.newsParts(),
+                settings.newsBytes(),
+                usual.newsFor(),
+                usual.mostNews(),
+                usual.digestEvery(),
+                usual.digestBytes(),
+                usual.answerWait(),
+                usual.silence(),
+                usual.window(),
+                settings.catchUpBytes(),
+                usual.pushBytes(),
+                usual.pairsEvery(),
+                settings.clockBound() + CLOCK_ERROR,
+                usual.margin(),
+                usual.aloneAfter(),
+                usual.stood(),
+                usual.sweep());
     }
 
     private static String source(InetSocketAddress discovery) {
@@ -201,11 +252,13 @@
 
     private void report(double now) {
         Fleet.Counts counts = fleet.counts();
-        Log.info("sharing: members " + (1 + members.mayServe(now).size()) + " alive " + (1 + members.others().size()) + ", "
+        Log.info("sharing: members " + (1 + members.mayServe(now).size()) + " alive "
+                + (1 + members.others().size()) + ", "
                 + exchange.figures(now) + ", packets in " + counts.packets + " out " + counts.sent + ", bytes out "
                 + counts.sentBytes + ", dropped " + counts.dropped + ", too long " + datagrams.oversize() + ", unsent "
                 + datagrams.unsent() + ", parts unknown " + counts.unknownParts + ", names refused " + members.refused()
-                + ", news put off " + outbound.dropped() + " lost " + outbound.lost() + (faults > 0 ? ", faults " + faults : "")
+                + ", news put off " + outbound.dropped() + " lost " + outbound.lost()
+                + (faults > 0 ? ", faults " + faults : "")
                 + (members.doubtful(now) ? ", stood still" : "") + (members.replaced() ? ", replaced" : ""));
     }
 
@@ -256,7 +309,8 @@
     @Override
     public double need(String session, double now) {
         Exchange begun = exchange;
-        // Guards against commands that come while sharing begins: what others know is not known yet, so all may be needed.
+        // Guards against commands that come while sharing begins: what others know is not known yet, so all may be
+        // needed.
         return begun == null ? now - settings.roam() : begun.need(session, now);
     }
 
@@ -270,8 +324,14 @@
     @Override
     public void written(ClientCommand command, Node ranAt, double now) {
         if (settings.fates() && command.mark != null && !command.dispatches.isEmpty()) {
-            outbound.add(new News.Written(command.mark, command.dispatches.get(0).sentAt, command.nodeGroup,
-                    command.group.name(), ranAt != null, ranAt == null ? "" : ranAt.id(), now));
+            outbound.add(new News.Written(
+                    command.mark,
+                    command.dispatches.get(0).sentAt,
+                    command.nodeGroup,
+                    command.group.name(),
+                    ranAt != null,
+                    ranAt == null ? "" : ranAt.id(),
+                    now));
         }
     }
 
--- a/daemon/src/main/java/clayhook/peers/RosterLog.java
+++ b/daemon/src/main/java/clayhook/peers/RosterLog.java
@@ -39,20 +39,25 @@
 
     @Override
     public void twins(Peer counts, Peer other, double now) {
-        Log.warn("sharing twins", "sharing: two routers are called " + counts.member().name() + ", at " + counts.address()
-                + " and at " + other.address() + "; the first counts");
+        Log.warn(
+                "sharing twins",
+                "sharing: two routers are called " + counts.member().name() + ", at " + counts.address() + " and at "
+                        + other.address() + "; the first counts");
     }
 
     @Override
     public void clockOff(Peer member, double ahead, double now) {
-        Log.warn("sharing clock", name(member) + " has a clock that is " + milliseconds(ahead)
-                + " ms ahead; it is heard only for what needs no clock");
+        Log.warn(
+                "sharing clock",
+                name(member) + " has a clock that is " + milliseconds(ahead)
+                        + " ms ahead; it is heard only for what needs no clock");
     }
 
     @Override
     public void clockFine(Peer member, double ahead, double now) {
-        Log.info("sharing clock fine", name(member) + " has a clock within the bound again, " + milliseconds(ahead)
-                + " ms ahead");
+        Log.info(
+                "sharing clock fine",
+                name(member) + " has a clock within the bound again, " + milliseconds(ahead) + " ms ahead");
     }
 
     private static long milliseconds(double seconds) {
