--- a/daemon/src/main/java/clayhook/protocol/Allowance.java
+++ b/daemon/src/main/java/clayhook/protocol/Allowance.java
@@ -4,6 +4,7 @@
 public final class Allowance {
     /** What a message takes while it is read, held and passed on, for each byte of it. */
     private static final int COPIES = 4;
+
     private long left;
 
     public Allowance(long bytes) {
--- a/daemon/src/main/java/clayhook/protocol/ClientDecoder.java
+++ b/daemon/src/main/java/clayhook/protocol/ClientDecoder.java
@@ -17,6 +17,7 @@
     private static final int LONGEST_STARTUP = 10_000;
     /** Shorter messages go without an allowance: all clients together may send as many as a session reads ahead. */
     private static final int SHORT = 1024;
+
     private final boolean sql;
     private boolean started;
 
--- a/daemon/src/main/java/clayhook/protocol/Comment.java
+++ b/daemon/src/main/java/clayhook/protocol/Comment.java
@@ -13,22 +13,28 @@
     private static final Pattern LAST = Pattern.compile("/\\*([^*]*+)\\*/[\\s;]*+$");
     /** Nothing but white space and a semicolon follows the comment, so that it begins near the end. */
     private static final int LONGEST = 4096;
+
     static final Pattern ID = Pattern.compile("[0-9A-Za-z_-]{1,64}");
     /** Far above any time in milliseconds, and any position. */
     static final Pattern NUMBER = Pattern.compile("[0-9]{1,15}");
+
     static final Pattern SMALL = Pattern.compile("[0-9]{1,9}");
 
     private final Map<String, Integer> at = new HashMap<>();
     private final Map<String, String> values = new HashMap<>();
 
-    /** {@code from} is where the text stands in its statement. Throws IllegalArgumentException naming what does not fit. */
+    /**
+     * {@code from} is where the text stands in its statement. Throws IllegalArgumentException naming what does not fit.
+     */
     Comment(String text, int from) {
         int start = from;
         for (String field : text.split(",", -1)) {
             int sign = field.indexOf('=');
             String name = field.substring(0, Math.max(0, sign)).strip();
             String value = field.substring(sign + 1);
-            at.put(name, start + sign + 1 + value.length() - value.stripLeading().length());
+            at.put(
+                    name,
+                    start + sign + 1 + value.length() - value.stripLeading().length());
             if (name.isEmpty() || values.put(name, value.strip()) != null) {
                 throw new IllegalArgumentException("the comment has a field without a name, or one twice");
             }
--- a/daemon/src/main/java/clayhook/protocol/Encoder.java
+++ b/daemon/src/main/java/clayhook/protocol/Encoder.java
@@ -12,8 +12,7 @@
 public final class Encoder {
     private static final byte[] READY = {'Z', 0, 0, 0, 5, 'I'};
 
-    private Encoder() {
-    }
+    private Encoder() {}
 
     /** Of a server that cancels nothing. */
     public static ByteBuf welcome(int minor, Map<String, String> more) {
@@ -21,8 +20,8 @@
     }
 
     /**
-     * The session stands; {@code minor} is the version of the protocol that the client asked for, {@code cancelKey} what
-     * it cancels by.
+     * The session stands; {@code minor} is the version of the protocol that the client asked for, {@code cancelKey}
+     * what it cancels by.
      */
     public static ByteBuf welcome(int minor, long cancelKey, Map<String, String> more) {
         ByteBuf out = Unpooled.buffer(128);
@@ -45,7 +44,11 @@
             parameter(out, name, value);
         }
         byte[] text = tag.getBytes(UTF_8);
-        return out.writeByte('C').writeInt(4 + text.length + 1).writeBytes(text).writeByte(0).writeBytes(READY);
+        return out.writeByte('C')
+                .writeInt(4 + text.length + 1)
+                .writeBytes(text)
+                .writeByte(0)
+                .writeBytes(READY);
     }
 
     private static void parameter(ByteBuf out, String name, String value) {
@@ -121,6 +124,10 @@
     }
 
     public static ByteBuf query(byte[] text) {
-        return Unpooled.buffer(text.length + 6).writeByte('Q').writeInt(text.length + 5).writeBytes(text).writeByte(0);
+        return Unpooled.buffer(text.length + 6)
+                .writeByte('Q')
+                .writeInt(text.length + 5)
+                .writeBytes(text)
+                .writeByte(0);
     }
 }
--- a/daemon/src/main/java/clayhook/protocol/FrameDecoder.java
+++ b/daemon/src/main/java/clayhook/protocol/FrameDecoder.java
@@ -13,6 +13,7 @@
     private final int untaken;
     /** What the messages that came take of it until they are done with, or the connection ends. */
     private int taken;
+
     private boolean broken;
     /** The message in hand has been let in. */
     private boolean coming;
--- a/daemon/src/main/java/clayhook/protocol/NodeDecoder.java
+++ b/daemon/src/main/java/clayhook/protocol/NodeDecoder.java
@@ -43,33 +43,35 @@
     @Override
     Object message(char type, ByteBuf body) {
         byte[] whole = "TDCEN".indexOf(type) < 0 && !(free && type == 'I') ? null : whole(body);
-        Object message = switch (type) {
-            case 'R' -> body.readInt() == 0 ? new NodeMessage.AuthenticationOk() : malformed("asks for a password");
-            case 'S' -> new NodeMessage.ParameterStatus(text(body), text(body));
-            case 'T', 'D', 'C' -> {
-                part(type, body);
-                yield new NodeMessage.Part(type, whole);
-            }
-            case 'I' -> free ? new NodeMessage.Part(type, whole) : malformed("an answer to an empty query");
-            case 'E' -> error(body, whole);
-            case 'N' -> {
-                error(body, whole);
-                yield new NodeMessage.Notice(whole);
-            }
-            case 'A' -> {
-                body.skipBytes(body.readableBytes());
-                yield free ? new NodeMessage.Notification() : malformed("a notification");
-            }
-            case 'Z' -> {
-                check(body.readByte() == 'I');
-                yield new NodeMessage.ReadyForQuery();
-            }
-            case 'K' -> {
-                body.skipBytes(8);
-                yield new NodeMessage.CancelKey();
-            }
-            default -> malformed("an unknown message of type " + (int) type);
-        };
+        Object message =
+                switch (type) {
+                    case 'R' ->
+                        body.readInt() == 0 ? new NodeMessage.AuthenticationOk() : malformed("asks for a password");
+                    case 'S' -> new NodeMessage.ParameterStatus(text(body), text(body));
+                    case 'T', 'D', 'C' -> {
+                        part(type, body);
+                        yield new NodeMessage.Part(type, whole);
+                    }
+                    case 'I' -> free ? new NodeMessage.Part(type, whole) : malformed("an answer to an empty query");
+                    case 'E' -> error(body, whole);
+                    case 'N' -> {
+                        error(body, whole);
+                        yield new NodeMessage.Notice(whole);
+                    }
+                    case 'A' -> {
+                        body.skipBytes(body.readableBytes());
+                        yield free ? new NodeMessage.Notification() : malformed("a notification");
+                    }
+                    case 'Z' -> {
+                        check(body.readByte() == 'I');
+                        yield new NodeMessage.ReadyForQuery();
+                    }
+                    case 'K' -> {
+                        body.skipBytes(8);
+                        yield new NodeMessage.CancelKey();
+                    }
+                    default -> malformed("an unknown message of type " + (int) type);
+                };
         check(!body.isReadable() || message instanceof NodeMessage.Malformed);
         return message;
     }
--- a/daemon/src/main/java/clayhook/protocol/NodeMessage.java
+++ b/daemon/src/main/java/clayhook/protocol/NodeMessage.java
@@ -4,11 +4,9 @@
 
 /** What a node may send. */
 public sealed interface NodeMessage {
-    record AuthenticationOk() implements NodeMessage {
-    }
+    record AuthenticationOk() implements NodeMessage {}
 
-    record ParameterStatus(String name, String value) implements NodeMessage {
-    }
+    record ParameterStatus(String name, String value) implements NodeMessage {}
 
     /** RowDescription, DataRow, CommandComplete or EmptyQueryResponse, whole as it came. */
     record Part(char type, byte[] message) implements NodeMessage {
@@ -30,25 +28,19 @@
     }
 
     /** {@code message} is whole as it came. */
-    record ErrorResponse(String code, String text, byte[] message) implements NodeMessage {
-    }
+    record ErrorResponse(String code, String text, byte[] message) implements NodeMessage {}
 
-    record ReadyForQuery() implements NodeMessage {
-    }
+    record ReadyForQuery() implements NodeMessage {}
 
     /** Whole as it came. */
-    record Notice(byte[] message) implements NodeMessage {
-    }
+    record Notice(byte[] message) implements NodeMessage {}
 
     /** Of a channel that nobody here listens to. */
-    record Notification() implements NodeMessage {
-    }
+    record Notification() implements NodeMessage {}
 
     /** The key for cancelling, which is not used. */
-    record CancelKey() implements NodeMessage {
-    }
+    record CancelKey() implements NodeMessage {}
 
     /** Nothing after it can be understood. */
-    record Malformed(String why) implements NodeMessage {
-    }
+    record Malformed(String why) implements NodeMessage {}
 }
--- a/daemon/src/main/java/clayhook/protocol/Statement.java
+++ b/daemon/src/main/java/clayhook/protocol/Statement.java
@@ -17,10 +17,12 @@
     private final byte[] text;
     /** Where the value of {@code d} stands in the text. */
     private final int waitFrom;
+
     private final int waitTo;
     public final String id;
     /** The name of its command group. */
     public final String group;
+
     public final int nodeGroup;
     /** How long the client waits, in seconds from when it sent this. */
     public final double wait;
@@ -28,6 +30,7 @@
     public final double after;
     /** The quoted key. */
     public final String key;
+
     public final boolean writes;
     /** It has a key by which nodes drop its repeats. */
     public final boolean keyed;
@@ -58,7 +61,8 @@
     public static Statement parse(byte[] text) {
         Matcher form = FORM.matcher(new String(text, ISO_8859_1));
         if (!form.matches()) {
-            throw new IllegalArgumentException("no read or write of the form that nodes take, with a comment that names it");
+            throw new IllegalArgumentException(
+                    "no read or write of the form that nodes take, with a comment that names it");
         }
         return new Statement(text, form);
     }
--- a/daemon/src/main/java/clayhook/rehearsal/Rehearsal.java
+++ b/daemon/src/main/java/clayhook/rehearsal/Rehearsal.java
@@ -1,7 +1,7 @@
 package clayhook.rehearsal;
 
-import clayhook.CommandGroup.ReadLevel;
 import clayhook.CommandGroup;
+import clayhook.CommandGroup.ReadLevel;
 import clayhook.Settings;
 import clayhook.config.Configuration;
 import clayhook.discovery.NodeList;
@@ -26,6 +26,7 @@
 public final class Rehearsal {
     /** Clients at once, and what each sends; by then the runtime has compiled what is used most. */
     private static final int CLIENTS = 6;
+
     private static final int COMMANDS = 80;
     /** Commands that a client sends before another takes its place. */
     private static final int STAY = 2;
@@ -37,8 +38,7 @@
     /** It ends by itself as soon as its time is over; what stands then does not go on. */
     private static final double OVERTIME_S = 0.5;
 
-    private Rehearsal() {
-    }
+    private Rehearsal() {}
 
     /** Closes the transport in the end; false where that carries nothing, so that nothing was rehearsed. */
     public static boolean run(Settings settings, Transport transport, boolean awaited) throws InterruptedException {
@@ -73,22 +73,31 @@
     private static boolean play(Settings settings, Transport transport, Transport outside, double until)
             throws InterruptedException {
         var primary = new StandInNode(transport, transport.spare(1), "primary", any -> StandInNode.Deed.answer("p"));
-        var replica = new StandInNode(transport, transport.spare(2), "replica",
-                any -> StandInNode.Deed.answer("r"));
+        var replica = new StandInNode(transport, transport.spare(2), "replica", any -> StandInNode.Deed.answer("r"));
         var other = new StandInNode(transport, transport.spare(3), "replica", deeds());
         String list = "{\"rev\":2,\"all\":true,\"targets\":[" + entry("p", primary) + "," + entry("r", replica) + ","
                 + entry("o", other) + "]}";
-        var discovery = new StandInDiscovery(transport, transport.spare(4),
-                call -> call.contains("after=2") ? null : list);
-        var server = new Server(transport, new Configuration("rehearsal", transport.spare(5),
-                discovery.address(), 1, 1 << 24, 1000, new NodeList(0, true, List.of()), settings, 1));
+        var discovery =
+                new StandInDiscovery(transport, transport.spare(4), call -> call.contains("after=2") ? null : list);
+        var server = new Server(
+                transport,
+                new Configuration(
+                        "rehearsal",
+                        transport.spare(5),
+                        discovery.address(),
+                        1,
+                        1 << 24,
+                        1000,
+                        new NodeList(0, true, List.of()),
+                        settings,
+                        1));
         var clients = new ArrayList<StandInClient>();
         boolean carried = true;
         for (int i = 0; carried && i < COMMANDS && System.nanoTime() / 1e9 < until; i++) {
             for (int j = 0; j < CLIENTS; j++) {
                 CommandGroup group = settings.groups().get(j % settings.groups().size());
-                ByteBuf statement = StandInClient.statement(group.level() == ReadLevel.WRITE,
-                        "id=" + j + ",c=" + group.name() + ",d=400,k=2,cluster=1");
+                ByteBuf statement = StandInClient.statement(
+                        group.level() == ReadLevel.WRITE, "id=" + j + ",c=" + group.name() + ",d=400,k=2,cluster=1");
                 if (i % STAY == 0) {
                     clients.add(new StandInClient(outside, server.address()));
                     clients.get(j).send(StandInClient.hello(statement));
@@ -126,7 +135,8 @@
     }
 
     private static String entry(String id, StandInNode node) {
-        return "{\"uid\":\"" + id + "\",\"endpoint\":\"127.0.0.1:" + node.address().getPort()
+        return "{\"uid\":\"" + id + "\",\"endpoint\":\"127.0.0.1:"
+                + node.address().getPort()
                 + "\",\"az\":\"a\",\"model\":\"m\",\"pod_group\":1,\"state\":\"up\",\"capacity_hint\":1.0,"
                 + "\"boot_ms\":0}";
     }
--- a/daemon/src/main/java/clayhook/rehearsal/StandInClient.java
+++ b/daemon/src/main/java/clayhook/rehearsal/StandInClient.java
@@ -26,12 +26,16 @@
     private static final int PATIENCE_S = 20;
     /** The one word of a client that never reached the router. */
     public static final String NO_CONNECTION = "no connection";
+
     private final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
     private final List<ByteBuf> first = new ArrayList<>();
     private final Channel channel;
 
     public StandInClient(Transport transport, InetSocketAddress router) {
-        channel = transport.connect(router, PATIENCE_S, () -> new ChannelHandler[] {new NodeDecoder(new Allowance(Long.MAX_VALUE)), new Answers()},
+        channel = transport.connect(
+                router,
+                PATIENCE_S,
+                () -> new ChannelHandler[] {new NodeDecoder(new Allowance(Long.MAX_VALUE)), new Answers()},
                 () -> heard.add(NO_CONNECTION));
     }
 
@@ -84,7 +88,8 @@
 
     /** The same on that key, which names the session. */
     public static ByteBuf statement(boolean writes, String key, String fields) {
-        String text = writes ? "INSERT INTO state (uid, val) VALUES ('" + key + "', '\\x9f03') RETURNING val"
+        String text = writes
+                ? "INSERT INTO state (uid, val) VALUES ('" + key + "', '\\x9f03') RETURNING val"
                 : "SELECT val FROM state WHERE uid = '" + key + "'";
         return Encoder.query((text + " /* " + fields + " */").getBytes(UTF_8));
     }
--- a/daemon/src/main/java/clayhook/rehearsal/StandInDiscovery.java
+++ b/daemon/src/main/java/clayhook/rehearsal/StandInDiscovery.java
@@ -21,7 +21,10 @@
         this(transport, address, (call, answer) -> answer.test(answers.apply(call)));
     }
 
-    /** {@code calls} is handed each call and what takes its answer, once, by any thread; false where its caller has gone. */
+    /**
+     * {@code calls} is handed each call and what takes its answer, once, by any thread; false where its caller has
+     * gone.
+     */
     public StandInDiscovery(Transport transport, InetSocketAddress address, BiConsumer<String, Predicate<String>> calls)
             throws InterruptedException {
         super(transport, address, () -> new ChannelHandler[] {new Connection(calls)});
@@ -53,8 +56,8 @@
             if (body != null && body.startsWith("HTTP")) {
                 ctx.writeAndFlush(Unpooled.copiedBuffer(body, US_ASCII));
             } else if (body != null) {
-                ctx.writeAndFlush(Unpooled.copiedBuffer("HTTP/1.1 200 OK\r\nContent-Length: " + body.length()
-                        + "\r\n\r\n" + body, US_ASCII));
+                ctx.writeAndFlush(Unpooled.copiedBuffer(
+                        "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body, US_ASCII));
             }
             return ctx.channel().isActive();
         }
--- a/daemon/src/main/java/clayhook/rehearsal/StandInNode.java
+++ b/daemon/src/main/java/clayhook/rehearsal/StandInNode.java
@@ -49,18 +49,26 @@
     /** The role of a node that leaves probes unanswered. */
     public static final String MUTE = "mute";
 
-    public StandInNode(Transport transport, InetSocketAddress address, String role,
-            Function<Statement, Deed> deeds) throws InterruptedException {
-        super(transport, address, () -> new ChannelHandler[] {
-            new ClientDecoder(new Allowance(Long.MAX_VALUE)), new Connection(role, deeds)});
+    public StandInNode(Transport transport, InetSocketAddress address, String role, Function<Statement, Deed> deeds)
+            throws InterruptedException {
+        super(transport, address, () ->
+                new ChannelHandler[] {new ClientDecoder(new Allowance(Long.MAX_VALUE)), new Connection(role, deeds)});
     }
 
     /** An answer of one row, and what a node tells with it; {@code applied} is its position in milliseconds. */
     public static ByteBuf row(String value, String role, long applied, String load) {
         byte[] bytes = value.getBytes(UTF_8);
         ByteBuf out = Unpooled.buffer();
-        out.writeByte('T').writeInt(4 + 2 + 4 + 18).writeShort(1).writeBytes("val\0".getBytes(UTF_8)).writeZero(18);
-        out.writeByte('D').writeInt(4 + 2 + 4 + bytes.length).writeShort(1).writeInt(bytes.length).writeBytes(bytes);
+        out.writeByte('T')
+                .writeInt(4 + 2 + 4 + 18)
+                .writeShort(1)
+                .writeBytes("val\0".getBytes(UTF_8))
+                .writeZero(18);
+        out.writeByte('D')
+                .writeInt(4 + 2 + 4 + bytes.length)
+                .writeShort(1)
+                .writeInt(bytes.length)
+                .writeBytes(bytes);
         out.writeByte('C').writeInt(4 + 9).writeBytes("SELECT 1\0".getBytes(UTF_8));
         status(out, "role", role);
         status(out, "applied_ms", Long.toString(applied));
@@ -89,8 +97,10 @@
             } else if (message instanceof ClientMessage.Query query) {
                 done(ctx, deeds.apply(query.statement()));
             } else if (message instanceof ClientMessage.UnreadableQuery && !role.equals(MUTE)) {
-                done(ctx, Deed.answer("x0=" + System.currentTimeMillis() / 1000.0 + ",x1="
-                        + (role.equals("primary") ? 1 : 0) + ",inflight=1"));
+                done(
+                        ctx,
+                        Deed.answer("x0=" + System.currentTimeMillis() / 1000.0 + ",x1="
+                                + (role.equals("primary") ? 1 : 0) + ",inflight=1"));
             }
         }
 
@@ -107,7 +117,8 @@
         }
 
         private ByteBuf row(String value) {
-            return StandInNode.row(value, role, System.currentTimeMillis(), "inflight=1,x0=" + System.currentTimeMillis() / 1000.0);
+            return StandInNode.row(
+                    value, role, System.currentTimeMillis(), "inflight=1,x0=" + System.currentTimeMillis() / 1000.0);
         }
 
         @Override
--- a/daemon/src/main/java/clayhook/serve/GracePeriod.java
+++ b/daemon/src/main/java/clayhook/serve/GracePeriod.java
@@ -11,8 +11,11 @@
 record GracePeriod(double takesUntil, double givesUpAt, double leavesAt) {
     /** New connections keep coming for up to 0.4 s. */
     static final double STILL_OPEN = 0.5;
-    /** The platform kills no sooner than this after the longest client timeout, or after three seconds if that is less. */
+    /**
+     * The platform kills no sooner than this after the longest client timeout, or after three seconds if that is less.
+     */
     private static final double KILLED_AFTER = 0.7;
+
     private static final double LONGEST_COUNTED = 3;
     /** The rest is for clients to come to another router, which may be the next to end, and for what they sent last. */
     private static final double TAKING = 0.75;
--- a/daemon/src/main/java/clayhook/serve/Lifecycle.java
+++ b/daemon/src/main/java/clayhook/serve/Lifecycle.java
@@ -6,6 +6,7 @@
 public final class Lifecycle {
     /** Null before it serves. */
     private Server server;
+
     private boolean ended;
 
     /** The server once it listens; null where the request to end came first, and none was started. */
--- a/daemon/src/main/java/clayhook/serve/Router.java
+++ b/daemon/src/main/java/clayhook/serve/Router.java
@@ -1,11 +1,11 @@
 package clayhook.serve;
 
-import clayhook.Choice.Verdict;
 import clayhook.Choice;
+import clayhook.Choice.Verdict;
 import clayhook.Command;
+import clayhook.CommandGroup;
 import clayhook.CommandGroup.Effect;
 import clayhook.CommandGroup.ReadLevel;
-import clayhook.CommandGroup;
 import clayhook.Decide;
 import clayhook.Dispatch;
 import clayhook.Listing;
@@ -68,6 +68,7 @@
     private final Operator operator;
     /** Null where only the two fixed forms of statement are taken. */
     private SqlCommands sql;
+
     private final Map<String, CommandGroup> groups = new HashMap<>();
     private final Decide decide;
     private final Hand hand;
@@ -85,17 +86,21 @@
     private final Set<String> open = new HashSet<>();
     /** What came in since the last turn; lists go before the rest. */
     private List<DoubleConsumer> lists = new ArrayList<>();
+
     private List<DoubleConsumer> rest = new ArrayList<>();
     /** Answers to be passed on at the end of the turn. */
     private final Map<ClientCommand, List<byte[]>> answers = new HashMap<>();
+
     private boolean turning;
     /** All is given up, also what is yet to come. */
     private boolean over;
+
     private ScheduledFuture<?> wake;
     private double sweepAt;
     private double wakeAt = Double.POSITIVE_INFINITY;
     /** The latest turn since the last summary. */
     private double late;
+
     private double summaryAt = clock.now() + SUMMARY;
 
     /** {@code sharing}: null where nothing is shared with other routers. */
@@ -110,18 +115,37 @@
         descriptors = new Descriptors(configuration.sockets());
         decide = new Decide(settings, configuration.seed());
         hand = new Hand(decide, fault -> Log.fault("a turn failed", fault));
-        nodes = new Nodes(transport, clock, descriptors, configuration.memory(), configuration.connectTimeout(),
-                settings.connectionIdle(), operator, this);
-        sql = operator.statements() == null ? null
+        nodes = new Nodes(
+                transport,
+                clock,
+                descriptors,
+                configuration.memory(),
+                configuration.connectTimeout(),
+                settings.connectionIdle(),
+                operator,
+                this);
+        sql = operator.statements() == null
+                ? null
                 : new SqlCommands(operator.statements(), settings.groups(), configuration.seed());
-        discovery = new Discovery(transport, configuration.discovery(), configuration.known().version(),
-                decide.watchFor(), new Random(configuration.seed()), this);
+        discovery = new Discovery(
+                transport,
+                configuration.discovery(),
+                configuration.known().version(),
+                decide.watchFor(),
+                new Random(configuration.seed()),
+                this);
         decide.listed(listings(configuration.known()), true, clock.now());
         if (sharing != null) {
             sharing.begin(loop, configuration.discovery(), this); // the first command may ask
         }
-        front = new Front(transport, configuration.listen(), descriptors, configuration.memory(),
-                sql == null ? null : () -> sql.session(), clock::now, this);
+        front = new Front(
+                transport,
+                configuration.listen(),
+                descriptors,
+                configuration.memory(),
+                sql == null ? null : () -> sql.session(),
+                clock::now,
+                this);
         turning = true;
         loop.execute(this::turn);
         if (sharing != null) {
@@ -149,7 +173,9 @@
             return;
         }
         open.add(statement.id);
-        tell(rest, now -> take(new ClientCommand(group, statement, session, need(group, statement.key, now), now), now));
+        tell(
+                rest,
+                now -> take(new ClientCommand(group, statement, session, need(group, statement.key, now), now), now));
     }
 
     /** The position that others know a session's read to need; 0 for none. */
@@ -174,7 +200,10 @@
 
     @Override
     public void asked(Session session, byte[] text) {
-        SqlCommands.Order order = sql.order(text, session.settings().client(), session.settings().timeout(),
+        SqlCommands.Order order = sql.order(
+                text,
+                session.settings().client(),
+                session.settings().timeout(),
                 session.settings().values());
         if (order instanceof SqlCommands.Order.Taken taken && nodes.listed(taken.nodes())) {
             Log.count(taken.classed().verdict() + " " + taken.classed().rule());
@@ -185,12 +214,20 @@
     }
 
     private static ClientCommand command(SqlCommands.Order.Taken taken, Session session, double now, double wait) {
-        return new ClientCommand(taken.group(), taken.nodes(), taken.statement(), taken.classed(), session,
-                Math.max(taken.after(), session.wroteAt()), now, wait);
+        return new ClientCommand(
+                taken.group(),
+                taken.nodes(),
+                taken.statement(),
+                taken.classed(),
+                session,
+                Math.max(taken.after(), session.wroteAt()),
+                now,
+                wait);
     }
 
     private void refuse(Session session, SqlCommands.Order order) {
-        var refused = order instanceof SqlCommands.Order.Refused given ? given
+        var refused = order instanceof SqlCommands.Order.Refused given
+                ? given
                 : new SqlCommands.Order.Refused("42601", "unknown group of nodes");
         Log.count("refused");
         Log.warn("statement", "refused: " + refused.why());
@@ -199,11 +236,15 @@
 
     /** Why the statement is none that can be taken, or null. */
     private String fault(CommandGroup group, Statement statement) {
-        return group == null ? "unknown command group"
-                : group.level() == ReadLevel.WRITE != statement.writes ? "a statement of another kind than its command group"
-                : group.effect() == Effect.KEYED && !statement.keyed ? "no key in a keyed command group"
-                : !nodes.listed(statement.nodeGroup) ? "unknown group of nodes"
-                : open.contains(statement.id) ? "the id of an open command" : null;
+        return group == null
+                ? "unknown command group"
+                : group.level() == ReadLevel.WRITE != statement.writes
+                        ? "a statement of another kind than its command group"
+                        : group.effect() == Effect.KEYED && !statement.keyed
+                                ? "no key in a keyed command group"
+                                : !nodes.listed(statement.nodeGroup)
+                                        ? "unknown group of nodes"
+                                        : open.contains(statement.id) ? "the id of an open command" : null;
     }
 
     @Override
@@ -253,7 +294,9 @@
         tell(rest, now -> {
             var command = (ClientCommand) dispatch.command;
             boolean answers = reply.outcome() == Outcome.ANSWERED && !command.over;
-            if (command.classed != null && READ_ONLY.equals(error) && command.group.level() != ReadLevel.WRITE
+            if (command.classed != null
+                    && READ_ONLY.equals(error)
+                    && command.group.level() != ReadLevel.WRITE
                     && !command.over) {
                 beginAsWrite(command, dispatch, reply, now);
                 return;
@@ -277,10 +320,12 @@
         var command = (ClientCommand) dispatch.command;
         sharing.looked(dispatch.node, reply, now);
         // Of statements of any kind an answer may be an error of the database, after which nothing has run.
-        if (reply.outcome() == Outcome.ANSWERED && command.group.level() == ReadLevel.WRITE
+        if (reply.outcome() == Outcome.ANSWERED
+                && command.group.level() == ReadLevel.WRITE
                 && answer.stream().noneMatch(message -> message[0] == ERROR)) {
             if (command.classed == null) {
-                sharing.wrote(dispatch.command.session, command.nodeGroup, reply.position() > 0 ? reply.position() : now);
+                sharing.wrote(
+                        dispatch.command.session, command.nodeGroup, reply.position() > 0 ? reply.position() : now);
             }
             if (command.group.effect() != Effect.REPLAYABLE) {
                 sharing.written(command, dispatch.node, now);
@@ -290,7 +335,9 @@
 
     /** It was given up: its client does not know whether it has run, and another router may. */
     private void shareDoubt(Command command) {
-        if (sharing != null && command.group.level() == ReadLevel.WRITE && command.group.effect() != Effect.REPLAYABLE
+        if (sharing != null
+                && command.group.level() == ReadLevel.WRITE
+                && command.group.effect() != Effect.REPLAYABLE
                 && mayHaveRun(command)) {
             sharing.written((ClientCommand) command, null, clock.now());
         }
@@ -299,12 +346,26 @@
     /** A node will not run what was taken for a read: that command is over without an answer, and a write begins. */
     private void beginAsWrite(ClientCommand command, Dispatch dispatch, Reply reply, double now) {
         Session session = command.session;
-        SqlCommands.Order order = sql.orderAsWrite(command.classed, command.outgoing.withWait(0), session.settings().client(),
-                session.settings().timeout(), session.settings().values());
+        SqlCommands.Order order = sql.orderAsWrite(
+                command.classed,
+                command.outgoing.withWait(0),
+                session.settings().client(),
+                session.settings().timeout(),
+                session.settings().values());
         waiting.remove(session);
         // To the node's health this was an answer: it was not behind, and does not turn reads away.
-        hand.ended(dispatch, new Reply(Outcome.ANSWERED, reply.took(), reply.role(), reply.position(), reply.reportedRole(),
-                reply.reportedPosition(), reply.load()), true, now);
+        hand.ended(
+                dispatch,
+                new Reply(
+                        Outcome.ANSWERED,
+                        reply.took(),
+                        reply.role(),
+                        reply.position(),
+                        reply.reportedRole(),
+                        reply.reportedPosition(),
+                        reply.load()),
+                true,
+                now);
         if (order instanceof SqlCommands.Order.Taken taken) {
             take(command(taken, session, now, command.expires - now), now);
         } else {
@@ -369,12 +430,14 @@
     @Override
     public void told(Map<String, Told> told) {
         Log.count("nodes told");
-        tell(rest, now -> told.forEach((id, what) -> {
-            Node node = nodes.named(id);
-            if (node != null) {
-                decide.told(node, what, now);
-            }
-        }));
+        tell(
+                rest,
+                now -> told.forEach((id, what) -> {
+                    Node node = nodes.named(id);
+                    if (node != null) {
+                        decide.told(node, what, now);
+                    }
+                }));
     }
 
     @Override
@@ -466,10 +529,13 @@
             wake.cancel(false);
         }
         wakeAt = now + seconds;
-        wake = loop.schedule(() -> {
-            wake = null;
-            turn();
-        }, (long) (seconds * 1e9), TimeUnit.NANOSECONDS);
+        wake = loop.schedule(
+                () -> {
+                    wake = null;
+                    turn();
+                },
+                (long) (seconds * 1e9),
+                TimeUnit.NANOSECONDS);
     }
 
     private void carryOut(Command command, Choice choice) {
@@ -505,9 +571,12 @@
     /** Follows discovery and the operator's rules; what else differs from the start is only told. */
     void reload(Configuration fresh, Operator said) {
         String kept = started.unlike(fresh);
-        boolean same = (said.statements() == null) == (sql == null) && said.user().equals(operator.user())
-                && said.database().equals(operator.database()) && (sql == null
-                || said.statements().longestAnswer() == operator.statements().longestAnswer());
+        boolean same = (said.statements() == null) == (sql == null)
+                && said.user().equals(operator.user())
+                && said.database().equals(operator.database())
+                && (sql == null
+                        || said.statements().longestAnswer()
+                                == operator.statements().longestAnswer());
         kept += same ? "" : (kept.isEmpty() ? "" : ", ") + "statements.enabled, statements.answer_bytes or nodes";
         if (sql != null && said.statements() != null) {
             sql = new SqlCommands(said.statements(), settings.groups(), started.seed());
--- a/daemon/src/main/java/clayhook/serve/Server.java
+++ b/daemon/src/main/java/clayhook/serve/Server.java
@@ -19,6 +19,7 @@
     private final Router router;
     /** Null where nothing is shared with other routers. */
     private final Sharing sharing;
+
     private final GracePeriod grace;
     private boolean closed;
 
@@ -30,8 +31,11 @@
     /** Throws IOException naming the address where others cannot be heard at it. */
     public Server(Transport transport, Configuration configuration, Operator operator)
             throws IOException, InterruptedException {
-        this(transport, configuration, operator, operator.sharing() == null ? null
-                : Peers.open(operator.sharing(), configuration));
+        this(
+                transport,
+                configuration,
+                operator,
+                operator.sharing() == null ? null : Peers.open(operator.sharing(), configuration));
     }
 
     private Server(Transport transport, Configuration configuration, Operator operator, Sharing sharing)
@@ -40,7 +44,8 @@
         this.sharing = sharing;
         router = new Router(transport, configuration, operator, sharing);
         List<CommandGroup> groups = configuration.settings().groups();
-        double longest = groups.stream().mapToDouble(CommandGroup::clientTimeout).max().orElse(Double.POSITIVE_INFINITY);
+        double longest =
+                groups.stream().mapToDouble(CommandGroup::clientTimeout).max().orElse(Double.POSITIVE_INFINITY);
         grace = GracePeriod.of(longest);
     }
 
@@ -75,7 +80,8 @@
     /** Waits so many seconds from the start, or until no client is left. */
     private void await(long start, double seconds) throws Exception {
         Callable<Boolean> ended = router::ended;
-        while ((System.nanoTime() - start) / 1e9 < seconds && !transport.loop().submit(ended).get()) {
+        while ((System.nanoTime() - start) / 1e9 < seconds
+                && !transport.loop().submit(ended).get()) {
             Thread.sleep(LOOK_MS);
         }
     }
--- a/daemon/src/main/java/clayhook/serve/Sharing.java
+++ b/daemon/src/main/java/clayhook/serve/Sharing.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.Executor;
 
 /**
- * What a router tells others and hears from them. All but the end is called on the router's loop; each call returns at once,
- * and whatever goes wrong behind it costs no command. A router that shares nothing has none of this.
+ * What a router tells others and hears from them. All but the end is called on the router's loop; each call returns at
+ * once, and whatever goes wrong behind it costs no command. A router that shares nothing has none of this.
  */
 public interface Sharing {
     /** Hears on the router's loop what others told. */
@@ -21,12 +21,18 @@
         /** Others have seen that of nodes, by their ids. */
         void told(Map<String, Told> told);
 
-        /** The discovery that this router hears now said that, perhaps to others only; or another did, where it says nothing. */
+        /**
+         * The discovery that this router hears now said that, perhaps to others only; or another did, where it says
+         * nothing.
+         */
         void told(Collection<NodeList> changes);
     }
 
     /** What all routers together may use of, in units: probes, and dispatches beyond the first of a command. */
-    enum Limit { PROBES, REPEATS }
+    enum Limit {
+        PROBES,
+        REPEATS
+    }
 
     /** From now on it can be asked. {@code discovery} is where the list of nodes comes from. */
     void begin(Executor loop, InetSocketAddress discovery, Listener listener);
--- a/daemon/src/main/java/clayhook/sim/Adapter.java
+++ b/daemon/src/main/java/clayhook/sim/Adapter.java
@@ -16,6 +16,7 @@
     private final Map<Long, Instance> instances = new LinkedHashMap<>();
     /** What the instances of the batch in hand have to say, in the order in which they first spoke. */
     private final Map<Long, StringBuilder> replies = new LinkedHashMap<>();
+
     private final List<List<Row>> lists = new ArrayList<>();
     private int lineNumber;
 
@@ -65,7 +66,10 @@
                 guarded(reply.getKey(), () -> instance.settle(now, reply.getValue()));
             }
             if (reply.getValue().length() > 0) {
-                out.append("SOURCE ").append(Long.toString(reply.getKey())).append('\n').append(reply.getValue());
+                out.append("SOURCE ")
+                        .append(Long.toString(reply.getKey()))
+                        .append('\n')
+                        .append(reply.getValue());
             }
         }
     }
@@ -93,7 +97,7 @@
                 case "GONE" -> instance.gone(line.text("id"));
                 case "DISCOVERY" -> discovery(instance, line, now);
                 case "DUE" -> line.text("tag");
-                case "FIRST", "PEER_DATA" -> { }
+                case "FIRST", "PEER_DATA" -> {}
                 default -> throw line.bad("has an unknown word");
             }
         });
--- a/daemon/src/main/java/clayhook/sim/Instance.java
+++ b/daemon/src/main/java/clayhook/sim/Instance.java
@@ -1,7 +1,7 @@
 package clayhook.sim;
 
-import clayhook.Choice.Verdict;
 import clayhook.Choice;
+import clayhook.Choice.Verdict;
 import clayhook.Command;
 import clayhook.CommandGroup;
 import clayhook.Decide;
@@ -27,8 +27,8 @@
         private final String id;
         private final long notAfter;
 
-        private Identified(String id, CommandGroup group, int shard, String session, double wroteAt, long now,
-                long notAfter) {
+        private Identified(
+                String id, CommandGroup group, int shard, String session, double wroteAt, long now, long notAfter) {
             super(group, shard, session, wroteAt, seconds(now), seconds(notAfter));
             this.id = id;
             this.notAfter = notAfter;
@@ -41,6 +41,7 @@
     private final Map<String, Node> nodes = new HashMap<>();
     /** Each leaves with its final answer and the last outcome of its dispatches. */
     private final Map<String, Identified> commands = new HashMap<>();
+
     private final Decide decide;
     private final Hand hand;
 
@@ -140,7 +141,9 @@
             out.append("KEEP_INFORMED 1\n");
         }
         if (turn.wake() > 0) {
-            out.append("SCHEDULE wake ").append(Math.max(1, Math.round(turn.wake() * NANOS))).append('\n');
+            out.append("SCHEDULE wake ")
+                    .append(Math.max(1, Math.round(turn.wake() * NANOS)))
+                    .append('\n');
         }
     }
 
@@ -151,11 +154,19 @@
         }
         if (choice.verdict() == Verdict.SEND) {
             long limit = Math.min(command.notAfter, Math.round(choice.dispatch().limit * NANOS));
-            out.append("CALL_OUT ").append(command.id).append(' ').append(limit).append(' ')
-                    .append(choice.dispatch().node.id()).append('\n');
+            out.append("CALL_OUT ")
+                    .append(command.id)
+                    .append(' ')
+                    .append(limit)
+                    .append(' ')
+                    .append(choice.dispatch().node.id())
+                    .append('\n');
         } else if (choice.verdict() == Verdict.THROTTLE) {
-            out.append("REJECT ").append(command.id).append(' ')
-                    .append(settings.adviceHeeded() ? Math.round(choice.advice() * NANOS) : 0).append('\n');
+            out.append("REJECT ")
+                    .append(command.id)
+                    .append(' ')
+                    .append(settings.adviceHeeded() ? Math.round(choice.advice() * NANOS) : 0)
+                    .append('\n');
         } else if (choice.verdict() == Verdict.FAIL) {
             out.append("REPORT_FAILURE ").append(command.id).append('\n');
         }
@@ -185,11 +196,12 @@
     }
 
     private Reply reply(Line line, Outcome outcome, double took, long stand) throws BadInput {
-        Role role = switch ((int) (stand % 4)) {
-            case 1 -> Role.PRIMARY;
-            case 2 -> Role.REPLICA;
-            default -> Role.UNKNOWN;
-        };
+        Role role =
+                switch ((int) (stand % 4)) {
+                    case 1 -> Role.PRIMARY;
+                    case 2 -> Role.REPLICA;
+                    default -> Role.UNKNOWN;
+                };
         long told = stand / 4;
         double position = told > 0 ? seconds(origin + told * 1_000_000) : 0;
         String metrics = line.maybe("metrics");
--- a/daemon/src/main/java/clayhook/sql/SqlCommands.java
+++ b/daemon/src/main/java/clayhook/sql/SqlCommands.java
@@ -29,13 +29,12 @@
          * @param seconds that its client waits
          * @param after position in seconds that the client's comment asks a read to cover; 0 for none
          */
-        record Taken(CommandGroup group, int nodes, double seconds, double after, SqlStatement statement, Classed classed)
-                implements Order {
-        }
+        record Taken(
+                CommandGroup group, int nodes, double seconds, double after, SqlStatement statement, Classed classed)
+                implements Order {}
 
         /** None; nothing of it goes to any node. */
-        record Refused(String code, String why) implements Order {
-        }
+        record Refused(String code, String why) implements Order {}
     }
 
     /** {@code seed}: the instance's own. */
@@ -61,8 +60,11 @@
         }
         CommandGroup group = groups.get(classed.group());
         Comment comment = operator.trustComments() ? Comment.ending(text) : null;
-        double wait = classed.timeout() > 0 ? classed.timeout() : clientTimeout > 0 ? clientTimeout
-                : operator.timeout() > 0 ? operator.timeout() : group.clientTimeout();
+        double wait = classed.timeout() > 0
+                ? classed.timeout()
+                : clientTimeout > 0
+                        ? clientTimeout
+                        : operator.timeout() > 0 ? operator.timeout() : group.clientTimeout();
         int nodes = classed.nodes();
         double after = 0;
         if (comment != null) {
@@ -80,19 +82,21 @@
     }
 
     /** The same once a node has refused to run as a read what was taken for one: it never ran, and is a write. */
-    public Order orderAsWrite(Classed refused, byte[] text, Client client, double clientTimeout,
-            Map<String, String> settings) {
+    public Order orderAsWrite(
+            Classed refused, byte[] text, Client client, double clientTimeout, Map<String, String> settings) {
         classifier.wrote(refused);
         Order order = order(text, client, clientTimeout, settings);
-        return order instanceof Order.Taken taken && taken.classed().verdict() == Verdict.WRITE ? order
+        return order instanceof Order.Taken taken && taken.classed().verdict() == Verdict.WRITE
+                ? order
                 : new Order.Refused("25006", "the statement writes, which its text does not show");
     }
 
     /** A comment may make a write of a read; what may write stays one, and is keyed only with a key. */
     private static boolean trusted(CommandGroup named, Classed classed, Comment comment) {
-        return named != null && (named.level() == ReadLevel.WRITE
-                ? named.effect() == Effect.MUTATING || named.effect() == Effect.KEYED && comment.keyed()
-                : classed.verdict() == Verdict.READ);
+        return named != null
+                && (named.level() == ReadLevel.WRITE
+                        ? named.effect() == Effect.MUTATING || named.effect() == Effect.KEYED && comment.keyed()
+                        : classed.verdict() == Verdict.READ);
     }
 
     /** A statement was answered after so many seconds. */
@@ -103,7 +107,8 @@
     /** What came since the last call, for the log. */
     public String summary() {
         Classifier.Counts counts = classifier.counts();
-        return "shapes held " + classifier.size() + " in " + classifier.weight() / 1024 + " KiB, statements of a known shape "
-                + counts.hits() + ", read anew " + counts.read() + ", past the budget " + counts.unread();
+        return "shapes held " + classifier.size() + " in " + classifier.weight() / 1024
+                + " KiB, statements of a known shape " + counts.hits() + ", read anew " + counts.read()
+                + ", past the budget " + counts.unread();
     }
 }
--- a/daemon/src/main/java/clayhook/transport/Clock.java
+++ b/daemon/src/main/java/clayhook/transport/Clock.java
@@ -6,6 +6,7 @@
 public final class Clock {
     /** Ten times what a wall clock is usually corrected by; a jump of it moves no time limit by more. */
     private static final double MOST_CORRECTION = 0.005;
+
     private long steadyAt = System.nanoTime();
     private double last = wall();
 
--- a/daemon/src/main/java/clayhook/transport/Transport.java
+++ b/daemon/src/main/java/clayhook/transport/Transport.java
@@ -40,15 +40,22 @@
 public final class Transport {
     /** Connections that the machine may accept before the process does. */
     private static final int BACKLOG = 1024;
-    /** Accepted in one turn: each may be over the budget, and what made room for it holds its own until the next turn. */
+    /**
+     * Accepted in one turn: each may be over the budget, and what made room for it holds its own until the next turn.
+     */
     private static final int ACCEPTS = 4;
     /** Of one connection in one turn, so that none holds up the others. */
     private static final int READS = 2;
     /** Without a task for so long, and after so long at the latest, a loop that is to end does. */
     private static final int QUIET_MS = 50;
+
     private static final int CLOSING_MS = 1000;
     /** Over what connections go: the network, sockets in a folder, or queues within the process. */
-    private enum Kind { TCP, FOLDER, PROCESS }
+    private enum Kind {
+        TCP,
+        FOLDER,
+        PROCESS
+    }
 
     /** Tells the addresses within this process apart that several transports listen at. */
     private static final AtomicInteger TRANSPORTS = new AtomicInteger();
@@ -60,6 +67,7 @@
     private final Kind kind;
     /** Where the sockets of a rehearsal lie; null without. */
     private final Path folder;
+
     private final int number = TRANSPORTS.incrementAndGet();
     private final MultiThreadIoEventLoopGroup group;
     private final AtomicBoolean closed = new AtomicBoolean();
@@ -83,7 +91,10 @@
 
     /** Ports are but names here; the same code runs as for TCP. */
     public static Transport rehearsal() throws IOException {
-        return new Transport(Kind.FOLDER, Files.createTempDirectory("clayhook"), NioIoHandler.newFactory(),
+        return new Transport(
+                Kind.FOLDER,
+                Files.createTempDirectory("clayhook"),
+                NioIoHandler.newFactory(),
                 NioDomainSocketChannel::new);
     }
 
@@ -103,12 +114,21 @@
 
     /** Listens at an address; {@code handlers} makes the handlers of each connection. */
     public Channel listen(InetSocketAddress address, Supplier<ChannelHandler[]> handlers) throws InterruptedException {
-        var bootstrap = new ServerBootstrap().group(group).childHandler(initializer(handlers))
-                .childOption(ChannelOption.RECVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator().maxMessagesPerRead(READS));
+        var bootstrap = new ServerBootstrap()
+                .group(group)
+                .childHandler(initializer(handlers))
+                .childOption(
+                        ChannelOption.RECVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator().maxMessagesPerRead(READS));
         switch (kind) {
-            case TCP -> bootstrap.channelFactory(Listening::new).option(ChannelOption.SO_BACKLOG, BACKLOG)
-                    .option(ChannelOption.RECVBUF_ALLOCATOR, new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(ACCEPTS))
-                    .option(ChannelOption.SO_REUSEADDR, true).childOption(ChannelOption.TCP_NODELAY, true);
+            case TCP ->
+                bootstrap
+                        .channelFactory(Listening::new)
+                        .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                        .option(
+                                ChannelOption.RECVBUF_ALLOCATOR,
+                                new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(ACCEPTS))
+                        .option(ChannelOption.SO_REUSEADDR, true)
+                        .childOption(ChannelOption.TCP_NODELAY, true);
             case FOLDER -> bootstrap.channelFactory(NioServerDomainSocketChannel::new);
             case PROCESS -> bootstrap.channelFactory(LocalServerChannel::new);
         }
@@ -144,8 +164,8 @@
      * Connects; {@code failed} runs, on the loop and after this returns, if that does not come about within so many
      * seconds. Null where there is no descriptor for it.
      */
-    public Channel connect(InetSocketAddress address, double seconds, Supplier<ChannelHandler[]> handlers,
-            Runnable failed) {
+    public Channel connect(
+            InetSocketAddress address, double seconds, Supplier<ChannelHandler[]> handlers, Runnable failed) {
         Channel channel;
         try {
             channel = sockets.get();
@@ -155,7 +175,10 @@
             loop().execute(failed);
             return null;
         }
-        var bootstrap = new Bootstrap().group(group).channelFactory(() -> channel).handler(initializer(handlers))
+        var bootstrap = new Bootstrap()
+                .group(group)
+                .channelFactory(() -> channel)
+                .handler(initializer(handlers))
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.ceil(seconds * 1000));
         if (kind == Kind.TCP) {
             bootstrap.option(ChannelOption.TCP_NODELAY, true);
--- a/daemon/src/test/java/clayhook/config/ConfigurationTest.java
+++ b/daemon/src/test/java/clayhook/config/ConfigurationTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import clayhook.CommandGroup;
 import clayhook.CommandGroup.Effect;
 import clayhook.CommandGroup.ReadLevel;
 import clayhook.CommandGroup.Scope;
-import clayhook.CommandGroup;
 import clayhook.Role;
 import java.util.Arrays;
 import java.util.List;
@@ -18,7 +18,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class ConfigurationTest {
-    private static final String TEXT = """
+    private static final String TEXT =
+            """
             {"name":"n3", "listen":"127.0.0.4:6543", "seed":"8c1f30d27a5be964", "limits":{"memory_mb":192,"sockets":1024},
             "known":{"rev":41,"all":true,"targets":[]}, "settings":{"balancers":3,"zone":"a","discovery":"subscribe",
             "domain":{"read_level":["bounded","write"],"max_age":[200000000,0],"when_behind":"wait"},
@@ -34,20 +35,33 @@
     @Test
     void settingsHaveTheNamesAndUnitsOfTheWire() throws BadConfig {
         Configuration read = read(TEXT);
-        assertEquals(List.of(new CommandGroup("check", Effect.REPLAYABLE, ReadLevel.BOUNDED, 0.25, 0.6, 1, 0, Scope.ALL,
-                0, 0.2), new CommandGroup("post", Effect.KEYED, ReadLevel.WRITE, 0.6, 5, 1, 0.5, Scope.GROUP, 5, 0)),
+        assertEquals(
+                List.of(
+                        new CommandGroup(
+                                "check", Effect.REPLAYABLE, ReadLevel.BOUNDED, 0.25, 0.6, 1, 0, Scope.ALL, 0, 0.2),
+                        new CommandGroup("post", Effect.KEYED, ReadLevel.WRITE, 0.6, 5, 1, 0.5, Scope.GROUP, 5, 0)),
                 read.settings().groups());
         assertEquals(0x8c1f30d27a5be964L, read.seed());
-        assertEquals(List.of(8500, 1024, 0.25, 18.0, true), List.of(read.discovery().getPort(), read.sockets(),
-                read.connectTimeout(), read.settings().warmAfter(), read.settings().replicasCheck()));
+        assertEquals(
+                List.of(8500, 1024, 0.25, 18.0, true),
+                List.of(
+                        read.discovery().getPort(),
+                        read.sockets(),
+                        read.connectTimeout(),
+                        read.settings().warmAfter(),
+                        read.settings().replicasCheck()));
     }
 
     @Test
     void twoThousandNodesAndAsManyRoutersAreTaken() throws BadConfig {
-        String node = ",{\"uid\":\"s\",\"endpoint\":\"127.1.0.1:6543\",\"az\":\"a\",\"pod_group\":1,\"state\":\"up\",\"boot_ms\":0}";
-        Configuration read = read(TEXT.replace("\"targets\":[]", "\"targets\":[" + node.repeat(2000).substring(1) + "]")
+        String node =
+                ",{\"uid\":\"s\",\"endpoint\":\"127.1.0.1:6543\",\"az\":\"a\",\"pod_group\":1,\"state\":\"up\",\"boot_ms\":0}";
+        Configuration read = read(TEXT.replace(
+                        "\"targets\":[]", "\"targets\":[" + node.repeat(2000).substring(1) + "]")
                 .replace("\"balancers\":3", "\"balancers\":2000"));
-        assertEquals(List.of(2000, 2000), List.of(read.known().entries().size(), read.settings().routers()));
+        assertEquals(
+                List.of(2000, 2000),
+                List.of(read.known().entries().size(), read.settings().routers()));
     }
 
     @ParameterizedTest
@@ -57,12 +71,22 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {"\"n3\" | 3 | name", "127.0.0.4:6543 | 127.0.0.4 | listen",
-        "8c1f30d27a5be964 | xyz | seed", "\"sockets\":1024 | \"sockets\":0 | limits.sockets",
-        "\"rev\":41 | \"rev\":true | known", "\"balancers\":3 | \"balancers\":0 | balancers",
-        "18000000000 | \"soon\" | rules.warm_after", "\"write\" | \"wrote\" | domain.read_level",
-        "idempotent | harmless | grades.0.effect", "\"cell\" | \"street\" | grades.1.group",
-        "\"grades\" | \"gradez\" | settings.grades", "\"settings\" | \"setting\" | settings"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "\"n3\" | 3 | name",
+                "127.0.0.4:6543 | 127.0.0.4 | listen",
+                "8c1f30d27a5be964 | xyz | seed",
+                "\"sockets\":1024 | \"sockets\":0 | limits.sockets",
+                "\"rev\":41 | \"rev\":true | known",
+                "\"balancers\":3 | \"balancers\":0 | balancers",
+                "18000000000 | \"soon\" | rules.warm_after",
+                "\"write\" | \"wrote\" | domain.read_level",
+                "idempotent | harmless | grades.0.effect",
+                "\"cell\" | \"street\" | grades.1.group",
+                "\"grades\" | \"gradez\" | settings.grades",
+                "\"settings\" | \"setting\" | settings"
+            })
     void theFaultyKeyIsNamed(String part, String by, String key) {
         assertTrue(TEXT.contains(part));
         BadConfig bad = assertThrows(BadConfig.class, () -> read(TEXT.replace(part, by)));
@@ -70,9 +94,17 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {"\"n3\" | \"n4\" | name", "0.4:6543 | 0.4:6544 | listen",
-        "\"memory_mb\":192 | \"memory_mb\":128 | limits", "\"idempotent\" | \"at_most_once\" | settings",
-        "250000000} | 260000000} | settings", "\"rev\":41 | \"rev\":42 | ''", "8c1f30d27a5be964 | 1 | ''"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "\"n3\" | \"n4\" | name",
+                "0.4:6543 | 0.4:6544 | listen",
+                "\"memory_mb\":192 | \"memory_mb\":128 | limits",
+                "\"idempotent\" | \"at_most_once\" | settings",
+                "250000000} | 260000000} | settings",
+                "\"rev\":41 | \"rev\":42 | ''",
+                "8c1f30d27a5be964 | 1 | ''"
+            })
     void whatNeedsARestartIsNamed(String part, String by, String keys) throws BadConfig {
         assertTrue(TEXT.contains(part));
         assertEquals(keys, read(TEXT).unlike(read(TEXT.replace(part, by))));
@@ -81,7 +113,8 @@
     @ParameterizedTest
     @CsvSource({"41, true", "0, false"})
     void aRouterThatComesBackIsAwaited(String version, boolean awaited) throws BadConfig {
-        assertEquals(awaited, read(TEXT.replace("\"rev\":41", "\"rev\":" + version)).awaited());
+        assertEquals(
+                awaited, read(TEXT.replace("\"rev\":41", "\"rev\":" + version)).awaited());
     }
 
     @ParameterizedTest
@@ -93,13 +126,29 @@
 
     @Test
     void everyKindOfJsonIsRead() {
-        assertEquals(Map.of("a", Arrays.asList(1.0, -2.5e3, true, false, null, "x\"\u00e9\n"), "b", Map.of()),
+        assertEquals(
+                Map.of("a", Arrays.asList(1.0, -2.5e3, true, false, null, "x\"\u00e9\n"), "b", Map.of()),
                 Json.parse(" {\"a\" : [1, -2.5e3, true,false,null, \"x\\\"\\u00e9\\n\"],\"b\":{}} "));
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"", "{", "[1,]", "{\"a\":}", "{\"a\" 1}", "{a:1}", "\"x", "\"\\q\"", "\"\\u12x4\"", "1 2", "-",
-        "nul", "\"a\nb\"", "[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[["})
+    @ValueSource(
+            strings = {
+                "",
+                "{",
+                "[1,]",
+                "{\"a\":}",
+                "{\"a\" 1}",
+                "{a:1}",
+                "\"x",
+                "\"\\q\"",
+                "\"\\u12x4\"",
+                "1 2",
+                "-",
+                "nul",
+                "\"a\nb\"",
+                "[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[["
+            })
     void malformedJsonIsRefused(String text) {
         assertThrows(IllegalArgumentException.class, () -> Json.parse(text));
     }
--- a/daemon/src/test/java/clayhook/config/OperatorFileTest.java
+++ b/daemon/src/test/java/clayhook/config/OperatorFileTest.java
@@ -19,10 +19,13 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class OperatorFileTest {
-    private static final List<CommandGroup> GROUPS = List.of(group("read", Effect.REPLAYABLE, ReadLevel.ANY),
-            group("write", Effect.MUTATING, ReadLevel.WRITE), group("keyed", Effect.KEYED, ReadLevel.WRITE),
+    private static final List<CommandGroup> GROUPS = List.of(
+            group("read", Effect.REPLAYABLE, ReadLevel.ANY),
+            group("write", Effect.MUTATING, ReadLevel.WRITE),
+            group("keyed", Effect.KEYED, ReadLevel.WRITE),
             group("again", Effect.REPLAYABLE, ReadLevel.WRITE));
     private static final String RULE = "[statements]\\nenabled = true\\n[[statements.rule]]\\nclass = \"write\"\\n";
+
     @TempDir
     Path folder;
 
@@ -42,47 +45,73 @@
         assertEquals(Operator.OFF, OperatorFile.read(example, GROUPS));
         Operator on = read(Files.readString(example).replace("enabled = false", "enabled = true"));
         assertEquals(StatementRules.DEFAULT, on.statements().rules());
-        assertEquals(SharingSettings.LISTEN, on.sharing().listen().getHostString() + ":" + on.sharing().listen().getPort());
+        assertEquals(
+                SharingSettings.LISTEN,
+                on.sharing().listen().getHostString() + ":"
+                        + on.sharing().listen().getPort());
         // Uncommented, its rule is understood key by key; nothing else may be missing from the example.
-        String rule = Files.readString(example).replaceAll("(?m)^# (\\[\\[|[a-z_]+ = )", "$1")
-                .replace("mark = \"id\"", "").replace("group = \"report\"", "group = \"read\"");
-        assertEquals(1, OperatorFile.statements(Files.writeString(folder.resolve("r.toml"), rule)).rules().rules().size());
+        String rule = Files.readString(example)
+                .replaceAll("(?m)^# (\\[\\[|[a-z_]+ = )", "$1")
+                .replace("mark = \"id\"", "")
+                .replace("group = \"report\"", "group = \"read\"");
+        assertEquals(
+                1,
+                OperatorFile.statements(Files.writeString(folder.resolve("r.toml"), rule))
+                        .rules()
+                        .rules()
+                        .size());
     }
 
     @Test
     void whatIsOffIsCheckedButNeedsNoCommandGroups() throws Exception {
         assertNull(read("[statements]\\nread_group = \"elsewhere\"").statements());
-        assertNotNull(read(RULE + "mark = \"id\"\\ngroup = \"keyed\"").statements().rules().rules().get(0));
+        assertNotNull(read(RULE + "mark = \"id\"\\ngroup = \"keyed\"")
+                .statements()
+                .rules()
+                .rules()
+                .get(0));
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {"a = |:1: ", "\\n[statements]\\nenabledd = true|:3: statements.enabledd: is no key that is known",
-        "[nodes]\\nuser = ''|:2: nodes.user: is empty", "[statements]\\nenabled = 1|:2: statements.enabled: is no true or false",
-        "statements = 1|:1: statements: is no table", "[statements]\\n\\ncache_bytes = 1|:3: statements.cache_bytes: 1 is not from 65536",
-        "[statements]\\nparse_budget = 100.5|:2: statements.parse_budget: is no whole number",
-        "[statements]\\ntimeout = nan|:2: statements.timeout: NaN is not from 0 to 86400",
-        "[statements]\\npast_budget = 'x'|:2: statements.past_budget: 'x' is none of refuse, write",
-        "[statements.database]\\nreads = [1]|:2: statements.database.reads: is no list of texts",
-        "[statements]\\nenabled = true\\nread_group = \"write\"|:3: statements.read_group: command group 'write' is for writes",
-        "[statements]\\nenabled = true\\nwrite_group = \"keyed\"|:3: statements.write_group: command group 'keyed' is keyed",
-        "[statements]\\nenabled = true\\nwrite_group = \"again\"|:3: statements.write_group: command group 'again' is replayable",
-        "[sharing]\\nlisten = 'x:1'|:2: sharing.listen: 'x:1' is no address and port in figures",
-        "[sharing]\\nlisten = '0.0.0.0:7400'|:2: sharing.listen: is every address",
-        "[sharing]\\nnews = 1|:2: sharing.news: is no key",
-        "[sharing]\\nadvertise = '0.0.0.0:7400'|:2: sharing.advertise: is no address that others can send to",
-        "[sharing]\\n\\nseeds = ['10.0.0.1:7400', 'a:1']|:3: sharing.seeds: 'a:1' is no address",
-        "[sharing]\\nclock_bound = 3|:2: sharing.clock_bound: 3 is not from 0.01 to 2",
-        "[[statements.rule]]\\ngroup = \"x\"|:1: statements.rule.class: is missing", RULE + "|:3: statements.rule.group: is missing",
-        RULE + "group = \"none\"|:5: statements.rule.group: there is no command group 'none'",
-        RULE + "group = \"read\"|:5: statements.rule.group: command group 'read' is for reads",
-        RULE + "group = \"write\"\\nmark = \"id\"|:5: statements.rule.group: command group 'write' is not keyed",
-        RULE + "group = \"write\"\\nnodes_by = \"k\"|:6: statements.rule.nodes_by: needs nodes",
-        RULE + "group = \"write\"\\nnodes = [1, 2]|:6: statements.rule.nodes: several groups need nodes_by",
-        RULE + "group = \"write\"\\nnodes = [-1]|:6: statements.rule.nodes: is no list of whole numbers",
-        RULE + "group = \"write\"\\ncost_from = 2\\ncost_to = 1|:7: statements.rule.cost_to: 1 is not from 2"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "a = |:1: ",
+                "\\n[statements]\\nenabledd = true|:3: statements.enabledd: is no key that is known",
+                "[nodes]\\nuser = ''|:2: nodes.user: is empty",
+                "[statements]\\nenabled = 1|:2: statements.enabled: is no true or false",
+                "statements = 1|:1: statements: is no table",
+                "[statements]\\n\\ncache_bytes = 1|:3: statements.cache_bytes: 1 is not from 65536",
+                "[statements]\\nparse_budget = 100.5|:2: statements.parse_budget: is no whole number",
+                "[statements]\\ntimeout = nan|:2: statements.timeout: NaN is not from 0 to 86400",
+                "[statements]\\npast_budget = 'x'|:2: statements.past_budget: 'x' is none of refuse, write",
+                "[statements.database]\\nreads = [1]|:2: statements.database.reads: is no list of texts",
+                "[statements]\\nenabled = true\\nread_group = \"write\"|:3: statements.read_group: command group 'write' is for writes",
+                "[statements]\\nenabled = true\\nwrite_group = \"keyed\"|:3: statements.write_group: command group 'keyed' is keyed",
+                "[statements]\\nenabled = true\\nwrite_group = \"again\"|:3: statements.write_group: command group 'again' is replayable",
+                "[sharing]\\nlisten = 'x:1'|:2: sharing.listen: 'x:1' is no address and port in figures",
+                "[sharing]\\nlisten = '0.0.0.0:7400'|:2: sharing.listen: is every address",
+                "[sharing]\\nnews = 1|:2: sharing.news: is no key",
+                "[sharing]\\nadvertise = '0.0.0.0:7400'|:2: sharing.advertise: is no address that others can send to",
+                "[sharing]\\n\\nseeds = ['10.0.0.1:7400', 'a:1']|:3: sharing.seeds: 'a:1' is no address",
+                "[sharing]\\nclock_bound = 3|:2: sharing.clock_bound: 3 is not from 0.01 to 2",
+                "[[statements.rule]]\\ngroup = \"x\"|:1: statements.rule.class: is missing",
+                RULE + "|:3: statements.rule.group: is missing",
+                RULE + "group = \"none\"|:5: statements.rule.group: there is no command group 'none'",
+                RULE + "group = \"read\"|:5: statements.rule.group: command group 'read' is for reads",
+                RULE
+                        + "group = \"write\"\\nmark = \"id\"|:5: statements.rule.group: command group 'write' is not keyed",
+                RULE + "group = \"write\"\\nnodes_by = \"k\"|:6: statements.rule.nodes_by: needs nodes",
+                RULE + "group = \"write\"\\nnodes = [1, 2]|:6: statements.rule.nodes: several groups need nodes_by",
+                RULE + "group = \"write\"\\nnodes = [-1]|:6: statements.rule.nodes: is no list of whole numbers",
+                RULE + "group = \"write\"\\ncost_from = 2\\ncost_to = 1|:7: statements.rule.cost_to: 1 is not from 2"
+            })
     void aFaultNamesFileLineAndKey(String text, String fault) {
         BadConfig told = assertThrows(BadConfig.class, () -> read(text));
-        assertEquals(folder.resolve("c.toml") + fault, told.getMessage().substring(0,
-                Math.min(told.getMessage().length(), (folder.resolve("c.toml") + fault).length())));
+        assertEquals(
+                folder.resolve("c.toml") + fault,
+                told.getMessage()
+                        .substring(
+                                0, Math.min(told.getMessage().length(), (folder.resolve("c.toml") + fault).length())));
     }
 }
--- a/daemon/src/test/java/clayhook/discovery/ChecksTest.java
+++ b/daemon/src/test/java/clayhook/discovery/ChecksTest.java
@@ -40,9 +40,11 @@
     /** Seconds after the start of all routers. */
     private static final double SETTLED = 30;
 
-    /** A fleet and a service that handles one call after the other; watches are opened anew when their waits are over. */
+    /**
+     * A fleet and a service that handles one call after the other; watches are opened anew when their waits are over.
+     */
     private static final class World {
-        private record Due(double at, Router router, boolean checks) { }
+        private record Due(double at, Router router, boolean checks) {}
 
         private static final class Router {
             final Checks checks;
@@ -120,11 +122,21 @@
     }
 
     /**
-     * {@code allCalls}: the seconds that the service takes for one call of every router. Where that is so long that checks
-     * would crowd it, watches go before checks.
+     * {@code allCalls}: the seconds that the service takes for one call of every router. Where that is so long that
+     * checks would crowd it, watches go before checks.
      */
     @ParameterizedTest
-    @CsvSource({"3, 2, 5", "6, 2, 5", "30, 2, 5", "100, 2, 5", "400, 2, 5", "3, 4, 12", "6, 4, 12", "100, 4, 12", "100, 8, 12"})
+    @CsvSource({
+        "3, 2, 5",
+        "6, 2, 5",
+        "30, 2, 5",
+        "100, 2, 5",
+        "400, 2, 5",
+        "3, 4, 12",
+        "6, 4, 12",
+        "100, 4, 12",
+        "100, 8, 12"
+    })
     void checksFindASilentWatchInTimeAndLeaveRoomForWatches(int routers, double allCalls, double within) {
         var world = new World(routers, allCalls);
         world.run(SETTLED);
@@ -134,7 +146,10 @@
         int away = world.turnedAway;
         world.silentAt = 120;
         world.run(160);
-        double worst = world.routers.stream().mapToDouble(router -> router.foundAt - 120).max().orElse(0);
+        double worst = world.routers.stream()
+                .mapToDouble(router -> router.foundAt - 120)
+                .max()
+                .orElse(0);
         assertTrue(worst < within, worst + " s");
         assertTrue(away <= 0.05 * (watches + away), away + " of " + (watches + away));
     }
--- a/daemon/src/test/java/clayhook/discovery/DiscoveryTest.java
+++ b/daemon/src/test/java/clayhook/discovery/DiscoveryTest.java
@@ -36,19 +36,27 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 3, 1000})
     void answersMayBeSplitAnywhere(int size) {
-        assertEquals(new HttpResponse(200, "hello", false),
+        assertEquals(
+                new HttpResponse(200, "hello", false),
                 read("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", size, false));
-        assertEquals(new HttpResponse(200, "hello", false), read("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                + "2\r\nhe\r\n3;x=y\r\nllo\r\n0\r\n\r\n", size, false));
+        assertEquals(
+                new HttpResponse(200, "hello", false),
+                read(
+                        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                                + "2\r\nhe\r\n3;x=y\r\nllo\r\n0\r\n\r\n",
+                        size,
+                        false));
         assertEquals(new HttpResponse(200, "hello", true), read("HTTP/1.0 200 OK\r\n\r\nhello", size, true));
-        assertEquals(new HttpResponse(503, "", true),
+        assertEquals(
+                new HttpResponse(503, "", true),
                 read("HTTP/1.1 503 Busy\r\nconnection: close\r\ncontent-length: 0\r\n\r\n", size, false));
     }
 
     @Test
     void aResetIsNoEndOfAnAnswerWithoutALength() {
         var channel = new EmbeddedChannel(new HttpDecoder());
-        channel.writeInbound(Unpooled.copiedBuffer("HTTP/1.1 200 OK\r\n\r\n{\"rev\":1,\"all\":true,\"targets\":[]}", UTF_8));
+        channel.writeInbound(
+                Unpooled.copiedBuffer("HTTP/1.1 200 OK\r\n\r\n{\"rev\":1,\"all\":true,\"targets\":[]}", UTF_8));
         channel.pipeline().fireExceptionCaught(new IOException("Connection reset"));
         assertThrows(IOException.class, channel::finish);
         assertNull(channel.readInbound());
@@ -56,15 +64,21 @@
 
     @Test
     void aListMayComeIndented() {
-        String indented = "{\r\n\t\"rev\" : 43,\n  \"all\" : false,\n  \"targets\" : [\n    " + ENTRY.replace(",", " ,\n      ")
-                .replace(":\"", " : \"") + "\n  ]\n}\n";
-        assertEquals(NodeList.parse("{\"rev\":43,\"all\":false,\"targets\":[" + ENTRY + "]}"), NodeList.parse(indented));
+        String indented = "{\r\n\t\"rev\" : 43,\n  \"all\" : false,\n  \"targets\" : [\n    "
+                + ENTRY.replace(",", " ,\n      ").replace(":\"", " : \"") + "\n  ]\n}\n";
+        assertEquals(
+                NodeList.parse("{\"rev\":43,\"all\":false,\"targets\":[" + ENTRY + "]}"), NodeList.parse(indented));
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"SSH-2.0\r\n", "HTTP/1.1 x\r\n", "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n",
-        "HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n",
-        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"})
+    @ValueSource(
+            strings = {
+                "SSH-2.0\r\n",
+                "HTTP/1.1 x\r\n",
+                "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n",
+                "HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n",
+                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"
+            })
     void nonsenseIsAnAnswerWithoutStatus(String text) {
         assertEquals(0, read(text, 1000, false).status());
     }
@@ -72,8 +86,9 @@
     @Test
     void aListIsReadEntryByEntry() {
         String text = "{\"rev\":43,\"all\":false,\"targets\":[" + (ENTRY + ",").repeat(1999) + ENTRY + "]}";
-        NodeList list = NodeList.parse(read("HTTP/1.1 200 OK\r\nContent-Length: " + text.length() + "\r\n\r\n" + text, 1000, false)
-                .body());
+        NodeList list = NodeList.parse(
+                read("HTTP/1.1 200 OK\r\nContent-Length: " + text.length() + "\r\n\r\n" + text, 1000, false)
+                        .body());
         assertEquals(2000, list.entries().size());
         NodeList.Entry entry = list.entries().get(1999);
         assertEquals(43, list.version());
@@ -82,9 +97,17 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {"draining | away | state", "127.0.0.1:6543 | 127.0.0.1 | endpoint",
-        "127.0.0.1:6543 | db.example:1 | endpoint", "127.0.0.1:6543 | 127.0.0.1:70000 | endpoint", "uid | u | uid",
-        "1500 | \"x\" | boot_ms", "{ | [ | missing"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "draining | away | state",
+                "127.0.0.1:6543 | 127.0.0.1 | endpoint",
+                "127.0.0.1:6543 | db.example:1 | endpoint",
+                "127.0.0.1:6543 | 127.0.0.1:70000 | endpoint",
+                "uid | u | uid",
+                "1500 | \"x\" | boot_ms",
+                "{ | [ | missing"
+            })
     void aFaultyListIsNamed(String part, String by, String named) {
         String text = "{\"rev\":43,\"all\":true,\"targets\":[" + ENTRY.replace(part, by) + "]}";
         var bad = assertThrows(IllegalArgumentException.class, () -> NodeList.parse(text));
--- a/daemon/src/test/java/clayhook/discovery/WatchTest.java
+++ b/daemon/src/test/java/clayhook/discovery/WatchTest.java
@@ -19,9 +19,11 @@
 class WatchTest implements Discovery.Listener {
     /** Seconds; longer than any test but that on lateness takes. */
     private static final double WAIT = 10;
+
     private final Transport transport = Transport.tcp();
     /** For a service that is held up. */
     private final Transport apart = Transport.tcp();
+
     private final LinkedBlockingQueue<String> calls = new LinkedBlockingQueue<>();
     private final LinkedBlockingQueue<String> heard = new LinkedBlockingQueue<>();
     private Discovery client;
@@ -156,7 +158,11 @@
         }
         gate.countDown();
         assertEquals("changes 42", heard.take());
-        assertEquals(askedAnew ? 2 : 1, calls.stream().filter(call -> call.contains("after=41&wait_ms=50 ")).count());
+        assertEquals(
+                askedAnew ? 2 : 1,
+                calls.stream()
+                        .filter(call -> call.contains("after=41&wait_ms=50 "))
+                        .count());
     }
 
     @ParameterizedTest
@@ -180,7 +186,8 @@
     /** A watch that was answered once, at a service that answers when the test says so. */
     private LinkedBlockingQueue<Held> startHeld() throws Exception {
         var held = new LinkedBlockingQueue<Held>();
-        var service = new StandInDiscovery(transport, transport.spare(0), (call, answer) -> held.add(new Held(call, answer)));
+        var service =
+                new StandInDiscovery(transport, transport.spare(0), (call, answer) -> held.add(new Held(call, answer)));
         client = new Discovery(transport, service.address(), 41, WAIT, new Random(1), this);
         watch();
         answer(held.take(), list(42, false));
@@ -204,8 +211,12 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", "HTTPS\r\n",
-        "{\"rev\":42,\"all\":false,\"targets\":[]}"})
+    @ValueSource(
+            strings = {
+                "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
+                "HTTPS\r\n",
+                "{\"rev\":42,\"all\":false,\"targets\":[]}"
+            })
     void aCheckThatFailsOrTellsNothingNewLeavesTheWatchAlone(String answer) throws Exception {
         LinkedBlockingQueue<Held> held = startHeld();
         Held watch = held.take();
--- a/daemon/src/test/java/clayhook/front/FrontTest.java
+++ b/daemon/src/test/java/clayhook/front/FrontTest.java
@@ -35,12 +35,10 @@
     }
 
     @Override
-    public void left(Session session) {
-    }
+    public void left(Session session) {}
 
     @Override
-    public void cancelled(Session session) {
-    }
+    public void cancelled(Session session) {}
 
     @AfterEach
     void close() {
@@ -132,7 +130,8 @@
         assertEquals("40003", List.of(usual.next(), usual.next()).get(1));
         for (int i = 0; i < 5; i++) {
             now += 0.1;
-            assertEquals("ready", client(StandInClient.hello(Unpooled.EMPTY_BUFFER)).next());
+            assertEquals(
+                    "ready", client(StandInClient.hello(Unpooled.EMPTY_BUFFER)).next());
         }
         usual.send(read());
         answer();
--- a/daemon/src/test/java/clayhook/front/RawClient.java
+++ b/daemon/src/test/java/clayhook/front/RawClient.java
@@ -10,7 +10,9 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** A client over a plain socket: a write has reached the router's machine when it returns, and nothing is read unasked. */
+/**
+ * A client over a plain socket: a write has reached the router's machine when it returns, and nothing is read unasked.
+ */
 public final class RawClient {
     private static final int PATIENCE_MS = 20_000;
     public final Socket socket;
@@ -54,14 +56,16 @@
                 in.readFully(body);
                 ByteBuf bytes = Unpooled.wrappedBuffer(body);
                 switch (type) {
-                    case 'D' -> word = body.length > 1000 ? "" + body.length
-                            : bytes.toString(6, body.length - 6, StandardCharsets.UTF_8);
+                    case 'D' ->
+                        word = body.length > 1000
+                                ? "" + body.length
+                                : bytes.toString(6, body.length - 6, StandardCharsets.UTF_8);
                     case 'E' -> word = error(new String(body, StandardCharsets.UTF_8));
                     case 'K' -> key = bytes.readLong();
                     case 'Z' -> {
                         return word.isEmpty() ? "ready" : word;
                     }
-                    default -> { }
+                    default -> {}
                 }
             }
         } catch (EOFException e) {
--- a/daemon/src/test/java/clayhook/front/SessionCrossingTest.java
+++ b/daemon/src/test/java/clayhook/front/SessionCrossingTest.java
@@ -28,6 +28,7 @@
 class SessionCrossingTest implements Session.Listener {
     /** More than the system holds for a connection. */
     private static final int LONG = 16 << 20;
+
     private static final int PATIENCE_S = 20;
     private final Transport transport = Transport.tcp();
     private final LinkedBlockingQueue<Session> taken = new LinkedBlockingQueue<>();
@@ -62,7 +63,8 @@
     }
 
     private void start(int clients) throws InterruptedException {
-        front = new Front(transport, transport.spare(0), new Descriptors(48 + 2 * clients), 1 << 28, null, () -> now, this);
+        front = new Front(
+                transport, transport.spare(0), new Descriptors(48 + 2 * clients), 1 << 28, null, () -> now, this);
     }
 
     private RawClient client() throws Exception {
@@ -84,7 +86,12 @@
     /** An answer of one row of that length. */
     private static List<byte[]> row(int length) {
         byte[] row = new byte[length + 11];
-        Unpooled.wrappedBuffer(row).clear().writeByte('D').writeInt(length + 10).writeShort(1).writeInt(length);
+        Unpooled.wrappedBuffer(row)
+                .clear()
+                .writeByte('D')
+                .writeInt(length + 10)
+                .writeShort(1)
+                .writeInt(length);
         return List.of(row);
     }
 
@@ -148,8 +155,16 @@
     // ---- clients that go ----
 
     @ParameterizedTest
-    @CsvSource({"1, 0, false", "5, 0, false", "5, 40, false", "40, 0, false", "300, 0, false", "5, 0, true", "40, 9, true",
-        "40, 0, true"})
+    @CsvSource({
+        "1, 0, false",
+        "5, 0, false",
+        "5, 40, false",
+        "40, 0, false",
+        "300, 0, false",
+        "5, 0, true",
+        "40, 9, true",
+        "40, 0, true"
+    })
     void aCloseIsSeenInEveryStateAndWhatWasAheadIsNotBegun(int commands, int part, boolean ending) throws Exception {
         start(9);
         RawClient client = client().hello(commands(commands), command().slice(0, part));
@@ -200,12 +215,14 @@
     @ValueSource(strings = {"end", "let go", "malformed", "flooding", "terminate", "room"})
     void noEndTakesAnAnswerThatItsClientHasNotReadYet(String way) throws Exception {
         start(1);
-        ByteBuf behind = switch (way) {
-            case "malformed" -> Unpooled.buffer().writeByte('j').writeInt(4).writeZero(100_000);
-            case "flooding" -> commands(60);
-            case "terminate" -> Unpooled.buffer().writeByte('X').writeInt(4);
-            default -> Unpooled.EMPTY_BUFFER;
-        };
+        ByteBuf behind =
+                switch (way) {
+                    case "malformed" ->
+                        Unpooled.buffer().writeByte('j').writeInt(4).writeZero(100_000);
+                    case "flooding" -> commands(60);
+                    case "terminate" -> Unpooled.buffer().writeByte('X').writeInt(4);
+                    default -> Unpooled.EMPTY_BUFFER;
+                };
         RawClient client = client().hello(command(), behind);
         Session session = next(taken);
         run(() -> session.answered(row(LONG)));
@@ -231,7 +248,7 @@
                 }
                 assertEquals("54000 closed", client.next());
             }
-            case "room" -> { }
+            case "room" -> {}
             default -> assertEquals("closed", client.next());
         }
     }
@@ -303,7 +320,7 @@
         client().hello(command());
         next(taken);
         var refused = new RawClient[1];
-        crossing(() -> refused[0] = client().hello(commands(9)), () -> { });
+        crossing(() -> refused[0] = client().hello(commands(9)), () -> {});
         assertEquals("53300 closed", refused[0].next());
         refused[0].send(commands(9)).send(commands(9));
         refused[0].socket.close();
@@ -314,10 +331,12 @@
         start(1);
         RawClient client = usual();
         var other = new RawClient[1];
-        crossing(() -> {
-            other[0] = client().hello(command());
-            return client.send(command());
-        }, () -> { });
+        crossing(
+                () -> {
+                    other[0] = client().hello(command());
+                    return client.send(command());
+                },
+                () -> {});
         String word = client.next();
         assertEquals("closed", word);
         answer();
@@ -386,7 +405,8 @@
             client.send(command());
         }
         next(taken);
-        assertEquals("closed", cancelling.send(RawClient.cancelRequest(client.key)).next());
+        assertEquals(
+                "closed", cancelling.send(RawClient.cancelRequest(client.key)).next());
         assertNull(cancelled.poll());
     }
 }
--- a/daemon/src/test/java/clayhook/nodes/CrossingsTest.java
+++ b/daemon/src/test/java/clayhook/nodes/CrossingsTest.java
@@ -39,7 +39,7 @@
     /** More than the buffers of both machines hold together, so that only a part goes out unless it is read. */
     private static final int LONG = 1 << 26;
 
-    private record Ended(Dispatch dispatch, Outcome outcome, String value) { }
+    private record Ended(Dispatch dispatch, Outcome outcome, String value) {}
 
     private final Transport transport = Transport.tcp();
     private final Clock clock = new Clock();
@@ -50,7 +50,10 @@
 
     @Override
     public void ended(Dispatch dispatch, Reply reply, List<byte[]> answer, String error) {
-        ended.add(new Ended(dispatch, reply.outcome(), answer == null ? null : new String(answer.get(1), ISO_8859_1).substring(11)));
+        ended.add(new Ended(
+                dispatch,
+                reply.outcome(),
+                answer == null ? null : new String(answer.get(1), ISO_8859_1).substring(11)));
     }
 
     @Override
@@ -248,8 +251,12 @@
 
     /** What was said before it falls silent. */
     private static List<String> silences() {
-        return List.of("", ScriptedNode.WELCOME.substring(0, 3), ScriptedNode.message('N', "CI\0\0"),
-                ScriptedNode.message('E', "C57P03\0\0"), ScriptedNode.WELCOME,
+        return List.of(
+                "",
+                ScriptedNode.WELCOME.substring(0, 3),
+                ScriptedNode.message('N', "CI\0\0"),
+                ScriptedNode.message('E', "C57P03\0\0"),
+                ScriptedNode.WELCOME,
                 ScriptedNode.WELCOME + ScriptedNode.answer("a").substring(0, 30),
                 ScriptedNode.WELCOME + ScriptedNode.message('N', "CI\0\0").repeat(1000));
     }
@@ -272,7 +279,9 @@
                 nodes.expire(dispatch);
                 return null;
             });
-            assertEquals(welcomed ? Outcome.TIMED_OUT : Outcome.CONNECT_FAILED, ended.take().outcome());
+            assertEquals(
+                    welcomed ? Outcome.TIMED_OUT : Outcome.CONNECT_FAILED,
+                    ended.take().outcome());
             assertEquals("{}", onLoop(nodes::underWay));
             peer.reset();
             await(() -> nodes.connections() == 0);
--- a/daemon/src/test/java/clayhook/nodes/EndingTest.java
+++ b/daemon/src/test/java/clayhook/nodes/EndingTest.java
@@ -8,9 +8,12 @@
 
 class EndingTest {
     @ParameterizedTest
-    @CsvSource({"NOT_CONNECTED, CONNECT_FAILED, CONNECT_FAILED, NOT_SENT",
-        "PARTLY_WRITTEN, CONNECT_FAILED, CONNECT_FAILED, NOT_SENT", "WRITTEN, RESET, TIMED_OUT, CANCELLED",
-        "ANSWERING, RESET, TIMED_OUT, CANCELLED"})
+    @CsvSource({
+        "NOT_CONNECTED, CONNECT_FAILED, CONNECT_FAILED, NOT_SENT",
+        "PARTLY_WRITTEN, CONNECT_FAILED, CONNECT_FAILED, NOT_SENT",
+        "WRITTEN, RESET, TIMED_OUT, CANCELLED",
+        "ANSWERING, RESET, TIMED_OUT, CANCELLED"
+    })
     void theStageTellsWhetherItMayHaveRun(Stage stage, Outcome broken, Outcome silent, Outcome calledOff) {
         assertEquals(broken, new Ending.Broken(stage).outcome());
         assertEquals(silent, new Ending.Silent(stage).outcome());
--- a/daemon/src/test/java/clayhook/nodes/NodesTest.java
+++ b/daemon/src/test/java/clayhook/nodes/NodesTest.java
@@ -11,8 +11,8 @@
 import clayhook.Role;
 import clayhook.config.Operator;
 import clayhook.protocol.Statement;
-import clayhook.rehearsal.StandInNode.Deed;
 import clayhook.rehearsal.StandInNode;
+import clayhook.rehearsal.StandInNode.Deed;
 import clayhook.transport.Clock;
 import clayhook.transport.Descriptors;
 import clayhook.transport.Transport;
@@ -33,8 +33,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class NodesTest implements Nodes.Listener {
-    private static final Statement READ =
-            Statement.parse("SELECT val FROM state WHERE uid = 'k' /* id=1,c=a,d=9,cluster=1 */".getBytes(StandardCharsets.UTF_8));
+    private static final Statement READ = Statement.parse(
+            "SELECT val FROM state WHERE uid = 'k' /* id=1,c=a,d=9,cluster=1 */".getBytes(StandardCharsets.UTF_8));
     private final Transport transport = Transport.tcp();
     private final Clock clock = new Clock();
     private final LinkedBlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
@@ -73,17 +73,25 @@
     }
 
     private Nodes nodes(double connectTimeout, double idle) {
-        return new Nodes(transport, clock, new Descriptors(descriptors), 1 << 24, connectTimeout, idle, Operator.OFF, this);
+        return new Nodes(
+                transport, clock, new Descriptors(descriptors), 1 << 24, connectTimeout, idle, Operator.OFF, this);
     }
 
     private Node node(Nodes nodes, String role, Deed first, Deed then) throws Exception {
-        var there = new StandInNode(transport, transport.spare(0), role,
-                any -> statements.incrementAndGet() == 1 ? first : then);
-        return transport.loop().submit(() -> nodes.at("n", "a", 1, there.address())).get();
+        var there = new StandInNode(
+                transport, transport.spare(0), role, any -> statements.incrementAndGet() == 1 ? first : then);
+        return transport
+                .loop()
+                .submit(() -> nodes.at("n", "a", 1, there.address()))
+                .get();
     }
 
     private Dispatch send(Nodes nodes, Node node) throws Exception {
-        var dispatch = new Dispatch(new Command(null, 1, null, 0, clock.now(), clock.now() + 60), node, true, clock.now(),
+        var dispatch = new Dispatch(
+                new Command(null, 1, null, 0, clock.now(), clock.now() + 60),
+                node,
+                true,
+                clock.now(),
                 clock.now() + 60);
         transport.loop().submit(() -> nodes.send(dispatch, READ)).get();
         return dispatch;
@@ -143,13 +151,16 @@
         while (statements.get() == 0) {
             Thread.onSpinWait();
         }
-        transport.loop().submit(() -> {
-            if (recalled) {
-                nodes.recall(first);
-            } else {
-                nodes.expire(first);
-            }
-        }).get();
+        transport
+                .loop()
+                .submit(() -> {
+                    if (recalled) {
+                        nodes.recall(first);
+                    } else {
+                        nodes.expire(first);
+                    }
+                })
+                .get();
         assertEquals(outcome, outcomes.take());
         send(nodes, node);
         assertEquals(Outcome.ANSWERED, next(nodes));
@@ -158,11 +169,16 @@
 
     @ParameterizedTest
     @CsvSource({"false, NOT_SENT", "true, ANSWERED"})
-    void whatIsWithdrawnEndsAtOnceWhereItWaitsForItsConnectionAndElseIsHeardOut(boolean written, Outcome outcome) throws Exception {
+    void whatIsWithdrawnEndsAtOnceWhereItWaitsForItsConnectionAndElseIsHeardOut(boolean written, Outcome outcome)
+            throws Exception {
         Nodes nodes = nodes(60, 60);
         try (var silent = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-            Node node = written ? node(nodes, "replica", Deed.answer("a"), null) : transport.loop().submit(() -> nodes.at(
-                    "n", "a", 1, (InetSocketAddress) silent.getLocalSocketAddress())).get();
+            Node node = written
+                    ? node(nodes, "replica", Deed.answer("a"), null)
+                    : transport
+                            .loop()
+                            .submit(() -> nodes.at("n", "a", 1, (InetSocketAddress) silent.getLocalSocketAddress()))
+                            .get();
             Dispatch dispatch = send(nodes, node);
             while (written && statements.get() == 0) {
                 Thread.onSpinWait();
@@ -200,20 +216,21 @@
     private static ByteBuf messages(String letters) {
         ByteBuf out = Unpooled.buffer();
         for (char letter : letters.toCharArray()) {
-            String body = switch (letter) {
-                case 'T' -> "\0\1val\0" + "\0".repeat(18);
-                case 't' -> "\0\2val\0" + "\0".repeat(18);
-                case 'D' -> "\0\1\0\0\0\3old";
-                case 'd' -> "\0\1\0\0\0\2old";
-                case 'n' -> "\0\1\377\377\377\377";
-                case 'C' -> "SELECT 1\0";
-                case 'c' -> "SELECT 1";
-                case 'S' -> "applied_ms\0" + "1000\0";
-                case 'r' -> "load\0x0=1e300\0";
-                case 'E' -> "C53300\0\0";
-                case 'Z' -> "I";
-                default -> "";
-            };
+            String body =
+                    switch (letter) {
+                        case 'T' -> "\0\1val\0" + "\0".repeat(18);
+                        case 't' -> "\0\2val\0" + "\0".repeat(18);
+                        case 'D' -> "\0\1\0\0\0\3old";
+                        case 'd' -> "\0\1\0\0\0\2old";
+                        case 'n' -> "\0\1\377\377\377\377";
+                        case 'C' -> "SELECT 1\0";
+                        case 'c' -> "SELECT 1";
+                        case 'S' -> "applied_ms\0" + "1000\0";
+                        case 'r' -> "load\0x0=1e300\0";
+                        case 'E' -> "C53300\0\0";
+                        case 'Z' -> "I";
+                        default -> "";
+                    };
             char type = letter == 'n' ? 'D' : letter == 'r' ? 'S' : Character.toUpperCase(letter);
             out.writeByte(type).writeInt(4 + body.length()).writeCharSequence(body, StandardCharsets.ISO_8859_1);
         }
@@ -221,8 +238,11 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"DCZ", "TCZ", "TDZ", "TDDCZ", "TTDCZ", "TDSCEZ", "SZ", "tDCZ", "TdCZ", "TnCZ", "TDcZ", "STDCz",
-        "STDCq", "STDCSs", "Eq"})
+    @ValueSource(
+            strings = {
+                "DCZ", "TCZ", "TDZ", "TDDCZ", "TTDCZ", "TDSCEZ", "SZ", "tDCZ", "TdCZ", "TnCZ", "TDcZ", "STDCz", "STDCq",
+                "STDCSs", "Eq"
+            })
     void aSpoiltAnswerMayHaveRunTellsNothingAndEndsItsConnection(String letters) throws Exception {
         Nodes nodes = nodes(60, 60);
         Node node = node(nodes, "replica", Deed.bytes(messages(letters)), Deed.answer("new"));
@@ -241,8 +261,8 @@
         ByteBuf bytes = messages(letters);
         for (int cut : new int[] {0, 1, 5}) {
             statements.set(0);
-            Node node = node(nodes, "replica", Deed.bytes(bytes.slice(0, bytes.readableBytes() - cut)),
-                    Deed.answer("new"));
+            Node node =
+                    node(nodes, "replica", Deed.bytes(bytes.slice(0, bytes.readableBytes() - cut)), Deed.answer("new"));
             send(nodes, node);
             assertEquals(letters.startsWith("E") ? Outcome.FULL : Outcome.ANSWERED, next(nodes));
             send(nodes, node);
@@ -262,7 +282,8 @@
 
     @ParameterizedTest
     @CsvSource({"true, 0, true", "false, 60, true", "false, 0, false"})
-    void aNodeIsForgottenOnceItIsNotKnownAndItsConnectionsHaveEnded(boolean known, double idle, boolean left) throws Exception {
+    void aNodeIsForgottenOnceItIsNotKnownAndItsConnectionsHaveEnded(boolean known, double idle, boolean left)
+            throws Exception {
         Nodes nodes = nodes(60, idle);
         send(nodes, node(nodes, "replica", Deed.answer("a"), null));
         assertEquals(Outcome.ANSWERED, next(nodes));
--- a/daemon/src/test/java/clayhook/nodes/ScriptedNode.java
+++ b/daemon/src/test/java/clayhook/nodes/ScriptedNode.java
@@ -13,6 +13,7 @@
 final class ScriptedNode implements AutoCloseable {
     /** Guards against a test that fails by waiting for ever: reads cannot be interrupted. */
     private static final int PATIENCE_MS = 50_000;
+
     private final ServerSocket listening;
 
     ScriptedNode() throws IOException {
@@ -49,7 +50,8 @@
     }
 
     static String whole(String value) {
-        return message('T', "\0\1val\0" + "\0".repeat(18)) + message('D', "\0\1\0\0\0" + (char) value.length() + value)
+        return message('T', "\0\1val\0" + "\0".repeat(18))
+                + message('D', "\0\1\0\0\0" + (char) value.length() + value)
                 + message('C', "SELECT 1\0");
     }
 
--- a/daemon/src/test/java/clayhook/peers/PeersTest.java
+++ b/daemon/src/test/java/clayhook/peers/PeersTest.java
@@ -41,6 +41,7 @@
     private static final double PATIENCE = 20;
     /** Seconds; shorter than usual, as no router here can know more than those that start with it. */
     private static final double ALONE_AFTER = 0.5;
+
     private static final InetSocketAddress DISCOVERY = new InetSocketAddress("127.0.0.1", 1);
     private static final Reply ANSWER = new Reply(Outcome.ANSWERED, 0.001, Role.PRIMARY, 1e9, Role.UNKNOWN, 0, 3);
     private final List<Sharing> open = new ArrayList<>();
@@ -63,8 +64,9 @@
     }
 
     private static SharingSettings settings(int port, List<InetSocketAddress> seeds) {
-        return new SharingSettings(at(port), null, null, seeds, 0.5, 60, 0.5, 128 << 10, 4 << 20, 10, true, true, true, true,
-                86_400, true);
+        return new SharingSettings(
+                at(port), null, null, seeds, 0.5, 60, 0.5, 128 << 10, 4 << 20, 10, true, true, true, true, 86_400,
+                true);
     }
 
     private static InetSocketAddress at(int port) {
@@ -72,15 +74,33 @@
     }
 
     private Peers start(String name, int port, int... seeds) throws IOException {
-        var settings = new Settings(2, "a", List.of(), true, true, false, false, true, true, true, true, 1, 3, 0.2, 10, 3, 3,
-                1, 15);
+        var settings = new Settings(
+                2, "a", List.of(), true, true, false, false, true, true, true, true, 1, 3, 0.2, 10, 3, 3, 1, 15);
         StateSettings usual = StateSettings.DEFAULT;
-        var peers = Peers.open(settings(port, Arrays.stream(seeds).mapToObj(PeersTest::at).toList()),
-                new Configuration(name, at(0), DISCOVERY, 1, 1 << 24, 100, new NodeList(0, true, List.of()), settings, 1),
-                new StateSettings(usual.round(), usual.fanout(), usual.newsParts(), usual.newsBytes(), usual.newsFor(),
-                        usual.mostNews(), usual.digestEvery(), usual.digestBytes(), usual.answerWait(), usual.silence(),
-                        usual.window(), usual.catchUpBytes(), usual.pushBytes(), usual.pairsEvery(), usual.clockBound(),
-                        usual.margin(), ALONE_AFTER, usual.stood(), usual.sweep()));
+        var peers = Peers.open(
+                settings(port, Arrays.stream(seeds).mapToObj(PeersTest::at).toList()),
+                new Configuration(
+                        name, at(0), DISCOVERY, 1, 1 << 24, 100, new NodeList(0, true, List.of()), settings, 1),
+                new StateSettings(
+                        usual.round(),
+                        usual.fanout(),
+                        usual.newsParts(),
+                        usual.newsBytes(),
+                        usual.newsFor(),
+                        usual.mostNews(),
+                        usual.digestEvery(),
+                        usual.digestBytes(),
+                        usual.answerWait(),
+                        usual.silence(),
+                        usual.window(),
+                        usual.catchUpBytes(),
+                        usual.pushBytes(),
+                        usual.pairsEvery(),
+                        usual.clockBound(),
+                        usual.margin(),
+                        ALONE_AFTER,
+                        usual.stood(),
+                        usual.sweep()));
         open.add(peers);
         assertEquals(999.5, peers.need("s", 1000), "a command may come before it begins");
         peers.begin(Runnable::run, DISCOVERY, new Sharing.Listener() {
@@ -91,7 +111,8 @@
 
             @Override
             public void told(Collection<NodeList> changes) {
-                changes.forEach(change -> change.entries().forEach(entry -> listed.put(name + " " + entry.id(), entry)));
+                changes.forEach(
+                        change -> change.entries().forEach(entry -> listed.put(name + " " + entry.id(), entry)));
             }
         });
         assertTrue(peers.need("s", now()) > now() - 1, "nothing is known before it starts");
@@ -100,8 +121,9 @@
     }
 
     private static NodeList list() {
-        return NodeList.parse("{\"rev\":7,\"all\":true,\"targets\":[{\"uid\":\"n\",\"endpoint\":\"127.0.0.1:9\",\"az\":\"a\","
-                + "\"pod_group\":1,\"state\":\"up\",\"role\":\"primary\",\"boot_ms\":0}]}");
+        return NodeList.parse(
+                "{\"rev\":7,\"all\":true,\"targets\":[{\"uid\":\"n\",\"endpoint\":\"127.0.0.1:9\",\"az\":\"a\","
+                        + "\"pod_group\":1,\"state\":\"up\",\"role\":\"primary\",\"boot_ms\":0}]}");
     }
 
     private static void knowsWhatIsToldTo(Peers first, Peers second) throws InterruptedException {
@@ -125,13 +147,17 @@
         for (int i = 1; i < routers; i++) {
             Peers other = others.get(i - 1);
             String node = "r" + i + " n";
-            await(() -> other.need("s", now()) == position && other.need("t", now()) < position && listed.containsKey(node));
+            await(() -> other.need("s", now()) == position
+                    && other.need("t", now()) < position
+                    && listed.containsKey(node));
             other.listed(DISCOVERY, list());
             await(() -> {
                 first.looked(new Node("n", "a", 1), ANSWER, now());
                 return told.containsKey(node);
             });
-            assertEquals(List.of(1e9, 3.0), List.of(told.get(node).position(), told.get(node).load()));
+            assertEquals(
+                    List.of(1e9, 3.0),
+                    List.of(told.get(node).position(), told.get(node).load()));
         }
         // Killed, and back at once with nothing, at the same place, though nobody there was told that.
         others.get(0).close();
@@ -149,7 +175,8 @@
             for (int i = 0; i < 2000; i++) {
                 var bytes = new byte[random.nextInt(4000)];
                 random.nextBytes(bytes);
-                socket.send(new DatagramPacket(bytes, bytes.length, at(first.address().port())));
+                socket.send(new DatagramPacket(
+                        bytes, bytes.length, at(first.address().port())));
             }
         }
         Peers second = start("r1", 0, first.address().port());
@@ -185,7 +212,7 @@
         assertEquals(List.of(10L, 10L, 1), List.of(queue.dropped(), queue.lost(), wakes.get()));
         int taken = 0;
         for (int some = 1; some > 0; taken += some) {
-            some = queue.drain(news -> { });
+            some = queue.drain(news -> {});
         }
         assertEquals(Outbound.PASSING + Outbound.LASTING, taken);
     }
--- a/daemon/src/test/java/clayhook/peers/ThinningTest.java
+++ b/daemon/src/test/java/clayhook/peers/ThinningTest.java
@@ -25,15 +25,29 @@
 /** What of all that a router sees is told to others; in virtual time, at one router alone, so that no chance acts. */
 class ThinningTest {
     private static final double START = 1e9;
-    private final Members members = new Members(MemberSettings.DEFAULT, new Peer(new Member("r", 1),
-            new Address("127.0.0.1", 1)), List.of(), 1, START, new Members.Listener() { });
+    private final Members members = new Members(
+            MemberSettings.DEFAULT,
+            new Peer(new Member("r", 1), new Address("127.0.0.1", 1)),
+            List.of(),
+            1,
+            START,
+            new Members.Listener() {});
     private final State state = new State(members, List.of(Evidence.KIND, Fate.KIND), StateSettings.DEFAULT, 1, START);
     private final Looks looks = new Looks(members, new SplittableRandom(1));
     private final Doubts doubts = new Doubts(state, Fate.KIND);
 
     private Evidence after(Outcome outcome, Role role, double now) {
-        looks.saw("n", new Reply(outcome, outcome == Outcome.TIMED_OUT ? 1 : 0.002, role, role == Role.UNKNOWN ? 0 : START + now - 1,
-                Role.UNKNOWN, 0, -1), START + now);
+        looks.saw(
+                "n",
+                new Reply(
+                        outcome,
+                        outcome == Outcome.TIMED_OUT ? 1 : 0.002,
+                        role,
+                        role == Role.UNKNOWN ? 0 : START + now - 1,
+                        Role.UNKNOWN,
+                        0,
+                        -1),
+                START + now);
         looks.turn(state, key -> 0, START + now);
         return state.get(Evidence.KIND, "n");
     }
@@ -41,7 +55,9 @@
     @Test
     void aLookIsToldWhereTheLastWordIsOldOrItSaysSomethingElse() {
         Evidence first = after(Outcome.ANSWERED, Role.REPLICA, 0);
-        assertEquals(List.of(START - 1, START - 0.001), List.of(first.position().value(), first.heard().at()));
+        assertEquals(
+                List.of(START - 1, START - 0.001),
+                List.of(first.position().value(), first.heard().at()));
         assertEquals(1, first.lag().value(), 0.01);
         assertEquals(first, after(Outcome.ANSWERED, Role.REPLICA, Looks.FRESH - 0.01));
         Evidence second = after(Outcome.ANSWERED, Role.REPLICA, Looks.FRESH + Looks.EVERY);
@@ -49,13 +65,18 @@
         Evidence primary = after(Outcome.ANSWERED, Role.PRIMARY, Looks.FRESH + 2.5 * Looks.EVERY);
         assertTrue(primary.primary().at() > primary.replica().at());
         Evidence failed = after(Outcome.TIMED_OUT, Role.UNKNOWN, Looks.FRESH + 4 * Looks.EVERY);
-        assertEquals(List.of(1, "r"), List.of(failed.strikes().get(0).count(), failed.strikes().get(0).sight().by()));
+        assertEquals(
+                List.of(1, "r"),
+                List.of(
+                        failed.strikes().get(0).count(),
+                        failed.strikes().get(0).sight().by()));
         assertEquals(failed, after(Outcome.CANCELLED, Role.UNKNOWN, Looks.FRESH + 6 * Looks.EVERY));
     }
 
     private void told(String key, boolean ran, double now) {
         var sent = Fate.Sent.of(START, 1, "post", null);
-        doubts.told(key, ran ? Fate.ran(sent, Fate.Witness.of(START + now, "r", "n")) : Fate.unknown(sent), START + now);
+        doubts.told(
+                key, ran ? Fate.ran(sent, Fate.Witness.of(START + now, "r", "n")) : Fate.unknown(sent), START + now);
         doubts.turn(START + now);
     }
 
@@ -70,7 +91,10 @@
         told("a", false, 3);
         told("b", false, 3);
         told("b", true, 4);
-        assertEquals(later == 0 ? Knowledge.RAN : Knowledge.UNKNOWN, state.get(Fate.KIND, "a").knowledge());
-        assertEquals(List.of(Knowledge.RAN, 2), List.of(state.get(Fate.KIND, "b").knowledge(), state.size(Fate.KIND)));
+        assertEquals(
+                later == 0 ? Knowledge.RAN : Knowledge.UNKNOWN,
+                state.get(Fate.KIND, "a").knowledge());
+        assertEquals(
+                List.of(Knowledge.RAN, 2), List.of(state.get(Fate.KIND, "b").knowledge(), state.size(Fate.KIND)));
     }
 }
--- a/daemon/src/test/java/clayhook/protocol/DecodersTest.java
+++ b/daemon/src/test/java/clayhook/protocol/DecodersTest.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class DecodersTest {
-    private static final String READ = "SELECT val FROM state WHERE uid = '7f3a' "
-            + "/* id=9b1f,c=basket,d=480,cluster=2,after=1767225600123 */";
+    private static final String READ =
+            "SELECT val FROM state WHERE uid = '7f3a' " + "/* id=9b1f,c=basket,d=480,cluster=2,after=1767225600123 */";
 
     /** The kinds of message that come out when the bytes come in pieces of that size. */
     private static List<String> kinds(ChannelHandler decoder, ByteBuf bytes, int size) {
@@ -44,59 +44,113 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 7, 1000})
     void clientMessagesMayBeSplitAnywhereAndFollowEachOther(int size) {
-        ByteBuf bytes = Unpooled.wrappedBuffer(Unpooled.buffer().writeInt(8).writeInt(80877103), Encoder.startup("client", "core"),
-                Encoder.query(READ.getBytes(UTF_8)), Encoder.query(new byte[0]), message('S', 4), message('H', 4),
-                message('P', 4), message('X', 4));
-        assertEquals(List.of("EncryptionRequest", "Startup", "Query", "EmptyQuery", "Sync", "Ignored", "Extended",
-                "Terminate"), kinds(new ClientDecoder(new Allowance(1 << 20)), bytes, size));
+        ByteBuf bytes = Unpooled.wrappedBuffer(
+                Unpooled.buffer().writeInt(8).writeInt(80877103),
+                Encoder.startup("client", "core"),
+                Encoder.query(READ.getBytes(UTF_8)),
+                Encoder.query(new byte[0]),
+                message('S', 4),
+                message('H', 4),
+                message('P', 4),
+                message('X', 4));
+        assertEquals(
+                List.of(
+                        "EncryptionRequest",
+                        "Startup",
+                        "Query",
+                        "EmptyQuery",
+                        "Sync",
+                        "Ignored",
+                        "Extended",
+                        "Terminate"),
+                kinds(new ClientDecoder(new Allowance(1 << 20)), bytes, size));
     }
 
     @ParameterizedTest
     @CsvSource({"Q, 3", "Q, -1", "Q, 2147483647", "Q, 200000", "j, 4", "Q, 4"})
     void nothingAfterAMalformedClientMessageIsRead(char type, int length) {
-        ByteBuf bytes = Unpooled.wrappedBuffer(Encoder.startup("client", "core"), message(type, length), message('S', 4));
+        ByteBuf bytes =
+                Unpooled.wrappedBuffer(Encoder.startup("client", "core"), message(type, length), message('S', 4));
         List<String> kinds = kinds(new ClientDecoder(new Allowance(1 << 20)), bytes, 1000);
         assertEquals("Malformed", kinds.get(1));
         assertTrue(kinds.size() == 2 || type == 'j' || length == 4, kinds.toString());
     }
 
     @ParameterizedTest
-    @CsvSource({"0, Malformed", "131072, Malformed", "196608, Startup", "196610, Startup", "80877102, CancelRequest",
-        "80877104, EncryptionRequest"})
+    @CsvSource({
+        "0, Malformed",
+        "131072, Malformed",
+        "196608, Startup",
+        "196610, Startup",
+        "80877102, CancelRequest",
+        "80877104, EncryptionRequest"
+    })
     void theFirstMessageTellsTheVersion(int version, String kind) {
-        assertEquals(List.of(kind), kinds(new ClientDecoder(new Allowance(1 << 20)), Unpooled.buffer().writeInt(8).writeInt(version), 3));
+        assertEquals(
+                List.of(kind),
+                kinds(
+                        new ClientDecoder(new Allowance(1 << 20)),
+                        Unpooled.buffer().writeInt(8).writeInt(version),
+                        3));
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 5, 1000})
     void nodeMessagesMayBeSplitAnywhere(int size) {
-        ByteBuf bytes = Unpooled.wrappedBuffer(Encoder.welcome(0, Map.of()), Encoder.error(false, "53300", "full", null),
-                message('C', 5).writeByte(0), Encoder.ready());
-        assertEquals(List.of("AuthenticationOk", "ParameterStatus", "ParameterStatus", "ParameterStatus", "CancelKey",
-                "ReadyForQuery", "ErrorResponse", "ReadyForQuery", "Part", "ReadyForQuery"),
+        ByteBuf bytes = Unpooled.wrappedBuffer(
+                Encoder.welcome(0, Map.of()),
+                Encoder.error(false, "53300", "full", null),
+                message('C', 5).writeByte(0),
+                Encoder.ready());
+        assertEquals(
+                List.of(
+                        "AuthenticationOk",
+                        "ParameterStatus",
+                        "ParameterStatus",
+                        "ParameterStatus",
+                        "CancelKey",
+                        "ReadyForQuery",
+                        "ErrorResponse",
+                        "ReadyForQuery",
+                        "Part",
+                        "ReadyForQuery"),
                 kinds(new NodeDecoder(new Allowance(1 << 20)), bytes, size));
     }
 
     @Test
     void aNodeThatAsksForAPasswordIsNotUnderstood() {
-        assertEquals(List.of("Malformed"), kinds(new NodeDecoder(new Allowance(1 << 20)), message('R', 8).writeInt(3), 9));
+        assertEquals(
+                List.of("Malformed"),
+                kinds(new NodeDecoder(new Allowance(1 << 20)), message('R', 8).writeInt(3), 9));
     }
 
     @Test
     void aStatementGoesOnWithNothingChangedButTheTimeToWait() {
         Statement read = Statement.parse(READ.getBytes(UTF_8));
-        assertEquals(List.of("basket", 2, 0.48, 1767225600.123, "7f3a"),
+        assertEquals(
+                List.of("basket", 2, 0.48, 1767225600.123, "7f3a"),
                 List.of(read.group, read.nodeGroup, read.wait, read.after, read.key));
         assertArrayEquals(READ.replace("d=480", "d=57").getBytes(UTF_8), read.withWait(0.0579));
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {"id=1,c=a,d=5 | lacks cluster", "c=a,d=5,cluster=1 | lacks id",
-        "id=1,d=5,cluster=1 | lacks c", "id=1,c=a,cluster=1 | lacks d", "id=1,c=a,d=-5,cluster=1 | no valid d",
-        "id=1,c=a,d=4e9,cluster=1 | no valid d", "id=1,c=a,d=9999999999999999,cluster=1 | no valid d",
-        "id=1,c=a,d=5,cluster=x | no valid cluster", "id=1,c=a,d=5,cluster=1,after=now | no valid after",
-        "id=1,c=a,d=5,cluster=1,id=2 | one twice", "id=1,c=a,d=5,cluster=1, | without a name",
-        "id= ,c=a,d=5,cluster=1 | no valid id", "id=1,c=a,d=5,cluster=1,k=* | no read or write"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "id=1,c=a,d=5 | lacks cluster",
+                "c=a,d=5,cluster=1 | lacks id",
+                "id=1,d=5,cluster=1 | lacks c",
+                "id=1,c=a,cluster=1 | lacks d",
+                "id=1,c=a,d=-5,cluster=1 | no valid d",
+                "id=1,c=a,d=4e9,cluster=1 | no valid d",
+                "id=1,c=a,d=9999999999999999,cluster=1 | no valid d",
+                "id=1,c=a,d=5,cluster=x | no valid cluster",
+                "id=1,c=a,d=5,cluster=1,after=now | no valid after",
+                "id=1,c=a,d=5,cluster=1,id=2 | one twice",
+                "id=1,c=a,d=5,cluster=1, | without a name",
+                "id= ,c=a,d=5,cluster=1 | no valid id",
+                "id=1,c=a,d=5,cluster=1,k=* | no read or write"
+            })
     void anUnreadableCommentIsNamed(String comment, String named) {
         String text = "SELECT val FROM state WHERE uid = 'k' /* " + comment + " */";
         var bad = assertThrows(IllegalArgumentException.class, () -> Statement.parse(text.getBytes(UTF_8)));
@@ -104,10 +158,17 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"SELECT 1", "SELECT val FROM state WHERE uid = 'a' OR 'b'", "SELECT val FROM state WHERE uid = ''",
-        "INSERT INTO state (uid, val) VALUES ('a', '\\x9') RETURNING val", "DELETE FROM state",
-        "INSERT INTO state (uid, val) VALUES ('a', 'x9f') RETURNING val", "INSERT INTO state (uid, val) VALUES ('a', '\\x9f')",
-        "SELECT val FROM state WHERE uid = 'a'; SELECT val FROM state WHERE uid = 'b'"})
+    @ValueSource(
+            strings = {
+                "SELECT 1",
+                "SELECT val FROM state WHERE uid = 'a' OR 'b'",
+                "SELECT val FROM state WHERE uid = ''",
+                "INSERT INTO state (uid, val) VALUES ('a', '\\x9') RETURNING val",
+                "DELETE FROM state",
+                "INSERT INTO state (uid, val) VALUES ('a', 'x9f') RETURNING val",
+                "INSERT INTO state (uid, val) VALUES ('a', '\\x9f')",
+                "SELECT val FROM state WHERE uid = 'a'; SELECT val FROM state WHERE uid = 'b'"
+            })
     void aStatementThatNodesDoNotTakeIsNoStatement(String text) {
         String fields = " /* id=1,c=a,d=5,cluster=1 */";
         assertThrows(IllegalArgumentException.class, () -> Statement.parse((text + fields).getBytes(UTF_8)));
@@ -125,10 +186,14 @@
     @Test
     void longStatementsOfAllClientsShareOneAllowance() {
         var allowance = new Allowance(200_000);
-        ByteBuf most = Unpooled.wrappedBuffer(Encoder.startup("client", "core"), message('Q', 50_000), Unpooled.buffer(10).writeZero(9));
+        ByteBuf most = Unpooled.wrappedBuffer(
+                Encoder.startup("client", "core"),
+                message('Q', 50_000),
+                Unpooled.buffer(10).writeZero(9));
         var first = new EmbeddedChannel(new ClientDecoder(allowance));
         first.writeInbound(most.retainedDuplicate());
-        assertEquals(List.of("Startup", "Malformed"), kinds(new ClientDecoder(allowance), most.retainedDuplicate(), 99));
+        assertEquals(
+                List.of("Startup", "Malformed"), kinds(new ClientDecoder(allowance), most.retainedDuplicate(), 99));
         first.finishAndReleaseAll();
         assertEquals(List.of("Startup"), kinds(new ClientDecoder(allowance), most, 99));
     }
--- a/daemon/src/test/java/clayhook/rehearsal/RehearsalTest.java
+++ b/daemon/src/test/java/clayhook/rehearsal/RehearsalTest.java
@@ -27,8 +27,10 @@
     void endsInTimeAndTellsWhetherAnythingWasCarried(boolean process, boolean carried) throws Exception {
         Transport transport = process ? Transport.withinProcess() : Transport.rehearsal();
         Transport outside = carried ? transport : Transport.rehearsal();
-        var any = new CommandGroup("any", CommandGroup.Effect.REPLAYABLE, CommandGroup.ReadLevel.ANY, 1, 2, 1, 0, null, 0, 0);
-        var settings = new Settings(1, "a", List.of(any), true, true, true, true, true, true, true, true, 1, 3, 1, 0, 1, 0, 1, 15);
+        var any = new CommandGroup(
+                "any", CommandGroup.Effect.REPLAYABLE, CommandGroup.ReadLevel.ANY, 1, 2, 1, 0, null, 0, 0);
+        var settings = new Settings(
+                1, "a", List.of(any), true, true, true, true, true, true, true, true, 1, 3, 1, 0, 1, 0, 1, 15);
         double from = System.nanoTime() / 1e9;
         assertEquals(carried, Rehearsal.run(settings, transport, outside, false));
         assertTrue(System.nanoTime() / 1e9 - from < 10, "it waited for answers that cannot come");
@@ -66,10 +68,32 @@
     }
 
     private static boolean run(Transport transport) {
-        var any = new CommandGroup("any", CommandGroup.Effect.REPLAYABLE, CommandGroup.ReadLevel.ANY, 1, 2, 1, 0, null, 0, 0);
+        var any = new CommandGroup(
+                "any", CommandGroup.Effect.REPLAYABLE, CommandGroup.ReadLevel.ANY, 1, 2, 1, 0, null, 0, 0);
         try {
-            return Rehearsal.run(new Settings(1, "a", List.of(any), true, true, true, true, true, true, true, true, 1, 3, 1, 0, 1,
-                    0, 1, 15), transport, true);
+            return Rehearsal.run(
+                    new Settings(
+                            1,
+                            "a",
+                            List.of(any),
+                            true,
+                            true,
+                            true,
+                            true,
+                            true,
+                            true,
+                            true,
+                            true,
+                            1,
+                            3,
+                            1,
+                            0,
+                            1,
+                            0,
+                            1,
+                            15),
+                    transport,
+                    true);
         } catch (InterruptedException e) {
             throw new IllegalStateException(e);
         }
@@ -79,9 +103,13 @@
     @Test
     void nothingOfItIsOpenOnceItIsOver() throws Exception {
         Transport transport = Transport.rehearsal();
-        var any = new CommandGroup("any", CommandGroup.Effect.REPLAYABLE, CommandGroup.ReadLevel.ANY, 1, 2, 1, 0, null, 0, 0);
-        Rehearsal.run(new Settings(1, "a", List.of(any), true, true, true, true, true, true, true, true, 1, 3, 1, 0, 1, 0, 1, 15),
-                transport, true);
+        var any = new CommandGroup(
+                "any", CommandGroup.Effect.REPLAYABLE, CommandGroup.ReadLevel.ANY, 1, 2, 1, 0, null, 0, 0);
+        Rehearsal.run(
+                new Settings(
+                        1, "a", List.of(any), true, true, true, true, true, true, true, true, 1, 3, 1, 0, 1, 0, 1, 15),
+                transport,
+                true);
         assertTrue(transport.loop().isTerminated());
     }
 
@@ -91,12 +119,25 @@
         Transport transport = Transport.withinProcess();
         var node = new StandInNode(transport, transport.spare(1), "primary", any -> StandInNode.Deed.answer("p"));
         var discovery = new StandInDiscovery(transport, transport.spare(2), call -> null);
-        var posts = new CommandGroup("posts", CommandGroup.Effect.MUTATING, CommandGroup.ReadLevel.WRITE, 20, 60, 1, 0, null, 0, 0);
-        var settings = new Settings(1, "a", List.of(posts), true, true, true, true, true, true, true, true, 1, 3, 1, 0, 1, 0, 1, 15);
-        String list = "{\"rev\":2,\"all\":true,\"targets\":[{\"uid\":\"p\",\"endpoint\":\"127.0.0.1:" + node.address().getPort()
+        var posts = new CommandGroup(
+                "posts", CommandGroup.Effect.MUTATING, CommandGroup.ReadLevel.WRITE, 20, 60, 1, 0, null, 0, 0);
+        var settings = new Settings(
+                1, "a", List.of(posts), true, true, true, true, true, true, true, true, 1, 3, 1, 0, 1, 0, 1, 15);
+        String list = "{\"rev\":2,\"all\":true,\"targets\":[{\"uid\":\"p\",\"endpoint\":\"127.0.0.1:"
+                + node.address().getPort()
                 + "\",\"az\":\"a\",\"pod_group\":1,\"state\":\"up\",\"role\":\"primary\",\"boot_ms\":0}]}";
-        var server = new Server(transport, new Configuration("test", transport.spare(3), discovery.address(), 1, 1 << 24, 1000,
-                NodeList.parse(list), settings, 1));
+        var server = new Server(
+                transport,
+                new Configuration(
+                        "test",
+                        transport.spare(3),
+                        discovery.address(),
+                        1,
+                        1 << 24,
+                        1000,
+                        NodeList.parse(list),
+                        settings,
+                        1));
         for (int i = 0; i < 20; i++) {
             var client = new StandInClient(transport, server.address());
             client.send(StandInClient.hello(StandInClient.statement(true, "id=" + i + ",c=posts,d=30000,cluster=1")));
--- a/daemon/src/test/java/clayhook/serve/ClientGoneTest.java
+++ b/daemon/src/test/java/clayhook/serve/ClientGoneTest.java
@@ -2,10 +2,10 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import clayhook.CommandGroup;
 import clayhook.CommandGroup.Effect;
 import clayhook.CommandGroup.ReadLevel;
 import clayhook.CommandGroup.Scope;
-import clayhook.CommandGroup;
 import clayhook.Settings;
 import clayhook.config.Configuration;
 import clayhook.discovery.NodeList;
@@ -14,11 +14,10 @@
 import clayhook.protocol.Statement;
 import clayhook.rehearsal.StandInClient;
 import clayhook.rehearsal.StandInDiscovery;
-import clayhook.rehearsal.StandInNode.Deed;
 import clayhook.rehearsal.StandInNode;
+import clayhook.rehearsal.StandInNode.Deed;
 import clayhook.transport.Transport;
 import io.netty.buffer.ByteBuf;
-import io.netty.buffer.Unpooled;
 import java.io.DataInputStream;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -34,7 +33,6 @@
 import java.util.concurrent.Semaphore;
 import java.util.function.Function;
 import org.junit.jupiter.api.AfterEach;
-import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -47,7 +45,10 @@
     private Server server;
     private SlowNode slow;
 
-    /** A node whose connections come up when they are let; it answers statement 1 with an error when let, others at once. */
+    /**
+     * A node whose connections come up when they are let; it answers statement 1 with an error when let, others at
+     * once.
+     */
     private final class SlowNode implements Runnable {
         private final ServerSocket listening = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         private final Semaphore connected = new Semaphore(0);
@@ -111,21 +112,52 @@
     }
 
     private void start(InetSocketAddress primary) throws InterruptedException {
-        String list = "{\"rev\":2,\"all\":true,\"targets\":[{\"uid\":\"p\",\"endpoint\":\"127.0.0.1:" + primary.getPort()
-                + "\",\"az\":\"a\",\"pod_group\":1,\"state\":\"up\",\"role\":\"primary\",\"boot_ms\":0}]}";
+        String list =
+                "{\"rev\":2,\"all\":true,\"targets\":[{\"uid\":\"p\",\"endpoint\":\"127.0.0.1:" + primary.getPort()
+                        + "\",\"az\":\"a\",\"pod_group\":1,\"state\":\"up\",\"role\":\"primary\",\"boot_ms\":0}]}";
         var discovery = new StandInDiscovery(transport, transport.spare(0), call -> null);
-        var settings = new Settings(1, "a", List.of(group("any", Effect.REPLAYABLE, ReadLevel.ANY),
-                group("mutating", Effect.MUTATING, ReadLevel.WRITE)),
-                true, true, false, true, false, true, true, true, 1, 3, 0.2, 10, 3, 3, 1, 15);
-        server = new Server(own, new Configuration("test", transport.spare(0), discovery.address(), 1, 1 << 24, 1024,
-                NodeList.parse(list), settings, 60));
+        var settings = new Settings(
+                1,
+                "a",
+                List.of(
+                        group("any", Effect.REPLAYABLE, ReadLevel.ANY),
+                        group("mutating", Effect.MUTATING, ReadLevel.WRITE)),
+                true,
+                true,
+                false,
+                true,
+                false,
+                true,
+                true,
+                true,
+                1,
+                3,
+                0.2,
+                10,
+                3,
+                3,
+                1,
+                15);
+        server = new Server(
+                own,
+                new Configuration(
+                        "test",
+                        transport.spare(0),
+                        discovery.address(),
+                        1,
+                        1 << 24,
+                        1024,
+                        NodeList.parse(list),
+                        settings,
+                        60));
     }
 
     private void start(Function<Statement, Deed> deeds) throws InterruptedException {
         start(new StandInNode(transport, transport.spare(0), "primary", statement -> {
-            sent.add(statement);
-            return deeds.apply(statement);
-        }).address());
+                    sent.add(statement);
+                    return deeds.apply(statement);
+                })
+                .address());
     }
 
     private void startSlow() throws Exception {
@@ -266,7 +298,8 @@
         } else {
             assertEquals("1", sent.take().id);
         }
-        assertEquals("closed", client().send(RawClient.cancelRequest(client.key)).next());
+        assertEquals(
+                "closed", client().send(RawClient.cancelRequest(client.key)).next());
         assertEquals("57014", client.next());
         assertEquals("cancelled; " + text, client.text);
         if (waits) {
--- a/daemon/src/test/java/clayhook/serve/HangupTest.java
+++ b/daemon/src/test/java/clayhook/serve/HangupTest.java
@@ -14,7 +14,8 @@
         Hangup.handle(heard::release);
         Class<?> signal = Class.forName("sun.misc.Signal");
         for (int i = 0; i < 3; i++) {
-            signal.getMethod("raise", signal).invoke(null, signal.getConstructor(String.class).newInstance("HUP"));
+            signal.getMethod("raise", signal)
+                    .invoke(null, signal.getConstructor(String.class).newInstance("HUP"));
             heard.acquire();
         }
     }
--- a/daemon/src/test/java/clayhook/serve/LifecycleTest.java
+++ b/daemon/src/test/java/clayhook/serve/LifecycleTest.java
@@ -79,11 +79,39 @@
     /** Without a node that can be reached. */
     private Server server() throws InterruptedException {
         var discovery = new StandInDiscovery(transport, transport.spare(0), call -> null);
-        var settings = new Settings(1, "a", List.of(new CommandGroup("any", Effect.REPLAYABLE, ReadLevel.ANY, 0.5, 0.5, 1, 0,
-                Scope.GROUP, 60, 0)), true, true, false, true, true, true, true, true, 1, 3, 0.2, 10, 3, 3, 1, 15);
+        var settings = new Settings(
+                1,
+                "a",
+                List.of(new CommandGroup("any", Effect.REPLAYABLE, ReadLevel.ANY, 0.5, 0.5, 1, 0, Scope.GROUP, 60, 0)),
+                true,
+                true,
+                false,
+                true,
+                true,
+                true,
+                true,
+                true,
+                1,
+                3,
+                0.2,
+                10,
+                3,
+                3,
+                1,
+                15);
         String list = "{\"rev\":2,\"all\":true,\"targets\":[{\"uid\":\"p\",\"endpoint\":\"127.0.0.1:1\",\"az\":\"a\","
                 + "\"pod_group\":1,\"state\":\"up\",\"role\":\"primary\",\"boot_ms\":0}]}";
-        return new Server(Transport.tcp(), new Configuration("test", transport.spare(0), discovery.address(), 1, 1 << 24, 1024,
-                NodeList.parse(list), settings, 2));
+        return new Server(
+                Transport.tcp(),
+                new Configuration(
+                        "test",
+                        transport.spare(0),
+                        discovery.address(),
+                        1,
+                        1 << 24,
+                        1024,
+                        NodeList.parse(list),
+                        settings,
+                        2));
     }
 }
--- a/daemon/src/test/java/clayhook/serve/ListInTimeTest.java
+++ b/daemon/src/test/java/clayhook/serve/ListInTimeTest.java
@@ -3,10 +3,10 @@
 import static java.nio.charset.StandardCharsets.US_ASCII;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import clayhook.CommandGroup;
 import clayhook.CommandGroup.Effect;
 import clayhook.CommandGroup.ReadLevel;
 import clayhook.CommandGroup.Scope;
-import clayhook.CommandGroup;
 import clayhook.Settings;
 import clayhook.config.Configuration;
 import clayhook.discovery.NodeList;
@@ -35,7 +35,17 @@
     private static final int ROUTERS = 6;
 
     /** What befalls the first watch, which is open as the change is made; and calls after it. */
-    private enum Trouble { NONE, SILENT, SILENT_TWICE, BUSY_TWICE, RESET, CUT, HALF_AN_ANSWER, HALF_AND_RESET, REFUSED }
+    private enum Trouble {
+        NONE,
+        SILENT,
+        SILENT_TWICE,
+        BUSY_TWICE,
+        RESET,
+        CUT,
+        HALF_AN_ANSWER,
+        HALF_AND_RESET,
+        REFUSED
+    }
 
     private final Transport transport = Transport.tcp();
     private final List<Server> servers = new ArrayList<>();
@@ -115,7 +125,7 @@
                     listening = new ServerSocket(port, 50, InetAddress.getByName("127.0.0.1"));
                     accept(listening);
                 }
-                default -> { }
+                default -> {}
             }
             return !socket.isClosed();
         }
@@ -153,11 +163,21 @@
 
     private void start(Service service, long seed) throws InterruptedException {
         var any = new CommandGroup("any", Effect.REPLAYABLE, ReadLevel.ANY, 20, 60, 1, 0, Scope.GROUP, 60, 0);
-        var settings = new Settings(1, "a", List.of(any), true, true, false, true, true, true, true, true, 1, 3, 0.2, 10,
-                3, 3, 1, 15);
+        var settings = new Settings(
+                1, "a", List.of(any), true, true, false, true, true, true, true, true, 1, 3, 0.2, 10, 3, 3, 1, 15);
         var known = NodeList.parse("{\"rev\":2,\"all\":true,\"targets\":[]}");
-        servers.add(new Server(Transport.tcp(), new Configuration("test", transport.spare(0),
-                new InetSocketAddress("127.0.0.1", service.port), seed, 1 << 24, 1024, known, settings, 2)));
+        servers.add(new Server(
+                Transport.tcp(),
+                new Configuration(
+                        "test",
+                        transport.spare(0),
+                        new InetSocketAddress("127.0.0.1", service.port),
+                        seed,
+                        1 << 24,
+                        1024,
+                        known,
+                        settings,
+                        2)));
     }
 
     @ParameterizedTest
--- a/daemon/src/test/java/clayhook/serve/ServerTest.java
+++ b/daemon/src/test/java/clayhook/serve/ServerTest.java
@@ -1,9 +1,12 @@
 package clayhook.serve;
 
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import clayhook.CommandGroup;
 import clayhook.CommandGroup.Effect;
 import clayhook.CommandGroup.ReadLevel;
 import clayhook.CommandGroup.Scope;
-import clayhook.CommandGroup;
 import clayhook.Settings;
 import clayhook.config.Configuration;
 import clayhook.discovery.NodeList;
@@ -11,8 +14,8 @@
 import clayhook.protocol.Statement;
 import clayhook.rehearsal.StandInClient;
 import clayhook.rehearsal.StandInDiscovery;
-import clayhook.rehearsal.StandInNode.Deed;
 import clayhook.rehearsal.StandInNode;
+import clayhook.rehearsal.StandInNode.Deed;
 import clayhook.transport.Transport;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -24,8 +27,6 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /** The whole router on loopback, between stand-ins. */
 class ServerTest {
@@ -49,17 +50,45 @@
         start(node("primary", primary).address(), node("replica", replica).address(), sockets);
     }
 
-    private void start(InetSocketAddress primary, InetSocketAddress replica, int sockets)
-            throws InterruptedException {
+    private void start(InetSocketAddress primary, InetSocketAddress replica, int sockets) throws InterruptedException {
         String list = "{\"rev\":2,\"all\":true,\"targets\":[" + entry("p", primary) + "," + entry("r", replica) + "]}";
         var discovery = new StandInDiscovery(transport, transport.spare(0), call -> null);
-        var settings = new Settings(1, "a", List.of(group("any", Effect.REPLAYABLE, ReadLevel.ANY, 20),
-                group("write", Effect.KEYED, ReadLevel.WRITE, 20),
-                group("mutating", Effect.MUTATING, ReadLevel.WRITE, 20),
-                group("brief", Effect.MUTATING, ReadLevel.WRITE, 0.6)),
-                true, true, false, true, true, true, true, true, 1, 3, 0.2, 10, 3, 3, 1, 15);
-        server = new Server(own, new Configuration("test", transport.spare(0), discovery.address(), 1, 1 << 24, sockets,
-                NodeList.parse(list), settings, 2));
+        var settings = new Settings(
+                1,
+                "a",
+                List.of(
+                        group("any", Effect.REPLAYABLE, ReadLevel.ANY, 20),
+                        group("write", Effect.KEYED, ReadLevel.WRITE, 20),
+                        group("mutating", Effect.MUTATING, ReadLevel.WRITE, 20),
+                        group("brief", Effect.MUTATING, ReadLevel.WRITE, 0.6)),
+                true,
+                true,
+                false,
+                true,
+                true,
+                true,
+                true,
+                true,
+                1,
+                3,
+                0.2,
+                10,
+                3,
+                3,
+                1,
+                15);
+        server = new Server(
+                own,
+                new Configuration(
+                        "test",
+                        transport.spare(0),
+                        discovery.address(),
+                        1,
+                        1 << 24,
+                        sockets,
+                        NodeList.parse(list),
+                        settings,
+                        2));
         client = new StandInClient(transport, server.address());
     }
 
@@ -71,8 +100,9 @@
     }
 
     private static String entry(String id, InetSocketAddress address) {
-        return "{\"uid\":\"" + id + "\",\"endpoint\":\"127.0.0.1:" + address.getPort() + "\",\"az\":\"a\",\"pod_group\":1,"
-                + "\"state\":\"up\",\"role\":\"" + (id.equals("p") ? "primary" : "replica") + "\",\"boot_ms\":0}";
+        return "{\"uid\":\"" + id + "\",\"endpoint\":\"127.0.0.1:" + address.getPort()
+                + "\",\"az\":\"a\",\"pod_group\":1," + "\"state\":\"up\",\"role\":\""
+                + (id.equals("p") ? "primary" : "replica") + "\",\"boot_ms\":0}";
     }
 
     private static Function<Statement, Deed> always(Deed deed) {
@@ -148,9 +178,15 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"false, 'id=1,c=any,d=30000,cluster=9'", "false, 'id=1,c=none,d=30000,cluster=1'", "false, id=1",
-        "false, 'id=1,c=any,d=x,cluster=1'", "true, 'id=1,c=any,d=30000,cluster=1'",
-        "false, 'id=1,c=mutating,d=30000,cluster=1'", "true, 'id=1,c=write,d=30000,cluster=1'"})
+    @CsvSource({
+        "false, 'id=1,c=any,d=30000,cluster=9'",
+        "false, 'id=1,c=none,d=30000,cluster=1'",
+        "false, id=1",
+        "false, 'id=1,c=any,d=x,cluster=1'",
+        "true, 'id=1,c=any,d=30000,cluster=1'",
+        "false, 'id=1,c=mutating,d=30000,cluster=1'",
+        "true, 'id=1,c=write,d=30000,cluster=1'"
+    })
     void whatCannotBeTakenGetsAnErrorComesToNoNodeAndTheSessionGoesOn(boolean writes, String fields) throws Exception {
         start(always(Deed.answer("p")), always(Deed.answer("r")), 1024);
         client.send(StandInClient.hello(StandInClient.statement(writes, fields)));
@@ -179,8 +215,13 @@
     void answersComeInTheOrderOfTheCommands() throws Exception {
         start(always(Deed.answer("p")), always(Deed.answer("r")), 1024);
         greet(READ);
-        client.send(Unpooled.wrappedBuffer(statement(WRITE), Encoder.query(new byte[] {' '}),
-                extended('P'), extended('B'), extended('S'), statement(READ)));
+        client.send(Unpooled.wrappedBuffer(
+                statement(WRITE),
+                Encoder.query(new byte[] {' '}),
+                extended('P'),
+                extended('B'),
+                extended('S'),
+                statement(READ)));
         for (String word : List.of("r", "p", "ready", "0A000", "r")) {
             assertEquals(word, client.next());
         }
--- a/daemon/src/test/java/clayhook/serve/SharingTest.java
+++ b/daemon/src/test/java/clayhook/serve/SharingTest.java
@@ -32,11 +32,13 @@
     private static final int READS = 20;
     /** Far more than it takes. */
     private static final double PATIENCE_S = 20;
+
     private final Transport transport = Transport.tcp();
     private final List<Server> servers = new ArrayList<>();
     private final List<InetSocketAddress> peers = new ArrayList<>();
     /** Answers of discovery that told of the drain: one, to one router. */
     private final AtomicInteger drains = new AtomicInteger();
+
     private StandInDiscovery discovery;
     private String nodes;
 
@@ -47,28 +49,77 @@
     }
 
     private String entry(String role, String state, StandInNode node) {
-        return "{\"uid\":\"" + role + "\",\"endpoint\":\"127.0.0.1:" + node.address().getPort()
-                + "\",\"az\":\"a\",\"pod_group\":1,\"state\":\"" + state + "\",\"role\":\"" + role + "\",\"boot_ms\":0}";
+        return "{\"uid\":\"" + role + "\",\"endpoint\":\"127.0.0.1:"
+                + node.address().getPort() + "\",\"az\":\"a\",\"pod_group\":1,\"state\":\"" + state + "\",\"role\":\""
+                + role + "\",\"boot_ms\":0}";
     }
 
     private Server start(int number) throws Exception {
         var group = new CommandGroup("any", Effect.REPLAYABLE, ReadLevel.ANY, 20, 60, 1, 0, Scope.GROUP, 60, 0);
-        var settings = new Settings(ROUTERS, "a", List.of(group), true, true, false, true, true, true, true, true, 1, 3, 0.2, 10,
-                3, 3, 1, 15);
-        var sharing = new SharingSettings(peers.get(number), null, null, peers, 0.5, 60, 0.5, 128 << 10, 4 << 20, 10, true, true,
-                true, true, 86_400, true);
-        return new Server(Transport.tcp(), new Configuration("r" + number, transport.spare(0), discovery.address(), number + 1,
-                1 << 24, 1024, NodeList.parse(nodes), settings, 2), new Operator(null, "clayhook", "core", sharing));
+        var settings = new Settings(
+                ROUTERS,
+                "a",
+                List.of(group),
+                true,
+                true,
+                false,
+                true,
+                true,
+                true,
+                true,
+                true,
+                1,
+                3,
+                0.2,
+                10,
+                3,
+                3,
+                1,
+                15);
+        var sharing = new SharingSettings(
+                peers.get(number),
+                null,
+                null,
+                peers,
+                0.5,
+                60,
+                0.5,
+                128 << 10,
+                4 << 20,
+                10,
+                true,
+                true,
+                true,
+                true,
+                86_400,
+                true);
+        return new Server(
+                Transport.tcp(),
+                new Configuration(
+                        "r" + number,
+                        transport.spare(0),
+                        discovery.address(),
+                        number + 1,
+                        1 << 24,
+                        1024,
+                        NodeList.parse(nodes),
+                        settings,
+                        2),
+                new Operator(null, "clayhook", "core", sharing));
     }
 
     @Test
     void aDrainThatOneRouterWasToldClosesTheNodeAtAllAndAtOneThatWasKilledAndIsBack() throws Exception {
-        var primary = new StandInNode(transport, transport.spare(0), "primary", any -> StandInNode.Deed.answer("primary"));
-        var replica = new StandInNode(transport, transport.spare(0), "replica", any -> StandInNode.Deed.answer("replica"));
+        var primary =
+                new StandInNode(transport, transport.spare(0), "primary", any -> StandInNode.Deed.answer("primary"));
+        var replica =
+                new StandInNode(transport, transport.spare(0), "replica", any -> StandInNode.Deed.answer("replica"));
         nodes = "{\"rev\":2,\"all\":true,\"targets\":[" + entry("primary", "up", primary) + ","
                 + entry("replica", "up", replica) + "]}";
         String drain = "{\"rev\":3,\"all\":false,\"targets\":[" + entry("replica", "draining", replica) + "]}";
-        discovery = new StandInDiscovery(transport, transport.spare(0),
+        discovery = new StandInDiscovery(
+                transport,
+                transport.spare(0),
                 call -> call.contains("after=2&") && drains.getAndIncrement() == 0 ? drain : null);
         for (int i = 0; i < ROUTERS; i++) {
             try (var free = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
--- a/daemon/src/test/java/clayhook/serve/ShutdownTest.java
+++ b/daemon/src/test/java/clayhook/serve/ShutdownTest.java
@@ -41,14 +41,46 @@
             return deeds.apply(statement);
         });
         var discovery = new StandInDiscovery(transport, transport.spare(0), call -> null);
-        var settings = new Settings(1, "a", List.of(
-                new CommandGroup("any", Effect.REPLAYABLE, ReadLevel.ANY, 20, 60, 1, 0, Scope.GROUP, 60, 0),
-                new CommandGroup("mutating", Effect.MUTATING, ReadLevel.WRITE, 20, 60, 1, 0, Scope.GROUP, 60, 0)),
-                true, true, false, true, true, true, true, true, 1, 3, 0.2, 10, 3, 3, 1, 15);
-        String list = "{\"rev\":2,\"all\":true,\"targets\":[{\"uid\":\"p\",\"endpoint\":\"127.0.0.1:" + node.address().getPort()
+        var settings = new Settings(
+                1,
+                "a",
+                List.of(
+                        new CommandGroup("any", Effect.REPLAYABLE, ReadLevel.ANY, 20, 60, 1, 0, Scope.GROUP, 60, 0),
+                        new CommandGroup(
+                                "mutating", Effect.MUTATING, ReadLevel.WRITE, 20, 60, 1, 0, Scope.GROUP, 60, 0)),
+                true,
+                true,
+                false,
+                true,
+                true,
+                true,
+                true,
+                true,
+                1,
+                3,
+                0.2,
+                10,
+                3,
+                3,
+                1,
+                15);
+        String list = "{\"rev\":2,\"all\":true,\"targets\":[{\"uid\":\"p\",\"endpoint\":\"127.0.0.1:"
+                + node.address().getPort()
                 + "\",\"az\":\"a\",\"pod_group\":1,\"state\":\"up\",\"role\":\"primary\",\"boot_ms\":0}]}";
-        router = new Router(own, new Configuration("test", transport.spare(0), discovery.address(), 1, 1 << 24, 1024,
-                NodeList.parse(list), settings, 2), Operator.OFF, null);
+        router = new Router(
+                own,
+                new Configuration(
+                        "test",
+                        transport.spare(0),
+                        discovery.address(),
+                        1,
+                        1 << 24,
+                        1024,
+                        NodeList.parse(list),
+                        settings,
+                        2),
+                Operator.OFF,
+                null);
     }
 
     private static ByteBuf statement(int id, String group) {
@@ -74,7 +106,8 @@
         sent.take();
         own.loop().submit(router::end).get();
         own.loop().submit(router::giveUp).get();
-        assertEquals(List.of("ready", "40003", "53300", "53300"),
+        assertEquals(
+                List.of("ready", "40003", "53300", "53300"),
                 List.of(client.next(), client.next(), client.next(), client.next()));
         assertEquals("closed", client.next());
         assertEquals(0, sent.size(), "what was given up went to a node");
@@ -105,7 +138,8 @@
         own.loop().execute(router::end);
         var sockets = new ArrayList<Socket>();
         for (int i = 0; i < 40; i++) {
-            var socket = new Socket(router.address().getAddress(), router.address().getPort());
+            var socket =
+                    new Socket(router.address().getAddress(), router.address().getPort());
             socket.setSoTimeout(20_000);
             ByteBuf hello = StandInClient.hello(statement(i, "any"));
             hello.readBytes(socket.getOutputStream(), hello.readableBytes());
--- a/daemon/src/test/java/clayhook/sim/AdapterTest.java
+++ b/daemon/src/test/java/clayhook/sim/AdapterTest.java
@@ -14,7 +14,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class AdapterTest {
-    private static final String START = """
+    private static final String START =
+            """
             BATCH 1000000000 1
             SWITCH_TO 3
             CONFIGURE 7 balancers=1 unheard_of=x limits.most_tries=3 limits.parallel_tries=true limits.probing=0 \
@@ -48,8 +49,8 @@
     @ParameterizedTest
     @CsvSource({"100, 1, false", "303, 0, true", "305, 0, true"})
     void aMutatingCommandIsAnsweredOnce(int verdict, int terminal, boolean fails) throws Exception {
-        String out = reply(START + "BATCH 1100000000 2\nSWITCH_TO 3\nRESPONSE 00000000000000aa 0 10.0.0.1:1 "
-                + verdict + " 100000000 " + terminal + " 4405 -\nGO\n");
+        String out = reply(START + "BATCH 1100000000 2\nSWITCH_TO 3\nRESPONSE 00000000000000aa 0 10.0.0.1:1 " + verdict
+                + " 100000000 " + terminal + " 4405 -\nGO\n");
         assertEquals(fails, out.contains("REPORT_FAILURE 00000000000000aa"));
         assertEquals(1, out.split("CALL_OUT", -1).length - 1);
     }
@@ -62,11 +63,14 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"BATCH x 1, 'line 1 has ''x'' for its clock'", "HELLO, 'line 1 stands where a BATCH should'",
+    @CsvSource({
+        "BATCH x 1, 'line 1 has ''x'' for its clock'",
+        "HELLO, 'line 1 stands where a BATCH should'",
         "'BATCH 1 1\nSWITCH_TO 1\nDUE t', 'line 3 speaks to an instance that was not configured'",
         "'BATCH 1 1\nGONE a', 'line 2 speaks to no instance'",
         "'BATCH 1 1\nPOOL 0 1\nROW a b c 1 2 7 1 -', 'line 3 has an unknown stage_state 7'",
-        "'BATCH 1 1', 'the input ends within a batch'"})
+        "'BATCH 1 1', 'the input ends within a batch'"
+    })
     void aBadLineIsNamed(String input, String message) {
         BadInput bad = assertThrows(BadInput.class, () -> reply(input + "\n"));
         assertTrue(bad.getMessage().startsWith(message), bad.getMessage());
--- a/daemon/src/test/java/clayhook/sql/SqlClient.java
+++ b/daemon/src/test/java/clayhook/sql/SqlClient.java
@@ -14,6 +14,7 @@
 final class SqlClient implements AutoCloseable {
     /** Far beyond any answer: a test that waits so long has failed. */
     private static final int PATIENCE_MS = 60_000;
+
     private final Socket socket = new Socket();
     private final DataInputStream in;
     private final OutputStream out;
@@ -24,15 +25,25 @@
         in = new DataInputStream(socket.getInputStream());
         out = socket.getOutputStream();
         byte[] text = (String.join("\0", parameters) + "\0\0").getBytes(UTF_8);
-        out.write(ByteBuffer.allocate(8 + text.length).putInt(8 + text.length).putInt(3 << 16).put(text).array());
+        out.write(ByteBuffer.allocate(8 + text.length)
+                .putInt(8 + text.length)
+                .putInt(3 << 16)
+                .put(text)
+                .array());
     }
 
     void send(String statement) throws IOException {
         byte[] text = (statement + '\0').getBytes(UTF_8);
-        out.write(ByteBuffer.allocate(5 + text.length).put((byte) 'Q').putInt(4 + text.length).put(text).array());
+        out.write(ByteBuffer.allocate(5 + text.length)
+                .put((byte) 'Q')
+                .putInt(4 + text.length)
+                .put(text)
+                .array());
     }
 
-    /** The types of the messages of one answer, tags and codes with them: {@code "TDC(SELECT 1)"}, {@code "E(42601)"}. */
+    /**
+     * The types of the messages of one answer, tags and codes with them: {@code "TDC(SELECT 1)"}, {@code "E(42601)"}.
+     */
     String answer() throws IOException {
         var told = new StringBuilder();
         while (true) {
@@ -43,7 +54,9 @@
             } else if (type == 'E' || type == 'N') {
                 told.append(type).append('(').append(field(body)).append(')');
             } else if (type == 'C') {
-                told.append("C(").append(new String(body, 0, body.length - 1, UTF_8)).append(')');
+                told.append("C(")
+                        .append(new String(body, 0, body.length - 1, UTF_8))
+                        .append(')');
             } else if (type != 'S' && type != 'R' && type != 'K' && type != 'v') {
                 told.append(type);
             }
--- a/daemon/src/test/java/clayhook/sql/SqlNode.java
+++ b/daemon/src/test/java/clayhook/sql/SqlNode.java
@@ -21,17 +21,42 @@
 
 /** A node that takes any statement, logs what it ran and does to each what it is told to. */
 final class SqlNode {
-    /** Runs the statement and answers; or answers with an error; or resets the connection, before or after running it. */
+    /**
+     * Runs the statement and answers; or answers with an error; or resets the connection, before or after running it.
+     */
     record Deed(Kind kind, ByteBuf answer, String code) {
-        enum Kind { ANSWER, ERROR, RESET_BEFORE, RESET_AFTER }
+        enum Kind {
+            ANSWER,
+            ERROR,
+            RESET_BEFORE,
+            RESET_AFTER
+        }
 
         static Deed rows(String... values) {
             ByteBuf out = Unpooled.buffer();
-            message(out, 'T', Unpooled.buffer().writeShort(2).writeBytes("a\0".getBytes(UTF_8)).writeZero(6).writeInt(25)
-                    .writeZero(8).writeBytes("b\0".getBytes(UTF_8)).writeZero(6).writeInt(25).writeZero(8));
+            message(
+                    out,
+                    'T',
+                    Unpooled.buffer()
+                            .writeShort(2)
+                            .writeBytes("a\0".getBytes(UTF_8))
+                            .writeZero(6)
+                            .writeInt(25)
+                            .writeZero(8)
+                            .writeBytes("b\0".getBytes(UTF_8))
+                            .writeZero(6)
+                            .writeInt(25)
+                            .writeZero(8));
             for (String value : values) {
                 byte[] bytes = value.getBytes(UTF_8);
-                message(out, 'D', Unpooled.buffer().writeShort(2).writeInt(bytes.length).writeBytes(bytes).writeInt(-1));
+                message(
+                        out,
+                        'D',
+                        Unpooled.buffer()
+                                .writeShort(2)
+                                .writeInt(bytes.length)
+                                .writeBytes(bytes)
+                                .writeInt(-1));
             }
             return new Deed(Kind.ANSWER, message(out, 'C', text("SELECT " + values.length)), null);
         }
@@ -51,6 +76,7 @@
 
     /** What it ran, in order; what settings were given. */
     final Queue<String> ran = new ConcurrentLinkedQueue<>();
+
     final Queue<String> tuned = new ConcurrentLinkedQueue<>();
     final Queue<Channel> connections = new ConcurrentLinkedQueue<>();
     private final String role;
@@ -60,8 +86,8 @@
     SqlNode(Transport transport, String role, Function<String, Deed> deeds) throws InterruptedException {
         this.role = role;
         this.deeds = deeds;
-        listening = transport.listen(transport.spare(0), () -> new ChannelHandler[] {
-            new ClientDecoder(new Allowance(Long.MAX_VALUE), true), new Connection()});
+        listening = transport.listen(transport.spare(0), () ->
+                new ChannelHandler[] {new ClientDecoder(new Allowance(Long.MAX_VALUE), true), new Connection()});
     }
 
     InetSocketAddress address() {
@@ -95,15 +121,26 @@
             ByteBuf out = Unpooled.buffer();
             if (text.equals("SHOW load")) {
                 String load = "x0=" + System.currentTimeMillis() / 1000.0 + ",x1=" + (role.equals("primary") ? 1 : 0);
-                message(out, 'T', Unpooled.buffer().writeShort(1).writeBytes("load\0".getBytes(UTF_8)).writeZero(18));
+                message(
+                        out,
+                        'T',
+                        Unpooled.buffer()
+                                .writeShort(1)
+                                .writeBytes("load\0".getBytes(UTF_8))
+                                .writeZero(18));
                 byte[] bytes = load.getBytes(UTF_8);
-                message(out, 'D', Unpooled.buffer().writeShort(1).writeInt(bytes.length).writeBytes(bytes));
+                message(
+                        out,
+                        'D',
+                        Unpooled.buffer().writeShort(1).writeInt(bytes.length).writeBytes(bytes));
                 ctx.writeAndFlush(message(out, 'C', text("SHOW")).writeBytes(Encoder.ready()));
                 return;
             } else if (text.startsWith("SET ") || text.startsWith("RESET ")) {
                 tuned.add(text);
-                ctx.writeAndFlush(text.contains("'Mars'") ? Encoder.error(false, "22023", "no such zone", null)
-                        : Encoder.completed("SET", null, null));
+                ctx.writeAndFlush(
+                        text.contains("'Mars'")
+                                ? Encoder.error(false, "22023", "no such zone", null)
+                                : Encoder.completed("SET", null, null));
                 return;
             }
             Deed deed = deeds.apply(text);
--- a/daemon/src/test/java/clayhook/sql/SqlRoutingTest.java
+++ b/daemon/src/test/java/clayhook/sql/SqlRoutingTest.java
@@ -48,7 +48,8 @@
 
 /** Statements of any kind through the whole router on loopback, between nodes that log what they ran. */
 class SqlRoutingTest {
-    private static final String RULES = """
+    private static final String RULES =
+            """
             [statements]
             enabled = true
             trust_comments = true
@@ -66,8 +67,10 @@
     private final Transport transport = Transport.tcp();
     private final Transport own = Transport.tcp();
     private final List<SqlNode> nodes = new ArrayList<>();
+
     @TempDir
     Path folder;
+
     private Server server;
 
     private static CommandGroup group(String name, Effect effect, ReadLevel level, double timeout) {
@@ -84,18 +87,32 @@
         nodes.add(new SqlNode(transport, "replica", replica));
         var entries = new ArrayList<String>();
         for (SqlNode node : nodes) {
-            entries.add("{\"uid\":\"n" + entries.size() + "\",\"endpoint\":\"127.0.0.1:" + node.address().getPort()
+            entries.add("{\"uid\":\"n" + entries.size() + "\",\"endpoint\":\"127.0.0.1:"
+                    + node.address().getPort()
                     + "\",\"az\":\"a\",\"pod_group\":1,\"state\":\"up\",\"role\":\""
                     + (entries.isEmpty() ? "primary" : "replica") + "\",\"boot_ms\":0}");
         }
         var discovery = new StandInDiscovery(transport, transport.spare(0), call -> null);
-        List<CommandGroup> groups = List.of(group("any", Effect.REPLAYABLE, ReadLevel.ANY, 8),
-                group("write", Effect.KEYED, ReadLevel.WRITE, 8), group("mutating", Effect.MUTATING, ReadLevel.WRITE, 8));
-        var settings = new Settings(1, "a", groups, true, true, false, true, true, true, true, true, 1, 9, 0.2, 10, 3, 3, 1, 15);
+        List<CommandGroup> groups = List.of(
+                group("any", Effect.REPLAYABLE, ReadLevel.ANY, 8),
+                group("write", Effect.KEYED, ReadLevel.WRITE, 8),
+                group("mutating", Effect.MUTATING, ReadLevel.WRITE, 8));
+        var settings = new Settings(
+                1, "a", groups, true, true, false, true, true, true, true, true, 1, 9, 0.2, 10, 3, 3, 1, 15);
         Path file = folder.resolve("clayhook.toml");
         Files.writeString(file, rules);
-        server = new Server(own, new Configuration("test", transport.spare(0), discovery.address(), 1, 1 << 27, 1024,
-                NodeList.parse("{\"rev\":2,\"all\":true,\"targets\":[" + String.join(",", entries) + "]}"), settings, 2),
+        server = new Server(
+                own,
+                new Configuration(
+                        "test",
+                        transport.spare(0),
+                        discovery.address(),
+                        1,
+                        1 << 27,
+                        1024,
+                        NodeList.parse("{\"rev\":2,\"all\":true,\"targets\":[" + String.join(",", entries) + "]}"),
+                        settings,
+                        2),
                 OperatorFile.read(file, groups));
     }
 
@@ -116,16 +133,27 @@
     }
 
     private int runs(String text) {
-        return (int) nodes.stream().flatMap(node -> node.ran.stream()).filter(text::equals).count();
+        return (int) nodes.stream()
+                .flatMap(node -> node.ran.stream())
+                .filter(text::equals)
+                .count();
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {"select a, b from t|TDDC(SELECT 2)|false", "delete from t|C(DELETE 3)|true",
-        "select post_toll(1)|C(DELETE 3)|true", "select 1; select 2|C(DELETE 3)|true", "explain analyze delete from t|C(DELETE 3)|true",
-        "select 1 /* id=1,c=any,d=30000,cluster=1 */|TDDC(SELECT 2)|false",
-        "delete from t /* id=1,c=any,d=30000,cluster=1 */|C(DELETE 3)|true",
-        "select 1 /* id=1,c=mutating,d=30000,cluster=1 */|C(DELETE 3)|true"})
-    void aStatementGoesWhereItMayRunAndItsAnswerComesWhole(String text, String answer, boolean primary) throws Exception {
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "select a, b from t|TDDC(SELECT 2)|false",
+                "delete from t|C(DELETE 3)|true",
+                "select post_toll(1)|C(DELETE 3)|true",
+                "select 1; select 2|C(DELETE 3)|true",
+                "explain analyze delete from t|C(DELETE 3)|true",
+                "select 1 /* id=1,c=any,d=30000,cluster=1 */|TDDC(SELECT 2)|false",
+                "delete from t /* id=1,c=any,d=30000,cluster=1 */|C(DELETE 3)|true",
+                "select 1 /* id=1,c=mutating,d=30000,cluster=1 */|C(DELETE 3)|true"
+            })
+    void aStatementGoesWhereItMayRunAndItsAnswerComesWhole(String text, String answer, boolean primary)
+            throws Exception {
         start(always(Deed.tag("DELETE 3")), always(Deed.rows("x", "y")));
         try (SqlClient client = client()) {
             assertEquals(answer, client.ask(text));
@@ -135,9 +163,18 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"begin", "copy t from stdin", "set search_path = x", "select pg_advisory_lock(1)", "listen c",
-        "create temp table x (a int)", "set session characteristics as transaction read only",
-        "select 1 /* id=1,c=any,d=x,cluster=1 */", "select 1 /* id=1,c=any,d=1,cluster=9 */"})
+    @ValueSource(
+            strings = {
+                "begin",
+                "copy t from stdin",
+                "set search_path = x",
+                "select pg_advisory_lock(1)",
+                "listen c",
+                "create temp table x (a int)",
+                "set session characteristics as transaction read only",
+                "select 1 /* id=1,c=any,d=x,cluster=1 */",
+                "select 1 /* id=1,c=any,d=1,cluster=9 */"
+            })
     void whatCannotBeSharedIsRefusedAndComesToNoNode(String text) throws Exception {
         start(always(Deed.tag("X")), always(Deed.tag("X")));
         try (SqlClient client = client()) {
@@ -149,7 +186,13 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"42P01, E(42P01), 1", "23505, E(23505), 1", "57014, E(57014), 1", "XX000, E(XX000), 1", "53300, C(OK), 2"})
+    @CsvSource({
+        "42P01, E(42P01), 1",
+        "23505, E(23505), 1",
+        "57014, E(57014), 1",
+        "XX000, E(XX000), 1",
+        "53300, C(OK), 2"
+    })
     void anErrorReachesTheClientWithItsCodeAndAWriteThatMayHaveRunIsNotRepeated(String code, String answer, int sends)
             throws Exception {
         var sent = new AtomicInteger();
@@ -174,7 +217,9 @@
     @Test
     void aKeyedWriteIsRepeatedAndOthersAreNot() throws Exception {
         var seen = ConcurrentHashMap.<String>newKeySet();
-        start(text -> seen.add(text) ? new Deed(Deed.Kind.RESET_AFTER, null, null) : Deed.tag("OK"), always(Deed.tag("R")));
+        start(
+                text -> seen.add(text) ? new Deed(Deed.Kind.RESET_AFTER, null, null) : Deed.tag("OK"),
+                always(Deed.tag("R")));
         try (SqlClient client = client()) {
             assertEquals("C(OK)", client.ask("insert into posts (id, a) values (1, 2)"));
             assertEquals("E(40003)", client.ask("insert into other (id, a) values (1, 2)"));
@@ -207,7 +252,10 @@
     /** What is a string here would be code there. */
     @Test
     void aNodeThatCutsStringsOtherwiseIsNotUsed() throws Exception {
-        start(RULES.replace("trust_comments = true", "standard_conforming_strings = false"), always(Deed.tag("W")), always(Deed.tag("R")));
+        start(
+                RULES.replace("trust_comments = true", "standard_conforming_strings = false"),
+                always(Deed.tag("W")),
+                always(Deed.tag("R")));
         try (SqlClient client = client()) {
             assertEquals("E(53300)", client.ask("select 1"));
             assertTrue(nodes.stream().allMatch(node -> node.ran.isEmpty()));
@@ -217,7 +265,8 @@
     @Test
     void settingsAreAnsweredAndFollowTheSessionToEveryConnection() throws Exception {
         start(always(Deed.tag("W")), always(Deed.tag("R")));
-        try (SqlClient one = client("user", "u", "TimeZone", "UTC"); SqlClient other = client("user", "u")) {
+        try (SqlClient one = client("user", "u", "TimeZone", "UTC");
+                SqlClient other = client("user", "u")) {
             assertEquals("C(SET)", one.ask("SET extra_float_digits = 3"));
             assertEquals("C(R)", one.ask("select 1"));
             assertEquals("C(R)", other.ask("select 2"));
@@ -226,7 +275,8 @@
             assertEquals("C(RESET)", one.ask("reset timezone"));
             assertEquals("C(R)", one.ask("select 4"));
             assertEquals(0, runs("select 3"));
-            assertTrue(nodes.stream().flatMap(node -> node.tuned.stream())
+            assertTrue(nodes.stream()
+                    .flatMap(node -> node.tuned.stream())
                     .anyMatch("SET extra_float_digits TO 3;SET timezone TO 'UTC';"::equals));
         }
         var refused = new SqlClient(server.address(), "user", "u", "search_path", "x");
@@ -247,7 +297,9 @@
 
     @Test
     void anAnswerPastTheLimitIsToldAsOneAndNothingIsRepeated() throws Exception {
-        start(RULES.replace("trust_comments = true", "answer_bytes = 2000"), always(Deed.rows("x".repeat(3000))),
+        start(
+                RULES.replace("trust_comments = true", "answer_bytes = 2000"),
+                always(Deed.rows("x".repeat(3000))),
                 always(Deed.rows("x".repeat(1500))));
         try (SqlClient client = client()) {
             assertEquals("TDC(SELECT 1)", client.ask("select 1"));
@@ -262,10 +314,17 @@
     }
 
     static List<ByteBuf> spoilt() {
-        return List.of(part('D', Unpooled.buffer().writeShort(0)), Unpooled.EMPTY_BUFFER, part('T', Unpooled.buffer().writeShort(3)),
-                part('D', Unpooled.buffer().writeShort(1).writeInt(-2)), part('G', Unpooled.buffer().writeZero(3)),
-                part('T', Unpooled.buffer().writeShort(0)), Unpooled.buffer().writeByte('Z').writeInt(5).writeByte('T'),
-                Unpooled.wrappedBuffer(Deed.rows().answer().slice(0, 47), part('D', Unpooled.buffer().writeShort(1).writeInt(-1)),
+        return List.of(
+                part('D', Unpooled.buffer().writeShort(0)),
+                Unpooled.EMPTY_BUFFER,
+                part('T', Unpooled.buffer().writeShort(3)),
+                part('D', Unpooled.buffer().writeShort(1).writeInt(-2)),
+                part('G', Unpooled.buffer().writeZero(3)),
+                part('T', Unpooled.buffer().writeShort(0)),
+                Unpooled.buffer().writeByte('Z').writeInt(5).writeByte('T'),
+                Unpooled.wrappedBuffer(
+                        Deed.rows().answer().slice(0, 47),
+                        part('D', Unpooled.buffer().writeShort(1).writeInt(-1)),
                         part('C', SqlNode.text("SELECT 1"))));
     }
 
@@ -285,8 +344,12 @@
     void noticesEmptyAnswersAndSeveralResultsArePassedOn() throws Exception {
         ByteBuf notice = Encoder.error(false, "01000", "w", null);
         notice.setByte(0, 'N');
-        ByteBuf several = Unpooled.wrappedBuffer(notice.slice(0, notice.readableBytes() - 6), part('I', Unpooled.EMPTY_BUFFER),
-                Deed.rows("x").answer(), part('T', Unpooled.buffer().writeShort(0)), part('C', SqlNode.text("SELECT 0")));
+        ByteBuf several = Unpooled.wrappedBuffer(
+                notice.slice(0, notice.readableBytes() - 6),
+                part('I', Unpooled.EMPTY_BUFFER),
+                Deed.rows("x").answer(),
+                part('T', Unpooled.buffer().writeShort(0)),
+                part('C', SqlNode.text("SELECT 0")));
         start(always(Deed.bytes(several)), always(Deed.bytes(several)));
         try (SqlClient client = client()) {
             assertEquals("N(01000)ITDC(SELECT 1)TC(SELECT 0)", client.ask("select 1"));
@@ -296,13 +359,26 @@
 
     // ---- rules 1, 2 and 5 over many ----
 
-    private static final String[] READS = {"select a, b from t where c = %d", "select count(*) from t join u using (a) where b = %d",
-        "with x as (select %d as a) select * from x", "select lower(a) from t where b in (%d, 2) /* delete */",
-        "explain select a from t where b = %d", "values (%d)"};
-    private static final String[] WRITES = {"insert into posts (id, a) values (%d, 'x')", "update t set a = %d",
-        "with d as (delete from t where a = %d returning 1) select * from d", "select nextval('s'), %d",
-        "select a from t where b = %d for update", "select post_toll(%d)", "explain analyze delete from t where a = %d",
-        "select %d into x from t", "select 1; delete from t where a = %d", "select /* %d */ unknown(1)"};
+    private static final String[] READS = {
+        "select a, b from t where c = %d",
+        "select count(*) from t join u using (a) where b = %d",
+        "with x as (select %d as a) select * from x",
+        "select lower(a) from t where b in (%d, 2) /* delete */",
+        "explain select a from t where b = %d",
+        "values (%d)"
+    };
+    private static final String[] WRITES = {
+        "insert into posts (id, a) values (%d, 'x')",
+        "update t set a = %d",
+        "with d as (delete from t where a = %d returning 1) select * from d",
+        "select nextval('s'), %d",
+        "select a from t where b = %d for update",
+        "select post_toll(%d)",
+        "explain analyze delete from t where a = %d",
+        "select %d into x from t",
+        "select 1; delete from t where a = %d",
+        "select /* %d */ unknown(1)"
+    };
 
     @Test
     void ofManyStatementsNoWriteReachesAReplicaNoneRunsTwiceAndEachIsAnsweredOnce() throws Exception {
@@ -329,7 +405,8 @@
                 try (SqlClient client = client("user", "u", "application_name", "c" + number % 2)) {
                     for (int i = 0; i < each; i++) {
                         String[] forms = dice.nextInt(3) == 0 ? WRITES : READS;
-                        String text = forms[dice.nextInt(forms.length)].replace("%d", Integer.toString(number * each + i));
+                        String text =
+                                forms[dice.nextInt(forms.length)].replace("%d", Integer.toString(number * each + i));
                         answers.put(text, client.ask(text));
                         if (i % 500 == 499) { // a node loses all its connections
                             nodes.get(dice.nextInt(3)).connections.forEach(Channel::close);
@@ -356,19 +433,28 @@
             reads.add(node.ran.stream().filter(text -> !writes(text)).count());
         }
         // Reads take turns over the replicas; the primary gets those that both could not take.
-        assertTrue(reads.get(0) < reads.get(1) && reads.get(0) < reads.get(2)
-                && reads.get(1) < 2 * reads.get(2) && reads.get(2) < 2 * reads.get(1), reads.toString());
+        assertTrue(
+                reads.get(0) < reads.get(1)
+                        && reads.get(0) < reads.get(2)
+                        && reads.get(1) < 2 * reads.get(2)
+                        && reads.get(2) < 2 * reads.get(1),
+                reads.toString());
         for (var answered : answers.entrySet()) {
             String text = answered.getKey();
             int runs = ran.getOrDefault(text, 0);
             boolean keyed = text.startsWith("insert into posts");
             assertTrue(!writes(text) || runs <= 1 || keyed, text + " ran " + runs + " times");
-            boolean ok = answered.getValue().endsWith(")") && !answered.getValue().startsWith("E");
+            boolean ok =
+                    answered.getValue().endsWith(")") && !answered.getValue().startsWith("E");
             assertTrue(!ok || runs >= 1, text + " was answered but never ran");
             assertTrue(ok || answered.getValue().matches("E\\((53300|40003|XX000)\\)"), answered.getValue());
-            assertTrue(!answered.getValue().equals("E(53300)") || runs == 0 || !writes(text), text + " ran and was throttled");
+            assertTrue(
+                    !answered.getValue().equals("E(53300)") || runs == 0 || !writes(text),
+                    text + " ran and was throttled");
         }
-        long failed = answers.values().stream().filter(answer -> answer.startsWith("E")).count();
+        long failed = answers.values().stream()
+                .filter(answer -> answer.startsWith("E"))
+                .count();
         assertTrue(failed < clients * each / 20, failed + " failed");
     }
 
@@ -385,11 +471,17 @@
 
     @Test
     void theJdbcDriverConnectsQueriesAndWrites() throws Exception {
-        start(always(Deed.tag("INSERT 0 1")), text -> text.contains("missing") ? Deed.error("42P01") : Deed.rows("one", "two"));
+        start(
+                always(Deed.tag("INSERT 0 1")),
+                text -> text.contains("missing") ? Deed.error("42P01") : Deed.rows("one", "two"));
         var address = server.address();
-        try (Connection connection = DriverManager.getConnection("jdbc:postgresql://127.0.0.1:" + address.getPort()
-                + "/core?preferQueryMode=simple&sslmode=disable&gssEncMode=disable&ApplicationName=test", "u", "")) {
-            try (var statement = connection.createStatement(); var rows = statement.executeQuery("select a, b from t")) {
+        try (Connection connection = DriverManager.getConnection(
+                "jdbc:postgresql://127.0.0.1:" + address.getPort()
+                        + "/core?preferQueryMode=simple&sslmode=disable&gssEncMode=disable&ApplicationName=test",
+                "u",
+                "")) {
+            try (var statement = connection.createStatement();
+                    var rows = statement.executeQuery("select a, b from t")) {
                 assertTrue(rows.next());
                 assertEquals("one", rows.getString(1));
                 assertEquals(null, rows.getString("b"));
@@ -401,14 +493,19 @@
                 assertEquals(1, insert.executeUpdate());
             }
             try (var statement = connection.createStatement()) {
-                SQLException missing = assertThrows(SQLException.class, () -> statement.executeQuery("select * from missing"));
+                SQLException missing =
+                        assertThrows(SQLException.class, () -> statement.executeQuery("select * from missing"));
                 assertEquals("42P01", missing.getSQLState());
                 connection.setAutoCommit(false);
                 SQLException block = assertThrows(SQLException.class, () -> statement.executeQuery("select 1"));
                 assertEquals("0A000", block.getSQLState());
             }
         }
-        assertTrue(nodes.get(0).ran.stream().anyMatch(text -> text.contains("it''s")), () -> nodes.get(0).ran.toString());
-        assertTrue(nodes.stream().flatMap(node -> node.tuned.stream()).anyMatch(text -> text.contains("application_name TO 'test'")));
+        assertTrue(
+                nodes.get(0).ran.stream().anyMatch(text -> text.contains("it''s")),
+                () -> nodes.get(0).ran.toString());
+        assertTrue(nodes.stream()
+                .flatMap(node -> node.tuned.stream())
+                .anyMatch(text -> text.contains("application_name TO 'test'")));
     }
 }
--- a/daemon/src/test/java/clayhook/transport/TransportTest.java
+++ b/daemon/src/test/java/clayhook/transport/TransportTest.java
@@ -33,11 +33,20 @@
     /** All that hears of a failure belongs to the loop; on another thread it crosses what the loop does just then. */
     @Test
     void aConnectionForWhichNoDescriptorIsLeftFailsOnTheLoopOnceItsCallerIsDone() throws Exception {
-        transport.loop().submit(() -> {
-            transport.connect(new InetSocketAddress("127.0.0.1", 1), 1, () -> new ChannelHandler[0],
-                    () -> heard.add(transport.loop().inEventLoop() ? "on the loop" : "on " + Thread.currentThread().getName()));
-            heard.add("called");
-        }).get();
+        transport
+                .loop()
+                .submit(() -> {
+                    transport.connect(
+                            new InetSocketAddress("127.0.0.1", 1),
+                            1,
+                            () -> new ChannelHandler[0],
+                            () -> heard.add(
+                                    transport.loop().inEventLoop()
+                                            ? "on the loop"
+                                            : "on " + Thread.currentThread().getName()));
+                    heard.add("called");
+                })
+                .get();
         assertEquals("called", heard.take());
         assertEquals("on the loop", heard.take());
         assertTrue(heard.isEmpty());
@@ -48,13 +57,18 @@
     void closingFromWithinATurnLeavesNothingOpen() throws Exception {
         Transport asked = Transport.tcp();
         var accepted = new LinkedBlockingQueue<Channel>();
-        Channel listening = asked.listen(asked.spare(0), () -> new ChannelHandler[] {new ChannelInboundHandlerAdapter() {
-            @Override
-            public void channelActive(ChannelHandlerContext ctx) {
-                accepted.add(ctx.channel());
+        Channel listening = asked.listen(asked.spare(0), () -> new ChannelHandler[] {
+            new ChannelInboundHandlerAdapter() {
+                @Override
+                public void channelActive(ChannelHandlerContext ctx) {
+                    accepted.add(ctx.channel());
+                }
             }
-        }});
-        Channel connected = asked.connect((InetSocketAddress) listening.localAddress(), 20, () -> new ChannelHandler[0],
+        });
+        Channel connected = asked.connect(
+                (InetSocketAddress) listening.localAddress(),
+                20,
+                () -> new ChannelHandler[0],
                 () -> heard.add("failed"));
         Channel other = accepted.take();
         asked.loop().submit(asked::close).get();
@@ -67,8 +81,11 @@
     @ValueSource(booleans = {true, false})
     void aSocketThatCannotBeMadeIsToldOnTheLoop(boolean fromTheLoop) throws Exception {
         var toldOnTheLoop = new CompletableFuture<Boolean>();
-        Runnable connect = () -> transport.connect(new InetSocketAddress("127.0.0.1", 1), 1,
-                () -> new ChannelHandler[0], () -> toldOnTheLoop.complete(transport.loop().inEventLoop()));
+        Runnable connect = () -> transport.connect(
+                new InetSocketAddress("127.0.0.1", 1),
+                1,
+                () -> new ChannelHandler[0],
+                () -> toldOnTheLoop.complete(transport.loop().inEventLoop()));
         if (fromTheLoop) {
             transport.loop().submit(connect).get();
         } else {
--- a/fleet/src/main/java/clayhook/fleet/Fleet.java
+++ b/fleet/src/main/java/clayhook/fleet/Fleet.java
@@ -16,6 +16,7 @@
         public final Map<Packet.Read.Why, Long> dropped = new EnumMap<>(Packet.Read.Why.class);
         /** What went out. */
         public long sent;
+
         public long sentBytes;
     }
 
--- a/fleet/src/main/java/clayhook/fleet/Kind.java
+++ b/fleet/src/main/java/clayhook/fleet/Kind.java
@@ -1,8 +1,8 @@
 package clayhook.fleet;
 
 /**
- * A kind of value that routers share under a key. Two copies that differ are joined; whoever hears one twice, late or over
- * three ways comes to the same.
+ * A kind of value that routers share under a key. Two copies that differ are joined; whoever hears one twice, late or
+ * over three ways comes to the same.
  */
 public interface Kind<V> {
     /** Its number on the wire, never given to another kind. */
@@ -33,7 +33,10 @@
         return true;
     }
 
-    /** Fields in order; a later release may only add some at the end. At most {@code Packet.LONGEST_PART} less the key's bytes. */
+    /**
+     * Fields in order; a later release may only add some at the end. At most {@code Packet.LONGEST_PART} less the key's
+     * bytes.
+     */
     void write(V value, Writer out);
 
     /** Throws IllegalArgumentException for what cannot be. */
--- a/fleet/src/main/java/clayhook/fleet/Member.java
+++ b/fleet/src/main/java/clayhook/fleet/Member.java
@@ -9,7 +9,8 @@
  * @param boot when this life began, in milliseconds since 1970; of two lives of one name the later one counts
  */
 public record Member(String name, long boot) implements Comparable<Member> {
-    private static final Comparator<Member> ORDER = Comparator.comparing(Member::name).thenComparingLong(Member::boot);
+    private static final Comparator<Member> ORDER =
+            Comparator.comparing(Member::name).thenComparingLong(Member::boot);
 
     @Override
     public int compareTo(Member other) {
--- a/fleet/src/main/java/clayhook/fleet/Packer.java
+++ b/fleet/src/main/java/clayhook/fleet/Packer.java
@@ -28,7 +28,8 @@
     public void add(Address to, Part part) {
         byte[] bytes = Packet.encode(part);
         if (bytes.length > Packet.LONGEST_PART) {
-            throw new IllegalArgumentException("a part of " + bytes.length + " bytes: " + part.getClass().getSimpleName());
+            throw new IllegalArgumentException(
+                    "a part of " + bytes.length + " bytes: " + part.getClass().getSimpleName());
         }
         Bundle bundle = bundles.computeIfAbsent(to, any -> new Bundle());
         if (!bundle.parts.isEmpty() && Packet.frame(self) + bundle.room + Packet.room(bytes) > Packet.LONGEST) {
--- a/fleet/src/main/java/clayhook/fleet/Packet.java
+++ b/fleet/src/main/java/clayhook/fleet/Packet.java
@@ -8,9 +8,9 @@
 import java.util.function.Function;
 
 /**
- * What one datagram holds: a hash of all that follows it, then as CBOR the version, the sender, and the parts, each as its
- * number and its bytes. Whatever is spoilt on the way, is of another version or holds kinds that are not known costs only
- * itself.
+ * What one datagram holds: a hash of all that follows it, then as CBOR the version, the sender, and the parts, each as
+ * its number and its bytes. Whatever is spoilt on the way, is of another version or holds kinds that are not known
+ * costs only itself.
  */
 public final class Packet {
     /** Raised when what a packet is made of changes; parts and fields may be added without. */
@@ -29,19 +29,20 @@
     /** What came of taking bytes apart. */
     public sealed interface Read {
         /** @param unknown parts of kinds that this release does not know, or that could not be read */
-        record Whole(Member from, List<Part> parts, int unknown) implements Read {
-        }
+        record Whole(Member from, List<Part> parts, int unknown) implements Read {}
 
         /** Nothing of it counts. */
-        record Dropped(Why why) implements Read {
-        }
+        record Dropped(Why why) implements Read {}
 
         /** Why nothing counts: it was cut or garbled, another release wrote it, or it makes no sense. */
-        enum Why { GARBLED, VERSION, SENSELESS }
+        enum Why {
+            GARBLED,
+            VERSION,
+            SENSELESS
+        }
     }
 
-    private Packet() {
-    }
+    private Packet() {}
 
     /** A part as it stands in a packet. */
     static byte[] encode(Part part) {
@@ -61,18 +62,23 @@
     }
 
     static byte[] encode(Member from, List<Integer> numbers, List<byte[]> parts) {
-        var out = new Writer().whole(VERSION).text(from.name()).whole(from.boot()).begin();
+        var out =
+                new Writer().whole(VERSION).text(from.name()).whole(from.boot()).begin();
         for (int i = 0; i < parts.size(); i++) {
             out.begin().whole(numbers.get(i)).bytes(parts.get(i)).end();
         }
         byte[] body = out.end().done();
-        return ByteBuffer.allocate(HASH + body.length).putLong(Hashing.komihash5_0().hashBytesToLong(body)).put(body).array();
+        return ByteBuffer.allocate(HASH + body.length)
+                .putLong(Hashing.komihash5_0().hashBytesToLong(body))
+                .put(body)
+                .array();
     }
 
     /** Takes bytes from outside apart. */
     public static Read decode(byte[] bytes, Map<Integer, Function<Reader, ? extends Part>> known) {
-        if (bytes.length <= HASH || ByteBuffer.wrap(bytes).getLong()
-                != Hashing.komihash5_0().hashBytesToLong(bytes, HASH, bytes.length - HASH)) {
+        if (bytes.length <= HASH
+                || ByteBuffer.wrap(bytes).getLong()
+                        != Hashing.komihash5_0().hashBytesToLong(bytes, HASH, bytes.length - HASH)) {
             return new Read.Dropped(Read.Why.GARBLED);
         }
         try {
--- a/fleet/src/main/java/clayhook/fleet/Peer.java
+++ b/fleet/src/main/java/clayhook/fleet/Peer.java
@@ -1,5 +1,4 @@
 package clayhook.fleet;
 
 /** Another router and where its packets come from and go to. */
-public record Peer(Member member, Address address) {
-}
+public record Peer(Member member, Address address) {}
--- a/fleet/src/main/java/clayhook/fleet/Reader.java
+++ b/fleet/src/main/java/clayhook/fleet/Reader.java
@@ -8,8 +8,8 @@
 import java.util.function.Function;
 
 /**
- * Reads a list of fields as {@link Writer} wrote it. Whatever does not fit throws IllegalArgumentException, which stops where
- * packets are taken apart. Fields that a later release has added are left unread.
+ * Reads a list of fields as {@link Writer} wrote it. Whatever does not fit throws IllegalArgumentException, which stops
+ * where packets are taken apart. Fields that a later release has added are left unread.
  */
 public final class Reader {
     /** Of one text; names and keys are far shorter. */
@@ -60,7 +60,7 @@
             switch (next()) {
                 case START_ARRAY, START_OBJECT -> depth++;
                 case END_ARRAY, END_OBJECT -> depth--;
-                default -> { }
+                default -> {}
             }
         }
     }
--- a/fleet/src/main/java/clayhook/fleet/Roster.java
+++ b/fleet/src/main/java/clayhook/fleet/Roster.java
@@ -7,10 +7,15 @@
     /** This router itself. */
     Peer self();
 
-    /** The others that are alive or only suspected, each name once, in order of their names. The list does not change. */
+    /**
+     * The others that are alive or only suspected, each name once, in order of their names. The list does not change.
+     */
     List<Peer> others();
 
-    /** The others that may still serve: those, and the ones that fell silent less than the time after which they count as dead. */
+    /**
+     * The others that may still serve: those, and the ones that fell silent less than the time after which they count
+     * as dead.
+     */
     List<Member> mayServe(double now);
 
     /** Whether that life of a router is one of {@link #others()}. */
--- a/fleet/src/main/java/clayhook/fleet/Shared.java
+++ b/fleet/src/main/java/clayhook/fleet/Shared.java
@@ -13,7 +13,10 @@
         void changed(String key, V value, double now);
     }
 
-    /** Joins that value in; what this changes is told to the others. Returns the joined one, or null where it is too old or below the floor. */
+    /**
+     * Joins that value in; what this changes is told to the others. Returns the joined one, or null where it is too old
+     * or below the floor.
+     */
     <V> V put(Kind<V> kind, String key, V value, double now);
 
     /** Null where this copy has none. */
@@ -25,12 +28,15 @@
 
     int size(Kind<?> kind);
 
-    /** What may have been dropped for want of room: of values as old as that or older, absence tells nothing. Negative infinity for none. */
+    /**
+     * What may have been dropped for want of room: of values as old as that or older, absence tells nothing. Negative
+     * infinity for none.
+     */
     double floor(Kind<?> kind);
 
     /**
-     * Up to when this copy has whatever each member that may serve has put in, seconds since 1970: of values younger than that,
-     * absence tells nothing. Negative infinity while it is being brought up.
+     * Up to when this copy has whatever each member that may serve has put in, seconds since 1970: of values younger
+     * than that, absence tells nothing. Negative infinity while it is being brought up.
      */
     double certainUpTo(double now);
 
--- a/fleet/src/main/java/clayhook/fleet/kinds/Check.java
+++ b/fleet/src/main/java/clayhook/fleet/kinds/Check.java
@@ -1,6 +1,9 @@
 package clayhook.fleet.kinds;
 
-/** What may stand in a value. All that comes from outside goes through here; what cannot be throws IllegalArgumentException. */
+/**
+ * What may stand in a value. All that comes from outside goes through here; what cannot be throws
+ * IllegalArgumentException.
+ */
 final class Check {
     /** Seconds since 1970, of the year 2286; what is beyond is no time of ours. */
     static final double LATEST = 1e10;
@@ -9,10 +12,11 @@
     /** Node groups are counted from 0; far more than anyone has. */
     static final int MOST_GROUPS = 1 << 20;
 
-    private Check() {
-    }
+    private Check() {}
 
-    /** From 0 to {@code most}; zero for minus zero. Guards against joins that go by order, as these two compare equal. */
+    /**
+     * From 0 to {@code most}; zero for minus zero. Guards against joins that go by order, as these two compare equal.
+     */
     static double within(double value, double most, String what) {
         if (!(value >= 0 && value <= most)) {
             throw new IllegalArgumentException(what + " of " + value);
@@ -31,8 +35,8 @@
     }
 
     /**
-     * A text of at most so many bytes in UTF-8, without control characters. Guards against halves of characters, which can be
-     * read from garbled bytes but not be written again.
+     * A text of at most so many bytes in UTF-8, without control characters. Guards against halves of characters, which
+     * can be read from garbled bytes but not be written again.
      */
     static String text(String value, int most, String what) {
         that(value != null && bytes(value) <= most, what);
@@ -45,7 +49,8 @@
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
             if (Character.isSurrogate(c)) {
-                boolean pair = Character.isHighSurrogate(c) && i + 1 < text.length()
+                boolean pair = Character.isHighSurrogate(c)
+                        && i + 1 < text.length()
                         && Character.isLowSurrogate(text.charAt(i + 1));
                 if (!pair) {
                     return Integer.MAX_VALUE;
