--- a/fleet/src/main/java/clayhook/fleet/kinds/Evidence.java
+++ b/fleet/src/main/java/clayhook/fleet/kinds/Evidence.java
@@ -12,8 +12,9 @@
 import java.util.stream.Stream;
 
 /**
- * What routers have seen of a node in one life of it; the key is the node's id. Of two lives the later one counts whole; within
- * a life each field goes by the later sight. All times are of whoever saw it, so passing a word on never makes it young.
+ * What routers have seen of a node in one life of it; the key is the node's id. Of two lives the later one counts
+ * whole; within a life each field goes by the later sight. All times are of whoever saw it, so passing a word on never
+ * makes it young.
  *
  * @param nodeStart when that life began, as the list told it, seconds since 1970; 0 for long ago
  * @param newest of all sights, of earlier lives too, seconds since 1970
@@ -24,10 +25,20 @@
  * @param primary the newest word of its own that it is primary
  * @param replica the newest word of its own that it is not
  * @param heard when it last answered anything
- * @param strikes who failed to get an answer since then; newest first, one for each router, at most {@value #MOST_STRIKES}
+ * @param strikes who failed to get an answer since then; newest first, one for each router, at most
+ *     {@value #MOST_STRIKES}
  */
-public record Evidence(double nodeStart, double newest, Seen position, Seen lag, Seen slowness, Seen load,
-        Sight primary, Sight replica, Sight heard, List<Strike> strikes) {
+public record Evidence(
+        double nodeStart,
+        double newest,
+        Seen position,
+        Seen lag,
+        Seen slowness,
+        Seen load,
+        Sight primary,
+        Sight replica,
+        Sight heard,
+        List<Strike> strikes) {
     /** Two make a state; some more show that it is no router's own trouble. */
     static final int MOST_STRIKES = 4;
     /** Sights in one value: eleven now, with room for later releases. */
@@ -38,8 +49,9 @@
     /** A router's failures with a node without an answer between; {@code count} from 1 on. */
     public record Strike(Sight sight, int count) {
         private static final int MOST = 1000;
-        private static final Comparator<Strike> NEWEST_FIRST =
-                Comparator.comparing(Strike::sight).thenComparingInt(Strike::count).reversed();
+        private static final Comparator<Strike> NEWEST_FIRST = Comparator.comparing(Strike::sight)
+                .thenComparingInt(Strike::count)
+                .reversed();
 
         public Strike {
             Check.that(count > 0 && count <= MOST, "number of strikes");
@@ -67,7 +79,9 @@
             return value.newest;
         }
 
-        /** Seconds: some times as long as a reader believes any of it; what nobody has seen for longer is no evidence. */
+        /**
+         * Seconds: some times as long as a reader believes any of it; what nobody has seen for longer is no evidence.
+         */
         @Override
         public double keep() {
             return 30;
@@ -96,10 +110,15 @@
         most(lag, MOST_LAG, "lag");
         most(slowness, MOST_SLOWNESS, "slowness");
         most(load, MOST_LOAD, "load");
-        Check.that(position == null || position.value() <= position.sight().at() + Check.CLOCKS, "position of the future");
+        Check.that(
+                position == null || position.value() <= position.sight().at() + Check.CLOCKS, "position of the future");
         strikes = since(heard, strikes);
-        newest = Math.max(newest, Stream.concat(sights(position, lag, slowness, load),
-                sightsOf(primary, replica, heard, strikes)).mapToDouble(Sight::at).max().orElse(0));
+        newest = Math.max(
+                newest,
+                Stream.concat(sights(position, lag, slowness, load), sightsOf(primary, replica, heard, strikes))
+                        .mapToDouble(Sight::at)
+                        .max()
+                        .orElse(0));
         Check.that(nodeStart <= newest + Check.CLOCKS, "start in the future");
     }
 
@@ -110,9 +129,11 @@
     /** Those that count, in their order: older ones than the last answer never come to count again. */
     private static List<Strike> since(Sight heard, List<Strike> strikes) {
         var routers = new HashSet<String>();
-        return strikes.stream().sorted(Strike.NEWEST_FIRST)
+        return strikes.stream()
+                .sorted(Strike.NEWEST_FIRST)
                 .filter(strike -> (heard == null || strike.sight.at() > heard.at()) && routers.add(strike.sight.by()))
-                .limit(MOST_STRIKES).toList();
+                .limit(MOST_STRIKES)
+                .toList();
     }
 
     /** Nothing yet of that life of a node. */
@@ -145,13 +166,15 @@
 
     /** Time of its answers over the response target. */
     public Evidence pace(double part, Sight sight) {
-        return !sane(part, MOST_SLOWNESS) ? this
+        return !sane(part, MOST_SLOWNESS)
+                ? this
                 : join(with(null, null, new Seen(part, sight), null, null, null, null, List.of()));
     }
 
     /** Commands that it reported to hold. */
     public Evidence load(double commands, Sight sight) {
-        return !sane(commands, MOST_LOAD) ? this
+        return !sane(commands, MOST_LOAD)
+                ? this
                 : join(with(null, null, null, new Seen(commands, sight), null, null, null, List.of()));
     }
 
@@ -159,7 +182,14 @@
         return value >= 0 && value <= most;
     }
 
-    private Evidence with(Seen position, Seen lag, Seen slowness, Seen load, Sight primary, Sight replica, Sight heard,
+    private Evidence with(
+            Seen position,
+            Seen lag,
+            Seen slowness,
+            Seen load,
+            Sight primary,
+            Sight replica,
+            Sight heard,
             List<Strike> strikes) {
         return new Evidence(nodeStart, newest, position, lag, slowness, load, primary, replica, heard, strikes);
     }
@@ -167,12 +197,28 @@
     private Evidence join(Evidence other) {
         if (nodeStart != other.nodeStart) {
             Evidence life = nodeStart > other.nodeStart ? this : other;
-            return new Evidence(life.nodeStart, Math.max(newest, other.newest), life.position, life.lag, life.slowness,
-                    life.load, life.primary, life.replica, life.heard, life.strikes);
+            return new Evidence(
+                    life.nodeStart,
+                    Math.max(newest, other.newest),
+                    life.position,
+                    life.lag,
+                    life.slowness,
+                    life.load,
+                    life.primary,
+                    life.replica,
+                    life.heard,
+                    life.strikes);
         }
-        return new Evidence(nodeStart, Math.max(newest, other.newest), Sight.later(position, other.position),
-                Sight.later(lag, other.lag), Sight.later(slowness, other.slowness), Sight.later(load, other.load),
-                Sight.later(primary, other.primary), Sight.later(replica, other.replica), Sight.later(heard, other.heard),
+        return new Evidence(
+                nodeStart,
+                Math.max(newest, other.newest),
+                Sight.later(position, other.position),
+                Sight.later(lag, other.lag),
+                Sight.later(slowness, other.slowness),
+                Sight.later(load, other.load),
+                Sight.later(primary, other.primary),
+                Sight.later(replica, other.replica),
+                Sight.later(heard, other.heard),
                 Stream.concat(strikes.stream(), other.strikes.stream()).toList());
     }
 
@@ -181,24 +227,31 @@
     }
 
     private static Stream<Sight> sightsOf(Sight primary, Sight replica, Sight heard, List<Strike> strikes) {
-        return Stream.concat(Stream.of(primary, replica, heard).filter(Objects::nonNull), strikes.stream().map(Strike::sight));
+        return Stream.concat(
+                Stream.of(primary, replica, heard).filter(Objects::nonNull),
+                strikes.stream().map(Strike::sight));
     }
 
     /** One answer tells most fields at once: each sight stands once, fields name its place. */
     private void write(Writer out) {
         var sights = new ArrayList<>(new LinkedHashSet<>(
-                Stream.concat(sights(position, lag, slowness, load), sightsOf(primary, replica, heard, strikes)).toList()));
+                Stream.concat(sights(position, lag, slowness, load), sightsOf(primary, replica, heard, strikes))
+                        .toList()));
         out.number(nodeStart).number(newest).begin();
         sights.forEach(sight -> out.begin().number(sight.at()).text(sight.by()).end());
         out.end();
         for (Seen figure : new Seen[] {position, lag, slowness, load}) {
-            out.whole(figure == null ? 0 : 1 + sights.indexOf(figure.sight())).number(figure == null ? 0 : figure.value());
+            out.whole(figure == null ? 0 : 1 + sights.indexOf(figure.sight()))
+                    .number(figure == null ? 0 : figure.value());
         }
         for (Sight sight : new Sight[] {primary, replica, heard}) {
             out.whole(1 + sights.indexOf(sight));
         }
         out.begin();
-        strikes.forEach(strike -> out.begin().whole(1 + sights.indexOf(strike.sight)).whole(strike.count).end());
+        strikes.forEach(strike -> out.begin()
+                .whole(1 + sights.indexOf(strike.sight))
+                .whole(strike.count)
+                .end());
         out.end();
     }
 
@@ -206,8 +259,17 @@
         double nodeStart = in.number();
         double newest = in.number();
         List<Sight> sights = in.lists(MOST_SIGHTS, each -> new Sight(each.number(), each.name()));
-        return new Evidence(nodeStart, newest, seen(in, sights), seen(in, sights), seen(in, sights), seen(in, sights),
-                sight(in, sights), sight(in, sights), sight(in, sights), in.lists(MOST_SIGHTS, each -> strike(each, sights)));
+        return new Evidence(
+                nodeStart,
+                newest,
+                seen(in, sights),
+                seen(in, sights),
+                seen(in, sights),
+                seen(in, sights),
+                sight(in, sights),
+                sight(in, sights),
+                sight(in, sights),
+                in.lists(MOST_SIGHTS, each -> strike(each, sights)));
     }
 
     private static Seen seen(Reader in, List<Sight> sights) {
--- a/fleet/src/main/java/clayhook/fleet/kinds/Fate.java
+++ b/fleet/src/main/java/clayhook/fleet/kinds/Fate.java
@@ -6,18 +6,24 @@
 import java.util.Comparator;
 
 /**
- * What routers know of whether a keyed or mutating command has run; the key is the command's mark or id. Knowledge beats
- * doubt; one witness that it ran against one that it did not is a conflict, which is kept with both and never decided here.
+ * What routers know of whether a keyed or mutating command has run; the key is the command's mark or id. Knowledge
+ * beats doubt; one witness that it ran against one that it did not is a conflict, which is kept with both and never
+ * decided here.
  *
  * @param first its first dispatch as known, with what it was
  * @param ran the earliest witness that it ran; null for none
- * @param notRun the earliest witness that it has not run and will not: of the command, not of one attempt that never left, as
- *        another router may have made another attempt; null for none
+ * @param notRun the earliest witness that it has not run and will not: of the command, not of one attempt that never
+ *     left, as another router may have made another attempt; null for none
  * @param newest time of any word on it, seconds since 1970
  */
 public record Fate(Sent first, Witness ran, Witness notRun, double newest) {
     /** What is known. */
-    public enum Knowledge { UNKNOWN, RAN, NOT_RUN, CONFLICT }
+    public enum Knowledge {
+        UNKNOWN,
+        RAN,
+        NOT_RUN,
+        CONFLICT
+    }
 
     /** Seconds: a day, in which an operator asks about charges in doubt. */
     private static final double DAY = 86_400;
@@ -27,28 +33,32 @@
     private static final int LONGEST_LABEL = 128, LONGEST_LABEL_BYTES = 256;
 
     /**
-     * A command as it was first sent. Of two words on one command the smaller counts: the earlier, then by group, name and
-     * label, any label before none.
+     * A command as it was first sent. Of two words on one command the smaller counts: the earlier, then by group, name
+     * and label, any label before none.
      *
      * @param at seconds since 1970
      * @param commandGroup name of the command group
      * @param label a short text for people; null for none
      */
     public record Sent(double at, int nodeGroup, String commandGroup, String label) implements Comparable<Sent> {
-        private static final Comparator<Sent> ORDER = Comparator.comparingDouble(Sent::at).thenComparingInt(Sent::nodeGroup)
-                .thenComparing(Sent::commandGroup).thenComparing(Sent::label, Comparator.nullsLast(Comparator.naturalOrder()));
+        private static final Comparator<Sent> ORDER = Comparator.comparingDouble(Sent::at)
+                .thenComparingInt(Sent::nodeGroup)
+                .thenComparing(Sent::commandGroup)
+                .thenComparing(Sent::label, Comparator.nullsLast(Comparator.naturalOrder()));
 
         public Sent {
             at = Check.time(at);
             Check.that(nodeGroup >= 0 && nodeGroup < Check.MOST_GROUPS, "group");
             Check.text(commandGroup, Keys.LONGEST_NAME, "command group");
-            Check.that(label == null || label.length() <= LONGEST_LABEL
-                    && Check.bytes(label) <= LONGEST_LABEL_BYTES, "label");
+            Check.that(
+                    label == null || label.length() <= LONGEST_LABEL && Check.bytes(label) <= LONGEST_LABEL_BYTES,
+                    "label");
         }
 
         /** Of texts of any length, which are cut. */
         public static Sent of(double at, int nodeGroup, String commandGroup, String label) {
-            return new Sent(at, nodeGroup, Keys.name(commandGroup), label == null ? null : Keys.cut(label, LONGEST_LABEL));
+            return new Sent(
+                    at, nodeGroup, Keys.name(commandGroup), label == null ? null : Keys.cut(label, LONGEST_LABEL));
         }
 
         @Override
@@ -57,9 +67,13 @@
         }
     }
 
-    /** Who knows: a router, from which node, and when it learned it. The smaller is the earlier, then by router and node. */
+    /**
+     * Who knows: a router, from which node, and when it learned it. The smaller is the earlier, then by router and
+     * node.
+     */
     public record Witness(Sight sight, String node) implements Comparable<Witness> {
-        private static final Comparator<Witness> ORDER = Comparator.comparing(Witness::sight).thenComparing(Witness::node);
+        private static final Comparator<Witness> ORDER =
+                Comparator.comparing(Witness::sight).thenComparing(Witness::node);
 
         public Witness {
             Check.text(node, Keys.LONGEST_NAME, "node");
@@ -95,7 +109,10 @@
 
         @Override
         public Fate join(Fate a, Fate b) {
-            return new Fate(earlier(a.first, b.first), earlier(a.ran, b.ran), earlier(a.notRun, b.notRun),
+            return new Fate(
+                    earlier(a.first, b.first),
+                    earlier(a.ran, b.ran),
+                    earlier(a.notRun, b.notRun),
                     Math.max(a.newest, b.newest));
         }
 
@@ -123,7 +140,11 @@
         @Override
         public void write(Fate value, Writer out) {
             Sent first = value.first;
-            out.number(first.at).whole(first.nodeGroup).text(first.commandGroup).text(first.label).number(value.newest);
+            out.number(first.at)
+                    .whole(first.nodeGroup)
+                    .text(first.commandGroup)
+                    .text(first.label)
+                    .number(value.newest);
             write(value.ran, out);
             write(value.notRun, out);
         }
--- a/fleet/src/main/java/clayhook/fleet/kinds/Fates.java
+++ b/fleet/src/main/java/clayhook/fleet/kinds/Fates.java
@@ -14,7 +14,8 @@
 public final class Fates {
     /** Of one command. */
     public record Row(String key, Fate fate) {
-        static final Comparator<Row> ORDER = Comparator.comparing((Row row) -> row.fate.first()).thenComparing(Row::key);
+        static final Comparator<Row> ORDER =
+                Comparator.comparing((Row row) -> row.fate.first()).thenComparing(Row::key);
     }
 
     /** More conflicts than anyone reads; one beyond is counted and shown, but perhaps told twice. */
--- a/fleet/src/main/java/clayhook/fleet/kinds/Hearsay.java
+++ b/fleet/src/main/java/clayhook/fleet/kinds/Hearsay.java
@@ -9,14 +9,15 @@
 import java.util.Map;
 
 /**
- * What the other routers have seen of nodes, as this one may believe it: on this router's clock, never younger than it was,
- * weighed by age and source, without this router's own words, which come back from others and would count twice.
+ * What the other routers have seen of nodes, as this one may believe it: on this router's clock, never younger than it
+ * was, weighed by age and source, without this router's own words, which come back from others and would count twice.
  */
 public final class Hearsay {
     /** Seconds: what is older weighs nothing; a few turns of a router's own looks. */
     static final double LASTS = 10;
     /** What a word that is quite young weighs beside an own one: of a router that lives, and of one that went. */
     static final double OF_LIVING = 0.5, OF_GONE = 0.25;
+
     private static final double NEVER = Double.NEGATIVE_INFINITY;
 
     /**
@@ -25,18 +26,33 @@
      * @param position stays valid once told, whatever its age; 0 for never told
      * @param failed when it last failed a router since it was last heard by any; within {@value #LASTS} s
      * @param strikes the routers other than this that it failed since then
-     * @param slownessWeight how much to believe the slowness beside an own figure, 0 to {@value #OF_LIVING}; so with the load
+     * @param slownessWeight how much to believe the slowness beside an own figure, 0 to {@value #OF_LIVING}; so with
+     *     the load
      */
-    public record Word(double nodeStart, double position, double positionAt, double lag, double lagAt, double primaryAt,
-            double replicaAt, double heardAt, double failedAt, int strikes, double slowness, double slownessWeight,
-            double load, double loadWeight) {
-    }
+    public record Word(
+            double nodeStart,
+            double position,
+            double positionAt,
+            double lag,
+            double lagAt,
+            double primaryAt,
+            double replicaAt,
+            double heardAt,
+            double failedAt,
+            int strikes,
+            double slowness,
+            double slownessWeight,
+            double load,
+            double loadWeight) {}
 
     private final Shared shared;
     private final Roster roster;
     private final String self;
-    /** Those of {@link #listed}, by their names as sights have them; made anew when the roster's list is another one. */
+    /**
+     * Those of {@link #listed}, by their names as sights have them; made anew when the roster's list is another one.
+     */
     private final Map<String, Member> members = new HashMap<>();
+
     private List<Peer> listed;
 
     public Hearsay(Shared shared, Roster roster) {
@@ -54,12 +70,26 @@
         }
         knowMembers();
         List<Evidence.Strike> strikes = told.strikes().stream()
-                .filter(strike -> now - at(strike.sight(), now) <= LASTS).toList();
-        return new Word(told.nodeStart(), at(told.position(), now) == NEVER ? 0 : told.position().value(),
-                at(told.position(), now), value(told.lag()), at(told.lag(), now), at(told.primary(), now),
-                at(told.replica(), now), at(told.heard(), now),
-                strikes.stream().mapToDouble(strike -> at(strike.sight(), now)).max().orElse(NEVER), strikes.size(),
-                value(told.slowness()), weight(told.slowness(), now), value(told.load()), weight(told.load(), now));
+                .filter(strike -> now - at(strike.sight(), now) <= LASTS)
+                .toList();
+        return new Word(
+                told.nodeStart(),
+                at(told.position(), now) == NEVER ? 0 : told.position().value(),
+                at(told.position(), now),
+                value(told.lag()),
+                at(told.lag(), now),
+                at(told.primary(), now),
+                at(told.replica(), now),
+                at(told.heard(), now),
+                strikes.stream()
+                        .mapToDouble(strike -> at(strike.sight(), now))
+                        .max()
+                        .orElse(NEVER),
+                strikes.size(),
+                value(told.slowness()),
+                weight(told.slowness(), now),
+                value(told.load()),
+                weight(told.load(), now));
     }
 
     private void knowMembers() {
--- a/fleet/src/main/java/clayhook/fleet/kinds/Keys.java
+++ b/fleet/src/main/java/clayhook/fleet/kinds/Keys.java
@@ -7,15 +7,16 @@
 final class Keys {
     /** Bytes of a name of a router, node, zone or command group within a value; a value must hold eleven. */
     static final int LONGEST_NAME = 48;
-    /** Bytes of a node's id, a session or a mark as a key; a store may ask that key and value be a thousand at the most. */
+    /**
+     * Bytes of a node's id, a session or a mark as a key; a store may ask that key and value be a thousand at the most.
+     */
     static final int LONGEST_TEXT = 150;
     /** The separator of units in ASCII; no name holds a control character once it is cut. */
     private static final String BETWEEN = "\u001f";
     /** A tilde and a hash. */
     private static final int TAIL = 17;
 
-    private Keys() {
-    }
+    private Keys() {}
 
     static String of(String... parts) {
         return String.join(BETWEEN, parts);
--- a/fleet/src/main/java/clayhook/fleet/kinds/ListMerge.java
+++ b/fleet/src/main/java/clayhook/fleet/kinds/ListMerge.java
@@ -11,15 +11,15 @@
 import java.util.Set;
 
 /**
- * The list of nodes out of this router's own discovery and of what peers have heard from theirs. For each node the current
- * source's newest word counts. What other sources say does not, but for drains: those that stood when discovery moved, and
- * those of nodes on which the current source has no word, hold until it has a newer word or its whole list. Revisions of two
- * sources cannot be compared, and a source that was given up because it is wrong must not be able to close the fleet.
+ * The list of nodes out of this router's own discovery and of what peers have heard from theirs. For each node the
+ * current source's newest word counts. What other sources say does not, but for drains: those that stood when discovery
+ * moved, and those of nodes on which the current source has no word, hold until it has a newer word or its whole list.
+ * Revisions of two sources cannot be compared, and a source that was given up because it is wrong must not be able to
+ * close the fleet.
  */
 public final class ListMerge {
     /** What is said of a node; the id as {@link Listed} keys it. */
-    public record Entry(String id, Listed word) {
-    }
+    public record Entry(String id, Listed word) {}
 
     /** Discovery seldom moves; what the oldest said is dropped. */
     private static final int MOST_SOURCES = 4;
@@ -31,9 +31,11 @@
         long newest = -1, own = -1, whole = -1;
     }
 
-    /** A drain by another source; the current one has to say more than this revision of the node to end it, -1 for anything. */
-    private record Held(Listed word, long beyond) {
-    }
+    /**
+     * A drain by another source; the current one has to say more than this revision of the node to end it, -1 for
+     * anything.
+     */
+    private record Held(Listed word, long beyond) {}
 
     private final Shared shared;
     /** By name, longest unheard first; bounded by {@link #MOST_SOURCES}, the current one always among them. */
@@ -44,11 +46,14 @@
     private final Map<String, Listed> given = new HashMap<>();
     /** What has changed since it was last asked; emptied by that. */
     private final Map<String, Listed> changed = new LinkedHashMap<>();
+
     private String current;
     private double renewedAt = Double.NEGATIVE_INFINITY;
     private long late;
 
-    /** Hears what {@code shared} holds and what peers put there from now on. {@code source} as a text of host and port. */
+    /**
+     * Hears what {@code shared} holds and what peers put there from now on. {@code source} as a text of host and port.
+     */
     public ListMerge(String source, Shared shared) {
         this.shared = shared;
         current = nameOf(source);
@@ -67,7 +72,7 @@
 
     private Source source(String name) {
         Source source = sources.computeIfAbsent(name, any -> new Source());
-        for (Iterator<String> oldest = sources.keySet().iterator(); sources.size() > MOST_SOURCES;) {
+        for (Iterator<String> oldest = sources.keySet().iterator(); sources.size() > MOST_SOURCES; ) {
             String next = oldest.next();
             if (!next.equals(current) && !next.equals(name)) {
                 oldest.remove();
@@ -96,13 +101,17 @@
         Listed joined = known == null ? word : Listed.KIND.join(known, word);
         late += joined.revision() > word.revision() ? 1 : 0;
         source.words.put(id, joined);
-        if (joined.closed() && !from.equals(current) && !sources.get(current).words.containsKey(id)) {
+        if (joined.closed()
+                && !from.equals(current)
+                && !sources.get(current).words.containsKey(id)) {
             hold(id, joined);
         }
         decide(id);
     }
 
-    /** At the bound nodes that are gone make room, as nobody sends them anything; without any a new node is left out. */
+    /**
+     * At the bound nodes that are gone make room, as nobody sends them anything; without any a new node is left out.
+     */
     private boolean hasRoom(Source source) {
         if (source.words.size() < Evidence.KIND.most()) {
             return true;
@@ -115,7 +124,8 @@
     private void hold(String id, Listed word) {
         Listed said = sources.get(current).words.get(id);
         var made = new Held(word, said == null ? -1 : said.revision());
-        held.merge(id, made, (a, b) -> new Held(b.word.state().compareTo(a.word.state()) > 0 ? b.word : a.word, b.beyond));
+        held.merge(
+                id, made, (a, b) -> new Held(b.word.state().compareTo(a.word.state()) > 0 ? b.word : a.word, b.beyond));
     }
 
     private void decide(String id) {
@@ -132,8 +142,8 @@
     }
 
     /**
-     * This router's own discovery told that, all of the list or what changed; late and doubled news do no harm. It is put
-     * into what routers share.
+     * This router's own discovery told that, all of the list or what changed; late and doubled news do no harm. It is
+     * put into what routers share.
      *
      * @param from the source that told it; one before the current one may still do
      * @param entries each of that revision
@@ -165,7 +175,10 @@
         return out;
     }
 
-    /** Discovery is at another address now. What was given out stands until that one, or a peer that hears it, has a word. */
+    /**
+     * Discovery is at another address now. What was given out stands until that one, or a peer that hears it, has a
+     * word.
+     */
     public void moved(String source) {
         String name = nameOf(source);
         if (name.equals(current)) {
@@ -200,8 +213,8 @@
     }
 
     /**
-     * Puts the current source's words again that would else go, as long as this router hears it. The first router to do so
-     * spares it the others. May be called at any time.
+     * Puts the current source's words again that would else go, as long as this router hears it. The first router to do
+     * so spares it the others. May be called at any time.
      */
     public void renew(double now) {
         if (now < renewedAt + Listed.KIND.keep() / 8) {
@@ -209,12 +222,21 @@
         }
         renewedAt = now;
         Source source = sources.get(current);
-        source.words.entrySet().stream().filter(entry -> entry.getValue().revision() <= source.own
-                && entry.getValue().at() < now - Listed.KIND.keep() / 2).toList().forEach(entry ->
-                shared.put(Listed.KIND, Listed.key(current, entry.getKey()), entry.getValue().heardAt(now), now));
+        source.words.entrySet().stream()
+                .filter(entry -> entry.getValue().revision() <= source.own
+                        && entry.getValue().at() < now - Listed.KIND.keep() / 2)
+                .toList()
+                .forEach(entry -> shared.put(
+                        Listed.KIND,
+                        Listed.key(current, entry.getKey()),
+                        entry.getValue().heardAt(now),
+                        now));
     }
 
-    /** Revisions of the current source by which peers have heard more than this router's own discovery told it; 0 for none. */
+    /**
+     * Revisions of the current source by which peers have heard more than this router's own discovery told it; 0 for
+     * none.
+     */
     public long behind() {
         Source source = sources.get(current);
         return source.newest - source.own;
--- a/fleet/src/main/java/clayhook/fleet/kinds/Listed.java
+++ b/fleet/src/main/java/clayhook/fleet/kinds/Listed.java
@@ -7,8 +7,9 @@
 import java.util.List;
 
 /**
- * What a source of discovery says of a node; the key is the source and the node's id, see {@link #key}. The newest revision
- * counts, so that an older word never undoes a drain. With an empty id it only says which revision a router has heard.
+ * What a source of discovery says of a node; the key is the source and the node's id, see {@link #key}. The newest
+ * revision counts, so that an older word never undoes a drain. With an empty id it only says which revision a router
+ * has heard.
  *
  * @param revision in which the source said so, its own count; those of two sources are not compared
  * @param nodeStart when the node's process last started, seconds since 1970; 0 for long ago
@@ -16,10 +17,22 @@
  * @param zone of the node, and its group, host and port: for a peer that has not heard the list
  * @param at when a router last had it so from the source itself, seconds since 1970
  */
-public record Listed(long revision, State state, double nodeStart, boolean primary, String zone, int group, String host,
-        int port, double at) {
+public record Listed(
+        long revision,
+        State state,
+        double nodeStart,
+        boolean primary,
+        String zone,
+        int group,
+        String host,
+        int port,
+        double at) {
     /** In order of how closed the node is. */
-    public enum State { READY, DRAINING, GONE }
+    public enum State {
+        READY,
+        DRAINING,
+        GONE
+    }
 
     /** Bytes; the longest name that hosts may have. */
     private static final int LONGEST_HOST = 255;
@@ -27,9 +40,14 @@
     private static final int LONGEST_SOURCE = 100;
 
     /** Where all that is said is the same, by when it was heard. */
-    private static final Comparator<Listed> ORDER = Comparator.comparingLong(Listed::revision).thenComparing(Listed::state)
-            .thenComparingDouble(Listed::nodeStart).thenComparing(Listed::primary).thenComparing(Listed::zone)
-            .thenComparingInt(Listed::group).thenComparing(Listed::host).thenComparingInt(Listed::port);
+    private static final Comparator<Listed> ORDER = Comparator.comparingLong(Listed::revision)
+            .thenComparing(Listed::state)
+            .thenComparingDouble(Listed::nodeStart)
+            .thenComparing(Listed::primary)
+            .thenComparing(Listed::zone)
+            .thenComparingInt(Listed::group)
+            .thenComparing(Listed::host)
+            .thenComparingInt(Listed::port);
 
     public static final Kind<Listed> KIND = new Kind<>() {
         @Override
@@ -42,7 +60,10 @@
             return "listed";
         }
 
-        /** The newest revision; within one the more closed state, then the later start, then the larger of each other field. */
+        /**
+         * The newest revision; within one the more closed state, then the later start, then the larger of each other
+         * field.
+         */
         @Override
         public Listed join(Listed a, Listed b) {
             return (ORDER.compare(a, b) >= 0 ? a : b).heardAt(Math.max(a.at, b.at));
@@ -53,7 +74,10 @@
             return value.at;
         }
 
-        /** Seconds; whoever hears the list puts it again before, so it outlasts the longest stay of a service that is down. */
+        /**
+         * Seconds; whoever hears the list puts it again before, so it outlasts the longest stay of a service that is
+         * down.
+         */
         @Override
         public double keep() {
             return 3600;
@@ -78,14 +102,29 @@
 
         @Override
         public void write(Listed value, Writer out) {
-            out.whole(value.revision).whole(value.state.ordinal()).number(value.nodeStart).flag(value.primary)
-                    .text(value.zone).whole(value.group).text(value.host).whole(value.port).number(value.at);
+            out.whole(value.revision)
+                    .whole(value.state.ordinal())
+                    .number(value.nodeStart)
+                    .flag(value.primary)
+                    .text(value.zone)
+                    .whole(value.group)
+                    .text(value.host)
+                    .whole(value.port)
+                    .number(value.at);
         }
 
         @Override
         public Listed read(Reader in) {
-            return new Listed(in.whole(), State.values()[in.small(State.values().length)], in.number(), in.flag(), in.text(),
-                    in.small(Check.MOST_GROUPS), in.text(), in.small(1 << 16), in.number());
+            return new Listed(
+                    in.whole(),
+                    State.values()[in.small(State.values().length)],
+                    in.number(),
+                    in.flag(),
+                    in.text(),
+                    in.small(Check.MOST_GROUPS),
+                    in.text(),
+                    in.small(1 << 16),
+                    in.number());
         }
     };
 
@@ -129,7 +168,16 @@
 
     /** Whether it says the same of the node, in whichever revision. */
     boolean saysAs(Listed other) {
-        return other != null && equals(new Listed(revision, other.state, other.nodeStart, other.primary, other.zone, other.group,
-                other.host, other.port, at));
+        return other != null
+                && equals(new Listed(
+                        revision,
+                        other.state,
+                        other.nodeStart,
+                        other.primary,
+                        other.zone,
+                        other.group,
+                        other.host,
+                        other.port,
+                        at));
     }
 }
--- a/fleet/src/main/java/clayhook/fleet/kinds/Mark.java
+++ b/fleet/src/main/java/clayhook/fleet/kinds/Mark.java
@@ -17,7 +17,8 @@
     /** Some 200 bytes each; at eight hundred sessions a second that write, all of those two minutes. */
     static final int MOST = 100_000;
 
-    private static final Comparator<Mark> ORDER = Comparator.comparingDouble(Mark::position).thenComparingInt(Mark::group);
+    private static final Comparator<Mark> ORDER =
+            Comparator.comparingDouble(Mark::position).thenComparingInt(Mark::group);
 
     public static final Kind<Mark> KIND = new Kind<>() {
         @Override
--- a/fleet/src/main/java/clayhook/fleet/kinds/MarkSnapshot.java
+++ b/fleet/src/main/java/clayhook/fleet/kinds/MarkSnapshot.java
@@ -4,26 +4,31 @@
 import java.util.BitSet;
 
 /**
- * The marks of sessions at one moment, for threads that serve requests: it never changes, and looking one up takes no lock
- * and makes nothing. A next one shares the shards that have not changed.
+ * The marks of sessions at one moment, for threads that serve requests: it never changes, and looking one up takes no
+ * lock and makes nothing. A next one shares the shards that have not changed.
  *
  * <p>Sessions stand by a hash of 64 bits. Two that ever meet in one have the further mark of both, which is safe.
  */
 public final class MarkSnapshot {
-    /** Some fifty marks in each at the most that are kept: little to copy for one mark, nor is the list of shards long. */
+    /**
+     * Some fifty marks in each at the most that are kept: little to copy for one mark, nor is the list of shards long.
+     */
     static final int SHARDS = 2048;
     /** Marks in a shard. Guards against long copies where names of sessions are made to meet in one. */
     static final int MOST_IN_SHARD = 256;
+
     private static final double NONE = Double.NEGATIVE_INFINITY;
 
     /** Nothing known: no mark, and no certainty of any. */
     public static final MarkSnapshot EMPTY = new MarkSnapshot(new long[SHARDS][], NONE, NONE);
 
     /**
-     * Each null, or pairs of a session's hash and its position's bits, so that a look-up touches little memory. A pair is at its
-     * hash's place or in the first free one from there; hash 0 is a free place, and never over half are taken.
+     * Each null, or pairs of a session's hash and its position's bits, so that a look-up touches little memory. A pair
+     * is at its hash's place or in the first free one from there; hash 0 is a free place, and never over half are
+     * taken.
      */
     private final long[][] shards;
+
     private final double floor, certainUpTo;
 
     private MarkSnapshot(long[][] shards, double floor, double certainUpTo) {
@@ -82,6 +87,7 @@
         private final long[][] shards;
         /** Those that are this draft's own and may be changed, and how many marks they have. */
         private final BitSet copied = new BitSet(SHARDS);
+
         private final int[] sizes = new int[SHARDS];
         /** The newest position that was dropped for want of room. */
         private double dropped = NONE;
@@ -111,8 +117,8 @@
             boolean known = pairs[place] != 0;
             sizes[number] += known ? 0 : 1;
             pairs[place] = hash;
-            pairs[place + 1] = Double.doubleToLongBits(known
-                    ? Math.max(position, Double.longBitsToDouble(pairs[place + 1])) : position);
+            pairs[place + 1] = Double.doubleToLongBits(
+                    known ? Math.max(position, Double.longBitsToDouble(pairs[place + 1])) : position);
         }
 
         /** Makes the shard this draft's own, with its marks from that position on and room for one more. */
--- a/fleet/src/main/java/clayhook/fleet/kinds/SessionNeeds.java
+++ b/fleet/src/main/java/clayhook/fleet/kinds/SessionNeeds.java
@@ -5,10 +5,10 @@
 /**
  * How far a replica must be to serve a session's read at this router, whichever router took the session's writes.
  *
- * <p>It promises: a read that arrives {@code roam} seconds or more after the answer to a write of its session, which any
- * router that lives has sent on, sees that write. A session that comes back to another router sooner may miss it, as may one
- * whose router died before it could tell; clocks that differ eat into {@code roam}. Where this copy may be incomplete the
- * read covers all that was written until {@code roam} before it arrived, as if that were its own.
+ * <p>It promises: a read that arrives {@code roam} seconds or more after the answer to a write of its session, which
+ * any router that lives has sent on, sees that write. A session that comes back to another router sooner may miss it,
+ * as may one whose router died before it could tell; clocks that differ eat into {@code roam}. Where this copy may be
+ * incomplete the read covers all that was written until {@code roam} before it arrived, as if that were its own.
  *
  * <p>One thread feeds and publishes; any thread asks.
  */
@@ -22,6 +22,7 @@
     private MarkSnapshot.Draft draft = new MarkSnapshot.Draft(MarkSnapshot.EMPTY);
     /** The newest that did not fit into a snapshot. */
     private double dropped = Double.NEGATIVE_INFINITY;
+
     private int swept;
 
     /** {@code roam}: the least time between the answer to a session's write and its read at another router, seconds. */
--- a/fleet/src/main/java/clayhook/fleet/kinds/Shares.java
+++ b/fleet/src/main/java/clayhook/fleet/kinds/Shares.java
@@ -8,12 +8,14 @@
 import java.util.Map;
 
 /**
- * How much of limits that hold over all routers is left for this one. The pot is what routers that vanished have not used, and
- * is divided evenly among those that may still serve. So whatever else they see, routers that all see each other are never
- * granted more than the limit between them. Unused shares are not lent: what one lends on old news, two may use.
+ * How much of limits that hold over all routers is left for this one. The pot is what routers that vanished have not
+ * used, and is divided evenly among those that may still serve. So whatever else they see, routers that all see each
+ * other are never granted more than the limit between them. Unused shares are not lent: what one lends on old news, two
+ * may use.
  *
- * <p>A vanished router's use counts whole for one window after its last word and fades evenly over the next, as it may go on
- * out of sight. A router that hears half of those it should, or fewer, is cut off and has its configured share, never more.
+ * <p>A vanished router's use counts whole for one window after its last word and fades evenly over the next, as it may
+ * go on out of sight. A router that hears half of those it should, or fewer, is cut off and has its configured share,
+ * never more.
  */
 public final class Shares {
     /**
@@ -42,6 +44,7 @@
     private static final class Own {
         /** One more than make up a window, as the current one is not over. */
         final double[] slots = new double[SLOTS + 1];
+
         final double window;
         long slot;
         double total, toldTotal, toldAt = Double.NEGATIVE_INFINITY, usedAt;
@@ -103,14 +106,15 @@
     public double share(Limit limit, double now) {
         Map<String, Long> serve = serving(now);
         int members = 1 + serve.size();
-        return cutOff(now) ? limit.amount / Math.max(configured, members)
+        return cutOff(now)
+                ? limit.amount / Math.max(configured, members)
                 : Math.max(0, limit.amount - ofVanished(limit, serve, now)) / members;
     }
 
     /**
-     * Whether this router may only take what it was configured for. Those it should hear are as many as it has known lately,
-     * and at least as many as are configured. Guards against one that has just started, or a small side of a split, taking
-     * itself for the fleet.
+     * Whether this router may only take what it was configured for. Those it should hear are as many as it has known
+     * lately, and at least as many as are configured. Guards against one that has just started, or a small side of a
+     * split, taking itself for the fleet.
      */
     public boolean cutOff(double now) {
         remember(now);
@@ -132,7 +136,9 @@
     private Map<String, Long> serving(double now) {
         var boots = new HashMap<String, Long>();
         roster.mayServe(now).forEach(member -> boots.merge(Keys.name(member.name()), member.boot(), Math::max));
-        roster.others().forEach(peer -> boots.merge(Keys.name(peer.member().name()), peer.member().boot(), Math::max));
+        roster.others()
+                .forEach(peer -> boots.merge(
+                        Keys.name(peer.member().name()), peer.member().boot(), Math::max));
         boots.remove(self.name());
         return boots;
     }
@@ -140,7 +146,8 @@
     /** What lives that are over may have used within the window: of routers that vanished, and before restarts. */
     private double ofVanished(Limit limit, Map<String, Long> serve, double now) {
         double sum = 0;
-        for (Map.Entry<Member, Use> entry : told.getOrDefault(limit.name, Map.of()).entrySet()) {
+        for (Map.Entry<Member, Use> entry :
+                told.getOrDefault(limit.name, Map.of()).entrySet()) {
             Long boot = serve.get(entry.getKey().name());
             if (boot == null || entry.getKey().boot() < boot) {
                 double windows = (now - entry.getValue().at()) / limit.window;
@@ -179,10 +186,12 @@
     public void tell(double now) {
         double members = 1 + serving(now).size();
         own.forEach((limit, used) -> {
-            if (used.total > used.toldTotal && now >= used.toldAt + Math.max(used.window / 2, members / TOLD_A_SECOND)) {
+            if (used.total > used.toldTotal
+                    && now >= used.toldAt + Math.max(used.window / 2, members / TOLD_A_SECOND)) {
                 used.toldTotal = used.total;
                 used.toldAt = now;
-                shared.put(Use.KIND, Use.key(limit, self), new Use(used.total, used.recent(now) / used.window, now), now);
+                shared.put(
+                        Use.KIND, Use.key(limit, self), new Use(used.total, used.recent(now) / used.window, now), now);
             }
         });
         told.values().forEach(uses -> uses.values().removeIf(use -> use.at() < now - Use.KIND.keep()));
--- a/fleet/src/main/java/clayhook/fleet/kinds/Sight.java
+++ b/fleet/src/main/java/clayhook/fleet/kinds/Sight.java
@@ -9,7 +9,8 @@
  * @param by that router's name, as {@link #of} cuts it
  */
 public record Sight(double at, String by) implements Comparable<Sight> {
-    private static final Comparator<Sight> ORDER = Comparator.comparingDouble(Sight::at).thenComparing(Sight::by);
+    private static final Comparator<Sight> ORDER =
+            Comparator.comparingDouble(Sight::at).thenComparing(Sight::by);
 
     public Sight {
         at = Check.time(at);
--- a/fleet/src/main/java/clayhook/fleet/kinds/Use.java
+++ b/fleet/src/main/java/clayhook/fleet/kinds/Use.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /**
- * How much one life of a router has used of a limit that all routers share; the key is the limit, the router and its boot,
- * so that only that router writes it and a restart never counts twice.
+ * How much one life of a router has used of a limit that all routers share; the key is the limit, the router and its
+ * boot, so that only that router writes it and a restart never counts twice.
  *
  * @param total units since its boot; only grows
  * @param rate units a second over the limit's window before {@code at}
@@ -47,13 +47,18 @@
             return value.at;
         }
 
-        /** Seconds: more than two windows of any limit, after which what a router that vanished has used counts no more. */
+        /**
+         * Seconds: more than two windows of any limit, after which what a router that vanished has used counts no more.
+         */
         @Override
         public double keep() {
             return 60;
         }
 
-        /** A thousand routers with the two standing limits and some thirty cold nodes; at the bound the longest untold go. */
+        /**
+         * A thousand routers with the two standing limits and some thirty cold nodes; at the bound the longest untold
+         * go.
+         */
         @Override
         public int most() {
             return 32_768;
@@ -90,13 +95,14 @@
     static Owner owner(String key) {
         List<String> parts = Keys.parts(key);
         try {
-            return parts.size() != 3 ? null : new Owner(parts.get(0), new Member(parts.get(1), Long.parseLong(parts.get(2))));
+            return parts.size() != 3
+                    ? null
+                    : new Owner(parts.get(0), new Member(parts.get(1), Long.parseLong(parts.get(2))));
         } catch (NumberFormatException e) {
             return null;
         }
     }
 
     /** @param member its name as keys have it */
-    record Owner(String limit, Member member) {
-    }
+    record Owner(String limit, Member member) {}
 }
--- a/fleet/src/main/java/clayhook/fleet/members/Claim.java
+++ b/fleet/src/main/java/clayhook/fleet/members/Claim.java
@@ -13,8 +13,8 @@
 import java.util.TreeSet;
 
 /**
- * How a life of a router stands, as somebody says. Two claims on one name are joined: the younger life counts; in one life
- * having left is final, then the higher counter counts, then the worse standing.
+ * How a life of a router stands, as somebody says. Two claims on one name are joined: the younger life counts; in one
+ * life having left is final, then the higher counter counts, then the worse standing.
  *
  * @param counter how often it has refuted others in this life
  * @param accusers of a suspect: the least few of the hashes of their names, in order; else empty
@@ -27,11 +27,16 @@
     /** Beyond any number of refutations; leaves room to count on. */
     private static final long COUNTERS = 1L << 50;
 
-    /** Of two lives of one name; of two that began in the same millisecond the address tells which one counts, the same everywhere. */
+    /**
+     * Of two lives of one name; of two that began in the same millisecond the address tells which one counts, the same
+     * everywhere.
+     */
     static final Comparator<Peer> LIFE = (a, b) -> {
         int order = Long.compare(a.member().boot(), b.member().boot());
         order = order != 0 ? order : a.address().host().compareTo(b.address().host());
-        return order != 0 ? order : Integer.compare(a.address().port(), b.address().port());
+        return order != 0
+                ? order
+                : Integer.compare(a.address().port(), b.address().port());
     };
 
     Claim {
@@ -43,7 +48,9 @@
     }
 
     private static List<Long> least(Collection<Long> accusers) {
-        return accusers.size() < 2 ? List.copyOf(accusers) : new TreeSet<>(accusers).stream().limit(MOST_ACCUSERS).toList();
+        return accusers.size() < 2
+                ? List.copyOf(accusers)
+                : new TreeSet<>(accusers).stream().limit(MOST_ACCUSERS).toList();
     }
 
     static long accuser(String name) {
@@ -100,7 +107,10 @@
     }
 
     void write(Writer out) {
-        out.text(name()).whole(peer.member().boot()).text(peer.address().host()).whole(peer.address().port());
+        out.text(name())
+                .whole(peer.member().boot())
+                .text(peer.address().host())
+                .whole(peer.address().port());
         out.whole(standing.ordinal()).whole(counter).whole(accusers.size());
         accusers.forEach(out::whole);
     }
--- a/fleet/src/main/java/clayhook/fleet/members/Health.java
+++ b/fleet/src/main/java/clayhook/fleet/members/Health.java
@@ -2,7 +2,10 @@
 
 /** How far this router trusts itself when others seem silent. */
 final class Health {
-    /** Patience grows to four times. Lifeguard goes to nine times, where a fleet cut in two took half a minute to notice. */
+    /**
+     * Patience grows to four times. Lifeguard goes to nine times, where a fleet cut in two took half a minute to
+     * notice.
+     */
     private static final int WORST = 3;
     /** Seconds of doubt after a stand, however long: what waits at the door has been read by then. */
     private static final double LONGEST_DOUBT = 5;
--- a/fleet/src/main/java/clayhook/fleet/members/Knocker.java
+++ b/fleet/src/main/java/clayhook/fleet/members/Knocker.java
@@ -8,14 +8,15 @@
 import java.util.SplittableRandom;
 
 /**
- * Looks again and again, ever more slowly, at seeds that nobody answers from and at members that are gone: so the sides of a
- * cut find each other.
+ * Looks again and again, ever more slowly, at seeds that nobody answers from and at members that are gone: so the sides
+ * of a cut find each other.
  */
 final class Knocker {
     /** Seeds asked at a time while this router knows no member. */
     private static final int DOORS = 8;
     /** Of those that are gone, asked at a time: most of them may be dead. */
     private static final int GRAVES = 3;
+
     private static final double SLOWER = 1.5;
 
     private static final class Seed {
@@ -35,6 +36,7 @@
     private final SplittableRandom chance;
     /** As the operator's file has them. */
     private final List<Seed> seeds = new ArrayList<>();
+
     private double pause;
     private double nextAt = Double.NEGATIVE_INFINITY;
 
@@ -48,8 +50,11 @@
 
     /** Looks at these too, at the next turn; none is ever taken back. */
     void seek(List<Address> more) {
-        more.stream().distinct().filter(seed -> !seed.equals(voice.own().peer().address())
-                && seeds.stream().noneMatch(known -> known.address.equals(seed))).forEach(seed -> seeds.add(new Seed(seed)));
+        more.stream()
+                .distinct()
+                .filter(seed -> !seed.equals(voice.own().peer().address())
+                        && seeds.stream().noneMatch(known -> known.address.equals(seed)))
+                .forEach(seed -> seeds.add(new Seed(seed)));
         pause = settings.knock();
         nextAt = Double.NEGATIVE_INFINITY;
     }
@@ -76,8 +81,11 @@
         if (now < nextAt) {
             return nextAt;
         }
-        List<Seed> silent = seeds.stream().filter(seed -> seed.member == null || register.known(seed.member) == null
-                || !register.known(seed.member).lives()).toList();
+        List<Seed> silent = seeds.stream()
+                .filter(seed -> seed.member == null
+                        || register.known(seed.member) == null
+                        || !register.known(seed.member).lives())
+                .toList();
         int doors = Math.min(silent.size(), register.living() == 0 ? DOORS : 1);
         for (int i = 0, from = chance.nextInt(1 + silent.size()); i < doors; i++) {
             knock(silent.get((from + i) % silent.size()), now, out);
--- a/fleet/src/main/java/clayhook/fleet/members/Known.java
+++ b/fleet/src/main/java/clayhook/fleet/members/Known.java
@@ -15,6 +15,7 @@
     double since;
     /** When that very life was heard last. */
     double heardAt;
+
     Skew skew;
     boolean clockOff;
     /** When its clock was last asked for beside the probes. */
--- a/fleet/src/main/java/clayhook/fleet/members/Leveller.java
+++ b/fleet/src/main/java/clayhook/fleet/members/Leveller.java
@@ -7,19 +7,24 @@
 import java.util.List;
 
 /**
- * Brings rosters level that gossip has not: of one who joins or returns, of the sides of a cut, of whoever missed news. Probes
- * carry a digest; where it goes on to differ, the parts that differ are asked for. What is lost on the way still differs.
+ * Brings rosters level that gossip has not: of one who joins or returns, of the sides of a cut, of whoever missed news.
+ * Probes carry a digest; where it goes on to differ, the parts that differ are asked for. What is lost on the way still
+ * differs.
  */
 final class Leveller {
     /** Pages in one answer, 400 members or so; the next question asks for what is still missing. */
     private static final int PAGES = 16;
-    /** Pages a second to all that ask, and how many of them may come at once: 120 KB a second when a whole fleet starts. */
+    /**
+     * Pages a second to all that ask, and how many of them may come at once: 120 KB a second when a whole fleet starts.
+     */
     private static final double RATE = 100;
+
     private static final double STORE = 200;
     /** Seconds for which digests may differ while news is on its way. */
     private static final double SETTLE = 1;
     /** Seconds between two questions, while answers bring something and when they do not. */
     private static final double SOON = 0.25;
+
     private static final double SELDOM = 4;
     /** Bytes of a page beside its claims. */
     private static final int FRAME = 16;
@@ -31,6 +36,7 @@
     private final double startedAt;
     /** Once its roster was like another's, what an answer brings is news to this router's neighbours as well. */
     private boolean settled;
+
     private double askAt = Double.NEGATIVE_INFINITY;
     private double pause = SOON;
     private double pages = STORE;
@@ -73,7 +79,10 @@
         for (int left = PAGES; left > 0 && pages >= 1 && from < differing.size(); left--, pages--) {
             var claims = new ArrayList<Word.Page.Aged>();
             int room = Packet.LONGEST_PART - FRAME;
-            for (; from < differing.size() && (room -= differing.get(from).claim().room() + 9) >= 0; from++) {
+            for (;
+                    from < differing.size()
+                            && (room -= differing.get(from).claim().room() + 9) >= 0;
+                    from++) {
                 claims.add(differing.get(from));
             }
             out.add(to, new Word.Page(claims));
--- a/fleet/src/main/java/clayhook/fleet/members/MemberSettings.java
+++ b/fleet/src/main/java/clayhook/fleet/members/MemberSettings.java
@@ -8,7 +8,8 @@
  * @param helpers asked at each further try
  * @param gossip between two rounds of telling news, while there is any
  * @param fan members told in a round
- * @param suspicion shortest time that a suspect has, in periods by the binary logarithm of the members (at least two periods)
+ * @param suspicion shortest time that a suspect has, in periods by the binary logarithm of the members (at least two
+ *     periods)
  * @param alone by how much that is longer while only one router accuses it
  * @param knock between two looks at seeds and members that are gone, after one has gone
  * @param knockMost what that grows to
@@ -18,15 +19,32 @@
  * @param late a turn that comes that much later than asked for means that this router stood still
  * @param mostNames names in the roster; further ones are refused and counted
  */
-public record MemberSettings(double period, double retry, int helpers, double gossip, int fan, double suspicion, double alone,
-        double knock, double knockMost, double remember, double deadAfter, double clockBound, double late, int mostNames) {
+public record MemberSettings(
+        double period,
+        double retry,
+        int helpers,
+        double gossip,
+        int fan,
+        double suspicion,
+        double alone,
+        double knock,
+        double knockMost,
+        double remember,
+        double deadAfter,
+        double clockBound,
+        double late,
+        int mostNames) {
     /**
-     * A killed member is gone at a hundred routers after two to three seconds. Memory follows the members there are: some
-     * 500 bytes each.
+     * A killed member is gone at a hundred routers after two to three seconds. Memory follows the members there are:
+     * some 500 bytes each.
      */
-    public static final MemberSettings DEFAULT = new MemberSettings(0.5, 0.15, 3, 0.1, 3, 0.4, 4, 1, 3, 3600, 60, 0.5, 0.3, 16_384);
+    public static final MemberSettings DEFAULT =
+            new MemberSettings(0.5, 0.15, 3, 0.1, 3, 0.4, 4, 1, 3, 3600, 60, 0.5, 0.3, 16_384);
 
-    /** Periods; far more than a large fleet needs to agree on who is gone, else one still held alive here and there comes back for ever. */
+    /**
+     * Periods; far more than a large fleet needs to agree on who is gone, else one still held alive here and there
+     * comes back for ever.
+     */
     private static final double LEAST_REMEMBERED = 60;
 
     public MemberSettings {
@@ -36,7 +54,13 @@
                 throw new IllegalArgumentException("a period or bound of members that is not above 0: " + time);
             }
         }
-        if (retry >= period || remember < LEAST_REMEMBERED * period || !(alone >= 1) || !(knockMost >= knock) || helpers < 0 || fan < 1 || mostNames < 1024) {
+        if (retry >= period
+                || remember < LEAST_REMEMBERED * period
+                || !(alone >= 1)
+                || !(knockMost >= knock)
+                || helpers < 0
+                || fan < 1
+                || mostNames < 1024) {
             throw new IllegalArgumentException("settings of members that do not fit each other");
         }
     }
--- a/fleet/src/main/java/clayhook/fleet/members/Members.java
+++ b/fleet/src/main/java/clayhook/fleet/members/Members.java
@@ -14,46 +14,44 @@
 import java.util.function.Function;
 
 /**
- * The roster of one router, kept by probes and gossip: SWIM (Das, Gupta, Motivala 2002) with the care of Lifeguard (Dadgar,
- * Phillips, Currey 2017). Times are seconds since 1970 on one clock that never goes back while it runs, though it may be off.
- * For one thread.
+ * The roster of one router, kept by probes and gossip: SWIM (Das, Gupta, Motivala 2002) with the care of Lifeguard
+ * (Dadgar, Phillips, Currey 2017). Times are seconds since 1970 on one clock that never goes back while it runs, though
+ * it may be off. For one thread.
  */
 public final class Members implements Machine, Roster {
     /** Hears what changes in the roster, after it has changed; what it does may read the roster. */
     public interface Listener {
         /** A life that was not known, or came back after it was forgotten. */
-        default void joined(Peer member, double now) {
-        }
+        default void joined(Peer member, double now) {}
 
         /** It does not answer, say that many routers, counted up to four; heard again as more agree. */
-        default void suspected(Peer member, int accusers, double now) {
-        }
+        default void suspected(Peer member, int accusers, double now) {}
 
         /** It was suspected or gone, and has spoken up. */
-        default void alive(Peer member, double now) {
-        }
+        default void alive(Peer member, double now) {}
 
-        default void gone(Peer member, double now) {
-        }
+        default void gone(Peer member, double now) {}
 
-        default void left(Peer member, double now) {
-        }
+        default void left(Peer member, double now) {}
 
-        /** Two processes run under one name; the first one counts. Where the second is this router itself, others leave it out. */
-        default void twins(Peer counts, Peer other, double now) {
-        }
+        /**
+         * Two processes run under one name; the first one counts. Where the second is this router itself, others leave
+         * it out.
+         */
+        default void twins(Peer counts, Peer other, double now) {}
 
         /** @param ahead seconds by which its clock is ahead of this one's, beyond the bound */
-        default void clockOff(Peer member, double ahead, double now) {
-        }
+        default void clockOff(Peer member, double ahead, double now) {}
 
-        default void clockFine(Peer member, double ahead, double now) {
-        }
+        default void clockFine(Peer member, double ahead, double now) {}
     }
 
     /** Seconds; who was heard that lately is not gone because another router says so, but is asked. */
     private static final double JUST_HEARD = 1;
-    /** Seconds after a life began to be known; an older one of its name that speaks later still runs, and was no late packet. */
+    /**
+     * Seconds after a life began to be known; an older one of its name that speaks later still runs, and was no late
+     * packet.
+     */
     private static final double TWIN_AFTER = 3;
     /** Seconds between two looks at a clock that seems to be off, beside the usual probes. */
     private static final double CLOCK_AGAIN = 5;
@@ -81,7 +79,8 @@
     private Peer ownTwin;
 
     /**
-     * @param seeds routers that are asked first, and whenever none answers from there; this one itself may be among them
+     * @param seeds routers that are asked first, and whenever none answers from there; this one itself may be among
+     *     them
      * @param seed of all chance in it
      */
     public Members(MemberSettings settings, Peer self, List<Address> seeds, long seed, double now, Listener listener) {
@@ -92,7 +91,8 @@
         register = new Register(self.member().name(), settings.mostNames(), chance.split());
         health = new Health(settings);
         voice = new Voice(self, settings, register, rumours, chance.split());
-        prober = new Prober(settings, register, voice, health, chance.split(), now, (claim, at) -> take(claim, at, true, at));
+        prober = new Prober(
+                settings, register, voice, health, chance.split(), now, (claim, at) -> take(claim, at, true, at));
         suspicions = new Suspicions(settings, register, health, (claim, at) -> take(claim, at, true, at));
         knocker = new Knocker(settings, seeds, register, voice, chance.split());
         leveller = new Leveller(register, now);
@@ -201,7 +201,9 @@
             }
         } else if (known != null && !(known.is(speaker.member()) && known.claim.standing() == Standing.ALIVE)) {
             voice.tell(from.address(), known.claim, out);
-            if (Claim.LIFE.compare(known.peer(), speaker) > 0 && now - known.metAt > TWIN_AFTER && !speaker.equals(known.twin)) {
+            if (Claim.LIFE.compare(known.peer(), speaker) > 0
+                    && now - known.metAt > TWIN_AFTER
+                    && !speaker.equals(known.twin)) {
                 known.twin = speaker;
                 listener.twins(known.peer(), speaker, now);
             }
@@ -226,9 +228,14 @@
         }
         Known known = register.known(claim.name());
         boolean changes = known == null || claim.outdoes(known.claim) || claim.standing() == Standing.SUSPECTED;
-        if (changes && known != null && known.lives() && claim.standing() == Standing.GONE
-                && known.peer().equals(claim.peer()) && (!fresh || now - known.heardAt < JUST_HEARD)) {
-            // The other side of a cut that is over: it would take half the fleet away for a moment. The accused can contradict,
+        if (changes
+                && known != null
+                && known.lives()
+                && claim.standing() == Standing.GONE
+                && known.peer().equals(claim.peer())
+                && (!fresh || now - known.heardAt < JUST_HEARD)) {
+            // The other side of a cut that is over: it would take half the fleet away for a moment. The accused can
+            // contradict,
             // and where this router only missed the news its own look finds the accused silent.
             voice.tell(known.peer().address(), claim, out);
             if (known.claim.standing() == Standing.ALIVE) {
@@ -236,8 +243,13 @@
                 stirred = true;
             }
         } else if (changes) {
-            take(!fresh && claim.standing() == Standing.SUSPECTED ? Claim.alive(claim.peer(), claim.counter()) : claim,
-                    since, fresh, now);
+            take(
+                    !fresh && claim.standing() == Standing.SUSPECTED
+                            ? Claim.alive(claim.peer(), claim.counter())
+                            : claim,
+                    since,
+                    fresh,
+                    now);
         }
     }
 
@@ -275,7 +287,8 @@
 
     private void follow(Known known, Claim held, double now) {
         Standing standing = known.claim.standing();
-        if (standing == Standing.SUSPECTED && !known.claim.accusers().contains(Claim.accuser(self.member().name()))) {
+        if (standing == Standing.SUSPECTED
+                && !known.claim.accusers().contains(Claim.accuser(self.member().name()))) {
             prober.check(known, now);
         } else if (standing == Standing.GONE) {
             knocker.gone(now);
--- a/fleet/src/main/java/clayhook/fleet/members/Prober.java
+++ b/fleet/src/main/java/clayhook/fleet/members/Prober.java
@@ -11,15 +11,23 @@
 
 /** Asks one member after the other whether it is there, on a bad way through others, and asks for others in turn. */
 final class Prober {
-    /** Of one probe: directly, then twice directly and through helpers. At a fifth lost one in five hundred finds nobody. */
+    /**
+     * Of one probe: directly, then twice directly and through helpers. At a fifth lost one in five hundred finds
+     * nobody.
+     */
     private static final int TRIES = 3;
-    /** Members of the whole fleet that look at once when one is accused, on average: three that agree are then nearly sure. */
+    /**
+     * Members of the whole fleet that look at once when one is accused, on average: three that agree are then nearly
+     * sure.
+     */
     private static final double CHECKERS = 10;
     /** Such looks at a time; the rest of a large cut is found by the rounds. */
     private static final int CHECKS = 4;
     /** Errands for others at a time; further ones are not run. */
     private static final int ERRANDS = 1024;
-    /** Of the wait of whoever sent it: when a helper says that it has no answer yet, so that its own word is in time. */
+    /**
+     * Of the wait of whoever sent it: when a helper says that it has no answer yet, so that its own word is in time.
+     */
     private static final double SOON = 0.8;
 
     private static final class Probe {
@@ -77,11 +85,18 @@
     private final List<Probe> probes = new ArrayList<>();
     /** Emptied two periods after they began. */
     private final List<Run> runs = new ArrayList<>();
+
     private double nextAt;
     /** Every other probe goes to the neighbour: by chance alone one of thirty would not be probed for two seconds. */
     private boolean odd;
 
-    Prober(MemberSettings settings, Register register, Voice voice, Health health, SplittableRandom chance, double now,
+    Prober(
+            MemberSettings settings,
+            Register register,
+            Voice voice,
+            Health health,
+            SplittableRandom chance,
+            double now,
             ObjDoubleConsumer<Claim> accuse) {
         this.settings = settings;
         this.register = register;
@@ -115,7 +130,8 @@
             probe.answered |= probe.sequence == sequence && probe.peer.member().equals(by);
         }
         runs.removeIf(run -> {
-            boolean done = run.sequence == sequence && run.errand.target().member().equals(by);
+            boolean done =
+                    run.sequence == sequence && run.errand.target().member().equals(by);
             if (done) {
                 out.add(run.asker, new Word.Done(run.errand.sequence(), true));
             }
@@ -134,9 +150,11 @@
 
     void run(Address asker, Word.Errand errand, double now, Outbox out) {
         if (runs.size() < ERRANDS) {
-            var run = new Run(asker, errand, voice.nextSequence(), now + SOON * settings.retry(), now + 2 * settings.period());
+            var run = new Run(
+                    asker, errand, voice.nextSequence(), now + SOON * settings.retry(), now + 2 * settings.period());
             runs.add(run);
-            voice.probe(errand.target().address(), register.known(errand.target().member()), run.sequence, now, out);
+            voice.probe(
+                    errand.target().address(), register.known(errand.target().member()), run.sequence, now, out);
         }
     }
 
@@ -190,7 +208,11 @@
                 health.worse(); // nobody at all answers: it may well be this router that is cut off
             }
             Claim claim = probe.target.claim;
-            accuse.accept(claim.as(Standing.SUSPECTED, List.of(Claim.accuser(voice.own().name()))), now);
+            accuse.accept(
+                    claim.as(
+                            Standing.SUSPECTED,
+                            List.of(Claim.accuser(voice.own().name()))),
+                    now);
         }
     }
 
--- a/fleet/src/main/java/clayhook/fleet/members/Register.java
+++ b/fleet/src/main/java/clayhook/fleet/members/Register.java
@@ -23,15 +23,20 @@
 
     /** Where this router stands in the ring. */
     private final long spot;
+
     private final int most;
     private final SplittableRandom chance;
     /** Emptied of the gone and those that left, when they were remembered long enough; bound by {@code most}. */
     private final Map<String, Known> byName = new HashMap<>();
     /** In the order in which they are probed: shuffled after each round. */
     private final List<Known> living = new ArrayList<>();
+
     private final List<Known> gone = new ArrayList<>();
-    /** The living by the hash of their names: neighbours there share neither a host nor a failure more than others do. */
+    /**
+     * The living by the hash of their names: neighbours there share neither a host nor a failure more than others do.
+     */
     private final NavigableMap<Long, Known> ring = new TreeMap<>();
+
     private final int[] digests = new int[BUCKETS];
     private long digest;
     private Claim own;
@@ -162,15 +167,24 @@
 
     private static long hash(Claim claim) {
         Peer peer = claim.peer();
-        return Hashing.komihash5_0().hashStream().putString(peer.member().name()).putLong(peer.member().boot())
-                .putString(peer.address().host()).putInt(peer.address().port()).putLong(claim.counter()).getAsLong();
+        return Hashing.komihash5_0()
+                .hashStream()
+                .putString(peer.member().name())
+                .putLong(peer.member().boot())
+                .putString(peer.address().host())
+                .putInt(peer.address().port())
+                .putLong(claim.counter())
+                .getAsLong();
     }
 
     private static int bucket(long spot) {
         return (int) (spot >>> Long.SIZE - BUCKET_BITS);
     }
 
-    /** What this router says of itself, which others have in their rosters; it does not count where its name has a younger life. */
+    /**
+     * What this router says of itself, which others have in their rosters; it does not count where its name has a
+     * younger life.
+     */
     void own(Claim claim) {
         long hash = claim.lives() && !byName.containsKey(claim.name()) ? hash(claim) : 0;
         count(spot, hash - ownHash);
@@ -187,7 +201,9 @@
         return digests.clone();
     }
 
-    /** All that is known of the names where those digests differ, in an order by chance; this router's own claim first. */
+    /**
+     * All that is known of the names where those digests differ, in an order by chance; this router's own claim first.
+     */
     List<Word.Page.Aged> differing(int[] theirs, double now) {
         var found = new ArrayList<Word.Page.Aged>();
         for (Known known : byName.values()) {
@@ -268,7 +284,10 @@
 
     List<Peer> others() {
         if (others == null) {
-            others = living.stream().map(Known::peer).sorted(Comparator.comparing(Peer::member)).toList();
+            others = living.stream()
+                    .map(Known::peer)
+                    .sorted(Comparator.comparing(Peer::member))
+                    .toList();
         }
         return others;
     }
@@ -276,7 +295,9 @@
     List<Member> mayServe(double goneSince) {
         var members = new ArrayList<Member>(living.size());
         others().forEach(peer -> members.add(peer.member()));
-        gone.stream().filter(known -> known.since > goneSince).forEach(known -> members.add(known.peer().member()));
+        gone.stream()
+                .filter(known -> known.since > goneSince)
+                .forEach(known -> members.add(known.peer().member()));
         return members;
     }
 }
--- a/fleet/src/main/java/clayhook/fleet/members/Rumours.java
+++ b/fleet/src/main/java/clayhook/fleet/members/Rumours.java
@@ -9,11 +9,16 @@
 
 /** Claims that are news here, those told least first. */
 final class Rumours {
-    /** Seconds; older news is found by comparing rosters. Keeps a thousand routers that start at once from telling for minutes. */
+    /**
+     * Seconds; older news is found by comparing rosters. Keeps a thousand routers that start at once from telling for
+     * minutes.
+     */
     private static final double FRESH = 3;
     /** Told this often beyond what the size of the fleet asks for: small fleets lose packets too. */
     private static final int LEAST_TELLINGS = 3;
-    /** Times told by binary logarithm of the members: one of a hundred is missed once in thirty news at a fifth lost. */
+    /**
+     * Times told by binary logarithm of the members: one of a hundred is missed once in thirty news at a fifth lost.
+     */
     private static final double TELLINGS = 1.5;
 
     private static final class Rumour {
@@ -29,7 +34,9 @@
 
     /** One a name; emptied of what was told often enough or is old. */
     private final Map<String, Rumour> byName = new HashMap<>();
-    /** By how often they were told, the newest first; holds those that were replaced as well, until their turn comes. */
+    /**
+     * By how often they were told, the newest first; holds those that were replaced as well, until their turn comes.
+     */
     private final List<Deque<Rumour>> waiting = new ArrayList<>();
 
     /** What was told of that name before is forgotten. */
--- a/fleet/src/main/java/clayhook/fleet/members/Skew.java
+++ b/fleet/src/main/java/clayhook/fleet/members/Skew.java
@@ -1,11 +1,15 @@
 package clayhook.fleet.members;
 
 /**
- * By how much another clock is ahead of this one: an interval that holds the truth. An exchange of four times gives one of
- * half its round trip to either side, however unlike the two ways were (RFC 5905, section 8); intervals are cut with each other.
+ * By how much another clock is ahead of this one: an interval that holds the truth. An exchange of four times gives one
+ * of half its round trip to either side, however unlike the two ways were (RFC 5905, section 8); intervals are cut with
+ * each other.
  */
 final class Skew {
-    /** Seconds a second by which two clocks may drift apart: a process's clock is led to the wall's by at most one in 200. */
+    /**
+     * Seconds a second by which two clocks may drift apart: a process's clock is led to the wall's by at most one in
+     * 200.
+     */
     private static final double DRIFT = 0.01;
     /** Seconds; answers that took longer tell nothing worth having. */
     private static final double LONGEST_TRIP = 10;
--- a/fleet/src/main/java/clayhook/fleet/members/Voice.java
+++ b/fleet/src/main/java/clayhook/fleet/members/Voice.java
@@ -26,7 +26,8 @@
         this.register = register;
         this.rumours = rumours;
         own = Claim.alive(self, 0);
-        sequence = chance.nextInt(Integer.MAX_VALUE); // a younger life does not take answers for those to its own probes
+        sequence =
+                chance.nextInt(Integer.MAX_VALUE); // a younger life does not take answers for those to its own probes
         register.own(own);
     }
 
@@ -38,7 +39,9 @@
         return own.standing() == Standing.LEFT;
     }
 
-    /** Contradicts what was said of this life; false where there is nothing to contradict, or where it has left itself. */
+    /**
+     * Contradicts what was said of this life; false where there is nothing to contradict, or where it has left itself.
+     */
     boolean refutes(Claim said, double now) {
         if (left() || !said.outdoes(own) || said.standing() == Standing.LEFT) {
             return false;
@@ -75,7 +78,15 @@
     }
 
     void answer(Address to, Word.Probe probe, double now, Outbox out) {
-        out.add(to, new Word.Ack(probe.sequence(), probe.sentAt(), now, register.digest(), own.peer().address(), own.counter()));
+        out.add(
+                to,
+                new Word.Ack(
+                        probe.sequence(),
+                        probe.sentAt(),
+                        now,
+                        register.digest(),
+                        own.peer().address(),
+                        own.counter()));
         news(to, now, out);
     }
 
--- a/fleet/src/main/java/clayhook/fleet/members/Word.java
+++ b/fleet/src/main/java/clayhook/fleet/members/Word.java
@@ -14,8 +14,8 @@
 
 /** What members say to each other. Times are seconds since 1970 on the clock of whoever wrote them. */
 sealed interface Word extends Part {
-    Map<Integer, Function<Reader, ? extends Part>> READERS = Map.of(1, Probe::read, 2, Ack::read, 3, Errand::read,
-            4, Done::read, 5, News::read, 6, Ask::read, 7, Page::read);
+    Map<Integer, Function<Reader, ? extends Part>> READERS = Map.of(
+            1, Probe::read, 2, Ack::read, 3, Errand::read, 4, Done::read, 5, News::read, 6, Ask::read, 7, Page::read);
     /** More claims than fit. */
     int MOST_CLAIMS = Packet.LONGEST_PART;
 
@@ -33,7 +33,12 @@
 
         @Override
         public void write(Writer out) {
-            out.whole(sequence).number(sentAt).whole(digest).text(address.host()).whole(address.port()).whole(counter);
+            out.whole(sequence)
+                    .number(sentAt)
+                    .whole(digest)
+                    .text(address.host())
+                    .whole(address.port())
+                    .whole(counter);
         }
 
         static Probe read(Reader in) {
@@ -73,7 +78,9 @@
 
         @Override
         public void write(Writer out) {
-            out.whole(sequence).text(target.member().name()).whole(target.member().boot());
+            out.whole(sequence)
+                    .text(target.member().name())
+                    .whole(target.member().boot());
             out.text(target.address().host()).whole(target.address().port());
         }
 
--- a/fleet/src/main/java/clayhook/fleet/state/Ages.java
+++ b/fleet/src/main/java/clayhook/fleet/state/Ages.java
@@ -2,7 +2,10 @@
 
 import java.util.Arrays;
 
-/** How old each entry of a table is, and heaps with the oldest first; an entry is in one heap at most. 16 bytes an entry. */
+/**
+ * How old each entry of a table is, and heaps with the oldest first; an entry is in one heap at most. 16 bytes an
+ * entry.
+ */
 final class Ages {
     private double[] at = new double[0];
     /** Where in its heap each one stands. */
--- a/fleet/src/main/java/clayhook/fleet/state/Allowance.java
+++ b/fleet/src/main/java/clayhook/fleet/state/Allowance.java
@@ -1,6 +1,8 @@
 package clayhook.fleet.state;
 
-/** Bytes that may be spent: they come in at a rate, are stored for a short while, and what was spent ahead is paid off. */
+/**
+ * Bytes that may be spent: they come in at a rate, are stored for a short while, and what was spent ahead is paid off.
+ */
 final class Allowance {
     /** Seconds; a few turns, so that a late turn costs nothing. */
     private static final double STORED = 0.1;
--- a/fleet/src/main/java/clayhook/fleet/state/Answers.java
+++ b/fleet/src/main/java/clayhook/fleet/state/Answers.java
@@ -8,15 +8,17 @@
 import java.util.List;
 import java.util.function.BooleanSupplier;
 
-/** What this router tells those that compare their copies with its own. Keeps nothing of them but questions that must wait. */
+/**
+ * What this router tells those that compare their copies with its own. Keeps nothing of them but questions that must
+ * wait.
+ */
 final class Answers {
     /** Questions that wait until bytes may be spent again; more are dropped and asked again. */
     private static final int MOST_WAITING = 256;
     /** Answered in one turn, some 30 entries each. */
     private static final int MOST_A_TURN = 32;
 
-    private record Question(Peer from, Word word) {
-    }
+    private record Question(Peer from, Word word) {}
 
     private final Copy copy;
     private final Origins origins;
@@ -60,13 +62,23 @@
             send(from, new Word.Pairs(ask.walk(), ask.ask(), now, pairs), Word.FRAME + Word.TAG * pairs.size(), out);
         } else if (word instanceof Word.AskRoots ask) {
             List<Word.Root> roots = roots(from, ask, now);
-            send(from, new Word.Roots(ask.walk(), ask.ask(), whole.getAsBoolean(), roots),
-                    Word.FRAME + Word.ROOT * roots.size(), out);
+            send(
+                    from,
+                    new Word.Roots(ask.walk(), ask.ask(), whole.getAsBoolean(), roots),
+                    Word.FRAME + Word.ROOT * roots.size(),
+                    out);
         } else if (word instanceof Word.AskNode ask && copy.table(ask.kind()) != null) {
             send(from, node(ask, copy.table(ask.kind()), now), Word.FRAME + 2 * Word.TAG / 3 * Tree.FAN, out);
         } else if (word instanceof Word.AskRange ask && copy.table(ask.kind()) != null) {
             Word.Entries entries = range(ask, copy.table(ask.kind()));
-            send(from, entries, Word.FRAME + entries.entries().stream().mapToInt(Word.Entry::room).sum(), out);
+            send(
+                    from,
+                    entries,
+                    Word.FRAME
+                            + entries.entries().stream()
+                                    .mapToInt(Word.Entry::room)
+                                    .sum(),
+                    out);
         }
     }
 
@@ -109,7 +121,8 @@
         long upTo = ask.to();
         boolean full = false;
         for (int slot = table.firstFrom(ask.from());
-                slot >= 0 && Long.compareUnsigned(table.hash(slot), ask.to()) <= 0; slot = table.after(slot)) {
+                slot >= 0 && Long.compareUnsigned(table.hash(slot), ask.to()) <= 0;
+                slot = table.after(slot)) {
             if (!table.counted(slot)) {
                 continue;
             }
--- a/fleet/src/main/java/clayhook/fleet/state/Copy.java
+++ b/fleet/src/main/java/clayhook/fleet/state/Copy.java
@@ -28,7 +28,8 @@
         for (Kind<?> kind : kinds) {
             boolean fits = kind.number() >= 0 && kind.number() < Word.MOST_KINDS && tables.size() < MOST_KINDS;
             if (!fits || tables.put(kind.number(), new Table<>(kind, settings)) != null) {
-                throw new IllegalArgumentException("no room for the kind " + kind.name() + " with number " + kind.number());
+                throw new IllegalArgumentException(
+                        "no room for the kind " + kind.name() + " with number " + kind.number());
             }
         }
     }
@@ -64,7 +65,8 @@
 
     /** Joins in a value that came from that member. */
     <V> Fate take(Member from, Table<V> table, String key, long hash, byte[] value, double now) {
-        Fate fate = !hears(from, table) ? Fate.UNTIMELY
+        Fate fate = !hears(from, table)
+                ? Fate.UNTIMELY
                 : table.has(key, hash, value) ? Fate.SAME : read(table, key, hash, value, now);
         return counted(fate);
     }
--- a/fleet/src/main/java/clayhook/fleet/state/Fate.java
+++ b/fleet/src/main/java/clayhook/fleet/state/Fate.java
@@ -23,7 +23,9 @@
         return this == CHANGED || this == SAME;
     }
 
-    /** Whether the copy lacks nothing that it should hold: what is past its time or below the floor is missing rightly. */
+    /**
+     * Whether the copy lacks nothing that it should hold: what is past its time or below the floor is missing rightly.
+     */
     boolean settled() {
         return taken() || this == EXPIRED || this == FLOORED;
     }
--- a/fleet/src/main/java/clayhook/fleet/state/Keys.java
+++ b/fleet/src/main/java/clayhook/fleet/state/Keys.java
@@ -8,8 +8,7 @@
 final class Keys {
     private static final Hasher64 HASHER = Hashing.komihash5_0();
 
-    private Keys() {
-    }
+    private Keys() {}
 
     static long hash(String key) {
         return HASHER.hashCharsToLong(key);
@@ -37,7 +36,9 @@
             char c = key.charAt(i);
             if (!Character.isSurrogate(c)) {
                 bytes += c < 0x80 ? 1 : c < 0x800 ? 2 : 3;
-            } else if (Character.isHighSurrogate(c) && i + 1 < key.length() && Character.isLowSurrogate(key.charAt(i + 1))) {
+            } else if (Character.isHighSurrogate(c)
+                    && i + 1 < key.length()
+                    && Character.isLowSurrogate(key.charAt(i + 1))) {
                 bytes += 4;
                 i++;
             } else {
--- a/fleet/src/main/java/clayhook/fleet/state/Origins.java
+++ b/fleet/src/main/java/clayhook/fleet/state/Origins.java
@@ -9,14 +9,15 @@
 import java.util.Map;
 
 /**
- * How far this copy has what each member put in, and what it put in itself. Lives of members are told apart by a hash of 64
- * bits, which saves their names on the wire.
+ * How far this copy has what each member put in, and what it put in itself. Lives of members are told apart by a hash
+ * of 64 bits, which saves their names on the wire.
  */
 final class Origins {
     /** Lives that the roster does not name, kept beside those it names: its news may come later than the state's. */
     private static final int STRANGERS = 1024;
     /** Seconds for which one that may no more serve is remembered. */
     private static final double REMEMBERED = 60;
+
     private static final double MS = 1000;
 
     private final Roster roster;
@@ -26,6 +27,7 @@
     private final Map<Long, Track> byId = new HashMap<>();
     /** Emptied by {@link #tidy} of those that may no more serve. */
     private final Map<Member, Track> byMember = new HashMap<>();
+
     private long count;
     private double latest;
     /** Whose pair is told next. */
@@ -128,7 +130,9 @@
 
     /** Bytes of a number on the wire. */
     private static int room(long value) {
-        return value < 0 ? Long.BYTES + 1 : value < 1 << 8 ? 2 : value < 1 << 16 ? 3 : value < 1L << 32 ? 5 : Long.BYTES + 1;
+        return value < 0
+                ? Long.BYTES + 1
+                : value < 1 << 8 ? 2 : value < 1 << 16 ? 3 : value < 1L << 32 ? 5 : Long.BYTES + 1;
     }
 
     /** What is known here of those. */
@@ -147,7 +151,9 @@
 
     /** Those of whom something has been missing here for longer than that; with {@code all}, all. */
     List<Member> lacking(boolean all, double longer, double now) {
-        return roster.mayServe(now).stream().filter(member -> all || of(member, now).lacks(longer, now)).toList();
+        return roster.mayServe(now).stream()
+                .filter(member -> all || of(member, now).lacks(longer, now))
+                .toList();
     }
 
     /** Up to when all is here that anyone put in who may serve, on this router's clock. */
--- a/fleet/src/main/java/clayhook/fleet/state/Rumours.java
+++ b/fleet/src/main/java/clayhook/fleet/state/Rumours.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 
 /**
- * What was changed lately and is told on, least told first and of those the latest first. One entry is one rumour, whatever
- * changes: it always tells the value as it is now. A rumour ends when it was told a number of times, when it is too old, or
- * at the bound.
+ * What was changed lately and is told on, least told first and of those the latest first. One entry is one rumour,
+ * whatever changes: it always tells the value as it is now. A rumour ends when it was told a number of times, when it
+ * is too old, or at the bound.
  */
 final class Rumours {
     /** Rounds in which a rumour is told at most; enough for any fleet. */
@@ -23,6 +23,7 @@
         long[] tags = new long[0];
         /** Rounds in which it was told, or heard from others, since it changed last. */
         int told;
+
         double since;
         Rumour before = this;
         Rumour behind = this;
@@ -83,6 +84,7 @@
     private final Map<Table<?>, Map<String, Rumour>> byKey = new HashMap<>();
     /** Rings by rounds told; each head stands before the latest one. */
     private final Rumour[] rings = new Rumour[MOST_ROUNDS];
+
     private final int most;
     private final double lasts;
     private final StateCounts counts;
@@ -141,7 +143,9 @@
         throw new IllegalStateException("no rumour");
     }
 
-    /** Guards against an entry that is put in anew under the numbers of one that went: its value does not hold those. */
+    /**
+     * Guards against an entry that is put in anew under the numbers of one that went: its value does not hold those.
+     */
     private void forget(Rumour rumour) {
         if (rumour != null) {
             drop(rumour);
--- a/fleet/src/main/java/clayhook/fleet/state/State.java
+++ b/fleet/src/main/java/clayhook/fleet/state/State.java
@@ -17,22 +17,23 @@
 import java.util.function.Function;
 
 /**
- * This router's copy of the values that routers share. What changes here is told on to a few members a round, a bounded number
- * of times; what that misses is found by comparing hash trees with some member about once a second; a copy that lacks much is
- * brought up by the same comparison, from whomever.
+ * This router's copy of the values that routers share. What changes here is told on to a few members a round, a bounded
+ * number of times; what that misses is found by comparing hash trees with some member about once a second; a copy that
+ * lacks much is brought up by the same comparison, from whomever.
  *
- * <p><b>What goes.</b> Entries past their time are dropped and never taken again, so that nothing comes back and no tombstone is
- * needed; a router that was away for longer than a kind is kept brings nothing of it back. At the bound the oldest go, with all
- * of the same age, and the floor rises to them; floors spread and join by the higher one.
+ * <p><b>What goes.</b> Entries past their time are dropped and never taken again, so that nothing comes back and no
+ * tombstone is needed; a router that was away for longer than a kind is kept brings nothing of it back. At the bound
+ * the oldest go, with all of the same age, and the floor rises to them; floors spread and join by the higher one.
  *
- * <p><b>What {@link #certainUpTo} promises.</b> Of each member that the roster says may serve, every value that it put in before
- * that moment (on this router's clock, as far as the skew was measured) was joined into this copy, or is past its time, about
- * to be, or at or below the floor. That is known from the numbers under which each one puts in: all came as news, or the copy
- * was compared, whole, with one that had them. What it does not promise: anything on members that the roster does not know or
- * holds for dead, though they may live beyond a cut; on values still in a queue before {@link #put}; on what members put in
- * before they restarted if all who had it went with them; on a router that started cut off from all others and found nobody
- * for {@link StateSettings#aloneAfter}, which holds itself for the only one. It is negative infinity on the safe side: until
- * someone brought this copy up, while this router doubts itself, and while a member may serve whose clock is off.
+ * <p><b>What {@link #certainUpTo} promises.</b> Of each member that the roster says may serve, every value that it put
+ * in before that moment (on this router's clock, as far as the skew was measured) was joined into this copy, or is past
+ * its time, about to be, or at or below the floor. That is known from the numbers under which each one puts in: all
+ * came as news, or the copy was compared, whole, with one that had them. What it does not promise: anything on members
+ * that the roster does not know or holds for dead, though they may live beyond a cut; on values still in a queue before
+ * {@link #put}; on what members put in before they restarted if all who had it went with them; on a router that started
+ * cut off from all others and found nobody for {@link StateSettings#aloneAfter}, which holds itself for the only one.
+ * It is negative infinity on the safe side: until someone brought this copy up, while this router doubts itself, and
+ * while a member may serve whose clock is off.
  *
  * <p>For one thread. Take a turn at once after putting in a value of an urgent kind.
  */
@@ -87,8 +88,8 @@
     /**
      * {@inheritDoc}
      *
-     * <p>Null also for a value from the future beyond the clocks' bound, and for one that is too long with its key (1,000 bytes
-     * together); counted by reason.
+     * <p>Null also for a value from the future beyond the clocks' bound, and for one that is too long with its key
+     * (1,000 bytes together); counted by reason.
      */
     @Override
     public <V> V put(Kind<V> kind, String key, V value, double now) {
--- a/fleet/src/main/java/clayhook/fleet/state/StateCounts.java
+++ b/fleet/src/main/java/clayhook/fleet/state/StateCounts.java
@@ -21,14 +21,19 @@
     public long unknownKinds;
     /** Comparisons begun, carried through, and given up because the other fell silent or this router stood. */
     public long walksBegun;
+
     public long walksDone;
     public long walksGivenUp;
     /** Questions asked again. */
     public long askedAgain;
     /** Questions of others that found the queue full. */
     public long asksDropped;
-    /** Bytes of news, of all that comparisons made this router send, and of pieces of numbers; without the packets' frames. */
+    /**
+     * Bytes of news, of all that comparisons made this router send, and of pieces of numbers; without the packets'
+     * frames.
+     */
     public long newsBytes;
+
     public long walkBytes;
     public long pairsBytes;
 }
--- a/fleet/src/main/java/clayhook/fleet/state/StateSettings.java
+++ b/fleet/src/main/java/clayhook/fleet/state/StateSettings.java
@@ -23,9 +23,26 @@
  * @param stood time without a turn after which this router compares at once
  * @param sweep entries dropped or left out of the digests in one turn at most
  */
-public record StateSettings(double round, int fanout, int newsParts, double newsBytes, double newsFor, int mostNews,
-        double digestEvery, double digestBytes, double answerWait, double silence, int window, double catchUpBytes,
-        double pushBytes, double pairsEvery, double clockBound, double margin, double aloneAfter, double stood, int sweep) {
+public record StateSettings(
+        double round,
+        int fanout,
+        int newsParts,
+        double newsBytes,
+        double newsFor,
+        int mostNews,
+        double digestEvery,
+        double digestBytes,
+        double answerWait,
+        double silence,
+        int window,
+        double catchUpBytes,
+        double pushBytes,
+        double pairsEvery,
+        double clockBound,
+        double margin,
+        double aloneAfter,
+        double stood,
+        int sweep) {
     /** For up to a thousand routers in one network. */
     public static final StateSettings DEFAULT = new StateSettings(
             0.05, 3, 8, 512 << 10, 2, 8_192, // five or six rounds reach a hundred routers
@@ -37,7 +54,25 @@
 
     /** The same but for {@link #aloneAfter}, for fleets that start all at once and need not wait for anyone. */
     public StateSettings withAloneAfter(double seconds) {
-        return new StateSettings(round, fanout, newsParts, newsBytes, newsFor, mostNews, digestEvery, digestBytes, answerWait,
-                silence, window, catchUpBytes, pushBytes, pairsEvery, clockBound, margin, seconds, stood, sweep);
+        return new StateSettings(
+                round,
+                fanout,
+                newsParts,
+                newsBytes,
+                newsFor,
+                mostNews,
+                digestEvery,
+                digestBytes,
+                answerWait,
+                silence,
+                window,
+                catchUpBytes,
+                pushBytes,
+                pairsEvery,
+                clockBound,
+                margin,
+                seconds,
+                stood,
+                sweep);
     }
 }
--- a/fleet/src/main/java/clayhook/fleet/state/Table.java
+++ b/fleet/src/main/java/clayhook/fleet/state/Table.java
@@ -10,15 +10,16 @@
 
 /**
  * The entries of one kind, kept by the hash of their keys so that ranges of hashes come in order. Holds at most
- * {@link Kind#most()} entries; they go when they are past their time or at the bound. An entry out of its time is never taken,
- * so that nothing that was dropped comes back and nothing has to be remembered of it.
+ * {@link Kind#most()} entries; they go when they are past their time or at the bound. An entry out of its time is never
+ * taken, so that nothing that was dropped comes back and nothing has to be remembered of it.
  *
- * <p>An entry takes some 56 bytes beside its key and value, measured with 100,000; just after the arrays grew half as much again.
- * Arrays do not shrink.
+ * <p>An entry takes some 56 bytes beside its key and value, measured with 100,000; just after the arrays grew half as
+ * much again. Arrays do not shrink.
  */
 final class Table<V> {
     /** Bytes of key and value; leaves room for the frame of any part that holds just this one. */
     static final int LONGEST_ENTRY = 1000;
+
     private static final int LEAST_BITS = 6;
     private static final int FIRST_SLOTS = 16;
 
@@ -26,13 +27,15 @@
     final Tree tree = new Tree();
     /** Bounded by who calls {@link Shared#listen} once at the start. */
     private final List<Shared.Listener<V>> listeners = new ArrayList<>();
-    private Consumer<String> dropped = key -> { };
+
+    private Consumer<String> dropped = key -> {};
     private final double clockBound;
     private final double margin;
     private final double step;
 
     /** Slots: what each holds. Free ones are linked from {@link #free} by {@link #next}. */
     private String[] keys = new String[0];
+
     private Object[] values = new Object[0];
     private long[] hashes = new long[0];
     private long[] marks = new long[0];
@@ -41,11 +44,13 @@
     private int size;
     /** First slots by the front bits of the hash; each chain in the order of hashes. */
     private int[] heads;
+
     private int bits = LEAST_BITS;
 
     private final Ages ages = new Ages();
     /** Those in the digests, younger than {@link #cutoff}, and the others. */
     private final Ages.Heap counted = ages.new Heap();
+
     private final Ages.Heap fading = ages.new Heap();
     private double cutoff = Double.NEGATIVE_INFINITY;
     private double floor = Double.NEGATIVE_INFINITY;
@@ -186,7 +191,10 @@
         return -1;
     }
 
-    /** Drops what is past its time or below the floor and takes what is about to go out of the digests, up to so many entries. */
+    /**
+     * Drops what is past its time or below the floor and takes what is about to go out of the digests, up to so many
+     * entries.
+     */
     void sweep(double now, int most) {
         int left = dropTo(Math.max(floor, now - kind.keep()), most);
         fade(target(now), left);
@@ -194,7 +202,9 @@
 
     /** Steps, so that the digests of two routers that compare at slightly different times leave out the same. */
     private double target(double now) {
-        return Double.isInfinite(kind.keep()) ? Double.NEGATIVE_INFINITY : Math.floor((now - kind.keep() + margin) / step) * step;
+        return Double.isInfinite(kind.keep())
+                ? Double.NEGATIVE_INFINITY
+                : Math.floor((now - kind.keep() + margin) / step) * step;
     }
 
     /** Two routers compare by the later of their cut-offs. */
--- a/fleet/src/main/java/clayhook/fleet/state/Track.java
+++ b/fleet/src/main/java/clayhook/fleet/state/Track.java
@@ -1,9 +1,9 @@
 package clayhook.fleet.state;
 
 /**
- * How far this copy has what one life of one member put in. The member numbers what it puts in from 1 on. A pair of a count
- * and a time says that it had put in so many as its clock showed that; when all up to the count are here, the copy is certain
- * up to that time. 100 bytes, and 128 more once something came out of order.
+ * How far this copy has what one life of one member put in. The member numbers what it puts in from 1 on. A pair of a
+ * count and a time says that it had put in so many as its clock showed that; when all up to the count are here, the
+ * copy is certain up to that time. 100 bytes, and 128 more once something came out of order.
  */
 final class Track {
     /** Numbers that may come ahead of a missing one; what is further ahead counts as missing. */
@@ -16,14 +16,19 @@
     private long[] ahead;
     /** The latest pair that holds here. */
     private long sureCount;
+
     private double sure = Double.NEGATIVE_INFINITY;
-    /** The first pair heard that does not hold yet, and the last: to wait for the last alone would never end under news. */
+    /**
+     * The first pair heard that does not hold yet, and the last: to wait for the last alone would never end under news.
+     */
     private long waitCount;
+
     private double wait = Double.NaN;
     private long lastCount;
     private double last;
     /** When each of the two came. */
     private double waitSince;
+
     private double lastSince;
     /** When anything of it came. */
     double touched;
--- a/fleet/src/main/java/clayhook/fleet/state/Tree.java
+++ b/fleet/src/main/java/clayhook/fleet/state/Tree.java
@@ -1,8 +1,8 @@
 package clayhook.fleet.state;
 
 /**
- * Sums of the marks of entries by the front bits of their keys' hashes: a root, 16, 256 and 4,096 ranges. A sum knows no
- * order, so that equal sets have equal sums whatever way they came about. 52 KB.
+ * Sums of the marks of entries by the front bits of their keys' hashes: a root, 16, 256 and 4,096 ranges. A sum knows
+ * no order, so that equal sets have equal sums whatever way they came about. 52 KB.
  */
 final class Tree {
     /** Ranges that each is made of. */
@@ -11,6 +11,7 @@
     static final int LEAVES = 3;
     /** Where each level begins. */
     private static final int[] LEVEL = {0, 1, 17, 273};
+
     private static final int BITS = 4;
 
     private final long[] sums = new long[4369];
--- a/fleet/src/main/java/clayhook/fleet/state/Walk.java
+++ b/fleet/src/main/java/clayhook/fleet/state/Walk.java
@@ -13,10 +13,10 @@
 import java.util.Map;
 
 /**
- * One comparison with one member, from the roots down to what differs, so that afterwards this copy has all that the other
- * had. Several questions are under way at a time; each is asked again until it is answered, and each answer makes sense by
- * itself, so that late, doubled or reordered ones do no harm. Whatever was got before it is given up stays: the next one, with
- * whomever, finds those ranges alike.
+ * One comparison with one member, from the roots down to what differs, so that afterwards this copy has all that the
+ * other had. Several questions are under way at a time; each is asked again until it is answered, and each answer makes
+ * sense by itself, so that late, doubled or reordered ones do no harm. Whatever was got before it is given up stays:
+ * the next one, with whomever, finds those ranges alike.
  */
 final class Walk {
     private static final int FIRST_WINDOW = 4;
@@ -25,17 +25,13 @@
 
     /** Something still to be found out. */
     private sealed interface Step {
-        record Numbers(long[] ids) implements Step {
-        }
+        record Numbers(long[] ids) implements Step {}
 
-        record AllRoots() implements Step {
-        }
+        record AllRoots() implements Step {}
 
-        record Node(Table<?> table, int level, int index) implements Step {
-        }
+        record Node(Table<?> table, int level, int index) implements Step {}
 
-        record Range(Table<?> table, long from, long to) implements Step {
-        }
+        record Range(Table<?> table, long from, long to) implements Step {}
     }
 
     /** A question under way; {@code keys} of the entries that it told in brief. */
@@ -67,6 +63,7 @@
     private final Map<Integer, Asked> asked = new HashMap<>();
     /** What the other had before the roots were compared. */
     private final List<Word.Pair> pairs = new ArrayList<>();
+
     private int number;
     private int window = FIRST_WINDOW;
     private double heardAt;
@@ -74,11 +71,19 @@
     private boolean peerWhole;
     /** All kinds were compared, and nothing that came was refused that should be here. */
     private boolean complete = true;
+
     private boolean done;
     private double pushed;
     private double bytes;
 
-    Walk(Peer peer, long id, List<Member> lacking, Copy copy, StateSettings settings, StateCounts counts, Allowance allowance,
+    Walk(
+            Peer peer,
+            long id,
+            List<Member> lacking,
+            Copy copy,
+            StateSettings settings,
+            StateCounts counts,
+            Allowance allowance,
             double now) {
         this.peer = peer;
         this.id = id;
@@ -147,16 +152,20 @@
         number++;
         Asked question;
         if (step instanceof Step.Numbers numbers) {
-            question = new Asked(step, new Word.AskPairs(id, number, numbers.ids), List.of(),
-                    Word.FRAME + 9 * numbers.ids.length);
+            question = new Asked(
+                    step, new Word.AskPairs(id, number, numbers.ids), List.of(), Word.FRAME + 9 * numbers.ids.length);
         } else if (step instanceof Step.Node node) {
-            question = new Asked(step, new Word.AskNode(id, number, node.table.kind.number(), node.table.cutoff(), node.level,
-                    node.index), List.of(), Word.FRAME);
+            question = new Asked(
+                    step,
+                    new Word.AskNode(id, number, node.table.kind.number(), node.table.cutoff(), node.level, node.index),
+                    List.of(),
+                    Word.FRAME);
         } else if (step instanceof Step.Range range) {
             question = range(range);
         } else {
             List<Word.Root> roots = copy.tables().stream().map(Copy::root).toList();
-            question = new Asked(step, new Word.AskRoots(id, number, roots), List.of(), Word.FRAME + Word.ROOT * roots.size());
+            question = new Asked(
+                    step, new Word.AskRoots(id, number, roots), List.of(), Word.FRAME + Word.ROOT * roots.size());
         }
         // A pause for want of allowance is no silence of the other.
         heardAt = asked.isEmpty() ? now : heardAt;
@@ -171,7 +180,8 @@
         var keys = new ArrayList<String>();
         long to = range.to;
         for (int slot = table.firstFrom(range.from);
-                slot >= 0 && Long.compareUnsigned(table.hash(slot), range.to) <= 0; slot = table.after(slot)) {
+                slot >= 0 && Long.compareUnsigned(table.hash(slot), range.to) <= 0;
+                slot = table.after(slot)) {
             if (!table.counted(slot)) {
                 continue;
             }
@@ -183,8 +193,11 @@
             briefs[keys.size()] = Keys.brief(table.mark(slot), id);
             keys.add(table.key(slot));
         }
-        return new Asked(new Step.Range(table, range.from, to), new Word.AskRange(id, number, table.kind.number(), range.from, to,
-                Arrays.copyOf(briefs, keys.size())), keys, Word.FRAME + 5 * keys.size());
+        return new Asked(
+                new Step.Range(table, range.from, to),
+                new Word.AskRange(id, number, table.kind.number(), range.from, to, Arrays.copyOf(briefs, keys.size())),
+                keys,
+                Word.FRAME + 5 * keys.size());
     }
 
     private void send(Asked question, double now, Outbox out) {
@@ -211,13 +224,25 @@
     }
 
     void heard(Peer from, Word.Pairs answer, double now) {
-        if (answered(from, answer.walk(), answer.ask(), Word.FRAME + Word.TAG * answer.pairs().size(), now) != null) {
+        if (answered(
+                        from,
+                        answer.walk(),
+                        answer.ask(),
+                        Word.FRAME + Word.TAG * answer.pairs().size(),
+                        now)
+                != null) {
             pairs.addAll(answer.pairs());
         }
     }
 
     void heard(Peer from, Word.Roots answer, double now) {
-        if (answered(from, answer.walk(), answer.ask(), Word.FRAME + Word.ROOT * answer.roots().size(), now) == null) {
+        if (answered(
+                        from,
+                        answer.walk(),
+                        answer.ask(),
+                        Word.FRAME + Word.ROOT * answer.roots().size(),
+                        now)
+                == null) {
             return;
         }
         peerWhole = answer.whole();
@@ -247,15 +272,18 @@
             int here = node.table.tree.count(level, index);
             if (node.table.tree.sum(level, index) != answer.sums()[i] || here != answer.counts()[i]) {
                 boolean few = level == Tree.LEAVES || here <= FEW && answer.counts()[i] <= FEW;
-                steps.push(few ? new Step.Range(node.table, Tree.from(level, index), Tree.to(level, index))
-                        : new Step.Node(node.table, level, index));
+                steps.push(
+                        few
+                                ? new Step.Range(node.table, Tree.from(level, index), Tree.to(level, index))
+                                : new Step.Node(node.table, level, index));
             }
         }
     }
 
     /** @param settled whether all that came with it is here now or rightly not */
     void heard(Peer from, Word.Entries answer, boolean settled, double now, Outbox out) {
-        int size = Word.FRAME + answer.entries().stream().mapToInt(Word.Entry::room).sum();
+        int size = Word.FRAME
+                + answer.entries().stream().mapToInt(Word.Entry::room).sum();
         Asked question = answered(from, answer.walk(), answer.ask(), size, now);
         if (question == null || !(question.step instanceof Step.Range range)) {
             return;
@@ -294,7 +322,9 @@
             pushed += size;
             spend(size);
             counts.walkBytes += size;
-            out.add(peer.address(), new Word.Entries(0, 0, table.kind.number(), table.floor(), 0, 0, List.copyOf(entries)));
+            out.add(
+                    peer.address(),
+                    new Word.Entries(0, 0, table.kind.number(), table.floor(), 0, 0, List.copyOf(entries)));
         }
     }
 }
--- a/fleet/src/main/java/clayhook/fleet/state/Walks.java
+++ b/fleet/src/main/java/clayhook/fleet/state/Walks.java
@@ -14,7 +14,10 @@
     private static final double UNDER_WAY = 0.3;
     /** Seconds between two comparisons while this copy is not brought up. */
     private static final double HURRY = 0.1;
-    /** A costly comparison puts off the next one by that many intervals at most, and until this copy is brought up by one. */
+    /**
+     * A costly comparison puts off the next one by that many intervals at most, and until this copy is brought up by
+     * one.
+     */
     private static final double LONGEST_REST = 4;
 
     private final Roster roster;
@@ -27,14 +30,22 @@
     private final double start;
     /** Null between two comparisons. */
     private Walk walk;
+
     private double nextAt;
     /** The one that fell silent last or knew no more itself; another one is tried before it. */
     private Member shunned;
+
     private boolean broughtUp;
     /** Someone was compared with who knew no more either. */
     private boolean met;
 
-    Walks(Roster roster, Copy copy, Origins origins, StateSettings settings, StateCounts counts, SplittableRandom random,
+    Walks(
+            Roster roster,
+            Copy copy,
+            Origins origins,
+            StateSettings settings,
+            StateCounts counts,
+            SplittableRandom random,
             double now) {
         this.roster = roster;
         this.copy = copy;
@@ -48,15 +59,21 @@
     }
 
     /**
-     * Whether this copy has what the fleet had as this router started: it has got all from one who was brought up; or no such
-     * one was met for a stated time, and it has met others in the same case or there are none.
+     * Whether this copy has what the fleet had as this router started: it has got all from one who was brought up; or
+     * no such one was met for a stated time, and it has met others in the same case or there are none.
      */
     boolean whole(double now) {
-        return broughtUp || now - start >= settings.aloneAfter()
-                && (met || roster.others().isEmpty() && roster.mayServe(now).isEmpty());
+        return broughtUp
+                || now - start >= settings.aloneAfter()
+                        && (met
+                                || roster.others().isEmpty()
+                                        && roster.mayServe(now).isEmpty());
     }
 
-    /** Guards against answers that stood in a queue while this router stood still, and against peers that have gone meanwhile. */
+    /**
+     * Guards against answers that stood in a queue while this router stood still, and against peers that have gone
+     * meanwhile.
+     */
     void stood(double now) {
         counts.walksGivenUp += walk == null ? 0 : 1;
         walk = null;
@@ -94,7 +111,8 @@
     private Peer peer(List<Peer> others, List<Member> lacking) {
         if (broughtUp && !lacking.isEmpty() && random.nextBoolean()) {
             Member wanted = lacking.get(random.nextInt(lacking.size()));
-            Optional<Peer> itself = others.stream().filter(peer -> peer.member().equals(wanted)).findFirst();
+            Optional<Peer> itself =
+                    others.stream().filter(peer -> peer.member().equals(wanted)).findFirst();
             if (itself.isPresent() && !wanted.equals(shunned)) {
                 return itself.get();
             }
@@ -124,7 +142,8 @@
             broughtUp |= walk.peerWhole() || now - start >= settings.aloneAfter();
         }
         double paid = walk.bytes() / settings.digestBytes();
-        double rest = whole(now) ? Math.min(LONGEST_REST * settings.digestEvery(), Math.max(settings.digestEvery(), paid))
+        double rest = whole(now)
+                ? Math.min(LONGEST_REST * settings.digestEvery(), Math.max(settings.digestEvery(), paid))
                 : Math.min(settings.digestEvery(), Math.max(HURRY, paid / LONGEST_REST));
         // Uneven, so that routers that started together do not all compare together.
         nextAt = now + rest * (0.75 + random.nextDouble() / 2);
--- a/fleet/src/main/java/clayhook/fleet/state/Word.java
+++ b/fleet/src/main/java/clayhook/fleet/state/Word.java
@@ -8,8 +8,8 @@
 import java.util.function.Function;
 
 /**
- * What copies tell and ask each other: parts 20 to 28. A question carries the number of its walk and its own; the answer
- * repeats both, and makes sense by itself whenever it comes.
+ * What copies tell and ask each other: parts 20 to 28. A question carries the number of its walk and its own; the
+ * answer repeats both, and makes sense by itself whenever it comes.
  */
 sealed interface Word extends Part {
     /** Marks on an entry told as news; with more the oldest are dropped. */
@@ -56,12 +56,10 @@
     }
 
     /** A member, how many times it had put something in, and when that was so there. */
-    record Pair(long id, long count, double asOf) {
-    }
+    record Pair(long id, long count, double asOf) {}
 
     /** Where one kind stands: what is left out for its age, the floor, and the sum of the rest. */
-    record Root(int kind, double cutoff, double floor, long sum) {
-    }
+    record Root(int kind, double cutoff, double floor, long sum) {}
 
     /**
      * What has changed.
@@ -117,8 +115,11 @@
             long walk = in.whole();
             int ask = in.small(Integer.MAX_VALUE);
             double now = in.number();
-            return new Pairs(walk, ask, now, in.lists(MOST, each ->
-                    new Pair(each.whole(), each.whole(), now - each.whole() / MS)));
+            return new Pairs(
+                    walk,
+                    ask,
+                    now,
+                    in.lists(MOST, each -> new Pair(each.whole(), each.whole(), now - each.whole() / MS)));
         }
     }
 
@@ -223,7 +224,12 @@
         }
 
         private static Node read(Reader in) {
-            var node = new Node(in.whole(), in.small(Integer.MAX_VALUE), in.number(), in.number(), in.wholes(Tree.FAN),
+            var node = new Node(
+                    in.whole(),
+                    in.small(Integer.MAX_VALUE),
+                    in.number(),
+                    in.number(),
+                    in.wholes(Tree.FAN),
                     in.wholes(Tree.FAN));
             if (node.sums.length != Tree.FAN || node.counts.length != Tree.FAN) {
                 throw new IllegalArgumentException("a node of " + node.sums.length + " ranges");
@@ -248,7 +254,12 @@
         }
 
         private static AskRange read(Reader in) {
-            return new AskRange(in.whole(), in.small(Integer.MAX_VALUE), in.small(MOST_KINDS), in.whole(), in.whole(),
+            return new AskRange(
+                    in.whole(),
+                    in.small(Integer.MAX_VALUE),
+                    in.small(MOST_KINDS),
+                    in.whole(),
+                    in.whole(),
                     in.wholes(MOST_BRIEFS));
         }
     }
@@ -260,7 +271,8 @@
      * @param upTo hash up to which these are all that were asked for
      * @param had a bit for each entry told in brief that is here too
      */
-    record Entries(long walk, int ask, int kind, double floor, long upTo, long had, List<Entry> entries) implements Word {
+    record Entries(long walk, int ask, int kind, double floor, long upTo, long had, List<Entry> entries)
+            implements Word {
         static final int NUMBER = 28;
 
         @Override
@@ -270,22 +282,51 @@
 
         @Override
         public void write(Writer out) {
-            out.whole(walk).whole(ask).whole(kind).number(floor).whole(upTo).whole(had).begin();
-            entries.forEach(entry -> out.begin().text(entry.key).bytes(entry.value).end());
+            out.whole(walk)
+                    .whole(ask)
+                    .whole(kind)
+                    .number(floor)
+                    .whole(upTo)
+                    .whole(had)
+                    .begin();
+            entries.forEach(
+                    entry -> out.begin().text(entry.key).bytes(entry.value).end());
             out.end();
         }
 
         private static Entries read(Reader in) {
-            return new Entries(in.whole(), in.small(Integer.MAX_VALUE), in.small(MOST_KINDS), in.number(), in.whole(), in.whole(),
+            return new Entries(
+                    in.whole(),
+                    in.small(Integer.MAX_VALUE),
+                    in.small(MOST_KINDS),
+                    in.number(),
+                    in.whole(),
+                    in.whole(),
                     in.lists(MOST, each -> new Entry(each.name(), each.bytes())));
         }
     }
 
     /** How each of them is read. */
     static Map<Integer, Function<Reader, ? extends Part>> readers() {
-        return Map.of(News.NUMBER, News::read, Pairs.NUMBER, Pairs::read, AskPairs.NUMBER, AskPairs::read,
-                AskRoots.NUMBER, AskRoots::read, Roots.NUMBER, Roots::read, AskNode.NUMBER, AskNode::read,
-                Node.NUMBER, Node::read, AskRange.NUMBER, AskRange::read, Entries.NUMBER, Entries::read);
+        return Map.of(
+                News.NUMBER,
+                News::read,
+                Pairs.NUMBER,
+                Pairs::read,
+                AskPairs.NUMBER,
+                AskPairs::read,
+                AskRoots.NUMBER,
+                AskRoots::read,
+                Roots.NUMBER,
+                Roots::read,
+                AskNode.NUMBER,
+                AskNode::read,
+                Node.NUMBER,
+                Node::read,
+                AskRange.NUMBER,
+                AskRange::read,
+                Entries.NUMBER,
+                Entries::read);
     }
 
     private static void wholes(long[] values, Writer out) {
@@ -298,7 +339,12 @@
 
     private static void writeRoots(List<Root> roots, Writer out) {
         out.begin();
-        roots.forEach(root -> out.begin().whole(root.kind).number(root.cutoff).number(root.floor).whole(root.sum).end());
+        roots.forEach(root -> out.begin()
+                .whole(root.kind)
+                .number(root.cutoff)
+                .number(root.floor)
+                .whole(root.sum)
+                .end());
         out.end();
     }
 
--- a/fleet/src/main/java/clayhook/rollout/Batch.java
+++ b/fleet/src/main/java/clayhook/rollout/Batch.java
@@ -6,19 +6,25 @@
 import java.util.function.BiConsumer;
 
 /**
- * Outcomes counted by one thread, which then hands the batch over and begins a new one. Allocates only for the first command
- * of a version and group.
+ * Outcomes counted by one thread, which then hands the batch over and begins a new one. Allocates only for the first
+ * command of a version and group.
  */
 public final class Batch {
-    /** Versions in a batch; more than two follow each other only where stages change. Emptied by handing the batch over. */
+    /**
+     * Versions in a batch; more than two follow each other only where stages change. Emptied by handing the batch over.
+     */
     private static final int MOST_VERSIONS = 8;
 
     /** Counts of one version and command group; the parts of a bucket stand side by side. */
     static final class Cell {
         /** Commands are also counted by a hash of their session, which shows how unlike each other sessions are. */
         static final int BUCKETS = 12;
-        /** Within a bucket: all commands, then failed, late and throttled ones, those with a known limit for slow, slow ones. */
+        /**
+         * Within a bucket: all commands, then failed, late and throttled ones, those with a known limit for slow, slow
+         * ones.
+         */
         static final int ALL = 0;
+
         static final int FAILED = 1;
         static final int LATE = 2;
         static final int THROTTLED = 3;
@@ -32,7 +38,8 @@
         final long[] counts = new long[SIZE];
         final long[] times = new long[Times.SIZE];
 
-        private void add(long session, boolean failed, boolean late, boolean throttled, double seconds, double slowFrom) {
+        private void add(
+                long session, boolean failed, boolean late, boolean throttled, double seconds, double slowFrom) {
             int at = (int) Long.remainderUnsigned(Split.mixed(session + SALT), BUCKETS) * WIDTH;
             counts[at + ALL]++;
             counts[at + FAILED] += failed ? 1 : 0;
@@ -64,7 +71,13 @@
      * @param session the hash that its version was chosen by
      * @param seconds that its answer took; NaN where it got none
      */
-    public void add(Version version, String group, long session, boolean failed, boolean late, boolean throttled,
+    public void add(
+            Version version,
+            String group,
+            long session,
+            boolean failed,
+            boolean late,
+            boolean throttled,
             double seconds) {
         if (version.round() != null) {
             count(version, group, session, failed, late, throttled, seconds);
@@ -72,7 +85,13 @@
         }
     }
 
-    private void count(Version version, String group, long session, boolean failed, boolean late, boolean throttled,
+    private void count(
+            Version version,
+            String group,
+            long session,
+            boolean failed,
+            boolean late,
+            boolean throttled,
             double seconds) {
         if (!version.watches(group)) {
             return;
--- a/fleet/src/main/java/clayhook/rollout/Checker.java
+++ b/fleet/src/main/java/clayhook/rollout/Checker.java
@@ -1,6 +1,9 @@
 package clayhook.rollout;
 
-/** Whether this router could run a set of rules. Whoever implements it keeps what it read, so that both versions stand ready. */
+/**
+ * Whether this router could run a set of rules. Whoever implements it keeps what it read, so that both versions stand
+ * ready.
+ */
 public interface Checker {
     /**
      * Reads the whole text, outside of the way of requests. May be called again for the same set.
--- a/fleet/src/main/java/clayhook/rollout/End.java
+++ b/fleet/src/main/java/clayhook/rollout/End.java
@@ -11,11 +11,22 @@
  * @param at when, on that router's clock
  */
 record End(What what, String reason, String by, double at) {
-    /** In the order in which they are told where several routers ended it at once; to the candidate they are all the same. */
-    enum What { HALTED, VETOED, WITHDRAWN, SUPERSEDED, EXPIRED }
+    /**
+     * In the order in which they are told where several routers ended it at once; to the candidate they are all the
+     * same.
+     */
+    enum What {
+        HALTED,
+        VETOED,
+        WITHDRAWN,
+        SUPERSEDED,
+        EXPIRED
+    }
 
-    private static final Comparator<End> ORDER = Comparator.comparing(End::what).thenComparingDouble(End::at)
-            .thenComparing(End::by).thenComparing(End::reason);
+    private static final Comparator<End> ORDER = Comparator.comparing(End::what)
+            .thenComparingDouble(End::at)
+            .thenComparing(End::by)
+            .thenComparing(End::reason);
     /** Characters of a reason; the rest is cut off, so that the value fits its part whatever the letters. */
     private static final int LONGEST_REASON = 100;
 
--- a/fleet/src/main/java/clayhook/rollout/Figure.java
+++ b/fleet/src/main/java/clayhook/rollout/Figure.java
@@ -7,9 +7,9 @@
 import java.util.Arrays;
 
 /**
- * What one life of one router has counted in one stage and command group, from the stage's beginning. Only that router writes
- * it, and each time with a higher number: whoever hears it twice, late or over three ways keeps the newest and counts nothing
- * twice.
+ * What one life of one router has counted in one stage and command group, from the stage's beginning. Only that router
+ * writes it, and each time with a higher number: whoever hears it twice, late or over three ways keeps the newest and
+ * counts nothing twice.
  *
  * @param number of the writing; the higher one counts
  * @param at when it was written, on the writer's clock
@@ -32,15 +32,23 @@
         static final int WIDTH = SequentialTest.RATIOS.length;
         static final int SIZE = Measure.values().length * WIDTH;
 
-        private Sums() {
-        }
+        private Sums() {}
     }
 
     /** Whose and of what a figure is. */
     record Key(String round, int stage, Member by, String group) {
         String text() {
-            return round + '/' + stage + '/' + Long.toString(by.boot(), Character.MAX_RADIX) + '/' + by.name().length() + '/'
-                    + by.name() + '/' + group;
+            return round
+                    + '/'
+                    + stage
+                    + '/'
+                    + Long.toString(by.boot(), Character.MAX_RADIX)
+                    + '/'
+                    + by.name().length()
+                    + '/'
+                    + by.name()
+                    + '/'
+                    + group;
         }
 
         /** Null for what is none. */
@@ -48,7 +56,9 @@
             String[] parts = text.split("/", 5);
             try {
                 int length = Integer.parseInt(parts[3]);
-                return new Key(parts[0], Integer.parseInt(parts[1]),
+                return new Key(
+                        parts[0],
+                        Integer.parseInt(parts[1]),
                         new Member(parts[4].substring(0, length), Long.parseLong(parts[2], Character.MAX_RADIX)),
                         parts[4].substring(length + 1));
             } catch (NumberFormatException | IndexOutOfBoundsException e) {
@@ -113,7 +123,9 @@
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof Figure figure && number == figure.number && at == figure.at
+        return other instanceof Figure figure
+                && number == figure.number
+                && at == figure.at
                 && Arrays.equals(counts, figure.counts);
     }
 
--- a/fleet/src/main/java/clayhook/rollout/Figures.java
+++ b/fleet/src/main/java/clayhook/rollout/Figures.java
@@ -12,10 +12,14 @@
     static final class Group {
         /** As in {@link Figure#COUNTS}, added up. */
         final long[] counts = new long[Figure.Sums.SIZE + 2 * Batch.Cell.SIZE];
+
         final long[] oldTimes = new long[Times.SIZE];
         final long[] candidateTimes = new long[Times.SIZE];
-        /** By measure: the differences between the versions at each router, weighed by how much that router can tell. */
+        /**
+         * By measure: the differences between the versions at each router, weighed by how much that router can tell.
+         */
         private final double[] differences = new double[Measure.values().length];
+
         private final double[] weights = new double[Measure.values().length];
 
         private void add(long[] more) {
@@ -27,7 +31,8 @@
                 double candidate = all(more, measure, 1);
                 if (old > 0 && candidate > 0) {
                     double weight = old * candidate / (old + candidate);
-                    differences[measure.ordinal()] += weight * (bad(more, measure, 1) / candidate - bad(more, measure, 0) / old);
+                    differences[measure.ordinal()] +=
+                            weight * (bad(more, measure, 1) / candidate - bad(more, measure, 0) / old);
                     weights[measure.ordinal()] += weight;
                 }
             }
@@ -46,15 +51,20 @@
             return SequentialTest.total(counts, Figure.Sums.SIZE + version * Batch.Cell.SIZE, Batch.Cell.ALL);
         }
 
-        /** Share of a version's commands that the measure counts; for {@link Measure#SLOW} its 99th percentile in seconds. */
+        /**
+         * Share of a version's commands that the measure counts; for {@link Measure#SLOW} its 99th percentile in
+         * seconds.
+         */
         double level(Measure measure, int version) {
-            return measure == Measure.SLOW ? Times.slowest(version == 0 ? oldTimes : candidateTimes)
+            return measure == Measure.SLOW
+                    ? Times.slowest(version == 0 ? oldTimes : candidateTimes)
                     : bad(counts, measure, version) / all(counts, measure, version);
         }
 
         /** How much higher the candidate's level is at the same router; for SLOW as a part of the old version's. */
         double excess(Measure measure) {
-            return measure == Measure.SLOW ? level(measure, 1) / level(measure, 0) - 1
+            return measure == Measure.SLOW
+                    ? level(measure, 1) / level(measure, 0) - 1
                     : differences[measure.ordinal()] / weights[measure.ordinal()];
         }
 
--- a/fleet/src/main/java/clayhook/rollout/Guard.java
+++ b/fleet/src/main/java/clayhook/rollout/Guard.java
@@ -6,13 +6,14 @@
 import java.util.List;
 
 /**
- * A bound on what the candidate may do to a command group. It halts only where the figures prove that the candidate is worse
- * than the old version at the same time; both bounds say how much of that is bearable.
+ * A bound on what the candidate may do to a command group. It halts only where the figures prove that the candidate is
+ * worse than the old version at the same time; both bounds say how much of that is bearable.
  *
  * @param group the command group, or {@link #ALL} for all taken together
- * @param most absolute: share of commands, or seconds at the 99th percentile for {@link Measure#SLOW}; infinite for none
- * @param worse against the old version: share of commands more, or for {@link Measure#SLOW} the part by which the 99th percentile
- *     is longer, 0.2 for a fifth; infinite for none
+ * @param most absolute: share of commands, or seconds at the 99th percentile for {@link Measure#SLOW}; infinite for
+ *     none
+ * @param worse against the old version: share of commands more, or for {@link Measure#SLOW} the part by which the 99th
+ *     percentile is longer, 0.2 for a fifth; infinite for none
  */
 public record Guard(String group, Measure measure, double most, double worse) {
     /** All command groups together. */
@@ -29,7 +30,8 @@
             faults.add(new Fault(key + ".most", "must be above 0" + (measure == Measure.SLOW ? "" : " and at most 1")));
         }
         if (!(worse >= 0) || worse != Double.POSITIVE_INFINITY && worse > end) {
-            faults.add(new Fault(key + ".worse", "must not be below 0" + (measure == Measure.SLOW ? "" : " nor above 1")));
+            faults.add(
+                    new Fault(key + ".worse", "must not be below 0" + (measure == Measure.SLOW ? "" : " nor above 1")));
         }
         if (most == Double.POSITIVE_INFINITY && worse == Double.POSITIVE_INFINITY) {
             faults.add(new Fault(key, "needs most or worse"));
@@ -37,7 +39,12 @@
     }
 
     void write(Writer out) {
-        out.begin().text(group).whole(measure.ordinal()).number(most).number(worse).end();
+        out.begin()
+                .text(group)
+                .whole(measure.ordinal())
+                .number(most)
+                .number(worse)
+                .end();
     }
 
     static Guard read(Reader in) {
--- a/fleet/src/main/java/clayhook/rollout/Known.java
+++ b/fleet/src/main/java/clayhook/rollout/Known.java
@@ -13,7 +13,9 @@
 import java.util.function.Supplier;
 import java.util.stream.Stream;
 
-/** The rollouts that this router knows: what was heard of them, what could be read, which goes on, and which have ended. */
+/**
+ * The rollouts that this router knows: what was heard of them, what could be read, which goes on, and which have ended.
+ */
 final class Known {
     private final Roster roster;
     private final Shared shared;
@@ -24,14 +26,22 @@
     private final Supplier<Lease> leases;
     /** Called when a rollout has come to a stage or an end. */
     private final DoubleConsumer changed;
+
     private final Member self;
     /** By id; as many as {@link Round#KIND} keeps, emptied as it is. */
     private final Map<String, Live> rounds = new HashMap<>();
     /** Hash of the rules in this router's own file. */
     private String standing;
 
-    Known(Roster roster, Shared shared, RolloutSettings settings, Checker checker, Listener listener, Quorum quorum,
-            Supplier<Lease> leases, DoubleConsumer changed) {
+    Known(
+            Roster roster,
+            Shared shared,
+            RolloutSettings settings,
+            Checker checker,
+            Listener listener,
+            Quorum quorum,
+            Supplier<Lease> leases,
+            DoubleConsumer changed) {
         this.roster = roster;
         this.shared = shared;
         this.settings = settings;
@@ -164,10 +174,11 @@
             return;
         }
         if (complete) {
-            live.fault = live.proposal.lease() > settings.lease() ? "its lease is longer than the one set here"
-                    : live.terms.fleet() != settings.fleet() ? "it counts with " + live.terms.fleet() + " routers, here are "
-                            + settings.fleet() + " set"
-                    : checker.fault(live.rules.hash(), live.rules.text());
+            live.fault = live.proposal.lease() > settings.lease()
+                    ? "its lease is longer than the one set here"
+                    : live.terms.fleet() != settings.fleet()
+                            ? "it counts with " + live.terms.fleet() + " routers, here are " + settings.fleet() + " set"
+                            : checker.fault(live.rules.hash(), live.rules.text());
             live.tally = new Tally(live.id, self, live.terms.plan().groups());
             live.lease = leases.get();
             if (live.done()) {
@@ -203,8 +214,13 @@
         for (int i = 0; i < rounds.size(); i++) {
             String from = hash;
             hash = rounds.values().stream()
-                    .filter(live -> live.done() && live.read() && live.fault == null && live.proposal.base().equals(from))
-                    .min(Comparator.comparing(live -> live.proposal)).map(live -> live.proposal.rules()).orElse(from);
+                    .filter(live -> live.done()
+                            && live.read()
+                            && live.fault == null
+                            && live.proposal.base().equals(from))
+                    .min(Comparator.comparing(live -> live.proposal))
+                    .map(live -> live.proposal.rules())
+                    .orElse(from);
             if (hash.equals(from)) {
                 break;
             }
@@ -214,8 +230,11 @@
 
     /** Whether that very rollout goes on, or is done. */
     boolean underway(RuleSet set, Plan plan, double now) {
-        return rounds.values().stream().anyMatch(live -> !live.ended() && !live.stale(now, settings.patience())
-                && live.proposal.rules().equals(set.hash()) && (live.terms == null || live.terms.plan().equals(plan)));
+        return rounds.values().stream()
+                .anyMatch(live -> !live.ended()
+                        && !live.stale(now, settings.patience())
+                        && live.proposal.rules().equals(set.hash())
+                        && (live.terms == null || live.terms.plan().equals(plan)));
     }
 
     /** Why that set cannot be begun now, or null. */
@@ -227,16 +246,23 @@
         if (other != null) {
             return new Fault("", "another rollout is in force: " + other.name());
         }
-        Live before = rounds.values().stream().filter(live -> live.ended() && live.proposal.rules().equals(set.hash()))
-                .max(Comparator.comparingInt(live -> live.proposal.attempt())).orElse(null);
-        return before == null || before.proposal.attempt() < plan.attempt() ? null
-                : new Fault("attempt", "must be " + (before.proposal.attempt() + 1) + " or more: attempt "
-                        + before.proposal.attempt() + " was ended by " + before.round.end().by() + ", "
-                        + before.round.end().reason());
+        Live before = rounds.values().stream()
+                .filter(live -> live.ended() && live.proposal.rules().equals(set.hash()))
+                .max(Comparator.comparingInt(live -> live.proposal.attempt()))
+                .orElse(null);
+        return before == null || before.proposal.attempt() < plan.attempt()
+                ? null
+                : new Fault(
+                        "attempt",
+                        "must be " + (before.proposal.attempt() + 1) + " or more: attempt "
+                                + before.proposal.attempt() + " was ended by "
+                                + before.round.end().by() + ", "
+                                + before.round.end().reason());
     }
 
     private Stream<Live> open(double now) {
-        return rounds.values().stream().filter(live -> !live.ended() && !live.done() && !live.stale(now, settings.patience()));
+        return rounds.values().stream()
+                .filter(live -> !live.ended() && !live.done() && !live.stale(now, settings.patience()));
     }
 
     /** Of those that go on, the one that wins everywhere. */
@@ -254,15 +280,22 @@
         for (Live live : new ArrayList<>(rounds.values())) {
             if (!live.ended() && live.stale(now, settings.patience()) && live.votes(self) && neverBegan(live, now)) {
                 Member unread = live.unread(shared, roster);
-                end(live, End.What.EXPIRED, unread == null ? "no majority voted to begin"
-                        : unread.name() + " did not say that it can run it", now);
+                end(
+                        live,
+                        End.What.EXPIRED,
+                        unread == null
+                                ? "no majority voted to begin"
+                                : unread.name() + " did not say that it can run it",
+                        now);
             }
         }
     }
 
     /** As far as the majority has come, this router has heard; it votes no more, so nothing can begin any more. */
     private boolean neverBegan(Live live, double now) {
-        long lives = live.terms.roster().stream().filter(member -> member.equals(self) || roster.lives(member)).count();
+        long lives = live.terms.roster().stream()
+                .filter(member -> member.equals(self) || roster.lives(member))
+                .count();
         return lives >= majority(live) && shared.certainUpTo(now) > live.seen + 2 * settings.patience();
     }
 
@@ -270,5 +303,4 @@
     int majority(Live live) {
         return quorum.of(live.terms.voters());
     }
-
 }
--- a/fleet/src/main/java/clayhook/rollout/Lease.java
+++ b/fleet/src/main/java/clayhook/rollout/Lease.java
@@ -7,7 +7,10 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** For how long this router may run the candidate. Counted on its own clock from when it asked, so no clocks are compared. */
+/**
+ * For how long this router may run the candidate. Counted on its own clock from when it asked, so no clocks are
+ * compared.
+ */
 class Lease {
     /** Asks that a grant may answer; later grants of older ones are worth nothing any more. */
     private static final int MOST_ASKS = 16;
@@ -49,7 +52,8 @@
         if (granted.size() < majority) {
             return Double.NEGATIVE_INFINITY;
         }
-        double[] times = granted.values().stream().mapToDouble(Double::doubleValue).toArray();
+        double[] times =
+                granted.values().stream().mapToDouble(Double::doubleValue).toArray();
         Arrays.sort(times);
         return times[times.length - majority] + length;
     }
--- a/fleet/src/main/java/clayhook/rollout/Live.java
+++ b/fleet/src/main/java/clayhook/rollout/Live.java
@@ -14,18 +14,22 @@
     final Proposal proposal;
     /** When it was first heard of here. */
     final double seen;
+
     Round round;
     /** Null until its pieces are here. */
     Terms terms;
+
     RuleSet rules;
     /** Why this router cannot run the candidate; null while it can, or has not read it. */
     String fault;
     /** When the stage was first known here. */
     double stageSince;
+
     Lease lease;
     Tally tally;
     /** The versions of this stage here, null until the candidate runs. */
     Version old;
+
     Version candidate;
     Map<String, Double> limits;
     double nextAsk = Double.NEGATIVE_INFINITY;
@@ -34,6 +38,7 @@
     boolean blind;
     /** Routers of the roster whose figures were fresh at the last look. */
     int heard;
+
     int dead;
     String waits = "";
     /** What operators were told already, so that each is told once. */
--- a/fleet/src/main/java/clayhook/rollout/Look.java
+++ b/fleet/src/main/java/clayhook/rollout/Look.java
@@ -9,9 +9,11 @@
 final class Look {
     /** Bytes that a command group's figures take, about, and bytes a second that those of all routers may. */
     private static final double FIGURE_BYTES = 1300;
+
     private static final double FIGURES_BYTES = 20_000;
     /** Figures older than so many times the time between them, and the time that news takes, count as not heard. */
     private static final double STALE_TIMES = 3;
+
     private static final double NEWS_SECONDS = 2;
 
     private final Roster roster;
@@ -28,7 +30,9 @@
 
     /** Seconds between figures, so that those of all routers together stay within a bound. */
     double every(Live live) {
-        double bytes = FIGURE_BYTES * live.terms.roster().size() * live.terms.plan().groups().size();
+        double bytes = FIGURE_BYTES
+                * live.terms.roster().size()
+                * live.terms.plan().groups().size();
         return Math.max(settings.every(), bytes / FIGURES_BYTES);
     }
 
@@ -43,15 +47,20 @@
             live.heard += lives && live.votes(member) && at - (Double.isNaN(ahead) ? 0 : ahead) >= now - stale ? 1 : 0;
             live.dead += lives ? 0 : 1;
             if (!lives && live.told.add("dead " + member)) {
-                known.tell(News.What.FIGURES_END, live, member.name() + " is gone; what it shared until "
-                        + String.format(Locale.ROOT, "%.1f", at) + " counts, what it counted after that is lost");
+                known.tell(
+                        News.What.FIGURES_END,
+                        live,
+                        member.name() + " is gone; what it shared until " + String.format(Locale.ROOT, "%.1f", at)
+                                + " counts, what it counted after that is lost");
             }
         });
         boolean blind = live.heard < known.majority(live);
         // A stage that has just begun has no figures yet.
         if (blind != live.blind && (!blind || now - live.stageSince > stale)) {
             live.blind = blind;
-            known.tell(blind ? News.What.BLIND : News.What.SEEING, live,
+            known.tell(
+                    blind ? News.What.BLIND : News.What.SEEING,
+                    live,
                     "fresh figures of " + live.heard + " routers, " + known.majority(live) + " needed");
         }
     }
@@ -81,12 +90,27 @@
     /** For metrics. */
     Status status(Live live, Figures figures, double until) {
         Stage stage = live.terms.plan().stages().get(live.stage() - 1);
-        List<Status.Rate> rates = stage.guards().stream().map(guard -> {
-            Figures.Group group = figures.group(guard.group());
-            return new Status.Rate(guard.group(), guard.measure(), group.commands(1), group.level(guard.measure(), 1),
-                    group.level(guard.measure(), 0), group.evidence(guard.measure()));
-        }).toList();
-        return new Status(live.proposal.rules(), live.stage(), stage.share(), until, live.heard, live.terms.voters(), live.dead,
-                live.waits, rates);
+        List<Status.Rate> rates = stage.guards().stream()
+                .map(guard -> {
+                    Figures.Group group = figures.group(guard.group());
+                    return new Status.Rate(
+                            guard.group(),
+                            guard.measure(),
+                            group.commands(1),
+                            group.level(guard.measure(), 1),
+                            group.level(guard.measure(), 0),
+                            group.evidence(guard.measure()));
+                })
+                .toList();
+        return new Status(
+                live.proposal.rules(),
+                live.stage(),
+                stage.share(),
+                until,
+                live.heard,
+                live.terms.voters(),
+                live.dead,
+                live.waits,
+                rates);
     }
 }
--- a/fleet/src/main/java/clayhook/rollout/Measure.java
+++ b/fleet/src/main/java/clayhook/rollout/Measure.java
@@ -8,6 +8,9 @@
     LATE,
     /** Turned away. */
     THROTTLED,
-    /** Slower than the old version's 99th percentile at that router; shown and bounded as the 99th percentile in seconds. */
+    /**
+     * Slower than the old version's 99th percentile at that router; shown and bounded as the 99th percentile in
+     * seconds.
+     */
     SLOW
 }
--- a/fleet/src/main/java/clayhook/rollout/News.java
+++ b/fleet/src/main/java/clayhook/rollout/News.java
@@ -19,7 +19,11 @@
         ADVANCED,
         /** All sessions get the candidate, which is what the fleet stands on from now on. */
         DONE,
-        HALTED, VETOED, WITHDRAWN, SUPERSEDED, EXPIRED,
+        HALTED,
+        VETOED,
+        WITHDRAWN,
+        SUPERSEDED,
+        EXPIRED,
         /** The figures do not show enough routers; nothing is decided. */
         BLIND,
         /** They do again. */
--- a/fleet/src/main/java/clayhook/rollout/Proposal.java
+++ b/fleet/src/main/java/clayhook/rollout/Proposal.java
@@ -18,19 +18,34 @@
  * @param lease seconds for which the candidate may run after contact with a majority
  * @param attempt of this candidate, counted from 1
  */
-record Proposal(Member by, double begun, String base, String rules, int rulesBytes, String terms, int termsBytes, double lease,
-        int attempt) implements Comparable<Proposal> {
+record Proposal(
+        Member by,
+        double begun,
+        String base,
+        String rules,
+        int rulesBytes,
+        String terms,
+        int termsBytes,
+        double lease,
+        int attempt)
+        implements Comparable<Proposal> {
     /** Of two begun at two ends the earlier one wins everywhere, of two begun at once the one with the smaller hash. */
-    private static final Comparator<Proposal> ORDER = Comparator.comparingDouble(Proposal::begun).thenComparing(Proposal::rules)
-            .thenComparing(Proposal::by).thenComparing(Proposal::terms).thenComparing(Proposal::base)
-            .thenComparingInt(Proposal::attempt).thenComparingDouble(Proposal::lease)
-            .thenComparingInt(Proposal::rulesBytes).thenComparingInt(Proposal::termsBytes);
+    private static final Comparator<Proposal> ORDER = Comparator.comparingDouble(Proposal::begun)
+            .thenComparing(Proposal::rules)
+            .thenComparing(Proposal::by)
+            .thenComparing(Proposal::terms)
+            .thenComparing(Proposal::base)
+            .thenComparingInt(Proposal::attempt)
+            .thenComparingDouble(Proposal::lease)
+            .thenComparingInt(Proposal::rulesBytes)
+            .thenComparingInt(Proposal::termsBytes);
     /** Seconds that a lease may have at most. */
     static final double LONGEST_LEASE = 300;
 
     /** The key under which routers share whatever belongs to this rollout. */
     String id() {
-        var text = by.name() + '\n' + by.boot() + '\n' + begun + '\n' + rules + '\n' + terms + '\n' + base + '\n' + attempt;
+        var text = by.name() + '\n' + by.boot() + '\n' + begun + '\n' + rules + '\n' + terms + '\n' + base + '\n'
+                + attempt;
         return String.format("%016x", Hashing.komihash5_0().hashCharsToLong(text));
     }
 
@@ -40,14 +55,32 @@
     }
 
     void write(Writer out) {
-        out.begin().text(by.name()).whole(by.boot()).number(begun).text(base).text(rules).whole(rulesBytes).text(terms)
-                .whole(termsBytes).number(lease).whole(attempt).end();
+        out.begin()
+                .text(by.name())
+                .whole(by.boot())
+                .number(begun)
+                .text(base)
+                .text(rules)
+                .whole(rulesBytes)
+                .text(terms)
+                .whole(termsBytes)
+                .number(lease)
+                .whole(attempt)
+                .end();
     }
 
     static Proposal read(Reader in) {
         in.begin();
-        var proposal = new Proposal(new Member(in.name(), in.whole()), in.number(), in.name(), in.name(),
-                in.small(RuleSet.LONGEST + 1), in.name(), in.small(Terms.LONGEST + 1), in.number(), in.small(Integer.MAX_VALUE));
+        var proposal = new Proposal(
+                new Member(in.name(), in.whole()),
+                in.number(),
+                in.name(),
+                in.name(),
+                in.small(RuleSet.LONGEST + 1),
+                in.name(),
+                in.small(Terms.LONGEST + 1),
+                in.number(),
+                in.small(Integer.MAX_VALUE));
         in.end();
         if (!(proposal.lease > 0 && proposal.lease <= LONGEST_LEASE)) {
             throw new IllegalArgumentException("a lease of " + proposal.lease + " s");
--- a/fleet/src/main/java/clayhook/rollout/RolloutSettings.java
+++ b/fleet/src/main/java/clayhook/rollout/RolloutSettings.java
@@ -5,8 +5,8 @@
  *
  * @param standing hash of the rules that this router's own file has
  * @param fleet routers that the operator counts with; no rollout begins with half of them or fewer in sight
- * @param lease seconds for which a candidate may run after contact with a majority. About 0.03 s a member keeps the contact
- *     under a packet in 10 ms
+ * @param lease seconds for which a candidate may run after contact with a majority. About 0.03 s a member keeps the
+ *     contact under a packet in 10 ms
  * @param settle seconds before a proposal that was heard is begun, in which another one or a veto may show
  * @param patience seconds within which a proposal must begin
  * @param every seconds between figures that are shared, at least
@@ -14,7 +14,10 @@
 public record RolloutSettings(String standing, int fleet, double lease, double settle, double patience, double every) {
     /** Fails on what no settings reader should let through. */
     public RolloutSettings {
-        if (fleet < 1 || !(lease > 0 && lease <= Proposal.LONGEST_LEASE) || !(settle >= 0) || !(patience > settle)
+        if (fleet < 1
+                || !(lease > 0 && lease <= Proposal.LONGEST_LEASE)
+                || !(settle >= 0)
+                || !(patience > settle)
                 || !(every > 0)) {
             throw new IllegalArgumentException("settings of rollouts out of range");
         }
--- a/fleet/src/main/java/clayhook/rollout/Rollouts.java
+++ b/fleet/src/main/java/clayhook/rollout/Rollouts.java
@@ -22,12 +22,14 @@
 import java.util.stream.Stream;
 
 /**
- * Takes candidates through their stages, together with the other routers and without a leader: each votes by what it sees, and
- * a stage is whatever a majority of the frozen roster has voted for. For one thread; {@link #split()} alone is for all.
+ * Takes candidates through their stages, together with the other routers and without a leader: each votes by what it
+ * sees, and a stage is whatever a majority of the frozen roster has voted for. For one thread; {@link #split()} alone
+ * is for all.
  */
 public final class Rollouts implements Machine {
     /** Seconds between turns while a rollout is under way, and while there is none. */
     private static final double TURN = 0.25;
+
     private static final double IDLE = 1;
     /** Asks in the time of a lease, so that a few may get lost. */
     private static final int ASKS_IN_A_LEASE = 4;
@@ -61,18 +63,33 @@
     private Waiting waiting;
     /** The set that this router's file had last; null for none in this life. */
     private String asked;
+
     private Version plain;
     private volatile Split split;
     private volatile Status status;
 
-    public Rollouts(Roster roster, Shared shared, RolloutSettings settings, Checker checker, long seed, double now,
+    public Rollouts(
+            Roster roster,
+            Shared shared,
+            RolloutSettings settings,
+            Checker checker,
+            long seed,
+            double now,
             Listener listener) {
         this(roster, shared, settings, checker, seed, now, listener, new Quorum(), Lease::new);
     }
 
     /** For tests that break the majority or the lease. */
-    Rollouts(Roster roster, Shared shared, RolloutSettings settings, Checker checker, long seed, double now,
-            Listener listener, Quorum quorum, Supplier<Lease> leases) {
+    Rollouts(
+            Roster roster,
+            Shared shared,
+            RolloutSettings settings,
+            Checker checker,
+            long seed,
+            double now,
+            Listener listener,
+            Quorum quorum,
+            Supplier<Lease> leases) {
         this.roster = roster;
         this.shared = shared;
         this.settings = settings;
@@ -84,7 +101,8 @@
         this.started = now;
         this.self = roster.self().member();
         if (self.name().getBytes(StandardCharsets.UTF_8).length > LONGEST_NAME) {
-            throw new IllegalArgumentException("a router's name may have " + LONGEST_NAME + " bytes where rollouts are on");
+            throw new IllegalArgumentException(
+                    "a router's name may have " + LONGEST_NAME + " bytes where rollouts are on");
         }
         plain = new Version(settings.standing(), null, 0, false, Map.of());
         split = Split.whole(plain);
@@ -115,8 +133,8 @@
     // What the operator says.
 
     /**
-     * Asks for a rollout, at a start or a SIGHUP whose file has one. Asking for the one that is in force changes nothing. It
-     * begins when enough members are in sight and this router's copy is whole; until then it waits.
+     * Asks for a rollout, at a start or a SIGHUP whose file has one. Asking for the one that is in force changes
+     * nothing. It begins when enough members are in sight and this router's copy is whole; until then it waits.
      *
      * @param rules a canonical text, see {@link RuleSet}
      * @return what is wrong; empty when it was taken
@@ -149,9 +167,9 @@
     }
 
     /**
-     * Takes back what was asked for, where this router's file had a candidate and has none any more. It goes back to the old
-     * version everywhere, also where all is done but not yet in this router's own file. A router that never asked for one takes
-     * back whatever is in force; one whose set has lost to another leaves that other alone.
+     * Takes back what was asked for, where this router's file had a candidate and has none any more. It goes back to
+     * the old version everywhere, also where all is done but not yet in this router's own file. A router that never
+     * asked for one takes back whatever is in force; one whose set has lost to another leaves that other alone.
      *
      * @return null, or why there is nothing to take back
      */
@@ -178,8 +196,10 @@
      */
     public Fault resume(double now) {
         known.learn(now);
-        Live last = known.all().stream().filter(live -> live.ended() && live.read())
-                .max(Comparator.comparing(live -> live.proposal)).orElse(null);
+        Live last = known.all().stream()
+                .filter(live -> live.ended() && live.read())
+                .max(Comparator.comparing(live -> live.proposal))
+                .orElse(null);
         if (last == null) {
             return new Fault("", "no rollout that has ended is known here");
         }
@@ -187,7 +207,10 @@
         return faults.isEmpty() ? null : faults.get(0);
     }
 
-    /** The rules of this router's own file have that hash now. No candidate is compared with rules that changed meanwhile. */
+    /**
+     * The rules of this router's own file have that hash now. No candidate is compared with rules that changed
+     * meanwhile.
+     */
     public void standing(String hash, double now) {
         known.learn(now);
         Live live = known.inForce(now);
@@ -236,7 +259,8 @@
 
     /** Also where all is done, which the asker may not have heard yet. */
     private boolean grant(Live live, double now) {
-        return live.votes(self) && (live == known.inForce(now) || live.done())
+        return live.votes(self)
+                && (live == known.inForce(now) || live.done())
                 && grants.grant(live.id, now, live.proposal.lease());
     }
 
@@ -298,18 +322,34 @@
     /** Why nothing may begin now, or null. */
     private String hold(double now) {
         int members = roster.others().size() + 1;
-        return now < started + settings.settle() ? "this router has only begun"
-                : shared.certainUpTo(now) == Double.NEGATIVE_INFINITY ? "this router is being brought up"
-                : roster.doubtful(now) ? "this router stood still"
-                : members < quorum.of(settings.fleet()) ? members + " routers are in sight, of " + settings.fleet() : null;
+        return now < started + settings.settle()
+                ? "this router has only begun"
+                : shared.certainUpTo(now) == Double.NEGATIVE_INFINITY
+                        ? "this router is being brought up"
+                        : roster.doubtful(now)
+                                ? "this router stood still"
+                                : members < quorum.of(settings.fleet())
+                                        ? members + " routers are in sight, of " + settings.fleet()
+                                        : null;
     }
 
     private void spread(Waiting asked, double now) {
-        List<Member> frozen = Stream.concat(Stream.of(self), roster.others().stream().map(Peer::member)).sorted().toList();
+        List<Member> frozen = Stream.concat(
+                        Stream.of(self), roster.others().stream().map(Peer::member))
+                .sorted()
+                .toList();
         byte[] terms = new Terms(asked.plan, settings.fleet(), frozen).bytes();
         byte[] rules = asked.rules.text().getBytes(StandardCharsets.UTF_8);
-        var proposal = new Proposal(self, now, known.stands(), asked.rules.hash(), rules.length, Piece.hash(terms), terms.length,
-                settings.lease(), asked.plan.attempt());
+        var proposal = new Proposal(
+                self,
+                now,
+                known.stands(),
+                asked.rules.hash(),
+                rules.length,
+                Piece.hash(terms),
+                terms.length,
+                settings.lease(),
+                asked.plan.attempt());
         Piece.put(shared, terms, now, now);
         Piece.put(shared, rules, now, now);
         known.begin(new Round(proposal, 0, null, now), now);
@@ -344,7 +384,12 @@
     }
 
     private boolean mayRun(Live live) {
-        return live.read() && live.fault == null && live.stage() >= 1 && !live.ended() && !live.done() && known.base(live);
+        return live.read()
+                && live.fault == null
+                && live.stage() >= 1
+                && !live.ended()
+                && !live.done()
+                && known.base(live);
     }
 
     private void keepLease(Live live, double now, Outbox out) {
@@ -366,7 +411,8 @@
         Collections.shuffle(voters, chance);
         // Some more than a majority, as some are lost; others the next time.
         int most = known.majority(live) + Math.max(2, known.majority(live) / 4);
-        voters.subList(0, Math.min(most, voters.size())).forEach(peer -> out.add(peer.address(), new Ask(live.id, now)));
+        voters.subList(0, Math.min(most, voters.size()))
+                .forEach(peer -> out.add(peer.address(), new Ask(live.id, now)));
     }
 
     /** Shares what was counted here, and judges what was counted anywhere. */
@@ -403,7 +449,8 @@
             plain = new Version(stands, null, 0, false, Map.of());
         }
         Live live = known.inForce(now);
-        double until = live != null && mayRun(live) ? live.lease.until(known.majority(live), live.proposal.lease())
+        double until = live != null && mayRun(live)
+                ? live.lease.until(known.majority(live), live.proposal.lease())
                 : Double.NEGATIVE_INFINITY;
         for (Live other : known.all()) {
             runs(other, other == live && until > now);
--- a/fleet/src/main/java/clayhook/rollout/Round.java
+++ b/fleet/src/main/java/clayhook/rollout/Round.java
@@ -13,8 +13,8 @@
  */
 record Round(Proposal proposal, int stage, End end, double at) {
     /**
-     * Seconds. Routers that go on with a rollout make what belongs to it young again at half of this, all to the same time; so
-     * this is how long a halt is remembered, and how long a router may be away before it could miss one.
+     * Seconds. Routers that go on with a rollout make what belongs to it young again at half of this, all to the same
+     * time; so this is how long a halt is remembered, and how long a router may be away before it could miss one.
      */
     static final double KEEP = 14 * 86_400;
 
--- a/fleet/src/main/java/clayhook/rollout/RuleSet.java
+++ b/fleet/src/main/java/clayhook/rollout/RuleSet.java
@@ -8,8 +8,9 @@
 import java.util.TreeMap;
 
 /**
- * Routing rules as one text that is the same however the operator laid them out: TOML that the usual reader understands, keys
- * in order, no comments. Only what routes can be in it: nothing that touches the five rules, nor what tells reads from writes.
+ * Routing rules as one text that is the same however the operator laid them out: TOML that the usual reader
+ * understands, keys in order, no comments. Only what routes can be in it: nothing that touches the five rules, nor what
+ * tells reads from writes.
  *
  * @param hash 128 bits of the text in hexadecimal; the name of the set. No seal: whoever may write the file is trusted
  */
@@ -19,8 +20,24 @@
     /** Of {@code [statements]}: where statements go that no rule matches. */
     private static final Set<String> DEFAULTS = Set.of("read_group", "write_group", "nodes", "timeout");
     /** Of {@code [[statements.rule]]}; none of them makes a read of what may write. */
-    private static final Set<String> KEYS = Set.of("name", "class", "kinds", "relations", "only", "functions", "shape", "user",
-            "database", "application", "cost_from", "cost_to", "group", "timeout", "mark", "nodes_by", "nodes");
+    private static final Set<String> KEYS = Set.of(
+            "name",
+            "class",
+            "kinds",
+            "relations",
+            "only",
+            "functions",
+            "shape",
+            "user",
+            "database",
+            "application",
+            "cost_from",
+            "cost_to",
+            "group",
+            "timeout",
+            "mark",
+            "nodes_by",
+            "nodes");
 
     /** Names that text. */
     public static RuleSet of(String text) {
@@ -28,7 +45,8 @@
     }
 
     /**
-     * The canonical form of tables as a TOML reader gives them: texts, whole and real numbers, truths and lists of these.
+     * The canonical form of tables as a TOML reader gives them: texts, whole and real numbers, truths and lists of
+     * these.
      *
      * @param defaults the keys of {@code [statements]} that are staged with the rules
      * @param rules in their order, as the first that matches wins
@@ -50,7 +68,8 @@
         return faults.size() > before ? null : of(text);
     }
 
-    private static void table(Map<String, ?> table, Set<String> known, String prefix, StringBuilder out, List<Fault> faults) {
+    private static void table(
+            Map<String, ?> table, Set<String> known, String prefix, StringBuilder out, List<Fault> faults) {
         new TreeMap<>(table).forEach((key, value) -> {
             String text = known.contains(key) ? value(value) : null;
             if (!known.contains(key)) {
--- a/fleet/src/main/java/clayhook/rollout/SequentialTest.java
+++ b/fleet/src/main/java/clayhook/rollout/SequentialTest.java
@@ -3,26 +3,30 @@
 /**
  * Whether the candidate ends badly more often than the old version, in a test that may be looked at all the time.
  *
- * <p>Within one router and one second both versions live through the same: dead nodes, bursts, the hour. So, were there no
- * difference, each bad end would fall on the candidate with the chance that the candidate has of all ends there and then, however
- * many there are. Against that stand ratios by which the candidate might be worse. The product of the likelihood ratios is a
- * supermartingale (draws without replacement are bounded by draws with, Hoeffding 1963), and so is their mean over the ratios:
- * by Ville's inequality it ever exceeds 1/alpha with a chance of alpha at most (Wald's sequential test, Robbins' mixture).
- * Seconds and routers add up in logarithms, so each router sums its own and all are added by whoever looks.
+ * <p>Within one router and one second both versions live through the same: dead nodes, bursts, the hour. So, were there
+ * no difference, each bad end would fall on the candidate with the chance that the candidate has of all ends there and
+ * then, however many there are. Against that stand ratios by which the candidate might be worse. The product of the
+ * likelihood ratios is a supermartingale (draws without replacement are bounded by draws with, Hoeffding 1963), and so
+ * is their mean over the ratios: by Ville's inequality it ever exceeds 1/alpha with a chance of alpha at most (Wald's
+ * sequential test, Robbins' mixture). Seconds and routers add up in logarithms, so each router sums its own and all are
+ * added by whoever looks.
  *
- * <p>Sessions, not commands, are dealt to the versions, so one session that always fails would look like proof. The evidence is
- * divided by how much more the shares vary with the sessions than commands by themselves would let them (quasi-likelihood).
+ * <p>Sessions, not commands, are dealt to the versions, so one session that always fails would look like proof. The
+ * evidence is divided by how much more the shares vary with the sessions than commands by themselves would let them
+ * (quasi-likelihood).
  */
 final class SequentialTest {
-    /** Of the candidate's odds to the old ones, all equally likely beforehand: from what matters little to what breaks all. */
+    /**
+     * Of the candidate's odds to the old ones, all equally likely beforehand: from what matters little to what breaks
+     * all.
+     */
     static final double[] RATIOS = {1.1, 1.2, 1.35, 1.6, 2, 3, 5, 10};
     /** Logarithms are shared as whole numbers of this part. */
     private static final double GRAIN = 1e-4;
     /** Of a version, that must have commands: what a session or two do says nothing about the rules. */
     private static final int LEAST_BUCKETS = 6;
 
-    private SequentialTest() {
-    }
+    private SequentialTest() {}
 
     /** Adds what one router saw in one second: ends of each version and the bad ones among them. */
     static void add(double[] sums, int from, long old, long oldBad, long candidate, long candidateBad) {
@@ -31,7 +35,8 @@
         }
         double chance = (double) candidate / (old + candidate);
         for (int i = 0; i < RATIOS.length; i++) {
-            sums[from + i] += candidateBad * Math.log(RATIOS[i]) - (oldBad + candidateBad) * Math.log1p(chance * (RATIOS[i] - 1));
+            sums[from + i] +=
+                    candidateBad * Math.log(RATIOS[i]) - (oldBad + candidateBad) * Math.log1p(chance * (RATIOS[i] - 1));
         }
     }
 
@@ -54,16 +59,17 @@
     }
 
     /**
-     * How much more the share of bad ends varies with the sessions that were dealt than commands of their own would let it: the
-     * variance by leaving out one bucket of sessions at a time (the jackknife, which one heavy session cannot hide from) over
-     * that of a binomial; of the version where it is larger, never below 1.
+     * How much more the share of bad ends varies with the sessions that were dealt than commands of their own would let
+     * it: the variance by leaving out one bucket of sessions at a time (the jackknife, which one heavy session cannot
+     * hide from) over that of a binomial; of the version where it is larger, never below 1.
      *
      * @param counts buckets of the old version, then of the candidate
      * @param all where in a bucket the commands stand, and {@code bad} the bad ones
      * @return infinite where a version has too few sessions to tell
      */
     static double dispersion(long[] counts, int from, int all, int bad) {
-        return Math.max(1, Math.max(dispersed(counts, from, all, bad), dispersed(counts, from + Batch.Cell.SIZE, all, bad)));
+        return Math.max(
+                1, Math.max(dispersed(counts, from, all, bad), dispersed(counts, from + Batch.Cell.SIZE, all, bad)));
     }
 
     private static double dispersed(long[] counts, int start, int all, int bad) {
--- a/fleet/src/main/java/clayhook/rollout/Split.java
+++ b/fleet/src/main/java/clayhook/rollout/Split.java
@@ -1,9 +1,9 @@
 package clayhook.rollout;
 
 /**
- * Which sessions get the candidate, as of now at this router. Immutable; request threads read one reference and allocate
- * nothing. A session gets the same answer at every router that has come to the same stage, and once it has the candidate it
- * keeps it as the share grows.
+ * Which sessions get the candidate, as of now at this router. Immutable; request threads read one reference and
+ * allocate nothing. A session gets the same answer at every router that has come to the same stage, and once it has the
+ * candidate it keeps it as the share grows.
  */
 public final class Split {
     /** Shares are compared in this many steps, so that each share has a whole number of them. */
@@ -32,17 +32,28 @@
         return new Split(plain, null, null, 0, 0, Double.NEGATIVE_INFINITY);
     }
 
-    /** Two versions until then, seconds since 1970; after that the one that the fleet stands on, whoever forgets to say so. */
+    /**
+     * Two versions until then, seconds since 1970; after that the one that the fleet stands on, whoever forgets to say
+     * so.
+     */
     static Split two(Version plain, Version old, Version candidate, double share, double until) {
         // By the set alone: a rollout that is tried again begins with the same sessions.
-        return new Split(plain, old, candidate, share, Long.parseUnsignedLong(candidate.rules().substring(0, 16), 16), until);
+        return new Split(
+                plain,
+                old,
+                candidate,
+                share,
+                Long.parseUnsignedLong(candidate.rules().substring(0, 16), 16),
+                until);
     }
 
     boolean is(Version plain, Version old, Version candidate, double until) {
         return this.plain == plain && this.old == old && this.candidate == candidate && this.until == until;
     }
 
-    /** The version for a command of that session that begins now. {@code session}: any hash that all routers agree on. */
+    /**
+     * The version for a command of that session that begins now. {@code session}: any hash that all routers agree on.
+     */
     public Version version(long session, double now) {
         if (!(now < until)) {
             return plain;
--- a/fleet/src/main/java/clayhook/rollout/Stage.java
+++ b/fleet/src/main/java/clayhook/rollout/Stage.java
@@ -15,8 +15,8 @@
  */
 public record Stage(double share, double seconds, long samples, List<Guard> guards) {
     /**
-     * With all sessions on the candidate no old version is left to compare with, and whatever befalls all would halt it; so the
-     * last hundredth stays behind until the last stage has held.
+     * With all sessions on the candidate no old version is left to compare with, and whatever befalls all would halt
+     * it; so the last hundredth stays behind until the last stage has held.
      */
     static final double HIGHEST_SHARE = 0.99;
     /** Of one stage; each is shared for each command group by each router. */
@@ -28,8 +28,10 @@
 
     void check(String key, double before, List<Fault> faults) {
         if (!(share > before) || share > HIGHEST_SHARE) {
-            faults.add(new Fault(key + ".share", "must be above that of the stage before and at most " + HIGHEST_SHARE
-                    + ", all sessions follow when the last stage has held"));
+            faults.add(new Fault(
+                    key + ".share",
+                    "must be above that of the stage before and at most " + HIGHEST_SHARE
+                            + ", all sessions follow when the last stage has held"));
         }
         if (!(seconds >= 0) || seconds == Double.POSITIVE_INFINITY) {
             faults.add(new Fault(key + ".seconds", "must be 0 or more"));
--- a/fleet/src/main/java/clayhook/rollout/Status.java
+++ b/fleet/src/main/java/clayhook/rollout/Status.java
@@ -13,7 +13,15 @@
  * @param dead routers whose figures count although they are gone
  * @param waits why the stage goes on
  */
-public record Status(String rules, int stage, double share, double until, int heard, int voters, int dead, String waits,
+public record Status(
+        String rules,
+        int stage,
+        double share,
+        double until,
+        int heard,
+        int voters,
+        int dead,
+        String waits,
         List<Rate> rates) {
     /**
      * A measure of a command group, merged.
@@ -21,6 +29,5 @@
      * @param candidate share of commands; seconds at the 99th percentile for {@link Measure#SLOW}
      * @param evidence natural logarithm of the evidence that the candidate is worse
      */
-    public record Rate(String group, Measure measure, long commands, double candidate, double old, double evidence) {
-    }
+    public record Rate(String group, Measure measure, long commands, double candidate, double old, double evidence) {}
 }
--- a/fleet/src/main/java/clayhook/rollout/Tally.java
+++ b/fleet/src/main/java/clayhook/rollout/Tally.java
@@ -21,10 +21,12 @@
         Batch.Cell[] open = {new Batch.Cell(), new Batch.Cell()};
         /** All before: the old version's, the candidate's. */
         final Batch.Cell[] closed = {new Batch.Cell(), new Batch.Cell()};
+
         final double[] sums = new double[Figure.Sums.SIZE];
         double slowFrom = Double.NaN;
         /** Whether something came since the slice began; and since it was shared. */
         boolean opened;
+
         boolean news;
         long writings;
     }
@@ -34,6 +36,7 @@
     private final Set<String> watched;
     /** By stage and group; the oldest stage goes when a third begins. */
     private final TreeMap<Integer, Map<String, Group>> stages = new TreeMap<>();
+
     private double sliceEnds = Double.NEGATIVE_INFINITY;
 
     Tally(String round, Member self, Set<String> watched) {
@@ -87,9 +90,13 @@
         for (Measure measure : Measure.values()) {
             int all = all(measure);
             int bad = bad(measure);
-            SequentialTest.add(group.sums, measure.ordinal() * Figure.Sums.WIDTH,
-                    SequentialTest.total(group.open[0].counts, 0, all), SequentialTest.total(group.open[0].counts, 0, bad),
-                    SequentialTest.total(group.open[1].counts, 0, all), SequentialTest.total(group.open[1].counts, 0, bad));
+            SequentialTest.add(
+                    group.sums,
+                    measure.ordinal() * Figure.Sums.WIDTH,
+                    SequentialTest.total(group.open[0].counts, 0, all),
+                    SequentialTest.total(group.open[0].counts, 0, bad),
+                    SequentialTest.total(group.open[1].counts, 0, all),
+                    SequentialTest.total(group.open[1].counts, 0, bad));
         }
         for (int i = 0; i < 2; i++) {
             group.closed[i].add(group.open[i]);
--- a/fleet/src/main/java/clayhook/rollout/Terms.java
+++ b/fleet/src/main/java/clayhook/rollout/Terms.java
@@ -25,14 +25,17 @@
         var out = new Writer();
         plan.write(out);
         out.whole(fleet).begin();
-        roster.forEach(member -> out.begin().text(member.name()).whole(member.boot()).end());
+        roster.forEach(
+                member -> out.begin().text(member.name()).whole(member.boot()).end());
         return out.end().done();
     }
 
     /** Throws IllegalArgumentException for what cannot be. */
     static Terms of(byte[] bytes) {
         var in = new Reader(bytes);
-        var terms = new Terms(Plan.read(in), in.small(Integer.MAX_VALUE),
+        var terms = new Terms(
+                Plan.read(in),
+                in.small(Integer.MAX_VALUE),
                 in.lists(MOST_ROUTERS, member -> new Member(member.name(), member.whole())));
         List<Fault> faults = terms.plan.faults();
         if (!faults.isEmpty()) {
--- a/fleet/src/main/java/clayhook/rollout/Times.java
+++ b/fleet/src/main/java/clayhook/rollout/Times.java
@@ -1,9 +1,9 @@
 package clayhook.rollout;
 
 /**
- * A histogram of times of answers as plain counts, eight steps to each doubling from 0.1 ms on: 9% wide, which is enough for a
- * 99th percentile, and small enough for one packet whatever the counts. HdrHistogram's coarsest (one digit) has 12% and more
- * counters over the same range.
+ * A histogram of times of answers as plain counts, eight steps to each doubling from 0.1 ms on: 9% wide, which is
+ * enough for a 99th percentile, and small enough for one packet whatever the counts. HdrHistogram's coarsest (one
+ * digit) has 12% and more counters over the same range.
  */
 final class Times {
     private static final int STEPS = 8;
@@ -12,8 +12,7 @@
     /** Up to 100 s, and beyond. */
     static final int SIZE = 20 * STEPS;
 
-    private Times() {
-    }
+    private Times() {}
 
     static int step(double seconds) {
         double at = Math.floor(Math.log(seconds / LEAST) / Math.log(2) * STEPS) + 1;
--- a/fleet/src/main/java/clayhook/rollout/Version.java
+++ b/fleet/src/main/java/clayhook/rollout/Version.java
@@ -3,8 +3,8 @@
 import java.util.Map;
 
 /**
- * The rules that a command began with. The edge stores it with the command and hands it back with the outcome; of one stage at
- * one router there is one object for the old version and one for the candidate, and both stand ready.
+ * The rules that a command began with. The edge stores it with the command and hands it back with the outcome; of one
+ * stage at one router there is one object for the old version and one for the candidate, and both stand ready.
  */
 public final class Version {
     private final String rules;
--- a/fleet/src/test/java/clayhook/fleet/VirtualNetwork.java
+++ b/fleet/src/test/java/clayhook/fleet/VirtualNetwork.java
@@ -12,7 +12,10 @@
 import java.util.function.BiPredicate;
 import java.util.function.BooleanSupplier;
 
-/** Routers in virtual time, and datagrams between them that get lost, late, doubled and cut off. The same seed plays the same. */
+/**
+ * Routers in virtual time, and datagrams between them that get lost, late, doubled and cut off. The same seed plays the
+ * same.
+ */
 public final class VirtualNetwork {
     /** 2023; figures that only work near zero fail. */
     public static final double START = 1.7e9;
@@ -100,9 +103,11 @@
     public double doubled;
     /** Seconds that a datagram takes; by chance between the two, so that some overtake others. */
     public double least = 0.0002;
+
     public double most = 0.002;
     /** Whether what goes from the first to the second never comes. */
     public BiPredicate<Host, Host> cut = (from, to) -> false;
+
     public double now = START;
     private final SplittableRandom chance;
     private final Map<Address, Host> hosts = new HashMap<>();
--- a/fleet/src/test/java/clayhook/fleet/kinds/JoinTest.java
+++ b/fleet/src/test/java/clayhook/fleet/kinds/JoinTest.java
@@ -27,10 +27,15 @@
         }
     }
 
-    private static final List<Case<?>> KINDS = List.of(new Case<>(Evidence.KIND, JoinTest::evidence),
-            new Case<>(Listed.KIND, JoinTest::listed), new Case<>(Fate.KIND, JoinTest::fate),
+    private static final List<Case<?>> KINDS = List.of(
+            new Case<>(Evidence.KIND, JoinTest::evidence),
+            new Case<>(Listed.KIND, JoinTest::listed),
+            new Case<>(Fate.KIND, JoinTest::fate),
             new Case<>(Mark.KIND, r -> new Mark(r.nextInt(3), r.nextInt(2))),
-            new Case<>(Use.KIND, r -> new Use(r.nextInt(3), r.nextInt(2), List.of(-0.0, 0.0, 1.0).get(r.nextInt(3)))));
+            new Case<>(
+                    Use.KIND,
+                    r -> new Use(
+                            r.nextInt(3), r.nextInt(2), List.of(-0.0, 0.0, 1.0).get(r.nextInt(3)))));
 
     private static Sight sight(Random r) {
         return Sight.of(100 + r.nextInt(4), "router" + r.nextInt(3));
@@ -52,15 +57,25 @@
     }
 
     private static Listed listed(Random r) {
-        return new Listed(r.nextInt(2), Listed.State.values()[r.nextInt(3)], r.nextInt(2), r.nextBoolean(), "z" + r.nextInt(2),
-                r.nextInt(2), "h" + r.nextInt(2), r.nextInt(2), r.nextInt(3));
+        return new Listed(
+                r.nextInt(2),
+                Listed.State.values()[r.nextInt(3)],
+                r.nextInt(2),
+                r.nextBoolean(),
+                "z" + r.nextInt(2),
+                r.nextInt(2),
+                "h" + r.nextInt(2),
+                r.nextInt(2),
+                r.nextInt(3));
     }
 
     private static Fate fate(Random r) {
         String label = r.nextBoolean() ? null : "toll " + r.nextInt(2);
         var sent = Fate.Sent.of(r.nextInt(2), r.nextInt(2), "pay" + r.nextInt(2), label);
         var witness = Fate.Witness.of(r.nextInt(3), "router" + r.nextInt(2), "node" + r.nextInt(2));
-        return r.nextInt(3) == 0 ? Fate.unknown(sent) : r.nextBoolean() ? Fate.ran(sent, witness) : Fate.notRun(sent, witness);
+        return r.nextInt(3) == 0
+                ? Fate.unknown(sent)
+                : r.nextBoolean() ? Fate.ran(sent, witness) : Fate.notRun(sent, witness);
     }
 
     private static <V> byte[] bytes(Kind<V> kind, V value, boolean later) {
@@ -103,31 +118,52 @@
         try {
             V read = each.kind.read(new Reader(some));
             assertEquals(read, each.kind.join(read, read));
-            assertEquals(read, each.kind.read(new Reader(bytes(each.kind, read, false))), "what was read can be passed on");
+            assertEquals(
+                    read, each.kind.read(new Reader(bytes(each.kind, read, false))), "what was read can be passed on");
         } catch (IllegalArgumentException e) {
             assertTrue(true, "refused");
         }
     }
 
-    /** So is the first figure of each kind when it is none, negative or endless, and other fields beyond their bounds. */
+    /**
+     * So is the first figure of each kind when it is none, negative or endless, and other fields beyond their bounds.
+     */
     @Example
     void senselessFieldsAreRefused() {
         for (Case<?> each : KINDS) {
             for (double senseless : new double[] {Double.NaN, -1, 1e300, Double.POSITIVE_INFINITY}) {
-                byte[] fields = new Writer().number(senseless).number(1).number(1).number(1).text("x").text("x").done();
-                assertThrows(IllegalArgumentException.class, () -> each.kind.read(new Reader(fields)), each.kind.name());
+                byte[] fields = new Writer()
+                        .number(senseless)
+                        .number(1)
+                        .number(1)
+                        .number(1)
+                        .text("x")
+                        .text("x")
+                        .done();
+                assertThrows(
+                        IllegalArgumentException.class, () -> each.kind.read(new Reader(fields)), each.kind.name());
             }
         }
-        List<Runnable> senseless = List.of(() -> new Sight(1, "n".repeat(49)), () -> new Sight(1, "\ud800"),
-                () -> new Sight(1, "a\u0001"), () -> Evidence.none(0).failed(1, new Sight(-5, "a")), () -> new Mark(1, -1),
+        List<Runnable> senseless = List.of(
+                () -> new Sight(1, "n".repeat(49)),
+                () -> new Sight(1, "\ud800"),
+                () -> new Sight(1, "a\u0001"),
+                () -> Evidence.none(0).failed(1, new Sight(-5, "a")),
+                () -> new Mark(1, -1),
                 () -> new Evidence(1e9, 5, null, null, null, null, null, null, null, List.of()),
-                () -> new Evidence(0, 0, new Seen(50, new Sight(5, "a")), null, null, null, null, null, null, List.of()),
+                () -> new Evidence(
+                        0, 0, new Seen(50, new Sight(5, "a")), null, null, null, null, null, null, List.of()),
                 () -> new Fate.Sent(1, 0, "g", "l".repeat(129)),
                 () -> new Listed(-1, Listed.State.READY, 0, false, "", 0, "", 0, 0));
         senseless.forEach(each -> assertThrows(IllegalArgumentException.class, each::run));
         var none = Evidence.none(0);
-        assertEquals(List.of(none, none, none), List.of(none.told(Double.NaN, 0, new Sight(0, "a")),
-                none.pace(-1, new Sight(0, "a")), none.load(1e9, new Sight(0, "a"))), "what a node garbles costs itself");
+        assertEquals(
+                List.of(none, none, none),
+                List.of(
+                        none.told(Double.NaN, 0, new Sight(0, "a")),
+                        none.pace(-1, new Sight(0, "a")),
+                        none.load(1e9, new Sight(0, "a"))),
+                "what a node garbles costs itself");
     }
 
     /** Whatever the names are, keys fit, values fit the store with their longest keys, and names are cut alike. */
@@ -151,14 +187,28 @@
             }
             sizes.add(bytes(Evidence.KIND, evidence, false).length + Keys.LONGEST_TEXT);
             var sent = Fate.Sent.of(1.7e9 + 0.1, 1 << 19, name, name);
-            var fate = Fate.KIND.join(Fate.ran(sent, Fate.Witness.of(1.7e9 + 0.1, name, name)),
+            var fate = Fate.KIND.join(
+                    Fate.ran(sent, Fate.Witness.of(1.7e9 + 0.1, name, name)),
                     Fate.notRun(sent, Fate.Witness.of(1.7e9 + 0.3, name, name)));
             sizes.add(bytes(Fate.KIND, fate, false).length + Keys.LONGEST_TEXT);
-            sizes.add(bytes(Listed.KIND, new Listed(Long.MAX_VALUE, Listed.State.GONE, 1.7e9, true, Keys.name(name), 1 << 19,
-                    "h".repeat(255), 65535, 1.7e9), false).length + Shared.LONGEST_KEY);
+            sizes.add(bytes(
+                                    Listed.KIND,
+                                    new Listed(
+                                            Long.MAX_VALUE,
+                                            Listed.State.GONE,
+                                            1.7e9,
+                                            true,
+                                            Keys.name(name),
+                                            1 << 19,
+                                            "h".repeat(255),
+                                            65535,
+                                            1.7e9),
+                                    false)
+                            .length
+                    + Shared.LONGEST_KEY);
             String use = Use.key(Use.cold(name, 1.7e9), new Member(name, Long.MAX_VALUE));
-            List.of(Listed.key(name, name), Evidence.key(name), Mark.key(name), use).forEach(key ->
-                    assertTrue(Check.bytes(key.replace('\u001f', '/')) <= Shared.LONGEST_KEY, key));
+            List.of(Listed.key(name, name), Evidence.key(name), Mark.key(name), use)
+                    .forEach(key -> assertTrue(Check.bytes(key.replace('\u001f', '/')) <= Shared.LONGEST_KEY, key));
             assertEquals(Keys.name(name), Keys.name(Keys.name(name)));
         }
         assertTrue(sizes.stream().allMatch(size -> size <= 1000), sizes.toString());
--- a/fleet/src/test/java/clayhook/fleet/kinds/ListMergeTest.java
+++ b/fleet/src/test/java/clayhook/fleet/kinds/ListMergeTest.java
@@ -26,7 +26,8 @@
 
     private static List<ListMerge.Entry> entries(long revision, Map<String, State> states) {
         return states.entrySet().stream()
-                .map(each -> new ListMerge.Entry(each.getKey(), word(revision, each.getValue()))).toList();
+                .map(each -> new ListMerge.Entry(each.getKey(), word(revision, each.getValue())))
+                .toList();
     }
 
     private String take() {
@@ -36,14 +37,17 @@
         return out.toString();
     }
 
-    /** Deltas and whole lists by this router's discovery, words by peers, late and doubled: the newest counts at each step. */
+    /**
+     * Deltas and whole lists by this router's discovery, words by peers, late and doubled: the newest counts at each
+     * step.
+     */
     @Property(tries = 500, seed = "27")
     void inAnyOrderOfNewsTheNewestRevisionCounts(@ForAll Random random) {
         new ListMergeTest().play(random);
     }
 
     private void play(Random random) {
-        record News(long revision, boolean whole, boolean byPeer, Map<String, State> states) { }
+        record News(long revision, boolean whole, boolean byPeer, Map<String, State> states) {}
         var truth = new HashMap<String, State>();
         var news = new ArrayList<News>();
         for (long revision = 1; revision <= 12; revision++) {
@@ -53,8 +57,10 @@
             if (state != State.GONE) {
                 truth.put(id, state);
             }
-            news.add(random.nextInt(3) == 0 ? new News(revision, true, false, Map.copyOf(truth))
-                    : new News(revision, false, random.nextBoolean(), Map.of(id, state)));
+            news.add(
+                    random.nextInt(3) == 0
+                            ? new News(revision, true, false, Map.copyOf(truth))
+                            : new News(revision, false, random.nextBoolean(), Map.of(id, state)));
         }
         news.addAll(List.copyOf(news.subList(0, 4)));
         Collections.shuffle(news, random);
@@ -73,7 +79,8 @@
                 merge.own("old:1", each.revision, each.whole, entries(each.revision, each.states), 100);
             }
             take();
-            expected.forEach((id, state) -> assertEquals(state, given.getOrDefault(id, State.GONE), id + " after " + each));
+            expected.forEach(
+                    (id, state) -> assertEquals(state, given.getOrDefault(id, State.GONE), id + " after " + each));
         }
     }
 
@@ -95,7 +102,10 @@
         assertEquals("{c=READY}", take());
         merge.own("new:1", 5, true, entries(5, Map.of("a", State.DRAINING, "b", State.READY, "c", State.READY)), 100);
         assertEquals("{b=READY}", take());
-        assertEquals(State.GONE, shared.get(Listed.KIND, Listed.key("new:1", "d")).state(), "peers are told what it leaves out");
+        assertEquals(
+                State.GONE,
+                shared.get(Listed.KIND, Listed.key("new:1", "d")).state(),
+                "peers are told what it leaves out");
         merge.moved("old:1");
         assertEquals("{c=DRAINING}", take(), "a drains on: what the old source said before the move is an older word");
         merge.own("old:1", 50, true, entries(50, Map.of("a", State.READY)), 100);
@@ -111,7 +121,9 @@
         merge.renew(100 + Listed.KIND.keep() / 4);
         assertEquals(100, shared.get(Listed.KIND, Listed.key("old:1", "a")).at());
         merge.renew(101 + Listed.KIND.keep() / 2);
-        assertEquals(101 + Listed.KIND.keep() / 2, shared.get(Listed.KIND, Listed.key("old:1", "a")).at());
+        assertEquals(
+                101 + Listed.KIND.keep() / 2,
+                shared.get(Listed.KIND, Listed.key("old:1", "a")).at());
         assertEquals("{a=READY}", take());
         var late = new ListMerge("old:1", shared);
         assertFalse(late.changes().isEmpty(), "a router that starts has what its peers had heard");
