--- a/fleet/src/test/java/clayhook/fleet/kinds/SessionNeedsTest.java
+++ b/fleet/src/test/java/clayhook/fleet/kinds/SessionNeedsTest.java
@@ -74,8 +74,11 @@
 
     @Example
     void atTheBoundOfAShardTheOldestGoAndTheFloorRises() {
-        var meeting = IntStream.iterate(0, i -> i + 1).mapToObj(i -> "s" + i).filter(name -> MarkSnapshot.shard(name) == 7)
-                .limit(MarkSnapshot.MOST_IN_SHARD + 10).toList();
+        var meeting = IntStream.iterate(0, i -> i + 1)
+                .mapToObj(i -> "s" + i)
+                .filter(name -> MarkSnapshot.shard(name) == 7)
+                .limit(MarkSnapshot.MOST_IN_SHARD + 10)
+                .toList();
         meeting.forEach(name -> shared.put(Mark.KIND, name, new Mark(2000 + meeting.indexOf(name), 0), 2000));
         needs.publish(2000);
         assertEquals(2009, needs.snapshot().floor());
@@ -99,7 +102,7 @@
         var started = new CountDownLatch(readers);
         Runnable reading = () -> {
             var last = new double[sessions];
-            for (boolean first = true; last[0] < 1000 + rounds && wrong.get() == null;) {
+            for (boolean first = true; last[0] < 1000 + rounds && wrong.get() == null; ) {
                 for (int i = sessions - 1; i >= 0; i--) {
                     double need = needs.need("s" + i, 1000);
                     if (need < last[i]) {
--- a/fleet/src/test/java/clayhook/fleet/kinds/Sighted.java
+++ b/fleet/src/test/java/clayhook/fleet/kinds/Sighted.java
@@ -11,8 +11,13 @@
 /** A roster that sees just those members; names that begin with "off" have clocks that cannot be used, 3 s ahead. */
 record Sighted(Member me, List<Peer> others) implements Roster {
     static Sighted of(int self, Collection<Integer> seen) {
-        return new Sighted(member(self), seen.stream().filter(other -> other != self).sorted()
-                .map(other -> peer(member(other))).toList());
+        return new Sighted(
+                member(self),
+                seen.stream()
+                        .filter(other -> other != self)
+                        .sorted()
+                        .map(other -> peer(member(other)))
+                        .toList());
     }
 
     static Member member(int number) {
--- a/fleet/src/test/java/clayhook/fleet/members/ClaimPropertiesTest.java
+++ b/fleet/src/test/java/clayhook/fleet/members/ClaimPropertiesTest.java
@@ -24,10 +24,17 @@
 /** Whoever hears the same claims, in whatever order and however often, has the same roster. */
 class ClaimPropertiesTest {
     private static Arbitrary<Claim> claimsOn(Arbitrary<String> names) {
-        Arbitrary<Peer> peers = Combinators.combine(names, Arbitraries.longs().between(1, 3), Arbitraries.integers().between(1, 2))
+        Arbitrary<Peer> peers = Combinators.combine(
+                        names,
+                        Arbitraries.longs().between(1, 3),
+                        Arbitraries.integers().between(1, 2))
                 .as((name, boot, port) -> new Peer(new Member(name, boot), new Address("h", port)));
-        return Combinators.combine(peers, Arbitraries.of(Standing.values()), Arbitraries.longs().between(0, 3),
-                Arbitraries.longs().list().ofMinSize(1).ofMaxSize(6)).as(Claim::new);
+        return Combinators.combine(
+                        peers,
+                        Arbitraries.of(Standing.values()),
+                        Arbitraries.longs().between(0, 3),
+                        Arbitraries.longs().list().ofMinSize(1).ofMaxSize(6))
+                .as(Claim::new);
     }
 
     @Provide
@@ -47,7 +54,11 @@
         assertEquals(a, a.join(a));
         assertEquals(a.join(b), a.join(b).join(b));
         assertTrue(a.peer().member().boot() <= b.peer().member().boot() || a.join(b) == a, "the younger life counts");
-        assertTrue(!a.peer().equals(b.peer()) || a.standing() != Standing.LEFT || a.join(b).standing() == Standing.LEFT, "final");
+        assertTrue(
+                !a.peer().equals(b.peer())
+                        || a.standing() != Standing.LEFT
+                        || a.join(b).standing() == Standing.LEFT,
+                "final");
     }
 
     @Property(tries = 500, seed = "2")
@@ -73,8 +84,16 @@
     }
 
     @Property(tries = 300, seed = "3")
-    void whatIsWrittenIsRead(@ForAll("claims") Claim claim, @ForAll long boot, @ForAll("longest") String name, @ForAll("longest") String host) {
-        var wide = new Claim(new Peer(new Member(name, boot), new Address(host + host, 65_535)), claim.standing(), 1L << 49, claim.accusers());
+    void whatIsWrittenIsRead(
+            @ForAll("claims") Claim claim,
+            @ForAll long boot,
+            @ForAll("longest") String name,
+            @ForAll("longest") String host) {
+        var wide = new Claim(
+                new Peer(new Member(name, boot), new Address(host + host, 65_535)),
+                claim.standing(),
+                1L << 49,
+                claim.accusers());
         var out = new Writer();
         new Word.Page(List.of(new Word.Page.Aged(wide, 1e9))).write(out);
         byte[] bytes = out.done();
--- a/fleet/src/test/java/clayhook/fleet/members/MembersTest.java
+++ b/fleet/src/test/java/clayhook/fleet/members/MembersTest.java
@@ -100,7 +100,13 @@
             var made = new Members[1];
             Host host = network.start(address, clockAhead, (self, wire) -> {
                 var member = new Member(name, (long) (self.clock() * 1000));
-                made[0] = new Members(settings, new Peer(member, address), seeds, seed * 7919 + address.hashCode(), self.clock(), log);
+                made[0] = new Members(
+                        settings,
+                        new Peer(member, address),
+                        seeds,
+                        seed * 7919 + address.hashCode(),
+                        self.clock(),
+                        log);
                 return new Fleet(member, List.of(made[0]), wire);
             });
             var router = new Router(host, made[0], log);
@@ -117,14 +123,19 @@
             if (size > 500 && !Boolean.getBoolean("members.join")) {
                 introduceAll(); // a million first meetings cost 20 s of work
             }
-            assertTrue(network.reaches(this::whole, 30), () -> "no whole roster: " + all().get(size - 1).members.others().size());
+            assertTrue(
+                    network.reaches(this::whole, 30),
+                    () -> "no whole roster: "
+                            + all().get(size - 1).members.others().size());
             return this;
         }
 
         private void introduceAll() {
             var page = new Word.Page(all().stream()
-                    .map(router -> new Word.Page.Aged(Claim.alive(router.members.self(), 0), 0)).toList());
-            all().forEach(router -> router.members.heard(new Peer(new Member("teller", 0), address(0)), page, network.now, (to, part) -> { }));
+                    .map(router -> new Word.Page.Aged(Claim.alive(router.members.self(), 0), 0))
+                    .toList());
+            all().forEach(router -> router.members.heard(
+                    new Peer(new Member("teller", 0), address(0)), page, network.now, (to, part) -> {}));
         }
 
         List<Router> all() {
@@ -144,7 +155,10 @@
         }
 
         long told(String start) {
-            return routers.values().stream().flatMap(router -> router.log.lines.stream()).filter(line -> line.startsWith(start)).count();
+            return routers.values().stream()
+                    .flatMap(router -> router.log.lines.stream())
+                    .filter(line -> line.startsWith(start))
+                    .count();
         }
 
         Router kill(int i) {
@@ -154,7 +168,10 @@
         }
 
         double bytes() {
-            return routers.values().stream().mapToLong(router -> router.host.fleet.counts().sentBytes).average().orElseThrow();
+            return routers.values().stream()
+                    .mapToLong(router -> router.host.fleet.counts().sentBytes)
+                    .average()
+                    .orElseThrow();
         }
     }
 
@@ -186,7 +203,7 @@
     void oneWhoLeavesIsOutAtOnceAndStaysOut(long seed) {
         Site site = Site.of(100, seed);
         Router leaver = site.routers.remove("router-5");
-        leaver.members.leave(site.network.now, (to, part) -> { });
+        leaver.members.leave(site.network.now, (to, part) -> {});
         assertTrue(site.network.reaches(() -> site.all(router -> !router.members.lives(leaver.member())), 1));
         assertTrue(site.all(router -> !router.members.mayServe(site.network.now).contains(leaver.member())));
         site.network.run(10); // it drains, and still answers
@@ -208,20 +225,39 @@
         assertEquals(0, site.told("suspected"));
     }
 
-    /** @param remember so short that each side has forgotten the other, which the seeds must mend; else no seed is left to */
+    /**
+     * @param remember so short that each side has forgotten the other, which the seeds must mend; else no seed is left
+     *     to
+     */
     @ParameterizedTest
     @CsvSource({"60, 30, 1", "60, 3600, 2", "5, 3600, 3", "2, 30, 4"})
     void sidesOfACutFindEachOther(int size, double remember, long seed) {
         var site = new Site(seed);
         MemberSettings d = MemberSettings.DEFAULT;
-        site.settings = new MemberSettings(d.period(), d.retry(), d.helpers(), d.gossip(), d.fan(), d.suspicion(), d.alone(), d.knock(),
-                d.knockMost(), remember, d.deadAfter(), d.clockBound(), d.late(), d.mostNames());
+        site.settings = new MemberSettings(
+                d.period(),
+                d.retry(),
+                d.helpers(),
+                d.gossip(),
+                d.fan(),
+                d.suspicion(),
+                d.alone(),
+                d.knock(),
+                d.knockMost(),
+                remember,
+                d.deadAfter(),
+                d.clockBound(),
+                d.late(),
+                d.mostNames());
         site.with(size);
         if (remember > 60) {
             site.kill(0);
             site.kill(1);
         }
-        var half = site.all().stream().filter(router -> router.host.address.hashCode() % 2 == 0).map(Router::host).collect(Collectors.toSet());
+        var half = site.all().stream()
+                .filter(router -> router.host.address.hashCode() % 2 == 0)
+                .map(Router::host)
+                .collect(Collectors.toSet());
         site.network.cut = (from, to) -> half.contains(from) != half.contains(to);
         site.network.run(80);
         assertTrue(site.all(router -> router.members.others().size()
@@ -230,8 +266,9 @@
         site.network.cut = (from, to) -> false;
         double healed = site.network.now;
         assertTrue(site.network.reaches(site::whole, 12));
-        System.out.printf("%d members, %s: whole %.2f s after the heal%n", size, remember > 60 ? "remembered" : "forgotten",
-                site.network.now - healed);
+        System.out.printf(
+                "%d members, %s: whole %.2f s after the heal%n",
+                size, remember > 60 ? "remembered" : "forgotten", site.network.now - healed);
         site.network.run(10);
         assertEquals(0, site.told("gone"), "nobody is lost again on the way");
     }
@@ -243,13 +280,15 @@
         Router stood = site.get(9);
         stood.host.stand(seconds);
         site.network.run(seconds - 0.01);
-        site.network.cut = (from, to) -> gone > 0 && (from == stood.host || to == stood.host); // its links are slow to come back
+        site.network.cut =
+                (from, to) -> gone > 0 && (from == stood.host || to == stood.host); // its links are slow to come back
         stood.log.lines.clear();
         site.network.run(0.02);
         assertTrue(stood.members.doubtful(site.network.now));
         site.network.run(gone > 0 ? 2 : 0);
         site.network.cut = (from, to) -> false;
-        assertTrue(site.network.reaches(() -> site.all(router -> router == stood || router.members.lives(stood.member())), 3));
+        assertTrue(site.network.reaches(
+                () -> site.all(router -> router == stood || router.members.lives(stood.member())), 3));
         site.network.run(10);
         assertFalse(stood.members.doubtful(site.network.now));
         assertEquals(List.of(), stood.log.lines, "it accuses nobody");
@@ -265,10 +304,15 @@
         assertTrue(site.network.reaches(() -> older.members.replaced() && site.whole(), 5));
         site.network.run(20);
         String line = "twins " + younger.member().boot() + " " + older.member().boot();
-        assertEquals(List.of(line), older.log.lines.stream().filter(told -> told.startsWith("twins")).toList());
+        assertEquals(
+                List.of(line),
+                older.log.lines.stream()
+                        .filter(told -> told.startsWith("twins"))
+                        .toList());
         assertTrue(site.all(router -> router.members.others().contains(younger.members.self()) != (router == younger)));
         assertTrue(site.told(line) > 10, "the others are told once each that hears both");
-        assertTrue(site.all(router -> router.log.lines.stream().filter(line::equals).count() <= 1));
+        assertTrue(site.all(
+                router -> router.log.lines.stream().filter(line::equals).count() <= 1));
         assertFalse(younger.members.replaced());
     }
 
@@ -300,7 +344,7 @@
         Members one = site.get(0).members;
         for (int i = 0; i < 17_000; i++) {
             Claim claim = Claim.alive(new Peer(new Member("name-" + i, 1), Site.address(i)), 0);
-            one.heard(site.get(1).members.self(), new Word.News(List.of(claim)), site.network.now, (to, part) -> { });
+            one.heard(site.get(1).members.self(), new Word.News(List.of(claim)), site.network.now, (to, part) -> {});
         }
         assertEquals(MemberSettings.DEFAULT.mostNames(), one.others().size());
         assertEquals(17_001 - MemberSettings.DEFAULT.mostNames(), one.refused());
@@ -321,9 +365,16 @@
         double at = site.network.now;
         before = site.bytes();
         assertTrue(site.network.reaches(() -> site.all(router -> !router.members.lives(killed.member())), 6));
-        System.out.printf("%d members: whole after %.2f s and %.0f bytes a router; idle %.0f bytes/s; killed known after %.2f s, "
-                + "%.0f bytes/s; %.1f s of work%n", size, joined, joining, idle, site.network.now - at,
-                (site.bytes() - before) / (site.network.now - at), (System.nanoTime() - began) / 1e9);
+        System.out.printf(
+                "%d members: whole after %.2f s and %.0f bytes a router; idle %.0f bytes/s; killed known after %.2f s, "
+                        + "%.0f bytes/s; %.1f s of work%n",
+                size,
+                joined,
+                joining,
+                idle,
+                site.network.now - at,
+                (site.bytes() - before) / (site.network.now - at),
+                (System.nanoTime() - began) / 1e9);
         assertTrue(idle < 600, () -> "bytes a second: " + idle);
         assertEquals(0, site.told("gone") - (size - 1));
     }
--- a/fleet/src/test/java/clayhook/fleet/state/FiguresTest.java
+++ b/fleet/src/test/java/clayhook/fleet/state/FiguresTest.java
@@ -17,6 +17,7 @@
 class FiguresTest {
     /** Counts what this thread uses, whatever else the machine does. */
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
+
     private static final Plain MARKS = new Plain(1, 3600, 200_000, false, Plain.LATEST);
 
     private static Net net(int size, Plain kind) {
@@ -40,12 +41,18 @@
         for (int i = 0; i < times.length; i++) {
             String key = "mark " + i;
             put(net, key);
-            times[i] = net.until(10, () -> net.nodes.stream().filter(node -> node.state.get(MARKS, key) != null).count() >= 99);
+            times[i] = net.until(
+                    10,
+                    () -> net.nodes.stream()
+                                    .filter(node -> node.state.get(MARKS, key) != null)
+                                    .count()
+                            >= 99);
             net.run(0.1);
         }
         Arrays.sort(times);
-        System.out.printf("news at 99 of 100 routers, loss %.1f: median %.2f s, worst of %d %.2f s%n", loss,
-                times[times.length / 2], times.length, times[times.length - 1]);
+        System.out.printf(
+                "news at 99 of 100 routers, loss %.1f: median %.2f s, worst of %d %.2f s%n",
+                loss, times[times.length / 2], times.length, times[times.length - 1]);
         assertTrue(times[times.length - 1] < within);
     }
 
@@ -63,17 +70,26 @@
             }
             net.run(news == 0 ? seconds : 0);
             bytes += sent(net);
-            double sure = net.nodes.stream().mapToDouble(node -> node.state.certainUpTo(node.clock()) + node.behind).min()
+            double sure = net.nodes.stream()
+                    .mapToDouble(node -> node.state.certainUpTo(node.clock()) + node.behind)
+                    .min()
                     .orElseThrow();
-            System.out.printf("%d members, %d news a second in all: %.1f KB and %.2f ms of processor a router a second, "
-                    + "certain up to %.1f s ago at worst%n", size, news, bytes / 1024 / size / seconds,
-                    (THREADS.getCurrentThreadCpuTime() - cpu) / 1e6 / size / seconds, net.now - sure);
+            System.out.printf(
+                    "%d members, %d news a second in all: %.1f KB and %.2f ms of processor a router a second, "
+                            + "certain up to %.1f s ago at worst%n",
+                    size,
+                    news,
+                    bytes / 1024 / size / seconds,
+                    (THREADS.getCurrentThreadCpuTime() - cpu) / 1e6 / size / seconds,
+                    net.now - sure);
             assertTrue(news > 0 || bytes / size / seconds < 20 << 10);
         }
     }
 
     private static double sent(Net net) {
-        return net.nodes.stream().mapToLong(node -> node.fleet.counts().sentBytes).sum();
+        return net.nodes.stream()
+                .mapToLong(node -> node.fleet.counts().sentBytes)
+                .sum();
     }
 
     @Test
@@ -95,11 +111,13 @@
         back.start();
         net.run(0.1);
         back.side = 0;
-        System.out.printf("bytes an entry, with its key of 24 letters and its value: %.0f%n", (memory - memory()) / 1e5);
+        System.out.printf(
+                "bytes an entry, with its key of 24 letters and its value: %.0f%n", (memory - memory()) / 1e5);
         long cpu = THREADS.getCurrentThreadCpuTime();
         double took = net.until(10, () -> back.state.size(MARKS) == 100_000);
-        System.out.printf("100,000 marks caught up in %.2f s, %.0f ms of processor at both ends%n", took,
-                (THREADS.getCurrentThreadCpuTime() - cpu) / 1e6);
+        System.out.printf(
+                "100,000 marks caught up in %.2f s, %.0f ms of processor at both ends%n",
+                took, (THREADS.getCurrentThreadCpuTime() - cpu) / 1e6);
         assertTrue(took < 2);
     }
 
--- a/fleet/src/test/java/clayhook/fleet/state/Net.java
+++ b/fleet/src/test/java/clayhook/fleet/state/Net.java
@@ -15,7 +15,9 @@
 import java.util.SplittableRandom;
 import java.util.function.BooleanSupplier;
 
-/** Routers with a fixed roster on a network of our own, in virtual time: it loses, doubles, delays, cuts and freezes. */
+/**
+ * Routers with a fixed roster on a network of our own, in virtual time: it loses, doubles, delays, cuts and freezes.
+ */
 final class Net {
     private record Event(double at, long order, Runnable what) implements Comparable<Event> {
         @Override
@@ -32,6 +34,7 @@
         private long boot;
         /** Of its release. */
         List<Kind<?>> knows = kinds;
+
         Fleet fleet;
         State state;
         int side;
@@ -89,13 +92,16 @@
 
         @Override
         public List<Peer> others() {
-            return peers.computeIfAbsent(this, any -> nodes.stream().filter(node -> node != this && node.self != null)
-                    .map(node -> node.self).toList());
+            return peers.computeIfAbsent(this, any -> nodes.stream()
+                    .filter(node -> node != this && node.self != null)
+                    .map(node -> node.self)
+                    .toList());
         }
 
         @Override
         public List<Member> mayServe(double time) {
-            return members.computeIfAbsent(others(), list -> list.stream().map(Peer::member).toList());
+            return members.computeIfAbsent(
+                    others(), list -> list.stream().map(Peer::member).toList());
         }
 
         @Override
@@ -138,6 +144,7 @@
     double doubled;
     /** Seconds from router to router at least, and how much more it may be. */
     double delay = 0.0005;
+
     double jitter;
 
     Net(long seed, int size, List<Kind<?>> kinds, StateSettings settings) {
@@ -183,7 +190,10 @@
         until(seconds, () -> false);
     }
 
-    /** Runs until that is so, asked after each event that may change it; returns seconds, or more than the limit for never. */
+    /**
+     * Runs until that is so, asked after each event that may change it; returns seconds, or more than the limit for
+     * never.
+     */
     double until(double limit, BooleanSupplier so) {
         double start = now;
         double asked = now;
@@ -203,8 +213,16 @@
     }
 
     boolean alike() {
-        return kinds.stream().allMatch(kind ->
-                nodes.stream().mapToLong(node -> node.state.digest(kind, now)).distinct().count() == 1
-                && nodes.stream().mapToDouble(node -> node.state.floor(kind)).distinct().count() == 1);
+        return kinds.stream()
+                .allMatch(kind -> nodes.stream()
+                                        .mapToLong(node -> node.state.digest(kind, now))
+                                        .distinct()
+                                        .count()
+                                == 1
+                        && nodes.stream()
+                                        .mapToDouble(node -> node.state.floor(kind))
+                                        .distinct()
+                                        .count()
+                                == 1);
     }
 }
--- a/fleet/src/test/java/clayhook/fleet/state/Plain.java
+++ b/fleet/src/test/java/clayhook/fleet/state/Plain.java
@@ -8,8 +8,7 @@
 /** A kind for tests: numbers with a time, and a join of choice. */
 record Plain(int number, double keep, int most, boolean urgent, BinaryOperator<Plain.Stamped> rule)
         implements Kind<Plain.Stamped> {
-    record Stamped(long value, double at) {
-    }
+    record Stamped(long value, double at) {}
 
     /** The later one, of two of one time the greater one. */
     static final BinaryOperator<Stamped> LATEST = (a, b) -> a.at > b.at || a.at == b.at && a.value >= b.value ? a : b;
--- a/fleet/src/test/java/clayhook/fleet/state/StateTest.java
+++ b/fleet/src/test/java/clayhook/fleet/state/StateTest.java
@@ -1,6 +1,5 @@
 package clayhook.fleet.state;
 
-import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -37,16 +36,19 @@
 
     @Provide
     Arbitrary<List<Act>> acts() {
-        Arbitrary<Integer> small = Arbitraries.integers().between(0, 1000)
-                .withDistribution(RandomDistribution.uniform());
-        return Combinators.combine(Arbitraries.integers().between(0, Act.KINDS - 1), small, small, small).as(Act::new)
-                .list().ofMinSize(10).ofMaxSize(80);
+        Arbitrary<Integer> small =
+                Arbitraries.integers().between(0, 1000).withDistribution(RandomDistribution.uniform());
+        return Combinators.combine(Arbitraries.integers().between(0, Act.KINDS - 1), small, small, small)
+                .as(Act::new)
+                .list()
+                .ofMinSize(10)
+                .ofMaxSize(80);
     }
 
     /** Puts, loss, doubling, reordering, cuts, restarts, frozen routers, in any order. */
     @Property(tries = 60, seed = "27")
-    void copiesConvergeToTheJoinOfAllAndAreCertainOnlyOfWhatIsThere(@ForAll("acts") List<Act> acts,
-            @ForAll @IntRange(min = 5, max = 20) int size, @ForAll long seed) {
+    void copiesConvergeToTheJoinOfAllAndAreCertainOnlyOfWhatIsThere(
+            @ForAll("acts") List<Act> acts, @ForAll @IntRange(min = 5, max = 20) int size, @ForAll long seed) {
         var story = new Story(seed, size, List.of(REGISTERS, SETS, FEW));
         acts.forEach(story::play);
         story.end();
@@ -82,15 +84,25 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"20, 1, EXPIRED", "19.9, 1, ", "-2, 1, FUTURE", "-0.9, 1, ", "0, 0, UNFIT", "0, 257, UNFIT", "0, 256, ",
-            "NaN, 1, FUTURE"})
+    @CsvSource({
+        "20, 1, EXPIRED",
+        "19.9, 1, ",
+        "-2, 1, FUTURE",
+        "-0.9, 1, ",
+        "0, 0, UNFIT",
+        "0, 257, UNFIT",
+        "0, 256, ",
+        "NaN, 1, FUTURE"
+    })
     void valuesOutOfTheirTimeAndKeysOutOfBoundsAreRefused(double age, int length, Fate why) {
         Net.Node alone = net(1, REGISTERS).nodes.get(0);
         String key = "k".repeat(length);
         Stamped put = put(alone, REGISTERS, key, age);
         assertEquals(why == null, put != null);
         assertEquals(put, alone.state.get(REGISTERS, key));
-        assertEquals(why == null ? List.of() : List.of(why), new ArrayList<>(alone.state.counts().refused.keySet()));
+        assertEquals(
+                why == null ? List.of() : List.of(why),
+                new ArrayList<>(alone.state.counts().refused.keySet()));
     }
 
     @Test
@@ -133,7 +145,9 @@
         var heard = new ArrayList<String>();
         net.nodes.forEach(node -> node.state.listen(REGISTERS, (key, value, now) -> heard.add(key)));
         net.run(3);
-        assertEquals(List.of(0, 0, 0, 0), net.nodes.stream().map(node -> node.state.size(REGISTERS)).toList());
+        assertEquals(
+                List.of(0, 0, 0, 0),
+                net.nodes.stream().map(node -> node.state.size(REGISTERS)).toList());
         assertEquals(List.of(), heard);
     }
 
@@ -156,7 +170,9 @@
     }
 
     private static long sum(Net net, ToLongFunction<StateCounts> of) {
-        return net.nodes.stream().mapToLong(node -> of.applyAsLong(node.state.counts())).sum();
+        return net.nodes.stream()
+                .mapToLong(node -> of.applyAsLong(node.state.counts()))
+                .sum();
     }
 
     @Test
@@ -177,7 +193,8 @@
         assertEquals(first.clock(), first.state.certainUpTo(first.clock()), 1.5);
         net.nodes.get(1).side = 1;
         net.run(10);
-        assertEquals(first.clock() - 10, first.state.certainUpTo(first.clock()), 1.5, "one that may serve is not heard");
+        assertEquals(
+                first.clock() - 10, first.state.certainUpTo(first.clock()), 1.5, "one that may serve is not heard");
         first.doubtful = true;
         assertEquals(-EVER, first.state.certainUpTo(first.clock()), "stood itself");
         Net.Node alone = net(1, REGISTERS).nodes.get(0);
@@ -216,7 +233,10 @@
         for (Net.Node node : net.nodes) {
             assertEquals(4, node.state.size(REGISTERS));
             assertEquals(node.clock(), node.state.certainUpTo(node.clock()), 2);
-            assertTrue(node.knows.size() == 2 ? node.state.get(SETS, "new") != null : node.state.counts().unknownKinds > 0);
+            assertTrue(
+                    node.knows.size() == 2
+                            ? node.state.get(SETS, "new") != null
+                            : node.state.counts().unknownKinds > 0);
         }
         Net.Node cut = net.nodes.get(2);
         Net.Node source = net.nodes.get(3);
@@ -227,13 +247,17 @@
         source.frozen = true;
         cut.side = 0;
         net.run(3);
-        assertTrue(cut.state.certainUpTo(cut.clock()) + cut.behind < before, "those who don't know the kind can't vouch for it");
+        assertTrue(
+                cut.state.certainUpTo(cut.clock()) + cut.behind < before,
+                "those who don't know the kind can't vouch for it");
         source.thaw();
         assertTrue(net.until(5, () -> cut.state.certainUpTo(cut.clock()) + cut.behind > before) < 5);
         assertNotNull(cut.state.get(SETS, "newer"));
     }
 
-    /** A router that lacks everything is brought up though the one that it asks is cut off, frozen or killed half way. */
+    /**
+     * A router that lacks everything is brought up though the one that it asks is cut off, frozen or killed half way.
+     */
     @ParameterizedTest
     @CsvSource({"cut", "frozen", "killed"})
     void aCatchUpGoesOnFromAnotherPeer(String how) {
@@ -250,7 +274,8 @@
         net.until(5, () -> back.state.size(SETS) > 300);
         assertTrue(back.state.size(SETS) < 1000 && back.state.certainUpTo(back.clock()) == -EVER);
         Net.Node asked = net.nodes.subList(0, 3).stream()
-                .max(Comparator.comparing(node -> node.state.counts().walkBytes - before.get(node))).orElseThrow();
+                .max(Comparator.comparing(node -> node.state.counts().walkBytes - before.get(node)))
+                .orElseThrow();
         if (how.equals("killed")) {
             asked.start();
         } else {
--- a/fleet/src/test/java/clayhook/fleet/state/Story.java
+++ b/fleet/src/test/java/clayhook/fleet/state/Story.java
@@ -14,11 +14,9 @@
         static final int KINDS = 13;
     }
 
-    private record Key(Plain kind, String key) {
-    }
+    private record Key(Plain kind, String key) {}
 
-    private record Put(Key key, Stamped value, Member by, double when) {
-    }
+    private record Put(Key key, Stamped value, Member by, double when) {}
 
     /** Beside the margin: the clocks' bound and a step, since copies leave out the same a moment apart. */
     private static final double SLACK = 2;
@@ -28,6 +26,7 @@
     private final List<Put> puts = new ArrayList<>();
     /** Joins of all that was put in, and of what some router surely has. */
     private final Map<Key, Stamped> most = new HashMap<>();
+
     private final Map<Key, Stamped> least = new HashMap<>();
 
     Story(long seed, int size, List<Plain> kinds) {
@@ -74,8 +73,10 @@
     /** What only that router had is gone, which no copy can help. */
     private void restart(Net.Node node) {
         least.clear();
-        net.nodes.stream().filter(other -> other != node).forEach(other -> kinds.forEach(kind ->
-                other.state.each(kind, (key, value) -> least.merge(new Key(kind, key), value, kind::join))));
+        net.nodes.stream()
+                .filter(other -> other != node)
+                .forEach(other -> kinds.forEach(kind ->
+                        other.state.each(kind, (key, value) -> least.merge(new Key(kind, key), value, kind::join))));
         node.start();
     }
 
@@ -94,7 +95,8 @@
         if (ends > net.now && value.at() > node.state.floor(key.kind)) {
             Stamped here = node.state.get(key.kind, key.key);
             if (here == null || !key.kind.join(here, value).equals(here)) {
-                throw new AssertionError(node.address + " lacks " + value + " of " + key + ", has " + here + ", " + why);
+                throw new AssertionError(
+                        node.address + " lacks " + value + " of " + key + ", has " + here + ", " + why);
             }
         }
     }
@@ -116,8 +118,8 @@
                 }
             }));
         }
-        double sure = net.until(20, () ->
-                net.nodes.stream().allMatch(node -> node.state.certainUpTo(node.clock()) > net.now - 4));
+        double sure = net.until(
+                20, () -> net.nodes.stream().allMatch(node -> node.state.certainUpTo(node.clock()) > net.now - 4));
         if (sure > 20) {
             throw new AssertionError("not certain after 20 s");
         }
--- a/fleet/src/test/java/clayhook/rollout/AgreementTest.java
+++ b/fleet/src/test/java/clayhook/rollout/AgreementTest.java
@@ -11,7 +11,10 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
 
-/** Exchanges, losses, cuts, deaths, and operators at several ends in any order: the rules hold, and all come to the same. */
+/**
+ * Exchanges, losses, cuts, deaths, and operators at several ends in any order: the rules hold, and all come to the
+ * same.
+ */
 class AgreementTest {
     @Property(tries = 150, seed = "42", shrinking = ShrinkingMode.OFF)
     void rulesHoldInEveryInterleaving(@ForAll long seed) {
@@ -33,7 +36,10 @@
         net.run(10);
         for (Net.Node node : net.nodes) {
             assertEquals(net.nodes[0].shared.digest(Round.KIND, net.now), node.shared.digest(Round.KIND, net.now));
-            assertEquals(net.nodes[0].rollouts.split().current(), node.rollouts.split().current(), "seed " + seed);
+            assertEquals(
+                    net.nodes[0].rollouts.split().current(),
+                    node.rollouts.split().current(),
+                    "seed " + seed);
         }
     }
 
@@ -77,9 +83,13 @@
                         ended.add(node.member + id);
                     }
                 });
-                ended.stream().filter(key -> key.startsWith(node.member.toString()))
-                        .forEach(key -> assertNotNull(node.shared.get(Round.KIND,
-                                key.substring(node.member.toString().length())).end()));
+                ended.stream()
+                        .filter(key -> key.startsWith(node.member.toString()))
+                        .forEach(key -> assertNotNull(node.shared
+                                .get(
+                                        Round.KIND,
+                                        key.substring(node.member.toString().length()))
+                                .end()));
             }
         }
     }
--- a/fleet/src/test/java/clayhook/rollout/Explorer.java
+++ b/fleet/src/test/java/clayhook/rollout/Explorer.java
@@ -11,10 +11,10 @@
 import java.util.stream.Stream;
 
 /**
- * Every order in which a few things can happen to three routers and one rollout, breadth first; one that leads to a state seen
- * before is not followed. Whatever is not delivered is late or, once more than {@link #ON_LINK} wait, lost. The code
- * itself is explored, not a model of it, so that nothing can differ between the two; a model checker for threads (lincheck) has
- * nothing to interleave here, and Alloy would check a second text of the rules.
+ * Every order in which a few things can happen to three routers and one rollout, breadth first; one that leads to a
+ * state seen before is not followed. Whatever is not delivered is late or, once more than {@link #ON_LINK} wait, lost.
+ * The code itself is explored, not a model of it, so that nothing can differ between the two; a model checker for
+ * threads (lincheck) has nothing to interleave here, and Alloy would check a second text of the rules.
  */
 final class Explorer {
     private static final int SIZE = 3;
@@ -104,13 +104,21 @@
     private static String state(Net net) {
         var text = new StringBuilder();
         for (Net.Node node : net.nodes) {
-            text.append(node.member).append(node.shared.digest(Round.KIND, 0)).append(' ')
-                    .append(node.shared.digest(Vote.KIND, 0)).append(' ').append(node.shared.digest(Figure.COUNTS, 0));
-            node.rollouts.known().forEach(live -> text.append(live.round).append(live.runs).append(live.seen - net.now)
-                    .append(live.nextAsk - net.now).append(live.lease == null ? "" : new TreeMap<>(live.lease.granted())));
+            text.append(node.member)
+                    .append(node.shared.digest(Round.KIND, 0))
+                    .append(' ')
+                    .append(node.shared.digest(Vote.KIND, 0))
+                    .append(' ')
+                    .append(node.shared.digest(Figure.COUNTS, 0));
+            node.rollouts.known().forEach(live -> text.append(live.round)
+                    .append(live.runs)
+                    .append(live.seen - net.now)
+                    .append(live.nextAsk - net.now)
+                    .append(live.lease == null ? "" : new TreeMap<>(live.lease.granted())));
             node.answered.forEach((by, at) -> text.append(by).append(at - net.now));
         }
-        net.links.forEach(links -> links.forEach(link -> link.forEach(sent -> text.append(sent.part()).append(';'))));
+        net.links.forEach(links -> links.forEach(
+                link -> link.forEach(sent -> text.append(sent.part()).append(';'))));
         return text.append(net.now).append(net.votes).toString();
     }
 
@@ -133,14 +141,16 @@
         List<List<Integer>> orders = next(start(running), List.of());
         for (int i = 0; i < depth; i++) {
             Queue<String> broken = new ConcurrentLinkedQueue<>();
-            orders = orders.parallelStream().flatMap(order -> {
-                Net net = start(running);
-                order.forEach(step -> happens(net, step));
-                if (net.broken() != null) {
-                    broken.add(order + ": " + net.broken());
-                }
-                return seen.add(troubled(order) + state(net)) ? next(net, order).stream() : Stream.empty();
-            }).toList();
+            orders = orders.parallelStream()
+                    .flatMap(order -> {
+                        Net net = start(running);
+                        order.forEach(step -> happens(net, step));
+                        if (net.broken() != null) {
+                            broken.add(order + ": " + net.broken());
+                        }
+                        return seen.add(troubled(order) + state(net)) ? next(net, order).stream() : Stream.empty();
+                    })
+                    .toList();
             if (!broken.isEmpty()) {
                 return broken.peek();
             }
--- a/fleet/src/test/java/clayhook/rollout/ExplorerTest.java
+++ b/fleet/src/test/java/clayhook/rollout/ExplorerTest.java
@@ -20,12 +20,14 @@
 
     @Test
     void aMajorityThatIsNoneIsFound() {
-        var defect = new Explorer(new Quorum() {
-            @Override
-            int of(int voters) {
-                return voters / 2;
-            }
-        }, Lease::new);
+        var defect = new Explorer(
+                new Quorum() {
+                    @Override
+                    int of(int voters) {
+                        return voters / 2;
+                    }
+                },
+                Lease::new);
         assertNotNull(defect.broken(false, DEPTH));
     }
 
--- a/fleet/src/test/java/clayhook/rollout/JoinTest.java
+++ b/fleet/src/test/java/clayhook/rollout/JoinTest.java
@@ -18,10 +18,23 @@
 
     private static Round round(Random chance) {
         var by = new Member(LONGEST, 1_700_000_000_000L + chance.nextInt(2));
-        var proposal = new Proposal(by, chance.nextInt(2), "a".repeat(32), "b".repeat(31) + chance.nextInt(2),
-                1 + chance.nextInt(2), "c".repeat(32), 7, 10, 1 + chance.nextInt(2));
-        End end = chance.nextBoolean() ? null
-                : End.of(End.What.values()[chance.nextInt(5)], "r".repeat(200 + chance.nextInt(2)), LONGEST, chance.nextInt(2));
+        var proposal = new Proposal(
+                by,
+                chance.nextInt(2),
+                "a".repeat(32),
+                "b".repeat(31) + chance.nextInt(2),
+                1 + chance.nextInt(2),
+                "c".repeat(32),
+                7,
+                10,
+                1 + chance.nextInt(2));
+        End end = chance.nextBoolean()
+                ? null
+                : End.of(
+                        End.What.values()[chance.nextInt(5)],
+                        "r".repeat(200 + chance.nextInt(2)),
+                        LONGEST,
+                        chance.nextInt(2));
         return new Round(proposal, chance.nextInt(4), end, chance.nextInt(3));
     }
 
@@ -37,7 +50,8 @@
     void joinsAndCarries(@ForAll @IntRange(min = 0, max = 5) int kind, @ForAll long seed) {
         switch (kind) {
             case 0 -> holds(Round.KIND, JoinTest::round, seed);
-            case 1 -> holds(Piece.KIND, chance -> new Piece(new byte[chance.nextInt(2) * 899 + 1], chance.nextInt(3)), seed);
+            case 1 ->
+                holds(Piece.KIND, chance -> new Piece(new byte[chance.nextInt(2) * 899 + 1], chance.nextInt(3)), seed);
             case 2 -> holds(Vote.KIND, chance -> new Vote(chance.nextInt(4), chance.nextInt(3)), seed);
             case 3 -> holds(Figure.COUNTS, chance -> figure(chance, Figure.Sums.SIZE + 2 * Batch.Cell.SIZE), seed);
             case 4 -> holds(Figure.OLD_TIMES, chance -> figure(chance, Times.SIZE), seed);
@@ -56,8 +70,17 @@
         assertEquals(a, kind.join(a, a));
         assertEquals(joined, kind.join(joined, a));
         assertTrue(kind.at(joined) >= Math.max(kind.at(a), kind.at(b)));
-        assertEquals(a, Net.carried(kind, new Figure.Key("0".repeat(16), 16, new Member(LONGEST, 1_700_000_000_000L),
-                "g".repeat(Guard.LONGEST_GROUP)).text(), a));
+        assertEquals(
+                a,
+                Net.carried(
+                        kind,
+                        new Figure.Key(
+                                        "0".repeat(16),
+                                        16,
+                                        new Member(LONGEST, 1_700_000_000_000L),
+                                        "g".repeat(Guard.LONGEST_GROUP))
+                                .text(),
+                        a));
         if (joined instanceof Round round && (((Round) a).end() != null || ((Round) b).end() != null)) {
             assertTrue(round.end() != null, "a halt wins over every stage");
         }
--- a/fleet/src/test/java/clayhook/rollout/Net.java
+++ b/fleet/src/test/java/clayhook/rollout/Net.java
@@ -22,10 +22,14 @@
 import java.util.function.BiConsumer;
 import java.util.function.Supplier;
 
-/** Routers in virtual time. What they share is exchanged whole, link by link; parts wait in queues until they are delivered. */
+/**
+ * Routers in virtual time. What they share is exchanged whole, link by link; parts wait in queues until they are
+ * delivered.
+ */
 final class Net {
     /** Seconds of silence after which a member counts as gone. */
     static final double GONE = 3;
+
     private static final Set<Kind<?>> FIGURES = Set.of(Figure.COUNTS, Figure.OLD_TIMES, Figure.CANDIDATE_TIMES);
     /** A copy that is exchanged whole: slow, and easily seen to be right. */
     static final class Copy implements Shared {
@@ -127,8 +131,16 @@
             for (int i = 0; i < heardAt.length; i++) {
                 heardAt[i] = Double.NEGATIVE_INFINITY;
             }
-            rollouts = new Rollouts(this, shared, settings, (hash, rules) -> rules.equals(unreadable) ? "no such key" : null,
-                    number, now, news::add, quorum, leases);
+            rollouts = new Rollouts(
+                    this,
+                    shared,
+                    settings,
+                    (hash, rules) -> rules.equals(unreadable) ? "no such key" : null,
+                    number,
+                    now,
+                    news::add,
+                    quorum,
+                    leases);
         }
 
         boolean told(News.What what) {
@@ -136,7 +148,8 @@
         }
 
         boolean runs() {
-            return rollouts.split().candidate() != null && now < rollouts.split().until();
+            return rollouts.split().candidate() != null
+                    && now < rollouts.split().until();
         }
 
         Round round() {
@@ -207,8 +220,7 @@
     }
 
     /** A part under way. */
-    record Sent(Peer from, Part part) {
-    }
+    record Sent(Peer from, Part part) {}
 
     final RolloutSettings settings;
     final Quorum quorum;
@@ -219,11 +231,13 @@
     final Set<Integer> cut = new HashSet<>();
     /** Ground truth: all that ever voted for a stage, by vote's key, whoever has died since. */
     final Map<String, Integer> votes = new HashMap<>();
+
     double now = 1_000_000;
     /** Parts on a link; the oldest gets lost. */
     int mostOnLink = 4;
     /** Members hear each other, but no figures. */
     boolean mute;
+
     private final Map<String, Terms> terms = new HashMap<>();
     private long boots;
     private long served;
@@ -335,7 +349,7 @@
     }
 
     void run(double seconds) {
-        for (double end = now + seconds; now < end;) {
+        for (double end = now + seconds; now < end; ) {
             step();
         }
     }
@@ -352,10 +366,18 @@
                 Terms terms = terms(round);
                 if (terms != null && round.stage() > 0) {
                     long voters = terms.roster().stream()
-                            .filter(by -> votes.getOrDefault(Vote.key(id, by), -1) >= round.stage()).count();
-                    broken[0] = 2 * voters <= terms.voters() ? node.member + " went on with " + voters + " votes" : broken[0];
+                            .filter(by -> votes.getOrDefault(Vote.key(id, by), -1) >= round.stage())
+                            .count();
+                    broken[0] = 2 * voters <= terms.voters()
+                            ? node.member + " went on with " + voters + " votes"
+                            : broken[0];
                 }
-                if (round.end() != null && node.runs() && node.rollouts.split().candidate().equals(round.proposal().rules())
+                if (round.end() != null
+                        && node.runs()
+                        && node.rollouts
+                                .split()
+                                .candidate()
+                                .equals(round.proposal().rules())
                         && only(node, round)) {
                     broken[0] = node.member + " runs what was ended";
                 }
@@ -368,8 +390,10 @@
                 running.add(version.round());
                 Round round = node.shared.get(Round.KIND, version.round());
                 Terms terms = terms(round);
-                long contacts = terms.roster().stream().filter(by -> by.equals(node.member)
-                        || now - node.answered.getOrDefault(by, Double.NEGATIVE_INFINITY) < settings.lease()).count();
+                long contacts = terms.roster().stream()
+                        .filter(by -> by.equals(node.member)
+                                || now - node.answered.getOrDefault(by, Double.NEGATIVE_INFINITY) < settings.lease())
+                        .count();
                 if (2 * contacts <= terms.voters()) {
                     return node.member + " runs the candidate with " + contacts + " contacts within a lease";
                 }
@@ -384,7 +408,7 @@
 
     /** The version that sessions of the candidate's share get. */
     static Version candidate(Node node) {
-        for (long session = 0;; session++) {
+        for (long session = 0; ; session++) {
             if (node.rollouts.split().candidate(session)) {
                 return node.rollouts.split().version(session, Double.NEGATIVE_INFINITY);
             }
@@ -393,8 +417,12 @@
 
     private Terms terms(Round round) {
         for (Node node : nodes) {
-            byte[] bytes = node == null || terms.containsKey(round.proposal().terms()) ? null
-                    : Piece.whole(node.shared, round.proposal().terms(), round.proposal().termsBytes());
+            byte[] bytes = node == null || terms.containsKey(round.proposal().terms())
+                    ? null
+                    : Piece.whole(
+                            node.shared,
+                            round.proposal().terms(),
+                            round.proposal().termsBytes());
             if (bytes != null) {
                 terms.put(round.proposal().terms(), Terms.of(bytes));
             }
@@ -402,7 +430,10 @@
         return terms.get(round.proposal().terms());
     }
 
-    /** Each router that runs a candidate answers so many commands of each version's sessions; of the candidate's so many fail. */
+    /**
+     * Each router that runs a candidate answers so many commands of each version's sessions; of the candidate's so many
+     * fail.
+     */
     void serve(int commands, double failing) {
         for (Node node : nodes) {
             if (node != null) {
@@ -421,7 +452,9 @@
     /** Two stages with a guard on failures. */
     static Plan plan(double seconds, long samples) {
         List<Guard> guards = List.of(new Guard(Guard.ALL, Measure.FAILED, Double.POSITIVE_INFINITY, 0.002));
-        return new Plan(List.of(new Stage(0.1, seconds, samples, guards), new Stage(0.5, seconds, samples, guards)),
-                Plan.ALPHA, 1);
+        return new Plan(
+                List.of(new Stage(0.1, seconds, samples, guards), new Stage(0.5, seconds, samples, guards)),
+                Plan.ALPHA,
+                1);
     }
 }
--- a/fleet/src/test/java/clayhook/rollout/PlanTest.java
+++ b/fleet/src/test/java/clayhook/rollout/PlanTest.java
@@ -31,13 +31,25 @@
         "0.5,  10, 5, '',   FAILED, 0.02, 0.01,  stage[1].guard[0].group",
         "0.5,  10, 5, read, FAILED, 3.0,  0.01,  stage[1].guard[0].most",
         "0.5,  10, 5, read, FAILED, 0.02, -0.1,  stage[1].guard[0].worse",
-        "0.5,  10, 5, read, FAILED, Infinity, Infinity, stage[1].guard[0]"})
-    void faultsNameTheirKey(double share, double seconds, long samples, String group, Measure measure, double most,
-            double worse, String key) {
+        "0.5,  10, 5, read, FAILED, Infinity, Infinity, stage[1].guard[0]"
+    })
+    void faultsNameTheirKey(
+            double share,
+            double seconds,
+            long samples,
+            String group,
+            Measure measure,
+            double most,
+            double worse,
+            String key) {
         var first = new Stage(0.1, 0, 1, List.of(new Guard("*", Measure.LATE, NONE, 0)));
-        var plan = new Plan(List.of(first, new Stage(share, seconds, samples, List.of(new Guard(group, measure, most, worse)))),
-                Plan.ALPHA, 1);
-        assertEquals(key.isEmpty() ? List.of() : List.of(key), plan.faults().stream().map(Fault::key).toList());
+        var plan = new Plan(
+                List.of(first, new Stage(share, seconds, samples, List.of(new Guard(group, measure, most, worse)))),
+                Plan.ALPHA,
+                1);
+        assertEquals(
+                key.isEmpty() ? List.of() : List.of(key),
+                plan.faults().stream().map(Fault::key).toList());
         if (key.isEmpty()) {
             var terms = new Terms(plan, 3, List.of(new Member("a", 1), new Member("b", 2)));
             assertEquals(terms, Terms.of(terms.bytes()));
@@ -46,24 +58,32 @@
 
     @Test
     void aSetIsNamedByWhatItSaysNotHowItIsLaidOut() {
-        Map<String, Object> one = Map.of("name", "a \"b\"\n", "class", "read", "cost_from", 0.5, "nodes", List.of(1L, 2L));
+        Map<String, Object> one =
+                Map.of("name", "a \"b\"\n", "class", "read", "cost_from", 0.5, "nodes", List.of(1L, 2L));
         var other = new LinkedHashMap<String, Object>();
         List.of("nodes", "cost_from", "class", "name").forEach(key -> other.put(key, one.get(key)));
         var faults = new ArrayList<Fault>();
         RuleSet set = RuleSet.of(Map.of(), List.of(one), faults);
         assertEquals(set, RuleSet.of(Map.of(), List.of(other), faults));
-        assertEquals("[statements]\n[[statements.rule]]\nclass = \"read\"\ncost_from = 0.5\nname = \"a \\\"b\\\"\\u000A\"\n"
-                + "nodes = [1, 2]\n", set.text());
+        assertEquals(
+                "[statements]\n[[statements.rule]]\nclass = \"read\"\ncost_from = 0.5\nname = \"a \\\"b\\\"\\u000A\"\n"
+                        + "nodes = [1, 2]\n",
+                set.text());
         assertTrue(set.hash().matches("[0-9a-f]{32}"));
         assertEquals(List.of(), faults);
         assertNull(RuleSet.of(Map.of("reads", List.of("f")), List.of(Map.of("nodes", new Object())), faults));
-        assertEquals(List.of("reads", "rule[0].nodes"), faults.stream().map(Fault::key).toList());
+        assertEquals(
+                List.of("reads", "rule[0].nodes"),
+                faults.stream().map(Fault::key).toList());
     }
 
-    /** At two routers in one stage the same; who has the candidate at a share has it at any larger one; the share is met. */
+    /**
+     * At two routers in one stage the same; who has the candidate at a share has it at any larger one; the share is
+     * met.
+     */
     @Property(tries = 50, seed = "42")
-    void sessionsStayWhereTheyAre(@ForAll long seed, @ForAll @DoubleRange(max = 1) double share,
-            @ForAll @DoubleRange(max = 1) double more) {
+    void sessionsStayWhereTheyAre(
+            @ForAll long seed, @ForAll @DoubleRange(max = 1) double share, @ForAll @DoubleRange(max = 1) double more) {
         Split small = split(share * more);
         Split large = split(share);
         int candidates = 0;
--- a/fleet/src/test/java/clayhook/rollout/RolloutsTest.java
+++ b/fleet/src/test/java/clayhook/rollout/RolloutsTest.java
@@ -47,7 +47,9 @@
     }
 
     private boolean ended(End.What what) {
-        return all(node -> node.round() != null && node.round().end() != null && node.round().end().what() == what
+        return all(node -> node.round() != null
+                && node.round().end() != null
+                && node.round().end().what() == what
                 && !node.runs());
     }
 
@@ -55,13 +57,18 @@
     void goesThroughItsStagesUntilAllHaveIt() {
         begun();
         until(40, 0, () -> {
-            assertTrue(all(node -> !node.runs() || IntStream.range(0, 50).allMatch(session ->
-                    net.nodes[0].round().stage() != node.round().stage() || !net.nodes[0].runs()
-                    || net.nodes[0].rollouts.split().candidate(session) == node.rollouts.split().candidate(session))));
+            assertTrue(all(node -> !node.runs()
+                    || IntStream.range(0, 50)
+                            .allMatch(session ->
+                                    net.nodes[0].round().stage() != node.round().stage()
+                                            || !net.nodes[0].runs()
+                                            || net.nodes[0].rollouts.split().candidate(session)
+                                                    == node.rollouts.split().candidate(session))));
             return all(node -> node.told(News.What.DONE));
         });
         String hash = RuleSet.of(RULES).hash();
-        assertTrue(all(node -> node.rollouts.split().current().equals(hash) && node.rollouts.split().candidate() == null));
+        assertTrue(all(node -> node.rollouts.split().current().equals(hash)
+                && node.rollouts.split().candidate() == null));
         assertEquals(List.of(), net.nodes[0].rollouts.propose(PLAN, RULES, net.now), "the same file read again");
         Net.Node late = net.start(2);
         until(5, 0, () -> late.rollouts.split().current().equals(hash));
@@ -84,8 +91,12 @@
     void haltsAndIsResumedOnlyByTheOperatorsWord() {
         begun();
         until(10, 0.2, () -> ended(End.What.HALTED));
-        assertTrue(net.nodes[4].round().end().reason().startsWith("stage 1, *:"), net.nodes[4].round().end().reason());
-        assertEquals("attempt", net.nodes[0].rollouts.propose(PLAN, RULES, net.now).get(0).key());
+        assertTrue(
+                net.nodes[4].round().end().reason().startsWith("stage 1, *:"),
+                net.nodes[4].round().end().reason());
+        assertEquals(
+                "attempt",
+                net.nodes[0].rollouts.propose(PLAN, RULES, net.now).get(0).key());
         net.run(5);
         assertTrue(all(node -> !node.runs()));
         assertNull(net.nodes[4].rollouts.resume(net.now));
@@ -126,14 +137,15 @@
         until(cut == 0 ? 10 : 15, 0, () -> net.nodes[3].runs());
         net.split(0);
         until(10, 0, () -> all(Net.Node::runs));
-        assertTrue(all(node -> node.rollouts.split().candidate().equals(RuleSet.of("b").hash())));
+        assertTrue(all(
+                node -> node.rollouts.split().candidate().equals(RuleSet.of("b").hash())));
         assertTrue(net.nodes[0].told(cut == 0 ? News.What.SUPERSEDED : News.What.REFUSED));
         assertNotNull(net.nodes[0].rollouts.withdraw(net.now), "it has lost, and leaves the other alone");
     }
 
     /**
-     * A router that runs one candidate is cut off with its whole lease ahead, and the others go for another one: because an
-     * earlier proposal came to them, or because they were started anew and know nothing of the first.
+     * A router that runs one candidate is cut off with its whole lease ahead, and the others go for another one:
+     * because an earlier proposal came to them, or because they were started anew and know nothing of the first.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
@@ -188,7 +200,8 @@
         until(5, 0, () -> net.nodes[4].runs() && net.nodes[0].told(News.What.FIGURES_END));
         net.kill(3);
         until(20, 0, () -> net.nodes[0].round().stage() == 2);
-        assertNull(net.nodes[0].shared.get(Vote.KIND, Vote.key(net.nodes[0].round().proposal().id(), net.nodes[4].member)));
+        assertNull(net.nodes[0].shared.get(
+                Vote.KIND, Vote.key(net.nodes[0].round().proposal().id(), net.nodes[4].member)));
         net.kill(2);
         until(net.settings.lease() + 0.5, 0, () -> all(node -> !node.runs()));
         net.run(20);
@@ -206,7 +219,10 @@
         net.run(20);
         assertTrue(all(node -> node.runs() && node.round().stage() == stage));
         net.mute = false;
-        until(20, 0, () -> all(node -> node.told(News.What.SEEING) && node.round().stage() > stage));
+        until(
+                20,
+                0,
+                () -> all(node -> node.told(News.What.SEEING) && node.round().stage() > stage));
     }
 
     @Test
--- a/fleet/src/test/java/clayhook/rollout/SequentialTestTest.java
+++ b/fleet/src/test/java/clayhook/rollout/SequentialTestTest.java
@@ -23,7 +23,11 @@
     @ValueSource(booleans = {false, true})
     void fivePointsMoreFailuresHaltBeforeTheLastStage(boolean rough) {
         var trial = new Trial(5, 1000, 5000, 0.05, rough);
-        int[] at = IntStream.range(0, 20).parallel().map(i -> trial.play(Trial.plan(60), i).halted()).sorted().toArray();
+        int[] at = IntStream.range(0, 20)
+                .parallel()
+                .map(i -> trial.play(Trial.plan(60), i).halted())
+                .sorted()
+                .toArray();
         assertTrue(at[0] > 0 && at[10] < 75, "halted at " + at[0] + " to " + at[19]);
     }
 
@@ -62,7 +66,9 @@
         for (int i = 0; i < sums.length; i++) {
             counts[i] = SequentialTest.shared(sums[i]);
         }
-        assertFalse(SequentialTest.proven(SequentialTest.evidence(counts, 0) / dispersion, 0.001), "dispersion " + dispersion);
+        assertFalse(
+                SequentialTest.proven(SequentialTest.evidence(counts, 0) / dispersion, 0.001),
+                "dispersion " + dispersion);
     }
 
     /** What hits both versions in one second and at one router tells nothing; the same ends at unlike times do. */
--- a/fleet/src/test/java/clayhook/rollout/Trial.java
+++ b/fleet/src/test/java/clayhook/rollout/Trial.java
@@ -9,8 +9,8 @@
 import java.util.stream.IntStream;
 
 /**
- * One rollout by its figures alone: commands drawn second by second, counted, shared and judged by the classes that do so in
- * service. {@code report} plays many without a difference, then the curve of times to halt.
+ * One rollout by its figures alone: commands drawn second by second, counted, shared and judged by the classes that do
+ * so in service. {@code report} plays many without a difference, then the curve of times to halt.
  *
  * @param routers that share the commands
  * @param rate commands a second of all routers together
@@ -23,15 +23,21 @@
     private static final String GROUP = "read";
 
     /** What became of it: the second of the halt, or -1; and whether any router alone would have halted then. */
-    record Outcome(int halted, boolean alone) {
-    }
+    record Outcome(int halted, boolean alone) {}
 
     /** Three stages with four guards on a command group and four on all. */
     static Plan plan(int seconds) {
-        var guards = IntStream.range(0, 8).mapToObj(i -> new Guard(i < 4 ? GROUP : Guard.ALL, Measure.values()[i % 4],
-                Double.POSITIVE_INFINITY, 0)).toList();
-        return new Plan(List.of(new Stage(0.01, seconds, 1, guards), new Stage(0.1, seconds, 1, guards),
-                new Stage(0.5, seconds, 1, guards)), Plan.ALPHA, 1);
+        var guards = IntStream.range(0, 8)
+                .mapToObj(
+                        i -> new Guard(i < 4 ? GROUP : Guard.ALL, Measure.values()[i % 4], Double.POSITIVE_INFINITY, 0))
+                .toList();
+        return new Plan(
+                List.of(
+                        new Stage(0.01, seconds, 1, guards),
+                        new Stage(0.1, seconds, 1, guards),
+                        new Stage(0.5, seconds, 1, guards)),
+                Plan.ALPHA,
+                1);
     }
 
     Outcome play(Plan plan, long seed) {
@@ -39,7 +45,8 @@
         var judge = new Judge(plan);
         var copy = new Net.Copy();
         var tallies = IntStream.range(0, routers)
-                .mapToObj(i -> new Tally("round", new Member("r" + i, 1), plan.groups())).toArray(Tally[]::new);
+                .mapToObj(i -> new Tally("round", new Member("r" + i, 1), plan.groups()))
+                .toArray(Tally[]::new);
         String set = String.format("%016x", chance.nextLong());
         int second = 0;
         for (int stage = 1; stage <= plan.stages().size(); stage++) {
@@ -78,17 +85,27 @@
             double even = chance.nextDouble();
             long session = (long) ((rough ? even * even : even) * sessions);
             Version version = split.version(session, second);
-            double failures = FAILURES * (rough && session % 50 == 0 ? 10 : 1) + trouble + (version.candidate() ? extra : 0);
+            double failures =
+                    FAILURES * (rough && session % 50 == 0 ? 10 : 1) + trouble + (version.candidate() ? extra : 0);
             double seconds = 0.005 * Math.exp(chance.nextDouble() * 2 + (trouble > 0 ? 1 : 0));
-            batch.add(version, GROUP, session * 0x9e3779b97f4a7c15L, chance.nextDouble() < failures,
-                    chance.nextDouble() < 0.03 + trouble, chance.nextDouble() < 0.005, seconds);
+            batch.add(
+                    version,
+                    GROUP,
+                    session * 0x9e3779b97f4a7c15L,
+                    chance.nextDouble() < failures,
+                    chance.nextDouble() < 0.03 + trouble,
+                    chance.nextDouble() < 0.005,
+                    seconds);
         }
         batch.each(tally::took);
     }
 
     /** Halted ones of so many, at any second. */
     static long halted(Trial trial, Plan plan, int times, long seed) {
-        return IntStream.range(0, times).parallel().filter(i -> trial.play(plan, seed + i).halted() >= 0).count();
+        return IntStream.range(0, times)
+                .parallel()
+                .filter(i -> trial.play(plan, seed + i).halted() >= 0)
+                .count();
     }
 
     /** Plays so many rollouts without a difference, and a tenth as many of each with one. */
@@ -96,15 +113,23 @@
         Plan plan = plan(60);
         for (boolean rough : new boolean[] {false, true}) {
             long halted = halted(new Trial(5, 200, 2000, 0, rough), plan, times, 1);
-            System.out.printf(Locale.ROOT, "no difference, %s: %d of %d halted%n", rough ? "rough" : "calm", halted, times);
+            System.out.printf(
+                    Locale.ROOT, "no difference, %s: %d of %d halted%n", rough ? "rough" : "calm", halted, times);
         }
         for (double extra : new double[] {0.01, 0.05}) {
             var trial = new Trial(5, 1000, 5000, extra, false);
-            int[] at = IntStream.range(0, times / 10).parallel().map(i -> trial.play(plan, 7_000_000L + i).halted()).sorted()
+            int[] at = IntStream.range(0, times / 10)
+                    .parallel()
+                    .map(i -> trial.play(plan, 7_000_000L + i).halted())
+                    .sorted()
                     .toArray();
             int missed = (int) Arrays.stream(at).filter(second -> second < 0).count();
-            System.out.printf(Locale.ROOT, "%.0f points more failures: %d of %d never halted; halted after s:", 100 * extra,
-                    missed, at.length);
+            System.out.printf(
+                    Locale.ROOT,
+                    "%.0f points more failures: %d of %d never halted; halted after s:",
+                    100 * extra,
+                    missed,
+                    at.length);
             for (int percent : new int[] {1, 10, 25, 50, 75, 90, 99}) {
                 int index = missed + (at.length - missed - 1) * percent / 100;
                 System.out.printf(Locale.ROOT, "  %d%% %d", percent, at[index]);
--- a/gather/src/main/java/clayhook/gather/Buckets.java
+++ b/gather/src/main/java/clayhook/gather/Buckets.java
@@ -4,13 +4,17 @@
 import java.util.TreeMap;
 
 /**
- * Counts of numbers by logarithm, so that a quantile is known up to a share of its value (DDSketch, Masson and others 2019). When
- * there are too many buckets, each two become one (UDDSketch, Epicoco and others 2020): that depends on the values alone and not
- * on their order, which is why it stands here and neither t-digest nor KLL do.
+ * Counts of numbers by logarithm, so that a quantile is known up to a share of its value (DDSketch, Masson and others
+ * 2019). When there are too many buckets, each two become one (UDDSketch, Epicoco and others 2020): that depends on the
+ * values alone and not on their order, which is why it stands here and neither t-digest nor KLL do.
  */
 final class Buckets {
-    /** Of the value, while numbers of a sign are within a factor of 25,000 of each other; doubled for each square of that. */
+    /**
+     * Of the value, while numbers of a sign are within a factor of 25,000 of each other; doubled for each square of
+     * that.
+     */
     private static final double FIRST_ERROR = 0.005;
+
     private static final double LOG = Math.log((1 + FIRST_ERROR) / (1 - FIRST_ERROR));
     /** Of each sign. */
     private static final int MOST = 1024;
--- a/gather/src/main/java/clayhook/gather/Cell.java
+++ b/gather/src/main/java/clayhook/gather/Cell.java
@@ -4,8 +4,9 @@
 import java.util.Arrays;
 
 /**
- * One value of a row, as merging needs it. Cells of one column compare as PostgreSQL orders them, texts by bytes (collation C);
- * those that compare as equal are equal. {@link #NULL} compares with nothing: where nulls go is {@link Key}'s.
+ * One value of a row, as merging needs it. Cells of one column compare as PostgreSQL orders them, texts by bytes
+ * (collation C); those that compare as equal are equal. {@link #NULL} compares with nothing: where nulls go is
+ * {@link Key}'s.
  */
 public sealed interface Cell extends Comparable<Cell> {
     Cell NULL = new Null();
@@ -80,7 +81,9 @@
 
         @Override
         public int compareTo(Cell other) {
-            return other instanceof Real real ? Double.compare(value, real.value) : value == Double.NEGATIVE_INFINITY ? -1 : 1;
+            return other instanceof Real real
+                    ? Double.compare(value, real.value)
+                    : value == Double.NEGATIVE_INFINITY ? -1 : 1;
         }
     }
 
@@ -112,7 +115,9 @@
         }
     }
 
-    /** Microseconds since 1970 of a date, or of a time with its zone or without; the ends of long are the infinite ones. */
+    /**
+     * Microseconds since 1970 of a date, or of a time with its zone or without; the ends of long are the infinite ones.
+     */
     record Time(long micros) implements Cell {
         @Override
         public long rough() {
--- a/gather/src/main/java/clayhook/gather/Column.java
+++ b/gather/src/main/java/clayhook/gather/Column.java
@@ -8,8 +8,8 @@
 import java.util.List;
 
 /**
- * A column as PostgreSQL's RowDescription tells it; its values come as text. Which table it is of is not kept: in a merged answer
- * it is of many.
+ * A column as PostgreSQL's RowDescription tells it; its values come as text. Which table it is of is not kept: in a
+ * merged answer it is of many.
  *
  * @param type number of its type in pg_type
  * @param size bytes of a value, negative where they differ
@@ -19,6 +19,7 @@
     private static final int HEADER = 5;
     /** Table and number within it, type, size, modifier, format. */
     private static final int FIELDS = 18;
+
     private static final int TABLE = 6;
 
     /** A column of that type, of any size. */
@@ -26,7 +27,9 @@
         return new Column(name, type, -1, -1);
     }
 
-    /** The columns in a whole RowDescription message ('T'), or null where it cannot be read or does not announce texts. */
+    /**
+     * The columns in a whole RowDescription message ('T'), or null where it cannot be read or does not announce texts.
+     */
     public static List<Column> read(byte[] message) {
         try {
             ByteBuffer in = ByteBuffer.wrap(message);
@@ -38,7 +41,7 @@
             boolean texts = true;
             for (int i = 0; i < count; i++) {
                 int from = in.position();
-                while (in.get() != 0) { } // to the end of the name
+                while (in.get() != 0) {} // to the end of the name
                 String name = new String(message, from, in.position() - 1 - from, UTF_8);
                 in.position(in.position() + TABLE);
                 columns.add(new Column(name, in.getInt(), in.getShort(), in.getInt()));
@@ -52,13 +55,20 @@
 
     /** A whole RowDescription message. */
     public static byte[] write(List<Column> columns) {
-        List<byte[]> names = columns.stream().map(column -> column.name.getBytes(UTF_8)).toList();
-        int length = HEADER + 2 + names.stream().mapToInt(name -> name.length + 1 + FIELDS).sum();
-        ByteBuffer out = ByteBuffer.allocate(length).put((byte) 'T').putInt(length - 1).putShort((short) columns.size());
+        List<byte[]> names =
+                columns.stream().map(column -> column.name.getBytes(UTF_8)).toList();
+        int length = HEADER
+                + 2
+                + names.stream().mapToInt(name -> name.length + 1 + FIELDS).sum();
+        ByteBuffer out =
+                ByteBuffer.allocate(length).put((byte) 'T').putInt(length - 1).putShort((short) columns.size());
         for (int i = 0; i < columns.size(); i++) {
             Column column = columns.get(i);
             out.put(names.get(i)).put((byte) 0).putInt(0).putShort((short) 0);
-            out.putInt(column.type).putShort((short) column.size).putInt(column.modifier).putShort((short) 0);
+            out.putInt(column.type)
+                    .putShort((short) column.size)
+                    .putInt(column.modifier)
+                    .putShort((short) 0);
         }
         return out.array();
     }
--- a/gather/src/main/java/clayhook/gather/Copies.java
+++ b/gather/src/main/java/clayhook/gather/Copies.java
@@ -8,6 +8,7 @@
     private Row best;
     /** By column, the best copy that has a value there; null where no union is asked for. */
     private final Row[] fills;
+
     private boolean conflict;
 
     Copies(Ranks ranks, Row row) {
@@ -24,8 +25,9 @@
 
     void join(Copies other) {
         boolean differ = ranks.differ(best, other.best);
-        conflict = ranks.outranks(best, other.best) ? conflict : ranks.outranks(other.best, best) ? other.conflict
-                : conflict || other.conflict || differ;
+        conflict = ranks.outranks(best, other.best)
+                ? conflict
+                : ranks.outranks(other.best, best) ? other.conflict : conflict || other.conflict || differ;
         best = better(best, other.best);
         for (int i = 0; fills != null && i < fills.length; i++) {
             fills[i] = better(fills[i], other.fills[i]);
@@ -49,7 +51,11 @@
         long weight = best.weight();
         for (int i = 0; fills != null && i < fills.length; i++) {
             Row row = fills[i];
-            weight += row == null || row == best || Arrays.asList(fills).subList(0, i).contains(row) ? 0 : row.weight();
+            weight += row == null
+                            || row == best
+                            || Arrays.asList(fills).subList(0, i).contains(row)
+                    ? 0
+                    : row.weight();
         }
         return weight;
     }
--- a/gather/src/main/java/clayhook/gather/Distinct.java
+++ b/gather/src/main/java/clayhook/gather/Distinct.java
@@ -8,26 +8,29 @@
 import java.util.Set;
 
 /**
- * How many unlike values. Those up to a bound are held; beyond it only a sketch, whose registers take the larger of two, so that
- * neither order nor tree shows. Whether it is one depends on all values together alone.
+ * How many unlike values. Those up to a bound are held; beyond it only a sketch, whose registers take the larger of
+ * two, so that neither order nor tree shows. Whether it is one depends on all values together alone.
  */
 public final class Distinct extends Tally {
     /** So many values are counted exactly, if they are not longer than this many bytes together. */
     public static final int EXACT = 1024, EXACT_BYTES = 1 << 15;
     /** 4 KiB a sketch. */
     private static final int PRECISION = 12;
-    /** Standard error of that sketch as a share of the count: 0.782 over the root of the registers (Ertl 2024, UltraLogLog). */
+    /**
+     * Standard error of that sketch as a share of the count: 0.782 over the root of the registers (Ertl 2024,
+     * UltraLogLog).
+     */
     public static final double ERROR = 0.782 / 64;
     /** Of an entry of a set, about. */
     private static final int ENTRY = 80;
 
     /** Null once there are too many. */
     private Set<Cell> values = new HashSet<>();
+
     private long length;
     private UltraLogLog sketch;
 
-    Distinct() {
-    }
+    Distinct() {}
 
     @Override
     void add(Row row, Figure figure) {
@@ -51,13 +54,19 @@
     }
 
     private static int length(Cell cell) {
-        return cell instanceof Cell.Text text ? text.bytes().length : cell instanceof Cell.Decimal decimal
-                ? decimal.value().unscaledValue().bitLength() / 8 : 0;
+        return cell instanceof Cell.Text text
+                ? text.bytes().length
+                : cell instanceof Cell.Decimal decimal
+                        ? decimal.value().unscaledValue().bitLength() / 8
+                        : 0;
     }
 
     private static long hash(Cell cell) {
-        byte[] bytes = cell instanceof Cell.Text text ? text.bytes() : cell instanceof Cell.Decimal decimal
-                ? decimal.value().stripTrailingZeros().toString().getBytes(US_ASCII) : cell.toString().getBytes(US_ASCII);
+        byte[] bytes = cell instanceof Cell.Text text
+                ? text.bytes()
+                : cell instanceof Cell.Decimal decimal
+                        ? decimal.value().stripTrailingZeros().toString().getBytes(US_ASCII)
+                        : cell.toString().getBytes(US_ASCII);
         return Hashing.komihash5_0().hashBytesToLong(bytes);
     }
 
--- a/gather/src/main/java/clayhook/gather/Enough.java
+++ b/gather/src/main/java/clayhook/gather/Enough.java
@@ -3,14 +3,15 @@
 /** Which parts an answer needs. */
 public sealed interface Enough {
     /** Every part. */
-    record All() implements Enough { }
+    record All() implements Enough {}
 
     /**
-     * That many whole and fresh parts, whichever they are; the others are recalled then. Made for parts that hold the same. Rows
-     * begin to go out when so many parts are whole, or have more than is held of one: of the latter one may still fail.
+     * That many whole and fresh parts, whichever they are; the others are recalled then. Made for parts that hold the
+     * same. Rows begin to go out when so many parts are whole, or have more than is held of one: of the latter one may
+     * still fail.
      */
-    record Quorum(int parts) implements Enough { }
+    record Quorum(int parts) implements Enough {}
 
     /** Whatever is there by the deadline. */
-    record Best() implements Enough { }
+    record Best() implements Enough {}
 }
--- a/gather/src/main/java/clayhook/gather/Fault.java
+++ b/gather/src/main/java/clayhook/gather/Fault.java
@@ -33,6 +33,8 @@
 
     @Override
     public String toString() {
-        return (part == null ? "" : "part " + part + ": ") + (row < 0 ? "" : row == 0 ? "its columns: " : "row " + row + ": ") + detail;
+        return (part == null ? "" : "part " + part + ": ")
+                + (row < 0 ? "" : row == 0 ? "its columns: " : "row " + row + ": ")
+                + detail;
     }
 }
--- a/gather/src/main/java/clayhook/gather/Figure.java
+++ b/gather/src/main/java/clayhook/gather/Figure.java
@@ -12,11 +12,12 @@
         if (measure.column() != null && type == 0) {
             return null;
         }
-        Column shown = switch (measure.what()) {
-            case COUNT, COUNTED, DISTINCT -> Column.of(measure.name(), Type.INT8);
-            case LEAST, MOST, QUANTILE -> Column.of(measure.name(), column.type());
-            default -> Column.of(measure.name(), type);
-        };
+        Column shown =
+                switch (measure.what()) {
+                    case COUNT, COUNTED, DISTINCT -> Column.of(measure.name(), Type.INT8);
+                    case LEAST, MOST, QUANTILE -> Column.of(measure.name(), column.type());
+                    default -> Column.of(measure.name(), type);
+                };
         return new Figure(measure, slot(column, columns, reading), slot(by, columns, reading), shown);
     }
 
@@ -36,7 +37,8 @@
             case SUM -> kind == Type.WHOLE ? type == Type.INT8 ? Type.NUMERIC : Type.INT8 : kind.number() ? type : 0;
             case COUNTED -> kind == Type.WHOLE ? Type.INT8 : 0;
             case MEAN -> kind.floating() ? Type.FLOAT8 : kind.number() ? Type.NUMERIC : 0;
-            case MEAN_OF_SUMS -> by == null || Type.of(by.type()) != Type.WHOLE ? 0 : result(Measure.What.MEAN, type, null);
+            case MEAN_OF_SUMS ->
+                by == null || Type.of(by.type()) != Type.WHOLE ? 0 : result(Measure.What.MEAN, type, null);
             case COUNT, DISTINCT, LEAST, MOST, QUANTILE -> kind == Type.OPAQUE ? 0 : type;
         };
     }
--- a/gather/src/main/java/clayhook/gather/Gather.java
+++ b/gather/src/main/java/clayhook/gather/Gather.java
@@ -8,13 +8,14 @@
 import java.util.List;
 
 /**
- * One answer from many parts. It is told what comes and what time it is, and says what to do; it retries nothing by itself. There
- * is exactly one final answer, at the first {@link #turn} at or after the deadline at the latest, whatever comes in whatever
- * order. What comes from a part after its end, its recall or the answer is ignored and counted.
+ * One answer from many parts. It is told what comes and what time it is, and says what to do; it retries nothing by
+ * itself. There is exactly one final answer, at the first {@link #turn} at or after the deadline at the latest,
+ * whatever comes in whatever order. What comes from a part after its end, its recall or the answer is ignored and
+ * counted.
  *
- * <p>For one thread. Events count as of the last time told, so of what is ready at once the events are told first, then the time:
- * a router that stood still itself then blames no part for it. Of a part that is asked again, what the earlier asking still brings
- * is not to be told.
+ * <p>For one thread. Events count as of the last time told, so of what is ready at once the events are told first, then
+ * the time: a router that stood still itself then blames no part for it. Of a part that is asked again, what the
+ * earlier asking still brings is not to be told.
  */
 public final class Gather {
     private final Plan plan;
@@ -26,6 +27,7 @@
     private final Output out;
     /** The most that a row can weigh, and what is read ahead of each part. */
     private final long heaviest;
+
     private final long ahead;
     private Layout layout;
     private double now;
@@ -33,12 +35,15 @@
     private boolean begun;
     /** From when on rows become the answer, and no part is asked again. */
     private boolean blending;
+
     private boolean over;
     /** Whether something is being done, so that an act that calls back is noticed. */
     private boolean busy;
+
     private long lateNews;
     /** How many streams are so, as of {@link #note}: that is cheaper than looking at all of them at each row. */
     private int ready;
+
     private int firm;
     private int lost;
     private int spare;
@@ -51,20 +56,29 @@
         streams = parts.stream().map(Stream::new).toList();
         for (int i = 0; i < parts.size(); i++) {
             if (parts.get(i).number() != i) {
-                throw new IllegalArgumentException("part " + parts.get(i) + " has number " + parts.get(i).number() + " in place " + i);
+                throw new IllegalArgumentException(
+                        "part " + parts.get(i) + " has number " + parts.get(i).number() + " in place " + i);
             }
         }
         Bounds bounds = plan.bounds();
         int cells = merging.order().size()
-                + (merging.duplicates() == null ? 0 : merging.duplicates().key().size() + merging.duplicates().rules().size());
+                + (merging.duplicates() == null
+                        ? 0
+                        : merging.duplicates().key().size()
+                                + merging.duplicates().rules().size());
         heaviest = Row.weight(bounds.longestRow(), cells);
-        ahead = Math.max(heaviest, Math.min(bounds.bufferBytes() / Math.max(1, parts.size()), bounds.bufferRows() * heaviest));
+        ahead = Math.max(
+                heaviest, Math.min(bounds.bufferBytes() / Math.max(1, parts.size()), bounds.bufferRows() * heaviest));
         account = new Account(allowance, reserve() + bounds.heldBytes());
-        blend = merging.streams() ? new Merge(merging, account, bounds, this::follow) : new Pooled(merging, account, bounds);
+        blend = merging.streams()
+                ? new Merge(merging, account, bounds, this::follow)
+                : new Pooled(merging, account, bounds);
         out = new Output(acts, merging.limit());
     }
 
-    /** What is taken at once: what is read ahead, and of each part the row before, against which its order is checked. */
+    /**
+     * What is taken at once: what is read ahead, and of each part the row before, against which its order is checked.
+     */
     private long reserve() {
         return merging.streams() ? streams.size() * (ahead + heaviest) : 0;
     }
@@ -80,7 +94,13 @@
         deadline = end;
         if (!account.take(reserve())) {
             streams.forEach(stream -> stream.over = stream.spare = true);
-            finish(new Fault(Fault.Kind.FULL, null, -1, "no memory is left to read ahead of " + streams.size() + " parts"), true);
+            finish(
+                    new Fault(
+                            Fault.Kind.FULL,
+                            null,
+                            -1,
+                            "no memory is left to read ahead of " + streams.size() + " parts"),
+                    true);
         } else {
             streams.forEach(stream -> acts.ask(stream.part));
             streams.forEach(this::follow);
@@ -183,9 +203,14 @@
         Cell[] cells = new Cell[layout.reading().size()];
         int column = layout.reading().read(message, cells);
         if (column != Reading.READ) {
-            return column == Reading.MISSHAPEN ? fault(stream, Fault.Kind.WIDTH, message)
-                    : new Fault(Fault.Kind.UNREADABLE, stream.part, stream.rows, "column " + layout.columns().get(column).name()
-                    + " is no value of type " + layout.columns().get(column).type());
+            return column == Reading.MISSHAPEN
+                    ? fault(stream, Fault.Kind.WIDTH, message)
+                    : new Fault(
+                            Fault.Kind.UNREADABLE,
+                            stream.part,
+                            stream.rows,
+                            "column " + layout.columns().get(column).name() + " is no value of type "
+                                    + layout.columns().get(column).type());
         }
         Row row = new Row(stream.part, stream.rows, message, layout.reading(), cells);
         boolean ordered = merging.sorted() && merging.groups() == null;
@@ -201,22 +226,38 @@
     }
 
     private Fault.Kind unfit(Stream stream, byte[] message) {
-        return stream.owed < 0 ? Fault.Kind.OVERRUN : message.length > plan.bounds().longestRow() ? Fault.Kind.TOO_LONG
-                : !stream.described ? Fault.Kind.WIDTH
-                : stream.rows > plan.bounds().partRows() ? Fault.Kind.ENDLESS : null;
+        return stream.owed < 0
+                ? Fault.Kind.OVERRUN
+                : message.length > plan.bounds().longestRow()
+                        ? Fault.Kind.TOO_LONG
+                        : !stream.described
+                                ? Fault.Kind.WIDTH
+                                : stream.rows > plan.bounds().partRows() ? Fault.Kind.ENDLESS : null;
     }
 
     private Fault fault(Stream stream, Fault.Kind kind, byte[] message) {
-        return new Fault(kind, stream.part, stream.rows, switch (kind) {
-            case OVERRUN -> "it was not asked for";
-            case TOO_LONG -> message.length + " bytes, more than " + plan.bounds().longestRow();
-            case WIDTH -> stream.described ? Row.width(message) + " columns instead of " + layout.reading().width() : "no columns told";
-            case ENDLESS -> "more rows than any part may have";
-            default -> "belongs before the row before it";
-        });
+        return new Fault(
+                kind,
+                stream.part,
+                stream.rows,
+                switch (kind) {
+                    case OVERRUN -> "it was not asked for";
+                    case TOO_LONG ->
+                        message.length + " bytes, more than " + plan.bounds().longestRow();
+                    case WIDTH ->
+                        stream.described
+                                ? Row.width(message) + " columns instead of "
+                                        + layout.reading().width()
+                                : "no columns told";
+                    case ENDLESS -> "more rows than any part may have";
+                    default -> "belongs before the row before it";
+                });
     }
 
-    /** The part came to its end. @param position at which it was read, seconds since 1970; negative infinity where unknown */
+    /**
+     * The part came to its end. @param position at which it was read, seconds since 1970; negative infinity where
+     * unknown
+     */
     public void ended(Part part, double position) {
         Stream stream = heard(part);
         if (stream != null) {
@@ -266,7 +307,10 @@
         }
     }
 
-    /** It is now that late. @return when the next turn is due at the latest, infinity for none; an earlier one does no harm */
+    /**
+     * It is now that late. @return when the next turn is due at the latest, infinity for none; an earlier one does no
+     * harm
+     */
     public double turn(double time) {
         if (over || !begun) {
             return Double.POSITIVE_INFINITY;
@@ -306,7 +350,10 @@
         blend.forget(stream);
     }
 
-    /** Something has changed about that part: it may be given more credit, and what is counted of it is brought up to date. */
+    /**
+     * Something has changed about that part: it may be given more credit, and what is counted of it is brought up to
+     * date.
+     */
     private void follow(Stream stream) {
         int more = stream.over ? 0 : stream.room(plan.bounds().bufferRows(), ahead, heaviest, blend.useful(out));
         if (more > 0) {
@@ -323,7 +370,8 @@
         }
         boolean isReady = blend.ready(stream);
         boolean isFirm = stream.over ? !stream.shortened && !old(stream) : blend.firm(stream);
-        boolean isLost = stream.over && !stream.spare
+        boolean isLost = stream.over
+                && !stream.spare
                 && (stream.shortened && stream.buffer.isEmpty() || stream.fall == null && old(stream));
         ready += change(stream.ready, isReady);
         firm += change(stream.firm, isFirm);
@@ -368,14 +416,18 @@
     }
 
     private boolean mayBegin() {
-        return plan.enough() instanceof Enough.Quorum quorum ? firm >= quorum.parts() || streams.stream().allMatch(stream -> stream.over)
+        return plan.enough() instanceof Enough.Quorum quorum
+                ? firm >= quorum.parts() || streams.stream().allMatch(stream -> stream.over)
                 : ready == streams.size();
     }
 
     private void blend() {
         blending = true;
         if (plan.enough() instanceof Enough.Quorum quorum && firm >= quorum.parts()) {
-            List<Stream> needed = streams.stream().filter(stream -> stream.firm).limit(quorum.parts()).toList();
+            List<Stream> needed = streams.stream()
+                    .filter(stream -> stream.firm)
+                    .limit(quorum.parts())
+                    .toList();
             streams.stream().filter(stream -> !needed.contains(stream)).forEach(this::spare);
         }
         blend.begin(streams.stream().filter(stream -> !stream.spare).toList(), layout);
@@ -406,7 +458,8 @@
             stream.dry = blending ? stream.dry : stream.shortened;
             Standing standing = standing(stream, broken);
             String why = stream.dry && stream.deeper ? "has more than the rows that it was asked for" : stream.why;
-            notes.add(new Note(stream.part, standing, standing == Standing.WHOLE ? "" : why, stream.fault, stream.position));
+            notes.add(new Note(
+                    stream.part, standing, standing == Standing.WHOLE ? "" : why, stream.fault, stream.position));
         }
         Verdict verdict = verdict(fault, broken, List.copyOf(notes));
         blend.drop();
@@ -419,18 +472,36 @@
     }
 
     private Verdict verdict(Fault fault, boolean broken, List<Note> notes) {
-        List<Note> used = notes.stream().filter(note -> switch (note.standing()) {
-            case WHOLE, OLD, CUT -> true;
-            case SPARE, MISSING, LATE -> false;
-        }).toList();
-        boolean complete = !broken && used.stream().filter(note -> note.standing() == Standing.WHOLE).count() >= needed();
+        List<Note> used = notes.stream()
+                .filter(note -> switch (note.standing()) {
+                    case WHOLE, OLD, CUT -> true;
+                    case SPARE, MISSING, LATE -> false;
+                })
+                .toList();
+        boolean complete = !broken
+                && used.stream()
+                                .filter(note -> note.standing() == Standing.WHOLE)
+                                .count()
+                        >= needed();
         boolean enough = complete || !broken && plan.enough() instanceof Enough.Best && !used.isEmpty();
-        var cut = new Cut(broken && now >= deadline ? Cut.Where.DEADLINE : out.where(),
+        var cut = new Cut(
+                broken && now >= deadline ? Cut.Where.DEADLINE : out.where(),
                 !broken && streams.stream().noneMatch(stream -> stream.dry),
-                streams.stream().filter(stream -> stream.dry && stream.deeper).map(stream -> stream.part).toList());
+                streams.stream()
+                        .filter(stream -> stream.dry && stream.deeper)
+                        .map(stream -> stream.part)
+                        .toList());
         double position = used.stream().mapToDouble(Note::position).min().orElse(Double.POSITIVE_INFINITY);
-        return new Verdict(fault != null ? Outcome.FAILED : complete ? Outcome.COMPLETE : Outcome.PARTIAL, enough, position, notes,
-                cut, out.rows(), fault, blend.conflicts(), blend.errors());
+        return new Verdict(
+                fault != null ? Outcome.FAILED : complete ? Outcome.COMPLETE : Outcome.PARTIAL,
+                enough,
+                position,
+                notes,
+                cut,
+                out.rows(),
+                fault,
+                blend.conflicts(),
+                blend.errors());
     }
 
     /** A part that broke off is whole all the same where the answer ended before it would have needed more of it. */
--- a/gather/src/main/java/clayhook/gather/Groups.java
+++ b/gather/src/main/java/clayhook/gather/Groups.java
@@ -16,8 +16,12 @@
 
     /** One group. */
     private static final class Group {
-        /** The first row with that key, in the order of parts: what shows of equal keys written in two ways, as 1.0 and 1.00. */
+        /**
+         * The first row with that key, in the order of parts: what shows of equal keys written in two ways, as 1.0 and
+         * 1.00.
+         */
         byte[][] shown;
+
         Part part;
         long number;
         final Tally[] tallies;
@@ -51,6 +55,7 @@
     private final long most;
     /** Emptied by {@link #join} into another, or {@link #drop}; bounded by groups and by the account. */
     private final Map<List<Cell>, Group> byKey = new HashMap<>();
+
     private final Map<String, Double> errors = new LinkedHashMap<>();
     private Fault fault;
     private long held;
@@ -104,8 +109,11 @@
     }
 
     private Fault full(Part part, long row) {
-        return new Fault(Fault.Kind.FULL, part, row, byKey.size() + " groups of " + held
-                + " bytes have to be held for the answer, and that is the bound");
+        return new Fault(
+                Fault.Kind.FULL,
+                part,
+                row,
+                byKey.size() + " groups of " + held + " bytes have to be held for the answer, and that is the bound");
     }
 
     @Override
@@ -175,8 +183,14 @@
             Tally tally = group.tallies[i];
             String name = layout.figures().get(i).measure().name();
             if (tally.fault() != null) {
-                fault = new Fault(tally.fault(), null, -1, name + (tally.fault() == Fault.Kind.FULL
-                        ? " of more than " + Quantile.EXACT + " values that are no numbers" : " is beyond its type"));
+                fault = new Fault(
+                        tally.fault(),
+                        null,
+                        -1,
+                        name
+                                + (tally.fault() == Fault.Kind.FULL
+                                        ? " of more than " + Quantile.EXACT + " values that are no numbers"
+                                        : " is beyond its type"));
                 return null;
             }
             if (tally.error() > 0) {
@@ -192,7 +206,10 @@
         return fault;
     }
 
-    /** By figure, the largest error of any group as a share of the value, where it is not exact; known after {@link #rows}. */
+    /**
+     * By figure, the largest error of any group as a share of the value, where it is not exact; known after
+     * {@link #rows}.
+     */
     Map<String, Double> errors() {
         return errors;
     }
--- a/gather/src/main/java/clayhook/gather/Layout.java
+++ b/gather/src/main/java/clayhook/gather/Layout.java
@@ -30,15 +30,22 @@
             shownReading = reading;
             order = Order.of(merging.order(), columns, reading);
         } else {
-            figures = grouping.measures().stream().map(measure -> Figure.of(measure, columns, reading)).toList();
+            figures = grouping.measures().stream()
+                    .map(measure -> Figure.of(measure, columns, reading))
+                    .toList();
             groupSlots = grouping.by().stream().mapToInt(this::slot).toArray();
             shown = figures.stream().anyMatch(Objects::isNull) || negative(groupSlots) ? List.of() : shown(grouping);
             shownReading = new Reading(shown);
             order = Order.of(merging.order(), shown, shownReading);
         }
-        String lacking = ranks != null && !ranks.fit() ? "tell duplicates by" : figures.stream().anyMatch(Objects::isNull) ? "measure"
-                : negative(groupSlots) ? "group by" : order == null ? "order by" : null;
-        misfit = lacking == null ? null : "a column to " + lacking + " is missing, there twice, or of a type that does not serve";
+        String lacking = ranks != null && !ranks.fit()
+                ? "tell duplicates by"
+                : figures.stream().anyMatch(Objects::isNull)
+                        ? "measure"
+                        : negative(groupSlots) ? "group by" : order == null ? "order by" : null;
+        misfit = lacking == null
+                ? null
+                : "a column to " + lacking + " is missing, there twice, or of a type that does not serve";
     }
 
     private int slot(String name) {
@@ -81,8 +88,9 @@
         }
         for (int i = 0; i < others.size(); i++) {
             if (!others.get(i).fits(columns.get(i))) {
-                return "column " + (i + 1) + " is " + others.get(i).name() + " of type " + others.get(i).type() + " instead of "
-                        + columns.get(i).name() + " of type " + columns.get(i).type();
+                return "column " + (i + 1) + " is " + others.get(i).name() + " of type "
+                        + others.get(i).type() + " instead of " + columns.get(i).name() + " of type "
+                        + columns.get(i).type();
             }
         }
         return null;
--- a/gather/src/main/java/clayhook/gather/Measure.java
+++ b/gather/src/main/java/clayhook/gather/Measure.java
@@ -16,7 +16,10 @@
         COUNT,
         /** Sum of counts that parts made themselves. */
         COUNTED,
-        /** Exact; of int2 and int4 an int8, of int8 a numeric, as in PostgreSQL. Of doubles it is rounded once, at the end. */
+        /**
+         * Exact; of int2 and int4 an int8, of int8 a numeric, as in PostgreSQL. Of doubles it is rounded once, at the
+         * end.
+         */
         SUM,
         LEAST,
         MOST,
@@ -26,7 +29,10 @@
         MEAN_OF_SUMS,
         /** How many unlike values: exact up to {@link Distinct#EXACT}, then a sketch. */
         DISTINCT,
-        /** The least value that has that share of values at or below it: exact up to {@link Quantile#EXACT}, then a sketch. */
+        /**
+         * The least value that has that share of values at or below it: exact up to {@link Quantile#EXACT}, then a
+         * sketch.
+         */
         QUANTILE
     }
 
@@ -48,9 +54,11 @@
     }
 
     public Measure {
-        if ((column == null) != (what == What.COUNT) && what != What.COUNT || (by == null) == (what == What.MEAN_OF_SUMS)
+        if ((column == null) != (what == What.COUNT) && what != What.COUNT
+                || (by == null) == (what == What.MEAN_OF_SUMS)
                 || !(share >= 0 && share <= 1)) {
-            throw new IllegalArgumentException("no measure: " + what + " of " + column + " by " + by + ", share " + share);
+            throw new IllegalArgumentException(
+                    "no measure: " + what + " of " + column + " by " + by + ", share " + share);
         }
     }
 }
--- a/gather/src/main/java/clayhook/gather/Merge.java
+++ b/gather/src/main/java/clayhook/gather/Merge.java
@@ -10,6 +10,7 @@
     private final Bounds bounds;
     /** Hears of each part of which a row went on. */
     private final Consumer<Stream> taken;
+
     private List<Stream> parts = List.of();
     private Layout layout;
     private Tournament tournament;
@@ -17,6 +18,7 @@
     private int unknown = -1;
     /** The row that goes out when one with another key is next; null for none. */
     private Copies next;
+
     private long held;
     private long conflicts;
     private final boolean copies;
@@ -134,7 +136,8 @@
         if (more < 0) {
             account.give(-more);
         } else if (!account.take(more)) {
-            fault = new Fault(Fault.Kind.FULL, row.part, row.number, "the copies of one row are beyond the memory for it");
+            fault = new Fault(
+                    Fault.Kind.FULL, row.part, row.number, "the copies of one row are beyond the memory for it");
             return;
         }
         held += more;
@@ -148,7 +151,10 @@
         held = 0;
     }
 
-    /** Without duplicates the answer needs no more of a part than what it lacks itself; it begins with a row of each, though. */
+    /**
+     * Without duplicates the answer needs no more of a part than what it lacks itself; it begins with a row of each,
+     * though.
+     */
     @Override
     public long useful(Output out) {
         return copies ? bounds.bufferRows() : Math.max(1, out.left());
--- a/gather/src/main/java/clayhook/gather/Merging.java
+++ b/gather/src/main/java/clayhook/gather/Merging.java
@@ -6,7 +6,8 @@
  * What becomes of the rows of the parts.
  *
  * @param order of the answer; of groups it names columns of the groups. Empty: by part, and in it as they came
- * @param sorted whether parts send their rows in that order (of one that does not, the fault is told). Else all rows are held
+ * @param sorted whether parts send their rows in that order (of one that does not, the fault is told). Else all rows
+ *     are held
  * @param duplicates null where each row counts
  * @param groups null where rows stay rows; else formed of what is left after duplicates
  */
@@ -42,10 +43,14 @@
         return groups == null && (sorted || order.isEmpty()) && (duplicates == null || adjacent());
     }
 
-    /** Copies stand side by side in the order when their key is what the order begins with, and can be judged at once. */
+    /**
+     * Copies stand side by side in the order when their key is what the order begins with, and can be judged at once.
+     */
     private boolean adjacent() {
         int size = duplicates.key().size();
-        return sorted && size <= order.size() && duplicates.rules().stream().noneMatch(Duplicates.Rule.Position.class::isInstance)
+        return sorted
+                && size <= order.size()
+                && duplicates.rules().stream().noneMatch(Duplicates.Rule.Position.class::isInstance)
                 && order.subList(0, size).stream().map(Key::column).toList().containsAll(duplicates.key());
     }
 }
--- a/gather/src/main/java/clayhook/gather/Order.java
+++ b/gather/src/main/java/clayhook/gather/Order.java
@@ -43,7 +43,8 @@
     void mark(Row row) {
         if (slots.length > 0) {
             Cell cell = row.cell(slots[0]);
-            row.rough = cell == Cell.NULL ? keys[0].nullsFirst() ? Long.MIN_VALUE : Long.MAX_VALUE
+            row.rough = cell == Cell.NULL
+                    ? keys[0].nullsFirst() ? Long.MIN_VALUE : Long.MAX_VALUE
                     : keys[0].descending() ? ~cell.rough() : cell.rough();
         }
     }
--- a/gather/src/main/java/clayhook/gather/Output.java
+++ b/gather/src/main/java/clayhook/gather/Output.java
@@ -58,6 +58,8 @@
     }
 
     Verdict.Cut.Where where() {
-        return tooLong ? Verdict.Cut.Where.BYTES : rows >= limit.rows() ? Verdict.Cut.Where.ROWS : Verdict.Cut.Where.NONE;
+        return tooLong
+                ? Verdict.Cut.Where.BYTES
+                : rows >= limit.rows() ? Verdict.Cut.Where.ROWS : Verdict.Cut.Where.NONE;
     }
 }
--- a/gather/src/main/java/clayhook/gather/Part.java
+++ b/gather/src/main/java/clayhook/gather/Part.java
@@ -3,7 +3,8 @@
 /**
  * One of those that an answer is gathered from, such as a group of nodes or a router.
  *
- * @param number its place among the parts of the gather, from 0; of rows with equal keys the one of the lower number is first
+ * @param number its place among the parts of the gather, from 0; of rows with equal keys the one of the lower number is
+ *     first
  */
 public record Part(String name, int number) {
     @Override
--- a/gather/src/main/java/clayhook/gather/Plan.java
+++ b/gather/src/main/java/clayhook/gather/Plan.java
@@ -5,13 +5,14 @@
  *
  * @param marked whether a partial answer is one too; else the gather ends as soon as enough cannot be had any more
  * @param patience seconds that a part may take, counted while rows are wanted of it
- * @param oldest position of the oldest part that is fresh, seconds since 1970; negative infinity for any. A part of which no
- *     position was told is older than any bound.
+ * @param oldest position of the oldest part that is fresh, seconds since 1970; negative infinity for any. A part of
+ *     which no position was told is older than any bound.
  */
 public record Plan(Merging merging, Enough enough, boolean marked, double patience, double oldest, Bounds bounds) {
     /** All parts, of any age, within the deadline of the whole; a partial answer is marked. */
     public static Plan of(Merging merging) {
-        return new Plan(merging, new Enough.All(), true, Double.POSITIVE_INFINITY, Double.NEGATIVE_INFINITY, Bounds.DEFAULT);
+        return new Plan(
+                merging, new Enough.All(), true, Double.POSITIVE_INFINITY, Double.NEGATIVE_INFINITY, Bounds.DEFAULT);
     }
 
     public Plan enough(Enough parts) {
--- a/gather/src/main/java/clayhook/gather/Pool.java
+++ b/gather/src/main/java/clayhook/gather/Pool.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * A partial answer that takes rows in any order and joins with others of its kind in any tree. What it holds is taken from an
- * account; where that refuses, the fault is returned and the pool is good for nothing but {@link #drop}.
+ * A partial answer that takes rows in any order and joins with others of its kind in any tree. What it holds is taken
+ * from an account; where that refuses, the fault is returned and the pool is good for nothing but {@link #drop}.
  */
 interface Pool {
     /** Null when it was taken in. */
--- a/gather/src/main/java/clayhook/gather/Pooled.java
+++ b/gather/src/main/java/clayhook/gather/Pooled.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * All rows are held until the parts have ended: each part in a pool of its own, so that one that fails can be asked anew, or be
- * left out, and joined once it is known to count.
+ * All rows are held until the parts have ended: each part in a pool of its own, so that one that fails can be asked
+ * anew, or be left out, and joined once it is known to count.
  */
 final class Pooled implements Blend {
     private final Merging merging;
@@ -19,6 +19,7 @@
     private final Map<Stream, Pool> pools = new HashMap<>();
     /** What is to go out; emptied as it goes. */
     private ArrayDeque<Row> answer;
+
     private Pool whole;
     private Fault fault;
     private long conflicts;
@@ -31,7 +32,8 @@
     }
 
     private Pool pool() {
-        return merging.duplicates() == null && merging.groups() != null ? new Groups(layout, account, bounds.heldRows())
+        return merging.duplicates() == null && merging.groups() != null
+                ? new Groups(layout, account, bounds.heldRows())
                 : new Table(layout, account, bounds.heldRows());
     }
 
@@ -59,7 +61,10 @@
         return part.over;
     }
 
-    /** A part of groups would count for less than it is, so a part that was cut is left out of them; of rows each is true. */
+    /**
+     * A part of groups would count for less than it is, so a part that was cut is left out of them; of rows each is
+     * true.
+     */
     @Override
     public void begin(List<Stream> parts, Layout plan) {
         layout = plan;
--- a/gather/src/main/java/clayhook/gather/Quantile.java
+++ b/gather/src/main/java/clayhook/gather/Quantile.java
@@ -8,20 +8,24 @@
 
 /** A quantile as percentile_disc has it. Values up to a bound are held; beyond it numbers go into buckets. */
 public final class Quantile extends Tally {
-    /** So many values give an exact quantile; more are told with {@link Buckets}' error, or not at all where they are no numbers. */
+    /**
+     * So many values give an exact quantile; more are told with {@link Buckets}' error, or not at all where they are no
+     * numbers.
+     */
     public static final int EXACT = 1024, EXACT_BYTES = 1 << 15;
     /** Of an entry and its bytes, about. */
     private static final int ENTRY = 120;
 
     private record Value(Cell cell, byte[] raw) {
-        private static final Comparator<Value> ORDER = Comparator.comparing(Value::cell)
-                .thenComparing((a, b) -> Arrays.compareUnsigned(a.raw, b.raw));
+        private static final Comparator<Value> ORDER =
+                Comparator.comparing(Value::cell).thenComparing((a, b) -> Arrays.compareUnsigned(a.raw, b.raw));
     }
 
     private final Type type;
     private final double share;
     /** Null once there are too many. */
     private List<Value> values = new ArrayList<>();
+
     private long length;
     private Buckets buckets;
 
@@ -59,8 +63,12 @@
 
     private void count(Cell cell) {
         if (type.number()) {
-            buckets.add(cell instanceof Cell.Whole whole ? whole.value() : cell instanceof Cell.Real real ? real.value()
-                    : ((Cell.Decimal) cell).value().doubleValue());
+            buckets.add(
+                    cell instanceof Cell.Whole whole
+                            ? whole.value()
+                            : cell instanceof Cell.Real real
+                                    ? real.value()
+                                    : ((Cell.Decimal) cell).value().doubleValue());
         }
     }
 
@@ -101,15 +109,22 @@
     }
 
     private byte[] number(double value) {
-        return bytes(type.floating() || !Double.isFinite(value) ? Sum.text(value) : type == Type.WHOLE
-                ? Long.toString(Math.round(value)) : BigDecimal.valueOf(value).toPlainString());
+        return bytes(
+                type.floating() || !Double.isFinite(value)
+                        ? Sum.text(value)
+                        : type == Type.WHOLE
+                                ? Long.toString(Math.round(value))
+                                : BigDecimal.valueOf(value).toPlainString());
     }
 
     /** Buckets hold numbers only, and no numeric that is beyond a double. */
     @Override
     Fault.Kind fault() {
-        return values != null ? null : !type.number() ? Fault.Kind.FULL
-                : !type.floating() && Double.isInfinite(buckets.quantile(share)) ? Fault.Kind.OVERFLOW : null;
+        return values != null
+                ? null
+                : !type.number()
+                        ? Fault.Kind.FULL
+                        : !type.floating() && Double.isInfinite(buckets.quantile(share)) ? Fault.Kind.OVERFLOW : null;
     }
 
     @Override
--- a/gather/src/main/java/clayhook/gather/Ranks.java
+++ b/gather/src/main/java/clayhook/gather/Ranks.java
@@ -18,6 +18,7 @@
     private final boolean union;
     /** Where conflicts show; -1 for nowhere. */
     private int conflictSlot = -1;
+
     private byte[] conflict;
     private Map<Cell, Integer> levels = Map.of();
     private int named;
@@ -25,7 +26,9 @@
 
     /** @param positions of parts, as known when copies are compared */
     Ranks(Duplicates duplicates, List<Column> columns, Reading reading, ToDoubleFunction<Part> positions) {
-        key = duplicates.key().stream().mapToInt(name -> slot(name, columns, reading)).toArray();
+        key = duplicates.key().stream()
+                .mapToInt(name -> slot(name, columns, reading))
+                .toArray();
         union = duplicates.union();
         for (Rule rule : duplicates.rules()) {
             rules.add(comparator(rule, columns, reading, positions));
@@ -39,7 +42,8 @@
         return reading.slot(Math.max(0, column));
     }
 
-    private Comparator<Row> comparator(Rule rule, List<Column> columns, Reading reading, ToDoubleFunction<Part> positions) {
+    private Comparator<Row> comparator(
+            Rule rule, List<Column> columns, Reading reading, ToDoubleFunction<Part> positions) {
         if (rule instanceof Rule.Newest newest) {
             int slot = slot(newest.column(), columns, reading);
             return (a, b) -> newer(a.cell(slot), b.cell(slot));
@@ -133,7 +137,9 @@
             return false;
         }
         int level = level(a, conflictSlot, levels, named);
-        return level < named && level == level(b, conflictSlot, levels, named) && !a.cell(conflictSlot).equals(b.cell(conflictSlot));
+        return level < named
+                && level == level(b, conflictSlot, levels, named)
+                && !a.cell(conflictSlot).equals(b.cell(conflictSlot));
     }
 
     /** Whether the first copy is of a better level, so that conflicts among lesser ones mean nothing. */
--- a/gather/src/main/java/clayhook/gather/Reading.java
+++ b/gather/src/main/java/clayhook/gather/Reading.java
@@ -51,7 +51,9 @@
             prepare();
         }
         int at = Row.start();
-        if (message.length < at || message[0] != 'D' || Row.number(message, 1) != message.length - 1
+        if (message.length < at
+                || message[0] != 'D'
+                || Row.number(message, 1) != message.length - 1
                 || Row.count(message) != columns.size()) {
             return MISSHAPEN;
         }
--- a/gather/src/main/java/clayhook/gather/Row.java
+++ b/gather/src/main/java/clayhook/gather/Row.java
@@ -15,6 +15,7 @@
     final long number;
     /** A whole DataRow message. */
     final byte[] bytes;
+
     private final Reading reading;
     private final Cell[] cells;
     /** Kept, as by the time that it is asked for the bytes are out of the processor's caches. */
@@ -109,7 +110,8 @@
         for (byte[] field : fields) {
             length += 4 + (field == null ? 0 : field.length);
         }
-        ByteBuffer out = ByteBuffer.allocate(length).put((byte) 'D').putInt(length - 1).putShort((short) fields.length);
+        ByteBuffer out =
+                ByteBuffer.allocate(length).put((byte) 'D').putInt(length - 1).putShort((short) fields.length);
         for (byte[] field : fields) {
             out.putInt(field == null ? -1 : field.length);
             if (field != null) {
--- a/gather/src/main/java/clayhook/gather/Rows.java
+++ b/gather/src/main/java/clayhook/gather/Rows.java
@@ -11,13 +11,14 @@
  * @param messages whole DataRow messages
  */
 public record Rows(List<Column> columns, List<byte[]> messages) {
-    /** What one part holds. @param rows null where it is out of reach, and {@code why} says how; @param position as of the gather */
-    public record Held(Part part, Rows rows, String why, double position) {
-    }
+    /**
+     * What one part holds. @param rows null where it is out of reach, and {@code why} says how; @param position as of
+     * the gather
+     */
+    public record Held(Part part, Rows rows, String why, double position) {}
 
     /** An answer with its verdict. @param columns empty where no part told any */
-    public record Answer(List<Column> columns, List<byte[]> rows, Verdict verdict) {
-    }
+    public record Answer(List<Column> columns, List<byte[]> rows, Verdict verdict) {}
 
     /** @param rows values as PostgreSQL writes them, null for none */
     public static Rows table(List<Column> columns, List<List<String>> rows) {
@@ -30,7 +31,9 @@
 
     /** One row as a whole DataRow message. */
     public static byte[] message(List<String> values) {
-        return Row.message(values.stream().map(value -> value == null ? null : value.getBytes(UTF_8)).toArray(byte[][]::new));
+        return Row.message(values.stream()
+                .map(value -> value == null ? null : value.getBytes(UTF_8))
+                .toArray(byte[][]::new));
     }
 
     /** The values of a whole DataRow message, null for none. */
@@ -78,9 +81,11 @@
         final long[] credit;
         /** Nothing more is to be fed from there. */
         final boolean[] done;
+
         List<Column> columns = List.of();
         /** The answer; bounded by what the parts hold. */
         final List<byte[]> rows = new ArrayList<>();
+
         Verdict verdict;
 
         Feed(int parts) {
@@ -94,8 +99,7 @@
         }
 
         @Override
-        public void ask(Part part) {
-        }
+        public void ask(Part part) {}
 
         @Override
         public void recall(Part part) {
--- a/gather/src/main/java/clayhook/gather/Stream.java
+++ b/gather/src/main/java/clayhook/gather/Stream.java
@@ -15,6 +15,7 @@
     long counted;
     /** The one that came last, for the order; null for none. */
     Row last;
+
     boolean described;
     /** Nothing more comes, for whatever reason. */
     boolean over;
@@ -28,11 +29,13 @@
     boolean spare;
     /** As counted in the gather: enough is known of it to begin, it counts for a quorum, it is lost for the answer. */
     boolean ready;
+
     boolean firm;
     boolean lost;
     double position = Double.NEGATIVE_INFINITY;
     /** Why it did not come to its end. */
     Verdict.Standing fall;
+
     String why = "";
     Fault fault;
     private long held;
@@ -92,19 +95,25 @@
         return held;
     }
 
-    /** How many rows more there is room for, if each is as long as any may be; none while half of what could be is out. */
+    /**
+     * How many rows more there is room for, if each is as long as any may be; none while half of what could be is out.
+     */
     int room(int rowsAhead, long bytesAhead, long heaviest, long useful) {
         if (owed > (rowsAhead >> 1) || owed * heaviest > (bytesAhead - held >> 1)) {
             return 0;
         }
-        return (int) Math.max(0, Math.min(Math.min(rowsAhead, useful) - buffer.size(), (bytesAhead - held) / heaviest) - owed);
+        return (int) Math.max(
+                0, Math.min(Math.min(rowsAhead, useful) - buffer.size(), (bytesAhead - held) / heaviest) - owed);
     }
 
     private boolean running() {
         return !over && owed > 0;
     }
 
-    /** Time runs while it owes rows. What came since the clock was told last counts as having come then: in favour of the part. */
+    /**
+     * Time runs while it owes rows. What came since the clock was told last counts as having come then: in favour of
+     * the part.
+     */
     void clock(double now) {
         if (!Double.isNaN(since)) {
             spent += Math.max(0, now - since);
--- a/gather/src/main/java/clayhook/gather/Sum.java
+++ b/gather/src/main/java/clayhook/gather/Sum.java
@@ -6,11 +6,15 @@
 import java.math.RoundingMode;
 
 /**
- * An exact sum, of doubles too: each is a finite binary fraction, so their sum is known to the last digit and rounded once.
- * Hence it does not depend on the order; a sum of a node itself, which rounds at each step, may end in other digits.
+ * An exact sum, of doubles too: each is a finite binary fraction, so their sum is known to the last digit and rounded
+ * once. Hence it does not depend on the order; a sum of a node itself, which rounds at each step, may end in other
+ * digits.
  */
 final class Sum {
-    /** What PostgreSQL's quotients of numerics have at least (numeric.c describes it as significant digits), and at most. */
+    /**
+     * What PostgreSQL's quotients of numerics have at least (numeric.c describes it as significant digits), and at
+     * most.
+     */
     private static final int LEAST_DIGITS = 16, MOST_SCALE = 1000;
     /** PostgreSQL reckons the size of a quotient in digits of that many decimal ones. */
     private static final int GROUP = 4;
@@ -20,6 +24,7 @@
     private BigDecimal big;
     /** Sum of infinities and NaNs; 0 for none. */
     private double special;
+
     private boolean any;
 
     void add(Cell cell) {
@@ -89,11 +94,12 @@
         if (special != 0) {
             return Tally.bytes(text(special));
         }
-        return Tally.bytes(switch (type) {
-            case Type.FLOAT4 -> text(exact().floatValue());
-            case Type.FLOAT8 -> text(exact().doubleValue());
-            default -> exact().toPlainString();
-        });
+        return Tally.bytes(
+                switch (type) {
+                    case Type.FLOAT4 -> text(exact().floatValue());
+                    case Type.FLOAT8 -> text(exact().doubleValue());
+                    default -> exact().toPlainString();
+                });
     }
 
     /** The mean in that type over that many values. */
@@ -105,8 +111,11 @@
             return Tally.bytes(text(special));
         }
         BigDecimal divisor = new BigDecimal(count);
-        return Tally.bytes(type == Type.FLOAT8 ? text(exact().divide(divisor, MathContext.DECIMAL128).doubleValue())
-                : exact().divide(divisor, scale(exact(), divisor), RoundingMode.HALF_UP).toPlainString());
+        return Tally.bytes(
+                type == Type.FLOAT8
+                        ? text(exact().divide(divisor, MathContext.DECIMAL128).doubleValue())
+                        : exact().divide(divisor, scale(exact(), divisor), RoundingMode.HALF_UP)
+                                .toPlainString());
     }
 
     /** Digits after the point of a quotient, as PostgreSQL chooses them. */
@@ -139,7 +148,8 @@
     }
 
     long weight() {
-        return Tally.OBJECT + (big == null ? 0 : Tally.OBJECT + big.unscaledValue().bitLength() / 8);
+        return Tally.OBJECT
+                + (big == null ? 0 : Tally.OBJECT + big.unscaledValue().bitLength() / 8);
     }
 
     /** A sum, or a sum of counts, which is 0 without any. */
--- a/gather/src/main/java/clayhook/gather/Table.java
+++ b/gather/src/main/java/clayhook/gather/Table.java
@@ -14,6 +14,7 @@
     private final Account account;
     /** Emptied by {@link #join} into another, or {@link #drop}; bounded by rows and by the account. */
     private final Map<Object, Copies> byKey = new HashMap<>();
+
     private final long mostRows;
     private long held;
 
@@ -54,8 +55,11 @@
     }
 
     private Fault full(Row row) {
-        return new Fault(Fault.Kind.FULL, row.part, row.number, byKey.size() + " rows of " + held
-                + " bytes have to be held for the answer, and that is the bound");
+        return new Fault(
+                Fault.Kind.FULL,
+                row.part,
+                row.number,
+                byKey.size() + " rows of " + held + " bytes have to be held for the answer, and that is the bound");
     }
 
     @Override
--- a/gather/src/main/java/clayhook/gather/Tally.java
+++ b/gather/src/main/java/clayhook/gather/Tally.java
@@ -4,7 +4,9 @@
 
 import java.util.Arrays;
 
-/** The partial state of one figure of one group: takes values in any order, joins in any tree, and comes to the same. */
+/**
+ * The partial state of one figure of one group: takes values in any order, joins in any tree, and comes to the same.
+ */
 abstract class Tally {
     /** Of an object and its fields, about. */
     static final int OBJECT = 64;
@@ -80,7 +82,9 @@
             }
         }
 
-        /** Of values that are equal and yet written in two ways, as 1.0 and 1.00, the same one is taken in any order. */
+        /**
+         * Of values that are equal and yet written in two ways, as 1.0 and 1.00, the same one is taken in any order.
+         */
         private void take(int compared, Cell other, byte[] bytes) {
             if (compared < 0 || compared == 0 && Arrays.compareUnsigned(bytes, raw) < 0) {
                 cell = other;
--- a/gather/src/main/java/clayhook/gather/Times.java
+++ b/gather/src/main/java/clayhook/gather/Times.java
@@ -8,13 +8,14 @@
 /** Dates and times in PostgreSQL's style ISO, its default. */
 final class Times {
     /** Year, month, day; hour, minute, second, fraction; zone as hours, minutes, seconds; before our era. */
-    private static final Pattern ISO = Pattern.compile("(\\d{4,6})-(\\d\\d)-(\\d\\d)(?: (\\d\\d):(\\d\\d):(\\d\\d)(?:\\.(\\d{1,6}))?"
-            + "(?:([+-])(\\d\\d)(?::(\\d\\d))?(?::(\\d\\d))?)?)?( BC)?");
+    private static final Pattern ISO =
+            Pattern.compile("(\\d{4,6})-(\\d\\d)-(\\d\\d)(?: (\\d\\d):(\\d\\d):(\\d\\d)(?:\\.(\\d{1,6}))?"
+                    + "(?:([+-])(\\d\\d)(?::(\\d\\d))?(?::(\\d\\d))?)?)?( BC)?");
+
     private static final long MICROS = 1_000_000;
     private static final long DAY = 86_400;
 
-    private Times() {
-    }
+    private Times() {}
 
     /** Null where that is none. */
     static Cell read(String text) {
@@ -29,14 +30,21 @@
         int month = number(fields, 2);
         int day = number(fields, 3);
         int seconds = number(fields, 4) * 3600 + number(fields, 5) * 60 + number(fields, 6);
-        int zone = (number(fields, 9) * 3600 + number(fields, 10) * 60 + number(fields, 11)) * ("-".equals(fields.group(8)) ? -1 : 1);
-        if (month < 1 || month > 12 || day < 1 || day > YearMonth.of(year, month).lengthOfMonth() || seconds > DAY
-                || number(fields, 5) > 59 || number(fields, 6) > 59) {
+        int zone = (number(fields, 9) * 3600 + number(fields, 10) * 60 + number(fields, 11))
+                * ("-".equals(fields.group(8)) ? -1 : 1);
+        if (month < 1
+                || month > 12
+                || day < 1
+                || day > YearMonth.of(year, month).lengthOfMonth()
+                || seconds > DAY
+                || number(fields, 5) > 59
+                || number(fields, 6) > 59) {
             return null;
         }
         String fraction = fields.group(7) == null ? "" : fields.group(7);
         long micros = Integer.parseInt((fraction + "000000").substring(0, 6));
-        // at most six digits of years are 3e19 microseconds, beyond a long; PostgreSQL's own end at the year 294276 is not
+        // at most six digits of years are 3e19 microseconds, beyond a long; PostgreSQL's own end at the year 294276 is
+        // not
         long since = LocalDate.of(year, month, day).toEpochDay() * DAY + seconds - zone;
         return Math.abs(since) < Long.MAX_VALUE / MICROS - 1 ? new Cell.Time(since * MICROS + micros) : null;
     }
--- a/gather/src/main/java/clayhook/gather/Tournament.java
+++ b/gather/src/main/java/clayhook/gather/Tournament.java
@@ -3,8 +3,8 @@
 import java.util.Arrays;
 
 /**
- * A tree of losers over the first rows of many sorted parts: the least of all is at the top, and the next one is found in one
- * comparison a level (Knuth, The Art of Computer Programming 3, 5.4.1). A part without rows loses against all.
+ * A tree of losers over the first rows of many sorted parts: the least of all is at the top, and the next one is found
+ * in one comparison a level (Knuth, The Art of Computer Programming 3, 5.4.1). A part without rows loses against all.
  */
 final class Tournament {
     private final Order order;
--- a/gather/src/main/java/clayhook/gather/Type.java
+++ b/gather/src/main/java/clayhook/gather/Type.java
@@ -7,15 +7,24 @@
 
 /** How the text of a column is read, by the number that PostgreSQL gives its type (pg_type.dat, fixed for ever). */
 enum Type {
-    WHOLE, DECIMAL, SINGLE, REAL, TEXT, PADDED, TIME, FLAG, BYTES, UUID,
+    WHOLE,
+    DECIMAL,
+    SINGLE,
+    REAL,
+    TEXT,
+    PADDED,
+    TIME,
+    FLAG,
+    BYTES,
+    UUID,
     /** Passed on, but no key: its order is not known here. */
     OPAQUE;
-
     static final int INT2 = 21, INT4 = 23, INT8 = 20, NUMERIC = 1700, FLOAT4 = 700, FLOAT8 = 701;
     /** Longer numerics are legal, but the time to read one grows with the square of its digits. */
     private static final int LONGEST_NUMBER = 1024;
     /** This many digits fit into a long whatever they are. */
     private static final int SURE_DIGITS = 18;
+
     private static final int UUID_LENGTH = 36;
 
     static Type of(int oid) {
@@ -52,10 +61,14 @@
             case PADDED -> padded(in, from, length);
             case TIME -> Times.read(new String(in, from, length, ISO_8859_1));
             case FLAG -> length == 1 && (in[from] == 't' || in[from] == 'f') ? new Cell.Flag(in[from] == 't') : null;
-            case BYTES -> length >= 2 && in[from] == '\\' && in[from + 1] == 'x' && digits(in, from + 2, length - 2)
-                    ? new Cell.Text(Arrays.copyOfRange(in, from, from + length)) : null;
-            case UUID -> length == UUID_LENGTH && digits(in, from, length) ? new Cell.Text(Arrays.copyOfRange(in, from, from + length))
-                    : null;
+            case BYTES ->
+                length >= 2 && in[from] == '\\' && in[from + 1] == 'x' && digits(in, from + 2, length - 2)
+                        ? new Cell.Text(Arrays.copyOfRange(in, from, from + length))
+                        : null;
+            case UUID ->
+                length == UUID_LENGTH && digits(in, from, length)
+                        ? new Cell.Text(Arrays.copyOfRange(in, from, from + length))
+                        : null;
             case OPAQUE -> null;
         };
     }
@@ -89,7 +102,8 @@
             int digit = in[i] - '0';
             if (in[i] == '.' && point < 0) {
                 point = i;
-            } else if (digit < 0 || digit > 9) { // no exponents either: PostgreSQL writes none, and "1e999999999" would never end
+            } else if (digit < 0
+                    || digit > 9) { // no exponents either: PostgreSQL writes none, and "1e999999999" would never end
                 return special(new String(in, from, length, ISO_8859_1));
             } else {
                 value = 10 * value + digit;
@@ -99,8 +113,10 @@
         if (digits < 1 || digits > LONGEST_NUMBER) {
             return null;
         }
-        return digits > SURE_DIGITS ? new Cell.Decimal(new BigDecimal(new String(in, from, length, ISO_8859_1)))
-                : new Cell.Decimal(BigDecimal.valueOf(below ? -value : value, point < 0 ? 0 : from + length - point - 1));
+        return digits > SURE_DIGITS
+                ? new Cell.Decimal(new BigDecimal(new String(in, from, length, ISO_8859_1)))
+                : new Cell.Decimal(
+                        BigDecimal.valueOf(below ? -value : value, point < 0 ? 0 : from + length - point - 1));
     }
 
     private Cell real(byte[] in, int from, int length) {
--- a/gather/src/main/java/clayhook/gather/Verdict.java
+++ b/gather/src/main/java/clayhook/gather/Verdict.java
@@ -9,17 +9,29 @@
  * What an answer is worth.
  *
  * @param enough whether it may be given out: complete, or the plan takes whatever is there
- * @param position of the oldest part that the answer rests on, seconds since 1970; negative infinity where one told none, positive
- *     infinity where it rests on none
+ * @param position of the oldest part that the answer rests on, seconds since 1970; negative infinity where one told
+ *     none, positive infinity where it rests on none
  * @param notes on each part, in their order
  * @param fault what ended the whole gather; null for none
  * @param conflicts keys of which copies contradict each other
  * @param errors by figure that is not exact, its standard or greatest error as a share of the value
  */
-public record Verdict(Outcome outcome, boolean enough, double position, List<Note> notes, Cut cut, long rows, Fault fault,
-        long conflicts, Map<String, Double> errors) {
+public record Verdict(
+        Outcome outcome,
+        boolean enough,
+        double position,
+        List<Note> notes,
+        Cut cut,
+        long rows,
+        Fault fault,
+        long conflicts,
+        Map<String, Double> errors) {
     /** Kinds of answers. */
-    public enum Outcome { COMPLETE, PARTIAL, FAILED }
+    public enum Outcome {
+        COMPLETE,
+        PARTIAL,
+        FAILED
+    }
 
     /** What became of a part. */
     public enum Standing {
@@ -48,26 +60,38 @@
     /**
      * Where the answer ends.
      *
-     * @param exact whether the rows given are the first of the whole answer, whatever the parts may hold besides; of groups and of
-     *     rows held whole it is only claimed when no part has more
+     * @param exact whether the rows given are the first of the whole answer, whatever the parts may hold besides; of
+     *     groups and of rows held whole it is only claimed when no part has more
      * @param deeper parts that were asked for too few rows to know
      */
     public record Cut(Where where, boolean exact, List<Part> deeper) {
         /** Kinds of ends. */
-        public enum Where { NONE, ROWS, BYTES, DEADLINE }
+        public enum Where {
+            NONE,
+            ROWS,
+            BYTES,
+            DEADLINE
+        }
     }
 
     /** The parts with that standing. */
     public List<Part> parts(Standing standing) {
-        return notes.stream().filter(note -> note.standing == standing).map(Note::part).toList();
+        return notes.stream()
+                .filter(note -> note.standing == standing)
+                .map(Note::part)
+                .toList();
     }
 
     /** One line for people: what is wrong with which part. */
     @Override
     public String toString() {
-        String parts = notes.stream().filter(note -> note.standing != Standing.WHOLE && note.standing != Standing.SPARE)
-                .map(Note::toString).collect(Collectors.joining(", "));
-        return outcome.name().toLowerCase(Locale.ROOT) + (fault == null ? "" : ": " + fault) + (parts.isEmpty() ? "" : ": " + parts)
+        String parts = notes.stream()
+                .filter(note -> note.standing != Standing.WHOLE && note.standing != Standing.SPARE)
+                .map(Note::toString)
+                .collect(Collectors.joining(", "));
+        return outcome.name().toLowerCase(Locale.ROOT)
+                + (fault == null ? "" : ": " + fault)
+                + (parts.isEmpty() ? "" : ": " + parts)
                 + (cut.deeper.isEmpty() ? "" : "; ask deeper: " + cut.deeper);
     }
 }
--- a/gather/src/test/java/clayhook/gather/GatherTest.java
+++ b/gather/src/test/java/clayhook/gather/GatherTest.java
@@ -40,12 +40,10 @@
             }
 
             @Override
-            public void credit(Part part, int rows) {
-            }
+            public void credit(Part part, int rows) {}
 
             @Override
-            public void columns(List<Column> columns) {
-            }
+            public void columns(List<Column> columns) {}
 
             @Override
             public void emit(byte[] row) {
@@ -76,17 +74,38 @@
 
     /** What is wrong in part b, and in which row. */
     @ParameterizedTest
-    @CsvSource({"UNREADABLE, 2", "WIDTH, 2", "MIXED, 0", "UNORDERED, 2", "ENDLESS, 4", "OVERRUN, 2", "TOO_LONG, 2", "UNFIT, 0", "FULL, 2"})
+    @CsvSource({
+        "UNREADABLE, 2",
+        "WIDTH, 2",
+        "MIXED, 0",
+        "UNORDERED, 2",
+        "ENDLESS, 4",
+        "OVERRUN, 2",
+        "TOO_LONG, 2",
+        "UNFIT, 0",
+        "FULL, 2"
+    })
     void faultsNamePartAndRow(Fault.Kind kind, long row) {
-        var bounds = new Bounds(kind == Fault.Kind.OVERRUN ? 1 : 256, 1 << 20, 200, kind == Fault.Kind.ENDLESS ? 3 : 1000,
-                kind == Fault.Kind.FULL ? 1 : 1000, 1 << 20);
-        Gather gather = gather((kind == Fault.Kind.FULL ? Plan.of(Merging.by(Key.ascending("k")).unsorted()) : SORTED).within(bounds));
+        var bounds = new Bounds(
+                kind == Fault.Kind.OVERRUN ? 1 : 256,
+                1 << 20,
+                200,
+                kind == Fault.Kind.ENDLESS ? 3 : 1000,
+                kind == Fault.Kind.FULL ? 1 : 1000,
+                1 << 20);
+        Gather gather = gather((kind == Fault.Kind.FULL
+                        ? Plan.of(Merging.by(Key.ascending("k")).unsorted())
+                        : SORTED)
+                .within(bounds));
         Part b = parts.get(1);
         if (kind != Fault.Kind.UNFIT) {
             gather.described(parts.get(0), COLUMNS);
         }
-        gather.described(b, kind == Fault.Kind.MIXED ? List.of(COLUMNS.get(0), Column.of("v", 23)) : kind == Fault.Kind.UNFIT
-                ? List.of(Column.of("x", 20)) : COLUMNS);
+        gather.described(
+                b,
+                kind == Fault.Kind.MIXED
+                        ? List.of(COLUMNS.get(0), Column.of("v", 23))
+                        : kind == Fault.Kind.UNFIT ? List.of(Column.of("x", 20)) : COLUMNS);
         if (row > 0) {
             gather.row(b, Rows.message(List.of("5", "first")));
             String key = kind == Fault.Kind.UNREADABLE ? "six" : kind == Fault.Kind.UNORDERED ? "4" : "6";
@@ -97,11 +116,15 @@
         }
         whole(gather, 0, 1, "1");
         whole(gather, 2, 1, "9");
-        Fault fault = kind == Fault.Kind.FULL ? verdict.fault() : verdict.notes().get(1).fault();
+        Fault fault = kind == Fault.Kind.FULL
+                ? verdict.fault()
+                : verdict.notes().get(1).fault();
         assertEquals(kind, fault.kind());
         assertEquals(b, fault.part());
         assertEquals(row, fault.row());
-        assertTrue(fault.toString().startsWith("part b: " + (row == 0 ? "its columns: " : "row " + row + ": ")), fault.toString());
+        assertTrue(
+                fault.toString().startsWith("part b: " + (row == 0 ? "its columns: " : "row " + row + ": ")),
+                fault.toString());
         assertEquals(kind == Fault.Kind.FULL ? FAILED : PARTIAL, verdict.outcome());
         assertEquals(kind == Fault.Kind.FULL ? 0 : 2, verdict.rows(), "nothing of it is merged");
         assertTrue(log.contains("recall b"));
@@ -122,7 +145,10 @@
         assertEquals(1, gather.lateNews(), "the end of c");
     }
 
-    /** A part that breaks after rows of it went out is not asked again; what came of it stays, and what is missing is named. */
+    /**
+     * A part that breaks after rows of it went out is not asked again; what came of it stays, and what is missing is
+     * named.
+     */
     @Test
     void aPartThatBreaksHalfWayIsCut() {
         Gather gather = gather(SORTED);
@@ -139,7 +165,9 @@
     @ParameterizedTest
     @EnumSource(Standing.class)
     void theVerdictTellsWhatBecameOfAPart(Standing standing) {
-        Plan plan = SORTED.patience(2).notOlder(5).enough(standing == Standing.SPARE ? new Enough.Quorum(2) : new Enough.Best());
+        Plan plan = SORTED.patience(2)
+                .notOlder(5)
+                .enough(standing == Standing.SPARE ? new Enough.Quorum(2) : new Enough.Best());
         Gather gather = gather(plan);
         gather.described(parts.get(2), COLUMNS);
         if (standing == Standing.CUT) {
@@ -156,20 +184,25 @@
         assertEquals(standing, verdict.notes().get(2).standing());
         assertEquals(standing == Standing.WHOLE || standing == Standing.SPARE ? COMPLETE : PARTIAL, verdict.outcome());
         assertTrue(verdict.enough());
-        assertEquals(switch (standing) {
-            case OLD -> 4.9;
-            case WHOLE -> 5;
-            case CUT -> Double.NEGATIVE_INFINITY;
-            case SPARE, MISSING, LATE -> 6;
-        }, verdict.position());
+        assertEquals(
+                switch (standing) {
+                    case OLD -> 4.9;
+                    case WHOLE -> 5;
+                    case CUT -> Double.NEGATIVE_INFINITY;
+                    case SPARE, MISSING, LATE -> 6;
+                },
+                verdict.position());
     }
 
-    /** Half of a part would make every count wrong, so it is left out of groups; of a list what came is true, and stays. */
+    /**
+     * Half of a part would make every count wrong, so it is left out of groups; of a list what came is true, and stays.
+     */
     @ParameterizedTest
     @CsvSource({"true, MISSING, 1", "false, CUT, 3"})
     void whatCameOfAPartThatBrokeOff(boolean grouped, Standing standing, int rows) {
         Merging merging = Merging.by().grouped(grouped ? new Grouping(List.of(), List.of(Measure.count("n"))) : null);
-        Gather gather = gather(Plan.of(grouped ? merging : Merging.by(Key.ascending("k")).unsorted()));
+        Gather gather = gather(
+                Plan.of(grouped ? merging : Merging.by(Key.ascending("k")).unsorted()));
         whole(gather, 0, 1, "1");
         whole(gather, 1, 1, "2");
         gather.described(parts.get(2), COLUMNS);
@@ -221,19 +254,19 @@
         var held = new Gather[1];
         held[0] = new Gather(SORTED, List.of(), Allowance.of(0), new Acts() {
             @Override
-            public void ask(Part part) { }
+            public void ask(Part part) {}
 
             @Override
-            public void recall(Part part) { }
+            public void recall(Part part) {}
 
             @Override
-            public void credit(Part part, int rows) { }
+            public void credit(Part part, int rows) {}
 
             @Override
-            public void columns(List<Column> columns) { }
+            public void columns(List<Column> columns) {}
 
             @Override
-            public void emit(byte[] row) { }
+            public void emit(byte[] row) {}
 
             @Override
             public void finish(Verdict end) {
@@ -243,22 +276,45 @@
         assertThrows(IllegalStateException.class, () -> held[0].begin(0, 1));
     }
 
-    /** Charges in doubt as routers hold them: by time, one row a key, knowledge over doubt, conflicts shown, who is out of reach named. */
+    /**
+     * Charges in doubt as routers hold them: by time, one row a key, knowledge over doubt, conflicts shown, who is out
+     * of reach named.
+     */
     @Test
     void chargesInDoubtOfAllRouters() {
-        List<Column> columns = List.of(Column.of("charge", 25), Column.of("at", 1184), Column.of("fate", 25), Column.of("node", 25));
+        List<Column> columns =
+                List.of(Column.of("charge", 25), Column.of("at", 1184), Column.of("fate", 25), Column.of("node", 25));
         String early = "2026-03-01 10:00:00+00";
         String late = "2026-03-01 12:00:00.5+01";
-        Rows a = Rows.table(columns, List.of(Arrays.asList("k1", late, "unknown", null), Arrays.asList("k2", early, "run", "n1"),
-                Arrays.asList("k3", early, "unknown", null)));
-        Rows b = Rows.table(columns, List.of(Arrays.asList("k1", late, "not run", "n2"), Arrays.asList("k2", early, "not run", "n2")));
-        var duplicates = new Duplicates(List.of("charge"), List.of(new Rule.Ranking("fate", List.of(Set.of("run", "not run"),
-                Set.of("unknown")), "conflict")), true);
-        Plan plan = Plan.of(Merging.by(Key.ascending("at"), Key.ascending("charge")).unsorted().without(duplicates));
-        Rows.Answer answer = Rows.gather(plan, List.of(new Rows.Held(parts.get(0), a, "", 3), new Rows.Held(parts.get(1), b, "", 2),
-                new Rows.Held(parts.get(2), null, "not heard for 12 s", 0)), Allowance.of(1 << 20));
-        assertEquals(List.of(Arrays.asList("k2", early, "conflict", "n1"), Arrays.asList("k3", early, "unknown", null),
-                List.of("k1", late, "not run", "n2")), answer.rows().stream().map(Rows::values).toList());
+        Rows a = Rows.table(
+                columns,
+                List.of(
+                        Arrays.asList("k1", late, "unknown", null),
+                        Arrays.asList("k2", early, "run", "n1"),
+                        Arrays.asList("k3", early, "unknown", null)));
+        Rows b = Rows.table(
+                columns,
+                List.of(Arrays.asList("k1", late, "not run", "n2"), Arrays.asList("k2", early, "not run", "n2")));
+        var duplicates = new Duplicates(
+                List.of("charge"),
+                List.of(new Rule.Ranking("fate", List.of(Set.of("run", "not run"), Set.of("unknown")), "conflict")),
+                true);
+        Plan plan = Plan.of(Merging.by(Key.ascending("at"), Key.ascending("charge"))
+                .unsorted()
+                .without(duplicates));
+        Rows.Answer answer = Rows.gather(
+                plan,
+                List.of(
+                        new Rows.Held(parts.get(0), a, "", 3),
+                        new Rows.Held(parts.get(1), b, "", 2),
+                        new Rows.Held(parts.get(2), null, "not heard for 12 s", 0)),
+                Allowance.of(1 << 20));
+        assertEquals(
+                List.of(
+                        Arrays.asList("k2", early, "conflict", "n1"),
+                        Arrays.asList("k3", early, "unknown", null),
+                        List.of("k1", late, "not run", "n2")),
+                answer.rows().stream().map(Rows::values).toList());
         assertEquals(1, answer.verdict().conflicts());
         assertEquals("partial: c missing (not heard for 12 s)", answer.verdict().toString());
         assertEquals(2, answer.verdict().position());
--- a/gather/src/test/java/clayhook/gather/GroupsPropertiesTest.java
+++ b/gather/src/test/java/clayhook/gather/GroupsPropertiesTest.java
@@ -26,20 +26,32 @@
 
 /** Figures of groups: joined in any order or tree they are those of plain lists, and sketches keep to their errors. */
 class GroupsPropertiesTest {
-    private static final List<Measure> MEASURES = List.of(Measure.count("rows"), Measure.of(What.COUNT, "n", "counted"),
-            Measure.of(What.SUM, "l", "sum"), Measure.of(What.SUM, "n", "sum of decimals"), Measure.of(What.LEAST, "at", "least"),
-            Measure.of(What.MOST, "t", "most"), Measure.of(What.MEAN, "i", "mean"), Measure.of(What.DISTINCT, "n", "distinct"),
+    private static final List<Measure> MEASURES = List.of(
+            Measure.count("rows"),
+            Measure.of(What.COUNT, "n", "counted"),
+            Measure.of(What.SUM, "l", "sum"),
+            Measure.of(What.SUM, "n", "sum of decimals"),
+            Measure.of(What.LEAST, "at", "least"),
+            Measure.of(What.MOST, "t", "most"),
+            Measure.of(What.MEAN, "i", "mean"),
+            Measure.of(What.DISTINCT, "n", "distinct"),
             Measure.quantile("d", 0.5, "median"));
 
     private static List<Value> present(List<Line> lines, String column) {
-        return lines.stream().map(line -> line.values().get(Sample.column(column))).filter(value -> value.meant() != null).toList();
+        return lines.stream()
+                .map(line -> line.values().get(Sample.column(column)))
+                .filter(value -> value.meant() != null)
+                .toList();
     }
 
     private static Object sum(List<Value> values) {
         if (values.isEmpty() || values.stream().anyMatch(value -> value.text().equals("NaN"))) {
             return values.isEmpty() ? null : "NaN";
         }
-        return values.stream().map(value -> new BigDecimal(value.text())).reduce(BigDecimal.ZERO, BigDecimal::add).toPlainString();
+        return values.stream()
+                .map(value -> new BigDecimal(value.text()))
+                .reduce(BigDecimal.ZERO, BigDecimal::add)
+                .toPlainString();
     }
 
     /** What a figure should be; a mean in millionths. */
@@ -54,9 +66,19 @@
         out.add(present(lines, "at").stream().min(order).map(Value::meant).orElse(null));
         out.add(present(lines, "t").stream().max(order).map(Value::text).orElse(null));
         List<Value> whole = present(lines, "i");
-        out.add(whole.isEmpty() ? null : whole.stream().mapToLong(value -> (Long) value.meant()).sum() * 1_000_000 / whole.size());
+        out.add(
+                whole.isEmpty()
+                        ? null
+                        : whole.stream()
+                                        .mapToLong(value -> (Long) value.meant())
+                                        .sum()
+                                * 1_000_000
+                                / whole.size());
         out.add(present(lines, "n").stream().map(Value::meant).distinct().count());
-        out.add(doubles.isEmpty() ? null : doubles.get((doubles.size() + 1) / 2 - 1).meant());
+        out.add(
+                doubles.isEmpty()
+                        ? null
+                        : doubles.get((doubles.size() + 1) / 2 - 1).meant());
         return out;
     }
 
@@ -65,28 +87,33 @@
     }
 
     private static Object read(int measure, String text) {
-        return text == null ? null : switch (measure) {
-            case 0, 1 -> Integer.valueOf(text);
-            case 4 -> (micros(text) - micros("2026-03-01 12:00:00.25+00")) / 3_600_000_000L; // hours
-            case 6 -> new BigDecimal(text).movePointRight(6).longValue(); // towards zero, as the division
-            case 7 -> Long.valueOf(text);
-            case 8 -> Double.valueOf(text) + 0.0;
-            default -> text;
-        };
+        return text == null
+                ? null
+                : switch (measure) {
+                    case 0, 1 -> Integer.valueOf(text);
+                    case 4 -> (micros(text) - micros("2026-03-01 12:00:00.25+00")) / 3_600_000_000L; // hours
+                    case 6 -> new BigDecimal(text).movePointRight(6).longValue(); // towards zero, as the division
+                    case 7 -> Long.valueOf(text);
+                    case 8 -> Double.valueOf(text) + 0.0;
+                    default -> text;
+                };
     }
 
     @Property(tries = 600, seed = "42")
-    void figuresAreThoseOfPlainLists(@ForAll long seed, @ForAll @IntRange(min = 1, max = 4) int parts, @ForAll boolean distinct) {
+    void figuresAreThoseOfPlainLists(
+            @ForAll long seed, @ForAll @IntRange(min = 1, max = 4) int parts, @ForAll boolean distinct) {
         Sample sample = new Sample(seed, parts, 20).arranged(false);
         Duplicates duplicates = distinct ? sample.duplicates(false) : null;
-        var merging = new Merging(List.of(Key.descending("b")), false, duplicates, new Grouping(List.of("b"), MEASURES), Limit.NONE);
+        var merging = new Merging(
+                List.of(Key.descending("b")), false, duplicates, new Grouping(List.of("b"), MEASURES), Limit.NONE);
         Play play = new Play(seed, Plan.of(merging), Sample.COLUMNS, Play.texts(sample));
         List<Line> lines = distinct ? sample.distinct(duplicates, part -> play.positions[part]) : sample.all();
         play.ways.set(0, Play.Way.BREAKS_ONCE); // and nothing counts twice
         assertEquals(Verdict.Outcome.COMPLETE, play.run().outcome());
         var expected = new ArrayList<List<Object>>();
         for (Boolean flag : new Boolean[] {null, true, false}) {
-            List<Line> group = Sample.by(List.of("b"), lines).getOrDefault(Collections.singletonList((Object) flag), List.of());
+            List<Line> group =
+                    Sample.by(List.of("b"), lines).getOrDefault(Collections.singletonList((Object) flag), List.of());
             if (!group.isEmpty()) {
                 List<Object> row = figures(group);
                 row.add(0, flag == null ? null : flag ? "t" : "f");
@@ -125,23 +152,41 @@
         return tallies.get(0);
     }
 
-    /** Many values, over the bounds of what is exact or just below: the same bytes from any tree, and within the error told. */
+    /**
+     * Many values, over the bounds of what is exact or just below: the same bytes from any tree, and within the error
+     * told.
+     */
     @Property(tries = 60, seed = "42")
-    void anyTreeGivesTheSame(@ForAll long seed, @ForAll @IntRange(min = 1, max = 3000) int count, @ForAll @IntRange(max = 40) int spread) {
+    void anyTreeGivesTheSame(
+            @ForAll long seed,
+            @ForAll @IntRange(min = 1, max = 3000) int count,
+            @ForAll @IntRange(max = 40) int spread) {
         var random = new Random(seed);
         List<Column> columns = List.of(Column.of("x", 701), Column.of("n", 1700));
-        var grouping = new Grouping(List.of(), List.of(Measure.of(What.SUM, "x", "sum"), Measure.of(What.MEAN, "x", "mean"),
-                Measure.of(What.DISTINCT, "x", "distinct"), Measure.quantile("x", 0.9, "quantile"), Measure.of(What.MEAN, "n", "mean of n"),
-                Measure.of(What.LEAST, "n", "least")));
+        var grouping = new Grouping(
+                List.of(),
+                List.of(
+                        Measure.of(What.SUM, "x", "sum"),
+                        Measure.of(What.MEAN, "x", "mean"),
+                        Measure.of(What.DISTINCT, "x", "distinct"),
+                        Measure.quantile("x", 0.9, "quantile"),
+                        Measure.of(What.MEAN, "n", "mean of n"),
+                        Measure.of(What.LEAST, "n", "least")));
         Layout layout = new Layout(Merging.by().grouped(grouping), columns, part -> 0);
         var rows = new ArrayList<Row>();
-        double[] values = random.doubles(count).map(x -> (x - 0.3) * Math.pow(10, random.nextInt(spread + 1) - spread / 2)).toArray();
+        double[] values = random.doubles(count)
+                .map(x -> (x - 0.3) * Math.pow(10, random.nextInt(spread + 1) - spread / 2))
+                .toArray();
         for (double value : values) {
-            rows.add(row(layout, Double.toString(value), List.of("1.0", "1.00", "1").get(random.nextInt(3))));
+            rows.add(row(
+                    layout, Double.toString(value), List.of("1.0", "1.00", "1").get(random.nextInt(3))));
         }
         for (Figure figure : layout.figures()) {
             Tally one = tree(figure, rows, random);
-            assertArrayEquals(one.text(), tree(figure, rows, random).text(), figure.measure().name());
+            assertArrayEquals(
+                    one.text(),
+                    tree(figure, rows, random).text(),
+                    figure.measure().name());
         }
         Arrays.sort(values);
         Tally quantile = tree(layout.figures().get(3), rows, random);
@@ -152,33 +197,69 @@
         Tally distinct = tree(layout.figures().get(2), rows, random);
         assertTrue(Math.abs(Double.parseDouble(new String(distinct.text())) - count) <= 6 * distinct.error() * count);
         BigDecimal sum = Arrays.stream(values).mapToObj(BigDecimal::new).reduce(BigDecimal.ZERO, BigDecimal::add);
-        assertEquals(sum.doubleValue(), Double.parseDouble(new String(tree(layout.figures().get(0), rows, random).text())));
+        assertEquals(
+                sum.doubleValue(),
+                Double.parseDouble(
+                        new String(tree(layout.figures().get(0), rows, random).text())));
     }
 
     /** As PostgreSQL 16 writes them. */
     @ParameterizedTest
-    @CsvSource(nullValues = "null", value = {
-        "MEAN, 23, 1 2, 1.5000000000000000", "MEAN, 23, 0 0, 0.00000000000000000000", "MEAN, 23, 1 0 0, 0.33333333333333333333",
-        "MEAN, 23, 100000 0 0, 33333.333333333333", "MEAN, 1700, 1.25 2, 1.6250000000000000", "MEAN, 20, 1 2 2, 1.6666666666666667",
-        "MEAN, 701, 1 2, 1.5", "MEAN, 23, null, null", "SUM, 20, 9223372036854775807 1, 9223372036854775808",
-        "SUM, 20, -9223372036854775808 -1 1, -9223372036854775808", "SUM, 23, 2147483647 1, 2147483648", "SUM, 1700, 1.5 2.25, 3.75",
-        "SUM, 1700, NaN 1, NaN", "SUM, 701, Infinity -Infinity, NaN", "SUM, 701, 0.1 0.2 0.3, 0.6", "SUM, 20, null, null",
-        "COUNTED, 20, null, 0", "COUNTED, 20, 3 4, 7", "COUNT, 20, null 4, 1", "MOST, 17, \\x0a \\x0b, \\x0b", "SUM, 700, 0.5 0.25, 0.75"})
+    @CsvSource(
+            nullValues = "null",
+            value = {
+                "MEAN, 23, 1 2, 1.5000000000000000",
+                "MEAN, 23, 0 0, 0.00000000000000000000",
+                "MEAN, 23, 1 0 0, 0.33333333333333333333",
+                "MEAN, 23, 100000 0 0, 33333.333333333333",
+                "MEAN, 1700, 1.25 2, 1.6250000000000000",
+                "MEAN, 20, 1 2 2, 1.6666666666666667",
+                "MEAN, 701, 1 2, 1.5",
+                "MEAN, 23, null, null",
+                "SUM, 20, 9223372036854775807 1, 9223372036854775808",
+                "SUM, 20, -9223372036854775808 -1 1, -9223372036854775808",
+                "SUM, 23, 2147483647 1, 2147483648",
+                "SUM, 1700, 1.5 2.25, 3.75",
+                "SUM, 1700, NaN 1, NaN",
+                "SUM, 701, Infinity -Infinity, NaN",
+                "SUM, 701, 0.1 0.2 0.3, 0.6",
+                "SUM, 20, null, null",
+                "COUNTED, 20, null, 0",
+                "COUNTED, 20, 3 4, 7",
+                "COUNT, 20, null 4, 1",
+                "MOST, 17, \\x0a \\x0b, \\x0b",
+                "SUM, 700, 0.5 0.25, 0.75"
+            })
     void figuresLookAsPostgresWritesThem(What what, int type, String values, String expected) {
         var grouping = new Grouping(List.of(), List.of(Measure.of(what, "x", "y")));
-        var table = Rows.table(List.of(Column.of("x", type)), (values == null ? List.of("null") : List.of(values.split(" "))).stream()
-                .map(value -> Collections.singletonList(value.equals("null") ? null : value)).toList());
-        Rows.Answer answer = Rows.gather(Plan.of(Merging.by().grouped(grouping)), List.of(new Rows.Held(new Part("p", 0), table, "", 1)),
+        var table = Rows.table(
+                List.of(Column.of("x", type)),
+                (values == null ? List.of("null") : List.of(values.split(" ")))
+                        .stream()
+                                .map(value -> Collections.singletonList(value.equals("null") ? null : value))
+                                .toList());
+        Rows.Answer answer = Rows.gather(
+                Plan.of(Merging.by().grouped(grouping)),
+                List.of(new Rows.Held(new Part("p", 0), table, "", 1)),
                 Allowance.of(1 << 20));
-        assertEquals(Collections.singletonList(expected), Rows.values(answer.rows().get(0)));
+        assertEquals(
+                Collections.singletonList(expected), Rows.values(answer.rows().get(0)));
     }
 
-    /** Sums and counts of parts make a mean; what is beyond its type is told, and so are quantiles of too many texts. */
+    /**
+     * Sums and counts of parts make a mean; what is beyond its type is told, and so are quantiles of too many texts.
+     */
     @Test
     void sumsOfPartsMakeAMeanAndOverflowsAreTold() {
-        Supplier<List<Column>> columns = () -> List.of(Column.of("s", 1700), Column.of("c", 20), Column.of("x", 700), Column.of("t", 25));
-        var rows = new ArrayList<List<String>>(List.of(List.of("10", "4", "3e38", "a"), List.of("2", "4", "3e38", "b")));
-        assertEquals(List.of("1.5000000000000000"), Rows.values(answer(Measure.mean("s", "c", "m"), columns.get(), rows).rows().get(0)));
+        Supplier<List<Column>> columns =
+                () -> List.of(Column.of("s", 1700), Column.of("c", 20), Column.of("x", 700), Column.of("t", 25));
+        var rows =
+                new ArrayList<List<String>>(List.of(List.of("10", "4", "3e38", "a"), List.of("2", "4", "3e38", "b")));
+        assertEquals(
+                List.of("1.5000000000000000"),
+                Rows.values(answer(Measure.mean("s", "c", "m"), columns.get(), rows)
+                        .rows()
+                        .get(0)));
         Rows.Answer beyond = answer(Measure.of(What.SUM, "x", "sum"), columns.get(), rows);
         assertEquals(Fault.Kind.OVERFLOW, beyond.verdict().fault().kind());
         assertEquals(Verdict.Outcome.FAILED, beyond.verdict().outcome());
@@ -186,14 +267,22 @@
         for (int i = 0; i < Quantile.EXACT; i++) {
             rows.add(List.of("1", "1", "1", "t" + i));
         }
-        assertEquals(Fault.Kind.FULL, answer(Measure.quantile("t", 0.5, "q"), columns.get(), rows).verdict().fault().kind());
-        Verdict sketched = answer(Measure.of(What.DISTINCT, "t", "d"), columns.get(), rows).verdict();
+        assertEquals(
+                Fault.Kind.FULL,
+                answer(Measure.quantile("t", 0.5, "q"), columns.get(), rows)
+                        .verdict()
+                        .fault()
+                        .kind());
+        Verdict sketched =
+                answer(Measure.of(What.DISTINCT, "t", "d"), columns.get(), rows).verdict();
         assertNull(sketched.fault());
         assertEquals(Distinct.ERROR, Objects.requireNonNull(sketched.errors().get("d")));
     }
 
     private static Rows.Answer answer(Measure measure, List<Column> columns, List<List<String>> rows) {
-        return Rows.gather(Plan.of(Merging.by().grouped(new Grouping(List.of(), List.of(measure)))),
-                List.of(new Rows.Held(new Part("p", 0), Rows.table(columns, rows), "", 1)), Allowance.of(1 << 20));
+        return Rows.gather(
+                Plan.of(Merging.by().grouped(new Grouping(List.of(), List.of(measure)))),
+                List.of(new Rows.Held(new Part("p", 0), Rows.table(columns, rows), "", 1)),
+                Allowance.of(1 << 20));
     }
 }
--- a/gather/src/test/java/clayhook/gather/MergePropertiesTest.java
+++ b/gather/src/test/java/clayhook/gather/MergePropertiesTest.java
@@ -29,14 +29,20 @@
     }
 
     @Property(tries = 1500, seed = "42")
-    void theAnswerIsThatOfThePlainWay(@ForAll long seed, @ForAll @IntRange(max = 5) int parts, @ForAll @IntRange(max = 25) int rows,
-            @ForAll boolean sorted, @ForAll @IntRange(max = 2) int copies, @ForAll boolean cut) {
+    void theAnswerIsThatOfThePlainWay(
+            @ForAll long seed,
+            @ForAll @IntRange(max = 5) int parts,
+            @ForAll @IntRange(max = 25) int rows,
+            @ForAll boolean sorted,
+            @ForAll @IntRange(max = 2) int copies,
+            @ForAll boolean cut) {
         Sample sample = new Sample(seed, parts, rows).arranged(sorted);
         Duplicates duplicates = copies == 0 ? null : sample.duplicates(copies == 1);
         Limit limit = cut ? Limit.rows(sample.random.nextInt(12)) : Limit.NONE;
         var merging = new Merging(sample.keys, sorted, duplicates, null, limit);
         Play play = new Play(seed, Plan.of(merging).within(TIGHT), Sample.COLUMNS, Play.texts(sample));
-        List<Line> lines = duplicates == null ? sample.all() : sample.distinct(duplicates, part -> play.positions[part]);
+        List<Line> lines =
+                duplicates == null ? sample.all() : sample.distinct(duplicates, part -> play.positions[part]);
         Verdict verdict = play.run();
         assertEquals(texts(first(limit.rows(), sample.sorted(lines))), play.rows);
         assertEquals(COMPLETE, verdict.outcome());
@@ -49,7 +55,8 @@
     void bytesCutAPrefix(@ForAll long seed, @ForAll @IntRange(max = 2000) int bytes) {
         Sample sample = new Sample(seed, 3, 10).arranged(true);
         Limit limit = new Limit(Long.MAX_VALUE, bytes, Long.MAX_VALUE);
-        Play play = new Play(seed, Plan.of(new Merging(sample.keys, true, null, null, limit)), Sample.COLUMNS, Play.texts(sample));
+        Play play = new Play(
+                seed, Plan.of(new Merging(sample.keys, true, null, null, limit)), Sample.COLUMNS, Play.texts(sample));
         Verdict verdict = play.run();
         List<List<String>> whole = texts(sample.sorted(sample.all()));
         long sum = 0;
@@ -58,16 +65,22 @@
             fit++;
         }
         assertEquals(first(fit, whole), play.rows);
-        assertEquals(fit < whole.size() ? Verdict.Cut.Where.BYTES : Verdict.Cut.Where.NONE, verdict.cut().where());
+        assertEquals(
+                fit < whole.size() ? Verdict.Cut.Where.BYTES : Verdict.Cut.Where.NONE,
+                verdict.cut().where());
     }
 
     /**
-     * Parts give their first rows only. An answer claimed exact is the first rows of the whole; and one that is not would be
-     * another if just one more row of a part named followed, alike to its last: both by brute force.
+     * Parts give their first rows only. An answer claimed exact is the first rows of the whole; and one that is not
+     * would be another if just one more row of a part named followed, alike to its last: both by brute force.
      */
     @Property(tries = 1500, seed = "42")
-    void exactMeansExact(@ForAll long seed, @ForAll @IntRange(min = 1, max = 4) int parts, @ForAll @IntRange(min = 1, max = 6) int depth,
-            @ForAll @IntRange(min = 1, max = 12) int most, @ForAll @IntRange(max = 2) int copies) {
+    void exactMeansExact(
+            @ForAll long seed,
+            @ForAll @IntRange(min = 1, max = 4) int parts,
+            @ForAll @IntRange(min = 1, max = 6) int depth,
+            @ForAll @IntRange(min = 1, max = 12) int most,
+            @ForAll @IntRange(max = 2) int copies) {
         Sample sample = new Sample(seed, parts, 10).arranged(true);
         Duplicates duplicates = copies == 0 ? null : sample.duplicates(copies == 1);
         Limit limit = Limit.rows(most).depth(depth);
@@ -80,13 +93,17 @@
         Play play = new Play(seed, Plan.of(merging).within(TIGHT), Sample.COLUMNS, given);
         Verdict verdict = play.run();
         if (verdict.cut().exact()) {
-            List<Line> whole = duplicates == null ? sample.all() : sample.distinct(duplicates, part -> play.positions[part]);
+            List<Line> whole =
+                    duplicates == null ? sample.all() : sample.distinct(duplicates, part -> play.positions[part]);
             assertEquals(texts(first(most, sample.sorted(whole))), play.rows);
         }
         assertEquals(verdict.cut().exact(), verdict.cut().deeper().isEmpty());
         assertEquals(verdict.cut().deeper(), verdict.parts(Standing.CUT));
         for (Part part : duplicates == null ? play.parts : List.<Part>of()) {
-            assertEquals(verdict.cut().deeper().contains(part), oneMoreShows(sample, part.number(), depth, most), part.name());
+            assertEquals(
+                    verdict.cut().deeper().contains(part),
+                    oneMoreShows(sample, part.number(), depth, most),
+                    part.name());
         }
     }
 
@@ -97,19 +114,27 @@
         var lines = new ArrayList<Line>();
         sample.parts.forEach(all -> lines.addAll(first(depth, all)));
         List<Line> before = first(most, sample.sorted(lines));
-        lines.add(new Line(part, depth + 1, sample.parts.get(part).get(depth - 1).values()));
+        lines.add(
+                new Line(part, depth + 1, sample.parts.get(part).get(depth - 1).values()));
         return !before.equals(first(most, sample.sorted(lines)));
     }
 
     /** Parts that fall silent, break, are asked again, are older; by each of the ways that are enough. */
     @Property(tries = 3000, seed = "42")
-    void oneAnswerInTimeWhateverHappens(@ForAll long seed, @ForAll @IntRange(min = 1, max = 5) int parts,
-            @ForAll @IntRange(max = 2) int enough, @ForAll boolean streams, @ForAll boolean marked, @ForAll boolean cut) {
+    void oneAnswerInTimeWhateverHappens(
+            @ForAll long seed,
+            @ForAll @IntRange(min = 1, max = 5) int parts,
+            @ForAll @IntRange(max = 2) int enough,
+            @ForAll boolean streams,
+            @ForAll boolean marked,
+            @ForAll boolean cut) {
         Sample sample = new Sample(seed, parts, 12).arranged(true);
         var random = new Random(seed);
         int quorum = 1 + random.nextInt(parts);
         Limit limit = cut ? Limit.rows(random.nextInt(9)) : Limit.NONE;
-        Plan plan = Plan.of(new Merging(sample.keys, streams, null, null, limit)).within(TIGHT).patience(1 + random.nextInt(9))
+        Plan plan = Plan.of(new Merging(sample.keys, streams, null, null, limit))
+                .within(TIGHT)
+                .patience(1 + random.nextInt(9))
                 .enough(enough == 0 ? new Enough.All() : enough == 1 ? new Enough.Quorum(quorum) : new Enough.Best())
                 .notOlder(random.nextBoolean() ? 1 : Double.NEGATIVE_INFINITY);
         Play play = new Play(seed, marked ? plan : plan.wholeOrError(), Sample.COLUMNS, Play.texts(sample));
@@ -124,11 +149,14 @@
         int needed = enough == 1 ? quorum : parts;
         if (verdict.outcome() == COMPLETE) {
             assertTrue(whole.size() >= needed && verdict.enough());
-            List<Line> used = sample.all().stream().filter(line -> whole.contains(play.parts.get(line.part()))).toList();
+            List<Line> used = sample.all().stream()
+                    .filter(line -> whole.contains(play.parts.get(line.part())))
+                    .toList();
             assertEquals(texts(first(limit.rows(), sample.sorted(used))), play.rows);
             assertFalse(verdict.position() < plan.oldest());
         } else {
-            assertTrue(whole.size() < needed || verdict.cut().where() == Verdict.Cut.Where.DEADLINE, verdict.toString());
+            assertTrue(
+                    whole.size() < needed || verdict.cut().where() == Verdict.Cut.Where.DEADLINE, verdict.toString());
         }
         if (!plays.contains(Play.Way.BREAKS_ONCE)) {
             assertEquals(parts, play.asks, "asked again without being told so");
--- a/gather/src/test/java/clayhook/gather/Play.java
+++ b/gather/src/test/java/clayhook/gather/Play.java
@@ -14,7 +14,12 @@
 /** Plays parts to a gather in an order of events drawn from a seed, and watches what it may never do. */
 final class Play implements Acts {
     /** What a part does: to its end, never beyond some row, broken off there for good or until asked again. */
-    enum Way { WHOLE, SILENT, BREAKS, BREAKS_ONCE }
+    enum Way {
+        WHOLE,
+        SILENT,
+        BREAKS,
+        BREAKS_ONCE
+    }
 
     static final double DEADLINE = 10;
     private static final long ALLOWANCE = 64 << 20;
@@ -41,7 +46,9 @@
     Play(long seed, Plan plan, List<Column> source, List<List<List<String>>> data) {
         random = new Random(seed);
         this.source = source;
-        this.data = data.stream().map(lines -> lines.stream().map(Rows::message).toList()).toList();
+        this.data = data.stream()
+                .map(lines -> lines.stream().map(Rows::message).toList())
+                .toList();
         positions = random.doubles(data.size(), 0, 3).map(Math::floor).toArray();
         credit = new int[data.size()];
         given = new int[data.size()];
@@ -50,24 +57,32 @@
             parts.add(new Part("p" + i, i));
             ways.add(Way.WHOLE);
         }
-        most = plan.bounds().heldBytes() + plan.bounds().bufferBytes() + 4L * data.size() * (plan.bounds().longestRow() + 512);
-        gather = new Gather(plan, parts, new Allowance() {
-            @Override
-            public boolean take(long bytes) {
-                left -= bytes;
-                assertTrue(ALLOWANCE - left <= most, "memory beyond the bound");
-                return true;
-            }
-
-            @Override
-            public void give(long bytes) {
-                left += bytes;
-            }
-        }, this);
+        most = plan.bounds().heldBytes()
+                + plan.bounds().bufferBytes()
+                + 4L * data.size() * (plan.bounds().longestRow() + 512);
+        gather = new Gather(
+                plan,
+                parts,
+                new Allowance() {
+                    @Override
+                    public boolean take(long bytes) {
+                        left -= bytes;
+                        assertTrue(ALLOWANCE - left <= most, "memory beyond the bound");
+                        return true;
+                    }
+
+                    @Override
+                    public void give(long bytes) {
+                        left += bytes;
+                    }
+                },
+                this);
     }
 
     static List<List<List<String>>> texts(Sample sample) {
-        return sample.parts.stream().map(lines -> lines.stream().map(Sample.Line::texts).toList()).toList();
+        return sample.parts.stream()
+                .map(lines -> lines.stream().map(Sample.Line::texts).toList())
+                .toList();
     }
 
     /** To the end, with time going on; returns the verdict. */
@@ -94,7 +109,9 @@
     }
 
     private boolean step() {
-        var able = parts.stream().filter(part -> running.contains(part) && able(part.number())).toList();
+        var able = parts.stream()
+                .filter(part -> running.contains(part) && able(part.number()))
+                .toList();
         if (able.isEmpty()) {
             return false;
         }
@@ -120,7 +137,8 @@
 
     private boolean able(int i) {
         boolean half = ways.get(i) != Way.WHOLE && given[i] >= data.get(i).size() / 2;
-        return !described[i] || (half ? ways.get(i) != Way.SILENT : given[i] == data.get(i).size() || credit[i] > 0);
+        return !described[i]
+                || (half ? ways.get(i) != Way.SILENT : given[i] == data.get(i).size() || credit[i] > 0);
     }
 
     /** News after the end change nothing. */
--- a/gather/src/test/java/clayhook/gather/Sample.java
+++ b/gather/src/test/java/clayhook/gather/Sample.java
@@ -17,8 +17,7 @@
 /** Parts with rows of all types drawn from a seed, and the plain way to an answer: lists, a sort, a map. */
 final class Sample {
     /** What a text means, and the text; {@code meant} is null for no value. */
-    record Value(Comparable<?> meant, String text) {
-    }
+    record Value(Comparable<?> meant, String text) {}
 
     /** A row and where it stands. */
     record Line(int part, int number, List<Value> values) {
@@ -27,8 +26,16 @@
         }
     }
 
-    static final List<Column> COLUMNS = List.of(Column.of("i", 23), Column.of("l", 20), Column.of("n", 1700), Column.of("d", 701),
-            Column.of("t", 25), Column.of("at", 1184), Column.of("b", 16), Column.of("fate", 25), Column.of("rest", 114));
+    static final List<Column> COLUMNS = List.of(
+            Column.of("i", 23),
+            Column.of("l", 20),
+            Column.of("n", 1700),
+            Column.of("d", 701),
+            Column.of("t", 25),
+            Column.of("at", 1184),
+            Column.of("b", 16),
+            Column.of("fate", 25),
+            Column.of("rest", 114));
     private static final int OPAQUE = 8;
     private static final List<Set<String>> LEVELS = List.of(Set.of("run", "not run"), Set.of("unknown", "?"));
     private static final List<String> FATES = List.of("run", "not run", "unknown", "?", "other");
@@ -39,7 +46,8 @@
 
     Sample(long seed, int parts, int rows) {
         random = new Random(seed);
-        List<String> names = new ArrayList<>(COLUMNS.subList(0, OPAQUE).stream().map(Column::name).toList());
+        List<String> names = new ArrayList<>(
+                COLUMNS.subList(0, OPAQUE).stream().map(Column::name).toList());
         Collections.shuffle(names, random);
         for (String name : names.subList(0, 1 + random.nextInt(3))) {
             keys.add(new Key(name, random.nextBoolean(), random.nextBoolean()));
@@ -72,12 +80,18 @@
             }
             case 2 -> random.nextInt(12) == 0 ? new Value(Decimal.NAN, "NaN") : decimal(small);
             case 3 -> {
-                double value = List.of(-1e300, -0.0, 0.0, 0.1, 3e-5, Double.NaN, Double.POSITIVE_INFINITY).get(random.nextInt(7));
+                double value = List.of(-1e300, -0.0, 0.0, 0.1, 3e-5, Double.NaN, Double.POSITIVE_INFINITY)
+                        .get(random.nextInt(7));
                 yield new Value(value + 0.0, Double.isInfinite(value) ? "Infinity" : "" + value);
             }
             case 4 -> {
-                String text = List.of("", "a", "a b", "B", "é", "\uD83D\uDE00", "\uFF5E").get(random.nextInt(7));
-                yield new Value(text.codePoints().mapToObj(c -> String.format("%08x", c)).reduce("", String::concat), text);
+                String text = List.of("", "a", "a b", "B", "é", "\uD83D\uDE00", "\uFF5E")
+                        .get(random.nextInt(7));
+                yield new Value(
+                        text.codePoints()
+                                .mapToObj(c -> String.format("%08x", c))
+                                .reduce("", String::concat),
+                        text);
             }
             case 5 -> time(small);
             case 6 -> new Value(small > 0, small > 0 ? "t" : "f");
@@ -90,7 +104,8 @@
     }
 
     private Value decimal(int small) {
-        BigDecimal value = BigDecimal.valueOf(small).movePointLeft(random.nextInt(2)).setScale(1 + random.nextInt(2));
+        BigDecimal value =
+                BigDecimal.valueOf(small).movePointLeft(random.nextInt(2)).setScale(1 + random.nextInt(2));
         return new Value(new Decimal(value), value.toPlainString());
     }
 
@@ -104,16 +119,20 @@
 
         @Override
         public int compareTo(Decimal other) {
-            return value == null || other.value == null ? Boolean.compare(value == null, other.value == null)
+            return value == null || other.value == null
+                    ? Boolean.compare(value == null, other.value == null)
                     : value.compareTo(other.value);
         }
     }
 
     private Value time(int hours) {
         int zone = random.nextInt(3) - 1;
-        return new Value((long) hours, OffsetDateTime.of(2026, 3, 1, 12, 0, 0, 250_000_000, ZoneOffset.UTC)
-                .plusHours(hours + zone).format(DateTimeFormatter.ofPattern("yyyy-MM-dd HH:mm:ss.SS"))
-                + (zone < 0 ? "-0" + -zone : "+0" + zone));
+        return new Value(
+                (long) hours,
+                OffsetDateTime.of(2026, 3, 1, 12, 0, 0, 250_000_000, ZoneOffset.UTC)
+                                .plusHours(hours + zone)
+                                .format(DateTimeFormatter.ofPattern("yyyy-MM-dd HH:mm:ss.SS"))
+                        + (zone < 0 ? "-0" + -zone : "+0" + zone));
     }
 
     static int column(String name) {
@@ -165,7 +184,9 @@
     }
 
     List<Line> sorted(List<Line> lines) {
-        return lines.stream().sorted(byKeys().thenComparingInt(Line::part).thenComparingInt(Line::number)).toList();
+        return lines.stream()
+                .sorted(byKeys().thenComparingInt(Line::part).thenComparingInt(Line::number))
+                .toList();
     }
 
     /** Lines by what those columns mean, in the order met. */
@@ -187,7 +208,9 @@
             for (Duplicates.Rule rule : duplicates.rules()) {
                 merit = merit.thenComparing(merit(rule, positions));
             }
-            List<Line> ranked = copies.stream().sorted(merit.thenComparingInt(Line::part).thenComparingInt(Line::number)).toList();
+            List<Line> ranked = copies.stream()
+                    .sorted(merit.thenComparingInt(Line::part).thenComparingInt(Line::number))
+                    .toList();
             var values = new ArrayList<>(ranked.get(0).values);
             for (Line line : duplicates.union() ? ranked : List.<Line>of()) {
                 for (int i = 0; i < values.size(); i++) {
@@ -195,8 +218,16 @@
                 }
             }
             int level = level(ranked.get(0));
-            boolean shows = !duplicates.rules().isEmpty() && duplicates.rules().get(0) instanceof Duplicates.Rule.Ranking;
-            if (shows && level < 2 && ranked.stream().filter(line -> level(line) == level).map(line -> line.values.get(7)).distinct().count() > 1) {
+            boolean shows =
+                    !duplicates.rules().isEmpty() && duplicates.rules().get(0) instanceof Duplicates.Rule.Ranking;
+            if (shows
+                    && level < 2
+                    && ranked.stream()
+                                    .filter(line -> level(line) == level)
+                                    .map(line -> line.values.get(7))
+                                    .distinct()
+                                    .count()
+                            > 1) {
                 values.set(7, new Value("conflict", "conflict"));
             }
             out.add(new Line(ranked.get(0).part, ranked.get(0).number, values));
@@ -206,7 +237,9 @@
 
     private static int level(Line line) {
         String fate = line.values.get(7).text;
-        return fate != null && LEVELS.get(0).contains(fate) ? 0 : fate != null && LEVELS.get(1).contains(fate) ? 1 : 2;
+        return fate != null && LEVELS.get(0).contains(fate)
+                ? 0
+                : fate != null && LEVELS.get(1).contains(fate) ? 1 : 2;
     }
 
     private static Comparator<Line> merit(Duplicates.Rule rule, Function<Integer, Double> positions) {
@@ -216,7 +249,8 @@
             return (a, b) -> {
                 Value left = a.values.get(column(newest.column()));
                 Value right = b.values.get(column(newest.column()));
-                return left.meant == null || right.meant == null ? Boolean.compare(left.meant == null, right.meant == null)
+                return left.meant == null || right.meant == null
+                        ? Boolean.compare(left.meant == null, right.meant == null)
                         : compare(right, left);
             };
         } else if (rule instanceof Duplicates.Rule.Position) {
@@ -227,7 +261,11 @@
 
     /** Some key and rules; a key that the order begins with where they are to be adjacent. */
     Duplicates duplicates(boolean adjacent) {
-        List<String> key = adjacent ? keys.subList(0, 1 + random.nextInt(keys.size())).stream().map(Key::column).toList() : List.of("i", "b");
+        List<String> key = adjacent
+                ? keys.subList(0, 1 + random.nextInt(keys.size())).stream()
+                        .map(Key::column)
+                        .toList()
+                : List.of("i", "b");
         var rules = new ArrayList<Duplicates.Rule>();
         if (random.nextBoolean()) {
             rules.add(new Duplicates.Rule.Ranking("fate", LEVELS, "conflict"));
--- a/lab/src/main/java/clayhook/lab/Comparison.java
+++ b/lab/src/main/java/clayhook/lab/Comparison.java
@@ -23,9 +23,7 @@
         }
     }
 
-    /**
-     * A mean and how far the true one may lie from it at 95% confidence; infinite where there is one figure only.
-     */
+    /** A mean and how far the true one may lie from it at 95% confidence; infinite where there is one figure only. */
     public record Interval(double mean, double reach) {
         /** Of figures that are drawn alike, or of differences between pairs. */
         public static Interval of(double... figures) {
@@ -38,14 +36,14 @@
                 squares += (figure - mean) * (figure - mean);
             }
             int n = figures.length;
-            double quantile = n < 2 ? Double.POSITIVE_INFINITY
+            double quantile = n < 2
+                    ? Double.POSITIVE_INFINITY
                     : TDistribution.of(n - 1).inverseCumulativeProbability((1 + CONFIDENCE) / 2);
             return new Interval(mean, n < 2 ? quantile : quantile * Math.sqrt(squares / (n - 1) / n));
         }
     }
 
-    private Comparison() {
-    }
+    private Comparison() {}
 
     /** {@code progress} hears of each run that begins. */
     public static List<Played> play(Experiment experiment, BiConsumer<String, Integer> progress) {
--- a/lab/src/main/java/clayhook/lab/Experiment.java
+++ b/lab/src/main/java/clayhook/lab/Experiment.java
@@ -30,8 +30,8 @@
  * @param goal for the planner
  * @param peers what routers that share are to each other
  */
-public record Experiment(List<Variant> variants, List<Failure> failures, double seconds, List<Integer> seeds, Goal goal,
-        Peers peers) {
+public record Experiment(
+        List<Variant> variants, List<Failure> failures, double seconds, List<Integer> seeds, Goal goal, Peers peers) {
     private static final double HOUR = 3600;
     private static final double MANY = 1e6;
 
@@ -41,8 +41,7 @@
      * @param service share of the benefit
      * @param inTime share of each command group that is answered within its target
      */
-    public record Goal(double service, double inTime) {
-    }
+    public record Goal(double service, double inTime) {}
 
     /**
      * How routers that share reach one another, and what befalls them.
@@ -51,8 +50,7 @@
      * @param loss the part of all packets that is lost at the best of times
      * @param play what to play with them instead of service, or null
      */
-    public record Peers(double way, double loss, FaultPlan faults, SharingPlay play) {
-    }
+    public record Peers(double way, double loss, FaultPlan faults, SharingPlay play) {}
 
     /** The same with these seeds. */
     public Experiment seeded(List<Integer> others) {
@@ -60,8 +58,7 @@
     }
 
     /** One fleet to play. */
-    public record Variant(String name, FleetSpec fleet) {
-    }
+    public record Variant(String name, FleetSpec fleet) {}
 
     /** Throws BadConfig naming file, line and key. */
     public static Experiment read(Path file) throws BadConfig {
@@ -104,17 +101,33 @@
             phases.add(new FleetSpec.Phase(phase.number("from", 0, 0, HOUR), phase.number("factor", 1, 0, MANY)));
         }
         var zones = new TreeSet<>(fleet.texts("zones"));
-        return new FleetSpec(fleet.whole("groups", 1, 1, 10_000), fleet.whole("replicas", 2, 0, 100),
-                fleet.whole("routers", 2, 1, 10_000), zones.isEmpty() ? List.of("a") : List.copyOf(zones),
-                new Machine(machine.whole("cores", 2, 1, 1024), machine.whole("queue", 100, 0, 1_000_000),
-                        machine.number("shipping", 0.02, 0, HOUR), machine.number("apply", 0.0005, 0, HOUR),
-                        machine.number("connecting", 0.005, 0, HOUR), machine.number("cold_share", 0.3, 0.001, 1),
+        return new FleetSpec(
+                fleet.whole("groups", 1, 1, 10_000),
+                fleet.whole("replicas", 2, 0, 100),
+                fleet.whole("routers", 2, 1, 10_000),
+                zones.isEmpty() ? List.of("a") : List.copyOf(zones),
+                new Machine(
+                        machine.whole("cores", 2, 1, 1024),
+                        machine.whole("queue", 100, 0, 1_000_000),
+                        machine.number("shipping", 0.02, 0, HOUR),
+                        machine.number("apply", 0.0005, 0, HOUR),
+                        machine.number("connecting", 0.005, 0, HOUR),
+                        machine.number("cold_share", 0.3, 0.001, 1),
                         machine.number("warm_after", 10, 0, HOUR)),
-                fleet.number("way", 0.0005, 0, 10), fleet.number("election", 3, 0, HOUR), fleet.number("list_delay", 0.5, 0, HOUR),
-                fleet.flag("reports", true), fleet.flag("replicas_check", false), commands,
-                load.number("rate", 100, 0, MANY), phases, load.whole("sessions", 0, 0, 1_000_000),
-                new FleetSpec.Contact(fleet.flag("sharing", false), fleet.flag("marks_carried", true),
-                        fleet.number("list_spread", 0, 0, HOUR), fleet.number("roam", 0, 0, HOUR)));
+                fleet.number("way", 0.0005, 0, 10),
+                fleet.number("election", 3, 0, HOUR),
+                fleet.number("list_delay", 0.5, 0, HOUR),
+                fleet.flag("reports", true),
+                fleet.flag("replicas_check", false),
+                commands,
+                load.number("rate", 100, 0, MANY),
+                phases,
+                load.whole("sessions", 0, 0, 1_000_000),
+                new FleetSpec.Contact(
+                        fleet.flag("sharing", false),
+                        fleet.flag("marks_carried", true),
+                        fleet.number("list_spread", 0, 0, HOUR),
+                        fleet.number("roam", 0, 0, HOUR)));
     }
 
     private static Peers peers(Toml toml) throws BadConfig {
@@ -127,13 +140,22 @@
             if (kind == Fault.Kind.CUT && whom.size() != 2) {
                 throw fault.fault("whom", "is no pair: from whom to whom nothing comes");
             }
-            faults.add(new Fault(fault.number("at", 0, 0, HOUR), kind, whom, fault.number("lasts", 1, 0, HOUR),
+            faults.add(new Fault(
+                    fault.number("at", 0, 0, HOUR),
+                    kind,
+                    whom,
+                    fault.number("lasts", 1, 0, HOUR),
                     fault.number("amount", 0, -HOUR, MANY)));
         }
-        SharingPlay play = peers.text("play", null) == null ? null
-                : new SharingPlay(one(peers, "play", SharingPlay.What.class, null), peers.whole("faults", 12, 0, 10_000),
-                        peers.number("settle", 30, 0, HOUR), peers.whole("entries", 100_000, 1, 1_000_000));
-        return new Peers(peers.number("way", 0.0005, 0, 10), peers.number("loss", 0, 0, 1), new FaultPlan(faults), play);
+        SharingPlay play = peers.text("play", null) == null
+                ? null
+                : new SharingPlay(
+                        one(peers, "play", SharingPlay.What.class, null),
+                        peers.whole("faults", 12, 0, 10_000),
+                        peers.number("settle", 30, 0, HOUR),
+                        peers.whole("entries", 100_000, 1, 1_000_000));
+        return new Peers(
+                peers.number("way", 0.0005, 0, 10), peers.number("loss", 0, 0, 1), new FaultPlan(faults), play);
     }
 
     private static FleetSpec.Kind command(Toml command) throws BadConfig {
@@ -144,30 +166,59 @@
             throw command.fault("effect", "a read is replayable");
         }
         double target = command.number("target", 0.25, 0.001, HOUR);
-        return new FleetSpec.Kind(new CommandGroup(command.needed("name"), effect, level, target,
-                command.number("timeout", 4 * target, target, HOUR), command.number("benefit", 1, 0, MANY),
-                command.number("late_share", 0, 0, 1), one(command, "scope", Scope.class, "group"),
-                command.number("window", 5, 0, HOUR), command.number("bound", 0.2, 0, HOUR)),
-                command.number("share", 1, 0, MANY), command.number("work", 0.005, 0.000001, HOUR),
+        return new FleetSpec.Kind(
+                new CommandGroup(
+                        command.needed("name"),
+                        effect,
+                        level,
+                        target,
+                        command.number("timeout", 4 * target, target, HOUR),
+                        command.number("benefit", 1, 0, MANY),
+                        command.number("late_share", 0, 0, 1),
+                        one(command, "scope", Scope.class, "group"),
+                        command.number("window", 5, 0, HOUR),
+                        command.number("bound", 0.2, 0, HOUR)),
+                command.number("share", 1, 0, MANY),
+                command.number("work", 0.005, 0.000001, HOUR),
                 command.number("spread", 0.5, 0, 5));
     }
 
     private static <T extends Enum<T>> T one(Toml toml, String key, Class<T> of, String absent) throws BadConfig {
-        Set<String> words = Arrays.stream(of.getEnumConstants()).map(one -> one.name().toLowerCase(Locale.ROOT))
+        Set<String> words = Arrays.stream(of.getEnumConstants())
+                .map(one -> one.name().toLowerCase(Locale.ROOT))
                 .collect(Collectors.toSet());
         return Enum.valueOf(of, toml.word(key, absent, words).toUpperCase(Locale.ROOT));
     }
 
     private static FleetSpec varied(FleetSpec base, Toml variant) throws BadConfig {
         Machine was = base.machine();
-        var machine = new Machine(variant.whole("cores", was.cores(), 1, 1024), variant.whole("queue", was.queue(), 0, 1_000_000),
-                was.shipping(), variant.number("apply", was.apply(), 0, HOUR), was.connecting(), was.coldShare(), was.warmAfter());
-        return new FleetSpec(variant.whole("groups", base.groups(), 1, 10_000), variant.whole("replicas", base.replicas(), 0, 100),
-                variant.whole("routers", base.routers(), 1, 10_000), base.zones(), machine, base.way(), base.election(),
-                base.listDelay(), base.reports(), base.replicasCheck(), base.commands(),
-                variant.number("rate", base.rate(), 0, MANY), base.phases(), base.sessions(),
-                new FleetSpec.Contact(variant.flag("sharing", base.contact().shares()),
-                        variant.flag("marks_carried", base.contact().marksCarried()), base.contact().listSpread(),
+        var machine = new Machine(
+                variant.whole("cores", was.cores(), 1, 1024),
+                variant.whole("queue", was.queue(), 0, 1_000_000),
+                was.shipping(),
+                variant.number("apply", was.apply(), 0, HOUR),
+                was.connecting(),
+                was.coldShare(),
+                was.warmAfter());
+        return new FleetSpec(
+                variant.whole("groups", base.groups(), 1, 10_000),
+                variant.whole("replicas", base.replicas(), 0, 100),
+                variant.whole("routers", base.routers(), 1, 10_000),
+                base.zones(),
+                machine,
+                base.way(),
+                base.election(),
+                base.listDelay(),
+                base.reports(),
+                base.replicasCheck(),
+                base.commands(),
+                variant.number("rate", base.rate(), 0, MANY),
+                base.phases(),
+                base.sessions(),
+                new FleetSpec.Contact(
+                        variant.flag("sharing", base.contact().shares()),
+                        variant.flag("marks_carried", base.contact().marksCarried()),
+                        base.contact().listSpread(),
                         base.contact().roam()));
     }
 
@@ -185,11 +236,18 @@
         failure.needed("kind");
         Failure.Kind kind = one(failure, "kind", Failure.Kind.class, null);
         boolean zone = kind == Failure.Kind.ZONE_LOSS;
-        if (zone ? !fleet.zones().contains(target) : !target.matches("[1-9][0-9]{0,4}(p|r[1-9][0-9]{0,2})")
-                || Integer.parseInt(target.replaceAll("[pr].*", "")) > fleet.groups()) {
-            throw failure.fault(failure.texts("targets").isEmpty() ? "target" : "targets", "there is no " + (zone ? "zone" : "node") + " '" + target + "'");
+        if (zone
+                ? !fleet.zones().contains(target)
+                : !target.matches("[1-9][0-9]{0,4}(p|r[1-9][0-9]{0,2})")
+                        || Integer.parseInt(target.replaceAll("[pr].*", "")) > fleet.groups()) {
+            throw failure.fault(
+                    failure.texts("targets").isEmpty() ? "target" : "targets",
+                    "there is no " + (zone ? "zone" : "node") + " '" + target + "'");
         }
-        double amount = kind == Failure.Kind.NEIGHBOUR ? failure.number("amount", 0.5, 0, 1) : failure.number("amount", 10, 0, MANY);
-        return new Failure(kind, target, failure.number("at", 0, 0, seconds), failure.number("lasts", 0, 0, HOUR), amount);
+        double amount = kind == Failure.Kind.NEIGHBOUR
+                ? failure.number("amount", 0.5, 0, 1)
+                : failure.number("amount", 10, 0, MANY);
+        return new Failure(
+                kind, target, failure.number("at", 0, 0, seconds), failure.number("lasts", 0, 0, HOUR), amount);
     }
 }
