--- a/lab/src/main/java/clayhook/lab/Report.java
+++ b/lab/src/main/java/clayhook/lab/Report.java
@@ -25,20 +25,28 @@
     private static final int WIDTH = 900, HEIGHT = 340;
     /** Nodes in a picture; more cannot be told apart. */
     private static final int MOST_NODES = 24;
+
     private static final double[] PERCENTILES = {50, 75, 90, 95, 99, 99.9};
 
-    private Report() {
-    }
+    private Report() {}
 
     public static String html(String title, Experiment experiment, List<Played> played) throws IOException {
-        var page = new StringBuilder("<!doctype html><html><head><meta charset=\"utf-8\"><title>").append(text(title))
-                .append("</title><style>body{font:15px sans-serif;max-width:60em;margin:2em auto}table{border-collapse:collapse}"
-                        + "td,th{padding:.2em .7em;text-align:right;border-bottom:1px solid #ccc}td:first-child,th:first-child"
-                        + "{text-align:left}img{max-width:100%}</style></head><body><h1>").append(text(title)).append("</h1>");
+        var page = new StringBuilder("<!doctype html><html><head><meta charset=\"utf-8\"><title>")
+                .append(text(title))
+                .append(
+                        "</title><style>body{font:15px sans-serif;max-width:60em;margin:2em auto}table{border-collapse:collapse}"
+                                + "td,th{padding:.2em .7em;text-align:right;border-bottom:1px solid #ccc}td:first-child,th:first-child"
+                                + "{text-align:left}img{max-width:100%}</style></head><body><h1>")
+                .append(text(title))
+                .append("</h1>");
         table(page, played);
         for (Failure failure : experiment.failures()) {
-            page.append(String.format(Locale.ROOT, "<p>%s of %s after %.0f s, for %.0f s</p>",
-                    failure.kind().name().toLowerCase(Locale.ROOT).replace('_', ' '), text(failure.target()), failure.at(),
+            page.append(String.format(
+                    Locale.ROOT,
+                    "<p>%s of %s after %.0f s, for %.0f s</p>",
+                    failure.kind().name().toLowerCase(Locale.ROOT).replace('_', ' '),
+                    text(failure.target()),
+                    failure.at(),
                     failure.lasts()));
         }
         picture(page, "Service by second of arrival, mean over seeds", service(played));
@@ -53,9 +61,19 @@
         page.append("<table><tr><th>variant<th>service<th>to the first, 95%<th>rules</tr>");
         for (Played one : played) {
             Interval gain = Comparison.gain(played.get(0), one);
-            String broken = one.runs().stream().map(Tally::firstBroken).filter(first -> first != null).findFirst().orElse("kept");
-            page.append(String.format(Locale.ROOT, "<tr><td>%s<td>%.4f<td>%s<td>%s</tr>", text(one.variant().name()), one.service(),
-                    one == played.get(0) ? "" : String.format(Locale.ROOT, "%+.4f &plusmn; %.4f", gain.mean(), gain.reach()),
+            String broken = one.runs().stream()
+                    .map(Tally::firstBroken)
+                    .filter(first -> first != null)
+                    .findFirst()
+                    .orElse("kept");
+            page.append(String.format(
+                    Locale.ROOT,
+                    "<tr><td>%s<td>%.4f<td>%s<td>%s</tr>",
+                    text(one.variant().name()),
+                    one.service(),
+                    one == played.get(0)
+                            ? ""
+                            : String.format(Locale.ROOT, "%+.4f &plusmn; %.4f", gain.mean(), gain.reach()),
                     text(broken)));
         }
         page.append("</table>");
@@ -67,7 +85,8 @@
         for (Played one : played) {
             var seconds = new TreeMap<Integer, Double>();
             one.runs().forEach(run -> run.serviceBySecond()
-                    .forEach((second, share) -> seconds.merge(second, share / one.runs().size(), Double::sum)));
+                    .forEach((second, share) ->
+                            seconds.merge(second, share / one.runs().size(), Double::sum)));
             chart.addSeries(one.variant().name(), new ArrayList<>(seconds.keySet()), new ArrayList<>(seconds.values()))
                     .setMarker(SeriesMarkers.NONE);
         }
@@ -80,8 +99,11 @@
             double[] ms = new double[PERCENTILES.length];
             for (int i = 0; i < ms.length; i++) {
                 double percentile = PERCENTILES[i];
-                ms[i] = mean(one, run -> run.groups().get(group) == null ? 0
-                        : run.groups().get(group).times.getValueAtPercentile(percentile) / 1e3);
+                ms[i] = mean(
+                        one,
+                        run -> run.groups().get(group) == null
+                                ? 0
+                                : run.groups().get(group).times.getValueAtPercentile(percentile) / 1e3);
             }
             chart.addSeries(one.variant().name(), PERCENTILES, ms).setMarker(SeriesMarkers.CIRCLE);
         }
@@ -93,24 +115,45 @@
     }
 
     private static XYChart chart(String x, String y) {
-        return new XYChartBuilder().width(WIDTH).height(HEIGHT).xAxisTitle(x).yAxisTitle(y).build();
+        return new XYChartBuilder()
+                .width(WIDTH)
+                .height(HEIGHT)
+                .xAxisTitle(x)
+                .yAxisTitle(y)
+                .build();
     }
 
     private static CategoryChart busy(List<Played> played) {
-        CategoryChart chart = new CategoryChartBuilder().width(WIDTH).height(HEIGHT).xAxisTitle("node").yAxisTitle("part").build();
+        CategoryChart chart = new CategoryChartBuilder()
+                .width(WIDTH)
+                .height(HEIGHT)
+                .xAxisTitle("node")
+                .yAxisTitle("part")
+                .build();
         // Pictures need the same nodes in each: those of the first variant.
-        List<String> nodes = played.get(0).runs().get(0).busy().keySet().stream().limit(MOST_NODES).toList();
+        List<String> nodes = played.get(0).runs().get(0).busy().keySet().stream()
+                .limit(MOST_NODES)
+                .toList();
         for (Played one : played) {
-            chart.addSeries(one.variant().name(), nodes,
-                    nodes.stream().map(node -> mean(one, run -> run.busy().getOrDefault(node, 0.0))).toList());
+            chart.addSeries(
+                    one.variant().name(),
+                    nodes,
+                    nodes.stream()
+                            .map(node -> mean(one, run -> run.busy().getOrDefault(node, 0.0)))
+                            .toList());
         }
         return chart;
     }
 
     private static void picture(StringBuilder page, String title, Chart<?, ?> chart) throws IOException {
         byte[] png = BitmapEncoder.getBitmapBytes(chart, BitmapEncoder.BitmapFormat.PNG);
-        page.append("<h2>").append(text(title)).append("</h2><img alt=\"").append(text(title)).append("\" src=\"data:image/png;base64,")
-                .append(Base64.getEncoder().encodeToString(png)).append("\">");
+        page.append("<h2>")
+                .append(text(title))
+                .append("</h2><img alt=\"")
+                .append(text(title))
+                .append("\" src=\"data:image/png;base64,")
+                .append(Base64.getEncoder().encodeToString(png))
+                .append("\">");
     }
 
     private static String text(String text) {
--- a/lab/src/main/java/clayhook/lab/SharingPlays.java
+++ b/lab/src/main/java/clayhook/lab/SharingPlays.java
@@ -10,8 +10,7 @@
 
 /** Plays what a file asks of routers that share, beside service. */
 public final class SharingPlays {
-    private SharingPlays() {
-    }
+    private SharingPlays() {}
 
     /** Tells what came of it; returns whether all that must hold did. */
     public static boolean play(Experiment experiment, PrintStream out) {
@@ -26,7 +25,8 @@
             case CATCH_UP -> figures.catchUp(play.entries());
             default -> {
                 var spec = new Trial.Spec(company, experiment.seconds(), play.settle(), fleet.rate());
-                SharingSweep.Result result = new SharingSweep(spec, Trial.KINDS, peers.faults(), play.faults()).play(experiment.seeds());
+                SharingSweep.Result result =
+                        new SharingSweep(spec, Trial.KINDS, peers.faults(), play.faults()).play(experiment.seeds());
                 result.found().forEach(out::println);
                 out.println(result);
                 return result.failed() == 0;
--- a/lab/src/main/java/clayhook/lab/model/Arrivals.java
+++ b/lab/src/main/java/clayhook/lab/model/Arrivals.java
@@ -13,8 +13,7 @@
     private final ZigguratSampler.Exponential exponential;
 
     /** One command; {@code session} is below 0 for none, {@code work} seconds of a core. */
-    record Ask(FleetSpec.Kind kind, int group, int session, double work) {
-    }
+    record Ask(FleetSpec.Kind kind, int group, int session, double work) {}
 
     Arrivals(FleetSpec spec, long seed) {
         this.spec = spec;
@@ -42,7 +41,8 @@
         int group = 1 + random.nextInt(spec.groups());
         int session = spec.sessions() == 0 ? -1 : random.nextInt(spec.sessions());
         // A mean of the logarithm such that the mean of the work itself is as given.
-        double work = kind.spread() == 0 ? kind.work()
+        double work = kind.spread() == 0
+                ? kind.work()
                 : kind.work() * Math.exp(kind.spread() * normal.sample() - kind.spread() * kind.spread() / 2);
         return new Ask(kind, group, session, work);
     }
--- a/lab/src/main/java/clayhook/lab/model/Audit.java
+++ b/lab/src/main/java/clayhook/lab/model/Audit.java
@@ -10,12 +10,18 @@
 import java.util.Map;
 
 /**
- * The five rules, from the record of clients and nodes alone. It keeps what is open and, of what has ended, only as long
- * as another run could still break a rule: twice the client timeout or repeat window.
+ * The five rules, from the record of clients and nodes alone. It keeps what is open and, of what has ended, only as
+ * long as another run could still break a rule: twice the client timeout or repeat window.
  */
 public final class Audit {
     /** What a router must keep, as the platform's pages number it. */
-    public enum RuleKept { ONE_ANSWER, NO_DOUBLE_EFFECT, DRAINS, COLD_NODES, NO_STALE_READ }
+    public enum RuleKept {
+        ONE_ANSWER,
+        NO_DOUBLE_EFFECT,
+        DRAINS,
+        COLD_NODES,
+        NO_STALE_READ
+    }
 
     /** Seconds after its client timeout in which a final answer still counts as one. */
     private static final double SLACK = 0.02;
@@ -28,6 +34,7 @@
         boolean excused;
         /** Where and when it ran first; null while it did not. */
         Node ranAt;
+
         double ranWhen;
 
         Entry(CommandGroup group, double expires) {
@@ -83,11 +90,16 @@
         if (entry == null || ++entry.answers > 1) {
             broke(RuleKept.ONE_ANSWER, "answered twice", now);
         } else if (now > entry.expires + SLACK && !entry.excused) {
-            broke(RuleKept.ONE_ANSWER, "answered " + Math.round(1000 * (now - entry.expires)) + " ms after its time", now);
+            broke(
+                    RuleKept.ONE_ANSWER,
+                    "answered " + Math.round(1000 * (now - entry.expires)) + " ms after its time",
+                    now);
         }
     }
 
-    /** Its router was killed or stopped while it had that command: nobody could have answered. What it did still counts. */
+    /**
+     * Its router was killed or stopped while it had that command: nobody could have answered. What it did still counts.
+     */
     public void excused(Object command) {
         Entry entry = entries.get(command);
         if (entry != null) {
@@ -103,7 +115,10 @@
         }
     }
 
-    /** A node ran a command; {@code needed} is the position that a read must cover, {@code position} where the node stood. */
+    /**
+     * A node ran a command; {@code needed} is the position that a read must cover, {@code position} where the node
+     * stood.
+     */
     public void ran(Object command, Node node, double position, double needed, double now) {
         Entry entry = entries.get(command);
         if (entry == null) {
@@ -111,11 +126,17 @@
         }
         boolean writes = entry.group.level() == ReadLevel.WRITE;
         if (!writes && position < needed - 1e-6) {
-            broke(RuleKept.NO_STALE_READ, entry.group.name() + " at " + node.id() + " was "
-                    + Math.round(1000 * (needed - position)) + " ms behind", now);
+            broke(
+                    RuleKept.NO_STALE_READ,
+                    entry.group.name() + " at " + node.id() + " was " + Math.round(1000 * (needed - position))
+                            + " ms behind",
+                    now);
         }
         if (entry.ranAt != null && entry.group.effect() != Effect.REPLAYABLE && !dropped(entry, node, now)) {
-            broke(RuleKept.NO_DOUBLE_EFFECT, entry.group.name() + " ran at " + entry.ranAt.id() + " and at " + node.id(), now);
+            broke(
+                    RuleKept.NO_DOUBLE_EFFECT,
+                    entry.group.name() + " ran at " + entry.ranAt.id() + " and at " + node.id(),
+                    now);
         }
         entry.ranAt = entry.ranAt == null ? node : entry.ranAt;
         entry.ranWhen = entry.ranWhen == 0 ? now : entry.ranWhen;
@@ -124,15 +145,20 @@
     /** Nodes drop a repeat of a keyed command within its scope and window. */
     private static boolean dropped(Entry entry, Node node, double now) {
         Scope scope = entry.group.repeatScope();
-        boolean within = scope == Scope.ALL || (scope == Scope.GROUP ? entry.ranAt.group() == node.group()
-                : entry.ranAt.zone().equals(node.zone()));
+        boolean within = scope == Scope.ALL
+                || (scope == Scope.GROUP
+                        ? entry.ranAt.group() == node.group()
+                        : entry.ranAt.zone().equals(node.zone()));
         return entry.group.effect() == Effect.KEYED && within && now <= entry.ranWhen + entry.group.repeatWindow();
     }
 
     /** A router sent something to a node that it knows to drain since then. */
     public void sentToDraining(Node node, double toldAt, double now) {
         if (now > toldAt + grace) {
-            broke(RuleKept.DRAINS, "sent to " + node.id() + " " + Math.round(1000 * (now - toldAt)) + " ms after it was told", now);
+            broke(
+                    RuleKept.DRAINS,
+                    "sent to " + node.id() + " " + Math.round(1000 * (now - toldAt)) + " ms after it was told",
+                    now);
         }
     }
 
@@ -167,8 +193,8 @@
 
     /** Nothing comes any more: what is past its time must have been answered. */
     public void end(double now) {
-        entries.values().stream().filter(entry -> entry.answers == 0 && !entry.excused
-                && now > entry.expires + SLACK)
+        entries.values().stream()
+                .filter(entry -> entry.answers == 0 && !entry.excused && now > entry.expires + SLACK)
                 .forEach(entry -> broke(RuleKept.ONE_ANSWER, entry.group.name() + " was never answered", now));
     }
 }
--- a/lab/src/main/java/clayhook/lab/model/Cores.java
+++ b/lab/src/main/java/clayhook/lab/model/Cores.java
@@ -11,6 +11,7 @@
     private final int limit;
     /** Bounded by the limit of the queue. */
     private final ArrayDeque<Job> queue = new ArrayDeque<>();
+
     private final List<Job> running = new ArrayList<>();
     private double speed = 1;
     /** Seconds of a core that were worked, and when that was reckoned. */
--- a/lab/src/main/java/clayhook/lab/model/Failure.java
+++ b/lab/src/main/java/clayhook/lab/model/Failure.java
@@ -7,5 +7,14 @@
  * @param amount the part of the machine that a neighbour takes, or how many times longer applying takes
  */
 public record Failure(Kind kind, String target, double at, double lasts, double amount) {
-    public enum Kind { CRASH, HANG, PAUSE, NEIGHBOUR, SLOW_LOG, STALL_LOG, DRAIN, ZONE_LOSS }
+    public enum Kind {
+        CRASH,
+        HANG,
+        PAUSE,
+        NEIGHBOUR,
+        SLOW_LOG,
+        STALL_LOG,
+        DRAIN,
+        ZONE_LOSS
+    }
 }
--- a/lab/src/main/java/clayhook/lab/model/Fleet.java
+++ b/lab/src/main/java/clayhook/lab/model/Fleet.java
@@ -13,7 +13,9 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 
-/** A whole deployment in virtual time: nodes, routers, clients and what befalls them. The same seed gives the same run. */
+/**
+ * A whole deployment in virtual time: nodes, routers, clients and what befalls them. The same seed gives the same run.
+ */
 public final class Fleet {
     /** Any time that a clock would tell; far from zero, which stands for never. */
     private static final double START = 1_000_000;
@@ -21,6 +23,7 @@
     private static final double CONNECT_TIMEOUT = 0.25;
     /** Seconds after a drain is told in which a node may be sent something. */
     private static final double GRACE = 0.25;
+
     private static final double OVERLOAD = 3, OVERLOAD_FOR = 3;
 
     private final FleetSpec spec;
@@ -34,25 +37,33 @@
     private final double[] wrote;
     /** When that was answered, and by whom. */
     private final double[] wroteWhen;
+
     private final RouterModel[] wroteBy;
     private int nextRouter;
     private long commands;
     /** What the list says by now, a row a node. */
     private final Map<NodeModel, News> published = new LinkedHashMap<>();
+
     private long revision;
     private final SplittableRandom spread;
 
-    private record News(Listing entry, long revision) {
-    }
+    private record News(Listing entry, long revision) {}
 
     private static final class Asked extends Command {
         final Arrivals.Ask ask;
         /** The position of what its session had written when it was asked; 0 where it need not see that. */
         final double written;
+
         final String mark;
 
         Asked(Arrivals.Ask ask, double written, double wroteAt, double now, long number) {
-            super(ask.kind().group(), ask.group(), session(ask), wroteAt, now, now + ask.kind().group().clientTimeout());
+            super(
+                    ask.kind().group(),
+                    ask.group(),
+                    session(ask),
+                    wroteAt,
+                    now,
+                    now + ask.kind().group().clientTimeout());
             this.ask = ask;
             this.written = written;
             this.mark = "c" + number;
@@ -76,11 +87,29 @@
         wroteWhen = new double[spec.sessions()];
         wroteBy = new RouterModel[spec.sessions()];
         world = new World(spec, timeline, this::died, this::listChanged);
-        List<CommandGroup> asked = spec.commands().stream().map(FleetSpec.Kind::group).toList();
+        List<CommandGroup> asked =
+                spec.commands().stream().map(FleetSpec.Kind::group).toList();
         for (int r = 0; r < spec.routers(); r++) {
-            var settings = new Settings(spec.routers(), spec.zones().get(r % spec.zones().size()), asked, false, true,
-                    spec.replicasCheck(), marksReachRouters(), true, true, true, true, 1, 5, spec.machine().coldShare(),
-                    spec.machine().warmAfter(), OVERLOAD, OVERLOAD_FOR, 1, 15);
+            var settings = new Settings(
+                    spec.routers(),
+                    spec.zones().get(r % spec.zones().size()),
+                    asked,
+                    false,
+                    true,
+                    spec.replicasCheck(),
+                    marksReachRouters(),
+                    true,
+                    true,
+                    true,
+                    true,
+                    1,
+                    5,
+                    spec.machine().coldShare(),
+                    spec.machine().warmAfter(),
+                    OVERLOAD,
+                    OVERLOAD_FOR,
+                    1,
+                    15);
             routers.add(new RouterModel(timeline, this, settings, seed * 31 + r, this::answered));
         }
         List<Peers> peers = sharing.among(timeline, routers, seed);
@@ -102,10 +131,16 @@
     public Tally run(double seconds) {
         stopAt = START + seconds;
         timeline.run(stopAt);
-        double longest = spec.commands().stream().mapToDouble(kind -> kind.group().clientTimeout()).max().orElse(0);
+        double longest = spec.commands().stream()
+                .mapToDouble(kind -> kind.group().clientTimeout())
+                .max()
+                .orElse(0);
         timeline.run(stopAt + longest + 1);
         audit.end(timeline.now());
-        world.nodes().forEach(node -> tally.worked(node.node.id(), node.cores.worked() / (seconds * spec.machine().cores())));
+        world.nodes()
+                .forEach(node -> tally.worked(
+                        node.node.id(),
+                        node.cores.worked() / (seconds * spec.machine().cores())));
         tally.ended(audit.broken(), audit.first(), timeline.made());
         return tally;
     }
@@ -139,7 +174,8 @@
     /** Sessions go from router to router, but not right after a write. */
     private RouterModel routerFor(int session) {
         RouterModel next = routers.get(nextRouter++ % routers.size());
-        boolean stays = session >= 0 && timeline.now() < wroteWhen[session] + spec.contact().roam();
+        boolean stays = session >= 0
+                && timeline.now() < wroteWhen[session] + spec.contact().roam();
         return stays ? wroteBy[session] : next;
     }
 
@@ -229,8 +265,10 @@
 
     /** A router hears the list: all that it has not heard, as it is by now. */
     private void tell(RouterModel router) {
-        List<Listing> entries = published.values().stream().filter(news -> news.revision() > router.revision())
-                .map(News::entry).toList();
+        List<Listing> entries = published.values().stream()
+                .filter(news -> news.revision() > router.revision())
+                .map(News::entry)
+                .toList();
         if (!entries.isEmpty()) {
             router.listed(entries, false, revision);
         }
--- a/lab/src/main/java/clayhook/lab/model/FleetSpec.java
+++ b/lab/src/main/java/clayhook/lab/model/FleetSpec.java
@@ -18,9 +18,22 @@
  * @param sessions that read what they wrote; 0 for none
  * @param contact how routers come to know what others do
  */
-public record FleetSpec(int groups, int replicas, int routers, List<String> zones, Machine machine, double way,
-        double election, double listDelay, boolean reports, boolean replicasCheck, List<Kind> commands, double rate,
-        List<Phase> phases, int sessions, Contact contact) {
+public record FleetSpec(
+        int groups,
+        int replicas,
+        int routers,
+        List<String> zones,
+        Machine machine,
+        double way,
+        double election,
+        double listDelay,
+        boolean reports,
+        boolean replicasCheck,
+        List<Kind> commands,
+        double rate,
+        List<Phase> phases,
+        int sessions,
+        Contact contact) {
 
     /**
      * How routers come to know what others do.
@@ -36,11 +49,37 @@
     }
 
     /** Of routers that share nothing and are told at once. */
-    public FleetSpec(int groups, int replicas, int routers, List<String> zones, Machine machine, double way, double election,
-            double listDelay, boolean reports, boolean replicasCheck, List<Kind> commands, double rate, List<Phase> phases,
+    public FleetSpec(
+            int groups,
+            int replicas,
+            int routers,
+            List<String> zones,
+            Machine machine,
+            double way,
+            double election,
+            double listDelay,
+            boolean reports,
+            boolean replicasCheck,
+            List<Kind> commands,
+            double rate,
+            List<Phase> phases,
             int sessions) {
-        this(groups, replicas, routers, zones, machine, way, election, listDelay, reports, replicasCheck, commands, rate, phases,
-                sessions, Contact.NONE);
+        this(
+                groups,
+                replicas,
+                routers,
+                zones,
+                machine,
+                way,
+                election,
+                listDelay,
+                reports,
+                replicasCheck,
+                commands,
+                rate,
+                phases,
+                sessions,
+                Contact.NONE);
     }
 
     /**
@@ -50,33 +89,75 @@
      * @param work seconds of a core, on average
      * @param spread of the work: the sigma of its logarithm; 0 for always the same
      */
-    public record Kind(CommandGroup group, double share, double work, double spread) {
-    }
+    public record Kind(CommandGroup group, double share, double work, double spread) {}
 
     /** From then on, in seconds from the start, the rate is that multiple. */
-    public record Phase(double from, double factor) {
-    }
+    public record Phase(double from, double factor) {}
 
     /** The same with a load that many times as high. */
     public FleetSpec loaded(double factor) {
-        return new FleetSpec(groups, replicas, routers, zones, machine, way, election, listDelay, reports, replicasCheck, commands,
-                rate * factor, phases, sessions, contact);
+        return new FleetSpec(
+                groups,
+                replicas,
+                routers,
+                zones,
+                machine,
+                way,
+                election,
+                listDelay,
+                reports,
+                replicasCheck,
+                commands,
+                rate * factor,
+                phases,
+                sessions,
+                contact);
     }
 
     public FleetSpec with(Machine other) {
-        return new FleetSpec(groups, replicas, routers, zones, other, way, election, listDelay, reports, replicasCheck, commands,
-                rate, phases, sessions, contact);
+        return new FleetSpec(
+                groups,
+                replicas,
+                routers,
+                zones,
+                other,
+                way,
+                election,
+                listDelay,
+                reports,
+                replicasCheck,
+                commands,
+                rate,
+                phases,
+                sessions,
+                contact);
     }
 
     public FleetSpec withReplicas(int count) {
-        return new FleetSpec(groups, count, routers, zones, machine, way, election, listDelay, reports, replicasCheck, commands,
-                rate, phases, sessions, contact);
+        return new FleetSpec(
+                groups,
+                count,
+                routers,
+                zones,
+                machine,
+                way,
+                election,
+                listDelay,
+                reports,
+                replicasCheck,
+                commands,
+                rate,
+                phases,
+                sessions,
+                contact);
     }
 
     /** The highest rate of any phase. */
     public double peak() {
-        return rate * Math.max(phases.stream().anyMatch(phase -> phase.from() == 0) ? 0 : 1,
-                phases.stream().mapToDouble(Phase::factor).max().orElse(1));
+        return rate
+                * Math.max(
+                        phases.stream().anyMatch(phase -> phase.from() == 0) ? 0 : 1,
+                        phases.stream().mapToDouble(Phase::factor).max().orElse(1));
     }
 
     double rateAt(double since) {
--- a/lab/src/main/java/clayhook/lab/model/GroupModel.java
+++ b/lab/src/main/java/clayhook/lab/model/GroupModel.java
@@ -23,7 +23,10 @@
 
     /** Null while there is none. */
     NodeModel primary() {
-        return nodes.stream().filter(node -> node.up() && node.role == Role.PRIMARY).findFirst().orElse(null);
+        return nodes.stream()
+                .filter(node -> node.up() && node.role == Role.PRIMARY)
+                .findFirst()
+                .orElse(null);
     }
 
     /** A write has run at its primary; returns its position. */
@@ -38,8 +41,10 @@
         if (primary() == null) {
             timeline.in(election, () -> {
                 if (primary() == null) {
-                    nodes.stream().filter(node -> node.up() && !node.silent())
-                            .max(Comparator.comparingDouble(NodeModel::position)).ifPresent(node -> node.role = Role.PRIMARY);
+                    nodes.stream()
+                            .filter(node -> node.up() && !node.silent())
+                            .max(Comparator.comparingDouble(NodeModel::position))
+                            .ifPresent(node -> node.role = Role.PRIMARY);
                 }
             });
         }
--- a/lab/src/main/java/clayhook/lab/model/Job.java
+++ b/lab/src/main/java/clayhook/lab/model/Job.java
@@ -6,6 +6,7 @@
 final class Job {
     /** Seconds of one core at full speed that are left. */
     double work;
+
     final double arrived;
     /** Hears that it is done; is told nothing where it was dropped. */
     final Consumer<Job> done;
@@ -13,6 +14,7 @@
     double reckonedAt;
     /** Its end as it is planned now; an older plan is void. */
     int plan;
+
     boolean running;
 
     Job(double work, double arrived, Consumer<Job> done) {
--- a/lab/src/main/java/clayhook/lab/model/Loopback.java
+++ b/lab/src/main/java/clayhook/lab/model/Loopback.java
@@ -45,6 +45,7 @@
     private static final int MOST_CONNECTIONS = 256;
     /** Seconds in which routers look at their nodes before the load begins. */
     private static final double WARMING = 1;
+
     private static final double CONNECT_TIMEOUT = 0.25;
     private static final double GRACE = 0.25, OVERLOAD = 3, OVERLOAD_FOR = 3;
 
@@ -86,7 +87,7 @@
 
     /** Plays so many seconds; null if the loop ran too late for a verdict. */
     public Tally run(List<Failure> failures, double seconds) throws InterruptedException {
-        return run(failures, seconds, so -> { });
+        return run(failures, seconds, so -> {});
     }
 
     /** The same; {@code watcher} is shown the figures so far each second, on the run's own loop. */
@@ -103,11 +104,17 @@
                 for (int second = 1; second <= seconds; second++) {
                     time.at(start + second, () -> watcher.accept(tally));
                 }
-                double longest = spec.commands().stream().mapToDouble(kind -> kind.group().clientTimeout()).max().orElse(0);
+                double longest = spec.commands().stream()
+                        .mapToDouble(kind -> kind.group().clientTimeout())
+                        .max()
+                        .orElse(0);
                 time.at(start + seconds + longest + 1, () -> {
                     audit.end(time.now());
-                    world.nodes().forEach(node -> tally.worked(node.node.id(),
-                            node.cores.worked() / (seconds * spec.machine().cores())));
+                    world.nodes()
+                            .forEach(node -> tally.worked(
+                                    node.node.id(),
+                                    node.cores.worked()
+                                            / (seconds * spec.machine().cores())));
                     tally.ended(audit.broken(), audit.first(), nextId);
                     ended.countDown();
                 });
@@ -130,15 +137,48 @@
         for (NodeModel node : world.nodes()) {
             sockets.add(new SocketNode(node));
         }
-        var discovery = new StandInDiscovery(transport, transport.spare(0), 
-                call -> call.contains("after=" + listVersion + "&") || call.endsWith("after=" + listVersion + " HTTP/1.1") ? null : list());
-        List<CommandGroup> groups = spec.commands().stream().map(FleetSpec.Kind::group).toList();
+        var discovery = new StandInDiscovery(
+                transport,
+                transport.spare(0),
+                call -> call.contains("after=" + listVersion + "&")
+                                || call.endsWith("after=" + listVersion + " HTTP/1.1")
+                        ? null
+                        : list());
+        List<CommandGroup> groups =
+                spec.commands().stream().map(FleetSpec.Kind::group).toList();
         for (int r = 0; r < spec.routers(); r++) {
-            var settings = new Settings(spec.routers(), spec.zones().get(r % spec.zones().size()), groups, true, true,
-                    spec.replicasCheck(), true, true, true, true, true, 1, 5, spec.machine().coldShare(),
-                    spec.machine().warmAfter(), OVERLOAD, OVERLOAD_FOR, 1, 15);
-            var server = new Server(Transport.tcp(), new Configuration("lab", transport.spare(0), discovery.address(), r + 1,
-                    1 << 28, 2 * MOST_CONNECTIONS + 64, NodeList.parse(list()), settings, CONNECT_TIMEOUT));
+            var settings = new Settings(
+                    spec.routers(),
+                    spec.zones().get(r % spec.zones().size()),
+                    groups,
+                    true,
+                    true,
+                    spec.replicasCheck(),
+                    true,
+                    true,
+                    true,
+                    true,
+                    true,
+                    1,
+                    5,
+                    spec.machine().coldShare(),
+                    spec.machine().warmAfter(),
+                    OVERLOAD,
+                    OVERLOAD_FOR,
+                    1,
+                    15);
+            var server = new Server(
+                    Transport.tcp(),
+                    new Configuration(
+                            "lab",
+                            transport.spare(0),
+                            discovery.address(),
+                            r + 1,
+                            1 << 28,
+                            2 * MOST_CONNECTIONS + 64,
+                            NodeList.parse(list()),
+                            settings,
+                            CONNECT_TIMEOUT));
             servers.add(server);
             clients.add(new Clients(server.address()));
         }
@@ -148,9 +188,13 @@
         var entries = new ArrayList<String>();
         for (int i = 0; i < sockets.size(); i++) {
             Listing listing = world.listings().get(i);
-            entries.add("{\"uid\":\"" + listing.node().id() + "\",\"endpoint\":\"127.0.0.1:" + sockets.get(i).port() + "\",\"az\":\""
-                    + listing.node().zone() + "\",\"pod_group\":" + listing.node().group() + ",\"state\":\""
-                    + (listing.state() == Listing.State.DRAINING ? "draining" : "up") + "\",\"role\":\"" + (listing.primary() ? "primary" : "replica") + "\",\"boot_ms\":" + (long) (listing.startedAt() * 1000) + "}");
+            entries.add("{\"uid\":\"" + listing.node().id() + "\",\"endpoint\":\"127.0.0.1:"
+                    + sockets.get(i).port() + "\",\"az\":\""
+                    + listing.node().zone() + "\",\"pod_group\":"
+                    + listing.node().group() + ",\"state\":\""
+                    + (listing.state() == Listing.State.DRAINING ? "draining" : "up") + "\",\"role\":\""
+                    + (listing.primary() ? "primary" : "replica") + "\",\"boot_ms\":"
+                    + (long) (listing.startedAt() * 1000) + "}");
         }
         return "{\"rev\":" + listVersion + ",\"all\":true,\"targets\":[" + String.join(",", entries) + "]}";
     }
@@ -208,8 +252,11 @@
             } else if (connection == null) {
                 connections++;
                 var opened = new Connection(this, asked);
-                transport.connect(router, CONNECT_TIMEOUT, () -> new ChannelHandler[] {
-                    new NodeDecoder(new Allowance(Long.MAX_VALUE)), opened}, opened::lost);
+                transport.connect(
+                        router,
+                        CONNECT_TIMEOUT,
+                        () -> new ChannelHandler[] {new NodeDecoder(new Allowance(Long.MAX_VALUE)), opened},
+                        opened::lost);
             } else {
                 connection.send(asked);
             }
@@ -295,8 +342,8 @@
 
         SocketNode(NodeModel node) throws InterruptedException {
             this.node = node;
-            listening = transport.listen(transport.spare(0), () -> new ChannelHandler[] {
-                new ClientDecoder(new Allowance(Long.MAX_VALUE)), new NodeHandler(this)});
+            listening = transport.listen(transport.spare(0), () ->
+                    new ChannelHandler[] {new ClientDecoder(new Allowance(Long.MAX_VALUE)), new NodeHandler(this)});
         }
 
         int port() {
@@ -349,16 +396,18 @@
                 return;
             }
             CommandGroup group = asked.ask.kind().group();
-            double needed = switch (group.level()) {
-                case BOUNDED -> time.now() - group.bound();
-                case SESSION -> asked.wroteAt;
-                default -> 0;
-            };
+            double needed =
+                    switch (group.level()) {
+                        case BOUNDED -> time.now() - group.bound();
+                        case SESSION -> asked.wroteAt;
+                        default -> 0;
+                    };
             if (node.warmth() < 1) {
                 audit.worked(node.node, asked.ask.work(), spec.machine().cores() * node.warmth(), time.now());
             }
             job = new Job(asked.ask.work(), time.now(), done -> {
-                double position = statement.writes ? world.group(node.node.group()).commit() : node.position();
+                double position =
+                        statement.writes ? world.group(node.node.group()).commit() : node.position();
                 audit.ran(asked.id, node.node, position, needed, time.now());
                 ctx.writeAndFlush(StandInNode.row(Double.toString(position), role(node), millis(position), load(node)));
             });
@@ -377,7 +426,8 @@
         }
 
         private String load(NodeModel node) {
-            return "inflight=" + node.cores.inside() + ",x0=" + node.position() + ",x1=" + (node.role == Role.PRIMARY ? 1 : 0);
+            return "inflight=" + node.cores.inside() + ",x0=" + node.position() + ",x1="
+                    + (node.role == Role.PRIMARY ? 1 : 0);
         }
 
         @Override
--- a/lab/src/main/java/clayhook/lab/model/Machine.java
+++ b/lab/src/main/java/clayhook/lab/model/Machine.java
@@ -11,6 +11,5 @@
  * @param coldShare the part of its speed that a node has when it starts
  * @param warmAfter it has its full speed this long after
  */
-public record Machine(int cores, int queue, double shipping, double apply, double connecting, double coldShare,
-        double warmAfter) {
-}
+public record Machine(
+        int cores, int queue, double shipping, double apply, double connecting, double coldShare, double warmAfter) {}
--- a/lab/src/main/java/clayhook/lab/model/NodeModel.java
+++ b/lab/src/main/java/clayhook/lab/model/NodeModel.java
@@ -19,6 +19,7 @@
     private double startedAt;
     /** The part of the machine that another program takes. */
     private double neighbour;
+
     private boolean paused;
     Role role;
     /** It was turned off and on so often: what was sent to an earlier life is lost. */
@@ -54,7 +55,8 @@
     /** The part of its full speed that it has by the time since its start; 1 once it is warm. */
     double warmth() {
         double since = timeline.now() - startedAt;
-        return startedAt <= 0 || since >= machine.warmAfter() ? 1
+        return startedAt <= 0 || since >= machine.warmAfter()
+                ? 1
                 : machine.coldShare() + (1 - machine.coldShare()) * since / machine.warmAfter();
     }
 
--- a/lab/src/main/java/clayhook/lab/model/Peers.java
+++ b/lab/src/main/java/clayhook/lab/model/Peers.java
@@ -6,29 +6,26 @@
 import clayhook.Reply;
 import java.util.List;
 
-/** What a router tells its peers of what it learns, and what it has from them. Times and positions are the timeline's. */
+/**
+ * What a router tells its peers of what it learns, and what it has from them. Times and positions are the timeline's.
+ */
 public interface Peers {
     /** Of a router that shares nothing. */
     Peers NONE = new Peers() {
         @Override
-        public void listed(List<Listing> entries, boolean whole, long revision) {
-        }
+        public void listed(List<Listing> entries, boolean whole, long revision) {}
 
         @Override
-        public void looked(Node node, Reply reply) {
-        }
+        public void looked(Node node, Reply reply) {}
 
         @Override
-        public void wrote(Command command, double position) {
-        }
+        public void wrote(Command command, double position) {}
 
         @Override
-        public void written(Command command, String mark, Node ranAt) {
-        }
+        public void written(Command command, String mark, Node ranAt) {}
 
         @Override
-        public void used(int probes, int repeats) {
-        }
+        public void used(int probes, int repeats) {}
 
         @Override
         public double needs(String session) {
--- a/lab/src/main/java/clayhook/lab/model/ReplicaLog.java
+++ b/lab/src/main/java/clayhook/lab/model/ReplicaLog.java
@@ -5,13 +5,13 @@
 
 /** How far a replica has come with its primary's log: commits arrive after a while and are applied one by one. */
 final class ReplicaLog {
-    private record Commit(double position, double appliedAt) {
-    }
+    private record Commit(double position, double appliedAt) {}
 
     private final double shipping;
     private final double apply;
     /** Not applied yet; what is applied leaves when the position is asked for or another commit comes. */
     private final ArrayDeque<Commit> pending = new ArrayDeque<>();
+
     private double freeAt;
     private double position;
     private double stalledUntil;
--- a/lab/src/main/java/clayhook/lab/model/RouterModel.java
+++ b/lab/src/main/java/clayhook/lab/model/RouterModel.java
@@ -1,7 +1,7 @@
 package clayhook.lab.model;
 
-import clayhook.Choice.Verdict;
 import clayhook.Choice;
+import clayhook.Choice.Verdict;
 import clayhook.Command;
 import clayhook.CommandGroup.Effect;
 import clayhook.CommandGroup.ReadLevel;
@@ -35,17 +35,21 @@
     private final Map<Node, ArrayDeque<Double>> idle = new HashMap<>();
     /** By id; one a node of the fleet. */
     private final Map<String, Node> listed = new HashMap<>();
+
     private final Map<Node, Double> drainingSince = new HashMap<>();
     /** Attempts whose outcome is awaited; each leaves with it. */
     private final Map<Dispatch, Attempt> attempts = new LinkedHashMap<>();
+
     private final BiConsumer<Command, Verdict> answered;
     /** Those whose client waits; each leaves with its final answer. */
     private final Set<Command> waiting = new HashSet<>();
     /** The last write of each session that this router answered; a row a session. */
     private final Map<String, Double> wrote = new HashMap<>();
+
     private Peers peers = Peers.NONE;
     /** The newest revision of the list that this router heard itself. */
     private long revision = -1;
+
     private long told;
     private double wakeAt = Double.POSITIVE_INFINITY;
     private boolean turning;
@@ -139,7 +143,8 @@
 
     private void settle() {
         double now = timeline.now();
-        hand.overdue(now).forEach(dispatch -> end(dispatch, Reply.untold(Outcome.TIMED_OUT, now - dispatch.sentAt), true));
+        hand.overdue(now)
+                .forEach(dispatch -> end(dispatch, Reply.untold(Outcome.TIMED_OUT, now - dispatch.sentAt), true));
         Hand.Turn turn = hand.settle(now);
         turn.orders().forEach(order -> carryOut(order.command(), order.choice()));
         turn.pause().probes().forEach(this::probe);
@@ -162,13 +167,16 @@
     }
 
     private void carryOut(Command command, Choice choice) {
-        choice.recall().forEach(dispatch -> end(dispatch, Reply.untold(Outcome.CANCELLED, timeline.now() - dispatch.sentAt), true));
+        choice.recall()
+                .forEach(dispatch ->
+                        end(dispatch, Reply.untold(Outcome.CANCELLED, timeline.now() - dispatch.sentAt), true));
         if (choice.verdict() == Verdict.SEND) {
             peers.used(0, command.dispatches.size() > 1 ? 1 : 0);
             send(choice.dispatch());
         } else if (choice.verdict() != Verdict.NOT_YET && waiting.remove(command)) {
             // A dispatch that was recalled says once more that all is done.
-            if (choice.verdict() != Verdict.DONE && changes(command)
+            if (choice.verdict() != Verdict.DONE
+                    && changes(command)
                     && command.dispatches.stream().anyMatch(sent -> sent.outcome == null || !sent.outcome.neverRan)) {
                 peers.written(command, fleet.mark(command), null);
             }
@@ -230,7 +238,8 @@
 
     private Reply tell(NodeModel node, Outcome outcome) {
         double position = node.position();
-        return new Reply(outcome, 0, node.role, position, node.role, position, fleet.reports() ? node.cores.inside() : -1);
+        return new Reply(
+                outcome, 0, node.role, position, node.role, position, fleet.reports() ? node.cores.inside() : -1);
     }
 
     private void back(Dispatch dispatch, Attempt attempt, int life, Reply told) {
@@ -239,8 +248,19 @@
             if (attempts.get(dispatch) == attempt) {
                 boolean lost = at.life != life;
                 double took = timeline.now() - dispatch.sentAt;
-                end(dispatch, lost ? Reply.untold(Outcome.RESET, took) : new Reply(told.outcome(), took, told.role(),
-                        told.position(), told.reportedRole(), told.reportedPosition(), told.load()), lost);
+                end(
+                        dispatch,
+                        lost
+                                ? Reply.untold(Outcome.RESET, took)
+                                : new Reply(
+                                        told.outcome(),
+                                        took,
+                                        told.role(),
+                                        told.position(),
+                                        told.reportedRole(),
+                                        told.reportedPosition(),
+                                        told.load()),
+                        lost);
             }
         });
     }
@@ -287,8 +307,10 @@
     /** A node has died: what is out there is reset. */
     void reset(Node node) {
         idle.remove(node);
-        List.copyOf(attempts.keySet()).stream().filter(dispatch -> dispatch.node.equals(node))
-                .forEach(dispatch -> end(dispatch, Reply.untold(Outcome.RESET, timeline.now() - dispatch.sentAt), true));
+        List.copyOf(attempts.keySet()).stream()
+                .filter(dispatch -> dispatch.node.equals(node))
+                .forEach(
+                        dispatch -> end(dispatch, Reply.untold(Outcome.RESET, timeline.now() - dispatch.sentAt), true));
     }
 
     private void probe(Node node) {
@@ -298,7 +320,8 @@
             if (at.up() && !at.silent()) {
                 probed(node, tell(at, Outcome.ANSWERED));
             } else {
-                timeline.at(asked + fleet.probeTimeout(),
+                timeline.at(
+                        asked + fleet.probeTimeout(),
                         () -> probed(node, Reply.untold(at.up() ? Outcome.TIMED_OUT : Outcome.CONNECT_FAILED, 0)));
             }
         });
--- a/lab/src/main/java/clayhook/lab/model/Tally.java
+++ b/lab/src/main/java/clayhook/lab/model/Tally.java
@@ -29,6 +29,7 @@
     private final Map<CommandGroup, Of> groups = new LinkedHashMap<>();
     /** Benefit earned and possible by second of arrival. */
     private final TreeMap<Integer, double[]> seconds = new TreeMap<>();
+
     private final Map<String, Double> busy = new LinkedHashMap<>();
     private Map<Audit.RuleKept, Integer> broken = Map.of();
     private String firstBroken;
@@ -86,8 +87,11 @@
 
     /** The share of the possible benefit that was earned. */
     public double service() {
-        double possible = groups.values().stream().mapToDouble(of -> of.possible).sum();
-        return possible == 0 ? 1 : groups.values().stream().mapToDouble(of -> of.benefit).sum() / possible;
+        double possible =
+                groups.values().stream().mapToDouble(of -> of.possible).sum();
+        return possible == 0
+                ? 1
+                : groups.values().stream().mapToDouble(of -> of.benefit).sum() / possible;
     }
 
     /** The same of each second of arrivals. */
--- a/lab/src/main/java/clayhook/lab/model/WallTime.java
+++ b/lab/src/main/java/clayhook/lab/model/WallTime.java
@@ -8,6 +8,7 @@
 final class WallTime implements Time {
     /** Microseconds. */
     private static final long LONGEST = 60_000_000;
+
     private final EventLoop loop;
     private final double start = System.currentTimeMillis() / 1000.0;
     private final long steady = System.nanoTime();
@@ -30,15 +31,18 @@
 
     @Override
     public void at(double time, Runnable what) {
-        loop.schedule(() -> {
-            late.recordValue(Math.max(0, Math.min(LONGEST, (long) ((real() - time) * 1e6))));
-            due = time;
-            try {
-                what.run();
-            } finally {
-                due = 0;
-            }
-        }, (long) (Math.max(0, time - real()) * 1e9), TimeUnit.NANOSECONDS);
+        loop.schedule(
+                () -> {
+                    late.recordValue(Math.max(0, Math.min(LONGEST, (long) ((real() - time) * 1e6))));
+                    due = time;
+                    try {
+                        what.run();
+                    } finally {
+                        due = 0;
+                    }
+                },
+                (long) (Math.max(0, time - real()) * 1e9),
+                TimeUnit.NANOSECONDS);
     }
 
     /** What was late so far does not count: everything was cold. */
--- a/lab/src/main/java/clayhook/lab/model/World.java
+++ b/lab/src/main/java/clayhook/lab/model/World.java
@@ -18,7 +18,10 @@
     private final Consumer<NodeModel> died;
     private final Consumer<NodeModel> listChanged;
 
-    /** {@code died} hears of nodes that crashed, {@code listChanged} of those of which the list has to tell something new. */
+    /**
+     * {@code died} hears of nodes that crashed, {@code listChanged} of those of which the list has to tell something
+     * new.
+     */
     World(FleetSpec spec, Time timeline, Consumer<NodeModel> died, Consumer<NodeModel> listChanged) {
         this.timeline = timeline;
         this.died = died;
@@ -27,7 +30,10 @@
             var group = new GroupModel(timeline, g, spec.election());
             groups.add(group);
             for (int i = 0; i <= spec.replicas(); i++) {
-                var node = new Node(i == 0 ? g + "p" : g + "r" + i, spec.zones().get((g + i) % spec.zones().size()), g);
+                var node = new Node(
+                        i == 0 ? g + "p" : g + "r" + i,
+                        spec.zones().get((g + i) % spec.zones().size()),
+                        g);
                 var model = new NodeModel(timeline, node, spec.machine(), i == 0 ? Role.PRIMARY : Role.REPLICA);
                 group.nodes.add(model);
                 nodes.put(node, model);
@@ -53,8 +59,11 @@
     }
 
     Listing listing(NodeModel node) {
-        return new Listing(node.node, !node.up() ? Listing.State.GONE : node.draining ? Listing.State.DRAINING
-                : Listing.State.READY, node.role == Role.PRIMARY, node.startedAt());
+        return new Listing(
+                node.node,
+                !node.up() ? Listing.State.GONE : node.draining ? Listing.State.DRAINING : Listing.State.READY,
+                node.role == Role.PRIMARY,
+                node.startedAt());
     }
 
     private List<NodeModel> targets(String target) {
@@ -64,7 +73,10 @@
             NodeModel primary = group > groups.size() ? null : group(group).primary();
             return primary == null ? List.of() : List.of(primary);
         }
-        return inOrder.stream().filter(node -> node.node.id().equals(target) || node.node.zone().equals(target)).toList();
+        return inOrder.stream()
+                .filter(node ->
+                        node.node.id().equals(target) || node.node.zone().equals(target))
+                .toList();
     }
 
     /** Lets them happen, counted from that time. */
@@ -115,7 +127,7 @@
             }
             case STALL_LOG -> {
                 node.log.stall(timeline.now(), timeline.now() + failure.lasts());
-                return () -> { };
+                return () -> {};
             }
             default -> {
                 node.draining = true;
--- a/lab/src/main/java/clayhook/lab/plan/Estimate.java
+++ b/lab/src/main/java/clayhook/lab/plan/Estimate.java
@@ -14,7 +14,8 @@
 public record Estimate(double replicas, double primary, double all, double log) {
 
     public static Estimate of(FleetSpec fleet) {
-        double shares = fleet.commands().stream().mapToDouble(FleetSpec.Kind::share).sum();
+        double shares =
+                fleet.commands().stream().mapToDouble(FleetSpec.Kind::share).sum();
         double rate = fleet.peak() / fleet.groups();
         double reads = 0;
         double own = 0;
@@ -26,8 +27,11 @@
             writes += kind.group().level() == ReadLevel.WRITE ? of : 0;
         }
         int cores = fleet.machine().cores();
-        return new Estimate(fleet.replicas() == 0 ? 0 : reads / (cores * fleet.replicas()), own / cores,
-                (reads + own) / (cores * (fleet.replicas() + 1)), writes * fleet.machine().apply());
+        return new Estimate(
+                fleet.replicas() == 0 ? 0 : reads / (cores * fleet.replicas()),
+                own / cores,
+                (reads + own) / (cores * (fleet.replicas() + 1)),
+                writes * fleet.machine().apply());
     }
 
     /** Not even with every core at work all the time could that part of the work be done. */
--- a/lab/src/main/java/clayhook/lab/plan/Planner.java
+++ b/lab/src/main/java/clayhook/lab/plan/Planner.java
@@ -11,7 +11,10 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Answers by playing: arithmetic rules out what cannot be, the model decides the rest. The same file gives the same answers. */
+/**
+ * Answers by playing: arithmetic rules out what cannot be, the model decides the rest. The same file gives the same
+ * answers.
+ */
 public final class Planner {
     /** Growth of the load that is looked for. */
     private static final double MOST_GROWTH = 64;
@@ -34,7 +37,13 @@
      * @param met seeds with which it met the goal
      * @param broken the first rule that was broken, or null
      */
-    public record Trial(int met, int seeds, double service, double inTime, double busiestPrimary, double busiestReplica,
+    public record Trial(
+            int met,
+            int seeds,
+            double service,
+            double inTime,
+            double busiestPrimary,
+            double busiestReplica,
             String broken) {
         public boolean good() {
             return met == seeds;
@@ -52,12 +61,10 @@
      * @param firstBad the least at which none did; infinite if that was not found
      * @param causes what relieves it, the greatest help first
      */
-    public record Breaks(double lastGood, double firstBad, Trial at, Estimate estimate, List<Cause> causes) {
-    }
+    public record Breaks(double lastGood, double firstBad, Trial at, Estimate estimate, List<Cause> causes) {}
 
     /** A resource, and how much more of the benefit is earned with twice as much of it. */
-    public record Cause(String resource, double gain) {
-    }
+    public record Cause(String resource, double gain) {}
 
     /**
      * Replicas a group that the goal needs.
@@ -65,12 +72,11 @@
      * @param least none fewer met it with any seed
      * @param enough met with every seed; 0 if not even the most that was tried did
      */
-    public record Need(int now, int least, int enough) {
-    }
+    public record Need(int now, int least, int enough) {}
 
     /** What losing a site does: shares of the benefit before, while it is gone and after, and the worst second. */
-    public record Loss(String site, double before, double during, double after, double worst, String broken, Need need) {
-    }
+    public record Loss(
+            String site, double before, double during, double after, double worst, String broken, Need need) {}
 
     /** The first variant of the experiment is planned for. */
     public Planner(Experiment experiment, Consumer<String> progress) {
@@ -81,26 +87,43 @@
 
     private Trial trial(FleetSpec spec, List<Failure> failures) {
         List<Tally> runs = experiment.seeds().parallelStream()
-                .map(seed -> new Fleet(spec, failures, seed).run(experiment.seconds())).toList();
-        return new Trial((int) runs.stream().filter(this::meets).count(), runs.size(),
+                .map(seed -> new Fleet(spec, failures, seed).run(experiment.seconds()))
+                .toList();
+        return new Trial(
+                (int) runs.stream().filter(this::meets).count(),
+                runs.size(),
                 runs.stream().mapToDouble(Tally::service).average().orElse(0),
-                runs.stream().mapToDouble(Planner::worstInTime).average().orElse(0), busiest(runs, true), busiest(runs, false),
-                runs.stream().map(Tally::firstBroken).filter(first -> first != null).findFirst().orElse(null));
+                runs.stream().mapToDouble(Planner::worstInTime).average().orElse(0),
+                busiest(runs, true),
+                busiest(runs, false),
+                runs.stream()
+                        .map(Tally::firstBroken)
+                        .filter(first -> first != null)
+                        .findFirst()
+                        .orElse(null));
     }
 
     private boolean meets(Tally run) {
-        return run.broken().isEmpty() && run.service() >= experiment.goal().service()
+        return run.broken().isEmpty()
+                && run.service() >= experiment.goal().service()
                 && worstInTime(run) >= experiment.goal().inTime();
     }
 
     private static double worstInTime(Tally run) {
-        return run.groups().values().stream().filter(of -> of.asked > 0).mapToDouble(of -> (double) of.inTime / of.asked).min()
+        return run.groups().values().stream()
+                .filter(of -> of.asked > 0)
+                .mapToDouble(of -> (double) of.inTime / of.asked)
+                .min()
                 .orElse(1);
     }
 
     private static double busiest(List<Tally> runs, boolean primaries) {
-        return runs.stream().flatMap(run -> run.busy().entrySet().stream())
-                .filter(node -> node.getKey().endsWith("p") == primaries).mapToDouble(java.util.Map.Entry::getValue).max().orElse(0);
+        return runs.stream()
+                .flatMap(run -> run.busy().entrySet().stream())
+                .filter(node -> node.getKey().endsWith("p") == primaries)
+                .mapToDouble(java.util.Map.Entry::getValue)
+                .max()
+                .orElse(0);
     }
 
     /** What breaks first as the load grows, with the failures that the experiment has. */
@@ -109,10 +132,12 @@
         double bad = Double.POSITIVE_INFINITY;
         Trial atBad = null;
         double factor = 1;
-        while (factor <= MOST_GROWTH && factor >= 1 / MOST_GROWTH
+        while (factor <= MOST_GROWTH
+                && factor >= 1 / MOST_GROWTH
                 && (good == 0 || bad == Double.POSITIVE_INFINITY || bad / good > CLOSE)) {
             Trial trial = trial(fleet.loaded(factor), experiment.failures());
-            progress.accept(String.format(java.util.Locale.ROOT, "load times %.2f: service %.4f", factor, trial.service()));
+            progress.accept(
+                    String.format(java.util.Locale.ROOT, "load times %.2f: service %.4f", factor, trial.service()));
             if (trial.good()) {
                 good = Math.max(good, factor);
             } else if (trial.bad() && factor < bad) {
@@ -133,7 +158,11 @@
         }
         double broken = bad < Double.POSITIVE_INFINITY ? bad : factor;
         FleetSpec over = fleet.loaded(broken);
-        return new Breaks(good, bad, atBad == null ? trial(over, experiment.failures()) : atBad, Estimate.of(over),
+        return new Breaks(
+                good,
+                bad,
+                atBad == null ? trial(over, experiment.failures()) : atBad,
+                Estimate.of(over),
                 causes(over, experiment.failures()));
     }
 
@@ -142,14 +171,54 @@
         double without = trial(over, failures).service();
         Machine m = over.machine();
         var causes = new ArrayList<Cause>();
-        causes.add(cause("cores of every node", over.with(new Machine(m.cores() * RELIEF, m.queue(), m.shipping(), m.apply(),
-                m.connecting(), m.coldShare(), m.warmAfter())), failures, without));
-        causes.add(cause("speed of applying the log", over.with(new Machine(m.cores(), m.queue(), m.shipping(),
-                m.apply() / RELIEF, m.connecting(), m.coldShare(), m.warmAfter())), failures, without));
-        causes.add(cause("length of the nodes' queues", over.with(new Machine(m.cores(), m.queue() * RELIEF, m.shipping(),
-                m.apply(), m.connecting(), m.coldShare(), m.warmAfter())), failures, without));
-        causes.add(cause("speed of opening connections", over.with(new Machine(m.cores(), m.queue(), m.shipping(), m.apply(),
-                m.connecting() / RELIEF, m.coldShare(), m.warmAfter())), failures, without));
+        causes.add(cause(
+                "cores of every node",
+                over.with(new Machine(
+                        m.cores() * RELIEF,
+                        m.queue(),
+                        m.shipping(),
+                        m.apply(),
+                        m.connecting(),
+                        m.coldShare(),
+                        m.warmAfter())),
+                failures,
+                without));
+        causes.add(cause(
+                "speed of applying the log",
+                over.with(new Machine(
+                        m.cores(),
+                        m.queue(),
+                        m.shipping(),
+                        m.apply() / RELIEF,
+                        m.connecting(),
+                        m.coldShare(),
+                        m.warmAfter())),
+                failures,
+                without));
+        causes.add(cause(
+                "length of the nodes' queues",
+                over.with(new Machine(
+                        m.cores(),
+                        m.queue() * RELIEF,
+                        m.shipping(),
+                        m.apply(),
+                        m.connecting(),
+                        m.coldShare(),
+                        m.warmAfter())),
+                failures,
+                without));
+        causes.add(cause(
+                "speed of opening connections",
+                over.with(new Machine(
+                        m.cores(),
+                        m.queue(),
+                        m.shipping(),
+                        m.apply(),
+                        m.connecting() / RELIEF,
+                        m.coldShare(),
+                        m.warmAfter())),
+                failures,
+                without));
         causes.add(cause("replicas", over.withReplicas(Math.max(1, over.replicas() * RELIEF)), failures, without));
         causes.sort(Comparator.comparingDouble(Cause::gain).reversed());
         return causes;
@@ -170,10 +239,12 @@
         for (int count = 0; count <= MOST_REPLICAS; count++) {
             FleetSpec spec = fleet.withReplicas(count);
             // Arithmetic goes first: work that no core is left for is not done, whatever the routers do.
-            boolean hopeless = Estimate.of(spec).hopeless(experiment.goal().service()) && fleet.phases().isEmpty();
+            boolean hopeless = Estimate.of(spec).hopeless(experiment.goal().service())
+                    && fleet.phases().isEmpty();
             Trial trial = hopeless ? null : trial(spec, failures);
             if (trial != null) {
-                progress.accept(String.format(java.util.Locale.ROOT, "%d replicas: service %.4f", count, trial.service()));
+                progress.accept(
+                        String.format(java.util.Locale.ROOT, "%d replicas: service %.4f", count, trial.service()));
             }
             if (trial == null || trial.bad()) {
                 least = count + 1;
@@ -193,19 +264,35 @@
             var failures = new ArrayList<>(experiment.failures());
             failures.add(new Failure(Failure.Kind.ZONE_LOSS, site, from, lasts, 0));
             List<Tally> runs = experiment.seeds().parallelStream()
-                    .map(seed -> new Fleet(fleet, failures, seed).run(experiment.seconds())).toList();
+                    .map(seed -> new Fleet(fleet, failures, seed).run(experiment.seconds()))
+                    .toList();
             progress.accept("without " + site);
-            losses.add(new Loss(site, share(runs, 0, from), share(runs, from, from + lasts),
-                    share(runs, from + lasts, experiment.seconds()), runs.stream().flatMap(run -> run.serviceBySecond().values()
-                            .stream()).mapToDouble(share -> share).min().orElse(0),
-                    runs.stream().map(Tally::firstBroken).filter(first -> first != null).findFirst().orElse(null), need(failures)));
+            losses.add(new Loss(
+                    site,
+                    share(runs, 0, from),
+                    share(runs, from, from + lasts),
+                    share(runs, from + lasts, experiment.seconds()),
+                    runs.stream()
+                            .flatMap(run -> run.serviceBySecond().values().stream())
+                            .mapToDouble(share -> share)
+                            .min()
+                            .orElse(0),
+                    runs.stream()
+                            .map(Tally::firstBroken)
+                            .filter(first -> first != null)
+                            .findFirst()
+                            .orElse(null),
+                    need(failures)));
         }
         return losses;
     }
 
     private static double share(List<Tally> runs, double from, double to) {
-        return runs.stream().flatMap(run -> run.serviceBySecond().entrySet().stream())
-                .filter(second -> second.getKey() >= from && second.getKey() + 1 <= to).mapToDouble(java.util.Map.Entry::getValue)
-                .average().orElse(0);
+        return runs.stream()
+                .flatMap(run -> run.serviceBySecond().entrySet().stream())
+                .filter(second -> second.getKey() >= from && second.getKey() + 1 <= to)
+                .mapToDouble(java.util.Map.Entry::getValue)
+                .average()
+                .orElse(0);
     }
 }
--- a/lab/src/main/java/clayhook/lab/sharing/Company.java
+++ b/lab/src/main/java/clayhook/lab/sharing/Company.java
@@ -24,17 +24,20 @@
      * @param way seconds that a packet takes, the median
      * @param loss the part of all packets that is lost at the best of times
      */
-    public record Spec(int routers, double way, double loss) {
-    }
+    public record Spec(int routers, double way, double loss) {}
 
     private final Network network;
     private final List<PeeredRouter> routers = new ArrayList<>();
 
-    /** They start at once, now; the plan's times count from then. {@code births} tells how each number of them lives. */
+    /**
+     * They start at once, now; the plan's times count from then. {@code births} tells how each number of them lives.
+     */
     public Company(Time time, Spec spec, FaultPlan plan, IntFunction<Life.Birth> births, long seed) {
         double start = time.now();
         network = new Network(time, spec.routers(), spec.way(), spec.loss(), seed);
-        List<Address> seeds = IntStream.range(0, Math.min(SEEDS, spec.routers())).mapToObj(PeeredRouter::address).toList();
+        List<Address> seeds = IntStream.range(0, Math.min(SEEDS, spec.routers()))
+                .mapToObj(PeeredRouter::address)
+                .toList();
         for (int i = 0; i < spec.routers(); i++) {
             routers.add(new PeeredRouter(i, time, network, births.apply(i), seeds, seed * 31 + i));
         }
@@ -87,12 +90,17 @@
     /** Who sees other members than the rest, or has another copy of one of these kinds; null while all agree. */
     public String disagreement(List<Kind<?>> kinds) {
         List<PeeredRouter> awake = routers.stream().filter(PeeredRouter::awake).toList();
-        Set<Member> living = awake.stream().map(router -> router.roster().self().member()).collect(Collectors.toSet());
+        Set<Member> living =
+                awake.stream().map(router -> router.roster().self().member()).collect(Collectors.toSet());
         for (PeeredRouter router : awake) {
             Set<Member> seen = seen(router);
             if (!seen.equals(living)) {
                 return router + " sees " + seen.size() + " members of " + living.size() + ", "
-                        + living.stream().filter(member -> !seen.contains(member)).findFirst().map(m -> "not " + m).orElse("too many");
+                        + living.stream()
+                                .filter(member -> !seen.contains(member))
+                                .findFirst()
+                                .map(m -> "not " + m)
+                                .orElse("too many");
             }
         }
         for (Kind<?> kind : kinds) {
@@ -100,8 +108,9 @@
             long digest = first.shared().digest(kind, first.now());
             for (PeeredRouter router : awake) {
                 if (router.shared().digest(kind, router.now()) != digest) {
-                    return router + " has another copy of " + kind.name() + " than " + first + ": " + router.shared().size(kind)
-                            + " entries, " + first.shared().size(kind);
+                    return router + " has another copy of " + kind.name() + " than " + first + ": "
+                            + router.shared().size(kind) + " entries, "
+                            + first.shared().size(kind);
                 }
             }
         }
--- a/lab/src/main/java/clayhook/lab/sharing/Fault.java
+++ b/lab/src/main/java/clayhook/lab/sharing/Fault.java
@@ -35,7 +35,10 @@
         FREEZE,
         /** They are killed, and come back in a new life that knows nothing. */
         KILL,
-        /** As if killed and back at once, with the clock ahead by so many seconds; at the end the same again with it right. */
+        /**
+         * As if killed and back at once, with the clock ahead by so many seconds; at the end the same again with it
+         * right.
+         */
         CLOCK_OFF,
         /** The clock gains so many seconds a second. */
         CLOCK_DRIFT;
@@ -74,7 +77,13 @@
     /** As an experiment's file has it. */
     @Override
     public String toString() {
-        return String.format(Locale.ROOT, "{ at = %.3f, kind = \"%s\", whom = [%s], lasts = %.3f, amount = %s }", at, kind.word(),
-                whom.stream().map(String::valueOf).collect(Collectors.joining(", ")), lasts, amount);
+        return String.format(
+                Locale.ROOT,
+                "{ at = %.3f, kind = \"%s\", whom = [%s], lasts = %.3f, amount = %s }",
+                at,
+                kind.word(),
+                whom.stream().map(String::valueOf).collect(Collectors.joining(", ")),
+                lasts,
+                amount);
     }
 }
--- a/lab/src/main/java/clayhook/lab/sharing/FaultPlan.java
+++ b/lab/src/main/java/clayhook/lab/sharing/FaultPlan.java
@@ -16,10 +16,19 @@
     public static final FaultPlan NONE = new FaultPlan(List.of());
 
     /** How often each kind is drawn, beside the others: all of them, those more that rosters and copies differ by. */
-    private static final Map<Kind, Integer> WEIGHTS = Map.ofEntries(Map.entry(Kind.LOSS, 3), Map.entry(Kind.DELAY, 2),
-            Map.entry(Kind.DOUBLE, 1), Map.entry(Kind.REORDER, 1), Map.entry(Kind.CUT, 3), Map.entry(Kind.SPLIT, 4),
-            Map.entry(Kind.SLOW, 1), Map.entry(Kind.GARBLE, 1), Map.entry(Kind.FREEZE, 3), Map.entry(Kind.KILL, 3),
-            Map.entry(Kind.CLOCK_OFF, 1), Map.entry(Kind.CLOCK_DRIFT, 1));
+    private static final Map<Kind, Integer> WEIGHTS = Map.ofEntries(
+            Map.entry(Kind.LOSS, 3),
+            Map.entry(Kind.DELAY, 2),
+            Map.entry(Kind.DOUBLE, 1),
+            Map.entry(Kind.REORDER, 1),
+            Map.entry(Kind.CUT, 3),
+            Map.entry(Kind.SPLIT, 4),
+            Map.entry(Kind.SLOW, 1),
+            Map.entry(Kind.GARBLE, 1),
+            Map.entry(Kind.FREEZE, 3),
+            Map.entry(Kind.KILL, 3),
+            Map.entry(Kind.CLOCK_OFF, 1),
+            Map.entry(Kind.CLOCK_DRIFT, 1));
     /** Seconds: a hiccup, and a stand or split of minutes. */
     private static final double SHORTEST = 0.2, LONGEST = 90;
     /** Below it a fault is as good as gone, so that shrinking ends. */
@@ -32,28 +41,33 @@
     /** So many faults among so many routers, all of them over by then. */
     public static FaultPlan drawn(long seed, int count, int routers, double until) {
         var random = new SplittableRandom(seed);
-        List<Kind> kinds = WEIGHTS.entrySet().stream().sorted(Map.Entry.comparingByKey())
-                .flatMap(entry -> Collections.nCopies(entry.getValue(), entry.getKey()).stream()).toList();
+        List<Kind> kinds = WEIGHTS.entrySet().stream()
+                .sorted(Map.Entry.comparingByKey())
+                .flatMap(entry -> Collections.nCopies(entry.getValue(), entry.getKey()).stream())
+                .toList();
         var faults = new ArrayList<Fault>();
         for (int i = 0; i < count; i++) {
             Kind kind = kinds.get(random.nextInt(kinds.size()));
             double at = random.nextDouble() * until;
             // Most are short, a few last for minutes: even by the logarithm.
             double lasts = SHORTEST * Math.pow(LONGEST / SHORTEST, random.nextDouble());
-            faults.add(new Fault(at, kind, whom(kind, routers, random), Math.min(lasts, until - at), amount(kind, random)));
+            faults.add(new Fault(
+                    at, kind, whom(kind, routers, random), Math.min(lasts, until - at), amount(kind, random)));
         }
         return new FaultPlan(faults);
     }
 
     private static List<Integer> whom(Kind kind, int routers, SplittableRandom random) {
-        int count = switch (kind) {
-            case CUT -> 2;
-            case SPLIT -> 1 + random.nextInt(Math.max(1, routers / 2));
-            case LOSS, DELAY, DOUBLE, REORDER, GARBLE -> random.nextInt(3) == 0 ? 0 : 1 + random.nextInt(routers);
-            // Now and then all at once: then nobody is left who remembers.
-            case KILL -> random.nextInt(8) == 0 ? routers : 1 + random.nextInt(Math.max(1, routers / 4));
-            default -> 1 + random.nextInt(Math.max(1, routers / 4));
-        };
+        int count =
+                switch (kind) {
+                    case CUT -> 2;
+                    case SPLIT -> 1 + random.nextInt(Math.max(1, routers / 2));
+                    case LOSS, DELAY, DOUBLE, REORDER, GARBLE ->
+                        random.nextInt(3) == 0 ? 0 : 1 + random.nextInt(routers);
+                    // Now and then all at once: then nobody is left who remembers.
+                    case KILL -> random.nextInt(8) == 0 ? routers : 1 + random.nextInt(Math.max(1, routers / 4));
+                    default -> 1 + random.nextInt(Math.max(1, routers / 4));
+                };
         List<Integer> all = IntStream.range(0, routers).boxed().collect(Collectors.toCollection(ArrayList::new));
         for (int i = 0; i < count; i++) {
             Collections.swap(all, i, i + random.nextInt(routers - i));
@@ -81,8 +95,8 @@
     }
 
     /**
-     * As few faults as still fail, each as short as that allows: every one is left out in turn while the failure stays, then
-     * halved.
+     * As few faults as still fail, each as short as that allows: every one is left out in turn while the failure stays,
+     * then halved.
      */
     public FaultPlan shrunk(Predicate<FaultPlan> fails) {
         FaultPlan plan = this;
--- a/lab/src/main/java/clayhook/lab/sharing/Learning.java
+++ b/lab/src/main/java/clayhook/lab/sharing/Learning.java
@@ -11,8 +11,8 @@
 import java.util.SplittableRandom;
 
 /**
- * What routers come to know in a trial: of each kind some values under few keys, so that copies meet. What is so in the world
- * follows from time and the trial's seed; what a router says of it is its own, at its own clock.
+ * What routers come to know in a trial: of each kind some values under few keys, so that copies meet. What is so in the
+ * world follows from time and the trial's seed; what a router says of it is its own, at its own clock.
  */
 final class Learning {
     /** Few enough that several routers speak of each. */
@@ -21,8 +21,7 @@
     private static final double NODE_LIVES = 40, REVISION = 2;
 
     /** One value that a router put in, at the true time. */
-    record Said<V>(Kind<V> kind, String key, V value, PeeredRouter by, int life, double at) {
-    }
+    record Said<V>(Kind<V> kind, String key, V value, PeeredRouter by, int life, double at) {}
 
     private final SplittableRandom random;
     private final List<Kind<?>> kinds;
@@ -41,7 +40,13 @@
                 case 1 -> said(1, "n" + random.nextInt(NODES), key -> listed(key, by, now), by, now);
                 case 2 -> said(2, "s" + random.nextInt(SESSIONS), key -> new Mark(now, 1), by, now);
                 case 3 -> said(3, "c" + random.nextInt(COMMANDS), key -> fate(key, by, now), by, now);
-                default -> said(4, "probes of " + by + " " + by.lives(), key -> new Use(now, random.nextInt(9), by.now()), by, now);
+                default ->
+                    said(
+                            4,
+                            "probes of " + by + " " + by.lives(),
+                            key -> new Use(now, random.nextInt(9), by.now()),
+                            by,
+                            now);
             };
         } catch (IllegalArgumentException e) {
             return null;
@@ -82,7 +87,10 @@
         String router = by.toString();
         var first = Fate.Sent.of(by.now(), 1, "pay", null);
         boolean ran = key.hashCode() % 2 == 0;
-        return random.nextInt(3) > 0 ? Fate.unknown(first)
-                : ran ? Fate.ran(first, Fate.Witness.of(by.now(), router, "n1")) : Fate.notRun(first, Fate.Witness.of(by.now(), router, ""));
+        return random.nextInt(3) > 0
+                ? Fate.unknown(first)
+                : ran
+                        ? Fate.ran(first, Fate.Witness.of(by.now(), router, "n1"))
+                        : Fate.notRun(first, Fate.Witness.of(by.now(), router, ""));
     }
 }
--- a/lab/src/main/java/clayhook/lab/sharing/Life.java
+++ b/lab/src/main/java/clayhook/lab/sharing/Life.java
@@ -27,7 +27,7 @@
     /** The roster and the copy as routers run them, with nothing beside. */
     public static Birth sharing(List<Kind<?>> kinds) {
         return (self, seeds, seed, now) -> {
-            var members = new Members(MemberSettings.DEFAULT, self, seeds, seed, now, new Members.Listener() { });
+            var members = new Members(MemberSettings.DEFAULT, self, seeds, seed, now, new Members.Listener() {});
             var state = new State(members, kinds, StateSettings.DEFAULT, seed + 1, now);
             return new Life(members, state, List.of(members, state));
         };
--- a/lab/src/main/java/clayhook/lab/sharing/ModelPeer.java
+++ b/lab/src/main/java/clayhook/lab/sharing/ModelPeer.java
@@ -27,8 +27,9 @@
 import java.util.SplittableRandom;
 
 /**
- * One router of the model among its peers: what it learns is put in, and what peers know comes back, by the same code as on
- * sockets. While its peering is dead or stands still it tells nothing and hears nothing; the router itself serves on.
+ * One router of the model among its peers: what it learns is put in, and what peers know comes back, by the same code
+ * as on sockets. While its peering is dead or stands still it tells nothing and hears nothing; the router itself serves
+ * on.
  */
 final class ModelPeer implements Peers, Sharing.Listener, Life.Birth {
     /** All routers of the model hear one discovery. */
@@ -43,6 +44,7 @@
     private final double roam;
     /** The list as its router has heard it; what a new life is told first. */
     private final Map<String, NodeList.Entry> listed = new LinkedHashMap<>();
+
     private long revision;
     private PeeredRouter peer;
     private Exchange exchange;
@@ -63,10 +65,12 @@
     @Override
     public Life begin(Peer self, List<Address> seeds, long seed, double now) {
         var chance = new SplittableRandom(seed);
-        var members = new Members(MemberSettings.DEFAULT, self, seeds, chance.nextLong(), now, new Members.Listener() { });
+        var members =
+                new Members(MemberSettings.DEFAULT, self, seeds, chance.nextLong(), now, new Members.Listener() {});
         var kinds = new Exchange.Kinds(true, true, marks, Fate.KIND, true);
         var state = new State(members, kinds.all(), StateSettings.DEFAULT, chance.nextLong(), now);
-        exchange = new Exchange(kinds, roam, routers, SOURCE, state, members, chance.split(), what -> time.in(0, what), this);
+        exchange = new Exchange(
+                kinds, roam, routers, SOURCE, state, members, chance.split(), what -> time.in(0, what), this);
         if (!listed.isEmpty()) {
             exchange.take(new News.Listed(SOURCE, new NodeList(revision, true, List.copyOf(listed.values()))), now);
         }
@@ -92,8 +96,8 @@
 
     private static NodeList.Entry entry(Listing listing) {
         Node node = listing.node();
-        return new NodeList.Entry(node.id(), ADDRESS, node.zone(), node.group(),
-                listing.state(), listing.primary(), listing.startedAt());
+        return new NodeList.Entry(
+                node.id(), ADDRESS, node.zone(), node.group(), listing.state(), listing.primary(), listing.startedAt());
     }
 
     @Override
@@ -110,8 +114,14 @@
 
     @Override
     public void written(Command command, String mark, Node ranAt) {
-        tell(new News.Written(mark, command.dispatches.get(0).sentAt, command.nodeGroup, command.group.name(), ranAt != null,
-                ranAt == null ? "" : ranAt.id(), peer.now()));
+        tell(new News.Written(
+                mark,
+                command.dispatches.get(0).sentAt,
+                command.nodeGroup,
+                command.group.name(),
+                ranAt != null,
+                ranAt == null ? "" : ranAt.id(),
+                peer.now()));
     }
 
     @Override
@@ -139,7 +149,13 @@
 
     @Override
     public void told(Collection<NodeList> changes) {
-        changes.forEach(change -> change.entries().forEach(entry -> router.told(new Listing(new Node(entry.id(), entry.zone(),
-                entry.group()), entry.state(), entry.primary(), entry.startedAt()), change.version())));
+        changes.forEach(change -> change.entries()
+                .forEach(entry -> router.told(
+                        new Listing(
+                                new Node(entry.id(), entry.zone(), entry.group()),
+                                entry.state(),
+                                entry.primary(),
+                                entry.startedAt()),
+                        change.version())));
     }
 }
--- a/lab/src/main/java/clayhook/lab/sharing/Network.java
+++ b/lab/src/main/java/clayhook/lab/sharing/Network.java
@@ -9,8 +9,8 @@
 import java.util.SplittableRandom;
 
 /**
- * Datagrams between routers: they get lost, late, doubled, out of order and spoilt, and do not pass where a link is cut.
- * Several faults at once add up.
+ * Datagrams between routers: they get lost, late, doubled, out of order and spoilt, and do not pass where a link is
+ * cut. Several faults at once add up.
  */
 public final class Network {
     /** The ways' spread: the sigma of their logarithm, as within one site. */
@@ -25,8 +25,7 @@
         void heard(Address from, byte[] bytes);
     }
 
-    private record Place(int router, Receiver receiver) {
-    }
+    private record Place(int router, Receiver receiver) {}
 
     private final Time time;
     private final double way;
@@ -37,6 +36,7 @@
     private final List<Fault> faults = new ArrayList<>();
     /** When the slow link of each router is free again. */
     private final double[] freeAt;
+
     private final Traffic traffic;
 
     /**
@@ -96,12 +96,13 @@
                 case REORDER -> late += struck ? HELD_BACK * random.nextDouble() : 0;
                 case GARBLE -> carried = struck ? spoilt(carried) : carried;
                 case SLOW -> late += hit ? queued(sender, bytes.length, fault.amount()) : 0;
-                default -> { }
+                default -> {}
             }
         }
         for (int copies = twice ? 2 : 1; copies > 0 && late < Double.POSITIVE_INFINITY; copies--) {
             byte[] arriving = carried;
-            time.in(late + way * Math.exp(SPREAD * random.nextGaussian()), () -> place.receiver().heard(from, arriving));
+            time.in(late + way * Math.exp(SPREAD * random.nextGaussian()), () -> place.receiver()
+                    .heard(from, arriving));
         }
     }
 
--- a/lab/src/main/java/clayhook/lab/sharing/PeeredFleet.java
+++ b/lab/src/main/java/clayhook/lab/sharing/PeeredFleet.java
@@ -29,7 +29,8 @@
     @Override
     public List<Peers> among(Time time, List<? extends Hearing> routers, long seed) {
         List<ModelPeer> peers = routers.stream()
-                .map(router -> new ModelPeer(time, router, routers.size(), !contact.marksCarried(), contact.roam())).toList();
+                .map(router -> new ModelPeer(time, router, routers.size(), !contact.marksCarried(), contact.roam()))
+                .toList();
         company = new Company(time, new Company.Spec(routers.size(), way, loss), plan, peers::get, seed);
         company.routers().forEach(place -> peers.get(place.number()).at(place));
         return List.copyOf(peers);
--- a/lab/src/main/java/clayhook/lab/sharing/PeeredRouter.java
+++ b/lab/src/main/java/clayhook/lab/sharing/PeeredRouter.java
@@ -18,13 +18,14 @@
     private static final int WAITING = 256;
     /** Seconds after packets came until the machines have their turn: what comes together is seen together. */
     private static final double SOON = 0.001;
-    /** Seconds after which what the router itself tells is looked at: its thread wakes a hundred times a second at most. */
+    /**
+     * Seconds after which what the router itself tells is looked at: its thread wakes a hundred times a second at most.
+     */
     private static final double NAP = 0.01;
     /** Guards against a machine that wants its next turn at once, for ever. */
     private static final double LEAST_PAUSE = 1e-4;
 
-    private record Letter(Address from, byte[] bytes) {
-    }
+    private record Letter(Address from, byte[] bytes) {}
 
     private final int number;
     private final Address address;
@@ -36,6 +37,7 @@
     private final Clock clock;
     /** Emptied when it goes on. */
     private final Queue<Letter> waiting = new ArrayDeque<>();
+
     private Life life;
     private Fleet fleet;
     private int lives;
@@ -43,6 +45,7 @@
     private double ahead;
     /** Faults that hold it still, and that keep it dead; several may at once. */
     private int stands;
+
     private int deaths;
     private double wakeAt = Double.POSITIVE_INFINITY;
 
--- a/lab/src/main/java/clayhook/lab/sharing/SharingFigures.java
+++ b/lab/src/main/java/clayhook/lab/sharing/SharingFigures.java
@@ -20,12 +20,14 @@
     private static final int COUNTED = 30;
     /** Pieces of news, and seconds between two: one is known everywhere before the next. */
     private static final int NEWS = 200;
+
     private static final double BETWEEN = 3;
     private static final int[] SIZES = {10, 100, 1000};
     /** Pieces of news a second over all routers, for what news adds. */
     private static final double RATE = 50;
     /** Seconds away, and until which one must have been brought up. */
     private static final double AWAY = 60, GIVEN_UP = 120;
+
     private static final double LOOK = 0.01;
 
     private final Company.Spec spec;
@@ -53,7 +55,10 @@
     public void news() {
         for (double loss : new double[] {0, 0.2}) {
             var lossy = new Company.Spec(spec.routers(), spec.way(), loss);
-            news("urgent", lossy, Listed.KIND,
+            news(
+                    "urgent",
+                    lossy,
+                    Listed.KIND,
                     number -> new Listed(number, Listed.State.DRAINING, 0, false, "a", 1, "10.0.0.1", 1, START));
             news("usual", lossy, Mark.KIND, number -> new Mark(START + BETWEEN * number, 1));
         }
@@ -68,13 +73,14 @@
         Company company = company(time, lossy, FaultPlan.NONE, seed);
         var random = new SplittableRandom(seed);
         double[][] came = new double[NEWS][lossy.routers()];
-        company.routers().forEach(router -> router.shared().listen(kind,
-                (key, value, now) -> came[Integer.parseInt(key)][router.number()] = time.now()));
+        company.routers().forEach(router -> router.shared()
+                .listen(kind, (key, value, now) -> came[Integer.parseInt(key)][router.number()] = time.now()));
         double[] told = new double[NEWS];
         for (int i = 0; i < NEWS; i++) {
             int number = i;
             told[i] = START + SETTLED + BETWEEN * (i + random.nextDouble() / 2);
-            time.at(told[i], () -> company.routers().get(random.nextInt(lossy.routers()))
+            time.at(told[i], () -> company.routers()
+                    .get(random.nextInt(lossy.routers()))
                     .put(kind, Integer.toString(number), piece.of(number)));
         }
         time.run(START + SETTLED + BETWEEN * (NEWS + 2));
@@ -82,12 +88,15 @@
         for (int i = 0; i < NEWS; i++) {
             double[] times = came[i];
             Arrays.sort(times);
-            most[i] = times[0] == 0 ? Double.POSITIVE_INFINITY
+            most[i] = times[0] == 0
+                    ? Double.POSITIVE_INFINITY
                     : times[(int) Math.ceil(0.99 * times.length) - 1] - told[i];
         }
         Arrays.sort(most);
-        line("%s news, %d routers, %.0f%% lost: at 99%% of them after %.3f s at the median, %.3f s at the 99th percentile, "
-                + "%.3f s at the most", name, lossy.routers(), 100 * lossy.loss(), most[NEWS / 2], most[NEWS * 99 / 100], most[NEWS - 1]);
+        line(
+                "%s news, %d routers, %.0f%% lost: at 99%% of them after %.3f s at the median, %.3f s at the 99th percentile, "
+                        + "%.3f s at the most",
+                name, lossy.routers(), 100 * lossy.loss(), most[NEWS / 2], most[NEWS * 99 / 100], most[NEWS - 1]);
     }
 
     // ---- what it costs ----
@@ -119,9 +128,15 @@
         time.run(time.now() + COUNTED);
         double spent = (processor() - before) / 1e9;
         Traffic traffic = company.network().traffic();
-        line("%d routers, %s: %.0f bytes and %.1f packets sent a router a second, %d bytes the most of one in any second, "
-                + "%.3f%% of a core a router, network and all", size, what, traffic.bytes(from, from + COUNTED),
-                traffic.packets(from, from + COUNTED), traffic.most(from, from + COUNTED), 100 * spent / COUNTED / size);
+        line(
+                "%d routers, %s: %.0f bytes and %.1f packets sent a router a second, %d bytes the most of one in any second, "
+                        + "%.3f%% of a core a router, network and all",
+                size,
+                what,
+                traffic.bytes(from, from + COUNTED),
+                traffic.packets(from, from + COUNTED),
+                traffic.most(from, from + COUNTED),
+                100 * spent / COUNTED / size);
     }
 
     private static long processor() {
@@ -144,7 +159,9 @@
         for (int i = 0; i < marks; i++) {
             int number = i;
             double at = START + SETTLED + (AWAY - 1) * i / marks;
-            time.at(at, () -> company.routers().get(1 + number % (spec.routers() - 1)).put(Mark.KIND, "s" + number, new Mark(at, 1)));
+            time.at(at, () -> company.routers()
+                    .get(1 + number % (spec.routers() - 1))
+                    .put(Mark.KIND, "s" + number, new Mark(at, 1)));
         }
         double back = START + SETTLED + AWAY;
         time.run(back);
@@ -154,12 +171,21 @@
         while (Double.isNaN(certain) && time.now() < back + GIVEN_UP) {
             time.run(time.now() + LOOK);
             full = Double.isNaN(full) && away.shared().size(Mark.KIND) >= marks ? time.now() - back : full;
-            certain = !Double.isNaN(full) && away.shared().certainUpTo(away.now()) > back ? time.now() - back : Double.NaN;
+            certain = !Double.isNaN(full) && away.shared().certainUpTo(away.now()) > back
+                    ? time.now() - back
+                    : Double.NaN;
         }
         int from = (int) (back - START);
         Traffic traffic = company.network().traffic();
-        line("%d routers, one %s for %.0f s: all %d marks after %.2f s, certain of them after %.2f s; %d bytes the most that any "
-                + "sent in a second meanwhile", spec.routers(), what, AWAY, marks, full, certain,
+        line(
+                "%d routers, one %s for %.0f s: all %d marks after %.2f s, certain of them after %.2f s; %d bytes the most that any "
+                        + "sent in a second meanwhile",
+                spec.routers(),
+                what,
+                AWAY,
+                marks,
+                full,
+                certain,
                 traffic.most(from, from + 1 + (int) Math.ceil(certain)));
     }
 }
--- a/lab/src/main/java/clayhook/lab/sharing/SharingPlay.java
+++ b/lab/src/main/java/clayhook/lab/sharing/SharingPlay.java
@@ -9,5 +9,10 @@
  */
 public record SharingPlay(What what, int faults, double settle, int entries) {
     /** A sweep over seeds of faults; or the figures of news, of quiet traffic, of one who was away. */
-    public enum What { SWEEP, NEWS, TRAFFIC, CATCH_UP }
+    public enum What {
+        SWEEP,
+        NEWS,
+        TRAFFIC,
+        CATCH_UP
+    }
 }
--- a/lab/src/main/java/clayhook/lab/sharing/SharingSweep.java
+++ b/lab/src/main/java/clayhook/lab/sharing/SharingSweep.java
@@ -6,7 +6,9 @@
 import java.util.Locale;
 import java.util.stream.IntStream;
 
-/** Many trials, each with faults drawn from its seed; what fails is told by its seed and the fewest faults that show it. */
+/**
+ * Many trials, each with faults drawn from its seed; what fails is told by its seed and the fewest faults that show it.
+ */
 public final class SharingSweep {
     /** Failures that are shrunk; one is enough to see what is wrong. */
     private static final int SHRUNK = 3;
@@ -32,8 +34,15 @@
     public record Result(int played, int failed, List<Found> found, double[] healed) {
         @Override
         public String toString() {
-            return String.format(Locale.ROOT, "%d seeds, %d failed; all agreed after %.2f s at the median, %.2f s at the 99th "
-                    + "percentile, %.2f s at the most", played, failed, at(0.5), at(0.99), at(1));
+            return String.format(
+                    Locale.ROOT,
+                    "%d seeds, %d failed; all agreed after %.2f s at the median, %.2f s at the 99th "
+                            + "percentile, %.2f s at the most",
+                    played,
+                    failed,
+                    at(0.5),
+                    at(0.99),
+                    at(1));
         }
 
         private double at(double part) {
@@ -46,9 +55,7 @@
     private final FaultPlan given;
     private final int faults;
 
-    /**
-     * @param given faults of all trials; where there are none, {@code faults} are drawn for each
-     */
+    /** @param given faults of all trials; where there are none, {@code faults} are drawn for each */
     public SharingSweep(Trial.Spec spec, List<Kind<?>> kinds, FaultPlan given, int faults) {
         this.spec = spec;
         this.kinds = kinds;
@@ -57,23 +64,35 @@
     }
 
     private FaultPlan plan(int seed) {
-        return given.faults().isEmpty() ? FaultPlan.drawn(seed, faults, spec.company().routers(), spec.seconds()) : given;
+        return given.faults().isEmpty()
+                ? FaultPlan.drawn(seed, faults, spec.company().routers(), spec.seconds())
+                : given;
     }
 
     /** Plays them all, on all cores; the same seeds give the same result. */
     public Result play(List<Integer> seeds) {
         Trial.Verdict[] verdicts = new Trial.Verdict[seeds.size()];
-        IntStream.range(0, seeds.size()).parallel()
+        IntStream.range(0, seeds.size())
+                .parallel()
                 .forEach(i -> verdicts[i] = Trial.play(spec, kinds, plan(seeds.get(i)), seeds.get(i)));
-        int[] failed = IntStream.range(0, verdicts.length).filter(i -> verdicts[i].broken() != null).toArray();
-        List<Found> found = Arrays.stream(failed).limit(SHRUNK).mapToObj(i -> shrunk(seeds.get(i))).toList();
-        double[] healed = Arrays.stream(verdicts).filter(verdict -> verdict.broken() == null)
-                .mapToDouble(Trial.Verdict::healed).sorted().toArray();
+        int[] failed = IntStream.range(0, verdicts.length)
+                .filter(i -> verdicts[i].broken() != null)
+                .toArray();
+        List<Found> found = Arrays.stream(failed)
+                .limit(SHRUNK)
+                .mapToObj(i -> shrunk(seeds.get(i)))
+                .toList();
+        double[] healed = Arrays.stream(verdicts)
+                .filter(verdict -> verdict.broken() == null)
+                .mapToDouble(Trial.Verdict::healed)
+                .sorted()
+                .toArray();
         return new Result(seeds.size(), failed.length, found, healed);
     }
 
     private Found shrunk(int seed) {
-        FaultPlan least = plan(seed).shrunk(plan -> Trial.play(spec, kinds, plan, seed).broken() != null);
+        FaultPlan least =
+                plan(seed).shrunk(plan -> Trial.play(spec, kinds, plan, seed).broken() != null);
         return new Found(seed, least, Trial.play(spec, kinds, least, seed).broken());
     }
 }
--- a/lab/src/main/java/clayhook/lab/sharing/Traffic.java
+++ b/lab/src/main/java/clayhook/lab/sharing/Traffic.java
@@ -40,19 +40,34 @@
 
     /** Bytes that a router sent a second, on average over routers and those seconds from the start. */
     public double bytes(int from, int until) {
-        return seconds(from, until).mapToLong(s -> IntStream.range(0, routers).mapToLong(r -> seconds.get(s).bytes[r]).sum()).sum()
-                / (double) routers / Math.max(1, until - from);
+        return seconds(from, until)
+                        .mapToLong(s -> IntStream.range(0, routers)
+                                .mapToLong(r -> seconds.get(s).bytes[r])
+                                .sum())
+                        .sum()
+                / (double) routers
+                / Math.max(1, until - from);
     }
 
     /** Packets, reckoned likewise. */
     public double packets(int from, int until) {
-        return seconds(from, until).mapToLong(s -> IntStream.range(0, routers).mapToLong(r -> seconds.get(s).packets[r]).sum()).sum()
-                / (double) routers / Math.max(1, until - from);
+        return seconds(from, until)
+                        .mapToLong(s -> IntStream.range(0, routers)
+                                .mapToLong(r -> seconds.get(s).packets[r])
+                                .sum())
+                        .sum()
+                / (double) routers
+                / Math.max(1, until - from);
     }
 
     /** The most bytes that any router sent in any of those seconds. */
     public long most(int from, int until) {
-        return seconds(from, until).mapToLong(s -> IntStream.range(0, routers).mapToLong(r -> seconds.get(s).bytes[r]).max().orElse(0))
-                .max().orElse(0);
+        return seconds(from, until)
+                .mapToLong(s -> IntStream.range(0, routers)
+                        .mapToLong(r -> seconds.get(s).bytes[r])
+                        .max()
+                        .orElse(0))
+                .max()
+                .orElse(0);
     }
 }
--- a/lab/src/main/java/clayhook/lab/sharing/Trial.java
+++ b/lab/src/main/java/clayhook/lab/sharing/Trial.java
@@ -19,16 +19,21 @@
 import java.util.SplittableRandom;
 
 /**
- * One play of routers that share, under faults, with news put in all along. What must hold: after the last fault all rosters and
- * copies become equal; nothing is in them that nobody put in, and all that was put in by lives that go on; a session that comes
- * to another router no sooner than is asked of it sees its own write there.
+ * One play of routers that share, under faults, with news put in all along. What must hold: after the last fault all
+ * rosters and copies become equal; nothing is in them that nobody put in, and all that was put in by lives that go on;
+ * a session that comes to another router no sooner than is asked of it sees its own write there.
  */
 public final class Trial {
     /** Any time that a clock would tell; far from zero, which stands for never. */
     private static final double START = 1_000_000;
-    /** Seconds between a write's answer and the session's read elsewhere, at least; and how much later it comes at most. */
+    /**
+     * Seconds between a write's answer and the session's read elsewhere, at least; and how much later it comes at most.
+     */
     private static final double ROAM = 0.5, ROAMING = 5;
-    /** Seconds by which a clock may be off for what is promised only where clocks agree; delays make the measure that bad. */
+    /**
+     * Seconds by which a clock may be off for what is promised only where clocks agree; delays make the measure that
+     * bad.
+     */
     private static final double CLOCKS = 0.1;
     /** Seconds before an entry's end from which it may be gone from copies. */
     private static final double FADING = 8;
@@ -45,8 +50,7 @@
      * @param settle seconds after that in which all must agree
      * @param rate pieces of news a second, over all routers
      */
-    public record Spec(Company.Spec company, double seconds, double settle, double rate) {
-    }
+    public record Spec(Company.Spec company, double seconds, double settle, double rate) {}
 
     /**
      * What came of it.
@@ -54,8 +58,7 @@
      * @param broken what did not hold, and when; null for nothing
      * @param healed seconds from the end of faults and news until all agreed
      */
-    public record Verdict(String broken, double healed) {
-    }
+    public record Verdict(String broken, double healed) {}
 
     private final Timeline time = new Timeline(START);
     private final Spec spec;
@@ -65,6 +68,7 @@
     private final SplittableRandom random;
     /** All that was put in. */
     private final List<Said<?>> said = new ArrayList<>();
+
     private final Map<Shared, SessionNeeds> needs = new HashMap<>();
     private final double end;
     private String broken;
@@ -145,17 +149,27 @@
         marks.publish(at.now());
         double need = marks.need(Mark.key(mark.key()), at.now());
         if (need < mark.at() && promised(mark, at)) {
-            broke(String.format(Locale.ROOT, "session %s wrote at %s and came to %s %.3f s later, which asks for %.3f s less",
-                    mark.key(), mark.by(), at, time.now() - mark.at(), mark.at() - need));
+            broke(String.format(
+                    Locale.ROOT,
+                    "session %s wrote at %s and came to %s %.3f s later, which asks for %.3f s less",
+                    mark.key(),
+                    mark.by(),
+                    at,
+                    time.now() - mark.at(),
+                    mark.at() - need));
         }
     }
 
     /** Not where the life that took the write is over or not known to go on, nor where a clock is off. */
     private boolean promised(Said<?> mark, PeeredRouter at) {
-        Member writer = mark.by().roster() == null ? null : mark.by().roster().self().member();
-        boolean lives = mark.by().lives() == mark.life() && writer != null
+        Member writer =
+                mark.by().roster() == null ? null : mark.by().roster().self().member();
+        boolean lives = mark.by().lives() == mark.life()
+                && writer != null
                 && (mark.by() == at || at.roster().mayServe(at.now()).contains(writer));
-        return lives && Math.abs(at.now() - time.now()) < CLOCKS && time.now() - mark.at() > ROAM + CLOCKS
+        return lives
+                && Math.abs(at.now() - time.now()) < CLOCKS
+                && time.now() - mark.at() > ROAM + CLOCKS
                 && Math.abs(mark.by().now() - time.now()) < CLOCKS;
     }
 
@@ -177,11 +191,21 @@
         for (PeeredRouter router : company.routers()) {
             must.forEach((key, value) -> {
                 V has = router.shared().get(kind, key);
-                broke(has != null && right.join(has, value).equals(has) ? null
-                        : router + " lacks of " + kind.name() + " " + key + ": " + value + ", has " + has);
+                broke(
+                        has != null && right.join(has, value).equals(has)
+                                ? null
+                                : router + " lacks of " + kind.name() + " " + key + ": " + value + ", has " + has);
             });
-            router.shared().each(kind, (key, has) -> broke(may.containsKey(key) && right.join(may.get(key), has).equals(may.get(key))
-                    ? null : router + " has of " + kind.name() + " what nobody put in, under " + key + ": " + has));
+            router.shared()
+                    .each(
+                            kind,
+                            (key, has) -> broke(
+                                    may.containsKey(key)
+                                                    && right.join(may.get(key), has)
+                                                            .equals(may.get(key))
+                                            ? null
+                                            : router + " has of " + kind.name() + " what nobody put in, under " + key
+                                                    + ": " + has));
         }
     }
 
@@ -193,7 +217,10 @@
 
     @SuppressWarnings("unchecked") // of the same number, so of the same values
     private static <V> Kind<V> right(Kind<V> kind) {
-        return (Kind<V>) KINDS.stream().filter(one -> one.number() == kind.number()).findFirst().orElse(kind);
+        return (Kind<V>) KINDS.stream()
+                .filter(one -> one.number() == kind.number())
+                .findFirst()
+                .orElse(kind);
     }
 
     @SuppressWarnings("unchecked") // its kind was compared
--- a/lab/src/test/java/clayhook/lab/ExperimentTest.java
+++ b/lab/src/test/java/clayhook/lab/ExperimentTest.java
@@ -15,6 +15,7 @@
 
 class ExperimentTest {
     private static final String COMMAND = "[[command]]\\nname = \"a\"\\n";
+
     @TempDir
     Path folder;
 
@@ -32,14 +33,23 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {"x = 1|: command: is missing", COMMAND + "x = 1|:3: command.x: is no key",
-        COMMAND + "level = \"none\"|:3: command.level: 'none' is none of any,", "[[command]]\\nwork = 0.1|:1: command.name: is missing",
-        COMMAND + "effect = \"keyed\"|:3: command.effect: a read is replayable", COMMAND + "[fleet]\\ngroups = 0|:4: fleet.groups: 0 is",
-        COMMAND + "[[failure]]\\nkind = \"crash\"\\ntarget = \"2p\"|:5: failure.target: there is no node '2p'",
-        COMMAND + "[[failure]]\\nkind = \"zone_loss\"\\ntarget = \"z\"|:5: failure.target: there is no zone 'z'",
-        COMMAND + "[[failure]]\\ntarget = \"1p\"|:3: failure.kind: is missing",
-        COMMAND + "[[fault]]\\nkind = \"cut\"\\nwhom = [1]|:5: fault.whom: is no pair",
-        "[peers]\\nplay = \"none\"|:2: peers.play: 'none' is none of catch_up,", COMMAND + "[peers]\\nsettle = 3|:4: peers.settle: is no key"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "x = 1|: command: is missing",
+                COMMAND + "x = 1|:3: command.x: is no key",
+                COMMAND + "level = \"none\"|:3: command.level: 'none' is none of any,",
+                "[[command]]\\nwork = 0.1|:1: command.name: is missing",
+                COMMAND + "effect = \"keyed\"|:3: command.effect: a read is replayable",
+                COMMAND + "[fleet]\\ngroups = 0|:4: fleet.groups: 0 is",
+                COMMAND + "[[failure]]\\nkind = \"crash\"\\ntarget = \"2p\"|:5: failure.target: there is no node '2p'",
+                COMMAND
+                        + "[[failure]]\\nkind = \"zone_loss\"\\ntarget = \"z\"|:5: failure.target: there is no zone 'z'",
+                COMMAND + "[[failure]]\\ntarget = \"1p\"|:3: failure.kind: is missing",
+                COMMAND + "[[fault]]\\nkind = \"cut\"\\nwhom = [1]|:5: fault.whom: is no pair",
+                "[peers]\\nplay = \"none\"|:2: peers.play: 'none' is none of catch_up,",
+                COMMAND + "[peers]\\nsettle = 3|:4: peers.settle: is no key"
+            })
     void aFaultNamesFileLineAndKey(String text, String fault) {
         BadConfig told = assertThrows(BadConfig.class, () -> read(text));
         assertTrue(told.getMessage().startsWith(folder.resolve("e.toml") + fault), told.getMessage());
@@ -49,21 +59,25 @@
     void aPlanOfFaultsIsPrintedAsItIsRead() throws Exception {
         for (int seed = 1; seed <= 50; seed++) {
             String printed = FaultPlan.drawn(seed, 12, 12, 90).toString();
-            assertEquals(printed, read(printed + "\n" + COMMAND).peers().faults().toString());
+            assertEquals(
+                    printed, read(printed + "\n" + COMMAND).peers().faults().toString());
         }
     }
 
     @Test
     void variantsArePairedOnTheSameSeeds() throws Exception {
-        Experiment experiment = read("seeds = [1, 2, 3]\\n" + COMMAND + "work = 0.02\\n[load]\\nrate = 450.0\\nseconds = 5\\n"
-                + "[[variant]]\\nname = \"one\"\\n[[variant]]\\nname = \"same\"\\n[[variant]]\\nname = \"more\"\\ncores = 8\\n");
-        var played = Comparison.play(experiment, (name, seed) -> { });
+        Experiment experiment = read(
+                "seeds = [1, 2, 3]\\n" + COMMAND + "work = 0.02\\n[load]\\nrate = 450.0\\nseconds = 5\\n"
+                        + "[[variant]]\\nname = \"one\"\\n[[variant]]\\nname = \"same\"\\n[[variant]]\\nname = \"more\"\\ncores = 8\\n");
+        var played = Comparison.play(experiment, (name, seed) -> {});
         assertEquals(0, Comparison.gain(played.get(0), played.get(1)).mean());
         var more = Comparison.gain(played.get(0), played.get(2));
         assertTrue(more.mean() > more.reach() && more.reach() > 0, more.toString());
         System.setProperty("java.awt.headless", "true");
         String page = Report.html("a <title>", experiment, played);
-        assertTrue(page.contains("a &lt;title>") && page.contains("<td>more<td>") && page.split("data:image/png;base64,iVBOR").length == 4);
+        assertTrue(page.contains("a &lt;title>")
+                && page.contains("<td>more<td>")
+                && page.split("data:image/png;base64,iVBOR").length == 4);
     }
 
     @Test
--- a/lab/src/test/java/clayhook/lab/model/FleetTest.java
+++ b/lab/src/test/java/clayhook/lab/model/FleetTest.java
@@ -31,16 +31,35 @@
     }
 
     private static FleetSpec fleet(double rate) {
-        return new FleetSpec(2, 2, 2, List.of("a", "b", "c"), new Machine(2, 50, 0.02, 0.001, 0.005, 0.3, 5), 0.0005, 2, 0.5, true,
-                false, List.of(new FleetSpec.Kind(BOUNDED, 4, 0.004, 0.5), new FleetSpec.Kind(SESSION, 1, 0.004, 0.5),
-                new FleetSpec.Kind(ANY, 3, 0.006, 0.5), new FleetSpec.Kind(KEYED, 1, 0.003, 0.5),
-                new FleetSpec.Kind(MUTATING, 1, 0.003, 0.5)), rate, List.of(), 100);
+        return new FleetSpec(
+                2,
+                2,
+                2,
+                List.of("a", "b", "c"),
+                new Machine(2, 50, 0.02, 0.001, 0.005, 0.3, 5),
+                0.0005,
+                2,
+                0.5,
+                true,
+                false,
+                List.of(
+                        new FleetSpec.Kind(BOUNDED, 4, 0.004, 0.5),
+                        new FleetSpec.Kind(SESSION, 1, 0.004, 0.5),
+                        new FleetSpec.Kind(ANY, 3, 0.006, 0.5),
+                        new FleetSpec.Kind(KEYED, 1, 0.003, 0.5),
+                        new FleetSpec.Kind(MUTATING, 1, 0.003, 0.5)),
+                rate,
+                List.of(),
+                100);
     }
 
     private static String told(Tally tally) {
         var counts = new TreeMap<String, String>();
-        tally.groups().forEach((group, of) -> counts.put(group.name(), of.asked + " " + of.inTime + " " + of.throttled + " "
-                + of.failed + " " + of.times.getValueAtPercentile(99)));
+        tally.groups()
+                .forEach((group, of) -> counts.put(
+                        group.name(),
+                        of.asked + " " + of.inTime + " " + of.throttled + " " + of.failed + " "
+                                + of.times.getValueAtPercentile(99)));
         return counts + " " + tally.serviceBySecond() + " " + tally.busy() + " " + tally.events();
     }
 
@@ -59,7 +78,10 @@
         assertTrue(tally.service() > 0.99, "" + tally.service());
         // Work asked for in a second over the cores there are.
         double asked = 300 * (4 * 0.004 + 0.004 + 3 * 0.006 + 2 * 0.003) / 10 / (6 * 2);
-        double busy = tally.busy().values().stream().mapToDouble(part -> part).average().orElseThrow();
+        double busy = tally.busy().values().stream()
+                .mapToDouble(part -> part)
+                .average()
+                .orElseThrow();
         assertEquals(asked, busy, 0.1 * asked);
     }
 
@@ -71,7 +93,11 @@
         Tally tally = new Fleet(fleet(300), List.of(failure), 1).run(30);
         assertEquals(Map.of(), tally.broken(), tally::firstBroken);
         Map<Integer, Double> seconds = tally.serviceBySecond();
-        double late = seconds.entrySet().stream().filter(s -> s.getKey() >= 20).mapToDouble(Map.Entry::getValue).average().orElse(0);
+        double late = seconds.entrySet().stream()
+                .filter(s -> s.getKey() >= 20)
+                .mapToDouble(Map.Entry::getValue)
+                .average()
+                .orElse(0);
         assertTrue(late > 0.95, kind + ": " + seconds);
     }
 
@@ -83,8 +109,11 @@
         String without = told(new Fleet(fleet(300), List.of(), 1).run(15));
         assertNotEquals(without, with);
         Tally felt = new Fleet(fleet(300), List.of(failure), 1).run(15);
-        double worst = felt.serviceBySecond().entrySet().stream().filter(s -> s.getKey() >= 5 && s.getKey() < 11)
-                .mapToDouble(Map.Entry::getValue).min().orElse(1);
+        double worst = felt.serviceBySecond().entrySet().stream()
+                .filter(s -> s.getKey() >= 5 && s.getKey() < 11)
+                .mapToDouble(Map.Entry::getValue)
+                .min()
+                .orElse(1);
         assertTrue(kind == Kind.NEIGHBOUR || worst < 0.97, kind + ": " + felt.serviceBySecond());
     }
 
@@ -125,7 +154,13 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"mutating, false, 1.5, 1", "keyed, false, 1.5, 0", "keyed, true, 1.5, 1", "keyed, false, 2.5, 1", "any, true, 9, 0"})
+    @CsvSource({
+        "mutating, false, 1.5, 1",
+        "keyed, false, 1.5, 0",
+        "keyed, true, 1.5, 1",
+        "keyed, false, 2.5, 1",
+        "any, true, 9, 0"
+    })
     void noEffectTwice(String name, boolean elsewhere, double again, int broken) {
         CommandGroup group = name.equals("mutating") ? MUTATING : name.equals("keyed") ? KEYED : ANY;
         audit.sent("c", group, 10);
--- a/lab/src/test/java/clayhook/lab/model/LawsTest.java
+++ b/lab/src/test/java/clayhook/lab/model/LawsTest.java
@@ -77,7 +77,10 @@
         double expected = work + erlangC(cores, used * cores) * work / (cores * (1 - used));
         double mean = measured.spent / measured.done;
         assertEquals(expected, mean, 0.04 * expected);
-        assertEquals(measured.done / measured.last * mean, measured.inside / measured.last, 0.001 * measured.inside / measured.last);
+        assertEquals(
+                measured.done / measured.last * mean,
+                measured.inside / measured.last,
+                0.001 * measured.inside / measured.last);
     }
 
     @ParameterizedTest
--- a/lab/src/test/java/clayhook/lab/model/LoopbackTest.java
+++ b/lab/src/test/java/clayhook/lab/model/LoopbackTest.java
@@ -21,11 +21,27 @@
     }
 
     @ParameterizedTest
-    @EnumSource(value = Kind.class, names = {"NEIGHBOUR", "CRASH"})
+    @EnumSource(
+            value = Kind.class,
+            names = {"NEIGHBOUR", "CRASH"})
     void everyCommandIsAnsweredOnceTheRulesAreKeptAndAllThatWasAskedIsCounted(Kind kind) throws Exception {
-        var spec = new FleetSpec(1, 2, 2, List.of("a", "b"), new Machine(2, 50, 0.02, 0.001, 0.002, 0.5, 1), 0.0005, 0.5, 0.1, true,
-                false, List.of(new FleetSpec.Kind(group("read", Effect.REPLAYABLE, ReadLevel.ANY), 4, 0.002, 0.5),
-                new FleetSpec.Kind(group("write", Effect.KEYED, ReadLevel.WRITE), 1, 0.002, 0.5)), 100, List.of(), 10);
+        var spec = new FleetSpec(
+                1,
+                2,
+                2,
+                List.of("a", "b"),
+                new Machine(2, 50, 0.02, 0.001, 0.002, 0.5, 1),
+                0.0005,
+                0.5,
+                0.1,
+                true,
+                false,
+                List.of(
+                        new FleetSpec.Kind(group("read", Effect.REPLAYABLE, ReadLevel.ANY), 4, 0.002, 0.5),
+                        new FleetSpec.Kind(group("write", Effect.KEYED, ReadLevel.WRITE), 1, 0.002, 0.5)),
+                100,
+                List.of(),
+                10);
         var loopback = new Loopback(spec, 1);
         Tally tally = loopback.run(List.of(new Failure(kind, "1r1", 0.5, 1, 0.5)), 3);
         if (tally == null) {
@@ -37,6 +53,8 @@
             assertEquals(of.asked, of.answered + of.throttled + of.failed);
             assertTrue(of.answered > 0.8 * of.asked, of.answered + " of " + of.asked);
         }
-        assertTrue(tally.busy().get("1p") > 0 && tally.busy().get("1r2") > 0, tally.busy().toString());
+        assertTrue(
+                tally.busy().get("1p") > 0 && tally.busy().get("1r2") > 0,
+                tally.busy().toString());
     }
 }
--- a/lab/src/test/java/clayhook/lab/plan/PlannerTest.java
+++ b/lab/src/test/java/clayhook/lab/plan/PlannerTest.java
@@ -10,37 +10,47 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class PlannerTest {
-    private static final String FLEET = """
+    private static final String FLEET =
+            """
             seeds = [1, 2]
             [fleet]
             zones = ["a", "b", "c"]
             [goal]
             service = 0.97
             """;
-    private static final String READS = """
+    private static final String READS =
+            """
             [[command]]
             name = "read"
             work = 0.01
             """;
+
     @TempDir
     Path folder;
 
     private Planner planner(String text) throws Exception {
-        return new Planner(Experiment.read(Files.writeString(folder.resolve("p.toml"), text)), step -> { });
+        return new Planner(Experiment.read(Files.writeString(folder.resolve("p.toml"), text)), step -> {});
     }
 
-    /** Three nodes of two cores, one hundredth of a second each: 600 a second is all that there is, 400 without the primary. */
+    /**
+     * Three nodes of two cores, one hundredth of a second each: 600 a second is all that there is, 400 without the
+     * primary.
+     */
     @Test
     void theLoadGrowsUpToWhatTheCoresBear() throws Exception {
-        Planner.Breaks breaks = planner(FLEET + READS + "[load]\nrate = 100.0\nseconds = 15\n").breaks();
-        assertTrue(breaks.lastGood() > 3 && breaks.firstBad() < 6.3 && breaks.lastGood() < breaks.firstBad(), breaks.toString());
+        Planner.Breaks breaks =
+                planner(FLEET + READS + "[load]\nrate = 100.0\nseconds = 15\n").breaks();
+        assertTrue(
+                breaks.lastGood() > 3 && breaks.firstBad() < 6.3 && breaks.lastGood() < breaks.firstBad(),
+                breaks.toString());
         assertTrue(breaks.causes().get(0).resource().matches("cores.*|replicas"), breaks.toString());
         assertTrue(breaks.at().busiestReplica() > 0.7);
     }
 
     @Test
     void aSlowLogIsNamedWhereCoresAreIdle() throws Exception {
-        String text = FLEET + "[machine]\napply = 0.015\n[load]\nrate = 100.0\nseconds = 15\n" + """
+        String text = FLEET + "[machine]\napply = 0.015\n[load]\nrate = 100.0\nseconds = 15\n"
+                + """
                 [[command]]
                 name = "bounded"
                 level = "bounded"
@@ -60,24 +70,32 @@
     @Test
     void replicasAreThoseThatTheWorkNeeds() throws Exception {
         // Twelve cores' work: six nodes at the very least, of which one is the primary.
-        Planner.Need need = planner(FLEET + READS + "[load]\nrate = 1200.0\nseconds = 10\n").need();
+        Planner.Need need =
+                planner(FLEET + READS + "[load]\nrate = 1200.0\nseconds = 10\n").need();
         assertTrue(need.least() >= 5 && need.enough() >= 6 && need.enough() <= 8, need.toString());
         assertEquals(2, need.now());
     }
 
     @Test
     void losingASiteTellsBeforeDuringAndAfter() throws Exception {
-        var losses = planner(FLEET + READS + "[load]\nrate = 450.0\nseconds = 30\n").losses();
+        var losses =
+                planner(FLEET + READS + "[load]\nrate = 450.0\nseconds = 30\n").losses();
         assertEquals(3, losses.size());
         for (Planner.Loss loss : losses) {
-            assertTrue(loss.before() > 0.95 && loss.during() < loss.before() && loss.worst() <= loss.during(), loss.toString());
+            assertTrue(
+                    loss.before() > 0.95 && loss.during() < loss.before() && loss.worst() <= loss.during(),
+                    loss.toString());
             assertTrue(loss.need().enough() >= 3, loss.toString());
         }
     }
 
     @Test
     void arithmeticIsThatOfTheLoad() throws Exception {
-        Experiment experiment = Experiment.read(Files.writeString(folder.resolve("e.toml"), READS + """
+        Experiment experiment = Experiment.read(
+                Files.writeString(
+                        folder.resolve("e.toml"),
+                        READS
+                                + """
                 share = 3
                 [[command]]
                 name = "post"
--- a/lab/src/test/java/clayhook/lab/sharing/SharingTest.java
+++ b/lab/src/test/java/clayhook/lab/sharing/SharingTest.java
@@ -112,8 +112,13 @@
         SharingSweep.Result result = new SharingSweep(SPEC, kinds, FaultPlan.NONE, FAULTS).play(seeds(2));
         assertTrue(result.failed() > 0, result::toString);
         SharingSweep.Found found = result.found().get(0);
-        assertTrue(found.broken().contains(kinds.get(which).name()) && found.plan().faults().size() < FAULTS, found::toString);
-        assertEquals(found.broken(), Trial.play(SPEC, kinds, found.plan(), found.seed()).broken());
+        assertTrue(
+                found.broken().contains(kinds.get(which).name())
+                        && found.plan().faults().size() < FAULTS,
+                found::toString);
+        assertEquals(
+                found.broken(),
+                Trial.play(SPEC, kinds, found.plan(), found.seed()).broken());
     }
 
     @Test
@@ -121,17 +126,30 @@
         FaultPlan drawn = FaultPlan.drawn(5, 40, 12, 90);
         assertEquals(drawn, FaultPlan.drawn(5, 40, 12, 90));
         assertTrue(drawn.over() <= 90);
-        FaultPlan least = drawn.shrunk(plan -> plan.faults().stream().anyMatch(f -> f.kind() == Kind.SPLIT && f.lasts() > 1)
-                && plan.faults().stream().anyMatch(f -> f.kind() == Kind.KILL));
+        FaultPlan least =
+                drawn.shrunk(plan -> plan.faults().stream().anyMatch(f -> f.kind() == Kind.SPLIT && f.lasts() > 1)
+                        && plan.faults().stream().anyMatch(f -> f.kind() == Kind.KILL));
         assertEquals(2, least.faults().size(), least::toString);
-        assertTrue(least.faults().stream().allMatch(f -> f.kind() == Kind.KILL ? f.lasts() < 0.1 : f.lasts() <= 2), least::toString);
+        assertTrue(
+                least.faults().stream().allMatch(f -> f.kind() == Kind.KILL ? f.lasts() < 0.1 : f.lasts() <= 2),
+                least::toString);
     }
 
     /** Of a thousand packets from 0 to 1: how many come, how many of them spoilt, and the latest, in seconds. */
     @ParameterizedTest
-    @CsvSource({"LOSS, 0, 0.3, 700, 0, 0.004", "LOSS, 2, 0.3, 1000, 0, 0.004", "DOUBLE, 0, 0.2, 1200, 0, 0.004",
-        "CUT, 0 1, 0, 0, 0, 0", "CUT, 1 0, 0, 1000, 0, 0.004", "SPLIT, 0 2, 0, 0, 0, 0", "SPLIT, 0 1, 0, 1000, 0, 0.004",
-        "GARBLE, '', 0.5, 1000, 500, 0.004", "REORDER, 0, 0.5, 1000, 0, 0.5", "SLOW, 0, 10000, 1000, 0, 1.1", "FREEZE, 2, 0, 1000, 0, 0.004"})
+    @CsvSource({
+        "LOSS, 0, 0.3, 700, 0, 0.004",
+        "LOSS, 2, 0.3, 1000, 0, 0.004",
+        "DOUBLE, 0, 0.2, 1200, 0, 0.004",
+        "CUT, 0 1, 0, 0, 0, 0",
+        "CUT, 1 0, 0, 1000, 0, 0.004",
+        "SPLIT, 0 2, 0, 0, 0, 0",
+        "SPLIT, 0 1, 0, 1000, 0, 0.004",
+        "GARBLE, '', 0.5, 1000, 500, 0.004",
+        "REORDER, 0, 0.5, 1000, 0, 0.5",
+        "SLOW, 0, 10000, 1000, 0, 1.1",
+        "FREEZE, 2, 0, 1000, 0, 0.004"
+    })
     void theNetworkDoesWhatTheFaultSays(Kind kind, String whom, double amount, int come, int spoilt, double latest) {
         var time = new Timeline(100);
         var network = new Network(time, 3, 0.0005, 0, 7);
@@ -144,7 +162,9 @@
                 last[0] = Math.max(last[0], time.now() - 100);
             });
         }
-        List<Integer> routers = whom.isEmpty() ? List.of() : java.util.Arrays.stream(whom.split(" ")).map(Integer::valueOf).toList();
+        List<Integer> routers = whom.isEmpty()
+                ? List.of()
+                : java.util.Arrays.stream(whom.split(" ")).map(Integer::valueOf).toList();
         network.begin(new Fault(0, kind, routers, 10, amount));
         for (int i = 0; i < 1000; i++) {
             network.send(PeeredRouter.address(0), PeeredRouter.address(1), new byte[] {1, 1, 1, 1, 1, 1, 1, 1, 1, 1});
@@ -163,19 +183,39 @@
     }
 
     private static FleetSpec fleet(boolean shares) {
-        return new FleetSpec(2, 2, 6, List.of("a", "b", "c"), new Machine(2, 50, 0.02, 0.02, 0.005, 0.3, 5), 0.0005, 2, 0.5, true, false,
-                List.of(new FleetSpec.Kind(group("own", Effect.REPLAYABLE, ReadLevel.SESSION), 4, 0.004, 0.5),
+        return new FleetSpec(
+                2,
+                2,
+                6,
+                List.of("a", "b", "c"),
+                new Machine(2, 50, 0.02, 0.02, 0.005, 0.3, 5),
+                0.0005,
+                2,
+                0.5,
+                true,
+                false,
+                List.of(
+                        new FleetSpec.Kind(group("own", Effect.REPLAYABLE, ReadLevel.SESSION), 4, 0.004, 0.5),
                         new FleetSpec.Kind(group("pay", Effect.KEYED, ReadLevel.WRITE), 1, 0.003, 0.5)),
-                300, List.of(), 50, new FleetSpec.Contact(shares, false, 3, 0.5));
+                300,
+                List.of(),
+                50,
+                new FleetSpec.Contact(shares, false, 3, 0.5));
     }
 
     /** Sessions roam without carrying marks; replicas fall seconds behind, routers are split, killed and frozen. */
     @Test
     void roamingSessionsReadTheirOwnWritesOnlyWithPeers() {
-        var failures = List.of(new Failure(Failure.Kind.SLOW_LOG, "1r1", 3, 20, 5), new Failure(Failure.Kind.SLOW_LOG, "2r2", 3, 20, 5),
-                new Failure(Failure.Kind.DRAIN, "1r2", 10, 4, 0), new Failure(Failure.Kind.CRASH, "2p", 18, 4, 0));
-        var plan = new FaultPlan(List.of(new Fault(8, Kind.SPLIT, List.of(0, 1, 2), 6, 0), new Fault(16, Kind.LOSS, List.of(), 6, 0.3),
-                new Fault(17, Kind.KILL, List.of(1), 2, 0), new Fault(19, Kind.FREEZE, List.of(4), 3, 0)));
+        var failures = List.of(
+                new Failure(Failure.Kind.SLOW_LOG, "1r1", 3, 20, 5),
+                new Failure(Failure.Kind.SLOW_LOG, "2r2", 3, 20, 5),
+                new Failure(Failure.Kind.DRAIN, "1r2", 10, 4, 0),
+                new Failure(Failure.Kind.CRASH, "2p", 18, 4, 0));
+        var plan = new FaultPlan(List.of(
+                new Fault(8, Kind.SPLIT, List.of(0, 1, 2), 6, 0),
+                new Fault(16, Kind.LOSS, List.of(), 6, 0.3),
+                new Fault(17, Kind.KILL, List.of(1), 2, 0),
+                new Fault(19, Kind.FREEZE, List.of(4), 3, 0)));
         Tally alone = new Fleet(fleet(false), failures, 1, Sharing.NONE).run(30);
         assertTrue(alone.broken().getOrDefault(RuleKept.NO_STALE_READ, 0) > 10, alone::firstBroken);
         FleetSpec spec = fleet(true);
--- a/statements/src/main/java/clayhook/statements/Classed.java
+++ b/statements/src/main/java/clayhook/statements/Classed.java
@@ -14,8 +14,18 @@
  * @param mark the literal by which nodes drop its repeats, or null
  * @param opaque it may leave something behind in the session of the node that ran it
  */
-public record Classed(Verdict verdict, Shape shape, String group, int nodes, double cost, double high, String rule,
-        String why, double timeout, String mark, boolean opaque) {
+public record Classed(
+        Verdict verdict,
+        Shape shape,
+        String group,
+        int nodes,
+        double cost,
+        double high,
+        String rule,
+        String why,
+        double timeout,
+        String mark,
+        boolean opaque) {
 
     /** The fingerprint of its shape; empty where that was not read. */
     public String fingerprint() {
--- a/statements/src/main/java/clayhook/statements/Classifier.java
+++ b/statements/src/main/java/clayhook/statements/Classifier.java
@@ -30,8 +30,7 @@
     private long unread;
 
     /** What came since the last call of {@link #counts}. */
-    public record Counts(long hits, long read, long unread) {
-    }
+    public record Counts(long hits, long read, long unread) {}
 
     /** {@code seed}: the instance's own; clients must not know it. */
     public Classifier(StatementRules rules, long seed) {
@@ -84,8 +83,11 @@
         // A whole budget always suffices for one: a shape is never too long to be read at all.
         if (size > budget && budget < rules.parseBudget()) {
             unread++;
-            Facts facts = Facts.unread(rules.refusePast() ? Verdict.REFUSED : Verdict.WRITE,
-                    "more new shapes in a turn than are read", "", true);
+            Facts facts = Facts.unread(
+                    rules.refusePast() ? Verdict.REFUSED : Verdict.WRITE,
+                    "more new shapes in a turn than are read",
+                    "",
+                    true);
             return ruled(facts, null, unit, unit, client);
         }
         budget -= size;
@@ -148,13 +150,36 @@
             if (rule.matches(facts, fingerprint, cost, client)) {
                 String mark = rule.mark() == null ? null : mark(facts, rule.mark());
                 if (rule.mark() == null || mark != null) {
-                    return placed(facts, new Classed(facts.verdict(), shape, rule.group(), rules.nodes(), cost, high,
-                            rule.name(), facts.why(), rule.timeout(), mark, facts.opaque()), rule.nodes());
+                    return placed(
+                            facts,
+                            new Classed(
+                                    facts.verdict(),
+                                    shape,
+                                    rule.group(),
+                                    rules.nodes(),
+                                    cost,
+                                    high,
+                                    rule.name(),
+                                    facts.why(),
+                                    rule.timeout(),
+                                    mark,
+                                    facts.opaque()),
+                            rule.nodes());
                 }
             }
         }
         String group = facts.verdict() == Verdict.READ ? rules.readGroup() : rules.writeGroup();
-        return new Classed(facts.verdict(), shape, group, rules.nodes(), cost, high, "default", facts.why(), 0, null,
+        return new Classed(
+                facts.verdict(),
+                shape,
+                group,
+                rules.nodes(),
+                cost,
+                high,
+                "default",
+                facts.why(),
+                0,
+                null,
                 facts.opaque());
     }
 
@@ -180,8 +205,10 @@
             if (key == null) {
                 return classed.refused("the literal for " + nodes.column() + " is in no plain form");
             }
-            long hash = NAMES.hashBytesTo128Bits(key.getBytes(StandardCharsets.UTF_8)).getAsLong();
-            int group = nodes.groups().get((int) Long.remainderUnsigned(hash, nodes.groups().size()));
+            long hash = NAMES.hashBytesTo128Bits(key.getBytes(StandardCharsets.UTF_8))
+                    .getAsLong();
+            int group = nodes.groups()
+                    .get((int) Long.remainderUnsigned(hash, nodes.groups().size()));
             if (found >= 0 && group != found) {
                 return classed.refused("rows of several groups of nodes");
             }
@@ -196,6 +223,8 @@
             return null;
         }
         int i = shaper.element(tokens, place.token(), row, place.element());
-        return i < 0 || tokens.kinds[i] != Kind.LITERAL ? null : Literals.text(tokens.text, tokens.from[i], tokens.to[i]);
+        return i < 0 || tokens.kinds[i] != Kind.LITERAL
+                ? null
+                : Literals.text(tokens.text, tokens.from[i], tokens.to[i]);
     }
 }
--- a/statements/src/main/java/clayhook/statements/Facts.java
+++ b/statements/src/main/java/clayhook/statements/Facts.java
@@ -17,12 +17,19 @@
  * @param work how much more it asks of a node than reading one row; without unit
  * @param opaque it may leave something behind in the session of the node that ran it
  */
-record Facts(Verdict verdict, String why, String kind, List<String> relations, List<String> functions,
-        Map<String, Place> keys, boolean inserts, double work, boolean opaque) {
+record Facts(
+        Verdict verdict,
+        String why,
+        String kind,
+        List<String> relations,
+        List<String> functions,
+        Map<String, Place> keys,
+        boolean inserts,
+        double work,
+        boolean opaque) {
 
     /** An element of the literal, or list of them, that a token of the shape stands for. */
-    record Place(int token, int element, int width) {
-    }
+    record Place(int token, int element, int width) {}
 
     static Facts unread(Verdict verdict, String why, String kind, boolean opaque) {
         return new Facts(verdict, why, kind, List.of(), List.of(), Map.of(), false, 1, opaque);
@@ -35,7 +42,8 @@
 
     /** Bytes that it takes, roughly: for the bound of the cache. */
     int weight() {
-        int names = relations.stream().mapToInt(String::length).sum() + functions.stream().mapToInt(String::length).sum();
+        int names = relations.stream().mapToInt(String::length).sum()
+                + functions.stream().mapToInt(String::length).sum();
         return 200 + names + 64 * (relations.size() + functions.size()) + 120 * keys.size();
     }
 }
--- a/statements/src/main/java/clayhook/statements/Known.java
+++ b/statements/src/main/java/clayhook/statements/Known.java
@@ -19,19 +19,47 @@
     private static final Set<String> FUNCTIONS = lines("functions.txt");
     private static final Set<String> TYPES = lines("types.txt");
     /** Operators of the chapter "Functions and Operators". */
-    private static final Set<String> OPERATORS = Set.of("+", "-", "*", "/", "%", "^", "=", "<", ">", "<=", ">=", "<>",
-            "!=", "||", "|/", "||/", "@", "&", "|", "#", "~", "<<", ">>", "~~", "~~*", "!~~", "!~~*", "~*", "!~", "!~*",
-            "^@", "->", "->>", "#>", "#>>", "@>", "<@", "?", "?|", "?&", "#-", "@?", "@@", "@@@", "&&", "-|-", "&<", "&>",
-            "<->", "<<|", "|>>", "&<|", "|&>", "<^", ">^", "?#", "?-", "?-|", "?||", "@-@", "##", "<<=", ">>=", "!!",
-            "~=", "*<", "*>", "*=", "*<>", "*<=", "*>=");
+    private static final Set<String> OPERATORS = Set.of(
+            "+", "-", "*", "/", "%", "^", "=", "<", ">", "<=", ">=", "<>", "!=", "||", "|/", "||/", "@", "&", "|", "#",
+            "~", "<<", ">>", "~~", "~~*", "!~~", "!~~*", "~*", "!~", "!~*", "^@", "->", "->>", "#>", "#>>", "@>", "<@",
+            "?", "?|", "?&", "#-", "@?", "@@", "@@@", "&&", "-|-", "&<", "&>", "<->", "<<|", "|>>", "&<|", "|&>", "<^",
+            ">^", "?#", "?-", "?-|", "?||", "@-@", "##", "<<=", ">>=", "!!", "~=", "*<", "*>", "*=", "*<>", "*<=",
+            "*>=");
     /** They bind what follows to the connection that ran them. */
-    static final Set<String> BINDING = Set.of("pg_advisory_lock", "pg_advisory_lock_shared", "pg_try_advisory_lock",
-            "pg_try_advisory_lock_shared", "pg_advisory_unlock", "pg_advisory_unlock_shared", "pg_advisory_unlock_all",
-            "set_config", "setseed", "lo_open", "dblink_connect", "dblink_connect_u");
+    static final Set<String> BINDING = Set.of(
+            "pg_advisory_lock",
+            "pg_advisory_lock_shared",
+            "pg_try_advisory_lock",
+            "pg_try_advisory_lock_shared",
+            "pg_advisory_unlock",
+            "pg_advisory_unlock_shared",
+            "pg_advisory_unlock_all",
+            "set_config",
+            "setseed",
+            "lo_open",
+            "dblink_connect",
+            "dblink_connect_u");
     /** They read all rows of their group; for the cost alone. */
-    static final Set<String> AGGREGATES = Set.of("count", "sum", "avg", "min", "max", "array_agg", "string_agg",
-            "json_agg", "jsonb_agg", "bool_and", "bool_or", "every", "stddev", "variance", "percentile_cont",
-            "percentile_disc", "mode", "corr", "regr_slope");
+    static final Set<String> AGGREGATES = Set.of(
+            "count",
+            "sum",
+            "avg",
+            "min",
+            "max",
+            "array_agg",
+            "string_agg",
+            "json_agg",
+            "jsonb_agg",
+            "bool_and",
+            "bool_or",
+            "every",
+            "stddev",
+            "variance",
+            "percentile_cont",
+            "percentile_disc",
+            "mode",
+            "corr",
+            "regr_slope");
 
     private final Set<String> functions;
     private final Set<String> types;
@@ -75,10 +103,13 @@
     }
 
     private static Set<String> lines(String resource) {
-        try (var in = new BufferedReader(new InputStreamReader(Known.class.getResourceAsStream(resource),
-                StandardCharsets.UTF_8))) {
-            return in.lines().filter(line -> !line.startsWith("#")).flatMap(line -> Arrays.stream(line.split(" ")))
-                    .filter(name -> !name.isEmpty()).collect(Collectors.toUnmodifiableSet());
+        try (var in = new BufferedReader(
+                new InputStreamReader(Known.class.getResourceAsStream(resource), StandardCharsets.UTF_8))) {
+            return in.lines()
+                    .filter(line -> !line.startsWith("#"))
+                    .flatMap(line -> Arrays.stream(line.split(" ")))
+                    .filter(name -> !name.isEmpty())
+                    .collect(Collectors.toUnmodifiableSet());
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
--- a/statements/src/main/java/clayhook/statements/Lexer.java
+++ b/statements/src/main/java/clayhook/statements/Lexer.java
@@ -10,16 +10,19 @@
     private static final String OPERATORS = "~!@#^&|`?+-*/%<>=";
     /** An operator of several signs may end in + or - only if it holds one of these. */
     private static final String KEEPS_SIGN = "~!@#^&|`?%";
+
     private static final byte[] CLASS = new byte[256];
     private static final byte OTHER = 0, SPACE = 1, START = 2, DIGIT = 3, OPERATOR = 4, SELF = 5;
 
     static {
         for (int c = 0; c < 256; c++) {
-            CLASS[c] = c == ' ' || c == '\t' || c == '\n' || c == '\r' || c == '\f' ? SPACE
-                    : c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '_' || c >= 128 ? START
-                    : c >= '0' && c <= '9' ? DIGIT
-                    : OPERATORS.indexOf(c) >= 0 ? OPERATOR
-                    : ",()[].;:".indexOf(c) >= 0 ? SELF : OTHER;
+            CLASS[c] = c == ' ' || c == '\t' || c == '\n' || c == '\r' || c == '\f'
+                    ? SPACE
+                    : c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '_' || c >= 128
+                            ? START
+                            : c >= '0' && c <= '9'
+                                    ? DIGIT
+                                    : OPERATORS.indexOf(c) >= 0 ? OPERATOR : ",()[].;:".indexOf(c) >= 0 ? SELF : OTHER;
         }
     }
 
@@ -97,7 +100,7 @@
                     string(start, at + 1, !conforming);
                     return;
                 }
-                default -> { }
+                default -> {}
             }
         } else if ((c == 'u' || c == 'U') && second == '&' && peek(2) == '\'') {
             if (conforming) {
@@ -182,7 +185,8 @@
             return;
         }
         int tag = at + 1;
-        while (tag < text.length && (CLASS[text[tag] & 0xff] == START || tag > at + 1 && CLASS[text[tag] & 0xff] == DIGIT)) {
+        while (tag < text.length
+                && (CLASS[text[tag] & 0xff] == START || tag > at + 1 && CLASS[text[tag] & 0xff] == DIGIT)) {
             tag++;
         }
         if (tag >= text.length || text[tag] != '$') {
@@ -282,8 +286,12 @@
         at = end;
         int c = text[start];
         boolean arrow = end - start == 2 && c == '=' && text[start + 1] == '>';
-        tokens.add(end - start == 1 && c == '=' ? Kind.EQ : end - start == 1 && c == '*' ? Kind.STAR
-                : arrow ? Kind.ARROW : Kind.OP, start, end);
+        tokens.add(
+                end - start == 1 && c == '='
+                        ? Kind.EQ
+                        : end - start == 1 && c == '*' ? Kind.STAR : arrow ? Kind.ARROW : Kind.OP,
+                start,
+                end);
     }
 
     private void self(int c) {
@@ -299,15 +307,18 @@
             tokens.add(second == ':' ? Kind.CAST_TO : Kind.COLON_EQ, start, at);
             return;
         }
-        tokens.add(switch (c) {
-            case ',' -> Kind.COMMA;
-            case '(' -> Kind.LP;
-            case ')' -> Kind.RP;
-            case '[' -> Kind.LB;
-            case ']' -> Kind.RB;
-            case '.' -> Kind.DOT;
-            case ';' -> Kind.SEMI;
-            default -> Kind.COLON;
-        }, start, at);
+        tokens.add(
+                switch (c) {
+                    case ',' -> Kind.COMMA;
+                    case '(' -> Kind.LP;
+                    case ')' -> Kind.RP;
+                    case '[' -> Kind.LB;
+                    case ']' -> Kind.RB;
+                    case '.' -> Kind.DOT;
+                    case ';' -> Kind.SEMI;
+                    default -> Kind.COLON;
+                },
+                start,
+                at);
     }
 }
--- a/statements/src/main/java/clayhook/statements/Literals.java
+++ b/statements/src/main/java/clayhook/statements/Literals.java
@@ -7,8 +7,7 @@
     /** Keys are short; a longer literal is no key. */
     private static final int LONGEST = 1024;
 
-    private Literals() {
-    }
+    private Literals() {}
 
     /** Whole numbers as digits, strings without escapes as their text; null for all else. */
     static String text(byte[] statement, int from, int to) {
--- a/statements/src/main/java/clayhook/statements/Names.java
+++ b/statements/src/main/java/clayhook/statements/Names.java
@@ -10,12 +10,13 @@
     /** One less than NAMEDATALEN of the documentation. */
     private static final int LONGEST = 63;
 
-    private Names() {
-    }
+    private Names() {}
 
     /** Parts joined by dots; a part that holds a dot itself is quoted, so that it is no two parts. */
     static String of(QnameContext name) {
-        return name.name().stream().map(Names::of).map(part -> part.indexOf('.') < 0 ? part : '"' + part + '"')
+        return name.name().stream()
+                .map(Names::of)
+                .map(part -> part.indexOf('.') < 0 ? part : '"' + part + '"')
                 .collect(Collectors.joining("."));
     }
 
--- a/statements/src/main/java/clayhook/statements/Reader.java
+++ b/statements/src/main/java/clayhook/statements/Reader.java
@@ -21,19 +21,38 @@
 
 /** Reads a shape: what every statement of it may do. A shape that it cannot understand may do anything. */
 final class Reader {
-    /** Brackets and CASE within one another. The parser takes some thirty frames a level; no one writes more by hand. */
+    /**
+     * Brackets and CASE within one another. The parser takes some thirty frames a level; no one writes more by hand.
+     */
     private static final int DEEPEST = 40;
     /** Longer shapes are generated; lists of literals count as one token whatever their length. */
     static final int LONGEST = 4000;
-    /** Lookahead that the parser has learnt, in states: some hundred bytes each. It grows with shapes, so it is dropped. */
+    /**
+     * Lookahead that the parser has learnt, in states: some hundred bytes each. It grows with shapes, so it is dropped.
+     */
     static final int MOST_STATES = 20_000;
+
     private static final Map<String, Integer> WORDS = words();
-    private static final Set<String> BLOCKS = Set.of("begin", "start", "commit", "end", "rollback", "abort", "savepoint",
-            "release");
-    private static final Set<String> BINDING = Set.of("copy", "listen", "unlisten", "prepare", "execute", "deallocate",
-            "declare", "fetch", "move", "close", "lock", "discard", "set", "reset", "load");
-    private static final Set<String> CHANGING = Set.of("insert", "update", "delete", "merge", "into", "truncate",
-            "create", "drop", "alter", "call");
+    private static final Set<String> BLOCKS =
+            Set.of("begin", "start", "commit", "end", "rollback", "abort", "savepoint", "release");
+    private static final Set<String> BINDING = Set.of(
+            "copy",
+            "listen",
+            "unlisten",
+            "prepare",
+            "execute",
+            "deallocate",
+            "declare",
+            "fetch",
+            "move",
+            "close",
+            "lock",
+            "discard",
+            "set",
+            "reset",
+            "load");
+    private static final Set<String> CHANGING =
+            Set.of("insert", "update", "delete", "merge", "into", "truncate", "create", "drop", "alter", "call");
     /** After these the session of the node may be another. */
     private static final Set<String> OPAQUE = Set.of("do", "call");
 
@@ -199,7 +218,8 @@
                 continue;
             }
             String first = word(shape, start);
-            if (BLOCKS.contains(first) || first.equals("prepare") && word(shape, start + 1).equals("transaction")) {
+            if (BLOCKS.contains(first)
+                    || first.equals("prepare") && word(shape, start + 1).equals("transaction")) {
                 return Facts.unread(Verdict.REFUSED, "transaction blocks are not taken yet: " + first, first, false);
             } else if (BINDING.contains(first)) {
                 return Facts.unread(Verdict.REFUSED, "binds the session to a connection: " + first, first, false);
@@ -208,21 +228,32 @@
             start = i + 1;
         }
         for (int i = 0; i + 1 < shape.size; i++) {
-            if (shape.kinds[i] == Kind.WORD && (shape.is(i, "temp") || shape.is(i, "temporary"))
+            if (shape.kinds[i] == Kind.WORD
+                    && (shape.is(i, "temp") || shape.is(i, "temporary"))
                     && (i <= MODIFIERS || word(shape, i - 1).equals("into"))
                     && (word(shape, 0).equals("create") || word(shape, i - 1).equals("into"))) {
-                return Facts.unread(Verdict.REFUSED, "binds the session to a connection: a temporary object",
-                        word(shape, 0), false);
+                return Facts.unread(
+                        Verdict.REFUSED,
+                        "binds the session to a connection: a temporary object",
+                        word(shape, 0),
+                        false);
             }
-            String name = shape.kinds[i + 1] != Kind.LP ? "" : shape.kinds[i] == Kind.WORD ? text(shape, i)
-                    : shape.kinds[i] == Kind.QUOTED ? Names.unquote(text(shape, i)) : "";
+            String name = shape.kinds[i + 1] != Kind.LP
+                    ? ""
+                    : shape.kinds[i] == Kind.WORD
+                            ? text(shape, i)
+                            : shape.kinds[i] == Kind.QUOTED ? Names.unquote(text(shape, i)) : "";
             if (Known.BINDING.contains(name)) {
-                return Facts.unread(Verdict.REFUSED, "binds the session to a connection: " + name, word(shape, first(shape)),
+                return Facts.unread(
+                        Verdict.REFUSED,
+                        "binds the session to a connection: " + name,
+                        word(shape, first(shape)),
                         false);
             }
         }
         String kind = word(shape, first(shape));
-        return statements > 1 ? Facts.unread(Verdict.WRITE, "several statements in one", kind, true)
+        return statements > 1
+                ? Facts.unread(Verdict.WRITE, "several statements in one", kind, true)
                 : OPAQUE.contains(kind) ? Facts.unread(Verdict.WRITE, kind + " may run anything", kind, true) : null;
     }
 
--- a/statements/src/main/java/clayhook/statements/Reading.java
+++ b/statements/src/main/java/clayhook/statements/Reading.java
@@ -18,14 +18,17 @@
     private final Known known;
     /** The first reason found why this may change something, or null. */
     private String why;
+
     private final Set<String> relations = new LinkedHashSet<>();
     /** Names that the statement's own WITH has given so far; within its own query a name is still that of a table. */
     private final Set<String> given = new HashSet<>();
+
     private final Set<String> functions = new TreeSet<>();
     private final Map<String, Place> keys = new LinkedHashMap<>();
     private boolean inserts;
     /** It calls what may change the session of the node. */
     private boolean opaque;
+
     private int selects;
     private int joins;
     private int aggregates;
@@ -38,8 +41,16 @@
     }
 
     Facts facts(String kind) {
-        return new Facts(why == null ? Verdict.READ : Verdict.WRITE, why == null ? "proven to change nothing" : why, kind,
-                List.copyOf(relations), List.copyOf(functions), Map.copyOf(keys), inserts, work(), opaque);
+        return new Facts(
+                why == null ? Verdict.READ : Verdict.WRITE,
+                why == null ? "proven to change nothing" : why,
+                kind,
+                List.copyOf(relations),
+                List.copyOf(functions),
+                Map.copyOf(keys),
+                inserts,
+                work(),
+                opaque);
     }
 
     /** More rows and more passes over them cost more; a limit without a sort ends early. */
@@ -149,7 +160,9 @@
 
     @Override
     public void enterCall(CallContext ctx) {
-        String name = ctx.function().qname() == null ? Names.fold(ctx.function().getText()) : Names.of(ctx.function().qname());
+        String name = ctx.function().qname() == null
+                ? Names.fold(ctx.function().getText())
+                : Names.of(ctx.function().qname());
         called(name);
         if (Known.AGGREGATES.contains(name)) {
             aggregates++;
@@ -166,8 +179,11 @@
 
     @Override
     public void enterPrimary(PrimaryContext ctx) {
-        TerminalNode special = ctx.EXTRACT() != null ? ctx.EXTRACT() : ctx.SUBSTRING() != null ? ctx.SUBSTRING()
-                : ctx.POSITION() != null ? ctx.POSITION() : ctx.OVERLAY() != null ? ctx.OVERLAY() : ctx.TRIM();
+        TerminalNode special = ctx.EXTRACT() != null
+                ? ctx.EXTRACT()
+                : ctx.SUBSTRING() != null
+                        ? ctx.SUBSTRING()
+                        : ctx.POSITION() != null ? ctx.POSITION() : ctx.OVERLAY() != null ? ctx.OVERLAY() : ctx.TRIM();
         if (special != null) {
             called(Names.fold(special.getText()));
         }
@@ -199,7 +215,9 @@
     public void enterOperator(OperatorContext ctx) {
         String schema = ctx.name().isEmpty() ? "" : Names.of(ctx.name(0));
         ParseTree sign = ctx.OPERATOR() == null ? ctx.getChild(0) : ctx.getChild(ctx.getChildCount() - 2);
-        if (!known.operator(sign.getText()) || ctx.name().size() > 1 || !schema.isEmpty() && !schema.equals("pg_catalog")) {
+        if (!known.operator(sign.getText())
+                || ctx.name().size() > 1
+                || !schema.isEmpty() && !schema.equals("pg_catalog")) {
             writes("operator " + sign.getText() + " is not known to change nothing");
         }
     }
@@ -227,7 +245,8 @@
     public void enterWhere(WhereContext ctx) {
         ParserRuleContext owner = ctx.getParent();
         boolean plain = owner instanceof SelectContext select
-                ? select.getParent().getParent() instanceof BodyContext body && body.operand().size() == 1
+                ? select.getParent().getParent() instanceof BodyContext body
+                        && body.operand().size() == 1
                         && outermost(body)
                 : outermost(owner);
         if (plain) {
@@ -247,7 +266,9 @@
                 continue;
             }
             // What follows the AND of a BETWEEN belongs to that.
-            if (i - from == 1 && !ranged && all.binary(from).operator() != null
+            if (i - from == 1
+                    && !ranged
+                    && all.binary(from).operator() != null
                     && all.binary(from).operator().getText().equals("=")) {
                 compared(all.term(from), all.term(from + 1));
                 compared(all.term(from + 1), all.term(from));
@@ -265,7 +286,8 @@
         PrimaryContext value = literal.getChildCount() == 1 ? literal.primary() : null;
         if (name != null && name.qname() != null && value != null && value.literal() != null) {
             QnameContext qname = name.qname();
-            keys.putIfAbsent(Names.of(qname.name(qname.name().size() - 1)),
+            keys.putIfAbsent(
+                    Names.of(qname.name(qname.name().size() - 1)),
                     new Place(value.literal().LITERAL().getSymbol().getTokenIndex(), 0, 1));
         }
     }
@@ -283,11 +305,16 @@
         for (int i = 0; i < columns.size(); i++) {
             boolean listed = values.size() == 1 && columns.size() > 1;
             ExprContext value = listed ? values.get(0) : i < values.size() ? values.get(i) : null;
-            PrimaryContext plain = value != null && value.getChildCount() == 1 && value.term(0).getChildCount() == 1
-                    ? value.term(0).primary() : null;
+            PrimaryContext plain =
+                    value != null && value.getChildCount() == 1 && value.term(0).getChildCount() == 1
+                            ? value.term(0).primary()
+                            : null;
             if (plain != null && plain.literal() != null && columns.get(i).getChildCount() == 1) {
-                keys.putIfAbsent(Names.of(columns.get(i).name(0)),
-                        new Place(plain.literal().LITERAL().getSymbol().getTokenIndex(), listed ? i : 0,
+                keys.putIfAbsent(
+                        Names.of(columns.get(i).name(0)),
+                        new Place(
+                                plain.literal().LITERAL().getSymbol().getTokenIndex(),
+                                listed ? i : 0,
                                 listed ? columns.size() : 1));
             }
         }
--- a/statements/src/main/java/clayhook/statements/Rule.java
+++ b/statements/src/main/java/clayhook/statements/Rule.java
@@ -21,9 +21,23 @@
  * @param mark the column by whose literal nodes drop repeats; the rule is only for statements that have one, once
  * @param nodes where it goes; null for the default
  */
-public record Rule(String name, Verdict verdict, Set<String> kinds, Set<String> relations, Set<String> only,
-        Set<String> functions, String shape, Pattern user, Pattern database, Pattern application, double costFrom,
-        double costTo, String group, double timeout, String mark, Placement nodes) {
+public record Rule(
+        String name,
+        Verdict verdict,
+        Set<String> kinds,
+        Set<String> relations,
+        Set<String> only,
+        Set<String> functions,
+        String shape,
+        Pattern user,
+        Pattern database,
+        Pattern application,
+        double costFrom,
+        double costTo,
+        String group,
+        double timeout,
+        String mark,
+        Placement nodes) {
 
     /**
      * Which group of nodes.
@@ -31,8 +45,7 @@
      * @param column its literal decides, by hash; null where there is one group only
      * @param groups the groups of nodes
      */
-    public record Placement(String column, List<Integer> groups) {
-    }
+    public record Placement(String column, List<Integer> groups) {}
 
     /** A pattern in which * stands for any text. */
     public static Pattern glob(String text) {
@@ -43,13 +56,16 @@
         return facts.verdict() == verdict
                 && (kinds.isEmpty() || kinds.contains(facts.kind()))
                 && (relations.isEmpty() || facts.relations().stream().anyMatch(name -> names(relations, name)))
-                && (only.isEmpty() || !facts.relations().isEmpty()
-                        && facts.relations().stream().allMatch(name -> names(only, name)))
+                && (only.isEmpty()
+                        || !facts.relations().isEmpty()
+                                && facts.relations().stream().allMatch(name -> names(only, name)))
                 && (functions.isEmpty() || facts.functions().stream().anyMatch(functions::contains))
                 && (shape == null || shape.equals(fingerprint))
-                && fits(user, client.user()) && fits(database, client.database())
+                && fits(user, client.user())
+                && fits(database, client.database())
                 && fits(application, client.application())
-                && cost >= costFrom && cost < costTo;
+                && cost >= costFrom
+                && cost < costTo;
     }
 
     private static boolean fits(Pattern pattern, String text) {
--- a/statements/src/main/java/clayhook/statements/SessionSettings.java
+++ b/statements/src/main/java/clayhook/statements/SessionSettings.java
@@ -13,9 +13,18 @@
  * are logged can be made so: one that changes what a statement does would have to hold for its class as well.
  */
 public final class SessionSettings {
-    /** Given to nodes: their documentation calls them the client's preferences, and none changes what a statement does. */
-    private static final Set<String> REPLAYED = Set.of("application_name", "bytea_output", "client_min_messages", "datestyle",
-            "extra_float_digits", "intervalstyle", "timezone");
+    /**
+     * Given to nodes: their documentation calls them the client's preferences, and none changes what a statement does.
+     */
+    private static final Set<String> REPLAYED = Set.of(
+            "application_name",
+            "bytea_output",
+            "client_min_messages",
+            "datestyle",
+            "extra_float_digits",
+            "intervalstyle",
+            "timezone");
+
     private static final String TIMEOUT = "statement_timeout";
     /** Far above any value of those; it bounds what a session keeps. */
     private static final int LONGEST = 256;
@@ -23,12 +32,10 @@
     /** What to tell the client. */
     public sealed interface Reply {
         /** It is done; {@code tag} is the command's, {@code name} the setting that is told anew, or null. */
-        record Done(String tag, String name, String value) implements Reply {
-        }
+        record Done(String tag, String name, String value) implements Reply {}
 
         /** It cannot be done through the router. */
-        record Refused(String why) implements Reply {
-        }
+        record Refused(String why) implements Reply {}
     }
 
     private final Lexer lexer;
@@ -36,6 +43,7 @@
     private final Tokens tokens = new Tokens();
     /** Values as text of SQL; bounded by the names above. */
     private Map<String, String> values = Map.of();
+
     private double timeout;
     private Client client = Client.UNKNOWN;
 
@@ -56,13 +64,19 @@
 
     /** Takes what a client tells when its session starts; why that cannot be, or null. */
     public String introduced(Map<String, String> parameters) {
-        client = new Client(parameters.getOrDefault("user", ""),
-                parameters.getOrDefault("database", parameters.getOrDefault("user", "")), "");
+        client = new Client(
+                parameters.getOrDefault("user", ""),
+                parameters.getOrDefault("database", parameters.getOrDefault("user", "")),
+                "");
         for (var parameter : parameters.entrySet()) {
             String name = Names.fold(parameter.getKey());
             String value = parameter.getValue();
-            boolean passed = name.equals("user") || name.equals("database") || name.startsWith("_pq_.") || value.isEmpty()
-                    || name.equals("replication") && Set.of("false", "off", "no", "0").contains(value);
+            boolean passed = name.equals("user")
+                    || name.equals("database")
+                    || name.startsWith("_pq_.")
+                    || value.isEmpty()
+                    || name.equals("replication")
+                            && Set.of("false", "off", "no", "0").contains(value);
             if (!passed && started(name, value) instanceof Reply.Refused refused) {
                 return refused.why();
             }
@@ -78,7 +92,8 @@
     /** A setting from the message that starts the session; the value is plain text. */
     private Reply started(String name, String value) {
         boolean plain = value.indexOf('\\') < 0;
-        return plain ? set(Names.fold(name), "'" + value.replace("'", "''") + "'", value)
+        return plain
+                ? set(Names.fold(name), "'" + value.replace("'", "''") + "'", value)
                 : new Reply.Refused("setting " + name + " has a value that cannot be passed on");
     }
 
@@ -110,8 +125,13 @@
         }
         int c = i < statement.length ? statement[i] | 0x20 : 0;
         int second = i + 1 < statement.length ? statement[i + 1] | 0x20 : 0;
-        return (c == 's' || c == 'r') && second == 'e' && i + 2 < statement.length
-                && ((statement[i + 2] | 0x20) == 't' || (statement[i + 2] | 0x20) == 's') || c == '-' || c == '/' || c == ';';
+        return (c == 's' || c == 'r')
+                        && second == 'e'
+                        && i + 2 < statement.length
+                        && ((statement[i + 2] | 0x20) == 't' || (statement[i + 2] | 0x20) == 's')
+                || c == '-'
+                || c == '/'
+                || c == ';';
     }
 
     private Reply reset() {
@@ -136,7 +156,8 @@
         boolean names = tokens.is(at, "names");
         String name = zone ? "timezone" : names ? "client_encoding" : name(at);
         int value = zone ? at + 2 : names ? at + 1 : at + 2;
-        boolean sign = zone || names || at + 1 < tokens.size && (tokens.kinds[at + 1] == Kind.EQ || tokens.is(at + 1, "to"));
+        boolean sign =
+                zone || names || at + 1 < tokens.size && (tokens.kinds[at + 1] == Kind.EQ || tokens.is(at + 1, "to"));
         if (!sign || value >= tokens.size || !constants(value)) {
             return refused(name);
         }
@@ -149,8 +170,11 @@
             return known ? new Reply.Done("SET", null, null) : refused(name);
         }
         String sql = text(value, tokens.size);
-        String plain = tokens.size > value + 1 ? sql : tokens.kinds[value] == Kind.LITERAL
-                ? Literals.text(tokens.text, tokens.from[value], tokens.to[value]) : sql;
+        String plain = tokens.size > value + 1
+                ? sql
+                : tokens.kinds[value] == Kind.LITERAL
+                        ? Literals.text(tokens.text, tokens.from[value], tokens.to[value])
+                        : sql;
         return set(name, zone && tokens.kinds[value] == Kind.WORD ? "'" + sql + "'" : sql, plain == null ? sql : plain);
     }
 
@@ -158,7 +182,8 @@
     private boolean constants(int from) {
         for (int i = from; i < tokens.size; i++) {
             Kind kind = tokens.kinds[i];
-            boolean sign = kind == Kind.OP && tokens.to[i] - tokens.from[i] == 1
+            boolean sign = kind == Kind.OP
+                    && tokens.to[i] - tokens.from[i] == 1
                     && (tokens.text[tokens.from[i]] == '-' || tokens.text[tokens.from[i]] == '+');
             if (kind != Kind.WORD && kind != Kind.LITERAL && kind != Kind.COMMA && !sign) {
                 return false;
@@ -171,7 +196,8 @@
         switch (name) {
             case "client_encoding" -> {
                 String encoding = Names.fold(plain).replace("-", "").replace("_", "");
-                return encoding.equals("utf8") || encoding.equals("unicode") ? new Reply.Done("SET", null, null)
+                return encoding.equals("utf8") || encoding.equals("unicode")
+                        ? new Reply.Done("SET", null, null)
                         : new Reply.Refused("client_encoding can only be UTF8 through the router");
             }
             case "standard_conforming_strings" -> {
@@ -181,7 +207,9 @@
             case TIMEOUT -> {
                 double seconds = seconds(plain);
                 timeout = seconds < 0 ? timeout : seconds;
-                return seconds < 0 ? new Reply.Refused("statement_timeout has no valid time") : new Reply.Done("SET", null, null);
+                return seconds < 0
+                        ? new Reply.Refused("statement_timeout has no valid time")
+                        : new Reply.Done("SET", null, null);
             }
             default -> {
                 if (!REPLAYED.contains(name) || sql.length() > LONGEST) {
@@ -206,14 +234,17 @@
         double unit = 0.001;
         for (var known : Map.of("ms", 0.001, "s", 1.0, "min", 60.0, "h", 3600.0).entrySet()) {
             String before = digits.endsWith(known.getKey())
-                    ? digits.substring(0, digits.length() - known.getKey().length()).strip() : "";
+                    ? digits.substring(0, digits.length() - known.getKey().length())
+                            .strip()
+                    : "";
             if (!before.isEmpty() && before.chars().allMatch(c -> c >= '0' && c <= '9')) {
                 digits = before;
                 unit = known.getValue();
                 break;
             }
         }
-        boolean number = !digits.isEmpty() && digits.length() < 12 && digits.chars().allMatch(c -> c >= '0' && c <= '9');
+        boolean number =
+                !digits.isEmpty() && digits.length() < 12 && digits.chars().allMatch(c -> c >= '0' && c <= '9');
         return number ? Long.parseLong(digits) * unit : -1;
     }
 
@@ -225,8 +256,9 @@
     private String text(int from, int to) {
         var out = new StringBuilder();
         for (int i = from; i < to; i++) {
-            out.append(out.isEmpty() ? "" : " ").append(new String(tokens.text, tokens.from[i], tokens.to[i] - tokens.from[i],
-                    StandardCharsets.UTF_8));
+            out.append(out.isEmpty() ? "" : " ")
+                    .append(new String(
+                            tokens.text, tokens.from[i], tokens.to[i] - tokens.from[i], StandardCharsets.UTF_8));
         }
         return out.toString();
     }
@@ -234,7 +266,9 @@
     /** The statements that turn the settings of a connection into others; empty if they are the same. */
     public static String change(Map<String, String> from, Map<String, String> to) {
         var out = new StringBuilder();
-        from.keySet().stream().filter(name -> !to.containsKey(name)).forEach(name -> out.append("RESET ").append(name).append(';'));
+        from.keySet().stream()
+                .filter(name -> !to.containsKey(name))
+                .forEach(name -> out.append("RESET ").append(name).append(';'));
         to.forEach((name, value) -> {
             if (!value.equals(from.get(name))) {
                 out.append("SET ").append(name).append(" TO ").append(value).append(';');
--- a/statements/src/main/java/clayhook/statements/Shaper.java
+++ b/statements/src/main/java/clayhook/statements/Shaper.java
@@ -18,6 +18,7 @@
     int length;
     /** Tokens of the shape: kind, and the token of the statement that it comes from. */
     final Tokens tokens = new Tokens();
+
     private int[] source = new int[64];
     private int[] rows = new int[64];
     private Tokens from;
@@ -79,7 +80,8 @@
     /** The end of a further list right behind the one that closes at {@code close}; -1 if there is none. */
     private int another(int close, int end, Kind open) {
         return close + 2 < end && from.kinds[close + 1] == Kind.COMMA && from.kinds[close + 2] == open
-                ? list(close + 2, end, from.kinds[close]) : -1;
+                ? list(close + 2, end, from.kinds[close])
+                : -1;
     }
 
     private boolean sign(int j) {
--- a/statements/src/main/java/clayhook/statements/Shapes.java
+++ b/statements/src/main/java/clayhook/statements/Shapes.java
@@ -23,7 +23,8 @@
 
         @Override
         public boolean equals(Object other) {
-            return other instanceof Key key && key.hash == hash
+            return other instanceof Key key
+                    && key.hash == hash
                     && Arrays.equals(bytes, 0, length, key.bytes, 0, key.length);
         }
 
@@ -41,7 +42,8 @@
     /** {@code seed}: unknown to clients, so that they cannot choose shapes whose hashes are alike. */
     static Shapes seeded(long bytes, int seed) {
         Hasher128 hasher = Hashing.murmur3_128(seed);
-        return new Shapes(bytes, (shape, length) -> hasher.hashBytesTo128Bits(shape, 0, length).getAsLong());
+        return new Shapes(bytes, (shape, length) -> hasher.hashBytesTo128Bits(shape, 0, length)
+                .getAsLong());
     }
 
     /** What finds a shape's place in the table. */
@@ -52,8 +54,11 @@
     Shapes(long bytes, Hash hash) {
         bound = bytes;
         this.hash = hash;
-        shapes = Caffeine.newBuilder().maximumWeight(bytes).weigher((Key key, Shape shape) -> shape.weight())
-                .executor(Runnable::run).build();
+        shapes = Caffeine.newBuilder()
+                .maximumWeight(bytes)
+                .weigher((Key key, Shape shape) -> shape.weight())
+                .executor(Runnable::run)
+                .build();
     }
 
     /** Null if it is not kept. */
--- a/statements/src/main/java/clayhook/statements/StatementRules.java
+++ b/statements/src/main/java/clayhook/statements/StatementRules.java
@@ -20,15 +20,39 @@
  * @param writeGroup the same of writes
  * @param nodes the group of nodes where no rule says otherwise
  */
-public record StatementRules(boolean conforming, Set<String> reads, Set<String> writes, Set<String> own,
-        Set<String> types, Set<String> relationsThatWrite, long cacheBytes, int parseBudget, boolean refusePast, List<Rule> rules,
-        String readGroup, String writeGroup, int nodes) {
+public record StatementRules(
+        boolean conforming,
+        Set<String> reads,
+        Set<String> writes,
+        Set<String> own,
+        Set<String> types,
+        Set<String> relationsThatWrite,
+        long cacheBytes,
+        int parseBudget,
+        boolean refusePast,
+        List<Rule> rules,
+        String readGroup,
+        String writeGroup,
+        int nodes) {
 
     /** A few megabytes hold some thousand shapes; a turn's budget is some milliseconds of reading. */
     public static final long CACHE_BYTES = 4 << 20;
+
     public static final int PARSE_BUDGET = 2000;
 
     /** Without a file: no rules, PostgreSQL's own functions alone. */
-    public static final StatementRules DEFAULT = new StatementRules(true, Set.of(), Set.of(), Set.of(), Set.of(), Set.of(),
-            CACHE_BYTES, PARSE_BUDGET, false, List.of(), "read", "write", 1);
+    public static final StatementRules DEFAULT = new StatementRules(
+            true,
+            Set.of(),
+            Set.of(),
+            Set.of(),
+            Set.of(),
+            Set.of(),
+            CACHE_BYTES,
+            PARSE_BUDGET,
+            false,
+            List.of(),
+            "read",
+            "write",
+            1);
 }
--- a/statements/src/main/java/clayhook/statements/Tokens.java
+++ b/statements/src/main/java/clayhook/statements/Tokens.java
@@ -6,7 +6,23 @@
 final class Tokens {
     /** What the lexer tells apart; words are told apart from keywords only when a shape is parsed. */
     enum Kind {
-        WORD, QUOTED, LITERAL, OP, EQ, STAR, LP, RP, LB, RB, COMMA, SEMI, DOT, COLON, COLON_EQ, ARROW, CAST_TO
+        WORD,
+        QUOTED,
+        LITERAL,
+        OP,
+        EQ,
+        STAR,
+        LP,
+        RP,
+        LB,
+        RB,
+        COMMA,
+        SEMI,
+        DOT,
+        COLON,
+        COLON_EQ,
+        ARROW,
+        CAST_TO
     }
 
     /** Grown tables of a long statement are given up after it. */
--- a/statements/src/main/java/clayhook/statements/Verdict.java
+++ b/statements/src/main/java/clayhook/statements/Verdict.java
@@ -2,7 +2,8 @@
 
 /** What a statement is taken for: a read only where every part of it is known to change nothing. */
 public enum Verdict {
-    READ, WRITE,
+    READ,
+    WRITE,
     /** It cannot be run through a shared connection, or not yet. */
     REFUSED
 }
--- a/statements/src/test/java/clayhook/statements/ClassifierTest.java
+++ b/statements/src/test/java/clayhook/statements/ClassifierTest.java
@@ -21,14 +21,40 @@
     private static final StatementRules NONE = StatementRules.DEFAULT;
 
     private static StatementRules rules(long cacheBytes, int budget, boolean refuse, Rule... rules) {
-        return new StatementRules(true, Set.of("my_read"), Set.of("my_write"), Set.of("upper", "hidden"), Set.of("my_type"),
-                Set.of("v_next"), cacheBytes, budget, refuse, List.of(rules), "read", "write", 1);
+        return new StatementRules(
+                true,
+                Set.of("my_read"),
+                Set.of("my_write"),
+                Set.of("upper", "hidden"),
+                Set.of("my_type"),
+                Set.of("v_next"),
+                cacheBytes,
+                budget,
+                refuse,
+                List.of(rules),
+                "read",
+                "write",
+                1);
     }
 
-    private static Rule rule(Verdict verdict, Set<String> relations, String application, double costFrom, String mark,
-            Placement nodes) {
-        return new Rule("r", verdict, Set.of(), relations, Set.of(), Set.of(), null, null, null,
-                application == null ? null : Rule.glob(application), costFrom, Double.POSITIVE_INFINITY, "special", 2, mark,
+    private static Rule rule(
+            Verdict verdict, Set<String> relations, String application, double costFrom, String mark, Placement nodes) {
+        return new Rule(
+                "r",
+                verdict,
+                Set.of(),
+                relations,
+                Set.of(),
+                Set.of(),
+                null,
+                null,
+                null,
+                application == null ? null : Rule.glob(application),
+                costFrom,
+                Double.POSITIVE_INFINITY,
+                "special",
+                2,
+                mark,
                 nodes);
     }
 
@@ -42,29 +68,55 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {"READ|select my_read(1)", "WRITE|select other.my_read(1)", "READ|select 'x'::my_type",
-        "WRITE|select upper(a) from t", "READ|select pg_catalog.upper(a) from t", "WRITE|select t.hidden from t",
-        "WRITE|select (t).hidden from t", "READ|select a as hidden from t", "WRITE|select * from v_next",
-        "WRITE|select 1 from public.v_next", "WRITE|with v_next as (select 1) select * from v_next"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "READ|select my_read(1)",
+                "WRITE|select other.my_read(1)",
+                "READ|select 'x'::my_type",
+                "WRITE|select upper(a) from t",
+                "READ|select pg_catalog.upper(a) from t",
+                "WRITE|select t.hidden from t",
+                "WRITE|select (t).hidden from t",
+                "READ|select a as hidden from t",
+                "WRITE|select * from v_next",
+                "WRITE|select 1 from public.v_next",
+                "WRITE|with v_next as (select 1) select * from v_next"
+            })
     void theOperatorSaysWhatTheDatabaseDefines(Verdict verdict, String text) {
         assertEquals(verdict, classed(rules(1 << 20, 2000, false), text).verdict());
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {"true|select other(1)", "false|select my_write(1)", "false|insert into t values (1)",
-        "true|do 'x'", "true|call p()", "true|select 1; select 2", "true|insert into t select other()", "true|create table t ()"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "true|select other(1)",
+                "false|select my_write(1)",
+                "false|insert into t values (1)",
+                "true|do 'x'",
+                "true|call p()",
+                "true|select 1; select 2",
+                "true|insert into t select other()",
+                "true|create table t ()"
+            })
     void whatMayChangeTheSessionOfItsNodeIsMarked(boolean opaque, String text) {
         assertEquals(opaque, classed(rules(1 << 20, 2000, false), text).opaque());
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {"READ|select '\\'", "WRITE|select '\\' , nextval(1) --'"})
+    @CsvSource(
+            delimiter = '|',
+            value = {"READ|select '\\'", "WRITE|select '\\' , nextval(1) --'"})
     void backslashesEndNoStringWhereStringsConform(Verdict verdict, String text) {
         assertEquals(verdict, classed(NONE, text).verdict());
-        var other = new StatementRules(false, Set.of(), Set.of(), Set.of(), Set.of(), Set.of(), 1 << 20, 2000, false, List.of(),
-                "read", "write", 1);
+        var other = new StatementRules(
+                false, Set.of(), Set.of(), Set.of(), Set.of(), Set.of(), 1 << 20, 2000, false, List.of(), "read",
+                "write", 1);
         // There the quote after the backslash is part of the string.
-        assertEquals(verdict == Verdict.READ ? Verdict.WRITE : Verdict.READ, classed(other, text).verdict());
+        assertEquals(
+                verdict == Verdict.READ ? Verdict.WRITE : Verdict.READ,
+                classed(other, text).verdict());
     }
 
     // ---- limits ----
@@ -76,26 +128,50 @@
     @Test
     void deepAndLongStatementsAreAnsweredOnASmallStack() throws Exception {
         var done = new CompletableFuture<Void>();
-        new Thread(null, () -> {
-            try {
-                var classifier = new Classifier(NONE, 1);
-                for (String text : List.of(nested("(", "1", ")"), nested("(select ", "1", ")"), nested("not ", "a", ""),
-                        nested("- ", "a", ""), nested("case when a then ", "1", " end"), nested("array[", "1", "]"),
-                        nested("/*", "", "*/") + "1", nested("a + ", "1", ""), nested("a.", "b", ""), nested("f(", "1", ")"),
-                        nested("a and not b or ", "c", ""), nested("1 union select ", "1", ""), "x ".repeat(500_000),
-                        "select '" + "x".repeat(1 << 20) + "'", "(".repeat(1 << 20), "select 1" + ",1".repeat(1 << 18))) {
-                    classed(classifier, text);
-                }
-                for (int depth = 1; depth < 60; depth++) {
-                    String text = "select " + "(select a from t where exists (".repeat(depth) + "select 1" + "))".repeat(depth);
-                    assertEquals(depth <= 20 ? Verdict.READ : Verdict.WRITE, classed(classifier, text).verdict(), text);
-                }
-                assertEquals(Verdict.READ, classed(classifier, "select 1 where 1 in (0" + ", 1".repeat(1 << 18) + ")").verdict());
-                done.complete(null);
-            } catch (Throwable e) {
-                done.completeExceptionally(e);
-            }
-        }, "small", 512 << 10).start();
+        new Thread(
+                        null,
+                        () -> {
+                            try {
+                                var classifier = new Classifier(NONE, 1);
+                                for (String text : List.of(
+                                        nested("(", "1", ")"),
+                                        nested("(select ", "1", ")"),
+                                        nested("not ", "a", ""),
+                                        nested("- ", "a", ""),
+                                        nested("case when a then ", "1", " end"),
+                                        nested("array[", "1", "]"),
+                                        nested("/*", "", "*/") + "1",
+                                        nested("a + ", "1", ""),
+                                        nested("a.", "b", ""),
+                                        nested("f(", "1", ")"),
+                                        nested("a and not b or ", "c", ""),
+                                        nested("1 union select ", "1", ""),
+                                        "x ".repeat(500_000),
+                                        "select '" + "x".repeat(1 << 20) + "'",
+                                        "(".repeat(1 << 20),
+                                        "select 1" + ",1".repeat(1 << 18))) {
+                                    classed(classifier, text);
+                                }
+                                for (int depth = 1; depth < 60; depth++) {
+                                    String text = "select " + "(select a from t where exists (".repeat(depth)
+                                            + "select 1" + "))".repeat(depth);
+                                    assertEquals(
+                                            depth <= 20 ? Verdict.READ : Verdict.WRITE,
+                                            classed(classifier, text).verdict(),
+                                            text);
+                                }
+                                assertEquals(
+                                        Verdict.READ,
+                                        classed(classifier, "select 1 where 1 in (0" + ", 1".repeat(1 << 18) + ")")
+                                                .verdict());
+                                done.complete(null);
+                            } catch (Throwable e) {
+                                done.completeExceptionally(e);
+                            }
+                        },
+                        "small",
+                        512 << 10)
+                .start();
         done.get();
     }
 
@@ -133,7 +209,8 @@
                 Shape found = shapes.get(shaper);
                 assertEquals(round == 0 ? null : "select a" + i, found == null ? null : found.toString());
                 if (round == 0) {
-                    shapes.put(new Shape(("select a" + i).getBytes(UTF_8), "", Facts.unread(Verdict.READ, "", "", false)));
+                    shapes.put(
+                            new Shape(("select a" + i).getBytes(UTF_8), "", Facts.unread(Verdict.READ, "", "", false)));
                 }
             }
         }
@@ -143,8 +220,23 @@
     void whatTheParserLearnsIsBounded() {
         var classifier = new Classifier(NONE, 1);
         var random = new Random(1);
-        String[] pieces = {"a", "b + c", "(d)", "e.f", "sum(g)", "case when h then i end", "not j", "k::int", "array[l]",
-            "(select m)", "n in (o)", "p between q and r", "s[t]", "date 'x'", "u is null"};
+        String[] pieces = {
+            "a",
+            "b + c",
+            "(d)",
+            "e.f",
+            "sum(g)",
+            "case when h then i end",
+            "not j",
+            "k::int",
+            "array[l]",
+            "(select m)",
+            "n in (o)",
+            "p between q and r",
+            "s[t]",
+            "date 'x'",
+            "u is null"
+        };
         int most = 0;
         for (int i = 0; i < 4000; i++) {
             var text = new StringBuilder("select a");
@@ -161,11 +253,18 @@
     @ValueSource(booleans = {false, true})
     void pastTheBudgetOfATurnNewShapesAreNotRead(boolean refuse) {
         var classifier = new Classifier(rules(1 << 20, 10, refuse), 1);
-        assertEquals(Verdict.READ, classed(classifier, "select a from t where b = c and d = e and f = g").verdict());
-        assertEquals(refuse ? Verdict.REFUSED : Verdict.WRITE, classifier.classify("select 1".getBytes(UTF_8), Client.UNKNOWN)
-                .verdict());
-        assertEquals(Verdict.READ, classifier.classify("select a from t where b = c and d = e and f = g".getBytes(UTF_8),
-                Client.UNKNOWN).verdict());
+        assertEquals(
+                Verdict.READ,
+                classed(classifier, "select a from t where b = c and d = e and f = g")
+                        .verdict());
+        assertEquals(
+                refuse ? Verdict.REFUSED : Verdict.WRITE,
+                classifier.classify("select 1".getBytes(UTF_8), Client.UNKNOWN).verdict());
+        assertEquals(
+                Verdict.READ,
+                classifier
+                        .classify("select a from t where b = c and d = e and f = g".getBytes(UTF_8), Client.UNKNOWN)
+                        .verdict());
         assertEquals(Verdict.READ, classed(classifier, "select 1").verdict());
         assertEquals(1, classifier.counts().unread());
     }
@@ -189,7 +288,11 @@
 
     @Test
     void theFirstRuleThatMatchesWins() {
-        StatementRules rules = rules(1 << 20, 2000, false, rule(Verdict.READ, Set.of("s.exact"), null, 0, null, null),
+        StatementRules rules = rules(
+                1 << 20,
+                2000,
+                false,
+                rule(Verdict.READ, Set.of("s.exact"), null, 0, null, null),
                 rule(Verdict.READ, Set.of("plain"), "re*t", 0, null, new Placement(null, List.of(7))),
                 rule(Verdict.READ, Set.of(), null, 0.02, null, new Placement(null, List.of(9))));
         var classifier = new Classifier(rules, 1);
@@ -197,7 +300,9 @@
         assertEquals("special r 1", told(classed(classifier, "select 1 from s.exact where a = 1")));
         assertEquals("read default 1", told(classed(classifier, "select 1 from two.plain where a = 1")));
         var client = new Client("u", "d", "report");
-        assertEquals("special r 7", told(classifier.classify("select 1 from two.plain where a = 1".getBytes(UTF_8), client)));
+        assertEquals(
+                "special r 7",
+                told(classifier.classify("select 1 from two.plain where a = 1".getBytes(UTF_8), client)));
         assertEquals("special r 9", told(classed(classifier, "select a from t, u order by 1")));
         assertEquals("write default 1", told(classed(classifier, "delete from plain")));
     }
@@ -207,23 +312,38 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {"k1|insert into posts (mark, b) values ('k1', 2)", "7|update posts set a = 1 where mark = 7",
-        "|insert into posts (mark, b) values ('k1', 2), ('k2', 3)", "|insert into posts (mark) values (f())",
-        "|insert into posts (b) values (1)", "|update posts set mark = 7", "|update posts set a = 1 where mark = 7 or b = 1",
-        "|update posts set a = 1 where not mark = 7", "|update posts set a = 1 where c between 1 and mark = 7",
-        "|update posts set a = 1 where mark = 7 is null", "|insert into posts (mark, b) values ('k1')",
-        "a'b|insert into posts (b, mark) values (-1, 'a''b') on conflict do nothing"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "k1|insert into posts (mark, b) values ('k1', 2)",
+                "7|update posts set a = 1 where mark = 7",
+                "|insert into posts (mark, b) values ('k1', 2), ('k2', 3)",
+                "|insert into posts (mark) values (f())",
+                "|insert into posts (b) values (1)",
+                "|update posts set mark = 7",
+                "|update posts set a = 1 where mark = 7 or b = 1",
+                "|update posts set a = 1 where not mark = 7",
+                "|update posts set a = 1 where c between 1 and mark = 7",
+                "|update posts set a = 1 where mark = 7 is null",
+                "|insert into posts (mark, b) values ('k1')",
+                "a'b|insert into posts (b, mark) values (-1, 'a''b') on conflict do nothing"
+            })
     void aWriteIsKeyedOnlyByOneMark(String mark, String text) {
-        Classed classed = classed(rules(1 << 20, 2000, false, rule(Verdict.WRITE, Set.of("posts"), null, 0, "mark", null)), text);
+        Classed classed =
+                classed(rules(1 << 20, 2000, false, rule(Verdict.WRITE, Set.of("posts"), null, 0, "mark", null)), text);
         assertEquals(mark, classed.mark());
         assertEquals(mark == null ? "write" : "special", classed.group());
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {"select 1 from t where key = 5|select 1 from t as x where a > 1 and 5 = x.key",
-        "select 1 from t where key = 5|insert into t (a, key) values ('x', 005), ('y', 5)",
-        "select 1 from t where key = 'a'|delete from t where \"key\" = 'a' and b",
-        "select 1 from t where key = 5|with c as (select 1) select 1 from t where key = '5'"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "select 1 from t where key = 5|select 1 from t as x where a > 1 and 5 = x.key",
+                "select 1 from t where key = 5|insert into t (a, key) values ('x', 005), ('y', 5)",
+                "select 1 from t where key = 'a'|delete from t where \"key\" = 'a' and b",
+                "select 1 from t where key = 5|with c as (select 1) select 1 from t where key = '5'"
+            })
     void aKeyGoesToOneGroupOfNodesHoweverItIsWritten(String one, String other) {
         StatementRules rules = placed();
         assertEquals(Verdict.REFUSED, classed(rules, "select 1 from t").verdict());
@@ -233,15 +353,29 @@
 
     private static StatementRules placed() {
         var nodes = new Placement("key", List.of(11, 12, 13, 14, 15, 16, 17));
-        return rules(1 << 20, 2000, false, rule(Verdict.READ, Set.of("t"), null, 0, null, nodes),
+        return rules(
+                1 << 20,
+                2000,
+                false,
+                rule(Verdict.READ, Set.of("t"), null, 0, null, nodes),
                 rule(Verdict.WRITE, Set.of("t"), null, 0, null, nodes));
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"select 1 from t", "select 1 from t where key = f(5)", "select 1 from t where key = E'\\x'",
-        "select 1 from t where key > 5", "select 1 from t where key = 5 or a = 1", "select 1 from t union select 1 from t where key = 5",
-        "select 1 from (select * from t where key = 5) x", "insert into t (key, a) values (1, 1), (2, 1), (3, 1), (4, 1), (5, 1)",
-        "insert into t (key, a) values (1, 1), (2)", "insert into t (key) select 5", "insert into t values (5)"})
+    @ValueSource(
+            strings = {
+                "select 1 from t",
+                "select 1 from t where key = f(5)",
+                "select 1 from t where key = E'\\x'",
+                "select 1 from t where key > 5",
+                "select 1 from t where key = 5 or a = 1",
+                "select 1 from t union select 1 from t where key = 5",
+                "select 1 from (select * from t where key = 5) x",
+                "insert into t (key, a) values (1, 1), (2, 1), (3, 1), (4, 1), (5, 1)",
+                "insert into t (key, a) values (1, 1), (2)",
+                "insert into t (key) select 5",
+                "insert into t values (5)"
+            })
     void aStatementWhoseKeyIsNotCertainIsRefused(String text) {
         assertEquals(Verdict.REFUSED, classed(placed(), text).verdict());
     }
@@ -250,7 +384,10 @@
     void keysSpreadOverTheGroups() {
         var classifier = new Classifier(placed(), 1);
         long groups = java.util.stream.IntStream.range(0, 200)
-                .mapToObj(i -> classed(classifier, "select 1 from t where key = " + i).nodes()).distinct().count();
+                .mapToObj(i ->
+                        classed(classifier, "select 1 from t where key = " + i).nodes())
+                .distinct()
+                .count();
         assertEquals(7, groups);
     }
 
@@ -259,7 +396,9 @@
         Pattern pattern = Rule.glob("a.*b*");
         assertTrue(pattern.matcher("a.xbc").matches());
         assertTrue(!pattern.matcher("axxb").matches());
-        assertNotEquals(classed(NONE, "select 1").fingerprint(), classed(NONE, "select a").fingerprint());
+        assertNotEquals(
+                classed(NONE, "select 1").fingerprint(),
+                classed(NONE, "select a").fingerprint());
         assertNull(classed(NONE, "select '").shape());
     }
 }
