--- a/statements/src/test/java/clayhook/statements/CorpusTest.java
+++ b/statements/src/test/java/clayhook/statements/CorpusTest.java
@@ -26,11 +26,16 @@
 
     static List<Case> corpus() throws IOException {
         try (var in = CorpusTest.class.getResourceAsStream("corpus.txt")) {
-            return new String(in.readAllBytes(), UTF_8).lines().filter(line -> !line.startsWith("#")).map(line -> {
-                String[] parts = (line + " ").split(" ", 2);
-                return new Case(Verdict.valueOf(parts[0].toUpperCase(Locale.ROOT)),
-                        parts[1].replace("\\n", "\n").strip());
-            }).toList();
+            return new String(in.readAllBytes(), UTF_8)
+                    .lines()
+                    .filter(line -> !line.startsWith("#"))
+                    .map(line -> {
+                        String[] parts = (line + " ").split(" ", 2);
+                        return new Case(
+                                Verdict.valueOf(parts[0].toUpperCase(Locale.ROOT)),
+                                parts[1].replace("\\n", "\n").strip());
+                    })
+                    .toList();
         }
     }
 
@@ -44,7 +49,8 @@
     @ParameterizedTest
     @MethodSource("corpus")
     void everyStatementIsWhatItIs(Case given) {
-        assertEquals(given.verdict(), classed(given.text()).verdict(), () -> classed(given.text()).why());
+        assertEquals(given.verdict(), classed(given.text()).verdict(), () -> classed(given.text())
+                .why());
     }
 
     @Test
@@ -53,7 +59,10 @@
         for (int round = 0; round < 2; round++) {
             for (Case given : corpus()) {
                 classifier.turn();
-                assertEquals(given.verdict(), classifier.classify(given.bytes(), Client.UNKNOWN).verdict(), given::text);
+                assertEquals(
+                        given.verdict(),
+                        classifier.classify(given.bytes(), Client.UNKNOWN).verdict(),
+                        given::text);
             }
         }
         assertTrue(classifier.counts().hits() > corpus().size() / 2);
@@ -61,11 +70,30 @@
 
     /** Whatever stands around a write, it stays one. */
     @ParameterizedTest
-    @ValueSource(strings = {"/* a */ %s", "-- a\n%s", "(%s)", "with x as (%s) select 1", "select * from (%s) x",
-        "select 1 where exists (%s)", "explain analyze %s", "explain (analyze) %s", "select (%s)", "values ((%s))",
-        "select array(%s)", "select 1 union all %s", "select 1; %s", "%s; select 1", "select case when (%s) then 1 end",
-        "with a as (with b as (%s) select 1) select 1", "select 1 from t where a in (%s) order by 1 limit 1",
-        "explain with a as (%s) select 1", "select 'x' /* ' */ , (%s)", "select \"a\"\"b\", (%s)", "select $$'$$, (%s)"})
+    @ValueSource(
+            strings = {
+                "/* a */ %s",
+                "-- a\n%s",
+                "(%s)",
+                "with x as (%s) select 1",
+                "select * from (%s) x",
+                "select 1 where exists (%s)",
+                "explain analyze %s",
+                "explain (analyze) %s",
+                "select (%s)",
+                "values ((%s))",
+                "select array(%s)",
+                "select 1 union all %s",
+                "select 1; %s",
+                "%s; select 1",
+                "select case when (%s) then 1 end",
+                "with a as (with b as (%s) select 1) select 1",
+                "select 1 from t where a in (%s) order by 1 limit 1",
+                "explain with a as (%s) select 1",
+                "select 'x' /* ' */ , (%s)",
+                "select \"a\"\"b\", (%s)",
+                "select $$'$$, (%s)"
+            })
     void noWriteIsAReadAfterWrapping(String wrapping) throws IOException {
         for (Case given : corpus()) {
             if (given.verdict() == Verdict.WRITE && closed(given.text())) {
--- a/statements/src/test/java/clayhook/statements/ShapePropertiesTest.java
+++ b/statements/src/test/java/clayhook/statements/ShapePropertiesTest.java
@@ -39,8 +39,28 @@
         return classifier.classify(text.getBytes(UTF_8), Client.UNKNOWN);
     }
 
-    private static final String[] LITERALS = {"1", "0.5", ".5e3", "'x'", "''''", "'-- a'", "'/*'", "E'\\''", "$$;$$", "$a$'$a$",
-        "B'1'", "X'ff'", "N'x'", "U&'\\0061'", "$1", "'delete from t'", "'nextval(1)'", "'\\'", "'ä'", "''"};
+    private static final String[] LITERALS = {
+        "1",
+        "0.5",
+        ".5e3",
+        "'x'",
+        "''''",
+        "'-- a'",
+        "'/*'",
+        "E'\\''",
+        "$$;$$",
+        "$a$'$a$",
+        "B'1'",
+        "X'ff'",
+        "N'x'",
+        "U&'\\0061'",
+        "$1",
+        "'delete from t'",
+        "'nextval(1)'",
+        "'\\'",
+        "'ä'",
+        "''"
+    };
     private static final String[] SPACES = {" ", "\n", "\t \r\n", " /* a */ ", "/* /* ' */ \" */", " -- '\n", "\f"};
 
     @Property(tries = 3000, seed = "42")
@@ -56,8 +76,12 @@
                 return; // white space between two strings may make one of them
             }
             String token = new String(given.bytes(), tokens.from[i], tokens.to[i] - tokens.from[i], UTF_8);
-            text.append(tokens.kinds[i] == Kind.LITERAL ? LITERALS[random.nextInt(LITERALS.length)]
-                    : tokens.kinds[i] == Kind.WORD && random.nextBoolean() ? token.toUpperCase(java.util.Locale.ROOT) : token);
+            text.append(
+                    tokens.kinds[i] == Kind.LITERAL
+                            ? LITERALS[random.nextInt(LITERALS.length)]
+                            : tokens.kinds[i] == Kind.WORD && random.nextBoolean()
+                                    ? token.toUpperCase(java.util.Locale.ROOT)
+                                    : token);
             text.append(SPACES[random.nextInt(SPACES.length)]);
         }
         Classed one = classed(given.text());
@@ -71,21 +95,31 @@
         var random = new Random(seed);
         var text = new StringBuilder("insert into t (a, b) values ");
         for (int row = random.nextInt(5); row >= 0; row--) {
-            text.append('(').append(random.nextInt(2) == 0 ? "-" : "").append(random.nextInt(99)).append(", ")
-                    .append(random.nextBoolean() ? "NULL" : "'x'").append(row > 0 ? "), " : ")");
+            text.append('(')
+                    .append(random.nextInt(2) == 0 ? "-" : "")
+                    .append(random.nextInt(99))
+                    .append(", ")
+                    .append(random.nextBoolean() ? "NULL" : "'x'")
+                    .append(row > 0 ? "), " : ")");
         }
-        assertEquals(classed("insert into t (a, b) values (1, 2)").fingerprint(), classed(text.toString()).fingerprint());
+        assertEquals(
+                classed("insert into t (a, b) values (1, 2)").fingerprint(),
+                classed(text.toString()).fingerprint());
     }
 
-    private static final String[] PIECES = {"select", "insert", "into", "delete", "from", "update", "set", "with", "as", "(", ")",
-        "(", ")", ",", ";", "'", "''", "\"", "$$", "$a$", "/*", "*/", "--", "\n", "E'", "U&\"", "\\", "1", "x", "t", "*", "=", "::",
-        ":", "[", "]", ".", "for", "case", "when", "then", "end", "not", "-", "+", "in", "explain", "analyze", "over", "\0", "ä", "$1",
-        "values", "union", "all", "order", "by", "limit", "between", "and", "array", "row", "exists", "join", "on", "null"};
+    private static final String[] PIECES = {
+        "select", "insert", "into", "delete", "from", "update", "set", "with", "as", "(", ")", "(", ")", ",", ";", "'",
+        "''", "\"", "$$", "$a$", "/*", "*/", "--", "\n", "E'", "U&\"", "\\", "1", "x", "t", "*", "=", "::", ":", "[",
+        "]", ".", "for", "case", "when", "then", "end", "not", "-", "+", "in", "explain", "analyze", "over", "\0", "ä",
+        "$1", "values", "union", "all", "order", "by", "limit", "between", "and", "array", "row", "exists", "join",
+        "on", "null"
+    };
 
     @Property(tries = 4000, seed = "42")
     void noiseNeitherThrowsNorHangs(@ForAll long seed) {
         var random = new Random(seed);
-        var text = new StringBuilder(random.nextBoolean() ? CORPUS.get(random.nextInt(CORPUS.size())).text() : "");
+        var text = new StringBuilder(
+                random.nextBoolean() ? CORPUS.get(random.nextInt(CORPUS.size())).text() : "");
         for (int i = random.nextInt(40); i >= 0; i--) {
             int at = random.nextInt(text.length() + 1);
             text.insert(at, PIECES[random.nextInt(PIECES.length)] + (random.nextBoolean() ? " " : ""));
@@ -104,9 +138,12 @@
     void stringsEndWhereTheyEnd(@ForAll String inner, @ForAll long seed) {
         String plain = inner.replace("\0", "");
         String tag = "$t" + Math.floorMod(seed, 10) + "$";
-        String[] forms = {"'" + plain.replace("'", "''") + "'",
+        String[] forms = {
+            "'" + plain.replace("'", "''") + "'",
             "E'" + plain.replace("\\", "\\\\").replace("'", seed % 2 == 0 ? "''" : "\\'") + "'",
-            tag + plain.replace("$", "") + tag, "\"x" + plain.replace("\"", "\"\"") + "\""};
+            tag + plain.replace("$", "") + tag,
+            "\"x" + plain.replace("\"", "\"\"") + "\""
+        };
         for (String form : forms) {
             lexer.lex((form + ",b").getBytes(UTF_8), tokens);
             assertNull(tokens.fault);
--- a/trials/src/main/java/clayhook/trials/Caller.java
+++ b/trials/src/main/java/clayhook/trials/Caller.java
@@ -1,8 +1,8 @@
 package clayhook.trials;
 
+import clayhook.CommandGroup;
 import clayhook.CommandGroup.Effect;
 import clayhook.CommandGroup.ReadLevel;
-import clayhook.CommandGroup;
 import clayhook.protocol.Encoder;
 import clayhook.rehearsal.StandInClient;
 import clayhook.transport.Transport;
@@ -24,6 +24,7 @@
     private final Witness witness;
     /** Connections that stand, by router. */
     private final Map<RouterProcess, StandInClient> connections = new HashMap<>();
+
     private final boolean carries;
     private final String name;
     private double wroteAt;
@@ -39,7 +40,12 @@
     }
 
     /** A command's answer. */
-    public enum Answer { WELL, THROTTLED, FAILED, NONE }
+    public enum Answer {
+        WELL,
+        THROTTLED,
+        FAILED,
+        NONE
+    }
 
     /** Asks and waits for the answer. */
     public Answer ask(RouterProcess router, CommandGroup group) throws InterruptedException {
@@ -52,12 +58,17 @@
         boolean own = group.level() == ReadLevel.SESSION && wroteAt > 0;
         double patience = group.clientTimeout() + Witness.MACHINE;
         witness.asked(id, group, own ? wroteAt : 0, router.name(), patience);
-        ByteBuf statement = StandInClient.statement(writes, name, "id=" + id + ",c=" + group.name() + ",cluster=1,d="
-                + Math.round(group.clientTimeout() * 1000) + (group.effect() == Effect.KEYED ? ",k=" + id : "")
-                + (own && carries ? ",after=" + (long) Math.ceil(wroteAt * 1000) : ""));
+        ByteBuf statement = StandInClient.statement(
+                writes,
+                name,
+                "id=" + id + ",c=" + group.name() + ",cluster=1,d="
+                        + Math.round(group.clientTimeout() * 1000) + (group.effect() == Effect.KEYED ? ",k=" + id : "")
+                        + (own && carries ? ",after=" + (long) Math.ceil(wroteAt * 1000) : ""));
         String word = word(router, statement, patience);
         boolean value = word != null && word.indexOf('.') > 0;
-        if (word == null || word.equals(StandInClient.NO_CONNECTION) || word.equals("closed")
+        if (word == null
+                || word.equals(StandInClient.NO_CONNECTION)
+                || word.equals("closed")
                 || value && word.endsWith("closed")) {
             witness.unanswered(id, word);
             leave(router);
--- a/trials/src/main/java/clayhook/trials/Cluster.java
+++ b/trials/src/main/java/clayhook/trials/Cluster.java
@@ -1,7 +1,7 @@
 package clayhook.trials;
 
-import clayhook.CommandGroup.Effect;
 import clayhook.CommandGroup;
+import clayhook.CommandGroup.Effect;
 import clayhook.Listing;
 import clayhook.Node;
 import clayhook.Settings;
@@ -12,7 +12,9 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** One group of nodes that hold the same data: who is primary, what was written, and what the list of nodes says of it. */
+/**
+ * One group of nodes that hold the same data: who is primary, what was written, and what the list of nodes says of it.
+ */
 public final class Cluster {
     /** From a commit until replicas hold it, in seconds. */
     static final double LAG = 0.02;
@@ -23,13 +25,15 @@
     private final Map<String, CommandGroup> groups;
     /** Positions of writes by their key, whose repeats are dropped; a trial writes some thousand. */
     private final Map<String, Double> written = new HashMap<>();
-    private volatile Runnable watcher = () -> { };
+
+    private volatile Runnable watcher = () -> {};
     private ClusterNode primary;
     private double head;
     private int version = 1;
 
     /** The first node is primary. All listen on one loop. */
-    Cluster(Transport transport, int size, List<String> zones, Settings settings, Witness witness) throws InterruptedException {
+    Cluster(Transport transport, int size, List<String> zones, Settings settings, Witness witness)
+            throws InterruptedException {
         this.witness = witness;
         this.settings = settings;
         groups = settings.groups().stream().collect(Collectors.toMap(CommandGroup::name, group -> group));
@@ -96,9 +100,12 @@
     }
 
     private String entry(ClusterNode node) {
-        return "{\"uid\":\"" + node.node.id() + "\",\"endpoint\":\"127.0.0.1:" + node.port() + "\",\"az\":\"" + node.node.zone()
+        return "{\"uid\":\"" + node.node.id() + "\",\"endpoint\":\"127.0.0.1:" + node.port() + "\",\"az\":\""
+                + node.node.zone()
                 + "\",\"pod_group\":" + node.node.group() + ",\"state\":\""
-                + (node.state() == Listing.State.DRAINING ? "draining" : node.state() == Listing.State.GONE ? "removed" : "up")
+                + (node.state() == Listing.State.DRAINING
+                        ? "draining"
+                        : node.state() == Listing.State.GONE ? "removed" : "up")
                 + "\",\"role\":\"" + (node == primary ? "primary" : "replica") + "\",\"boot_ms\":"
                 + (long) (node.startedAt() * 1000) + "}";
     }
--- a/trials/src/main/java/clayhook/trials/ClusterNode.java
+++ b/trials/src/main/java/clayhook/trials/ClusterNode.java
@@ -1,7 +1,7 @@
 package clayhook.trials;
 
-import clayhook.CommandGroup.ReadLevel;
 import clayhook.CommandGroup;
+import clayhook.CommandGroup.ReadLevel;
 import clayhook.Listing;
 import clayhook.Node;
 import clayhook.protocol.Allowance;
@@ -36,7 +36,9 @@
         DEAD
     }
 
-    /** Seconds of work of a command, and of work that a warm node does in a second: far more than any trial asks for. */
+    /**
+     * Seconds of work of a command, and of work that a warm node does in a second: far more than any trial asks for.
+     */
     private static final double WORK = 0.001, CAPACITY = 2;
 
     final Node node;
@@ -52,8 +54,8 @@
     ClusterNode(Cluster cluster, Node node, Transport transport) throws InterruptedException {
         this.cluster = cluster;
         this.node = node;
-        listening = transport.listen(transport.spare(0), () -> new ChannelHandler[] {
-            new ClientDecoder(new Allowance(Long.MAX_VALUE), true), new Connection()});
+        listening = transport.listen(transport.spare(0), () ->
+                new ChannelHandler[] {new ClientDecoder(new Allowance(Long.MAX_VALUE), true), new Connection()});
     }
 
     public Node node() {
@@ -117,7 +119,10 @@
     private ByteBuf row(String value, double position) {
         String load = "inflight=1,x0=" + position + ",x1=" + (leads() ? 1 : 0);
         // Rounded down: nobody is told of more than there is.
-        return StandInNode.row(value == null ? load : value, leads() ? "primary" : "replica", (long) Math.floor(position * 1000),
+        return StandInNode.row(
+                value == null ? load : value,
+                leads() ? "primary" : "replica",
+                (long) Math.floor(position * 1000),
                 load);
     }
 
--- a/trials/src/main/java/clayhook/trials/Directory.java
+++ b/trials/src/main/java/clayhook/trials/Directory.java
@@ -14,10 +14,13 @@
     private final Cluster cluster;
     private final IntSupplier routers;
     private final StandInDiscovery service;
-    /** Calls that wait for something newer than they know; emptied by each change. One a router, and a few it gave up. */
+    /**
+     * Calls that wait for something newer than they know; emptied by each change. One a router, and a few it gave up.
+     */
     private List<Predicate<String>> waiting = new ArrayList<>();
     /** Calls that will be answered. */
     private int answers = Integer.MAX_VALUE;
+
     private int answered;
 
     /** {@code routers} says how many are there to be told. */
--- a/trials/src/main/java/clayhook/trials/Link.java
+++ b/trials/src/main/java/clayhook/trials/Link.java
@@ -5,7 +5,10 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** One direction between two routers: says of each datagram when it leaves, how often and with which bytes. For one thread. */
+/**
+ * One direction between two routers: says of each datagram when it leaves, how often and with which bytes. For one
+ * thread.
+ */
 public final class Link {
     /** A datagram held back is overtaken by what follows within this many seconds. */
     static final double HELD = 0.05;
@@ -15,11 +18,16 @@
     private static final int MOST_CHANGED = 4;
 
     /** When a datagram leaves, seconds on the caller's clock, and its bytes. */
-    record Departure(double at, byte[] bytes) {
-    }
+    record Departure(double at, byte[] bytes) {}
 
     /** What became of datagrams so far. */
-    public enum Fate { CAME, LOST, TWICE, LATE, GARBLED }
+    public enum Fate {
+        CAME,
+        LOST,
+        TWICE,
+        LATE,
+        GARBLED
+    }
 
     private final SplittableRandom random;
     private final AtomicLong[] counts = new AtomicLong[Fate.values().length];
--- a/trials/src/main/java/clayhook/trials/Plan.java
+++ b/trials/src/main/java/clayhook/trials/Plan.java
@@ -9,12 +9,12 @@
 
 /** What goes wrong in a trial, in its order: each kind of fault once, with routers and strengths by the seed. */
 public final class Plan {
-    private Plan() {
-    }
+    private Plan() {}
 
     public static List<Fault> of(long seed, int routers) {
         var random = new Random(seed);
-        List<Integer> order = new ArrayList<>(IntStream.range(0, routers).boxed().toList());
+        List<Integer> order =
+                new ArrayList<>(IntStream.range(0, routers).boxed().toList());
         Collections.shuffle(order, random);
         var faults = new ArrayList<>(List.of(
                 new Fault.Split(new TreeSet<>(order.subList(0, routers / 2))),
--- a/trials/src/main/java/clayhook/trials/Relay.java
+++ b/trials/src/main/java/clayhook/trials/Relay.java
@@ -23,13 +23,16 @@
 import java.util.stream.Stream;
 
 /**
- * Stands between routers: one socket for each, at which the others reach it. By the source of a datagram the relay knows the
- * sender, and with it the directed link; what comes through leaves from the sender's own socket here, so that the receiver sees
- * the address that it may answer to, and no datagram finds a way around.
+ * Stands between routers: one socket for each, at which the others reach it. By the source of a datagram the relay
+ * knows the sender, and with it the directed link; what comes through leaves from the sender's own socket here, so that
+ * the receiver sees the address that it may answer to, and no datagram finds a way around.
  */
 public final class Relay {
     private static final int LONGEST = 1 << 16;
-    /** Datagrams held back at most, over all links; what comes beyond is lost. A second of a fleet far busier than any here. */
+    /**
+     * Datagrams held back at most, over all links; what comes beyond is lost. A second of a fleet far busier than any
+     * here.
+     */
     private static final int MOST_HELD = 1 << 16;
 
     private final List<Channel> sockets = new ArrayList<>();
@@ -40,7 +43,10 @@
     /** Of the loop's thread alone. */
     private int held;
 
-    /** {@code routers} are the addresses at which they really listen and from which they send; it ends with the transport. */
+    /**
+     * {@code routers} are the addresses at which they really listen and from which they send; it ends with the
+     * transport.
+     */
     public Relay(Transport transport, List<InetSocketAddress> routers, long seed) throws InterruptedException {
         this.routers = List.copyOf(routers);
         links = new Link[routers.size()][routers.size()];
@@ -52,9 +58,14 @@
             }
         }
         for (int i = 0; i < routers.size(); i++) {
-            sockets.add(new Bootstrap().group(transport.loop()).channelFactory(NioDatagramChannel::new).handler(new Socket(i))
+            sockets.add(new Bootstrap()
+                    .group(transport.loop())
+                    .channelFactory(NioDatagramChannel::new)
+                    .handler(new Socket(i))
                     .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(LONGEST))
-                    .bind(transport.spare(0)).sync().channel());
+                    .bind(transport.spare(0))
+                    .sync()
+                    .channel());
         }
     }
 
@@ -74,7 +85,10 @@
 
     /** Of the datagrams on all links. */
     public long count(Link.Fate fate) {
-        return Stream.of(links).flatMap(Stream::of).mapToLong(link -> link.count(fate)).sum();
+        return Stream.of(links)
+                .flatMap(Stream::of)
+                .mapToLong(link -> link.count(fate))
+                .sum();
     }
 
     /** Datagrams that came from none of the routers; these go nowhere. */
@@ -103,10 +117,14 @@
                     send(from, departure.bytes());
                 } else if (held < MOST_HELD) {
                     held++;
-                    ctx.executor().schedule(() -> {
-                        held--;
-                        send(from, departure.bytes());
-                    }, (long) ((departure.at() - now) * 1e9), TimeUnit.NANOSECONDS);
+                    ctx.executor()
+                            .schedule(
+                                    () -> {
+                                        held--;
+                                        send(from, departure.bytes());
+                                    },
+                                    (long) ((departure.at() - now) * 1e9),
+                                    TimeUnit.NANOSECONDS);
                 }
             }
         }
--- a/trials/src/main/java/clayhook/trials/RouterProcess.java
+++ b/trials/src/main/java/clayhook/trials/RouterProcess.java
@@ -12,11 +12,22 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** One router's process: {@code java -jar clayhook.jar serve}, its files and what it logs. It may come back after its end. */
+/**
+ * One router's process: {@code java -jar clayhook.jar serve}, its files and what it logs. It may come back after its
+ * end.
+ */
 public final class RouterProcess {
     /** Small, since many run side by side; classes come out of the archive where the build has made one. */
-    private static final List<String> OPTIONS = List.of("-Xms24m", "-Xmx64m", "-Xss512k", "-XX:+UseSerialGC",
-            "-XX:TieredStopAtLevel=1", "-XX:MaxDirectMemorySize=32m", "-XX:-UsePerfData", "-Xlog:disable", "-Xlog:all=error:stderr",
+    private static final List<String> OPTIONS = List.of(
+            "-Xms24m",
+            "-Xmx64m",
+            "-Xss512k",
+            "-XX:+UseSerialGC",
+            "-XX:TieredStopAtLevel=1",
+            "-XX:MaxDirectMemorySize=32m",
+            "-XX:-UsePerfData",
+            "-Xlog:disable",
+            "-Xlog:all=error:stderr",
             "-Dio.netty.jfr.enabled=false");
     /** Lines kept, of all lives; a trial writes some thousand. */
     private static final int MOST_LINES = 100_000;
@@ -70,7 +81,12 @@
         if (Files.exists(archive)) {
             command.addAll(List.of("-XX:SharedArchiveFile=" + archive, "-Xshare:auto"));
         }
-        command.addAll(List.of("-Djava.io.tmpdir=" + folder, "-jar", jar.toString(), "serve", "--config",
+        command.addAll(List.of(
+                "-Djava.io.tmpdir=" + folder,
+                "-jar",
+                jar.toString(),
+                "serve",
+                "--config",
                 operatorFile().toString()));
         var builder = new ProcessBuilder(command).redirectErrorStream(true);
         builder.environment().put("LB_CONFIG", folder.resolve("config.json").toString());
@@ -125,7 +141,10 @@
             throw new IOException(name + " has ended");
         }
         try {
-            int code = new ProcessBuilder("sh", "-c", "kill -" + which + " " + process.pid()).inheritIO().start().waitFor();
+            int code = new ProcessBuilder("sh", "-c", "kill -" + which + " " + process.pid())
+                    .inheritIO()
+                    .start()
+                    .waitFor();
             if (code != 0) {
                 throw new IOException("no signal " + which + " to " + name);
             }
--- a/trials/src/main/java/clayhook/trials/Trial.java
+++ b/trials/src/main/java/clayhook/trials/Trial.java
@@ -25,10 +25,16 @@
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
 
-/** A fleet of router processes with nodes, discovery, clients and the relay between routers: begun, troubled, judged. */
+/**
+ * A fleet of router processes with nodes, discovery, clients and the relay between routers: begun, troubled, judged.
+ */
 public final class Trial implements AutoCloseable {
-    /** As the platform's file says it; times far beyond what a busy machine takes, so that no verdict hangs on its speed. */
-    private static final String SETTINGS = """
+    /**
+     * As the platform's file says it; times far beyond what a busy machine takes, so that no verdict hangs on its
+     * speed.
+     */
+    private static final String SETTINGS =
+            """
             {"balancers": 5, "zone": "%s", "domain": {"read_level": ["any", "bounded", "session", "write", "write"],
             "max_age": [0, 1e9, 0, 0, 0], "when_behind": "off", "write_marks": "%s"}, "limits": {"most_tries": 3},
             "rules": {"start_capacity": 0.2, "warm_after": 2e9, "overload_factor": 3, "overload_for": 1e9}, "grades": [
@@ -37,6 +43,7 @@
             {"name": "session", "effect": "idempotent", "aim": 1e9, "hard_limit": 2e9},
             {"name": "write", "effect": "deduplicated", "group": "cell", "repeat_window": 2e10, "aim": 1e9, "hard_limit": 2e9},
             {"name": "charge", "effect": "at_most_once", "aim": 1e9, "hard_limit": 2e9}]}""";
+
     private static final Settings READ = settings();
     public static final CommandGroup BOUNDED = READ.groups().get(1);
     public static final CommandGroup SESSION = READ.groups().get(2);
@@ -45,6 +52,7 @@
     private static final List<String> ZONES = List.of("a", "b");
     /** Longer than any start or answer takes, even where several such trials share a machine. */
     public static final double PATIENCE = 60;
+
     private static final long LOOK_MS = 10;
     /** No session comes to another router sooner than this after its write: a little more than routers count on. */
     public static final long ROAM_MS = 600;
@@ -54,7 +62,9 @@
     private static final Pattern FIGURES = Pattern.compile("members \\d+ alive \\d+, digests( \\S+=\\w+/\\d+)+");
     /** Below the ports that machines give to connections, so that a router that returns finds its own still free. */
     private static final int FIRST_PORT = 20_000, PORTS = 12_000;
-    private static final AtomicInteger PORT = new AtomicInteger((int) (ProcessHandle.current().pid() * 97 % PORTS));
+
+    private static final AtomicInteger PORT =
+            new AtomicInteger((int) (ProcessHandle.current().pid() * 97 % PORTS));
 
     private final Path folder = Files.createTempDirectory("trial");
     private final Transport nodesLoop = Transport.tcp();
@@ -72,8 +82,12 @@
 
     static Settings settings() {
         try {
-            return Configuration.of(Json.parse("{\"name\": \"any\", \"listen\": \"any:1\", \"discovery\": \"any:1\", \"seed\": \"1\","
-                    + " \"settings\": " + SETTINGS + "}"), Map.of()).settings();
+            return Configuration.of(
+                            Json.parse(
+                                    "{\"name\": \"any\", \"listen\": \"any:1\", \"discovery\": \"any:1\", \"seed\": \"1\","
+                                            + " \"settings\": " + SETTINGS + "}"),
+                            Map.of())
+                    .settings();
         } catch (BadConfig e) {
             throw new IllegalStateException(e);
         }
@@ -87,12 +101,14 @@
      * @param carried sessions tell when they last wrote; otherwise routers remember it
      * @param seed of the relay, the load and the routers
      */
-    public Trial(Path jar, int count, String sharing, boolean carried, long seed) throws IOException, InterruptedException {
+    public Trial(Path jar, int count, String sharing, boolean carried, long seed)
+            throws IOException, InterruptedException {
         this.seed = seed;
         this.carried = carried;
         Runtime.getRuntime().addShutdownHook(atExit);
         cluster = new Cluster(nodesLoop, 3, ZONES, READ, witness);
-        List<InetSocketAddress> addresses = IntStream.range(0, count).mapToObj(i -> spare()).toList();
+        List<InetSocketAddress> addresses =
+                IntStream.range(0, count).mapToObj(i -> spare()).toList();
         relay = new Relay(clientsLoop, addresses, seed);
         directory = new Directory(nodesLoop, cluster, () -> up().size());
         for (int i = 0; i < count; i++) {
@@ -109,9 +125,10 @@
     /** A port for both datagrams and connections that nobody uses now. */
     private static InetSocketAddress spare() {
         while (true) {
-            var address = new InetSocketAddress(InetAddress.getLoopbackAddress(),
-                    FIRST_PORT + PORT.getAndIncrement() % PORTS);
-            try (var datagrams = new DatagramSocket(address); var connections = new ServerSocket()) {
+            var address = new InetSocketAddress(
+                    InetAddress.getLoopbackAddress(), FIRST_PORT + PORT.getAndIncrement() % PORTS);
+            try (var datagrams = new DatagramSocket(address);
+                    var connections = new ServerSocket()) {
                 connections.bind(datagrams.getLocalSocketAddress());
                 return address;
             } catch (IOException e) {
@@ -126,16 +143,21 @@
 
     private String platform(RouterProcess router, int number) {
         return "{\"name\": \"" + router.name() + "\", \"listen\": " + text(router.address()) + ", \"discovery\": "
-                + text(directory.address()) + ", \"seed\": \"" + Long.toHexString(seed + number) + "\", \"known\": " + cluster.list()
-                + ", \"settings\": " + SETTINGS.formatted(ZONES.get(number % ZONES.size()), carried ? "carried" : "remembered") + "}";
+                + text(directory.address()) + ", \"seed\": \"" + Long.toHexString(seed + number) + "\", \"known\": "
+                + cluster.list()
+                + ", \"settings\": "
+                + SETTINGS.formatted(ZONES.get(number % ZONES.size()), carried ? "carried" : "remembered") + "}";
     }
 
     private String operator(int router, int count, String sharing) {
         String nodes = "[nodes]\nuser = \"r" + router + "\"\n";
-        String seeds = IntStream.of(router + 1, router + 2).mapToObj(i -> text(relay.address(i % count)))
+        String seeds = IntStream.of(router + 1, router + 2)
+                .mapToObj(i -> text(relay.address(i % count)))
                 .collect(Collectors.joining(", "));
-        return sharing == null ? nodes : nodes + "[sharing]\nenabled = true\nlisten = " + text(relay.behind(router))
-                + "\nadvertise = " + text(relay.address(router)) + "\nseeds = [" + seeds + "]\n" + sharing;
+        return sharing == null
+                ? nodes
+                : nodes + "[sharing]\nenabled = true\nlisten = " + text(relay.behind(router)) + "\nadvertise = "
+                        + text(relay.address(router)) + "\nseeds = [" + seeds + "]\n" + sharing;
     }
 
     /** Waits until it takes commands. */
@@ -258,7 +280,9 @@
                     Thread.sleep(ROAM_MS);
                     router = routers.get(random.nextInt(routers.size()));
                 } else {
-                    caller.ask(router, READ.groups().get(random.nextInt(READ.groups().size())));
+                    caller.ask(
+                            router,
+                            READ.groups().get(random.nextInt(READ.groups().size())));
                     Thread.sleep(1 + random.nextInt(5)); // a client's own work, which leaves the machine to others
                 }
             }
@@ -294,7 +318,8 @@
 
     /** Waits until each of those routers has answered that many more commands of the load with a value. */
     public boolean serve(List<RouterProcess> those, int more) throws InterruptedException {
-        List<Integer> before = those.stream().map(router -> witness.answered(router.name())).toList();
+        List<Integer> before =
+                those.stream().map(router -> witness.answered(router.name())).toList();
         return await(() -> IntStream.range(0, those.size())
                 .allMatch(i -> witness.answered(those.get(i).name()) >= before.get(i) + more));
     }
@@ -304,7 +329,9 @@
         return routers.stream().filter(router -> !witness.isDown(router.name())).toList();
     }
 
-    /** What a router said last of members and of its copies, of all lines or those from a mark on; empty for nothing. */
+    /**
+     * What a router said last of members and of its copies, of all lines or those from a mark on; empty for nothing.
+     */
     private static String figures(RouterProcess router, int mark) {
         String figures = router.last(mark, FIGURES);
         return figures == null ? "" : figures;
@@ -315,7 +342,9 @@
         boolean parts = !(fault instanceof Fault.Everywhere || fault instanceof Fault.OneWay);
         long came = relay.count(Link.Fate.CAME) + ENOUGH;
         String whole = "alive " + routers.size() + ",";
-        return await(() -> parts ? up().isEmpty() || up().stream().anyMatch(router -> !figures(router, 0).contains(whole))
+        return await(() -> parts
+                ? up().isEmpty()
+                        || up().stream().anyMatch(router -> !figures(router, 0).contains(whole))
                 : relay.count(Link.Fate.CAME) > came);
     }
 
@@ -324,14 +353,17 @@
         int[] marks = routers.stream().mapToInt(RouterProcess::mark).toArray();
         String whole = "members " + marks.length + " alive " + marks.length + ",";
         return await(() -> {
-            List<String> all = IntStream.range(0, marks.length).mapToObj(i -> figures(routers.get(i), marks[i])).toList();
+            List<String> all = IntStream.range(0, marks.length)
+                    .mapToObj(i -> figures(routers.get(i), marks[i]))
+                    .toList();
             return all.get(0).startsWith(whole) && all.stream().distinct().count() == 1;
         });
     }
 
     /** What each router logged last, to explain a verdict. */
     public String said() {
-        return routers.stream().map(router -> router.since(Math.max(0, router.mark() - 12)).toString())
+        return routers.stream()
+                .map(router -> router.since(Math.max(0, router.mark() - 12)).toString())
                 .collect(Collectors.joining("\n"));
     }
 
--- a/trials/src/main/java/clayhook/trials/Witness.java
+++ b/trials/src/main/java/clayhook/trials/Witness.java
@@ -28,8 +28,7 @@
         double since;
     }
 
-    private record Asked(CommandGroup group, double at, double wroteAt, String router, int changes) {
-    }
+    private record Asked(CommandGroup group, double at, double wroteAt, String router, int changes) {}
 
     private static final double WALL = System.currentTimeMillis() / 1000.0 - System.nanoTime() / 1e9;
 
@@ -38,6 +37,7 @@
     private final Map<String, Up> routers = new HashMap<>();
     /** Since when routers know that a node drains; one that was down since it is up. */
     private final Map<Node, Double> told = new HashMap<>();
+
     private final Map<Node, Integer> runs = new HashMap<>();
     private final Map<String, Integer> answered = new HashMap<>();
     private String missing;
@@ -82,10 +82,14 @@
 
     // ---- clients ----
 
-    /** A client asks; {@code wroteAt} is the position of its session's last write, {@code wait} how long it has patience. */
+    /**
+     * A client asks; {@code wroteAt} is the position of its session's last write, {@code wait} how long it has
+     * patience.
+     */
     synchronized void asked(String id, CommandGroup group, double wroteAt, String router, double wait) {
         double now = now();
-        commands.put(id, new Asked(group, now, wroteAt, router, routers.computeIfAbsent(router, any -> new Up()).changes));
+        commands.put(
+                id, new Asked(group, now, wroteAt, router, routers.computeIfAbsent(router, any -> new Up()).changes));
         audit.sent(id, group, now + wait);
     }
 
@@ -99,15 +103,19 @@
         }
     }
 
-    /** None came, but the end of the connection, or null for nothing. Only where its router was down or stood still meanwhile is that no fault. */
+    /**
+     * None came, but the end of the connection, or null for nothing. Only where its router was down or stood still
+     * meanwhile is that no fault.
+     */
     synchronized void unanswered(String id, String instead) {
         Asked asked = commands.get(id);
         Up up = routers.get(asked.router());
         if (up.down || up.changes != asked.changes()) {
             audit.excused(id);
         } else if (missing == null) {
-            missing = id + " of " + asked.group().name() + " at " + asked.router() + ", asked at " + Instant.ofEpochMilli(
-                    (long) (asked.at() * 1000)) + ", got after " + (now() - asked.at()) + " s: " + instead;
+            missing = id + " of " + asked.group().name() + " at " + asked.router() + ", asked at "
+                    + Instant.ofEpochMilli((long) (asked.at() * 1000)) + ", got after " + (now() - asked.at()) + " s: "
+                    + instead;
         }
     }
 
@@ -124,7 +132,8 @@
     synchronized void ran(String id, Node node, double position) {
         Asked asked = commands.get(id);
         if (asked != null) {
-            double needed = asked.group().level() == ReadLevel.BOUNDED ? asked.at() - asked.group().bound() - CLOCKS
+            double needed = asked.group().level() == ReadLevel.BOUNDED
+                    ? asked.at() - asked.group().bound() - CLOCKS
                     : asked.group().level() == ReadLevel.SESSION ? asked.wroteAt() : 0;
             audit.ran(id, node, position, needed, now());
             runs.merge(node, 1, Integer::sum);
--- a/trials/src/test/java/clayhook/trials/LinkTest.java
+++ b/trials/src/test/java/clayhook/trials/LinkTest.java
@@ -36,13 +36,21 @@
 
     private static boolean whole(byte[] bytes) {
         ByteBuffer numbers = ByteBuffer.wrap(bytes);
-        return bytes.length == BYTES && numbers.getInt() == numbers.getInt()
+        return bytes.length == BYTES
+                && numbers.getInt() == numbers.getInt()
                 && IntStream.range(numbers.position(), BYTES).allMatch(i -> bytes[i] == 0);
     }
 
     @ParameterizedTest
-    @CsvSource({"0, 0, 0, 0, 0", "0.3, 0, 0, 0, 0", "0, 0.3, 0, 0, 0", "0, 0, 0.3, 0, 0", "0, 0, 0, 0.3, 0", "0, 0, 0, 0, 0.2",
-        "0.2, 0.2, 0.2, 0.2, 0.1"})
+    @CsvSource({
+        "0, 0, 0, 0, 0",
+        "0.3, 0, 0, 0, 0",
+        "0, 0.3, 0, 0, 0",
+        "0, 0, 0.3, 0, 0",
+        "0, 0, 0, 0.3, 0",
+        "0, 0, 0, 0, 0.2",
+        "0.2, 0.2, 0.2, 0.2, 0.1"
+    })
     void eachShareOfTroubleIsThereAndNoOther(double loss, double twice, double late, double garbled, double delay) {
         Link link = link(new Trouble(false, loss, twice, late, garbled, delay, 0));
         List<Departure> left = sent(link);
@@ -52,11 +60,15 @@
         assertEquals(late, link.count(Fate.LATE) / came, 0.05);
         assertEquals(garbled, link.count(Fate.GARBLED) / came, 0.05);
         assertEquals(came + link.count(Fate.TWICE), left.size());
-        List<byte[]> whole = left.stream().map(Departure::bytes).filter(LinkTest::whole).toList();
+        List<byte[]> whole =
+                left.stream().map(Departure::bytes).filter(LinkTest::whole).toList();
         assertEquals(link.count(Fate.GARBLED), left.size() - whole.size());
         int overtaken = 0;
         for (int i = 1; i < whole.size(); i++) {
-            overtaken += ByteBuffer.wrap(whole.get(i)).getInt() < ByteBuffer.wrap(whole.get(i - 1)).getInt() ? 1 : 0;
+            overtaken += ByteBuffer.wrap(whole.get(i)).getInt()
+                            < ByteBuffer.wrap(whole.get(i - 1)).getInt()
+                    ? 1
+                    : 0;
         }
         assertEquals(late + twice > 0, overtaken > 0);
         assertEquals(delay, left.get(0).at(), late + twice > 0 ? Link.HELD : 1e-9);
@@ -64,7 +76,8 @@
 
     @ParameterizedTest
     @CsvSource({"true, 0, 0, 0", "false, 20000, 390, 2"})
-    void aCutLinkLetsNothingThroughAndASlowOneItsRateWithABoundedQueue(boolean cut, double rate, int least, double end) {
+    void aCutLinkLetsNothingThroughAndASlowOneItsRateWithABoundedQueue(
+            boolean cut, double rate, int least, double end) {
         Link link = link(new Trouble(cut, 0, 0, 0, 0, 0, rate));
         List<Departure> left = sent(link);
         assertTrue(left.size() >= least && left.size() <= rate / BYTES * (1 + Link.BACKLOG), left.size() + " left");
--- a/trials/src/test/java/clayhook/trials/RelayTest.java
+++ b/trials/src/test/java/clayhook/trials/RelayTest.java
@@ -39,7 +39,9 @@
     @Test
     void answersComeBackThroughTheRelayAndEachDirectionHasItsOwnTrouble() throws Exception {
         Transport transport = Transport.tcp();
-        try (DatagramSocket a = socket(); DatagramSocket b = socket(); DatagramSocket stranger = socket()) {
+        try (DatagramSocket a = socket();
+                DatagramSocket b = socket();
+                DatagramSocket stranger = socket()) {
             var relay = new Relay(transport, List.of(at(a), at(b)), 1);
             send(a, 1, relay.address(1));
             InetSocketAddress seen = receive(b, 1);
--- a/trials/src/test/java/clayhook/trials/SharedTrialTest.java
+++ b/trials/src/test/java/clayhook/trials/SharedTrialTest.java
@@ -34,7 +34,8 @@
     void withSharingCopiesAreEqualAfterEveryHealAndTheRulesAreKept(long seed) throws Exception {
         try (var trial = new Trial(JAR, ROUTERS, SHARING, false, seed)) {
             for (Fault fault : Plan.of(seed, ROUTERS)) {
-                List<Integer> marks = trial.routers().stream().map(RouterProcess::mark).toList();
+                List<Integer> marks =
+                        trial.routers().stream().map(RouterProcess::mark).toList();
                 trial.load();
                 trial.inflict(fault);
                 assertTrue(trial.felt(fault), () -> fault + "\n" + trial.said());
@@ -49,7 +50,8 @@
                 trial.calm();
                 assertTrue(trial.agree(), () -> fault + "\n" + trial.said());
             }
-            assertTrue(trial.relay().count(Link.Fate.GARBLED) > 0 && trial.relay().strangers() == 0);
+            assertTrue(
+                    trial.relay().count(Link.Fate.GARBLED) > 0 && trial.relay().strangers() == 0);
             verdict(trial);
         }
     }
@@ -104,7 +106,10 @@
                     assertTrue(!shares || trial.agree(), trial::said);
                 }
             }
-            assertEquals(shares ? Set.of() : Set.of(RuleKept.NO_STALE_READ), trial.witness().broken().keySet(), trial::said);
+            assertEquals(
+                    shares ? Set.of() : Set.of(RuleKept.NO_STALE_READ),
+                    trial.witness().broken().keySet(),
+                    trial::said);
         }
     }
 
@@ -125,6 +130,7 @@
     }
 
     private static boolean fates(Trial trial, String counts) {
-        return trial.routers().stream().allMatch(router -> String.valueOf(router.last(0, FATES)).startsWith("fates {" + counts));
+        return trial.routers().stream()
+                .allMatch(router -> String.valueOf(router.last(0, FATES)).startsWith("fates {" + counts));
     }
 }
--- a/trials/src/test/java/clayhook/trials/TrialTest.java
+++ b/trials/src/test/java/clayhook/trials/TrialTest.java
@@ -24,7 +24,9 @@
         assertEquals(Map.of(), trial.witness().broken(), () -> trial.witness().firstBroken() + "\n" + trial.said());
     }
 
-    /** Nothing new comes to what drains once routers know; and what is dead, deposed, behind or in doubt breaks no rule. */
+    /**
+     * Nothing new comes to what drains once routers know; and what is dead, deposed, behind or in doubt breaks no rule.
+     */
     private static void troubleNodes(Trial trial) throws InterruptedException {
         Cluster cluster = trial.cluster();
         ClusterNode old = cluster.nodes().get(0);
--- a/trials/src/test/java/clayhook/trials/WitnessTest.java
+++ b/trials/src/test/java/clayhook/trials/WitnessTest.java
@@ -16,10 +16,22 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"silence, ONE_ANSWER", "two answers, ONE_ANSWER", "killed, ''", "stopped, ''", "stopped before, ''",
-        "stopped and back before, ONE_ANSWER", "charged twice, NO_DOUBLE_EFFECT", "throttled after a charge, NO_DOUBLE_EFFECT",
-        "keyed twice, ''", "charged twice in a killed router, NO_DOUBLE_EFFECT", "older than the session, NO_STALE_READ",
-        "as new as the session, ''", "older than the bound, NO_STALE_READ", "within the bound, ''"})
+    @CsvSource({
+        "silence, ONE_ANSWER",
+        "two answers, ONE_ANSWER",
+        "killed, ''",
+        "stopped, ''",
+        "stopped before, ''",
+        "stopped and back before, ONE_ANSWER",
+        "charged twice, NO_DOUBLE_EFFECT",
+        "throttled after a charge, NO_DOUBLE_EFFECT",
+        "keyed twice, ''",
+        "charged twice in a killed router, NO_DOUBLE_EFFECT",
+        "older than the session, NO_STALE_READ",
+        "as new as the session, ''",
+        "older than the bound, NO_STALE_READ",
+        "within the bound, ''"
+    })
     void theVerdictIsThat(String what, String rule) {
         var witness = new Witness(Trial.settings());
         boolean writes = what.contains("charge") || what.contains("keyed");
@@ -29,8 +41,11 @@
         if (what.endsWith("back before")) {
             witness.up("r0");
         }
-        ask(witness, what.contains("keyed") ? Trial.WRITE : writes ? Trial.CHARGE : what.contains("session") ? Trial.SESSION
-                : Trial.BOUNDED);
+        ask(
+                witness,
+                what.contains("keyed")
+                        ? Trial.WRITE
+                        : writes ? Trial.CHARGE : what.contains("session") ? Trial.SESSION : Trial.BOUNDED);
         if (what.endsWith("router") || what.equals("killed")) {
             witness.down("r0");
             witness.up("r0");
@@ -40,7 +55,9 @@
         if (what.contains("twice")) {
             witness.ran("id", SECOND, 0);
         }
-        if (rule.equals("ONE_ANSWER") && !what.startsWith("two") || what.startsWith("killed") || what.startsWith("stopped")) {
+        if (rule.equals("ONE_ANSWER") && !what.startsWith("two")
+                || what.startsWith("killed")
+                || what.startsWith("stopped")) {
             witness.unanswered("id", null);
         } else {
             witness.answered("id", what.startsWith("throttled"), true);
@@ -48,6 +65,9 @@
         if (what.startsWith("two")) {
             witness.answered("id", false, true);
         }
-        assertEquals(rule, String.join(",", witness.broken().keySet().stream().map(Enum::name).toList()));
+        assertEquals(
+                rule,
+                String.join(
+                        ",", witness.broken().keySet().stream().map(Enum::name).toList()));
     }
 }
