--- a/lab/src/main/java/clayhook/lab/Experiment.java
+++ b/lab/src/main/java/clayhook/lab/Experiment.java
@@ -17,6 +17,7 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
+import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.stream.Collectors;
@@ -159,9 +160,9 @@
     }
 
     private static FleetSpec.Kind command(Toml command) throws BadConfig {
-        ReadLevel level = one(command, "level", ReadLevel.class, "any");
+        ReadLevel level = one(command, "level", LEVELS, "any");
         boolean writes = level == ReadLevel.WRITE;
-        Effect effect = one(command, "effect", Effect.class, writes ? "mutating" : "replayable");
+        Effect effect = one(command, "effect", EFFECTS, writes ? "mutating" : "replayable");
         if (!writes && effect != Effect.REPLAYABLE) {
             throw command.fault("effect", "a read is replayable");
         }
@@ -175,7 +176,7 @@
                         command.number("timeout", 4 * target, target, HOUR),
                         command.number("benefit", 1, 0, MANY),
                         command.number("late_share", 0, 0, 1),
-                        one(command, "scope", Scope.class, "group"),
+                        one(command, "scope", SCOPES, "group"),
                         command.number("window", 5, 0, HOUR),
                         command.number("bound", 0.2, 0, HOUR)),
                 command.number("share", 1, 0, MANY),
@@ -183,6 +184,22 @@
                 command.number("spread", 0.5, 0, 5));
     }
 
+    /** Words of the experiment file and the values that they stand for; the words do not follow renamed constants. */
+    private static final Map<String, ReadLevel> LEVELS = Map.of(
+            "write", ReadLevel.WRITE,
+            "fresh", ReadLevel.FRESH,
+            "session", ReadLevel.SESSION,
+            "bounded", ReadLevel.BOUNDED,
+            "any", ReadLevel.ANY);
+
+    private static final Map<String, Effect> EFFECTS =
+            Map.of("replayable", Effect.REPLAYABLE, "keyed", Effect.KEYED, "mutating", Effect.MUTATING);
+    private static final Map<String, Scope> SCOPES = Map.of("all", Scope.ALL, "zone", Scope.ZONE, "group", Scope.GROUP);
+
+    private static <T> T one(Toml toml, String key, Map<String, T> words, String absent) throws BadConfig {
+        return words.get(toml.word(key, absent, words.keySet()));
+    }
+
     private static <T extends Enum<T>> T one(Toml toml, String key, Class<T> of, String absent) throws BadConfig {
         Set<String> words = Arrays.stream(of.getEnumConstants())
                 .map(one -> one.name().toLowerCase(Locale.ROOT))
