--- /dev/null
+++ b/daemon/src/test/java/clayhook/peers/RecordedDatagramsTest.java
@@ -0,0 +1,221 @@
+package clayhook.peers;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import clayhook.Listing;
+import clayhook.Node;
+import clayhook.Outcome;
+import clayhook.Reply;
+import clayhook.Role;
+import clayhook.Told;
+import clayhook.discovery.NodeList;
+import clayhook.fleet.Address;
+import clayhook.fleet.Fleet;
+import clayhook.fleet.Kind;
+import clayhook.fleet.Machine;
+import clayhook.fleet.Member;
+import clayhook.fleet.Outbox;
+import clayhook.fleet.Part;
+import clayhook.fleet.Peer;
+import clayhook.fleet.Reader;
+import clayhook.fleet.kinds.Fate;
+import clayhook.fleet.members.MemberSettings;
+import clayhook.fleet.members.Members;
+import clayhook.fleet.state.State;
+import clayhook.fleet.state.StateSettings;
+import clayhook.serve.Sharing;
+import java.io.IOException;
+import java.io.InputStream;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.HexFormat;
+import java.util.List;
+import java.util.Map;
+import java.util.Queue;
+import java.util.SplittableRandom;
+import java.util.function.Function;
+import org.junit.jupiter.api.Test;
+
+/**
+ * Plays a fixed conversation of two routers in virtual time and compares every datagram, in both directions, with the recorded
+ * bytes. Each router receives the recorded bytes and never the ones just encoded, so that the decoder is held to the record
+ * as well as the encoder. All that {@link Exchange} sends is in it: each local event once at least, and the farewell.
+ */
+class RecordedDatagramsTest {
+    /** Every datagram in order: the sender's name, then the bytes in hex. */
+    private static final String DATAGRAMS = "recorded-datagrams.txt";
+    private static final HexFormat HEX = HexFormat.of();
+    private static final double START = 1.7e9;
+    private static final int STEPS_A_SECOND = 100;
+    private static final double END = 3;
+    private static final String DISCOVERY = "10.0.0.8:8080";
+    private static final Node PRIMARY = new Node("n1", "zone-a", 1);
+    private static final Node REPLICA = new Node("n2", "zone-b", 1);
+    private static final NodeList FIRST_LIST = list(7, true, "up", "up");
+    private static final double POSITION = START - 5;
+    private static final Kind<Fate> FATES = Fate.kept(86_400);
+
+    private final List<String> recorded = recorded();
+    private final List<String> sent = new ArrayList<>();
+    private final Queue<Runnable> underWay = new ArrayDeque<>();
+    private final Map<Address, Router> routers = new HashMap<>();
+
+    private static List<String> recorded() {
+        try (InputStream in = RecordedDatagramsTest.class.getResourceAsStream(DATAGRAMS)) {
+            return new String(in.readAllBytes(), StandardCharsets.US_ASCII).lines().toList();
+        } catch (IOException e) {
+            throw new AssertionError(e);
+        }
+    }
+
+    private static NodeList list(long revision, boolean complete, String first, String second) {
+        return NodeList.parse("{\"rev\":" + revision + ",\"all\":" + complete + ",\"targets\":["
+                + "{\"uid\":\"n1\",\"endpoint\":\"10.0.1.1:5432\",\"az\":\"zone-a\",\"pod_group\":1,\"state\":\"" + first
+                + "\",\"role\":\"primary\",\"boot_ms\":1600000000000},"
+                + "{\"uid\":\"n2\",\"endpoint\":\"10.0.1.2:5432\",\"az\":\"zone-b\",\"pod_group\":1,\"state\":\"" + second
+                + "\",\"role\":\"replica\",\"boot_ms\":1600000000000}]}");
+    }
+
+    /** One router's end: what {@link Peers} builds, without its socket, thread and clock. */
+    private final class Router implements Sharing.Listener, Machine {
+        private final Peer self;
+        private final Members members;
+        private final State state;
+        private final Exchange exchange;
+        private final Fleet fleet;
+        private final Map<String, Told> told = new HashMap<>();
+        private final Map<String, NodeList.Entry> listed = new HashMap<>();
+        private boolean leaving;
+
+        private Router(String name, int port, List<Address> seeds, long seed) {
+            self = new Peer(new Member(name, (long) (START * 1000) + port), new Address("10.0.0.1", port));
+            var random = new SplittableRandom(seed);
+            members = new Members(MemberSettings.DEFAULT, self, seeds, random.nextLong(), START, new Members.Listener() { });
+            var kinds = new Exchange.Kinds(true, true, true, FATES, true);
+            state = new State(members, kinds.all(), StateSettings.DEFAULT.withAloneAfter(0.2), random.nextLong(), START);
+            exchange = new Exchange(kinds, 0.5, 2, DISCOVERY, state, members, random.split(), Runnable::run, this);
+            exchange.know(FIRST_LIST);
+            fleet = new Fleet(self.member(), List.of(members, this, exchange, state), this::send);
+            routers.put(self.address(), this);
+        }
+
+        private void send(Address to, byte[] bytes) {
+            String line = self.member().name() + " " + HEX.formatHex(bytes);
+            sent.add(line);
+            assertTrue(sent.size() <= recorded.size(), () -> "not recorded: " + line);
+            String expected = recorded.get(sent.size() - 1);
+            assertEquals(expected, line, () -> "datagram " + sent.size());
+            byte[] datagram = HEX.parseHex(expected.substring(expected.indexOf(' ') + 1));
+            underWay.add(() -> {
+                if (routers.containsKey(to)) {
+                    routers.get(to).fleet.heard(self.address(), datagram, now);
+                }
+            });
+        }
+
+        @Override
+        public void told(Map<String, Told> nodes) {
+            told.putAll(nodes);
+        }
+
+        @Override
+        public void told(Collection<NodeList> changes) {
+            changes.forEach(change -> change.entries().forEach(entry -> listed.put(entry.id(), entry)));
+        }
+
+        @Override
+        public Map<Integer, Function<Reader, ? extends Part>> parts() {
+            return Map.of();
+        }
+
+        @Override
+        public void heard(Peer from, Part part, double now, Outbox out) {
+            throw new IllegalArgumentException("no part is read for this");
+        }
+
+        @Override
+        public double turn(double now, Outbox out) {
+            if (leaving) {
+                leaving = false;
+                exchange.hurry();
+                members.leave(now, out);
+            }
+            return Double.POSITIVE_INFINITY;
+        }
+    }
+
+    private double now = START;
+
+    private void playUntil(double seconds, Router... turns) {
+        for (int step = (int) Math.round((now - START) * STEPS_A_SECOND); step < seconds * STEPS_A_SECOND; step++) {
+            now = START + (double) step / STEPS_A_SECOND;
+            for (Router router : turns) {
+                router.fleet.turn(now);
+            }
+            for (int pending = underWay.size(); pending > 0; pending--) {
+                underWay.remove().run();
+            }
+        }
+        now = START + seconds;
+    }
+
+    private static Reply answer(Role role, double position, double load) {
+        return new Reply(Outcome.ANSWERED, 0.002, role, position, role, position - 0.25, load);
+    }
+
+    private static News.Written written(String mark, boolean ran, double now) {
+        return new News.Written(mark, now - 0.5, 1, "post", ran, ran ? "n1" : "", now);
+    }
+
+    @Test
+    void bothRoutersSendAndUnderstandTheRecordedDatagrams() {
+        var sender = new Router("sender", 7401, List.of(), 1);
+        var receiver = new Router("receiver", 7402, List.of(sender.self.address()), 2);
+        playUntil(1, sender, receiver);
+
+        sender.exchange.take(new News.Listed(DISCOVERY, FIRST_LIST), now);
+        sender.exchange.take(new News.Looked(PRIMARY, answer(Role.PRIMARY, now - 0.01, 3), now), now);
+        sender.exchange.take(new News.Looked(REPLICA, Reply.untold(Outcome.TIMED_OUT, 0.5), now), now);
+        sender.exchange.take(new News.Wrote("session", 1, POSITION), now);
+        sender.exchange.take(written("in doubt", false, now), now);
+        sender.exchange.take(written("resolved", false, now), now);
+        sender.exchange.take(new News.Used(Sharing.Limit.REPEATS, 2), now);
+        sender.exchange.take(new News.Used(Sharing.Limit.PROBES, 3.5), now);
+        playUntil(2, sender, receiver);
+        assertEquals(1, receiver.told.get("n2").strikes());
+        double granted = receiver.exchange.left(Sharing.Limit.REPEATS);
+
+        sender.exchange.take(new News.Listed(DISCOVERY, list(8, false, "up", "draining")), now);
+        sender.exchange.take(new News.Looked(REPLICA, answer(Role.REPLICA, now - 1, 0), now), now);
+        sender.exchange.take(written("resolved", true, now), now);
+        sender.exchange.take(written("only here", true, now), now);
+        playUntil(2.5, sender, receiver);
+
+        sender.exchange.take(new News.Moved("10.0.0.9:8080"), now);
+        sender.exchange.take(new News.Listed("10.0.0.9:8080", list(3, true, "up", "removed")), now);
+        playUntil(END - 0.2, sender, receiver);
+        sender.leaving = true;
+        playUntil(END, sender, receiver);
+
+        assertEquals(recorded, sent);
+        Told primary = receiver.told.get("n1");
+        assertEquals(List.of(START + 0.99, 3.0, 1.6e9), List.of(primary.position(), primary.load(), primary.nodeStart()));
+        assertTrue(primary.primaryAt() > primary.replicaAt());
+        Told replica = receiver.told.get("n2");
+        assertEquals(List.of(START + 1, 1.6e9), List.of(replica.position(), replica.nodeStart()));
+        assertEquals(Listing.State.DRAINING, receiver.listed.get("n2").state());
+        assertEquals(POSITION, receiver.exchange.need("session", now));
+        assertEquals(List.of(Fate.Knowledge.UNKNOWN, Fate.Knowledge.RAN),
+                List.of(knowledge(receiver, "in doubt"), knowledge(receiver, "resolved")));
+        assertEquals(45, granted);
+        assertEquals(List.of(), receiver.members.others());
+    }
+
+    private static Fate.Knowledge knowledge(Router router, String mark) {
+        return router.state.get(FATES, Fate.key(mark)).knowledge();
+    }
+}
