--- /dev/null
+++ b/fleet/src/test/java/clayhook/fleet/RecordedBytes.java
@@ -0,0 +1,44 @@
+package clayhook.fleet;
+
+import java.io.IOException;
+import java.io.InputStream;
+import java.io.UncheckedIOException;
+import java.nio.charset.StandardCharsets;
+import java.util.HexFormat;
+import java.util.LinkedHashMap;
+import java.util.Map;
+
+/**
+ * Encoded forms that were recorded once and that every later release must read and write alike. A resource holds one form a
+ * line, its name and its bytes in hexadecimal; lines that begin with {@code #} are comments.
+ */
+public final class RecordedBytes {
+    private RecordedBytes() {}
+
+    /**
+     * Returns the bytes by the name of their form, in the order of the lines.
+     *
+     * @param file name of a file in {@code src/test/resources/recorded}
+     */
+    public static Map<String, byte[]> load(String file) {
+        var recorded = new LinkedHashMap<String, byte[]>();
+        text(file).lines().filter(line -> !line.isBlank() && !line.startsWith("#")).forEach(line -> {
+            String[] words = line.split(" ");
+            if (words.length != 2 || recorded.put(words[0], HexFormat.of().parseHex(words[1])) != null) {
+                throw new IllegalArgumentException("not a form of its own: " + line);
+            }
+        });
+        return recorded;
+    }
+
+    private static String text(String file) {
+        try (InputStream in = RecordedBytes.class.getResourceAsStream("/recorded/" + file)) {
+            if (in == null) {
+                throw new IllegalArgumentException("no recorded file " + file);
+            }
+            return new String(in.readAllBytes(), StandardCharsets.UTF_8);
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
+        }
+    }
+}
