--- /dev/null
+++ b/fleet/src/test/java/clayhook/rollout/RecordedBytesTest.java
@@ -0,0 +1,364 @@
+package clayhook.rollout;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import clayhook.fleet.Kind;
+import clayhook.fleet.Member;
+import clayhook.fleet.Part;
+import clayhook.fleet.Reader;
+import clayhook.fleet.Writer;
+import java.io.IOException;
+import java.io.InputStream;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.HexFormat;
+import java.util.List;
+import java.util.Map;
+import java.util.Properties;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.TreeSet;
+import java.util.function.Function;
+import java.util.stream.Collectors;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.EnumSource;
+import org.junit.jupiter.params.provider.MethodSource;
+
+/**
+ * Checks every message, value and key that rollouts exchange against bytes recorded from an earlier release, in both directions.
+ * Routers of different releases talk to each other, so a failure here means that the wire format has changed.
+ */
+class RecordedBytesTest {
+    private static final Properties RECORDED = recorded();
+    private static final double TIME = 1_700_000_000.25;
+    private static final Member MEMBER = new Member("router/ä-1", 1_700_000_000_123L);
+    private static final String ROUND = "0123456789abcdef";
+    private static final String BASE = "a".repeat(32);
+    private static final String RULES = "b".repeat(32);
+    private static final String TERMS = "c".repeat(32);
+    private static final double NONE = Double.POSITIVE_INFINITY;
+
+    private static Properties recorded() {
+        var recorded = new Properties();
+        try (InputStream in = RecordedBytesTest.class.getResourceAsStream("recorded-bytes.properties")) {
+            recorded.load(in);
+        } catch (IOException e) {
+            throw new ExceptionInInitializerError(e);
+        }
+        return recorded;
+    }
+
+    /** Encodes a value as the fields of one list. */
+    private interface Encoder {
+        void write(Writer out);
+    }
+
+    /** A recorded form: the bytes under {@code name}, the value that they stand for, and how it is written and read. */
+    private record Form(String name, Object value, Encoder encoder, Function<Reader, ?> decoder) {
+        byte[] bytes() {
+            var out = new Writer();
+            encoder.write(out);
+            return out.done();
+        }
+
+        @Override
+        public String toString() {
+            return name;
+        }
+    }
+
+    private static Form message(String name, Part part) {
+        Map<Integer, Function<Reader, ? extends Part>> decoders = new Net(1).nodes[0].rollouts.parts();
+        assertEquals(Set.of(40, 41), decoders.keySet());
+        return new Form("message." + part.number() + "." + name, part, part::write, decoders.get(part.number()));
+    }
+
+    private static <V> Form value(String name, Kind<V> kind, V value) {
+        return new Form("value." + kind.number() + "." + name, value, out -> kind.write(value, out), kind::read);
+    }
+
+    /** What stands in another value as an element of a list. */
+    private static Form element(String name, Object value, Encoder encoder, Function<Reader, ?> decoder) {
+        return new Form("element." + name, value, out -> {
+            out.begin();
+            encoder.write(out);
+            out.end();
+        }, in -> in.lists(1, decoder).get(0));
+    }
+
+    private static Form field(String name, Object value, Encoder encoder, Function<Reader, ?> decoder) {
+        return new Form("field." + name, value, encoder, decoder);
+    }
+
+    private static Guard guard(Measure measure) {
+        return switch (measure) {
+            case FAILED -> new Guard("read", measure, 0.02, 0.01);
+            case LATE -> new Guard("read", measure, NONE, 0);
+            case THROTTLED -> new Guard(Guard.ALL, measure, 0.5, NONE);
+            case SLOW -> new Guard("schreiben/ü", measure, 3, 0.2);
+        };
+    }
+
+    private static Plan plan() {
+        return new Plan(List.of(new Stage(0.01, 60, 100, List.of(guard(Measure.FAILED), guard(Measure.SLOW))),
+                new Stage(0.99, 0, 1, List.of(guard(Measure.LATE), guard(Measure.THROTTLED)))), 0.005, 3);
+    }
+
+    private static Proposal proposal() {
+        return new Proposal(MEMBER, TIME, BASE, RULES, 262_144, TERMS, 70_000, 10, 2);
+    }
+
+    private static End end(End.What what) {
+        return End.of(what, "stage 1, *: 2.000% failed", "router/ä-1", TIME + 1);
+    }
+
+    private static Terms terms() {
+        return new Terms(plan(), 5, List.of(new Member("a", 1), MEMBER));
+    }
+
+    private static Figure figure(int size) {
+        long[] counts = new long[size];
+        for (int i = 0; i < size; i++) {
+            // One to nine bytes long, of both signs.
+            counts[i] = i % 3 == 0 ? 0 : (1L << i % 63) * (i % 2 == 0 ? 1 : -1);
+        }
+        return new Figure(7, TIME, counts);
+    }
+
+    static Stream<Form> forms() {
+        var forms = new ArrayList<Form>();
+        forms.add(message("ask", new Ask(ROUND, TIME)));
+        forms.add(message("answer.granted", new Answer(ROUND, TIME, true)));
+        forms.add(message("answer.refused", new Answer(ROUND, TIME, false)));
+        forms.add(value("round.new", Round.KIND, new Round(proposal(), 0, null, TIME)));
+        forms.add(value("round.ended", Round.KIND, new Round(proposal(), 17, end(End.What.HALTED), TIME + 2)));
+        forms.add(value("piece", Piece.KIND, new Piece(new byte[] {0, 1, 127, -128, -1}, TIME)));
+        forms.add(value("vote", Vote.KIND, new Vote(17, TIME)));
+        forms.add(value("counts", Figure.COUNTS, figure(176)));
+        forms.add(value("times.old", Figure.OLD_TIMES, figure(160)));
+        forms.add(value("times.candidate", Figure.CANDIDATE_TIMES, figure(160)));
+        forms.add(field("proposal", proposal(), proposal()::write, Proposal::read));
+        for (End.What what : End.What.values()) {
+            forms.add(field("end." + what.ordinal(), end(what), end(what)::write, End::read));
+        }
+        forms.add(field("plan", plan(), plan()::write, Plan::read));
+        Stage stage = plan().stages().get(0);
+        forms.add(element("stage", stage, stage::write, Stage::read));
+        for (Measure measure : Measure.values()) {
+            Guard guard = guard(measure);
+            forms.add(element("guard." + measure.ordinal(), guard, guard::write, Guard::read));
+        }
+        return forms.stream();
+    }
+
+    private static byte[] bytes(String name) {
+        return HexFormat.of().parseHex(RECORDED.getProperty(name, ""));
+    }
+
+    private static String hex(byte[] bytes) {
+        return HexFormat.of().formatHex(bytes);
+    }
+
+    @ParameterizedTest
+    @MethodSource("forms")
+    void encodesToRecordedBytes(Form form) {
+        assertEquals(RECORDED.getProperty(form.name()), hex(form.bytes()));
+    }
+
+    @ParameterizedTest
+    @MethodSource("forms")
+    void decodesRecordedBytes(Form form) {
+        assertEquals(form.value(), form.decoder().apply(new Reader(bytes(form.name()))));
+    }
+
+    @Test
+    void termsKeepTheirBytes() {
+        assertEquals(RECORDED.getProperty("terms"), hex(terms().bytes()));
+        assertEquals(terms(), Terms.of(bytes("terms")));
+    }
+
+    @Test
+    void everyRecordedFormIsChecked() {
+        Set<String> names = forms().map(Form::name).collect(Collectors.toCollection(TreeSet::new));
+        names.add("terms");
+        for (Measure measure : Measure.values()) {
+            Stream.of("counts", "old", "candidate").forEach(kind -> names.add(layout(measure, kind)));
+        }
+        assertEquals(names, new TreeSet<>(RECORDED.stringPropertyNames()));
+        assertEquals(List.of(10, 11, 12, 13, 14, 15), Rollouts.kinds().stream().map(Kind::number).toList());
+        for (Kind<?> kind : Rollouts.kinds()) {
+            assertTrue(names.stream().anyMatch(name -> name.startsWith("value." + kind.number() + ".")),
+                    "kind " + kind.number());
+        }
+    }
+
+    /** The number of a constant is its place: each one, told apart by its meaning and not only by its number. */
+    @Test
+    void endsKeepTheirNumbers() {
+        assertEquals(List.of(End.What.HALTED, End.What.VETOED, End.What.WITHDRAWN, End.What.SUPERSEDED, End.What.EXPIRED),
+                List.of(End.What.values()));
+        assertEquals(List.of(Measure.FAILED, Measure.LATE, Measure.THROTTLED, Measure.SLOW), List.of(Measure.values()));
+    }
+
+    @Test
+    void keysKeepTheirText() {
+        assertEquals("0fa4cf391cad9e48", proposal().id());
+        assertEquals("0123456789abcdef/loyw3v5n/router/ä-1", Vote.key(ROUND, MEMBER));
+        var key = new Figure.Key(ROUND, 2, MEMBER, "read/only");
+        assertEquals("0123456789abcdef/2/loyw3v5n/10/router/ä-1/read/only", key.text());
+        assertEquals(key, Figure.Key.of("0123456789abcdef/2/loyw3v5n/10/router/ä-1/read/only"));
+    }
+
+    @Test
+    void textsAreCutIntoTheSamePieces() {
+        byte[] text = "0123456789".repeat(185).getBytes(StandardCharsets.UTF_8);
+        String hash = "51144900af68e240bdf5b2057074d1e6";
+        assertEquals(hash, Piece.hash(text));
+        var copy = new Net.Copy();
+        Piece.put(copy, text, TIME, TIME);
+        var lengths = new TreeMap<String, Integer>();
+        copy.each(Piece.KIND, (key, piece) -> lengths.put(key, piece.bytes().length));
+        assertEquals(Map.of(hash + "/0", 900, hash + "/1", 900, hash + "/2", 50), lengths);
+        assertArrayEquals(text, Piece.whole(copy, hash, text.length));
+    }
+
+    @Test
+    void ruleSetsKeepTextAndHash() {
+        var faults = new ArrayList<Fault>();
+        RuleSet set = RuleSet.of(Map.of("timeout", 2.5, "read_group", "reads"),
+                List.of(Map.of("name", "a\t\"b\"", "kinds", List.of("select"), "cost_from", 10, "only", true)), faults);
+        assertEquals(List.of(), faults);
+        assertEquals("[statements]\nread_group = \"reads\"\ntimeout = 2.5\n[[statements.rule]]\ncost_from = 10\n"
+                + "kinds = [\"select\"]\nname = \"a\\u0009\\\"b\\\"\"\nonly = true\n", set.text());
+        assertEquals("1eace384ecdce751dd4208e7d5d41261", set.hash());
+    }
+
+    /** Routers must agree on which sessions get the candidate. */
+    @Test
+    void sessionsKeepTheirVersion() {
+        var old = new Version("old", null, 0, false, Map.of());
+        Split split = Split.two(old, old, new Version("00000000deadbeef", null, 1, true, Map.of()), 0.25, TIME);
+        var candidates = new ArrayList<Long>();
+        for (long session = 0; session < 40; session++) {
+            if (split.candidate(session)) {
+                candidates.add(session);
+            }
+        }
+        assertEquals(List.of(4L, 15L, 23L, 34L, 37L, 39L), candidates);
+        assertEquals(0xdeadbeefL, split.salt());
+    }
+
+    /** Which count stands where, and what a histogram's steps are, is part of the format too. */
+    @ParameterizedTest
+    @EnumSource(Measure.class)
+    void countsKeepTheirPlaces(Measure measure) {
+        var copy = new Net.Copy();
+        var tally = new Tally(ROUND, MEMBER, Set.of("read"));
+        var old = new Version(BASE, ROUND, 1, false, Map.of("read", 0.05));
+        var candidate = new Version(RULES, ROUND, 1, true, Map.of("read", 0.05));
+        var batch = new Batch();
+        for (int session = 0; session < 6; session++) {
+            batch.add(old, "read", session, false, false, false, 0.004);
+            batch.add(candidate, "read", session, measure == Measure.FAILED, measure == Measure.LATE,
+                    measure == Measure.THROTTLED, measure == Measure.SLOW ? 0.1 : Double.NaN);
+        }
+        batch.each(tally::took);
+        tally.turn(TIME);
+        tally.share(copy, 1, TIME);
+        String key = "0123456789abcdef/1/loyw3v5n/10/router/ä-1/read";
+        assertEquals(RECORDED.getProperty(layout(measure, "counts")), sparse(copy.get(Figure.COUNTS, key)));
+        assertEquals(RECORDED.getProperty(layout(measure, "old")), sparse(copy.get(Figure.OLD_TIMES, key)));
+        assertEquals(RECORDED.getProperty(layout(measure, "candidate")), sparse(copy.get(Figure.CANDIDATE_TIMES, key)));
+    }
+
+    private static String layout(Measure measure, String kind) {
+        return "layout." + measure.ordinal() + "." + kind;
+    }
+
+    /** The places of counts that are not zero. */
+    private static String sparse(Figure figure) {
+        var out = new StringBuilder();
+        for (int i = 0; i < figure.counts().length; i++) {
+            if (figure.counts()[i] != 0) {
+                out.append(i).append('=').append(figure.counts()[i]).append(' ');
+            }
+        }
+        return out.toString().trim();
+    }
+
+    /** A rollout at three routers that comes to its end and is then withdrawn. */
+    @Test
+    void aCompletedRolloutKeepsEveryByte() throws IOException {
+        assertEquals(recordedRollout("completed"), rollout(0, News.What.DONE));
+    }
+
+    /** A rollout at three routers that is halted by its figures. */
+    @Test
+    void aHaltedRolloutKeepsEveryByte() throws IOException {
+        assertEquals(recordedRollout("halted"), rollout(0.2, News.What.HALTED));
+    }
+
+    private static List<String> recordedRollout(String name) throws IOException {
+        try (InputStream in = RecordedBytesTest.class.getResourceAsStream("recorded-rollout-" + name + ".txt")) {
+            return new String(in.readAllBytes(), StandardCharsets.UTF_8).lines().toList();
+        }
+    }
+
+    /** Each message in the order sent, and what a router knows when it is told of that, and after a withdrawal. */
+    private static List<String> rollout(double failing, News.What last) {
+        var lines = new ArrayList<String>();
+        var net = new Net(3);
+        net.run(5);
+        assertEquals(List.of(), net.nodes[0].rollouts.propose(Net.plan(1, 5), "[statements]\n", net.now));
+        for (int i = 0; i < 80 && !net.nodes[2].told(last); i++) {
+            net.serve(40, failing);
+            step(net, lines);
+        }
+        assertTrue(net.nodes[2].told(last));
+        entries(net.nodes[2], lines);
+        net.nodes[1].rollouts.withdraw(net.now);
+        step(net, lines);
+        net.nodes[2].shared.each(Round.KIND, (key, round) -> entry(Round.KIND, key, round, lines));
+        return lines;
+    }
+
+    /** As {@link Net#step()}, which keeps no record. */
+    private static void step(Net net, List<String> lines) {
+        net.now += 0.25;
+        for (int i = 0; i < net.nodes.length; i++) {
+            net.turn(i);
+        }
+        for (int i = 0; i < net.nodes.length; i++) {
+            for (int j = 0; j < net.nodes.length; j++) {
+                net.exchange(i, j);
+                while (!net.links.get(i).get(j).isEmpty()) {
+                    Part part = net.links.get(i).get(j).peekFirst().part();
+                    var out = new Writer();
+                    part.write(out);
+                    lines.add(i + " to " + j + ": " + part.number() + " " + hex(out.done()));
+                    net.deliver(i, j);
+                }
+            }
+        }
+    }
+
+    private static void entries(Net.Node node, List<String> lines) {
+        for (Kind<?> kind : Rollouts.kinds()) {
+            entries(node, kind, lines);
+        }
+    }
+
+    private static <V> void entries(Net.Node node, Kind<V> kind, List<String> lines) {
+        node.shared.each(kind, (key, value) -> entry(kind, key, value, lines));
+    }
+
+    private static <V> void entry(Kind<V> kind, String key, V value, List<String> lines) {
+        var out = new Writer();
+        kind.write(value, out);
+        lines.add("kind " + kind.number() + ": " + key + " " + hex(out.done()));
+    }
+}
