--- a/daemon/src/test/java/clayhook/peers/RecordedDatagramsTest.java
+++ b/daemon/src/test/java/clayhook/peers/RecordedDatagramsTest.java
@@ -41,13 +41,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Plays a fixed conversation of two routers in virtual time and compares every datagram, in both directions, with the recorded
- * bytes. Each router receives the recorded bytes and never the ones just encoded, so that the decoder is held to the record
- * as well as the encoder. All that {@link Exchange} sends is in it: each local event once at least, and the farewell.
+ * Plays a fixed conversation of two routers in virtual time and compares every datagram, in both directions, with the
+ * recorded bytes. Each router receives the recorded bytes and never the ones just encoded, so that the decoder is held
+ * to the record as well as the encoder. All that {@link Exchange} sends is in it: each local event once at least, and
+ * the farewell.
  */
 class RecordedDatagramsTest {
     /** Every datagram in order: the sender's name, then the bytes in hex. */
     private static final String DATAGRAMS = "recorded-datagrams.txt";
+
     private static final HexFormat HEX = HexFormat.of();
     private static final double START = 1.7e9;
     private static final int STEPS_A_SECOND = 100;
@@ -66,7 +68,9 @@
 
     private static List<String> recorded() {
         try (InputStream in = RecordedDatagramsTest.class.getResourceAsStream(DATAGRAMS)) {
-            return new String(in.readAllBytes(), StandardCharsets.US_ASCII).lines().toList();
+            return new String(in.readAllBytes(), StandardCharsets.US_ASCII)
+                    .lines()
+                    .toList();
         } catch (IOException e) {
             throw new AssertionError(e);
         }
@@ -74,9 +78,11 @@
 
     private static NodeList list(long revision, boolean complete, String first, String second) {
         return NodeList.parse("{\"rev\":" + revision + ",\"all\":" + complete + ",\"targets\":["
-                + "{\"uid\":\"n1\",\"endpoint\":\"10.0.1.1:5432\",\"az\":\"zone-a\",\"pod_group\":1,\"state\":\"" + first
+                + "{\"uid\":\"n1\",\"endpoint\":\"10.0.1.1:5432\",\"az\":\"zone-a\",\"pod_group\":1,\"state\":\""
+                + first
                 + "\",\"role\":\"primary\",\"boot_ms\":1600000000000},"
-                + "{\"uid\":\"n2\",\"endpoint\":\"10.0.1.2:5432\",\"az\":\"zone-b\",\"pod_group\":1,\"state\":\"" + second
+                + "{\"uid\":\"n2\",\"endpoint\":\"10.0.1.2:5432\",\"az\":\"zone-b\",\"pod_group\":1,\"state\":\""
+                + second
                 + "\",\"role\":\"replica\",\"boot_ms\":1600000000000}]}");
     }
 
@@ -94,9 +100,11 @@
         private Router(String name, int port, List<Address> seeds, long seed) {
             self = new Peer(new Member(name, (long) (START * 1000) + port), new Address("10.0.0.1", port));
             var random = new SplittableRandom(seed);
-            members = new Members(MemberSettings.DEFAULT, self, seeds, random.nextLong(), START, new Members.Listener() { });
+            members = new Members(
+                    MemberSettings.DEFAULT, self, seeds, random.nextLong(), START, new Members.Listener() {});
             var kinds = new Exchange.Kinds(true, true, true, FATES, true);
-            state = new State(members, kinds.all(), StateSettings.DEFAULT.withAloneAfter(0.2), random.nextLong(), START);
+            state = new State(
+                    members, kinds.all(), StateSettings.DEFAULT.withAloneAfter(0.2), random.nextLong(), START);
             exchange = new Exchange(kinds, 0.5, 2, DISCOVERY, state, members, random.split(), Runnable::run, this);
             exchange.know(FIRST_LIST);
             fleet = new Fleet(self.member(), List.of(members, this, exchange, state), this::send);
@@ -203,13 +211,15 @@
 
         assertEquals(recorded, sent);
         Told primary = receiver.told.get("n1");
-        assertEquals(List.of(START + 0.99, 3.0, 1.6e9), List.of(primary.position(), primary.load(), primary.nodeStart()));
+        assertEquals(
+                List.of(START + 0.99, 3.0, 1.6e9), List.of(primary.position(), primary.load(), primary.nodeStart()));
         assertTrue(primary.primaryAt() > primary.replicaAt());
         Told replica = receiver.told.get("n2");
         assertEquals(List.of(START + 1, 1.6e9), List.of(replica.position(), replica.nodeStart()));
         assertEquals(Listing.State.DRAINING, receiver.listed.get("n2").state());
         assertEquals(POSITION, receiver.exchange.need("session", now));
-        assertEquals(List.of(Fate.Knowledge.UNKNOWN, Fate.Knowledge.RAN),
+        assertEquals(
+                List.of(Fate.Knowledge.UNKNOWN, Fate.Knowledge.RAN),
                 List.of(knowledge(receiver, "in doubt"), knowledge(receiver, "resolved")));
         assertEquals(45, granted);
         assertEquals(List.of(), receiver.members.others());
--- a/fleet/src/test/java/clayhook/fleet/RecordedBytes.java
+++ b/fleet/src/test/java/clayhook/fleet/RecordedBytes.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 
 /**
- * Encoded forms that were recorded once and that every later release must read and write alike. A resource holds one form a
- * line, its name and its bytes in hexadecimal; lines that begin with {@code #} are comments.
+ * Encoded forms that were recorded once and that every later release must read and write alike. A resource holds one
+ * form a line, its name and its bytes in hexadecimal; lines that begin with {@code #} are comments.
  */
 public final class RecordedBytes {
     private RecordedBytes() {}
@@ -22,12 +22,16 @@
      */
     public static Map<String, byte[]> load(String file) {
         var recorded = new LinkedHashMap<String, byte[]>();
-        text(file).lines().filter(line -> !line.isBlank() && !line.startsWith("#")).forEach(line -> {
-            String[] words = line.split(" ");
-            if (words.length != 2 || recorded.put(words[0], HexFormat.of().parseHex(words[1])) != null) {
-                throw new IllegalArgumentException("not a form of its own: " + line);
-            }
-        });
+        text(file)
+                .lines()
+                .filter(line -> !line.isBlank() && !line.startsWith("#"))
+                .forEach(line -> {
+                    String[] words = line.split(" ");
+                    if (words.length != 2
+                            || recorded.put(words[0], HexFormat.of().parseHex(words[1])) != null) {
+                        throw new IllegalArgumentException("not a form of its own: " + line);
+                    }
+                });
         return recorded;
     }
 
--- a/fleet/src/test/java/clayhook/fleet/RecordedPacketsTest.java
+++ b/fleet/src/test/java/clayhook/fleet/RecordedPacketsTest.java
@@ -22,8 +22,9 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Compares encoder and decoder with recorded bytes, in both directions: the form of each field, the frame of a packet, and
- * how messages are spread over packets. Routers of different releases run side by side, so none of these bytes may change.
+ * Compares encoder and decoder with recorded bytes, in both directions: the form of each field, the frame of a packet,
+ * and how messages are spread over packets. Routers of different releases run side by side, so none of these bytes may
+ * change.
  */
 class RecordedPacketsTest {
     private static final HexFormat HEX = HexFormat.of();
@@ -46,8 +47,7 @@
     }
 
     /** A message as it came, and from whom. */
-    private record Received(Peer from, Part part) {
-    }
+    private record Received(Peer from, Part part) {}
 
     /** Sends given messages on its first turn, and keeps those that it receives. */
     private static final class SampleHandler implements Machine {
@@ -112,23 +112,31 @@
     }
 
     private static Field<List<List<Long>>> lists(String hex, List<List<Long>> value) {
-        return new Field<>(hex, value, (out, lists) -> {
-            out.begin();
-            lists.forEach(list -> {
-                out.begin();
-                list.forEach(out::whole);
-                out.end();
-            });
-            out.end();
-        }, in -> in.lists(10, each -> List.of(each.whole(), each.whole())));
+        return new Field<>(
+                hex,
+                value,
+                (out, lists) -> {
+                    out.begin();
+                    lists.forEach(list -> {
+                        out.begin();
+                        list.forEach(out::whole);
+                        out.end();
+                    });
+                    out.end();
+                },
+                in -> in.lists(10, each -> List.of(each.whole(), each.whole())));
     }
 
     private static Field<List<Long>> wholes(String hex, List<Long> value) {
-        return new Field<>(hex, value, (out, list) -> {
-            out.begin();
-            list.forEach(out::whole);
-            out.end();
-        }, in -> Arrays.stream(in.wholes(30)).boxed().toList());
+        return new Field<>(
+                hex,
+                value,
+                (out, list) -> {
+                    out.begin();
+                    list.forEach(out::whole);
+                    out.end();
+                },
+                in -> Arrays.stream(in.wholes(30)).boxed().toList());
     }
 
     static List<Field<?>> fields() {
@@ -258,7 +266,9 @@
 
     private static List<String> recorded() throws IOException {
         try (InputStream in = RecordedPacketsTest.class.getResourceAsStream(PACKETS)) {
-            return new String(in.readAllBytes(), StandardCharsets.US_ASCII).lines().toList();
+            return new String(in.readAllBytes(), StandardCharsets.US_ASCII)
+                    .lines()
+                    .toList();
         }
     }
 
@@ -277,14 +287,16 @@
     @Test
     void unpacksRecordedPackets() throws IOException {
         var expected = new HashMap<Address, List<Part>>();
-        messagesToSend((to, part) -> expected.computeIfAbsent(to, any -> new ArrayList<>()).add(part));
+        messagesToSend((to, part) ->
+                expected.computeIfAbsent(to, any -> new ArrayList<>()).add(part));
         var unpacked = new HashMap<Address, List<Part>>();
         var from = new Address("10.0.0.9", 9);
         for (String line : recorded()) {
-            var handler = new SampleHandler(NUMBERS, out -> { });
-            var fleet = new Fleet(new Member("other", 1), List.of(handler), (to, bytes) -> { });
+            var handler = new SampleHandler(NUMBERS, out -> {});
+            var fleet = new Fleet(new Member("other", 1), List.of(handler), (to, bytes) -> {});
             fleet.heard(from, packet(line), 0);
-            assertEquals(List.of(1L, 0L, Map.of()),
+            assertEquals(
+                    List.of(1L, 0L, Map.of()),
                     List.of(fleet.counts().packets, fleet.counts().unknownParts, fleet.counts().dropped));
             Address to = address(line);
             handler.received.forEach(received -> {
@@ -317,7 +329,8 @@
         for (int i = 0; i < bytes.length; i++) {
             byte[] changed = bytes.clone();
             changed[i] ^= 1;
-            assertEquals(new Packet.Read.Dropped(Packet.Read.Why.GARBLED), Packet.decode(changed, Map.of()), "byte " + i);
+            assertEquals(
+                    new Packet.Read.Dropped(Packet.Read.Why.GARBLED), Packet.decode(changed, Map.of()), "byte " + i);
             byte[] cut = Arrays.copyOf(bytes, i);
             assertEquals(new Packet.Read.Dropped(Packet.Read.Why.GARBLED), Packet.decode(cut, Map.of()), "cut at " + i);
         }
@@ -329,8 +342,11 @@
     private static final String VERSION_2 = "e255644893f126b89f0268726f757465722d311b0000018bcfe5687b9fffff";
     /** A sender's name of 101 characters, one too many. */
     private static final String LONG_NAME = "fe59adc8fb152b5f9f017865" + "6e".repeat(101) + "1b0000018bcfe5687b9fffff";
-    /** Fields that a later release might add: 2 at the end of a message of number 1, and 9 after the list of messages. */
-    private static final String LATER = "8ee9c4ffdacee67f9f0168726f757465722d311b0000018bcfe5687b9f9f01469f07616102ffffff09ff";
+    /**
+     * Fields that a later release might add: 2 at the end of a message of number 1, and 9 after the list of messages.
+     */
+    private static final String LATER =
+            "8ee9c4ffdacee67f9f0168726f757465722d311b0000018bcfe5687b9f9f01469f07616102ffffff09ff";
 
     @Test
     void encodesPacketWithoutMessagesAsRecorded() {
@@ -344,12 +360,14 @@
 
     @Test
     void dropsRecordedPacketOfAnotherVersion() {
-        assertEquals(new Packet.Read.Dropped(Packet.Read.Why.VERSION), Packet.decode(HEX.parseHex(VERSION_2), Map.of()));
+        assertEquals(
+                new Packet.Read.Dropped(Packet.Read.Why.VERSION), Packet.decode(HEX.parseHex(VERSION_2), Map.of()));
     }
 
     @Test
     void dropsRecordedPacketWithTooLongName() {
-        assertEquals(new Packet.Read.Dropped(Packet.Read.Why.SENSELESS), Packet.decode(HEX.parseHex(LONG_NAME), Map.of()));
+        assertEquals(
+                new Packet.Read.Dropped(Packet.Read.Why.SENSELESS), Packet.decode(HEX.parseHex(LONG_NAME), Map.of()));
     }
 
     @Test
@@ -386,7 +404,7 @@
         new Fleet(SENDER, List.of(fits), (to, bytes) -> sizes.add(bytes.length)).turn(0);
         assertEquals(List.of(1237), sizes);
         var tooLong = new SampleHandler(List.of(1), out -> out.add(FIRST, new Sample(1, 0, "x".repeat(1195))));
-        var fleet = new Fleet(SENDER, List.of(tooLong), (to, bytes) -> { });
+        var fleet = new Fleet(SENDER, List.of(tooLong), (to, bytes) -> {});
         assertThrows(IllegalArgumentException.class, () -> fleet.turn(0));
         assertEquals(0, fleet.counts().sent);
     }
--- a/fleet/src/test/java/clayhook/fleet/kinds/RecordedValuesTest.java
+++ b/fleet/src/test/java/clayhook/fleet/kinds/RecordedValuesTest.java
@@ -28,6 +28,7 @@
     private static final String WIDE_NAME = "r\u00fcter-\u20ac-\ud83d\ude00";
     /** Beyond what keys and values hold, so that it is cut and ends with a hash. */
     private static final String LONG_NAME = "longer than a name may be \u20ac ".repeat(8);
+
     private static final Map<String, Case<?>> VALUES = values();
     private static final Map<String, String> KEYS = keys();
 
@@ -70,14 +71,28 @@
         evidence.put("replica", none.role(false, two));
         evidence.put("heard", none.heard(three));
         evidence.put("failed", none.failed(1, one));
-        evidence.put("failed-for-several", none.failed(1000, one).failed(2, two).failed(3, three)
-                .failed(4, Sight.of(NOW - 1, "router-4")).failed(5, Sight.of(NOW - 2, "router-5")));
+        evidence.put(
+                "failed-for-several",
+                none.failed(1000, one)
+                        .failed(2, two)
+                        .failed(3, three)
+                        .failed(4, Sight.of(NOW - 1, "router-4"))
+                        .failed(5, Sight.of(NOW - 2, "router-5")));
         evidence.put("slowness", none.pace(1.5, one));
         evidence.put("load", none.load(300, two));
-        evidence.put("one-sight", none.told(NOW, 0, one).role(true, one).heard(one).load(1e6, one).pace(1000, one));
-        evidence.put("all", none.told(NOW - 3, 1e6, one).role(true, two).role(false, three)
-                .heard(Sight.of(NOW - 5, "router-4")).pace(0.001, Sight.of(NOW - 6, "router-5"))
-                .load(7, Sight.of(NOW - 7, "router-6")).failed(8, Sight.of(NOW - 4, "router-7")).failed(9, two));
+        evidence.put(
+                "one-sight",
+                none.told(NOW, 0, one).role(true, one).heard(one).load(1e6, one).pace(1000, one));
+        evidence.put(
+                "all",
+                none.told(NOW - 3, 1e6, one)
+                        .role(true, two)
+                        .role(false, three)
+                        .heard(Sight.of(NOW - 5, "router-4"))
+                        .pace(0.001, Sight.of(NOW - 6, "router-5"))
+                        .load(7, Sight.of(NOW - 7, "router-6"))
+                        .failed(8, Sight.of(NOW - 4, "router-7"))
+                        .failed(9, two));
         evidence.put("of-a-later-sight", Evidence.KIND.join(none.heard(one), Evidence.none(NOW - 50)));
         return evidence;
     }
@@ -85,8 +100,18 @@
     private static Map<String, Listed> listed() {
         var listed = new LinkedHashMap<String, Listed>();
         listed.put("ready", new Listed(7, Listed.State.READY, NOW - 10, true, "zone-a", 1, "10.0.0.1", 5432, NOW));
-        listed.put("draining", new Listed(300, Listed.State.DRAINING, 0, false, WIDE_NAME, (1 << 20) - 1,
-                "node.example.org", 65_535, NOW + 0.1));
+        listed.put(
+                "draining",
+                new Listed(
+                        300,
+                        Listed.State.DRAINING,
+                        0,
+                        false,
+                        WIDE_NAME,
+                        (1 << 20) - 1,
+                        "node.example.org",
+                        65_535,
+                        NOW + 0.1));
         listed.put("gone", listed.get("ready").gone(Long.MAX_VALUE, NOW + 1));
         listed.put("of-revision", Listed.ofRevision(1L << 40, NOW));
         return listed;
@@ -109,8 +134,12 @@
 
     private static Map<String, String> keys() {
         var keys = new LinkedHashMap<String, String>();
-        for (Map.Entry<String, String> each : Map.of("plain", "node-1", "wide", WIDE_NAME, "long", LONG_NAME.repeat(2),
-                "control", "a\u0007b").entrySet().stream().sorted(Map.Entry.comparingByKey()).toList()) {
+        for (Map.Entry<String, String> each : Map.of(
+                        "plain", "node-1", "wide", WIDE_NAME, "long", LONG_NAME.repeat(2), "control", "a\u0007b")
+                .entrySet()
+                .stream()
+                .sorted(Map.Entry.comparingByKey())
+                .toList()) {
             String name = each.getValue();
             keys.put("evidence-" + each.getKey(), Evidence.key(name));
             keys.put("listed-" + each.getKey(), Listed.key("10.0.0.9:7000", name));
@@ -137,20 +166,28 @@
 
     @TestFactory
     Stream<DynamicTest> valueIsWrittenAsRecorded() {
-        return VALUES.entrySet().stream().map(each -> DynamicTest.dynamicTest(each.getKey(),
-                () -> assertEquals(hex(VALUE_BYTES.get(each.getKey())), hex(each.getValue().encoded()), each.getKey())));
+        return VALUES.entrySet().stream()
+                .map(each -> DynamicTest.dynamicTest(
+                        each.getKey(),
+                        () -> assertEquals(
+                                hex(VALUE_BYTES.get(each.getKey())),
+                                hex(each.getValue().encoded()),
+                                each.getKey())));
     }
 
     @TestFactory
     Stream<DynamicTest> recordedBytesAreReadAsTheValue() {
-        return VALUES.entrySet().stream().map(each -> DynamicTest.dynamicTest(each.getKey(),
-                () -> each.getValue().assertReadFrom(VALUE_BYTES.get(each.getKey()))));
+        return VALUES.entrySet().stream()
+                .map(each -> DynamicTest.dynamicTest(
+                        each.getKey(), () -> each.getValue().assertReadFrom(VALUE_BYTES.get(each.getKey()))));
     }
 
     @TestFactory
     Stream<DynamicTest> keyIsMadeAsRecorded() {
-        return KEYS.entrySet().stream().map(each -> DynamicTest.dynamicTest(each.getKey(),
-                () -> assertEquals(hex(KEY_BYTES.get(each.getKey())), hex(each.getValue()), each.getKey())));
+        return KEYS.entrySet().stream()
+                .map(each -> DynamicTest.dynamicTest(
+                        each.getKey(),
+                        () -> assertEquals(hex(KEY_BYTES.get(each.getKey())), hex(each.getValue()), each.getKey())));
     }
 
     @Test
@@ -158,10 +195,11 @@
         assertEquals(List.of("10.0.0.9:7000", "node-1"), Listed.parts(recordedKey("listed-plain")));
         assertEquals(List.of("10.0.0.9:7000", WIDE_NAME), Listed.parts(recordedKey("listed-wide")));
         assertEquals(List.of("node-1", ""), Listed.parts(recordedKey("listed-source-plain")));
-        assertEquals(new Use.Owner("probes", new Member("node-1", 1_700_000_000_123L)),
-                Use.owner(recordedKey("use-plain")));
+        assertEquals(
+                new Use.Owner("probes", new Member("node-1", 1_700_000_000_123L)), Use.owner(recordedKey("use-plain")));
         assertEquals(new Use.Owner("repeats", new Member("router-1", 0)), Use.owner(recordedKey("use-repeats")));
-        assertEquals(new Use.Owner("cold node-1 1.70000000025E9", new Member("router-1", -1)),
+        assertEquals(
+                new Use.Owner("cold node-1 1.70000000025E9", new Member("router-1", -1)),
                 Use.owner(recordedKey("use-cold-plain")));
     }
 
@@ -173,7 +211,8 @@
     void everyFormIsRecorded() {
         assertEquals(VALUES.keySet(), VALUE_BYTES.keySet());
         assertEquals(KEYS.keySet(), KEY_BYTES.keySet());
-        assertEquals(Set.of(Evidence.KIND, Listed.KIND, Mark.KIND, Fate.KIND, Use.KIND),
+        assertEquals(
+                Set.of(Evidence.KIND, Listed.KIND, Mark.KIND, Fate.KIND, Use.KIND),
                 VALUES.values().stream().map(Case::kind).collect(Collectors.toSet()));
         var states = new HashSet<Listed.State>();
         var knowledge = new HashSet<Fate.Knowledge>();
@@ -191,7 +230,9 @@
     @Test
     void kindKeepsItsNumberAndName() {
         assertEquals(List.of(1, 2, 3, 4, 5), kinds().map(Kind::number).toList());
-        assertEquals(List.of("evidence", "listed", "marks", "fates", "use"), kinds().map(Kind::name).toList());
+        assertEquals(
+                List.of("evidence", "listed", "marks", "fates", "use"),
+                kinds().map(Kind::name).toList());
     }
 
     private static Stream<Kind<?>> kinds() {
--- a/fleet/src/test/java/clayhook/fleet/members/RecordedMessagesTest.java
+++ b/fleet/src/test/java/clayhook/fleet/members/RecordedMessagesTest.java
@@ -32,17 +32,20 @@
     private static final double RECEIVED_AT = 1_700_000_001.1;
     private static final Address ADDRESS = new Address("10.0.0.1", 7100);
     private static final Peer PEER = new Peer(new Member("router-1", 1_700_000_000_123L), ADDRESS);
-    private static final Peer OTHER_PEER =
-            new Peer(new Member("r\u00fcter-\u20ac-\ud83d\ude00", Long.MIN_VALUE), new Address("node.example.org", 65_535));
+    private static final Peer OTHER_PEER = new Peer(
+            new Member("r\u00fcter-\u20ac-\ud83d\ude00", Long.MIN_VALUE), new Address("node.example.org", 65_535));
     private static final Map<String, Word> MESSAGES = messages();
 
     private static Map<String, Word> messages() {
         var messages = new LinkedHashMap<String, Word>();
         messages.put("probe", new Word.Probe(1, SENT_AT, -2, ADDRESS, 3));
-        messages.put("probe-of-extremes",
-                new Word.Probe(Long.MAX_VALUE, Double.POSITIVE_INFINITY, Long.MIN_VALUE, new Address("h", 0), (1L << 50) - 1));
+        messages.put(
+                "probe-of-extremes",
+                new Word.Probe(
+                        Long.MAX_VALUE, Double.POSITIVE_INFINITY, Long.MIN_VALUE, new Address("h", 0), (1L << 50) - 1));
         messages.put("ack", new Word.Ack(1, SENT_AT, RECEIVED_AT, Long.MAX_VALUE, ADDRESS, 24));
-        messages.put("ack-of-extremes",
+        messages.put(
+                "ack-of-extremes",
                 new Word.Ack(Long.MIN_VALUE, -0.5, 1e300, 0, new Address("node.example.org", 65_535), 0));
         messages.put("errand", new Word.Errand(256, PEER));
         messages.put("errand-wide", new Word.Errand(1L << 32, OTHER_PEER));
@@ -55,16 +58,24 @@
         messages.put("news-suspected-by-none", new Word.News(List.of(suspected())));
         messages.put("news-gone", new Word.News(List.of(new Claim(PEER, Standing.GONE, 23, List.of()))));
         messages.put("news-left", new Word.News(List.of(new Claim(OTHER_PEER, Standing.LEFT, 1L << 49, List.of()))));
-        messages.put("news-several",
-                new Word.News(List.of(Claim.alive(OTHER_PEER, 1), suspected(3L, 4L), new Claim(PEER, Standing.LEFT, 2, List.of()))));
-        messages.put("ask", new Word.Ask(IntStream.range(0, Register.BUCKETS).map(i -> i * 0x9e37_79b9).toArray()));
+        messages.put(
+                "news-several",
+                new Word.News(List.of(
+                        Claim.alive(OTHER_PEER, 1), suspected(3L, 4L), new Claim(PEER, Standing.LEFT, 2, List.of()))));
+        messages.put(
+                "ask",
+                new Word.Ask(IntStream.range(0, Register.BUCKETS)
+                        .map(i -> i * 0x9e37_79b9)
+                        .toArray()));
         messages.put("ask-empty", new Word.Ask(new int[Register.BUCKETS]));
         messages.put("page-empty", new Word.Page(List.of()));
-        messages.put("page", new Word.Page(List.of(
-                new Word.Page.Aged(Claim.alive(PEER, 5), 0),
-                new Word.Page.Aged(suspected(7L, 8L, 9L), 1),
-                new Word.Page.Aged(new Claim(OTHER_PEER, Standing.GONE, 6, List.of()), 3600),
-                new Word.Page.Aged(new Claim(PEER, Standing.LEFT, 0, List.of()), 1e9))));
+        messages.put(
+                "page",
+                new Word.Page(List.of(
+                        new Word.Page.Aged(Claim.alive(PEER, 5), 0),
+                        new Word.Page.Aged(suspected(7L, 8L, 9L), 1),
+                        new Word.Page.Aged(new Claim(OTHER_PEER, Standing.GONE, 6, List.of()), 3600),
+                        new Word.Page.Aged(new Claim(PEER, Standing.LEFT, 0, List.of()), 1e9))));
         return messages;
     }
 
@@ -98,30 +109,35 @@
 
     @TestFactory
     Stream<DynamicTest> messageIsWrittenAsRecorded() {
-        return MESSAGES.entrySet().stream().map(each -> DynamicTest.dynamicTest(each.getKey(), () -> {
-            assertEquals(number(each.getValue()), each.getValue().number());
-            assertEquals(HexFormat.of().formatHex(RECORDED.getOrDefault(each.getKey(), new byte[0])),
-                    HexFormat.of().formatHex(encode(each.getValue())), each.getKey());
-        }));
+        return MESSAGES.entrySet().stream()
+                .map(each -> DynamicTest.dynamicTest(each.getKey(), () -> {
+                    assertEquals(number(each.getValue()), each.getValue().number());
+                    assertEquals(
+                            HexFormat.of().formatHex(RECORDED.getOrDefault(each.getKey(), new byte[0])),
+                            HexFormat.of().formatHex(encode(each.getValue())),
+                            each.getKey());
+                }));
     }
 
     @TestFactory
     Stream<DynamicTest> recordedBytesAreReadAsTheMessage() {
-        return MESSAGES.entrySet().stream().map(each -> DynamicTest.dynamicTest(each.getKey(), () -> {
-            Word message = each.getValue();
-            Part read = Word.READERS.get(number(message)).apply(new Reader(RECORDED.get(each.getKey())));
-            if (message instanceof Word.Ask ask) {
-                assertArrayEquals(ask.digests(), ((Word.Ask) read).digests());
-            } else {
-                assertEquals(message, read);
-            }
-        }));
+        return MESSAGES.entrySet().stream()
+                .map(each -> DynamicTest.dynamicTest(each.getKey(), () -> {
+                    Word message = each.getValue();
+                    Part read = Word.READERS.get(number(message)).apply(new Reader(RECORDED.get(each.getKey())));
+                    if (message instanceof Word.Ask ask) {
+                        assertArrayEquals(ask.digests(), ((Word.Ask) read).digests());
+                    } else {
+                        assertEquals(message, read);
+                    }
+                }));
     }
 
     @Test
     void everyFormOfMessageIsRecorded() {
         assertEquals(MESSAGES.keySet(), RECORDED.keySet());
-        assertEquals(Arrays.stream(Word.class.getPermittedSubclasses()).collect(Collectors.toSet()),
+        assertEquals(
+                Arrays.stream(Word.class.getPermittedSubclasses()).collect(Collectors.toSet()),
                 MESSAGES.values().stream().map(Object::getClass).collect(Collectors.toSet()));
         assertEquals(Set.of(1, 2, 3, 4, 5, 6, 7), Word.READERS.keySet());
         var standings = new HashSet<Standing>();
@@ -135,7 +151,8 @@
 
     @Test
     void ageIsWrittenInWholeSeconds() {
-        var aged = new Word.Page(List.of(new Word.Page.Aged(Claim.alive(PEER, 5), 0.9),
+        var aged = new Word.Page(List.of(
+                new Word.Page.Aged(Claim.alive(PEER, 5), 0.9),
                 new Word.Page.Aged(suspected(9L, 7L, 8L, 7L), 1.99),
                 new Word.Page.Aged(new Claim(OTHER_PEER, Standing.GONE, 6, List.of(1L)), 3600.5),
                 new Word.Page.Aged(new Claim(PEER, Standing.LEFT, 0, List.of()), 1e9)));
--- a/fleet/src/test/java/clayhook/fleet/state/RecordedStateMessagesTest.java
+++ b/fleet/src/test/java/clayhook/fleet/state/RecordedStateMessagesTest.java
@@ -47,103 +47,184 @@
 
     static Stream<Recording> recordings() {
         return Stream.of(
-                new Recording("news without entries", 20, new Word.News(0, 0, List.of()),
-                        "9f00fb00000000000000009fffff"),
-                new Recording("news", 20, news(),
+                new Recording(
+                        "news without entries", 20, new Word.News(0, 0, List.of()), "9f00fb00000000000000009fffff"),
+                new Recording(
+                        "news",
+                        20,
+                        news(),
                         "9f1a00011170fb41d954fc402000009f9f00616b409fffff9f176f72c3bc74657220e282ac20f09f98804500"
-                        + "017f80ff9f2001ffff9f18186973657373696f6e2031439f01ff9f3b7fffffffffffffff171b7fffffffffff"
-                        + "ffff18180018ff011901000219ffff031a00010000041b00000001000000000500ffff9f18ff790100"
-                        + "6b".repeat(256)
-                        + "581e"
-                        + "00".repeat(30)
-                        + "9f1b0123456789abcdef1b0000010000000000ffffffff"),
-                new Recording("pairs without members", 21, new Word.Pairs(0, 0, NOW, List.of()),
+                                + "017f80ff9f2001ffff9f18186973657373696f6e2031439f01ff9f3b7fffffffffffffff171b7fffffffffff"
+                                + "ffff18180018ff011901000219ffff031a00010000041b00000001000000000500ffff9f18ff790100"
+                                + "6b".repeat(256)
+                                + "581e"
+                                + "00".repeat(30)
+                                + "9f1b0123456789abcdef1b0000010000000000ffffffff"),
+                new Recording(
+                        "pairs without members",
+                        21,
+                        new Word.Pairs(0, 0, NOW, List.of()),
                         "9f0000fb41d954fc402000009fffff"),
-                new Recording("pairs", 21, pairs(),
+                new Recording(
+                        "pairs",
+                        21,
+                        pairs(),
                         "9f381a181cfb41d954fc402000009f9f000000ff9f200118faff9f3b7fffffffffffffff18ff3901f3ff9f1b"
-                        + "7fffffffffffffff1b00000100000000001a05265c00ffffff"),
-                new Recording("question for pairs without members", 22, new Word.AskPairs(1, 0, new long[0]),
-                        "9f01009fffff"),
-                new Recording("question for pairs", 22, new Word.AskPairs(-2, Integer.MAX_VALUE - 1,
-                        new long[] {0, -1, Long.MIN_VALUE, Long.MAX_VALUE, 255, 256, 65_536, 1L << 32}),
+                                + "7fffffffffffffff1b00000100000000001a05265c00ffffff"),
+                new Recording(
+                        "question for pairs without members", 22, new Word.AskPairs(1, 0, new long[0]), "9f01009fffff"),
+                new Recording(
+                        "question for pairs",
+                        22,
+                        new Word.AskPairs(-2, Integer.MAX_VALUE - 1, new long[] {
+                            0, -1, Long.MIN_VALUE, Long.MAX_VALUE, 255, 256, 65_536, 1L << 32
+                        }),
                         "9f211a7ffffffe9f00203b7fffffffffffffff1b7fffffffffffffff18ff1901001a000100001b0000000100"
-                        + "000000ffff"),
-                new Recording("question for pairs of the most members", 22,
-                        new Word.AskPairs(3, 4, LongStream.range(0, Word.MOST_IDS).toArray()),
+                                + "000000ffff"),
+                new Recording(
+                        "question for pairs of the most members",
+                        22,
+                        new Word.AskPairs(
+                                3, 4, LongStream.range(0, Word.MOST_IDS).toArray()),
                         "9f03049f000102030405060708090a0b0c0d0e0f101112131415161718181819181a181b181c181d181e181f"
-                        + "18201821182218231824182518261827ffff"),
-                new Recording("question for roots without kinds", 23, new Word.AskRoots(5, 6, List.of()),
-                        "9f05069fffff"),
-                new Recording("question for roots", 23, new Word.AskRoots(Long.MAX_VALUE, 7, roots()),
+                                + "18201821182218231824182518261827ffff"),
+                new Recording(
+                        "question for roots without kinds", 23, new Word.AskRoots(5, 6, List.of()), "9f05069fffff"),
+                new Recording(
+                        "question for roots",
+                        23,
+                        new Word.AskRoots(Long.MAX_VALUE, 7, roots()),
                         "9f1b7fffffffffffffff079f9f00fbfff0000000000000fbfff000000000000000ff9f01fb41d954fc3c2000"
-                        + "00fb41d954fc3b20000020ff9f18fffb0000000000000000fbbfe00000000000003b7fffffffffffffffffff"
-                        + "ff"),
-                new Recording("roots without kinds", 24, new Word.Roots(8, 9, false, List.of()),
-                        "9f0809f49fffff"),
-                new Recording("roots", 24, new Word.Roots(Long.MIN_VALUE, 10, true, roots()),
+                                + "00fb41d954fc3b20000020ff9f18fffb0000000000000000fbbfe00000000000003b7fffffffffffffffffff"
+                                + "ff"),
+                new Recording("roots without kinds", 24, new Word.Roots(8, 9, false, List.of()), "9f0809f49fffff"),
+                new Recording(
+                        "roots",
+                        24,
+                        new Word.Roots(Long.MIN_VALUE, 10, true, roots()),
                         "9f3b7fffffffffffffff0af59f9f00fbfff0000000000000fbfff000000000000000ff9f01fb41d954fc3c20"
-                        + "0000fb41d954fc3b20000020ff9f18fffb0000000000000000fbbfe00000000000003b7fffffffffffffffff"
-                        + "ffff"),
-                new Recording("question for the root node", 25, new Word.AskNode(11, 12, 0, -FOREVER, 0, 0),
+                                + "0000fb41d954fc3b20000020ff9f18fffb0000000000000000fbbfe00000000000003b7fffffffffffffffff"
+                                + "ffff"),
+                new Recording(
+                        "question for the root node",
+                        25,
+                        new Word.AskNode(11, 12, 0, -FOREVER, 0, 0),
                         "9f0b0c00fbfff00000000000000000ff"),
-                new Recording("question for the last inner node", 25, new Word.AskNode(-13, 14, 255, NOW, 2, 255),
+                new Recording(
+                        "question for the last inner node",
+                        25,
+                        new Word.AskNode(-13, 14, 255, NOW, 2, 255),
                         "9f2c0e18fffb41d954fc402000000218ffff"),
-                new Recording("node", 26, new Word.Node(15, 16, -FOREVER, NOW - 60, sums(), counts()),
+                new Recording(
+                        "node",
+                        26,
+                        new Word.Node(15, 16, -FOREVER, NOW - 60, sums(), counts()),
                         "9f0f10fbfff0000000000000fb41d954fc312000009f003b61c8864680b583ea1b3c6ef372fe94f82a3b2559"
-                        + "92d382208bc01b78dde6e5fd29f0541b1715609f7c746c693b4ab325a7044117811b538454127b0964933b0e"
-                        + "44323405ac1f573b700cb87a8661a3421b2e2ac13ef8e8d8d23b339dc50787ccab181b6a99b4b1f77dd0fc1b"
-                        + "08d12e6b76c84d113b58f757db09ed36d91b454021de755d453bff9f00030f183f18ff1903ff190fff193fff"
-                        + "19ffff1a0003ffff1a000fffff1a003fffff1a00ffffff1a03ffffff1a0fffffff1a3fffffffffff"),
-                new Recording("question for all hashes", 27, new Word.AskRange(17, 18, 1, 0, -1, new long[0]),
+                                + "92d382208bc01b78dde6e5fd29f0541b1715609f7c746c693b4ab325a7044117811b538454127b0964933b0e"
+                                + "44323405ac1f573b700cb87a8661a3421b2e2ac13ef8e8d8d23b339dc50787ccab181b6a99b4b1f77dd0fc1b"
+                                + "08d12e6b76c84d113b58f757db09ed36d91b454021de755d453bff9f00030f183f18ff1903ff190fff193fff"
+                                + "19ffff1a0003ffff1a000fffff1a003fffff1a00ffffff1a03ffffff1a0fffffff1a3fffffffffff"),
+                new Recording(
+                        "question for all hashes",
+                        27,
+                        new Word.AskRange(17, 18, 1, 0, -1, new long[0]),
                         "9f11120100209fffff"),
-                new Recording("question for a range", 27, new Word.AskRange(-19, 20, 255, 0x1230L << 48,
-                        (0x1231L << 48) - 1, new long[] {Integer.MIN_VALUE, -1, 0, 1, Integer.MAX_VALUE}),
+                new Recording(
+                        "question for a range",
+                        27,
+                        new Word.AskRange(-19, 20, 255, 0x1230L << 48, (0x1231L << 48) - 1, new long[] {
+                            Integer.MIN_VALUE, -1, 0, 1, Integer.MAX_VALUE
+                        }),
                         "9f321418ff1b12300000000000001b1230ffffffffffff9f3a7fffffff2000011a7fffffffffff"),
-                new Recording("question for a range with the most entries told in brief", 27,
-                        new Word.AskRange(21, 22, 2, -2, -1, LongStream.range(0, Word.MOST_BRIEFS).toArray()),
+                new Recording(
+                        "question for a range with the most entries told in brief",
+                        27,
+                        new Word.AskRange(
+                                21,
+                                22,
+                                2,
+                                -2,
+                                -1,
+                                LongStream.range(0, Word.MOST_BRIEFS).toArray()),
                         "9f15160221209f000102030405060708090a0b0c0d0e0f101112131415161718181819181a181b181c181d18"
-                        + "1e181f1820182118221823182418251826182718281829182a182b182c182d182e182f183018311832183318"
-                        + "3418351836183718381839183a183b183c183dffff"),
-                new Recording("no entries", 28, new Word.Entries(23, 24, 3, -FOREVER, -1, 0, List.of()),
+                                + "1e181f1820182118221823182418251826182718281829182a182b182c182d182e182f183018311832183318"
+                                + "3418351836183718381839183a183b183c183dffff"),
+                new Recording(
+                        "no entries",
+                        28,
+                        new Word.Entries(23, 24, 3, -FOREVER, -1, 0, List.of()),
                         "9f17181803fbfff000000000000020009fffff"),
-                new Recording("entries", 28, new Word.Entries(-25, 26, 255, NOW - 3600, 0x7fffL << 48,
-                        0x3fff_ffff_ffff_ffffL, entries()),
+                new Recording(
+                        "entries",
+                        28,
+                        new Word.Entries(-25, 26, 255, NOW - 3600, 0x7fffL << 48, 0x3fff_ffff_ffff_ffffL, entries()),
                         "9f3818181a18fffb41d954f8bc2000001b7fff0000000000001b3fffffffffffffff9f9f616b40ff9f6f72c3"
-                        + "bc74657220e282ac20f09f988044007f80ffff9f790100"
-                        + "6b".repeat(256)
-                        + "581e"
-                        + "00".repeat(30)
-                        + "ffffff"),
-                new Recording("unasked entries", 28, new Word.Entries(0, 0, 4, -FOREVER, 0, 0, entries().subList(0, 1)),
+                                + "bc74657220e282ac20f09f988044007f80ffff9f790100"
+                                + "6b".repeat(256)
+                                + "581e"
+                                + "00".repeat(30)
+                                + "ffffff"),
+                new Recording(
+                        "unasked entries",
+                        28,
+                        new Word.Entries(0, 0, 4, -FOREVER, 0, 0, entries().subList(0, 1)),
                         "9f000004fbfff000000000000000009f9f616b40ffffff"));
     }
 
     private static Word.News news() {
-        return new Word.News(70_000, NOW, List.of(
-                new Word.Told(0, "k", new byte[0], new long[0]),
-                new Word.Told(23, "r\u00fcter \u20ac \ud83d\ude00", bytes(0, 1, 127, 128, 255), new long[] {-1, 1}),
-                new Word.Told(24, "session 1", bytes(0x9f, 0x01, 0xff),
-                        new long[] {Long.MIN_VALUE, 23, Long.MAX_VALUE, 24, 0, 255, 1, 256, 2, 65_535, 3, 65_536,
-                            4, 1L << 32, 5, 0}),
-                new Word.Told(255, "k".repeat(256), new byte[30], new long[] {0x0123_4567_89ab_cdefL, 1L << 40})));
+        return new Word.News(
+                70_000,
+                NOW,
+                List.of(
+                        new Word.Told(0, "k", new byte[0], new long[0]),
+                        new Word.Told(
+                                23, "r\u00fcter \u20ac \ud83d\ude00", bytes(0, 1, 127, 128, 255), new long[] {-1, 1}),
+                        new Word.Told(24, "session 1", bytes(0x9f, 0x01, 0xff), new long[] {
+                            Long.MIN_VALUE,
+                            23,
+                            Long.MAX_VALUE,
+                            24,
+                            0,
+                            255,
+                            1,
+                            256,
+                            2,
+                            65_535,
+                            3,
+                            65_536,
+                            4,
+                            1L << 32,
+                            5,
+                            0
+                        }),
+                        new Word.Told(
+                                255, "k".repeat(256), new byte[30], new long[] {0x0123_4567_89ab_cdefL, 1L << 40})));
     }
 
     /** Their ages are whole milliseconds, so that decoding gives the same times back. */
     private static Word.Pairs pairs() {
-        return new Word.Pairs(-27, 28, NOW, List.of(
-                new Word.Pair(0, 0, NOW),
-                new Word.Pair(-1, 1, NOW - 0.25),
-                new Word.Pair(Long.MIN_VALUE, 255, NOW + 0.5),
-                new Word.Pair(Long.MAX_VALUE, 1L << 40, NOW - 86_400)));
+        return new Word.Pairs(
+                -27,
+                28,
+                NOW,
+                List.of(
+                        new Word.Pair(0, 0, NOW),
+                        new Word.Pair(-1, 1, NOW - 0.25),
+                        new Word.Pair(Long.MIN_VALUE, 255, NOW + 0.5),
+                        new Word.Pair(Long.MAX_VALUE, 1L << 40, NOW - 86_400)));
     }
 
     private static List<Word.Root> roots() {
-        return List.of(new Word.Root(0, -FOREVER, -FOREVER, 0), new Word.Root(1, NOW - 16, NOW - 20, -1),
+        return List.of(
+                new Word.Root(0, -FOREVER, -FOREVER, 0),
+                new Word.Root(1, NOW - 16, NOW - 20, -1),
                 new Word.Root(255, 0, -0.5, Long.MIN_VALUE));
     }
 
     private static long[] sums() {
-        return IntStream.range(0, Tree.FAN).mapToLong(i -> i * 0x9e37_79b9_7f4a_7c15L).toArray();
+        return IntStream.range(0, Tree.FAN)
+                .mapToLong(i -> i * 0x9e37_79b9_7f4a_7c15L)
+                .toArray();
     }
 
     private static long[] counts() {
@@ -151,7 +232,8 @@
     }
 
     private static List<Word.Entry> entries() {
-        return List.of(new Word.Entry("k", new byte[0]),
+        return List.of(
+                new Word.Entry("k", new byte[0]),
                 new Word.Entry("r\u00fcter \u20ac \ud83d\ude00", bytes(0, 127, 128, 255)),
                 new Word.Entry("k".repeat(256), new byte[30]));
     }
@@ -229,16 +311,15 @@
         for (int length = 1; length < bytes.length - 1; length++) {
             byte[] cut = Arrays.copyOf(bytes, length);
             assertThrows(
-                    IllegalArgumentException.class,
-                    () -> decode(recording.number, cut),
-                    "cut to " + length + " bytes");
+                    IllegalArgumentException.class, () -> decode(recording.number, cut), "cut to " + length + " bytes");
         }
     }
 
     /** A new form of message needs a recording, and none may go without notice. */
     @Test
     void everyFormOfMessageIsRecorded() {
-        Set<Integer> recorded = new TreeSet<>(recordings().map(Recording::number).toList());
+        Set<Integer> recorded =
+                new TreeSet<>(recordings().map(Recording::number).toList());
         assertEquals(new TreeSet<>(IntStream.rangeClosed(20, 28).boxed().toList()), recorded);
         assertEquals(recorded, new TreeSet<>(Word.readers().keySet()));
     }
@@ -295,56 +376,167 @@
             out[i] = new Writer();
         }
         return Stream.of(
-                new Bound("kind of news", 20,
-                        lists(out[0].whole(1).number(2), 1, () -> told(out[0], 255, "k", 0)).done(),
-                        lists(out[1].whole(1).number(2), 1, () -> told(out[1], 256, "k", 0)).done()),
-                new Bound("key of news", 20,
-                        lists(out[2].whole(1).number(2), 1, () -> told(out[2], 1, "k".repeat(4096), 0)).done(),
-                        lists(out[3].whole(1).number(2), 1, () -> told(out[3], 1, "", 0)).done()),
-                new Bound("tags of news", 20,
-                        lists(out[4].whole(1).number(2), 1, () -> told(out[4], 1, "k", 16)).done(),
-                        lists(out[5].whole(1).number(2), 1, () -> told(out[5], 1, "k", 17)).done()),
-                new Bound("entries of news", 20,
-                        lists(out[6].whole(1).number(2), 256, () -> told(out[6], 1, "k", 0)).done(),
-                        lists(out[7].whole(1).number(2), 257, () -> told(out[7], 1, "k", 0)).done()),
-                new Bound("pairs", 21,
-                        lists(out[8].whole(1).whole(2).number(3), 256,
-                                () -> out[8].whole(1).whole(2).whole(250)).done(),
-                        lists(out[9].whole(1).whole(2).number(3), 257,
-                                () -> out[9].whole(1).whole(2).whole(250)).done()),
-                new Bound("number of a question", 22,
+                new Bound(
+                        "kind of news",
+                        20,
+                        lists(out[0].whole(1).number(2), 1, () -> told(out[0], 255, "k", 0))
+                                .done(),
+                        lists(out[1].whole(1).number(2), 1, () -> told(out[1], 256, "k", 0))
+                                .done()),
+                new Bound(
+                        "key of news",
+                        20,
+                        lists(out[2].whole(1).number(2), 1, () -> told(out[2], 1, "k".repeat(4096), 0))
+                                .done(),
+                        lists(out[3].whole(1).number(2), 1, () -> told(out[3], 1, "", 0))
+                                .done()),
+                new Bound(
+                        "tags of news",
+                        20,
+                        lists(out[4].whole(1).number(2), 1, () -> told(out[4], 1, "k", 16))
+                                .done(),
+                        lists(out[5].whole(1).number(2), 1, () -> told(out[5], 1, "k", 17))
+                                .done()),
+                new Bound(
+                        "entries of news",
+                        20,
+                        lists(out[6].whole(1).number(2), 256, () -> told(out[6], 1, "k", 0))
+                                .done(),
+                        lists(out[7].whole(1).number(2), 257, () -> told(out[7], 1, "k", 0))
+                                .done()),
+                new Bound(
+                        "pairs",
+                        21,
+                        lists(out[8].whole(1).whole(2).number(3), 256, () -> out[8].whole(1)
+                                        .whole(2)
+                                        .whole(250))
+                                .done(),
+                        lists(out[9].whole(1).whole(2).number(3), 257, () -> out[9].whole(1)
+                                        .whole(2)
+                                        .whole(250))
+                                .done()),
+                new Bound(
+                        "number of a question",
+                        22,
                         longs(fields(1, Integer.MAX_VALUE - 1), 1).done(),
                         longs(fields(1, Integer.MAX_VALUE), 1).done()),
-                new Bound("members asked about", 22, longs(fields(1, 2), 40).done(), longs(fields(1, 2), 41).done()),
-                new Bound("roots asked for", 23,
-                        lists(out[10].whole(1).whole(2), 256, () -> root(out[10], 255)).done(),
-                        lists(out[11].whole(1).whole(2), 257, () -> root(out[11], 255)).done()),
-                new Bound("kind of a root", 24,
-                        lists(out[12].whole(1).whole(2).flag(true), 256, () -> root(out[12], 255)).done(),
-                        lists(out[13].whole(1).whole(2).flag(true), 1, () -> root(out[13], 256)).done()),
-                new Bound("level of a node", 25,
-                        out[14].whole(1).whole(2).whole(3).number(4).whole(2).whole(255).done(),
-                        out[15].whole(1).whole(2).whole(3).number(4).whole(3).whole(0).done()),
-                new Bound("place of a node", 25,
-                        out[16].whole(1).whole(2).whole(3).number(4).whole(1).whole(15).done(),
-                        out[17].whole(1).whole(2).whole(3).number(4).whole(1).whole(16).done()),
-                new Bound("sums of a node, fewer", 26,
-                        longs(longs(out[18].whole(1).whole(2).number(3).number(4), 16), 16).done(),
-                        longs(longs(out[19].whole(1).whole(2).number(3).number(4), 15), 16).done()),
-                new Bound("counts of a node, more", 26,
-                        longs(longs(out[20].whole(1).whole(2).number(3).number(4), 16), 16).done(),
-                        longs(longs(out[21].whole(1).whole(2).number(3).number(4), 16), 17).done()),
-                new Bound("entries told in brief", 27,
-                        longs(fields(1, 2, 255, 4, 5), 62).done(), longs(fields(1, 2, 255, 4, 5), 63).done()),
-                new Bound("entries", 28,
-                        lists(out[22].whole(1).whole(2).whole(3).number(4).whole(5).whole(6), 256,
-                                () -> out[22].text("k").bytes(new byte[1])).done(),
-                        lists(out[23].whole(1).whole(2).whole(3).number(4).whole(5).whole(6), 257,
-                                () -> out[23].text("k").bytes(new byte[1])).done()),
-                new Bound("floor that is no number", 28,
-                        lists(out[24].whole(1).whole(2).whole(3).number(-FOREVER).whole(5).whole(6), 0, () -> { })
+                new Bound(
+                        "members asked about",
+                        22,
+                        longs(fields(1, 2), 40).done(),
+                        longs(fields(1, 2), 41).done()),
+                new Bound(
+                        "roots asked for",
+                        23,
+                        lists(out[10].whole(1).whole(2), 256, () -> root(out[10], 255))
+                                .done(),
+                        lists(out[11].whole(1).whole(2), 257, () -> root(out[11], 255))
+                                .done()),
+                new Bound(
+                        "kind of a root",
+                        24,
+                        lists(out[12].whole(1).whole(2).flag(true), 256, () -> root(out[12], 255))
+                                .done(),
+                        lists(out[13].whole(1).whole(2).flag(true), 1, () -> root(out[13], 256))
+                                .done()),
+                new Bound(
+                        "level of a node",
+                        25,
+                        out[14].whole(1)
+                                .whole(2)
+                                .whole(3)
+                                .number(4)
+                                .whole(2)
+                                .whole(255)
+                                .done(),
+                        out[15].whole(1)
+                                .whole(2)
+                                .whole(3)
+                                .number(4)
+                                .whole(3)
+                                .whole(0)
+                                .done()),
+                new Bound(
+                        "place of a node",
+                        25,
+                        out[16].whole(1)
+                                .whole(2)
+                                .whole(3)
+                                .number(4)
+                                .whole(1)
+                                .whole(15)
+                                .done(),
+                        out[17].whole(1)
+                                .whole(2)
+                                .whole(3)
+                                .number(4)
+                                .whole(1)
+                                .whole(16)
+                                .done()),
+                new Bound(
+                        "sums of a node, fewer",
+                        26,
+                        longs(longs(out[18].whole(1).whole(2).number(3).number(4), 16), 16)
+                                .done(),
+                        longs(longs(out[19].whole(1).whole(2).number(3).number(4), 15), 16)
+                                .done()),
+                new Bound(
+                        "counts of a node, more",
+                        26,
+                        longs(longs(out[20].whole(1).whole(2).number(3).number(4), 16), 16)
+                                .done(),
+                        longs(longs(out[21].whole(1).whole(2).number(3).number(4), 16), 17)
+                                .done()),
+                new Bound(
+                        "entries told in brief",
+                        27,
+                        longs(fields(1, 2, 255, 4, 5), 62).done(),
+                        longs(fields(1, 2, 255, 4, 5), 63).done()),
+                new Bound(
+                        "entries",
+                        28,
+                        lists(
+                                        out[22].whole(1)
+                                                .whole(2)
+                                                .whole(3)
+                                                .number(4)
+                                                .whole(5)
+                                                .whole(6),
+                                        256,
+                                        () -> out[22].text("k").bytes(new byte[1]))
+                                .done(),
+                        lists(
+                                        out[23].whole(1)
+                                                .whole(2)
+                                                .whole(3)
+                                                .number(4)
+                                                .whole(5)
+                                                .whole(6),
+                                        257,
+                                        () -> out[23].text("k").bytes(new byte[1]))
+                                .done()),
+                new Bound(
+                        "floor that is no number",
+                        28,
+                        lists(
+                                        out[24].whole(1)
+                                                .whole(2)
+                                                .whole(3)
+                                                .number(-FOREVER)
+                                                .whole(5)
+                                                .whole(6),
+                                        0,
+                                        () -> {})
                                 .done(),
-                        lists(out[25].whole(1).whole(2).whole(3).number(Double.NaN).whole(5).whole(6), 0, () -> { })
+                        lists(
+                                        out[25].whole(1)
+                                                .whole(2)
+                                                .whole(3)
+                                                .number(Double.NaN)
+                                                .whole(5)
+                                                .whole(6),
+                                        0,
+                                        () -> {})
                                 .done()));
     }
 
@@ -384,15 +576,29 @@
         tree.add(0x0123_4567_89ab_cdefL, Long.MAX_VALUE);
         tree.remove(0x0123_4567_89ab_cdefL, Long.MAX_VALUE);
         tree.add(0x0000_0000_0000_0000L, 100);
-        assertArrayEquals(new long[] {98, 100, -2, -2, -2, 0, 0},
-                new long[] {tree.sum(0, 0), tree.sum(1, 0), tree.sum(1, 15),
-            tree.sum(2, 0xfe), tree.sum(3, 0xfed), tree.sum(3, 0xfdc), tree.sum(3, 0x012)});
-        assertArrayEquals(new int[] {3, 1, 2, 2, 2, 0, 0},
-                new int[] {tree.count(0, 0), tree.count(1, 0), tree.count(1, 15),
-            tree.count(2, 0xfe), tree.count(3, 0xfed), tree.count(3, 0xfdc), tree.count(3, 0x012)});
-        assertArrayEquals(new long[] {0, 0xf000_0000_0000_0000L, 0xfe00_0000_0000_0000L, 0x0120_0000_0000_0000L},
+        assertArrayEquals(new long[] {98, 100, -2, -2, -2, 0, 0}, new long[] {
+            tree.sum(0, 0),
+            tree.sum(1, 0),
+            tree.sum(1, 15),
+            tree.sum(2, 0xfe),
+            tree.sum(3, 0xfed),
+            tree.sum(3, 0xfdc),
+            tree.sum(3, 0x012)
+        });
+        assertArrayEquals(new int[] {3, 1, 2, 2, 2, 0, 0}, new int[] {
+            tree.count(0, 0),
+            tree.count(1, 0),
+            tree.count(1, 15),
+            tree.count(2, 0xfe),
+            tree.count(3, 0xfed),
+            tree.count(3, 0xfdc),
+            tree.count(3, 0x012)
+        });
+        assertArrayEquals(
+                new long[] {0, 0xf000_0000_0000_0000L, 0xfe00_0000_0000_0000L, 0x0120_0000_0000_0000L},
                 new long[] {Tree.from(0, 0), Tree.from(1, 15), Tree.from(2, 0xfe), Tree.from(3, 0x012)});
-        assertArrayEquals(new long[] {-1, -1, 0xfeff_ffff_ffff_ffffL, 0x012f_ffff_ffff_ffffL},
+        assertArrayEquals(
+                new long[] {-1, -1, 0xfeff_ffff_ffff_ffffL, 0x012f_ffff_ffff_ffffL},
                 new long[] {Tree.to(0, 0), Tree.to(1, 15), Tree.to(2, 0xfe), Tree.to(3, 0x012)});
     }
 }
--- a/fleet/src/test/java/clayhook/rollout/RecordedBytesTest.java
+++ b/fleet/src/test/java/clayhook/rollout/RecordedBytesTest.java
@@ -29,8 +29,9 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Checks every message, value and key that rollouts exchange against bytes recorded from an earlier release, in both directions.
- * Routers of different releases talk to each other, so a failure here means that the wire format has changed.
+ * Checks every message, value and key that rollouts exchange against bytes recorded from an earlier release, in both
+ * directions. Routers of different releases talk to each other, so a failure here means that the wire format has
+ * changed.
  */
 class RecordedBytesTest {
     private static final Properties RECORDED = recorded();
@@ -83,11 +84,15 @@
 
     /** What stands in another value as an element of a list. */
     private static Form element(String name, Object value, Encoder encoder, Function<Reader, ?> decoder) {
-        return new Form("element." + name, value, out -> {
-            out.begin();
-            encoder.write(out);
-            out.end();
-        }, in -> in.lists(1, decoder).get(0));
+        return new Form(
+                "element." + name,
+                value,
+                out -> {
+                    out.begin();
+                    encoder.write(out);
+                    out.end();
+                },
+                in -> in.lists(1, decoder).get(0));
     }
 
     private static Form field(String name, Object value, Encoder encoder, Function<Reader, ?> decoder) {
@@ -104,8 +109,12 @@
     }
 
     private static Plan plan() {
-        return new Plan(List.of(new Stage(0.01, 60, 100, List.of(guard(Measure.FAILED), guard(Measure.SLOW))),
-                new Stage(0.99, 0, 1, List.of(guard(Measure.LATE), guard(Measure.THROTTLED)))), 0.005, 3);
+        return new Plan(
+                List.of(
+                        new Stage(0.01, 60, 100, List.of(guard(Measure.FAILED), guard(Measure.SLOW))),
+                        new Stage(0.99, 0, 1, List.of(guard(Measure.LATE), guard(Measure.THROTTLED)))),
+                0.005,
+                3);
     }
 
     private static Proposal proposal() {
@@ -189,9 +198,12 @@
             Stream.of("counts", "old", "candidate").forEach(kind -> names.add(layout(measure, kind)));
         }
         assertEquals(names, new TreeSet<>(RECORDED.stringPropertyNames()));
-        assertEquals(List.of(10, 11, 12, 13, 14, 15), Rollouts.kinds().stream().map(Kind::number).toList());
+        assertEquals(
+                List.of(10, 11, 12, 13, 14, 15),
+                Rollouts.kinds().stream().map(Kind::number).toList());
         for (Kind<?> kind : Rollouts.kinds()) {
-            assertTrue(names.stream().anyMatch(name -> name.startsWith("value." + kind.number() + ".")),
+            assertTrue(
+                    names.stream().anyMatch(name -> name.startsWith("value." + kind.number() + ".")),
                     "kind " + kind.number());
         }
     }
@@ -199,7 +211,8 @@
     /** The number of a constant is its place: each one, told apart by its meaning and not only by its number. */
     @Test
     void endsKeepTheirNumbers() {
-        assertEquals(List.of(End.What.HALTED, End.What.VETOED, End.What.WITHDRAWN, End.What.SUPERSEDED, End.What.EXPIRED),
+        assertEquals(
+                List.of(End.What.HALTED, End.What.VETOED, End.What.WITHDRAWN, End.What.SUPERSEDED, End.What.EXPIRED),
                 List.of(End.What.values()));
         assertEquals(List.of(Measure.FAILED, Measure.LATE, Measure.THROTTLED, Measure.SLOW), List.of(Measure.values()));
     }
@@ -229,11 +242,15 @@
     @Test
     void ruleSetsKeepTextAndHash() {
         var faults = new ArrayList<Fault>();
-        RuleSet set = RuleSet.of(Map.of("timeout", 2.5, "read_group", "reads"),
-                List.of(Map.of("name", "a\t\"b\"", "kinds", List.of("select"), "cost_from", 10, "only", true)), faults);
+        RuleSet set = RuleSet.of(
+                Map.of("timeout", 2.5, "read_group", "reads"),
+                List.of(Map.of("name", "a\t\"b\"", "kinds", List.of("select"), "cost_from", 10, "only", true)),
+                faults);
         assertEquals(List.of(), faults);
-        assertEquals("[statements]\nread_group = \"reads\"\ntimeout = 2.5\n[[statements.rule]]\ncost_from = 10\n"
-                + "kinds = [\"select\"]\nname = \"a\\u0009\\\"b\\\"\"\nonly = true\n", set.text());
+        assertEquals(
+                "[statements]\nread_group = \"reads\"\ntimeout = 2.5\n[[statements.rule]]\ncost_from = 10\n"
+                        + "kinds = [\"select\"]\nname = \"a\\u0009\\\"b\\\"\"\nonly = true\n",
+                set.text());
         assertEquals("1eace384ecdce751dd4208e7d5d41261", set.hash());
     }
 
@@ -263,8 +280,14 @@
         var batch = new Batch();
         for (int session = 0; session < 6; session++) {
             batch.add(old, "read", session, false, false, false, 0.004);
-            batch.add(candidate, "read", session, measure == Measure.FAILED, measure == Measure.LATE,
-                    measure == Measure.THROTTLED, measure == Measure.SLOW ? 0.1 : Double.NaN);
+            batch.add(
+                    candidate,
+                    "read",
+                    session,
+                    measure == Measure.FAILED,
+                    measure == Measure.LATE,
+                    measure == Measure.THROTTLED,
+                    measure == Measure.SLOW ? 0.1 : Double.NaN);
         }
         batch.each(tally::took);
         tally.turn(TIME);
