--- a/benchmarks/src/main/java/clayhook/benchmarks/Routing.java
+++ b/benchmarks/src/main/java/clayhook/benchmarks/Routing.java
@@ -6,11 +6,11 @@
 import clayhook.Settings;
 import clayhook.config.Configuration;
 import clayhook.config.Operator;
-import clayhook.discovery.NodeList;
-import clayhook.rehearsal.StandInClient;
-import clayhook.rehearsal.StandInDiscovery;
-import clayhook.rehearsal.StandInNode;
-import clayhook.rehearsal.StandInNode.Deed;
+import clayhook.discovery.EndpointList;
+import clayhook.rehearsal.StubClient;
+import clayhook.rehearsal.StubDiscovery;
+import clayhook.rehearsal.StubNode;
+import clayhook.rehearsal.StubNode.StubResponse;
 import clayhook.serve.Server;
 import clayhook.statements.StatementRules;
 import clayhook.transport.Transport;
@@ -48,16 +48,16 @@
     private Transport transport;
     private Transport own;
     private Server server;
-    private StandInClient client;
+    private StubClient client;
     private int id;
 
     @Setup
     public void start() throws Exception {
         transport = Transport.tcp();
         own = Transport.tcp();
-        var node = new StandInNode(transport, transport.spare(0), "replica", any -> Deed.answer("value"));
-        var primary = new StandInNode(transport, transport.spare(0), "primary", any -> Deed.answer("value"));
-        var discovery = new StandInDiscovery(transport, transport.spare(0), call -> null);
+        var node = new StubNode(transport, transport.spare(0), "replica", any -> StubResponse.answer("value"));
+        var primary = new StubNode(transport, transport.spare(0), "primary", any -> StubResponse.answer("value"));
+        var discovery = new StubDiscovery(transport, transport.spare(0), call -> null);
         var groups = List.of(
                 group("read", Effect.REPLAYABLE, ReadLevel.ANY), group("write", Effect.MUTATING, ReadLevel.WRITE));
         var settings = new Settings(
@@ -76,7 +76,7 @@
                         1,
                         1 << 27,
                         1024,
-                        NodeList.parse(list),
+                        EndpointList.parse(list),
                         settings,
                         2),
                 new Operator(
@@ -84,30 +84,30 @@
                         "clayhook",
                         "core",
                         null));
-        client = new StandInClient(transport, server.address());
-        client.send(StandInClient.hello(statement()));
-        client.next();
-        client.next();
+        client = new StubClient(transport, server.address());
+        client.send(StubClient.startupAndFirst(statement()));
+        client.nextAnswer();
+        client.nextAnswer();
     }
 
     private static CommandGroup group(String name, Effect effect, ReadLevel level) {
         return new CommandGroup(name, effect, level, 1, 5, 1, 0, CommandGroup.Scope.GROUP, 1, 0);
     }
 
-    private static String entry(String id, StandInNode node, String role) {
+    private static String entry(String id, StubNode node, String role) {
         return "{\"uid\":\"" + id + "\",\"endpoint\":\"127.0.0.1:"
                 + node.address().getPort() + "\",\"az\":\"a\",\"pod_group\":1,\"state\":\"up\",\"role\":\"" + role
                 + "\",\"boot_ms\":0}";
     }
 
     private io.netty.buffer.ByteBuf statement() {
-        return StandInClient.statement(false, "id=" + id++ + ",c=read,d=4000,cluster=1");
+        return StubClient.statement(false, "id=" + id++ + ",c=read,d=4000,cluster=1");
     }
 
     @Benchmark
     public String read() throws InterruptedException {
         client.send(statement());
-        return client.next();
+        return client.nextAnswer();
     }
 
     @TearDown
--- a/cli/src/main/java/clayhook/cli/AdapterCommand.java
+++ b/cli/src/main/java/clayhook/cli/AdapterCommand.java
@@ -1,7 +1,7 @@
 package clayhook.cli;
 
-import clayhook.sim.Adapter;
-import clayhook.sim.BadInput;
+import clayhook.sim.SimulatorAdapter;
+import clayhook.sim.SimulatorProtocolException;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -25,9 +25,9 @@
         var in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8), 1 << 16);
         var out = new PrintWriter(System.out, false, StandardCharsets.UTF_8);
         try {
-            new Adapter(in, out).run();
+            new SimulatorAdapter(in, out).run();
             return Main.DONE;
-        } catch (BadInput | IOException e) {
+        } catch (SimulatorProtocolException | IOException e) {
             System.err.println("clayhook: " + e.getMessage());
             return Main.FAILED;
         }
--- a/cli/src/main/java/clayhook/cli/RehearseCommand.java
+++ b/cli/src/main/java/clayhook/cli/RehearseCommand.java
@@ -3,7 +3,7 @@
 import clayhook.Settings;
 import clayhook.config.Configuration;
 import clayhook.config.Json;
-import clayhook.rehearsal.Rehearsal;
+import clayhook.rehearsal.WarmUp;
 import clayhook.serve.Hangup;
 import clayhook.transport.Transport;
 import java.util.Map;
@@ -41,9 +41,9 @@
             Hangup.handle(() -> {});
             Settings settings =
                     Configuration.of(Json.parse(REHEARSED), Map.of()).settings();
-            Rehearsal.run(settings, Transport.rehearsal(), false);
-            Rehearsal.run(settings, Transport.tcp(), false);
-            Rehearsal.run(settings, Transport.withinProcess(), false);
+            WarmUp.run(settings, Transport.rehearsal(), false);
+            WarmUp.run(settings, Transport.tcp(), false);
+            WarmUp.run(settings, Transport.withinProcess(), false);
             return Main.DONE;
         } catch (Exception e) {
             System.err.println("clayhook: " + e);
--- a/cli/src/main/java/clayhook/cli/ServeCommand.java
+++ b/cli/src/main/java/clayhook/cli/ServeCommand.java
@@ -5,7 +5,7 @@
 import clayhook.config.Operator;
 import clayhook.config.OperatorFile;
 import clayhook.log.Log;
-import clayhook.rehearsal.Rehearsal;
+import clayhook.rehearsal.WarmUp;
 import clayhook.serve.Hangup;
 import clayhook.serve.Lifecycle;
 import clayhook.serve.Server;
@@ -81,13 +81,13 @@
     private static void rehearse(Configuration configuration) throws InterruptedException {
         boolean carried = false;
         try {
-            carried = Rehearsal.run(configuration.settings(), Transport.rehearsal(), configuration.awaited());
+            carried = WarmUp.run(configuration.settings(), Transport.rehearsal(), configuration.awaited());
         } catch (IOException e) {
             Log.warn("rehearsal", "no folder for its sockets: " + e);
         }
         if (!carried) {
             Log.info("rehearsing within the process: its sockets carry nothing here");
-            Rehearsal.run(configuration.settings(), Transport.withinProcess(), configuration.awaited());
+            WarmUp.run(configuration.settings(), Transport.withinProcess(), configuration.awaited());
         }
     }
 
--- a/cli/src/test/java/clayhook/cli/ServeProcessTest.java
+++ b/cli/src/test/java/clayhook/cli/ServeProcessTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clayhook.rehearsal.StandInClient;
-import clayhook.rehearsal.StandInDiscovery;
-import clayhook.rehearsal.StandInNode;
-import clayhook.rehearsal.StandInNode.Deed;
+import clayhook.rehearsal.StubClient;
+import clayhook.rehearsal.StubDiscovery;
+import clayhook.rehearsal.StubNode;
+import clayhook.rehearsal.StubNode.StubResponse;
 import clayhook.transport.Transport;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -78,12 +78,12 @@
         transport.close();
     }
 
-    private InetSocketAddress node(Deed deed) throws InterruptedException {
-        return new StandInNode(transport, transport.spare(0), "primary", any -> deed).address();
+    private InetSocketAddress node(StubResponse deed) throws InterruptedException {
+        return new StubNode(transport, transport.spare(0), "primary", any -> deed).address();
     }
 
     private InetSocketAddress discovery(Function<String, String> answers) throws InterruptedException {
-        return new StandInDiscovery(transport, transport.spare(0), call -> {
+        return new StubDiscovery(transport, transport.spare(0), call -> {
                     calls.add(call);
                     return answers.apply(call);
                 })
@@ -170,10 +170,10 @@
     private String asked(ByteBuf statement) throws Exception {
         double until = System.nanoTime() / 1e9 + PATIENCE_S;
         while (System.nanoTime() / 1e9 < until && process.isAlive()) {
-            var client = new StandInClient(transport, listen);
-            client.send(StandInClient.hello(statement.retainedDuplicate()));
-            String word = client.next(5);
-            word = "ready".equals(word) ? client.next(5) : null;
+            var client = new StubClient(transport, listen);
+            client.send(StubClient.startupAndFirst(statement.retainedDuplicate()));
+            String word = client.nextAnswer(5);
+            word = "ready".equals(word) ? client.nextAnswer(5) : null;
             client.close();
             if (word != null) {
                 return word;
@@ -184,7 +184,7 @@
     }
 
     private static ByteBuf read() {
-        return StandInClient.statement(false, "id=1,c=any,d=1000,cluster=1");
+        return StubClient.statement(false, "id=1,c=any,d=1000,cluster=1");
     }
 
     private static ByteBuf emptyQuery() {
@@ -204,7 +204,7 @@
         InetSocketAddress discovery = what.equals("refuses")
                 ? new InetSocketAddress("127.0.0.1", 1)
                 : discovery(call -> what.equals("is silent") ? null : DOWN);
-        start(discovery, list(2, node(Deed.answer("served"))), 1024, 1024);
+        start(discovery, list(2, node(StubResponse.answer("served"))), 1024, 1024);
         assertEquals("ready", asked(emptyQuery()));
         assertEquals("served", asked(read()));
     }
@@ -218,7 +218,7 @@
         var lists = new LinkedBlockingQueue<String>();
         InetSocketAddress discovery =
                 discovery(call -> lists.isEmpty() ? DOWN : call.contains("after=3&") ? null : lists.peek());
-        start(discovery, list(2, node(Deed.answer("old"))), most, most);
+        start(discovery, list(2, node(StubResponse.answer("old"))), most, most);
         assertEquals("ready", asked(emptyQuery()));
         int held = 0;
         for (int i = 0; i < 4 * most; i++) {
@@ -228,7 +228,7 @@
                 assertEquals("old", asked(read()));
             }
         }
-        lists.add(list(3, node(Deed.answer("new"))));
+        lists.add(list(3, node(StubResponse.answer("new"))));
         double until = System.nanoTime() / 1e9 + PATIENCE_S;
         while (!asked(read()).equals("new")) {
             assertTrue(System.nanoTime() / 1e9 < until, "it did not get back to its list; " + log());
@@ -245,7 +245,7 @@
         var lists = new LinkedBlockingQueue<String>();
         InetSocketAddress discovery =
                 discovery(call -> lists.isEmpty() ? DOWN : call.contains("after=3&") ? null : lists.peek());
-        start(discovery, list(2, node(Deed.answer("old"))), 64, 1024);
+        start(discovery, list(2, node(StubResponse.answer("old"))), 64, 1024);
         assertEquals("ready", asked(emptyQuery()));
         for (int i = 0; i < 100; i++) {
             flood.add(new Socket(listen.getAddress(), listen.getPort()));
@@ -255,7 +255,7 @@
             assertTrue(System.nanoTime() / 1e9 < until && process.isAlive(), "it never ran out; " + log());
             TimeUnit.MILLISECONDS.sleep(20);
         }
-        lists.add(list(3, node(Deed.answer("new"))));
+        lists.add(list(3, node(StubResponse.answer("new"))));
         while (!asked(read()).equals("new")) {
             assertTrue(System.nanoTime() / 1e9 < until, "it did not get back to its list; " + log());
         }
@@ -266,17 +266,17 @@
     @ParameterizedTest
     @CsvSource({"any, 53300", "mutating, 40003"})
     void whatIsInHandIsAnsweredBeforeTheProcessEndsWhateverSignalsFollow(String group, String word) throws Exception {
-        start(discovery(call -> null), list(2, node(Deed.silence())), 1024, 1024);
+        start(discovery(call -> null), list(2, node(StubResponse.silence())), 1024, 1024);
         assertEquals("ready", asked(emptyQuery()));
-        var client = new StandInClient(transport, listen);
-        client.send(StandInClient.hello(
-                StandInClient.statement(!group.equals("any"), "id=1,c=" + group + ",d=1000,cluster=1")));
-        assertEquals("ready", client.next());
+        var client = new StubClient(transport, listen);
+        client.send(StubClient.startupAndFirst(
+                StubClient.statement(!group.equals("any"), "id=1,c=" + group + ",d=1000,cluster=1")));
+        assertEquals("ready", client.nextAnswer());
         process.destroy();
         signal("HUP");
         process.destroy();
-        assertEquals(word, client.next());
-        assertEquals("closed", client.next());
+        assertEquals(word, client.nextAnswer());
+        assertEquals("closed", client.nextAnswer());
         assertTrue(process.waitFor(PATIENCE_S, TimeUnit.SECONDS));
         assertEquals(TERMINATED, process.exitValue());
         assertTrue(log().contains("ended") && !log().contains("ERROR"), log());
@@ -293,7 +293,7 @@
     /** While it rehearses, which a folder for its sockets shows. */
     @Test
     void aRequestToEndDuringTheStartEndsItAndLeavesNothingItTookUnanswered() throws Exception {
-        start(discovery(call -> null), list(2, node(Deed.silence())), 1024, 1024);
+        start(discovery(call -> null), list(2, node(StubResponse.silence())), 1024, 1024);
         while (process.isAlive() && folder.toFile().list((in, name) -> name.startsWith("clayhook")).length == 0) {
             TimeUnit.MILLISECONDS.sleep(5);
         }
--- a/cli/src/test/java/clayhook/cli/SharingOffTest.java
+++ b/cli/src/test/java/clayhook/cli/SharingOffTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clayhook.rehearsal.StandInClient;
+import clayhook.rehearsal.StubClient;
 import clayhook.transport.Transport;
 import java.net.DatagramSocket;
 import java.net.InetAddress;
@@ -98,12 +98,12 @@
                 .start();
         Transport transport = Transport.tcp();
         try {
-            String word = StandInClient.NO_CONNECTION;
-            for (int tries = 0; tries < 300 && word.equals(StandInClient.NO_CONNECTION); tries++) {
-                var client = new StandInClient(transport, new InetSocketAddress("127.0.0.1", port));
-                client.send(StandInClient.hello(StandInClient.statement(false, "id=1,c=any,d=30000,cluster=1")));
-                word = client.next();
-                Thread.sleep(word.equals(StandInClient.NO_CONNECTION) ? 100 : 0);
+            String word = StubClient.NO_CONNECTION;
+            for (int tries = 0; tries < 300 && word.equals(StubClient.NO_CONNECTION); tries++) {
+                var client = new StubClient(transport, new InetSocketAddress("127.0.0.1", port));
+                client.send(StubClient.startupAndFirst(StubClient.statement(false, "id=1,c=any,d=30000,cluster=1")));
+                word = client.nextAnswer();
+                Thread.sleep(word.equals(StubClient.NO_CONNECTION) ? 100 : 0);
             }
             assertEquals("ready", word);
             List<Object> expected = shares ? List.of(OWN, true, true) : List.of(List.of(), false, false);
--- a/core/src/test/java/clayhook/ColdNodesTest.java
+++ b/core/src/test/java/clayhook/ColdNodesTest.java
@@ -14,7 +14,7 @@
     @CsvSource({
         "120, 20, 0.8, 2, 0.3, DRAIN_IN_BURST",
         "120, 20, 0.6, 3, 2, DRAIN_IN_BURST",
-        "30, 40, 0.6, 3, 2, ZONE",
+        "30, 40, 0.6, 3, 2, ZONE_RESTART",
         "3, 20, 0.6, 3, 2, DRAIN"
     })
     void allRoutersTogetherPushNoColdNodeOver(
--- a/core/src/test/java/clayhook/DecideTest.java
+++ b/core/src/test/java/clayhook/DecideTest.java
@@ -335,7 +335,7 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"0.1, 100, SEND", "0.9, 60, THROTTLE"})
+    @CsvSource({"0.1, 100, SEND", "0.9, 60, REJECT"})
     void readsAreShedWhileAnswersTakeMostOfTheTarget(double slowness, int answers, Verdict verdict) {
         press(slowness, answers);
         int kept = 0;
@@ -405,13 +405,13 @@
 
     @ParameterizedTest
     @CsvSource({
-        "REPLAYABLE, RESET, 0.1, SEND",
-        "KEYED, RESET, 0.1, SEND",
-        "KEYED, RESET, 1.5, FAIL",
-        "MUTATING, RESET, 0.1, FAIL",
-        "MUTATING, TIMED_OUT, 0.1, FAIL",
-        "MUTATING, FULL, 0.1, NOT_YET",
-        "MUTATING, ERROR, 0.1, FAIL"
+        "IDEMPOTENT, RESET, 0.1, SEND",
+        "IDEMPOTENT_WITH_KEY, RESET, 0.1, SEND",
+        "IDEMPOTENT_WITH_KEY, RESET, 1.5, FAIL",
+        "NON_IDEMPOTENT, RESET, 0.1, FAIL",
+        "NON_IDEMPOTENT, TIMED_OUT, 0.1, FAIL",
+        "NON_IDEMPOTENT, OVERLOADED, 0.1, WAIT",
+        "NON_IDEMPOTENT, ERROR, 0.1, FAIL"
     })
     void whatMayHaveRunIsRepeatedOnlyAsItsEffectAllows(Effect effect, Outcome outcome, double later, Verdict verdict) {
         Dispatch first = fleet.send(fleet.writes(effect));
@@ -437,7 +437,7 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"REPLAYABLE, THROTTLE", "MUTATING, FAIL", "KEYED, FAIL"})
+    @CsvSource({"IDEMPOTENT, REJECT", "NON_IDEMPOTENT, FAIL", "IDEMPOTENT_WITH_KEY, FAIL"})
     void theFinalAnswerComesInTimeThoughNoOutcomeDoes(Effect effect, Verdict verdict) {
         Dispatch write = fleet.send(fleet.writes(effect));
         assertEquals(
@@ -446,7 +446,7 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"0.06, 0.1, SEND", "0.06, 0.9, THROTTLE", "0.01, 0.1, THROTTLE"})
+    @CsvSource({"0.06, 0.1, SEND", "0.06, 0.9, REJECT", "0.01, 0.1, REJECT"})
     void aClientThatWaitsLessThanUsualIsServedUnlessWorkPresses(double wait, double slowness, Verdict verdict) {
         press(slowness, 100);
         fleet.tellAll(fleet.now);
@@ -494,7 +494,7 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"0.02, NOT_YET", "0.2, THROTTLE"})
+    @CsvSource({"0.02, WAIT", "0.2, REJECT"})
     void aReadIsHeldForASmallPartOfItsTarget(double held, Verdict verdict) {
         Command read = fleet.command(fleet.bounded, 0);
         fleet.decide.listed(List.of(), true, fleet.now);
@@ -512,7 +512,7 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"false, 0.1, NOT_YET", "false, 0.3, THROTTLE", "true, 0.3, NOT_YET"})
+    @CsvSource({"false, 0.1, WAIT", "false, 0.3, REJECT", "true, 0.3, WAIT"})
     void writesWithoutRoomWaitShortlyUnlessThereIsNoPrimary(boolean unwell, double held, Verdict verdict) {
         fleet.fill(fleet.write);
         Command waiting = fleet.command(fleet.write, 0);
@@ -530,7 +530,7 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"3, SEND", "8, NOT_YET"})
+    @CsvSource({"3, SEND", "8, WAIT"})
     void aFormerPrimaryThatReportsAsReplicaIsBelievedOnceReportsOfItsReignAreOut(double later, Verdict verdict) {
         fleet.now += 1;
         fleet.tell(fleet.primary, Role.PRIMARY, fleet.now);
@@ -786,7 +786,7 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"0.44, NOT_YET", "0.46, THROTTLE"})
+    @CsvSource({"0.44, WAIT", "0.46, REJECT"})
     void aWriteWithoutAPrimaryIsThrottledBeforeHalfItsTimeIsOver(double share, Verdict verdict) {
         fleet.list(fleet.primary, State.DRAINING, 0);
         Command write = fleet.command(fleet.write, 0);
--- a/daemon/src/main/java/clayhook/config/Configuration.java
+++ b/daemon/src/main/java/clayhook/config/Configuration.java
@@ -1,7 +1,7 @@
 package clayhook.config;
 
 import clayhook.Settings;
-import clayhook.discovery.NodeList;
+import clayhook.discovery.EndpointList;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -27,7 +27,7 @@
         long seed,
         long memory,
         int sockets,
-        NodeList known,
+        EndpointList known,
         Settings settings,
         double connectTimeout) {
 
@@ -126,9 +126,9 @@
         return json == null ? "" : json.toString();
     }
 
-    private static NodeList known(Object json) throws BadConfig {
+    private static EndpointList known(Object json) throws BadConfig {
         try {
-            return json == null ? new NodeList(0, true, List.of()) : NodeList.of(json);
+            return json == null ? new EndpointList(0, true, List.of()) : EndpointList.fromJson(json);
         } catch (IllegalArgumentException e) {
             throw new BadConfig("known: " + e.getMessage());
         }
@@ -152,7 +152,7 @@
 
     private static InetSocketAddress address(String key, String text) throws BadConfig {
         int colon = text.lastIndexOf(':');
-        int port = colon < 1 ? 0 : NodeList.port(text.substring(colon + 1));
+        int port = colon < 1 ? 0 : EndpointList.parsePort(text.substring(colon + 1));
         if (port == 0) {
             throw new BadConfig(key + ": '" + text + "' is no address and port");
         }
--- a/daemon/src/main/java/clayhook/config/Toml.java
+++ b/daemon/src/main/java/clayhook/config/Toml.java
@@ -1,6 +1,6 @@
 package clayhook.config;
 
-import clayhook.discovery.NodeList;
+import clayhook.discovery.EndpointList;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
@@ -139,7 +139,7 @@
     }
 
     private InetSocketAddress numeric(String key, String text) throws BadConfig {
-        InetSocketAddress address = NodeList.numeric(text);
+        InetSocketAddress address = EndpointList.parseAddress(text);
         if (address == null) {
             throw fault(key, "'" + text + "' is no address and port in figures");
         }
--- a/daemon/src/main/java/clayhook/discovery/DiscoveryClient.java
+++ b/daemon/src/main/java/clayhook/discovery/DiscoveryClient.java
@@ -24,32 +24,32 @@
     /**
      * An answer that is later than this once its call's wait is over is told of; most come within some milliseconds.
      */
-    private static final int LATE_MS = 500;
+    private static final int LATE_ANSWER_MS = 500;
     /** Above the time that a call may wait for its turn; below the time at which news count as told. */
-    private static final int TURN_MS = 1900;
+    private static final int ANSWER_TIMEOUT_MS = 1900;
 
     /** Where no connection stands by then the service cannot be reached, or another try gets there sooner. */
-    private static final double CONNECT_S = 1;
+    private static final double CONNECT_TIMEOUT_SECONDS = 1;
     /** The status of a service that turns a call away, as too many came. */
-    private static final int BUSY = 503;
+    private static final int SERVICE_UNAVAILABLE = 503;
 
     private final Transport transport;
     final InetSocketAddress address;
-    private final Discovery.Listener listener;
+    private final EndpointWatcher.Listener listener;
     private final String host;
-    private final int waitMs;
-    private final Checks checks;
+    private final int longPollMs;
+    private final WatchLivenessCheck livenessCheck;
     private long version;
     /** The one in use, or null. */
-    private Line current;
+    private PollConnection watchConnection;
     /**
      * The one before, whose answer is late and still welcome; it leaves with any answer, or when its call is given up.
      */
-    private Line former;
+    private PollConnection lateConnection;
     /** The one for checks, or null; it stays as long as the service keeps it. */
-    private Line side;
+    private PollConnection checkConnection;
     /** The next check, or null before the first answer and after the end. */
-    private ScheduledFuture<?> nextCheck;
+    private ScheduledFuture<?> scheduledCheck;
 
     /** {@code wait}: seconds that a call waits for news. */
     DiscoveryClient(
@@ -57,54 +57,54 @@
             InetSocketAddress address,
             long version,
             double wait,
-            Checks checks,
-            Discovery.Listener listener) {
+            WatchLivenessCheck checks,
+            EndpointWatcher.Listener listener) {
         this.transport = transport;
         this.address = address;
         this.version = version;
-        this.checks = checks;
+        this.livenessCheck = checks;
         this.listener = listener;
-        waitMs = (int) Math.round(wait * 1000);
+        longPollMs = (int) Math.round(wait * 1000);
         host = address.getHostString() + ":" + address.getPort();
     }
 
     /** One connection, and the call that it carries. */
-    private final class Line extends ChannelInboundHandlerAdapter {
+    private final class PollConnection extends ChannelInboundHandlerAdapter {
         private Channel channel;
         /** The call in hand, or null; each has an object of its own. */
-        private Object call = new Object();
+        private Object pendingPoll = new Object();
 
-        private long askedAt;
+        private long polledAtNanos;
         private boolean late;
 
         private void connect() {
             channel = transport.connect(
                     address,
-                    CONNECT_S,
-                    () -> new ChannelHandler[] {new HttpDecoder(), this},
-                    () -> failed(this, "no connection", 0));
+                    CONNECT_TIMEOUT_SECONDS,
+                    () -> new ChannelHandler[] {new HttpResponseDecoder(), this},
+                    () -> onFailure(this, "no connection", 0));
         }
 
-        private void ask() {
+        private void poll() {
             Object made = new Object();
-            call = made;
-            askedAt = System.nanoTime();
-            boolean waits = version != NO_VERSION && this != side;
-            String query = version == NO_VERSION ? "" : "?after=" + version + "&wait_ms=" + (waits ? waitMs : 0);
+            pendingPoll = made;
+            polledAtNanos = System.nanoTime();
+            boolean waits = version != NO_VERSION && this != checkConnection;
+            String query = version == NO_VERSION ? "" : "?after=" + version + "&wait_ms=" + (waits ? longPollMs : 0);
             String request = "GET /v1/endpoints" + query + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n";
             channel.writeAndFlush(Unpooled.copiedBuffer(request, StandardCharsets.US_ASCII));
             if (waits) {
-                unless(made, waitMs + LATE_MS, this::isLate);
+                ifStillPending(made, longPollMs + LATE_ANSWER_MS, this::onLate);
             }
-            unless(made, (waits ? waitMs : 0) + TURN_MS, () -> failed(this, "no answer", 0));
+            ifStillPending(made, (waits ? longPollMs : 0) + ANSWER_TIMEOUT_MS, () -> onFailure(this, "no answer", 0));
         }
 
         /** Runs that after so long where the call is still in hand. */
-        private void unless(Object made, int milliseconds, Runnable then) {
+        private void ifStillPending(Object made, int milliseconds, Runnable then) {
             channel.eventLoop()
                     .schedule(
                             () -> {
-                                if (call == made) {
+                                if (pendingPoll == made) {
                                     then.run();
                                 }
                             },
@@ -112,30 +112,30 @@
                             TimeUnit.MILLISECONDS);
         }
 
-        private void isLate() {
-            if (this == current) {
+        private void onLate() {
+            if (this == watchConnection) {
                 late = true;
-                listener.listLate();
+                listener.onEndpointListLate();
             }
         }
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            ask();
+            poll();
         }
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
-            if ((this == current || this == former || this == side)
-                    && call != null
+            if ((this == watchConnection || this == lateConnection || this == checkConnection)
+                    && pendingPoll != null
                     && message instanceof HttpResponse response) {
-                answered(this, response);
+                onResponse(this, response);
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            failed(this, "the connection ended", 0);
+            onFailure(this, "the connection ended", 0);
         }
 
         @Override
@@ -145,23 +145,23 @@
     }
 
     /** Sees to it that a watch stands; one whose answer is late does not count. */
-    void watch() {
-        if (current != null && !current.late) {
+    void ensureWatching() {
+        if (watchConnection != null && !watchConnection.late) {
             return;
-        } else if (current != null) {
-            drop(former);
-            former = current;
+        } else if (watchConnection != null) {
+            discard(lateConnection);
+            lateConnection = watchConnection;
         }
-        current = new Line();
-        current.connect();
-        if (nextCheck == null) {
-            checkAfter(checks.next());
+        watchConnection = new PollConnection();
+        watchConnection.connect();
+        if (scheduledCheck == null) {
+            scheduleCheck(livenessCheck.nextIntervalSeconds());
         }
     }
 
-    private static void drop(Line line) {
+    private static void discard(PollConnection line) {
         if (line != null) {
-            line.call = null;
+            line.pendingPoll = null;
             if (line.channel != null) { // else it failed at once
                 line.channel.close();
             }
@@ -170,100 +170,100 @@
 
     /** Watches no more. */
     void close() {
-        Line left = current;
-        Line late = former;
-        Line checking = side;
-        current = former = side = null;
-        drop(left);
-        drop(late);
-        drop(checking);
-        if (nextCheck != null) {
-            nextCheck.cancel(false);
-            nextCheck = null;
+        PollConnection left = watchConnection;
+        PollConnection late = lateConnection;
+        PollConnection checking = checkConnection;
+        watchConnection = lateConnection = checkConnection = null;
+        discard(left);
+        discard(late);
+        discard(checking);
+        if (scheduledCheck != null) {
+            scheduledCheck.cancel(false);
+            scheduledCheck = null;
         }
     }
 
-    private void checkAfter(double seconds) {
-        if (nextCheck != null) {
-            nextCheck.cancel(false);
+    private void scheduleCheck(double seconds) {
+        if (scheduledCheck != null) {
+            scheduledCheck.cancel(false);
         }
-        nextCheck = transport.loop().schedule(this::check, (long) (seconds * 1e9), TimeUnit.NANOSECONDS);
+        scheduledCheck = transport.loop().schedule(this::check, (long) (seconds * 1e9), TimeUnit.NANOSECONDS);
     }
 
     private void check() {
-        if (side == null) {
-            side = new Line();
-            side.connect();
-        } else if (side.call == null) {
-            side.ask();
+        if (checkConnection == null) {
+            checkConnection = new PollConnection();
+            checkConnection.connect();
+        } else if (checkConnection.pendingPoll == null) {
+            checkConnection.poll();
         } // else the one before is not over, and its end asks for the next
     }
 
-    private void answered(Line line, HttpResponse response) {
+    private void onResponse(PollConnection line, HttpResponse response) {
         if (response.status() != 200) {
-            failed(line, "status " + response.status(), response.status());
+            onFailure(line, "status " + response.status(), response.status());
             return;
         }
-        NodeList list;
+        EndpointList list;
         try {
-            list = NodeList.parse(response.body());
+            list = EndpointList.parse(response.body());
         } catch (IllegalArgumentException e) {
-            failed(line, e.getMessage(), 0);
+            onFailure(line, e.getMessage(), 0);
             return;
         }
-        checkAfter(checks.next());
-        if (line == side) {
-            checks.answered((System.nanoTime() - line.askedAt) / 1e9);
-            if (list.version() <= version && current != null) {
-                line.call = null;
-                if (response.last()) {
-                    side = null;
-                    drop(line);
+        scheduleCheck(livenessCheck.nextIntervalSeconds());
+        if (line == checkConnection) {
+            livenessCheck.onAnswered((System.nanoTime() - line.polledAtNanos) / 1e9);
+            if (list.version() <= version && watchConnection != null) {
+                line.pendingPoll = null;
+                if (response.closesConnection()) {
+                    checkConnection = null;
+                    discard(line);
                 }
                 return;
             }
             // The watch is broken, or has missed what it should have told: this line takes its place.
-            side = null;
-            drop(current);
-            current = line;
+            checkConnection = null;
+            discard(watchConnection);
+            watchConnection = line;
             // Guards against undoing what a watch told while this was on its way.
-            list = list.whole() || list.version() >= version ? list : new NodeList(version, false, List.of());
+            list = list.complete() || list.version() >= version ? list : new EndpointList(version, false, List.of());
         }
         version = list.version();
         line.late = false;
-        Line other = line == current ? former : current;
-        current = response.last() ? null : line;
-        former = null;
-        drop(other);
-        if (response.last()) {
-            drop(line);
+        PollConnection other = line == watchConnection ? lateConnection : watchConnection;
+        watchConnection = response.closesConnection() ? null : line;
+        lateConnection = null;
+        discard(other);
+        if (response.closesConnection()) {
+            discard(line);
         }
-        listener.listed(list);
-        if (current == null) {
-            watch();
+        listener.onEndpointList(list);
+        if (watchConnection == null) {
+            ensureWatching();
         } else {
-            current.ask();
+            watchConnection.poll();
         }
     }
 
-    private void failed(Line line, String why, int status) {
-        if (status == BUSY) {
-            checks.turnedAway();
+    private void onFailure(PollConnection line, String why, int status) {
+        if (status == SERVICE_UNAVAILABLE) {
+            livenessCheck.onRejected();
         }
-        if (line == side) {
-            side = null;
-            if (line.call != null) { // else it was closed between two checks
-                checkAfter(status == BUSY ? checks.next() : checks.again());
+        if (line == checkConnection) {
+            checkConnection = null;
+            if (line.pendingPoll != null) { // else it was closed between two checks
+                scheduleCheck(status == SERVICE_UNAVAILABLE ? livenessCheck.nextIntervalSeconds() : livenessCheck.nextRetrySeconds());
             }
-        } else if (line == former) {
-            former = null;
-        } else if (line == current) {
+        } else if (line == lateConnection) {
+            lateConnection = null;
+        } else if (line == watchConnection) {
             Log.warn("discovery", "discovery failed: " + why);
-            current = null;
-            listener.listFailed();
+            watchConnection = null;
+            listener.onEndpointListFailed();
         } else {
             return;
         }
-        drop(line);
+        discard(line);
     }
 }
--- a/daemon/src/main/java/clayhook/discovery/HttpResponse.java
+++ b/daemon/src/main/java/clayhook/discovery/HttpResponse.java
@@ -5,4 +5,4 @@
  *
  * @param last the connection ends after it
  */
-record HttpResponse(int status, String body, boolean last) {}
+record HttpResponse(int status, String body, boolean closesConnection) {}
--- /dev/null
+++ b/daemon/src/main/java/clayhook/discovery/HttpResponseDecoder.java
@@ -0,0 +1,161 @@
+package clayhook.discovery;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.handler.codec.ByteToMessageDecoder;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.Locale;
+
+/** Decodes HTTP/1.1 answers: a length, chunks, or all up to the end of the connection. */
+final class HttpResponseDecoder extends ByteToMessageDecoder {
+    /** Ten thousand nodes at some 200 bytes. */
+    private static final int MAX_BODY_BYTES = 2 << 20;
+
+    private static final int MAX_LINE_BYTES = 8192;
+    private static final int UNTIL_CLOSE = -1;
+
+    private enum ParserState {
+        STATUS,
+        HEADERS,
+        BODY,
+        CHUNK_SIZE,
+        CHUNK,
+        CHUNK_END,
+        TRAILER,
+        MALFORMED
+    }
+
+    private ParserState state = ParserState.STATUS;
+    private int status;
+    private int remainingBytes;
+    private boolean chunked;
+    private boolean closeAnnounced;
+    private final java.io.ByteArrayOutputStream bodyBytes = new java.io.ByteArrayOutputStream();
+
+    @Override
+    protected void decode(ChannelHandlerContext context, ByteBuf in, List<Object> out) {
+        if (state == ParserState.MALFORMED) {
+            in.skipBytes(in.readableBytes());
+        } else if (state == ParserState.BODY || state == ParserState.CHUNK) {
+            readBody(in, out);
+        } else {
+            int length = in.bytesBefore((byte) '\n');
+            if (length > MAX_LINE_BYTES || length < 0 && in.readableBytes() > MAX_LINE_BYTES) {
+                in.skipBytes(in.readableBytes());
+                emitMalformed(out);
+            } else if (length >= 0) {
+                String line = in.readCharSequence(length, StandardCharsets.ISO_8859_1)
+                        .toString()
+                        .strip();
+                in.skipBytes(1);
+                onLine(line, out);
+            }
+        }
+    }
+
+    private void readBody(ByteBuf in, List<Object> out) {
+        int length = remainingBytes == UNTIL_CLOSE ? in.readableBytes() : Math.min(remainingBytes, in.readableBytes());
+        if (bodyBytes.size() + length > MAX_BODY_BYTES) {
+            in.skipBytes(in.readableBytes());
+            emitMalformed(out);
+            return;
+        }
+        byte[] some = new byte[length];
+        in.readBytes(some);
+        bodyBytes.writeBytes(some);
+        remainingBytes -= remainingBytes == UNTIL_CLOSE ? 0 : length;
+        if (remainingBytes == 0 && state == ParserState.CHUNK) {
+            state = ParserState.CHUNK_END;
+        } else if (remainingBytes == 0) {
+            emitResponse(out);
+        }
+    }
+
+    private void onLine(String line, List<Object> out) {
+        try {
+            switch (state) {
+                case STATUS -> onStatusLine(line);
+                case HEADERS -> onHeaderLine(line, out);
+                case CHUNK_SIZE -> {
+                    remainingBytes = parseLength(line.split(";")[0].strip(), 16);
+                    state = remainingBytes == 0 ? ParserState.TRAILER : ParserState.CHUNK;
+                }
+                case CHUNK_END -> state = ParserState.CHUNK_SIZE;
+                default -> {
+                    if (line.isEmpty()) {
+                        emitResponse(out);
+                    }
+                }
+            }
+        } catch (IllegalArgumentException e) {
+            emitMalformed(out);
+        }
+    }
+
+    private void onStatusLine(String line) {
+        String[] words = line.split(" ");
+        if (words.length < 2 || !words[0].startsWith("HTTP/1.")) {
+            throw new IllegalArgumentException("no status line");
+        }
+        status = Integer.parseInt(words[1]);
+        remainingBytes = UNTIL_CLOSE;
+        chunked = false;
+        closeAnnounced = false;
+        bodyBytes.reset();
+        state = ParserState.HEADERS;
+    }
+
+    private void onHeaderLine(String line, List<Object> out) {
+        if (!line.isEmpty()) {
+            int colon = line.indexOf(':');
+            String name = line.substring(0, Math.max(0, colon)).toLowerCase(Locale.ROOT);
+            String value = line.substring(colon + 1).strip();
+            remainingBytes = name.equals("content-length") ? parseLength(value, 10) : remainingBytes;
+            closeAnnounced |= name.equals("connection") && value.equalsIgnoreCase("close");
+            chunked |= name.equals("transfer-encoding") && value.equalsIgnoreCase("chunked");
+        } else if (status / 100 == 1) {
+            state = ParserState.STATUS;
+        } else if (chunked) {
+            state = ParserState.CHUNK_SIZE;
+        } else if (remainingBytes == 0 || status == 204) {
+            emitResponse(out);
+        } else {
+            state = ParserState.BODY;
+        }
+    }
+
+    private static int parseLength(String text, int base) {
+        int length = Integer.parseInt(text, base);
+        if (length < 0 || length > MAX_BODY_BYTES) {
+            throw new IllegalArgumentException("a length of " + text);
+        }
+        return length;
+    }
+
+    @Override
+    protected void decodeLast(ChannelHandlerContext context, ByteBuf in, List<Object> out) throws Exception {
+        super.decodeLast(context, in, out);
+        if (state == ParserState.BODY && remainingBytes == UNTIL_CLOSE) {
+            emitResponse(out);
+        }
+    }
+
+    /** Guards against taking a reset for the end of an answer without a length. */
+    @Override
+    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+        state = ParserState.MALFORMED;
+        context.fireExceptionCaught(cause);
+    }
+
+    private void emitResponse(List<Object> out) {
+        boolean ends = closeAnnounced || remainingBytes == UNTIL_CLOSE && !chunked;
+        out.add(new HttpResponse(status, bodyBytes.toString(StandardCharsets.UTF_8), ends));
+        state = ParserState.STATUS;
+    }
+
+    private void emitMalformed(List<Object> out) {
+        state = ParserState.MALFORMED;
+        out.add(new HttpResponse(0, "", true));
+    }
+}
--- a/daemon/src/main/java/clayhook/nodes/Ending.java
+++ b/daemon/src/main/java/clayhook/nodes/AttemptCompletion.java
@@ -5,11 +5,11 @@
 import java.util.Set;
 
 /** How an attempt ended. */
-sealed interface Ending {
+sealed interface AttemptCompletion {
     Outcome outcome();
 
     /** The node's answer is whole. */
-    record Answered() implements Ending {
+    record Answered() implements AttemptCompletion {
         @Override
         public Outcome outcome() {
             return Outcome.ANSWERED;
@@ -17,19 +17,19 @@
     }
 
     /** The node answered with an error; before a connection stands, it turns the connection away. */
-    record Refused(String code) implements Ending {
+    record NodeError(String sqlState) implements AttemptCompletion {
         @Override
         public Outcome outcome() {
-            return switch (code) {
+            return switch (sqlState) {
                 case "25006", "72000" -> Outcome.TURNED_AWAY;
-                case FULL -> Outcome.FULL;
+                case TOO_MANY_CONNECTIONS -> Outcome.FULL;
                 default -> Outcome.ERROR;
             };
         }
     }
 
     /** The router answers in the node's place, which has nothing more to tell: a final answer of these messages. */
-    record Concluded(List<byte[]> messages) implements Ending {
+    record LocalAnswer(List<byte[]> messages) implements AttemptCompletion {
         @Override
         public Outcome outcome() {
             return Outcome.ANSWERED;
@@ -41,28 +41,28 @@
      * is wrong with the statement, which has had no effect, and are answers; the classes that speak of the node are
      * not. {@code opaque}: it may run transactions of its own, so that no error proves that nothing ran before it.
      */
-    static Ending of(String code, boolean free, boolean opaque) {
-        if (opaque && FULL.equals(code)) {
-            return new Spoilt();
+    static AttemptCompletion ofAnswer(String code, boolean free, boolean opaque) {
+        if (opaque && TOO_MANY_CONNECTIONS.equals(code)) {
+            return new ProtocolViolation();
         }
         boolean answer = code == null
                 || free
-                        && !OF_NODES.contains(code)
-                        && (code.equals(CANCELLED)
-                                || !CLASSES_OF_NODES.contains(code.substring(0, Math.min(2, code.length()))));
-        return answer ? new Answered() : new Refused(code);
+                        && !NODE_STATE_ERRORS.contains(code)
+                        && (code.equals(QUERY_CANCELED)
+                                || !NODE_FAULT_CLASSES.contains(code.substring(0, Math.min(2, code.length()))));
+        return answer ? new Answered() : new NodeError(code);
     }
 
-    String FULL = "53300";
+    String TOO_MANY_CONNECTIONS = "53300";
     /** Read-only or behind; these are refusals of this very node. */
-    Set<String> OF_NODES = Set.of("25006", "72000");
+    Set<String> NODE_STATE_ERRORS = Set.of("25006", "72000");
     /** Connections, resources, operator intervention, system errors, configuration file, internal errors. */
-    Set<String> CLASSES_OF_NODES = Set.of("08", "53", "57", "58", "F0", "XX");
+    Set<String> NODE_FAULT_CLASSES = Set.of("08", "53", "57", "58", "F0", "XX");
     /** The statement was cancelled, by a time limit of the node for one; it has had no effect. */
-    String CANCELLED = "57014";
+    String QUERY_CANCELED = "57014";
 
     /** What came cannot be understood; the node works, and the command may have run. */
-    record Spoilt() implements Ending {
+    record ProtocolViolation() implements AttemptCompletion {
         @Override
         public Outcome outcome() {
             return Outcome.ERROR;
@@ -70,26 +70,26 @@
     }
 
     /** The connection was refused, broke or ended. */
-    record Broken(Stage stage) implements Ending {
+    record ConnectionLost(AttemptPhase phase) implements AttemptCompletion {
         @Override
         public Outcome outcome() {
-            return stage.mayHaveRun() ? Outcome.RESET : Outcome.CONNECT_FAILED;
+            return phase.mayHaveRun() ? Outcome.RESET : Outcome.CONNECT_FAILED;
         }
     }
 
     /** The time to wait is over. */
-    record Silent(Stage stage) implements Ending {
+    record TimedOut(AttemptPhase phase) implements AttemptCompletion {
         @Override
         public Outcome outcome() {
-            return stage.mayHaveRun() ? Outcome.TIMED_OUT : Outcome.CONNECT_FAILED;
+            return phase.mayHaveRun() ? Outcome.TIMED_OUT : Outcome.CONNECT_FAILED;
         }
     }
 
     /** It is wanted no longer, or may not go out any more. */
-    record CalledOff(Stage stage) implements Ending {
+    record Cancelled(AttemptPhase phase) implements AttemptCompletion {
         @Override
         public Outcome outcome() {
-            return stage.mayHaveRun() ? Outcome.CANCELLED : Outcome.NOT_SENT;
+            return phase.mayHaveRun() ? Outcome.CANCELLED : Outcome.NOT_SENT;
         }
     }
 }
--- a/daemon/src/main/java/clayhook/nodes/Stage.java
+++ b/daemon/src/main/java/clayhook/nodes/AttemptPhase.java
@@ -1,7 +1,7 @@
 package clayhook.nodes;
 
 /** How far an attempt had come. */
-enum Stage {
+enum AttemptPhase {
     NOT_CONNECTED,
     PARTLY_WRITTEN,
     WRITTEN,
--- a/daemon/src/main/java/clayhook/nodes/Nodes.java
+++ b/daemon/src/main/java/clayhook/nodes/BackendClient.java
@@ -22,11 +22,11 @@
 import java.util.TreeMap;
 
 /** Sends dispatches and probes to nodes over pooled connections and tells how each ended. */
-public final class Nodes {
+public final class BackendClient {
     /** Connections are closed after this part of the time at which nodes do so at the latest. */
-    private static final double IDLE_PART = 0.6;
+    private static final double IDLE_TIMEOUT_FRACTION = 0.6;
     /** Reads the load report; it is a probe, as is the plain query where nodes do not report. */
-    private static final byte[] PROBE = "SHOW load".getBytes(StandardCharsets.UTF_8);
+    private static final byte[] HEALTH_CHECK_QUERY = "SHOW load".getBytes(StandardCharsets.UTF_8);
 
     /** Hears how attempts ended. */
     public interface Listener {
@@ -34,34 +34,34 @@
          * {@code answer} holds the messages for the client after an answer, and the node's error where it sent one to a
          * statement of any kind; {@code error} is that error's code. Either may be null.
          */
-        void ended(Dispatch dispatch, Reply reply, List<byte[]> answer, String error);
+        void onAttemptFinished(Dispatch dispatch, Reply reply, List<byte[]> answer, String error);
 
-        void probed(Node node, Reply reply);
+        void onHealthCheck(Node node, Reply reply);
 
         /** Whether a dispatch that waited for its connection may still go out; asked also while it goes on waiting. */
-        boolean mayGo(Dispatch dispatch);
+        boolean mayStillSend(Dispatch dispatch);
 
         /** Whether anything may be sent to that node yet. */
-        boolean knows(Node node);
+        boolean isKnown(Node node);
     }
 
     /** An eighth of the memory for answers that are coming in, as clients' statements may take another. */
-    private static final int MEMORY_PART = 8;
+    private static final int MEMORY_DIVISOR = 8;
 
-    final Allowance allowance;
+    final Allowance answerMemory;
     private final Operator operator;
     private final Listener listener;
     private final Clock clock;
     private final Descriptors descriptors;
-    private final double connectTimeout;
-    private final double idle;
+    private final double connectTimeoutSeconds;
+    private final double idleTimeoutSeconds;
     private final Transport transport;
     /** Nodes leave once they are known no more and their last connection has ended. */
-    private final Map<String, Pool> pools = new HashMap<>();
+    private final Map<String, ConnectionPool> pools = new HashMap<>();
     /** Each leaves with its outcome. */
-    private final Map<Dispatch, Attempt> attempts = new HashMap<>();
+    private final Map<Dispatch, BackendRequest> requests = new HashMap<>();
 
-    public Nodes(
+    public BackendClient(
             Transport transport,
             Clock clock,
             Descriptors descriptors,
@@ -71,161 +71,161 @@
             Operator operator,
             Listener listener) {
         this.operator = operator;
-        allowance = new Allowance(memory / MEMORY_PART);
+        answerMemory = new Allowance(memory / MEMORY_DIVISOR);
         this.listener = listener;
         this.clock = clock;
         this.descriptors = descriptors;
-        this.connectTimeout = connectTimeout;
-        this.idle = idle * IDLE_PART;
+        this.connectTimeoutSeconds = connectTimeout;
+        this.idleTimeoutSeconds = idle * IDLE_TIMEOUT_FRACTION;
         this.transport = transport;
-        descriptors.nodesGiveBackBy(this::giveBack);
+        descriptors.nodesGiveBackBy(this::closeLongestIdle);
     }
 
     /** The node of that id, at that address. */
-    public Node at(String id, String zone, int group, InetSocketAddress address) {
-        Pool pool = pools.computeIfAbsent(id, any -> new Pool(this, new Node(id, zone, group), address));
-        pool.moved(address);
+    public Node registerNode(String id, String zone, int group, InetSocketAddress address) {
+        ConnectionPool pool = pools.computeIfAbsent(id, any -> new ConnectionPool(this, new Node(id, zone, group), address));
+        pool.updateAddress(address);
         return pool.node;
     }
 
     /** The node of that id, or null for one that was not listed here. */
-    public Node named(String id) {
-        Pool pool = pools.get(id);
+    public Node findNode(String id) {
+        ConnectionPool pool = pools.get(id);
         return pool == null ? null : pool.node;
     }
 
     /** Whether any node of that group was ever listed. */
-    public boolean listed(int group) {
+    public boolean hasReplicaSet(int group) {
         return pools.values().stream().anyMatch(pool -> pool.node.group() == group);
     }
 
     public void send(Dispatch dispatch, Outgoing outgoing) {
-        var attempt = new Attempt(dispatch.node, dispatch, outgoing, clock.now());
-        attempts.put(dispatch, attempt);
-        Pool pool = pools.get(dispatch.node.id());
+        var attempt = new BackendRequest(dispatch.node, dispatch, outgoing, clock.now());
+        requests.put(dispatch, attempt);
+        ConnectionPool pool = pools.get(dispatch.node.id());
         if (pool == null) {
             // Guards against an attempt without an ending, at a node that was forgotten.
-            ended(attempt, new Ending.CalledOff(attempt.stage), null);
+            complete(attempt, new AttemptCompletion.Cancelled(attempt.phase), null);
         } else {
-            pool.add(attempt);
+            pool.submit(attempt);
         }
     }
 
-    public void probe(Node node) {
-        Pool pool = pools.get(node.id());
+    public void startHealthCheck(Node node) {
+        ConnectionPool pool = pools.get(node.id());
         if (pool != null) {
-            pool.probe();
+            pool.startHealthCheck();
         }
     }
 
     /** The time to wait for a dispatch is over. */
     public void expire(Dispatch dispatch) {
-        Attempt attempt = attempts.get(dispatch);
+        BackendRequest attempt = requests.get(dispatch);
         if (attempt != null) {
-            pools.get(dispatch.node.id()).abandon(attempt, new Ending.Silent(attempt.stage));
+            pools.get(dispatch.node.id()).abandon(attempt, new AttemptCompletion.TimedOut(attempt.phase));
         }
     }
 
-    public void recall(Dispatch dispatch) {
-        Attempt attempt = attempts.get(dispatch);
+    public void cancel(Dispatch dispatch) {
+        BackendRequest attempt = requests.get(dispatch);
         if (attempt != null) {
-            pools.get(dispatch.node.id()).abandon(attempt, new Ending.CalledOff(attempt.stage));
+            pools.get(dispatch.node.id()).abandon(attempt, new AttemptCompletion.Cancelled(attempt.phase));
         }
     }
 
     /** Its client has gone: it goes no more if it waits for its connection; once written it keeps its connection. */
-    public void withdraw(Dispatch dispatch) {
-        Attempt attempt = attempts.get(dispatch);
+    public void cancelIfUnsent(Dispatch dispatch) {
+        BackendRequest attempt = requests.get(dispatch);
         if (attempt != null && attempt.connection == null) {
-            recall(dispatch);
+            cancel(dispatch);
         }
     }
 
     /** Closes what has been opening, probing or idle for too long. */
     public void sweep() {
-        double begunBefore = clock.now() - connectTimeout;
-        for (Pool pool : pools.values()) {
-            pool.sweep(begunBefore, idleBefore());
+        double begunBefore = clock.now() - connectTimeoutSeconds;
+        for (ConnectionPool pool : pools.values()) {
+            pool.sweep(begunBefore, idleCutoff());
         }
-        pools.values().removeIf(pool -> pool.unused() && !listener.knows(pool.node));
+        pools.values().removeIf(pool -> pool.isUnused() && !listener.isKnown(pool.node));
     }
 
     /** What has been idle since before then is not written to. */
-    double idleBefore() {
-        return clock.now() - idle;
+    double idleCutoff() {
+        return clock.now() - idleTimeoutSeconds;
     }
 
     /** Whether an attempt that waited may still go out. */
-    boolean mayGo(Attempt attempt) {
-        return attempt.dispatch == null || listener.mayGo(attempt.dispatch);
+    boolean mayStillSend(BackendRequest attempt) {
+        return attempt.attempt == null || listener.mayStillSend(attempt.attempt);
     }
 
     /** One that waits may not go out any more, and not for its time limit, which is an ending of its own. */
-    boolean calledOff(Attempt attempt) {
-        return !mayGo(attempt) && clock.now() < attempt.dispatch.limit;
+    boolean isCancelled(BackendRequest attempt) {
+        return !mayStillSend(attempt) && clock.now() < attempt.attempt.limit;
     }
 
     /** What to write for an attempt now. */
-    byte[] query(Attempt attempt) {
-        return attempt.dispatch == null ? PROBE : attempt.outgoing.withWait(attempt.dispatch.limit - clock.now());
+    byte[] queryText(BackendRequest attempt) {
+        return attempt.attempt == null ? HEALTH_CHECK_QUERY : attempt.statement.withWait(attempt.attempt.limit - clock.now());
     }
 
     /** Gives the longest idle connection of any node back, if there is one. */
-    private boolean giveBack() {
-        Pool oldest = null;
-        for (Pool pool : pools.values()) {
-            oldest = oldest == null || pool.oldestIdle() < oldest.oldestIdle() ? pool : oldest;
+    private boolean closeLongestIdle() {
+        ConnectionPool oldest = null;
+        for (ConnectionPool pool : pools.values()) {
+            oldest = oldest == null || pool.oldestIdleSince() < oldest.oldestIdleSince() ? pool : oldest;
         }
         return oldest != null
-                && oldest.oldestIdle() < Double.POSITIVE_INFINITY
-                && oldest.closeIdle(Math.nextUp(oldest.oldestIdle())) > 0;
+                && oldest.oldestIdleSince() < Double.POSITIVE_INFINITY
+                && oldest.closeIdleBefore(Math.nextUp(oldest.oldestIdleSince())) > 0;
     }
 
     /** What really is under way at each node: attempts that were written or wait. */
-    public String underWay() {
+    public String inFlightByNode() {
         var counts = new TreeMap<String, Integer>();
-        attempts.values().forEach(attempt -> counts.merge(attempt.node.id(), 1, Integer::sum));
+        requests.values().forEach(attempt -> counts.merge(attempt.node.id(), 1, Integer::sum));
         return counts.toString();
     }
 
     /** How many connections stand or open. */
-    public int connections() {
+    public int connectionCount() {
         return descriptors.ofNodes();
     }
 
     /** How many of them wait for something to carry. */
-    public int idle() {
-        return pools.values().stream().mapToInt(Pool::idle).sum();
+    public int idleCount() {
+        return pools.values().stream().mapToInt(ConnectionPool::idleCount).sum();
     }
 
-    boolean mayOpen() {
+    boolean reserveDescriptor() {
         return descriptors.takeForNode();
     }
 
     void connect(NodeConnection connection) {
         transport.connect(
                 connection.address,
-                connectTimeout,
+                connectTimeoutSeconds,
                 () -> new ChannelHandler[] {connection.decoder, connection},
                 connection::close);
     }
 
-    void opened() {
+    void countOpened() {
         Log.count("opened");
     }
 
-    void closed() {
+    void releaseDescriptor() {
         descriptors.giveOfNode();
     }
 
-    ByteBuf startup() {
+    ByteBuf startupMessage() {
         return operator.statements() == null
                 ? Encoder.startup(operator.user(), operator.database())
                 : Encoder.startup(operator.user(), operator.database(), "client_encoding", "UTF8");
     }
 
     /** Whether a node that tells this of itself cuts statements as they are cut here. */
-    boolean agrees(String name, String value) {
+    boolean acceptsParameter(String name, String value) {
         return operator.statements() == null
                 || switch (name) {
                     case "client_encoding" -> value.equalsIgnoreCase("UTF8");
@@ -236,7 +236,7 @@
     }
 
     /** Bytes of an answer to a statement of any kind. */
-    int longestAnswer() {
+    int maxAnswerBytes() {
         return operator.statements().longestAnswer();
     }
 
@@ -244,28 +244,28 @@
         return clock.now();
     }
 
-    void ended(Attempt attempt, Ending ending, NodeConnection by) {
-        double took = clock.now() - (attempt.dispatch == null ? attempt.startedAt : attempt.dispatch.sentAt);
-        Reply reply = by == null ? Reply.untold(ending.outcome(), took) : by.reply(ending, took);
-        if (attempt.dispatch == null) {
-            listener.probed(attempt.node, reply);
+    void complete(BackendRequest attempt, AttemptCompletion ending, NodeConnection by) {
+        double took = clock.now() - (attempt.attempt == null ? attempt.startedAt : attempt.attempt.sentAt);
+        Reply reply = by == null ? Reply.untold(ending.outcome(), took) : by.result(ending, took);
+        if (attempt.attempt == null) {
+            listener.onHealthCheck(attempt.node, reply);
         } else {
-            attempts.remove(attempt.dispatch);
-            boolean refused = ending instanceof Ending.Refused && by != null && attempt.outgoing.free();
-            List<byte[]> answer = ending instanceof Ending.Concluded concluded
+            requests.remove(attempt.attempt);
+            boolean refused = ending instanceof AttemptCompletion.NodeError && by != null && attempt.statement.free();
+            List<byte[]> answer = ending instanceof AttemptCompletion.LocalAnswer concluded
                     ? concluded.messages()
-                    : refused || ending instanceof Ending.Answered ? by.answer() : null;
-            listener.ended(attempt.dispatch, reply, answer, refused ? by.refusal() : null);
+                    : refused || ending instanceof AttemptCompletion.Answered ? by.answerMessages() : null;
+            listener.onAttemptFinished(attempt.attempt, reply, answer, refused ? by.sqlState() : null);
         }
     }
 
-    void refused(Node node, NodeMessage.ErrorResponse error) {
+    void onErrorResponse(Node node, NodeMessage.ErrorResponse error) {
         if (error.code().equals("08P01")) {
-            log("node " + node.id() + " calls a statement malformed: " + error.text());
+            logWarning("node " + node.id() + " calls a statement malformed: " + error.text());
         }
     }
 
-    void log(String line) {
+    void logWarning(String line) {
         Log.warn("node", line);
     }
 }
--- a/daemon/src/main/java/clayhook/nodes/Pool.java
+++ b/daemon/src/main/java/clayhook/nodes/ConnectionPool.java
@@ -12,198 +12,198 @@
 import java.util.Set;
 
 /** The connections to one node, and the attempts that wait for one. */
-final class Pool {
+final class ConnectionPool {
     final Node node;
     InetSocketAddress address;
-    private final Nodes nodes;
+    private final BackendClient client;
     /** Newest first. */
     private final ArrayDeque<NodeConnection> idle = new ArrayDeque<>();
 
     private final Set<NodeConnection> opening = new LinkedHashSet<>();
-    private final ArrayDeque<Attempt> waiting = new ArrayDeque<>();
+    private final ArrayDeque<BackendRequest> waiting = new ArrayDeque<>();
     /** Connections that stand, open or carry something. */
-    private int open;
+    private int connectionCount;
     /** The probe that is out, or null. */
-    private Attempt probe;
+    private BackendRequest healthCheck;
 
-    Pool(Nodes nodes, Node node, InetSocketAddress address) {
-        this.nodes = nodes;
+    ConnectionPool(BackendClient nodes, Node node, InetSocketAddress address) {
+        this.client = nodes;
         this.node = node;
         this.address = address;
     }
 
     /** Another address: the old connections carry on what they have and get nothing new. */
-    void moved(InetSocketAddress to) {
+    void updateAddress(InetSocketAddress to) {
         if (to.equals(address)) {
             return;
         }
         address = to;
-        closeIdle(Double.POSITIVE_INFINITY);
+        closeIdleBefore(Double.POSITIVE_INFINITY);
         // Guards against failing attempts, and judging the node, by connections to where it is no more.
         List<NodeConnection> old = List.copyOf(opening);
         opening.clear();
         old.forEach(NodeConnection::close);
-        serve();
+        assignConnections();
     }
 
-    void probe() {
-        if (probe == null) {
-            probe = new Attempt(node, null, null, nodes.now());
-            add(probe);
+    void startHealthCheck() {
+        if (healthCheck == null) {
+            healthCheck = new BackendRequest(node, null, null, client.now());
+            submit(healthCheck);
         }
     }
 
-    void add(Attempt attempt) {
+    void submit(BackendRequest attempt) {
         // Guards against a sweep that is rarer than connections are closed by their node: nothing else was in hand.
-        closeIdle(nodes.idleBefore());
+        closeIdleBefore(client.idleCutoff());
         waiting.add(attempt);
-        serve();
+        assignConnections();
     }
 
-    private void serve() {
-        for (Attempt next : List.copyOf(waiting)) {
-            if (next.ended) {
+    private void assignConnections() {
+        for (BackendRequest next : List.copyOf(waiting)) {
+            if (next.completed) {
                 continue;
-            } else if (!idle.isEmpty() && !nodes.mayGo(next)) {
-                abandon(next, new Ending.CalledOff(next.stage));
+            } else if (!idle.isEmpty() && !client.mayStillSend(next)) {
+                abandon(next, new AttemptCompletion.Cancelled(next.phase));
                 continue;
             }
-            NodeConnection fitting = idleFor(next);
+            NodeConnection fitting = findIdle(next);
             if (fitting != null && waiting.remove(next)) {
                 idle.remove(fitting);
-                fitting.start(next, nodes.query(next));
+                fitting.send(next, client.queryText(next));
             } else if (fitting == null && !idle.isEmpty() && opening.size() < waiting.size()) {
                 NodeConnection other = idle.pollLast();
-                if (other.quiet()) {
+                if (other.isQuiet()) {
                     opening.add(other);
-                    other.tune(next.outgoing.settings(), nodes.now());
+                    other.changeSettings(next.statement.settings(), client.now());
                 } else {
                     other.close();
                 }
             }
         }
         while (opening.size() < waiting.size()) {
-            if (!nodes.mayOpen()) {
+            if (!client.reserveDescriptor()) {
                 // Guards against holding the want of our own descriptors against a node: nothing was asked of it.
-                ended(waiting.poll(), new Ending.CalledOff(Stage.NOT_CONNECTED), null);
+                complete(waiting.poll(), new AttemptCompletion.Cancelled(AttemptPhase.NOT_CONNECTED), null);
                 continue;
             }
-            var connection = new NodeConnection(this, address, nodes.allowance, nodes.now());
-            open++;
+            var connection = new NodeConnection(this, address, client.answerMemory, client.now());
+            connectionCount++;
             opening.add(connection);
-            nodes.connect(connection);
+            client.connect(connection);
         }
     }
 
     /** An idle connection that it may be written to, or null; ones found ended or spoilt on the way are closed. */
-    private NodeConnection idleFor(Attempt attempt) {
+    private NodeConnection findIdle(BackendRequest attempt) {
         for (NodeConnection connection : List.copyOf(idle)) {
-            if (attempt.fits(connection) && connection.quiet()) {
+            if (attempt.canUse(connection) && connection.isQuiet()) {
                 return connection;
-            } else if (attempt.fits(connection)) {
+            } else if (attempt.canUse(connection)) {
                 connection.close();
             }
         }
         return null;
     }
 
-    void opened(NodeConnection connection) {
-        nodes.opened();
-        gotReady(connection);
+    void onStarted(NodeConnection connection) {
+        client.countOpened();
+        onReady(connection);
     }
 
     /**
      * Guards against opening one after the other to a node that ends each at once: that is a connection that failed.
      */
-    private void gotReady(NodeConnection connection) {
-        if (connection.quiet()) {
+    private void onReady(NodeConnection connection) {
+        if (connection.isQuiet()) {
             opening.remove(connection);
-            freed(connection);
+            onIdle(connection);
         } else {
             connection.close();
         }
     }
 
-    void freed(NodeConnection connection) {
+    void onIdle(NodeConnection connection) {
         if (!connection.address.equals(address)) {
             connection.close();
-            serve();
+            assignConnections();
             return;
         }
-        connection.idleSince = nodes.now();
+        connection.idleSince = client.now();
         idle.push(connection);
-        serve();
+        assignConnections();
     }
 
     /** A connection was given other settings, or its node refused them: then so is a statement that asks for them. */
-    void tuned(NodeConnection connection, Ending.Concluded refusal, Map<String, String> asked) {
-        Attempt refused = refusal == null
+    void onSettingsChanged(NodeConnection connection, AttemptCompletion.LocalAnswer refusal, Map<String, String> asked) {
+        BackendRequest refused = refusal == null
                 ? null
                 : waiting.stream()
-                        .filter(attempt -> attempt.outgoing != null
-                                && attempt.outgoing.settings().equals(asked))
+                        .filter(attempt -> attempt.statement != null
+                                && attempt.statement.settings().equals(asked))
                         .findFirst()
                         .orElse(null);
         if (refused != null) {
             waiting.remove(refused);
-            ended(refused, refusal, null);
+            complete(refused, refusal, null);
         }
-        gotReady(connection);
+        onReady(connection);
     }
 
     /** A connection ended; one that never came up takes the attempt that has waited longest with it. */
-    void closed(NodeConnection connection, boolean up, String refusal) {
-        open--;
+    void onClosed(NodeConnection connection, boolean up, String refusal) {
+        connectionCount--;
         idle.remove(connection);
-        nodes.closed();
+        client.releaseDescriptor();
         if (opening.remove(connection) && waiting.size() > opening.size()) {
-            ended(
+            complete(
                     waiting.poll(),
-                    !up && refusal != null && refusal.equals(Ending.FULL)
-                            ? new Ending.Refused(refusal)
-                            : new Ending.Broken(Stage.NOT_CONNECTED),
+                    !up && refusal != null && refusal.equals(AttemptCompletion.TOO_MANY_CONNECTIONS)
+                            ? new AttemptCompletion.NodeError(refusal)
+                            : new AttemptCompletion.ConnectionLost(AttemptPhase.NOT_CONNECTED),
                     null);
         }
     }
 
-    void ended(Attempt attempt, Ending ending, NodeConnection by) {
-        if (attempt.ended) {
+    void complete(BackendRequest attempt, AttemptCompletion ending, NodeConnection by) {
+        if (attempt.completed) {
             return;
         }
-        attempt.ended = true;
-        probe = attempt == probe ? null : probe;
-        nodes.ended(attempt, ending, by);
+        attempt.completed = true;
+        healthCheck = attempt == healthCheck ? null : healthCheck;
+        client.complete(attempt, ending, by);
     }
 
     /** Stops waiting for an attempt. */
-    void abandon(Attempt attempt, Ending ending) {
+    void abandon(BackendRequest attempt, AttemptCompletion ending) {
         if (attempt.connection != null) {
             attempt.connection.abandon(ending);
         } else {
             waiting.remove(attempt);
-            ended(attempt, ending, null);
+            complete(attempt, ending, null);
         }
     }
 
     /** Ends connections that have been opening and the probe that has been out since before then; and idle ones. */
     void sweep(double begunBefore, double idleBefore) {
         // Guards against holding for a connection what its client, the node or the limits of repeats have called off.
-        for (Attempt next : List.copyOf(waiting)) {
-            if (nodes.calledOff(next)) {
-                abandon(next, new Ending.CalledOff(next.stage));
+        for (BackendRequest next : List.copyOf(waiting)) {
+            if (client.isCancelled(next)) {
+                abandon(next, new AttemptCompletion.Cancelled(next.phase));
             }
         }
         List.copyOf(opening).stream()
-                .filter(c -> c.gettingReadySince < begunBefore)
+                .filter(c -> c.preparingSince < begunBefore)
                 .forEach(NodeConnection::close);
-        if (probe != null && probe.startedAt < begunBefore) {
-            abandon(probe, new Ending.Silent(probe.stage));
+        if (healthCheck != null && healthCheck.startedAt < begunBefore) {
+            abandon(healthCheck, new AttemptCompletion.TimedOut(healthCheck.phase));
         }
-        closeIdle(idleBefore);
+        closeIdleBefore(idleBefore);
     }
 
     /** Closes the connections idle since before that time; returns how many. */
-    int closeIdle(double before) {
+    int closeIdleBefore(double before) {
         var old = new ArrayList<NodeConnection>();
         while (!idle.isEmpty() && idle.peekLast().idleSince < before) {
             old.add(idle.pollLast());
@@ -212,48 +212,48 @@
         return old.size();
     }
 
-    ByteBuf startup() {
-        return nodes.startup();
+    ByteBuf startupMessage() {
+        return client.startupMessage();
     }
 
-    boolean agrees(NodeMessage.ParameterStatus told) {
-        return nodes.agrees(told.name(), told.value());
+    boolean acceptsParameter(NodeMessage.ParameterStatus told) {
+        return client.acceptsParameter(told.name(), told.value());
     }
 
-    int longestAnswer() {
-        return nodes.longestAnswer();
+    int maxAnswerBytes() {
+        return client.maxAnswerBytes();
     }
 
-    boolean takeMemory(int bytes) {
-        return nodes.allowance.take(bytes);
+    boolean reserveMemory(int bytes) {
+        return client.answerMemory.take(bytes);
     }
 
-    void giveMemory(int bytes) {
-        nodes.allowance.give(bytes);
+    void releaseMemory(int bytes) {
+        client.answerMemory.give(bytes);
     }
 
     double now() {
-        return nodes.now();
+        return client.now();
     }
 
     /** No connection and no attempt is left of it. */
-    boolean unused() {
-        return open == 0 && waiting.isEmpty();
+    boolean isUnused() {
+        return connectionCount == 0 && waiting.isEmpty();
     }
 
-    int idle() {
+    int idleCount() {
         return idle.size();
     }
 
-    double oldestIdle() {
+    double oldestIdleSince() {
         return idle.isEmpty() ? Double.POSITIVE_INFINITY : idle.peekLast().idleSince;
     }
 
-    void refused(NodeMessage.ErrorResponse error) {
-        nodes.refused(node, error);
+    void onErrorResponse(NodeMessage.ErrorResponse error) {
+        client.onErrorResponse(node, error);
     }
 
-    void log(String line) {
-        nodes.log(line);
+    void logWarning(String line) {
+        client.logWarning(line);
     }
 }
--- a/daemon/src/main/java/clayhook/nodes/NodeConnection.java
+++ b/daemon/src/main/java/clayhook/nodes/NodeConnection.java
@@ -25,64 +25,64 @@
 /** One connection to a node; it carries one attempt at a time. */
 final class NodeConnection extends ChannelInboundHandlerAdapter {
     /** A few times what passes between two writes of one peer: what follows an answer by then is not the next one's. */
-    private static final int QUIET_MS = 2;
+    private static final int QUIET_PERIOD_MS = 2;
     /** Before a description of rows, and after their end. */
-    private static final int NO_ROWS = -1;
+    private static final int NO_ROW_DESCRIPTION = -1;
 
     /** What may come next. Nothing may come on a connection that is idle. */
-    private enum Next {
-        WELCOME,
-        TUNING,
-        RESULTS,
-        DESCRIPTION,
-        ROW,
-        COMPLETION,
-        READINESS,
+    private enum Expected {
+        STARTUP,
+        SETTINGS,
+        ANY_RESULT,
+        ROW_DESCRIPTION,
+        DATA_ROW,
+        COMMAND_COMPLETE,
+        READY_FOR_QUERY,
         NOTHING
     }
 
     final NodeDecoder decoder;
-    private final Pool pool;
+    private final ConnectionPool pool;
     final InetSocketAddress address;
     /** Since when it has been opening or is given other settings. */
-    double gettingReadySince;
+    double preparingSince;
 
     double idleSince;
     private ChannelHandlerContext context;
-    private Next next = Next.WELCOME;
-    private boolean up;
+    private Expected expected = Expected.STARTUP;
+    private boolean startupComplete;
     private boolean closed;
     /** What is due once all that was read together has been looked at, or null: it got ready or its answer is whole. */
-    private Runnable afterReading;
+    private Runnable onReadComplete;
     /** What it ran may have left something behind in its session. */
-    private boolean retiring;
+    private boolean closeAfterAnswer;
 
-    private Attempt attempt;
+    private BackendRequest request;
     /** The last byte of the request in hand has gone out. */
-    private boolean written;
+    private boolean requestWritten;
     /** What this connection was given, and what it is being given. */
     private Map<String, String> settings = Map.of();
 
-    private Map<String, String> wanted = Map.of();
+    private Map<String, String> requestedSettings = Map.of();
     // what the answer in hand has told so far
-    private int bytes;
-    private int taken;
+    private int answerBytes;
+    private int reservedBytes;
     /** Of the rows that may come now. */
-    private int columns;
+    private int columnCount;
 
-    private boolean whole;
-    private List<byte[]> parts = List.of();
-    private String probed;
-    private String refusal;
+    private boolean resultComplete;
+    private List<byte[]> answerMessages = List.of();
+    private String loadReportText;
+    private String sqlState;
     private Role role;
     private double position;
-    private LoadReport report;
+    private LoadReport loadReport;
 
-    NodeConnection(Pool pool, InetSocketAddress address, Allowance allowance, double openedAt) {
+    NodeConnection(ConnectionPool pool, InetSocketAddress address, Allowance allowance, double openedAt) {
         this.pool = pool;
         decoder = new NodeDecoder(allowance);
         this.address = address;
-        gettingReadySince = openedAt;
+        preparingSince = openedAt;
     }
 
     @Override
@@ -92,7 +92,7 @@
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        ctx.writeAndFlush(pool.startup());
+        ctx.writeAndFlush(pool.startupMessage());
     }
 
     Map<String, String> settings() {
@@ -100,36 +100,36 @@
     }
 
     /** Changes the settings; the connection must be idle, and tells the pool when it is done. */
-    void tune(Map<String, String> to, double now) {
-        gettingReadySince = now;
-        wanted = to;
-        refusal = null;
-        next = Next.TUNING;
+    void changeSettings(Map<String, String> to, double now) {
+        preparingSince = now;
+        requestedSettings = to;
+        sqlState = null;
+        expected = Expected.SETTINGS;
         context.writeAndFlush(Encoder.query(SessionSettings.change(settings, to).getBytes(StandardCharsets.UTF_8)));
     }
 
     /** Writes the request of an attempt; the connection must be idle. */
-    void start(Attempt started, byte[] query) {
-        attempt = started;
+    void send(BackendRequest started, byte[] query) {
+        request = started;
         started.connection = this;
-        started.stage = Stage.PARTLY_WRITTEN;
-        written = false;
-        boolean free = started.outgoing != null && started.outgoing.free();
+        started.phase = AttemptPhase.PARTLY_WRITTEN;
+        requestWritten = false;
+        boolean free = started.statement != null && started.statement.free();
         decoder.free(free);
-        next = free ? Next.RESULTS : Next.DESCRIPTION;
-        bytes = taken = 0;
-        columns = NO_ROWS;
-        whole = false;
-        parts = new ArrayList<>();
-        probed = null;
-        refusal = null;
+        expected = free ? Expected.ANY_RESULT : Expected.ROW_DESCRIPTION;
+        answerBytes = reservedBytes = 0;
+        columnCount = NO_ROW_DESCRIPTION;
+        resultComplete = false;
+        answerMessages = new ArrayList<>();
+        loadReportText = null;
+        sqlState = null;
         role = Role.UNKNOWN;
         position = 0;
-        report = LoadReport.NONE;
+        loadReport = LoadReport.NONE;
         context.writeAndFlush(Encoder.query(query)).addListener(done -> {
-            written |= done.isSuccess() && attempt == started;
-            if (done.isSuccess() && started.stage == Stage.PARTLY_WRITTEN) {
-                started.stage = Stage.WRITTEN;
+            requestWritten |= done.isSuccess() && request == started;
+            if (done.isSuccess() && started.phase == AttemptPhase.PARTLY_WRITTEN) {
+                started.phase = AttemptPhase.WRITTEN;
             }
         });
     }
@@ -137,13 +137,13 @@
     /**
      * Bytes of the request stand here yet; between channels of one process an answer may come before the write is told.
      */
-    private boolean unsent() {
+    private boolean hasUnsentBytes() {
         ChannelOutboundBuffer standing = context.channel().unsafe().outboundBuffer();
         return standing != null && !standing.isEmpty();
     }
 
     /** Whether neither an end nor a byte has come to this idle connection, also since the loop last looked. */
-    boolean quiet() {
+    boolean isQuiet() {
         if (!context.channel().isActive()) {
             return false;
         }
@@ -162,237 +162,237 @@
         if (closed) {
             return;
         } else if (message instanceof NodeMessage.Malformed malformed) {
-            spoilt(malformed.why());
-        } else if (next == Next.NOTHING) {
-            spoilt("what it was not asked");
-        } else if (next == Next.WELCOME) {
-            welcome(message);
-        } else if (next == Next.TUNING) {
-            tuning(message);
-        } else if (!written
-                && unsent()
+            failProtocol(malformed.why());
+        } else if (expected == Expected.NOTHING) {
+            failProtocol("what it was not asked");
+        } else if (expected == Expected.STARTUP) {
+            onStartupMessage(message);
+        } else if (expected == Expected.SETTINGS) {
+            onSettingsMessage(message);
+        } else if (!requestWritten
+                && hasUnsentBytes()
                 && (message instanceof NodeMessage.Part || message instanceof NodeMessage.ReadyForQuery)) {
             // Guards against a request whose rest goes out after it was counted as answered.
-            spoilt("an answer to what it was not sent whole");
+            failProtocol("an answer to what it was not sent whole");
         } else {
-            collect(message);
+            onAnswerMessage(message);
         }
     }
 
-    private void welcome(Object message) {
+    private void onStartupMessage(Object message) {
         if (message instanceof NodeMessage.ReadyForQuery) {
-            up = true;
-            next = Next.NOTHING;
-            afterReading = () -> pool.opened(this);
+            startupComplete = true;
+            expected = Expected.NOTHING;
+            onReadComplete = () -> pool.onStarted(this);
         } else if (message instanceof NodeMessage.ErrorResponse error) {
-            refusal = error.code();
-        } else if (message instanceof NodeMessage.ParameterStatus told && !pool.agrees(told)) {
+            sqlState = error.code();
+        } else if (message instanceof NodeMessage.ParameterStatus told && !pool.acceptsParameter(told)) {
             // Guards against text that is a string here and code there.
-            spoilt(told.name() + " '" + told.value() + "', which the operator's file says otherwise");
+            failProtocol(told.name() + " '" + told.value() + "', which the operator's file says otherwise");
         } else if (message instanceof NodeMessage.Part) {
-            spoilt("a row before it was asked");
+            failProtocol("a row before it was asked");
         }
     }
 
     /** An error undoes all that was asked with it. */
-    private void tuning(Object message) {
+    private void onSettingsMessage(Object message) {
         if (message instanceof NodeMessage.ErrorResponse error) {
-            refusal = error.code();
-            parts = List.of(error.message());
+            sqlState = error.code();
+            answerMessages = List.of(error.message());
         } else if (message instanceof NodeMessage.ReadyForQuery) {
-            next = Next.NOTHING;
-            Map<String, String> asked = wanted;
-            settings = refusal == null ? asked : settings;
-            Ending.Concluded refused = refusal == null ? null : new Ending.Concluded(parts);
-            afterReading = () -> pool.tuned(this, refused, asked);
+            expected = Expected.NOTHING;
+            Map<String, String> asked = requestedSettings;
+            settings = sqlState == null ? asked : settings;
+            AttemptCompletion.LocalAnswer refused = sqlState == null ? null : new AttemptCompletion.LocalAnswer(answerMessages);
+            onReadComplete = () -> pool.onSettingsChanged(this, refused, asked);
         } else if (!(message instanceof NodeMessage.Part part && part.type() == 'C'
                 || message instanceof NodeMessage.Notice
                 || message instanceof NodeMessage.ParameterStatus)) {
-            spoilt("an answer out of order");
+            failProtocol("an answer out of order");
         }
     }
 
     /** The parts of an answer to a statement of any kind. */
-    private void gather(Object message) {
-        attempt.stage = Stage.ANSWERING;
+    private void onResultMessage(Object message) {
+        request.phase = AttemptPhase.ANSWERING;
         if (message instanceof NodeMessage.ParameterStatus status) {
-            status(status.name(), status.value());
+            onParameterStatus(status.name(), status.value());
         } else if (message instanceof NodeMessage.Part part
-                && (part.type() == 'D' ? part.columns() == columns : part.type() == 'C' || columns == NO_ROWS)) {
-            columns = part.type() == 'T' || part.type() == 'D' ? part.columns() : NO_ROWS;
-            whole |= columns == NO_ROWS;
-            add(part.message());
+                && (part.type() == 'D' ? part.columns() == columnCount : part.type() == 'C' || columnCount == NO_ROW_DESCRIPTION)) {
+            columnCount = part.type() == 'T' || part.type() == 'D' ? part.columns() : NO_ROW_DESCRIPTION;
+            resultComplete |= columnCount == NO_ROW_DESCRIPTION;
+            appendToAnswer(part.message());
         } else if (message instanceof NodeMessage.Notice notice) {
-            add(notice.message());
+            appendToAnswer(notice.message());
         } else if (message instanceof NodeMessage.ErrorResponse error) {
-            next = Next.READINESS;
-            refusal = error.code();
-            add(error.message());
-            pool.refused(error);
-        } else if (message instanceof NodeMessage.ReadyForQuery && whole && columns == NO_ROWS) {
-            ready();
+            expected = Expected.READY_FOR_QUERY;
+            sqlState = error.code();
+            appendToAnswer(error.message());
+            pool.onErrorResponse(error);
+        } else if (message instanceof NodeMessage.ReadyForQuery && resultComplete && columnCount == NO_ROW_DESCRIPTION) {
+            onReadyForQuery();
         } else if (!(message instanceof NodeMessage.Notification)) {
-            spoilt("an answer out of order");
+            failProtocol("an answer out of order");
         }
     }
 
     /** A statement whose answer is longer than what is passed on has run all the same. */
-    private void add(byte[] part) {
-        boolean fits = bytes + part.length <= pool.longestAnswer();
-        if (fits && pool.takeMemory(part.length)) {
-            bytes += part.length;
-            taken += part.length;
-            parts.add(part);
-        } else if (attempt != null) {
+    private void appendToAnswer(byte[] part) {
+        boolean fits = answerBytes + part.length <= pool.maxAnswerBytes();
+        if (fits && pool.reserveMemory(part.length)) {
+            answerBytes += part.length;
+            reservedBytes += part.length;
+            answerMessages.add(part);
+        } else if (request != null) {
             String why = fits
                     ? "no memory is left for its answer"
-                    : "its answer is longer than " + pool.longestAnswer() + " bytes";
-            end(new Ending.Concluded(
+                    : "its answer is longer than " + pool.maxAnswerBytes() + " bytes";
+            completeRequest(new AttemptCompletion.LocalAnswer(
                     List.of(Encoder.errorMessage(fits ? "53200" : "54000", "the statement has run, but " + why))));
             close();
         }
     }
 
-    private void collect(Object message) {
-        if (next == Next.RESULTS) {
-            gather(message);
+    private void onAnswerMessage(Object message) {
+        if (expected == Expected.ANY_RESULT) {
+            onResultMessage(message);
             return;
         }
-        attempt.stage = Stage.ANSWERING;
+        request.phase = AttemptPhase.ANSWERING;
         if (message instanceof NodeMessage.ParameterStatus status) {
-            status(status.name(), status.value());
-        } else if (message instanceof NodeMessage.Part part && part.type() == expected()) {
-            next = Next.values()[next.ordinal() + 1];
-            parts.add(part.message());
-            probed = part.type() == 'D' && attempt.dispatch == null ? part.column() : probed;
-        } else if (message instanceof NodeMessage.ErrorResponse error && next == Next.DESCRIPTION) {
-            next = Next.READINESS;
-            refusal = error.code();
-            pool.refused(error);
-        } else if (message instanceof NodeMessage.ReadyForQuery && next == Next.READINESS) {
-            ready();
+            onParameterStatus(status.name(), status.value());
+        } else if (message instanceof NodeMessage.Part part && part.type() == expectedType()) {
+            expected = Expected.values()[expected.ordinal() + 1];
+            answerMessages.add(part.message());
+            loadReportText = part.type() == 'D' && request.attempt == null ? part.column() : loadReportText;
+        } else if (message instanceof NodeMessage.ErrorResponse error && expected == Expected.ROW_DESCRIPTION) {
+            expected = Expected.READY_FOR_QUERY;
+            sqlState = error.code();
+            pool.onErrorResponse(error);
+        } else if (message instanceof NodeMessage.ReadyForQuery && expected == Expected.READY_FOR_QUERY) {
+            onReadyForQuery();
         } else if (!(message instanceof NodeMessage.Notice)) {
-            spoilt("an answer out of order");
+            failProtocol("an answer out of order");
         }
     }
 
-    private char expected() {
-        return switch (next) {
-            case DESCRIPTION -> 'T';
-            case ROW -> 'D';
-            case COMPLETION -> 'C';
+    private char expectedType() {
+        return switch (expected) {
+            case ROW_DESCRIPTION -> 'T';
+            case DATA_ROW -> 'D';
+            case COMMAND_COMPLETE -> 'C';
             default -> 0;
         };
     }
 
     /** Nothing that was told with it counts, and the connection is of no further use. */
-    private void spoilt(String why) {
-        pool.log("node " + pool.node.id() + " sent " + why);
-        end(new Ending.Spoilt());
+    private void failProtocol(String why) {
+        pool.logWarning("node " + pool.node.id() + " sent " + why);
+        completeRequest(new AttemptCompletion.ProtocolViolation());
         close();
     }
 
-    private void status(String name, String value) {
+    private void onParameterStatus(String name, String value) {
         try {
             switch (name) {
                 case "role" ->
                     role = value.equals("primary")
                             ? Role.PRIMARY
                             : value.equals("replica") ? Role.REPLICA : Role.UNKNOWN;
-                case "applied_ms" -> position = believable(Long.parseLong(value) / 1000.0);
+                case "applied_ms" -> position = requirePlausible(Long.parseLong(value) / 1000.0);
                 case "load" -> {
                     LoadReport told = LoadReport.parse(value, '=', 0);
-                    believable(told.position());
-                    report = told;
+                    requirePlausible(told.position());
+                    loadReport = told;
                 }
                 default -> {}
             }
         } catch (IllegalArgumentException e) {
-            pool.log("node " + pool.node.id() + " told " + name + " '" + value + "'");
+            pool.logWarning("node " + pool.node.id() + " told " + name + " '" + value + "'");
         }
     }
 
     /** No node has data of the future; the clocks agree but for the correction of this one. */
-    private double believable(double told) {
-        if (told < 0 || told > pool.now() + FUTURE) {
+    private double requirePlausible(double told) {
+        if (told < 0 || told > pool.now() + MAX_CLOCK_SKEW_SECONDS) {
             throw new IllegalArgumentException("a position that cannot be");
         }
         return told;
     }
 
-    private static final double FUTURE = 1;
+    private static final double MAX_CLOCK_SKEW_SECONDS = 1;
 
-    private void ready() {
-        if (probed != null) {
-            status("load", probed);
+    private void onReadyForQuery() {
+        if (loadReportText != null) {
+            onParameterStatus("load", loadReportText);
         }
-        next = Next.NOTHING;
-        afterReading = this::settle;
-        boolean free = attempt.outgoing != null && attempt.outgoing.free();
-        retiring = free && attempt.outgoing.opaque();
+        expected = Expected.NOTHING;
+        onReadComplete = this::releaseAfterQuietPeriod;
+        boolean free = request.statement != null && request.statement.free();
+        closeAfterAnswer = free && request.statement.opaque();
         decoder.free(false);
-        end(Ending.of(refusal, free, retiring));
+        completeRequest(AttemptCompletion.ofAnswer(sqlState, free, closeAfterAnswer));
     }
 
     /** What was read together with an answer or a welcome has been looked at; what is left of it belongs to no one. */
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        if (!closed && next == Next.NOTHING && decoder.holdsPart()) {
-            spoilt("part of what it was not asked");
-        } else if (!closed && afterReading != null) {
-            Runnable due = afterReading;
-            afterReading = null;
+        if (!closed && expected == Expected.NOTHING && decoder.holdsPart()) {
+            failProtocol("part of what it was not asked");
+        } else if (!closed && onReadComplete != null) {
+            Runnable due = onReadComplete;
+            onReadComplete = null;
             due.run();
         }
         ctx.fireChannelReadComplete();
     }
 
     /** Waits a little before it is free. */
-    private void settle() {
+    private void releaseAfterQuietPeriod() {
         context.executor()
                 .schedule(
                         () -> {
-                            if (!closed && retiring) {
+                            if (!closed && closeAfterAnswer) {
                                 close();
                             } else if (!closed) {
-                                pool.freed(this);
+                                pool.onIdle(this);
                             }
                         },
-                        QUIET_MS,
+                        QUIET_PERIOD_MS,
                         TimeUnit.MILLISECONDS);
     }
 
-    private void end(Ending ending) {
-        Attempt ended = attempt;
-        attempt = null;
+    private void completeRequest(AttemptCompletion ending) {
+        BackendRequest ended = request;
+        request = null;
         decoder.release();
-        pool.giveMemory(taken);
-        taken = 0;
+        pool.releaseMemory(reservedBytes);
+        reservedBytes = 0;
         if (ended != null) {
-            pool.ended(ended, ending, this);
+            pool.complete(ended, ending, this);
         }
     }
 
     /** What was told with the answer in hand, if that was whole. */
-    Reply reply(Ending ending, double took) {
-        boolean told = ending instanceof Ending.Answered || ending instanceof Ending.Refused;
+    Reply result(AttemptCompletion ending, double took) {
+        boolean told = ending instanceof AttemptCompletion.Answered || ending instanceof AttemptCompletion.NodeError;
         return told
-                ? new Reply(ending.outcome(), took, role, position, report.role(), report.position(), report.load())
+                ? new Reply(ending.outcome(), took, role, position, loadReport.role(), loadReport.position(), loadReport.load())
                 : Reply.untold(ending.outcome(), took);
     }
 
-    List<byte[]> answer() {
-        return parts;
+    List<byte[]> answerMessages() {
+        return answerMessages;
     }
 
     /** The code of the error in the answer in hand, or null. */
-    String refusal() {
-        return refusal;
+    String sqlState() {
+        return sqlState;
     }
 
     /** Ends the attempt in hand without waiting for its answer; a late one is never read. */
-    void abandon(Ending ending) {
-        end(ending);
+    void abandon(AttemptCompletion ending) {
+        completeRequest(ending);
         close();
     }
 
@@ -412,13 +412,13 @@
             return;
         }
         closed = true;
-        if (attempt != null) {
+        if (request != null) {
             // A fatal error ends the connection with no readiness after it.
-            end(refusal != null ? new Ending.Refused(refusal) : new Ending.Broken(attempt.stage));
+            completeRequest(sqlState != null ? new AttemptCompletion.NodeError(sqlState) : new AttemptCompletion.ConnectionLost(request.phase));
         }
         if (context != null) {
             context.close();
         }
-        pool.closed(this, up, refusal);
+        pool.onClosed(this, startupComplete, sqlState);
     }
 }
--- a/daemon/src/main/java/clayhook/peers/Datagrams.java
+++ b/daemon/src/main/java/clayhook/peers/Datagrams.java
@@ -1,6 +1,6 @@
 package clayhook.peers;
 
-import clayhook.discovery.NodeList;
+import clayhook.discovery.EndpointList;
 import clayhook.fleet.Address;
 import clayhook.fleet.Packet;
 import java.io.IOException;
@@ -86,7 +86,7 @@
 
     /** What cannot go is lost, as anything may be on the way. */
     void send(Address to, byte[] bytes) {
-        InetSocketAddress address = NodeList.numeric(to.toString());
+        InetSocketAddress address = EndpointList.parseAddress(to.toString());
         try {
             out.clear().put(bytes).flip();
             if (address == null || channel.send(out, address) == 0) {
--- a/daemon/src/main/java/clayhook/peers/Exchange.java
+++ b/daemon/src/main/java/clayhook/peers/Exchange.java
@@ -2,7 +2,7 @@
 
 import clayhook.Listing;
 import clayhook.Told;
-import clayhook.discovery.NodeList;
+import clayhook.discovery.EndpointList;
 import clayhook.fleet.Kind;
 import clayhook.fleet.Machine;
 import clayhook.fleet.Outbox;
@@ -85,7 +85,7 @@
     private final Roster roster;
     private final Kinds kinds;
     private final Mailbox<String, Told> evidence;
-    private final Mailbox<String, NodeList> changes;
+    private final Mailbox<String, EndpointList> changes;
     // null where that kind is off
     private Looks looks;
     private Hearsay hearsay;
@@ -191,11 +191,11 @@
     }
 
     /** This router knows those nodes; what it only remembers of them is not put in as news of discovery. */
-    public void know(NodeList list) {
-        if (list.whole()) {
+    public void know(EndpointList list) {
+        if (list.complete()) {
             nodes.clear();
         }
-        for (NodeList.Entry entry : list.entries()) {
+        for (EndpointList.DiscoveredEndpoint entry : list.endpoints()) {
             String key = Evidence.key(entry.id());
             if (entry.state() == Listing.State.GONE) {
                 nodes.remove(key);
@@ -208,14 +208,14 @@
         }
     }
 
-    private void listed(String source, NodeList list, double now) {
+    private void listed(String source, EndpointList list, double now) {
         know(list);
         if (lists == null) {
             return;
         }
         var entries = new ArrayList<ListMerge.Entry>();
         boolean fits = true;
-        for (NodeList.Entry entry : list.entries()) {
+        for (EndpointList.DiscoveredEndpoint entry : list.endpoints()) {
             try {
                 entries.add(entry(entry, list.version(), now));
             } catch (IllegalArgumentException e) {
@@ -224,16 +224,16 @@
             }
         }
         // Guards against calling a node gone that only could not be told: what is left out of a whole list is gone.
-        lists.own(source, list.version(), list.whole() && fits, entries, now);
+        lists.own(source, list.version(), list.complete() && fits, entries, now);
         Set<String> heard = entries.stream().map(ListMerge.Entry::id).collect(Collectors.toSet());
         // The loop has heard the same from discovery itself.
         lists.changes().stream()
                 .filter(change ->
-                        change.word().revision() != list.version() || !(list.whole() || heard.contains(change.id())))
+                        change.word().revision() != list.version() || !(list.complete() || heard.contains(change.id())))
                 .forEach(this::hand);
     }
 
-    private static ListMerge.Entry entry(NodeList.Entry entry, long revision, double now) {
+    private static ListMerge.Entry entry(EndpointList.DiscoveredEndpoint entry, long revision, double now) {
         if (entry.id().length() > LONGEST_ID) {
             throw new IllegalArgumentException("a long id");
         }
@@ -245,7 +245,7 @@
                         entry.startedAt(),
                         entry.primary(),
                         entry.zone(),
-                        entry.group(),
+                        entry.replicaSetId(),
                         entry.address().getAddress().getHostAddress(),
                         entry.address().getPort(),
                         now));
@@ -334,17 +334,17 @@
 
     private void hand(ListMerge.Entry change) {
         Listed word = change.word();
-        InetSocketAddress address = NodeList.numeric(word.host() + ":" + word.port());
+        InetSocketAddress address = EndpointList.parseAddress(word.host() + ":" + word.port());
         if (address == null || word.zone().isEmpty()) {
             senseless++;
             return;
         }
         changes.put(
                 change.id(),
-                new NodeList(
+                new EndpointList(
                         word.revision(),
                         false,
-                        List.of(new NodeList.Entry(
+                        List.of(new EndpointList.DiscoveredEndpoint(
                                 change.id(),
                                 address,
                                 word.zone(),
--- a/daemon/src/main/java/clayhook/peers/News.java
+++ b/daemon/src/main/java/clayhook/peers/News.java
@@ -2,7 +2,7 @@
 
 import clayhook.Node;
 import clayhook.Reply;
-import clayhook.discovery.NodeList;
+import clayhook.discovery.EndpointList;
 import clayhook.fleet.Address;
 import clayhook.serve.Sharing;
 import java.util.List;
@@ -13,7 +13,7 @@
     record Looked(Node node, Reply reply, double at) implements News {}
 
     /** @param source where discovery is, as a text of host and port */
-    record Listed(String source, NodeList list) implements News {}
+    record Listed(String source, EndpointList list) implements News {}
 
     record Moved(String source) implements News {}
 
--- a/daemon/src/main/java/clayhook/peers/Peers.java
+++ b/daemon/src/main/java/clayhook/peers/Peers.java
@@ -4,7 +4,7 @@
 import clayhook.Reply;
 import clayhook.config.Configuration;
 import clayhook.config.SharingSettings;
-import clayhook.discovery.NodeList;
+import clayhook.discovery.EndpointList;
 import clayhook.fleet.Address;
 import clayhook.fleet.Fleet;
 import clayhook.fleet.Machine;
@@ -297,7 +297,7 @@
     }
 
     @Override
-    public void listed(InetSocketAddress discovery, NodeList list) {
+    public void listed(InetSocketAddress discovery, EndpointList list) {
         outbound.add(new News.Listed(source(discovery), list));
     }
 
--- a/daemon/src/main/java/clayhook/rehearsal/StandInClient.java
+++ b/daemon/src/main/java/clayhook/rehearsal/StubClient.java
@@ -21,47 +21,47 @@
 import java.util.concurrent.TimeUnit;
 
 /** A client that sends statements and hands out what comes back, a word an answer. */
-public final class StandInClient {
+public final class StubClient {
     /** More than any answer here takes. */
-    private static final int PATIENCE_S = 20;
+    private static final int TIMEOUT_SECONDS = 20;
     /** The one word of a client that never reached the router. */
     public static final String NO_CONNECTION = "no connection";
 
-    private final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
-    private final List<ByteBuf> first = new ArrayList<>();
+    private final BlockingQueue<String> answers = new LinkedBlockingQueue<>();
+    private final List<ByteBuf> queuedBeforeConnect = new ArrayList<>();
     private final Channel channel;
 
-    public StandInClient(Transport transport, InetSocketAddress router) {
+    public StubClient(Transport transport, InetSocketAddress router) {
         channel = transport.connect(
                 router,
-                PATIENCE_S,
-                () -> new ChannelHandler[] {new NodeDecoder(new Allowance(Long.MAX_VALUE)), new Answers()},
-                () -> heard.add(NO_CONNECTION));
+                TIMEOUT_SECONDS,
+                () -> new ChannelHandler[] {new NodeDecoder(new Allowance(Long.MAX_VALUE)), new StubClientHandler()},
+                () -> answers.add(NO_CONNECTION));
     }
 
-    private final class Answers extends ChannelInboundHandlerAdapter {
-        private String word = "ready";
+    private final class StubClientHandler extends ChannelInboundHandlerAdapter {
+        private String answer = "ready";
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            first.forEach(ctx::writeAndFlush);
+            queuedBeforeConnect.forEach(ctx::writeAndFlush);
         }
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             if (message instanceof NodeMessage.Part part && part.type() == 'D') {
-                word = part.column();
+                answer = part.column();
             } else if (message instanceof NodeMessage.ErrorResponse error) {
-                word = error.code();
+                answer = error.code();
             } else if (message instanceof NodeMessage.ReadyForQuery) {
-                heard.add(word);
-                word = "ready";
+                answers.add(answer);
+                answer = "ready";
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            heard.add(word.equals("ready") ? "closed" : word + " closed");
+            answers.add(answer.equals("ready") ? "closed" : answer + " closed");
         }
 
         @Override
@@ -76,7 +76,7 @@
             if (channel.isActive()) {
                 channel.writeAndFlush(bytes);
             } else {
-                first.add(bytes);
+                queuedBeforeConnect.add(bytes);
             }
         });
     }
@@ -95,18 +95,18 @@
     }
 
     /** Startup and a first statement in one piece. */
-    public static ByteBuf hello(ByteBuf first) {
+    public static ByteBuf startupAndFirst(ByteBuf first) {
         return Unpooled.wrappedBuffer(Encoder.startup("client", "core"), first);
     }
 
     /** The value, the code of the error, or ready for what had neither; closed once the router ended. */
-    public String next() throws InterruptedException {
-        return next(PATIENCE_S);
+    public String nextAnswer() throws InterruptedException {
+        return nextAnswer(TIMEOUT_SECONDS);
     }
 
     /** The same, or null where nothing came within so many seconds. */
-    public String next(double seconds) throws InterruptedException {
-        return heard.poll((long) (seconds * 1e9), TimeUnit.NANOSECONDS);
+    public String nextAnswer(double seconds) throws InterruptedException {
+        return answers.poll((long) (seconds * 1e9), TimeUnit.NANOSECONDS);
     }
 
     public void close() {
--- a/daemon/src/main/java/clayhook/rehearsal/StandInDiscovery.java
+++ b/daemon/src/main/java/clayhook/rehearsal/StubDiscovery.java
@@ -14,9 +14,9 @@
 import java.util.function.Predicate;
 
 /** Discovery that answers each call with a list, or with all that begins with HTTP; null leaves the call waiting. */
-public final class StandInDiscovery extends StandIn {
+public final class StubDiscovery extends StubServer {
 
-    public StandInDiscovery(Transport transport, InetSocketAddress address, Function<String, String> answers)
+    public StubDiscovery(Transport transport, InetSocketAddress address, Function<String, String> answers)
             throws InterruptedException {
         this(transport, address, (call, answer) -> answer.test(answers.apply(call)));
     }
@@ -25,34 +25,34 @@
      * {@code calls} is handed each call and what takes its answer, once, by any thread; false where its caller has
      * gone.
      */
-    public StandInDiscovery(Transport transport, InetSocketAddress address, BiConsumer<String, Predicate<String>> calls)
+    public StubDiscovery(Transport transport, InetSocketAddress address, BiConsumer<String, Predicate<String>> calls)
             throws InterruptedException {
-        super(transport, address, () -> new ChannelHandler[] {new Connection(calls)});
+        super(transport, address, () -> new ChannelHandler[] {new StubDiscoveryHandler(calls)});
     }
 
-    private static final class Connection extends ChannelInboundHandlerAdapter {
-        private final BiConsumer<String, Predicate<String>> calls;
-        private final StringBuilder read = new StringBuilder();
+    private static final class StubDiscoveryHandler extends ChannelInboundHandlerAdapter {
+        private final BiConsumer<String, Predicate<String>> requestListener;
+        private final StringBuilder received = new StringBuilder();
 
-        private Connection(BiConsumer<String, Predicate<String>> calls) {
-            this.calls = calls;
+        private StubDiscoveryHandler(BiConsumer<String, Predicate<String>> calls) {
+            this.requestListener = calls;
         }
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             var bytes = (ByteBuf) message;
-            read.append(bytes.toString(US_ASCII));
+            received.append(bytes.toString(US_ASCII));
             bytes.release();
-            int end = read.indexOf("\r\n\r\n");
+            int end = received.indexOf("\r\n\r\n");
             if (end < 0) {
                 return;
             }
-            String call = read.substring(0, read.indexOf("\r\n"));
-            read.delete(0, end + 4);
-            calls.accept(call, body -> answer(ctx, body));
+            String call = received.substring(0, received.indexOf("\r\n"));
+            received.delete(0, end + 4);
+            requestListener.accept(call, body -> writeAnswer(ctx, body));
         }
 
-        private static boolean answer(ChannelHandlerContext ctx, String body) {
+        private static boolean writeAnswer(ChannelHandlerContext ctx, String body) {
             if (body != null && body.startsWith("HTTP")) {
                 ctx.writeAndFlush(Unpooled.copiedBuffer(body, US_ASCII));
             } else if (body != null) {
--- a/daemon/src/main/java/clayhook/rehearsal/StandInNode.java
+++ b/daemon/src/main/java/clayhook/rehearsal/StubNode.java
@@ -18,41 +18,41 @@
 import java.util.function.Function;
 
 /** A node that does to each statement what it is told to. */
-public final class StandInNode extends StandIn {
+public final class StubNode extends StubServer {
     /** What a node may do: answer with a row, an error of that code, or that, reset the connection, or say nothing. */
-    public record Deed(String value, String errorCode, boolean resets, ByteBuf bytes) {
-        private Deed(String value, String errorCode, boolean resets) {
+    public record StubResponse(String value, String errorCode, boolean closesConnection, ByteBuf bytes) {
+        private StubResponse(String value, String errorCode, boolean resets) {
             this(value, errorCode, resets, null);
         }
 
-        public static Deed answer(String value) {
-            return new Deed(value, null, false);
+        public static StubResponse answer(String value) {
+            return new StubResponse(value, null, false);
         }
 
-        public static Deed bytes(ByteBuf bytes) {
-            return new Deed(null, null, false, bytes);
+        public static StubResponse bytes(ByteBuf bytes) {
+            return new StubResponse(null, null, false, bytes);
         }
 
-        public static Deed error(String code) {
-            return new Deed(null, code, false);
+        public static StubResponse error(String code) {
+            return new StubResponse(null, code, false);
         }
 
-        public static Deed reset() {
-            return new Deed(null, null, true);
+        public static StubResponse closeConnection() {
+            return new StubResponse(null, null, true);
         }
 
-        public static Deed silence() {
-            return new Deed(null, null, false);
+        public static StubResponse silence() {
+            return new StubResponse(null, null, false);
         }
     }
 
     /** The role of a node that leaves probes unanswered. */
-    public static final String MUTE = "mute";
+    public static final String UNRESPONSIVE = "mute";
 
-    public StandInNode(Transport transport, InetSocketAddress address, String role, Function<Statement, Deed> deeds)
+    public StubNode(Transport transport, InetSocketAddress address, String role, Function<Statement, StubResponse> deeds)
             throws InterruptedException {
         super(transport, address, () ->
-                new ChannelHandler[] {new ClientDecoder(new Allowance(Long.MAX_VALUE)), new Connection(role, deeds)});
+                new ChannelHandler[] {new ClientDecoder(new Allowance(Long.MAX_VALUE)), new StubNodeHandler(role, deeds)});
     }
 
     /** An answer of one row, and what a node tells with it; {@code applied} is its position in milliseconds. */
@@ -70,24 +70,24 @@
                 .writeInt(bytes.length)
                 .writeBytes(bytes);
         out.writeByte('C').writeInt(4 + 9).writeBytes("SELECT 1\0".getBytes(UTF_8));
-        status(out, "role", role);
-        status(out, "applied_ms", Long.toString(applied));
-        status(out, "load", load);
+        writeParameterStatus(out, "role", role);
+        writeParameterStatus(out, "applied_ms", Long.toString(applied));
+        writeParameterStatus(out, "load", load);
         return out.writeBytes(Encoder.ready());
     }
 
-    private static void status(ByteBuf out, String name, String value) {
+    private static void writeParameterStatus(ByteBuf out, String name, String value) {
         byte[] text = (name + '\0' + value + '\0').getBytes(UTF_8);
         out.writeByte('S').writeInt(4 + text.length).writeBytes(text);
     }
 
-    private static final class Connection extends ChannelInboundHandlerAdapter {
+    private static final class StubNodeHandler extends ChannelInboundHandlerAdapter {
         private final String role;
-        private final Function<Statement, Deed> deeds;
+        private final Function<Statement, StubResponse> responses;
 
-        private Connection(String role, Function<Statement, Deed> deeds) {
+        private StubNodeHandler(String role, Function<Statement, StubResponse> deeds) {
             this.role = role;
-            this.deeds = deeds;
+            this.responses = deeds;
         }
 
         @Override
@@ -95,17 +95,17 @@
             if (message instanceof ClientMessage.Startup) {
                 ctx.writeAndFlush(Encoder.welcome(0, Map.of()));
             } else if (message instanceof ClientMessage.Query query) {
-                done(ctx, deeds.apply(query.statement()));
-            } else if (message instanceof ClientMessage.UnreadableQuery && !role.equals(MUTE)) {
-                done(
+                respond(ctx, responses.apply(query.statement()));
+            } else if (message instanceof ClientMessage.UnreadableQuery && !role.equals(UNRESPONSIVE)) {
+                respond(
                         ctx,
-                        Deed.answer("x0=" + System.currentTimeMillis() / 1000.0 + ",x1="
+                        StubResponse.answer("x0=" + System.currentTimeMillis() / 1000.0 + ",x1="
                                 + (role.equals("primary") ? 1 : 0) + ",inflight=1"));
             }
         }
 
-        private void done(ChannelHandlerContext ctx, Deed deed) {
-            if (deed.resets()) {
+        private void respond(ChannelHandlerContext ctx, StubResponse deed) {
+            if (deed.closesConnection()) {
                 ctx.close();
             } else if (deed.bytes() != null) {
                 ctx.writeAndFlush(deed.bytes().retainedDuplicate());
@@ -117,7 +117,7 @@
         }
 
         private ByteBuf row(String value) {
-            return StandInNode.row(
+            return StubNode.row(
                     value, role, System.currentTimeMillis(), "inflight=1,x0=" + System.currentTimeMillis() / 1000.0);
         }
 
--- a/daemon/src/main/java/clayhook/rehearsal/StandIn.java
+++ b/daemon/src/main/java/clayhook/rehearsal/StubServer.java
@@ -7,23 +7,23 @@
 import java.util.function.Supplier;
 
 /** A small server that stands in for an outside system. */
-abstract class StandIn {
-    private final InetSocketAddress asked;
-    private final Channel listening;
+abstract class StubServer {
+    private final InetSocketAddress requestedAddress;
+    private final Channel serverChannel;
 
     /** {@code handlers} makes the handlers of each connection. */
-    StandIn(Transport transport, InetSocketAddress address, Supplier<ChannelHandler[]> handlers)
+    StubServer(Transport transport, InetSocketAddress address, Supplier<ChannelHandler[]> handlers)
             throws InterruptedException {
-        asked = address;
-        listening = transport.listen(address, handlers);
+        requestedAddress = address;
+        serverChannel = transport.listen(address, handlers);
     }
 
     public final InetSocketAddress address() {
-        return listening.localAddress() instanceof InetSocketAddress given ? given : asked;
+        return serverChannel.localAddress() instanceof InetSocketAddress given ? given : requestedAddress;
     }
 
     /** Takes no more connections. */
     public final void close() throws InterruptedException {
-        listening.close().sync();
+        serverChannel.close().sync();
     }
 }
--- a/daemon/src/main/java/clayhook/rehearsal/Rehearsal.java
+++ b/daemon/src/main/java/clayhook/rehearsal/WarmUp.java
@@ -4,7 +4,7 @@
 import clayhook.CommandGroup.ReadLevel;
 import clayhook.Settings;
 import clayhook.config.Configuration;
-import clayhook.discovery.NodeList;
+import clayhook.discovery.EndpointList;
 import clayhook.log.Log;
 import clayhook.protocol.Statement;
 import clayhook.serve.Server;
@@ -23,22 +23,22 @@
  * Runs the whole router against stand-ins within the process before it serves: the first command of a cold process
  * takes tens of milliseconds, many times that on a shared core, and clients would wait for it.
  */
-public final class Rehearsal {
+public final class WarmUp {
     /** Clients at once, and what each sends; by then the runtime has compiled what is used most. */
-    private static final int CLIENTS = 6;
+    private static final int CONCURRENT_CLIENTS = 6;
 
-    private static final int COMMANDS = 80;
+    private static final int REQUESTS_PER_CLIENT = 80;
     /** Commands that a client sends before another takes its place. */
-    private static final int STAY = 2;
+    private static final int REQUESTS_PER_CONNECTION = 2;
     /** Until all that is used is compiled, on half a core. */
-    private static final double LONGEST_S = 3;
+    private static final double MAX_SECONDS = 3;
     /** A router that comes back is awaited, and its clients come back one by one. */
-    private static final double LONGEST_AWAITED_S = 1.4;
+    private static final double MAX_RESTART_SECONDS = 1.4;
 
     /** It ends by itself as soon as its time is over; what stands then does not go on. */
-    private static final double OVERTIME_S = 0.5;
+    private static final double GRACE_SECONDS = 0.5;
 
-    private Rehearsal() {}
+    private WarmUp() {}
 
     /** Closes the transport in the end; false where that carries nothing, so that nothing was rehearsed. */
     public static boolean run(Settings settings, Transport transport, boolean awaited) throws InterruptedException {
@@ -47,14 +47,14 @@
 
     static boolean run(Settings settings, Transport transport, Transport outside, boolean awaited)
             throws InterruptedException {
-        double longest = awaited ? LONGEST_AWAITED_S : LONGEST_S;
+        double longest = awaited ? MAX_RESTART_SECONDS : MAX_SECONDS;
         double until = System.nanoTime() / 1e9 + longest;
-        var play = new FutureTask<>(() -> play(settings, transport, outside, until));
+        var play = new FutureTask<>(() -> serveStubClients(settings, transport, outside, until));
         var thread = new Thread(play, "rehearsal");
         thread.setDaemon(true);
         thread.start();
         try {
-            return play.get((long) ((longest + OVERTIME_S) * 1e9), TimeUnit.NANOSECONDS);
+            return play.get((long) ((longest + GRACE_SECONDS) * 1e9), TimeUnit.NANOSECONDS);
         } catch (TimeoutException e) {
             // Guards against a start that waits for a loop that hangs.
             Log.warn("rehearsal", "the rehearsal was broken off");
@@ -66,19 +66,19 @@
         } finally {
             transport.close();
             // Guards against serving while its sockets still count against the descriptors of the process.
-            transport.awaitClosed(OVERTIME_S);
+            transport.awaitClosed(GRACE_SECONDS);
         }
     }
 
-    private static boolean play(Settings settings, Transport transport, Transport outside, double until)
+    private static boolean serveStubClients(Settings settings, Transport transport, Transport outside, double until)
             throws InterruptedException {
-        var primary = new StandInNode(transport, transport.spare(1), "primary", any -> StandInNode.Deed.answer("p"));
-        var replica = new StandInNode(transport, transport.spare(2), "replica", any -> StandInNode.Deed.answer("r"));
-        var other = new StandInNode(transport, transport.spare(3), "replica", deeds());
-        String list = "{\"rev\":2,\"all\":true,\"targets\":[" + entry("p", primary) + "," + entry("r", replica) + ","
-                + entry("o", other) + "]}";
+        var primary = new StubNode(transport, transport.spare(1), "primary", any -> StubNode.StubResponse.answer("p"));
+        var replica = new StubNode(transport, transport.spare(2), "replica", any -> StubNode.StubResponse.answer("r"));
+        var other = new StubNode(transport, transport.spare(3), "replica", varyingResponses());
+        String list = "{\"rev\":2,\"all\":true,\"targets\":[" + endpointJson("p", primary) + "," + endpointJson("r", replica) + ","
+                + endpointJson("o", other) + "]}";
         var discovery =
-                new StandInDiscovery(transport, transport.spare(4), call -> call.contains("after=2") ? null : list);
+                new StubDiscovery(transport, transport.spare(4), call -> call.contains("after=2") ? null : list);
         var server = new Server(
                 transport,
                 new Configuration(
@@ -88,29 +88,29 @@
                         1,
                         1 << 24,
                         1000,
-                        new NodeList(0, true, List.of()),
+                        new EndpointList(0, true, List.of()),
                         settings,
                         1));
-        var clients = new ArrayList<StandInClient>();
+        var clients = new ArrayList<StubClient>();
         boolean carried = true;
-        for (int i = 0; carried && i < COMMANDS && System.nanoTime() / 1e9 < until; i++) {
-            for (int j = 0; j < CLIENTS; j++) {
+        for (int i = 0; carried && i < REQUESTS_PER_CLIENT && System.nanoTime() / 1e9 < until; i++) {
+            for (int j = 0; j < CONCURRENT_CLIENTS; j++) {
                 CommandGroup group = settings.groups().get(j % settings.groups().size());
-                ByteBuf statement = StandInClient.statement(
+                ByteBuf statement = StubClient.statement(
                         group.level() == ReadLevel.WRITE, "id=" + j + ",c=" + group.name() + ",d=400,k=2,cluster=1");
-                if (i % STAY == 0) {
-                    clients.add(new StandInClient(outside, server.address()));
-                    clients.get(j).send(StandInClient.hello(statement));
+                if (i % REQUESTS_PER_CONNECTION == 0) {
+                    clients.add(new StubClient(outside, server.address()));
+                    clients.get(j).send(StubClient.startupAndFirst(statement));
                 } else {
                     clients.get(j).send(statement);
                 }
             }
-            for (StandInClient client : clients) {
+            for (StubClient client : clients) {
                 // Guards against a start that waits for sockets which the platform has not got.
-                carried = carried && (i % STAY != 0 || heard(client, until)) && heard(client, until);
+                carried = carried && (i % REQUESTS_PER_CONNECTION != 0 || receivedAnswer(client, until)) && receivedAnswer(client, until);
             }
-            if (i % STAY == STAY - 1) {
-                clients.forEach(StandInClient::close);
+            if (i % REQUESTS_PER_CONNECTION == REQUESTS_PER_CONNECTION - 1) {
+                clients.forEach(StubClient::close);
                 clients.clear();
             }
         }
@@ -119,22 +119,22 @@
         return carried || System.nanoTime() / 1e9 >= until;
     }
 
-    private static boolean heard(StandInClient client, double until) throws InterruptedException {
-        String word = client.next(Math.max(0, until - System.nanoTime() / 1e9));
-        return word != null && !word.equals(StandInClient.NO_CONNECTION);
+    private static boolean receivedAnswer(StubClient client, double until) throws InterruptedException {
+        String word = client.nextAnswer(Math.max(0, until - System.nanoTime() / 1e9));
+        return word != null && !word.equals(StubClient.NO_CONNECTION);
     }
 
-    private static Function<Statement, StandInNode.Deed> deeds() {
+    private static Function<Statement, StubNode.StubResponse> varyingResponses() {
         var count = new AtomicInteger();
         return any -> switch (count.incrementAndGet()) {
-            case 2 -> StandInNode.Deed.error("53300");
-            case 5 -> StandInNode.Deed.error("72000");
-            case 11 -> StandInNode.Deed.reset();
-            default -> StandInNode.Deed.answer("value");
+            case 2 -> StubNode.StubResponse.error("53300");
+            case 5 -> StubNode.StubResponse.error("72000");
+            case 11 -> StubNode.StubResponse.closeConnection();
+            default -> StubNode.StubResponse.answer("value");
         };
     }
 
-    private static String entry(String id, StandInNode node) {
+    private static String endpointJson(String id, StubNode node) {
         return "{\"uid\":\"" + id + "\",\"endpoint\":\"127.0.0.1:"
                 + node.address().getPort()
                 + "\",\"az\":\"a\",\"model\":\"m\",\"pod_group\":1,\"state\":\"up\",\"capacity_hint\":1.0,"
--- a/daemon/src/main/java/clayhook/serve/Router.java
+++ b/daemon/src/main/java/clayhook/serve/Router.java
@@ -16,14 +16,14 @@
 import clayhook.Told;
 import clayhook.config.Configuration;
 import clayhook.config.Operator;
-import clayhook.discovery.Discovery;
-import clayhook.discovery.NodeList;
+import clayhook.discovery.EndpointWatcher;
+import clayhook.discovery.EndpointList;
 import clayhook.front.ClientCommand;
 import clayhook.front.Front;
 import clayhook.front.Session;
 import clayhook.hand.Hand;
 import clayhook.log.Log;
-import clayhook.nodes.Nodes;
+import clayhook.nodes.BackendClient;
 import clayhook.protocol.Statement;
 import clayhook.sql.SqlCommands;
 import clayhook.transport.Clock;
@@ -44,7 +44,7 @@
 import java.util.function.DoubleConsumer;
 
 /** The loop: gathers what is ready, hands it to the module in one go, carries out what came back. */
-public final class Router implements Session.Listener, Nodes.Listener, Discovery.Listener, Sharing.Listener {
+public final class Router implements Session.Listener, BackendClient.Listener, EndpointWatcher.Listener, Sharing.Listener {
     /** Time between summaries in the log. */
     private static final double SUMMARY = 10;
     /** Time between looks at connections that open or stand idle; short beside a connection's time limit. */
@@ -72,8 +72,8 @@
     private final Map<String, CommandGroup> groups = new HashMap<>();
     private final Decide decide;
     private final Hand hand;
-    private final Nodes nodes;
-    private final Discovery discovery;
+    private final BackendClient nodes;
+    private final EndpointWatcher discovery;
     private final Front front;
     private final Descriptors descriptors;
     /** Null where nothing is shared with other routers. */
@@ -115,7 +115,7 @@
         descriptors = new Descriptors(configuration.sockets());
         decide = new Decide(settings, configuration.seed());
         hand = new Hand(decide, fault -> Log.fault("a turn failed", fault));
-        nodes = new Nodes(
+        nodes = new BackendClient(
                 transport,
                 clock,
                 descriptors,
@@ -127,7 +127,7 @@
         sql = operator.statements() == null
                 ? null
                 : new SqlCommands(operator.statements(), settings.groups(), configuration.seed());
-        discovery = new Discovery(
+        discovery = new EndpointWatcher(
                 transport,
                 configuration.discovery(),
                 configuration.known().version(),
@@ -205,7 +205,7 @@
                 session.settings().client(),
                 session.settings().timeout(),
                 session.settings().values());
-        if (order instanceof SqlCommands.Order.Taken taken && nodes.listed(taken.nodes())) {
+        if (order instanceof SqlCommands.Order.Taken taken && nodes.hasReplicaSet(taken.nodes())) {
             Log.count(taken.classed().verdict() + " " + taken.classed().rule());
             tell(rest, now -> take(command(taken, session, now, taken.seconds()), now));
             return;
@@ -242,7 +242,7 @@
                         ? "a statement of another kind than its command group"
                         : group.effect() == Effect.KEYED && !statement.keyed
                                 ? "no key in a keyed command group"
-                                : !nodes.listed(statement.nodeGroup)
+                                : !nodes.hasReplicaSet(statement.nodeGroup)
                                         ? "unknown group of nodes"
                                         : open.contains(statement.id) ? "the id of an open command" : null;
     }
@@ -256,7 +256,7 @@
                 Log.count("left");
                 shareDoubt(command);
                 hand.left(command);
-                command.dispatches.forEach(nodes::withdraw);
+                command.dispatches.forEach(nodes::cancelIfUnsent);
             }
         });
     }
@@ -275,7 +275,7 @@
             hand.left(command);
             // What was decided in this turn is carried out before, and what is recalled then ends before the answer.
             tell(rest, next -> {
-                hand.unwanted(command).forEach(nodes::recall);
+                hand.unwanted(command).forEach(nodes::cancel);
                 tell(rest, last -> {
                     shareDoubt(command);
                     session.cancelled(mayHaveRun(command));
@@ -289,7 +289,7 @@
     }
 
     @Override
-    public void ended(Dispatch dispatch, Reply reply, List<byte[]> answer, String error) {
+    public void onAttemptFinished(Dispatch dispatch, Reply reply, List<byte[]> answer, String error) {
         Log.count(reply.outcome().toString());
         tell(rest, now -> {
             var command = (ClientCommand) dispatch.command;
@@ -381,7 +381,7 @@
     }
 
     @Override
-    public void probed(Node node, Reply reply) {
+    public void onHealthCheck(Node node, Reply reply) {
         Log.count("probe " + reply.outcome());
         tell(rest, now -> {
             if (sharing != null) {
@@ -392,32 +392,32 @@
     }
 
     @Override
-    public boolean mayGo(Dispatch dispatch) {
+    public boolean mayStillSend(Dispatch dispatch) {
         return !((ClientCommand) dispatch.command).session.gone() && decide.mayStillGo(dispatch, clock.now());
     }
 
     @Override
-    public boolean knows(Node node) {
+    public boolean isKnown(Node node) {
         return decide.knows(node);
     }
 
     @Override
-    public void listed(NodeList list) {
+    public void onEndpointList(EndpointList list) {
         if (sharing != null) {
             ownRevision = Math.max(ownRevision, list.version());
-            sharing.listed(discovery.toldBy(), list);
+            sharing.listed(discovery.lastAnsweredBy(), list);
         }
-        tell(lists, now -> decide.listed(listings(list), list.whole(), now));
+        tell(lists, now -> decide.listed(listings(list), list.complete(), now));
     }
 
     /** What this router's own discovery has overtaken counts only where it closes a node. */
     @Override
-    public void told(Collection<NodeList> changes) {
+    public void told(Collection<EndpointList> changes) {
         Log.count("list told");
         tell(lists, now -> {
             var news = new ArrayList<Listing>();
-            for (NodeList change : changes) {
-                boolean closes = change.entries().stream().allMatch(entry -> entry.state() != Listing.State.READY);
+            for (EndpointList change : changes) {
+                boolean closes = change.endpoints().stream().allMatch(entry -> entry.state() != Listing.State.READY);
                 news.addAll(closes || change.version() >= ownRevision ? listings(change) : List.of());
             }
             decide.listed(news, false, now);
@@ -433,7 +433,7 @@
         tell(
                 rest,
                 now -> told.forEach((id, what) -> {
-                    Node node = nodes.named(id);
+                    Node node = nodes.findNode(id);
                     if (node != null) {
                         decide.told(node, what, now);
                     }
@@ -441,19 +441,19 @@
     }
 
     @Override
-    public void listFailed() {
+    public void onEndpointListFailed() {
         tell(lists, decide::listFailed);
     }
 
     @Override
-    public void listLate() {
+    public void onEndpointListLate() {
         tell(lists, decide::listLate);
     }
 
-    private List<Listing> listings(NodeList list) {
+    private List<Listing> listings(EndpointList list) {
         var listings = new ArrayList<Listing>();
-        for (NodeList.Entry entry : list.entries()) {
-            Node node = nodes.at(entry.id(), entry.zone(), entry.group(), entry.address());
+        for (EndpointList.DiscoveredEndpoint entry : list.endpoints()) {
+            Node node = nodes.registerNode(entry.id(), entry.zone(), entry.replicaSetId(), entry.address());
             listings.add(new Listing(node, entry.state(), entry.primary(), entry.startedAt()));
         }
         return listings;
@@ -487,12 +487,12 @@
         then.forEach(news -> guarded(() -> news.accept(now)));
         Hand.Turn turn = hand.settle(now);
         turn.orders().forEach(order -> guarded(() -> carryOut(order.command(), order.choice())));
-        turn.pause().probes().forEach(nodes::probe);
+        turn.pause().probes().forEach(nodes::startHealthCheck);
         if (sharing != null && !turn.pause().probes().isEmpty()) {
             sharing.used(Sharing.Limit.PROBES, turn.pause().probes().size());
         }
         if (turn.pause().watchList()) {
-            discovery.watch();
+            discovery.ensureWatching();
         }
         if (turn.wake() > 0) {
             wake(now, turn.wake());
@@ -504,10 +504,10 @@
         }
         if (now >= summaryAt) {
             summaryAt = now + SUMMARY;
-            Log.info("summary: clients " + front.size() + ", connections to nodes " + nodes.connections()
+            Log.info("summary: clients " + front.size() + ", connections to nodes " + nodes.connectionCount()
                     + ", in hand " + hand.size() + ", descriptors at most "
                     + descriptors.peak() + ", turns late at most " + Math.round(late * 1000) + " ms, " + Log.counts());
-            Log.info("nodes: " + decide.beliefs(now) + ", under way " + nodes.underWay());
+            Log.info("nodes: " + decide.beliefs(now) + ", under way " + nodes.inFlightByNode());
             if (sql != null) {
                 Log.info("statements: " + sql.summary());
             }
@@ -540,7 +540,7 @@
 
     private void carryOut(Command command, Choice choice) {
         var order = (ClientCommand) command;
-        choice.recall().forEach(nodes::recall);
+        choice.recall().forEach(nodes::cancel);
         if (choice.verdict() == Verdict.SEND) {
             nodes.send(choice.dispatch(), order.outgoing);
             if (sharing != null && order.dispatches.size() > 1) {
@@ -586,7 +586,7 @@
         kept += shares ? "" : (kept.isEmpty() ? "" : ", ") + "sharing but its seeds";
         Log.info("reload: discovery at " + fresh.discovery()
                 + (kept.isEmpty() ? "" : "; a restart is needed for " + kept));
-        discovery.move(fresh.discovery());
+        discovery.moveTo(fresh.discovery());
         if (sharing != null) {
             ownRevision = -1;
             sharing.moved(fresh.discovery());
--- a/daemon/src/main/java/clayhook/serve/Sharing.java
+++ b/daemon/src/main/java/clayhook/serve/Sharing.java
@@ -4,7 +4,7 @@
 import clayhook.Reply;
 import clayhook.Told;
 import clayhook.config.SharingSettings;
-import clayhook.discovery.NodeList;
+import clayhook.discovery.EndpointList;
 import clayhook.front.ClientCommand;
 import java.net.InetSocketAddress;
 import java.util.Collection;
@@ -25,7 +25,7 @@
          * The discovery that this router hears now said that, perhaps to others only; or another did, where it says
          * nothing.
          */
-        void told(Collection<NodeList> changes);
+        void told(Collection<EndpointList> changes);
     }
 
     /** What all routers together may use of, in units: probes, and dispatches beyond the first of a command. */
@@ -44,7 +44,7 @@
     void looked(Node node, Reply reply, double now);
 
     /** The discovery at that address told this. */
-    void listed(InetSocketAddress discovery, NodeList list);
+    void listed(InetSocketAddress discovery, EndpointList list);
 
     /** Discovery is asked at that address from now on. */
     void moved(InetSocketAddress discovery);
--- a/daemon/src/main/java/clayhook/sim/BadInput.java
+++ b/daemon/src/main/java/clayhook/sim/SimulatorProtocolException.java
@@ -1,10 +1,10 @@
 package clayhook.sim;
 
 /** A line of the wire that cannot be understood; the message names it. */
-public final class BadInput extends Exception {
+public final class SimulatorProtocolException extends Exception {
     private static final long serialVersionUID = 1;
 
-    public BadInput(String message) {
+    public SimulatorProtocolException(String message) {
         super(message);
     }
 }
--- a/daemon/src/main/java/clayhook/sim/Configuration.java
+++ b/daemon/src/main/java/clayhook/sim/SimulatorSettings.java
@@ -7,32 +7,32 @@
 import java.util.Map;
 
 /** The settings of a CONFIGURE line. */
-final class Configuration {
+final class SimulatorSettings {
     private final Settings settings;
     /** The clock time from which positions are reckoned, in nanoseconds. */
-    private final long origin;
+    private final long originNanos;
 
-    Configuration(Line line) throws BadInput {
+    SimulatorSettings(InputLine line) throws SimulatorProtocolException {
         Map<String, String> values = new HashMap<>();
-        for (String pair : line.rest().split(" ")) {
+        for (String pair : line.remainder().split(" ")) {
             int sign = pair.indexOf('=');
             if (sign > 0) {
                 values.put(pair.substring(0, sign), pair.substring(sign + 1));
             } else if (!pair.isEmpty()) {
-                throw line.bad("has a setting '" + pair + "' without a value");
+                throw line.error("has a setting '" + pair + "' without a value");
             }
         }
         try {
             var reader = new SettingsReader(values);
             settings = reader.settings();
-            origin = reader.origin();
+            originNanos = reader.origin();
         } catch (BadConfig e) {
-            throw line.bad("has a bad setting, " + e.getMessage());
+            throw line.error("has a bad setting, " + e.getMessage());
         }
     }
 
-    long origin() {
-        return origin;
+    long originNanos() {
+        return originNanos;
     }
 
     Settings settings() {
--- a/daemon/src/test/java/clayhook/config/ConfigurationTest.java
+++ b/daemon/src/test/java/clayhook/config/ConfigurationTest.java
@@ -61,7 +61,7 @@
                 .replace("\"balancers\":3", "\"balancers\":2000"));
         assertEquals(
                 List.of(2000, 2000),
-                List.of(read.known().entries().size(), read.settings().routers()));
+                List.of(read.known().endpoints().size(), read.settings().routers()));
     }
 
     @ParameterizedTest
--- a/daemon/src/test/java/clayhook/discovery/DiscoveryTest.java
+++ b/daemon/src/test/java/clayhook/discovery/DiscoveryDecodingTest.java
@@ -15,12 +15,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class DiscoveryTest {
+class DiscoveryDecodingTest {
     private static final String ENTRY = "{\"uid\":\"s\",\"endpoint\":\"127.0.0.1:6543\",\"az\":\"a\",\"pod_group\":3,"
             + "\"state\":\"draining\",\"role\":\"primary\",\"boot_ms\":1500}";
 
     private static HttpResponse read(String text, int size, boolean ends) {
-        var channel = new EmbeddedChannel(new HttpDecoder());
+        var channel = new EmbeddedChannel(new HttpResponseDecoder());
         for (int i = 0; i < text.length(); i += size) {
             String some = text.substring(i, Math.min(text.length(), i + size));
             channel.writeInbound(Unpooled.copiedBuffer(some, UTF_8));
@@ -35,7 +35,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 3, 1000})
-    void answersMayBeSplitAnywhere(int size) {
+    void responseIsDecodedHoweverItIsSplit(int size) {
         assertEquals(
                 new HttpResponse(200, "hello", false),
                 read("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", size, false));
@@ -53,8 +53,8 @@
     }
 
     @Test
-    void aResetIsNoEndOfAnAnswerWithoutALength() {
-        var channel = new EmbeddedChannel(new HttpDecoder());
+    void connectionResetDoesNotCompleteAResponseWithoutLength() {
+        var channel = new EmbeddedChannel(new HttpResponseDecoder());
         channel.writeInbound(
                 Unpooled.copiedBuffer("HTTP/1.1 200 OK\r\n\r\n{\"rev\":1,\"all\":true,\"targets\":[]}", UTF_8));
         channel.pipeline().fireExceptionCaught(new IOException("Connection reset"));
@@ -63,11 +63,11 @@
     }
 
     @Test
-    void aListMayComeIndented() {
+    void indentedListIsParsed() {
         String indented = "{\r\n\t\"rev\" : 43,\n  \"all\" : false,\n  \"targets\" : [\n    "
                 + ENTRY.replace(",", " ,\n      ").replace(":\"", " : \"") + "\n  ]\n}\n";
         assertEquals(
-                NodeList.parse("{\"rev\":43,\"all\":false,\"targets\":[" + ENTRY + "]}"), NodeList.parse(indented));
+                EndpointList.parse("{\"rev\":43,\"all\":false,\"targets\":[" + ENTRY + "]}"), EndpointList.parse(indented));
     }
 
     @ParameterizedTest
@@ -79,20 +79,20 @@
                 "HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n",
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"
             })
-    void nonsenseIsAnAnswerWithoutStatus(String text) {
+    void malformedResponseHasStatusZero(String text) {
         assertEquals(0, read(text, 1000, false).status());
     }
 
     @Test
-    void aListIsReadEntryByEntry() {
+    void everyEndpointOfALongListIsParsed() {
         String text = "{\"rev\":43,\"all\":false,\"targets\":[" + (ENTRY + ",").repeat(1999) + ENTRY + "]}";
-        NodeList list = NodeList.parse(
+        EndpointList list = EndpointList.parse(
                 read("HTTP/1.1 200 OK\r\nContent-Length: " + text.length() + "\r\n\r\n" + text, 1000, false)
                         .body());
-        assertEquals(2000, list.entries().size());
-        NodeList.Entry entry = list.entries().get(1999);
+        assertEquals(2000, list.endpoints().size());
+        EndpointList.DiscoveredEndpoint entry = list.endpoints().get(1999);
         assertEquals(43, list.version());
-        assertEquals(new NodeList.Entry("s", entry.address(), "a", 3, State.DRAINING, true, 1.5), entry);
+        assertEquals(new EndpointList.DiscoveredEndpoint("s", entry.address(), "a", 3, State.DRAINING, true, 1.5), entry);
         assertEquals(6543, entry.address().getPort());
     }
 
@@ -108,9 +108,9 @@
                 "1500 | \"x\" | boot_ms",
                 "{ | [ | missing"
             })
-    void aFaultyListIsNamed(String part, String by, String named) {
+    void errorNamesTheFaultyField(String part, String by, String named) {
         String text = "{\"rev\":43,\"all\":true,\"targets\":[" + ENTRY.replace(part, by) + "]}";
-        var bad = assertThrows(IllegalArgumentException.class, () -> NodeList.parse(text));
+        var bad = assertThrows(IllegalArgumentException.class, () -> EndpointList.parse(text));
         assertTrue(bad.getMessage().contains(named), bad.getMessage());
     }
 }
--- a/daemon/src/test/java/clayhook/front/FrontTest.java
+++ b/daemon/src/test/java/clayhook/front/FrontTest.java
@@ -5,7 +5,7 @@
 
 import clayhook.protocol.Encoder;
 import clayhook.protocol.Statement;
-import clayhook.rehearsal.StandInClient;
+import clayhook.rehearsal.StubClient;
 import clayhook.transport.Descriptors;
 import clayhook.transport.Transport;
 import io.netty.buffer.ByteBuf;
@@ -49,14 +49,14 @@
         front = new Front(transport, transport.spare(0), new Descriptors(descriptors), 1 << 24, null, () -> now, this);
     }
 
-    private StandInClient client(ByteBuf first) throws InterruptedException {
-        var client = new StandInClient(transport, front.address());
+    private StubClient client(ByteBuf first) throws InterruptedException {
+        var client = new StubClient(transport, front.address());
         client.send(first);
         return client;
     }
 
     private static ByteBuf read() {
-        return StandInClient.statement(false, "id=1,c=a,d=5000,cluster=1");
+        return StubClient.statement(false, "id=1,c=a,d=5000,cluster=1");
     }
 
     private void answer() throws Exception {
@@ -79,26 +79,26 @@
     @ValueSource(ints = {0, 3, 20, 60})
     void aClientThatNeverSendsAWholeCommandIsEnded(int bytes) throws Exception {
         start(1024);
-        var silent = client(StandInClient.hello(read()).slice(0, bytes));
+        var silent = client(StubClient.startupAndFirst(read()).slice(0, bytes));
         await(1);
         sweep(1);
         assertEquals(1, transport.loop().submit(front::size).get());
         sweep(1.5);
-        String word = silent.next();
-        assertEquals("57P05 closed", word.equals("ready") ? silent.next() : word);
+        String word = silent.nextAnswer();
+        assertEquals("57P05 closed", word.equals("ready") ? silent.nextAnswer() : word);
     }
 
     @ParameterizedTest
     @CsvSource({"false, 60, 1", "true, 2.5, 0"})
     void aClientMayBeQuietBetweenCommandsButNotWithinOne(boolean half, double later, int left) throws Exception {
         start(1024);
-        var client = client(StandInClient.hello(read()));
+        var client = client(StubClient.startupAndFirst(read()));
         answer();
-        assertEquals("ready", client.next());
-        assertEquals("40003", client.next());
+        assertEquals("ready", client.nextAnswer());
+        assertEquals("40003", client.nextAnswer());
         if (half) {
             client.send(Unpooled.wrappedBuffer(Encoder.query(new byte[0]), read().slice(0, 9)));
-            assertEquals("ready", client.next());
+            assertEquals("ready", client.nextAnswer());
         }
         sweep(0);
         sweep(later);
@@ -108,50 +108,50 @@
     @Test
     void aClientThatSendsHundredsOfCommandsAtOnceIsEndedAfterTheFirst() throws Exception {
         start(1024);
-        ByteBuf all = Unpooled.buffer().writeBytes(StandInClient.hello(read()));
+        ByteBuf all = Unpooled.buffer().writeBytes(StubClient.startupAndFirst(read()));
         for (int i = 0; i < 300; i++) {
             all.writeBytes(read());
         }
         var client = client(all);
-        assertEquals("ready", client.next());
+        assertEquals("ready", client.nextAnswer());
         for (int i = 0; i < 33; i++) {
             answer();
-            assertEquals("40003", client.next());
+            assertEquals("40003", client.nextAnswer());
         }
-        assertTrue(client.next().endsWith("closed"));
+        assertTrue(client.nextAnswer().endsWith("closed"));
         assertEquals(0, taken.size());
     }
 
     @Test
     void silentClientsMakeRoomBeforeThoseThatAsk() throws Exception {
         start(48 + 2 * 2);
-        var usual = client(StandInClient.hello(read()));
+        var usual = client(StubClient.startupAndFirst(read()));
         answer();
-        assertEquals("40003", List.of(usual.next(), usual.next()).get(1));
+        assertEquals("40003", List.of(usual.nextAnswer(), usual.nextAnswer()).get(1));
         for (int i = 0; i < 5; i++) {
             now += 0.1;
             assertEquals(
-                    "ready", client(StandInClient.hello(Unpooled.EMPTY_BUFFER)).next());
+                    "ready", client(StubClient.startupAndFirst(Unpooled.EMPTY_BUFFER)).nextAnswer());
         }
         usual.send(read());
         answer();
-        assertEquals("40003", usual.next());
+        assertEquals("40003", usual.nextAnswer());
     }
 
     @Test
     void clientsThatAskedOnceAndStayMakeRoomForThoseThatCome() throws Exception {
         start(48 + 2 * 2);
-        var once = client(StandInClient.hello(read()));
+        var once = client(StubClient.startupAndFirst(read()));
         answer();
-        assertEquals("40003", List.of(once.next(), once.next()).get(1));
+        assertEquals("40003", List.of(once.nextAnswer(), once.nextAnswer()).get(1));
         now += 3;
-        var fresh = client(StandInClient.hello(Unpooled.EMPTY_BUFFER));
-        assertEquals("ready", fresh.next());
-        assertEquals("ready", client(StandInClient.hello(Unpooled.EMPTY_BUFFER)).next());
-        assertEquals("closed", once.next());
+        var fresh = client(StubClient.startupAndFirst(Unpooled.EMPTY_BUFFER));
+        assertEquals("ready", fresh.nextAnswer());
+        assertEquals("ready", client(StubClient.startupAndFirst(Unpooled.EMPTY_BUFFER)).nextAnswer());
+        assertEquals("closed", once.nextAnswer());
         fresh.send(read());
         answer();
-        assertEquals("40003", fresh.next());
+        assertEquals("40003", fresh.nextAnswer());
     }
 
     @ParameterizedTest
@@ -159,9 +159,9 @@
     void whereClientsAreManyThoseThatAskedOnceAndStayAreLetGo(int room, int left) throws Exception {
         start(48 + 2 * room);
         for (int i = 0; i < 2; i++) {
-            var once = client(StandInClient.hello(read()));
+            var once = client(StubClient.startupAndFirst(read()));
             answer();
-            assertEquals("40003", List.of(once.next(), once.next()).get(1));
+            assertEquals("40003", List.of(once.nextAnswer(), once.nextAnswer()).get(1));
         }
         sweep(0.1);
         await(left);
@@ -170,8 +170,8 @@
     @Test
     void aClientForWhomNoneCanMakeRoomIsTurnedAway() throws Exception {
         start(48 + 2);
-        client(StandInClient.hello(read()));
+        client(StubClient.startupAndFirst(read()));
         taken.take();
-        assertTrue(client(StandInClient.hello(read())).next().endsWith("closed"));
+        assertTrue(client(StubClient.startupAndFirst(read())).nextAnswer().endsWith("closed"));
     }
 }
--- a/daemon/src/test/java/clayhook/front/SessionCrossingTest.java
+++ b/daemon/src/test/java/clayhook/front/SessionCrossingTest.java
@@ -7,7 +7,7 @@
 
 import clayhook.protocol.Encoder;
 import clayhook.protocol.Statement;
-import clayhook.rehearsal.StandInClient;
+import clayhook.rehearsal.StubClient;
 import clayhook.transport.Descriptors;
 import clayhook.transport.Transport;
 import io.netty.buffer.ByteBuf;
@@ -72,7 +72,7 @@
     }
 
     private static ByteBuf command() {
-        return StandInClient.statement(false, "id=1,c=a,d=5000,cluster=1");
+        return StubClient.statement(false, "id=1,c=a,d=5000,cluster=1");
     }
 
     private static ByteBuf commands(int many) {
--- a/daemon/src/test/java/clayhook/nodes/NodesTest.java
+++ b/daemon/src/test/java/clayhook/nodes/BackendClientTest.java
@@ -11,8 +11,8 @@
 import clayhook.Role;
 import clayhook.config.Operator;
 import clayhook.protocol.Statement;
-import clayhook.rehearsal.StandInNode;
-import clayhook.rehearsal.StandInNode.Deed;
+import clayhook.rehearsal.StubNode;
+import clayhook.rehearsal.StubNode.StubResponse;
 import clayhook.transport.Clock;
 import clayhook.transport.Descriptors;
 import clayhook.transport.Transport;
@@ -32,39 +32,39 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class NodesTest implements Nodes.Listener {
+class BackendClientTest implements BackendClient.Listener {
     private static final Statement READ = Statement.parse(
             "SELECT val FROM state WHERE uid = 'k' /* id=1,c=a,d=9,cluster=1 */".getBytes(StandardCharsets.UTF_8));
     private final Transport transport = Transport.tcp();
     private final Clock clock = new Clock();
     private final LinkedBlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
-    private final AtomicInteger statements = new AtomicInteger();
-    private int descriptors = 1024;
-    private boolean may = true;
-    private boolean knows = true;
-    private Reply reply;
+    private final AtomicInteger receivedStatements = new AtomicInteger();
+    private int descriptorLimit = 1024;
+    private boolean mayStillSend = true;
+    private boolean nodesKnown = true;
+    private Reply result;
     private String answer;
 
     @Override
-    public void ended(Dispatch dispatch, Reply reply, List<byte[]> answer, String error) {
-        this.reply = reply;
+    public void onAttemptFinished(Dispatch dispatch, Reply reply, List<byte[]> answer, String error) {
+        this.result = reply;
         this.answer = answer == null ? "" : new String(answer.get(1), StandardCharsets.ISO_8859_1);
         outcomes.add(reply.outcome());
     }
 
     @Override
-    public void probed(Node node, Reply reply) {
+    public void onHealthCheck(Node node, Reply reply) {
         outcomes.add(reply.outcome());
     }
 
     @Override
-    public boolean mayGo(Dispatch dispatch) {
-        return may;
+    public boolean mayStillSend(Dispatch dispatch) {
+        return mayStillSend;
     }
 
     @Override
-    public boolean knows(Node node) {
-        return knows;
+    public boolean isKnown(Node node) {
+        return nodesKnown;
     }
 
     @AfterEach
@@ -72,21 +72,21 @@
         transport.close();
     }
 
-    private Nodes nodes(double connectTimeout, double idle) {
-        return new Nodes(
-                transport, clock, new Descriptors(descriptors), 1 << 24, connectTimeout, idle, Operator.OFF, this);
+    private BackendClient newClient(double connectTimeout, double idle) {
+        return new BackendClient(
+                transport, clock, new Descriptors(descriptorLimit), 1 << 24, connectTimeout, idle, Operator.OFF, this);
     }
 
-    private Node node(Nodes nodes, String role, Deed first, Deed then) throws Exception {
-        var there = new StandInNode(
-                transport, transport.spare(0), role, any -> statements.incrementAndGet() == 1 ? first : then);
+    private Node stubNode(BackendClient nodes, String role, StubResponse first, StubResponse then) throws Exception {
+        var there = new StubNode(
+                transport, transport.spare(0), role, any -> receivedStatements.incrementAndGet() == 1 ? first : then);
         return transport
                 .loop()
-                .submit(() -> nodes.at("n", "a", 1, there.address()))
+                .submit(() -> nodes.registerNode("n", "a", 1, there.address()))
                 .get();
     }
 
-    private Dispatch send(Nodes nodes, Node node) throws Exception {
+    private Dispatch send(BackendClient nodes, Node node) throws Exception {
         var dispatch = new Dispatch(
                 new Command(null, 1, null, 0, clock.now(), clock.now() + 60),
                 node,
@@ -98,64 +98,64 @@
     }
 
     /** Sweeps until something has ended. */
-    private Outcome next(Nodes nodes) throws Exception {
+    private Outcome nextOutcome(BackendClient nodes) throws Exception {
         while (outcomes.isEmpty()) {
             transport.loop().submit(nodes::sweep).get();
         }
         return outcomes.take();
     }
 
-    private void awaitIdle(Nodes nodes) throws Exception {
-        while (transport.loop().submit(nodes::idle).get() == 0) {
+    private void awaitIdle(BackendClient nodes) throws Exception {
+        while (transport.loop().submit(nodes::idleCount).get() == 0) {
             Thread.onSpinWait();
         }
     }
 
     @ParameterizedTest
     @CsvSource({"mute, 0.5, TIMED_OUT", "replica, 60, ANSWERED"})
-    void aProbeIsBoundedInTimeAndTheNextOneGoesOut(String role, double timeout, Outcome outcome) throws Exception {
-        Nodes nodes = nodes(timeout, 60);
-        Node node = node(nodes, role, null, null);
+    void healthCheckTimesOutAndTheNextOneIsSent(String role, double timeout, Outcome outcome) throws Exception {
+        BackendClient nodes = newClient(timeout, 60);
+        Node node = stubNode(nodes, role, null, null);
         for (int i = 0; i < 2; i++) {
-            transport.loop().submit(() -> nodes.probe(node)).get();
-            assertEquals(outcome, next(nodes));
+            transport.loop().submit(() -> nodes.startHealthCheck(node)).get();
+            assertEquals(outcome, nextOutcome(nodes));
         }
     }
 
     @ParameterizedTest
     @CsvSource({"true, ANSWERED, 1", "false, NOT_SENT, 0"})
-    void whatMayNotGoAnyMoreIsNeverWritten(boolean allowed, Outcome outcome, int written) throws Exception {
-        may = allowed;
-        Nodes nodes = nodes(60, 60);
-        send(nodes, node(nodes, "replica", Deed.answer("a"), Deed.answer("a")));
-        assertEquals(outcome, next(nodes));
-        assertEquals(written, statements.get());
+    void attemptThatMayNoLongerBeSentIsNeverWritten(boolean allowed, Outcome outcome, int written) throws Exception {
+        mayStillSend = allowed;
+        BackendClient nodes = newClient(60, 60);
+        send(nodes, stubNode(nodes, "replica", StubResponse.answer("a"), StubResponse.answer("a")));
+        assertEquals(outcome, nextOutcome(nodes));
+        assertEquals(written, receivedStatements.get());
     }
 
     @Test
-    void wantOfOwnDescriptorsIsNoFailureOfTheNode() throws Exception {
-        descriptors = 1;
-        Nodes nodes = nodes(1, 9);
-        Node node = node(nodes, "replica", Deed.silence(), Deed.silence());
+    void lackOfLocalDescriptorsIsNotANodeFailure() throws Exception {
+        descriptorLimit = 1;
+        BackendClient nodes = newClient(1, 9);
+        Node node = stubNode(nodes, "replica", StubResponse.silence(), StubResponse.silence());
         send(nodes, node);
-        transport.loop().submit(() -> nodes.probe(node)).get();
+        transport.loop().submit(() -> nodes.startHealthCheck(node)).get();
         assertEquals(Outcome.NOT_SENT, outcomes.take());
     }
 
     @ParameterizedTest
     @CsvSource({"true, CANCELLED", "false, TIMED_OUT"})
-    void anAbandonedDispatchLeavesNoAnswerToTheNext(boolean recalled, Outcome outcome) throws Exception {
-        Nodes nodes = nodes(60, 60);
-        Node node = node(nodes, "replica", Deed.silence(), Deed.answer("a"));
+    void answerOfAnAbandonedAttemptNeverReachesTheNextOne(boolean recalled, Outcome outcome) throws Exception {
+        BackendClient nodes = newClient(60, 60);
+        Node node = stubNode(nodes, "replica", StubResponse.silence(), StubResponse.answer("a"));
         Dispatch first = send(nodes, node);
-        while (statements.get() == 0) {
+        while (receivedStatements.get() == 0) {
             Thread.onSpinWait();
         }
         transport
                 .loop()
                 .submit(() -> {
                     if (recalled) {
-                        nodes.recall(first);
+                        nodes.cancel(first);
                     } else {
                         nodes.expire(first);
                     }
@@ -163,53 +163,53 @@
                 .get();
         assertEquals(outcome, outcomes.take());
         send(nodes, node);
-        assertEquals(Outcome.ANSWERED, next(nodes));
-        assertEquals(2, statements.get());
+        assertEquals(Outcome.ANSWERED, nextOutcome(nodes));
+        assertEquals(2, receivedStatements.get());
     }
 
     @ParameterizedTest
     @CsvSource({"false, NOT_SENT", "true, ANSWERED"})
-    void whatIsWithdrawnEndsAtOnceWhereItWaitsForItsConnectionAndElseIsHeardOut(boolean written, Outcome outcome)
+    void cancelIfUnsentEndsAWaitingAttemptAndLeavesAWrittenOneRunning(boolean written, Outcome outcome)
             throws Exception {
-        Nodes nodes = nodes(60, 60);
+        BackendClient nodes = newClient(60, 60);
         try (var silent = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             Node node = written
-                    ? node(nodes, "replica", Deed.answer("a"), null)
+                    ? stubNode(nodes, "replica", StubResponse.answer("a"), null)
                     : transport
                             .loop()
-                            .submit(() -> nodes.at("n", "a", 1, (InetSocketAddress) silent.getLocalSocketAddress()))
+                            .submit(() -> nodes.registerNode("n", "a", 1, (InetSocketAddress) silent.getLocalSocketAddress()))
                             .get();
             Dispatch dispatch = send(nodes, node);
-            while (written && statements.get() == 0) {
+            while (written && receivedStatements.get() == 0) {
                 Thread.onSpinWait();
             }
-            transport.loop().submit(() -> nodes.withdraw(dispatch)).get();
+            transport.loop().submit(() -> nodes.cancelIfUnsent(dispatch)).get();
             assertEquals(outcome, outcomes.poll(20, TimeUnit.SECONDS));
         }
     }
 
     @ParameterizedTest
-    @CsvSource({"XX000, ERROR", "72000, TURNED_AWAY", "53300, FULL"})
-    void aConnectionIsUsedAgainAfterAnError(String code, Outcome outcome) throws Exception {
-        Nodes nodes = nodes(60, 60);
-        Node node = node(nodes, "replica", Deed.error(code), Deed.answer("a"));
+    @CsvSource({"XX000, ERROR", "72000, REJECTED", "53300, OVERLOADED"})
+    void connectionIsReusedAfterAnErrorResponse(String code, Outcome outcome) throws Exception {
+        BackendClient nodes = newClient(60, 60);
+        Node node = stubNode(nodes, "replica", StubResponse.error(code), StubResponse.answer("a"));
         send(nodes, node);
-        assertEquals(outcome, next(nodes));
+        assertEquals(outcome, nextOutcome(nodes));
         awaitIdle(nodes);
         send(nodes, node);
-        assertEquals(Outcome.ANSWERED, next(nodes));
-        assertEquals(1, transport.loop().submit(() -> nodes.connections()).get());
+        assertEquals(Outcome.ANSWERED, nextOutcome(nodes));
+        assertEquals(1, transport.loop().submit(() -> nodes.connectionCount()).get());
     }
 
     @ParameterizedTest
     @CsvSource({"60, 1", "0, 0"})
-    void anIdleConnectionIsClosedBeforeTheNodeDoesSo(double idle, int left) throws Exception {
-        Nodes nodes = nodes(60, idle);
-        send(nodes, node(nodes, "replica", Deed.answer("a"), Deed.answer("a")));
+    void idleConnectionIsClosedAfterItsTimeout(double idle, int left) throws Exception {
+        BackendClient nodes = newClient(60, idle);
+        send(nodes, stubNode(nodes, "replica", StubResponse.answer("a"), StubResponse.answer("a")));
         assertEquals(Outcome.ANSWERED, outcomes.take());
         awaitIdle(nodes);
         transport.loop().submit(nodes::sweep).get();
-        assertEquals(left, transport.loop().submit(() -> nodes.connections()).get());
+        assertEquals(left, transport.loop().submit(() -> nodes.connectionCount()).get());
     }
 
     /** T, D, C, S, E and Z are good messages; a small letter is one whose inside does not fit. */
@@ -243,76 +243,76 @@
                 "DCZ", "TCZ", "TDZ", "TDDCZ", "TTDCZ", "TDSCEZ", "SZ", "tDCZ", "TdCZ", "TnCZ", "TDcZ", "STDCz", "STDCq",
                 "STDCSs", "Eq"
             })
-    void aSpoiltAnswerMayHaveRunTellsNothingAndEndsItsConnection(String letters) throws Exception {
-        Nodes nodes = nodes(60, 60);
-        Node node = node(nodes, "replica", Deed.bytes(messages(letters)), Deed.answer("new"));
+    void malformedAnswerCountsAsPossiblyRunAndClosesItsConnection(String letters) throws Exception {
+        BackendClient nodes = newClient(60, 60);
+        Node node = stubNode(nodes, "replica", StubResponse.bytes(messages(letters)), StubResponse.answer("new"));
         send(nodes, node);
-        assertEquals(Outcome.ERROR, next(nodes));
-        assertEquals(Reply.untold(Outcome.ERROR, reply.took()), reply);
+        assertEquals(Outcome.ERROR, nextOutcome(nodes));
+        assertEquals(Reply.untold(Outcome.ERROR, result.took()), result);
         send(nodes, node);
-        assertEquals(Outcome.ANSWERED, next(nodes));
+        assertEquals(Outcome.ANSWERED, nextOutcome(nodes));
         assertTrue(answer.contains("new"), answer);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"TDCZTDCZ", "TDCZq", "TDCZT", "TDCZS", "TDSCZZ", "EZTDCZ"})
-    void whatFollowsAGoodAnswerIsNotTheNextOnes(String letters) throws Exception {
-        Nodes nodes = nodes(60, 60);
+    void bytesAfterACompleteAnswerAreNotTheNextAnswer(String letters) throws Exception {
+        BackendClient nodes = newClient(60, 60);
         ByteBuf bytes = messages(letters);
         for (int cut : new int[] {0, 1, 5}) {
-            statements.set(0);
+            receivedStatements.set(0);
             Node node =
-                    node(nodes, "replica", Deed.bytes(bytes.slice(0, bytes.readableBytes() - cut)), Deed.answer("new"));
+                    stubNode(nodes, "replica", StubResponse.bytes(bytes.slice(0, bytes.readableBytes() - cut)), StubResponse.answer("new"));
             send(nodes, node);
-            assertEquals(letters.startsWith("E") ? Outcome.FULL : Outcome.ANSWERED, next(nodes));
+            assertEquals(letters.startsWith("E") ? Outcome.FULL : Outcome.ANSWERED, nextOutcome(nodes));
             send(nodes, node);
-            assertEquals(Outcome.ANSWERED, next(nodes));
+            assertEquals(Outcome.ANSWERED, nextOutcome(nodes));
             assertTrue(answer.contains("new"), answer);
         }
     }
 
     @ParameterizedTest
     @CsvSource({"TDrCZ, 0", "TDrSCZ, 1"})
-    void aReportThatCannotBeCostsOnlyItself(String letters, double position) throws Exception {
-        Nodes nodes = nodes(60, 60);
-        send(nodes, node(nodes, "replica", Deed.bytes(messages(letters)), null));
-        assertEquals(Outcome.ANSWERED, next(nodes));
-        assertEquals(new Reply(Outcome.ANSWERED, reply.took(), Role.UNKNOWN, position, Role.UNKNOWN, 0, -1), reply);
+    void implausibleLoadReportIsIgnoredAndTheAnswerStands(String letters, double position) throws Exception {
+        BackendClient nodes = newClient(60, 60);
+        send(nodes, stubNode(nodes, "replica", StubResponse.bytes(messages(letters)), null));
+        assertEquals(Outcome.ANSWERED, nextOutcome(nodes));
+        assertEquals(new Reply(Outcome.ANSWERED, result.took(), Role.UNKNOWN, position, Role.UNKNOWN, 0, -1), result);
     }
 
     @ParameterizedTest
     @CsvSource({"true, 0, true", "false, 60, true", "false, 0, false"})
-    void aNodeIsForgottenOnceItIsNotKnownAndItsConnectionsHaveEnded(boolean known, double idle, boolean left)
+    void nodeIsForgottenOnceUnknownAndWithoutConnections(boolean known, double idle, boolean left)
             throws Exception {
-        Nodes nodes = nodes(60, idle);
-        send(nodes, node(nodes, "replica", Deed.answer("a"), null));
-        assertEquals(Outcome.ANSWERED, next(nodes));
+        BackendClient nodes = newClient(60, idle);
+        send(nodes, stubNode(nodes, "replica", StubResponse.answer("a"), null));
+        assertEquals(Outcome.ANSWERED, nextOutcome(nodes));
         awaitIdle(nodes);
-        knows = known;
+        nodesKnown = known;
         transport.loop().submit(nodes::sweep).get();
-        assertEquals(left, transport.loop().submit(() -> nodes.listed(1)).get());
+        assertEquals(left, transport.loop().submit(() -> nodes.hasReplicaSet(1)).get());
     }
 
     @ParameterizedTest
     @CsvSource({"400000, ANSWERED, 400000", "500000, ANSWERED, 500000", "600000, ERROR, 0", "2000000, ERROR, 0"})
-    void longAnswersTakeOfAnAllowanceAndGiveItBack(int length, Outcome outcome, int passed) throws Exception {
-        Nodes nodes = nodes(60, 60);
+    void longAnswersReserveMemoryAndReleaseIt(int length, Outcome outcome, int passed) throws Exception {
+        BackendClient nodes = newClient(60, 60);
         for (int i = 0; i < 3; i++) {
-            statements.set(0);
-            send(nodes, node(nodes, "replica", Deed.answer("v".repeat(length)), null));
-            assertEquals(outcome, next(nodes));
+            receivedStatements.set(0);
+            send(nodes, stubNode(nodes, "replica", StubResponse.answer("v".repeat(length)), null));
+            assertEquals(outcome, nextOutcome(nodes));
             assertEquals(passed, Math.max(0, answer.length() - 11));
         }
     }
 
     @Test
-    void aNodeThatMovedIsMetAtItsNewAddress() throws Exception {
-        Nodes nodes = nodes(60, 60);
-        Node node = node(nodes, "replica", Deed.answer("a"), Deed.answer("a"));
+    void movedNodeIsReachedAtItsNewAddress() throws Exception {
+        BackendClient nodes = newClient(60, 60);
+        Node node = stubNode(nodes, "replica", StubResponse.answer("a"), StubResponse.answer("a"));
         send(nodes, node);
-        assertEquals(Outcome.ANSWERED, next(nodes));
-        assertEquals(node, node(nodes, "replica", null, Deed.error("72000")));
+        assertEquals(Outcome.ANSWERED, nextOutcome(nodes));
+        assertEquals(node, stubNode(nodes, "replica", null, StubResponse.error("72000")));
         send(nodes, node);
-        assertEquals(Outcome.TURNED_AWAY, next(nodes));
+        assertEquals(Outcome.TURNED_AWAY, nextOutcome(nodes));
     }
 }
--- a/daemon/src/test/java/clayhook/nodes/ScriptedNode.java
+++ b/daemon/src/test/java/clayhook/nodes/ScriptedNode.java
@@ -12,44 +12,44 @@
 /** A node whose every step a test takes itself, over blocking sockets. */
 final class ScriptedNode implements AutoCloseable {
     /** Guards against a test that fails by waiting for ever: reads cannot be interrupted. */
-    private static final int PATIENCE_MS = 50_000;
+    private static final int READ_TIMEOUT_MS = 50_000;
 
-    private final ServerSocket listening;
+    private final ServerSocket serverSocket;
 
     ScriptedNode() throws IOException {
-        listening = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        listening.setSoTimeout(PATIENCE_MS);
+        serverSocket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+        serverSocket.setSoTimeout(READ_TIMEOUT_MS);
     }
 
     InetSocketAddress address() {
-        return new InetSocketAddress(listening.getInetAddress(), listening.getLocalPort());
+        return new InetSocketAddress(serverSocket.getInetAddress(), serverSocket.getLocalPort());
     }
 
     /** The next connection, with its startup message read and nothing said yet. */
-    Peer accept() throws IOException {
-        return new Peer(listening.accept());
+    ScriptedConnection accept() throws IOException {
+        return new ScriptedConnection(serverSocket.accept());
     }
 
     /** The next connection, welcomed. */
-    Peer welcome() throws IOException {
-        Peer peer = accept();
-        peer.write(WELCOME);
+    ScriptedConnection acceptAndStart() throws IOException {
+        ScriptedConnection peer = accept();
+        peer.write(STARTUP_ANSWER);
         return peer;
     }
 
     @Override
     public void close() throws IOException {
-        listening.close();
+        serverSocket.close();
     }
 
-    static final String WELCOME = message('R', "\0\0\0\0") + message('Z', "I");
+    static final String STARTUP_ANSWER = message('R', "\0\0\0\0") + message('Z', "I");
 
     /** An answer of one row up to its end, and the readiness after it. */
     static String answer(String value) {
-        return whole(value) + message('Z', "I");
+        return answerWithoutReady(value) + message('Z', "I");
     }
 
-    static String whole(String value) {
+    static String answerWithoutReady(String value) {
         return message('T', "\0\1val\0" + "\0".repeat(18))
                 + message('D', "\0\1\0\0\0" + (char) value.length() + value)
                 + message('C', "SELECT 1\0");
@@ -61,14 +61,14 @@
                 + (char) (length & 0xff) + body;
     }
 
-    static final class Peer {
+    static final class ScriptedConnection {
         private final Socket socket;
         private final DataInputStream in;
 
-        private Peer(Socket socket) throws IOException {
+        private ScriptedConnection(Socket socket) throws IOException {
             this.socket = socket;
             socket.setTcpNoDelay(true);
-            socket.setSoTimeout(PATIENCE_MS);
+            socket.setSoTimeout(READ_TIMEOUT_MS);
             in = new DataInputStream(socket.getInputStream());
             in.readNBytes(in.readInt() - 4);
         }
@@ -78,18 +78,18 @@
         }
 
         /** The text of the next query, or null at the end of the connection. */
-        String query() throws IOException {
+        String readQuery() throws IOException {
             int type = in.read();
             return type < 0 ? null : new String(in.readNBytes(in.readInt() - 4), ISO_8859_1);
         }
 
         /** The first byte of a query has come, and no more is read. */
-        void begin() throws IOException {
+        void awaitFirstByte() throws IOException {
             in.readByte();
         }
 
         /** How many bytes come until the end. */
-        long left() throws IOException {
+        long skipToEnd() throws IOException {
             return in.skip(Long.MAX_VALUE);
         }
 
--- a/daemon/src/test/java/clayhook/peers/PeersTest.java
+++ b/daemon/src/test/java/clayhook/peers/PeersTest.java
@@ -12,7 +12,7 @@
 import clayhook.Told;
 import clayhook.config.Configuration;
 import clayhook.config.SharingSettings;
-import clayhook.discovery.NodeList;
+import clayhook.discovery.EndpointList;
 import clayhook.fleet.state.StateSettings;
 import clayhook.serve.Sharing;
 import java.io.IOException;
@@ -46,7 +46,7 @@
     private static final Reply ANSWER = new Reply(Outcome.ANSWERED, 0.001, Role.PRIMARY, 1e9, Role.UNKNOWN, 0, 3);
     private final List<Sharing> open = new ArrayList<>();
     private final Map<String, Told> told = new ConcurrentHashMap<>();
-    private final Map<String, NodeList.Entry> listed = new ConcurrentHashMap<>();
+    private final Map<String, EndpointList.DiscoveredEndpoint> listed = new ConcurrentHashMap<>();
 
     @AfterEach
     void close() {
@@ -80,7 +80,7 @@
         var peers = Peers.open(
                 settings(port, Arrays.stream(seeds).mapToObj(PeersTest::at).toList()),
                 new Configuration(
-                        name, at(0), DISCOVERY, 1, 1 << 24, 100, new NodeList(0, true, List.of()), settings, 1),
+                        name, at(0), DISCOVERY, 1, 1 << 24, 100, new EndpointList(0, true, List.of()), settings, 1),
                 new StateSettings(
                         usual.round(),
                         usual.fanout(),
@@ -110,9 +110,9 @@
             }
 
             @Override
-            public void told(Collection<NodeList> changes) {
+            public void told(Collection<EndpointList> changes) {
                 changes.forEach(
-                        change -> change.entries().forEach(entry -> listed.put(name + " " + entry.id(), entry)));
+                        change -> change.endpoints().forEach(entry -> listed.put(name + " " + entry.id(), entry)));
             }
         });
         assertTrue(peers.need("s", now()) > now() - 1, "nothing is known before it starts");
@@ -120,8 +120,8 @@
         return peers;
     }
 
-    private static NodeList list() {
-        return NodeList.parse(
+    private static EndpointList list() {
+        return EndpointList.parse(
                 "{\"rev\":7,\"all\":true,\"targets\":[{\"uid\":\"n\",\"endpoint\":\"127.0.0.1:9\",\"az\":\"a\","
                         + "\"pod_group\":1,\"state\":\"up\",\"role\":\"primary\",\"boot_ms\":0}]}");
     }
--- a/daemon/src/test/java/clayhook/peers/RecordedDatagramsTest.java
+++ b/daemon/src/test/java/clayhook/peers/RecordedDatagramsTest.java
@@ -9,7 +9,7 @@
 import clayhook.Reply;
 import clayhook.Role;
 import clayhook.Told;
-import clayhook.discovery.NodeList;
+import clayhook.discovery.EndpointList;
 import clayhook.fleet.Address;
 import clayhook.fleet.Fleet;
 import clayhook.fleet.Kind;
@@ -57,7 +57,7 @@
     private static final String DISCOVERY = "10.0.0.8:8080";
     private static final Node PRIMARY = new Node("n1", "zone-a", 1);
     private static final Node REPLICA = new Node("n2", "zone-b", 1);
-    private static final NodeList FIRST_LIST = list(7, true, "up", "up");
+    private static final EndpointList FIRST_LIST = list(7, true, "up", "up");
     private static final double POSITION = START - 5;
     private static final Kind<Fate> FATES = Fate.kept(86_400);
 
@@ -76,8 +76,8 @@
         }
     }
 
-    private static NodeList list(long revision, boolean complete, String first, String second) {
-        return NodeList.parse("{\"rev\":" + revision + ",\"all\":" + complete + ",\"targets\":["
+    private static EndpointList list(long revision, boolean complete, String first, String second) {
+        return EndpointList.parse("{\"rev\":" + revision + ",\"all\":" + complete + ",\"targets\":["
                 + "{\"uid\":\"n1\",\"endpoint\":\"10.0.1.1:5432\",\"az\":\"zone-a\",\"pod_group\":1,\"state\":\""
                 + first
                 + "\",\"role\":\"primary\",\"boot_ms\":1600000000000},"
@@ -94,7 +94,7 @@
         private final Exchange exchange;
         private final Fleet fleet;
         private final Map<String, Told> told = new HashMap<>();
-        private final Map<String, NodeList.Entry> listed = new HashMap<>();
+        private final Map<String, EndpointList.DiscoveredEndpoint> listed = new HashMap<>();
         private boolean leaving;
 
         private Router(String name, int port, List<Address> seeds, long seed) {
@@ -131,8 +131,8 @@
         }
 
         @Override
-        public void told(Collection<NodeList> changes) {
-            changes.forEach(change -> change.entries().forEach(entry -> listed.put(entry.id(), entry)));
+        public void told(Collection<EndpointList> changes) {
+            changes.forEach(change -> change.endpoints().forEach(entry -> listed.put(entry.id(), entry)));
         }
 
         @Override
--- a/daemon/src/test/java/clayhook/rehearsal/RehearsalTest.java
+++ b/daemon/src/test/java/clayhook/rehearsal/WarmUpTest.java
@@ -7,7 +7,7 @@
 import clayhook.CommandGroup;
 import clayhook.Settings;
 import clayhook.config.Configuration;
-import clayhook.discovery.NodeList;
+import clayhook.discovery.EndpointList;
 import clayhook.serve.Server;
 import clayhook.transport.Transport;
 import io.netty.channel.ChannelHandler;
@@ -20,11 +20,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class RehearsalTest {
+class WarmUpTest {
     /** Where sockets carry nothing, waiting for each answer took minutes before serving. */
     @ParameterizedTest
     @CsvSource({"false, true", "true, true", "false, false"})
-    void endsInTimeAndTellsWhetherAnythingWasCarried(boolean process, boolean carried) throws Exception {
+    void warmUpEndsInTimeAndReportsWhetherItsSocketsWork(boolean process, boolean carried) throws Exception {
         Transport transport = process ? Transport.withinProcess() : Transport.rehearsal();
         Transport outside = carried ? transport : Transport.rehearsal();
         var any = new CommandGroup(
@@ -32,7 +32,7 @@
         var settings = new Settings(
                 1, "a", List.of(any), true, true, true, true, true, true, true, true, 1, 3, 1, 0, 1, 0, 1, 15);
         double from = System.nanoTime() / 1e9;
-        assertEquals(carried, Rehearsal.run(settings, transport, outside, false));
+        assertEquals(carried, WarmUp.run(settings, transport, outside, false));
         assertTrue(System.nanoTime() / 1e9 - from < 10, "it waited for answers that cannot come");
         if (!carried) {
             outside.close();
@@ -41,7 +41,7 @@
 
     /** Nothing is done on the loop from the start on, so that it never listens. */
     @Test
-    void aLoopThatHangsDoesNotHoldUpTheStart() throws Exception {
+    void blockedEventLoopDoesNotDelayTheStart() throws Exception {
         Transport transport = Transport.withinProcess();
         var hangs = new CountDownLatch(1);
         transport.loop().execute(() -> {
@@ -61,7 +61,7 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void whereItsSocketsCannotBeMadeItIsLeftOut(boolean process) throws Exception {
+    void warmUpIsSkippedWhenItsSocketsCannotBeCreated(boolean process) throws Exception {
         Transport transport = process ? Transport.withinProcess() : Transport.rehearsal();
         transport.listen(transport.spare(5), () -> new ChannelHandler[0]);
         assertFalse(run(transport));
@@ -71,7 +71,7 @@
         var any = new CommandGroup(
                 "any", CommandGroup.Effect.REPLAYABLE, CommandGroup.ReadLevel.ANY, 1, 2, 1, 0, null, 0, 0);
         try {
-            return Rehearsal.run(
+            return WarmUp.run(
                     new Settings(
                             1,
                             "a",
@@ -101,11 +101,11 @@
 
     /** Else its sockets would count against the descriptors of the process that serves by then. */
     @Test
-    void nothingOfItIsOpenOnceItIsOver() throws Exception {
+    void everySocketIsClosedAfterWarmUp() throws Exception {
         Transport transport = Transport.rehearsal();
         var any = new CommandGroup(
                 "any", CommandGroup.Effect.REPLAYABLE, CommandGroup.ReadLevel.ANY, 1, 2, 1, 0, null, 0, 0);
-        Rehearsal.run(
+        WarmUp.run(
                 new Settings(
                         1, "a", List.of(any), true, true, true, true, true, true, true, true, 1, 3, 1, 0, 1, 0, 1, 15),
                 transport,
@@ -115,10 +115,10 @@
 
     /** An answer may come there before its request was told to be written; it is no answer to half a request. */
     @Test
-    void withinTheProcessEveryAnswerCounts() throws Exception {
+    void everyAnswerCountsOverInProcessChannels() throws Exception {
         Transport transport = Transport.withinProcess();
-        var node = new StandInNode(transport, transport.spare(1), "primary", any -> StandInNode.Deed.answer("p"));
-        var discovery = new StandInDiscovery(transport, transport.spare(2), call -> null);
+        var node = new StubNode(transport, transport.spare(1), "primary", any -> StubNode.StubResponse.answer("p"));
+        var discovery = new StubDiscovery(transport, transport.spare(2), call -> null);
         var posts = new CommandGroup(
                 "posts", CommandGroup.Effect.MUTATING, CommandGroup.ReadLevel.WRITE, 20, 60, 1, 0, null, 0, 0);
         var settings = new Settings(
@@ -135,14 +135,14 @@
                         1,
                         1 << 24,
                         1000,
-                        NodeList.parse(list),
+                        EndpointList.parse(list),
                         settings,
                         1));
         for (int i = 0; i < 20; i++) {
-            var client = new StandInClient(transport, server.address());
-            client.send(StandInClient.hello(StandInClient.statement(true, "id=" + i + ",c=posts,d=30000,cluster=1")));
-            assertEquals("ready", client.next());
-            assertEquals("p", client.next());
+            var client = new StubClient(transport, server.address());
+            client.send(StubClient.startupAndFirst(StubClient.statement(true, "id=" + i + ",c=posts,d=30000,cluster=1")));
+            assertEquals("ready", client.nextAnswer());
+            assertEquals("p", client.nextAnswer());
             client.close();
         }
         server.close();
--- a/daemon/src/test/java/clayhook/serve/ClientGoneTest.java
+++ b/daemon/src/test/java/clayhook/serve/ClientGoneTest.java
@@ -8,14 +8,14 @@
 import clayhook.CommandGroup.Scope;
 import clayhook.Settings;
 import clayhook.config.Configuration;
-import clayhook.discovery.NodeList;
+import clayhook.discovery.EndpointList;
 import clayhook.front.RawClient;
 import clayhook.protocol.Encoder;
 import clayhook.protocol.Statement;
-import clayhook.rehearsal.StandInClient;
-import clayhook.rehearsal.StandInDiscovery;
-import clayhook.rehearsal.StandInNode;
-import clayhook.rehearsal.StandInNode.Deed;
+import clayhook.rehearsal.StubClient;
+import clayhook.rehearsal.StubDiscovery;
+import clayhook.rehearsal.StubNode;
+import clayhook.rehearsal.StubNode.StubResponse;
 import clayhook.transport.Transport;
 import io.netty.buffer.ByteBuf;
 import java.io.DataInputStream;
@@ -94,7 +94,7 @@
                         write(socket, Encoder.error(false, "53300", "as told", null));
                         failed.release();
                     } else {
-                        write(socket, StandInNode.row("s", "primary", System.currentTimeMillis(), "inflight=1"));
+                        write(socket, StubNode.row("s", "primary", System.currentTimeMillis(), "inflight=1"));
                     }
                 }
             } catch (IOException | InterruptedException e) {
@@ -115,7 +115,7 @@
         String list =
                 "{\"rev\":2,\"all\":true,\"targets\":[{\"uid\":\"p\",\"endpoint\":\"127.0.0.1:" + primary.getPort()
                         + "\",\"az\":\"a\",\"pod_group\":1,\"state\":\"up\",\"role\":\"primary\",\"boot_ms\":0}]}";
-        var discovery = new StandInDiscovery(transport, transport.spare(0), call -> null);
+        var discovery = new StubDiscovery(transport, transport.spare(0), call -> null);
         var settings = new Settings(
                 1,
                 "a",
@@ -147,13 +147,13 @@
                         1,
                         1 << 24,
                         1024,
-                        NodeList.parse(list),
+                        EndpointList.parse(list),
                         settings,
                         60));
     }
 
-    private void start(Function<Statement, Deed> deeds) throws InterruptedException {
-        start(new StandInNode(transport, transport.spare(0), "primary", statement -> {
+    private void start(Function<Statement, StubResponse> deeds) throws InterruptedException {
+        start(new StubNode(transport, transport.spare(0), "primary", statement -> {
                     sent.add(statement);
                     return deeds.apply(statement);
                 })
@@ -170,11 +170,11 @@
     }
 
     private static ByteBuf read(int id) {
-        return StandInClient.statement(false, "id=" + id + ",c=any,d=30000,cluster=1");
+        return StubClient.statement(false, "id=" + id + ",c=any,d=30000,cluster=1");
     }
 
     private static ByteBuf write(int id) {
-        return StandInClient.statement(true, "id=" + id + ",c=mutating,d=30000,cluster=1");
+        return StubClient.statement(true, "id=" + id + ",c=mutating,d=30000,cluster=1");
     }
 
     private List<String> ids() {
@@ -220,7 +220,7 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 30})
     void aCloseThatIsReadWithItsCommandsIsHeardBeforeTheseGoOn(int commands) throws Exception {
-        start(any -> Deed.answer("v"));
+        start(any -> StubResponse.answer("v"));
         RawClient other = client().hello(read(1));
         assertEquals("ready", other.next());
         assertEquals("v", other.next());
@@ -289,7 +289,7 @@
         if (waits) {
             startSlow();
         } else {
-            start(statement -> statement.id.equals("1") ? Deed.silence() : Deed.answer("s"));
+            start(statement -> statement.id.equals("1") ? StubResponse.silence() : StubResponse.answer("s"));
         }
         RawClient client = client().hello(write(1));
         assertEquals("ready", client.next());
--- a/daemon/src/test/java/clayhook/serve/LifecycleTest.java
+++ b/daemon/src/test/java/clayhook/serve/LifecycleTest.java
@@ -9,9 +9,9 @@
 import clayhook.CommandGroup.Scope;
 import clayhook.Settings;
 import clayhook.config.Configuration;
-import clayhook.discovery.NodeList;
-import clayhook.rehearsal.StandInClient;
-import clayhook.rehearsal.StandInDiscovery;
+import clayhook.discovery.EndpointList;
+import clayhook.rehearsal.StubClient;
+import clayhook.rehearsal.StubDiscovery;
 import clayhook.transport.Transport;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
@@ -42,9 +42,9 @@
         var listens = new CompletableFuture<Server>();
         var goesOn = new CountDownLatch(1);
         var starting = CompletableFuture.supplyAsync(() -> start(listens, goesOn));
-        var client = new StandInClient(transport, listens.get().address());
-        client.send(StandInClient.hello(StandInClient.statement(false, "id=1,c=any,d=500,cluster=1")));
-        assertEquals("ready", client.next());
+        var client = new StubClient(transport, listens.get().address());
+        client.send(StubClient.startupAndFirst(StubClient.statement(false, "id=1,c=any,d=500,cluster=1")));
+        assertEquals("ready", client.nextAnswer());
         var ending = new Thread(() -> {
             try {
                 life.end();
@@ -57,8 +57,8 @@
             Thread.onSpinWait();
         }
         goesOn.countDown();
-        assertEquals("53300", client.next());
-        assertEquals("closed", client.next());
+        assertEquals("53300", client.nextAnswer());
+        assertEquals("closed", client.nextAnswer());
         ending.join();
         starting.get();
     }
@@ -78,7 +78,7 @@
 
     /** Without a node that can be reached. */
     private Server server() throws InterruptedException {
-        var discovery = new StandInDiscovery(transport, transport.spare(0), call -> null);
+        var discovery = new StubDiscovery(transport, transport.spare(0), call -> null);
         var settings = new Settings(
                 1,
                 "a",
@@ -110,7 +110,7 @@
                         1,
                         1 << 24,
                         1024,
-                        NodeList.parse(list),
+                        EndpointList.parse(list),
                         settings,
                         2));
     }
--- a/daemon/src/test/java/clayhook/serve/ListInTimeTest.java
+++ b/daemon/src/test/java/clayhook/serve/ListInTimeTest.java
@@ -9,7 +9,7 @@
 import clayhook.CommandGroup.Scope;
 import clayhook.Settings;
 import clayhook.config.Configuration;
-import clayhook.discovery.NodeList;
+import clayhook.discovery.EndpointList;
 import clayhook.transport.Transport;
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -165,7 +165,7 @@
         var any = new CommandGroup("any", Effect.REPLAYABLE, ReadLevel.ANY, 20, 60, 1, 0, Scope.GROUP, 60, 0);
         var settings = new Settings(
                 1, "a", List.of(any), true, true, false, true, true, true, true, true, 1, 3, 0.2, 10, 3, 3, 1, 15);
-        var known = NodeList.parse("{\"rev\":2,\"all\":true,\"targets\":[]}");
+        var known = EndpointList.parse("{\"rev\":2,\"all\":true,\"targets\":[]}");
         servers.add(new Server(
                 Transport.tcp(),
                 new Configuration(
