--- a/daemon/src/test/java/clayhook/serve/ServerTest.java
+++ b/daemon/src/test/java/clayhook/serve/ServerTest.java
@@ -9,13 +9,13 @@
 import clayhook.CommandGroup.Scope;
 import clayhook.Settings;
 import clayhook.config.Configuration;
-import clayhook.discovery.NodeList;
+import clayhook.discovery.EndpointList;
 import clayhook.protocol.Encoder;
 import clayhook.protocol.Statement;
-import clayhook.rehearsal.StandInClient;
-import clayhook.rehearsal.StandInDiscovery;
-import clayhook.rehearsal.StandInNode;
-import clayhook.rehearsal.StandInNode.Deed;
+import clayhook.rehearsal.StubClient;
+import clayhook.rehearsal.StubDiscovery;
+import clayhook.rehearsal.StubNode;
+import clayhook.rehearsal.StubNode.StubResponse;
 import clayhook.transport.Transport;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -37,7 +37,7 @@
     private final Transport own = Transport.tcp();
     private final LinkedBlockingQueue<Statement> sent = new LinkedBlockingQueue<>();
     private Server server;
-    private StandInClient client;
+    private StubClient client;
 
     /** Response targets are far beyond what a busy machine takes; only brief commands are to run out of time. */
     private static CommandGroup group(String name, Effect effect, ReadLevel level, double target) {
@@ -45,14 +45,14 @@
     }
 
     /** A router that knows a primary and a replica which do this to statements, and a client of it. */
-    private void start(Function<Statement, Deed> primary, Function<Statement, Deed> replica, int sockets)
+    private void start(Function<Statement, StubResponse> primary, Function<Statement, StubResponse> replica, int sockets)
             throws InterruptedException {
         start(node("primary", primary).address(), node("replica", replica).address(), sockets);
     }
 
     private void start(InetSocketAddress primary, InetSocketAddress replica, int sockets) throws InterruptedException {
         String list = "{\"rev\":2,\"all\":true,\"targets\":[" + entry("p", primary) + "," + entry("r", replica) + "]}";
-        var discovery = new StandInDiscovery(transport, transport.spare(0), call -> null);
+        var discovery = new StubDiscovery(transport, transport.spare(0), call -> null);
         var settings = new Settings(
                 1,
                 "a",
@@ -86,14 +86,14 @@
                         1,
                         1 << 24,
                         sockets,
-                        NodeList.parse(list),
+                        EndpointList.parse(list),
                         settings,
                         2));
-        client = new StandInClient(transport, server.address());
+        client = new StubClient(transport, server.address());
     }
 
-    private StandInNode node(String role, Function<Statement, Deed> deeds) throws InterruptedException {
-        return new StandInNode(transport, transport.spare(0), role, statement -> {
+    private StubNode node(String role, Function<Statement, StubResponse> deeds) throws InterruptedException {
+        return new StubNode(transport, transport.spare(0), role, statement -> {
             sent.add(statement);
             return deeds.apply(statement);
         });
@@ -105,18 +105,18 @@
                 + (id.equals("p") ? "primary" : "replica") + "\",\"boot_ms\":0}";
     }
 
-    private static Function<Statement, Deed> always(Deed deed) {
+    private static Function<Statement, StubResponse> always(StubResponse deed) {
         return any -> deed;
     }
 
     /** Only the command group any reads. */
     private static ByteBuf statement(String fields) {
-        return StandInClient.statement(!fields.contains("c=any"), fields);
+        return StubClient.statement(!fields.contains("c=any"), fields);
     }
 
     private void greet(String fields) throws InterruptedException {
-        client.send(StandInClient.hello(statement(fields)));
-        assertEquals("ready", client.next());
+        client.send(StubClient.startupAndFirst(statement(fields)));
+        assertEquals("ready", client.nextAnswer());
     }
 
     @AfterEach
@@ -128,9 +128,9 @@
     @ParameterizedTest
     @CsvSource({READ_CSV + ", replica", WRITE_CSV + ", primary"})
     void aCommandGoesToWhoMayTakeItAndItsValueComesBack(String fields, String value) throws Exception {
-        start(always(Deed.answer("primary")), always(Deed.answer("replica")), 1024);
+        start(always(StubResponse.answer("primary")), always(StubResponse.answer("replica")), 1024);
         greet(fields);
-        assertEquals(value, client.next());
+        assertEquals(value, client.nextAnswer());
         assertTrue(sent.take().wait < 30);
     }
 
@@ -141,39 +141,39 @@
     @ParameterizedTest
     @CsvSource({MUTATING_CSV + ", 1, 40003", WRITE_CSV + ", 2, ok", READ_CSV + ", 1, ok"})
     void aResetAfterTheSendIsRepeatedOnlyWhereTheEffectAllows(String fields, int sends, String word) throws Exception {
-        start(statement -> sent.size() < 2 ? Deed.reset() : Deed.answer("ok"), always(Deed.answer("ok")), 1024);
+        start(statement -> sent.size() < 2 ? StubResponse.closeConnection() : StubResponse.answer("ok"), always(StubResponse.answer("ok")), 1024);
         greet(fields);
-        assertEquals(word, client.next());
+        assertEquals(word, client.nextAnswer());
         assertEquals(sends, sent.size());
     }
 
     @ParameterizedTest
     @CsvSource({"53300, 53300", "25006, 53300"})
     void aMutatingCommandThatNeverRanMayBeThrottled(String code, String word) throws Exception {
-        start(always(Deed.error(code)), always(Deed.answer("r")), 1024);
+        start(always(StubResponse.error(code)), always(StubResponse.answer("r")), 1024);
         greet("id=1,c=brief,d=1500,cluster=1");
-        assertEquals(word, client.next());
+        assertEquals(word, client.nextAnswer());
     }
 
     @Test
     void aNodeThatIsSilentTimesOutAndItsConnectionIsNeverUsedAgain() throws Exception {
-        start(statement -> sent.size() == 1 ? Deed.silence() : Deed.answer("late"), always(Deed.answer("r")), 1024);
+        start(statement -> sent.size() == 1 ? StubResponse.silence() : StubResponse.answer("late"), always(StubResponse.answer("r")), 1024);
         greet("id=1,c=brief,d=1500,cluster=1");
-        assertEquals("40003", client.next());
+        assertEquals("40003", client.nextAnswer());
         client.send(statement(READ));
-        assertEquals("r", client.next());
+        assertEquals("r", client.nextAnswer());
     }
 
     @Test
     void aNodeThatRefusesConnectionsLeavesTheCommandToOthers() throws Exception {
-        StandInNode gone = node("replica", always(Deed.answer("x")));
+        StubNode gone = node("replica", always(StubResponse.answer("x")));
         gone.close();
-        start(gone.address(), node("replica", always(Deed.answer("here"))).address(), 1024);
+        start(gone.address(), node("replica", always(StubResponse.answer("here"))).address(), 1024);
         greet(READ);
-        assertEquals("here", client.next());
+        assertEquals("here", client.nextAnswer());
         for (int i = 0; i < 4; i++) {
             client.send(statement(READ));
-            assertEquals("here", client.next());
+            assertEquals("here", client.nextAnswer());
         }
     }
 
@@ -188,32 +188,32 @@
         "true, 'id=1,c=write,d=30000,cluster=1'"
     })
     void whatCannotBeTakenGetsAnErrorComesToNoNodeAndTheSessionGoesOn(boolean writes, String fields) throws Exception {
-        start(always(Deed.answer("p")), always(Deed.answer("r")), 1024);
-        client.send(StandInClient.hello(StandInClient.statement(writes, fields)));
-        assertEquals("ready", client.next());
-        assertEquals("42601", client.next());
+        start(always(StubResponse.answer("p")), always(StubResponse.answer("r")), 1024);
+        client.send(StubClient.startupAndFirst(StubClient.statement(writes, fields)));
+        assertEquals("ready", client.nextAnswer());
+        assertEquals("42601", client.nextAnswer());
         assertEquals(0, sent.size());
         client.send(statement(READ));
-        assertEquals("r", client.next());
+        assertEquals("r", client.nextAnswer());
     }
 
     @Test
     void anotherCommandWithTheIdOfAnOpenOneIsRefusedUntilThatIsAnswered() throws Exception {
-        start(always(Deed.silence()), always(Deed.answer("r")), 1024);
+        start(always(StubResponse.silence()), always(StubResponse.answer("r")), 1024);
         greet("id=2,c=brief,d=1500,cluster=1");
         sent.take();
-        var other = new StandInClient(transport, server.address());
-        other.send(StandInClient.hello(statement("id=2,c=any,d=30000,cluster=1")));
-        assertEquals("ready", other.next());
-        assertEquals("42601", other.next());
-        assertEquals("40003", client.next());
+        var other = new StubClient(transport, server.address());
+        other.send(StubClient.startupAndFirst(statement("id=2,c=any,d=30000,cluster=1")));
+        assertEquals("ready", other.nextAnswer());
+        assertEquals("42601", other.nextAnswer());
+        assertEquals("40003", client.nextAnswer());
         other.send(statement("id=2,c=any,d=30000,cluster=1"));
-        assertEquals("r", other.next());
+        assertEquals("r", other.nextAnswer());
     }
 
     @Test
     void answersComeInTheOrderOfTheCommands() throws Exception {
-        start(always(Deed.answer("p")), always(Deed.answer("r")), 1024);
+        start(always(StubResponse.answer("p")), always(StubResponse.answer("r")), 1024);
         greet(READ);
         client.send(Unpooled.wrappedBuffer(
                 statement(WRITE),
@@ -223,7 +223,7 @@
                 extended('S'),
                 statement(READ)));
         for (String word : List.of("r", "p", "ready", "0A000", "r")) {
-            assertEquals(word, client.next());
+            assertEquals(word, client.nextAnswer());
         }
     }
 
@@ -234,27 +234,27 @@
     @ParameterizedTest
     @CsvSource({"j, 4", "Q, 2147483647"})
     void aMalformedMessageEndsOnlyItsOwnSession(char type, int length) throws Exception {
-        start(always(Deed.answer("p")), always(Deed.answer("r")), 1024);
-        var other = new StandInClient(transport, server.address());
-        other.send(StandInClient.hello(Unpooled.buffer().writeByte(type).writeInt(length)));
-        assertEquals("ready", other.next());
-        assertEquals("08P01 closed", other.next());
+        start(always(StubResponse.answer("p")), always(StubResponse.answer("r")), 1024);
+        var other = new StubClient(transport, server.address());
+        other.send(StubClient.startupAndFirst(Unpooled.buffer().writeByte(type).writeInt(length)));
+        assertEquals("ready", other.nextAnswer());
+        assertEquals("08P01 closed", other.nextAnswer());
         greet(READ);
-        assertEquals("r", client.next());
+        assertEquals("r", client.nextAnswer());
     }
 
     @Test
     void withoutDescriptorsTheOldestIdleClientMakesRoom() throws Exception {
-        start(always(Deed.answer("p")), always(Deed.answer("r")), 48 + 2 * 3);
+        start(always(StubResponse.answer("p")), always(StubResponse.answer("r")), 48 + 2 * 3);
         greet(READ);
-        assertEquals("r", client.next());
+        assertEquals("r", client.nextAnswer());
         for (int i = 0; i < 4; i++) {
-            var next = new StandInClient(transport, server.address());
-            next.send(StandInClient.hello(statement(READ)));
-            assertEquals("ready", next.next());
-            assertEquals("r", next.next());
+            var next = new StubClient(transport, server.address());
+            next.send(StubClient.startupAndFirst(statement(READ)));
+            assertEquals("ready", next.nextAnswer());
+            assertEquals("r", next.nextAnswer());
         }
-        assertEquals("closed", client.next());
+        assertEquals("closed", client.nextAnswer());
     }
 
     private Thread end() {
@@ -272,15 +272,15 @@
     @ParameterizedTest
     @CsvSource({MUTATING_CSV + ", 40003", READ_CSV + ", 53300"})
     void whatWasTakenIsAnsweredBeforeTheEndAsIsWhatComesMeanwhile(String fields, String word) throws Exception {
-        start(always(Deed.silence()), statement -> sent.size() < 3 ? Deed.answer("r") : Deed.silence(), 1024);
+        start(always(StubResponse.silence()), statement -> sent.size() < 3 ? StubResponse.answer("r") : StubResponse.silence(), 1024);
         greet(READ);
-        assertEquals("r", client.next());
+        assertEquals("r", client.nextAnswer());
         Thread ending = end();
         client.send(statement(READ));
-        assertEquals("r", client.next());
+        assertEquals("r", client.nextAnswer());
         client.send(statement(fields));
-        assertEquals(word, client.next());
-        assertEquals("closed", client.next());
+        assertEquals(word, client.nextAnswer());
+        assertEquals("closed", client.nextAnswer());
         ending.join();
     }
 }
--- a/daemon/src/test/java/clayhook/serve/SharingTest.java
+++ b/daemon/src/test/java/clayhook/serve/SharingTest.java
@@ -10,10 +10,10 @@
 import clayhook.config.Configuration;
 import clayhook.config.Operator;
 import clayhook.config.SharingSettings;
-import clayhook.discovery.NodeList;
-import clayhook.rehearsal.StandInClient;
-import clayhook.rehearsal.StandInDiscovery;
-import clayhook.rehearsal.StandInNode;
+import clayhook.discovery.EndpointList;
+import clayhook.rehearsal.StubClient;
+import clayhook.rehearsal.StubDiscovery;
+import clayhook.rehearsal.StubNode;
 import clayhook.transport.Transport;
 import io.netty.buffer.ByteBuf;
 import java.net.DatagramSocket;
@@ -39,7 +39,7 @@
     /** Answers of discovery that told of the drain: one, to one router. */
     private final AtomicInteger drains = new AtomicInteger();
 
-    private StandInDiscovery discovery;
+    private StubDiscovery discovery;
     private String nodes;
 
     @AfterEach
@@ -48,7 +48,7 @@
         transport.close();
     }
 
-    private String entry(String role, String state, StandInNode node) {
+    private String entry(String role, String state, StubNode node) {
         return "{\"uid\":\"" + role + "\",\"endpoint\":\"127.0.0.1:"
                 + node.address().getPort() + "\",\"az\":\"a\",\"pod_group\":1,\"state\":\"" + state + "\",\"role\":\""
                 + role + "\",\"boot_ms\":0}";
@@ -102,7 +102,7 @@
                         number + 1,
                         1 << 24,
                         1024,
-                        NodeList.parse(nodes),
+                        EndpointList.parse(nodes),
                         settings,
                         2),
                 new Operator(null, "clayhook", "core", sharing));
@@ -111,13 +111,13 @@
     @Test
     void aDrainThatOneRouterWasToldClosesTheNodeAtAllAndAtOneThatWasKilledAndIsBack() throws Exception {
         var primary =
-                new StandInNode(transport, transport.spare(0), "primary", any -> StandInNode.Deed.answer("primary"));
+                new StubNode(transport, transport.spare(0), "primary", any -> StubNode.StubResponse.answer("primary"));
         var replica =
-                new StandInNode(transport, transport.spare(0), "replica", any -> StandInNode.Deed.answer("replica"));
+                new StubNode(transport, transport.spare(0), "replica", any -> StubNode.StubResponse.answer("replica"));
         nodes = "{\"rev\":2,\"all\":true,\"targets\":[" + entry("primary", "up", primary) + ","
                 + entry("replica", "up", replica) + "]}";
         String drain = "{\"rev\":3,\"all\":false,\"targets\":[" + entry("replica", "draining", replica) + "]}";
-        discovery = new StandInDiscovery(
+        discovery = new StubDiscovery(
                 transport,
                 transport.spare(0),
                 call -> call.contains("after=2&") && drains.getAndIncrement() == 0 ? drain : null);
@@ -138,11 +138,11 @@
     }
 
     private void awaitClosed(Server server) throws InterruptedException {
-        var client = new StandInClient(transport, server.address());
-        client.send(StandInClient.hello(read()));
-        client.next();
+        var client = new StubClient(transport, server.address());
+        client.send(StubClient.startupAndFirst(read()));
+        client.nextAnswer();
         double until = System.nanoTime() / 1e9 + PATIENCE_S;
-        for (int row = 0; row < READS; row = client.next().equals("primary") ? row + 1 : 0) {
+        for (int row = 0; row < READS; row = client.nextAnswer().equals("primary") ? row + 1 : 0) {
             assertTrue(System.nanoTime() / 1e9 < until, "reads go on to a node that drains");
             client.send(read());
         }
@@ -150,6 +150,6 @@
     }
 
     private static ByteBuf read() {
-        return StandInClient.statement(false, "id=1,c=any,d=30000,cluster=1");
+        return StubClient.statement(false, "id=1,c=any,d=30000,cluster=1");
     }
 }
--- a/daemon/src/test/java/clayhook/serve/ShutdownTest.java
+++ b/daemon/src/test/java/clayhook/serve/ShutdownTest.java
@@ -11,11 +11,11 @@
 import clayhook.Settings;
 import clayhook.config.Configuration;
 import clayhook.config.Operator;
-import clayhook.discovery.NodeList;
+import clayhook.discovery.EndpointList;
 import clayhook.protocol.Statement;
-import clayhook.rehearsal.StandInClient;
-import clayhook.rehearsal.StandInDiscovery;
-import clayhook.rehearsal.StandInNode;
+import clayhook.rehearsal.StubClient;
+import clayhook.rehearsal.StubDiscovery;
+import clayhook.rehearsal.StubNode;
 import clayhook.transport.Transport;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -35,12 +35,12 @@
     private final LinkedBlockingQueue<Statement> sent = new LinkedBlockingQueue<>();
     private Router router;
 
-    private void start(Function<Statement, StandInNode.Deed> deeds) throws InterruptedException {
-        var node = new StandInNode(transport, transport.spare(0), "primary", statement -> {
+    private void start(Function<Statement, StubNode.StubResponse> deeds) throws InterruptedException {
+        var node = new StubNode(transport, transport.spare(0), "primary", statement -> {
             sent.add(statement);
             return deeds.apply(statement);
         });
-        var discovery = new StandInDiscovery(transport, transport.spare(0), call -> null);
+        var discovery = new StubDiscovery(transport, transport.spare(0), call -> null);
         var settings = new Settings(
                 1,
                 "a",
@@ -76,7 +76,7 @@
                         1,
                         1 << 24,
                         1024,
-                        NodeList.parse(list),
+                        EndpointList.parse(list),
                         settings,
                         2),
                 Operator.OFF,
@@ -84,12 +84,12 @@
     }
 
     private static ByteBuf statement(int id, String group) {
-        return StandInClient.statement(!group.equals("any"), "id=" + id + ",c=" + group + ",d=30000,cluster=1");
+        return StubClient.statement(!group.equals("any"), "id=" + id + ",c=" + group + ",d=30000,cluster=1");
     }
 
-    private StandInClient client(ByteBuf... statements) throws InterruptedException {
-        var client = new StandInClient(transport, router.address());
-        client.send(StandInClient.hello(Unpooled.wrappedBuffer(statements)));
+    private StubClient client(ByteBuf... statements) throws InterruptedException {
+        var client = new StubClient(transport, router.address());
+        client.send(StubClient.startupAndFirst(Unpooled.wrappedBuffer(statements)));
         return client;
     }
 
@@ -101,33 +101,33 @@
 
     @Test
     void whatWasSentAheadOfAnAnswerIsAnsweredToWhenAllIsGivenUp() throws Exception {
-        start(any -> StandInNode.Deed.silence());
-        StandInClient client = client(statement(1, "mutating"), statement(2, "any"), statement(3, "mutating"));
+        start(any -> StubNode.StubResponse.silence());
+        StubClient client = client(statement(1, "mutating"), statement(2, "any"), statement(3, "mutating"));
         sent.take();
         own.loop().submit(router::end).get();
         own.loop().submit(router::giveUp).get();
         assertEquals(
                 List.of("ready", "40003", "53300", "53300"),
-                List.of(client.next(), client.next(), client.next(), client.next()));
-        assertEquals("closed", client.next());
+                List.of(client.nextAnswer(), client.nextAnswer(), client.nextAnswer(), client.nextAnswer()));
+        assertEquals("closed", client.nextAnswer());
         assertEquals(0, sent.size(), "what was given up went to a node");
     }
 
     @Test
     void aCommandThatComesAfterAllIsGivenUpIsRefusedAndGoesToNoNode() throws Exception {
-        start(any -> StandInNode.Deed.answer("served"));
-        StandInClient client = client(statement(1, "any"));
-        assertEquals(List.of("ready", "served"), List.of(client.next(), client.next()));
+        start(any -> StubNode.StubResponse.answer("served"));
+        StubClient client = client(statement(1, "any"));
+        assertEquals(List.of("ready", "served"), List.of(client.nextAnswer(), client.nextAnswer()));
         own.loop().submit(router::giveUp).get();
         client.send(statement(2, "any"));
-        assertEquals("53300", client.next());
+        assertEquals("53300", client.nextAnswer());
         assertEquals(1, sent.size());
     }
 
     /** The order is forced: the loop stands until the machine has accepted all and the end is next to be done. */
     @Test
     void connectionsThatTheMachineAcceptedButNotTheProcessAreServedBeforeTheListenerCloses() throws Exception {
-        start(any -> StandInNode.Deed.answer("served"));
+        start(any -> StubNode.StubResponse.answer("served"));
         var stands = new CountDownLatch(1);
         var goesOn = new CountDownLatch(1);
         own.loop().execute(() -> {
@@ -141,7 +141,7 @@
             var socket =
                     new Socket(router.address().getAddress(), router.address().getPort());
             socket.setSoTimeout(20_000);
-            ByteBuf hello = StandInClient.hello(statement(i, "any"));
+            ByteBuf hello = StubClient.startupAndFirst(statement(i, "any"));
             hello.readBytes(socket.getOutputStream(), hello.readableBytes());
             sockets.add(socket);
         }
--- a/daemon/src/test/java/clayhook/sim/AdapterTest.java
+++ b/daemon/src/test/java/clayhook/sim/SimulatorAdapterTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class AdapterTest {
-    private static final String START =
+class SimulatorAdapterTest {
+    private static final String SETUP =
             """
             BATCH 1000000000 1
             SWITCH_TO 3
@@ -30,26 +30,26 @@
             GO
             """;
 
-    private static String reply(String input) throws BadInput, IOException {
+    private static String reply(String input) throws SimulatorProtocolException, IOException {
         var out = new StringWriter();
-        new Adapter(new BufferedReader(new StringReader(input)), new PrintWriter(out)).run();
+        new SimulatorAdapter(new BufferedReader(new StringReader(input)), new PrintWriter(out)).run();
         return out.toString();
     }
 
     @Test
-    void anEmptyBatchGetsAnEmptyReply() throws Exception {
+    void emptyBatchGetsAnEmptyReply() throws Exception {
         assertEquals("NEXT 1\n", reply("BATCH 8412250000 1\nGO\n"));
     }
 
     @Test
-    void aWriteGoesToTheListedPrimaryUntilShortlyBeforeItsClientTimeout() throws Exception {
-        assertTrue(reply(START).startsWith("SOURCE 3\nCALL_OUT 00000000000000aa 5970000000 10.0.0.1:1\n"));
+    void writeIsSentToTheListedPrimaryWithALimitBeforeTheDeadline() throws Exception {
+        assertTrue(reply(SETUP).startsWith("SOURCE 3\nCALL_OUT 00000000000000aa 5970000000 10.0.0.1:1\n"));
     }
 
     @ParameterizedTest
     @CsvSource({"100, 1, false", "303, 0, true", "305, 0, true"})
-    void aMutatingCommandIsAnsweredOnce(int verdict, int terminal, boolean fails) throws Exception {
-        String out = reply(START + "BATCH 1100000000 2\nSWITCH_TO 3\nRESPONSE 00000000000000aa 0 10.0.0.1:1 " + verdict
+    void nonIdempotentRequestIsAnsweredOnce(int verdict, int terminal, boolean fails) throws Exception {
+        String out = reply(SETUP + "BATCH 1100000000 2\nSWITCH_TO 3\nRESPONSE 00000000000000aa 0 10.0.0.1:1 " + verdict
                 + " 100000000 " + terminal + " 4405 -\nGO\n");
         assertEquals(fails, out.contains("REPORT_FAILURE 00000000000000aa"));
         assertEquals(1, out.split("CALL_OUT", -1).length - 1);
@@ -57,8 +57,8 @@
 
     @ParameterizedTest
     @CsvSource({"DOWN", "GONE 00000000000000aa"})
-    void nothingIsSaidOfACommandThatIsOver(String event) throws Exception {
-        String out = reply(START + "BATCH 7000000000 2\nSWITCH_TO 3\n" + event + "\nGO\n");
+    void finishedRequestGetsNoFurtherReply(String event) throws Exception {
+        String out = reply(SETUP + "BATCH 7000000000 2\nSWITCH_TO 3\n" + event + "\nGO\n");
         assertEquals(1, out.split("00000000000000aa", -1).length - 1);
     }
 
@@ -71,8 +71,8 @@
         "'BATCH 1 1\nPOOL 0 1\nROW a b c 1 2 7 1 -', 'line 3 has an unknown stage_state 7'",
         "'BATCH 1 1', 'the input ends within a batch'"
     })
-    void aBadLineIsNamed(String input, String message) {
-        BadInput bad = assertThrows(BadInput.class, () -> reply(input + "\n"));
+    void malformedLineIsNamedInTheError(String input, String message) {
+        SimulatorProtocolException bad = assertThrows(SimulatorProtocolException.class, () -> reply(input + "\n"));
         assertTrue(bad.getMessage().startsWith(message), bad.getMessage());
     }
 }
--- a/daemon/src/test/java/clayhook/sql/SqlRoutingTest.java
+++ b/daemon/src/test/java/clayhook/sql/SqlRoutingTest.java
@@ -11,9 +11,9 @@
 import clayhook.Settings;
 import clayhook.config.Configuration;
 import clayhook.config.OperatorFile;
-import clayhook.discovery.NodeList;
+import clayhook.discovery.EndpointList;
 import clayhook.protocol.Encoder;
-import clayhook.rehearsal.StandInDiscovery;
+import clayhook.rehearsal.StubDiscovery;
 import clayhook.serve.Server;
 import clayhook.sql.SqlNode.Deed;
 import clayhook.transport.Transport;
@@ -92,7 +92,7 @@
                     + "\",\"az\":\"a\",\"pod_group\":1,\"state\":\"up\",\"role\":\""
                     + (entries.isEmpty() ? "primary" : "replica") + "\",\"boot_ms\":0}");
         }
-        var discovery = new StandInDiscovery(transport, transport.spare(0), call -> null);
+        var discovery = new StubDiscovery(transport, transport.spare(0), call -> null);
         List<CommandGroup> groups = List.of(
                 group("any", Effect.REPLAYABLE, ReadLevel.ANY, 8),
                 group("write", Effect.KEYED, ReadLevel.WRITE, 8),
@@ -110,7 +110,7 @@
                         1,
                         1 << 27,
                         1024,
-                        NodeList.parse("{\"rev\":2,\"all\":true,\"targets\":[" + String.join(",", entries) + "]}"),
+                        EndpointList.parse("{\"rev\":2,\"all\":true,\"targets\":[" + String.join(",", entries) + "]}"),
                         settings,
                         2),
                 OperatorFile.read(file, groups));
--- a/lab/src/main/java/clayhook/lab/model/Loopback.java
+++ b/lab/src/main/java/clayhook/lab/model/Loopback.java
@@ -7,7 +7,7 @@
 import clayhook.Role;
 import clayhook.Settings;
 import clayhook.config.Configuration;
-import clayhook.discovery.NodeList;
+import clayhook.discovery.EndpointList;
 import clayhook.protocol.Allowance;
 import clayhook.protocol.ClientDecoder;
 import clayhook.protocol.ClientMessage;
@@ -15,9 +15,9 @@
 import clayhook.protocol.NodeDecoder;
 import clayhook.protocol.NodeMessage;
 import clayhook.protocol.Statement;
-import clayhook.rehearsal.StandInClient;
-import clayhook.rehearsal.StandInDiscovery;
-import clayhook.rehearsal.StandInNode;
+import clayhook.rehearsal.StubClient;
+import clayhook.rehearsal.StubDiscovery;
+import clayhook.rehearsal.StubNode;
 import clayhook.serve.Server;
 import clayhook.transport.Transport;
 import io.netty.channel.Channel;
@@ -137,7 +137,7 @@
         for (NodeModel node : world.nodes()) {
             sockets.add(new SocketNode(node));
         }
-        var discovery = new StandInDiscovery(
+        var discovery = new StubDiscovery(
                 transport,
                 transport.spare(0),
                 call -> call.contains("after=" + listVersion + "&")
@@ -176,7 +176,7 @@
                             r + 1,
                             1 << 28,
                             2 * MOST_CONNECTIONS + 64,
-                            NodeList.parse(list()),
+                            EndpointList.parse(list()),
                             settings,
                             CONNECT_TIMEOUT));
             servers.add(server);
@@ -292,7 +292,7 @@
             String fields = "id=" + next.id + ",c=" + group.name() + ",cluster=" + next.ask.group() + ",d="
                     + Math.round(group.clientTimeout() * 1000) + (writes ? ",k=" + next.id : "")
                     + (next.wroteAt > 0 ? ",after=" + (long) Math.ceil(next.wroteAt * 1000) : "");
-            channel.writeAndFlush(StandInClient.statement(writes, fields));
+            channel.writeAndFlush(StubClient.statement(writes, fields));
         }
 
         @Override
@@ -382,7 +382,7 @@
             if (message instanceof ClientMessage.Startup) {
                 time.in(spec.machine().connecting(), () -> ctx.writeAndFlush(Encoder.welcome(0, Map.of())));
             } else if (message instanceof ClientMessage.UnreadableQuery) {
-                ctx.writeAndFlush(StandInNode.row(load(node), role(node), millis(node.position()), load(node)));
+                ctx.writeAndFlush(StubNode.row(load(node), role(node), millis(node.position()), load(node)));
             } else if (message instanceof ClientMessage.Query query) {
                 run(ctx, query.statement());
             }
@@ -409,7 +409,7 @@
                 double position =
                         statement.writes ? world.group(node.node.group()).commit() : node.position();
                 audit.ran(asked.id, node.node, position, needed, time.now());
-                ctx.writeAndFlush(StandInNode.row(Double.toString(position), role(node), millis(position), load(node)));
+                ctx.writeAndFlush(StubNode.row(Double.toString(position), role(node), millis(position), load(node)));
             });
             if (!node.cores.offer(job)) {
                 ctx.writeAndFlush(Encoder.error(false, "53300", "full", null));
--- a/lab/src/main/java/clayhook/lab/sharing/ModelPeer.java
+++ b/lab/src/main/java/clayhook/lab/sharing/ModelPeer.java
@@ -5,7 +5,7 @@
 import clayhook.Node;
 import clayhook.Reply;
 import clayhook.Told;
-import clayhook.discovery.NodeList;
+import clayhook.discovery.EndpointList;
 import clayhook.fleet.Address;
 import clayhook.fleet.Peer;
 import clayhook.fleet.kinds.Fate;
@@ -35,7 +35,7 @@
     /** All routers of the model hear one discovery. */
     private static final String SOURCE = "10.0.0.1:1";
     /** Of every node: nothing is sent to addresses here. */
-    private static final InetSocketAddress ADDRESS = NodeList.numeric("10.0.0.2:1");
+    private static final InetSocketAddress ADDRESS = EndpointList.parseAddress("10.0.0.2:1");
 
     private final Time time;
     private final Hearing router;
@@ -43,7 +43,7 @@
     private final boolean marks;
     private final double roam;
     /** The list as its router has heard it; what a new life is told first. */
-    private final Map<String, NodeList.Entry> listed = new LinkedHashMap<>();
+    private final Map<String, EndpointList.DiscoveredEndpoint> listed = new LinkedHashMap<>();
 
     private long revision;
     private PeeredRouter peer;
@@ -72,7 +72,7 @@
         exchange = new Exchange(
                 kinds, roam, routers, SOURCE, state, members, chance.split(), what -> time.in(0, what), this);
         if (!listed.isEmpty()) {
-            exchange.take(new News.Listed(SOURCE, new NodeList(revision, true, List.copyOf(listed.values()))), now);
+            exchange.take(new News.Listed(SOURCE, new EndpointList(revision, true, List.copyOf(listed.values()))), now);
         }
         return new Life(members, state, List.of(members, exchange, state));
     }
@@ -88,15 +88,15 @@
 
     @Override
     public void listed(List<Listing> entries, boolean whole, long as) {
-        List<NodeList.Entry> told = entries.stream().map(ModelPeer::entry).toList();
+        List<EndpointList.DiscoveredEndpoint> told = entries.stream().map(ModelPeer::entry).toList();
         told.forEach(entry -> listed.put(entry.id(), entry));
         revision = as;
-        tell(new News.Listed(SOURCE, new NodeList(as, whole, told)));
+        tell(new News.Listed(SOURCE, new EndpointList(as, whole, told)));
     }
 
-    private static NodeList.Entry entry(Listing listing) {
+    private static EndpointList.DiscoveredEndpoint entry(Listing listing) {
         Node node = listing.node();
-        return new NodeList.Entry(
+        return new EndpointList.DiscoveredEndpoint(
                 node.id(), ADDRESS, node.zone(), node.group(), listing.state(), listing.primary(), listing.startedAt());
     }
 
@@ -148,11 +148,11 @@
     }
 
     @Override
-    public void told(Collection<NodeList> changes) {
-        changes.forEach(change -> change.entries()
+    public void told(Collection<EndpointList> changes) {
+        changes.forEach(change -> change.endpoints()
                 .forEach(entry -> router.told(
                         new Listing(
-                                new Node(entry.id(), entry.zone(), entry.group()),
+                                new Node(entry.id(), entry.zone(), entry.replicaSetId()),
                                 entry.state(),
                                 entry.primary(),
                                 entry.startedAt()),
--- a/trials/src/main/java/clayhook/trials/Caller.java
+++ b/trials/src/main/java/clayhook/trials/Caller.java
@@ -4,7 +4,7 @@
 import clayhook.CommandGroup.Effect;
 import clayhook.CommandGroup.ReadLevel;
 import clayhook.protocol.Encoder;
-import clayhook.rehearsal.StandInClient;
+import clayhook.rehearsal.StubClient;
 import clayhook.transport.Transport;
 import io.netty.buffer.ByteBuf;
 import java.net.InetSocketAddress;
@@ -23,7 +23,7 @@
     private final Transport transport;
     private final Witness witness;
     /** Connections that stand, by router. */
-    private final Map<RouterProcess, StandInClient> connections = new HashMap<>();
+    private final Map<RouterProcess, StubClient> connections = new HashMap<>();
 
     private final boolean carries;
     private final String name;
@@ -58,7 +58,7 @@
         boolean own = group.level() == ReadLevel.SESSION && wroteAt > 0;
         double patience = group.clientTimeout() + Witness.MACHINE;
         witness.asked(id, group, own ? wroteAt : 0, router.name(), patience);
-        ByteBuf statement = StandInClient.statement(
+        ByteBuf statement = StubClient.statement(
                 writes,
                 name,
                 "id=" + id + ",c=" + group.name() + ",cluster=1,d="
@@ -67,7 +67,7 @@
         String word = word(router, statement, patience);
         boolean value = word != null && word.indexOf('.') > 0;
         if (word == null
-                || word.equals(StandInClient.NO_CONNECTION)
+                || word.equals(StubClient.NO_CONNECTION)
                 || word.equals("closed")
                 || value && word.endsWith("closed")) {
             witness.unanswered(id, word);
@@ -83,24 +83,24 @@
 
     /** What comes back, or null; a connection that ended while it was idle is opened anew. */
     private String word(RouterProcess router, ByteBuf statement, double patience) throws InterruptedException {
-        StandInClient standing = connections.get(router);
-        String stray = standing == null ? "closed" : standing.next(0);
+        StubClient standing = connections.get(router);
+        String stray = standing == null ? "closed" : standing.nextAnswer(0);
         if (stray == null) {
             standing.send(statement);
-            return standing.next(patience);
+            return standing.nextAnswer(patience);
         } else if (standing != null && !stray.equals("closed")) {
             witness.answered(last, false, false); // a second answer, which is what the witness will say
         }
         leave(router);
-        var opened = new StandInClient(transport, router.address());
+        var opened = new StubClient(transport, router.address());
         connections.put(router, opened);
-        opened.send(StandInClient.hello(statement));
-        String hello = opened.next(patience);
-        return "ready".equals(hello) ? opened.next(patience) : hello;
+        opened.send(StubClient.startupAndFirst(statement));
+        String hello = opened.nextAnswer(patience);
+        return "ready".equals(hello) ? opened.nextAnswer(patience) : hello;
     }
 
     private void leave(RouterProcess router) {
-        StandInClient client = connections.remove(router);
+        StubClient client = connections.remove(router);
         if (client != null) {
             client.close();
         }
@@ -108,15 +108,15 @@
 
     /** Ends its connections. */
     void close() {
-        connections.values().forEach(StandInClient::close);
+        connections.values().forEach(StubClient::close);
         connections.clear();
     }
 
     /** Whether a router takes commands; asks nothing that the witness hears of. */
     static boolean greeted(Transport transport, InetSocketAddress router, double seconds) throws InterruptedException {
-        var client = new StandInClient(transport, router);
+        var client = new StubClient(transport, router);
         client.send(Encoder.startup("client", "core"));
-        String word = client.next(seconds);
+        String word = client.nextAnswer(seconds);
         client.close();
         return "ready".equals(word);
     }
--- a/trials/src/main/java/clayhook/trials/ClusterNode.java
+++ b/trials/src/main/java/clayhook/trials/ClusterNode.java
@@ -9,7 +9,7 @@
 import clayhook.protocol.ClientMessage;
 import clayhook.protocol.Encoder;
 import clayhook.protocol.Statement;
-import clayhook.rehearsal.StandInNode;
+import clayhook.rehearsal.StubNode;
 import clayhook.transport.Transport;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -119,7 +119,7 @@
     private ByteBuf row(String value, double position) {
         String load = "inflight=1,x0=" + position + ",x1=" + (leads() ? 1 : 0);
         // Rounded down: nobody is told of more than there is.
-        return StandInNode.row(
+        return StubNode.row(
                 value == null ? load : value,
                 leads() ? "primary" : "replica",
                 (long) Math.floor(position * 1000),
--- a/trials/src/main/java/clayhook/trials/Directory.java
+++ b/trials/src/main/java/clayhook/trials/Directory.java
@@ -1,7 +1,7 @@
 package clayhook.trials;
 
 import clayhook.Listing;
-import clayhook.rehearsal.StandInDiscovery;
+import clayhook.rehearsal.StubDiscovery;
 import clayhook.transport.Transport;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -13,7 +13,7 @@
 public final class Directory {
     private final Cluster cluster;
     private final IntSupplier routers;
-    private final StandInDiscovery service;
+    private final StubDiscovery service;
     /**
      * Calls that wait for something newer than they know; emptied by each change. One a router, and a few it gave up.
      */
@@ -27,7 +27,7 @@
     Directory(Transport transport, Cluster cluster, IntSupplier routers) throws InterruptedException {
         this.cluster = cluster;
         this.routers = routers;
-        service = new StandInDiscovery(transport, transport.spare(0), this::called);
+        service = new StubDiscovery(transport, transport.spare(0), this::called);
         cluster.watch(this::changed);
     }
 
