--- a/benchmarks/src/main/java/clayhook/benchmarks/Routing.java
+++ b/benchmarks/src/main/java/clayhook/benchmarks/Routing.java
@@ -1,9 +1,9 @@
 package clayhook.benchmarks;
 
-import clayhook.CommandGroup;
-import clayhook.CommandGroup.Effect;
-import clayhook.CommandGroup.ReadLevel;
-import clayhook.Settings;
+import clayhook.RequestClass;
+import clayhook.RequestClass.Idempotency;
+import clayhook.RequestClass.ConsistencyLevel;
+import clayhook.RoutingSettings;
 import clayhook.config.Configuration;
 import clayhook.config.Operator;
 import clayhook.discovery.EndpointList;
@@ -59,8 +59,8 @@
         var primary = new StubNode(transport, transport.spare(0), "primary", any -> StubResponse.answer("value"));
         var discovery = new StubDiscovery(transport, transport.spare(0), call -> null);
         var groups = List.of(
-                group("read", Effect.REPLAYABLE, ReadLevel.ANY), group("write", Effect.MUTATING, ReadLevel.WRITE));
-        var settings = new Settings(
+                group("read", Idempotency.IDEMPOTENT, ConsistencyLevel.EVENTUAL), group("write", Idempotency.NON_IDEMPOTENT, ConsistencyLevel.WRITE));
+        var settings = new RoutingSettings(
                 1, "a", groups, true, true, false, true, true, true, true, true, 1, 9, 0.2, 10, 3, 3, 1, 15);
         String list = "{\"rev\":2,\"all\":true,\"targets\":[" + entry("p", primary, "primary") + ","
                 + entry("r", node, "replica") + "]}";
@@ -90,8 +90,8 @@
         client.nextAnswer();
     }
 
-    private static CommandGroup group(String name, Effect effect, ReadLevel level) {
-        return new CommandGroup(name, effect, level, 1, 5, 1, 0, CommandGroup.Scope.GROUP, 1, 0);
+    private static RequestClass group(String name, Idempotency effect, ConsistencyLevel level) {
+        return new RequestClass(name, effect, level, 1, 5, 1, 0, RequestClass.DeduplicationScope.REPLICA_SET, 1, 0);
     }
 
     private static String entry(String id, StubNode node, String role) {
--- a/cli/src/main/java/clayhook/cli/LabCommand.java
+++ b/cli/src/main/java/clayhook/cli/LabCommand.java
@@ -1,6 +1,6 @@
 package clayhook.cli;
 
-import clayhook.CommandGroup;
+import clayhook.RequestClass;
 import clayhook.config.BadConfig;
 import clayhook.lab.Comparison;
 import clayhook.lab.Comparison.Interval;
@@ -152,7 +152,7 @@
                     "%-24s %-18s %8s %8s %9s %8s %8s%n",
                     "variant", "command group", "in time", "p50 ms", "p99 ms", "thrott.", "failed");
             for (Played one : played) {
-                for (CommandGroup group : one.runs().get(0).groups().keySet()) {
+                for (RequestClass group : one.runs().get(0).groups().keySet()) {
                     out.printf(
                             Locale.ROOT,
                             "%-24s %-18s %8.4f %8.1f %9.1f %8.4f %8.4f%n",
@@ -194,7 +194,7 @@
             double of(Tally.Of counts);
         }
 
-        private static double mean(Played one, CommandGroup group, Figure figure) {
+        private static double mean(Played one, RequestClass group, Figure figure) {
             return one.runs().stream()
                     .map(run -> run.groups().get(group))
                     .filter(of -> of != null && of.asked > 0)
--- a/cli/src/main/java/clayhook/cli/RehearseCommand.java
+++ b/cli/src/main/java/clayhook/cli/RehearseCommand.java
@@ -1,6 +1,6 @@
 package clayhook.cli;
 
-import clayhook.Settings;
+import clayhook.RoutingSettings;
 import clayhook.config.Configuration;
 import clayhook.config.Json;
 import clayhook.rehearsal.WarmUp;
@@ -39,7 +39,7 @@
     static int run() {
         try {
             Hangup.handle(() -> {});
-            Settings settings =
+            RoutingSettings settings =
                     Configuration.of(Json.parse(REHEARSED), Map.of()).settings();
             WarmUp.run(settings, Transport.rehearsal(), false);
             WarmUp.run(settings, Transport.tcp(), false);
--- a/cli/src/main/java/clayhook/cli/ServeCommand.java
+++ b/cli/src/main/java/clayhook/cli/ServeCommand.java
@@ -74,7 +74,7 @@
     private static Operator operator(Path config, Configuration configuration) throws BadConfig {
         return config == null
                 ? Operator.OFF
-                : OperatorFile.read(config, configuration.settings().groups());
+                : OperatorFile.read(config, configuration.settings().requestClasses());
     }
 
     /** A router that cannot rehearse is only slow at first. */
--- a/core/src/main/java/clayhook/Outcome.java
+++ b/core/src/main/java/clayhook/AttemptOutcome.java
@@ -1,21 +1,21 @@
 package clayhook;
 
 /** How a dispatch or a probe ended. */
-public enum Outcome {
+public enum AttemptOutcome {
     ANSWERED(false),
     ERROR(false),
-    FULL(true),
+    OVERLOADED(true),
     TIMED_OUT(false),
     CONNECT_FAILED(true),
     RESET(false),
     CANCELLED(false),
     NOT_SENT(true),
-    TURNED_AWAY(true);
+    REJECTED(true);
 
     /** It is known that the command did not run. */
-    public final boolean neverRan;
+    public final boolean notExecuted;
 
-    Outcome(boolean neverRan) {
-        this.neverRan = neverRan;
+    AttemptOutcome(boolean neverRan) {
+        this.notExecuted = neverRan;
     }
 }
--- a/core/src/main/java/clayhook/Reply.java
+++ b/core/src/main/java/clayhook/AttemptResult.java
@@ -8,17 +8,17 @@
  * @param reportedPosition the same from its load report, as old as that report
  * @param load the commands that the node reported to hold or to have waiting; below 0 where it told none
  */
-public record Reply(
-        Outcome outcome,
-        double took,
+public record AttemptResult(
+        AttemptOutcome outcome,
+        double elapsedSeconds,
         Role role,
-        double position,
+        double appliedPosition,
         Role reportedRole,
         double reportedPosition,
-        double load) {
+        double reportedLoad) {
 
     /** Nothing was told, or nothing that can be believed. */
-    public static Reply untold(Outcome outcome, double took) {
-        return new Reply(outcome, took, Role.UNKNOWN, 0, Role.UNKNOWN, 0, -1);
+    public static AttemptResult withoutReport(AttemptOutcome outcome, double took) {
+        return new AttemptResult(outcome, took, Role.UNKNOWN, 0, Role.UNKNOWN, 0, -1);
     }
 }
--- a/core/src/main/java/clayhook/Listing.java
+++ b/core/src/main/java/clayhook/Endpoint.java
@@ -5,7 +5,7 @@
  *
  * @param startedAt when its process last started, in seconds; 0 for long ago
  */
-public record Listing(Node node, State state, boolean primary, double startedAt) {
+public record Endpoint(Node node, State state, boolean primary, double startedAt) {
 
     public enum State {
         READY,
--- a/core/src/main/java/clayhook/Told.java
+++ b/core/src/main/java/clayhook/PeerObservation.java
@@ -14,18 +14,18 @@
  * @param slownessWeight how much that counts beside an own figure, 0 to 1; so with {@code loadWeight}
  * @param load commands that it reported to hold
  */
-public record Told(
-        double nodeStart,
-        double position,
-        double positionAt,
-        double lag,
-        double lagAt,
-        double primaryAt,
-        double replicaAt,
-        double heardAt,
-        double failedAt,
-        int strikes,
-        double slowness,
-        double slownessWeight,
+public record PeerObservation(
+        double incarnationStartedAt,
+        double appliedPosition,
+        double appliedPositionAt,
+        double lagSeconds,
+        double lagMeasuredAt,
+        double primaryClaimedAt,
+        double replicaClaimedAt,
+        double lastSeenAt,
+        double lastFailureAt,
+        int failedRouterCount,
+        double latencyRatio,
+        double latencyRatioWeight,
         double load,
         double loadWeight) {}
--- a/core/src/main/java/clayhook/Settings.java
+++ b/core/src/main/java/clayhook/RoutingSettings.java
@@ -16,23 +16,23 @@
  * @param commandsAConnection how many dispatches a connection carries at once
  * @param connectionIdle an unused connection closes after this long
  */
-public record Settings(
-        int routers,
+public record RoutingSettings(
+        int routerCount,
         String zone,
-        List<CommandGroup> groups,
-        boolean listMustBeAsked,
-        boolean goneBinds,
-        boolean replicasCheck,
-        boolean marksCarried,
-        boolean mayProbe,
-        boolean mayCancel,
-        boolean secondCopies,
-        boolean adviceHeeded,
-        double longestAdvice,
-        int mostDispatches,
-        double coldShare,
-        double warmAfter,
+        List<RequestClass> requestClasses,
+        boolean endpointListMustBePolled,
+        boolean goneIsBinding,
+        boolean replicasRejectStaleReads,
+        boolean requestsCarryLastWrite,
+        boolean healthChecksAllowed,
+        boolean cancellationAllowed,
+        boolean hedgingAllowed,
+        boolean clientsHonorRetryAfter,
+        double maxRetryAfterSeconds,
+        int maxAttempts,
+        double initialCapacityFraction,
+        double slowStartSeconds,
         double overloadFactor,
-        double overloadFor,
-        int commandsAConnection,
-        double connectionIdle) {}
+        double overloadWindowSeconds,
+        int connectionConcurrency,
+        double connectionIdleTimeoutSeconds) {}
--- a/core/src/main/java/clayhook/Pause.java
+++ b/core/src/main/java/clayhook/TickResult.java
@@ -7,4 +7,4 @@
  *
  * @param watchList ask the node list for its changes from now on
  */
-public record Pause(double seconds, List<Node> probes, boolean watchList) {}
+public record TickResult(double nextTickSeconds, List<Node> healthChecks, boolean pollEndpoints) {}
--- a/daemon/src/main/java/clayhook/config/Configuration.java
+++ b/daemon/src/main/java/clayhook/config/Configuration.java
@@ -1,6 +1,6 @@
 package clayhook.config;
 
-import clayhook.Settings;
+import clayhook.RoutingSettings;
 import clayhook.discovery.EndpointList;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -28,7 +28,7 @@
         long memory,
         int sockets,
         EndpointList known,
-        Settings settings,
+        RoutingSettings settings,
         double connectTimeout) {
 
     /** What the platform grants where it states nothing: the least that it hands out on scored days. */
@@ -64,8 +64,8 @@
         // On sockets the list is told only to who asks, even where the simulator pushes it.
         values.put("discovery", "subscribe");
         var reader = new SettingsReader(values);
-        Settings read = reader.settings();
-        if (read.groups().isEmpty()) {
+        RoutingSettings read = reader.settings();
+        if (read.requestClasses().isEmpty()) {
             throw new BadConfig("settings.grades: missing or empty");
         }
         return new Configuration(
--- a/daemon/src/main/java/clayhook/config/Operator.java
+++ b/daemon/src/main/java/clayhook/config/Operator.java
@@ -1,6 +1,6 @@
 package clayhook.config;
 
-import clayhook.CommandGroup;
+import clayhook.RequestClass;
 import clayhook.statements.StatementRules;
 import java.util.List;
 
@@ -30,29 +30,29 @@
         void check(String key, boolean writes, boolean marked, String group) throws BadConfig;
 
         /** Where the command groups are not known, as in tools, any name will do. */
-        static GroupCheck of(List<CommandGroup> groups, Toml toml) {
+        static GroupCheck of(List<RequestClass> groups, Toml toml) {
             return groups == null
                     ? (key, writes, marked, name) -> {}
                     : (key, writes, marked, name) -> {
-                        CommandGroup group = groups.stream()
+                        RequestClass group = groups.stream()
                                 .filter(g -> g.name().equals(name))
                                 .findFirst()
                                 .orElse(null);
                         if (group == null) {
                             throw toml.fault(key, "there is no command group '" + name + "'");
-                        } else if (writes != (group.level() == CommandGroup.ReadLevel.WRITE)) {
+                        } else if (writes != (group.consistency() == RequestClass.ConsistencyLevel.WRITE)) {
                             throw toml.fault(
                                     key, "command group '" + name + "' is for " + (writes ? "reads" : "writes"));
-                        } else if (writes && marked != (group.effect() == CommandGroup.Effect.KEYED)) {
+                        } else if (writes && marked != (group.idempotency() == RequestClass.Idempotency.IDEMPOTENT_WITH_KEY)) {
                             throw toml.fault(
                                     key,
                                     "command group '" + name + "' is "
                                             + (marked
                                                     ? "not keyed, but the rule names a mark"
-                                                    : group.effect() == CommandGroup.Effect.KEYED
+                                                    : group.idempotency() == RequestClass.Idempotency.IDEMPOTENT_WITH_KEY
                                                             ? "keyed, which needs a rule with a mark"
                                                             : "fit"));
-                        } else if (writes && group.effect() == CommandGroup.Effect.REPLAYABLE) {
+                        } else if (writes && group.idempotency() == RequestClass.Idempotency.IDEMPOTENT) {
                             throw toml.fault(
                                     key, "command group '" + name + "' is replayable, which no unknown write is");
                         }
--- a/daemon/src/main/java/clayhook/config/OperatorFile.java
+++ b/daemon/src/main/java/clayhook/config/OperatorFile.java
@@ -1,6 +1,6 @@
 package clayhook.config;
 
-import clayhook.CommandGroup;
+import clayhook.RequestClass;
 import clayhook.statements.Rule;
 import clayhook.statements.Rule.Placement;
 import clayhook.statements.StatementRules;
@@ -23,7 +23,7 @@
     /**
      * {@code groups} are the command groups there are; null where any name will do. Throws BadConfig naming the place.
      */
-    public static Operator read(Path file, List<CommandGroup> groups) throws BadConfig {
+    public static Operator read(Path file, List<RequestClass> groups) throws BadConfig {
         return read(Toml.read(file), groups);
     }
 
@@ -34,7 +34,7 @@
         return statements(toml.table("statements"), null);
     }
 
-    private static Operator read(Toml toml, List<CommandGroup> groups) throws BadConfig {
+    private static Operator read(Toml toml, List<RequestClass> groups) throws BadConfig {
         Toml nodes = toml.table("nodes");
         String user = nodes.text("user", Operator.OFF.user());
         String database = nodes.text("database", Operator.OFF.database());
@@ -48,7 +48,7 @@
         return new Operator(on ? statements : null, user, database, shares ? shared : null);
     }
 
-    private static Operator.Statements statements(Toml table, List<CommandGroup> groups) throws BadConfig {
+    private static Operator.Statements statements(Toml table, List<RequestClass> groups) throws BadConfig {
         StatementRules defaults = StatementRules.DEFAULT;
         Toml database = table.table("database");
         String readGroup = table.text("read_group", defaults.readGroup());
@@ -80,7 +80,7 @@
                 table.whole("answer_bytes", LONGEST_ANSWER, 1024, 1 << 28));
     }
 
-    private static Rule rule(Toml rule, List<CommandGroup> groups, int number) throws BadConfig {
+    private static Rule rule(Toml rule, List<RequestClass> groups, int number) throws BadConfig {
         rule.needed("class");
         boolean writes = rule.word("class", null, Set.of("read", "write")).equals("write");
         String mark = rule.text("mark", null);
--- a/daemon/src/main/java/clayhook/config/SettingsReader.java
+++ b/daemon/src/main/java/clayhook/config/SettingsReader.java
@@ -1,10 +1,10 @@
 package clayhook.config;
 
-import clayhook.CommandGroup;
-import clayhook.CommandGroup.Effect;
-import clayhook.CommandGroup.ReadLevel;
-import clayhook.CommandGroup.Scope;
-import clayhook.Settings;
+import clayhook.RequestClass;
+import clayhook.RequestClass.Idempotency;
+import clayhook.RequestClass.ConsistencyLevel;
+import clayhook.RequestClass.DeduplicationScope;
+import clayhook.RoutingSettings;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -19,8 +19,8 @@
         this.values = values;
     }
 
-    public Settings settings() throws BadConfig {
-        return new Settings(
+    public RoutingSettings settings() throws BadConfig {
+        return new RoutingSettings(
                 (int) atLeast(1, "balancers", 1),
                 text("zone", ""),
                 groups(),
@@ -52,15 +52,15 @@
         return number("limits.dial_timeout", NANOS / 4) / NANOS;
     }
 
-    private List<CommandGroup> groups() throws BadConfig {
+    private List<RequestClass> groups() throws BadConfig {
         String[] levels = text("domain.read_level", "").split(",");
         String[] bounds = text("domain.max_age", "").split(",");
-        var groups = new ArrayList<CommandGroup>();
+        var groups = new ArrayList<RequestClass>();
         int count = (int) number("grades.count", 0);
         for (int i = 0; i < count; i++) {
             String path = "grades." + i + ".";
             double clientTimeout = seconds(path + "hard_limit");
-            groups.add(new CommandGroup(
+            groups.add(new RequestClass(
                     text(path + "name", ""),
                     effect(path + "effect"),
                     level(i < levels.length ? levels[i] : "any"),
@@ -75,33 +75,33 @@
         return groups;
     }
 
-    private Effect effect(String key) throws BadConfig {
+    private Idempotency effect(String key) throws BadConfig {
         String word = text(key, "");
         return switch (word) {
-            case "idempotent" -> Effect.REPLAYABLE;
-            case "deduplicated" -> Effect.KEYED;
-            case "at_most_once" -> Effect.MUTATING;
+            case "idempotent" -> Idempotency.IDEMPOTENT;
+            case "deduplicated" -> Idempotency.IDEMPOTENT_WITH_KEY;
+            case "at_most_once" -> Idempotency.NON_IDEMPOTENT;
             default -> throw new BadConfig(key + ": unknown effect '" + word + "'");
         };
     }
 
-    private Scope scope(String key) throws BadConfig {
+    private DeduplicationScope scope(String key) throws BadConfig {
         String word = text(key, "all");
         return switch (word) {
-            case "all" -> Scope.ALL;
-            case "zone" -> Scope.ZONE;
-            case "cell" -> Scope.GROUP;
+            case "all" -> DeduplicationScope.ALL;
+            case "zone" -> DeduplicationScope.ZONE;
+            case "cell" -> DeduplicationScope.REPLICA_SET;
             default -> throw new BadConfig(key + ": unknown group of repeats '" + word + "'");
         };
     }
 
-    private static ReadLevel level(String word) throws BadConfig {
+    private static ConsistencyLevel level(String word) throws BadConfig {
         return switch (word) {
-            case "write" -> ReadLevel.WRITE;
-            case "fresh" -> ReadLevel.FRESH;
-            case "session" -> ReadLevel.SESSION;
-            case "bounded" -> ReadLevel.BOUNDED;
-            case "any", "", "-" -> ReadLevel.ANY;
+            case "write" -> ConsistencyLevel.WRITE;
+            case "fresh" -> ConsistencyLevel.STRONG;
+            case "session" -> ConsistencyLevel.SESSION;
+            case "bounded" -> ConsistencyLevel.BOUNDED_STALENESS;
+            case "any", "", "-" -> ConsistencyLevel.EVENTUAL;
             default -> throw new BadConfig("domain.read_level: unknown read level '" + word + "'");
         };
     }
--- a/daemon/src/main/java/clayhook/discovery/EndpointList.java
+++ b/daemon/src/main/java/clayhook/discovery/EndpointList.java
@@ -1,6 +1,6 @@
 package clayhook.discovery;
 
-import clayhook.Listing.State;
+import clayhook.Endpoint.State;
 import clayhook.config.Json;
 import io.netty.util.NetUtil;
 import java.net.InetAddress;
--- a/daemon/src/main/java/clayhook/front/ClientCommand.java
+++ b/daemon/src/main/java/clayhook/front/ClientCommand.java
@@ -1,14 +1,14 @@
 package clayhook.front;
 
-import clayhook.Command;
-import clayhook.CommandGroup;
+import clayhook.Request;
+import clayhook.RequestClass;
 import clayhook.protocol.Outgoing;
 import clayhook.protocol.Statement;
 import clayhook.statements.Classed;
 import java.util.List;
 
 /** A command that a client session waits for. */
-public final class ClientCommand extends Command {
+public final class ClientCommand extends Request {
     public final Session session;
     public final Outgoing outgoing;
     /** Its id among all open commands, or null where the router needs none. */
@@ -21,14 +21,14 @@
     public List<byte[]> error;
 
     /** {@code wroteAt}: the position that a read of its session must cover, as far as others told it; 0 for none. */
-    public ClientCommand(CommandGroup group, Statement statement, Session session, double wroteAt, double now) {
+    public ClientCommand(RequestClass group, Statement statement, Session session, double wroteAt, double now) {
         super(
                 group,
                 statement.nodeGroup,
                 statement.key,
                 Math.max(statement.after, wroteAt),
                 now,
-                now + Math.min(statement.wait, group.clientTimeout()));
+                now + Math.min(statement.wait, group.clientTimeoutSeconds()));
         this.session = session;
         outgoing = statement;
         id = statement.id;
@@ -38,7 +38,7 @@
 
     /** {@code wait}: seconds that the client waits, at most those of its command group. */
     public ClientCommand(
-            CommandGroup group,
+            RequestClass group,
             int nodes,
             Outgoing outgoing,
             Classed classed,
@@ -46,7 +46,7 @@
             double wroteAt,
             double now,
             double wait) {
-        super(group, nodes, session.name(), wroteAt, now, now + Math.min(wait, group.clientTimeout()));
+        super(group, nodes, session.name(), wroteAt, now, now + Math.min(wait, group.clientTimeoutSeconds()));
         this.session = session;
         this.outgoing = outgoing;
         id = null;
--- a/daemon/src/main/java/clayhook/nodes/AttemptCompletion.java
+++ b/daemon/src/main/java/clayhook/nodes/AttemptCompletion.java
@@ -1,29 +1,29 @@
 package clayhook.nodes;
 
-import clayhook.Outcome;
+import clayhook.AttemptOutcome;
 import java.util.List;
 import java.util.Set;
 
 /** How an attempt ended. */
 sealed interface AttemptCompletion {
-    Outcome outcome();
+    AttemptOutcome outcome();
 
     /** The node's answer is whole. */
     record Answered() implements AttemptCompletion {
         @Override
-        public Outcome outcome() {
-            return Outcome.ANSWERED;
+        public AttemptOutcome outcome() {
+            return AttemptOutcome.ANSWERED;
         }
     }
 
     /** The node answered with an error; before a connection stands, it turns the connection away. */
     record NodeError(String sqlState) implements AttemptCompletion {
         @Override
-        public Outcome outcome() {
+        public AttemptOutcome outcome() {
             return switch (sqlState) {
-                case "25006", "72000" -> Outcome.TURNED_AWAY;
-                case TOO_MANY_CONNECTIONS -> Outcome.FULL;
-                default -> Outcome.ERROR;
+                case "25006", "72000" -> AttemptOutcome.REJECTED;
+                case TOO_MANY_CONNECTIONS -> AttemptOutcome.OVERLOADED;
+                default -> AttemptOutcome.ERROR;
             };
         }
     }
@@ -31,8 +31,8 @@
     /** The router answers in the node's place, which has nothing more to tell: a final answer of these messages. */
     record LocalAnswer(List<byte[]> messages) implements AttemptCompletion {
         @Override
-        public Outcome outcome() {
-            return Outcome.ANSWERED;
+        public AttemptOutcome outcome() {
+            return AttemptOutcome.ANSWERED;
         }
     }
 
@@ -64,32 +64,32 @@
     /** What came cannot be understood; the node works, and the command may have run. */
     record ProtocolViolation() implements AttemptCompletion {
         @Override
-        public Outcome outcome() {
-            return Outcome.ERROR;
+        public AttemptOutcome outcome() {
+            return AttemptOutcome.ERROR;
         }
     }
 
     /** The connection was refused, broke or ended. */
     record ConnectionLost(AttemptPhase phase) implements AttemptCompletion {
         @Override
-        public Outcome outcome() {
-            return phase.mayHaveRun() ? Outcome.RESET : Outcome.CONNECT_FAILED;
+        public AttemptOutcome outcome() {
+            return phase.mayHaveRun() ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED;
         }
     }
 
     /** The time to wait is over. */
     record TimedOut(AttemptPhase phase) implements AttemptCompletion {
         @Override
-        public Outcome outcome() {
-            return phase.mayHaveRun() ? Outcome.TIMED_OUT : Outcome.CONNECT_FAILED;
+        public AttemptOutcome outcome() {
+            return phase.mayHaveRun() ? AttemptOutcome.TIMED_OUT : AttemptOutcome.CONNECT_FAILED;
         }
     }
 
     /** It is wanted no longer, or may not go out any more. */
     record Cancelled(AttemptPhase phase) implements AttemptCompletion {
         @Override
-        public Outcome outcome() {
-            return phase.mayHaveRun() ? Outcome.CANCELLED : Outcome.NOT_SENT;
+        public AttemptOutcome outcome() {
+            return phase.mayHaveRun() ? AttemptOutcome.CANCELLED : AttemptOutcome.NOT_SENT;
         }
     }
 }
--- a/daemon/src/main/java/clayhook/nodes/BackendClient.java
+++ b/daemon/src/main/java/clayhook/nodes/BackendClient.java
@@ -1,8 +1,8 @@
 package clayhook.nodes;
 
-import clayhook.Dispatch;
+import clayhook.Attempt;
 import clayhook.Node;
-import clayhook.Reply;
+import clayhook.AttemptResult;
 import clayhook.config.Operator;
 import clayhook.log.Log;
 import clayhook.protocol.Allowance;
@@ -34,12 +34,12 @@
          * {@code answer} holds the messages for the client after an answer, and the node's error where it sent one to a
          * statement of any kind; {@code error} is that error's code. Either may be null.
          */
-        void onAttemptFinished(Dispatch dispatch, Reply reply, List<byte[]> answer, String error);
+        void onAttemptFinished(Attempt dispatch, AttemptResult reply, List<byte[]> answer, String error);
 
-        void onHealthCheck(Node node, Reply reply);
+        void onHealthCheck(Node node, AttemptResult reply);
 
         /** Whether a dispatch that waited for its connection may still go out; asked also while it goes on waiting. */
-        boolean mayStillSend(Dispatch dispatch);
+        boolean mayStillSend(Attempt dispatch);
 
         /** Whether anything may be sent to that node yet. */
         boolean isKnown(Node node);
@@ -59,7 +59,7 @@
     /** Nodes leave once they are known no more and their last connection has ended. */
     private final Map<String, ConnectionPool> pools = new HashMap<>();
     /** Each leaves with its outcome. */
-    private final Map<Dispatch, BackendRequest> requests = new HashMap<>();
+    private final Map<Attempt, BackendRequest> requests = new HashMap<>();
 
     public BackendClient(
             Transport transport,
@@ -96,10 +96,10 @@
 
     /** Whether any node of that group was ever listed. */
     public boolean hasReplicaSet(int group) {
-        return pools.values().stream().anyMatch(pool -> pool.node.group() == group);
+        return pools.values().stream().anyMatch(pool -> pool.node.replicaSetId() == group);
     }
 
-    public void send(Dispatch dispatch, Outgoing outgoing) {
+    public void send(Attempt dispatch, Outgoing outgoing) {
         var attempt = new BackendRequest(dispatch.node, dispatch, outgoing, clock.now());
         requests.put(dispatch, attempt);
         ConnectionPool pool = pools.get(dispatch.node.id());
@@ -119,14 +119,14 @@
     }
 
     /** The time to wait for a dispatch is over. */
-    public void expire(Dispatch dispatch) {
+    public void expire(Attempt dispatch) {
         BackendRequest attempt = requests.get(dispatch);
         if (attempt != null) {
             pools.get(dispatch.node.id()).abandon(attempt, new AttemptCompletion.TimedOut(attempt.phase));
         }
     }
 
-    public void cancel(Dispatch dispatch) {
+    public void cancel(Attempt dispatch) {
         BackendRequest attempt = requests.get(dispatch);
         if (attempt != null) {
             pools.get(dispatch.node.id()).abandon(attempt, new AttemptCompletion.Cancelled(attempt.phase));
@@ -134,7 +134,7 @@
     }
 
     /** Its client has gone: it goes no more if it waits for its connection; once written it keeps its connection. */
-    public void cancelIfUnsent(Dispatch dispatch) {
+    public void cancelIfUnsent(Attempt dispatch) {
         BackendRequest attempt = requests.get(dispatch);
         if (attempt != null && attempt.connection == null) {
             cancel(dispatch);
@@ -162,12 +162,12 @@
 
     /** One that waits may not go out any more, and not for its time limit, which is an ending of its own. */
     boolean isCancelled(BackendRequest attempt) {
-        return !mayStillSend(attempt) && clock.now() < attempt.attempt.limit;
+        return !mayStillSend(attempt) && clock.now() < attempt.attempt.timeoutAt;
     }
 
     /** What to write for an attempt now. */
     byte[] queryText(BackendRequest attempt) {
-        return attempt.attempt == null ? HEALTH_CHECK_QUERY : attempt.statement.withWait(attempt.attempt.limit - clock.now());
+        return attempt.attempt == null ? HEALTH_CHECK_QUERY : attempt.statement.withWait(attempt.attempt.timeoutAt - clock.now());
     }
 
     /** Gives the longest idle connection of any node back, if there is one. */
@@ -246,7 +246,7 @@
 
     void complete(BackendRequest attempt, AttemptCompletion ending, NodeConnection by) {
         double took = clock.now() - (attempt.attempt == null ? attempt.startedAt : attempt.attempt.sentAt);
-        Reply reply = by == null ? Reply.untold(ending.outcome(), took) : by.result(ending, took);
+        AttemptResult reply = by == null ? AttemptResult.withoutReport(ending.outcome(), took) : by.result(ending, took);
         if (attempt.attempt == null) {
             listener.onHealthCheck(attempt.node, reply);
         } else {
--- a/daemon/src/main/java/clayhook/nodes/BackendRequest.java
+++ b/daemon/src/main/java/clayhook/nodes/BackendRequest.java
@@ -1,6 +1,6 @@
 package clayhook.nodes;
 
-import clayhook.Dispatch;
+import clayhook.Attempt;
 import clayhook.Node;
 import clayhook.protocol.Outgoing;
 
@@ -8,7 +8,7 @@
 final class BackendRequest {
     final Node node;
     /** Null for a probe. */
-    final Dispatch attempt;
+    final Attempt attempt;
 
     final Outgoing statement;
     final double startedAt;
@@ -18,7 +18,7 @@
     /** The connection that it was written to. */
     NodeConnection connection;
 
-    BackendRequest(Node node, Dispatch dispatch, Outgoing outgoing, double startedAt) {
+    BackendRequest(Node node, Attempt dispatch, Outgoing outgoing, double startedAt) {
         this.node = node;
         this.attempt = dispatch;
         this.statement = outgoing;
--- a/daemon/src/main/java/clayhook/nodes/NodeConnection.java
+++ b/daemon/src/main/java/clayhook/nodes/NodeConnection.java
@@ -1,6 +1,6 @@
 package clayhook.nodes;
 
-import clayhook.Reply;
+import clayhook.AttemptResult;
 import clayhook.Role;
 import clayhook.config.LoadReport;
 import clayhook.protocol.Allowance;
@@ -374,11 +374,11 @@
     }
 
     /** What was told with the answer in hand, if that was whole. */
-    Reply result(AttemptCompletion ending, double took) {
+    AttemptResult result(AttemptCompletion ending, double took) {
         boolean told = ending instanceof AttemptCompletion.Answered || ending instanceof AttemptCompletion.NodeError;
         return told
-                ? new Reply(ending.outcome(), took, role, position, loadReport.role(), loadReport.position(), loadReport.load())
-                : Reply.untold(ending.outcome(), took);
+                ? new AttemptResult(ending.outcome(), took, role, position, loadReport.role(), loadReport.position(), loadReport.load())
+                : AttemptResult.withoutReport(ending.outcome(), took);
     }
 
     List<byte[]> answerMessages() {
--- a/daemon/src/main/java/clayhook/peers/Exchange.java
+++ b/daemon/src/main/java/clayhook/peers/Exchange.java
@@ -1,7 +1,7 @@
 package clayhook.peers;
 
-import clayhook.Listing;
-import clayhook.Told;
+import clayhook.Endpoint;
+import clayhook.PeerObservation;
 import clayhook.discovery.EndpointList;
 import clayhook.fleet.Kind;
 import clayhook.fleet.Machine;
@@ -84,7 +84,7 @@
     private final Shared shared;
     private final Roster roster;
     private final Kinds kinds;
-    private final Mailbox<String, Told> evidence;
+    private final Mailbox<String, PeerObservation> evidence;
     private final Mailbox<String, EndpointList> changes;
     // null where that kind is off
     private Looks looks;
@@ -197,7 +197,7 @@
         }
         for (EndpointList.DiscoveredEndpoint entry : list.endpoints()) {
             String key = Evidence.key(entry.id());
-            if (entry.state() == Listing.State.GONE) {
+            if (entry.state() == Endpoint.State.GONE) {
                 nodes.remove(key);
             } else {
                 nodes.put(key, new Known(entry.id(), entry.startedAt()));
@@ -312,7 +312,7 @@
             if (word != null) {
                 evidence.put(
                         node.id(),
-                        new Told(
+                        new PeerObservation(
                                 word.nodeStart(),
                                 word.position(),
                                 word.positionAt(),
@@ -349,7 +349,7 @@
                                 address,
                                 word.zone(),
                                 word.group(),
-                                Listing.State.valueOf(word.state().name()),
+                                Endpoint.State.valueOf(word.state().name()),
                                 word.primary(),
                                 word.nodeStart()))));
     }
--- a/daemon/src/main/java/clayhook/peers/Looks.java
+++ b/daemon/src/main/java/clayhook/peers/Looks.java
@@ -1,7 +1,7 @@
 package clayhook.peers;
 
-import clayhook.Outcome;
-import clayhook.Reply;
+import clayhook.AttemptOutcome;
+import clayhook.AttemptResult;
 import clayhook.Role;
 import clayhook.fleet.Roster;
 import clayhook.fleet.Shared;
@@ -56,38 +56,38 @@
     }
 
     /** That came back from a node. */
-    void saw(String key, Reply reply, double now) {
+    void saw(String key, AttemptResult reply, double now) {
         Look look = looks.computeIfAbsent(key, any -> new Look());
         look.news = true;
-        double then = now - reply.took() / 2;
-        Outcome outcome = reply.outcome();
-        if (outcome == Outcome.ANSWERED || outcome == Outcome.TURNED_AWAY || reply.role() != Role.UNKNOWN) {
+        double then = now - reply.elapsedSeconds() / 2;
+        AttemptOutcome outcome = reply.outcome();
+        if (outcome == AttemptOutcome.ANSWERED || outcome == AttemptOutcome.REJECTED || reply.role() != Role.UNKNOWN) {
             look.heardAt = Math.max(look.heardAt, then);
             look.strikes = 0;
-        } else if (outcome == Outcome.CONNECT_FAILED || outcome == Outcome.TIMED_OUT && reply.took() >= PATIENCE) {
+        } else if (outcome == AttemptOutcome.CONNECT_FAILED || outcome == AttemptOutcome.TIMED_OUT && reply.elapsedSeconds() >= PATIENCE) {
             look.strikes++;
             look.failedAt = now;
         }
         position(look, reply, then);
         role(look, reply, then);
-        if (reply.load() >= 0) {
-            look.load = reply.load();
+        if (reply.reportedLoad() >= 0) {
+            look.load = reply.reportedLoad();
             look.loadAt = then;
         }
     }
 
     /** As a router reckons it itself: the log goes on, whether or not its primary was heard. */
-    private static void position(Look look, Reply reply, double then) {
-        double position = Math.max(reply.position(), reply.reportedPosition());
+    private static void position(Look look, AttemptResult reply, double then) {
+        double position = Math.max(reply.appliedPosition(), reply.reportedPosition());
         if (position > 0) {
             look.position = position;
-            look.lag = Math.max(0, (reply.position() > 0 ? then : then - REPORT_AGE) - position);
+            look.lag = Math.max(0, (reply.appliedPosition() > 0 ? then : then - REPORT_AGE) - position);
             look.toldAt = then;
         }
     }
 
     /** A report is as old as its position, though a replica's may be older than the report. */
-    private static void role(Look look, Reply reply, double then) {
+    private static void role(Look look, AttemptResult reply, double then) {
         if (reply.role() == Role.PRIMARY) {
             look.primaryAt = Math.max(look.primaryAt, then);
         } else if (reply.role() == Role.REPLICA) {
--- a/daemon/src/main/java/clayhook/peers/News.java
+++ b/daemon/src/main/java/clayhook/peers/News.java
@@ -1,7 +1,7 @@
 package clayhook.peers;
 
 import clayhook.Node;
-import clayhook.Reply;
+import clayhook.AttemptResult;
 import clayhook.discovery.EndpointList;
 import clayhook.fleet.Address;
 import clayhook.serve.Sharing;
@@ -10,7 +10,7 @@
 /** What the router's loop tells the peers' thread; times in seconds since 1970 on the loop's clock. */
 public sealed interface News {
     /** A dispatch or a probe came back. The next one tells as much, so that one may be lost. */
-    record Looked(Node node, Reply reply, double at) implements News {}
+    record Looked(Node node, AttemptResult reply, double at) implements News {}
 
     /** @param source where discovery is, as a text of host and port */
     record Listed(String source, EndpointList list) implements News {}
--- a/daemon/src/main/java/clayhook/peers/Peers.java
+++ b/daemon/src/main/java/clayhook/peers/Peers.java
@@ -1,7 +1,7 @@
 package clayhook.peers;
 
 import clayhook.Node;
-import clayhook.Reply;
+import clayhook.AttemptResult;
 import clayhook.config.Configuration;
 import clayhook.config.SharingSettings;
 import clayhook.discovery.EndpointList;
@@ -114,7 +114,7 @@
         // Another life counts and asks by other numbers, whatever the seed.
         var chance = new SplittableRandom(configuration.seed() ^ self.member().boot());
         members = new Members(memberSettings(), self, addresses(settings), chance.nextLong(), now, new RosterLog());
-        boolean marks = settings.marks() && !configuration.settings().marksCarried();
+        boolean marks = settings.marks() && !configuration.settings().requestsCarryLastWrite();
         var kinds = new Exchange.Kinds(
                 settings.evidence(),
                 settings.lists(),
@@ -125,7 +125,7 @@
         exchange = new Exchange(
                 kinds,
                 settings.roam(),
-                configuration.settings().routers(),
+                configuration.settings().routerCount(),
                 source(discovery),
                 state,
                 members,
@@ -290,7 +290,7 @@
     // ---- the router's loop ----
 
     @Override
-    public void looked(Node node, Reply reply, double now) {
+    public void looked(Node node, AttemptResult reply, double now) {
         if (settings.evidence()) {
             outbound.add(new News.Looked(node, reply, now));
         }
@@ -316,19 +316,19 @@
 
     @Override
     public void wrote(String session, int group, double position) {
-        if (settings.marks() && !configuration.settings().marksCarried()) {
+        if (settings.marks() && !configuration.settings().requestsCarryLastWrite()) {
             outbound.add(new News.Wrote(session, group, position));
         }
     }
 
     @Override
     public void written(ClientCommand command, Node ranAt, double now) {
-        if (settings.fates() && command.mark != null && !command.dispatches.isEmpty()) {
+        if (settings.fates() && command.mark != null && !command.attempts.isEmpty()) {
             outbound.add(new News.Written(
                     command.mark,
-                    command.dispatches.get(0).sentAt,
-                    command.nodeGroup,
-                    command.group.name(),
+                    command.attempts.get(0).sentAt,
+                    command.replicaSetId,
+                    command.requestClass.name(),
                     ranAt != null,
                     ranAt == null ? "" : ranAt.id(),
                     now));
--- a/daemon/src/main/java/clayhook/rehearsal/WarmUp.java
+++ b/daemon/src/main/java/clayhook/rehearsal/WarmUp.java
@@ -1,8 +1,8 @@
 package clayhook.rehearsal;
 
-import clayhook.CommandGroup;
-import clayhook.CommandGroup.ReadLevel;
-import clayhook.Settings;
+import clayhook.RequestClass;
+import clayhook.RequestClass.ConsistencyLevel;
+import clayhook.RoutingSettings;
 import clayhook.config.Configuration;
 import clayhook.discovery.EndpointList;
 import clayhook.log.Log;
@@ -41,11 +41,11 @@
     private WarmUp() {}
 
     /** Closes the transport in the end; false where that carries nothing, so that nothing was rehearsed. */
-    public static boolean run(Settings settings, Transport transport, boolean awaited) throws InterruptedException {
+    public static boolean run(RoutingSettings settings, Transport transport, boolean awaited) throws InterruptedException {
         return run(settings, transport, transport, awaited);
     }
 
-    static boolean run(Settings settings, Transport transport, Transport outside, boolean awaited)
+    static boolean run(RoutingSettings settings, Transport transport, Transport outside, boolean awaited)
             throws InterruptedException {
         double longest = awaited ? MAX_RESTART_SECONDS : MAX_SECONDS;
         double until = System.nanoTime() / 1e9 + longest;
@@ -70,7 +70,7 @@
         }
     }
 
-    private static boolean serveStubClients(Settings settings, Transport transport, Transport outside, double until)
+    private static boolean serveStubClients(RoutingSettings settings, Transport transport, Transport outside, double until)
             throws InterruptedException {
         var primary = new StubNode(transport, transport.spare(1), "primary", any -> StubNode.StubResponse.answer("p"));
         var replica = new StubNode(transport, transport.spare(2), "replica", any -> StubNode.StubResponse.answer("r"));
@@ -95,9 +95,9 @@
         boolean carried = true;
         for (int i = 0; carried && i < REQUESTS_PER_CLIENT && System.nanoTime() / 1e9 < until; i++) {
             for (int j = 0; j < CONCURRENT_CLIENTS; j++) {
-                CommandGroup group = settings.groups().get(j % settings.groups().size());
+                RequestClass group = settings.requestClasses().get(j % settings.requestClasses().size());
                 ByteBuf statement = StubClient.statement(
-                        group.level() == ReadLevel.WRITE, "id=" + j + ",c=" + group.name() + ",d=400,k=2,cluster=1");
+                        group.consistency() == ConsistencyLevel.WRITE, "id=" + j + ",c=" + group.name() + ",d=400,k=2,cluster=1");
                 if (i % REQUESTS_PER_CONNECTION == 0) {
                     clients.add(new StubClient(outside, server.address()));
                     clients.get(j).send(StubClient.startupAndFirst(statement));
--- a/daemon/src/main/java/clayhook/serve/Router.java
+++ b/daemon/src/main/java/clayhook/serve/Router.java
@@ -1,19 +1,19 @@
 package clayhook.serve;
 
-import clayhook.Choice;
-import clayhook.Choice.Verdict;
-import clayhook.Command;
-import clayhook.CommandGroup;
-import clayhook.CommandGroup.Effect;
-import clayhook.CommandGroup.ReadLevel;
-import clayhook.Decide;
-import clayhook.Dispatch;
-import clayhook.Listing;
+import clayhook.Decision;
+import clayhook.Decision.RoutingAction;
+import clayhook.Request;
+import clayhook.RequestClass;
+import clayhook.RequestClass.Idempotency;
+import clayhook.RequestClass.ConsistencyLevel;
+import clayhook.RoutingPolicy;
+import clayhook.Attempt;
+import clayhook.Endpoint;
 import clayhook.Node;
-import clayhook.Outcome;
-import clayhook.Reply;
-import clayhook.Settings;
-import clayhook.Told;
+import clayhook.AttemptOutcome;
+import clayhook.AttemptResult;
+import clayhook.RoutingSettings;
+import clayhook.PeerObservation;
 import clayhook.config.Configuration;
 import clayhook.config.Operator;
 import clayhook.discovery.EndpointWatcher;
@@ -21,7 +21,7 @@
 import clayhook.front.ClientCommand;
 import clayhook.front.Front;
 import clayhook.front.Session;
-import clayhook.hand.Hand;
+import clayhook.hand.InFlightRequests;
 import clayhook.log.Log;
 import clayhook.nodes.BackendClient;
 import clayhook.protocol.Statement;
@@ -64,14 +64,14 @@
     private final Configuration started;
     private final EventLoop loop;
     private final Clock clock = new Clock();
-    private final Settings settings;
+    private final RoutingSettings settings;
     private final Operator operator;
     /** Null where only the two fixed forms of statement are taken. */
     private SqlCommands sql;
 
-    private final Map<String, CommandGroup> groups = new HashMap<>();
-    private final Decide decide;
-    private final Hand hand;
+    private final Map<String, RequestClass> groups = new HashMap<>();
+    private final RoutingPolicy decide;
+    private final InFlightRequests hand;
     private final BackendClient nodes;
     private final EndpointWatcher discovery;
     private final Front front;
@@ -111,30 +111,30 @@
         this.sharing = sharing;
         loop = transport.loop();
         settings = configuration.settings();
-        settings.groups().forEach(g -> groups.put(g.name(), g));
+        settings.requestClasses().forEach(g -> groups.put(g.name(), g));
         descriptors = new Descriptors(configuration.sockets());
-        decide = new Decide(settings, configuration.seed());
-        hand = new Hand(decide, fault -> Log.fault("a turn failed", fault));
+        decide = new RoutingPolicy(settings, configuration.seed());
+        hand = new InFlightRequests(decide, fault -> Log.fault("a turn failed", fault));
         nodes = new BackendClient(
                 transport,
                 clock,
                 descriptors,
                 configuration.memory(),
                 configuration.connectTimeout(),
-                settings.connectionIdle(),
+                settings.connectionIdleTimeoutSeconds(),
                 operator,
                 this);
         sql = operator.statements() == null
                 ? null
-                : new SqlCommands(operator.statements(), settings.groups(), configuration.seed());
+                : new SqlCommands(operator.statements(), settings.requestClasses(), configuration.seed());
         discovery = new EndpointWatcher(
                 transport,
                 configuration.discovery(),
                 configuration.known().version(),
-                decide.watchFor(),
+                decide.nextWatchTimeoutSeconds(),
                 new Random(configuration.seed()),
                 this);
-        decide.listed(listings(configuration.known()), true, clock.now());
+        decide.onEndpointList(listings(configuration.known()), true, clock.now());
         if (sharing != null) {
             sharing.begin(loop, configuration.discovery(), this); // the first command may ask
         }
@@ -165,7 +165,7 @@
 
     @Override
     public void taken(Session session, Statement statement) {
-        CommandGroup group = groups.get(statement.group);
+        RequestClass group = groups.get(statement.group);
         String fault = fault(group, statement);
         if (fault != null) {
             Log.warn("client", fault);
@@ -179,8 +179,8 @@
     }
 
     /** The position that others know a session's read to need; 0 for none. */
-    private double need(CommandGroup group, String session, double now) {
-        return sharing == null || group.level() != ReadLevel.SESSION ? 0 : sharing.need(session, now);
+    private double need(RequestClass group, String session, double now) {
+        return sharing == null || group.consistency() != ConsistencyLevel.SESSION ? 0 : sharing.need(session, now);
     }
 
     private void take(ClientCommand command, double now) {
@@ -192,9 +192,9 @@
         }
         waiting.put(command.session, command);
         if (over) {
-            hand.takenTooLate(command);
+            hand.rejectOrFail(command);
         } else {
-            hand.taken(command, now);
+            hand.admit(command, now);
         }
     }
 
@@ -235,12 +235,12 @@
     }
 
     /** Why the statement is none that can be taken, or null. */
-    private String fault(CommandGroup group, Statement statement) {
+    private String fault(RequestClass group, Statement statement) {
         return group == null
                 ? "unknown command group"
-                : group.level() == ReadLevel.WRITE != statement.writes
+                : group.consistency() == ConsistencyLevel.WRITE != statement.writes
                         ? "a statement of another kind than its command group"
-                        : group.effect() == Effect.KEYED && !statement.keyed
+                        : group.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY && !statement.keyed
                                 ? "no key in a keyed command group"
                                 : !nodes.hasReplicaSet(statement.nodeGroup)
                                         ? "unknown group of nodes"
@@ -255,8 +255,8 @@
                 open.remove(command.id);
                 Log.count("left");
                 shareDoubt(command);
-                hand.left(command);
-                command.dispatches.forEach(nodes::cancelIfUnsent);
+                hand.onClientGone(command);
+                command.attempts.forEach(nodes::cancelIfUnsent);
             }
         });
     }
@@ -266,16 +266,16 @@
     public void cancelled(Session session) {
         tell(rest, now -> {
             ClientCommand command = waiting.get(session);
-            if (command == null || command.over) {
+            if (command == null || command.completed) {
                 return;
             }
             waiting.remove(session);
             open.remove(command.id);
             Log.count("cancelled");
-            hand.left(command);
+            hand.onClientGone(command);
             // What was decided in this turn is carried out before, and what is recalled then ends before the answer.
             tell(rest, next -> {
-                hand.unwanted(command).forEach(nodes::cancel);
+                hand.cancellableAttempts(command).forEach(nodes::cancel);
                 tell(rest, last -> {
                     shareDoubt(command);
                     session.cancelled(mayHaveRun(command));
@@ -284,20 +284,20 @@
         });
     }
 
-    private static boolean mayHaveRun(Command command) {
-        return command.dispatches.stream().anyMatch(dispatch -> dispatch.outcome == null || !dispatch.outcome.neverRan);
+    private static boolean mayHaveRun(Request command) {
+        return command.attempts.stream().anyMatch(dispatch -> dispatch.outcome == null || !dispatch.outcome.notExecuted);
     }
 
     @Override
-    public void onAttemptFinished(Dispatch dispatch, Reply reply, List<byte[]> answer, String error) {
+    public void onAttemptFinished(Attempt dispatch, AttemptResult reply, List<byte[]> answer, String error) {
         Log.count(reply.outcome().toString());
         tell(rest, now -> {
-            var command = (ClientCommand) dispatch.command;
-            boolean answers = reply.outcome() == Outcome.ANSWERED && !command.over;
+            var command = (ClientCommand) dispatch.request;
+            boolean answers = reply.outcome() == AttemptOutcome.ANSWERED && !command.completed;
             if (command.classed != null
                     && READ_ONLY.equals(error)
-                    && command.group.level() != ReadLevel.WRITE
-                    && !command.over) {
+                    && command.requestClass.consistency() != ConsistencyLevel.WRITE
+                    && !command.completed) {
                 beginAsWrite(command, dispatch, reply, now);
                 return;
             }
@@ -311,40 +311,40 @@
             if (sharing != null) {
                 share(dispatch, reply, answer, now);
             }
-            hand.ended(dispatch, reply, answers, now);
+            hand.onAttemptFinished(dispatch, reply, answers, now);
         });
     }
 
     /** What others may need of an outcome: what the node showed of itself, and that a write has run. */
-    private void share(Dispatch dispatch, Reply reply, List<byte[]> answer, double now) {
-        var command = (ClientCommand) dispatch.command;
+    private void share(Attempt dispatch, AttemptResult reply, List<byte[]> answer, double now) {
+        var command = (ClientCommand) dispatch.request;
         sharing.looked(dispatch.node, reply, now);
         // Of statements of any kind an answer may be an error of the database, after which nothing has run.
-        if (reply.outcome() == Outcome.ANSWERED
-                && command.group.level() == ReadLevel.WRITE
+        if (reply.outcome() == AttemptOutcome.ANSWERED
+                && command.requestClass.consistency() == ConsistencyLevel.WRITE
                 && answer.stream().noneMatch(message -> message[0] == ERROR)) {
             if (command.classed == null) {
                 sharing.wrote(
-                        dispatch.command.session, command.nodeGroup, reply.position() > 0 ? reply.position() : now);
+                        dispatch.request.sessionId, command.replicaSetId, reply.appliedPosition() > 0 ? reply.appliedPosition() : now);
             }
-            if (command.group.effect() != Effect.REPLAYABLE) {
+            if (command.requestClass.idempotency() != Idempotency.IDEMPOTENT) {
                 sharing.written(command, dispatch.node, now);
             }
         }
     }
 
     /** It was given up: its client does not know whether it has run, and another router may. */
-    private void shareDoubt(Command command) {
+    private void shareDoubt(Request command) {
         if (sharing != null
-                && command.group.level() == ReadLevel.WRITE
-                && command.group.effect() != Effect.REPLAYABLE
+                && command.requestClass.consistency() == ConsistencyLevel.WRITE
+                && command.requestClass.idempotency() != Idempotency.IDEMPOTENT
                 && mayHaveRun(command)) {
             sharing.written((ClientCommand) command, null, clock.now());
         }
     }
 
     /** A node will not run what was taken for a read: that command is over without an answer, and a write begins. */
-    private void beginAsWrite(ClientCommand command, Dispatch dispatch, Reply reply, double now) {
+    private void beginAsWrite(ClientCommand command, Attempt dispatch, AttemptResult reply, double now) {
         Session session = command.session;
         SqlCommands.Order order = sql.orderAsWrite(
                 command.classed,
@@ -354,51 +354,51 @@
                 session.settings().values());
         waiting.remove(session);
         // To the node's health this was an answer: it was not behind, and does not turn reads away.
-        hand.ended(
+        hand.onAttemptFinished(
                 dispatch,
-                new Reply(
-                        Outcome.ANSWERED,
-                        reply.took(),
+                new AttemptResult(
+                        AttemptOutcome.ANSWERED,
+                        reply.elapsedSeconds(),
                         reply.role(),
-                        reply.position(),
+                        reply.appliedPosition(),
                         reply.reportedRole(),
                         reply.reportedPosition(),
-                        reply.load()),
+                        reply.reportedLoad()),
                 true,
                 now);
         if (order instanceof SqlCommands.Order.Taken taken) {
-            take(command(taken, session, now, command.expires - now), now);
+            take(command(taken, session, now, command.deadline - now), now);
         } else {
             refuse(session, order);
         }
     }
 
-    private void answered(ClientCommand command, Reply reply, double now) {
-        sql.took(command.classed, reply.took());
-        if (command.group.level() == ReadLevel.WRITE) {
-            command.session.wrote(reply.position() > 0 ? reply.position() : now);
+    private void answered(ClientCommand command, AttemptResult reply, double now) {
+        sql.took(command.classed, reply.elapsedSeconds());
+        if (command.requestClass.consistency() == ConsistencyLevel.WRITE) {
+            command.session.wrote(reply.appliedPosition() > 0 ? reply.appliedPosition() : now);
         }
     }
 
     @Override
-    public void onHealthCheck(Node node, Reply reply) {
+    public void onHealthCheck(Node node, AttemptResult reply) {
         Log.count("probe " + reply.outcome());
         tell(rest, now -> {
             if (sharing != null) {
                 sharing.looked(node, reply, now);
             }
-            decide.probed(node, reply, now);
+            decide.onHealthCheck(node, reply, now);
         });
     }
 
     @Override
-    public boolean mayStillSend(Dispatch dispatch) {
-        return !((ClientCommand) dispatch.command).session.gone() && decide.mayStillGo(dispatch, clock.now());
+    public boolean mayStillSend(Attempt dispatch) {
+        return !((ClientCommand) dispatch.request).session.gone() && decide.mayStillSend(dispatch, clock.now());
     }
 
     @Override
     public boolean isKnown(Node node) {
-        return decide.knows(node);
+        return decide.isKnown(node);
     }
 
     @Override
@@ -407,7 +407,7 @@
             ownRevision = Math.max(ownRevision, list.version());
             sharing.listed(discovery.lastAnsweredBy(), list);
         }
-        tell(lists, now -> decide.listed(listings(list), list.complete(), now));
+        tell(lists, now -> decide.onEndpointList(listings(list), list.complete(), now));
     }
 
     /** What this router's own discovery has overtaken counts only where it closes a node. */
@@ -415,46 +415,46 @@
     public void told(Collection<EndpointList> changes) {
         Log.count("list told");
         tell(lists, now -> {
-            var news = new ArrayList<Listing>();
+            var news = new ArrayList<Endpoint>();
             for (EndpointList change : changes) {
-                boolean closes = change.endpoints().stream().allMatch(entry -> entry.state() != Listing.State.READY);
+                boolean closes = change.endpoints().stream().allMatch(entry -> entry.state() != Endpoint.State.READY);
                 news.addAll(closes || change.version() >= ownRevision ? listings(change) : List.of());
             }
-            decide.listed(news, false, now);
+            decide.onEndpointList(news, false, now);
             // Guards against taking the word of others for a sign that this router's own watch stands.
-            decide.listFailed(now);
+            decide.onEndpointListFailed(now);
         });
     }
 
     /** What others have seen of nodes. */
     @Override
-    public void told(Map<String, Told> told) {
+    public void told(Map<String, PeerObservation> told) {
         Log.count("nodes told");
         tell(
                 rest,
                 now -> told.forEach((id, what) -> {
                     Node node = nodes.findNode(id);
                     if (node != null) {
-                        decide.told(node, what, now);
+                        decide.onPeerObservation(node, what, now);
                     }
                 }));
     }
 
     @Override
     public void onEndpointListFailed() {
-        tell(lists, decide::listFailed);
+        tell(lists, decide::onEndpointListFailed);
     }
 
     @Override
     public void onEndpointListLate() {
-        tell(lists, decide::listLate);
+        tell(lists, decide::onEndpointListLate);
     }
 
-    private List<Listing> listings(EndpointList list) {
-        var listings = new ArrayList<Listing>();
+    private List<Endpoint> listings(EndpointList list) {
+        var listings = new ArrayList<Endpoint>();
         for (EndpointList.DiscoveredEndpoint entry : list.endpoints()) {
             Node node = nodes.registerNode(entry.id(), entry.zone(), entry.replicaSetId(), entry.address());
-            listings.add(new Listing(node, entry.state(), entry.primary(), entry.startedAt()));
+            listings.add(new Endpoint(node, entry.state(), entry.primary(), entry.startedAt()));
         }
         return listings;
     }
@@ -466,7 +466,7 @@
         turning = false;
         guarded(() -> turn(now));
         if (wake == null) {
-            wake(now, Math.max(LEAST_WAKE, hand.remaining(now)));
+            wake(now, Math.max(LEAST_WAKE, hand.secondsUntilNextTick(now)));
         }
     }
 
@@ -478,24 +478,24 @@
         if (now > wakeAt + PAUSE) {
             Log.warn("pause", "stood still for " + Math.round((now - wakeAt) * 1000) + " ms");
         }
-        hand.overdue(now).forEach(nodes::expire);
+        hand.timedOutAttempts(now).forEach(nodes::expire);
         List<DoubleConsumer> first = lists;
         List<DoubleConsumer> then = rest;
         lists = new ArrayList<>();
         rest = new ArrayList<>();
         first.forEach(news -> guarded(() -> news.accept(now)));
         then.forEach(news -> guarded(() -> news.accept(now)));
-        Hand.Turn turn = hand.settle(now);
-        turn.orders().forEach(order -> guarded(() -> carryOut(order.command(), order.choice())));
-        turn.pause().probes().forEach(nodes::startHealthCheck);
-        if (sharing != null && !turn.pause().probes().isEmpty()) {
-            sharing.used(Sharing.Limit.PROBES, turn.pause().probes().size());
+        InFlightRequests.DecisionBatch turn = hand.tick(now);
+        turn.routedRequests().forEach(order -> guarded(() -> carryOut(order.request(), order.decision())));
+        turn.tickResult().healthChecks().forEach(nodes::startHealthCheck);
+        if (sharing != null && !turn.tickResult().healthChecks().isEmpty()) {
+            sharing.used(Sharing.Limit.PROBES, turn.tickResult().healthChecks().size());
         }
-        if (turn.pause().watchList()) {
+        if (turn.tickResult().pollEndpoints()) {
             discovery.ensureWatching();
         }
-        if (turn.wake() > 0) {
-            wake(now, turn.wake());
+        if (turn.wakeAfterSeconds() > 0) {
+            wake(now, turn.wakeAfterSeconds());
         }
         if (now >= sweepAt) {
             sweepAt = now + SWEEP;
@@ -507,7 +507,7 @@
             Log.info("summary: clients " + front.size() + ", connections to nodes " + nodes.connectionCount()
                     + ", in hand " + hand.size() + ", descriptors at most "
                     + descriptors.peak() + ", turns late at most " + Math.round(late * 1000) + " ms, " + Log.counts());
-            Log.info("nodes: " + decide.beliefs(now) + ", under way " + nodes.inFlightByNode());
+            Log.info("nodes: " + decide.describeNodes(now) + ", under way " + nodes.inFlightByNode());
             if (sql != null) {
                 Log.info("statements: " + sql.summary());
             }
@@ -538,20 +538,20 @@
                 TimeUnit.NANOSECONDS);
     }
 
-    private void carryOut(Command command, Choice choice) {
+    private void carryOut(Request command, Decision choice) {
         var order = (ClientCommand) command;
-        choice.recall().forEach(nodes::cancel);
-        if (choice.verdict() == Verdict.SEND) {
-            nodes.send(choice.dispatch(), order.outgoing);
-            if (sharing != null && order.dispatches.size() > 1) {
+        choice.attemptsToCancel().forEach(nodes::cancel);
+        if (choice.action() == RoutingAction.SEND) {
+            nodes.send(choice.attempt(), order.outgoing);
+            if (sharing != null && order.attempts.size() > 1) {
                 sharing.used(Sharing.Limit.REPEATS, 1);
             }
             return;
         }
-        if (choice.verdict() != Verdict.DONE) {
+        if (choice.action() != RoutingAction.DONE) {
             shareDoubt(order);
         }
-        Log.count(choice.verdict() + " " + order.group.name());
+        Log.count(choice.action() + " " + order.requestClass.name());
         List<byte[]> answer = answers.remove(order);
         if (!waiting.remove(order.session, order)) {
             return;
@@ -559,11 +559,11 @@
         open.remove(order.id);
         if (answer != null) {
             order.session.answered(answer);
-        } else if (choice.verdict() == Verdict.THROTTLE) {
-            order.session.throttled(settings.adviceHeeded() ? choice.advice() : 0);
-        } else if (choice.verdict() == Verdict.FAIL && order.error != null) {
+        } else if (choice.action() == RoutingAction.REJECT) {
+            order.session.throttled(settings.clientsHonorRetryAfter() ? choice.retryAfterSeconds() : 0);
+        } else if (choice.action() == RoutingAction.FAIL && order.error != null) {
             order.session.answered(order.error);
-        } else if (choice.verdict() == Verdict.FAIL) {
+        } else if (choice.action() == RoutingAction.FAIL) {
             order.session.failed();
         }
     }
@@ -579,7 +579,7 @@
                                 == operator.statements().longestAnswer());
         kept += same ? "" : (kept.isEmpty() ? "" : ", ") + "statements.enabled, statements.answer_bytes or nodes";
         if (sql != null && said.statements() != null) {
-            sql = new SqlCommands(said.statements(), settings.groups(), started.seed());
+            sql = new SqlCommands(said.statements(), settings.requestClasses(), started.seed());
         }
         boolean shares = (said.sharing() == null) == (sharing == null)
                 && (sharing == null || !said.sharing().unlike(operator.sharing()));
@@ -615,7 +615,7 @@
     void giveUp() {
         tell(rest, now -> {
             over = true;
-            hand.giveUp();
+            hand.rejectOrFailAll();
         });
     }
 
--- a/daemon/src/main/java/clayhook/serve/Server.java
+++ b/daemon/src/main/java/clayhook/serve/Server.java
@@ -1,6 +1,6 @@
 package clayhook.serve;
 
-import clayhook.CommandGroup;
+import clayhook.RequestClass;
 import clayhook.config.Configuration;
 import clayhook.config.Operator;
 import clayhook.log.Log;
@@ -43,9 +43,9 @@
         this.transport = transport;
         this.sharing = sharing;
         router = new Router(transport, configuration, operator, sharing);
-        List<CommandGroup> groups = configuration.settings().groups();
+        List<RequestClass> groups = configuration.settings().requestClasses();
         double longest =
-                groups.stream().mapToDouble(CommandGroup::clientTimeout).max().orElse(Double.POSITIVE_INFINITY);
+                groups.stream().mapToDouble(RequestClass::clientTimeoutSeconds).max().orElse(Double.POSITIVE_INFINITY);
         grace = GracePeriod.of(longest);
     }
 
--- a/daemon/src/main/java/clayhook/serve/Sharing.java
+++ b/daemon/src/main/java/clayhook/serve/Sharing.java
@@ -1,8 +1,8 @@
 package clayhook.serve;
 
 import clayhook.Node;
-import clayhook.Reply;
-import clayhook.Told;
+import clayhook.AttemptResult;
+import clayhook.PeerObservation;
 import clayhook.config.SharingSettings;
 import clayhook.discovery.EndpointList;
 import clayhook.front.ClientCommand;
@@ -19,7 +19,7 @@
     /** Hears on the router's loop what others told. */
     interface Listener {
         /** Others have seen that of nodes, by their ids. */
-        void told(Map<String, Told> told);
+        void told(Map<String, PeerObservation> told);
 
         /**
          * The discovery that this router hears now said that, perhaps to others only; or another did, where it says
@@ -41,7 +41,7 @@
     void start();
 
     /** A dispatch or a probe came back from that node, at {@code now} in seconds since 1970. */
-    void looked(Node node, Reply reply, double now);
+    void looked(Node node, AttemptResult reply, double now);
 
     /** The discovery at that address told this. */
     void listed(InetSocketAddress discovery, EndpointList list);
--- a/daemon/src/main/java/clayhook/sim/SimulatedEndpoint.java
+++ b/daemon/src/main/java/clayhook/sim/SimulatedEndpoint.java
@@ -1,6 +1,6 @@
 package clayhook.sim;
 
-import clayhook.Listing.State;
+import clayhook.Endpoint.State;
 
 /** One entry of a numbered list as it came on the wire. */
 record SimulatedEndpoint(String nodeId, String zone, boolean primary, int replicaSetId, State state, long startedAtNanos) {
--- a/daemon/src/main/java/clayhook/sim/SimulatorSettings.java
+++ b/daemon/src/main/java/clayhook/sim/SimulatorSettings.java
@@ -1,6 +1,6 @@
 package clayhook.sim;
 
-import clayhook.Settings;
+import clayhook.RoutingSettings;
 import clayhook.config.BadConfig;
 import clayhook.config.SettingsReader;
 import java.util.HashMap;
@@ -8,7 +8,7 @@
 
 /** The settings of a CONFIGURE line. */
 final class SimulatorSettings {
-    private final Settings settings;
+    private final RoutingSettings settings;
     /** The clock time from which positions are reckoned, in nanoseconds. */
     private final long originNanos;
 
@@ -35,7 +35,7 @@
         return originNanos;
     }
 
-    Settings settings() {
+    RoutingSettings settings() {
         return settings;
     }
 }
--- a/daemon/src/main/java/clayhook/sql/SqlCommands.java
+++ b/daemon/src/main/java/clayhook/sql/SqlCommands.java
@@ -1,8 +1,8 @@
 package clayhook.sql;
 
-import clayhook.CommandGroup;
-import clayhook.CommandGroup.Effect;
-import clayhook.CommandGroup.ReadLevel;
+import clayhook.RequestClass;
+import clayhook.RequestClass.Idempotency;
+import clayhook.RequestClass.ConsistencyLevel;
 import clayhook.config.Operator;
 import clayhook.protocol.Comment;
 import clayhook.protocol.SqlStatement;
@@ -19,7 +19,7 @@
 public final class SqlCommands {
     private final Operator.Statements operator;
     private final Classifier classifier;
-    private final Map<String, CommandGroup> groups = new HashMap<>();
+    private final Map<String, RequestClass> groups = new HashMap<>();
 
     /** What becomes of a statement. */
     public sealed interface Order {
@@ -30,7 +30,7 @@
          * @param after position in seconds that the client's comment asks a read to cover; 0 for none
          */
         record Taken(
-                CommandGroup group, int nodes, double seconds, double after, SqlStatement statement, Classed classed)
+                RequestClass group, int nodes, double seconds, double after, SqlStatement statement, Classed classed)
                 implements Order {}
 
         /** None; nothing of it goes to any node. */
@@ -38,7 +38,7 @@
     }
 
     /** {@code seed}: the instance's own. */
-    public SqlCommands(Operator.Statements operator, List<CommandGroup> groups, long seed) {
+    public SqlCommands(Operator.Statements operator, List<RequestClass> groups, long seed) {
         this.operator = operator;
         classifier = new Classifier(operator.rules(), seed);
         groups.forEach(group -> this.groups.put(group.name(), group));
@@ -58,18 +58,18 @@
         if (classed.verdict() == Verdict.REFUSED) {
             return new Order.Refused("0A000", classed.why());
         }
-        CommandGroup group = groups.get(classed.group());
+        RequestClass group = groups.get(classed.group());
         Comment comment = operator.trustComments() ? Comment.ending(text) : null;
         double wait = classed.timeout() > 0
                 ? classed.timeout()
                 : clientTimeout > 0
                         ? clientTimeout
-                        : operator.timeout() > 0 ? operator.timeout() : group.clientTimeout();
+                        : operator.timeout() > 0 ? operator.timeout() : group.clientTimeoutSeconds();
         int nodes = classed.nodes();
         double after = 0;
         if (comment != null) {
             try {
-                CommandGroup named = groups.get(comment.text("c"));
+                RequestClass named = groups.get(comment.text("c"));
                 group = trusted(named, classed, comment) ? named : group;
                 nodes = comment.nodes(nodes);
                 after = comment.seconds("after", 0);
@@ -92,10 +92,10 @@
     }
 
     /** A comment may make a write of a read; what may write stays one, and is keyed only with a key. */
-    private static boolean trusted(CommandGroup named, Classed classed, Comment comment) {
+    private static boolean trusted(RequestClass named, Classed classed, Comment comment) {
         return named != null
-                && (named.level() == ReadLevel.WRITE
-                        ? named.effect() == Effect.MUTATING || named.effect() == Effect.KEYED && comment.keyed()
+                && (named.consistency() == ConsistencyLevel.WRITE
+                        ? named.idempotency() == Idempotency.NON_IDEMPOTENT || named.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY && comment.keyed()
                         : classed.verdict() == Verdict.READ);
     }
 
--- a/daemon/src/test/java/clayhook/config/ConfigurationTest.java
+++ b/daemon/src/test/java/clayhook/config/ConfigurationTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clayhook.CommandGroup;
-import clayhook.CommandGroup.Effect;
-import clayhook.CommandGroup.ReadLevel;
-import clayhook.CommandGroup.Scope;
+import clayhook.RequestClass;
+import clayhook.RequestClass.Idempotency;
+import clayhook.RequestClass.ConsistencyLevel;
+import clayhook.RequestClass.DeduplicationScope;
 import clayhook.Role;
 import java.util.Arrays;
 import java.util.List;
@@ -37,10 +37,10 @@
         Configuration read = read(TEXT);
         assertEquals(
                 List.of(
-                        new CommandGroup(
-                                "check", Effect.REPLAYABLE, ReadLevel.BOUNDED, 0.25, 0.6, 1, 0, Scope.ALL, 0, 0.2),
-                        new CommandGroup("post", Effect.KEYED, ReadLevel.WRITE, 0.6, 5, 1, 0.5, Scope.GROUP, 5, 0)),
-                read.settings().groups());
+                        new RequestClass(
+                                "check", Idempotency.IDEMPOTENT, ConsistencyLevel.BOUNDED_STALENESS, 0.25, 0.6, 1, 0, DeduplicationScope.ALL, 0, 0.2),
+                        new RequestClass("post", Idempotency.IDEMPOTENT_WITH_KEY, ConsistencyLevel.WRITE, 0.6, 5, 1, 0.5, DeduplicationScope.REPLICA_SET, 5, 0)),
+                read.settings().requestClasses());
         assertEquals(0x8c1f30d27a5be964L, read.seed());
         assertEquals(
                 List.of(8500, 1024, 0.25, 18.0, true),
@@ -48,8 +48,8 @@
                         read.discovery().getPort(),
                         read.sockets(),
                         read.connectTimeout(),
-                        read.settings().warmAfter(),
-                        read.settings().replicasCheck()));
+                        read.settings().slowStartSeconds(),
+                        read.settings().replicasRejectStaleReads()));
     }
 
     @Test
@@ -61,13 +61,13 @@
                 .replace("\"balancers\":3", "\"balancers\":2000"));
         assertEquals(
                 List.of(2000, 2000),
-                List.of(read.known().endpoints().size(), read.settings().routers()));
+                List.of(read.known().endpoints().size(), read.settings().routerCount()));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"subscribe", "automatic"})
     void onSocketsTheListIsAskedForAlways(String discovery) throws BadConfig {
-        assertEquals(true, read(TEXT.replace("subscribe", discovery)).settings().listMustBeAsked());
+        assertEquals(true, read(TEXT.replace("subscribe", discovery)).settings().endpointListMustBePolled());
     }
 
     @ParameterizedTest
--- a/daemon/src/test/java/clayhook/config/OperatorFileTest.java
+++ b/daemon/src/test/java/clayhook/config/OperatorFileTest.java
@@ -5,10 +5,10 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import clayhook.CommandGroup;
-import clayhook.CommandGroup.Effect;
-import clayhook.CommandGroup.ReadLevel;
-import clayhook.CommandGroup.Scope;
+import clayhook.RequestClass;
+import clayhook.RequestClass.Idempotency;
+import clayhook.RequestClass.ConsistencyLevel;
+import clayhook.RequestClass.DeduplicationScope;
 import clayhook.statements.StatementRules;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -19,18 +19,18 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class OperatorFileTest {
-    private static final List<CommandGroup> GROUPS = List.of(
-            group("read", Effect.REPLAYABLE, ReadLevel.ANY),
-            group("write", Effect.MUTATING, ReadLevel.WRITE),
-            group("keyed", Effect.KEYED, ReadLevel.WRITE),
-            group("again", Effect.REPLAYABLE, ReadLevel.WRITE));
+    private static final List<RequestClass> GROUPS = List.of(
+            group("read", Idempotency.IDEMPOTENT, ConsistencyLevel.EVENTUAL),
+            group("write", Idempotency.NON_IDEMPOTENT, ConsistencyLevel.WRITE),
+            group("keyed", Idempotency.IDEMPOTENT_WITH_KEY, ConsistencyLevel.WRITE),
+            group("again", Idempotency.IDEMPOTENT, ConsistencyLevel.WRITE));
     private static final String RULE = "[statements]\\nenabled = true\\n[[statements.rule]]\\nclass = \"write\"\\n";
 
     @TempDir
     Path folder;
 
-    private static CommandGroup group(String name, Effect effect, ReadLevel level) {
-        return new CommandGroup(name, effect, level, 1, 1, 1, 0, Scope.GROUP, 1, 0);
+    private static RequestClass group(String name, Idempotency effect, ConsistencyLevel level) {
+        return new RequestClass(name, effect, level, 1, 1, 1, 0, DeduplicationScope.REPLICA_SET, 1, 0);
     }
 
     private Operator read(String text) throws Exception {
--- a/daemon/src/test/java/clayhook/discovery/DiscoveryDecodingTest.java
+++ b/daemon/src/test/java/clayhook/discovery/DiscoveryDecodingTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clayhook.Listing.State;
+import clayhook.Endpoint.State;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.embedded.EmbeddedChannel;
 import java.io.IOException;
--- a/daemon/src/test/java/clayhook/nodes/AttemptCompletionTest.java
+++ b/daemon/src/test/java/clayhook/nodes/AttemptCompletionTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import clayhook.Outcome;
+import clayhook.AttemptOutcome;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
@@ -14,7 +14,7 @@
         "WRITTEN, RESET, TIMED_OUT, CANCELLED",
         "ANSWERING, RESET, TIMED_OUT, CANCELLED"
     })
-    void phaseDecidesWhetherTheRequestMayHaveRun(AttemptPhase stage, Outcome broken, Outcome silent, Outcome calledOff) {
+    void phaseDecidesWhetherTheRequestMayHaveRun(AttemptPhase stage, AttemptOutcome broken, AttemptOutcome silent, AttemptOutcome calledOff) {
         assertEquals(broken, new AttemptCompletion.ConnectionLost(stage).outcome());
         assertEquals(silent, new AttemptCompletion.TimedOut(stage).outcome());
         assertEquals(calledOff, new AttemptCompletion.Cancelled(stage).outcome());
@@ -22,7 +22,7 @@
 
     @ParameterizedTest
     @CsvSource({"25006, REJECTED", "72000, REJECTED", "53300, OVERLOADED", "XX000, ERROR", "08P01, ERROR"})
-    void sqlStateDecidesTheOutcome(String code, Outcome outcome) {
+    void sqlStateDecidesTheOutcome(String code, AttemptOutcome outcome) {
         assertEquals(outcome, new AttemptCompletion.NodeError(code).outcome());
     }
 }
--- a/daemon/src/test/java/clayhook/nodes/BackendClientTest.java
+++ b/daemon/src/test/java/clayhook/nodes/BackendClientTest.java
@@ -3,11 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clayhook.Command;
-import clayhook.Dispatch;
+import clayhook.Request;
+import clayhook.Attempt;
 import clayhook.Node;
-import clayhook.Outcome;
-import clayhook.Reply;
+import clayhook.AttemptOutcome;
+import clayhook.AttemptResult;
 import clayhook.Role;
 import clayhook.config.Operator;
 import clayhook.protocol.Statement;
@@ -37,28 +37,28 @@
             "SELECT val FROM state WHERE uid = 'k' /* id=1,c=a,d=9,cluster=1 */".getBytes(StandardCharsets.UTF_8));
     private final Transport transport = Transport.tcp();
     private final Clock clock = new Clock();
-    private final LinkedBlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<AttemptOutcome> outcomes = new LinkedBlockingQueue<>();
     private final AtomicInteger receivedStatements = new AtomicInteger();
     private int descriptorLimit = 1024;
     private boolean mayStillSend = true;
     private boolean nodesKnown = true;
-    private Reply result;
+    private AttemptResult result;
     private String answer;
 
     @Override
-    public void onAttemptFinished(Dispatch dispatch, Reply reply, List<byte[]> answer, String error) {
+    public void onAttemptFinished(Attempt dispatch, AttemptResult reply, List<byte[]> answer, String error) {
         this.result = reply;
         this.answer = answer == null ? "" : new String(answer.get(1), StandardCharsets.ISO_8859_1);
         outcomes.add(reply.outcome());
     }
 
     @Override
-    public void onHealthCheck(Node node, Reply reply) {
+    public void onHealthCheck(Node node, AttemptResult reply) {
         outcomes.add(reply.outcome());
     }
 
     @Override
-    public boolean mayStillSend(Dispatch dispatch) {
+    public boolean mayStillSend(Attempt dispatch) {
         return mayStillSend;
     }
 
@@ -86,9 +86,9 @@
                 .get();
     }
 
-    private Dispatch send(BackendClient nodes, Node node) throws Exception {
-        var dispatch = new Dispatch(
-                new Command(null, 1, null, 0, clock.now(), clock.now() + 60),
+    private Attempt send(BackendClient nodes, Node node) throws Exception {
+        var dispatch = new Attempt(
+                new Request(null, 1, null, 0, clock.now(), clock.now() + 60),
                 node,
                 true,
                 clock.now(),
@@ -98,7 +98,7 @@
     }
 
     /** Sweeps until something has ended. */
-    private Outcome nextOutcome(BackendClient nodes) throws Exception {
+    private AttemptOutcome nextOutcome(BackendClient nodes) throws Exception {
         while (outcomes.isEmpty()) {
             transport.loop().submit(nodes::sweep).get();
         }
@@ -113,7 +113,7 @@
 
     @ParameterizedTest
     @CsvSource({"mute, 0.5, TIMED_OUT", "replica, 60, ANSWERED"})
-    void healthCheckTimesOutAndTheNextOneIsSent(String role, double timeout, Outcome outcome) throws Exception {
+    void healthCheckTimesOutAndTheNextOneIsSent(String role, double timeout, AttemptOutcome outcome) throws Exception {
         BackendClient nodes = newClient(timeout, 60);
         Node node = stubNode(nodes, role, null, null);
         for (int i = 0; i < 2; i++) {
@@ -124,7 +124,7 @@
 
     @ParameterizedTest
     @CsvSource({"true, ANSWERED, 1", "false, NOT_SENT, 0"})
-    void attemptThatMayNoLongerBeSentIsNeverWritten(boolean allowed, Outcome outcome, int written) throws Exception {
+    void attemptThatMayNoLongerBeSentIsNeverWritten(boolean allowed, AttemptOutcome outcome, int written) throws Exception {
         mayStillSend = allowed;
         BackendClient nodes = newClient(60, 60);
         send(nodes, stubNode(nodes, "replica", StubResponse.answer("a"), StubResponse.answer("a")));
@@ -139,15 +139,15 @@
         Node node = stubNode(nodes, "replica", StubResponse.silence(), StubResponse.silence());
         send(nodes, node);
         transport.loop().submit(() -> nodes.startHealthCheck(node)).get();
-        assertEquals(Outcome.NOT_SENT, outcomes.take());
+        assertEquals(AttemptOutcome.NOT_SENT, outcomes.take());
     }
 
     @ParameterizedTest
     @CsvSource({"true, CANCELLED", "false, TIMED_OUT"})
-    void answerOfAnAbandonedAttemptNeverReachesTheNextOne(boolean recalled, Outcome outcome) throws Exception {
+    void answerOfAnAbandonedAttemptNeverReachesTheNextOne(boolean recalled, AttemptOutcome outcome) throws Exception {
         BackendClient nodes = newClient(60, 60);
         Node node = stubNode(nodes, "replica", StubResponse.silence(), StubResponse.answer("a"));
-        Dispatch first = send(nodes, node);
+        Attempt first = send(nodes, node);
         while (receivedStatements.get() == 0) {
             Thread.onSpinWait();
         }
@@ -163,13 +163,13 @@
                 .get();
         assertEquals(outcome, outcomes.take());
         send(nodes, node);
-        assertEquals(Outcome.ANSWERED, nextOutcome(nodes));
+        assertEquals(AttemptOutcome.ANSWERED, nextOutcome(nodes));
         assertEquals(2, receivedStatements.get());
     }
 
     @ParameterizedTest
     @CsvSource({"false, NOT_SENT", "true, ANSWERED"})
-    void cancelIfUnsentEndsAWaitingAttemptAndLeavesAWrittenOneRunning(boolean written, Outcome outcome)
+    void cancelIfUnsentEndsAWaitingAttemptAndLeavesAWrittenOneRunning(boolean written, AttemptOutcome outcome)
             throws Exception {
         BackendClient nodes = newClient(60, 60);
         try (var silent = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
@@ -179,7 +179,7 @@
                             .loop()
                             .submit(() -> nodes.registerNode("n", "a", 1, (InetSocketAddress) silent.getLocalSocketAddress()))
                             .get();
-            Dispatch dispatch = send(nodes, node);
+            Attempt dispatch = send(nodes, node);
             while (written && receivedStatements.get() == 0) {
                 Thread.onSpinWait();
             }
@@ -190,14 +190,14 @@
 
     @ParameterizedTest
     @CsvSource({"XX000, ERROR", "72000, REJECTED", "53300, OVERLOADED"})
-    void connectionIsReusedAfterAnErrorResponse(String code, Outcome outcome) throws Exception {
+    void connectionIsReusedAfterAnErrorResponse(String code, AttemptOutcome outcome) throws Exception {
         BackendClient nodes = newClient(60, 60);
         Node node = stubNode(nodes, "replica", StubResponse.error(code), StubResponse.answer("a"));
         send(nodes, node);
         assertEquals(outcome, nextOutcome(nodes));
         awaitIdle(nodes);
         send(nodes, node);
-        assertEquals(Outcome.ANSWERED, nextOutcome(nodes));
+        assertEquals(AttemptOutcome.ANSWERED, nextOutcome(nodes));
         assertEquals(1, transport.loop().submit(() -> nodes.connectionCount()).get());
     }
 
@@ -206,7 +206,7 @@
     void idleConnectionIsClosedAfterItsTimeout(double idle, int left) throws Exception {
         BackendClient nodes = newClient(60, idle);
         send(nodes, stubNode(nodes, "replica", StubResponse.answer("a"), StubResponse.answer("a")));
-        assertEquals(Outcome.ANSWERED, outcomes.take());
+        assertEquals(AttemptOutcome.ANSWERED, outcomes.take());
         awaitIdle(nodes);
         transport.loop().submit(nodes::sweep).get();
         assertEquals(left, transport.loop().submit(() -> nodes.connectionCount()).get());
@@ -247,10 +247,10 @@
         BackendClient nodes = newClient(60, 60);
         Node node = stubNode(nodes, "replica", StubResponse.bytes(messages(letters)), StubResponse.answer("new"));
         send(nodes, node);
-        assertEquals(Outcome.ERROR, nextOutcome(nodes));
-        assertEquals(Reply.untold(Outcome.ERROR, result.took()), result);
+        assertEquals(AttemptOutcome.ERROR, nextOutcome(nodes));
+        assertEquals(AttemptResult.withoutReport(AttemptOutcome.ERROR, result.elapsedSeconds()), result);
         send(nodes, node);
-        assertEquals(Outcome.ANSWERED, nextOutcome(nodes));
+        assertEquals(AttemptOutcome.ANSWERED, nextOutcome(nodes));
         assertTrue(answer.contains("new"), answer);
     }
 
@@ -264,9 +264,9 @@
             Node node =
                     stubNode(nodes, "replica", StubResponse.bytes(bytes.slice(0, bytes.readableBytes() - cut)), StubResponse.answer("new"));
             send(nodes, node);
-            assertEquals(letters.startsWith("E") ? Outcome.FULL : Outcome.ANSWERED, nextOutcome(nodes));
+            assertEquals(letters.startsWith("E") ? AttemptOutcome.OVERLOADED : AttemptOutcome.ANSWERED, nextOutcome(nodes));
             send(nodes, node);
-            assertEquals(Outcome.ANSWERED, nextOutcome(nodes));
+            assertEquals(AttemptOutcome.ANSWERED, nextOutcome(nodes));
             assertTrue(answer.contains("new"), answer);
         }
     }
@@ -276,8 +276,8 @@
     void implausibleLoadReportIsIgnoredAndTheAnswerStands(String letters, double position) throws Exception {
         BackendClient nodes = newClient(60, 60);
         send(nodes, stubNode(nodes, "replica", StubResponse.bytes(messages(letters)), null));
-        assertEquals(Outcome.ANSWERED, nextOutcome(nodes));
-        assertEquals(new Reply(Outcome.ANSWERED, result.took(), Role.UNKNOWN, position, Role.UNKNOWN, 0, -1), result);
+        assertEquals(AttemptOutcome.ANSWERED, nextOutcome(nodes));
+        assertEquals(new AttemptResult(AttemptOutcome.ANSWERED, result.elapsedSeconds(), Role.UNKNOWN, position, Role.UNKNOWN, 0, -1), result);
     }
 
     @ParameterizedTest
@@ -286,7 +286,7 @@
             throws Exception {
         BackendClient nodes = newClient(60, idle);
         send(nodes, stubNode(nodes, "replica", StubResponse.answer("a"), null));
-        assertEquals(Outcome.ANSWERED, nextOutcome(nodes));
+        assertEquals(AttemptOutcome.ANSWERED, nextOutcome(nodes));
         awaitIdle(nodes);
         nodesKnown = known;
         transport.loop().submit(nodes::sweep).get();
@@ -295,7 +295,7 @@
 
     @ParameterizedTest
     @CsvSource({"400000, ANSWERED, 400000", "500000, ANSWERED, 500000", "600000, ERROR, 0", "2000000, ERROR, 0"})
-    void longAnswersReserveMemoryAndReleaseIt(int length, Outcome outcome, int passed) throws Exception {
+    void longAnswersReserveMemoryAndReleaseIt(int length, AttemptOutcome outcome, int passed) throws Exception {
         BackendClient nodes = newClient(60, 60);
         for (int i = 0; i < 3; i++) {
             receivedStatements.set(0);
@@ -310,9 +310,9 @@
         BackendClient nodes = newClient(60, 60);
         Node node = stubNode(nodes, "replica", StubResponse.answer("a"), StubResponse.answer("a"));
         send(nodes, node);
-        assertEquals(Outcome.ANSWERED, nextOutcome(nodes));
+        assertEquals(AttemptOutcome.ANSWERED, nextOutcome(nodes));
         assertEquals(node, stubNode(nodes, "replica", null, StubResponse.error("72000")));
         send(nodes, node);
-        assertEquals(Outcome.TURNED_AWAY, nextOutcome(nodes));
+        assertEquals(AttemptOutcome.REJECTED, nextOutcome(nodes));
     }
 }
--- a/daemon/src/test/java/clayhook/nodes/ConnectionRaceTest.java
+++ b/daemon/src/test/java/clayhook/nodes/ConnectionRaceTest.java
@@ -6,11 +6,11 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clayhook.Command;
-import clayhook.Dispatch;
+import clayhook.Request;
+import clayhook.Attempt;
 import clayhook.Node;
-import clayhook.Outcome;
-import clayhook.Reply;
+import clayhook.AttemptOutcome;
+import clayhook.AttemptResult;
 import clayhook.config.Operator;
 import clayhook.protocol.Outgoing;
 import clayhook.transport.Clock;
@@ -39,17 +39,17 @@
     /** More than the buffers of both machines hold together, so that only a part goes out unless it is read. */
     private static final int BEYOND_SOCKET_BUFFERS = 1 << 26;
 
-    private record FinishedAttempt(Dispatch dispatch, Outcome outcome, String value) {}
+    private record FinishedAttempt(Attempt dispatch, AttemptOutcome outcome, String value) {}
 
     private final Transport transport = Transport.tcp();
     private final Clock clock = new Clock();
     private final BlockingQueue<FinishedAttempt> finished = new LinkedBlockingQueue<>();
-    private Predicate<Dispatch> mayStillSend = dispatch -> true;
+    private Predicate<Attempt> mayStillSend = dispatch -> true;
     private boolean nodesKnown = true;
     private ScriptedNode scriptedNode;
 
     @Override
-    public void onAttemptFinished(Dispatch dispatch, Reply reply, List<byte[]> answer, String error) {
+    public void onAttemptFinished(Attempt dispatch, AttemptResult reply, List<byte[]> answer, String error) {
         finished.add(new FinishedAttempt(
                 dispatch,
                 reply.outcome(),
@@ -57,12 +57,12 @@
     }
 
     @Override
-    public void onHealthCheck(Node node, Reply reply) {
+    public void onHealthCheck(Node node, AttemptResult reply) {
         finished.add(new FinishedAttempt(null, reply.outcome(), null));
     }
 
     @Override
-    public boolean mayStillSend(Dispatch dispatch) {
+    public boolean mayStillSend(Attempt dispatch) {
         return mayStillSend.test(dispatch);
     }
 
@@ -94,17 +94,17 @@
         return onLoop(() -> nodes.registerNode("n", "a", 1, scriptedNode.address()));
     }
 
-    private Dispatch newAttempt(Node node) {
+    private Attempt newAttempt(Node node) {
         double now = clock.now();
-        return new Dispatch(new Command(null, 1, null, 0, now, now + 60), node, true, now, now + 60);
+        return new Attempt(new Request(null, 1, null, 0, now, now + 60), node, true, now, now + 60);
     }
 
     private static Outgoing statement(String text) {
         return seconds -> text.getBytes(UTF_8);
     }
 
-    private Dispatch send(BackendClient nodes, Node node, String text) throws Exception {
-        Dispatch dispatch = newAttempt(node);
+    private Attempt send(BackendClient nodes, Node node, String text) throws Exception {
+        Attempt dispatch = newAttempt(node);
         onLoop(() -> {
             nodes.send(dispatch, statement(text));
             return null;
@@ -177,7 +177,7 @@
         ScriptedNode.ScriptedConnection peer = scriptedNode.accept();
         peer.write(ScriptedNode.STARTUP_ANSWER + (stale.equals("stale") ? ScriptedNode.answer(stale) : stale));
         assertNull(peer.readQuery());
-        assertEquals(Outcome.CONNECT_FAILED, finished.take().outcome());
+        assertEquals(AttemptOutcome.CONNECT_FAILED, finished.take().outcome());
     }
 
     /** One that ends at once is a connection that failed: another one may be asked for, by those who decide. */
@@ -192,7 +192,7 @@
             peer.close();
             return null;
         });
-        assertEquals(Outcome.CONNECT_FAILED, finished.take().outcome());
+        assertEquals(AttemptOutcome.CONNECT_FAILED, finished.take().outcome());
         assertEquals(0, onLoop(nodes::connectionCount));
     }
 
@@ -200,7 +200,7 @@
 
     @ParameterizedTest
     @CsvSource({"false, CONNECT_FAILED", "true, RESET"})
-    void requestMayHaveRunOnlyOnceItsLastByteIsWritten(boolean whole, Outcome outcome) throws Exception {
+    void requestMayHaveRunOnlyOnceItsLastByteIsWritten(boolean whole, AttemptOutcome outcome) throws Exception {
         BackendClient nodes = newClient(60, 60);
         Node node = register(nodes);
         send(nodes, node, "x".repeat(BEYOND_SOCKET_BUFFERS));
@@ -222,7 +222,7 @@
         ScriptedNode.ScriptedConnection peer = scriptedNode.acceptAndStart();
         peer.awaitFirstByte();
         peer.write(ScriptedNode.answer("stale"));
-        assertEquals(Outcome.ERROR, finished.take().outcome());
+        assertEquals(AttemptOutcome.ERROR, finished.take().outcome());
         assertTrue(peer.skipToEnd() < BEYOND_SOCKET_BUFFERS);
         assertEquals(0, onLoop(nodes::connectionCount));
     }
@@ -244,7 +244,7 @@
             } else {
                 peer.close();
             }
-            assertEquals(Outcome.RESET, finished.take().outcome());
+            assertEquals(AttemptOutcome.RESET, finished.take().outcome());
         }
         assertEquals(0, onLoop(nodes::connectionCount));
     }
@@ -267,7 +267,7 @@
         Node node = register(nodes);
         for (String said : partialConversations()) {
             boolean welcomed = said.startsWith(ScriptedNode.STARTUP_ANSWER);
-            Dispatch dispatch = send(nodes, node, "q");
+            Attempt dispatch = send(nodes, node, "q");
             ScriptedNode.ScriptedConnection peer = scriptedNode.accept();
             peer.write(welcomed ? ScriptedNode.STARTUP_ANSWER : said);
             if (welcomed) {
@@ -280,7 +280,7 @@
                 return null;
             });
             assertEquals(
-                    welcomed ? Outcome.TIMED_OUT : Outcome.CONNECT_FAILED,
+                    welcomed ? AttemptOutcome.TIMED_OUT : AttemptOutcome.CONNECT_FAILED,
                     finished.take().outcome());
             assertEquals("{}", onLoop(nodes::inFlightByNode));
             peer.reset();
@@ -304,7 +304,7 @@
                 peer.write(ScriptedNode.message('N', "CI\0\0"));
             }
         }
-        assertEquals(Outcome.CONNECT_FAILED, finished.take().outcome());
+        assertEquals(AttemptOutcome.CONNECT_FAILED, finished.take().outcome());
         assertEquals(0, onLoop(nodes::connectionCount));
     }
 
@@ -314,19 +314,19 @@
     void waitingAttemptThatMayNoLongerBeSentEndsAtTheNextSweep() throws Exception {
         BackendClient nodes = newClient(60, 60);
         Node node = register(nodes);
-        Dispatch gone = send(nodes, node, "gone");
-        Dispatch wanted = send(nodes, node, "wanted");
+        Attempt gone = send(nodes, node, "gone");
+        Attempt wanted = send(nodes, node, "wanted");
         ScriptedNode.ScriptedConnection peer = scriptedNode.accept();
         mayStillSend = dispatch -> dispatch != gone;
         onLoop(() -> {
             nodes.sweep();
             return null;
         });
-        assertEquals(new FinishedAttempt(gone, Outcome.NOT_SENT, null), finished.take());
+        assertEquals(new FinishedAttempt(gone, AttemptOutcome.NOT_SENT, null), finished.take());
         peer.write(ScriptedNode.STARTUP_ANSWER);
         assertEquals("wanted\0", peer.readQuery());
         peer.write(ScriptedNode.answer("a"));
-        assertEquals(new FinishedAttempt(wanted, Outcome.ANSWERED, "a"), finished.take());
+        assertEquals(new FinishedAttempt(wanted, AttemptOutcome.ANSWERED, "a"), finished.take());
     }
 
     /** Its limit is another ending: the node did not come up in time. */
@@ -335,7 +335,7 @@
         BackendClient nodes = newClient(60, 60);
         Node node = register(nodes);
         double now = clock.now();
-        var late = new Dispatch(new Command(null, 1, null, 0, now, now), node, true, now, now);
+        var late = new Attempt(new Request(null, 1, null, 0, now, now), node, true, now, now);
         mayStillSend = dispatch -> false;
         onLoop(() -> {
             nodes.send(late, statement("q"));
@@ -343,7 +343,7 @@
             nodes.expire(late);
             return null;
         });
-        assertEquals(Outcome.CONNECT_FAILED, finished.take().outcome());
+        assertEquals(AttemptOutcome.CONNECT_FAILED, finished.take().outcome());
         assertTrue(finished.isEmpty());
     }
 
@@ -352,7 +352,7 @@
     void attemptCancelledWhileConnectionsAreAssignedIsNotSent() throws Exception {
         BackendClient nodes = newClient(60, 60);
         Node node = register(nodes);
-        List<Dispatch> sent = new ArrayList<>();
+        List<Attempt> sent = new ArrayList<>();
         List<ScriptedNode.ScriptedConnection> peers = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             sent.add(send(nodes, node, "q" + i));
@@ -372,7 +372,7 @@
         awaitIdle(nodes, 3);
         peers.get(0).write(ScriptedNode.answer("a"));
         awaitIdle(nodes, 4);
-        Set<Dispatch> over = new HashSet<>();
+        Set<Attempt> over = new HashSet<>();
         while (!finished.isEmpty()) {
             assertTrue(over.add(finished.take().dispatch()));
         }
@@ -386,7 +386,7 @@
         BackendClient nodes = newClient(60, 60);
         Node node = register(nodes);
         var random = new Random(1);
-        List<Dispatch> sent = new ArrayList<>();
+        List<Attempt> sent = new ArrayList<>();
         Set<String> ran = new HashSet<>();
         List<ScriptedNode.ScriptedConnection> opening = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
@@ -406,7 +406,7 @@
                         peer.reset();
                     }
                     default -> {
-                        Dispatch oldest = sent.get(sent.size() - wait);
+                        Attempt oldest = sent.get(sent.size() - wait);
                         onLoop(() -> {
                             nodes.expire(oldest);
                             return null;
@@ -418,13 +418,13 @@
                 await(() -> nodes.connectionCount() == opening.size());
             }
         }
-        for (Dispatch dispatch : sent) {
+        for (Attempt dispatch : sent) {
             onLoop(() -> {
                 nodes.expire(dispatch);
                 return null;
             });
         }
-        Set<Dispatch> over = new HashSet<>();
+        Set<Attempt> over = new HashSet<>();
         while (!finished.isEmpty()) {
             assertTrue(over.add(finished.take().dispatch()));
         }
@@ -448,7 +448,7 @@
         ScriptedNode.ScriptedConnection fresh = scriptedNode.acceptAndStart();
         assertEquals("q\0", fresh.readQuery());
         fresh.write(ScriptedNode.answer("a"));
-        assertEquals(Outcome.ANSWERED, finished.take().outcome());
+        assertEquals(AttemptOutcome.ANSWERED, finished.take().outcome());
     }
 
     @Test
@@ -461,8 +461,8 @@
             nodes.startHealthCheck(node);
             return null;
         });
-        Dispatch dispatch = send(nodes, node, "q");
-        assertEquals(new FinishedAttempt(dispatch, Outcome.NOT_SENT, null), finished.take());
+        Attempt dispatch = send(nodes, node, "q");
+        assertEquals(new FinishedAttempt(dispatch, AttemptOutcome.NOT_SENT, null), finished.take());
         onLoop(() -> {
             nodes.expire(dispatch);
             return null;
--- a/daemon/src/test/java/clayhook/peers/PeersTest.java
+++ b/daemon/src/test/java/clayhook/peers/PeersTest.java
@@ -5,11 +5,11 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import clayhook.Node;
-import clayhook.Outcome;
-import clayhook.Reply;
+import clayhook.AttemptOutcome;
+import clayhook.AttemptResult;
 import clayhook.Role;
-import clayhook.Settings;
-import clayhook.Told;
+import clayhook.RoutingSettings;
+import clayhook.PeerObservation;
 import clayhook.config.Configuration;
 import clayhook.config.SharingSettings;
 import clayhook.discovery.EndpointList;
@@ -43,9 +43,9 @@
     private static final double ALONE_AFTER = 0.5;
 
     private static final InetSocketAddress DISCOVERY = new InetSocketAddress("127.0.0.1", 1);
-    private static final Reply ANSWER = new Reply(Outcome.ANSWERED, 0.001, Role.PRIMARY, 1e9, Role.UNKNOWN, 0, 3);
+    private static final AttemptResult ANSWER = new AttemptResult(AttemptOutcome.ANSWERED, 0.001, Role.PRIMARY, 1e9, Role.UNKNOWN, 0, 3);
     private final List<Sharing> open = new ArrayList<>();
-    private final Map<String, Told> told = new ConcurrentHashMap<>();
+    private final Map<String, PeerObservation> told = new ConcurrentHashMap<>();
     private final Map<String, EndpointList.DiscoveredEndpoint> listed = new ConcurrentHashMap<>();
 
     @AfterEach
@@ -74,7 +74,7 @@
     }
 
     private Peers start(String name, int port, int... seeds) throws IOException {
-        var settings = new Settings(
+        var settings = new RoutingSettings(
                 2, "a", List.of(), true, true, false, false, true, true, true, true, 1, 3, 0.2, 10, 3, 3, 1, 15);
         StateSettings usual = StateSettings.DEFAULT;
         var peers = Peers.open(
@@ -105,7 +105,7 @@
         assertEquals(999.5, peers.need("s", 1000), "a command may come before it begins");
         peers.begin(Runnable::run, DISCOVERY, new Sharing.Listener() {
             @Override
-            public void told(Map<String, Told> nodes) {
+            public void told(Map<String, PeerObservation> nodes) {
                 nodes.forEach((node, word) -> told.put(name + " " + node, word));
             }
 
@@ -157,7 +157,7 @@
             });
             assertEquals(
                     List.of(1e9, 3.0),
-                    List.of(told.get(node).position(), told.get(node).load()));
+                    List.of(told.get(node).appliedPosition(), told.get(node).load()));
         }
         // Killed, and back at once with nothing, at the same place, though nobody there was told that.
         others.get(0).close();
--- a/daemon/src/test/java/clayhook/peers/RecordedDatagramsTest.java
+++ b/daemon/src/test/java/clayhook/peers/RecordedDatagramsTest.java
@@ -3,12 +3,12 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clayhook.Listing;
+import clayhook.Endpoint;
 import clayhook.Node;
-import clayhook.Outcome;
-import clayhook.Reply;
+import clayhook.AttemptOutcome;
+import clayhook.AttemptResult;
 import clayhook.Role;
-import clayhook.Told;
+import clayhook.PeerObservation;
 import clayhook.discovery.EndpointList;
 import clayhook.fleet.Address;
 import clayhook.fleet.Fleet;
@@ -93,7 +93,7 @@
         private final State state;
         private final Exchange exchange;
         private final Fleet fleet;
-        private final Map<String, Told> told = new HashMap<>();
+        private final Map<String, PeerObservation> told = new HashMap<>();
         private final Map<String, EndpointList.DiscoveredEndpoint> listed = new HashMap<>();
         private boolean leaving;
 
@@ -126,7 +126,7 @@
         }
 
         @Override
-        public void told(Map<String, Told> nodes) {
+        public void told(Map<String, PeerObservation> nodes) {
             told.putAll(nodes);
         }
 
@@ -171,8 +171,8 @@
         now = START + seconds;
     }
 
-    private static Reply answer(Role role, double position, double load) {
-        return new Reply(Outcome.ANSWERED, 0.002, role, position, role, position - 0.25, load);
+    private static AttemptResult answer(Role role, double position, double load) {
+        return new AttemptResult(AttemptOutcome.ANSWERED, 0.002, role, position, role, position - 0.25, load);
     }
 
     private static News.Written written(String mark, boolean ran, double now) {
@@ -187,14 +187,14 @@
 
         sender.exchange.take(new News.Listed(DISCOVERY, FIRST_LIST), now);
         sender.exchange.take(new News.Looked(PRIMARY, answer(Role.PRIMARY, now - 0.01, 3), now), now);
-        sender.exchange.take(new News.Looked(REPLICA, Reply.untold(Outcome.TIMED_OUT, 0.5), now), now);
+        sender.exchange.take(new News.Looked(REPLICA, AttemptResult.withoutReport(AttemptOutcome.TIMED_OUT, 0.5), now), now);
         sender.exchange.take(new News.Wrote("session", 1, POSITION), now);
         sender.exchange.take(written("in doubt", false, now), now);
         sender.exchange.take(written("resolved", false, now), now);
         sender.exchange.take(new News.Used(Sharing.Limit.REPEATS, 2), now);
         sender.exchange.take(new News.Used(Sharing.Limit.PROBES, 3.5), now);
         playUntil(2, sender, receiver);
-        assertEquals(1, receiver.told.get("n2").strikes());
+        assertEquals(1, receiver.told.get("n2").failedRouterCount());
         double granted = receiver.exchange.left(Sharing.Limit.REPEATS);
 
         sender.exchange.take(new News.Listed(DISCOVERY, list(8, false, "up", "draining")), now);
@@ -210,13 +210,13 @@
         playUntil(END, sender, receiver);
 
         assertEquals(recorded, sent);
-        Told primary = receiver.told.get("n1");
+        PeerObservation primary = receiver.told.get("n1");
         assertEquals(
-                List.of(START + 0.99, 3.0, 1.6e9), List.of(primary.position(), primary.load(), primary.nodeStart()));
-        assertTrue(primary.primaryAt() > primary.replicaAt());
-        Told replica = receiver.told.get("n2");
-        assertEquals(List.of(START + 1, 1.6e9), List.of(replica.position(), replica.nodeStart()));
-        assertEquals(Listing.State.DRAINING, receiver.listed.get("n2").state());
+                List.of(START + 0.99, 3.0, 1.6e9), List.of(primary.appliedPosition(), primary.load(), primary.incarnationStartedAt()));
+        assertTrue(primary.primaryClaimedAt() > primary.replicaClaimedAt());
+        PeerObservation replica = receiver.told.get("n2");
+        assertEquals(List.of(START + 1, 1.6e9), List.of(replica.appliedPosition(), replica.incarnationStartedAt()));
+        assertEquals(Endpoint.State.DRAINING, receiver.listed.get("n2").state());
         assertEquals(POSITION, receiver.exchange.need("session", now));
         assertEquals(
                 List.of(Fate.Knowledge.UNKNOWN, Fate.Knowledge.RAN),
--- a/daemon/src/test/java/clayhook/peers/ThinningTest.java
+++ b/daemon/src/test/java/clayhook/peers/ThinningTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clayhook.Outcome;
-import clayhook.Reply;
+import clayhook.AttemptOutcome;
+import clayhook.AttemptResult;
 import clayhook.Role;
 import clayhook.fleet.Address;
 import clayhook.fleet.Member;
@@ -36,12 +36,12 @@
     private final Looks looks = new Looks(members, new SplittableRandom(1));
     private final Doubts doubts = new Doubts(state, Fate.KIND);
 
-    private Evidence after(Outcome outcome, Role role, double now) {
+    private Evidence after(AttemptOutcome outcome, Role role, double now) {
         looks.saw(
                 "n",
-                new Reply(
+                new AttemptResult(
                         outcome,
-                        outcome == Outcome.TIMED_OUT ? 1 : 0.002,
+                        outcome == AttemptOutcome.TIMED_OUT ? 1 : 0.002,
                         role,
                         role == Role.UNKNOWN ? 0 : START + now - 1,
                         Role.UNKNOWN,
@@ -54,23 +54,23 @@
 
     @Test
     void aLookIsToldWhereTheLastWordIsOldOrItSaysSomethingElse() {
-        Evidence first = after(Outcome.ANSWERED, Role.REPLICA, 0);
+        Evidence first = after(AttemptOutcome.ANSWERED, Role.REPLICA, 0);
         assertEquals(
                 List.of(START - 1, START - 0.001),
                 List.of(first.position().value(), first.heard().at()));
         assertEquals(1, first.lag().value(), 0.01);
-        assertEquals(first, after(Outcome.ANSWERED, Role.REPLICA, Looks.FRESH - 0.01));
-        Evidence second = after(Outcome.ANSWERED, Role.REPLICA, Looks.FRESH + Looks.EVERY);
+        assertEquals(first, after(AttemptOutcome.ANSWERED, Role.REPLICA, Looks.FRESH - 0.01));
+        Evidence second = after(AttemptOutcome.ANSWERED, Role.REPLICA, Looks.FRESH + Looks.EVERY);
         assertTrue(second.heard().at() > first.heard().at());
-        Evidence primary = after(Outcome.ANSWERED, Role.PRIMARY, Looks.FRESH + 2.5 * Looks.EVERY);
+        Evidence primary = after(AttemptOutcome.ANSWERED, Role.PRIMARY, Looks.FRESH + 2.5 * Looks.EVERY);
         assertTrue(primary.primary().at() > primary.replica().at());
-        Evidence failed = after(Outcome.TIMED_OUT, Role.UNKNOWN, Looks.FRESH + 4 * Looks.EVERY);
+        Evidence failed = after(AttemptOutcome.TIMED_OUT, Role.UNKNOWN, Looks.FRESH + 4 * Looks.EVERY);
         assertEquals(
                 List.of(1, "r"),
                 List.of(
                         failed.strikes().get(0).count(),
                         failed.strikes().get(0).sight().by()));
-        assertEquals(failed, after(Outcome.CANCELLED, Role.UNKNOWN, Looks.FRESH + 6 * Looks.EVERY));
+        assertEquals(failed, after(AttemptOutcome.CANCELLED, Role.UNKNOWN, Looks.FRESH + 6 * Looks.EVERY));
     }
 
     private void told(String key, boolean ran, double now) {
--- a/daemon/src/test/java/clayhook/rehearsal/WarmUpTest.java
+++ b/daemon/src/test/java/clayhook/rehearsal/WarmUpTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clayhook.CommandGroup;
-import clayhook.Settings;
+import clayhook.RequestClass;
+import clayhook.RoutingSettings;
 import clayhook.config.Configuration;
 import clayhook.discovery.EndpointList;
 import clayhook.serve.Server;
@@ -27,9 +27,9 @@
     void warmUpEndsInTimeAndReportsWhetherItsSocketsWork(boolean process, boolean carried) throws Exception {
         Transport transport = process ? Transport.withinProcess() : Transport.rehearsal();
         Transport outside = carried ? transport : Transport.rehearsal();
-        var any = new CommandGroup(
-                "any", CommandGroup.Effect.REPLAYABLE, CommandGroup.ReadLevel.ANY, 1, 2, 1, 0, null, 0, 0);
-        var settings = new Settings(
+        var any = new RequestClass(
+                "any", RequestClass.Idempotency.IDEMPOTENT, RequestClass.ConsistencyLevel.EVENTUAL, 1, 2, 1, 0, null, 0, 0);
+        var settings = new RoutingSettings(
                 1, "a", List.of(any), true, true, true, true, true, true, true, true, 1, 3, 1, 0, 1, 0, 1, 15);
         double from = System.nanoTime() / 1e9;
         assertEquals(carried, WarmUp.run(settings, transport, outside, false));
@@ -68,11 +68,11 @@
     }
 
     private static boolean run(Transport transport) {
-        var any = new CommandGroup(
-                "any", CommandGroup.Effect.REPLAYABLE, CommandGroup.ReadLevel.ANY, 1, 2, 1, 0, null, 0, 0);
+        var any = new RequestClass(
+                "any", RequestClass.Idempotency.IDEMPOTENT, RequestClass.ConsistencyLevel.EVENTUAL, 1, 2, 1, 0, null, 0, 0);
         try {
             return WarmUp.run(
-                    new Settings(
+                    new RoutingSettings(
                             1,
                             "a",
                             List.of(any),
@@ -103,10 +103,10 @@
     @Test
     void everySocketIsClosedAfterWarmUp() throws Exception {
         Transport transport = Transport.rehearsal();
-        var any = new CommandGroup(
-                "any", CommandGroup.Effect.REPLAYABLE, CommandGroup.ReadLevel.ANY, 1, 2, 1, 0, null, 0, 0);
+        var any = new RequestClass(
+                "any", RequestClass.Idempotency.IDEMPOTENT, RequestClass.ConsistencyLevel.EVENTUAL, 1, 2, 1, 0, null, 0, 0);
         WarmUp.run(
-                new Settings(
+                new RoutingSettings(
                         1, "a", List.of(any), true, true, true, true, true, true, true, true, 1, 3, 1, 0, 1, 0, 1, 15),
                 transport,
                 true);
@@ -119,9 +119,9 @@
         Transport transport = Transport.withinProcess();
         var node = new StubNode(transport, transport.spare(1), "primary", any -> StubNode.StubResponse.answer("p"));
         var discovery = new StubDiscovery(transport, transport.spare(2), call -> null);
-        var posts = new CommandGroup(
-                "posts", CommandGroup.Effect.MUTATING, CommandGroup.ReadLevel.WRITE, 20, 60, 1, 0, null, 0, 0);
-        var settings = new Settings(
+        var posts = new RequestClass(
+                "posts", RequestClass.Idempotency.NON_IDEMPOTENT, RequestClass.ConsistencyLevel.WRITE, 20, 60, 1, 0, null, 0, 0);
+        var settings = new RoutingSettings(
                 1, "a", List.of(posts), true, true, true, true, true, true, true, true, 1, 3, 1, 0, 1, 0, 1, 15);
         String list = "{\"rev\":2,\"all\":true,\"targets\":[{\"uid\":\"p\",\"endpoint\":\"127.0.0.1:"
                 + node.address().getPort()
--- a/daemon/src/test/java/clayhook/serve/ClientGoneTest.java
+++ b/daemon/src/test/java/clayhook/serve/ClientGoneTest.java
@@ -2,11 +2,11 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import clayhook.CommandGroup;
-import clayhook.CommandGroup.Effect;
-import clayhook.CommandGroup.ReadLevel;
-import clayhook.CommandGroup.Scope;
-import clayhook.Settings;
+import clayhook.RequestClass;
+import clayhook.RequestClass.Idempotency;
+import clayhook.RequestClass.ConsistencyLevel;
+import clayhook.RequestClass.DeduplicationScope;
+import clayhook.RoutingSettings;
 import clayhook.config.Configuration;
 import clayhook.discovery.EndpointList;
 import clayhook.front.RawClient;
@@ -107,8 +107,8 @@
         }
     }
 
-    private static CommandGroup group(String name, Effect effect, ReadLevel level) {
-        return new CommandGroup(name, effect, level, 20, 60, 1, 0, Scope.GROUP, 60, 0);
+    private static RequestClass group(String name, Idempotency effect, ConsistencyLevel level) {
+        return new RequestClass(name, effect, level, 20, 60, 1, 0, DeduplicationScope.REPLICA_SET, 60, 0);
     }
 
     private void start(InetSocketAddress primary) throws InterruptedException {
@@ -116,12 +116,12 @@
                 "{\"rev\":2,\"all\":true,\"targets\":[{\"uid\":\"p\",\"endpoint\":\"127.0.0.1:" + primary.getPort()
                         + "\",\"az\":\"a\",\"pod_group\":1,\"state\":\"up\",\"role\":\"primary\",\"boot_ms\":0}]}";
         var discovery = new StubDiscovery(transport, transport.spare(0), call -> null);
-        var settings = new Settings(
+        var settings = new RoutingSettings(
                 1,
                 "a",
                 List.of(
-                        group("any", Effect.REPLAYABLE, ReadLevel.ANY),
-                        group("mutating", Effect.MUTATING, ReadLevel.WRITE)),
+                        group("any", Idempotency.IDEMPOTENT, ConsistencyLevel.EVENTUAL),
+                        group("mutating", Idempotency.NON_IDEMPOTENT, ConsistencyLevel.WRITE)),
                 true,
                 true,
                 false,
--- a/daemon/src/test/java/clayhook/serve/LifecycleTest.java
+++ b/daemon/src/test/java/clayhook/serve/LifecycleTest.java
@@ -3,11 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
-import clayhook.CommandGroup;
-import clayhook.CommandGroup.Effect;
-import clayhook.CommandGroup.ReadLevel;
-import clayhook.CommandGroup.Scope;
-import clayhook.Settings;
+import clayhook.RequestClass;
+import clayhook.RequestClass.Idempotency;
+import clayhook.RequestClass.ConsistencyLevel;
+import clayhook.RequestClass.DeduplicationScope;
+import clayhook.RoutingSettings;
 import clayhook.config.Configuration;
 import clayhook.discovery.EndpointList;
 import clayhook.rehearsal.StubClient;
@@ -79,10 +79,10 @@
     /** Without a node that can be reached. */
     private Server server() throws InterruptedException {
         var discovery = new StubDiscovery(transport, transport.spare(0), call -> null);
-        var settings = new Settings(
+        var settings = new RoutingSettings(
                 1,
                 "a",
-                List.of(new CommandGroup("any", Effect.REPLAYABLE, ReadLevel.ANY, 0.5, 0.5, 1, 0, Scope.GROUP, 60, 0)),
+                List.of(new RequestClass("any", Idempotency.IDEMPOTENT, ConsistencyLevel.EVENTUAL, 0.5, 0.5, 1, 0, DeduplicationScope.REPLICA_SET, 60, 0)),
                 true,
                 true,
                 false,
--- a/daemon/src/test/java/clayhook/serve/ListInTimeTest.java
+++ b/daemon/src/test/java/clayhook/serve/ListInTimeTest.java
@@ -3,11 +3,11 @@
 import static java.nio.charset.StandardCharsets.US_ASCII;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clayhook.CommandGroup;
-import clayhook.CommandGroup.Effect;
-import clayhook.CommandGroup.ReadLevel;
-import clayhook.CommandGroup.Scope;
-import clayhook.Settings;
+import clayhook.RequestClass;
+import clayhook.RequestClass.Idempotency;
+import clayhook.RequestClass.ConsistencyLevel;
+import clayhook.RequestClass.DeduplicationScope;
+import clayhook.RoutingSettings;
 import clayhook.config.Configuration;
 import clayhook.discovery.EndpointList;
 import clayhook.transport.Transport;
@@ -162,8 +162,8 @@
     }
 
     private void start(Service service, long seed) throws InterruptedException {
-        var any = new CommandGroup("any", Effect.REPLAYABLE, ReadLevel.ANY, 20, 60, 1, 0, Scope.GROUP, 60, 0);
-        var settings = new Settings(
+        var any = new RequestClass("any", Idempotency.IDEMPOTENT, ConsistencyLevel.EVENTUAL, 20, 60, 1, 0, DeduplicationScope.REPLICA_SET, 60, 0);
+        var settings = new RoutingSettings(
                 1, "a", List.of(any), true, true, false, true, true, true, true, true, 1, 3, 0.2, 10, 3, 3, 1, 15);
         var known = EndpointList.parse("{\"rev\":2,\"all\":true,\"targets\":[]}");
         servers.add(new Server(
--- a/daemon/src/test/java/clayhook/serve/ServerTest.java
+++ b/daemon/src/test/java/clayhook/serve/ServerTest.java
@@ -3,11 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clayhook.CommandGroup;
-import clayhook.CommandGroup.Effect;
-import clayhook.CommandGroup.ReadLevel;
-import clayhook.CommandGroup.Scope;
-import clayhook.Settings;
+import clayhook.RequestClass;
+import clayhook.RequestClass.Idempotency;
+import clayhook.RequestClass.ConsistencyLevel;
+import clayhook.RequestClass.DeduplicationScope;
+import clayhook.RoutingSettings;
 import clayhook.config.Configuration;
 import clayhook.discovery.EndpointList;
 import clayhook.protocol.Encoder;
@@ -40,8 +40,8 @@
     private StubClient client;
 
     /** Response targets are far beyond what a busy machine takes; only brief commands are to run out of time. */
-    private static CommandGroup group(String name, Effect effect, ReadLevel level, double target) {
-        return new CommandGroup(name, effect, level, target, 60, 1, 0, Scope.GROUP, 60, 0);
+    private static RequestClass group(String name, Idempotency effect, ConsistencyLevel level, double target) {
+        return new RequestClass(name, effect, level, target, 60, 1, 0, DeduplicationScope.REPLICA_SET, 60, 0);
     }
 
     /** A router that knows a primary and a replica which do this to statements, and a client of it. */
@@ -53,14 +53,14 @@
     private void start(InetSocketAddress primary, InetSocketAddress replica, int sockets) throws InterruptedException {
         String list = "{\"rev\":2,\"all\":true,\"targets\":[" + entry("p", primary) + "," + entry("r", replica) + "]}";
         var discovery = new StubDiscovery(transport, transport.spare(0), call -> null);
-        var settings = new Settings(
+        var settings = new RoutingSettings(
                 1,
                 "a",
                 List.of(
-                        group("any", Effect.REPLAYABLE, ReadLevel.ANY, 20),
-                        group("write", Effect.KEYED, ReadLevel.WRITE, 20),
-                        group("mutating", Effect.MUTATING, ReadLevel.WRITE, 20),
-                        group("brief", Effect.MUTATING, ReadLevel.WRITE, 0.6)),
+                        group("any", Idempotency.IDEMPOTENT, ConsistencyLevel.EVENTUAL, 20),
+                        group("write", Idempotency.IDEMPOTENT_WITH_KEY, ConsistencyLevel.WRITE, 20),
+                        group("mutating", Idempotency.NON_IDEMPOTENT, ConsistencyLevel.WRITE, 20),
+                        group("brief", Idempotency.NON_IDEMPOTENT, ConsistencyLevel.WRITE, 0.6)),
                 true,
                 true,
                 false,
--- a/daemon/src/test/java/clayhook/serve/SharingTest.java
+++ b/daemon/src/test/java/clayhook/serve/SharingTest.java
@@ -2,11 +2,11 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clayhook.CommandGroup;
-import clayhook.CommandGroup.Effect;
-import clayhook.CommandGroup.ReadLevel;
-import clayhook.CommandGroup.Scope;
-import clayhook.Settings;
+import clayhook.RequestClass;
+import clayhook.RequestClass.Idempotency;
+import clayhook.RequestClass.ConsistencyLevel;
+import clayhook.RequestClass.DeduplicationScope;
+import clayhook.RoutingSettings;
 import clayhook.config.Configuration;
 import clayhook.config.Operator;
 import clayhook.config.SharingSettings;
@@ -55,8 +55,8 @@
     }
 
     private Server start(int number) throws Exception {
-        var group = new CommandGroup("any", Effect.REPLAYABLE, ReadLevel.ANY, 20, 60, 1, 0, Scope.GROUP, 60, 0);
-        var settings = new Settings(
+        var group = new RequestClass("any", Idempotency.IDEMPOTENT, ConsistencyLevel.EVENTUAL, 20, 60, 1, 0, DeduplicationScope.REPLICA_SET, 60, 0);
+        var settings = new RoutingSettings(
                 ROUTERS,
                 "a",
                 List.of(group),
--- a/daemon/src/test/java/clayhook/serve/ShutdownTest.java
+++ b/daemon/src/test/java/clayhook/serve/ShutdownTest.java
@@ -4,11 +4,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clayhook.CommandGroup;
-import clayhook.CommandGroup.Effect;
-import clayhook.CommandGroup.ReadLevel;
-import clayhook.CommandGroup.Scope;
-import clayhook.Settings;
+import clayhook.RequestClass;
+import clayhook.RequestClass.Idempotency;
+import clayhook.RequestClass.ConsistencyLevel;
+import clayhook.RequestClass.DeduplicationScope;
+import clayhook.RoutingSettings;
 import clayhook.config.Configuration;
 import clayhook.config.Operator;
 import clayhook.discovery.EndpointList;
@@ -41,13 +41,13 @@
             return deeds.apply(statement);
         });
         var discovery = new StubDiscovery(transport, transport.spare(0), call -> null);
-        var settings = new Settings(
+        var settings = new RoutingSettings(
                 1,
                 "a",
                 List.of(
-                        new CommandGroup("any", Effect.REPLAYABLE, ReadLevel.ANY, 20, 60, 1, 0, Scope.GROUP, 60, 0),
-                        new CommandGroup(
-                                "mutating", Effect.MUTATING, ReadLevel.WRITE, 20, 60, 1, 0, Scope.GROUP, 60, 0)),
+                        new RequestClass("any", Idempotency.IDEMPOTENT, ConsistencyLevel.EVENTUAL, 20, 60, 1, 0, DeduplicationScope.REPLICA_SET, 60, 0),
+                        new RequestClass(
+                                "mutating", Idempotency.NON_IDEMPOTENT, ConsistencyLevel.WRITE, 20, 60, 1, 0, DeduplicationScope.REPLICA_SET, 60, 0)),
                 true,
                 true,
                 false,
--- a/daemon/src/test/java/clayhook/sql/SqlRoutingTest.java
+++ b/daemon/src/test/java/clayhook/sql/SqlRoutingTest.java
@@ -4,11 +4,11 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clayhook.CommandGroup;
-import clayhook.CommandGroup.Effect;
-import clayhook.CommandGroup.ReadLevel;
-import clayhook.CommandGroup.Scope;
-import clayhook.Settings;
+import clayhook.RequestClass;
+import clayhook.RequestClass.Idempotency;
+import clayhook.RequestClass.ConsistencyLevel;
+import clayhook.RequestClass.DeduplicationScope;
+import clayhook.RoutingSettings;
 import clayhook.config.Configuration;
 import clayhook.config.OperatorFile;
 import clayhook.discovery.EndpointList;
@@ -73,8 +73,8 @@
 
     private Server server;
 
-    private static CommandGroup group(String name, Effect effect, ReadLevel level, double timeout) {
-        return new CommandGroup(name, effect, level, timeout / 2, timeout, 1, 0, Scope.GROUP, 60, 0);
+    private static RequestClass group(String name, Idempotency effect, ConsistencyLevel level, double timeout) {
+        return new RequestClass(name, effect, level, timeout / 2, timeout, 1, 0, DeduplicationScope.REPLICA_SET, 60, 0);
     }
 
     private void start(Function<String, Deed> primary, Function<String, Deed> replica) throws Exception {
@@ -93,11 +93,11 @@
                     + (entries.isEmpty() ? "primary" : "replica") + "\",\"boot_ms\":0}");
         }
         var discovery = new StubDiscovery(transport, transport.spare(0), call -> null);
-        List<CommandGroup> groups = List.of(
-                group("any", Effect.REPLAYABLE, ReadLevel.ANY, 8),
-                group("write", Effect.KEYED, ReadLevel.WRITE, 8),
-                group("mutating", Effect.MUTATING, ReadLevel.WRITE, 8));
-        var settings = new Settings(
+        List<RequestClass> groups = List.of(
+                group("any", Idempotency.IDEMPOTENT, ConsistencyLevel.EVENTUAL, 8),
+                group("write", Idempotency.IDEMPOTENT_WITH_KEY, ConsistencyLevel.WRITE, 8),
+                group("mutating", Idempotency.NON_IDEMPOTENT, ConsistencyLevel.WRITE, 8));
+        var settings = new RoutingSettings(
                 1, "a", groups, true, true, false, true, true, true, true, true, 1, 9, 0.2, 10, 3, 3, 1, 15);
         Path file = folder.resolve("clayhook.toml");
         Files.writeString(file, rules);
--- a/lab/src/main/java/clayhook/lab/Experiment.java
+++ b/lab/src/main/java/clayhook/lab/Experiment.java
@@ -1,9 +1,9 @@
 package clayhook.lab;
 
-import clayhook.CommandGroup;
-import clayhook.CommandGroup.Effect;
-import clayhook.CommandGroup.ReadLevel;
-import clayhook.CommandGroup.Scope;
+import clayhook.RequestClass;
+import clayhook.RequestClass.Idempotency;
+import clayhook.RequestClass.ConsistencyLevel;
+import clayhook.RequestClass.DeduplicationScope;
 import clayhook.config.BadConfig;
 import clayhook.config.Toml;
 import clayhook.lab.model.Failure;
@@ -160,15 +160,15 @@
     }
 
     private static FleetSpec.Kind command(Toml command) throws BadConfig {
-        ReadLevel level = one(command, "level", LEVELS, "any");
-        boolean writes = level == ReadLevel.WRITE;
-        Effect effect = one(command, "effect", EFFECTS, writes ? "mutating" : "replayable");
-        if (!writes && effect != Effect.REPLAYABLE) {
+        ConsistencyLevel level = one(command, "level", LEVELS, "any");
+        boolean writes = level == ConsistencyLevel.WRITE;
+        Idempotency effect = one(command, "effect", EFFECTS, writes ? "mutating" : "replayable");
+        if (!writes && effect != Idempotency.IDEMPOTENT) {
             throw command.fault("effect", "a read is replayable");
         }
         double target = command.number("target", 0.25, 0.001, HOUR);
         return new FleetSpec.Kind(
-                new CommandGroup(
+                new RequestClass(
                         command.needed("name"),
                         effect,
                         level,
@@ -185,16 +185,16 @@
     }
 
     /** Words of the experiment file and the values that they stand for; the words do not follow renamed constants. */
-    private static final Map<String, ReadLevel> LEVELS = Map.of(
-            "write", ReadLevel.WRITE,
-            "fresh", ReadLevel.FRESH,
-            "session", ReadLevel.SESSION,
-            "bounded", ReadLevel.BOUNDED,
-            "any", ReadLevel.ANY);
+    private static final Map<String, ConsistencyLevel> LEVELS = Map.of(
+            "write", ConsistencyLevel.WRITE,
+            "fresh", ConsistencyLevel.STRONG,
+            "session", ConsistencyLevel.SESSION,
+            "bounded", ConsistencyLevel.BOUNDED_STALENESS,
+            "any", ConsistencyLevel.EVENTUAL);
 
-    private static final Map<String, Effect> EFFECTS =
-            Map.of("replayable", Effect.REPLAYABLE, "keyed", Effect.KEYED, "mutating", Effect.MUTATING);
-    private static final Map<String, Scope> SCOPES = Map.of("all", Scope.ALL, "zone", Scope.ZONE, "group", Scope.GROUP);
+    private static final Map<String, Idempotency> EFFECTS =
+            Map.of("replayable", Idempotency.IDEMPOTENT, "keyed", Idempotency.IDEMPOTENT_WITH_KEY, "mutating", Idempotency.NON_IDEMPOTENT);
+    private static final Map<String, DeduplicationScope> SCOPES = Map.of("all", DeduplicationScope.ALL, "zone", DeduplicationScope.ZONE, "group", DeduplicationScope.REPLICA_SET);
 
     private static <T> T one(Toml toml, String key, Map<String, T> words, String absent) throws BadConfig {
         return words.get(toml.word(key, absent, words.keySet()));
--- a/lab/src/main/java/clayhook/lab/Report.java
+++ b/lab/src/main/java/clayhook/lab/Report.java
@@ -1,6 +1,6 @@
 package clayhook.lab;
 
-import clayhook.CommandGroup;
+import clayhook.RequestClass;
 import clayhook.lab.Comparison.Interval;
 import clayhook.lab.Comparison.Played;
 import clayhook.lab.model.Failure;
@@ -50,7 +50,7 @@
                     failure.lasts()));
         }
         picture(page, "Service by second of arrival, mean over seeds", service(played));
-        for (CommandGroup group : played.get(0).runs().get(0).groups().keySet()) {
+        for (RequestClass group : played.get(0).runs().get(0).groups().keySet()) {
             picture(page, "Time to answer by percentile: " + group.name(), times(played, group));
         }
         picture(page, "Part of its cores' time that each node worked", busy(played));
@@ -93,7 +93,7 @@
         return chart;
     }
 
-    private static XYChart times(List<Played> played, CommandGroup group) {
+    private static XYChart times(List<Played> played, RequestClass group) {
         XYChart chart = chart("percentile", "ms");
         for (Played one : played) {
             double[] ms = new double[PERCENTILES.length];
--- a/lab/src/main/java/clayhook/lab/model/Audit.java
+++ b/lab/src/main/java/clayhook/lab/model/Audit.java
@@ -1,9 +1,9 @@
 package clayhook.lab.model;
 
-import clayhook.CommandGroup;
-import clayhook.CommandGroup.Effect;
-import clayhook.CommandGroup.ReadLevel;
-import clayhook.CommandGroup.Scope;
+import clayhook.RequestClass;
+import clayhook.RequestClass.Idempotency;
+import clayhook.RequestClass.ConsistencyLevel;
+import clayhook.RequestClass.DeduplicationScope;
 import clayhook.Node;
 import java.util.EnumMap;
 import java.util.HashMap;
@@ -27,7 +27,7 @@
     private static final double SLACK = 0.02;
 
     private static final class Entry {
-        final CommandGroup group;
+        final RequestClass group;
         final double expires;
         int answers;
         /** No answer in time can be asked for. */
@@ -37,7 +37,7 @@
 
         double ranWhen;
 
-        Entry(CommandGroup group, double expires) {
+        Entry(RequestClass group, double expires) {
             this.group = group;
             this.expires = expires;
         }
@@ -80,7 +80,7 @@
         first = first == null ? String.format(java.util.Locale.ROOT, "%.3f s: %s: %s", now, rule, what) : first;
     }
 
-    public void sent(Object command, CommandGroup group, double expires) {
+    public void sent(Object command, RequestClass group, double expires) {
         entries.put(command, new Entry(group, expires));
     }
 
@@ -110,7 +110,7 @@
     /** A router told a client that its command never ran, or will not. */
     public void throttled(Object command, double now) {
         Entry entry = entries.get(command);
-        if (entry != null && entry.ranAt != null && entry.group.effect() == Effect.MUTATING) {
+        if (entry != null && entry.ranAt != null && entry.group.idempotency() == Idempotency.NON_IDEMPOTENT) {
             broke(RuleKept.NO_DOUBLE_EFFECT, "throttled, but it ran at " + entry.ranAt.id(), now);
         }
     }
@@ -124,7 +124,7 @@
         if (entry == null) {
             return;
         }
-        boolean writes = entry.group.level() == ReadLevel.WRITE;
+        boolean writes = entry.group.consistency() == ConsistencyLevel.WRITE;
         if (!writes && position < needed - 1e-6) {
             broke(
                     RuleKept.NO_STALE_READ,
@@ -132,7 +132,7 @@
                             + " ms behind",
                     now);
         }
-        if (entry.ranAt != null && entry.group.effect() != Effect.REPLAYABLE && !dropped(entry, node, now)) {
+        if (entry.ranAt != null && entry.group.idempotency() != Idempotency.IDEMPOTENT && !dropped(entry, node, now)) {
             broke(
                     RuleKept.NO_DOUBLE_EFFECT,
                     entry.group.name() + " ran at " + entry.ranAt.id() + " and at " + node.id(),
@@ -144,12 +144,12 @@
 
     /** Nodes drop a repeat of a keyed command within its scope and window. */
     private static boolean dropped(Entry entry, Node node, double now) {
-        Scope scope = entry.group.repeatScope();
-        boolean within = scope == Scope.ALL
-                || (scope == Scope.GROUP
-                        ? entry.ranAt.group() == node.group()
+        DeduplicationScope scope = entry.group.deduplicationScope();
+        boolean within = scope == DeduplicationScope.ALL
+                || (scope == DeduplicationScope.REPLICA_SET
+                        ? entry.ranAt.replicaSetId() == node.replicaSetId()
                         : entry.ranAt.zone().equals(node.zone()));
-        return entry.group.effect() == Effect.KEYED && within && now <= entry.ranWhen + entry.group.repeatWindow();
+        return entry.group.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY && within && now <= entry.ranWhen + entry.group.deduplicationWindowSeconds();
     }
 
     /** A router sent something to a node that it knows to drain since then. */
@@ -183,7 +183,7 @@
         }
         sweptAt = now;
         entries.values().removeIf(entry -> {
-            boolean over = now > entry.expires + entry.group.clientTimeout() + entry.group.repeatWindow();
+            boolean over = now > entry.expires + entry.group.clientTimeoutSeconds() + entry.group.deduplicationWindowSeconds();
             if (over && entry.answers == 0 && !entry.excused) {
                 broke(RuleKept.ONE_ANSWER, entry.group.name() + " was never answered", now);
             }
--- a/lab/src/main/java/clayhook/lab/model/Fleet.java
+++ b/lab/src/main/java/clayhook/lab/model/Fleet.java
@@ -1,12 +1,12 @@
 package clayhook.lab.model;
 
-import clayhook.Choice.Verdict;
-import clayhook.Command;
-import clayhook.CommandGroup;
-import clayhook.CommandGroup.ReadLevel;
-import clayhook.Listing;
+import clayhook.Decision.RoutingAction;
+import clayhook.Request;
+import clayhook.RequestClass;
+import clayhook.RequestClass.ConsistencyLevel;
+import clayhook.Endpoint;
 import clayhook.Node;
-import clayhook.Settings;
+import clayhook.RoutingSettings;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -47,9 +47,9 @@
     private long revision;
     private final SplittableRandom spread;
 
-    private record News(Listing entry, long revision) {}
+    private record News(Endpoint entry, long revision) {}
 
-    private static final class Asked extends Command {
+    private static final class Asked extends Request {
         final Arrivals.Ask ask;
         /** The position of what its session had written when it was asked; 0 where it need not see that. */
         final double written;
@@ -63,7 +63,7 @@
                     session(ask),
                     wroteAt,
                     now,
-                    now + ask.kind().group().clientTimeout());
+                    now + ask.kind().group().clientTimeoutSeconds());
             this.ask = ask;
             this.written = written;
             this.mark = "c" + number;
@@ -87,10 +87,10 @@
         wroteWhen = new double[spec.sessions()];
         wroteBy = new RouterModel[spec.sessions()];
         world = new World(spec, timeline, this::died, this::listChanged);
-        List<CommandGroup> asked =
+        List<RequestClass> asked =
                 spec.commands().stream().map(FleetSpec.Kind::group).toList();
         for (int r = 0; r < spec.routers(); r++) {
-            var settings = new Settings(
+            var settings = new RoutingSettings(
                     spec.routers(),
                     spec.zones().get(r % spec.zones().size()),
                     asked,
@@ -113,7 +113,7 @@
             routers.add(new RouterModel(timeline, this, settings, seed * 31 + r, this::answered));
         }
         List<Peers> peers = sharing.among(timeline, routers, seed);
-        List<Listing> all = world.listings();
+        List<Endpoint> all = world.listings();
         for (int r = 0; r < routers.size(); r++) {
             routers.get(r).join(peers.get(r));
             routers.get(r).listed(all, true, revision);
@@ -132,7 +132,7 @@
         stopAt = START + seconds;
         timeline.run(stopAt);
         double longest = spec.commands().stream()
-                .mapToDouble(kind -> kind.group().clientTimeout())
+                .mapToDouble(kind -> kind.group().clientTimeoutSeconds())
                 .max()
                 .orElse(0);
         timeline.run(stopAt + longest + 1);
@@ -159,14 +159,14 @@
     }
 
     private void ask(Arrivals.Ask ask) {
-        CommandGroup group = ask.kind().group();
-        boolean own = group.level() == ReadLevel.SESSION && ask.session() >= 0;
+        RequestClass group = ask.kind().group();
+        boolean own = group.consistency() == ConsistencyLevel.SESSION && ask.session() >= 0;
         RouterModel router = routerFor(ask.session());
         double written = own ? wrote[ask.session()] : 0;
         double mark = own && !spec.contact().marksCarried() ? router.needs(Asked.session(ask)) : written;
         var command = new Asked(ask, written, mark, timeline.now(), commands++);
         audit.sweep(timeline.now());
-        audit.sent(command, group, command.expires);
+        audit.sent(command, group, command.deadline);
         tally.asked(group, timeline.now());
         router.take(command);
     }
@@ -179,13 +179,13 @@
         return stays ? wroteBy[session] : next;
     }
 
-    private void answered(Command command, Verdict verdict) {
+    private void answered(Request command, RoutingAction verdict) {
         double now = timeline.now();
         audit.answered(command, now);
-        if (verdict == Verdict.THROTTLE) {
+        if (verdict == RoutingAction.REJECT) {
             audit.throttled(command, now);
         }
-        tally.answered(command.group, verdict, now - command.arrived, command.arrived);
+        tally.answered(command.requestClass, verdict, now - command.arrivedAt, command.arrivedAt);
     }
 
     // ---- what routers ask of the world ----
@@ -222,27 +222,27 @@
         return world.group(id);
     }
 
-    double work(Command command) {
+    double work(Request command) {
         return ((Asked) command).ask.work();
     }
 
     /** By which anyone may ask whether it has run. */
-    String mark(Command command) {
+    String mark(Request command) {
         return ((Asked) command).mark;
     }
 
     /** The position that a read must see that was sent then. */
-    double needed(Command command, double sentAt) {
-        return switch (command.group.level()) {
-            case BOUNDED -> sentAt - command.group.bound();
+    double needed(Request command, double sentAt) {
+        return switch (command.requestClass.consistency()) {
+            case BOUNDED_STALENESS -> sentAt - command.requestClass.maxStalenessSeconds();
             case SESSION -> ((Asked) command).written;
             default -> 0;
         };
     }
 
-    void wrote(Command command, double position, RouterModel by) {
+    void wrote(Request command, double position, RouterModel by) {
         int session = ((Asked) command).ask.session();
-        if (command.group.level() == ReadLevel.WRITE && session >= 0) {
+        if (command.requestClass.consistency() == ConsistencyLevel.WRITE && session >= 0) {
             wrote[session] = Math.max(wrote[session], position);
             wroteWhen[session] = timeline.now();
             wroteBy[session] = by;
@@ -265,7 +265,7 @@
 
     /** A router hears the list: all that it has not heard, as it is by now. */
     private void tell(RouterModel router) {
-        List<Listing> entries = published.values().stream()
+        List<Endpoint> entries = published.values().stream()
                 .filter(news -> news.revision() > router.revision())
                 .map(News::entry)
                 .toList();
--- a/lab/src/main/java/clayhook/lab/model/FleetSpec.java
+++ b/lab/src/main/java/clayhook/lab/model/FleetSpec.java
@@ -1,6 +1,6 @@
 package clayhook.lab.model;
 
-import clayhook.CommandGroup;
+import clayhook.RequestClass;
 import java.util.List;
 
 /**
@@ -89,7 +89,7 @@
      * @param work seconds of a core, on average
      * @param spread of the work: the sigma of its logarithm; 0 for always the same
      */
-    public record Kind(CommandGroup group, double share, double work, double spread) {}
+    public record Kind(RequestClass group, double share, double work, double spread) {}
 
     /** From then on, in seconds from the start, the rate is that multiple. */
     public record Phase(double from, double factor) {}
--- a/lab/src/main/java/clayhook/lab/model/Hearing.java
+++ b/lab/src/main/java/clayhook/lab/model/Hearing.java
@@ -1,13 +1,13 @@
 package clayhook.lab.model;
 
-import clayhook.Listing;
-import clayhook.Told;
+import clayhook.Endpoint;
+import clayhook.PeerObservation;
 
 /** A router that can be told what its peers know. */
 public interface Hearing {
     /** What the list told a peer in that revision. */
-    void told(Listing entry, long revision);
+    void told(Endpoint entry, long revision);
 
     /** What peers have seen of the node of that id. */
-    void told(String node, Told told);
+    void told(String node, PeerObservation told);
 }
--- a/lab/src/main/java/clayhook/lab/model/Loopback.java
+++ b/lab/src/main/java/clayhook/lab/model/Loopback.java
@@ -1,11 +1,11 @@
 package clayhook.lab.model;
 
-import clayhook.Choice.Verdict;
-import clayhook.CommandGroup;
-import clayhook.CommandGroup.ReadLevel;
-import clayhook.Listing;
+import clayhook.Decision.RoutingAction;
+import clayhook.RequestClass;
+import clayhook.RequestClass.ConsistencyLevel;
+import clayhook.Endpoint;
 import clayhook.Role;
-import clayhook.Settings;
+import clayhook.RoutingSettings;
 import clayhook.config.Configuration;
 import clayhook.discovery.EndpointList;
 import clayhook.protocol.Allowance;
@@ -105,7 +105,7 @@
                     time.at(start + second, () -> watcher.accept(tally));
                 }
                 double longest = spec.commands().stream()
-                        .mapToDouble(kind -> kind.group().clientTimeout())
+                        .mapToDouble(kind -> kind.group().clientTimeoutSeconds())
                         .max()
                         .orElse(0);
                 time.at(start + seconds + longest + 1, () -> {
@@ -144,10 +144,10 @@
                                 || call.endsWith("after=" + listVersion + " HTTP/1.1")
                         ? null
                         : list());
-        List<CommandGroup> groups =
+        List<RequestClass> groups =
                 spec.commands().stream().map(FleetSpec.Kind::group).toList();
         for (int r = 0; r < spec.routers(); r++) {
-            var settings = new Settings(
+            var settings = new RoutingSettings(
                     spec.routers(),
                     spec.zones().get(r % spec.zones().size()),
                     groups,
@@ -187,12 +187,12 @@
     private String list() {
         var entries = new ArrayList<String>();
         for (int i = 0; i < sockets.size(); i++) {
-            Listing listing = world.listings().get(i);
+            Endpoint listing = world.listings().get(i);
             entries.add("{\"uid\":\"" + listing.node().id() + "\",\"endpoint\":\"127.0.0.1:"
                     + sockets.get(i).port() + "\",\"az\":\""
                     + listing.node().zone() + "\",\"pod_group\":"
-                    + listing.node().group() + ",\"state\":\""
-                    + (listing.state() == Listing.State.DRAINING ? "draining" : "up") + "\",\"role\":\""
+                    + listing.node().replicaSetId() + ",\"state\":\""
+                    + (listing.state() == Endpoint.State.DRAINING ? "draining" : "up") + "\",\"role\":\""
                     + (listing.primary() ? "primary" : "replica") + "\",\"boot_ms\":"
                     + (long) (listing.startedAt() * 1000) + "}");
         }
@@ -209,11 +209,11 @@
         time.in(arrivals.gap(time.now() - start), () -> {
             if (time.now() < until) {
                 Arrivals.Ask ask = arrivals.next();
-                CommandGroup group = ask.kind().group();
-                boolean own = group.level() == ReadLevel.SESSION && ask.session() >= 0;
+                RequestClass group = ask.kind().group();
+                boolean own = group.consistency() == ConsistencyLevel.SESSION && ask.session() >= 0;
                 var asked = new Asked(ask, Long.toString(nextId++), time.now(), own ? wrote[ask.session()] : 0);
                 audit.sweep(time.now());
-                audit.sent(asked.id, group, asked.arrived + group.clientTimeout());
+                audit.sent(asked.id, group, asked.arrived + group.clientTimeoutSeconds());
                 tally.asked(group, time.now());
                 open.put(asked.id, asked);
                 clients.get((int) (nextId % clients.size())).send(asked);
@@ -222,13 +222,13 @@
         });
     }
 
-    private void answered(Asked asked, Verdict verdict, double position) {
+    private void answered(Asked asked, RoutingAction verdict, double position) {
         double now = time.now();
-        CommandGroup group = asked.ask.kind().group();
+        RequestClass group = asked.ask.kind().group();
         audit.answered(asked.id, now);
-        if (verdict == Verdict.THROTTLE) {
+        if (verdict == RoutingAction.REJECT) {
             audit.throttled(asked.id, now);
-        } else if (verdict == Verdict.DONE && group.level() == ReadLevel.WRITE && asked.ask.session() >= 0) {
+        } else if (verdict == RoutingAction.DONE && group.consistency() == ConsistencyLevel.WRITE && asked.ask.session() >= 0) {
             wrote[asked.ask.session()] = Math.max(wrote[asked.ask.session()], position);
         }
         tally.answered(group, verdict, now - asked.arrived, asked.arrived);
@@ -248,7 +248,7 @@
         void send(Asked asked) {
             Connection connection = idle.poll();
             if (connection == null && connections >= MOST_CONNECTIONS) {
-                answered(asked, Verdict.FAIL, 0);
+                answered(asked, RoutingAction.FAIL, 0);
             } else if (connection == null) {
                 connections++;
                 var opened = new Connection(this, asked);
@@ -268,7 +268,7 @@
         private Asked asked;
         private Channel channel;
         private boolean welcomed;
-        private Verdict verdict = Verdict.DONE;
+        private RoutingAction verdict = RoutingAction.DONE;
         private double position;
 
         Connection(Clients of, Asked asked) {
@@ -285,12 +285,12 @@
 
         void send(Asked next) {
             asked = next;
-            verdict = Verdict.DONE;
+            verdict = RoutingAction.DONE;
             position = 0;
-            CommandGroup group = next.ask.kind().group();
-            boolean writes = group.level() == ReadLevel.WRITE;
+            RequestClass group = next.ask.kind().group();
+            boolean writes = group.consistency() == ConsistencyLevel.WRITE;
             String fields = "id=" + next.id + ",c=" + group.name() + ",cluster=" + next.ask.group() + ",d="
-                    + Math.round(group.clientTimeout() * 1000) + (writes ? ",k=" + next.id : "")
+                    + Math.round(group.clientTimeoutSeconds() * 1000) + (writes ? ",k=" + next.id : "")
                     + (next.wroteAt > 0 ? ",after=" + (long) Math.ceil(next.wroteAt * 1000) : "");
             channel.writeAndFlush(StubClient.statement(writes, fields));
         }
@@ -298,7 +298,7 @@
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             if (message instanceof NodeMessage.ErrorResponse error) {
-                verdict = error.code().equals("53300") ? Verdict.THROTTLE : Verdict.FAIL;
+                verdict = error.code().equals("53300") ? RoutingAction.REJECT : RoutingAction.FAIL;
             } else if (message instanceof NodeMessage.Part part && part.type() == 'D') {
                 position = Double.parseDouble(part.column());
             } else if (message instanceof NodeMessage.ReadyForQuery && !welcomed) {
@@ -317,7 +317,7 @@
             if (asked != null) {
                 Asked done = asked;
                 asked = null;
-                answered(done, Verdict.FAIL, 0);
+                answered(done, RoutingAction.FAIL, 0);
             }
         }
 
@@ -395,10 +395,10 @@
                 ctx.writeAndFlush(Encoder.error(false, asked == null ? "53300" : "25006", "not here", null));
                 return;
             }
-            CommandGroup group = asked.ask.kind().group();
+            RequestClass group = asked.ask.kind().group();
             double needed =
-                    switch (group.level()) {
-                        case BOUNDED -> time.now() - group.bound();
+                    switch (group.consistency()) {
+                        case BOUNDED_STALENESS -> time.now() - group.maxStalenessSeconds();
                         case SESSION -> asked.wroteAt;
                         default -> 0;
                     };
@@ -407,7 +407,7 @@
             }
             job = new Job(asked.ask.work(), time.now(), done -> {
                 double position =
-                        statement.writes ? world.group(node.node.group()).commit() : node.position();
+                        statement.writes ? world.group(node.node.replicaSetId()).commit() : node.position();
                 audit.ran(asked.id, node.node, position, needed, time.now());
                 ctx.writeAndFlush(StubNode.row(Double.toString(position), role(node), millis(position), load(node)));
             });
--- a/lab/src/main/java/clayhook/lab/model/Peers.java
+++ b/lab/src/main/java/clayhook/lab/model/Peers.java
@@ -1,9 +1,9 @@
 package clayhook.lab.model;
 
-import clayhook.Command;
-import clayhook.Listing;
+import clayhook.Request;
+import clayhook.Endpoint;
 import clayhook.Node;
-import clayhook.Reply;
+import clayhook.AttemptResult;
 import java.util.List;
 
 /**
@@ -13,16 +13,16 @@
     /** Of a router that shares nothing. */
     Peers NONE = new Peers() {
         @Override
-        public void listed(List<Listing> entries, boolean whole, long revision) {}
+        public void listed(List<Endpoint> entries, boolean whole, long revision) {}
 
         @Override
-        public void looked(Node node, Reply reply) {}
+        public void looked(Node node, AttemptResult reply) {}
 
         @Override
-        public void wrote(Command command, double position) {}
+        public void wrote(Request command, double position) {}
 
         @Override
-        public void written(Command command, String mark, Node ranAt) {}
+        public void written(Request command, String mark, Node ranAt) {}
 
         @Override
         public void used(int probes, int repeats) {}
@@ -34,16 +34,16 @@
     };
 
     /** The list told that in this revision, all of it or what changed. */
-    void listed(List<Listing> entries, boolean whole, long revision);
+    void listed(List<Endpoint> entries, boolean whole, long revision);
 
     /** A dispatch or a probe came back from that node. */
-    void looked(Node node, Reply reply);
+    void looked(Node node, AttemptResult reply);
 
     /** A write of a session was answered. */
-    void wrote(Command command, double position);
+    void wrote(Request command, double position);
 
     /** That write has run there; or, with null, has its final answer and it is not known whether it has run. */
-    void written(Command command, String mark, Node ranAt);
+    void written(Request command, String mark, Node ranAt);
 
     /** So many probes were sent, and dispatches beyond the first of a command. */
     void used(int probes, int repeats);
--- a/lab/src/main/java/clayhook/lab/model/RouterModel.java
+++ b/lab/src/main/java/clayhook/lab/model/RouterModel.java
@@ -1,20 +1,20 @@
 package clayhook.lab.model;
 
-import clayhook.Choice;
-import clayhook.Choice.Verdict;
-import clayhook.Command;
-import clayhook.CommandGroup.Effect;
-import clayhook.CommandGroup.ReadLevel;
-import clayhook.Decide;
-import clayhook.Dispatch;
-import clayhook.Listing;
+import clayhook.Decision;
+import clayhook.Decision.RoutingAction;
+import clayhook.Request;
+import clayhook.RequestClass.Idempotency;
+import clayhook.RequestClass.ConsistencyLevel;
+import clayhook.RoutingPolicy;
+import clayhook.Attempt;
+import clayhook.Endpoint;
 import clayhook.Node;
-import clayhook.Outcome;
-import clayhook.Reply;
+import clayhook.AttemptOutcome;
+import clayhook.AttemptResult;
 import clayhook.Role;
-import clayhook.Settings;
-import clayhook.Told;
-import clayhook.hand.Hand;
+import clayhook.RoutingSettings;
+import clayhook.PeerObservation;
+import clayhook.hand.InFlightRequests;
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -28,9 +28,9 @@
 final class RouterModel implements Hearing {
     private final Timeline timeline;
     private final Fleet fleet;
-    private final Decide decide;
-    private final Hand hand;
-    private final Settings settings;
+    private final RoutingPolicy decide;
+    private final InFlightRequests hand;
+    private final RoutingSettings settings;
     /** Idle connections by node, as the times since when; at most as many as were ever out at once. */
     private final Map<Node, ArrayDeque<Double>> idle = new HashMap<>();
     /** By id; one a node of the fleet. */
@@ -38,11 +38,11 @@
 
     private final Map<Node, Double> drainingSince = new HashMap<>();
     /** Attempts whose outcome is awaited; each leaves with it. */
-    private final Map<Dispatch, Attempt> attempts = new LinkedHashMap<>();
+    private final Map<Attempt, SimulatedAttempt> attempts = new LinkedHashMap<>();
 
-    private final BiConsumer<Command, Verdict> answered;
+    private final BiConsumer<Request, RoutingAction> answered;
     /** Those whose client waits; each leaves with its final answer. */
-    private final Set<Command> waiting = new HashSet<>();
+    private final Set<Request> waiting = new HashSet<>();
     /** The last write of each session that this router answered; a row a session. */
     private final Map<String, Double> wrote = new HashMap<>();
 
@@ -54,18 +54,18 @@
     private double wakeAt = Double.POSITIVE_INFINITY;
     private boolean turning;
 
-    private static final class Attempt {
+    private static final class SimulatedAttempt {
         Job job;
         NodeModel at;
     }
 
-    RouterModel(Timeline timeline, Fleet fleet, Settings settings, long seed, BiConsumer<Command, Verdict> answered) {
+    RouterModel(Timeline timeline, Fleet fleet, RoutingSettings settings, long seed, BiConsumer<Request, RoutingAction> answered) {
         this.timeline = timeline;
         this.fleet = fleet;
         this.settings = settings;
         this.answered = answered;
-        decide = new Decide(settings, seed);
-        hand = new Hand(decide, fault -> {
+        decide = new RoutingPolicy(settings, seed);
+        hand = new InFlightRequests(decide, fault -> {
             throw fault;
         });
     }
@@ -75,7 +75,7 @@
     }
 
     /** The list itself told that. */
-    void listed(List<Listing> entries, boolean whole, long as) {
+    void listed(List<Endpoint> entries, boolean whole, long as) {
         revision = Math.max(revision, as);
         peers.listed(entries, whole, as);
         listed(entries, whole);
@@ -87,17 +87,17 @@
 
     /** As on sockets: overtaken by what this router has heard itself, it counts only where it closes a node. */
     @Override
-    public void told(Listing entry, long as) {
-        if (as >= revision || entry.state() != Listing.State.READY) {
+    public void told(Endpoint entry, long as) {
+        if (as >= revision || entry.state() != Endpoint.State.READY) {
             listed(List.of(entry), false);
         }
     }
 
     @Override
-    public void told(String node, Told what) {
+    public void told(String node, PeerObservation what) {
         told++;
         if (listed.containsKey(node)) {
-            decide.told(listed.get(node), what, timeline.now());
+            decide.onPeerObservation(listed.get(node), what, timeline.now());
         }
     }
 
@@ -111,22 +111,22 @@
         return Math.max(wrote.getOrDefault(session, 0.0), peers.needs(session));
     }
 
-    private void listed(List<Listing> entries, boolean whole) {
-        for (Listing entry : entries) {
+    private void listed(List<Endpoint> entries, boolean whole) {
+        for (Endpoint entry : entries) {
             listed.put(entry.node().id(), entry.node());
-            if (entry.state() == Listing.State.DRAINING) {
+            if (entry.state() == Endpoint.State.DRAINING) {
                 drainingSince.putIfAbsent(entry.node(), timeline.now());
             } else {
                 drainingSince.remove(entry.node());
             }
         }
-        decide.listed(entries, whole, timeline.now());
+        decide.onEndpointList(entries, whole, timeline.now());
         turn();
     }
 
-    void take(Command command) {
+    void take(Request command) {
         waiting.add(command);
-        hand.taken(command, timeline.now());
+        hand.admit(command, timeline.now());
         turn();
     }
 
@@ -143,14 +143,14 @@
 
     private void settle() {
         double now = timeline.now();
-        hand.overdue(now)
-                .forEach(dispatch -> end(dispatch, Reply.untold(Outcome.TIMED_OUT, now - dispatch.sentAt), true));
-        Hand.Turn turn = hand.settle(now);
-        turn.orders().forEach(order -> carryOut(order.command(), order.choice()));
-        turn.pause().probes().forEach(this::probe);
-        peers.used(turn.pause().probes().size(), 0);
-        if (turn.wake() > 0 || wakeAt <= now) {
-            wake(turn.wake() > 0 ? now + turn.wake() : now + Math.max(LEAST_WAKE, hand.remaining(now)));
+        hand.timedOutAttempts(now)
+                .forEach(dispatch -> end(dispatch, AttemptResult.withoutReport(AttemptOutcome.TIMED_OUT, now - dispatch.sentAt), true));
+        InFlightRequests.DecisionBatch turn = hand.tick(now);
+        turn.routedRequests().forEach(order -> carryOut(order.request(), order.decision()));
+        turn.tickResult().healthChecks().forEach(this::probe);
+        peers.used(turn.tickResult().healthChecks().size(), 0);
+        if (turn.wakeAfterSeconds() > 0 || wakeAt <= now) {
+            wake(turn.wakeAfterSeconds() > 0 ? now + turn.wakeAfterSeconds() : now + Math.max(LEAST_WAKE, hand.secondsUntilNextTick(now)));
         }
     }
 
@@ -166,21 +166,21 @@
         });
     }
 
-    private void carryOut(Command command, Choice choice) {
-        choice.recall()
+    private void carryOut(Request command, Decision choice) {
+        choice.attemptsToCancel()
                 .forEach(dispatch ->
-                        end(dispatch, Reply.untold(Outcome.CANCELLED, timeline.now() - dispatch.sentAt), true));
-        if (choice.verdict() == Verdict.SEND) {
-            peers.used(0, command.dispatches.size() > 1 ? 1 : 0);
-            send(choice.dispatch());
-        } else if (choice.verdict() != Verdict.NOT_YET && waiting.remove(command)) {
+                        end(dispatch, AttemptResult.withoutReport(AttemptOutcome.CANCELLED, timeline.now() - dispatch.sentAt), true));
+        if (choice.action() == RoutingAction.SEND) {
+            peers.used(0, command.attempts.size() > 1 ? 1 : 0);
+            send(choice.attempt());
+        } else if (choice.action() != RoutingAction.WAIT && waiting.remove(command)) {
             // A dispatch that was recalled says once more that all is done.
-            if (choice.verdict() != Verdict.DONE
+            if (choice.action() != RoutingAction.DONE
                     && changes(command)
-                    && command.dispatches.stream().anyMatch(sent -> sent.outcome == null || !sent.outcome.neverRan)) {
+                    && command.attempts.stream().anyMatch(sent -> sent.outcome == null || !sent.outcome.notExecuted)) {
                 peers.written(command, fleet.mark(command), null);
             }
-            answered.accept(command, choice.verdict());
+            answered.accept(command, choice.action());
         }
     }
 
@@ -188,61 +188,61 @@
 
     private boolean connects(Node node) {
         ArrayDeque<Double> since = idle.computeIfAbsent(node, any -> new ArrayDeque<>());
-        while (!since.isEmpty() && timeline.now() - since.peekLast() > settings.connectionIdle()) {
+        while (!since.isEmpty() && timeline.now() - since.peekLast() > settings.connectionIdleTimeoutSeconds()) {
             since.pollLast();
         }
         return since.poll() == null;
     }
 
-    private void send(Dispatch dispatch) {
+    private void send(Attempt dispatch) {
         Double told = drainingSince.get(dispatch.node);
         if (told != null) {
             fleet.audit().sentToDraining(dispatch.node, told, timeline.now());
         }
-        var attempt = new Attempt();
+        var attempt = new SimulatedAttempt();
         attempts.put(dispatch, attempt);
         double connecting = connects(dispatch.node) ? fleet.connecting() : 0;
         timeline.in(fleet.way() + connecting, () -> arrive(dispatch, attempt));
     }
 
-    private void arrive(Dispatch dispatch, Attempt attempt) {
+    private void arrive(Attempt dispatch, SimulatedAttempt attempt) {
         NodeModel at = fleet.node(dispatch.node);
         if (attempts.get(dispatch) != attempt || at.silent() && at.up()) {
             return; // given up on the way, or nobody reads it: the router's time limit ends it
         }
         if (!at.up()) {
-            back(dispatch, attempt, at.life, Reply.untold(Outcome.CONNECT_FAILED, 0));
+            back(dispatch, attempt, at.life, AttemptResult.withoutReport(AttemptOutcome.CONNECT_FAILED, 0));
             return;
         }
-        double needed = fleet.needed(dispatch.command, dispatch.sentAt);
-        boolean writes = dispatch.command.group.level() == ReadLevel.WRITE;
-        if (writes && at.role != Role.PRIMARY || !writes && settings.replicasCheck() && at.position() < needed) {
-            back(dispatch, attempt, at.life, tell(at, Outcome.TURNED_AWAY));
+        double needed = fleet.needed(dispatch.request, dispatch.sentAt);
+        boolean writes = dispatch.request.requestClass.consistency() == ConsistencyLevel.WRITE;
+        if (writes && at.role != Role.PRIMARY || !writes && settings.replicasRejectStaleReads() && at.position() < needed) {
+            back(dispatch, attempt, at.life, tell(at, AttemptOutcome.REJECTED));
             return;
         }
         int life = at.life;
-        double work = fleet.work(dispatch.command);
+        double work = fleet.work(dispatch.request);
         attempt.at = at;
         attempt.job = new Job(work, timeline.now(), done -> {
-            double position = writes ? fleet.group(at.node.group()).commit() : at.position();
-            fleet.audit().ran(dispatch.command, at.node, position, needed, timeline.now());
-            back(dispatch, attempt, life, tell(at, Outcome.ANSWERED));
+            double position = writes ? fleet.group(at.node.replicaSetId()).commit() : at.position();
+            fleet.audit().ran(dispatch.request, at.node, position, needed, timeline.now());
+            back(dispatch, attempt, life, tell(at, AttemptOutcome.ANSWERED));
         });
         if (at.warmth() < 1) {
             fleet.audit().worked(at.node, work, fleet.cores() * at.warmth(), timeline.now());
         }
         if (!at.cores.offer(attempt.job)) {
-            back(dispatch, attempt, life, tell(at, Outcome.FULL));
+            back(dispatch, attempt, life, tell(at, AttemptOutcome.OVERLOADED));
         }
     }
 
-    private Reply tell(NodeModel node, Outcome outcome) {
+    private AttemptResult tell(NodeModel node, AttemptOutcome outcome) {
         double position = node.position();
-        return new Reply(
+        return new AttemptResult(
                 outcome, 0, node.role, position, node.role, position, fleet.reports() ? node.cores.inside() : -1);
     }
 
-    private void back(Dispatch dispatch, Attempt attempt, int life, Reply told) {
+    private void back(Attempt dispatch, SimulatedAttempt attempt, int life, AttemptResult told) {
         timeline.in(fleet.way(), () -> {
             NodeModel at = fleet.node(dispatch.node);
             if (attempts.get(dispatch) == attempt) {
@@ -251,52 +251,52 @@
                 end(
                         dispatch,
                         lost
-                                ? Reply.untold(Outcome.RESET, took)
-                                : new Reply(
+                                ? AttemptResult.withoutReport(AttemptOutcome.RESET, took)
+                                : new AttemptResult(
                                         told.outcome(),
                                         took,
                                         told.role(),
-                                        told.position(),
+                                        told.appliedPosition(),
                                         told.reportedRole(),
                                         told.reportedPosition(),
-                                        told.load()),
+                                        told.reportedLoad()),
                         lost);
             }
         });
     }
 
     /** An outcome; {@code lost}: the connection went with it. */
-    private void end(Dispatch dispatch, Reply reply, boolean lost) {
-        Attempt attempt = attempts.remove(dispatch);
+    private void end(Attempt dispatch, AttemptResult reply, boolean lost) {
+        SimulatedAttempt attempt = attempts.remove(dispatch);
         if (attempt == null) {
             return;
         }
-        if (attempt.job != null && reply.outcome() != Outcome.ANSWERED) {
+        if (attempt.job != null && reply.outcome() != AttemptOutcome.ANSWERED) {
             attempt.at.cores.cancel(attempt.job);
         }
-        if (!lost && reply.outcome() != Outcome.CONNECT_FAILED) {
+        if (!lost && reply.outcome() != AttemptOutcome.CONNECT_FAILED) {
             idle.computeIfAbsent(dispatch.node, any -> new ArrayDeque<>()).push(timeline.now());
         }
-        Command command = dispatch.command;
-        if (reply.outcome() == Outcome.ANSWERED) {
-            fleet.wrote(command, reply.position(), this);
+        Request command = dispatch.request;
+        if (reply.outcome() == AttemptOutcome.ANSWERED) {
+            fleet.wrote(command, reply.appliedPosition(), this);
         }
         tellPeers(dispatch, reply);
-        hand.ended(dispatch, reply, reply.outcome() == Outcome.ANSWERED && !command.over, timeline.now());
+        hand.onAttemptFinished(dispatch, reply, reply.outcome() == AttemptOutcome.ANSWERED && !command.completed, timeline.now());
         turn();
     }
 
-    private static boolean changes(Command command) {
-        return command.group.level() == ReadLevel.WRITE && command.group.effect() != Effect.REPLAYABLE;
+    private static boolean changes(Request command) {
+        return command.requestClass.consistency() == ConsistencyLevel.WRITE && command.requestClass.idempotency() != Idempotency.IDEMPOTENT;
     }
 
-    private void tellPeers(Dispatch dispatch, Reply reply) {
-        Command command = dispatch.command;
+    private void tellPeers(Attempt dispatch, AttemptResult reply) {
+        Request command = dispatch.request;
         peers.looked(dispatch.node, reply);
-        if (reply.outcome() == Outcome.ANSWERED && command.group.level() == ReadLevel.WRITE) {
-            if (command.session != null) {
-                wrote.merge(command.session, reply.position(), Math::max);
-                peers.wrote(command, reply.position());
+        if (reply.outcome() == AttemptOutcome.ANSWERED && command.requestClass.consistency() == ConsistencyLevel.WRITE) {
+            if (command.sessionId != null) {
+                wrote.merge(command.sessionId, reply.appliedPosition(), Math::max);
+                peers.wrote(command, reply.appliedPosition());
             }
             if (changes(command)) {
                 peers.written(command, fleet.mark(command), dispatch.node);
@@ -310,7 +310,7 @@
         List.copyOf(attempts.keySet()).stream()
                 .filter(dispatch -> dispatch.node.equals(node))
                 .forEach(
-                        dispatch -> end(dispatch, Reply.untold(Outcome.RESET, timeline.now() - dispatch.sentAt), true));
+                        dispatch -> end(dispatch, AttemptResult.withoutReport(AttemptOutcome.RESET, timeline.now() - dispatch.sentAt), true));
     }
 
     private void probe(Node node) {
@@ -318,18 +318,18 @@
         timeline.in(2 * fleet.way(), () -> {
             NodeModel at = fleet.node(node);
             if (at.up() && !at.silent()) {
-                probed(node, tell(at, Outcome.ANSWERED));
+                probed(node, tell(at, AttemptOutcome.ANSWERED));
             } else {
                 timeline.at(
                         asked + fleet.probeTimeout(),
-                        () -> probed(node, Reply.untold(at.up() ? Outcome.TIMED_OUT : Outcome.CONNECT_FAILED, 0)));
+                        () -> probed(node, AttemptResult.withoutReport(at.up() ? AttemptOutcome.TIMED_OUT : AttemptOutcome.CONNECT_FAILED, 0)));
             }
         });
     }
 
-    private void probed(Node node, Reply reply) {
+    private void probed(Node node, AttemptResult reply) {
         peers.looked(node, reply);
-        decide.probed(node, reply, timeline.now());
+        decide.onHealthCheck(node, reply, timeline.now());
         turn();
     }
 }
--- a/lab/src/main/java/clayhook/lab/model/Tally.java
+++ b/lab/src/main/java/clayhook/lab/model/Tally.java
@@ -1,7 +1,7 @@
 package clayhook.lab.model;
 
-import clayhook.Choice.Verdict;
-import clayhook.CommandGroup;
+import clayhook.Decision.RoutingAction;
+import clayhook.RequestClass;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.TreeMap;
@@ -26,7 +26,7 @@
     }
 
     private final double start;
-    private final Map<CommandGroup, Of> groups = new LinkedHashMap<>();
+    private final Map<RequestClass, Of> groups = new LinkedHashMap<>();
     /** Benefit earned and possible by second of arrival. */
     private final TreeMap<Integer, double[]> seconds = new TreeMap<>();
 
@@ -39,7 +39,7 @@
         this.start = start;
     }
 
-    private Of of(CommandGroup group) {
+    private Of of(RequestClass group) {
         return groups.computeIfAbsent(group, any -> new Of());
     }
 
@@ -47,24 +47,24 @@
         return seconds.computeIfAbsent((int) (arrived - start), any -> new double[2]);
     }
 
-    void asked(CommandGroup group, double now) {
+    void asked(RequestClass group, double now) {
         Of of = of(group);
         of.asked++;
-        of.possible += group.benefit();
-        second(now)[1] += group.benefit();
+        of.possible += group.priorityWeight();
+        second(now)[1] += group.priorityWeight();
     }
 
-    void answered(CommandGroup group, Verdict verdict, double took, double arrived) {
+    void answered(RequestClass group, RoutingAction verdict, double took, double arrived) {
         Of of = of(group);
-        if (verdict == Verdict.THROTTLE) {
+        if (verdict == RoutingAction.REJECT) {
             of.throttled++;
-        } else if (verdict == Verdict.FAIL) {
+        } else if (verdict == RoutingAction.FAIL) {
             of.failed++;
         } else {
             of.answered++;
-            boolean inTime = took <= group.responseTarget();
+            boolean inTime = took <= group.latencyObjectiveSeconds();
             of.inTime += inTime ? 1 : 0;
-            double earned = group.benefit() * (inTime ? 1 : group.lateShare());
+            double earned = group.priorityWeight() * (inTime ? 1 : group.lateWeightFraction());
             of.benefit += earned;
             second(arrived)[0] += earned;
             of.times.recordValue(Math.min(LONGEST, Math.max(1, (long) (took * 1e6))));
@@ -81,7 +81,7 @@
         events = made;
     }
 
-    public Map<CommandGroup, Of> groups() {
+    public Map<RequestClass, Of> groups() {
         return groups;
     }
 
--- a/lab/src/main/java/clayhook/lab/model/World.java
+++ b/lab/src/main/java/clayhook/lab/model/World.java
@@ -1,6 +1,6 @@
 package clayhook.lab.model;
 
-import clayhook.Listing;
+import clayhook.Endpoint;
 import clayhook.Node;
 import clayhook.Role;
 import java.util.ArrayList;
@@ -54,14 +54,14 @@
         return groups.get(id - 1);
     }
 
-    List<Listing> listings() {
+    List<Endpoint> listings() {
         return inOrder.stream().map(this::listing).toList();
     }
 
-    Listing listing(NodeModel node) {
-        return new Listing(
+    Endpoint listing(NodeModel node) {
+        return new Endpoint(
                 node.node,
-                !node.up() ? Listing.State.GONE : node.draining ? Listing.State.DRAINING : Listing.State.READY,
+                !node.up() ? Endpoint.State.GONE : node.draining ? Endpoint.State.DRAINING : Endpoint.State.READY,
                 node.role == Role.PRIMARY,
                 node.startedAt());
     }
@@ -95,7 +95,7 @@
 
     /** What ends it again. */
     private Runnable befall(NodeModel node, Failure failure) {
-        GroupModel group = group(node.node.group());
+        GroupModel group = group(node.node.replicaSetId());
         switch (failure.kind()) {
             case CRASH, ZONE_LOSS -> {
                 node.crash();
--- a/lab/src/main/java/clayhook/lab/plan/Estimate.java
+++ b/lab/src/main/java/clayhook/lab/plan/Estimate.java
@@ -1,6 +1,6 @@
 package clayhook.lab.plan;
 
-import clayhook.CommandGroup.ReadLevel;
+import clayhook.RequestClass.ConsistencyLevel;
 import clayhook.lab.model.FleetSpec;
 
 /**
@@ -22,9 +22,9 @@
         double writes = 0;
         for (FleetSpec.Kind kind : fleet.commands()) {
             double of = rate * kind.share() / shares;
-            reads += kind.group().primaryOnly() ? 0 : of * kind.work();
-            own += kind.group().primaryOnly() ? of * kind.work() : 0;
-            writes += kind.group().level() == ReadLevel.WRITE ? of : 0;
+            reads += kind.group().requiresPrimary() ? 0 : of * kind.work();
+            own += kind.group().requiresPrimary() ? of * kind.work() : 0;
+            writes += kind.group().consistency() == ConsistencyLevel.WRITE ? of : 0;
         }
         int cores = fleet.machine().cores();
         return new Estimate(
--- a/lab/src/main/java/clayhook/lab/sharing/ModelPeer.java
+++ b/lab/src/main/java/clayhook/lab/sharing/ModelPeer.java
@@ -1,10 +1,10 @@
 package clayhook.lab.sharing;
 
-import clayhook.Command;
-import clayhook.Listing;
+import clayhook.Request;
+import clayhook.Endpoint;
 import clayhook.Node;
-import clayhook.Reply;
-import clayhook.Told;
+import clayhook.AttemptResult;
+import clayhook.PeerObservation;
 import clayhook.discovery.EndpointList;
 import clayhook.fleet.Address;
 import clayhook.fleet.Peer;
@@ -87,38 +87,38 @@
     // ---- from the router ----
 
     @Override
-    public void listed(List<Listing> entries, boolean whole, long as) {
+    public void listed(List<Endpoint> entries, boolean whole, long as) {
         List<EndpointList.DiscoveredEndpoint> told = entries.stream().map(ModelPeer::entry).toList();
         told.forEach(entry -> listed.put(entry.id(), entry));
         revision = as;
         tell(new News.Listed(SOURCE, new EndpointList(as, whole, told)));
     }
 
-    private static EndpointList.DiscoveredEndpoint entry(Listing listing) {
+    private static EndpointList.DiscoveredEndpoint entry(Endpoint listing) {
         Node node = listing.node();
         return new EndpointList.DiscoveredEndpoint(
-                node.id(), ADDRESS, node.zone(), node.group(), listing.state(), listing.primary(), listing.startedAt());
+                node.id(), ADDRESS, node.zone(), node.replicaSetId(), listing.state(), listing.primary(), listing.startedAt());
     }
 
     @Override
-    public void looked(Node node, Reply reply) {
+    public void looked(Node node, AttemptResult reply) {
         tell(new News.Looked(node, reply, peer.now()));
     }
 
     @Override
-    public void wrote(Command command, double position) {
+    public void wrote(Request command, double position) {
         if (marks) {
-            tell(new News.Wrote(command.session, command.nodeGroup, position));
+            tell(new News.Wrote(command.sessionId, command.replicaSetId, position));
         }
     }
 
     @Override
-    public void written(Command command, String mark, Node ranAt) {
+    public void written(Request command, String mark, Node ranAt) {
         tell(new News.Written(
                 mark,
-                command.dispatches.get(0).sentAt,
-                command.nodeGroup,
-                command.group.name(),
+                command.attempts.get(0).sentAt,
+                command.replicaSetId,
+                command.requestClass.name(),
                 ranAt != null,
                 ranAt == null ? "" : ranAt.id(),
                 peer.now()));
@@ -143,7 +143,7 @@
     // ---- to the router ----
 
     @Override
-    public void told(Map<String, Told> told) {
+    public void told(Map<String, PeerObservation> told) {
         told.forEach(router::told);
     }
 
@@ -151,7 +151,7 @@
     public void told(Collection<EndpointList> changes) {
         changes.forEach(change -> change.endpoints()
                 .forEach(entry -> router.told(
-                        new Listing(
+                        new Endpoint(
                                 new Node(entry.id(), entry.zone(), entry.replicaSetId()),
                                 entry.state(),
                                 entry.primary(),
--- a/lab/src/test/java/clayhook/lab/model/FleetTest.java
+++ b/lab/src/test/java/clayhook/lab/model/FleetTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clayhook.CommandGroup;
-import clayhook.CommandGroup.Effect;
-import clayhook.CommandGroup.ReadLevel;
-import clayhook.CommandGroup.Scope;
+import clayhook.RequestClass;
+import clayhook.RequestClass.Idempotency;
+import clayhook.RequestClass.ConsistencyLevel;
+import clayhook.RequestClass.DeduplicationScope;
 import clayhook.Node;
 import clayhook.lab.model.Audit.RuleKept;
 import clayhook.lab.model.Failure.Kind;
@@ -20,14 +20,14 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 class FleetTest {
-    private static final CommandGroup BOUNDED = group("bounded", Effect.REPLAYABLE, ReadLevel.BOUNDED);
-    private static final CommandGroup SESSION = group("session", Effect.REPLAYABLE, ReadLevel.SESSION);
-    private static final CommandGroup ANY = group("any", Effect.REPLAYABLE, ReadLevel.ANY);
-    private static final CommandGroup KEYED = group("keyed", Effect.KEYED, ReadLevel.WRITE);
-    private static final CommandGroup MUTATING = group("mutating", Effect.MUTATING, ReadLevel.WRITE);
+    private static final RequestClass BOUNDED = group("bounded", Idempotency.IDEMPOTENT, ConsistencyLevel.BOUNDED_STALENESS);
+    private static final RequestClass SESSION = group("session", Idempotency.IDEMPOTENT, ConsistencyLevel.SESSION);
+    private static final RequestClass ANY = group("any", Idempotency.IDEMPOTENT, ConsistencyLevel.EVENTUAL);
+    private static final RequestClass KEYED = group("keyed", Idempotency.IDEMPOTENT_WITH_KEY, ConsistencyLevel.WRITE);
+    private static final RequestClass MUTATING = group("mutating", Idempotency.NON_IDEMPOTENT, ConsistencyLevel.WRITE);
 
-    private static CommandGroup group(String name, Effect effect, ReadLevel level) {
-        return new CommandGroup(name, effect, level, 0.25, 2, 1, 0, Scope.GROUP, 1, 0.2);
+    private static RequestClass group(String name, Idempotency effect, ConsistencyLevel level) {
+        return new RequestClass(name, effect, level, 0.25, 2, 1, 0, DeduplicationScope.REPLICA_SET, 1, 0.2);
     }
 
     private static FleetSpec fleet(double rate) {
@@ -162,7 +162,7 @@
         "any, true, 9, 0"
     })
     void noEffectTwice(String name, boolean elsewhere, double again, int broken) {
-        CommandGroup group = name.equals("mutating") ? MUTATING : name.equals("keyed") ? KEYED : ANY;
+        RequestClass group = name.equals("mutating") ? MUTATING : name.equals("keyed") ? KEYED : ANY;
         audit.sent("c", group, 10);
         audit.ran("c", one, 1, 0, 1);
         audit.ran("c", elsewhere ? other : one, 1, 0, again);
--- a/lab/src/test/java/clayhook/lab/model/LoopbackTest.java
+++ b/lab/src/test/java/clayhook/lab/model/LoopbackTest.java
@@ -3,10 +3,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clayhook.CommandGroup;
-import clayhook.CommandGroup.Effect;
-import clayhook.CommandGroup.ReadLevel;
-import clayhook.CommandGroup.Scope;
+import clayhook.RequestClass;
+import clayhook.RequestClass.Idempotency;
+import clayhook.RequestClass.ConsistencyLevel;
+import clayhook.RequestClass.DeduplicationScope;
 import clayhook.lab.model.Failure.Kind;
 import java.util.List;
 import java.util.Map;
@@ -15,9 +15,9 @@
 
 /** The same fleet on sockets: what must hold however fast the machine is. */
 class LoopbackTest {
-    private static CommandGroup group(String name, Effect effect, ReadLevel level) {
+    private static RequestClass group(String name, Idempotency effect, ConsistencyLevel level) {
         // Targets far beyond what a busy machine takes; the verdict must not hang on its speed.
-        return new CommandGroup(name, effect, level, 5, 10, 1, 1, Scope.GROUP, 20, 5);
+        return new RequestClass(name, effect, level, 5, 10, 1, 1, DeduplicationScope.REPLICA_SET, 20, 5);
     }
 
     @ParameterizedTest
@@ -37,8 +37,8 @@
                 true,
                 false,
                 List.of(
-                        new FleetSpec.Kind(group("read", Effect.REPLAYABLE, ReadLevel.ANY), 4, 0.002, 0.5),
-                        new FleetSpec.Kind(group("write", Effect.KEYED, ReadLevel.WRITE), 1, 0.002, 0.5)),
+                        new FleetSpec.Kind(group("read", Idempotency.IDEMPOTENT, ConsistencyLevel.EVENTUAL), 4, 0.002, 0.5),
+                        new FleetSpec.Kind(group("write", Idempotency.IDEMPOTENT_WITH_KEY, ConsistencyLevel.WRITE), 1, 0.002, 0.5)),
                 100,
                 List.of(),
                 10);
--- a/lab/src/test/java/clayhook/lab/sharing/SharingTest.java
+++ b/lab/src/test/java/clayhook/lab/sharing/SharingTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clayhook.CommandGroup;
-import clayhook.CommandGroup.Effect;
-import clayhook.CommandGroup.ReadLevel;
-import clayhook.CommandGroup.Scope;
+import clayhook.RequestClass;
+import clayhook.RequestClass.Idempotency;
+import clayhook.RequestClass.ConsistencyLevel;
+import clayhook.RequestClass.DeduplicationScope;
 import clayhook.fleet.Reader;
 import clayhook.fleet.Writer;
 import clayhook.lab.model.Audit.RuleKept;
@@ -178,8 +178,8 @@
 
     // ---- a modelled fleet whose routers are peers ----
 
-    private static CommandGroup group(String name, Effect effect, ReadLevel level) {
-        return new CommandGroup(name, effect, level, 0.25, 2, 1, 0, Scope.GROUP, 1, 0.2);
+    private static RequestClass group(String name, Idempotency effect, ConsistencyLevel level) {
+        return new RequestClass(name, effect, level, 0.25, 2, 1, 0, DeduplicationScope.REPLICA_SET, 1, 0.2);
     }
 
     private static FleetSpec fleet(boolean shares) {
@@ -195,8 +195,8 @@
                 true,
                 false,
                 List.of(
-                        new FleetSpec.Kind(group("own", Effect.REPLAYABLE, ReadLevel.SESSION), 4, 0.004, 0.5),
-                        new FleetSpec.Kind(group("pay", Effect.KEYED, ReadLevel.WRITE), 1, 0.003, 0.5)),
+                        new FleetSpec.Kind(group("own", Idempotency.IDEMPOTENT, ConsistencyLevel.SESSION), 4, 0.004, 0.5),
+                        new FleetSpec.Kind(group("pay", Idempotency.IDEMPOTENT_WITH_KEY, ConsistencyLevel.WRITE), 1, 0.003, 0.5)),
                 300,
                 List.of(),
                 50,
--- a/trials/src/main/java/clayhook/trials/Caller.java
+++ b/trials/src/main/java/clayhook/trials/Caller.java
@@ -1,8 +1,8 @@
 package clayhook.trials;
 
-import clayhook.CommandGroup;
-import clayhook.CommandGroup.Effect;
-import clayhook.CommandGroup.ReadLevel;
+import clayhook.RequestClass;
+import clayhook.RequestClass.Idempotency;
+import clayhook.RequestClass.ConsistencyLevel;
 import clayhook.protocol.Encoder;
 import clayhook.rehearsal.StubClient;
 import clayhook.transport.Transport;
@@ -48,21 +48,21 @@
     }
 
     /** Asks and waits for the answer. */
-    public Answer ask(RouterProcess router, CommandGroup group) throws InterruptedException {
+    public Answer ask(RouterProcess router, RequestClass group) throws InterruptedException {
         return ask(router, group, "c" + IDS.incrementAndGet());
     }
 
     /** The same with the id of an earlier command, which for a keyed one names the same write. */
-    public Answer ask(RouterProcess router, CommandGroup group, String id) throws InterruptedException {
-        boolean writes = group.level() == ReadLevel.WRITE;
-        boolean own = group.level() == ReadLevel.SESSION && wroteAt > 0;
-        double patience = group.clientTimeout() + Witness.MACHINE;
+    public Answer ask(RouterProcess router, RequestClass group, String id) throws InterruptedException {
+        boolean writes = group.consistency() == ConsistencyLevel.WRITE;
+        boolean own = group.consistency() == ConsistencyLevel.SESSION && wroteAt > 0;
+        double patience = group.clientTimeoutSeconds() + Witness.MACHINE;
         witness.asked(id, group, own ? wroteAt : 0, router.name(), patience);
         ByteBuf statement = StubClient.statement(
                 writes,
                 name,
                 "id=" + id + ",c=" + group.name() + ",cluster=1,d="
-                        + Math.round(group.clientTimeout() * 1000) + (group.effect() == Effect.KEYED ? ",k=" + id : "")
+                        + Math.round(group.clientTimeoutSeconds() * 1000) + (group.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY ? ",k=" + id : "")
                         + (own && carries ? ",after=" + (long) Math.ceil(wroteAt * 1000) : ""));
         String word = word(router, statement, patience);
         boolean value = word != null && word.indexOf('.') > 0;
--- a/trials/src/main/java/clayhook/trials/Cluster.java
+++ b/trials/src/main/java/clayhook/trials/Cluster.java
@@ -1,10 +1,10 @@
 package clayhook.trials;
 
-import clayhook.CommandGroup;
-import clayhook.CommandGroup.Effect;
-import clayhook.Listing;
+import clayhook.RequestClass;
+import clayhook.RequestClass.Idempotency;
+import clayhook.Endpoint;
 import clayhook.Node;
-import clayhook.Settings;
+import clayhook.RoutingSettings;
 import clayhook.transport.Transport;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -21,8 +21,8 @@
 
     final Witness witness;
     private final List<ClusterNode> nodes = new ArrayList<>();
-    final Settings settings;
-    private final Map<String, CommandGroup> groups;
+    final RoutingSettings settings;
+    private final Map<String, RequestClass> groups;
     /** Positions of writes by their key, whose repeats are dropped; a trial writes some thousand. */
     private final Map<String, Double> written = new HashMap<>();
 
@@ -32,11 +32,11 @@
     private int version = 1;
 
     /** The first node is primary. All listen on one loop. */
-    Cluster(Transport transport, int size, List<String> zones, Settings settings, Witness witness)
+    Cluster(Transport transport, int size, List<String> zones, RoutingSettings settings, Witness witness)
             throws InterruptedException {
         this.witness = witness;
         this.settings = settings;
-        groups = settings.groups().stream().collect(Collectors.toMap(CommandGroup::name, group -> group));
+        groups = settings.requestClasses().stream().collect(Collectors.toMap(RequestClass::name, group -> group));
         for (int i = 0; i < size; i++) {
             nodes.add(new ClusterNode(this, new Node("n" + i, zones.get(i % zones.size()), 1), transport));
         }
@@ -60,13 +60,13 @@
     }
 
     /** Null for one that is not known. */
-    CommandGroup group(String name) {
+    RequestClass group(String name) {
         return groups.get(name);
     }
 
     /** A write: its position, the same again for a repeat of a key, which changes nothing. */
-    synchronized double write(CommandGroup group, String key) {
-        Double before = group.effect() == Effect.KEYED ? written.get(key) : null;
+    synchronized double write(RequestClass group, String key) {
+        Double before = group.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY ? written.get(key) : null;
         if (before == null) {
             head = Math.max(Math.nextUp(head), Witness.now());
             written.put(key, head);
@@ -102,10 +102,10 @@
     private String entry(ClusterNode node) {
         return "{\"uid\":\"" + node.node.id() + "\",\"endpoint\":\"127.0.0.1:" + node.port() + "\",\"az\":\""
                 + node.node.zone()
-                + "\",\"pod_group\":" + node.node.group() + ",\"state\":\""
-                + (node.state() == Listing.State.DRAINING
+                + "\",\"pod_group\":" + node.node.replicaSetId() + ",\"state\":\""
+                + (node.state() == Endpoint.State.DRAINING
                         ? "draining"
-                        : node.state() == Listing.State.GONE ? "removed" : "up")
+                        : node.state() == Endpoint.State.GONE ? "removed" : "up")
                 + "\",\"role\":\"" + (node == primary ? "primary" : "replica") + "\",\"boot_ms\":"
                 + (long) (node.startedAt() * 1000) + "}";
     }
--- a/trials/src/main/java/clayhook/trials/ClusterNode.java
+++ b/trials/src/main/java/clayhook/trials/ClusterNode.java
@@ -1,8 +1,8 @@
 package clayhook.trials;
 
-import clayhook.CommandGroup;
-import clayhook.CommandGroup.ReadLevel;
-import clayhook.Listing;
+import clayhook.RequestClass;
+import clayhook.RequestClass.ConsistencyLevel;
+import clayhook.Endpoint;
 import clayhook.Node;
 import clayhook.protocol.Allowance;
 import clayhook.protocol.ClientDecoder;
@@ -46,7 +46,7 @@
     private final Channel listening;
     private final Set<Channel> connections = ConcurrentHashMap.newKeySet();
     private volatile Mood mood = Mood.WELL;
-    private volatile Listing.State state = Listing.State.READY;
+    private volatile Endpoint.State state = Endpoint.State.READY;
     private volatile double startedAt;
     /** Where its log stands still; 0 while it goes on. */
     private volatile double stalledAt;
@@ -66,7 +66,7 @@
         return ((InetSocketAddress) listening.localAddress()).getPort();
     }
 
-    Listing.State state() {
+    Endpoint.State state() {
         return state;
     }
 
@@ -75,7 +75,7 @@
     }
 
     /** As the list tells it from now on. */
-    public void state(Listing.State next) {
+    public void state(Endpoint.State next) {
         state = next;
         cluster.listChanged();
     }
@@ -110,9 +110,9 @@
 
     private void reckonCold() {
         double age = Witness.now() - startedAt;
-        double cold = cluster.settings.coldShare();
-        if (startedAt > 0 && age < cluster.settings.warmAfter()) {
-            cluster.witness.worked(node, WORK, CAPACITY * (cold + (1 - cold) * age / cluster.settings.warmAfter()));
+        double cold = cluster.settings.initialCapacityFraction();
+        if (startedAt > 0 && age < cluster.settings.slowStartSeconds()) {
+            cluster.witness.worked(node, WORK, CAPACITY * (cold + (1 - cold) * age / cluster.settings.slowStartSeconds()));
         }
     }
 
@@ -163,12 +163,12 @@
 
         private ByteBuf run(Statement statement) {
             cluster.witness.came(router, node);
-            CommandGroup group = cluster.group(statement.group);
-            if (group == null || group.primaryOnly() && !leads()) {
+            RequestClass group = cluster.group(statement.group);
+            if (group == null || group.requiresPrimary() && !leads()) {
                 return Encoder.error(false, "25006", "not here", null);
             }
             reckonCold();
-            boolean writes = group.level() == ReadLevel.WRITE;
+            boolean writes = group.consistency() == ConsistencyLevel.WRITE;
             double position = writes ? cluster.write(group, statement.id) : position();
             cluster.witness.ran(statement.id, node, position);
             return row(Double.toString(position), writes ? position : position());
--- a/trials/src/main/java/clayhook/trials/Directory.java
+++ b/trials/src/main/java/clayhook/trials/Directory.java
@@ -1,6 +1,6 @@
 package clayhook.trials;
 
-import clayhook.Listing;
+import clayhook.Endpoint;
 import clayhook.rehearsal.StubDiscovery;
 import clayhook.transport.Transport;
 import java.net.InetSocketAddress;
@@ -65,7 +65,7 @@
             }
         }
         if (answered >= routers.getAsInt()) {
-            cluster.nodes().forEach(node -> cluster.witness.told(node.node, node.state() == Listing.State.DRAINING));
+            cluster.nodes().forEach(node -> cluster.witness.told(node.node, node.state() == Endpoint.State.DRAINING));
         }
     }
 }
