--- a/trials/src/main/java/clayhook/trials/Trial.java
+++ b/trials/src/main/java/clayhook/trials/Trial.java
@@ -1,7 +1,7 @@
 package clayhook.trials;
 
-import clayhook.CommandGroup;
-import clayhook.Settings;
+import clayhook.RequestClass;
+import clayhook.RoutingSettings;
 import clayhook.config.BadConfig;
 import clayhook.config.Configuration;
 import clayhook.config.Json;
@@ -44,11 +44,11 @@
             {"name": "write", "effect": "deduplicated", "group": "cell", "repeat_window": 2e10, "aim": 1e9, "hard_limit": 2e9},
             {"name": "charge", "effect": "at_most_once", "aim": 1e9, "hard_limit": 2e9}]}""";
 
-    private static final Settings READ = settings();
-    public static final CommandGroup BOUNDED = READ.groups().get(1);
-    public static final CommandGroup SESSION = READ.groups().get(2);
-    public static final CommandGroup WRITE = READ.groups().get(3);
-    public static final CommandGroup CHARGE = READ.groups().get(4);
+    private static final RoutingSettings READ = settings();
+    public static final RequestClass BOUNDED = READ.requestClasses().get(1);
+    public static final RequestClass SESSION = READ.requestClasses().get(2);
+    public static final RequestClass WRITE = READ.requestClasses().get(3);
+    public static final RequestClass CHARGE = READ.requestClasses().get(4);
     private static final List<String> ZONES = List.of("a", "b");
     /** Longer than any start or answer takes, even where several such trials share a machine. */
     public static final double PATIENCE = 60;
@@ -80,7 +80,7 @@
     private final List<Thread> load = new ArrayList<>();
     private volatile boolean loaded;
 
-    static Settings settings() {
+    static RoutingSettings settings() {
         try {
             return Configuration.of(
                             Json.parse(
@@ -282,7 +282,7 @@
                 } else {
                     caller.ask(
                             router,
-                            READ.groups().get(random.nextInt(READ.groups().size())));
+                            READ.requestClasses().get(random.nextInt(READ.requestClasses().size())));
                     Thread.sleep(1 + random.nextInt(5)); // a client's own work, which leaves the machine to others
                 }
             }
--- a/trials/src/main/java/clayhook/trials/Witness.java
+++ b/trials/src/main/java/clayhook/trials/Witness.java
@@ -1,9 +1,9 @@
 package clayhook.trials;
 
-import clayhook.CommandGroup;
-import clayhook.CommandGroup.ReadLevel;
+import clayhook.RequestClass;
+import clayhook.RequestClass.ConsistencyLevel;
 import clayhook.Node;
-import clayhook.Settings;
+import clayhook.RoutingSettings;
 import clayhook.lab.model.Audit;
 import java.time.Instant;
 import java.util.HashMap;
@@ -28,7 +28,7 @@
         double since;
     }
 
-    private record Asked(CommandGroup group, double at, double wroteAt, String router, int changes) {}
+    private record Asked(RequestClass group, double at, double wroteAt, String router, int changes) {}
 
     private static final double WALL = System.currentTimeMillis() / 1000.0 - System.nanoTime() / 1e9;
 
@@ -42,8 +42,8 @@
     private final Map<String, Integer> answered = new HashMap<>();
     private String missing;
 
-    Witness(Settings settings) {
-        audit = new Audit(GRACE + MACHINE, settings.overloadFactor(), settings.overloadFor());
+    Witness(RoutingSettings settings) {
+        audit = new Audit(GRACE + MACHINE, settings.overloadFactor(), settings.overloadWindowSeconds());
     }
 
     /** Seconds since 1970; never goes back. */
@@ -86,7 +86,7 @@
      * A client asks; {@code wroteAt} is the position of its session's last write, {@code wait} how long it has
      * patience.
      */
-    synchronized void asked(String id, CommandGroup group, double wroteAt, String router, double wait) {
+    synchronized void asked(String id, RequestClass group, double wroteAt, String router, double wait) {
         double now = now();
         commands.put(
                 id, new Asked(group, now, wroteAt, router, routers.computeIfAbsent(router, any -> new Up()).changes));
@@ -132,9 +132,9 @@
     synchronized void ran(String id, Node node, double position) {
         Asked asked = commands.get(id);
         if (asked != null) {
-            double needed = asked.group().level() == ReadLevel.BOUNDED
-                    ? asked.at() - asked.group().bound() - CLOCKS
-                    : asked.group().level() == ReadLevel.SESSION ? asked.wroteAt() : 0;
+            double needed = asked.group().consistency() == ConsistencyLevel.BOUNDED_STALENESS
+                    ? asked.at() - asked.group().maxStalenessSeconds() - CLOCKS
+                    : asked.group().consistency() == ConsistencyLevel.SESSION ? asked.wroteAt() : 0;
             audit.ran(id, node, position, needed, now());
             runs.merge(node, 1, Integer::sum);
         }
--- a/trials/src/test/java/clayhook/trials/SharedTrialTest.java
+++ b/trials/src/test/java/clayhook/trials/SharedTrialTest.java
@@ -9,7 +9,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clayhook.Listing;
+import clayhook.Endpoint;
 import clayhook.lab.model.Audit.RuleKept;
 import clayhook.trials.Caller.Answer;
 import clayhook.trials.ClusterNode.Mood;
@@ -63,7 +63,7 @@
             assertTrue(!shares || trial.agree(), trial::said);
             ClusterNode replica = trial.cluster().nodes().get(1);
             trial.directory().answers(0);
-            replica.state(Listing.State.DRAINING);
+            replica.state(Endpoint.State.DRAINING);
             trial.load();
             assertTrue(trial.serve(trial.up(), SOME), trial::said);
             int before = trial.witness().runs(replica.node());
--- a/trials/src/test/java/clayhook/trials/TrialTest.java
+++ b/trials/src/test/java/clayhook/trials/TrialTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clayhook.Listing;
+import clayhook.Endpoint;
 import clayhook.trials.ClusterNode.Mood;
 import java.nio.file.Path;
 import java.util.Map;
@@ -31,12 +31,12 @@
         Cluster cluster = trial.cluster();
         ClusterNode old = cluster.nodes().get(0);
         ClusterNode replica = cluster.nodes().get(1);
-        replica.state(Listing.State.DRAINING);
+        replica.state(Endpoint.State.DRAINING);
         assertTrue(trial.serve(trial.up(), 5 * SOME), trial::said);
         int before = trial.witness().runs(replica.node());
         assertTrue(trial.serve(trial.up(), 2 * SOME), trial::said);
         assertEquals(before, trial.witness().runs(replica.node()));
-        replica.state(Listing.State.READY);
+        replica.state(Endpoint.State.READY);
         for (Mood mood : Mood.values()) {
             replica.mood(mood);
             assertTrue(trial.serve(trial.up(), SOME), trial::said);
--- a/trials/src/test/java/clayhook/trials/WitnessTest.java
+++ b/trials/src/test/java/clayhook/trials/WitnessTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import clayhook.CommandGroup;
+import clayhook.RequestClass;
 import clayhook.Node;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -11,7 +11,7 @@
 class WitnessTest {
     private static final Node FIRST = new Node("n0", "a", 1), SECOND = new Node("n1", "a", 1);
 
-    private static void ask(Witness witness, CommandGroup group) {
+    private static void ask(Witness witness, RequestClass group) {
         witness.asked("id", group, Witness.now(), "r0", 1);
     }
 
