--- a/benchmarks/src/main/java/clayhook/benchmarks/Routing.java
+++ b/benchmarks/src/main/java/clayhook/benchmarks/Routing.java
@@ -4,8 +4,8 @@
 import clayhook.RequestClass.Idempotency;
 import clayhook.RequestClass.ConsistencyLevel;
 import clayhook.RoutingSettings;
-import clayhook.config.Configuration;
-import clayhook.config.Operator;
+import clayhook.config.RouterConfiguration;
+import clayhook.config.OperatorConfiguration;
 import clayhook.discovery.EndpointList;
 import clayhook.rehearsal.StubClient;
 import clayhook.rehearsal.StubDiscovery;
@@ -69,7 +69,7 @@
                 "write", 1);
         server = new Server(
                 own,
-                new Configuration(
+                new RouterConfiguration(
                         "bench",
                         transport.spare(0),
                         discovery.address(),
@@ -79,8 +79,8 @@
                         EndpointList.parse(list),
                         settings,
                         2),
-                new Operator(
-                        statements ? new Operator.Statements(rules, false, 0, 1 << 20) : null,
+                new OperatorConfiguration(
+                        statements ? new OperatorConfiguration.StatementSettings(rules, false, 0, 1 << 20) : null,
                         "clayhook",
                         "core",
                         null));
--- a/cli/src/main/java/clayhook/cli/ClassifyCommand.java
+++ b/cli/src/main/java/clayhook/cli/ClassifyCommand.java
@@ -1,7 +1,7 @@
 package clayhook.cli;
 
-import clayhook.config.BadConfig;
-import clayhook.config.OperatorFile;
+import clayhook.config.ConfigurationException;
+import clayhook.config.OperatorConfigurationReader;
 import clayhook.statements.Classed;
 import clayhook.statements.Classifier;
 import clayhook.statements.Client;
@@ -63,8 +63,8 @@
         try {
             rules = config == null
                     ? StatementRules.DEFAULT
-                    : OperatorFile.statements(config).rules();
-        } catch (BadConfig e) {
+                    : OperatorConfigurationReader.readStatements(config).rules();
+        } catch (ConfigurationException e) {
             return Main.wrong(e);
         }
         var classifier = new Classifier(rules, 1);
--- a/cli/src/main/java/clayhook/cli/LabCommand.java
+++ b/cli/src/main/java/clayhook/cli/LabCommand.java
@@ -1,7 +1,7 @@
 package clayhook.cli;
 
 import clayhook.RequestClass;
-import clayhook.config.BadConfig;
+import clayhook.config.ConfigurationException;
 import clayhook.lab.Comparison;
 import clayhook.lab.Comparison.Interval;
 import clayhook.lab.Comparison.Played;
@@ -78,7 +78,7 @@
             Experiment experiment;
             try {
                 experiment = Experiment.read(file);
-            } catch (BadConfig e) {
+            } catch (ConfigurationException e) {
                 return Main.wrong(e);
             }
             if (seeds != null) {
--- a/cli/src/main/java/clayhook/cli/Main.java
+++ b/cli/src/main/java/clayhook/cli/Main.java
@@ -1,6 +1,6 @@
 package clayhook.cli;
 
-import clayhook.config.BadConfig;
+import clayhook.config.ConfigurationException;
 
 /** Where the program starts. */
 public final class Main {
@@ -27,7 +27,7 @@
         }
     }
 
-    static int wrong(BadConfig fault) {
+    static int wrong(ConfigurationException fault) {
         System.err.println("clayhook: " + fault.getMessage());
         return WRONG;
     }
--- a/cli/src/main/java/clayhook/cli/PlanCommand.java
+++ b/cli/src/main/java/clayhook/cli/PlanCommand.java
@@ -1,6 +1,6 @@
 package clayhook.cli;
 
-import clayhook.config.BadConfig;
+import clayhook.config.ConfigurationException;
 import clayhook.lab.Experiment;
 import clayhook.lab.plan.Planner;
 import com.fasterxml.jackson.core.JsonFactory;
@@ -34,7 +34,7 @@
         Experiment experiment;
         try {
             experiment = Experiment.read(file);
-        } catch (BadConfig e) {
+        } catch (ConfigurationException e) {
             return Main.wrong(e);
         }
         boolean terminal = System.console() != null;
--- a/cli/src/main/java/clayhook/cli/RehearseCommand.java
+++ b/cli/src/main/java/clayhook/cli/RehearseCommand.java
@@ -1,10 +1,10 @@
 package clayhook.cli;
 
 import clayhook.RoutingSettings;
-import clayhook.config.Configuration;
+import clayhook.config.RouterConfiguration;
 import clayhook.config.Json;
 import clayhook.rehearsal.WarmUp;
-import clayhook.serve.Hangup;
+import clayhook.serve.ReloadSignal;
 import clayhook.transport.Transport;
 import java.util.Map;
 import java.util.concurrent.Callable;
@@ -38,9 +38,9 @@
     /** Not for service: the build makes the archive of classes from what this loads. */
     static int run() {
         try {
-            Hangup.handle(() -> {});
+            ReloadSignal.install(() -> {});
             RoutingSettings settings =
-                    Configuration.of(Json.parse(REHEARSED), Map.of()).settings();
+                    RouterConfiguration.fromJson(Json.parse(REHEARSED), Map.of()).settings();
             WarmUp.run(settings, Transport.rehearsal(), false);
             WarmUp.run(settings, Transport.tcp(), false);
             WarmUp.run(settings, Transport.withinProcess(), false);
--- a/cli/src/main/java/clayhook/cli/ServeCommand.java
+++ b/cli/src/main/java/clayhook/cli/ServeCommand.java
@@ -1,13 +1,13 @@
 package clayhook.cli;
 
-import clayhook.config.BadConfig;
-import clayhook.config.Configuration;
-import clayhook.config.Operator;
-import clayhook.config.OperatorFile;
+import clayhook.config.ConfigurationException;
+import clayhook.config.RouterConfiguration;
+import clayhook.config.OperatorConfiguration;
+import clayhook.config.OperatorConfigurationReader;
 import clayhook.log.Log;
 import clayhook.rehearsal.WarmUp;
-import clayhook.serve.Hangup;
-import clayhook.serve.Lifecycle;
+import clayhook.serve.ReloadSignal;
+import clayhook.serve.ServerLifecycle;
 import clayhook.serve.Server;
 import clayhook.transport.Transport;
 import java.io.IOException;
@@ -37,13 +37,13 @@
     /** Serves until the process is told to end, and reads the configuration again when it is told that. */
     static int run(Path config) {
         var reloads = new Semaphore(0);
-        var life = new Lifecycle();
+        var life = new ServerLifecycle();
         try {
-            Hangup.handle(reloads::release);
-            Runtime.getRuntime().addShutdownHook(new Thread(() -> end(life)));
-            Configuration configuration = Configuration.read(System.getenv());
-            Operator operator = operator(config, configuration);
-            rehearse(configuration);
+            ReloadSignal.install(reloads::release);
+            Runtime.getRuntime().addShutdownHook(new Thread(() -> shutDown(life)));
+            RouterConfiguration configuration = RouterConfiguration.fromEnvironment(System.getenv());
+            OperatorConfiguration operator = readOperatorConfiguration(config, configuration);
+            warmUp(configuration);
             Log.info("serving as " + configuration.name() + " at " + configuration.listen()
                     + (operator.statements() == null ? "" : ", statements of any kind"));
             Server server = life.start(() -> new Server(Transport.tcp(), configuration, operator));
@@ -55,7 +55,7 @@
                 reloads.drainPermits(); // several in a row are one, as the files are read after them
                 reload(server, config);
             }
-        } catch (BadConfig e) {
+        } catch (ConfigurationException e) {
             return Main.wrong(e);
         } catch (Exception e) {
             System.err.println("clayhook: cannot start: " + e);
@@ -63,42 +63,42 @@
         }
     }
 
-    private static void end(Lifecycle life) {
+    private static void shutDown(ServerLifecycle life) {
         try {
-            life.end();
+            life.shutDown();
         } catch (Exception e) {
-            Log.fault("the end was cut short", e);
+            Log.error("the end was cut short", e);
         }
     }
 
-    private static Operator operator(Path config, Configuration configuration) throws BadConfig {
+    private static OperatorConfiguration readOperatorConfiguration(Path config, RouterConfiguration configuration) throws ConfigurationException {
         return config == null
-                ? Operator.OFF
-                : OperatorFile.read(config, configuration.settings().requestClasses());
+                ? OperatorConfiguration.DEFAULTS
+                : OperatorConfigurationReader.read(config, configuration.settings().requestClasses());
     }
 
     /** A router that cannot rehearse is only slow at first. */
-    private static void rehearse(Configuration configuration) throws InterruptedException {
+    private static void warmUp(RouterConfiguration configuration) throws InterruptedException {
         boolean carried = false;
         try {
-            carried = WarmUp.run(configuration.settings(), Transport.rehearsal(), configuration.awaited());
+            carried = WarmUp.run(configuration.settings(), Transport.rehearsal(), configuration.hasServedBefore());
         } catch (IOException e) {
             Log.warn("rehearsal", "no folder for its sockets: " + e);
         }
         if (!carried) {
             Log.info("rehearsing within the process: its sockets carry nothing here");
-            WarmUp.run(configuration.settings(), Transport.withinProcess(), configuration.awaited());
+            WarmUp.run(configuration.settings(), Transport.withinProcess(), configuration.hasServedBefore());
         }
     }
 
     private static void reload(Server server, Path config) {
         try {
-            Configuration fresh = Configuration.read(System.getenv());
-            server.reload(fresh, operator(config, fresh));
-        } catch (BadConfig e) {
+            RouterConfiguration fresh = RouterConfiguration.fromEnvironment(System.getenv());
+            server.reload(fresh, readOperatorConfiguration(config, fresh));
+        } catch (ConfigurationException e) {
             Log.warn("reload", "reload: the configuration stays as it was: " + e.getMessage());
         } catch (RuntimeException e) {
-            Log.fault("a reload failed", e);
+            Log.error("a reload failed", e);
         }
     }
 }
--- a/cli/src/main/java/clayhook/cli/TryCommand.java
+++ b/cli/src/main/java/clayhook/cli/TryCommand.java
@@ -1,6 +1,6 @@
 package clayhook.cli;
 
-import clayhook.config.BadConfig;
+import clayhook.config.ConfigurationException;
 import clayhook.lab.Experiment;
 import clayhook.lab.model.Loopback;
 import clayhook.lab.model.Tally;
@@ -26,7 +26,7 @@
     private int seed;
 
     @Override
-    public Integer call() throws IOException, BadConfig, InterruptedException {
+    public Integer call() throws IOException, ConfigurationException, InterruptedException {
         Path file = Files.createTempFile("clayhook-try", ".toml");
         Experiment experiment;
         try (InputStream own = TryCommand.class.getResourceAsStream("try.toml")) {
--- a/cli/src/test/java/clayhook/cli/ServeProcessTest.java
+++ b/cli/src/test/java/clayhook/cli/ServeProcessTest.java
@@ -44,17 +44,17 @@
 /** The program as a process of its own, with its signals and its limit of descriptors. */
 class ServeProcessTest {
     /** Far more than anything here takes. */
-    private static final int PATIENCE_S = 60;
+    private static final int TIMEOUT_SECONDS = 60;
 
-    private static final String DOWN = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
+    private static final String SERVICE_UNAVAILABLE = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
     /** 128 + SIGTERM. */
-    private static final int TERMINATED = 143;
+    private static final int SIGTERM_EXIT_CODE = 143;
     /** Of the jars on the class path; the other modules are jars as well once they are packed. */
-    private static final Pattern PROGRAM = Pattern.compile("^(netty|picocli|jackson|clayhook)");
+    private static final Pattern PROGRAM_JARS = Pattern.compile("^(netty|picocli|jackson|clayhook)");
 
     private final Transport transport = Transport.tcp();
     private final LinkedBlockingQueue<String> calls = new LinkedBlockingQueue<>();
-    private final List<Socket> flood = new ArrayList<>();
+    private final List<Socket> floodSockets = new ArrayList<>();
     private InetSocketAddress listen;
     private Process process;
     private Path log;
@@ -72,7 +72,7 @@
     @AfterEach
     void close() throws Exception {
         process.destroyForcibly().waitFor();
-        for (Socket socket : flood) {
+        for (Socket socket : floodSockets) {
             socket.close();
         }
         transport.close();
@@ -137,7 +137,7 @@
                 Path path = Path.of(part);
                 if (Files.isDirectory(path)) {
                     copy(path, taken, out);
-                } else if (PROGRAM.matcher(path.getFileName().toString()).find()) {
+                } else if (PROGRAM_JARS.matcher(path.getFileName().toString()).find()) {
                     try (FileSystem in = FileSystems.newFileSystem(path)) {
                         copy(in.getPath("/"), taken, out);
                     }
@@ -168,7 +168,7 @@
 
     /** Sends that on a new connection until one gets as far as its answer, and returns that. */
     private String asked(ByteBuf statement) throws Exception {
-        double until = System.nanoTime() / 1e9 + PATIENCE_S;
+        double until = System.nanoTime() / 1e9 + TIMEOUT_SECONDS;
         while (System.nanoTime() / 1e9 < until && process.isAlive()) {
             var client = new StubClient(transport, listen);
             client.send(StubClient.startupAndFirst(statement.retainedDuplicate()));
@@ -200,10 +200,10 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"refuses", "is silent", "answers 503"})
-    void itIsReadyWhateverDiscoveryDoes(String what) throws Exception {
+    void becomesReadyWhateverDiscoveryDoes(String what) throws Exception {
         InetSocketAddress discovery = what.equals("refuses")
                 ? new InetSocketAddress("127.0.0.1", 1)
-                : discovery(call -> what.equals("is silent") ? null : DOWN);
+                : discovery(call -> what.equals("is silent") ? null : SERVICE_UNAVAILABLE);
         start(discovery, list(2, node(StubResponse.answer("served"))), 1024, 1024);
         assertEquals("ready", asked(emptyQuery()));
         assertEquals("served", asked(read()));
@@ -213,26 +213,26 @@
      * Idle clients come without end and hold on; meanwhile discovery returns, and the list has moved to another node.
      */
     @Test
-    void idleClientsBeyondTheDescriptorsBarNeitherCommandsNorTheList() throws Exception {
+    void idleClientsBeyondTheDescriptorLimitBlockNeitherRequestsNorTheEndpointList() throws Exception {
         int most = 128;
         var lists = new LinkedBlockingQueue<String>();
         InetSocketAddress discovery =
-                discovery(call -> lists.isEmpty() ? DOWN : call.contains("after=3&") ? null : lists.peek());
+                discovery(call -> lists.isEmpty() ? SERVICE_UNAVAILABLE : call.contains("after=3&") ? null : lists.peek());
         start(discovery, list(2, node(StubResponse.answer("old"))), most, most);
         assertEquals("ready", asked(emptyQuery()));
         int held = 0;
         for (int i = 0; i < 4 * most; i++) {
-            flood.add(new Socket(listen.getAddress(), listen.getPort()));
+            floodSockets.add(new Socket(listen.getAddress(), listen.getPort()));
             held = Math.max(held, descriptors());
             if (i % most == most - 1) {
                 assertEquals("old", asked(read()));
             }
         }
         lists.add(list(3, node(StubResponse.answer("new"))));
-        double until = System.nanoTime() / 1e9 + PATIENCE_S;
+        double until = System.nanoTime() / 1e9 + TIMEOUT_SECONDS;
         while (!asked(read()).equals("new")) {
             assertTrue(System.nanoTime() / 1e9 < until, "it did not get back to its list; " + log());
-            flood.add(new Socket(listen.getAddress(), listen.getPort()));
+            floodSockets.add(new Socket(listen.getAddress(), listen.getPort()));
             held = Math.max(held, descriptors());
         }
         assertTrue(held < most, "the reserve is used up: " + held);
@@ -241,16 +241,16 @@
 
     /** It was told of more than the machine gives: accepting and connecting fail, and it stands all the same. */
     @Test
-    void afterTheMachineHadNoDescriptorsItAcceptsAndConnectsAgainByItself() throws Exception {
+    void acceptsAndConnectsAgainAfterTheProcessRanOutOfDescriptors() throws Exception {
         var lists = new LinkedBlockingQueue<String>();
         InetSocketAddress discovery =
-                discovery(call -> lists.isEmpty() ? DOWN : call.contains("after=3&") ? null : lists.peek());
+                discovery(call -> lists.isEmpty() ? SERVICE_UNAVAILABLE : call.contains("after=3&") ? null : lists.peek());
         start(discovery, list(2, node(StubResponse.answer("old"))), 64, 1024);
         assertEquals("ready", asked(emptyQuery()));
         for (int i = 0; i < 100; i++) {
-            flood.add(new Socket(listen.getAddress(), listen.getPort()));
+            floodSockets.add(new Socket(listen.getAddress(), listen.getPort()));
         }
-        double until = System.nanoTime() / 1e9 + PATIENCE_S;
+        double until = System.nanoTime() / 1e9 + TIMEOUT_SECONDS;
         while (!log().contains("Too many open files")) {
             assertTrue(System.nanoTime() / 1e9 < until && process.isAlive(), "it never ran out; " + log());
             TimeUnit.MILLISECONDS.sleep(20);
@@ -265,7 +265,7 @@
     /** A command is in hand; SIGTERM comes twice, and SIGHUP after it. */
     @ParameterizedTest
     @CsvSource({"any, 53300", "mutating, 40003"})
-    void whatIsInHandIsAnsweredBeforeTheProcessEndsWhateverSignalsFollow(String group, String word) throws Exception {
+    void inFlightRequestsAreAnsweredBeforeExitWhateverSignalsFollow(String group, String word) throws Exception {
         start(discovery(call -> null), list(2, node(StubResponse.silence())), 1024, 1024);
         assertEquals("ready", asked(emptyQuery()));
         var client = new StubClient(transport, listen);
@@ -277,8 +277,8 @@
         process.destroy();
         assertEquals(word, client.nextAnswer());
         assertEquals("closed", client.nextAnswer());
-        assertTrue(process.waitFor(PATIENCE_S, TimeUnit.SECONDS));
-        assertEquals(TERMINATED, process.exitValue());
+        assertTrue(process.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS));
+        assertEquals(SIGTERM_EXIT_CODE, process.exitValue());
         assertTrue(log().contains("ended") && !log().contains("ERROR"), log());
     }
 
@@ -292,14 +292,14 @@
 
     /** While it rehearses, which a folder for its sockets shows. */
     @Test
-    void aRequestToEndDuringTheStartEndsItAndLeavesNothingItTookUnanswered() throws Exception {
+    void sigtermDuringStartupEndsTheProcessAndLeavesNoRequestUnanswered() throws Exception {
         start(discovery(call -> null), list(2, node(StubResponse.silence())), 1024, 1024);
         while (process.isAlive() && folder.toFile().list((in, name) -> name.startsWith("clayhook")).length == 0) {
             TimeUnit.MILLISECONDS.sleep(5);
         }
         process.destroy();
-        assertTrue(process.waitFor(PATIENCE_S, TimeUnit.SECONDS));
-        assertEquals(TERMINATED, process.exitValue());
+        assertTrue(process.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS));
+        assertEquals(SIGTERM_EXIT_CODE, process.exitValue());
         assertTrue(!log().contains("serving as") || log().contains("ended"), log());
     }
 }
--- a/cli/src/test/java/clayhook/cli/SharingOffTest.java
+++ b/cli/src/test/java/clayhook/cli/SharingDisabledTest.java
@@ -19,13 +19,13 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What sharing costs a router that does not share: nothing, as a process of its own shows. */
-class SharingOffTest {
+class SharingDisabledTest {
     private static final String CONFIG =
             """
             {"name":"n", "listen":"127.0.0.1:%d", "discovery":"127.0.0.1:%d", "seed":"1",
             "known":{"rev":1,"all":true,"targets":[]}, "settings":{"domain":{"read_level":["any"]},
             "grades":[{"name":"any","effect":"idempotent","aim":250000000,"hard_limit":600000000,"value":1}]}}""";
-    private static final List<String> OWN = List.of(
+    private static final List<String> SHARING_PACKAGES = List.of(
             "clayhook.fleet.",
             "clayhook.peers.",
             "com.fasterxml.jackson.dataformat.cbor.",
@@ -53,7 +53,7 @@
         boolean thread = threads(process).contains("clayhook-peers");
         boolean socket =
                 Files.readString(Path.of("/proc/" + process.pid() + "/net/udp")).contains(":%04X ".formatted(port));
-        return List.of(OWN.stream().filter(name -> loaded.contains("] " + name)).toList(), thread, socket);
+        return List.of(SHARING_PACKAGES.stream().filter(name -> loaded.contains("] " + name)).toList(), thread, socket);
     }
 
     private static List<String> threads(Process process) throws Exception {
@@ -68,7 +68,7 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void aRouterThatSharesNothingLoadsNoClassStartsNoThreadAndOpensNoSocketForIt(boolean shares) throws Exception {
+    void aRouterWithSharingDisabledLoadsNoClassStartsNoThreadAndOpensNoSocketForIt(boolean shares) throws Exception {
         int port = freePort();
         int peers = freeUdpPort();
         Path config = Files.writeString(folder.resolve("config.json"), CONFIG.formatted(port, freePort()));
@@ -106,7 +106,7 @@
                 Thread.sleep(word.equals(StubClient.NO_CONNECTION) ? 100 : 0);
             }
             assertEquals("ready", word);
-            List<Object> expected = shares ? List.of(OWN, true, true) : List.of(List.of(), false, false);
+            List<Object> expected = shares ? List.of(SHARING_PACKAGES, true, true) : List.of(List.of(), false, false);
             for (int tries = 0; tries < 200 && shares && !expected.equals(seen(process, classes, peers)); tries++) {
                 Thread.sleep(50); // it answers a moment before it shares
             }
--- a/daemon/src/main/java/clayhook/config/Json.java
+++ b/daemon/src/main/java/clayhook/config/Json.java
@@ -8,10 +8,10 @@
 /** A parser of JSON: objects are maps, arrays lists, the rest strings, numbers, truth values and null. */
 public final class Json {
     /** Deep enough for any message of ours; it bounds the stack. */
-    private static final int MOST_DEPTH = 32;
+    private static final int MAX_DEPTH = 32;
 
     private final String text;
-    private int at;
+    private int position;
 
     private Json(String text) {
         this.text = text;
@@ -20,100 +20,100 @@
     /** Throws IllegalArgumentException with the place of what cannot be understood. */
     public static Object parse(String text) {
         var json = new Json(text);
-        Object value = json.value(0);
-        json.space();
-        if (json.at < text.length()) {
-            throw json.bad("something follows the end");
+        Object value = json.parseValue(0);
+        json.skipWhitespace();
+        if (json.position < text.length()) {
+            throw json.syntaxError("something follows the end");
         }
         return value;
     }
 
-    private Object value(int depth) {
-        if (depth > MOST_DEPTH) {
-            throw bad("too deep");
+    private Object parseValue(int depth) {
+        if (depth > MAX_DEPTH) {
+            throw syntaxError("too deep");
         }
-        space();
+        skipWhitespace();
         char c = peek();
         if (c == '{') {
-            return object(depth);
+            return parseObject(depth);
         } else if (c == '[') {
-            return array(depth);
+            return parseArray(depth);
         } else if (c == '"') {
-            return string();
+            return parseString();
         } else if (c == '-' || c >= '0' && c <= '9') {
-            return number();
-        } else if (word("true")) {
+            return parseNumber();
+        } else if (consumeLiteral("true")) {
             return Boolean.TRUE;
-        } else if (word("false")) {
+        } else if (consumeLiteral("false")) {
             return Boolean.FALSE;
-        } else if (word("null")) {
+        } else if (consumeLiteral("null")) {
             return null;
         }
-        throw bad("no value");
+        throw syntaxError("no value");
     }
 
-    private Map<String, Object> object(int depth) {
+    private Map<String, Object> parseObject(int depth) {
         Map<String, Object> object = new LinkedHashMap<>();
-        at++;
-        space();
+        position++;
+        skipWhitespace();
         if (peek() == '}') {
-            at++;
+            position++;
             return object;
         }
         do {
-            space();
+            skipWhitespace();
             if (peek() != '"') {
-                throw bad("no name");
+                throw syntaxError("no name");
             }
-            String name = string();
-            space();
+            String name = parseString();
+            skipWhitespace();
             expect(':');
-            object.put(name, value(depth + 1));
-        } while (another('}'));
+            object.put(name, parseValue(depth + 1));
+        } while (consumeSeparator('}'));
         return object;
     }
 
-    private List<Object> array(int depth) {
+    private List<Object> parseArray(int depth) {
         List<Object> array = new ArrayList<>();
-        at++;
-        space();
+        position++;
+        skipWhitespace();
         if (peek() == ']') {
-            at++;
+            position++;
             return array;
         }
         do {
-            array.add(value(depth + 1));
-        } while (another(']'));
+            array.add(parseValue(depth + 1));
+        } while (consumeSeparator(']'));
         return array;
     }
 
-    private boolean another(char end) {
-        space();
+    private boolean consumeSeparator(char end) {
+        skipWhitespace();
         if (peek() == ',') {
-            at++;
+            position++;
             return true;
         }
         expect(end);
         return false;
     }
 
-    private String string() {
+    private String parseString() {
         var out = new StringBuilder();
-        at++;
+        position++;
         while (peek() != '"') {
-            char c = text.charAt(at++);
+            char c = text.charAt(position++);
             if (c < ' ') {
-                throw bad("a control character in a string");
+                throw syntaxError("a control character in a string");
             }
-            out.append(c == '\\' ? escaped() : c);
+            out.append(c == '\\' ? parseEscape() : c);
         }
-        at++;
+        position++;
         return out.toString();
     }
 
-    private char escaped() {
+    private char parseEscape() {
         char c = peek();
-        at++;
+        position++;
         return switch (c) {
             case '"', '\\', '/' -> c;
             case 'b' -> '\b';
@@ -121,63 +121,63 @@
             case 'n' -> '\n';
             case 'r' -> '\r';
             case 't' -> '\t';
-            case 'u' -> unicode();
-            default -> throw bad("an unknown escape");
+            case 'u' -> parseUnicodeEscape();
+            default -> throw syntaxError("an unknown escape");
         };
     }
 
-    private char unicode() {
+    private char parseUnicodeEscape() {
         int code = 0;
         for (int i = 0; i < 4; i++) {
             int digit = Character.digit(peek(), 16);
             if (digit < 0) {
-                throw bad("a faulty escape");
+                throw syntaxError("a faulty escape");
             }
             code = code * 16 + digit;
-            at++;
+            position++;
         }
         return (char) code;
     }
 
-    private Double number() {
-        int from = at;
-        while (at < text.length() && "+-.eE0123456789".indexOf(text.charAt(at)) >= 0) {
-            at++;
+    private Double parseNumber() {
+        int from = position;
+        while (position < text.length() && "+-.eE0123456789".indexOf(text.charAt(position)) >= 0) {
+            position++;
         }
         try {
-            return Double.valueOf(text.substring(from, at));
+            return Double.valueOf(text.substring(from, position));
         } catch (NumberFormatException e) {
-            throw bad("no number");
+            throw syntaxError("no number");
         }
     }
 
-    private boolean word(String word) {
-        boolean found = text.startsWith(word, at);
-        at += found ? word.length() : 0;
+    private boolean consumeLiteral(String word) {
+        boolean found = text.startsWith(word, position);
+        position += found ? word.length() : 0;
         return found;
     }
 
-    private void space() {
-        while (at < text.length() && " \t\r\n".indexOf(text.charAt(at)) >= 0) {
-            at++;
+    private void skipWhitespace() {
+        while (position < text.length() && " \t\r\n".indexOf(text.charAt(position)) >= 0) {
+            position++;
         }
     }
 
     private void expect(char c) {
         if (peek() != c) {
-            throw bad("'" + c + "' is missing");
+            throw syntaxError("'" + c + "' is missing");
         }
-        at++;
+        position++;
     }
 
     private char peek() {
-        if (at >= text.length()) {
-            throw bad("the text ends early");
+        if (position >= text.length()) {
+            throw syntaxError("the text ends early");
         }
-        return text.charAt(at);
+        return text.charAt(position);
     }
 
-    private IllegalArgumentException bad(String why) {
-        return new IllegalArgumentException(why + " at character " + at);
+    private IllegalArgumentException syntaxError(String why) {
+        return new IllegalArgumentException(why + " at character " + position);
     }
 }
--- a/daemon/src/main/java/clayhook/config/LoadReport.java
+++ b/daemon/src/main/java/clayhook/config/LoadReport.java
@@ -10,7 +10,7 @@
  */
 public record LoadReport(Role role, double position, double load) {
     /** No machine holds so many commands. */
-    private static final double MOST_LOAD = 1e6;
+    private static final double MAX_LOAD = 1e6;
 
     public static final LoadReport NONE = new LoadReport(Role.UNKNOWN, 0, -1);
 
@@ -27,12 +27,12 @@
             if (at < 0) {
                 throw new IllegalArgumentException("has a report value '" + pair + "' without a name");
             }
-            double value = decimal(pair.substring(at + 1));
+            double value = parseFinite(pair.substring(at + 1));
             switch (pair.substring(0, at).trim()) {
                 case "x0" -> position = origin + value;
                 case "x1" -> role = value > 0.5 ? Role.PRIMARY : Role.REPLICA;
                 case "rif", "inflight", "q", "queue" -> {
-                    if (value < 0 || value > MOST_LOAD) {
+                    if (value < 0 || value > MAX_LOAD) {
                         throw new IllegalArgumentException("has " + value + " commands in its report");
                     }
                     load = Math.max(load, value);
@@ -43,7 +43,7 @@
         return new LoadReport(role, position, load);
     }
 
-    private static double decimal(String text) {
+    private static double parseFinite(String text) {
         double value;
         try {
             value = Double.parseDouble(text);
--- a/daemon/src/main/java/clayhook/config/Operator.java
+++ b/daemon/src/main/java/clayhook/config/OperatorConfiguration.java
@@ -12,9 +12,9 @@
  * @param database that it connects to
  * @param sharing null where it shares nothing with other routers
  */
-public record Operator(Statements statements, String user, String database, SharingSettings sharing) {
+public record OperatorConfiguration(StatementSettings statements, String user, String database, SharingSettings sharing) {
     /** Without a file. */
-    public static final Operator OFF = new Operator(null, "clayhook", "core", null);
+    public static final OperatorConfiguration DEFAULTS = new OperatorConfiguration(null, "clayhook", "core", null);
 
     /**
      * Statements of any kind.
@@ -23,14 +23,14 @@
      * @param timeout seconds that a client waits where neither rule nor client says so; 0 for its command group's time
      * @param longestAnswer bytes of an answer that are passed on
      */
-    public record Statements(StatementRules rules, boolean trustComments, double timeout, int longestAnswer) {}
+    public record StatementSettings(StatementRules rules, boolean trustComments, double timeout, int maxAnswerBytes) {}
 
     /** Checks what it says against the command groups there are; throws BadConfig naming place and key. */
-    interface GroupCheck {
-        void check(String key, boolean writes, boolean marked, String group) throws BadConfig;
+    interface RequestClassValidator {
+        void validate(String key, boolean writes, boolean marked, String group) throws ConfigurationException;
 
         /** Where the command groups are not known, as in tools, any name will do. */
-        static GroupCheck of(List<RequestClass> groups, Toml toml) {
+        static RequestClassValidator forClasses(List<RequestClass> groups, TomlSection toml) {
             return groups == null
                     ? (key, writes, marked, name) -> {}
                     : (key, writes, marked, name) -> {
@@ -39,12 +39,12 @@
                                 .findFirst()
                                 .orElse(null);
                         if (group == null) {
-                            throw toml.fault(key, "there is no command group '" + name + "'");
+                            throw toml.invalid(key, "there is no command group '" + name + "'");
                         } else if (writes != (group.consistency() == RequestClass.ConsistencyLevel.WRITE)) {
-                            throw toml.fault(
+                            throw toml.invalid(
                                     key, "command group '" + name + "' is for " + (writes ? "reads" : "writes"));
                         } else if (writes && marked != (group.idempotency() == RequestClass.Idempotency.IDEMPOTENT_WITH_KEY)) {
-                            throw toml.fault(
+                            throw toml.invalid(
                                     key,
                                     "command group '" + name + "' is "
                                             + (marked
@@ -53,7 +53,7 @@
                                                             ? "keyed, which needs a rule with a mark"
                                                             : "fit"));
                         } else if (writes && group.idempotency() == RequestClass.Idempotency.IDEMPOTENT) {
-                            throw toml.fault(
+                            throw toml.invalid(
                                     key, "command group '" + name + "' is replayable, which no unknown write is");
                         }
                     };
--- a/daemon/src/main/java/clayhook/config/SettingsReader.java
+++ b/daemon/src/main/java/clayhook/config/SettingsReader.java
@@ -11,7 +11,7 @@
 
 /** Reads, checks and defaults the settings that a router is handed at its start. Unknown keys are passed over. */
 public final class SettingsReader {
-    private static final double NANOS = 1e9;
+    private static final double NANOS_PER_SECOND = 1e9;
     private final Map<String, String> values;
 
     /** Takes one value a path, such as {@code rules.warm_after}; lists are joined by commas. */
@@ -19,11 +19,11 @@
         this.values = values;
     }
 
-    public RoutingSettings settings() throws BadConfig {
+    public RoutingSettings readSettings() throws ConfigurationException {
         return new RoutingSettings(
-                (int) atLeast(1, "balancers", 1),
+                (int) numberAtLeast(1, "balancers", 1),
                 text("zone", ""),
-                groups(),
+                readRequestClasses(),
                 text("discovery", "automatic").equals("subscribe"),
                 !flag("rules.gone_is_advice", false),
                 !text("domain.when_behind", "off").equals("off"),
@@ -33,26 +33,26 @@
                 flag("limits.parallel_tries", true),
                 flag("limits.retry_after", false),
                 seconds("limits.max_retry_after"),
-                (int) atLeast(1, "limits.most_tries", 1),
+                (int) numberAtLeast(1, "limits.most_tries", 1),
                 number("rules.start_capacity", 1),
                 seconds("rules.warm_after"),
                 number("rules.overload_factor", 1),
                 seconds("rules.overload_for"),
                 (int) Math.max(1, number("limits.multiplex", 1)),
-                number("limits.conn_idle", 15 * NANOS) / NANOS);
+                number("limits.conn_idle", 15 * NANOS_PER_SECOND) / NANOS_PER_SECOND);
     }
 
     /** The clock time from which the simulator reckons positions, in nanoseconds. */
-    public long origin() throws BadConfig {
+    public long originTimeNanos() throws ConfigurationException {
         return (long) number("domain.origin_time", 0);
     }
 
     /** A connection that does not stand after so many seconds has failed. */
-    public double connectTimeout() throws BadConfig {
-        return number("limits.dial_timeout", NANOS / 4) / NANOS;
+    public double connectTimeoutSeconds() throws ConfigurationException {
+        return number("limits.dial_timeout", NANOS_PER_SECOND / 4) / NANOS_PER_SECOND;
     }
 
-    private List<RequestClass> groups() throws BadConfig {
+    private List<RequestClass> readRequestClasses() throws ConfigurationException {
         String[] levels = text("domain.read_level", "").split(",");
         String[] bounds = text("domain.max_age", "").split(",");
         var groups = new ArrayList<RequestClass>();
@@ -62,47 +62,47 @@
             double clientTimeout = seconds(path + "hard_limit");
             groups.add(new RequestClass(
                     text(path + "name", ""),
-                    effect(path + "effect"),
-                    level(i < levels.length ? levels[i] : "any"),
+                    readEffect(path + "effect"),
+                    parseReadLevel(i < levels.length ? levels[i] : "any"),
                     seconds(path + "aim"),
                     clientTimeout,
                     number(path + "value", 1),
                     number(path + "late_worth", 0),
-                    scope(path + "group"),
+                    readScope(path + "group"),
                     seconds(path + "repeat_window"),
-                    i < bounds.length && !bounds[i].isEmpty() ? parse("domain.max_age", bounds[i]) / NANOS : 0));
+                    i < bounds.length && !bounds[i].isEmpty() ? parseFinite("domain.max_age", bounds[i]) / NANOS_PER_SECOND : 0));
         }
         return groups;
     }
 
-    private Idempotency effect(String key) throws BadConfig {
+    private Idempotency readEffect(String key) throws ConfigurationException {
         String word = text(key, "");
         return switch (word) {
             case "idempotent" -> Idempotency.IDEMPOTENT;
             case "deduplicated" -> Idempotency.IDEMPOTENT_WITH_KEY;
             case "at_most_once" -> Idempotency.NON_IDEMPOTENT;
-            default -> throw new BadConfig(key + ": unknown effect '" + word + "'");
+            default -> throw new ConfigurationException(key + ": unknown effect '" + word + "'");
         };
     }
 
-    private DeduplicationScope scope(String key) throws BadConfig {
+    private DeduplicationScope readScope(String key) throws ConfigurationException {
         String word = text(key, "all");
         return switch (word) {
             case "all" -> DeduplicationScope.ALL;
             case "zone" -> DeduplicationScope.ZONE;
             case "cell" -> DeduplicationScope.REPLICA_SET;
-            default -> throw new BadConfig(key + ": unknown group of repeats '" + word + "'");
+            default -> throw new ConfigurationException(key + ": unknown group of repeats '" + word + "'");
         };
     }
 
-    private static ConsistencyLevel level(String word) throws BadConfig {
+    private static ConsistencyLevel parseReadLevel(String word) throws ConfigurationException {
         return switch (word) {
             case "write" -> ConsistencyLevel.WRITE;
             case "fresh" -> ConsistencyLevel.STRONG;
             case "session" -> ConsistencyLevel.SESSION;
             case "bounded" -> ConsistencyLevel.BOUNDED_STALENESS;
             case "any", "", "-" -> ConsistencyLevel.EVENTUAL;
-            default -> throw new BadConfig("domain.read_level: unknown read level '" + word + "'");
+            default -> throw new ConfigurationException("domain.read_level: unknown read level '" + word + "'");
         };
     }
 
@@ -110,32 +110,32 @@
         return values.getOrDefault(key, absent);
     }
 
-    private boolean flag(String key, boolean absent) throws BadConfig {
+    private boolean flag(String key, boolean absent) throws ConfigurationException {
         String value = values.get(key);
         if (value != null && !List.of("true", "false", "1", "0").contains(value)) {
-            throw new BadConfig(key + ": '" + value + "' is neither true nor false");
+            throw new ConfigurationException(key + ": '" + value + "' is neither true nor false");
         }
         return value == null ? absent : value.equals("true") || value.equals("1");
     }
 
-    private double seconds(String key) throws BadConfig {
-        return atLeast(0, key, 0) / NANOS;
+    private double seconds(String key) throws ConfigurationException {
+        return numberAtLeast(0, key, 0) / NANOS_PER_SECOND;
     }
 
-    private double atLeast(double least, String key, double absent) throws BadConfig {
+    private double numberAtLeast(double least, String key, double absent) throws ConfigurationException {
         double value = number(key, absent);
         if (value < least) {
-            throw new BadConfig(key + ": " + values.get(key) + " is less than " + (long) least);
+            throw new ConfigurationException(key + ": " + values.get(key) + " is less than " + (long) least);
         }
         return value;
     }
 
-    private double number(String key, double absent) throws BadConfig {
+    private double number(String key, double absent) throws ConfigurationException {
         String value = values.get(key);
-        return value == null ? absent : parse(key, value);
+        return value == null ? absent : parseFinite(key, value);
     }
 
-    private static double parse(String key, String value) throws BadConfig {
+    private static double parseFinite(String key, String value) throws ConfigurationException {
         try {
             double parsed = Double.parseDouble(value);
             if (Double.isFinite(parsed)) {
@@ -144,6 +144,6 @@
         } catch (NumberFormatException e) {
             // told below, as for a number that is none
         }
-        throw new BadConfig(key + ": '" + value + "' is not a number");
+        throw new ConfigurationException(key + ": '" + value + "' is not a number");
     }
 }
--- a/daemon/src/main/java/clayhook/config/SharingSettings.java
+++ b/daemon/src/main/java/clayhook/config/SharingSettings.java
@@ -27,76 +27,76 @@
         InetSocketAddress advertise,
         String name,
         List<InetSocketAddress> seeds,
-        double clockBound,
+        double maxClockSkew,
         double deadAfter,
-        double roam,
-        int newsBytes,
-        int catchUpBytes,
-        double report,
-        boolean evidence,
-        boolean lists,
-        boolean marks,
-        boolean fates,
-        double fatesKept,
-        boolean limits) {
+        double sessionRoamDelay,
+        int gossipBytesPerSecond,
+        int antiEntropyBytesPerSecond,
+        double logInterval,
+        boolean shareObservations,
+        boolean shareEndpointLists,
+        boolean shareSessionWrites,
+        boolean shareWriteOutcomes,
+        double writeOutcomeRetention,
+        boolean shareQuotas) {
     /** What only the machine it stands on can reach, as nothing is signed. */
-    static final String LISTEN = "127.0.0.1:7400";
+    static final String DEFAULT_LISTEN = "127.0.0.1:7400";
     /** Seconds. */
-    private static final double DAY = 86_400;
+    private static final double SECONDS_PER_DAY = 86_400;
     /** Beyond, entries could come back after they went. */
-    private static final double MOST_CLOCK_BOUND = 2;
+    private static final double MAX_CLOCK_SKEW_LIMIT = 2;
     /** What the wire allows of a name. */
-    private static final int LONGEST_NAME = 100;
+    private static final int MAX_NAME_LENGTH = 100;
 
     /** Reads the table {@code sharing}, on or not. Throws BadConfig naming the place. */
-    static SharingSettings read(Toml table) throws BadConfig {
-        InetSocketAddress listen = table.address("listen", LISTEN);
-        InetSocketAddress advertise = table.address("advertise", null);
-        String name = table.text("name", null);
+    static SharingSettings read(TomlSection table) throws ConfigurationException {
+        InetSocketAddress listen = table.getAddress("listen", DEFAULT_LISTEN);
+        InetSocketAddress advertise = table.getAddress("advertise", null);
+        String name = table.getString("name", null);
         if (advertise == null && listen.getAddress().isAnyLocalAddress()) {
-            throw table.fault("listen", "is every address, so that advertise must say which one others send to");
+            throw table.invalid("listen", "is every address, so that advertise must say which one others send to");
         } else if (advertise != null && advertise.getAddress().isAnyLocalAddress()) {
-            throw table.fault("advertise", "is no address that others can send to");
-        } else if (name != null && name.length() > LONGEST_NAME) {
-            throw table.fault("name", "is longer than " + LONGEST_NAME + " characters");
+            throw table.invalid("advertise", "is no address that others can send to");
+        } else if (name != null && name.length() > MAX_NAME_LENGTH) {
+            throw table.invalid("name", "is longer than " + MAX_NAME_LENGTH + " characters");
         }
         return new SharingSettings(
                 listen,
                 advertise,
                 name,
-                table.addresses("seeds"),
-                table.number("clock_bound", 0.5, 0.01, MOST_CLOCK_BOUND),
-                table.number("dead_after", 60, 1, 3600),
-                table.number("roam", 0.5, 0, 60),
-                table.whole("bytes_a_second", 128 << 10, 1 << 10, 1 << 30),
-                table.whole("catch_up_bytes_a_second", 4 << 20, 1 << 10, 1 << 30),
-                table.number("report", 10, 0.1, 3600),
-                table.flag("evidence", true),
-                table.flag("lists", true),
-                table.flag("marks", true),
-                table.flag("fates", true),
-                table.number("fates_kept", DAY, 60, 7 * DAY),
-                table.flag("limits", true));
+                table.getAddresses("seeds"),
+                table.getNumber("clock_bound", 0.5, 0.01, MAX_CLOCK_SKEW_LIMIT),
+                table.getNumber("dead_after", 60, 1, 3600),
+                table.getNumber("roam", 0.5, 0, 60),
+                table.getInt("bytes_a_second", 128 << 10, 1 << 10, 1 << 30),
+                table.getInt("catch_up_bytes_a_second", 4 << 20, 1 << 10, 1 << 30),
+                table.getNumber("report", 10, 0.1, 3600),
+                table.getBoolean("evidence", true),
+                table.getBoolean("lists", true),
+                table.getBoolean("marks", true),
+                table.getBoolean("fates", true),
+                table.getNumber("fates_kept", SECONDS_PER_DAY, 60, 7 * SECONDS_PER_DAY),
+                table.getBoolean("limits", true));
     }
 
     /** They differ in what only a start reads: all but the seeds. */
-    public boolean unlike(SharingSettings other) {
+    public boolean differsBeyondSeeds(SharingSettings other) {
         return !equals(new SharingSettings(
                 other.listen,
                 other.advertise,
                 other.name,
                 seeds,
-                other.clockBound,
+                other.maxClockSkew,
                 other.deadAfter,
-                other.roam,
-                other.newsBytes,
-                other.catchUpBytes,
-                other.report,
-                other.evidence,
-                other.lists,
-                other.marks,
-                other.fates,
-                other.fatesKept,
-                other.limits));
+                other.sessionRoamDelay,
+                other.gossipBytesPerSecond,
+                other.antiEntropyBytesPerSecond,
+                other.logInterval,
+                other.shareObservations,
+                other.shareEndpointLists,
+                other.shareSessionWrites,
+                other.shareWriteOutcomes,
+                other.writeOutcomeRetention,
+                other.shareQuotas));
     }
 }
--- a/daemon/src/main/java/clayhook/front/Session.java
+++ b/daemon/src/main/java/clayhook/front/Session.java
@@ -466,7 +466,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (!(cause instanceof IOException)) {
-            Log.fault("a client session failed", cause);
+            Log.error("a client session failed", cause);
         }
         ctx.close();
     }
--- a/daemon/src/main/java/clayhook/log/Log.java
+++ b/daemon/src/main/java/clayhook/log/Log.java
@@ -6,15 +6,15 @@
 /** Few lines: each kind at most once a second, with a count of those left out; and a summary now and then. */
 public final class Log {
     private static final System.Logger LOGGER = System.getLogger("clayhook");
-    private static final long SECOND = 1_000_000_000L;
+    private static final long MIN_INTERVAL_NANOS = 1_000_000_000L;
 
-    private static final class Kind {
-        private long loggedAt = System.nanoTime() - SECOND;
-        private int left;
+    private static final class RateLimit {
+        private long lastLoggedNanos = System.nanoTime() - MIN_INTERVAL_NANOS;
+        private int suppressed;
     }
 
     /** One a kind of line. */
-    private static final Map<String, Kind> KINDS = new TreeMap<>();
+    private static final Map<String, RateLimit> RATE_LIMITS = new TreeMap<>();
     /** Emptied by each summary. It is its own lock: the loop counts while another thread may be writing a line. */
     private static final Map<String, Integer> COUNTS = new TreeMap<>();
 
@@ -25,26 +25,26 @@
     }
 
     public static void warn(String kind, String line) {
-        seldom(System.Logger.Level.WARNING, kind, line);
+        logRateLimited(System.Logger.Level.WARNING, kind, line);
     }
 
     /** What is no cause for worry, but may come often. */
     public static void info(String kind, String line) {
-        seldom(System.Logger.Level.INFO, kind, line);
+        logRateLimited(System.Logger.Level.INFO, kind, line);
     }
 
-    private static synchronized void seldom(System.Logger.Level level, String kind, String line) {
-        Kind of = KINDS.computeIfAbsent(kind, any -> new Kind());
-        if (System.nanoTime() - of.loggedAt < SECOND) {
-            of.left++;
+    private static synchronized void logRateLimited(System.Logger.Level level, String kind, String line) {
+        RateLimit of = RATE_LIMITS.computeIfAbsent(kind, any -> new RateLimit());
+        if (System.nanoTime() - of.lastLoggedNanos < MIN_INTERVAL_NANOS) {
+            of.suppressed++;
             return;
         }
-        LOGGER.log(level, line + (of.left > 0 ? " (" + of.left + " alike left out)" : ""));
-        of.left = 0;
-        of.loggedAt = System.nanoTime();
+        LOGGER.log(level, line + (of.suppressed > 0 ? " (" + of.suppressed + " alike left out)" : ""));
+        of.suppressed = 0;
+        of.lastLoggedNanos = System.nanoTime();
     }
 
-    public static synchronized void fault(String line, Throwable cause) {
+    public static synchronized void error(String line, Throwable cause) {
         LOGGER.log(System.Logger.Level.ERROR, line, cause);
     }
 
--- a/daemon/src/main/java/clayhook/log/LibraryLines.java
+++ b/daemon/src/main/java/clayhook/log/NettyLogHandler.java
@@ -8,15 +8,15 @@
  * Netty's lines among our own. Guards against the runtime's way of writing them: its first line opens a file for the
  * time zone, and a loop that has something to tell as no descriptor is left ends for want of one more.
  */
-public final class LibraryLines extends Handler {
+public final class NettyLogHandler extends Handler {
     /** Held here, as the runtime forgets loggers that nobody holds. */
     private static final Logger NETTY = Logger.getLogger("io.netty");
 
-    private LibraryLines() {}
+    private NettyLogHandler() {}
 
     public static void install() {
         NETTY.setUseParentHandlers(false);
-        NETTY.addHandler(new LibraryLines());
+        NETTY.addHandler(new NettyLogHandler());
     }
 
     @Override
--- a/daemon/src/main/java/clayhook/log/StandardError.java
+++ b/daemon/src/main/java/clayhook/log/StandardErrorLoggerFinder.java
@@ -7,13 +7,13 @@
  * Where the lines of {@code System.Logger} go: one each to standard error. The runtime's own way takes a tenth of a
  * second for its first line, while clients wait.
  */
-public final class StandardError extends System.LoggerFinder {
+public final class StandardErrorLoggerFinder extends System.LoggerFinder {
     @Override
     public System.Logger getLogger(String name, Module module) {
-        return new Lines(name);
+        return new StandardErrorLogger(name);
     }
 
-    private record Lines(String name) implements System.Logger {
+    private record StandardErrorLogger(String name) implements System.Logger {
         @Override
         public String getName() {
             return name;
--- a/daemon/src/main/java/clayhook/nodes/BackendClient.java
+++ b/daemon/src/main/java/clayhook/nodes/BackendClient.java
@@ -3,7 +3,7 @@
 import clayhook.Attempt;
 import clayhook.Node;
 import clayhook.AttemptResult;
-import clayhook.config.Operator;
+import clayhook.config.OperatorConfiguration;
 import clayhook.log.Log;
 import clayhook.protocol.Allowance;
 import clayhook.protocol.Encoder;
@@ -49,7 +49,7 @@
     private static final int MEMORY_DIVISOR = 8;
 
     final Allowance answerMemory;
-    private final Operator operator;
+    private final OperatorConfiguration operator;
     private final Listener listener;
     private final Clock clock;
     private final Descriptors descriptors;
@@ -68,7 +68,7 @@
             long memory,
             double connectTimeout,
             double idle,
-            Operator operator,
+            OperatorConfiguration operator,
             Listener listener) {
         this.operator = operator;
         answerMemory = new Allowance(memory / MEMORY_DIVISOR);
@@ -237,7 +237,7 @@
 
     /** Bytes of an answer to a statement of any kind. */
     int maxAnswerBytes() {
-        return operator.statements().longestAnswer();
+        return operator.statements().maxAnswerBytes();
     }
 
     double now() {
--- a/daemon/src/main/java/clayhook/peers/Exchange.java
+++ b/daemon/src/main/java/clayhook/peers/Exchange.java
@@ -22,7 +22,7 @@
 import clayhook.fleet.kinds.Shares;
 import clayhook.fleet.kinds.Use;
 import clayhook.log.Log;
-import clayhook.serve.Sharing;
+import clayhook.serve.PeerSharing;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.EnumMap;
@@ -94,7 +94,7 @@
     private Doubts doubts;
     private Fates fates;
     private Shares shares;
-    private final Map<Sharing.Limit, Shares.Limit> limits = new EnumMap<>(Sharing.Limit.class);
+    private final Map<PeerSharing.SharedQuota, Shares.Limit> limits = new EnumMap<>(PeerSharing.SharedQuota.class);
     private final Map<String, Known> nodes = new HashMap<>();
     /** Keys of nodes on which others have put in something; emptied each turn. */
     private final Set<String> changed = new LinkedHashSet<>();
@@ -107,7 +107,7 @@
     /** A list came that could not be told whole, or a value that cannot be. */
     private long senseless;
 
-    private volatile Map<Sharing.Limit, Double> left = Map.of();
+    private volatile Map<PeerSharing.SharedQuota, Double> left = Map.of();
 
     public Exchange(
             Kinds kinds,
@@ -118,12 +118,12 @@
             Roster roster,
             SplittableRandom chance,
             Executor loop,
-            Sharing.Listener listener) {
+            PeerSharing.PeerListener listener) {
         this.kinds = kinds;
         this.shared = shared;
         this.roster = roster;
-        evidence = new Mailbox<>(loop, listener::told);
-        changes = new Mailbox<>(loop, news -> listener.told(news.values()));
+        evidence = new Mailbox<>(loop, listener::onPeerUpdate);
+        changes = new Mailbox<>(loop, news -> listener.onPeerUpdate(news.values()));
         if (kinds.evidence()) {
             looks = new Looks(roster, chance);
             hearsay = new Hearsay(shared, roster);
@@ -141,8 +141,8 @@
         }
         if (kinds.limits()) {
             shares = new Shares(shared, roster, routers);
-            limits.put(Sharing.Limit.REPEATS, new Shares.Limit(Use.REPEATS, REPEATS, WINDOW));
-            limits.put(Sharing.Limit.PROBES, new Shares.Limit(Use.PROBES, PROBES * routers, WINDOW));
+            limits.put(PeerSharing.SharedQuota.FURTHER_ATTEMPTS, new Shares.Limit(Use.REPEATS, REPEATS, WINDOW));
+            limits.put(PeerSharing.SharedQuota.HEALTH_CHECKS, new Shares.Limit(Use.PROBES, PROBES * routers, WINDOW));
         }
     }
 
@@ -299,7 +299,7 @@
         }
         if (shares != null) {
             shares.tell(now);
-            var fresh = new EnumMap<Sharing.Limit, Double>(Sharing.Limit.class);
+            var fresh = new EnumMap<PeerSharing.SharedQuota, Double>(PeerSharing.SharedQuota.class);
             limits.forEach((limit, shared) -> fresh.put(limit, shares.left(shared, now)));
             left = fresh;
         }
@@ -360,7 +360,7 @@
     }
 
     /** For any thread. */
-    double left(Sharing.Limit limit) {
+    double left(PeerSharing.SharedQuota limit) {
         return left.getOrDefault(limit, Double.POSITIVE_INFINITY);
     }
 
--- a/daemon/src/main/java/clayhook/peers/News.java
+++ b/daemon/src/main/java/clayhook/peers/News.java
@@ -4,7 +4,7 @@
 import clayhook.AttemptResult;
 import clayhook.discovery.EndpointList;
 import clayhook.fleet.Address;
-import clayhook.serve.Sharing;
+import clayhook.serve.PeerSharing;
 import java.util.List;
 
 /** What the router's loop tells the peers' thread; times in seconds since 1970 on the loop's clock. */
@@ -23,7 +23,7 @@
     record Written(String mark, double sentAt, int group, String commandGroup, boolean ran, String node, double at)
             implements News {}
 
-    record Used(Sharing.Limit limit, double units) implements News {}
+    record Used(PeerSharing.SharedQuota limit, double units) implements News {}
 
     record Seeds(List<Address> seeds) implements News {}
 }
--- a/daemon/src/main/java/clayhook/peers/Peers.java
+++ b/daemon/src/main/java/clayhook/peers/Peers.java
@@ -2,7 +2,7 @@
 
 import clayhook.Node;
 import clayhook.AttemptResult;
-import clayhook.config.Configuration;
+import clayhook.config.RouterConfiguration;
 import clayhook.config.SharingSettings;
 import clayhook.discovery.EndpointList;
 import clayhook.fleet.Address;
@@ -20,7 +20,7 @@
 import clayhook.fleet.state.StateSettings;
 import clayhook.front.ClientCommand;
 import clayhook.log.Log;
-import clayhook.serve.Sharing;
+import clayhook.serve.PeerSharing;
 import clayhook.transport.Clock;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -34,7 +34,7 @@
  * The edge of what routers share: a socket, a thread of its own, and queues between that and the router's loop.
  * Whatever comes in, stalls or fails here costs sharing and never a command.
  */
-public final class Peers implements Sharing {
+public final class Peers implements PeerSharing {
     /** Seconds that the thread sleeps where there was news or a flood; whole rounds of gossip are longer. */
     private static final double NAP = 0.02;
     /**
@@ -48,7 +48,7 @@
     private static final double CLOCK_ERROR = 0.5;
 
     private final SharingSettings settings;
-    private final Configuration configuration;
+    private final RouterConfiguration configuration;
     private final StateSettings usual;
     private final Datagrams datagrams;
     private final Address address;
@@ -67,7 +67,7 @@
 
     private Peers(
             SharingSettings settings,
-            Configuration configuration,
+            RouterConfiguration configuration,
             StateSettings usual,
             Datagrams datagrams,
             Address address) {
@@ -80,12 +80,12 @@
     }
 
     /** Takes the address; throws IOException naming it where that fails. */
-    public static Sharing open(SharingSettings settings, Configuration configuration) throws IOException {
+    public static PeerSharing open(SharingSettings settings, RouterConfiguration configuration) throws IOException {
         return open(settings, configuration, StateSettings.DEFAULT);
     }
 
     /** {@code usual}: what the operator's settings do not say. */
-    static Peers open(SharingSettings settings, Configuration configuration, StateSettings usual) throws IOException {
+    static Peers open(SharingSettings settings, RouterConfiguration configuration, StateSettings usual) throws IOException {
         var datagrams = Datagrams.at(settings.listen());
         Address address = settings.advertise() != null
                 ? address(settings.advertise())
@@ -107,24 +107,24 @@
     }
 
     @Override
-    public void begin(Executor loop, InetSocketAddress discovery, Listener listener) {
+    public void attach(Executor loop, InetSocketAddress discovery, PeerListener listener) {
         double now = clock.now();
         String name = settings.name() == null ? configuration.name() : settings.name();
         var self = new Peer(new Member(name, (long) (now * 1000)), address);
         // Another life counts and asks by other numbers, whatever the seed.
         var chance = new SplittableRandom(configuration.seed() ^ self.member().boot());
         members = new Members(memberSettings(), self, addresses(settings), chance.nextLong(), now, new RosterLog());
-        boolean marks = settings.marks() && !configuration.settings().requestsCarryLastWrite();
+        boolean marks = settings.shareSessionWrites() && !configuration.settings().requestsCarryLastWrite();
         var kinds = new Exchange.Kinds(
-                settings.evidence(),
-                settings.lists(),
+                settings.shareObservations(),
+                settings.shareEndpointLists(),
                 marks,
-                settings.fates() ? Fate.kept(settings.fatesKept()) : null,
-                settings.limits());
+                settings.shareWriteOutcomes() ? Fate.kept(settings.writeOutcomeRetention()) : null,
+                settings.shareQuotas());
         var state = new State(members, kinds.all(), stateSettings(), chance.nextLong(), now);
         exchange = new Exchange(
                 kinds,
-                settings.roam(),
+                settings.sessionRoamDelay(),
                 configuration.settings().routerCount(),
                 source(discovery),
                 state,
@@ -132,10 +132,10 @@
                 chance.split(),
                 loop,
                 listener);
-        exchange.know(configuration.known());
+        exchange.know(configuration.knownEndpoints());
         // The state last: what the exchange puts in goes out in the same turn.
         fleet = new Fleet(self.member(), List.of(members, new Farewell(), exchange, state), datagrams::send);
-        reportAt = now + settings.report();
+        reportAt = now + settings.logInterval();
     }
 
     @Override
@@ -161,7 +161,7 @@
                 usual.knockMost(),
                 usual.remember(),
                 settings.deadAfter(),
-                settings.clockBound(),
+                settings.maxClockSkew(),
                 usual.late(),
                 usual.mostNames());
     }
@@ -171,7 +171,7 @@
                 usual.round(),
                 usual.fanout(),
                 usual.newsParts(),
-                settings.newsBytes(),
+                settings.gossipBytesPerSecond(),
                 usual.newsFor(),
                 usual.mostNews(),
                 usual.digestEvery(),
@@ -179,10 +179,10 @@
                 usual.answerWait(),
                 usual.silence(),
                 usual.window(),
-                settings.catchUpBytes(),
+                settings.antiEntropyBytesPerSecond(),
                 usual.pushBytes(),
                 usual.pairsEvery(),
-                settings.clockBound() + CLOCK_ERROR,
+                settings.maxClockSkew() + CLOCK_ERROR,
                 usual.margin(),
                 usual.aloneAfter(),
                 usual.stood(),
@@ -203,7 +203,7 @@
                 round();
             }
         } catch (IOException | RuntimeException | Error e) {
-            Log.fault("sharing has ended, the router serves on", e);
+            Log.error("sharing has ended, the router serves on", e);
         }
     }
 
@@ -213,7 +213,7 @@
         boolean more = datagrams.receive((from, bytes) -> guarded(() -> fleet.heard(from, bytes, clock.now())));
         double next = turn(now);
         if (now >= reportAt) {
-            reportAt = now + settings.report();
+            reportAt = now + settings.logInterval();
             guarded(() -> report(now));
         }
         boolean dozes = news == 0 && outbound.doze();
@@ -243,7 +243,7 @@
             step.run();
         } catch (RuntimeException e) {
             if (faults++ == 0) {
-                Log.fault("sharing failed", e);
+                Log.error("sharing failed", e);
             } else {
                 Log.warn("sharing failed", "sharing failed again: " + e);
             }
@@ -290,40 +290,40 @@
     // ---- the router's loop ----
 
     @Override
-    public void looked(Node node, AttemptResult reply, double now) {
-        if (settings.evidence()) {
+    public void recordObservation(Node node, AttemptResult reply, double now) {
+        if (settings.shareObservations()) {
             outbound.add(new News.Looked(node, reply, now));
         }
     }
 
     @Override
-    public void listed(InetSocketAddress discovery, EndpointList list) {
+    public void recordEndpointList(InetSocketAddress discovery, EndpointList list) {
         outbound.add(new News.Listed(source(discovery), list));
     }
 
     @Override
-    public void moved(InetSocketAddress discovery) {
+    public void discoveryMoved(InetSocketAddress discovery) {
         outbound.add(new News.Moved(source(discovery)));
     }
 
     @Override
-    public double need(String session, double now) {
+    public double requiredPosition(String session, double now) {
         Exchange begun = exchange;
         // Guards against commands that come while sharing begins: what others know is not known yet, so all may be
         // needed.
-        return begun == null ? now - settings.roam() : begun.need(session, now);
+        return begun == null ? now - settings.sessionRoamDelay() : begun.need(session, now);
     }
 
     @Override
-    public void wrote(String session, int group, double position) {
-        if (settings.marks() && !configuration.settings().requestsCarryLastWrite()) {
+    public void recordSessionWrite(String session, int group, double position) {
+        if (settings.shareSessionWrites() && !configuration.settings().requestsCarryLastWrite()) {
             outbound.add(new News.Wrote(session, group, position));
         }
     }
 
     @Override
-    public void written(ClientCommand command, Node ranAt, double now) {
-        if (settings.fates() && command.mark != null && !command.attempts.isEmpty()) {
+    public void recordWriteOutcome(ClientCommand command, Node ranAt, double now) {
+        if (settings.shareWriteOutcomes() && command.mark != null && !command.attempts.isEmpty()) {
             outbound.add(new News.Written(
                     command.mark,
                     command.attempts.get(0).sentAt,
@@ -336,14 +336,14 @@
     }
 
     @Override
-    public void used(Limit limit, int units) {
-        if (settings.limits()) {
+    public void recordQuotaUse(SharedQuota limit, int units) {
+        if (settings.shareQuotas()) {
             outbound.add(new News.Used(limit, units));
         }
     }
 
     @Override
-    public double left(Limit limit) {
+    public double remainingQuota(SharedQuota limit) {
         Exchange begun = exchange;
         return begun == null ? 0 : begun.left(limit);
     }
@@ -376,7 +376,7 @@
                 thread.join(LONGEST_END_MS);
             }
         } catch (IOException e) {
-            Log.fault("sharing did not close", e);
+            Log.error("sharing did not close", e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/daemon/src/main/java/clayhook/rehearsal/WarmUp.java
+++ b/daemon/src/main/java/clayhook/rehearsal/WarmUp.java
@@ -3,7 +3,7 @@
 import clayhook.RequestClass;
 import clayhook.RequestClass.ConsistencyLevel;
 import clayhook.RoutingSettings;
-import clayhook.config.Configuration;
+import clayhook.config.RouterConfiguration;
 import clayhook.discovery.EndpointList;
 import clayhook.log.Log;
 import clayhook.protocol.Statement;
@@ -81,7 +81,7 @@
                 new StubDiscovery(transport, transport.spare(4), call -> call.contains("after=2") ? null : list);
         var server = new Server(
                 transport,
-                new Configuration(
+                new RouterConfiguration(
                         "rehearsal",
                         transport.spare(5),
                         discovery.address(),
--- a/daemon/src/main/java/clayhook/serve/Sharing.java
+++ b/daemon/src/main/java/clayhook/serve/PeerSharing.java
@@ -15,54 +15,54 @@
  * What a router tells others and hears from them. All but the end is called on the router's loop; each call returns at
  * once, and whatever goes wrong behind it costs no command. A router that shares nothing has none of this.
  */
-public interface Sharing {
+public interface PeerSharing {
     /** Hears on the router's loop what others told. */
-    interface Listener {
+    interface PeerListener {
         /** Others have seen that of nodes, by their ids. */
-        void told(Map<String, PeerObservation> told);
+        void onPeerUpdate(Map<String, PeerObservation> told);
 
         /**
          * The discovery that this router hears now said that, perhaps to others only; or another did, where it says
          * nothing.
          */
-        void told(Collection<EndpointList> changes);
+        void onPeerUpdate(Collection<EndpointList> changes);
     }
 
     /** What all routers together may use of, in units: probes, and dispatches beyond the first of a command. */
-    enum Limit {
-        PROBES,
-        REPEATS
+    enum SharedQuota {
+        HEALTH_CHECKS,
+        FURTHER_ATTEMPTS
     }
 
     /** From now on it can be asked. {@code discovery} is where the list of nodes comes from. */
-    void begin(Executor loop, InetSocketAddress discovery, Listener listener);
+    void attach(Executor loop, InetSocketAddress discovery, PeerListener listener);
 
     /** From now on it tells and hears. */
     void start();
 
     /** A dispatch or a probe came back from that node, at {@code now} in seconds since 1970. */
-    void looked(Node node, AttemptResult reply, double now);
+    void recordObservation(Node node, AttemptResult reply, double now);
 
     /** The discovery at that address told this. */
-    void listed(InetSocketAddress discovery, EndpointList list);
+    void recordEndpointList(InetSocketAddress discovery, EndpointList list);
 
     /** Discovery is asked at that address from now on. */
-    void moved(InetSocketAddress discovery);
+    void discoveryMoved(InetSocketAddress discovery);
 
     /** The position that a read of that session must cover, in seconds since 1970; 0 for none. */
-    double need(String session, double now);
+    double requiredPosition(String session, double now);
 
     /** A write of that session was committed at that position of its group of nodes. */
-    void wrote(String session, int group, double position);
+    void recordSessionWrite(String session, int group, double position);
 
     /** That write has run at that node; or, with null, has its final answer and it is not known whether it has run. */
-    void written(ClientCommand command, Node ranAt, double now);
+    void recordWriteOutcome(ClientCommand command, Node ranAt, double now);
 
     /** This router has used so much of a limit. */
-    void used(Limit limit, int units);
+    void recordQuotaUse(SharedQuota limit, int units);
 
     /** What is left of it for this router, as reckoned last; infinite where the limit is not shared. */
-    double left(Limit limit);
+    double remainingQuota(SharedQuota limit);
 
     /** The operator's file was read again; only its seeds count. */
     void reload(SharingSettings settings);
--- a/daemon/src/main/java/clayhook/serve/Router.java
+++ b/daemon/src/main/java/clayhook/serve/Router.java
@@ -14,8 +14,8 @@
 import clayhook.AttemptResult;
 import clayhook.RoutingSettings;
 import clayhook.PeerObservation;
-import clayhook.config.Configuration;
-import clayhook.config.Operator;
+import clayhook.config.RouterConfiguration;
+import clayhook.config.OperatorConfiguration;
 import clayhook.discovery.EndpointWatcher;
 import clayhook.discovery.EndpointList;
 import clayhook.front.ClientCommand;
@@ -44,7 +44,7 @@
 import java.util.function.DoubleConsumer;
 
 /** The loop: gathers what is ready, hands it to the module in one go, carries out what came back. */
-public final class Router implements Session.Listener, BackendClient.Listener, EndpointWatcher.Listener, Sharing.Listener {
+public final class Router implements Session.Listener, BackendClient.Listener, EndpointWatcher.Listener, PeerSharing.PeerListener {
     /** Time between summaries in the log. */
     private static final double SUMMARY = 10;
     /** Time between looks at connections that open or stand idle; short beside a connection's time limit. */
@@ -61,11 +61,11 @@
     /** Where a corrected clock falls short of the time asked for. */
     private static final double LEAST_WAKE = 0.001;
 
-    private final Configuration started;
+    private final RouterConfiguration started;
     private final EventLoop loop;
     private final Clock clock = new Clock();
     private final RoutingSettings settings;
-    private final Operator operator;
+    private final OperatorConfiguration operator;
     /** Null where only the two fixed forms of statement are taken. */
     private SqlCommands sql;
 
@@ -77,7 +77,7 @@
     private final Front front;
     private final Descriptors descriptors;
     /** Null where nothing is shared with other routers. */
-    private final Sharing sharing;
+    private final PeerSharing sharing;
     /** The newest revision that discovery has told this router itself. */
     private long ownRevision = -1;
     /** The commands that sessions wait for; each leaves with its final answer. */
@@ -104,7 +104,7 @@
     private double summaryAt = clock.now() + SUMMARY;
 
     /** {@code sharing}: null where nothing is shared with other routers. */
-    public Router(Transport transport, Configuration configuration, Operator operator, Sharing sharing)
+    public Router(Transport transport, RouterConfiguration configuration, OperatorConfiguration operator, PeerSharing sharing)
             throws InterruptedException {
         started = configuration;
         this.operator = operator;
@@ -112,14 +112,14 @@
         loop = transport.loop();
         settings = configuration.settings();
         settings.requestClasses().forEach(g -> groups.put(g.name(), g));
-        descriptors = new Descriptors(configuration.sockets());
+        descriptors = new Descriptors(configuration.maxDescriptors());
         decide = new RoutingPolicy(settings, configuration.seed());
-        hand = new InFlightRequests(decide, fault -> Log.fault("a turn failed", fault));
+        hand = new InFlightRequests(decide, fault -> Log.error("a turn failed", fault));
         nodes = new BackendClient(
                 transport,
                 clock,
                 descriptors,
-                configuration.memory(),
+                configuration.memoryBytes(),
                 configuration.connectTimeout(),
                 settings.connectionIdleTimeoutSeconds(),
                 operator,
@@ -130,19 +130,19 @@
         discovery = new EndpointWatcher(
                 transport,
                 configuration.discovery(),
-                configuration.known().version(),
+                configuration.knownEndpoints().version(),
                 decide.nextWatchTimeoutSeconds(),
                 new Random(configuration.seed()),
                 this);
-        decide.onEndpointList(listings(configuration.known()), true, clock.now());
+        decide.onEndpointList(listings(configuration.knownEndpoints()), true, clock.now());
         if (sharing != null) {
-            sharing.begin(loop, configuration.discovery(), this); // the first command may ask
+            sharing.attach(loop, configuration.discovery(), this); // the first command may ask
         }
         front = new Front(
                 transport,
                 configuration.listen(),
                 descriptors,
-                configuration.memory(),
+                configuration.memoryBytes(),
                 sql == null ? null : () -> sql.session(),
                 clock::now,
                 this);
@@ -180,7 +180,7 @@
 
     /** The position that others know a session's read to need; 0 for none. */
     private double need(RequestClass group, String session, double now) {
-        return sharing == null || group.consistency() != ConsistencyLevel.SESSION ? 0 : sharing.need(session, now);
+        return sharing == null || group.consistency() != ConsistencyLevel.SESSION ? 0 : sharing.requiredPosition(session, now);
     }
 
     private void take(ClientCommand command, double now) {
@@ -318,17 +318,17 @@
     /** What others may need of an outcome: what the node showed of itself, and that a write has run. */
     private void share(Attempt dispatch, AttemptResult reply, List<byte[]> answer, double now) {
         var command = (ClientCommand) dispatch.request;
-        sharing.looked(dispatch.node, reply, now);
+        sharing.recordObservation(dispatch.node, reply, now);
         // Of statements of any kind an answer may be an error of the database, after which nothing has run.
         if (reply.outcome() == AttemptOutcome.ANSWERED
                 && command.requestClass.consistency() == ConsistencyLevel.WRITE
                 && answer.stream().noneMatch(message -> message[0] == ERROR)) {
             if (command.classed == null) {
-                sharing.wrote(
+                sharing.recordSessionWrite(
                         dispatch.request.sessionId, command.replicaSetId, reply.appliedPosition() > 0 ? reply.appliedPosition() : now);
             }
             if (command.requestClass.idempotency() != Idempotency.IDEMPOTENT) {
-                sharing.written(command, dispatch.node, now);
+                sharing.recordWriteOutcome(command, dispatch.node, now);
             }
         }
     }
@@ -339,7 +339,7 @@
                 && command.requestClass.consistency() == ConsistencyLevel.WRITE
                 && command.requestClass.idempotency() != Idempotency.IDEMPOTENT
                 && mayHaveRun(command)) {
-            sharing.written((ClientCommand) command, null, clock.now());
+            sharing.recordWriteOutcome((ClientCommand) command, null, clock.now());
         }
     }
 
@@ -385,7 +385,7 @@
         Log.count("probe " + reply.outcome());
         tell(rest, now -> {
             if (sharing != null) {
-                sharing.looked(node, reply, now);
+                sharing.recordObservation(node, reply, now);
             }
             decide.onHealthCheck(node, reply, now);
         });
@@ -405,14 +405,14 @@
     public void onEndpointList(EndpointList list) {
         if (sharing != null) {
             ownRevision = Math.max(ownRevision, list.version());
-            sharing.listed(discovery.lastAnsweredBy(), list);
+            sharing.recordEndpointList(discovery.lastAnsweredBy(), list);
         }
         tell(lists, now -> decide.onEndpointList(listings(list), list.complete(), now));
     }
 
     /** What this router's own discovery has overtaken counts only where it closes a node. */
     @Override
-    public void told(Collection<EndpointList> changes) {
+    public void onPeerUpdate(Collection<EndpointList> changes) {
         Log.count("list told");
         tell(lists, now -> {
             var news = new ArrayList<Endpoint>();
@@ -428,7 +428,7 @@
 
     /** What others have seen of nodes. */
     @Override
-    public void told(Map<String, PeerObservation> told) {
+    public void onPeerUpdate(Map<String, PeerObservation> told) {
         Log.count("nodes told");
         tell(
                 rest,
@@ -489,7 +489,7 @@
         turn.routedRequests().forEach(order -> guarded(() -> carryOut(order.request(), order.decision())));
         turn.tickResult().healthChecks().forEach(nodes::startHealthCheck);
         if (sharing != null && !turn.tickResult().healthChecks().isEmpty()) {
-            sharing.used(Sharing.Limit.PROBES, turn.tickResult().healthChecks().size());
+            sharing.recordQuotaUse(PeerSharing.SharedQuota.HEALTH_CHECKS, turn.tickResult().healthChecks().size());
         }
         if (turn.tickResult().pollEndpoints()) {
             discovery.ensureWatching();
@@ -520,7 +520,7 @@
         try {
             step.run();
         } catch (RuntimeException | Error e) {
-            Log.fault("a turn failed", e);
+            Log.error("a turn failed", e);
         }
     }
 
@@ -544,7 +544,7 @@
         if (choice.action() == RoutingAction.SEND) {
             nodes.send(choice.attempt(), order.outgoing);
             if (sharing != null && order.attempts.size() > 1) {
-                sharing.used(Sharing.Limit.REPEATS, 1);
+                sharing.recordQuotaUse(PeerSharing.SharedQuota.FURTHER_ATTEMPTS, 1);
             }
             return;
         }
@@ -569,27 +569,27 @@
     }
 
     /** Follows discovery and the operator's rules; what else differs from the start is only told. */
-    void reload(Configuration fresh, Operator said) {
-        String kept = started.unlike(fresh);
+    void reload(RouterConfiguration fresh, OperatorConfiguration said) {
+        String kept = started.restartOnlyDifferences(fresh);
         boolean same = (said.statements() == null) == (sql == null)
                 && said.user().equals(operator.user())
                 && said.database().equals(operator.database())
                 && (sql == null
-                        || said.statements().longestAnswer()
-                                == operator.statements().longestAnswer());
+                        || said.statements().maxAnswerBytes()
+                                == operator.statements().maxAnswerBytes());
         kept += same ? "" : (kept.isEmpty() ? "" : ", ") + "statements.enabled, statements.answer_bytes or nodes";
         if (sql != null && said.statements() != null) {
             sql = new SqlCommands(said.statements(), settings.requestClasses(), started.seed());
         }
         boolean shares = (said.sharing() == null) == (sharing == null)
-                && (sharing == null || !said.sharing().unlike(operator.sharing()));
+                && (sharing == null || !said.sharing().differsBeyondSeeds(operator.sharing()));
         kept += shares ? "" : (kept.isEmpty() ? "" : ", ") + "sharing but its seeds";
         Log.info("reload: discovery at " + fresh.discovery()
                 + (kept.isEmpty() ? "" : "; a restart is needed for " + kept));
         discovery.moveTo(fresh.discovery());
         if (sharing != null) {
             ownRevision = -1;
-            sharing.moved(fresh.discovery());
+            sharing.discoveryMoved(fresh.discovery());
             if (said.sharing() != null) {
                 sharing.reload(said.sharing());
             }
--- a/daemon/src/main/java/clayhook/serve/Server.java
+++ b/daemon/src/main/java/clayhook/serve/Server.java
@@ -1,8 +1,8 @@
 package clayhook.serve;
 
 import clayhook.RequestClass;
-import clayhook.config.Configuration;
-import clayhook.config.Operator;
+import clayhook.config.RouterConfiguration;
+import clayhook.config.OperatorConfiguration;
 import clayhook.log.Log;
 import clayhook.peers.Peers;
 import clayhook.transport.Transport;
@@ -13,23 +13,23 @@
 
 /** One router from its start to its end. */
 public final class Server {
-    private static final long LOOK_MS = 20;
+    private static final long POLL_INTERVAL_MS = 20;
 
     private final Transport transport;
     private final Router router;
     /** Null where nothing is shared with other routers. */
-    private final Sharing sharing;
+    private final PeerSharing sharing;
 
-    private final GracePeriod grace;
+    private final ShutdownSchedule shutdownSchedule;
     private boolean closed;
 
     /** Without a file of the operator's. */
-    public Server(Transport transport, Configuration configuration) throws InterruptedException {
-        this(transport, configuration, Operator.OFF, null);
+    public Server(Transport transport, RouterConfiguration configuration) throws InterruptedException {
+        this(transport, configuration, OperatorConfiguration.DEFAULTS, null);
     }
 
     /** Throws IOException naming the address where others cannot be heard at it. */
-    public Server(Transport transport, Configuration configuration, Operator operator)
+    public Server(Transport transport, RouterConfiguration configuration, OperatorConfiguration operator)
             throws IOException, InterruptedException {
         this(
                 transport,
@@ -38,7 +38,7 @@
                 operator.sharing() == null ? null : Peers.open(operator.sharing(), configuration));
     }
 
-    private Server(Transport transport, Configuration configuration, Operator operator, Sharing sharing)
+    private Server(Transport transport, RouterConfiguration configuration, OperatorConfiguration operator, PeerSharing sharing)
             throws InterruptedException {
         this.transport = transport;
         this.sharing = sharing;
@@ -46,7 +46,7 @@
         List<RequestClass> groups = configuration.settings().requestClasses();
         double longest =
                 groups.stream().mapToDouble(RequestClass::clientTimeoutSeconds).max().orElse(Double.POSITIVE_INFINITY);
-        grace = GracePeriod.of(longest);
+        shutdownSchedule = ShutdownSchedule.of(longest);
     }
 
     public InetSocketAddress address() {
@@ -54,22 +54,22 @@
     }
 
     /** Takes over what can be changed while it serves. */
-    public synchronized void reload(Configuration fresh, Operator operator) {
+    public synchronized void reload(RouterConfiguration fresh, OperatorConfiguration operator) {
         if (!closed) {
             transport.loop().execute(() -> router.reload(fresh, operator));
         }
     }
 
     /** Serves on while the platform waits, answers what it has taken, then closes; returns when all is over. */
-    public void end() throws Exception {
-        Log.info("ending: takes commands for " + Math.round(grace.takesUntil() * 1000) + " ms");
+    public void shutDown() throws Exception {
+        Log.info("ending: takes commands for " + Math.round(shutdownSchedule.acceptUntil() * 1000) + " ms");
         long start = System.nanoTime();
-        Thread.sleep(Math.round(GracePeriod.STILL_OPEN * 1000));
-        await(start, grace.takesUntil());
+        Thread.sleep(Math.round(ShutdownSchedule.MIN_ACCEPT_SECONDS * 1000));
+        awaitNoClients(start, shutdownSchedule.acceptUntil());
         transport.loop().submit(router::end).get();
-        await(start, grace.givesUpAt());
+        awaitNoClients(start, shutdownSchedule.failPendingAt());
         transport.loop().submit(router::giveUp).get();
-        await(start, grace.leavesAt());
+        awaitNoClients(start, shutdownSchedule.exitAt());
         if (sharing != null) {
             sharing.leave();
         }
@@ -78,11 +78,11 @@
     }
 
     /** Waits so many seconds from the start, or until no client is left. */
-    private void await(long start, double seconds) throws Exception {
+    private void awaitNoClients(long start, double seconds) throws Exception {
         Callable<Boolean> ended = router::ended;
         while ((System.nanoTime() - start) / 1e9 < seconds
                 && !transport.loop().submit(ended).get()) {
-            Thread.sleep(LOOK_MS);
+            Thread.sleep(POLL_INTERVAL_MS);
         }
     }
 
--- a/daemon/src/main/java/clayhook/serve/Lifecycle.java
+++ b/daemon/src/main/java/clayhook/serve/ServerLifecycle.java
@@ -3,29 +3,29 @@
 import java.util.concurrent.Callable;
 
 /** Sees to it that a request to end finds no server, or a whole one: what a listener has accepted is owed an answer. */
-public final class Lifecycle {
+public final class ServerLifecycle {
     /** Null before it serves. */
     private Server server;
 
-    private boolean ended;
+    private boolean shutdownRequested;
 
     /** The server once it listens; null where the request to end came first, and none was started. */
     public synchronized Server start(Callable<Server> starting) throws Exception {
-        if (!ended) {
+        if (!shutdownRequested) {
             server = starting.call();
         }
         return server;
     }
 
     /** Returns when all is over; waits for a start that has begun. */
-    public void end() throws Exception {
+    public void shutDown() throws Exception {
         Server begun;
         synchronized (this) {
-            ended = true;
+            shutdownRequested = true;
             begun = server;
         }
         if (begun != null) {
-            begun.end();
+            begun.shutDown();
         }
     }
 }
--- a/daemon/src/main/java/clayhook/sim/SimulatorSettings.java
+++ b/daemon/src/main/java/clayhook/sim/SimulatorSettings.java
@@ -1,7 +1,7 @@
 package clayhook.sim;
 
 import clayhook.RoutingSettings;
-import clayhook.config.BadConfig;
+import clayhook.config.ConfigurationException;
 import clayhook.config.SettingsReader;
 import java.util.HashMap;
 import java.util.Map;
@@ -24,9 +24,9 @@
         }
         try {
             var reader = new SettingsReader(values);
-            settings = reader.settings();
-            originNanos = reader.origin();
-        } catch (BadConfig e) {
+            settings = reader.readSettings();
+            originNanos = reader.originTimeNanos();
+        } catch (ConfigurationException e) {
             throw line.error("has a bad setting, " + e.getMessage());
         }
     }
--- a/daemon/src/main/java/clayhook/sql/SqlCommands.java
+++ b/daemon/src/main/java/clayhook/sql/SqlCommands.java
@@ -3,7 +3,7 @@
 import clayhook.RequestClass;
 import clayhook.RequestClass.Idempotency;
 import clayhook.RequestClass.ConsistencyLevel;
-import clayhook.config.Operator;
+import clayhook.config.OperatorConfiguration;
 import clayhook.protocol.Comment;
 import clayhook.protocol.SqlStatement;
 import clayhook.statements.Classed;
@@ -17,7 +17,7 @@
 
 /** Makes commands of statements. The decision module is told no more than of the platform's own statements. */
 public final class SqlCommands {
-    private final Operator.Statements operator;
+    private final OperatorConfiguration.StatementSettings operator;
     private final Classifier classifier;
     private final Map<String, RequestClass> groups = new HashMap<>();
 
@@ -38,7 +38,7 @@
     }
 
     /** {@code seed}: the instance's own. */
-    public SqlCommands(Operator.Statements operator, List<RequestClass> groups, long seed) {
+    public SqlCommands(OperatorConfiguration.StatementSettings operator, List<RequestClass> groups, long seed) {
         this.operator = operator;
         classifier = new Classifier(operator.rules(), seed);
         groups.forEach(group -> this.groups.put(group.name(), group));
--- a/daemon/src/main/java/clayhook/transport/Transport.java
+++ b/daemon/src/main/java/clayhook/transport/Transport.java
@@ -1,6 +1,6 @@
 package clayhook.transport;
 
-import clayhook.log.LibraryLines;
+import clayhook.log.NettyLogHandler;
 import clayhook.log.Log;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
@@ -61,7 +61,7 @@
     private static final AtomicInteger TRANSPORTS = new AtomicInteger();
 
     static {
-        LibraryLines.install();
+        NettyLogHandler.install();
     }
 
     private final Kind kind;
--- a/daemon/src/test/java/clayhook/config/OperatorFileTest.java
+++ b/daemon/src/test/java/clayhook/config/OperatorConfigurationReaderTest.java
@@ -18,35 +18,35 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class OperatorFileTest {
-    private static final List<RequestClass> GROUPS = List.of(
-            group("read", Idempotency.IDEMPOTENT, ConsistencyLevel.EVENTUAL),
-            group("write", Idempotency.NON_IDEMPOTENT, ConsistencyLevel.WRITE),
-            group("keyed", Idempotency.IDEMPOTENT_WITH_KEY, ConsistencyLevel.WRITE),
-            group("again", Idempotency.IDEMPOTENT, ConsistencyLevel.WRITE));
+class OperatorConfigurationReaderTest {
+    private static final List<RequestClass> REQUEST_CLASSES = List.of(
+            requestClass("read", Idempotency.IDEMPOTENT, ConsistencyLevel.EVENTUAL),
+            requestClass("write", Idempotency.NON_IDEMPOTENT, ConsistencyLevel.WRITE),
+            requestClass("keyed", Idempotency.IDEMPOTENT_WITH_KEY, ConsistencyLevel.WRITE),
+            requestClass("again", Idempotency.IDEMPOTENT, ConsistencyLevel.WRITE));
     private static final String RULE = "[statements]\\nenabled = true\\n[[statements.rule]]\\nclass = \"write\"\\n";
 
     @TempDir
     Path folder;
 
-    private static RequestClass group(String name, Idempotency effect, ConsistencyLevel level) {
+    private static RequestClass requestClass(String name, Idempotency effect, ConsistencyLevel level) {
         return new RequestClass(name, effect, level, 1, 1, 1, 0, DeduplicationScope.REPLICA_SET, 1, 0);
     }
 
-    private Operator read(String text) throws Exception {
+    private OperatorConfiguration read(String text) throws Exception {
         Path file = folder.resolve("c.toml");
         Files.writeString(file, text.replace("\\n", "\n"));
-        return OperatorFile.read(file, GROUPS);
+        return OperatorConfigurationReader.read(file, REQUEST_CLASSES);
     }
 
     @Test
-    void theExampleHoldsEveryKeyWithItsDefault() throws Exception {
+    void theExampleFileHoldsEveryKeyWithItsDefault() throws Exception {
         Path example = Path.of("..", "deploy", "clayhook.toml");
-        assertEquals(Operator.OFF, OperatorFile.read(example, GROUPS));
-        Operator on = read(Files.readString(example).replace("enabled = false", "enabled = true"));
+        assertEquals(OperatorConfiguration.DEFAULTS, OperatorConfigurationReader.read(example, REQUEST_CLASSES));
+        OperatorConfiguration on = read(Files.readString(example).replace("enabled = false", "enabled = true"));
         assertEquals(StatementRules.DEFAULT, on.statements().rules());
         assertEquals(
-                SharingSettings.LISTEN,
+                SharingSettings.DEFAULT_LISTEN,
                 on.sharing().listen().getHostString() + ":"
                         + on.sharing().listen().getPort());
         // Uncommented, its rule is understood key by key; nothing else may be missing from the example.
@@ -56,14 +56,14 @@
                 .replace("group = \"report\"", "group = \"read\"");
         assertEquals(
                 1,
-                OperatorFile.statements(Files.writeString(folder.resolve("r.toml"), rule))
+                OperatorConfigurationReader.readStatements(Files.writeString(folder.resolve("r.toml"), rule))
                         .rules()
                         .rules()
                         .size());
     }
 
     @Test
-    void whatIsOffIsCheckedButNeedsNoCommandGroups() throws Exception {
+    void disabledTablesAreValidatedButNeedNoRequestClasses() throws Exception {
         assertNull(read("[statements]\\nread_group = \"elsewhere\"").statements());
         assertNotNull(read(RULE + "mark = \"id\"\\ngroup = \"keyed\"")
                 .statements()
@@ -106,8 +106,8 @@
                 RULE + "group = \"write\"\\nnodes = [-1]|:6: statements.rule.nodes: is no list of whole numbers",
                 RULE + "group = \"write\"\\ncost_from = 2\\ncost_to = 1|:7: statements.rule.cost_to: 1 is not from 2"
             })
-    void aFaultNamesFileLineAndKey(String text, String fault) {
-        BadConfig told = assertThrows(BadConfig.class, () -> read(text));
+    void anErrorNamesFileLineAndKey(String text, String fault) {
+        ConfigurationException told = assertThrows(ConfigurationException.class, () -> read(text));
         assertEquals(
                 folder.resolve("c.toml") + fault,
                 told.getMessage()
--- a/daemon/src/test/java/clayhook/config/ConfigurationTest.java
+++ b/daemon/src/test/java/clayhook/config/RouterConfigurationTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class ConfigurationTest {
+class RouterConfigurationTest {
     private static final String TEXT =
             """
             {"name":"n3", "listen":"127.0.0.4:6543", "seed":"8c1f30d27a5be964", "limits":{"memory_mb":192,"sockets":1024},
@@ -28,13 +28,13 @@
             {"name":"post","effect":"deduplicated","group":"cell","aim":600000000,"hard_limit":5000000000,
             "repeat_window":5000000000,"late_worth":0.5}]}}""";
 
-    private static Configuration read(String text) throws BadConfig {
-        return Configuration.of(Json.parse(text), Map.of("LB_DISCOVERY", "127.0.0.1:8500"));
+    private static RouterConfiguration read(String text) throws ConfigurationException {
+        return RouterConfiguration.fromJson(Json.parse(text), Map.of("LB_DISCOVERY", "127.0.0.1:8500"));
     }
 
     @Test
-    void settingsHaveTheNamesAndUnitsOfTheWire() throws BadConfig {
-        Configuration read = read(TEXT);
+    void settingsAreReadWithTheirDocumentedKeysAndUnits() throws ConfigurationException {
+        RouterConfiguration read = read(TEXT);
         assertEquals(
                 List.of(
                         new RequestClass(
@@ -46,27 +46,27 @@
                 List.of(8500, 1024, 0.25, 18.0, true),
                 List.of(
                         read.discovery().getPort(),
-                        read.sockets(),
+                        read.maxDescriptors(),
                         read.connectTimeout(),
                         read.settings().slowStartSeconds(),
                         read.settings().replicasRejectStaleReads()));
     }
 
     @Test
-    void twoThousandNodesAndAsManyRoutersAreTaken() throws BadConfig {
+    void twoThousandNodesAndRoutersAreAccepted() throws ConfigurationException {
         String node =
                 ",{\"uid\":\"s\",\"endpoint\":\"127.1.0.1:6543\",\"az\":\"a\",\"pod_group\":1,\"state\":\"up\",\"boot_ms\":0}";
-        Configuration read = read(TEXT.replace(
+        RouterConfiguration read = read(TEXT.replace(
                         "\"targets\":[]", "\"targets\":[" + node.repeat(2000).substring(1) + "]")
                 .replace("\"balancers\":3", "\"balancers\":2000"));
         assertEquals(
                 List.of(2000, 2000),
-                List.of(read.known().endpoints().size(), read.settings().routerCount()));
+                List.of(read.knownEndpoints().endpoints().size(), read.settings().routerCount()));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"subscribe", "automatic"})
-    void onSocketsTheListIsAskedForAlways(String discovery) throws BadConfig {
+    void theEndpointListIsAlwaysPolledOnSockets(String discovery) throws ConfigurationException {
         assertEquals(true, read(TEXT.replace("subscribe", discovery)).settings().endpointListMustBePolled());
     }
 
@@ -87,9 +87,9 @@
                 "\"grades\" | \"gradez\" | settings.grades",
                 "\"settings\" | \"setting\" | settings"
             })
-    void theFaultyKeyIsNamed(String part, String by, String key) {
+    void theMessageNamesTheInvalidKey(String part, String by, String key) {
         assertTrue(TEXT.contains(part));
-        BadConfig bad = assertThrows(BadConfig.class, () -> read(TEXT.replace(part, by)));
+        ConfigurationException bad = assertThrows(ConfigurationException.class, () -> read(TEXT.replace(part, by)));
         assertTrue(bad.getMessage().startsWith(key + ":"), bad.getMessage());
     }
 
@@ -105,27 +105,27 @@
                 "\"rev\":41 | \"rev\":42 | ''",
                 "8c1f30d27a5be964 | 1 | ''"
             })
-    void whatNeedsARestartIsNamed(String part, String by, String keys) throws BadConfig {
+    void changesThatNeedARestartAreNamed(String part, String by, String keys) throws ConfigurationException {
         assertTrue(TEXT.contains(part));
-        assertEquals(keys, read(TEXT).unlike(read(TEXT.replace(part, by))));
+        assertEquals(keys, read(TEXT).restartOnlyDifferences(read(TEXT.replace(part, by))));
     }
 
     @ParameterizedTest
     @CsvSource({"41, true", "0, false"})
-    void aRouterThatComesBackIsAwaited(String version, boolean awaited) throws BadConfig {
+    void aKnownEndpointListVersionMarksARestart(String version, boolean awaited) throws ConfigurationException {
         assertEquals(
-                awaited, read(TEXT.replace("\"rev\":41", "\"rev\":" + version)).awaited());
+                awaited, read(TEXT.replace("\"rev\":41", "\"rev\":" + version)).hasServedBefore());
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "/nowhere/config.json"})
-    void aMissingFileIsNamed(String file) {
-        BadConfig bad = assertThrows(BadConfig.class, () -> Configuration.read(Map.of("LB_CONFIG", file)));
+    void aMissingFileIsReported(String file) {
+        ConfigurationException bad = assertThrows(ConfigurationException.class, () -> RouterConfiguration.fromEnvironment(Map.of("LB_CONFIG", file)));
         assertTrue(bad.getMessage().startsWith("LB_CONFIG:"), bad.getMessage());
     }
 
     @Test
-    void everyKindOfJsonIsRead() {
+    void everyJsonValueTypeIsParsed() {
         assertEquals(
                 Map.of("a", Arrays.asList(1.0, -2.5e3, true, false, null, "x\"\u00e9\n"), "b", Map.of()),
                 Json.parse(" {\"a\" : [1, -2.5e3, true,false,null, \"x\\\"\\u00e9\\n\"],\"b\":{}} "));
@@ -149,12 +149,12 @@
                 "\"a\nb\"",
                 "[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[["
             })
-    void malformedJsonIsRefused(String text) {
+    void malformedJsonIsRejected(String text) {
         assertThrows(IllegalArgumentException.class, () -> Json.parse(text));
     }
 
     @Test
-    void aLoadReportMayUseEitherName() {
+    void aLoadReportMayUseEitherFieldName() {
         assertEquals(new LoadReport(Role.PRIMARY, 12.5, 7), LoadReport.parse("x0=2.5,x1=1,rif=7,busy=0.5", '=', 10));
         assertEquals(new LoadReport(Role.REPLICA, 2.5, 9), LoadReport.parse("x0:2.5,x1:0,inflight:9", ':', 0));
         assertThrows(IllegalArgumentException.class, () -> LoadReport.parse("x0=NaN", '=', 0));
--- a/daemon/src/test/java/clayhook/nodes/BackendClientTest.java
+++ b/daemon/src/test/java/clayhook/nodes/BackendClientTest.java
@@ -9,7 +9,7 @@
 import clayhook.AttemptOutcome;
 import clayhook.AttemptResult;
 import clayhook.Role;
-import clayhook.config.Operator;
+import clayhook.config.OperatorConfiguration;
 import clayhook.protocol.Statement;
 import clayhook.rehearsal.StubNode;
 import clayhook.rehearsal.StubNode.StubResponse;
@@ -74,7 +74,7 @@
 
     private BackendClient newClient(double connectTimeout, double idle) {
         return new BackendClient(
-                transport, clock, new Descriptors(descriptorLimit), 1 << 24, connectTimeout, idle, Operator.OFF, this);
+                transport, clock, new Descriptors(descriptorLimit), 1 << 24, connectTimeout, idle, OperatorConfiguration.DEFAULTS, this);
     }
 
     private Node stubNode(BackendClient nodes, String role, StubResponse first, StubResponse then) throws Exception {
--- a/daemon/src/test/java/clayhook/nodes/ConnectionRaceTest.java
+++ b/daemon/src/test/java/clayhook/nodes/ConnectionRaceTest.java
@@ -11,7 +11,7 @@
 import clayhook.Node;
 import clayhook.AttemptOutcome;
 import clayhook.AttemptResult;
-import clayhook.config.Operator;
+import clayhook.config.OperatorConfiguration;
 import clayhook.protocol.Outgoing;
 import clayhook.transport.Clock;
 import clayhook.transport.Descriptors;
@@ -83,7 +83,7 @@
     }
 
     private BackendClient newClient(double connectTimeout, double idle) {
-        return new BackendClient(transport, clock, new Descriptors(1024), 1 << 24, connectTimeout, idle, Operator.OFF, this);
+        return new BackendClient(transport, clock, new Descriptors(1024), 1 << 24, connectTimeout, idle, OperatorConfiguration.DEFAULTS, this);
     }
 
     private <T> T onLoop(Callable<T> step) throws Exception {
--- a/daemon/src/test/java/clayhook/peers/PeersTest.java
+++ b/daemon/src/test/java/clayhook/peers/PeersTest.java
@@ -10,11 +10,11 @@
 import clayhook.Role;
 import clayhook.RoutingSettings;
 import clayhook.PeerObservation;
-import clayhook.config.Configuration;
+import clayhook.config.RouterConfiguration;
 import clayhook.config.SharingSettings;
 import clayhook.discovery.EndpointList;
 import clayhook.fleet.state.StateSettings;
-import clayhook.serve.Sharing;
+import clayhook.serve.PeerSharing;
 import java.io.IOException;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
@@ -44,13 +44,13 @@
 
     private static final InetSocketAddress DISCOVERY = new InetSocketAddress("127.0.0.1", 1);
     private static final AttemptResult ANSWER = new AttemptResult(AttemptOutcome.ANSWERED, 0.001, Role.PRIMARY, 1e9, Role.UNKNOWN, 0, 3);
-    private final List<Sharing> open = new ArrayList<>();
+    private final List<PeerSharing> open = new ArrayList<>();
     private final Map<String, PeerObservation> told = new ConcurrentHashMap<>();
     private final Map<String, EndpointList.DiscoveredEndpoint> listed = new ConcurrentHashMap<>();
 
     @AfterEach
     void close() {
-        open.forEach(Sharing::close);
+        open.forEach(PeerSharing::close);
     }
 
     private static double now() {
@@ -79,7 +79,7 @@
         StateSettings usual = StateSettings.DEFAULT;
         var peers = Peers.open(
                 settings(port, Arrays.stream(seeds).mapToObj(PeersTest::at).toList()),
-                new Configuration(
+                new RouterConfiguration(
                         name, at(0), DISCOVERY, 1, 1 << 24, 100, new EndpointList(0, true, List.of()), settings, 1),
                 new StateSettings(
                         usual.round(),
@@ -102,20 +102,20 @@
                         usual.stood(),
                         usual.sweep()));
         open.add(peers);
-        assertEquals(999.5, peers.need("s", 1000), "a command may come before it begins");
-        peers.begin(Runnable::run, DISCOVERY, new Sharing.Listener() {
+        assertEquals(999.5, peers.requiredPosition("s", 1000), "a command may come before it begins");
+        peers.attach(Runnable::run, DISCOVERY, new PeerSharing.PeerListener() {
             @Override
-            public void told(Map<String, PeerObservation> nodes) {
+            public void onPeerUpdate(Map<String, PeerObservation> nodes) {
                 nodes.forEach((node, word) -> told.put(name + " " + node, word));
             }
 
             @Override
-            public void told(Collection<EndpointList> changes) {
+            public void onPeerUpdate(Collection<EndpointList> changes) {
                 changes.forEach(
                         change -> change.endpoints().forEach(entry -> listed.put(name + " " + entry.id(), entry)));
             }
         });
-        assertTrue(peers.need("s", now()) > now() - 1, "nothing is known before it starts");
+        assertTrue(peers.requiredPosition("s", now()) > now() - 1, "nothing is known before it starts");
         peers.start();
         return peers;
     }
@@ -128,8 +128,8 @@
 
     private static void knowsWhatIsToldTo(Peers first, Peers second) throws InterruptedException {
         double position = now() - 10;
-        first.wrote("s", 1, position);
-        await(() -> second.need("s", now()) == position);
+        first.recordSessionWrite("s", 1, position);
+        await(() -> second.requiredPosition("s", now()) == position);
     }
 
     @ParameterizedTest
@@ -141,18 +141,18 @@
         for (int i = 1; i < routers; i++) {
             others.add(start("r" + i, 0, seed));
         }
-        first.listed(DISCOVERY, list());
+        first.recordEndpointList(DISCOVERY, list());
         double position = now() - 10;
-        first.wrote("s", 1, position);
+        first.recordSessionWrite("s", 1, position);
         for (int i = 1; i < routers; i++) {
             Peers other = others.get(i - 1);
             String node = "r" + i + " n";
-            await(() -> other.need("s", now()) == position
-                    && other.need("t", now()) < position
+            await(() -> other.requiredPosition("s", now()) == position
+                    && other.requiredPosition("t", now()) < position
                     && listed.containsKey(node));
-            other.listed(DISCOVERY, list());
+            other.recordEndpointList(DISCOVERY, list());
             await(() -> {
-                first.looked(new Node("n", "a", 1), ANSWER, now());
+                first.recordObservation(new Node("n", "a", 1), ANSWER, now());
                 return told.containsKey(node);
             });
             assertEquals(
@@ -162,7 +162,7 @@
         // Killed, and back at once with nothing, at the same place, though nobody there was told that.
         others.get(0).close();
         Peers back = start("r1", others.get(0).address().port(), seed);
-        await(() -> back.need("s", now()) == position);
+        await(() -> back.requiredPosition("s", now()) == position);
         others.get(0).leave();
         back.leave();
     }
--- a/daemon/src/test/java/clayhook/peers/RecordedDatagramsTest.java
+++ b/daemon/src/test/java/clayhook/peers/RecordedDatagramsTest.java
@@ -24,7 +24,7 @@
 import clayhook.fleet.members.Members;
 import clayhook.fleet.state.State;
 import clayhook.fleet.state.StateSettings;
-import clayhook.serve.Sharing;
+import clayhook.serve.PeerSharing;
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
@@ -87,7 +87,7 @@
     }
 
     /** One router's end: what {@link Peers} builds, without its socket, thread and clock. */
-    private final class Router implements Sharing.Listener, Machine {
+    private final class Router implements PeerSharing.PeerListener, Machine {
         private final Peer self;
         private final Members members;
         private final State state;
@@ -126,12 +126,12 @@
         }
 
         @Override
-        public void told(Map<String, PeerObservation> nodes) {
+        public void onPeerUpdate(Map<String, PeerObservation> nodes) {
             told.putAll(nodes);
         }
 
         @Override
-        public void told(Collection<EndpointList> changes) {
+        public void onPeerUpdate(Collection<EndpointList> changes) {
             changes.forEach(change -> change.endpoints().forEach(entry -> listed.put(entry.id(), entry)));
         }
 
@@ -191,11 +191,11 @@
         sender.exchange.take(new News.Wrote("session", 1, POSITION), now);
         sender.exchange.take(written("in doubt", false, now), now);
         sender.exchange.take(written("resolved", false, now), now);
-        sender.exchange.take(new News.Used(Sharing.Limit.REPEATS, 2), now);
-        sender.exchange.take(new News.Used(Sharing.Limit.PROBES, 3.5), now);
+        sender.exchange.take(new News.Used(PeerSharing.SharedQuota.FURTHER_ATTEMPTS, 2), now);
+        sender.exchange.take(new News.Used(PeerSharing.SharedQuota.HEALTH_CHECKS, 3.5), now);
         playUntil(2, sender, receiver);
         assertEquals(1, receiver.told.get("n2").failedRouterCount());
-        double granted = receiver.exchange.left(Sharing.Limit.REPEATS);
+        double granted = receiver.exchange.left(PeerSharing.SharedQuota.FURTHER_ATTEMPTS);
 
         sender.exchange.take(new News.Listed(DISCOVERY, list(8, false, "up", "draining")), now);
         sender.exchange.take(new News.Looked(REPLICA, answer(Role.REPLICA, now - 1, 0), now), now);
--- a/daemon/src/test/java/clayhook/rehearsal/WarmUpTest.java
+++ b/daemon/src/test/java/clayhook/rehearsal/WarmUpTest.java
@@ -6,7 +6,7 @@
 
 import clayhook.RequestClass;
 import clayhook.RoutingSettings;
-import clayhook.config.Configuration;
+import clayhook.config.RouterConfiguration;
 import clayhook.discovery.EndpointList;
 import clayhook.serve.Server;
 import clayhook.transport.Transport;
@@ -128,7 +128,7 @@
                 + "\",\"az\":\"a\",\"pod_group\":1,\"state\":\"up\",\"role\":\"primary\",\"boot_ms\":0}]}";
         var server = new Server(
                 transport,
-                new Configuration(
+                new RouterConfiguration(
                         "test",
                         transport.spare(3),
                         discovery.address(),
--- a/daemon/src/test/java/clayhook/serve/ClientGoneTest.java
+++ b/daemon/src/test/java/clayhook/serve/ClientDisconnectTest.java
@@ -7,7 +7,7 @@
 import clayhook.RequestClass.ConsistencyLevel;
 import clayhook.RequestClass.DeduplicationScope;
 import clayhook.RoutingSettings;
-import clayhook.config.Configuration;
+import clayhook.config.RouterConfiguration;
 import clayhook.discovery.EndpointList;
 import clayhook.front.RawClient;
 import clayhook.protocol.Encoder;
@@ -38,12 +38,12 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** No attempt begins for a client that has closed or cancelled: the whole router on loopback, between stand-ins. */
-class ClientGoneTest {
+class ClientDisconnectTest {
     private final Transport transport = Transport.tcp();
-    private final Transport own = Transport.tcp();
+    private final Transport routerTransport = Transport.tcp();
     private final LinkedBlockingQueue<Statement> sent = new LinkedBlockingQueue<>();
     private Server server;
-    private SlowNode slow;
+    private SlowNode slowNode;
 
     /**
      * A node whose connections come up when they are let; it answers statement 1 with an error when let, others at
@@ -52,15 +52,15 @@
     private final class SlowNode implements Runnable {
         private final ServerSocket listening = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         private final Semaphore connected = new Semaphore(0);
-        private final CountDownLatch up = new CountDownLatch(1);
+        private final CountDownLatch mayConnect = new CountDownLatch(1);
         private final Semaphore errors = new Semaphore(0);
         private final Semaphore failed = new Semaphore(0);
 
         private SlowNode() throws IOException {
-            begin(this);
+            startDaemon(this);
         }
 
-        private static void begin(Runnable step) {
+        private static void startDaemon(Runnable step) {
             var thread = new Thread(step);
             thread.setDaemon(true);
             thread.start();
@@ -71,7 +71,7 @@
             try {
                 while (true) {
                     Socket socket = listening.accept();
-                    begin(() -> serve(socket));
+                    startDaemon(() -> serve(socket));
                 }
             } catch (IOException e) {
                 // closed
@@ -83,7 +83,7 @@
                 var in = new DataInputStream(socket.getInputStream());
                 in.skipNBytes(in.readInt() - 4);
                 connected.release();
-                up.await();
+                mayConnect.await();
                 write(socket, Encoder.welcome(0, Map.of()));
                 while (in.readByte() == 'Q') {
                     byte[] text = in.readNBytes(in.readInt() - 4);
@@ -139,8 +139,8 @@
                 1,
                 15);
         server = new Server(
-                own,
-                new Configuration(
+                routerTransport,
+                new RouterConfiguration(
                         "test",
                         transport.spare(0),
                         discovery.address(),
@@ -161,8 +161,8 @@
     }
 
     private void startSlow() throws Exception {
-        slow = new SlowNode();
-        start((InetSocketAddress) slow.listening.getLocalSocketAddress());
+        slowNode = new SlowNode();
+        start((InetSocketAddress) slowNode.listening.getLocalSocketAddress());
     }
 
     private RawClient client() throws IOException {
@@ -182,7 +182,7 @@
     }
 
     /** Ends a client's sending, by which it has gone, and waits until the router has seen that. */
-    private static void leave(RawClient client) throws IOException {
+    private static void disconnect(RawClient client) throws IOException {
         if (!client.socket.isOutputShutdown()) {
             client.socket.shutdownOutput();
         }
@@ -191,10 +191,10 @@
     }
 
     /** The router stands still while this is done. */
-    private void meanwhile(Callable<?> step) throws Exception {
+    private void whileLoopIsBlocked(Callable<?> step) throws Exception {
         var standing = new CountDownLatch(1);
         var done = new CountDownLatch(1);
-        own.loop().submit(() -> {
+        routerTransport.loop().submit(() -> {
             standing.countDown();
             done.await();
             return null;
@@ -211,22 +211,22 @@
     void close() throws IOException {
         server.close();
         transport.close();
-        if (slow != null) {
-            slow.up.countDown();
-            slow.listening.close();
+        if (slowNode != null) {
+            slowNode.mayConnect.countDown();
+            slowNode.listening.close();
         }
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 30})
-    void aCloseThatIsReadWithItsCommandsIsHeardBeforeTheseGoOn(int commands) throws Exception {
+    void aCloseReadTogetherWithRequestsIsHandledBeforeTheyAreSent(int commands) throws Exception {
         start(any -> StubResponse.answer("v"));
         RawClient other = client().hello(read(1));
         assertEquals("ready", other.next());
         assertEquals("v", other.next());
         RawClient client = client().hello();
         assertEquals("ready", client.next());
-        meanwhile(() -> {
+        whileLoopIsBlocked(() -> {
             for (int i = 0; i < commands; i++) {
                 client.send(read(10 + i));
             }
@@ -240,15 +240,15 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 40})
-    void noneIsBegunForAClientThatLeftWhileItsFirstWaitedForAConnection(int commands) throws Exception {
+    void noAttemptStartsForAClientThatDisconnectedWhileItsFirstWaitedForAConnection(int commands) throws Exception {
         startSlow();
         RawClient client = client().hello();
         for (int i = 0; i < commands; i++) {
             client.send(write(10 + i));
         }
-        slow.connected.acquire();
-        leave(client);
-        slow.up.countDown();
+        slowNode.connected.acquire();
+        disconnect(client);
+        slowNode.mayConnect.countDown();
         RawClient other = client().hello(read(2));
         assertEquals("ready", other.next());
         assertEquals("s", other.next());
@@ -257,26 +257,26 @@
 
     @ParameterizedTest
     @CsvSource({"false, false", "true, false", "true, true"})
-    void noFurtherOneIsBegunForAClientThatLeft(boolean together, boolean errorFirst) throws Exception {
+    void noFurtherAttemptStartsForAClientThatDisconnected(boolean together, boolean errorFirst) throws Exception {
         startSlow();
-        slow.up.countDown();
+        slowNode.mayConnect.countDown();
         RawClient client = client().hello(write(1));
         assertEquals("1", sent.take().id);
         if (together) {
-            meanwhile(() -> {
+            whileLoopIsBlocked(() -> {
                 if (!errorFirst) {
                     client.socket.shutdownOutput();
                 }
-                slow.errors.release(9);
-                slow.failed.acquire();
+                slowNode.errors.release(9);
+                slowNode.failed.acquire();
                 if (errorFirst) {
                     client.socket.shutdownOutput();
                 }
                 return null;
             });
         }
-        leave(client);
-        slow.errors.release(9);
+        disconnect(client);
+        slowNode.errors.release(9);
         RawClient other = client().hello(write(2));
         assertEquals("ready", other.next());
         assertEquals("s", other.next());
@@ -285,7 +285,7 @@
 
     @ParameterizedTest
     @CsvSource({"false, it is not known whether the statement has run", "true, the statement has not run"})
-    void aCancelledCommandGetsOneAnswerThatSaysWhetherItMayHaveRun(boolean waits, String text) throws Exception {
+    void aCancelledRequestGetsOneAnswerThatSaysWhetherItMayHaveRun(boolean waits, String text) throws Exception {
         if (waits) {
             startSlow();
         } else {
@@ -294,7 +294,7 @@
         RawClient client = client().hello(write(1));
         assertEquals("ready", client.next());
         if (waits) {
-            slow.connected.acquire();
+            slowNode.connected.acquire();
         } else {
             assertEquals("1", sent.take().id);
         }
@@ -303,7 +303,7 @@
         assertEquals("57014", client.next());
         assertEquals("cancelled; " + text, client.text);
         if (waits) {
-            slow.up.countDown();
+            slowNode.mayConnect.countDown();
         }
         client.send(write(2), write(3));
         assertEquals("s", client.next());
--- a/daemon/src/test/java/clayhook/serve/ListInTimeTest.java
+++ b/daemon/src/test/java/clayhook/serve/EndpointListDelayTest.java
@@ -8,7 +8,7 @@
 import clayhook.RequestClass.ConsistencyLevel;
 import clayhook.RequestClass.DeduplicationScope;
 import clayhook.RoutingSettings;
-import clayhook.config.Configuration;
+import clayhook.config.RouterConfiguration;
 import clayhook.discovery.EndpointList;
 import clayhook.transport.Transport;
 import java.io.BufferedReader;
@@ -28,14 +28,14 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** A change counts as told six seconds after discovery had it and could be reached, whatever befell the watch. */
-class ListInTimeTest {
+class EndpointListDelayTest {
     /** Seconds; the rest up to six is for a busy machine. */
-    private static final double IN_TIME = 5.5;
+    private static final double MAX_DELAY_SECONDS = 5.5;
     /** Each draws its own waits. */
     private static final int ROUTERS = 6;
 
     /** What befalls the first watch, which is open as the change is made; and calls after it. */
-    private enum Trouble {
+    private enum WatchFault {
         NONE,
         SILENT,
         SILENT_TWICE,
@@ -49,29 +49,29 @@
 
     private final Transport transport = Transport.tcp();
     private final List<Server> servers = new ArrayList<>();
-    private final List<Service> services = new ArrayList<>();
+    private final List<FaultyDiscovery> services = new ArrayList<>();
 
     /** A service whose list changes as the first watch comes in; that falls into trouble, later calls are answered. */
-    private static final class Service {
-        private final Trouble trouble;
+    private static final class FaultyDiscovery {
+        private final WatchFault fault;
         private final int port;
         private final AtomicInteger calls = new AtomicInteger();
-        private final CompletableFuture<Double> age = new CompletableFuture<>();
+        private final CompletableFuture<Double> learnedAfter = new CompletableFuture<>();
         private ServerSocket listening;
-        private volatile double since;
+        private volatile double changedAt;
 
-        Service(Trouble trouble) throws IOException {
-            this.trouble = trouble;
+        FaultyDiscovery(WatchFault trouble) throws IOException {
+            this.fault = trouble;
             listening = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
             port = listening.getLocalPort();
             accept(listening);
         }
 
         private void accept(ServerSocket from) {
-            daemon(() -> {
+            startDaemon(() -> {
                 while (true) {
                     Socket socket = from.accept();
-                    daemon(() -> serve(socket));
+                    startDaemon(() -> serve(socket));
                 }
             });
         }
@@ -82,26 +82,26 @@
                 if (!call.startsWith("GET") || call.contains("after=3")) {
                     continue;
                 }
-                since = since > 0 || call.contains("wait_ms=0") ? since : now();
-                int number = since == 0 ? 0 : calls.incrementAndGet();
+                changedAt = changedAt > 0 || call.contains("wait_ms=0") ? changedAt : now();
+                int number = changedAt == 0 ? 0 : calls.incrementAndGet();
                 if (number == 0) {
                     answer(socket, 2);
-                } else if (number > 1 && number > troubled() || trouble == Trouble.NONE) {
-                    age.complete(now() - since);
+                } else if (number > 1 && number > faultyCalls() || fault == WatchFault.NONE) {
+                    learnedAfter.complete(now() - changedAt);
                     answer(socket, 3);
-                } else if (!befalls(socket)) {
+                } else if (!injectFault(socket)) {
                     return;
                 }
             }
         }
 
-        private int troubled() {
-            return trouble == Trouble.SILENT_TWICE || trouble == Trouble.BUSY_TWICE ? 2 : 1;
+        private int faultyCalls() {
+            return fault == WatchFault.SILENT_TWICE || fault == WatchFault.BUSY_TWICE ? 2 : 1;
         }
 
         /** False where the connection is no more. */
-        private boolean befalls(Socket socket) throws Exception {
-            switch (trouble) {
+        private boolean injectFault(Socket socket) throws Exception {
+            switch (fault) {
                 case BUSY_TWICE -> write(socket, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
                 case HALF_AN_ANSWER -> write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n{\"rev\":3,");
                 case HALF_AND_RESET -> {
@@ -121,7 +121,7 @@
                     listening.close();
                     socket.close();
                     TimeUnit.SECONDS.sleep(2);
-                    since = now(); // from when it can be reached
+                    changedAt = now(); // from when it can be reached
                     listening = new ServerSocket(port, 50, InetAddress.getByName("127.0.0.1"));
                     accept(listening);
                 }
@@ -141,11 +141,11 @@
         }
     }
 
-    private interface Work {
+    private interface ThrowingRunnable {
         void run() throws Exception;
     }
 
-    private static void daemon(Work work) {
+    private static void startDaemon(ThrowingRunnable work) {
         var thread = new Thread(() -> {
             try {
                 work.run();
@@ -161,14 +161,14 @@
         return System.nanoTime() / 1e9;
     }
 
-    private void start(Service service, long seed) throws InterruptedException {
+    private void start(FaultyDiscovery service, long seed) throws InterruptedException {
         var any = new RequestClass("any", Idempotency.IDEMPOTENT, ConsistencyLevel.EVENTUAL, 20, 60, 1, 0, DeduplicationScope.REPLICA_SET, 60, 0);
         var settings = new RoutingSettings(
                 1, "a", List.of(any), true, true, false, true, true, true, true, true, 1, 3, 0.2, 10, 3, 3, 1, 15);
         var known = EndpointList.parse("{\"rev\":2,\"all\":true,\"targets\":[]}");
         servers.add(new Server(
                 Transport.tcp(),
-                new Configuration(
+                new RouterConfiguration(
                         "test",
                         transport.spare(0),
                         new InetSocketAddress("127.0.0.1", service.port),
@@ -182,14 +182,14 @@
 
     @ParameterizedTest
     @EnumSource
-    void aChangeIsHeardOfInTimeWhateverBefellItsWatch(Trouble trouble) throws Exception {
+    void aChangeIsLearnedInTimeWhateverHappensToTheWatch(WatchFault trouble) throws Exception {
         for (int i = 0; i < ROUTERS; i++) {
-            services.add(new Service(trouble));
+            services.add(new FaultyDiscovery(trouble));
             start(services.get(i), i);
         }
-        for (Service service : services) {
-            double age = service.age.get(30, TimeUnit.SECONDS);
-            assertTrue(age < IN_TIME, age + " s");
+        for (FaultyDiscovery service : services) {
+            double age = service.learnedAfter.get(30, TimeUnit.SECONDS);
+            assertTrue(age < MAX_DELAY_SECONDS, age + " s");
         }
     }
 
@@ -197,7 +197,7 @@
     void close() throws IOException {
         servers.forEach(Server::close);
         transport.close();
-        for (Service service : services) {
+        for (FaultyDiscovery service : services) {
             service.listening.close();
         }
     }
--- a/daemon/src/test/java/clayhook/serve/SharingTest.java
+++ b/daemon/src/test/java/clayhook/serve/PeerSharingTest.java
@@ -7,8 +7,8 @@
 import clayhook.RequestClass.ConsistencyLevel;
 import clayhook.RequestClass.DeduplicationScope;
 import clayhook.RoutingSettings;
-import clayhook.config.Configuration;
-import clayhook.config.Operator;
+import clayhook.config.RouterConfiguration;
+import clayhook.config.OperatorConfiguration;
 import clayhook.config.SharingSettings;
 import clayhook.discovery.EndpointList;
 import clayhook.rehearsal.StubClient;
@@ -26,21 +26,21 @@
 import org.junit.jupiter.api.Test;
 
 /** Whole routers on loopback that share what one of them was told. */
-class SharingTest {
+class PeerSharingTest {
     private static final int ROUTERS = 3;
     /** Reads in a row that must not come to a node that drains; without the news every one does. */
     private static final int READS = 20;
     /** Far more than it takes. */
-    private static final double PATIENCE_S = 20;
+    private static final double TIMEOUT_SECONDS = 20;
 
     private final Transport transport = Transport.tcp();
     private final List<Server> servers = new ArrayList<>();
-    private final List<InetSocketAddress> peers = new ArrayList<>();
+    private final List<InetSocketAddress> peerAddresses = new ArrayList<>();
     /** Answers of discovery that told of the drain: one, to one router. */
-    private final AtomicInteger drains = new AtomicInteger();
+    private final AtomicInteger drainAnswers = new AtomicInteger();
 
     private StubDiscovery discovery;
-    private String nodes;
+    private String endpointListJson;
 
     @AfterEach
     void close() {
@@ -77,10 +77,10 @@
                 1,
                 15);
         var sharing = new SharingSettings(
-                peers.get(number),
+                peerAddresses.get(number),
                 null,
                 null,
-                peers,
+                peerAddresses,
                 0.5,
                 60,
                 0.5,
@@ -95,53 +95,53 @@
                 true);
         return new Server(
                 Transport.tcp(),
-                new Configuration(
+                new RouterConfiguration(
                         "r" + number,
                         transport.spare(0),
                         discovery.address(),
                         number + 1,
                         1 << 24,
                         1024,
-                        EndpointList.parse(nodes),
+                        EndpointList.parse(endpointListJson),
                         settings,
                         2),
-                new Operator(null, "clayhook", "core", sharing));
+                new OperatorConfiguration(null, "clayhook", "core", sharing));
     }
 
     @Test
-    void aDrainThatOneRouterWasToldClosesTheNodeAtAllAndAtOneThatWasKilledAndIsBack() throws Exception {
+    void aDrainLearnedByOneRouterStopsTrafficAtAllIncludingOneThatRestarted() throws Exception {
         var primary =
                 new StubNode(transport, transport.spare(0), "primary", any -> StubNode.StubResponse.answer("primary"));
         var replica =
                 new StubNode(transport, transport.spare(0), "replica", any -> StubNode.StubResponse.answer("replica"));
-        nodes = "{\"rev\":2,\"all\":true,\"targets\":[" + entry("primary", "up", primary) + ","
+        endpointListJson = "{\"rev\":2,\"all\":true,\"targets\":[" + entry("primary", "up", primary) + ","
                 + entry("replica", "up", replica) + "]}";
         String drain = "{\"rev\":3,\"all\":false,\"targets\":[" + entry("replica", "draining", replica) + "]}";
         discovery = new StubDiscovery(
                 transport,
                 transport.spare(0),
-                call -> call.contains("after=2&") && drains.getAndIncrement() == 0 ? drain : null);
+                call -> call.contains("after=2&") && drainAnswers.getAndIncrement() == 0 ? drain : null);
         for (int i = 0; i < ROUTERS; i++) {
             try (var free = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
-                peers.add((InetSocketAddress) free.getLocalSocketAddress());
+                peerAddresses.add((InetSocketAddress) free.getLocalSocketAddress());
             }
         }
         for (int i = 0; i < ROUTERS; i++) {
             servers.add(start(i));
         }
         for (Server server : servers) {
-            awaitClosed(server);
+            awaitReplicaUnused(server);
         }
         servers.get(0).close();
         servers.set(0, start(0));
-        awaitClosed(servers.get(0));
+        awaitReplicaUnused(servers.get(0));
     }
 
-    private void awaitClosed(Server server) throws InterruptedException {
+    private void awaitReplicaUnused(Server server) throws InterruptedException {
         var client = new StubClient(transport, server.address());
         client.send(StubClient.startupAndFirst(read()));
         client.nextAnswer();
-        double until = System.nanoTime() / 1e9 + PATIENCE_S;
+        double until = System.nanoTime() / 1e9 + TIMEOUT_SECONDS;
         for (int row = 0; row < READS; row = client.nextAnswer().equals("primary") ? row + 1 : 0) {
             assertTrue(System.nanoTime() / 1e9 < until, "reads go on to a node that drains");
             client.send(read());
--- a/daemon/src/test/java/clayhook/serve/HangupTest.java
+++ b/daemon/src/test/java/clayhook/serve/ReloadSignalTest.java
@@ -6,12 +6,12 @@
 import java.util.concurrent.Semaphore;
 import org.junit.jupiter.api.Test;
 
-class HangupTest {
+class ReloadSignalTest {
     /** Without the handler the runtime ends, and this test with it. */
     @Test
-    void sighupIsHeardAsOftenAsItComes() throws Exception {
+    void everySighupReachesTheHandler() throws Exception {
         var heard = new Semaphore(0);
-        Hangup.handle(heard::release);
+        ReloadSignal.install(heard::release);
         Class<?> signal = Class.forName("sun.misc.Signal");
         for (int i = 0; i < 3; i++) {
             signal.getMethod("raise", signal)
--- a/daemon/src/test/java/clayhook/serve/LifecycleTest.java
+++ b/daemon/src/test/java/clayhook/serve/ServerLifecycleTest.java
@@ -8,7 +8,7 @@
 import clayhook.RequestClass.ConsistencyLevel;
 import clayhook.RequestClass.DeduplicationScope;
 import clayhook.RoutingSettings;
-import clayhook.config.Configuration;
+import clayhook.config.RouterConfiguration;
 import clayhook.discovery.EndpointList;
 import clayhook.rehearsal.StubClient;
 import clayhook.rehearsal.StubDiscovery;
@@ -19,9 +19,9 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-class LifecycleTest {
+class ServerLifecycleTest {
     private final Transport transport = Transport.tcp();
-    private final Lifecycle life = new Lifecycle();
+    private final ServerLifecycle lifecycle = new ServerLifecycle();
 
     @AfterEach
     void close() {
@@ -29,16 +29,16 @@
     }
 
     @Test
-    void noServerIsStartedAfterTheRequestToEnd() throws Exception {
-        life.end();
-        assertNull(life.start(() -> {
+    void noServerStartsAfterShutdownWasRequested() throws Exception {
+        lifecycle.shutDown();
+        assertNull(lifecycle.start(() -> {
             throw new IllegalStateException("it listens, and nobody will answer");
         }));
     }
 
     /** The request to end comes when the listener has accepted a client and the start is not over. */
     @Test
-    void aRequestToEndInTheMiddleOfTheStartFindsTheServerAndAnswersItsClients() throws Exception {
+    void shutdownDuringStartupWaitsForTheServerAndAnswersItsClients() throws Exception {
         var listens = new CompletableFuture<Server>();
         var goesOn = new CountDownLatch(1);
         var starting = CompletableFuture.supplyAsync(() -> start(listens, goesOn));
@@ -47,7 +47,7 @@
         assertEquals("ready", client.nextAnswer());
         var ending = new Thread(() -> {
             try {
-                life.end();
+                lifecycle.shutDown();
             } catch (Exception e) {
                 throw new IllegalStateException(e);
             }
@@ -65,7 +65,7 @@
 
     private Server start(CompletableFuture<Server> listens, CountDownLatch goesOn) {
         try {
-            return life.start(() -> {
+            return lifecycle.start(() -> {
                 Server server = server();
                 listens.complete(server);
                 goesOn.await();
@@ -103,7 +103,7 @@
                 + "\"pod_group\":1,\"state\":\"up\",\"role\":\"primary\",\"boot_ms\":0}]}";
         return new Server(
                 Transport.tcp(),
-                new Configuration(
+                new RouterConfiguration(
                         "test",
                         transport.spare(0),
                         discovery.address(),
--- a/daemon/src/test/java/clayhook/serve/ServerTest.java
+++ b/daemon/src/test/java/clayhook/serve/ServerTest.java
@@ -8,7 +8,7 @@
 import clayhook.RequestClass.ConsistencyLevel;
 import clayhook.RequestClass.DeduplicationScope;
 import clayhook.RoutingSettings;
-import clayhook.config.Configuration;
+import clayhook.config.RouterConfiguration;
 import clayhook.discovery.EndpointList;
 import clayhook.protocol.Encoder;
 import clayhook.protocol.Statement;
@@ -32,9 +32,9 @@
 class ServerTest {
     private static final String READ = "id=1,c=any,d=30000,cluster=1";
     private static final String WRITE = "id=2,c=write,d=30000,k=7,cluster=1";
-    private static final String MUTATING = "id=2,c=mutating,d=30000,cluster=1";
+    private static final String NON_IDEMPOTENT = "id=2,c=mutating,d=30000,cluster=1";
     private final Transport transport = Transport.tcp();
-    private final Transport own = Transport.tcp();
+    private final Transport routerTransport = Transport.tcp();
     private final LinkedBlockingQueue<Statement> sent = new LinkedBlockingQueue<>();
     private Server server;
     private StubClient client;
@@ -78,8 +78,8 @@
                 1,
                 15);
         server = new Server(
-                own,
-                new Configuration(
+                routerTransport,
+                new RouterConfiguration(
                         "test",
                         transport.spare(0),
                         discovery.address(),
@@ -127,7 +127,7 @@
 
     @ParameterizedTest
     @CsvSource({READ_CSV + ", replica", WRITE_CSV + ", primary"})
-    void aCommandGoesToWhoMayTakeItAndItsValueComesBack(String fields, String value) throws Exception {
+    void aRequestIsRoutedToAnEligibleNodeAndItsValueIsReturned(String fields, String value) throws Exception {
         start(always(StubResponse.answer("primary")), always(StubResponse.answer("replica")), 1024);
         greet(fields);
         assertEquals(value, client.nextAnswer());
@@ -136,11 +136,11 @@
 
     private static final String READ_CSV = "'" + READ + "'";
     private static final String WRITE_CSV = "'" + WRITE + "'";
-    private static final String MUTATING_CSV = "'" + MUTATING + "'";
+    private static final String NON_IDEMPOTENT_CSV = "'" + NON_IDEMPOTENT + "'";
 
     @ParameterizedTest
-    @CsvSource({MUTATING_CSV + ", 1, 40003", WRITE_CSV + ", 2, ok", READ_CSV + ", 1, ok"})
-    void aResetAfterTheSendIsRepeatedOnlyWhereTheEffectAllows(String fields, int sends, String word) throws Exception {
+    @CsvSource({NON_IDEMPOTENT_CSV + ", 1, 40003", WRITE_CSV + ", 2, ok", READ_CSV + ", 1, ok"})
+    void aResetAfterTheSendIsRetriedOnlyWhereTheEffectAllows(String fields, int sends, String word) throws Exception {
         start(statement -> sent.size() < 2 ? StubResponse.closeConnection() : StubResponse.answer("ok"), always(StubResponse.answer("ok")), 1024);
         greet(fields);
         assertEquals(word, client.nextAnswer());
@@ -149,14 +149,14 @@
 
     @ParameterizedTest
     @CsvSource({"53300, 53300", "25006, 53300"})
-    void aMutatingCommandThatNeverRanMayBeThrottled(String code, String word) throws Exception {
+    void aNonIdempotentRequestThatNeverRanMayBeRejected(String code, String word) throws Exception {
         start(always(StubResponse.error(code)), always(StubResponse.answer("r")), 1024);
         greet("id=1,c=brief,d=1500,cluster=1");
         assertEquals(word, client.nextAnswer());
     }
 
     @Test
-    void aNodeThatIsSilentTimesOutAndItsConnectionIsNeverUsedAgain() throws Exception {
+    void aSilentNodeTimesOutAndItsConnectionIsNeverReused() throws Exception {
         start(statement -> sent.size() == 1 ? StubResponse.silence() : StubResponse.answer("late"), always(StubResponse.answer("r")), 1024);
         greet("id=1,c=brief,d=1500,cluster=1");
         assertEquals("40003", client.nextAnswer());
@@ -165,7 +165,7 @@
     }
 
     @Test
-    void aNodeThatRefusesConnectionsLeavesTheCommandToOthers() throws Exception {
+    void aRequestGoesToAnotherNodeWhenOneRefusesConnections() throws Exception {
         StubNode gone = node("replica", always(StubResponse.answer("x")));
         gone.close();
         start(gone.address(), node("replica", always(StubResponse.answer("here"))).address(), 1024);
@@ -187,7 +187,7 @@
         "false, 'id=1,c=mutating,d=30000,cluster=1'",
         "true, 'id=1,c=write,d=30000,cluster=1'"
     })
-    void whatCannotBeTakenGetsAnErrorComesToNoNodeAndTheSessionGoesOn(boolean writes, String fields) throws Exception {
+    void anInvalidRequestGetsAnErrorReachesNoNodeAndLeavesTheSessionOpen(boolean writes, String fields) throws Exception {
         start(always(StubResponse.answer("p")), always(StubResponse.answer("r")), 1024);
         client.send(StubClient.startupAndFirst(StubClient.statement(writes, fields)));
         assertEquals("ready", client.nextAnswer());
@@ -198,7 +198,7 @@
     }
 
     @Test
-    void anotherCommandWithTheIdOfAnOpenOneIsRefusedUntilThatIsAnswered() throws Exception {
+    void aSecondRequestWithTheIdOfAnOpenOneIsRefusedUntilTheFirstIsAnswered() throws Exception {
         start(always(StubResponse.silence()), always(StubResponse.answer("r")), 1024);
         greet("id=2,c=brief,d=1500,cluster=1");
         sent.take();
@@ -212,7 +212,7 @@
     }
 
     @Test
-    void answersComeInTheOrderOfTheCommands() throws Exception {
+    void answersComeInTheOrderOfTheRequests() throws Exception {
         start(always(StubResponse.answer("p")), always(StubResponse.answer("r")), 1024);
         greet(READ);
         client.send(Unpooled.wrappedBuffer(
@@ -244,7 +244,7 @@
     }
 
     @Test
-    void withoutDescriptorsTheOldestIdleClientMakesRoom() throws Exception {
+    void theOldestIdleClientIsClosedWhenDescriptorsRunOut() throws Exception {
         start(always(StubResponse.answer("p")), always(StubResponse.answer("r")), 48 + 2 * 3);
         greet(READ);
         assertEquals("r", client.nextAnswer());
@@ -257,10 +257,10 @@
         assertEquals("closed", client.nextAnswer());
     }
 
-    private Thread end() {
+    private Thread shutDownInBackground() {
         var ending = new Thread(() -> {
             try {
-                server.end();
+                server.shutDown();
             } catch (Exception e) {
                 throw new IllegalStateException(e);
             }
@@ -270,12 +270,12 @@
     }
 
     @ParameterizedTest
-    @CsvSource({MUTATING_CSV + ", 40003", READ_CSV + ", 53300"})
-    void whatWasTakenIsAnsweredBeforeTheEndAsIsWhatComesMeanwhile(String fields, String word) throws Exception {
+    @CsvSource({NON_IDEMPOTENT_CSV + ", 40003", READ_CSV + ", 53300"})
+    void requestsAdmittedBeforeAndDuringShutdownAreAnsweredBeforeItEnds(String fields, String word) throws Exception {
         start(always(StubResponse.silence()), statement -> sent.size() < 3 ? StubResponse.answer("r") : StubResponse.silence(), 1024);
         greet(READ);
         assertEquals("r", client.nextAnswer());
-        Thread ending = end();
+        Thread ending = shutDownInBackground();
         client.send(statement(READ));
         assertEquals("r", client.nextAnswer());
         client.send(statement(fields));
--- a/daemon/src/test/java/clayhook/serve/ShutdownTest.java
+++ b/daemon/src/test/java/clayhook/serve/ShutdownTest.java
@@ -9,8 +9,8 @@
 import clayhook.RequestClass.ConsistencyLevel;
 import clayhook.RequestClass.DeduplicationScope;
 import clayhook.RoutingSettings;
-import clayhook.config.Configuration;
-import clayhook.config.Operator;
+import clayhook.config.RouterConfiguration;
+import clayhook.config.OperatorConfiguration;
 import clayhook.discovery.EndpointList;
 import clayhook.protocol.Statement;
 import clayhook.rehearsal.StubClient;
@@ -31,7 +31,7 @@
 /** The steps of an end, each at a moment that the test chooses. */
 class ShutdownTest {
     private final Transport transport = Transport.tcp();
-    private final Transport own = Transport.tcp();
+    private final Transport routerTransport = Transport.tcp();
     private final LinkedBlockingQueue<Statement> sent = new LinkedBlockingQueue<>();
     private Router router;
 
@@ -68,8 +68,8 @@
                 + node.address().getPort()
                 + "\",\"az\":\"a\",\"pod_group\":1,\"state\":\"up\",\"role\":\"primary\",\"boot_ms\":0}]}";
         router = new Router(
-                own,
-                new Configuration(
+                routerTransport,
+                new RouterConfiguration(
                         "test",
                         transport.spare(0),
                         discovery.address(),
@@ -79,7 +79,7 @@
                         EndpointList.parse(list),
                         settings,
                         2),
-                Operator.OFF,
+                OperatorConfiguration.DEFAULTS,
                 null);
     }
 
@@ -95,17 +95,17 @@
 
     @AfterEach
     void close() {
-        own.close();
+        routerTransport.close();
         transport.close();
     }
 
     @Test
-    void whatWasSentAheadOfAnAnswerIsAnsweredToWhenAllIsGivenUp() throws Exception {
+    void pipelinedRequestsAreAnsweredWhenPendingOnesFail() throws Exception {
         start(any -> StubNode.StubResponse.silence());
         StubClient client = client(statement(1, "mutating"), statement(2, "any"), statement(3, "mutating"));
         sent.take();
-        own.loop().submit(router::end).get();
-        own.loop().submit(router::giveUp).get();
+        routerTransport.loop().submit(router::end).get();
+        routerTransport.loop().submit(router::giveUp).get();
         assertEquals(
                 List.of("ready", "40003", "53300", "53300"),
                 List.of(client.nextAnswer(), client.nextAnswer(), client.nextAnswer(), client.nextAnswer()));
@@ -114,11 +114,11 @@
     }
 
     @Test
-    void aCommandThatComesAfterAllIsGivenUpIsRefusedAndGoesToNoNode() throws Exception {
+    void aRequestThatArrivesAfterPendingOnesFailedIsRejectedAndReachesNoNode() throws Exception {
         start(any -> StubNode.StubResponse.answer("served"));
         StubClient client = client(statement(1, "any"));
         assertEquals(List.of("ready", "served"), List.of(client.nextAnswer(), client.nextAnswer()));
-        own.loop().submit(router::giveUp).get();
+        routerTransport.loop().submit(router::giveUp).get();
         client.send(statement(2, "any"));
         assertEquals("53300", client.nextAnswer());
         assertEquals(1, sent.size());
@@ -126,16 +126,16 @@
 
     /** The order is forced: the loop stands until the machine has accepted all and the end is next to be done. */
     @Test
-    void connectionsThatTheMachineAcceptedButNotTheProcessAreServedBeforeTheListenerCloses() throws Exception {
+    void connectionsInTheAcceptBacklogAreServedBeforeTheListenerCloses() throws Exception {
         start(any -> StubNode.StubResponse.answer("served"));
         var stands = new CountDownLatch(1);
         var goesOn = new CountDownLatch(1);
-        own.loop().execute(() -> {
+        routerTransport.loop().execute(() -> {
             stands.countDown();
             await(goesOn);
         });
         stands.await();
-        own.loop().execute(router::end);
+        routerTransport.loop().execute(router::end);
         var sockets = new ArrayList<Socket>();
         for (int i = 0; i < 40; i++) {
             var socket =
--- a/daemon/src/test/java/clayhook/sql/SqlRoutingTest.java
+++ b/daemon/src/test/java/clayhook/sql/SqlRoutingTest.java
@@ -9,8 +9,8 @@
 import clayhook.RequestClass.ConsistencyLevel;
 import clayhook.RequestClass.DeduplicationScope;
 import clayhook.RoutingSettings;
-import clayhook.config.Configuration;
-import clayhook.config.OperatorFile;
+import clayhook.config.RouterConfiguration;
+import clayhook.config.OperatorConfigurationReader;
 import clayhook.discovery.EndpointList;
 import clayhook.protocol.Encoder;
 import clayhook.rehearsal.StubDiscovery;
@@ -103,7 +103,7 @@
         Files.writeString(file, rules);
         server = new Server(
                 own,
-                new Configuration(
+                new RouterConfiguration(
                         "test",
                         transport.spare(0),
                         discovery.address(),
@@ -113,7 +113,7 @@
                         EndpointList.parse("{\"rev\":2,\"all\":true,\"targets\":[" + String.join(",", entries) + "]}"),
                         settings,
                         2),
-                OperatorFile.read(file, groups));
+                OperatorConfigurationReader.read(file, groups));
     }
 
     private SqlClient client(String... parameters) throws IOException {
--- a/lab/src/main/java/clayhook/lab/Experiment.java
+++ b/lab/src/main/java/clayhook/lab/Experiment.java
@@ -4,8 +4,8 @@
 import clayhook.RequestClass.Idempotency;
 import clayhook.RequestClass.ConsistencyLevel;
 import clayhook.RequestClass.DeduplicationScope;
-import clayhook.config.BadConfig;
-import clayhook.config.Toml;
+import clayhook.config.ConfigurationException;
+import clayhook.config.TomlSection;
 import clayhook.lab.model.Failure;
 import clayhook.lab.model.FleetSpec;
 import clayhook.lab.model.Machine;
@@ -62,126 +62,126 @@
     public record Variant(String name, FleetSpec fleet) {}
 
     /** Throws BadConfig naming file, line and key. */
-    public static Experiment read(Path file) throws BadConfig {
-        Toml toml = Toml.read(file);
+    public static Experiment read(Path file) throws ConfigurationException {
+        TomlSection toml = TomlSection.read(file);
         Peers peers = peers(toml);
         FleetSpec base = fleet(toml, peers.play() != null);
         var variants = new ArrayList<Variant>();
-        for (Toml variant : toml.tables("variant")) {
-            variants.add(new Variant(variant.needed("name"), varied(base, variant)));
+        for (TomlSection variant : toml.getTables("variant")) {
+            variants.add(new Variant(variant.getRequiredString("name"), varied(base, variant)));
         }
         if (variants.isEmpty()) {
             variants.add(new Variant("as it is", base));
         }
-        Toml load = toml.table("load");
-        double seconds = load.number("seconds", 60, 1, HOUR);
+        TomlSection load = toml.getTable("load");
+        double seconds = load.getNumber("seconds", 60, 1, HOUR);
         var failures = new ArrayList<Failure>();
-        for (Toml failure : toml.tables("failure")) {
+        for (TomlSection failure : toml.getTables("failure")) {
             failures.addAll(failures(failure, base, seconds));
         }
-        List<Integer> seeds = toml.wholes("seeds");
-        Toml goal = toml.table("goal");
-        var wanted = new Goal(goal.number("service", 0.99, 0, 1), goal.number("in_time", 0, 0, 1));
-        toml.nothingElse();
+        List<Integer> seeds = toml.getIntList("seeds");
+        TomlSection goal = toml.getTable("goal");
+        var wanted = new Goal(goal.getNumber("service", 0.99, 0, 1), goal.getNumber("in_time", 0, 0, 1));
+        toml.rejectUnknownKeys();
         return new Experiment(variants, failures, seconds, seeds.isEmpty() ? List.of(1) : seeds, wanted, peers);
     }
 
-    private static FleetSpec fleet(Toml toml, boolean unasked) throws BadConfig {
-        Toml fleet = toml.table("fleet");
-        Toml machine = toml.table("machine");
-        Toml load = toml.table("load");
+    private static FleetSpec fleet(TomlSection toml, boolean unasked) throws ConfigurationException {
+        TomlSection fleet = toml.getTable("fleet");
+        TomlSection machine = toml.getTable("machine");
+        TomlSection load = toml.getTable("load");
         var commands = new ArrayList<FleetSpec.Kind>();
-        for (Toml command : toml.tables("command")) {
+        for (TomlSection command : toml.getTables("command")) {
             commands.add(command(command));
         }
         if (commands.isEmpty() && !unasked) {
-            throw toml.fault("command", "is missing: what is asked of the fleet");
+            throw toml.invalid("command", "is missing: what is asked of the fleet");
         }
         var phases = new ArrayList<FleetSpec.Phase>();
-        for (Toml phase : toml.tables("phase")) {
-            phases.add(new FleetSpec.Phase(phase.number("from", 0, 0, HOUR), phase.number("factor", 1, 0, MANY)));
+        for (TomlSection phase : toml.getTables("phase")) {
+            phases.add(new FleetSpec.Phase(phase.getNumber("from", 0, 0, HOUR), phase.getNumber("factor", 1, 0, MANY)));
         }
-        var zones = new TreeSet<>(fleet.texts("zones"));
+        var zones = new TreeSet<>(fleet.getStringSet("zones"));
         return new FleetSpec(
-                fleet.whole("groups", 1, 1, 10_000),
-                fleet.whole("replicas", 2, 0, 100),
-                fleet.whole("routers", 2, 1, 10_000),
+                fleet.getInt("groups", 1, 1, 10_000),
+                fleet.getInt("replicas", 2, 0, 100),
+                fleet.getInt("routers", 2, 1, 10_000),
                 zones.isEmpty() ? List.of("a") : List.copyOf(zones),
                 new Machine(
-                        machine.whole("cores", 2, 1, 1024),
-                        machine.whole("queue", 100, 0, 1_000_000),
-                        machine.number("shipping", 0.02, 0, HOUR),
-                        machine.number("apply", 0.0005, 0, HOUR),
-                        machine.number("connecting", 0.005, 0, HOUR),
-                        machine.number("cold_share", 0.3, 0.001, 1),
-                        machine.number("warm_after", 10, 0, HOUR)),
-                fleet.number("way", 0.0005, 0, 10),
-                fleet.number("election", 3, 0, HOUR),
-                fleet.number("list_delay", 0.5, 0, HOUR),
-                fleet.flag("reports", true),
-                fleet.flag("replicas_check", false),
+                        machine.getInt("cores", 2, 1, 1024),
+                        machine.getInt("queue", 100, 0, 1_000_000),
+                        machine.getNumber("shipping", 0.02, 0, HOUR),
+                        machine.getNumber("apply", 0.0005, 0, HOUR),
+                        machine.getNumber("connecting", 0.005, 0, HOUR),
+                        machine.getNumber("cold_share", 0.3, 0.001, 1),
+                        machine.getNumber("warm_after", 10, 0, HOUR)),
+                fleet.getNumber("way", 0.0005, 0, 10),
+                fleet.getNumber("election", 3, 0, HOUR),
+                fleet.getNumber("list_delay", 0.5, 0, HOUR),
+                fleet.getBoolean("reports", true),
+                fleet.getBoolean("replicas_check", false),
                 commands,
-                load.number("rate", 100, 0, MANY),
+                load.getNumber("rate", 100, 0, MANY),
                 phases,
-                load.whole("sessions", 0, 0, 1_000_000),
+                load.getInt("sessions", 0, 0, 1_000_000),
                 new FleetSpec.Contact(
-                        fleet.flag("sharing", false),
-                        fleet.flag("marks_carried", true),
-                        fleet.number("list_spread", 0, 0, HOUR),
-                        fleet.number("roam", 0, 0, HOUR)));
+                        fleet.getBoolean("sharing", false),
+                        fleet.getBoolean("marks_carried", true),
+                        fleet.getNumber("list_spread", 0, 0, HOUR),
+                        fleet.getNumber("roam", 0, 0, HOUR)));
     }
 
-    private static Peers peers(Toml toml) throws BadConfig {
-        Toml peers = toml.table("peers");
+    private static Peers peers(TomlSection toml) throws ConfigurationException {
+        TomlSection peers = toml.getTable("peers");
         var faults = new ArrayList<Fault>();
-        for (Toml fault : toml.tables("fault")) {
-            fault.needed("kind");
+        for (TomlSection fault : toml.getTables("fault")) {
+            fault.getRequiredString("kind");
             Fault.Kind kind = one(fault, "kind", Fault.Kind.class, null);
-            List<Integer> whom = fault.wholes("whom");
+            List<Integer> whom = fault.getIntList("whom");
             if (kind == Fault.Kind.CUT && whom.size() != 2) {
-                throw fault.fault("whom", "is no pair: from whom to whom nothing comes");
+                throw fault.invalid("whom", "is no pair: from whom to whom nothing comes");
             }
             faults.add(new Fault(
-                    fault.number("at", 0, 0, HOUR),
+                    fault.getNumber("at", 0, 0, HOUR),
                     kind,
                     whom,
-                    fault.number("lasts", 1, 0, HOUR),
-                    fault.number("amount", 0, -HOUR, MANY)));
+                    fault.getNumber("lasts", 1, 0, HOUR),
+                    fault.getNumber("amount", 0, -HOUR, MANY)));
         }
-        SharingPlay play = peers.text("play", null) == null
+        SharingPlay play = peers.getString("play", null) == null
                 ? null
                 : new SharingPlay(
                         one(peers, "play", SharingPlay.What.class, null),
-                        peers.whole("faults", 12, 0, 10_000),
-                        peers.number("settle", 30, 0, HOUR),
-                        peers.whole("entries", 100_000, 1, 1_000_000));
+                        peers.getInt("faults", 12, 0, 10_000),
+                        peers.getNumber("settle", 30, 0, HOUR),
+                        peers.getInt("entries", 100_000, 1, 1_000_000));
         return new Peers(
-                peers.number("way", 0.0005, 0, 10), peers.number("loss", 0, 0, 1), new FaultPlan(faults), play);
+                peers.getNumber("way", 0.0005, 0, 10), peers.getNumber("loss", 0, 0, 1), new FaultPlan(faults), play);
     }
 
-    private static FleetSpec.Kind command(Toml command) throws BadConfig {
+    private static FleetSpec.Kind command(TomlSection command) throws ConfigurationException {
         ConsistencyLevel level = one(command, "level", LEVELS, "any");
         boolean writes = level == ConsistencyLevel.WRITE;
         Idempotency effect = one(command, "effect", EFFECTS, writes ? "mutating" : "replayable");
         if (!writes && effect != Idempotency.IDEMPOTENT) {
-            throw command.fault("effect", "a read is replayable");
+            throw command.invalid("effect", "a read is replayable");
         }
-        double target = command.number("target", 0.25, 0.001, HOUR);
+        double target = command.getNumber("target", 0.25, 0.001, HOUR);
         return new FleetSpec.Kind(
                 new RequestClass(
-                        command.needed("name"),
+                        command.getRequiredString("name"),
                         effect,
                         level,
                         target,
-                        command.number("timeout", 4 * target, target, HOUR),
-                        command.number("benefit", 1, 0, MANY),
-                        command.number("late_share", 0, 0, 1),
+                        command.getNumber("timeout", 4 * target, target, HOUR),
+                        command.getNumber("benefit", 1, 0, MANY),
+                        command.getNumber("late_share", 0, 0, 1),
                         one(command, "scope", SCOPES, "group"),
-                        command.number("window", 5, 0, HOUR),
-                        command.number("bound", 0.2, 0, HOUR)),
-                command.number("share", 1, 0, MANY),
-                command.number("work", 0.005, 0.000001, HOUR),
-                command.number("spread", 0.5, 0, 5));
+                        command.getNumber("window", 5, 0, HOUR),
+                        command.getNumber("bound", 0.2, 0, HOUR)),
+                command.getNumber("share", 1, 0, MANY),
+                command.getNumber("work", 0.005, 0.000001, HOUR),
+                command.getNumber("spread", 0.5, 0, 5));
     }
 
     /** Words of the experiment file and the values that they stand for; the words do not follow renamed constants. */
@@ -196,31 +196,31 @@
             Map.of("replayable", Idempotency.IDEMPOTENT, "keyed", Idempotency.IDEMPOTENT_WITH_KEY, "mutating", Idempotency.NON_IDEMPOTENT);
     private static final Map<String, DeduplicationScope> SCOPES = Map.of("all", DeduplicationScope.ALL, "zone", DeduplicationScope.ZONE, "group", DeduplicationScope.REPLICA_SET);
 
-    private static <T> T one(Toml toml, String key, Map<String, T> words, String absent) throws BadConfig {
-        return words.get(toml.word(key, absent, words.keySet()));
+    private static <T> T one(TomlSection toml, String key, Map<String, T> words, String absent) throws ConfigurationException {
+        return words.get(toml.getChoice(key, absent, words.keySet()));
     }
 
-    private static <T extends Enum<T>> T one(Toml toml, String key, Class<T> of, String absent) throws BadConfig {
+    private static <T extends Enum<T>> T one(TomlSection toml, String key, Class<T> of, String absent) throws ConfigurationException {
         Set<String> words = Arrays.stream(of.getEnumConstants())
                 .map(one -> one.name().toLowerCase(Locale.ROOT))
                 .collect(Collectors.toSet());
-        return Enum.valueOf(of, toml.word(key, absent, words).toUpperCase(Locale.ROOT));
+        return Enum.valueOf(of, toml.getChoice(key, absent, words).toUpperCase(Locale.ROOT));
     }
 
-    private static FleetSpec varied(FleetSpec base, Toml variant) throws BadConfig {
+    private static FleetSpec varied(FleetSpec base, TomlSection variant) throws ConfigurationException {
         Machine was = base.machine();
         var machine = new Machine(
-                variant.whole("cores", was.cores(), 1, 1024),
-                variant.whole("queue", was.queue(), 0, 1_000_000),
+                variant.getInt("cores", was.cores(), 1, 1024),
+                variant.getInt("queue", was.queue(), 0, 1_000_000),
                 was.shipping(),
-                variant.number("apply", was.apply(), 0, HOUR),
+                variant.getNumber("apply", was.apply(), 0, HOUR),
                 was.connecting(),
                 was.coldShare(),
                 was.warmAfter());
         return new FleetSpec(
-                variant.whole("groups", base.groups(), 1, 10_000),
-                variant.whole("replicas", base.replicas(), 0, 100),
-                variant.whole("routers", base.routers(), 1, 10_000),
+                variant.getInt("groups", base.groups(), 1, 10_000),
+                variant.getInt("replicas", base.replicas(), 0, 100),
+                variant.getInt("routers", base.routers(), 1, 10_000),
                 base.zones(),
                 machine,
                 base.way(),
@@ -229,42 +229,42 @@
                 base.reports(),
                 base.replicasCheck(),
                 base.commands(),
-                variant.number("rate", base.rate(), 0, MANY),
+                variant.getNumber("rate", base.rate(), 0, MANY),
                 base.phases(),
                 base.sessions(),
                 new FleetSpec.Contact(
-                        variant.flag("sharing", base.contact().shares()),
-                        variant.flag("marks_carried", base.contact().marksCarried()),
+                        variant.getBoolean("sharing", base.contact().shares()),
+                        variant.getBoolean("marks_carried", base.contact().marksCarried()),
                         base.contact().listSpread(),
                         base.contact().roam()));
     }
 
     /** One for each target, in order of their names. */
-    private static List<Failure> failures(Toml failure, FleetSpec fleet, double seconds) throws BadConfig {
-        Set<String> several = new TreeSet<>(failure.texts("targets"));
+    private static List<Failure> failures(TomlSection failure, FleetSpec fleet, double seconds) throws ConfigurationException {
+        Set<String> several = new TreeSet<>(failure.getStringSet("targets"));
         var failures = new ArrayList<Failure>();
-        for (String target : several.isEmpty() ? Set.of(failure.needed("target")) : several) {
+        for (String target : several.isEmpty() ? Set.of(failure.getRequiredString("target")) : several) {
             failures.add(failure(failure, target, fleet, seconds));
         }
         return failures;
     }
 
-    private static Failure failure(Toml failure, String target, FleetSpec fleet, double seconds) throws BadConfig {
-        failure.needed("kind");
+    private static Failure failure(TomlSection failure, String target, FleetSpec fleet, double seconds) throws ConfigurationException {
+        failure.getRequiredString("kind");
         Failure.Kind kind = one(failure, "kind", Failure.Kind.class, null);
         boolean zone = kind == Failure.Kind.ZONE_LOSS;
         if (zone
                 ? !fleet.zones().contains(target)
                 : !target.matches("[1-9][0-9]{0,4}(p|r[1-9][0-9]{0,2})")
                         || Integer.parseInt(target.replaceAll("[pr].*", "")) > fleet.groups()) {
-            throw failure.fault(
-                    failure.texts("targets").isEmpty() ? "target" : "targets",
+            throw failure.invalid(
+                    failure.getStringSet("targets").isEmpty() ? "target" : "targets",
                     "there is no " + (zone ? "zone" : "node") + " '" + target + "'");
         }
         double amount = kind == Failure.Kind.NEIGHBOUR
-                ? failure.number("amount", 0.5, 0, 1)
-                : failure.number("amount", 10, 0, MANY);
+                ? failure.getNumber("amount", 0.5, 0, 1)
+                : failure.getNumber("amount", 10, 0, MANY);
         return new Failure(
-                kind, target, failure.number("at", 0, 0, seconds), failure.number("lasts", 0, 0, HOUR), amount);
+                kind, target, failure.getNumber("at", 0, 0, seconds), failure.getNumber("lasts", 0, 0, HOUR), amount);
     }
 }
--- a/lab/src/main/java/clayhook/lab/model/Loopback.java
+++ b/lab/src/main/java/clayhook/lab/model/Loopback.java
@@ -6,7 +6,7 @@
 import clayhook.Endpoint;
 import clayhook.Role;
 import clayhook.RoutingSettings;
-import clayhook.config.Configuration;
+import clayhook.config.RouterConfiguration;
 import clayhook.discovery.EndpointList;
 import clayhook.protocol.Allowance;
 import clayhook.protocol.ClientDecoder;
@@ -169,7 +169,7 @@
                     15);
             var server = new Server(
                     Transport.tcp(),
-                    new Configuration(
+                    new RouterConfiguration(
                             "lab",
                             transport.spare(0),
                             discovery.address(),
--- a/lab/src/main/java/clayhook/lab/sharing/ModelPeer.java
+++ b/lab/src/main/java/clayhook/lab/sharing/ModelPeer.java
@@ -18,7 +18,7 @@
 import clayhook.lab.model.Time;
 import clayhook.peers.Exchange;
 import clayhook.peers.News;
-import clayhook.serve.Sharing;
+import clayhook.serve.PeerSharing;
 import java.net.InetSocketAddress;
 import java.util.Collection;
 import java.util.LinkedHashMap;
@@ -31,7 +31,7 @@
  * as on sockets. While its peering is dead or stands still it tells nothing and hears nothing; the router itself serves
  * on.
  */
-final class ModelPeer implements Peers, Sharing.Listener, Life.Birth {
+final class ModelPeer implements Peers, PeerSharing.PeerListener, Life.Birth {
     /** All routers of the model hear one discovery. */
     private static final String SOURCE = "10.0.0.1:1";
     /** Of every node: nothing is sent to addresses here. */
@@ -127,10 +127,10 @@
     @Override
     public void used(int probes, int repeats) {
         if (probes > 0) {
-            tell(new News.Used(Sharing.Limit.PROBES, probes));
+            tell(new News.Used(PeerSharing.SharedQuota.HEALTH_CHECKS, probes));
         }
         if (repeats > 0) {
-            tell(new News.Used(Sharing.Limit.REPEATS, repeats));
+            tell(new News.Used(PeerSharing.SharedQuota.FURTHER_ATTEMPTS, repeats));
         }
     }
 
@@ -143,12 +143,12 @@
     // ---- to the router ----
 
     @Override
-    public void told(Map<String, PeerObservation> told) {
+    public void onPeerUpdate(Map<String, PeerObservation> told) {
         told.forEach(router::told);
     }
 
     @Override
-    public void told(Collection<EndpointList> changes) {
+    public void onPeerUpdate(Collection<EndpointList> changes) {
         changes.forEach(change -> change.endpoints()
                 .forEach(entry -> router.told(
                         new Endpoint(
--- a/lab/src/test/java/clayhook/lab/ExperimentTest.java
+++ b/lab/src/test/java/clayhook/lab/ExperimentTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clayhook.config.BadConfig;
+import clayhook.config.ConfigurationException;
 import clayhook.lab.sharing.FaultPlan;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -51,7 +51,7 @@
                 COMMAND + "[peers]\\nsettle = 3|:4: peers.settle: is no key"
             })
     void aFaultNamesFileLineAndKey(String text, String fault) {
-        BadConfig told = assertThrows(BadConfig.class, () -> read(text));
+        ConfigurationException told = assertThrows(ConfigurationException.class, () -> read(text));
         assertTrue(told.getMessage().startsWith(folder.resolve("e.toml") + fault), told.getMessage());
     }
 
--- a/trials/src/main/java/clayhook/trials/Trial.java
+++ b/trials/src/main/java/clayhook/trials/Trial.java
@@ -2,8 +2,8 @@
 
 import clayhook.RequestClass;
 import clayhook.RoutingSettings;
-import clayhook.config.BadConfig;
-import clayhook.config.Configuration;
+import clayhook.config.ConfigurationException;
+import clayhook.config.RouterConfiguration;
 import clayhook.config.Json;
 import clayhook.transport.Transport;
 import java.io.IOException;
@@ -82,13 +82,13 @@
 
     static RoutingSettings settings() {
         try {
-            return Configuration.of(
+            return RouterConfiguration.fromJson(
                             Json.parse(
                                     "{\"name\": \"any\", \"listen\": \"any:1\", \"discovery\": \"any:1\", \"seed\": \"1\","
                                             + " \"settings\": " + SETTINGS + "}"),
                             Map.of())
                     .settings();
-        } catch (BadConfig e) {
+        } catch (ConfigurationException e) {
             throw new IllegalStateException(e);
         }
     }
