--- a/benchmarks/src/main/java/clayhook/benchmarks/Routing.java
+++ b/benchmarks/src/main/java/clayhook/benchmarks/Routing.java
@@ -55,9 +55,9 @@
     public void start() throws Exception {
         transport = Transport.tcp();
         own = Transport.tcp();
-        var node = new StubNode(transport, transport.spare(0), "replica", any -> StubResponse.answer("value"));
-        var primary = new StubNode(transport, transport.spare(0), "primary", any -> StubResponse.answer("value"));
-        var discovery = new StubDiscovery(transport, transport.spare(0), call -> null);
+        var node = new StubNode(transport, transport.ephemeralAddress(0), "replica", any -> StubResponse.answer("value"));
+        var primary = new StubNode(transport, transport.ephemeralAddress(0), "primary", any -> StubResponse.answer("value"));
+        var discovery = new StubDiscovery(transport, transport.ephemeralAddress(0), call -> null);
         var groups = List.of(
                 group("read", Idempotency.IDEMPOTENT, ConsistencyLevel.EVENTUAL), group("write", Idempotency.NON_IDEMPOTENT, ConsistencyLevel.WRITE));
         var settings = new RoutingSettings(
@@ -71,7 +71,7 @@
                 own,
                 new RouterConfiguration(
                         "bench",
-                        transport.spare(0),
+                        transport.ephemeralAddress(0),
                         discovery.address(),
                         1,
                         1 << 27,
--- a/cli/src/main/java/clayhook/cli/RehearseCommand.java
+++ b/cli/src/main/java/clayhook/cli/RehearseCommand.java
@@ -41,9 +41,9 @@
             ReloadSignal.install(() -> {});
             RoutingSettings settings =
                     RouterConfiguration.fromJson(Json.parse(REHEARSED), Map.of()).settings();
-            WarmUp.run(settings, Transport.rehearsal(), false);
+            WarmUp.run(settings, Transport.unixSockets(), false);
             WarmUp.run(settings, Transport.tcp(), false);
-            WarmUp.run(settings, Transport.withinProcess(), false);
+            WarmUp.run(settings, Transport.inProcess(), false);
             return Main.DONE;
         } catch (Exception e) {
             System.err.println("clayhook: " + e);
--- a/cli/src/main/java/clayhook/cli/ServeCommand.java
+++ b/cli/src/main/java/clayhook/cli/ServeCommand.java
@@ -81,13 +81,13 @@
     private static void warmUp(RouterConfiguration configuration) throws InterruptedException {
         boolean carried = false;
         try {
-            carried = WarmUp.run(configuration.settings(), Transport.rehearsal(), configuration.hasServedBefore());
+            carried = WarmUp.run(configuration.settings(), Transport.unixSockets(), configuration.hasServedBefore());
         } catch (IOException e) {
             Log.warn("rehearsal", "no folder for its sockets: " + e);
         }
         if (!carried) {
             Log.info("rehearsing within the process: its sockets carry nothing here");
-            WarmUp.run(configuration.settings(), Transport.withinProcess(), configuration.hasServedBefore());
+            WarmUp.run(configuration.settings(), Transport.inProcess(), configuration.hasServedBefore());
         }
     }
 
--- a/cli/src/test/java/clayhook/cli/ServeProcessTest.java
+++ b/cli/src/test/java/clayhook/cli/ServeProcessTest.java
@@ -79,11 +79,11 @@
     }
 
     private InetSocketAddress node(StubResponse deed) throws InterruptedException {
-        return new StubNode(transport, transport.spare(0), "primary", any -> deed).address();
+        return new StubNode(transport, transport.ephemeralAddress(0), "primary", any -> deed).address();
     }
 
     private InetSocketAddress discovery(Function<String, String> answers) throws InterruptedException {
-        return new StubDiscovery(transport, transport.spare(0), call -> {
+        return new StubDiscovery(transport, transport.ephemeralAddress(0), call -> {
                     calls.add(call);
                     return answers.apply(call);
                 })
--- a/daemon/src/main/java/clayhook/discovery/DiscoveryClient.java
+++ b/daemon/src/main/java/clayhook/discovery/DiscoveryClient.java
@@ -187,7 +187,7 @@
         if (scheduledCheck != null) {
             scheduledCheck.cancel(false);
         }
-        scheduledCheck = transport.loop().schedule(this::check, (long) (seconds * 1e9), TimeUnit.NANOSECONDS);
+        scheduledCheck = transport.eventLoop().schedule(this::check, (long) (seconds * 1e9), TimeUnit.NANOSECONDS);
     }
 
     private void check() {
--- a/daemon/src/main/java/clayhook/front/Front.java
+++ b/daemon/src/main/java/clayhook/front/ClientListener.java
@@ -1,11 +1,11 @@
 package clayhook.front;
 
 import clayhook.log.Log;
-import clayhook.protocol.Allowance;
-import clayhook.protocol.ClientDecoder;
-import clayhook.protocol.Encoder;
+import clayhook.protocol.MemoryBudget;
+import clayhook.protocol.ClientMessageDecoder;
+import clayhook.protocol.MessageEncoder;
 import clayhook.statements.SessionSettings;
-import clayhook.transport.Descriptors;
+import clayhook.transport.DescriptorBudget;
 import clayhook.transport.Transport;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -24,72 +24,72 @@
 import java.util.function.Supplier;
 
 /** Where clients connect. */
-public final class Front {
+public final class ClientListener {
     /** An eighth of the memory: the runtime itself takes half. */
-    private static final int MEMORY_PART = 8;
+    private static final int MEMORY_DIVISOR = 8;
     /** Of what clients may hold here: whoever deals their connections out may grant them less. */
-    private static final double CROWDED = 0.5;
+    private static final double CROWDED_FRACTION = 0.5;
     /**
      * Clients turned away that are waited for at once, so that they get their answer; from the reserve of descriptors.
      */
-    private static final int MOST_REFUSALS = 16;
+    private static final int MAX_LINGERING_REJECTIONS = 16;
     /** At the end, for the first command of a client that has just connected; short beside what is left then. */
-    private static final int FIRST_MS = 50;
+    private static final int FIRST_REQUEST_GRACE_MS = 50;
 
-    private final Set<Session> sessions = new LinkedHashSet<>();
-    private final CancelKeys keys = new CancelKeys();
+    private final Set<ClientSession> sessions = new LinkedHashSet<>();
+    private final CancelKeyRegistry cancelKeys = new CancelKeyRegistry();
     /** Connections of clients that were turned away and have not closed yet. */
-    private int refusals;
+    private int lingeringRejections;
 
-    private final Descriptors descriptors;
-    private final InetSocketAddress asked;
+    private final DescriptorBudget descriptors;
+    private final InetSocketAddress requestedAddress;
     private final Transport transport;
-    private final Channel listening;
+    private final Channel serverChannel;
     /** No more connections are taken. */
-    private boolean ending;
+    private boolean draining;
 
     /** {@code settings} makes those of a new session; null where only the two forms of statement are taken. */
-    public Front(
+    public ClientListener(
             Transport transport,
             InetSocketAddress address,
-            Descriptors descriptors,
+            DescriptorBudget descriptors,
             long memory,
             Supplier<SessionSettings> settings,
             DoubleSupplier clock,
-            Session.Listener listener)
+            ClientSession.RequestHandler listener)
             throws InterruptedException {
         this.transport = transport;
         this.descriptors = descriptors;
-        asked = address;
-        descriptors.clientsGiveBackBy(this::giveBack);
-        var allowance = new Allowance(memory / MEMORY_PART);
-        listening = transport.listen(address, () -> {
-            if (!descriptors.takeForClient()) {
+        requestedAddress = address;
+        descriptors.setClientEvictor(this::evictSession);
+        var allowance = new MemoryBudget(memory / MEMORY_DIVISOR);
+        serverChannel = transport.listen(address, () -> {
+            if (!descriptors.tryAcquireForClient()) {
                 Log.count("turned away");
-                return new ChannelHandler[] {new Refusal()};
+                return new ChannelHandler[] {new RejectionHandler()};
             }
-            var decoder = new ClientDecoder(allowance, settings != null);
+            var decoder = new ClientMessageDecoder(allowance, settings != null);
             var session =
-                    new Session(listener, decoder, settings == null ? null : settings.get(), keys, clock, this::ended);
+                    new ClientSession(listener, decoder, settings == null ? null : settings.get(), cancelKeys, clock, this::onSessionClosed);
             sessions.add(session);
-            if (ending) {
-                end(session);
+            if (draining) {
+                drain(session);
             }
             return new ChannelHandler[] {decoder, session};
         });
     }
 
     /** Takes no commands, as there are no descriptors for more. */
-    private final class Refusal extends ChannelInboundHandlerAdapter {
-        private boolean counted;
+    private final class RejectionHandler extends ChannelInboundHandlerAdapter {
+        private boolean lingering;
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            ByteBuf error = Encoder.error(true, "53300", "no descriptors are left for more clients", null);
-            if (refusals < MOST_REFUSALS) {
-                refusals++;
-                counted = true;
-                OrderlyClose.begin(ctx.channel()).end(error, () -> {});
+            ByteBuf error = MessageEncoder.error(true, "53300", "no descriptors are left for more clients", null);
+            if (lingeringRejections < MAX_LINGERING_REJECTIONS) {
+                lingeringRejections++;
+                lingering = true;
+                LingeringClose.begin(ctx.channel()).finish(error, () -> {});
             } else {
                 ctx.writeAndFlush(error).addListener(ChannelFutureListener.CLOSE);
             }
@@ -102,7 +102,7 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            refusals -= counted ? 1 : 0;
+            lingeringRejections -= lingering ? 1 : 0;
         }
 
         @Override
@@ -111,67 +111,67 @@
         }
     }
 
-    private void ended(Session session) {
+    private void onSessionClosed(ClientSession session) {
         if (sessions.remove(session)) {
-            descriptors.giveOfClient();
+            descriptors.releaseForClient();
         }
     }
 
     /** Where it listens; with the port that was found if none was asked for. */
     public InetSocketAddress address() {
-        return listening.localAddress() instanceof InetSocketAddress given ? given : asked;
+        return serverChannel.localAddress() instanceof InetSocketAddress given ? given : requestedAddress;
     }
 
     /** Takes no more connections and ends each session once what it has taken is answered. */
-    public void end() {
-        ending = true;
-        transport.stop(listening);
-        List.copyOf(sessions).forEach(this::end);
+    public void drain() {
+        draining = true;
+        transport.stopListening(serverChannel);
+        List.copyOf(sessions).forEach(this::drain);
     }
 
     /** One that has asked nothing yet may have its first command on the way, and is given a moment for that. */
-    private void end(Session session) {
-        if (session.atRest() || session.busy()) {
-            session.end();
+    private void drain(ClientSession session) {
+        if (session.isIdleAfterRequest() || session.isBusy()) {
+            session.drain();
         } else {
-            transport.loop().schedule(session::end, FIRST_MS, TimeUnit.MILLISECONDS);
+            transport.eventLoop().schedule(session::drain, FIRST_REQUEST_GRACE_MS, TimeUnit.MILLISECONDS);
         }
     }
 
     /** Ends those that have been silent for too long; where they are many, also those that asked once and stay. */
-    public void sweep(double now) {
-        List.copyOf(sessions).forEach(session -> session.sweep(now));
-        List<Session> atRest = sessions.stream()
-                .filter(Session::atRest)
-                .sorted(Comparator.comparingDouble(Session::worth))
+    public void closeIdleSessions(double now) {
+        List.copyOf(sessions).forEach(session -> session.closeIfIdleTooLong(now));
+        List<ClientSession> atRest = sessions.stream()
+                .filter(ClientSession::isIdleAfterRequest)
+                .sorted(Comparator.comparingDouble(ClientSession::evictionRank))
                 .toList();
-        int tooMany = atRest.size() - (int) (descriptors.mostOfEach() * CROWDED);
+        int tooMany = atRest.size() - (int) (descriptors.limitPerSide() * CROWDED_FRACTION);
         atRest.stream().limit(Math.max(0, tooMany)).forEach(session -> {
             Log.count("let go");
-            session.end();
+            session.drain();
         });
     }
 
     /** Ends the session without a command that is worth least, to make room for one; false if there is none. */
-    private boolean giveBack() {
-        Session least = sessions.stream()
-                .filter(session -> !session.busy())
-                .min(Comparator.comparingDouble(Session::worth))
+    private boolean evictSession() {
+        ClientSession least = sessions.stream()
+                .filter(session -> !session.isBusy())
+                .min(Comparator.comparingDouble(ClientSession::evictionRank))
                 .orElse(null);
         if (least != null) {
             sessions.remove(least);
-            descriptors.giveOfClient();
-            least.close();
+            descriptors.releaseForClient();
+            least.evict();
         }
         return least != null;
     }
 
-    public int size() {
+    public int sessionCount() {
         return sessions.size();
     }
 
     /** How many sessions could be asked to cancel. */
-    int cancelKeys() {
-        return keys.size();
+    int cancelKeyCount() {
+        return cancelKeys.size();
     }
 }
--- a/daemon/src/main/java/clayhook/front/OrderlyClose.java
+++ b/daemon/src/main/java/clayhook/front/LingeringClose.java
@@ -13,34 +13,34 @@
  * connection and takes the last answer with it, and only who reads sees the client close: what comes is read and
  * dropped.
  */
-final class OrderlyClose extends ChannelInboundHandlerAdapter {
+final class LingeringClose extends ChannelInboundHandlerAdapter {
     /** From the end of the sending side; many times what bytes that cross it take, also on a busy machine. */
     private static final int LINGER_MS = 1000;
     /** More than a client has on its way when it hears that nothing more is taken. */
-    private static final int MOST_DROPPED = 1 << 20;
+    private static final int MAX_DISCARDED_BYTES = 1 << 20;
 
     private final Channel channel;
-    private int dropped;
-    private Future<?> linger;
+    private int discardedBytes;
+    private Future<?> lingerTimeout;
 
-    private OrderlyClose(Channel channel) {
+    private LingeringClose(Channel channel) {
         this.channel = channel;
     }
 
     /** Takes nothing more; answers may still be written. */
-    static OrderlyClose begin(Channel channel) {
-        var close = new OrderlyClose(channel);
+    static LingeringClose begin(Channel channel) {
+        var close = new LingeringClose(channel);
         channel.pipeline().addFirst(close);
         return close;
     }
 
     /** Ends the sending side once all and these bytes are written, and the rest when the client has done so too. */
-    void end(ByteBuf last, Runnable written) {
+    void finish(ByteBuf last, Runnable written) {
         channel.writeAndFlush(last).addListener(done -> {
             written.run();
             if (done.isSuccess() && channel instanceof DuplexChannel socket) {
                 socket.shutdownOutput();
-                linger = channel.eventLoop().schedule(() -> channel.close(), LINGER_MS, TimeUnit.MILLISECONDS);
+                lingerTimeout = channel.eventLoop().schedule(() -> channel.close(), LINGER_MS, TimeUnit.MILLISECONDS);
             } else {
                 channel.close();
             }
@@ -50,18 +50,18 @@
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         var bytes = (ByteBuf) message;
-        dropped += bytes.readableBytes();
+        discardedBytes += bytes.readableBytes();
         bytes.release();
         // Guards against reading for ever for a client that sends without end.
-        if (dropped > MOST_DROPPED) {
+        if (discardedBytes > MAX_DISCARDED_BYTES) {
             ctx.close();
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        if (linger != null) {
-            linger.cancel(false);
+        if (lingerTimeout != null) {
+            lingerTimeout.cancel(false);
         }
         ctx.fireChannelInactive();
     }
--- a/daemon/src/main/java/clayhook/nodes/BackendClient.java
+++ b/daemon/src/main/java/clayhook/nodes/BackendClient.java
@@ -5,12 +5,12 @@
 import clayhook.AttemptResult;
 import clayhook.config.OperatorConfiguration;
 import clayhook.log.Log;
-import clayhook.protocol.Allowance;
-import clayhook.protocol.Encoder;
+import clayhook.protocol.MemoryBudget;
+import clayhook.protocol.MessageEncoder;
 import clayhook.protocol.NodeMessage;
-import clayhook.protocol.Outgoing;
-import clayhook.transport.Clock;
-import clayhook.transport.Descriptors;
+import clayhook.protocol.OutboundStatement;
+import clayhook.transport.SlewedClock;
+import clayhook.transport.DescriptorBudget;
 import clayhook.transport.Transport;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandler;
@@ -48,11 +48,11 @@
     /** An eighth of the memory for answers that are coming in, as clients' statements may take another. */
     private static final int MEMORY_DIVISOR = 8;
 
-    final Allowance answerMemory;
+    final MemoryBudget answerMemory;
     private final OperatorConfiguration operator;
     private final Listener listener;
-    private final Clock clock;
-    private final Descriptors descriptors;
+    private final SlewedClock clock;
+    private final DescriptorBudget descriptors;
     private final double connectTimeoutSeconds;
     private final double idleTimeoutSeconds;
     private final Transport transport;
@@ -63,22 +63,22 @@
 
     public BackendClient(
             Transport transport,
-            Clock clock,
-            Descriptors descriptors,
+            SlewedClock clock,
+            DescriptorBudget descriptors,
             long memory,
             double connectTimeout,
             double idle,
             OperatorConfiguration operator,
             Listener listener) {
         this.operator = operator;
-        answerMemory = new Allowance(memory / MEMORY_DIVISOR);
+        answerMemory = new MemoryBudget(memory / MEMORY_DIVISOR);
         this.listener = listener;
         this.clock = clock;
         this.descriptors = descriptors;
         this.connectTimeoutSeconds = connectTimeout;
         this.idleTimeoutSeconds = idle * IDLE_TIMEOUT_FRACTION;
         this.transport = transport;
-        descriptors.nodesGiveBackBy(this::closeLongestIdle);
+        descriptors.setNodeEvictor(this::closeLongestIdle);
     }
 
     /** The node of that id, at that address. */
@@ -99,7 +99,7 @@
         return pools.values().stream().anyMatch(pool -> pool.node.replicaSetId() == group);
     }
 
-    public void send(Attempt dispatch, Outgoing outgoing) {
+    public void send(Attempt dispatch, OutboundStatement outgoing) {
         var attempt = new BackendRequest(dispatch.node, dispatch, outgoing, clock.now());
         requests.put(dispatch, attempt);
         ConnectionPool pool = pools.get(dispatch.node.id());
@@ -167,7 +167,7 @@
 
     /** What to write for an attempt now. */
     byte[] queryText(BackendRequest attempt) {
-        return attempt.attempt == null ? HEALTH_CHECK_QUERY : attempt.statement.withWait(attempt.attempt.timeoutAt - clock.now());
+        return attempt.attempt == null ? HEALTH_CHECK_QUERY : attempt.statement.textWithTimeout(attempt.attempt.timeoutAt - clock.now());
     }
 
     /** Gives the longest idle connection of any node back, if there is one. */
@@ -190,7 +190,7 @@
 
     /** How many connections stand or open. */
     public int connectionCount() {
-        return descriptors.ofNodes();
+        return descriptors.nodeCount();
     }
 
     /** How many of them wait for something to carry. */
@@ -199,7 +199,7 @@
     }
 
     boolean reserveDescriptor() {
-        return descriptors.takeForNode();
+        return descriptors.tryAcquireForNode();
     }
 
     void connect(NodeConnection connection) {
@@ -215,13 +215,13 @@
     }
 
     void releaseDescriptor() {
-        descriptors.giveOfNode();
+        descriptors.releaseForNode();
     }
 
     ByteBuf startupMessage() {
         return operator.statements() == null
-                ? Encoder.startup(operator.user(), operator.database())
-                : Encoder.startup(operator.user(), operator.database(), "client_encoding", "UTF8");
+                ? MessageEncoder.startupMessage(operator.user(), operator.database())
+                : MessageEncoder.startupMessage(operator.user(), operator.database(), "client_encoding", "UTF8");
     }
 
     /** Whether a node that tells this of itself cuts statements as they are cut here. */
@@ -251,7 +251,7 @@
             listener.onHealthCheck(attempt.node, reply);
         } else {
             requests.remove(attempt.attempt);
-            boolean refused = ending instanceof AttemptCompletion.NodeError && by != null && attempt.statement.free();
+            boolean refused = ending instanceof AttemptCompletion.NodeError && by != null && attempt.statement.hasFreeFormResult();
             List<byte[]> answer = ending instanceof AttemptCompletion.LocalAnswer concluded
                     ? concluded.messages()
                     : refused || ending instanceof AttemptCompletion.Answered ? by.answerMessages() : null;
@@ -260,8 +260,8 @@
     }
 
     void onErrorResponse(Node node, NodeMessage.ErrorResponse error) {
-        if (error.code().equals("08P01")) {
-            logWarning("node " + node.id() + " calls a statement malformed: " + error.text());
+        if (error.sqlState().equals("08P01")) {
+            logWarning("node " + node.id() + " calls a statement malformed: " + error.errorText());
         }
     }
 
--- a/daemon/src/main/java/clayhook/nodes/BackendRequest.java
+++ b/daemon/src/main/java/clayhook/nodes/BackendRequest.java
@@ -2,7 +2,7 @@
 
 import clayhook.Attempt;
 import clayhook.Node;
-import clayhook.protocol.Outgoing;
+import clayhook.protocol.OutboundStatement;
 
 /** A dispatch or a probe on its way to a node. */
 final class BackendRequest {
@@ -10,7 +10,7 @@
     /** Null for a probe. */
     final Attempt attempt;
 
-    final Outgoing statement;
+    final OutboundStatement statement;
     final double startedAt;
     AttemptPhase phase = AttemptPhase.NOT_CONNECTED;
     /** Its ending was told; there is no other, and it goes nowhere any more. */
@@ -18,7 +18,7 @@
     /** The connection that it was written to. */
     NodeConnection connection;
 
-    BackendRequest(Node node, Attempt dispatch, Outgoing outgoing, double startedAt) {
+    BackendRequest(Node node, Attempt dispatch, OutboundStatement outgoing, double startedAt) {
         this.node = node;
         this.attempt = dispatch;
         this.statement = outgoing;
--- a/daemon/src/main/java/clayhook/nodes/ConnectionPool.java
+++ b/daemon/src/main/java/clayhook/nodes/ConnectionPool.java
@@ -225,11 +225,11 @@
     }
 
     boolean reserveMemory(int bytes) {
-        return client.answerMemory.take(bytes);
+        return client.answerMemory.tryReserve(bytes);
     }
 
     void releaseMemory(int bytes) {
-        client.answerMemory.give(bytes);
+        client.answerMemory.release(bytes);
     }
 
     double now() {
--- a/daemon/src/main/java/clayhook/nodes/NodeConnection.java
+++ b/daemon/src/main/java/clayhook/nodes/NodeConnection.java
@@ -3,9 +3,9 @@
 import clayhook.AttemptResult;
 import clayhook.Role;
 import clayhook.config.LoadReport;
-import clayhook.protocol.Allowance;
-import clayhook.protocol.Encoder;
-import clayhook.protocol.NodeDecoder;
+import clayhook.protocol.MemoryBudget;
+import clayhook.protocol.MessageEncoder;
+import clayhook.protocol.NodeMessageDecoder;
 import clayhook.protocol.NodeMessage;
 import clayhook.statements.SessionSettings;
 import io.netty.channel.ChannelHandlerContext;
@@ -41,7 +41,7 @@
         NOTHING
     }
 
-    final NodeDecoder decoder;
+    final NodeMessageDecoder decoder;
     private final ConnectionPool pool;
     final InetSocketAddress address;
     /** Since when it has been opening or is given other settings. */
@@ -78,9 +78,9 @@
     private double position;
     private LoadReport loadReport;
 
-    NodeConnection(ConnectionPool pool, InetSocketAddress address, Allowance allowance, double openedAt) {
+    NodeConnection(ConnectionPool pool, InetSocketAddress address, MemoryBudget allowance, double openedAt) {
         this.pool = pool;
-        decoder = new NodeDecoder(allowance);
+        decoder = new NodeMessageDecoder(allowance);
         this.address = address;
         preparingSince = openedAt;
     }
@@ -105,7 +105,7 @@
         requestedSettings = to;
         sqlState = null;
         expected = Expected.SETTINGS;
-        context.writeAndFlush(Encoder.query(SessionSettings.change(settings, to).getBytes(StandardCharsets.UTF_8)));
+        context.writeAndFlush(MessageEncoder.query(SessionSettings.change(settings, to).getBytes(StandardCharsets.UTF_8)));
     }
 
     /** Writes the request of an attempt; the connection must be idle. */
@@ -114,8 +114,8 @@
         started.connection = this;
         started.phase = AttemptPhase.PARTLY_WRITTEN;
         requestWritten = false;
-        boolean free = started.statement != null && started.statement.free();
-        decoder.free(free);
+        boolean free = started.statement != null && started.statement.hasFreeFormResult();
+        decoder.expectFreeFormResult(free);
         expected = free ? Expected.ANY_RESULT : Expected.ROW_DESCRIPTION;
         answerBytes = reservedBytes = 0;
         columnCount = NO_ROW_DESCRIPTION;
@@ -126,7 +126,7 @@
         role = Role.UNKNOWN;
         position = 0;
         loadReport = LoadReport.NONE;
-        context.writeAndFlush(Encoder.query(query)).addListener(done -> {
+        context.writeAndFlush(MessageEncoder.query(query)).addListener(done -> {
             requestWritten |= done.isSuccess() && request == started;
             if (done.isSuccess() && started.phase == AttemptPhase.PARTLY_WRITTEN) {
                 started.phase = AttemptPhase.WRITTEN;
@@ -162,7 +162,7 @@
         if (closed) {
             return;
         } else if (message instanceof NodeMessage.Malformed malformed) {
-            failProtocol(malformed.why());
+            failProtocol(malformed.reason());
         } else if (expected == Expected.NOTHING) {
             failProtocol("what it was not asked");
         } else if (expected == Expected.STARTUP) {
@@ -185,7 +185,7 @@
             expected = Expected.NOTHING;
             onReadComplete = () -> pool.onStarted(this);
         } else if (message instanceof NodeMessage.ErrorResponse error) {
-            sqlState = error.code();
+            sqlState = error.sqlState();
         } else if (message instanceof NodeMessage.ParameterStatus told && !pool.acceptsParameter(told)) {
             // Guards against text that is a string here and code there.
             failProtocol(told.name() + " '" + told.value() + "', which the operator's file says otherwise");
@@ -197,7 +197,7 @@
     /** An error undoes all that was asked with it. */
     private void onSettingsMessage(Object message) {
         if (message instanceof NodeMessage.ErrorResponse error) {
-            sqlState = error.code();
+            sqlState = error.sqlState();
             answerMessages = List.of(error.message());
         } else if (message instanceof NodeMessage.ReadyForQuery) {
             expected = Expected.NOTHING;
@@ -218,15 +218,15 @@
         if (message instanceof NodeMessage.ParameterStatus status) {
             onParameterStatus(status.name(), status.value());
         } else if (message instanceof NodeMessage.Part part
-                && (part.type() == 'D' ? part.columns() == columnCount : part.type() == 'C' || columnCount == NO_ROW_DESCRIPTION)) {
-            columnCount = part.type() == 'T' || part.type() == 'D' ? part.columns() : NO_ROW_DESCRIPTION;
+                && (part.type() == 'D' ? part.columnCount() == columnCount : part.type() == 'C' || columnCount == NO_ROW_DESCRIPTION)) {
+            columnCount = part.type() == 'T' || part.type() == 'D' ? part.columnCount() : NO_ROW_DESCRIPTION;
             resultComplete |= columnCount == NO_ROW_DESCRIPTION;
             appendToAnswer(part.message());
         } else if (message instanceof NodeMessage.Notice notice) {
             appendToAnswer(notice.message());
         } else if (message instanceof NodeMessage.ErrorResponse error) {
             expected = Expected.READY_FOR_QUERY;
-            sqlState = error.code();
+            sqlState = error.sqlState();
             appendToAnswer(error.message());
             pool.onErrorResponse(error);
         } else if (message instanceof NodeMessage.ReadyForQuery && resultComplete && columnCount == NO_ROW_DESCRIPTION) {
@@ -248,7 +248,7 @@
                     ? "no memory is left for its answer"
                     : "its answer is longer than " + pool.maxAnswerBytes() + " bytes";
             completeRequest(new AttemptCompletion.LocalAnswer(
-                    List.of(Encoder.errorMessage(fits ? "53200" : "54000", "the statement has run, but " + why))));
+                    List.of(MessageEncoder.errorMessage(fits ? "53200" : "54000", "the statement has run, but " + why))));
             close();
         }
     }
@@ -264,10 +264,10 @@
         } else if (message instanceof NodeMessage.Part part && part.type() == expectedType()) {
             expected = Expected.values()[expected.ordinal() + 1];
             answerMessages.add(part.message());
-            loadReportText = part.type() == 'D' && request.attempt == null ? part.column() : loadReportText;
+            loadReportText = part.type() == 'D' && request.attempt == null ? part.firstColumn() : loadReportText;
         } else if (message instanceof NodeMessage.ErrorResponse error && expected == Expected.ROW_DESCRIPTION) {
             expected = Expected.READY_FOR_QUERY;
-            sqlState = error.code();
+            sqlState = error.sqlState();
             pool.onErrorResponse(error);
         } else if (message instanceof NodeMessage.ReadyForQuery && expected == Expected.READY_FOR_QUERY) {
             onReadyForQuery();
@@ -328,16 +328,16 @@
         }
         expected = Expected.NOTHING;
         onReadComplete = this::releaseAfterQuietPeriod;
-        boolean free = request.statement != null && request.statement.free();
-        closeAfterAnswer = free && request.statement.opaque();
-        decoder.free(false);
+        boolean free = request.statement != null && request.statement.hasFreeFormResult();
+        closeAfterAnswer = free && request.statement.mayChangeSession();
+        decoder.expectFreeFormResult(false);
         completeRequest(AttemptCompletion.ofAnswer(sqlState, free, closeAfterAnswer));
     }
 
     /** What was read together with an answer or a welcome has been looked at; what is left of it belongs to no one. */
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        if (!closed && expected == Expected.NOTHING && decoder.holdsPart()) {
+        if (!closed && expected == Expected.NOTHING && decoder.hasPartialMessage()) {
             failProtocol("part of what it was not asked");
         } else if (!closed && onReadComplete != null) {
             Runnable due = onReadComplete;
@@ -365,7 +365,7 @@
     private void completeRequest(AttemptCompletion ending) {
         BackendRequest ended = request;
         request = null;
-        decoder.release();
+        decoder.releaseMemory();
         pool.releaseMemory(reservedBytes);
         reservedBytes = 0;
         if (ended != null) {
--- a/daemon/src/main/java/clayhook/peers/Peers.java
+++ b/daemon/src/main/java/clayhook/peers/Peers.java
@@ -18,10 +18,10 @@
 import clayhook.fleet.members.Members;
 import clayhook.fleet.state.State;
 import clayhook.fleet.state.StateSettings;
-import clayhook.front.ClientCommand;
+import clayhook.front.ClientRequest;
 import clayhook.log.Log;
 import clayhook.serve.PeerSharing;
-import clayhook.transport.Clock;
+import clayhook.transport.SlewedClock;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.List;
@@ -52,7 +52,7 @@
     private final StateSettings usual;
     private final Datagrams datagrams;
     private final Address address;
-    private final Clock clock = new Clock();
+    private final SlewedClock clock = new SlewedClock();
     private final Outbound outbound;
     private Members members;
     /** Null until sharing has begun; commands may come before. */
@@ -322,10 +322,10 @@
     }
 
     @Override
-    public void recordWriteOutcome(ClientCommand command, Node ranAt, double now) {
-        if (settings.shareWriteOutcomes() && command.mark != null && !command.attempts.isEmpty()) {
+    public void recordWriteOutcome(ClientRequest command, Node ranAt, double now) {
+        if (settings.shareWriteOutcomes() && command.outcomeKey != null && !command.attempts.isEmpty()) {
             outbound.add(new News.Written(
-                    command.mark,
+                    command.outcomeKey,
                     command.attempts.get(0).sentAt,
                     command.replicaSetId,
                     command.requestClass.name(),
--- a/daemon/src/main/java/clayhook/protocol/ClientMessage.java
+++ b/daemon/src/main/java/clayhook/protocol/ClientMessage.java
@@ -7,7 +7,7 @@
     /**
      * Asks for the session; {@code minor} is the version of the protocol after 3, the parameters only where they count.
      */
-    record Startup(int minor, Map<String, String> parameters) implements ClientMessage {}
+    record Startup(int minorVersion, Map<String, String> parameters) implements ClientMessage {}
 
     /** Asks for an encrypted connection, which there is none of. */
     record EncryptionRequest() implements ClientMessage {}
@@ -17,13 +17,13 @@
 
     record EmptyQuery() implements ClientMessage {}
 
-    record Query(Statement statement) implements ClientMessage {}
+    record Query(KeyValueStatement statement) implements ClientMessage {}
 
     /** A query of any kind, where all are taken. */
-    record Sql(byte[] text) implements ClientMessage {}
+    record SqlQuery(byte[] text) implements ClientMessage {}
 
     /** A query that cannot be read; the session goes on. */
-    record UnreadableQuery(String why) implements ClientMessage {}
+    record UnreadableQuery(String reason) implements ClientMessage {}
 
     /** A message of the extended query protocol: all up to the next Sync get one error. */
     record Extended() implements ClientMessage {}
@@ -39,5 +39,5 @@
     record Terminate() implements ClientMessage {}
 
     /** Nothing after it can be understood. */
-    record Malformed(String code, String why) implements ClientMessage {}
+    record Malformed(String sqlState, String reason) implements ClientMessage {}
 }
--- a/daemon/src/main/java/clayhook/protocol/ClientDecoder.java
+++ b/daemon/src/main/java/clayhook/protocol/ClientMessageDecoder.java
@@ -5,44 +5,44 @@
 import java.util.Map;
 
 /** Decodes what a client sends. */
-public final class ClientDecoder extends FrameDecoder {
-    private static final int CANCEL = 80877102;
-    private static final int SSL = 80877103;
-    private static final int GSS = 80877104;
+public final class ClientMessageDecoder extends FrameDecoder {
+    private static final int CANCEL_REQUEST_CODE = 80877102;
+    private static final int SSL_REQUEST_CODE = 80877103;
+    private static final int GSS_ENCRYPTION_REQUEST_CODE = 80877104;
     /** No session is given this one. */
-    public static final long NO_KEY = 0;
+    public static final long NO_CANCEL_KEY = 0;
     /** Values hold 64 KiB, and twice that in hex digits; the rest is for the statement around them. */
-    private static final int LONGEST = 160 * 1024;
+    private static final int MAX_MESSAGE_LENGTH = 160 * 1024;
     /** As long as the reference server takes it. */
-    private static final int LONGEST_STARTUP = 10_000;
+    private static final int MAX_STARTUP_LENGTH = 10_000;
     /** Shorter messages go without an allowance: all clients together may send as many as a session reads ahead. */
-    private static final int SHORT = 1024;
+    private static final int MAX_UNRESERVED_LENGTH = 1024;
 
-    private final boolean sql;
-    private boolean started;
+    private final boolean acceptsAnyStatement;
+    private boolean startupDone;
 
     /** {@code sql}: statements of any kind are taken, and what a client tells at its start counts. */
-    public ClientDecoder(Allowance allowance, boolean sql) {
-        super(allowance, SHORT);
-        this.sql = sql;
+    public ClientMessageDecoder(MemoryBudget allowance, boolean sql) {
+        super(allowance, MAX_UNRESERVED_LENGTH);
+        this.acceptsAnyStatement = sql;
     }
 
-    public ClientDecoder(Allowance allowance) {
+    public ClientMessageDecoder(MemoryBudget allowance) {
         this(allowance, false);
     }
 
     @Override
-    boolean typed() {
-        return started;
+    boolean hasTypeByte() {
+        return startupDone;
     }
 
     @Override
-    int longest() {
-        return started ? LONGEST : LONGEST_STARTUP;
+    int maxMessageLength() {
+        return startupDone ? MAX_MESSAGE_LENGTH : MAX_STARTUP_LENGTH;
     }
 
     @Override
-    Object tooMuch() {
+    Object outOfMemory() {
         return new ClientMessage.Malformed("53300", "no memory is left for a long statement");
     }
 
@@ -52,12 +52,12 @@
     }
 
     @Override
-    Object message(char type, ByteBuf body) {
-        if (!started) {
-            return first(body);
+    Object decodeBody(char type, ByteBuf body) {
+        if (!startupDone) {
+            return decodeFirstMessage(body);
         }
         return switch (type) {
-            case 'Q' -> query(body);
+            case 'Q' -> decodeQuery(body);
             case 'X' -> new ClientMessage.Terminate();
             case 'S' -> new ClientMessage.Sync();
             case 'P', 'B', 'D', 'E', 'C' -> new ClientMessage.Extended();
@@ -67,47 +67,47 @@
         };
     }
 
-    private Object first(ByteBuf body) {
+    private Object decodeFirstMessage(ByteBuf body) {
         int version = body.readInt();
-        if (version == SSL || version == GSS) {
+        if (version == SSL_REQUEST_CODE || version == GSS_ENCRYPTION_REQUEST_CODE) {
             return new ClientMessage.EncryptionRequest();
-        } else if (version == CANCEL) {
-            return new ClientMessage.CancelRequest(body.readableBytes() < Long.BYTES ? NO_KEY : body.readLong());
+        } else if (version == CANCEL_REQUEST_CODE) {
+            return new ClientMessage.CancelRequest(body.readableBytes() < Long.BYTES ? NO_CANCEL_KEY : body.readLong());
         } else if (version >>> 16 != 3) {
             return new ClientMessage.Malformed("0A000", "protocol version " + (version >>> 16) + " is not supported");
         }
-        started = true;
-        return new ClientMessage.Startup(version & 0xffff, sql ? parameters(body) : Map.of());
+        startupDone = true;
+        return new ClientMessage.Startup(version & 0xffff, acceptsAnyStatement ? readParameters(body) : Map.of());
     }
 
-    private static Map<String, String> parameters(ByteBuf body) {
+    private static Map<String, String> readParameters(ByteBuf body) {
         var parameters = new LinkedHashMap<String, String>();
-        for (String name = text(body); !name.isEmpty(); name = text(body)) {
-            parameters.put(name, text(body));
+        for (String name = readString(body); !name.isEmpty(); name = readString(body)) {
+            parameters.put(name, readString(body));
         }
         return parameters;
     }
 
-    private Object query(ByteBuf body) {
+    private Object decodeQuery(ByteBuf body) {
         int length = body.bytesBefore((byte) 0);
         if (length < 0) {
             throw new IllegalArgumentException("a query without its end");
         }
         byte[] text = new byte[length];
         body.readBytes(text);
-        if (blank(text)) {
+        if (isBlank(text)) {
             return new ClientMessage.EmptyQuery();
-        } else if (sql) {
-            return new ClientMessage.Sql(text);
+        } else if (acceptsAnyStatement) {
+            return new ClientMessage.SqlQuery(text);
         }
         try {
-            return new ClientMessage.Query(Statement.parse(text));
+            return new ClientMessage.Query(KeyValueStatement.parse(text));
         } catch (IllegalArgumentException e) {
             return new ClientMessage.UnreadableQuery(e.getMessage());
         }
     }
 
-    private static boolean blank(byte[] text) {
+    private static boolean isBlank(byte[] text) {
         for (byte b : text) {
             if (b > ' ' && b != ';' || b < 0) {
                 return false;
--- a/daemon/src/main/java/clayhook/protocol/FrameDecoder.java
+++ b/daemon/src/main/java/clayhook/protocol/FrameDecoder.java
@@ -8,104 +8,104 @@
 
 /** Cuts the stream into messages: a type, a length that counts itself, a body. Holds only what has come. */
 abstract class FrameDecoder extends ByteToMessageDecoder {
-    private final Allowance allowance;
+    private final MemoryBudget memoryBudget;
     /** Shorter messages go without an allowance. */
-    private final int untaken;
+    private final int maxUnreservedLength;
     /** What the messages that came take of it until they are done with, or the connection ends. */
-    private int taken;
+    private int reservedBytes;
 
-    private boolean broken;
+    private boolean discarding;
     /** The message in hand has been let in. */
-    private boolean coming;
+    private boolean admitted;
 
-    FrameDecoder(Allowance allowance, int untaken) {
-        this.allowance = allowance;
-        this.untaken = untaken;
+    FrameDecoder(MemoryBudget allowance, int untaken) {
+        this.memoryBudget = allowance;
+        this.maxUnreservedLength = untaken;
     }
 
     @Override
     protected void decode(ChannelHandlerContext context, ByteBuf in, List<Object> out) {
-        if (broken) {
+        if (discarding) {
             in.skipBytes(in.readableBytes());
             return;
         }
-        int header = typed() ? 1 : 0;
+        int header = hasTypeByte() ? 1 : 0;
         if (in.readableBytes() < header + 4) {
             return;
         }
         int length = in.getInt(in.readerIndex() + header);
-        if (length < 4 || length > longest()) {
-            broken = true;
+        if (length < 4 || length > maxMessageLength()) {
+            discarding = true;
             in.skipBytes(in.readableBytes());
             out.add(malformed("a message of length " + Integer.toUnsignedString(length)));
             return;
         }
-        if (!coming && !mayCome(length)) {
-            broken = true;
+        if (!admitted && !reserveMemory(length)) {
+            discarding = true;
             in.skipBytes(in.readableBytes());
-            out.add(tooMuch());
+            out.add(outOfMemory());
             return;
         }
-        coming = in.readableBytes() < header + length;
-        if (coming) {
+        admitted = in.readableBytes() < header + length;
+        if (admitted) {
             return;
         }
         ByteBuf message = in.readSlice(header + length);
-        char type = typed() ? (char) (message.readByte() & 0xff) : 0;
+        char type = hasTypeByte() ? (char) (message.readByte() & 0xff) : 0;
         message.skipBytes(4);
         try {
-            out.add(message(type, message));
+            out.add(decodeBody(type, message));
         } catch (IndexOutOfBoundsException | IllegalArgumentException e) {
-            broken = true;
+            discarding = true;
             out.add(malformed("a message of type '" + type + "' that cannot be read"));
         }
     }
 
     /** Nothing that comes is to be understood any more. */
-    public final void discard() {
-        broken = true;
+    public final void discardInput() {
+        discarding = true;
     }
 
     /** Part of a message has come. */
-    public final boolean holdsPart() {
+    public final boolean hasPartialMessage() {
         return actualReadableBytes() > 0;
     }
 
     /** Whether the next message has a type. */
-    abstract boolean typed();
+    abstract boolean hasTypeByte();
 
     /** The longest message that may come next. */
-    abstract int longest();
+    abstract int maxMessageLength();
 
     /** The message whose body is to be read; its header has been. */
-    abstract Object message(char type, ByteBuf body);
+    abstract Object decodeBody(char type, ByteBuf body);
 
     abstract Object malformed(String why);
 
-    private boolean mayCome(int length) {
-        boolean may = length <= untaken || allowance.take(length);
-        taken += may && length > untaken ? length : 0;
+    private boolean reserveMemory(int length) {
+        boolean may = length <= maxUnreservedLength || memoryBudget.tryReserve(length);
+        reservedBytes += may && length > maxUnreservedLength ? length : 0;
         return may;
     }
 
     /** All messages that came are done with. */
-    public final void release() {
-        allowance.give(taken);
-        taken = 0;
+    public final void releaseMemory() {
+        memoryBudget.release(reservedBytes);
+        reservedBytes = 0;
     }
 
     @Override
     protected final void handlerRemoved0(ChannelHandlerContext context) {
-        release();
+        releaseMemory();
     }
 
     /** What is told of a message that there is no memory for. */
-    Object tooMuch() {
+    Object outOfMemory() {
         return malformed("a message too long for now");
     }
 
     /** Text up to its closing zero. */
-    static String text(ByteBuf body) {
+    static String readString(ByteBuf body) {
         int length = body.bytesBefore((byte) 0);
         if (length < 0) {
             throw new IllegalArgumentException("text without its end");
--- a/daemon/src/main/java/clayhook/protocol/NodeMessage.java
+++ b/daemon/src/main/java/clayhook/protocol/NodeMessage.java
@@ -11,24 +11,24 @@
     /** RowDescription, DataRow, CommandComplete or EmptyQueryResponse, whole as it came. */
     record Part(char type, byte[] message) implements NodeMessage {
         /** Where the number of columns stands in a RowDescription or DataRow. */
-        private static final int COLUMNS = 1 + 4;
+        private static final int COLUMN_COUNT_OFFSET = 1 + 4;
 
         /** Where the value of a DataRow stands: after the type, its length, the count and its own length. */
-        private static final int VALUE = 1 + 4 + 2 + 4;
+        private static final int FIRST_VALUE_OFFSET = 1 + 4 + 2 + 4;
 
         /** How many columns a RowDescription or DataRow has. */
-        public int columns() {
-            return (message[COLUMNS] & 0xff) << 8 | message[COLUMNS + 1] & 0xff;
+        public int columnCount() {
+            return (message[COLUMN_COUNT_OFFSET] & 0xff) << 8 | message[COLUMN_COUNT_OFFSET + 1] & 0xff;
         }
 
         /** The column of a DataRow as text. */
-        public String column() {
-            return new String(message, VALUE, message.length - VALUE, StandardCharsets.UTF_8);
+        public String firstColumn() {
+            return new String(message, FIRST_VALUE_OFFSET, message.length - FIRST_VALUE_OFFSET, StandardCharsets.UTF_8);
         }
     }
 
     /** {@code message} is whole as it came. */
-    record ErrorResponse(String code, String text, byte[] message) implements NodeMessage {}
+    record ErrorResponse(String sqlState, String errorText, byte[] message) implements NodeMessage {}
 
     record ReadyForQuery() implements NodeMessage {}
 
@@ -42,5 +42,5 @@
     record CancelKey() implements NodeMessage {}
 
     /** Nothing after it can be understood. */
-    record Malformed(String why) implements NodeMessage {}
+    record Malformed(String reason) implements NodeMessage {}
 }
--- a/daemon/src/main/java/clayhook/protocol/NodeDecoder.java
+++ b/daemon/src/main/java/clayhook/protocol/NodeMessageDecoder.java
@@ -3,36 +3,36 @@
 import io.netty.buffer.ByteBuf;
 
 /** Decodes what a node sends. */
-public final class NodeDecoder extends FrameDecoder {
+public final class NodeMessageDecoder extends FrameDecoder {
     /** Some values that were written elsewhere are several times as long as those that clients may write here. */
-    private static final int LONGEST = 1 << 20;
+    private static final int MAX_MESSAGE_LENGTH = 1 << 20;
     /** Shorter messages go without an allowance. */
-    private static final int SHORT = 4096;
+    private static final int MAX_UNRESERVED_LENGTH = 4096;
     /** What describes a column after its name: table, number, type, size, modifier and format. */
-    private static final int COLUMN = 18;
+    private static final int COLUMN_DESCRIPTION_BYTES = 18;
     /** The length of a column without a value. */
-    private static final int NULL = -1;
+    private static final int NULL_VALUE_LENGTH = -1;
 
     /** Answers may have any columns. */
-    private boolean free;
+    private boolean freeFormResult;
 
-    public NodeDecoder(Allowance allowance) {
-        super(allowance, SHORT);
+    public NodeMessageDecoder(MemoryBudget allowance) {
+        super(allowance, MAX_UNRESERVED_LENGTH);
     }
 
     /** Whether what comes next is the answer to a statement of any kind. */
-    public void free(boolean answers) {
-        free = answers;
+    public void expectFreeFormResult(boolean answers) {
+        freeFormResult = answers;
     }
 
     @Override
-    boolean typed() {
+    boolean hasTypeByte() {
         return true;
     }
 
     @Override
-    int longest() {
-        return LONGEST;
+    int maxMessageLength() {
+        return MAX_MESSAGE_LENGTH;
     }
 
     @Override
@@ -41,29 +41,29 @@
     }
 
     @Override
-    Object message(char type, ByteBuf body) {
-        byte[] whole = "TDCEN".indexOf(type) < 0 && !(free && type == 'I') ? null : whole(body);
+    Object decodeBody(char type, ByteBuf body) {
+        byte[] whole = "TDCEN".indexOf(type) < 0 && !(freeFormResult && type == 'I') ? null : copyMessage(body);
         Object message =
                 switch (type) {
                     case 'R' ->
                         body.readInt() == 0 ? new NodeMessage.AuthenticationOk() : malformed("asks for a password");
-                    case 'S' -> new NodeMessage.ParameterStatus(text(body), text(body));
+                    case 'S' -> new NodeMessage.ParameterStatus(readString(body), readString(body));
                     case 'T', 'D', 'C' -> {
-                        part(type, body);
+                        checkResultMessage(type, body);
                         yield new NodeMessage.Part(type, whole);
                     }
-                    case 'I' -> free ? new NodeMessage.Part(type, whole) : malformed("an answer to an empty query");
-                    case 'E' -> error(body, whole);
+                    case 'I' -> freeFormResult ? new NodeMessage.Part(type, whole) : malformed("an answer to an empty query");
+                    case 'E' -> decodeError(body, whole);
                     case 'N' -> {
-                        error(body, whole);
+                        decodeError(body, whole);
                         yield new NodeMessage.Notice(whole);
                     }
                     case 'A' -> {
                         body.skipBytes(body.readableBytes());
-                        yield free ? new NodeMessage.Notification() : malformed("a notification");
+                        yield freeFormResult ? new NodeMessage.Notification() : malformed("a notification");
                     }
                     case 'Z' -> {
-                        check(body.readByte() == 'I');
+                        require(body.readByte() == 'I');
                         yield new NodeMessage.ReadyForQuery();
                     }
                     case 'K' -> {
@@ -72,47 +72,47 @@
                     }
                     default -> malformed("an unknown message of type " + (int) type);
                 };
-        check(!body.isReadable() || message instanceof NodeMessage.Malformed);
+        require(!body.isReadable() || message instanceof NodeMessage.Malformed);
         return message;
     }
 
     /** Checks a part of an answer: one column unless any may come, and lengths that fit. */
-    private void part(char type, ByteBuf body) {
+    private void checkResultMessage(char type, ByteBuf body) {
         if (type == 'C') {
-            text(body);
+            readString(body);
             return;
         }
         int columns = body.readUnsignedShort();
-        check(free || columns == 1);
+        require(freeFormResult || columns == 1);
         for (int i = 0; i < columns; i++) {
             if (type == 'T') {
-                text(body);
-                body.skipBytes(COLUMN);
+                readString(body);
+                body.skipBytes(COLUMN_DESCRIPTION_BYTES);
             } else {
                 int length = body.readInt();
-                check(length >= 0 || free && length == NULL);
+                require(length >= 0 || freeFormResult && length == NULL_VALUE_LENGTH);
                 body.skipBytes(Math.max(0, length));
             }
         }
     }
 
-    private static void check(boolean fits) {
+    private static void require(boolean fits) {
         if (!fits) {
             throw new IllegalArgumentException("a message that does not fit its form");
         }
     }
 
-    private static byte[] whole(ByteBuf body) {
+    private static byte[] copyMessage(ByteBuf body) {
         byte[] message = new byte[body.writerIndex()];
         body.getBytes(0, message);
         return message;
     }
 
-    private static NodeMessage error(ByteBuf body, byte[] whole) {
+    private static NodeMessage decodeError(ByteBuf body, byte[] whole) {
         String code = "";
         String text = "";
         for (byte field = body.readByte(); field != 0; field = body.readByte()) {
-            String value = text(body);
+            String value = readString(body);
             code = field == 'C' ? value : code;
             text = field == 'M' ? value : text;
         }
--- a/daemon/src/main/java/clayhook/protocol/Outgoing.java
+++ b/daemon/src/main/java/clayhook/protocol/OutboundStatement.java
@@ -3,12 +3,12 @@
 import java.util.Map;
 
 /** A statement on its way to a node, as the connection that carries it must know it. */
-public interface Outgoing {
+public interface OutboundStatement {
     /** The text to send to a node that will be waited for so long, in seconds. */
-    byte[] withWait(double seconds);
+    byte[] textWithTimeout(double seconds);
 
     /** Its answer may have any columns, rows and results, and an error of the database is an answer too. */
-    default boolean free() {
+    default boolean hasFreeFormResult() {
         return false;
     }
 
@@ -18,7 +18,7 @@
     }
 
     /** It may leave something behind in the session that runs it, which then serves no other. */
-    default boolean opaque() {
+    default boolean mayChangeSession() {
         return false;
     }
 }
--- a/daemon/src/main/java/clayhook/protocol/SqlStatement.java
+++ b/daemon/src/main/java/clayhook/protocol/SqlStatement.java
@@ -3,14 +3,14 @@
 import java.util.Map;
 
 /** A statement of any kind, that goes on as the client wrote it. */
-public record SqlStatement(byte[] text, Map<String, String> settings, boolean opaque) implements Outgoing {
+public record SqlStatement(byte[] text, Map<String, String> settings, boolean mayChangeSession) implements OutboundStatement {
     @Override
-    public byte[] withWait(double seconds) {
+    public byte[] textWithTimeout(double seconds) {
         return text;
     }
 
     @Override
-    public boolean free() {
+    public boolean hasFreeFormResult() {
         return true;
     }
 }
--- a/daemon/src/main/java/clayhook/rehearsal/StubClient.java
+++ b/daemon/src/main/java/clayhook/rehearsal/StubClient.java
@@ -2,9 +2,9 @@
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import clayhook.protocol.Allowance;
-import clayhook.protocol.Encoder;
-import clayhook.protocol.NodeDecoder;
+import clayhook.protocol.MemoryBudget;
+import clayhook.protocol.MessageEncoder;
+import clayhook.protocol.NodeMessageDecoder;
 import clayhook.protocol.NodeMessage;
 import clayhook.transport.Transport;
 import io.netty.buffer.ByteBuf;
@@ -35,7 +35,7 @@
         channel = transport.connect(
                 router,
                 TIMEOUT_SECONDS,
-                () -> new ChannelHandler[] {new NodeDecoder(new Allowance(Long.MAX_VALUE)), new StubClientHandler()},
+                () -> new ChannelHandler[] {new NodeMessageDecoder(new MemoryBudget(Long.MAX_VALUE)), new StubClientHandler()},
                 () -> answers.add(NO_CONNECTION));
     }
 
@@ -50,9 +50,9 @@
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             if (message instanceof NodeMessage.Part part && part.type() == 'D') {
-                answer = part.column();
+                answer = part.firstColumn();
             } else if (message instanceof NodeMessage.ErrorResponse error) {
-                answer = error.code();
+                answer = error.sqlState();
             } else if (message instanceof NodeMessage.ReadyForQuery) {
                 answers.add(answer);
                 answer = "ready";
@@ -91,12 +91,12 @@
         String text = writes
                 ? "INSERT INTO state (uid, val) VALUES ('" + key + "', '\\x9f03') RETURNING val"
                 : "SELECT val FROM state WHERE uid = '" + key + "'";
-        return Encoder.query((text + " /* " + fields + " */").getBytes(UTF_8));
+        return MessageEncoder.query((text + " /* " + fields + " */").getBytes(UTF_8));
     }
 
     /** Startup and a first statement in one piece. */
     public static ByteBuf startupAndFirst(ByteBuf first) {
-        return Unpooled.wrappedBuffer(Encoder.startup("client", "core"), first);
+        return Unpooled.wrappedBuffer(MessageEncoder.startupMessage("client", "core"), first);
     }
 
     /** The value, the code of the error, or ready for what had neither; closed once the router ended. */
--- a/daemon/src/main/java/clayhook/rehearsal/StubNode.java
+++ b/daemon/src/main/java/clayhook/rehearsal/StubNode.java
@@ -2,11 +2,11 @@
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import clayhook.protocol.Allowance;
-import clayhook.protocol.ClientDecoder;
+import clayhook.protocol.MemoryBudget;
+import clayhook.protocol.ClientMessageDecoder;
 import clayhook.protocol.ClientMessage;
-import clayhook.protocol.Encoder;
-import clayhook.protocol.Statement;
+import clayhook.protocol.MessageEncoder;
+import clayhook.protocol.KeyValueStatement;
 import clayhook.transport.Transport;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -49,10 +49,10 @@
     /** The role of a node that leaves probes unanswered. */
     public static final String UNRESPONSIVE = "mute";
 
-    public StubNode(Transport transport, InetSocketAddress address, String role, Function<Statement, StubResponse> deeds)
+    public StubNode(Transport transport, InetSocketAddress address, String role, Function<KeyValueStatement, StubResponse> deeds)
             throws InterruptedException {
         super(transport, address, () ->
-                new ChannelHandler[] {new ClientDecoder(new Allowance(Long.MAX_VALUE)), new StubNodeHandler(role, deeds)});
+                new ChannelHandler[] {new ClientMessageDecoder(new MemoryBudget(Long.MAX_VALUE)), new StubNodeHandler(role, deeds)});
     }
 
     /** An answer of one row, and what a node tells with it; {@code applied} is its position in milliseconds. */
@@ -73,7 +73,7 @@
         writeParameterStatus(out, "role", role);
         writeParameterStatus(out, "applied_ms", Long.toString(applied));
         writeParameterStatus(out, "load", load);
-        return out.writeBytes(Encoder.ready());
+        return out.writeBytes(MessageEncoder.readyForQuery());
     }
 
     private static void writeParameterStatus(ByteBuf out, String name, String value) {
@@ -83,9 +83,9 @@
 
     private static final class StubNodeHandler extends ChannelInboundHandlerAdapter {
         private final String role;
-        private final Function<Statement, StubResponse> responses;
+        private final Function<KeyValueStatement, StubResponse> responses;
 
-        private StubNodeHandler(String role, Function<Statement, StubResponse> deeds) {
+        private StubNodeHandler(String role, Function<KeyValueStatement, StubResponse> deeds) {
             this.role = role;
             this.responses = deeds;
         }
@@ -93,7 +93,7 @@
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             if (message instanceof ClientMessage.Startup) {
-                ctx.writeAndFlush(Encoder.welcome(0, Map.of()));
+                ctx.writeAndFlush(MessageEncoder.startupResponse(0, Map.of()));
             } else if (message instanceof ClientMessage.Query query) {
                 respond(ctx, responses.apply(query.statement()));
             } else if (message instanceof ClientMessage.UnreadableQuery && !role.equals(UNRESPONSIVE)) {
@@ -110,7 +110,7 @@
             } else if (deed.bytes() != null) {
                 ctx.writeAndFlush(deed.bytes().retainedDuplicate());
             } else if (deed.errorCode() != null) {
-                ctx.writeAndFlush(Encoder.error(false, deed.errorCode(), "as told", null));
+                ctx.writeAndFlush(MessageEncoder.error(false, deed.errorCode(), "as told", null));
             } else if (deed.value() != null) {
                 ctx.writeAndFlush(row(deed.value()));
             }
--- a/daemon/src/main/java/clayhook/rehearsal/WarmUp.java
+++ b/daemon/src/main/java/clayhook/rehearsal/WarmUp.java
@@ -6,7 +6,7 @@
 import clayhook.config.RouterConfiguration;
 import clayhook.discovery.EndpointList;
 import clayhook.log.Log;
-import clayhook.protocol.Statement;
+import clayhook.protocol.KeyValueStatement;
 import clayhook.serve.Server;
 import clayhook.transport.Transport;
 import io.netty.buffer.ByteBuf;
@@ -72,18 +72,18 @@
 
     private static boolean serveStubClients(RoutingSettings settings, Transport transport, Transport outside, double until)
             throws InterruptedException {
-        var primary = new StubNode(transport, transport.spare(1), "primary", any -> StubNode.StubResponse.answer("p"));
-        var replica = new StubNode(transport, transport.spare(2), "replica", any -> StubNode.StubResponse.answer("r"));
-        var other = new StubNode(transport, transport.spare(3), "replica", varyingResponses());
+        var primary = new StubNode(transport, transport.ephemeralAddress(1), "primary", any -> StubNode.StubResponse.answer("p"));
+        var replica = new StubNode(transport, transport.ephemeralAddress(2), "replica", any -> StubNode.StubResponse.answer("r"));
+        var other = new StubNode(transport, transport.ephemeralAddress(3), "replica", varyingResponses());
         String list = "{\"rev\":2,\"all\":true,\"targets\":[" + endpointJson("p", primary) + "," + endpointJson("r", replica) + ","
                 + endpointJson("o", other) + "]}";
         var discovery =
-                new StubDiscovery(transport, transport.spare(4), call -> call.contains("after=2") ? null : list);
+                new StubDiscovery(transport, transport.ephemeralAddress(4), call -> call.contains("after=2") ? null : list);
         var server = new Server(
                 transport,
                 new RouterConfiguration(
                         "rehearsal",
-                        transport.spare(5),
+                        transport.ephemeralAddress(5),
                         discovery.address(),
                         1,
                         1 << 24,
@@ -124,7 +124,7 @@
         return word != null && !word.equals(StubClient.NO_CONNECTION);
     }
 
-    private static Function<Statement, StubNode.StubResponse> varyingResponses() {
+    private static Function<KeyValueStatement, StubNode.StubResponse> varyingResponses() {
         var count = new AtomicInteger();
         return any -> switch (count.incrementAndGet()) {
             case 2 -> StubNode.StubResponse.error("53300");
--- a/daemon/src/main/java/clayhook/serve/PeerSharing.java
+++ b/daemon/src/main/java/clayhook/serve/PeerSharing.java
@@ -5,7 +5,7 @@
 import clayhook.PeerObservation;
 import clayhook.config.SharingSettings;
 import clayhook.discovery.EndpointList;
-import clayhook.front.ClientCommand;
+import clayhook.front.ClientRequest;
 import java.net.InetSocketAddress;
 import java.util.Collection;
 import java.util.Map;
@@ -56,7 +56,7 @@
     void recordSessionWrite(String session, int group, double position);
 
     /** That write has run at that node; or, with null, has its final answer and it is not known whether it has run. */
-    void recordWriteOutcome(ClientCommand command, Node ranAt, double now);
+    void recordWriteOutcome(ClientRequest command, Node ranAt, double now);
 
     /** This router has used so much of a limit. */
     void recordQuotaUse(SharedQuota limit, int units);
--- a/daemon/src/main/java/clayhook/serve/Router.java
+++ b/daemon/src/main/java/clayhook/serve/Router.java
@@ -18,16 +18,16 @@
 import clayhook.config.OperatorConfiguration;
 import clayhook.discovery.EndpointWatcher;
 import clayhook.discovery.EndpointList;
-import clayhook.front.ClientCommand;
-import clayhook.front.Front;
-import clayhook.front.Session;
+import clayhook.front.ClientRequest;
+import clayhook.front.ClientListener;
+import clayhook.front.ClientSession;
 import clayhook.hand.InFlightRequests;
 import clayhook.log.Log;
 import clayhook.nodes.BackendClient;
-import clayhook.protocol.Statement;
-import clayhook.sql.SqlCommands;
-import clayhook.transport.Clock;
-import clayhook.transport.Descriptors;
+import clayhook.protocol.KeyValueStatement;
+import clayhook.sql.SqlAdmission;
+import clayhook.transport.SlewedClock;
+import clayhook.transport.DescriptorBudget;
 import clayhook.transport.Transport;
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.ScheduledFuture;
@@ -44,7 +44,7 @@
 import java.util.function.DoubleConsumer;
 
 /** The loop: gathers what is ready, hands it to the module in one go, carries out what came back. */
-public final class Router implements Session.Listener, BackendClient.Listener, EndpointWatcher.Listener, PeerSharing.PeerListener {
+public final class Router implements ClientSession.RequestHandler, BackendClient.Listener, EndpointWatcher.Listener, PeerSharing.PeerListener {
     /** Time between summaries in the log. */
     private static final double SUMMARY = 10;
     /** Time between looks at connections that open or stand idle; short beside a connection's time limit. */
@@ -63,25 +63,25 @@
 
     private final RouterConfiguration started;
     private final EventLoop loop;
-    private final Clock clock = new Clock();
+    private final SlewedClock clock = new SlewedClock();
     private final RoutingSettings settings;
     private final OperatorConfiguration operator;
     /** Null where only the two fixed forms of statement are taken. */
-    private SqlCommands sql;
+    private SqlAdmission sql;
 
     private final Map<String, RequestClass> groups = new HashMap<>();
     private final RoutingPolicy decide;
     private final InFlightRequests hand;
     private final BackendClient nodes;
     private final EndpointWatcher discovery;
-    private final Front front;
-    private final Descriptors descriptors;
+    private final ClientListener front;
+    private final DescriptorBudget descriptors;
     /** Null where nothing is shared with other routers. */
     private final PeerSharing sharing;
     /** The newest revision that discovery has told this router itself. */
     private long ownRevision = -1;
     /** The commands that sessions wait for; each leaves with its final answer. */
-    private final Map<Session, ClientCommand> waiting = new HashMap<>();
+    private final Map<ClientSession, ClientRequest> waiting = new HashMap<>();
     /** Their ids. */
     private final Set<String> open = new HashSet<>();
     /** What came in since the last turn; lists go before the rest. */
@@ -89,7 +89,7 @@
 
     private List<DoubleConsumer> rest = new ArrayList<>();
     /** Answers to be passed on at the end of the turn. */
-    private final Map<ClientCommand, List<byte[]>> answers = new HashMap<>();
+    private final Map<ClientRequest, List<byte[]>> answers = new HashMap<>();
 
     private boolean turning;
     /** All is given up, also what is yet to come. */
@@ -109,10 +109,10 @@
         started = configuration;
         this.operator = operator;
         this.sharing = sharing;
-        loop = transport.loop();
+        loop = transport.eventLoop();
         settings = configuration.settings();
         settings.requestClasses().forEach(g -> groups.put(g.name(), g));
-        descriptors = new Descriptors(configuration.maxDescriptors());
+        descriptors = new DescriptorBudget(configuration.maxDescriptors());
         decide = new RoutingPolicy(settings, configuration.seed());
         hand = new InFlightRequests(decide, fault -> Log.error("a turn failed", fault));
         nodes = new BackendClient(
@@ -126,7 +126,7 @@
                 this);
         sql = operator.statements() == null
                 ? null
-                : new SqlCommands(operator.statements(), settings.requestClasses(), configuration.seed());
+                : new SqlAdmission(operator.statements(), settings.requestClasses(), configuration.seed());
         discovery = new EndpointWatcher(
                 transport,
                 configuration.discovery(),
@@ -138,12 +138,12 @@
         if (sharing != null) {
             sharing.attach(loop, configuration.discovery(), this); // the first command may ask
         }
-        front = new Front(
+        front = new ClientListener(
                 transport,
                 configuration.listen(),
                 descriptors,
                 configuration.memoryBytes(),
-                sql == null ? null : () -> sql.session(),
+                sql == null ? null : () -> sql.newSessionSettings(),
                 clock::now,
                 this);
         turning = true;
@@ -164,18 +164,18 @@
     // ---- what is heard ----
 
     @Override
-    public void taken(Session session, Statement statement) {
-        RequestClass group = groups.get(statement.group);
+    public void onKeyValueStatement(ClientSession session, KeyValueStatement statement) {
+        RequestClass group = groups.get(statement.requestClassName);
         String fault = fault(group, statement);
         if (fault != null) {
             Log.warn("client", fault);
-            loop.execute(() -> session.rejected("42601", fault));
+            loop.execute(() -> session.respondWithError("42601", fault));
             return;
         }
-        open.add(statement.id);
+        open.add(statement.requestId);
         tell(
                 rest,
-                now -> take(new ClientCommand(group, statement, session, need(group, statement.key, now), now), now));
+                now -> take(new ClientRequest(group, statement, session, need(group, statement.key, now), now), now));
     }
 
     /** The position that others know a session's read to need; 0 for none. */
@@ -183,14 +183,14 @@
         return sharing == null || group.consistency() != ConsistencyLevel.SESSION ? 0 : sharing.requiredPosition(session, now);
     }
 
-    private void take(ClientCommand command, double now) {
+    private void take(ClientRequest command, double now) {
         // Guards against work for a client whose close was read together with its command.
-        if (command.session.gone()) {
-            open.remove(command.id);
+        if (command.clientSession.isClientGone()) {
+            open.remove(command.requestId);
             Log.count("left");
             return;
         }
-        waiting.put(command.session, command);
+        waiting.put(command.clientSession, command);
         if (over) {
             hand.rejectOrFail(command);
         } else {
@@ -199,60 +199,60 @@
     }
 
     @Override
-    public void asked(Session session, byte[] text) {
-        SqlCommands.Order order = sql.order(
+    public void onSqlStatement(ClientSession session, byte[] text) {
+        SqlAdmission.AdmissionResult order = sql.admit(
                 text,
                 session.settings().client(),
                 session.settings().timeout(),
                 session.settings().values());
-        if (order instanceof SqlCommands.Order.Taken taken && nodes.hasReplicaSet(taken.nodes())) {
-            Log.count(taken.classed().verdict() + " " + taken.classed().rule());
-            tell(rest, now -> take(command(taken, session, now, taken.seconds()), now));
+        if (order instanceof SqlAdmission.AdmissionResult.Admitted taken && nodes.hasReplicaSet(taken.replicaSetId())) {
+            Log.count(taken.classification().verdict() + " " + taken.classification().rule());
+            tell(rest, now -> take(command(taken, session, now, taken.timeoutSeconds()), now));
             return;
         }
         refuse(session, order);
     }
 
-    private static ClientCommand command(SqlCommands.Order.Taken taken, Session session, double now, double wait) {
-        return new ClientCommand(
-                taken.group(),
-                taken.nodes(),
+    private static ClientRequest command(SqlAdmission.AdmissionResult.Admitted taken, ClientSession session, double now, double wait) {
+        return new ClientRequest(
+                taken.requestClass(),
+                taken.replicaSetId(),
                 taken.statement(),
-                taken.classed(),
+                taken.classification(),
                 session,
-                Math.max(taken.after(), session.wroteAt()),
+                Math.max(taken.requiredPosition(), session.lastWritePosition()),
                 now,
                 wait);
     }
 
-    private void refuse(Session session, SqlCommands.Order order) {
-        var refused = order instanceof SqlCommands.Order.Refused given
+    private void refuse(ClientSession session, SqlAdmission.AdmissionResult order) {
+        var refused = order instanceof SqlAdmission.AdmissionResult.Rejected given
                 ? given
-                : new SqlCommands.Order.Refused("42601", "unknown group of nodes");
+                : new SqlAdmission.AdmissionResult.Rejected("42601", "unknown group of nodes");
         Log.count("refused");
-        Log.warn("statement", "refused: " + refused.why());
-        loop.execute(() -> session.rejected(refused.code(), refused.why()));
+        Log.warn("statement", "refused: " + refused.reason());
+        loop.execute(() -> session.respondWithError(refused.sqlState(), refused.reason()));
     }
 
     /** Why the statement is none that can be taken, or null. */
-    private String fault(RequestClass group, Statement statement) {
+    private String fault(RequestClass group, KeyValueStatement statement) {
         return group == null
                 ? "unknown command group"
-                : group.consistency() == ConsistencyLevel.WRITE != statement.writes
+                : group.consistency() == ConsistencyLevel.WRITE != statement.isWrite
                         ? "a statement of another kind than its command group"
-                        : group.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY && !statement.keyed
+                        : group.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY && !statement.hasIdempotencyKey
                                 ? "no key in a keyed command group"
-                                : !nodes.hasReplicaSet(statement.nodeGroup)
+                                : !nodes.hasReplicaSet(statement.replicaSetId)
                                         ? "unknown group of nodes"
-                                        : open.contains(statement.id) ? "the id of an open command" : null;
+                                        : open.contains(statement.requestId) ? "the id of an open command" : null;
     }
 
     @Override
-    public void left(Session session) {
+    public void onClientGone(ClientSession session) {
         tell(rest, now -> {
-            ClientCommand command = waiting.remove(session);
+            ClientRequest command = waiting.remove(session);
             if (command != null) {
-                open.remove(command.id);
+                open.remove(command.requestId);
                 Log.count("left");
                 shareDoubt(command);
                 hand.onClientGone(command);
@@ -263,14 +263,14 @@
 
     /** Nothing more goes out and what is out is recalled; once it is known how that ended, the client is told. */
     @Override
-    public void cancelled(Session session) {
+    public void onCancelRequest(ClientSession session) {
         tell(rest, now -> {
-            ClientCommand command = waiting.get(session);
+            ClientRequest command = waiting.get(session);
             if (command == null || command.completed) {
                 return;
             }
             waiting.remove(session);
-            open.remove(command.id);
+            open.remove(command.requestId);
             Log.count("cancelled");
             hand.onClientGone(command);
             // What was decided in this turn is carried out before, and what is recalled then ends before the answer.
@@ -278,7 +278,7 @@
                 hand.cancellableAttempts(command).forEach(nodes::cancel);
                 tell(rest, last -> {
                     shareDoubt(command);
-                    session.cancelled(mayHaveRun(command));
+                    session.respondCancelled(mayHaveRun(command));
                 });
             });
         });
@@ -292,20 +292,20 @@
     public void onAttemptFinished(Attempt dispatch, AttemptResult reply, List<byte[]> answer, String error) {
         Log.count(reply.outcome().toString());
         tell(rest, now -> {
-            var command = (ClientCommand) dispatch.request;
+            var command = (ClientRequest) dispatch.request;
             boolean answers = reply.outcome() == AttemptOutcome.ANSWERED && !command.completed;
-            if (command.classed != null
+            if (command.classification != null
                     && READ_ONLY.equals(error)
                     && command.requestClass.consistency() != ConsistencyLevel.WRITE
                     && !command.completed) {
                 beginAsWrite(command, dispatch, reply, now);
                 return;
             }
-            command.error = answers ? null : answer;
+            command.lastNodeError = answers ? null : answer;
             if (answers) {
                 this.answers.put(command, answer);
             }
-            if (command.classed != null && answers) {
+            if (command.classification != null && answers) {
                 answered(command, reply, now);
             }
             if (sharing != null) {
@@ -317,13 +317,13 @@
 
     /** What others may need of an outcome: what the node showed of itself, and that a write has run. */
     private void share(Attempt dispatch, AttemptResult reply, List<byte[]> answer, double now) {
-        var command = (ClientCommand) dispatch.request;
+        var command = (ClientRequest) dispatch.request;
         sharing.recordObservation(dispatch.node, reply, now);
         // Of statements of any kind an answer may be an error of the database, after which nothing has run.
         if (reply.outcome() == AttemptOutcome.ANSWERED
                 && command.requestClass.consistency() == ConsistencyLevel.WRITE
                 && answer.stream().noneMatch(message -> message[0] == ERROR)) {
-            if (command.classed == null) {
+            if (command.classification == null) {
                 sharing.recordSessionWrite(
                         dispatch.request.sessionId, command.replicaSetId, reply.appliedPosition() > 0 ? reply.appliedPosition() : now);
             }
@@ -339,16 +339,16 @@
                 && command.requestClass.consistency() == ConsistencyLevel.WRITE
                 && command.requestClass.idempotency() != Idempotency.IDEMPOTENT
                 && mayHaveRun(command)) {
-            sharing.recordWriteOutcome((ClientCommand) command, null, clock.now());
+            sharing.recordWriteOutcome((ClientRequest) command, null, clock.now());
         }
     }
 
     /** A node will not run what was taken for a read: that command is over without an answer, and a write begins. */
-    private void beginAsWrite(ClientCommand command, Attempt dispatch, AttemptResult reply, double now) {
-        Session session = command.session;
-        SqlCommands.Order order = sql.orderAsWrite(
-                command.classed,
-                command.outgoing.withWait(0),
+    private void beginAsWrite(ClientRequest command, Attempt dispatch, AttemptResult reply, double now) {
+        ClientSession session = command.clientSession;
+        SqlAdmission.AdmissionResult order = sql.readmitAsWrite(
+                command.classification,
+                command.outboundStatement.textWithTimeout(0),
                 session.settings().client(),
                 session.settings().timeout(),
                 session.settings().values());
@@ -366,17 +366,17 @@
                         reply.reportedLoad()),
                 true,
                 now);
-        if (order instanceof SqlCommands.Order.Taken taken) {
+        if (order instanceof SqlAdmission.AdmissionResult.Admitted taken) {
             take(command(taken, session, now, command.deadline - now), now);
         } else {
             refuse(session, order);
         }
     }
 
-    private void answered(ClientCommand command, AttemptResult reply, double now) {
-        sql.took(command.classed, reply.elapsedSeconds());
+    private void answered(ClientRequest command, AttemptResult reply, double now) {
+        sql.recordServiceTime(command.classification, reply.elapsedSeconds());
         if (command.requestClass.consistency() == ConsistencyLevel.WRITE) {
-            command.session.wrote(reply.appliedPosition() > 0 ? reply.appliedPosition() : now);
+            command.clientSession.recordWrite(reply.appliedPosition() > 0 ? reply.appliedPosition() : now);
         }
     }
 
@@ -393,7 +393,7 @@
 
     @Override
     public boolean mayStillSend(Attempt dispatch) {
-        return !((ClientCommand) dispatch.request).session.gone() && decide.mayStillSend(dispatch, clock.now());
+        return !((ClientRequest) dispatch.request).clientSession.isClientGone() && decide.mayStillSend(dispatch, clock.now());
     }
 
     @Override
@@ -472,7 +472,7 @@
 
     private void turn(double now) {
         if (sql != null) {
-            sql.turn();
+            sql.beginTick();
         }
         late = Math.max(late, now - wakeAt);
         if (now > wakeAt + PAUSE) {
@@ -500,11 +500,11 @@
         if (now >= sweepAt) {
             sweepAt = now + SWEEP;
             nodes.sweep();
-            front.sweep(now);
+            front.closeIdleSessions(now);
         }
         if (now >= summaryAt) {
             summaryAt = now + SUMMARY;
-            Log.info("summary: clients " + front.size() + ", connections to nodes " + nodes.connectionCount()
+            Log.info("summary: clients " + front.sessionCount() + ", connections to nodes " + nodes.connectionCount()
                     + ", in hand " + hand.size() + ", descriptors at most "
                     + descriptors.peak() + ", turns late at most " + Math.round(late * 1000) + " ms, " + Log.counts());
             Log.info("nodes: " + decide.describeNodes(now) + ", under way " + nodes.inFlightByNode());
@@ -539,10 +539,10 @@
     }
 
     private void carryOut(Request command, Decision choice) {
-        var order = (ClientCommand) command;
+        var order = (ClientRequest) command;
         choice.attemptsToCancel().forEach(nodes::cancel);
         if (choice.action() == RoutingAction.SEND) {
-            nodes.send(choice.attempt(), order.outgoing);
+            nodes.send(choice.attempt(), order.outboundStatement);
             if (sharing != null && order.attempts.size() > 1) {
                 sharing.recordQuotaUse(PeerSharing.SharedQuota.FURTHER_ATTEMPTS, 1);
             }
@@ -553,18 +553,18 @@
         }
         Log.count(choice.action() + " " + order.requestClass.name());
         List<byte[]> answer = answers.remove(order);
-        if (!waiting.remove(order.session, order)) {
+        if (!waiting.remove(order.clientSession, order)) {
             return;
         }
-        open.remove(order.id);
+        open.remove(order.requestId);
         if (answer != null) {
-            order.session.answered(answer);
+            order.clientSession.respondWithResult(answer);
         } else if (choice.action() == RoutingAction.REJECT) {
-            order.session.throttled(settings.clientsHonorRetryAfter() ? choice.retryAfterSeconds() : 0);
-        } else if (choice.action() == RoutingAction.FAIL && order.error != null) {
-            order.session.answered(order.error);
+            order.clientSession.respondRejected(settings.clientsHonorRetryAfter() ? choice.retryAfterSeconds() : 0);
+        } else if (choice.action() == RoutingAction.FAIL && order.lastNodeError != null) {
+            order.clientSession.respondWithResult(order.lastNodeError);
         } else if (choice.action() == RoutingAction.FAIL) {
-            order.session.failed();
+            order.clientSession.respondInDoubt();
         }
     }
 
@@ -579,7 +579,7 @@
                                 == operator.statements().maxAnswerBytes());
         kept += same ? "" : (kept.isEmpty() ? "" : ", ") + "statements.enabled, statements.answer_bytes or nodes";
         if (sql != null && said.statements() != null) {
-            sql = new SqlCommands(said.statements(), settings.requestClasses(), started.seed());
+            sql = new SqlAdmission(said.statements(), settings.requestClasses(), started.seed());
         }
         boolean shares = (said.sharing() == null) == (sharing == null)
                 && (sharing == null || !said.sharing().differsBeyondSeeds(operator.sharing()));
@@ -608,7 +608,7 @@
 
     /** Takes no more connections and ends each session once what it has taken is answered. */
     void end() {
-        front.end();
+        front.drain();
     }
 
     /** Nothing can be waited for any more, not for what still comes either: sessions go on to what they held ahead. */
@@ -620,6 +620,6 @@
     }
 
     boolean ended() {
-        return front.size() == 0;
+        return front.sessionCount() == 0;
     }
 }
--- a/daemon/src/main/java/clayhook/serve/Server.java
+++ b/daemon/src/main/java/clayhook/serve/Server.java
@@ -56,7 +56,7 @@
     /** Takes over what can be changed while it serves. */
     public synchronized void reload(RouterConfiguration fresh, OperatorConfiguration operator) {
         if (!closed) {
-            transport.loop().execute(() -> router.reload(fresh, operator));
+            transport.eventLoop().execute(() -> router.reload(fresh, operator));
         }
     }
 
@@ -66,9 +66,9 @@
         long start = System.nanoTime();
         Thread.sleep(Math.round(ShutdownSchedule.MIN_ACCEPT_SECONDS * 1000));
         awaitNoClients(start, shutdownSchedule.acceptUntil());
-        transport.loop().submit(router::end).get();
+        transport.eventLoop().submit(router::end).get();
         awaitNoClients(start, shutdownSchedule.failPendingAt());
-        transport.loop().submit(router::giveUp).get();
+        transport.eventLoop().submit(router::giveUp).get();
         awaitNoClients(start, shutdownSchedule.exitAt());
         if (sharing != null) {
             sharing.leave();
@@ -81,7 +81,7 @@
     private void awaitNoClients(long start, double seconds) throws Exception {
         Callable<Boolean> ended = router::ended;
         while ((System.nanoTime() - start) / 1e9 < seconds
-                && !transport.loop().submit(ended).get()) {
+                && !transport.eventLoop().submit(ended).get()) {
             Thread.sleep(POLL_INTERVAL_MS);
         }
     }
--- a/daemon/src/main/java/clayhook/sql/SqlCommands.java
+++ b/daemon/src/main/java/clayhook/sql/SqlAdmission.java
@@ -4,7 +4,7 @@
 import clayhook.RequestClass.Idempotency;
 import clayhook.RequestClass.ConsistencyLevel;
 import clayhook.config.OperatorConfiguration;
-import clayhook.protocol.Comment;
+import clayhook.protocol.RoutingComment;
 import clayhook.protocol.SqlStatement;
 import clayhook.statements.Classed;
 import clayhook.statements.Classifier;
@@ -16,50 +16,50 @@
 import java.util.Map;
 
 /** Makes commands of statements. The decision module is told no more than of the platform's own statements. */
-public final class SqlCommands {
+public final class SqlAdmission {
     private final OperatorConfiguration.StatementSettings operator;
     private final Classifier classifier;
-    private final Map<String, RequestClass> groups = new HashMap<>();
+    private final Map<String, RequestClass> requestClasses = new HashMap<>();
 
     /** What becomes of a statement. */
-    public sealed interface Order {
+    public sealed interface AdmissionResult {
         /**
          * A command.
          *
          * @param seconds that its client waits
          * @param after position in seconds that the client's comment asks a read to cover; 0 for none
          */
-        record Taken(
-                RequestClass group, int nodes, double seconds, double after, SqlStatement statement, Classed classed)
-                implements Order {}
+        record Admitted(
+                RequestClass requestClass, int replicaSetId, double timeoutSeconds, double requiredPosition, SqlStatement statement, Classed classification)
+                implements AdmissionResult {}
 
         /** None; nothing of it goes to any node. */
-        record Refused(String code, String why) implements Order {}
+        record Rejected(String sqlState, String reason) implements AdmissionResult {}
     }
 
     /** {@code seed}: the instance's own. */
-    public SqlCommands(OperatorConfiguration.StatementSettings operator, List<RequestClass> groups, long seed) {
+    public SqlAdmission(OperatorConfiguration.StatementSettings operator, List<RequestClass> groups, long seed) {
         this.operator = operator;
         classifier = new Classifier(operator.rules(), seed);
-        groups.forEach(group -> this.groups.put(group.name(), group));
+        groups.forEach(group -> this.requestClasses.put(group.name(), group));
     }
 
     /** A turn of the loop begins. */
-    public void turn() {
+    public void beginTick() {
         classifier.turn();
     }
 
-    public SessionSettings session() {
+    public SessionSettings newSessionSettings() {
         return new SessionSettings(operator.rules().conforming());
     }
 
-    public Order order(byte[] text, Client client, double clientTimeout, Map<String, String> settings) {
+    public AdmissionResult admit(byte[] text, Client client, double clientTimeout, Map<String, String> settings) {
         Classed classed = classifier.classify(text, client);
         if (classed.verdict() == Verdict.REFUSED) {
-            return new Order.Refused("0A000", classed.why());
+            return new AdmissionResult.Rejected("0A000", classed.why());
         }
-        RequestClass group = groups.get(classed.group());
-        Comment comment = operator.trustComments() ? Comment.ending(text) : null;
+        RequestClass group = requestClasses.get(classed.group());
+        RoutingComment comment = operator.trustComments() ? RoutingComment.parseTrailing(text) : null;
         double wait = classed.timeout() > 0
                 ? classed.timeout()
                 : clientTimeout > 0
@@ -69,38 +69,38 @@
         double after = 0;
         if (comment != null) {
             try {
-                RequestClass named = groups.get(comment.text("c"));
-                group = trusted(named, classed, comment) ? named : group;
-                nodes = comment.nodes(nodes);
-                after = comment.seconds("after", 0);
-                wait = comment.seconds("d", wait);
+                RequestClass named = requestClasses.get(comment.field("c"));
+                group = mayReplaceClass(named, classed, comment) ? named : group;
+                nodes = comment.replicaSetIdOr(nodes);
+                after = comment.secondsOr("after", 0);
+                wait = comment.secondsOr("d", wait);
             } catch (IllegalArgumentException e) {
-                return new Order.Refused("42601", e.getMessage());
+                return new AdmissionResult.Rejected("42601", e.getMessage());
             }
         }
-        return new Order.Taken(group, nodes, wait, after, new SqlStatement(text, settings, classed.opaque()), classed);
+        return new AdmissionResult.Admitted(group, nodes, wait, after, new SqlStatement(text, settings, classed.opaque()), classed);
     }
 
     /** The same once a node has refused to run as a read what was taken for one: it never ran, and is a write. */
-    public Order orderAsWrite(
+    public AdmissionResult readmitAsWrite(
             Classed refused, byte[] text, Client client, double clientTimeout, Map<String, String> settings) {
         classifier.wrote(refused);
-        Order order = order(text, client, clientTimeout, settings);
-        return order instanceof Order.Taken taken && taken.classed().verdict() == Verdict.WRITE
+        AdmissionResult order = admit(text, client, clientTimeout, settings);
+        return order instanceof AdmissionResult.Admitted taken && taken.classification().verdict() == Verdict.WRITE
                 ? order
-                : new Order.Refused("25006", "the statement writes, which its text does not show");
+                : new AdmissionResult.Rejected("25006", "the statement writes, which its text does not show");
     }
 
     /** A comment may make a write of a read; what may write stays one, and is keyed only with a key. */
-    private static boolean trusted(RequestClass named, Classed classed, Comment comment) {
+    private static boolean mayReplaceClass(RequestClass named, Classed classed, RoutingComment comment) {
         return named != null
                 && (named.consistency() == ConsistencyLevel.WRITE
-                        ? named.idempotency() == Idempotency.NON_IDEMPOTENT || named.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY && comment.keyed()
+                        ? named.idempotency() == Idempotency.NON_IDEMPOTENT || named.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY && comment.hasIdempotencyKey()
                         : classed.verdict() == Verdict.READ);
     }
 
     /** A statement was answered after so many seconds. */
-    public void took(Classed classed, double seconds) {
+    public void recordServiceTime(Classed classed, double seconds) {
         classifier.took(classed, seconds);
     }
 
--- a/daemon/src/main/java/clayhook/transport/Transport.java
+++ b/daemon/src/main/java/clayhook/transport/Transport.java
@@ -43,22 +43,22 @@
     /**
      * Accepted in one turn: each may be over the budget, and what made room for it holds its own until the next turn.
      */
-    private static final int ACCEPTS = 4;
+    private static final int MAX_ACCEPTS_PER_TICK = 4;
     /** Of one connection in one turn, so that none holds up the others. */
-    private static final int READS = 2;
+    private static final int MAX_READS_PER_TICK = 2;
     /** Without a task for so long, and after so long at the latest, a loop that is to end does. */
-    private static final int QUIET_MS = 50;
+    private static final int SHUTDOWN_QUIET_PERIOD_MS = 50;
 
-    private static final int CLOSING_MS = 1000;
+    private static final int SHUTDOWN_TIMEOUT_MS = 1000;
     /** Over what connections go: the network, sockets in a folder, or queues within the process. */
     private enum Kind {
         TCP,
-        FOLDER,
-        PROCESS
+        UNIX_SOCKET,
+        IN_PROCESS
     }
 
     /** Tells the addresses within this process apart that several transports listen at. */
-    private static final AtomicInteger TRANSPORTS = new AtomicInteger();
+    private static final AtomicInteger LAST_ID = new AtomicInteger();
 
     static {
         NettyLogHandler.install();
@@ -66,18 +66,18 @@
 
     private final Kind kind;
     /** Where the sockets of a rehearsal lie; null without. */
-    private final Path folder;
+    private final Path socketDirectory;
 
-    private final int number = TRANSPORTS.incrementAndGet();
+    private final int id = LAST_ID.incrementAndGet();
     private final MultiThreadIoEventLoopGroup group;
     private final AtomicBoolean closed = new AtomicBoolean();
     /** Makes what connects; throws ChannelException where no descriptor is left. */
-    private final Supplier<Channel> sockets;
+    private final Supplier<Channel> channelFactory;
 
     private Transport(Kind kind, Path folder, IoHandlerFactory handlers, Supplier<Channel> sockets) {
-        this.sockets = sockets;
+        this.channelFactory = sockets;
         this.kind = kind;
-        this.folder = folder;
+        this.socketDirectory = folder;
         group = new MultiThreadIoEventLoopGroup(1, handlers);
     }
 
@@ -90,25 +90,25 @@
     }
 
     /** Ports are but names here; the same code runs as for TCP. */
-    public static Transport rehearsal() throws IOException {
+    public static Transport unixSockets() throws IOException {
         return new Transport(
-                Kind.FOLDER,
+                Kind.UNIX_SOCKET,
                 Files.createTempDirectory("clayhook"),
                 NioIoHandler.newFactory(),
                 NioDomainSocketChannel::new);
     }
 
     /** For a platform that lets no process connect to itself: all but the sockets runs as for TCP. */
-    public static Transport withinProcess() {
-        return new Transport(Kind.PROCESS, null, LocalIoHandler.newFactory(), LocalChannel::new);
+    public static Transport inProcess() {
+        return new Transport(Kind.IN_PROCESS, null, LocalIoHandler.newFactory(), LocalChannel::new);
     }
 
     /** An address to listen at: a free port, or in a rehearsal that name. */
-    public InetSocketAddress spare(int name) {
+    public InetSocketAddress ephemeralAddress(int name) {
         return new InetSocketAddress("127.0.0.1", kind == Kind.TCP ? 0 : name);
     }
 
-    public EventLoop loop() {
+    public EventLoop eventLoop() {
         return group.next();
     }
 
@@ -118,43 +118,43 @@
                 .group(group)
                 .childHandler(initializer(handlers))
                 .childOption(
-                        ChannelOption.RECVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator().maxMessagesPerRead(READS));
+                        ChannelOption.RECVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator().maxMessagesPerRead(MAX_READS_PER_TICK));
         switch (kind) {
             case TCP ->
                 bootstrap
-                        .channelFactory(Listening::new)
+                        .channelFactory(BacklogDrainingServerChannel::new)
                         .option(ChannelOption.SO_BACKLOG, BACKLOG)
                         .option(
                                 ChannelOption.RECVBUF_ALLOCATOR,
-                                new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(ACCEPTS))
+                                new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(MAX_ACCEPTS_PER_TICK))
                         .option(ChannelOption.SO_REUSEADDR, true)
                         .childOption(ChannelOption.TCP_NODELAY, true);
-            case FOLDER -> bootstrap.channelFactory(NioServerDomainSocketChannel::new);
-            case PROCESS -> bootstrap.channelFactory(LocalServerChannel::new);
+            case UNIX_SOCKET -> bootstrap.channelFactory(NioServerDomainSocketChannel::new);
+            case IN_PROCESS -> bootstrap.channelFactory(LocalServerChannel::new);
         }
-        return bootstrap.bind(at(address)).sync().channel();
+        return bootstrap.bind(socketAddress(address)).sync().channel();
     }
 
-    private static final class Listening extends NioServerSocketChannel {
+    private static final class BacklogDrainingServerChannel extends NioServerSocketChannel {
         /** Hands on some of what the machine has accepted and the process has not; false where that is no more. */
-        private boolean accept() {
+        private boolean acceptBacklog() {
             var accepted = new ArrayList<Object>();
             try {
-                while (accepted.size() < ACCEPTS && doReadMessages(accepted) > 0) {
+                while (accepted.size() < MAX_ACCEPTS_PER_TICK && doReadMessages(accepted) > 0) {
                     // the next one
                 }
             } catch (Exception e) {
                 Log.warn("accept", "accepts no more before it closes: " + e);
             }
             accepted.forEach(pipeline()::fireChannelRead);
-            return accepted.size() == ACCEPTS;
+            return accepted.size() == MAX_ACCEPTS_PER_TICK;
         }
     }
 
     /** Listens no more. A listening socket resets what waits to be accepted as it closes: that is accepted first. */
-    public void stop(Channel listening) {
-        if (listening instanceof Listening own && own.isOpen() && own.accept()) {
-            loop().schedule(() -> stop(listening), 1, TimeUnit.MILLISECONDS); // once descriptors are free again
+    public void stopListening(Channel listening) {
+        if (listening instanceof BacklogDrainingServerChannel own && own.isOpen() && own.acceptBacklog()) {
+            eventLoop().schedule(() -> stopListening(listening), 1, TimeUnit.MILLISECONDS); // once descriptors are free again
         } else {
             listening.close();
         }
@@ -168,11 +168,11 @@
             InetSocketAddress address, double seconds, Supplier<ChannelHandler[]> handlers, Runnable failed) {
         Channel channel;
         try {
-            channel = sockets.get();
+            channel = channelFactory.get();
         } catch (ChannelException e) {
             // Guards against Netty's answer to that: it runs listeners on a thread of its own.
             Log.warn("connect", "no socket to connect with: " + e.getCause());
-            loop().execute(failed);
+            eventLoop().execute(failed);
             return null;
         }
         var bootstrap = new Bootstrap()
@@ -183,7 +183,7 @@
         if (kind == Kind.TCP) {
             bootstrap.option(ChannelOption.TCP_NODELAY, true);
         }
-        bootstrap.connect(at(address)).addListener(done -> {
+        bootstrap.connect(socketAddress(address)).addListener(done -> {
             if (!done.isSuccess()) {
                 failed.run();
             }
@@ -191,11 +191,11 @@
         return channel;
     }
 
-    private SocketAddress at(InetSocketAddress address) {
+    private SocketAddress socketAddress(InetSocketAddress address) {
         return switch (kind) {
             case TCP -> address;
-            case FOLDER -> UnixDomainSocketAddress.of(folder.resolve("" + address.getPort()));
-            case PROCESS -> new LocalAddress(number + "-" + address.getPort());
+            case UNIX_SOCKET -> UnixDomainSocketAddress.of(socketDirectory.resolve("" + address.getPort()));
+            case IN_PROCESS -> new LocalAddress(id + "-" + address.getPort());
         };
     }
 
@@ -214,8 +214,8 @@
      */
     public void close() {
         if (!closed.getAndSet(true)) {
-            loop().execute(() -> group.shutdownGracefully(QUIET_MS, CLOSING_MS, TimeUnit.MILLISECONDS)
-                    .addListener(done -> removeFolder()));
+            eventLoop().execute(() -> group.shutdownGracefully(SHUTDOWN_QUIET_PERIOD_MS, SHUTDOWN_TIMEOUT_MS, TimeUnit.MILLISECONDS)
+                    .addListener(done -> deleteSocketDirectory()));
         }
     }
 
@@ -224,12 +224,12 @@
         group.awaitTermination((long) (seconds * 1e9), TimeUnit.NANOSECONDS);
     }
 
-    private void removeFolder() throws IOException {
-        if (folder != null) {
-            for (File left : folder.toFile().listFiles()) {
+    private void deleteSocketDirectory() throws IOException {
+        if (socketDirectory != null) {
+            for (File left : socketDirectory.toFile().listFiles()) {
                 Files.deleteIfExists(left.toPath());
             }
-            Files.delete(folder);
+            Files.delete(socketDirectory);
         }
     }
 }
--- a/daemon/src/test/java/clayhook/discovery/EndpointWatcherTest.java
+++ b/daemon/src/test/java/clayhook/discovery/EndpointWatcherTest.java
@@ -35,14 +35,14 @@
 
     private StubDiscovery startService(LinkedBlockingQueue<String> calls, String... answers) throws InterruptedException {
         var left = new LinkedBlockingQueue<>(List.of(answers));
-        return new StubDiscovery(transport, transport.spare(0), call -> {
+        return new StubDiscovery(transport, transport.ephemeralAddress(0), call -> {
             calls.add(call);
             return left.poll();
         });
     }
 
     private void moveTo(InetSocketAddress to) throws Exception {
-        transport.loop().submit(() -> watcher.moveTo(to)).get();
+        transport.eventLoop().submit(() -> watcher.moveTo(to)).get();
     }
 
     @Test
@@ -62,7 +62,7 @@
     void oldAddressIsWatchedUntilTheNewOneAnswers(int moves) throws Exception {
         var gate = new CountDownLatch(1);
         var asked = new LinkedBlockingQueue<String>();
-        var old = new StubDiscovery(blockedTransport, transport.spare(0), call -> {
+        var old = new StubDiscovery(blockedTransport, transport.ephemeralAddress(0), call -> {
             asked.add(call);
             if (asked.size() == 2) {
                 await(gate);
@@ -93,7 +93,7 @@
     }
 
     private void ensureWatching() {
-        transport.loop().execute(watcher::ensureWatching);
+        transport.eventLoop().execute(watcher::ensureWatching);
     }
 
     @Override
@@ -143,7 +143,7 @@
     @ValueSource(booleans = {false, true})
     void lateWatchIsReportedAndItsAnswerIsStillAccepted(boolean askedAnew) throws Exception {
         var gate = new CountDownLatch(1);
-        var old = new StubDiscovery(askedAnew ? transport : blockedTransport, transport.spare(0), call -> {
+        var old = new StubDiscovery(askedAnew ? transport : blockedTransport, transport.ephemeralAddress(0), call -> {
             calls.add(call);
             if (!askedAnew) {
                 await(gate);
@@ -187,7 +187,7 @@
     private LinkedBlockingQueue<HeldCall> startWithHeldCalls() throws Exception {
         var held = new LinkedBlockingQueue<HeldCall>();
         var service =
-                new StubDiscovery(transport, transport.spare(0), (call, answer) -> held.add(new HeldCall(call, answer)));
+                new StubDiscovery(transport, transport.ephemeralAddress(0), (call, answer) -> held.add(new HeldCall(call, answer)));
         watcher = new EndpointWatcher(transport, service.address(), 41, LONG_POLL_SECONDS, new Random(1), this);
         ensureWatching();
         answer(held.take(), list(42, false));
@@ -196,7 +196,7 @@
     }
 
     private void answer(HeldCall held, String body) throws Exception {
-        transport.loop().submit(() -> held.answer().test(body)).get();
+        transport.eventLoop().submit(() -> held.answer().test(body)).get();
     }
 
     @Test
--- a/daemon/src/test/java/clayhook/front/RawClient.java
+++ b/daemon/src/test/java/clayhook/front/SocketClient.java
@@ -1,6 +1,6 @@
 package clayhook.front;
 
-import clayhook.protocol.Encoder;
+import clayhook.protocol.MessageEncoder;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import java.io.DataInputStream;
@@ -13,23 +13,23 @@
 /**
  * A client over a plain socket: a write has reached the router's machine when it returns, and nothing is read unasked.
  */
-public final class RawClient {
-    private static final int PATIENCE_MS = 20_000;
+public final class SocketClient {
+    private static final int READ_TIMEOUT_MS = 20_000;
     public final Socket socket;
     private final DataInputStream in;
     /** What the router gave it to cancel by. */
-    public long key;
+    public long cancelKey;
     /** The text of the last error. */
-    public String text;
+    public String lastErrorMessage;
 
-    public RawClient(InetSocketAddress router) throws IOException {
+    public SocketClient(InetSocketAddress router) throws IOException {
         socket = new Socket(router.getAddress(), router.getPort());
         socket.setTcpNoDelay(true);
-        socket.setSoTimeout(PATIENCE_MS);
+        socket.setSoTimeout(READ_TIMEOUT_MS);
         in = new DataInputStream(socket.getInputStream());
     }
 
-    public RawClient send(ByteBuf... parts) throws IOException {
+    public SocketClient send(ByteBuf... parts) throws IOException {
         ByteBuf all = Unpooled.wrappedBuffer(parts);
         all.readBytes(socket.getOutputStream(), all.readableBytes());
         return this;
@@ -39,15 +39,15 @@
         return Unpooled.buffer().writeInt(16).writeInt(80877102).writeLong(key);
     }
 
-    public RawClient hello(ByteBuf... after) throws IOException {
-        return send(Encoder.startup("client", "core")).send(after);
+    public SocketClient sendStartup(ByteBuf... after) throws IOException {
+        return send(MessageEncoder.startupMessage("client", "core")).send(after);
     }
 
     /**
      * A word an answer: the value, or its length where that is long; the code of the error, or ready for what had
      * neither; with closed or reset behind it where the connection ended so.
      */
-    public String next() throws IOException {
+    public String readResponse() throws IOException {
         String word = "";
         try {
             while (true) {
@@ -60,8 +60,8 @@
                         word = body.length > 1000
                                 ? "" + body.length
                                 : bytes.toString(6, body.length - 6, StandardCharsets.UTF_8);
-                    case 'E' -> word = error(new String(body, StandardCharsets.UTF_8));
-                    case 'K' -> key = bytes.readLong();
+                    case 'E' -> word = parseError(new String(body, StandardCharsets.UTF_8));
+                    case 'K' -> cancelKey = bytes.readLong();
                     case 'Z' -> {
                         return word.isEmpty() ? "ready" : word;
                     }
@@ -75,11 +75,11 @@
         }
     }
 
-    private String error(String fields) {
+    private String parseError(String fields) {
         String code = null;
         for (String field : fields.split("\0")) {
             code = field.startsWith("C") ? field.substring(1) : code;
-            text = field.startsWith("M") ? field.substring(1) : text;
+            lastErrorMessage = field.startsWith("M") ? field.substring(1) : lastErrorMessage;
         }
         return code;
     }
--- a/daemon/src/test/java/clayhook/nodes/BackendClientTest.java
+++ b/daemon/src/test/java/clayhook/nodes/BackendClientTest.java
@@ -10,11 +10,11 @@
 import clayhook.AttemptResult;
 import clayhook.Role;
 import clayhook.config.OperatorConfiguration;
-import clayhook.protocol.Statement;
+import clayhook.protocol.KeyValueStatement;
 import clayhook.rehearsal.StubNode;
 import clayhook.rehearsal.StubNode.StubResponse;
-import clayhook.transport.Clock;
-import clayhook.transport.Descriptors;
+import clayhook.transport.SlewedClock;
+import clayhook.transport.DescriptorBudget;
 import clayhook.transport.Transport;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -33,10 +33,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class BackendClientTest implements BackendClient.Listener {
-    private static final Statement READ = Statement.parse(
+    private static final KeyValueStatement READ = KeyValueStatement.parse(
             "SELECT val FROM state WHERE uid = 'k' /* id=1,c=a,d=9,cluster=1 */".getBytes(StandardCharsets.UTF_8));
     private final Transport transport = Transport.tcp();
-    private final Clock clock = new Clock();
+    private final SlewedClock clock = new SlewedClock();
     private final LinkedBlockingQueue<AttemptOutcome> outcomes = new LinkedBlockingQueue<>();
     private final AtomicInteger receivedStatements = new AtomicInteger();
     private int descriptorLimit = 1024;
@@ -74,14 +74,14 @@
 
     private BackendClient newClient(double connectTimeout, double idle) {
         return new BackendClient(
-                transport, clock, new Descriptors(descriptorLimit), 1 << 24, connectTimeout, idle, OperatorConfiguration.DEFAULTS, this);
+                transport, clock, new DescriptorBudget(descriptorLimit), 1 << 24, connectTimeout, idle, OperatorConfiguration.DEFAULTS, this);
     }
 
     private Node stubNode(BackendClient nodes, String role, StubResponse first, StubResponse then) throws Exception {
         var there = new StubNode(
-                transport, transport.spare(0), role, any -> receivedStatements.incrementAndGet() == 1 ? first : then);
+                transport, transport.ephemeralAddress(0), role, any -> receivedStatements.incrementAndGet() == 1 ? first : then);
         return transport
-                .loop()
+                .eventLoop()
                 .submit(() -> nodes.registerNode("n", "a", 1, there.address()))
                 .get();
     }
@@ -93,20 +93,20 @@
                 true,
                 clock.now(),
                 clock.now() + 60);
-        transport.loop().submit(() -> nodes.send(dispatch, READ)).get();
+        transport.eventLoop().submit(() -> nodes.send(dispatch, READ)).get();
         return dispatch;
     }
 
     /** Sweeps until something has ended. */
     private AttemptOutcome nextOutcome(BackendClient nodes) throws Exception {
         while (outcomes.isEmpty()) {
-            transport.loop().submit(nodes::sweep).get();
+            transport.eventLoop().submit(nodes::sweep).get();
         }
         return outcomes.take();
     }
 
     private void awaitIdle(BackendClient nodes) throws Exception {
-        while (transport.loop().submit(nodes::idleCount).get() == 0) {
+        while (transport.eventLoop().submit(nodes::idleCount).get() == 0) {
             Thread.onSpinWait();
         }
     }
@@ -117,7 +117,7 @@
         BackendClient nodes = newClient(timeout, 60);
         Node node = stubNode(nodes, role, null, null);
         for (int i = 0; i < 2; i++) {
-            transport.loop().submit(() -> nodes.startHealthCheck(node)).get();
+            transport.eventLoop().submit(() -> nodes.startHealthCheck(node)).get();
             assertEquals(outcome, nextOutcome(nodes));
         }
     }
@@ -138,7 +138,7 @@
         BackendClient nodes = newClient(1, 9);
         Node node = stubNode(nodes, "replica", StubResponse.silence(), StubResponse.silence());
         send(nodes, node);
-        transport.loop().submit(() -> nodes.startHealthCheck(node)).get();
+        transport.eventLoop().submit(() -> nodes.startHealthCheck(node)).get();
         assertEquals(AttemptOutcome.NOT_SENT, outcomes.take());
     }
 
@@ -152,7 +152,7 @@
             Thread.onSpinWait();
         }
         transport
-                .loop()
+                .eventLoop()
                 .submit(() -> {
                     if (recalled) {
                         nodes.cancel(first);
@@ -176,14 +176,14 @@
             Node node = written
                     ? stubNode(nodes, "replica", StubResponse.answer("a"), null)
                     : transport
-                            .loop()
+                            .eventLoop()
                             .submit(() -> nodes.registerNode("n", "a", 1, (InetSocketAddress) silent.getLocalSocketAddress()))
                             .get();
             Attempt dispatch = send(nodes, node);
             while (written && receivedStatements.get() == 0) {
                 Thread.onSpinWait();
             }
-            transport.loop().submit(() -> nodes.cancelIfUnsent(dispatch)).get();
+            transport.eventLoop().submit(() -> nodes.cancelIfUnsent(dispatch)).get();
             assertEquals(outcome, outcomes.poll(20, TimeUnit.SECONDS));
         }
     }
@@ -198,7 +198,7 @@
         awaitIdle(nodes);
         send(nodes, node);
         assertEquals(AttemptOutcome.ANSWERED, nextOutcome(nodes));
-        assertEquals(1, transport.loop().submit(() -> nodes.connectionCount()).get());
+        assertEquals(1, transport.eventLoop().submit(() -> nodes.connectionCount()).get());
     }
 
     @ParameterizedTest
@@ -208,8 +208,8 @@
         send(nodes, stubNode(nodes, "replica", StubResponse.answer("a"), StubResponse.answer("a")));
         assertEquals(AttemptOutcome.ANSWERED, outcomes.take());
         awaitIdle(nodes);
-        transport.loop().submit(nodes::sweep).get();
-        assertEquals(left, transport.loop().submit(() -> nodes.connectionCount()).get());
+        transport.eventLoop().submit(nodes::sweep).get();
+        assertEquals(left, transport.eventLoop().submit(() -> nodes.connectionCount()).get());
     }
 
     /** T, D, C, S, E and Z are good messages; a small letter is one whose inside does not fit. */
@@ -289,8 +289,8 @@
         assertEquals(AttemptOutcome.ANSWERED, nextOutcome(nodes));
         awaitIdle(nodes);
         nodesKnown = known;
-        transport.loop().submit(nodes::sweep).get();
-        assertEquals(left, transport.loop().submit(() -> nodes.hasReplicaSet(1)).get());
+        transport.eventLoop().submit(nodes::sweep).get();
+        assertEquals(left, transport.eventLoop().submit(() -> nodes.hasReplicaSet(1)).get());
     }
 
     @ParameterizedTest
--- a/daemon/src/test/java/clayhook/nodes/ConnectionRaceTest.java
+++ b/daemon/src/test/java/clayhook/nodes/ConnectionRaceTest.java
@@ -12,9 +12,9 @@
 import clayhook.AttemptOutcome;
 import clayhook.AttemptResult;
 import clayhook.config.OperatorConfiguration;
-import clayhook.protocol.Outgoing;
-import clayhook.transport.Clock;
-import clayhook.transport.Descriptors;
+import clayhook.protocol.OutboundStatement;
+import clayhook.transport.SlewedClock;
+import clayhook.transport.DescriptorBudget;
 import clayhook.transport.Transport;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -42,7 +42,7 @@
     private record FinishedAttempt(Attempt dispatch, AttemptOutcome outcome, String value) {}
 
     private final Transport transport = Transport.tcp();
-    private final Clock clock = new Clock();
+    private final SlewedClock clock = new SlewedClock();
     private final BlockingQueue<FinishedAttempt> finished = new LinkedBlockingQueue<>();
     private Predicate<Attempt> mayStillSend = dispatch -> true;
     private boolean nodesKnown = true;
@@ -83,11 +83,11 @@
     }
 
     private BackendClient newClient(double connectTimeout, double idle) {
-        return new BackendClient(transport, clock, new Descriptors(1024), 1 << 24, connectTimeout, idle, OperatorConfiguration.DEFAULTS, this);
+        return new BackendClient(transport, clock, new DescriptorBudget(1024), 1 << 24, connectTimeout, idle, OperatorConfiguration.DEFAULTS, this);
     }
 
     private <T> T onLoop(Callable<T> step) throws Exception {
-        return transport.loop().submit(step).get();
+        return transport.eventLoop().submit(step).get();
     }
 
     private Node register(BackendClient nodes) throws Exception {
@@ -99,7 +99,7 @@
         return new Attempt(new Request(null, 1, null, 0, now, now + 60), node, true, now, now + 60);
     }
 
-    private static Outgoing statement(String text) {
+    private static OutboundStatement statement(String text) {
         return seconds -> text.getBytes(UTF_8);
     }
 
--- a/daemon/src/test/java/clayhook/protocol/DecodersTest.java
+++ b/daemon/src/test/java/clayhook/protocol/MessageDecodersTest.java
@@ -18,12 +18,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class DecodersTest {
+class MessageDecodersTest {
     private static final String READ =
             "SELECT val FROM state WHERE uid = '7f3a' " + "/* id=9b1f,c=basket,d=480,cluster=2,after=1767225600123 */";
 
     /** The kinds of message that come out when the bytes come in pieces of that size. */
-    private static List<String> kinds(ChannelHandler decoder, ByteBuf bytes, int size) {
+    private static List<String> decodedTypes(ChannelHandler decoder, ByteBuf bytes, int size) {
         var channel = new EmbeddedChannel(decoder);
         while (bytes.isReadable()) {
             channel.writeInbound(bytes.readRetainedSlice(Math.min(size, bytes.readableBytes())));
@@ -43,12 +43,12 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 7, 1000})
-    void clientMessagesMayBeSplitAnywhereAndFollowEachOther(int size) {
+    void decodesClientMessagesSplitAnywhere(int size) {
         ByteBuf bytes = Unpooled.wrappedBuffer(
                 Unpooled.buffer().writeInt(8).writeInt(80877103),
-                Encoder.startup("client", "core"),
-                Encoder.query(READ.getBytes(UTF_8)),
-                Encoder.query(new byte[0]),
+                MessageEncoder.startupMessage("client", "core"),
+                MessageEncoder.query(READ.getBytes(UTF_8)),
+                MessageEncoder.query(new byte[0]),
                 message('S', 4),
                 message('H', 4),
                 message('P', 4),
@@ -63,15 +63,15 @@
                         "Ignored",
                         "Extended",
                         "Terminate"),
-                kinds(new ClientDecoder(new Allowance(1 << 20)), bytes, size));
+                decodedTypes(new ClientMessageDecoder(new MemoryBudget(1 << 20)), bytes, size));
     }
 
     @ParameterizedTest
     @CsvSource({"Q, 3", "Q, -1", "Q, 2147483647", "Q, 200000", "j, 4", "Q, 4"})
-    void nothingAfterAMalformedClientMessageIsRead(char type, int length) {
+    void ignoresInputAfterMalformedClientMessage(char type, int length) {
         ByteBuf bytes =
-                Unpooled.wrappedBuffer(Encoder.startup("client", "core"), message(type, length), message('S', 4));
-        List<String> kinds = kinds(new ClientDecoder(new Allowance(1 << 20)), bytes, 1000);
+                Unpooled.wrappedBuffer(MessageEncoder.startupMessage("client", "core"), message(type, length), message('S', 4));
+        List<String> kinds = decodedTypes(new ClientMessageDecoder(new MemoryBudget(1 << 20)), bytes, 1000);
         assertEquals("Malformed", kinds.get(1));
         assertTrue(kinds.size() == 2 || type == 'j' || length == 4, kinds.toString());
     }
@@ -85,23 +85,23 @@
         "80877102, CancelRequest",
         "80877104, EncryptionRequest"
     })
-    void theFirstMessageTellsTheVersion(int version, String kind) {
+    void decodesFirstMessageByVersionCode(int version, String kind) {
         assertEquals(
                 List.of(kind),
-                kinds(
-                        new ClientDecoder(new Allowance(1 << 20)),
+                decodedTypes(
+                        new ClientMessageDecoder(new MemoryBudget(1 << 20)),
                         Unpooled.buffer().writeInt(8).writeInt(version),
                         3));
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 5, 1000})
-    void nodeMessagesMayBeSplitAnywhere(int size) {
+    void decodesNodeMessagesSplitAnywhere(int size) {
         ByteBuf bytes = Unpooled.wrappedBuffer(
-                Encoder.welcome(0, Map.of()),
-                Encoder.error(false, "53300", "full", null),
+                MessageEncoder.startupResponse(0, Map.of()),
+                MessageEncoder.error(false, "53300", "full", null),
                 message('C', 5).writeByte(0),
-                Encoder.ready());
+                MessageEncoder.readyForQuery());
         assertEquals(
                 List.of(
                         "AuthenticationOk",
@@ -114,23 +114,23 @@
                         "ReadyForQuery",
                         "Part",
                         "ReadyForQuery"),
-                kinds(new NodeDecoder(new Allowance(1 << 20)), bytes, size));
+                decodedTypes(new NodeMessageDecoder(new MemoryBudget(1 << 20)), bytes, size));
     }
 
     @Test
-    void aNodeThatAsksForAPasswordIsNotUnderstood() {
+    void rejectsNodeThatRequestsPassword() {
         assertEquals(
                 List.of("Malformed"),
-                kinds(new NodeDecoder(new Allowance(1 << 20)), message('R', 8).writeInt(3), 9));
+                decodedTypes(new NodeMessageDecoder(new MemoryBudget(1 << 20)), message('R', 8).writeInt(3), 9));
     }
 
     @Test
-    void aStatementGoesOnWithNothingChangedButTheTimeToWait() {
-        Statement read = Statement.parse(READ.getBytes(UTF_8));
+    void changesOnlyTheTimeoutOfAForwardedStatement() {
+        KeyValueStatement read = KeyValueStatement.parse(READ.getBytes(UTF_8));
         assertEquals(
                 List.of("basket", 2, 0.48, 1767225600.123, "7f3a"),
-                List.of(read.group, read.nodeGroup, read.wait, read.after, read.key));
-        assertArrayEquals(READ.replace("d=480", "d=57").getBytes(UTF_8), read.withWait(0.0579));
+                List.of(read.requestClassName, read.replicaSetId, read.timeoutSeconds, read.requiredPosition, read.key));
+        assertArrayEquals(READ.replace("d=480", "d=57").getBytes(UTF_8), read.textWithTimeout(0.0579));
     }
 
     @ParameterizedTest
@@ -151,9 +151,9 @@
                 "id= ,c=a,d=5,cluster=1 | no valid id",
                 "id=1,c=a,d=5,cluster=1,k=* | no read or write"
             })
-    void anUnreadableCommentIsNamed(String comment, String named) {
+    void namesTheFaultOfAnInvalidComment(String comment, String named) {
         String text = "SELECT val FROM state WHERE uid = 'k' /* " + comment + " */";
-        var bad = assertThrows(IllegalArgumentException.class, () -> Statement.parse(text.getBytes(UTF_8)));
+        var bad = assertThrows(IllegalArgumentException.class, () -> KeyValueStatement.parse(text.getBytes(UTF_8)));
         assertTrue(bad.getMessage().contains(named), bad.getMessage());
     }
 
@@ -169,32 +169,32 @@
                 "INSERT INTO state (uid, val) VALUES ('a', '\\x9f')",
                 "SELECT val FROM state WHERE uid = 'a'; SELECT val FROM state WHERE uid = 'b'"
             })
-    void aStatementThatNodesDoNotTakeIsNoStatement(String text) {
+    void rejectsStatementOfUnsupportedForm(String text) {
         String fields = " /* id=1,c=a,d=5,cluster=1 */";
-        assertThrows(IllegalArgumentException.class, () -> Statement.parse((text + fields).getBytes(UTF_8)));
-        assertThrows(IllegalArgumentException.class, () -> Statement.parse(text.getBytes(UTF_8)));
+        assertThrows(IllegalArgumentException.class, () -> KeyValueStatement.parse((text + fields).getBytes(UTF_8)));
+        assertThrows(IllegalArgumentException.class, () -> KeyValueStatement.parse(text.getBytes(UTF_8)));
     }
 
     @Test
-    void theLongestValueIsRead() {
+    void parsesLongestValue() {
         String text = "INSERT INTO state (uid, val) VALUES ('a', '\\x" + "9f".repeat(1 << 16) + "') RETURNING val "
                 + "/* id=1,c=a,d=5,k=7,cluster=1 */";
-        Statement write = Statement.parse(text.getBytes(UTF_8));
-        assertEquals(List.of(true, true, "a", 0.005), List.of(write.writes, write.keyed, write.key, write.wait));
+        KeyValueStatement write = KeyValueStatement.parse(text.getBytes(UTF_8));
+        assertEquals(List.of(true, true, "a", 0.005), List.of(write.isWrite, write.hasIdempotencyKey, write.key, write.timeoutSeconds));
     }
 
     @Test
-    void longStatementsOfAllClientsShareOneAllowance() {
-        var allowance = new Allowance(200_000);
+    void longStatementsOfAllClientsShareOneMemoryBudget() {
+        var allowance = new MemoryBudget(200_000);
         ByteBuf most = Unpooled.wrappedBuffer(
-                Encoder.startup("client", "core"),
+                MessageEncoder.startupMessage("client", "core"),
                 message('Q', 50_000),
                 Unpooled.buffer(10).writeZero(9));
-        var first = new EmbeddedChannel(new ClientDecoder(allowance));
+        var first = new EmbeddedChannel(new ClientMessageDecoder(allowance));
         first.writeInbound(most.retainedDuplicate());
         assertEquals(
-                List.of("Startup", "Malformed"), kinds(new ClientDecoder(allowance), most.retainedDuplicate(), 99));
+                List.of("Startup", "Malformed"), decodedTypes(new ClientMessageDecoder(allowance), most.retainedDuplicate(), 99));
         first.finishAndReleaseAll();
-        assertEquals(List.of("Startup"), kinds(new ClientDecoder(allowance), most, 99));
+        assertEquals(List.of("Startup"), decodedTypes(new ClientMessageDecoder(allowance), most, 99));
     }
 }
--- a/daemon/src/test/java/clayhook/rehearsal/WarmUpTest.java
+++ b/daemon/src/test/java/clayhook/rehearsal/WarmUpTest.java
@@ -25,8 +25,8 @@
     @ParameterizedTest
     @CsvSource({"false, true", "true, true", "false, false"})
     void warmUpEndsInTimeAndReportsWhetherItsSocketsWork(boolean process, boolean carried) throws Exception {
-        Transport transport = process ? Transport.withinProcess() : Transport.rehearsal();
-        Transport outside = carried ? transport : Transport.rehearsal();
+        Transport transport = process ? Transport.inProcess() : Transport.unixSockets();
+        Transport outside = carried ? transport : Transport.unixSockets();
         var any = new RequestClass(
                 "any", RequestClass.Idempotency.IDEMPOTENT, RequestClass.ConsistencyLevel.EVENTUAL, 1, 2, 1, 0, null, 0, 0);
         var settings = new RoutingSettings(
@@ -42,9 +42,9 @@
     /** Nothing is done on the loop from the start on, so that it never listens. */
     @Test
     void blockedEventLoopDoesNotDelayTheStart() throws Exception {
-        Transport transport = Transport.withinProcess();
+        Transport transport = Transport.inProcess();
         var hangs = new CountDownLatch(1);
-        transport.loop().execute(() -> {
+        transport.eventLoop().execute(() -> {
             try {
                 hangs.await();
             } catch (InterruptedException e) {
@@ -62,8 +62,8 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void warmUpIsSkippedWhenItsSocketsCannotBeCreated(boolean process) throws Exception {
-        Transport transport = process ? Transport.withinProcess() : Transport.rehearsal();
-        transport.listen(transport.spare(5), () -> new ChannelHandler[0]);
+        Transport transport = process ? Transport.inProcess() : Transport.unixSockets();
+        transport.listen(transport.ephemeralAddress(5), () -> new ChannelHandler[0]);
         assertFalse(run(transport));
     }
 
@@ -102,7 +102,7 @@
     /** Else its sockets would count against the descriptors of the process that serves by then. */
     @Test
     void everySocketIsClosedAfterWarmUp() throws Exception {
-        Transport transport = Transport.rehearsal();
+        Transport transport = Transport.unixSockets();
         var any = new RequestClass(
                 "any", RequestClass.Idempotency.IDEMPOTENT, RequestClass.ConsistencyLevel.EVENTUAL, 1, 2, 1, 0, null, 0, 0);
         WarmUp.run(
@@ -110,15 +110,15 @@
                         1, "a", List.of(any), true, true, true, true, true, true, true, true, 1, 3, 1, 0, 1, 0, 1, 15),
                 transport,
                 true);
-        assertTrue(transport.loop().isTerminated());
+        assertTrue(transport.eventLoop().isTerminated());
     }
 
     /** An answer may come there before its request was told to be written; it is no answer to half a request. */
     @Test
     void everyAnswerCountsOverInProcessChannels() throws Exception {
-        Transport transport = Transport.withinProcess();
-        var node = new StubNode(transport, transport.spare(1), "primary", any -> StubNode.StubResponse.answer("p"));
-        var discovery = new StubDiscovery(transport, transport.spare(2), call -> null);
+        Transport transport = Transport.inProcess();
+        var node = new StubNode(transport, transport.ephemeralAddress(1), "primary", any -> StubNode.StubResponse.answer("p"));
+        var discovery = new StubDiscovery(transport, transport.ephemeralAddress(2), call -> null);
         var posts = new RequestClass(
                 "posts", RequestClass.Idempotency.NON_IDEMPOTENT, RequestClass.ConsistencyLevel.WRITE, 20, 60, 1, 0, null, 0, 0);
         var settings = new RoutingSettings(
@@ -130,7 +130,7 @@
                 transport,
                 new RouterConfiguration(
                         "test",
-                        transport.spare(3),
+                        transport.ephemeralAddress(3),
                         discovery.address(),
                         1,
                         1 << 24,
--- a/daemon/src/test/java/clayhook/serve/ClientDisconnectTest.java
+++ b/daemon/src/test/java/clayhook/serve/ClientDisconnectTest.java
@@ -9,9 +9,9 @@
 import clayhook.RoutingSettings;
 import clayhook.config.RouterConfiguration;
 import clayhook.discovery.EndpointList;
-import clayhook.front.RawClient;
-import clayhook.protocol.Encoder;
-import clayhook.protocol.Statement;
+import clayhook.front.SocketClient;
+import clayhook.protocol.MessageEncoder;
+import clayhook.protocol.KeyValueStatement;
 import clayhook.rehearsal.StubClient;
 import clayhook.rehearsal.StubDiscovery;
 import clayhook.rehearsal.StubNode;
@@ -41,7 +41,7 @@
 class ClientDisconnectTest {
     private final Transport transport = Transport.tcp();
     private final Transport routerTransport = Transport.tcp();
-    private final LinkedBlockingQueue<Statement> sent = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<KeyValueStatement> sent = new LinkedBlockingQueue<>();
     private Server server;
     private SlowNode slowNode;
 
@@ -84,14 +84,14 @@
                 in.skipNBytes(in.readInt() - 4);
                 connected.release();
                 mayConnect.await();
-                write(socket, Encoder.welcome(0, Map.of()));
+                write(socket, MessageEncoder.startupResponse(0, Map.of()));
                 while (in.readByte() == 'Q') {
                     byte[] text = in.readNBytes(in.readInt() - 4);
-                    Statement statement = Statement.parse(Arrays.copyOf(text, text.length - 1));
+                    KeyValueStatement statement = KeyValueStatement.parse(Arrays.copyOf(text, text.length - 1));
                     sent.add(statement);
-                    if (statement.id.equals("1")) {
+                    if (statement.requestId.equals("1")) {
                         errors.acquire();
-                        write(socket, Encoder.error(false, "53300", "as told", null));
+                        write(socket, MessageEncoder.error(false, "53300", "as told", null));
                         failed.release();
                     } else {
                         write(socket, StubNode.row("s", "primary", System.currentTimeMillis(), "inflight=1"));
@@ -115,7 +115,7 @@
         String list =
                 "{\"rev\":2,\"all\":true,\"targets\":[{\"uid\":\"p\",\"endpoint\":\"127.0.0.1:" + primary.getPort()
                         + "\",\"az\":\"a\",\"pod_group\":1,\"state\":\"up\",\"role\":\"primary\",\"boot_ms\":0}]}";
-        var discovery = new StubDiscovery(transport, transport.spare(0), call -> null);
+        var discovery = new StubDiscovery(transport, transport.ephemeralAddress(0), call -> null);
         var settings = new RoutingSettings(
                 1,
                 "a",
@@ -142,7 +142,7 @@
                 routerTransport,
                 new RouterConfiguration(
                         "test",
-                        transport.spare(0),
+                        transport.ephemeralAddress(0),
                         discovery.address(),
                         1,
                         1 << 24,
@@ -152,8 +152,8 @@
                         60));
     }
 
-    private void start(Function<Statement, StubResponse> deeds) throws InterruptedException {
-        start(new StubNode(transport, transport.spare(0), "primary", statement -> {
+    private void start(Function<KeyValueStatement, StubResponse> deeds) throws InterruptedException {
+        start(new StubNode(transport, transport.ephemeralAddress(0), "primary", statement -> {
                     sent.add(statement);
                     return deeds.apply(statement);
                 })
@@ -165,8 +165,8 @@
         start((InetSocketAddress) slowNode.listening.getLocalSocketAddress());
     }
 
-    private RawClient client() throws IOException {
-        return new RawClient(server.address());
+    private SocketClient client() throws IOException {
+        return new SocketClient(server.address());
     }
 
     private static ByteBuf read(int id) {
@@ -178,23 +178,23 @@
     }
 
     private List<String> ids() {
-        return sent.stream().map(statement -> statement.id).toList();
+        return sent.stream().map(statement -> statement.requestId).toList();
     }
 
     /** Ends a client's sending, by which it has gone, and waits until the router has seen that. */
-    private static void disconnect(RawClient client) throws IOException {
+    private static void disconnect(SocketClient client) throws IOException {
         if (!client.socket.isOutputShutdown()) {
             client.socket.shutdownOutput();
         }
-        String word = client.next();
-        assertEquals("closed", word.equals("ready") ? client.next() : word);
+        String word = client.readResponse();
+        assertEquals("closed", word.equals("ready") ? client.readResponse() : word);
     }
 
     /** The router stands still while this is done. */
     private void whileLoopIsBlocked(Callable<?> step) throws Exception {
         var standing = new CountDownLatch(1);
         var done = new CountDownLatch(1);
-        routerTransport.loop().submit(() -> {
+        routerTransport.eventLoop().submit(() -> {
             standing.countDown();
             done.await();
             return null;
@@ -221,11 +221,11 @@
     @ValueSource(ints = {1, 30})
     void aCloseReadTogetherWithRequestsIsHandledBeforeTheyAreSent(int commands) throws Exception {
         start(any -> StubResponse.answer("v"));
-        RawClient other = client().hello(read(1));
-        assertEquals("ready", other.next());
-        assertEquals("v", other.next());
-        RawClient client = client().hello();
-        assertEquals("ready", client.next());
+        SocketClient other = client().sendStartup(read(1));
+        assertEquals("ready", other.readResponse());
+        assertEquals("v", other.readResponse());
+        SocketClient client = client().sendStartup();
+        assertEquals("ready", client.readResponse());
         whileLoopIsBlocked(() -> {
             for (int i = 0; i < commands; i++) {
                 client.send(read(10 + i));
@@ -234,7 +234,7 @@
             return null;
         });
         other.send(read(2));
-        assertEquals("v", other.next());
+        assertEquals("v", other.readResponse());
         assertEquals(List.of("1", "2"), ids());
     }
 
@@ -242,16 +242,16 @@
     @ValueSource(ints = {1, 40})
     void noAttemptStartsForAClientThatDisconnectedWhileItsFirstWaitedForAConnection(int commands) throws Exception {
         startSlow();
-        RawClient client = client().hello();
+        SocketClient client = client().sendStartup();
         for (int i = 0; i < commands; i++) {
             client.send(write(10 + i));
         }
         slowNode.connected.acquire();
         disconnect(client);
         slowNode.mayConnect.countDown();
-        RawClient other = client().hello(read(2));
-        assertEquals("ready", other.next());
-        assertEquals("s", other.next());
+        SocketClient other = client().sendStartup(read(2));
+        assertEquals("ready", other.readResponse());
+        assertEquals("s", other.readResponse());
         assertEquals(List.of("2"), ids());
     }
 
@@ -260,8 +260,8 @@
     void noFurtherAttemptStartsForAClientThatDisconnected(boolean together, boolean errorFirst) throws Exception {
         startSlow();
         slowNode.mayConnect.countDown();
-        RawClient client = client().hello(write(1));
-        assertEquals("1", sent.take().id);
+        SocketClient client = client().sendStartup(write(1));
+        assertEquals("1", sent.take().requestId);
         if (together) {
             whileLoopIsBlocked(() -> {
                 if (!errorFirst) {
@@ -277,9 +277,9 @@
         }
         disconnect(client);
         slowNode.errors.release(9);
-        RawClient other = client().hello(write(2));
-        assertEquals("ready", other.next());
-        assertEquals("s", other.next());
+        SocketClient other = client().sendStartup(write(2));
+        assertEquals("ready", other.readResponse());
+        assertEquals("s", other.readResponse());
         assertEquals(List.of("2"), ids());
     }
 
@@ -289,25 +289,25 @@
         if (waits) {
             startSlow();
         } else {
-            start(statement -> statement.id.equals("1") ? StubResponse.silence() : StubResponse.answer("s"));
+            start(statement -> statement.requestId.equals("1") ? StubResponse.silence() : StubResponse.answer("s"));
         }
-        RawClient client = client().hello(write(1));
-        assertEquals("ready", client.next());
+        SocketClient client = client().sendStartup(write(1));
+        assertEquals("ready", client.readResponse());
         if (waits) {
             slowNode.connected.acquire();
         } else {
-            assertEquals("1", sent.take().id);
+            assertEquals("1", sent.take().requestId);
         }
         assertEquals(
-                "closed", client().send(RawClient.cancelRequest(client.key)).next());
-        assertEquals("57014", client.next());
-        assertEquals("cancelled; " + text, client.text);
+                "closed", client().send(SocketClient.cancelRequest(client.cancelKey)).readResponse());
+        assertEquals("57014", client.readResponse());
+        assertEquals("cancelled; " + text, client.lastErrorMessage);
         if (waits) {
             slowNode.mayConnect.countDown();
         }
         client.send(write(2), write(3));
-        assertEquals("s", client.next());
-        assertEquals("s", client.next());
+        assertEquals("s", client.readResponse());
+        assertEquals("s", client.readResponse());
         assertEquals(List.of("2", "3"), ids());
     }
 }
--- a/daemon/src/test/java/clayhook/serve/EndpointListDelayTest.java
+++ b/daemon/src/test/java/clayhook/serve/EndpointListDelayTest.java
@@ -170,7 +170,7 @@
                 Transport.tcp(),
                 new RouterConfiguration(
                         "test",
-                        transport.spare(0),
+                        transport.ephemeralAddress(0),
                         new InetSocketAddress("127.0.0.1", service.port),
                         seed,
                         1 << 24,
--- a/daemon/src/test/java/clayhook/serve/PeerSharingTest.java
+++ b/daemon/src/test/java/clayhook/serve/PeerSharingTest.java
@@ -97,7 +97,7 @@
                 Transport.tcp(),
                 new RouterConfiguration(
                         "r" + number,
-                        transport.spare(0),
+                        transport.ephemeralAddress(0),
                         discovery.address(),
                         number + 1,
                         1 << 24,
@@ -111,15 +111,15 @@
     @Test
     void aDrainLearnedByOneRouterStopsTrafficAtAllIncludingOneThatRestarted() throws Exception {
         var primary =
-                new StubNode(transport, transport.spare(0), "primary", any -> StubNode.StubResponse.answer("primary"));
+                new StubNode(transport, transport.ephemeralAddress(0), "primary", any -> StubNode.StubResponse.answer("primary"));
         var replica =
-                new StubNode(transport, transport.spare(0), "replica", any -> StubNode.StubResponse.answer("replica"));
+                new StubNode(transport, transport.ephemeralAddress(0), "replica", any -> StubNode.StubResponse.answer("replica"));
         endpointListJson = "{\"rev\":2,\"all\":true,\"targets\":[" + entry("primary", "up", primary) + ","
                 + entry("replica", "up", replica) + "]}";
         String drain = "{\"rev\":3,\"all\":false,\"targets\":[" + entry("replica", "draining", replica) + "]}";
         discovery = new StubDiscovery(
                 transport,
-                transport.spare(0),
+                transport.ephemeralAddress(0),
                 call -> call.contains("after=2&") && drainAnswers.getAndIncrement() == 0 ? drain : null);
         for (int i = 0; i < ROUTERS; i++) {
             try (var free = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
--- a/daemon/src/test/java/clayhook/serve/ServerLifecycleTest.java
+++ b/daemon/src/test/java/clayhook/serve/ServerLifecycleTest.java
@@ -78,7 +78,7 @@
 
     /** Without a node that can be reached. */
     private Server server() throws InterruptedException {
-        var discovery = new StubDiscovery(transport, transport.spare(0), call -> null);
+        var discovery = new StubDiscovery(transport, transport.ephemeralAddress(0), call -> null);
         var settings = new RoutingSettings(
                 1,
                 "a",
@@ -105,7 +105,7 @@
                 Transport.tcp(),
                 new RouterConfiguration(
                         "test",
-                        transport.spare(0),
+                        transport.ephemeralAddress(0),
                         discovery.address(),
                         1,
                         1 << 24,
--- a/daemon/src/test/java/clayhook/serve/ServerTest.java
+++ b/daemon/src/test/java/clayhook/serve/ServerTest.java
@@ -10,8 +10,8 @@
 import clayhook.RoutingSettings;
 import clayhook.config.RouterConfiguration;
 import clayhook.discovery.EndpointList;
-import clayhook.protocol.Encoder;
-import clayhook.protocol.Statement;
+import clayhook.protocol.MessageEncoder;
+import clayhook.protocol.KeyValueStatement;
 import clayhook.rehearsal.StubClient;
 import clayhook.rehearsal.StubDiscovery;
 import clayhook.rehearsal.StubNode;
@@ -35,7 +35,7 @@
     private static final String NON_IDEMPOTENT = "id=2,c=mutating,d=30000,cluster=1";
     private final Transport transport = Transport.tcp();
     private final Transport routerTransport = Transport.tcp();
-    private final LinkedBlockingQueue<Statement> sent = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<KeyValueStatement> sent = new LinkedBlockingQueue<>();
     private Server server;
     private StubClient client;
 
@@ -45,14 +45,14 @@
     }
 
     /** A router that knows a primary and a replica which do this to statements, and a client of it. */
-    private void start(Function<Statement, StubResponse> primary, Function<Statement, StubResponse> replica, int sockets)
+    private void start(Function<KeyValueStatement, StubResponse> primary, Function<KeyValueStatement, StubResponse> replica, int sockets)
             throws InterruptedException {
         start(node("primary", primary).address(), node("replica", replica).address(), sockets);
     }
 
     private void start(InetSocketAddress primary, InetSocketAddress replica, int sockets) throws InterruptedException {
         String list = "{\"rev\":2,\"all\":true,\"targets\":[" + entry("p", primary) + "," + entry("r", replica) + "]}";
-        var discovery = new StubDiscovery(transport, transport.spare(0), call -> null);
+        var discovery = new StubDiscovery(transport, transport.ephemeralAddress(0), call -> null);
         var settings = new RoutingSettings(
                 1,
                 "a",
@@ -81,7 +81,7 @@
                 routerTransport,
                 new RouterConfiguration(
                         "test",
-                        transport.spare(0),
+                        transport.ephemeralAddress(0),
                         discovery.address(),
                         1,
                         1 << 24,
@@ -92,8 +92,8 @@
         client = new StubClient(transport, server.address());
     }
 
-    private StubNode node(String role, Function<Statement, StubResponse> deeds) throws InterruptedException {
-        return new StubNode(transport, transport.spare(0), role, statement -> {
+    private StubNode node(String role, Function<KeyValueStatement, StubResponse> deeds) throws InterruptedException {
+        return new StubNode(transport, transport.ephemeralAddress(0), role, statement -> {
             sent.add(statement);
             return deeds.apply(statement);
         });
@@ -105,7 +105,7 @@
                 + (id.equals("p") ? "primary" : "replica") + "\",\"boot_ms\":0}";
     }
 
-    private static Function<Statement, StubResponse> always(StubResponse deed) {
+    private static Function<KeyValueStatement, StubResponse> always(StubResponse deed) {
         return any -> deed;
     }
 
@@ -131,7 +131,7 @@
         start(always(StubResponse.answer("primary")), always(StubResponse.answer("replica")), 1024);
         greet(fields);
         assertEquals(value, client.nextAnswer());
-        assertTrue(sent.take().wait < 30);
+        assertTrue(sent.take().timeoutSeconds < 30);
     }
 
     private static final String READ_CSV = "'" + READ + "'";
@@ -217,7 +217,7 @@
         greet(READ);
         client.send(Unpooled.wrappedBuffer(
                 statement(WRITE),
-                Encoder.query(new byte[] {' '}),
+                MessageEncoder.query(new byte[] {' '}),
                 extended('P'),
                 extended('B'),
                 extended('S'),
--- a/daemon/src/test/java/clayhook/serve/ShutdownTest.java
+++ b/daemon/src/test/java/clayhook/serve/ShutdownTest.java
@@ -12,7 +12,7 @@
 import clayhook.config.RouterConfiguration;
 import clayhook.config.OperatorConfiguration;
 import clayhook.discovery.EndpointList;
-import clayhook.protocol.Statement;
+import clayhook.protocol.KeyValueStatement;
 import clayhook.rehearsal.StubClient;
 import clayhook.rehearsal.StubDiscovery;
 import clayhook.rehearsal.StubNode;
@@ -32,15 +32,15 @@
 class ShutdownTest {
     private final Transport transport = Transport.tcp();
     private final Transport routerTransport = Transport.tcp();
-    private final LinkedBlockingQueue<Statement> sent = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<KeyValueStatement> sent = new LinkedBlockingQueue<>();
     private Router router;
 
-    private void start(Function<Statement, StubNode.StubResponse> deeds) throws InterruptedException {
-        var node = new StubNode(transport, transport.spare(0), "primary", statement -> {
+    private void start(Function<KeyValueStatement, StubNode.StubResponse> deeds) throws InterruptedException {
+        var node = new StubNode(transport, transport.ephemeralAddress(0), "primary", statement -> {
             sent.add(statement);
             return deeds.apply(statement);
         });
-        var discovery = new StubDiscovery(transport, transport.spare(0), call -> null);
+        var discovery = new StubDiscovery(transport, transport.ephemeralAddress(0), call -> null);
         var settings = new RoutingSettings(
                 1,
                 "a",
@@ -71,7 +71,7 @@
                 routerTransport,
                 new RouterConfiguration(
                         "test",
-                        transport.spare(0),
+                        transport.ephemeralAddress(0),
                         discovery.address(),
                         1,
                         1 << 24,
@@ -104,8 +104,8 @@
         start(any -> StubNode.StubResponse.silence());
         StubClient client = client(statement(1, "mutating"), statement(2, "any"), statement(3, "mutating"));
         sent.take();
-        routerTransport.loop().submit(router::end).get();
-        routerTransport.loop().submit(router::giveUp).get();
+        routerTransport.eventLoop().submit(router::end).get();
+        routerTransport.eventLoop().submit(router::giveUp).get();
         assertEquals(
                 List.of("ready", "40003", "53300", "53300"),
                 List.of(client.nextAnswer(), client.nextAnswer(), client.nextAnswer(), client.nextAnswer()));
@@ -118,7 +118,7 @@
         start(any -> StubNode.StubResponse.answer("served"));
         StubClient client = client(statement(1, "any"));
         assertEquals(List.of("ready", "served"), List.of(client.nextAnswer(), client.nextAnswer()));
-        routerTransport.loop().submit(router::giveUp).get();
+        routerTransport.eventLoop().submit(router::giveUp).get();
         client.send(statement(2, "any"));
         assertEquals("53300", client.nextAnswer());
         assertEquals(1, sent.size());
@@ -130,12 +130,12 @@
         start(any -> StubNode.StubResponse.answer("served"));
         var stands = new CountDownLatch(1);
         var goesOn = new CountDownLatch(1);
-        routerTransport.loop().execute(() -> {
+        routerTransport.eventLoop().execute(() -> {
             stands.countDown();
             await(goesOn);
         });
         stands.await();
-        routerTransport.loop().execute(router::end);
+        routerTransport.eventLoop().execute(router::end);
         var sockets = new ArrayList<Socket>();
         for (int i = 0; i < 40; i++) {
             var socket =
--- a/daemon/src/test/java/clayhook/sql/SqlNode.java
+++ b/daemon/src/test/java/clayhook/sql/ScriptedSqlNode.java
@@ -2,10 +2,10 @@
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import clayhook.protocol.Allowance;
-import clayhook.protocol.ClientDecoder;
+import clayhook.protocol.MemoryBudget;
+import clayhook.protocol.ClientMessageDecoder;
 import clayhook.protocol.ClientMessage;
-import clayhook.protocol.Encoder;
+import clayhook.protocol.MessageEncoder;
 import clayhook.transport.Transport;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -20,11 +20,11 @@
 import java.util.function.Function;
 
 /** A node that takes any statement, logs what it ran and does to each what it is told to. */
-final class SqlNode {
+final class ScriptedSqlNode {
     /**
      * Runs the statement and answers; or answers with an error; or resets the connection, before or after running it.
      */
-    record Deed(Kind kind, ByteBuf answer, String code) {
+    record Reaction(Kind kind, ByteBuf response, String sqlState) {
         enum Kind {
             ANSWER,
             ERROR,
@@ -32,9 +32,9 @@
             RESET_AFTER
         }
 
-        static Deed rows(String... values) {
+        static Reaction rows(String... values) {
             ByteBuf out = Unpooled.buffer();
-            message(
+            appendMessage(
                     out,
                     'T',
                     Unpooled.buffer()
@@ -49,7 +49,7 @@
                             .writeZero(8));
             for (String value : values) {
                 byte[] bytes = value.getBytes(UTF_8);
-                message(
+                appendMessage(
                         out,
                         'D',
                         Unpooled.buffer()
@@ -58,47 +58,47 @@
                                 .writeBytes(bytes)
                                 .writeInt(-1));
             }
-            return new Deed(Kind.ANSWER, message(out, 'C', text("SELECT " + values.length)), null);
+            return new Reaction(Kind.ANSWER, appendMessage(out, 'C', cString("SELECT " + values.length)), null);
         }
 
-        static Deed tag(String tag) {
-            return new Deed(Kind.ANSWER, message(Unpooled.buffer(), 'C', text(tag)), null);
+        static Reaction tag(String tag) {
+            return new Reaction(Kind.ANSWER, appendMessage(Unpooled.buffer(), 'C', cString(tag)), null);
         }
 
-        static Deed bytes(ByteBuf bytes) {
-            return new Deed(Kind.ANSWER, bytes, null);
+        static Reaction bytes(ByteBuf bytes) {
+            return new Reaction(Kind.ANSWER, bytes, null);
         }
 
-        static Deed error(String code) {
-            return new Deed(Kind.ERROR, null, code);
+        static Reaction error(String code) {
+            return new Reaction(Kind.ERROR, null, code);
         }
     }
 
     /** What it ran, in order; what settings were given. */
-    final Queue<String> ran = new ConcurrentLinkedQueue<>();
+    final Queue<String> executedStatements = new ConcurrentLinkedQueue<>();
 
-    final Queue<String> tuned = new ConcurrentLinkedQueue<>();
+    final Queue<String> settingStatements = new ConcurrentLinkedQueue<>();
     final Queue<Channel> connections = new ConcurrentLinkedQueue<>();
     private final String role;
-    private final Function<String, Deed> deeds;
-    private final Channel listening;
+    private final Function<String, Reaction> script;
+    private final Channel serverChannel;
 
-    SqlNode(Transport transport, String role, Function<String, Deed> deeds) throws InterruptedException {
+    ScriptedSqlNode(Transport transport, String role, Function<String, Reaction> deeds) throws InterruptedException {
         this.role = role;
-        this.deeds = deeds;
-        listening = transport.listen(transport.spare(0), () ->
-                new ChannelHandler[] {new ClientDecoder(new Allowance(Long.MAX_VALUE), true), new Connection()});
+        this.script = deeds;
+        serverChannel = transport.listen(transport.ephemeralAddress(0), () ->
+                new ChannelHandler[] {new ClientMessageDecoder(new MemoryBudget(Long.MAX_VALUE), true), new Connection()});
     }
 
     InetSocketAddress address() {
-        return (InetSocketAddress) listening.localAddress();
+        return (InetSocketAddress) serverChannel.localAddress();
     }
 
-    static ByteBuf message(ByteBuf out, char type, ByteBuf body) {
+    static ByteBuf appendMessage(ByteBuf out, char type, ByteBuf body) {
         return out.writeByte(type).writeInt(4 + body.readableBytes()).writeBytes(body);
     }
 
-    static ByteBuf text(String text) {
+    static ByteBuf cString(String text) {
         return Unpooled.wrappedBuffer((text + '\0').getBytes(UTF_8));
     }
 
@@ -111,17 +111,17 @@
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             if (message instanceof ClientMessage.Startup) {
-                ctx.writeAndFlush(Encoder.welcome(0, Map.of()));
-            } else if (message instanceof ClientMessage.Sql sql) {
-                run(ctx, new String(sql.text(), UTF_8));
+                ctx.writeAndFlush(MessageEncoder.startupResponse(0, Map.of()));
+            } else if (message instanceof ClientMessage.SqlQuery sql) {
+                execute(ctx, new String(sql.text(), UTF_8));
             }
         }
 
-        private void run(ChannelHandlerContext ctx, String text) {
+        private void execute(ChannelHandlerContext ctx, String text) {
             ByteBuf out = Unpooled.buffer();
             if (text.equals("SHOW load")) {
                 String load = "x0=" + System.currentTimeMillis() / 1000.0 + ",x1=" + (role.equals("primary") ? 1 : 0);
-                message(
+                appendMessage(
                         out,
                         'T',
                         Unpooled.buffer()
@@ -129,40 +129,40 @@
                                 .writeBytes("load\0".getBytes(UTF_8))
                                 .writeZero(18));
                 byte[] bytes = load.getBytes(UTF_8);
-                message(
+                appendMessage(
                         out,
                         'D',
                         Unpooled.buffer().writeShort(1).writeInt(bytes.length).writeBytes(bytes));
-                ctx.writeAndFlush(message(out, 'C', text("SHOW")).writeBytes(Encoder.ready()));
+                ctx.writeAndFlush(appendMessage(out, 'C', cString("SHOW")).writeBytes(MessageEncoder.readyForQuery()));
                 return;
             } else if (text.startsWith("SET ") || text.startsWith("RESET ")) {
-                tuned.add(text);
+                settingStatements.add(text);
                 ctx.writeAndFlush(
                         text.contains("'Mars'")
-                                ? Encoder.error(false, "22023", "no such zone", null)
-                                : Encoder.completed("SET", null, null));
+                                ? MessageEncoder.error(false, "22023", "no such zone", null)
+                                : MessageEncoder.commandComplete("SET", null, null));
                 return;
             }
-            Deed deed = deeds.apply(text);
-            if (deed.kind() == Deed.Kind.RESET_BEFORE) {
+            Reaction deed = script.apply(text);
+            if (deed.kind() == Reaction.Kind.RESET_BEFORE) {
                 ctx.close();
                 return;
-            } else if (deed.kind() == Deed.Kind.ERROR) {
-                ctx.writeAndFlush(Encoder.error(false, deed.code(), "as told", null));
+            } else if (deed.kind() == Reaction.Kind.ERROR) {
+                ctx.writeAndFlush(MessageEncoder.error(false, deed.sqlState(), "as told", null));
                 return;
             }
-            ran.add(text);
-            if (deed.kind() == Deed.Kind.RESET_AFTER) {
+            executedStatements.add(text);
+            if (deed.kind() == Reaction.Kind.RESET_AFTER) {
                 ctx.close();
                 return;
             }
-            status(out.writeBytes(deed.answer().duplicate()), "role", role);
-            status(out, "applied_ms", Long.toString(System.currentTimeMillis()));
-            ctx.writeAndFlush(out.writeBytes(Encoder.ready()));
+            appendParameterStatus(out.writeBytes(deed.response().duplicate()), "role", role);
+            appendParameterStatus(out, "applied_ms", Long.toString(System.currentTimeMillis()));
+            ctx.writeAndFlush(out.writeBytes(MessageEncoder.readyForQuery()));
         }
 
-        private void status(ByteBuf out, String name, String value) {
-            message(out, 'S', Unpooled.wrappedBuffer((name + '\0' + value + '\0').getBytes(UTF_8)));
+        private void appendParameterStatus(ByteBuf out, String name, String value) {
+            appendMessage(out, 'S', Unpooled.wrappedBuffer((name + '\0' + value + '\0').getBytes(UTF_8)));
         }
 
         @Override
--- a/daemon/src/test/java/clayhook/sql/SqlClient.java
+++ b/daemon/src/test/java/clayhook/sql/SqlClient.java
@@ -13,7 +13,7 @@
 /** A client that sends one statement after the other and reads each answer up to its readiness. */
 final class SqlClient implements AutoCloseable {
     /** Far beyond any answer: a test that waits so long has failed. */
-    private static final int PATIENCE_MS = 60_000;
+    private static final int READ_TIMEOUT_MS = 60_000;
 
     private final Socket socket = new Socket();
     private final DataInputStream in;
@@ -21,7 +21,7 @@
 
     SqlClient(InetSocketAddress address, String... parameters) throws IOException {
         socket.connect(address);
-        socket.setSoTimeout(PATIENCE_MS);
+        socket.setSoTimeout(READ_TIMEOUT_MS);
         in = new DataInputStream(socket.getInputStream());
         out = socket.getOutputStream();
         byte[] text = (String.join("\0", parameters) + "\0\0").getBytes(UTF_8);
@@ -44,7 +44,7 @@
     /**
      * The types of the messages of one answer, tags and codes with them: {@code "TDC(SELECT 1)"}, {@code "E(42601)"}.
      */
-    String answer() throws IOException {
+    String readResponse() throws IOException {
         var told = new StringBuilder();
         while (true) {
             char type = (char) in.readByte();
@@ -52,7 +52,7 @@
             if (type == 'Z') {
                 return told.toString();
             } else if (type == 'E' || type == 'N') {
-                told.append(type).append('(').append(field(body)).append(')');
+                told.append(type).append('(').append(sqlState(body)).append(')');
             } else if (type == 'C') {
                 told.append("C(")
                         .append(new String(body, 0, body.length - 1, UTF_8))
@@ -63,7 +63,7 @@
         }
     }
 
-    private static String field(byte[] body) {
+    private static String sqlState(byte[] body) {
         for (String field : new String(body, UTF_8).split("\0")) {
             if (field.startsWith("C")) {
                 return field.substring(1);
@@ -72,13 +72,13 @@
         return "";
     }
 
-    String ask(String statement) throws IOException {
+    String query(String statement) throws IOException {
         send(statement);
-        return answer();
+        return readResponse();
     }
 
     /** Says goodbye; true if nothing more came than was asked for. */
-    boolean ended() throws IOException {
+    boolean terminate() throws IOException {
         out.write(new byte[] {'X', 0, 0, 0, 4});
         try {
             in.readByte();
--- a/daemon/src/test/java/clayhook/sql/SqlRoutingTest.java
+++ b/daemon/src/test/java/clayhook/sql/SqlRoutingTest.java
@@ -12,10 +12,10 @@
 import clayhook.config.RouterConfiguration;
 import clayhook.config.OperatorConfigurationReader;
 import clayhook.discovery.EndpointList;
-import clayhook.protocol.Encoder;
+import clayhook.protocol.MessageEncoder;
 import clayhook.rehearsal.StubDiscovery;
 import clayhook.serve.Server;
-import clayhook.sql.SqlNode.Deed;
+import clayhook.sql.ScriptedSqlNode.Reaction;
 import clayhook.transport.Transport;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -65,47 +65,47 @@
             group = "write"
             """;
     private final Transport transport = Transport.tcp();
-    private final Transport own = Transport.tcp();
-    private final List<SqlNode> nodes = new ArrayList<>();
+    private final Transport routerTransport = Transport.tcp();
+    private final List<ScriptedSqlNode> nodes = new ArrayList<>();
 
     @TempDir
     Path folder;
 
     private Server server;
 
-    private static RequestClass group(String name, Idempotency effect, ConsistencyLevel level, double timeout) {
+    private static RequestClass requestClass(String name, Idempotency effect, ConsistencyLevel level, double timeout) {
         return new RequestClass(name, effect, level, timeout / 2, timeout, 1, 0, DeduplicationScope.REPLICA_SET, 60, 0);
     }
 
-    private void start(Function<String, Deed> primary, Function<String, Deed> replica) throws Exception {
+    private void start(Function<String, Reaction> primary, Function<String, Reaction> replica) throws Exception {
         start(RULES, primary, replica);
     }
 
-    private void start(String rules, Function<String, Deed> primary, Function<String, Deed> replica) throws Exception {
-        nodes.add(new SqlNode(transport, "primary", primary));
-        nodes.add(new SqlNode(transport, "replica", replica));
-        nodes.add(new SqlNode(transport, "replica", replica));
+    private void start(String rules, Function<String, Reaction> primary, Function<String, Reaction> replica) throws Exception {
+        nodes.add(new ScriptedSqlNode(transport, "primary", primary));
+        nodes.add(new ScriptedSqlNode(transport, "replica", replica));
+        nodes.add(new ScriptedSqlNode(transport, "replica", replica));
         var entries = new ArrayList<String>();
-        for (SqlNode node : nodes) {
+        for (ScriptedSqlNode node : nodes) {
             entries.add("{\"uid\":\"n" + entries.size() + "\",\"endpoint\":\"127.0.0.1:"
                     + node.address().getPort()
                     + "\",\"az\":\"a\",\"pod_group\":1,\"state\":\"up\",\"role\":\""
                     + (entries.isEmpty() ? "primary" : "replica") + "\",\"boot_ms\":0}");
         }
-        var discovery = new StubDiscovery(transport, transport.spare(0), call -> null);
+        var discovery = new StubDiscovery(transport, transport.ephemeralAddress(0), call -> null);
         List<RequestClass> groups = List.of(
-                group("any", Idempotency.IDEMPOTENT, ConsistencyLevel.EVENTUAL, 8),
-                group("write", Idempotency.IDEMPOTENT_WITH_KEY, ConsistencyLevel.WRITE, 8),
-                group("mutating", Idempotency.NON_IDEMPOTENT, ConsistencyLevel.WRITE, 8));
+                requestClass("any", Idempotency.IDEMPOTENT, ConsistencyLevel.EVENTUAL, 8),
+                requestClass("write", Idempotency.IDEMPOTENT_WITH_KEY, ConsistencyLevel.WRITE, 8),
+                requestClass("mutating", Idempotency.NON_IDEMPOTENT, ConsistencyLevel.WRITE, 8));
         var settings = new RoutingSettings(
                 1, "a", groups, true, true, false, true, true, true, true, true, 1, 9, 0.2, 10, 3, 3, 1, 15);
         Path file = folder.resolve("clayhook.toml");
         Files.writeString(file, rules);
         server = new Server(
-                own,
+                routerTransport,
                 new RouterConfiguration(
                         "test",
-                        transport.spare(0),
+                        transport.ephemeralAddress(0),
                         discovery.address(),
                         1,
                         1 << 27,
@@ -118,7 +118,7 @@
 
     private SqlClient client(String... parameters) throws IOException {
         var client = new SqlClient(server.address(), parameters);
-        assertEquals("", client.answer());
+        assertEquals("", client.readResponse());
         return client;
     }
 
@@ -128,13 +128,13 @@
         transport.close();
     }
 
-    private static Function<String, Deed> always(Deed deed) {
+    private static Function<String, Reaction> always(Reaction deed) {
         return any -> deed;
     }
 
-    private int runs(String text) {
+    private int executionCount(String text) {
         return (int) nodes.stream()
-                .flatMap(node -> node.ran.stream())
+                .flatMap(node -> node.executedStatements.stream())
                 .filter(text::equals)
                 .count();
     }
@@ -152,13 +152,13 @@
                 "delete from t /* id=1,c=any,d=30000,cluster=1 */|C(DELETE 3)|true",
                 "select 1 /* id=1,c=mutating,d=30000,cluster=1 */|C(DELETE 3)|true"
             })
-    void aStatementGoesWhereItMayRunAndItsAnswerComesWhole(String text, String answer, boolean primary)
+    void routesStatementByClassAndReturnsCompleteResponse(String text, String answer, boolean primary)
             throws Exception {
-        start(always(Deed.tag("DELETE 3")), always(Deed.rows("x", "y")));
+        start(always(Reaction.tag("DELETE 3")), always(Reaction.rows("x", "y")));
         try (SqlClient client = client()) {
-            assertEquals(answer, client.ask(text));
-            assertEquals(1, runs(text));
-            assertEquals(primary ? 1 : 0, nodes.get(0).ran.size());
+            assertEquals(answer, client.query(text));
+            assertEquals(1, executionCount(text));
+            assertEquals(primary ? 1 : 0, nodes.get(0).executedStatements.size());
         }
     }
 
@@ -175,13 +175,13 @@
                 "select 1 /* id=1,c=any,d=x,cluster=1 */",
                 "select 1 /* id=1,c=any,d=1,cluster=9 */"
             })
-    void whatCannotBeSharedIsRefusedAndComesToNoNode(String text) throws Exception {
-        start(always(Deed.tag("X")), always(Deed.tag("X")));
+    void rejectsSessionDependentStatementWithoutSendingIt(String text) throws Exception {
+        start(always(Reaction.tag("X")), always(Reaction.tag("X")));
         try (SqlClient client = client()) {
-            String answer = client.ask(text);
+            String answer = client.query(text);
             assertTrue(answer.matches("E\\((0A000|42601)\\)"), answer);
-            assertEquals("C(X)", client.ask("select 1"));
-            assertEquals(0, runs(text));
+            assertEquals("C(X)", client.query("select 1"));
+            assertEquals(0, executionCount(text));
         }
     }
 
@@ -193,167 +193,167 @@
         "XX000, E(XX000), 1",
         "53300, C(OK), 2"
     })
-    void anErrorReachesTheClientWithItsCodeAndAWriteThatMayHaveRunIsNotRepeated(String code, String answer, int sends)
+    void forwardsNodeErrorAndDoesNotRetryWriteInDoubt(String code, String answer, int sends)
             throws Exception {
         var sent = new AtomicInteger();
-        start(text -> sent.incrementAndGet() == 1 ? Deed.error(code) : Deed.tag("OK"), always(Deed.tag("R")));
+        start(text -> sent.incrementAndGet() == 1 ? Reaction.error(code) : Reaction.tag("OK"), always(Reaction.tag("R")));
         try (SqlClient client = client()) {
-            assertEquals(answer, client.ask("delete from t"));
+            assertEquals(answer, client.query("delete from t"));
             assertEquals(sends, sent.get());
         }
     }
 
     /** A procedure may have ended transactions before its error. */
     @Test
-    void aProcedureThatEndsInARefusalMayHaveRun() throws Exception {
+    void reportsProcedureRejectedByNodeAsInDoubt() throws Exception {
         var sent = new AtomicInteger();
-        start(text -> sent.incrementAndGet() == 1 ? Deed.error("53300") : Deed.tag("OK"), always(Deed.tag("R")));
+        start(text -> sent.incrementAndGet() == 1 ? Reaction.error("53300") : Reaction.tag("OK"), always(Reaction.tag("R")));
         try (SqlClient client = client()) {
-            assertEquals("E(40003)", client.ask("call p()"));
+            assertEquals("E(40003)", client.query("call p()"));
             assertEquals(1, sent.get());
         }
     }
 
     @Test
-    void aKeyedWriteIsRepeatedAndOthersAreNot() throws Exception {
+    void retriesOnlyWritesWithIdempotencyKey() throws Exception {
         var seen = ConcurrentHashMap.<String>newKeySet();
         start(
-                text -> seen.add(text) ? new Deed(Deed.Kind.RESET_AFTER, null, null) : Deed.tag("OK"),
-                always(Deed.tag("R")));
+                text -> seen.add(text) ? new Reaction(Reaction.Kind.RESET_AFTER, null, null) : Reaction.tag("OK"),
+                always(Reaction.tag("R")));
         try (SqlClient client = client()) {
-            assertEquals("C(OK)", client.ask("insert into posts (id, a) values (1, 2)"));
-            assertEquals("E(40003)", client.ask("insert into other (id, a) values (1, 2)"));
-            assertEquals("E(40003)", client.ask("insert into posts (id, a) values (1, 2), (3, 4)"));
-            assertEquals(2, runs("insert into posts (id, a) values (1, 2)"));
+            assertEquals("C(OK)", client.query("insert into posts (id, a) values (1, 2)"));
+            assertEquals("E(40003)", client.query("insert into other (id, a) values (1, 2)"));
+            assertEquals("E(40003)", client.query("insert into posts (id, a) values (1, 2), (3, 4)"));
+            assertEquals(2, executionCount("insert into posts (id, a) values (1, 2)"));
         }
     }
 
     /** A view that calls a function that writes: the text does not show it, the replica does. */
     @Test
-    void whatANodeWillNotRunAsAReadRunsOnceAtThePrimaryAndIsAWriteFromThenOn() throws Exception {
+    void reclassifiesReadThatReplicaRefusesAsWrite() throws Exception {
         var turnedAway = new AtomicInteger();
-        start(always(Deed.tag("W")), text -> {
+        start(always(Reaction.tag("W")), text -> {
             if (text.contains("v_next")) {
                 turnedAway.incrementAndGet();
-                return Deed.error("25006");
+                return Reaction.error("25006");
             }
-            return Deed.tag("R");
+            return Reaction.tag("R");
         });
         try (SqlClient client = client()) {
             for (int i = 0; i < 4; i++) {
-                assertEquals("C(W)", client.ask("select * from v_next where a = " + i));
-                assertEquals("C(R)", client.ask("select " + i));
+                assertEquals("C(W)", client.query("select * from v_next where a = " + i));
+                assertEquals("C(R)", client.query("select " + i));
             }
             assertEquals(1, turnedAway.get());
-            assertEquals(4, nodes.get(0).ran.size());
+            assertEquals(4, nodes.get(0).executedStatements.size());
         }
     }
 
     /** What is a string here would be code there. */
     @Test
-    void aNodeThatCutsStringsOtherwiseIsNotUsed() throws Exception {
+    void doesNotUseNodeWithOtherStringLiteralSetting() throws Exception {
         start(
                 RULES.replace("trust_comments = true", "standard_conforming_strings = false"),
-                always(Deed.tag("W")),
-                always(Deed.tag("R")));
+                always(Reaction.tag("W")),
+                always(Reaction.tag("R")));
         try (SqlClient client = client()) {
-            assertEquals("E(53300)", client.ask("select 1"));
-            assertTrue(nodes.stream().allMatch(node -> node.ran.isEmpty()));
+            assertEquals("E(53300)", client.query("select 1"));
+            assertTrue(nodes.stream().allMatch(node -> node.executedStatements.isEmpty()));
         }
     }
 
     @Test
-    void settingsAreAnsweredAndFollowTheSessionToEveryConnection() throws Exception {
-        start(always(Deed.tag("W")), always(Deed.tag("R")));
+    void appliesSessionSettingsToEveryNodeConnection() throws Exception {
+        start(always(Reaction.tag("W")), always(Reaction.tag("R")));
         try (SqlClient one = client("user", "u", "TimeZone", "UTC");
                 SqlClient other = client("user", "u")) {
-            assertEquals("C(SET)", one.ask("SET extra_float_digits = 3"));
-            assertEquals("C(R)", one.ask("select 1"));
-            assertEquals("C(R)", other.ask("select 2"));
-            assertEquals("C(SET)", one.ask("set time zone 'Mars'"));
-            assertEquals("E(22023)", one.ask("select 3"));
-            assertEquals("C(RESET)", one.ask("reset timezone"));
-            assertEquals("C(R)", one.ask("select 4"));
-            assertEquals(0, runs("select 3"));
+            assertEquals("C(SET)", one.query("SET extra_float_digits = 3"));
+            assertEquals("C(R)", one.query("select 1"));
+            assertEquals("C(R)", other.query("select 2"));
+            assertEquals("C(SET)", one.query("set time zone 'Mars'"));
+            assertEquals("E(22023)", one.query("select 3"));
+            assertEquals("C(RESET)", one.query("reset timezone"));
+            assertEquals("C(R)", one.query("select 4"));
+            assertEquals(0, executionCount("select 3"));
             assertTrue(nodes.stream()
-                    .flatMap(node -> node.tuned.stream())
+                    .flatMap(node -> node.settingStatements.stream())
                     .anyMatch("SET extra_float_digits TO 3;SET timezone TO 'UTC';"::equals));
         }
         var refused = new SqlClient(server.address(), "user", "u", "search_path", "x");
-        assertThrows(EOFException.class, refused::answer);
+        assertThrows(EOFException.class, refused::readResponse);
     }
 
     @Test
-    void aSessionThatMayHaveBeenChangedServesNoOther() throws Exception {
-        start(always(Deed.tag("W")), always(Deed.tag("R")));
+    void doesNotReuseNodeConnectionWithChangedSession() throws Exception {
+        start(always(Reaction.tag("W")), always(Reaction.tag("R")));
         try (SqlClient client = client()) {
-            client.ask("select unknown_function(1)");
+            client.query("select unknown_function(1)");
             Channel used = nodes.get(0).connections.peek();
             used.closeFuture().sync();
-            assertEquals("C(W)", client.ask("delete from t"));
-            assertEquals("C(W)", client.ask("delete from u"));
+            assertEquals("C(W)", client.query("delete from t"));
+            assertEquals("C(W)", client.query("delete from u"));
         }
     }
 
     @Test
-    void anAnswerPastTheLimitIsToldAsOneAndNothingIsRepeated() throws Exception {
+    void reportsOversizedResponseWithoutRetry() throws Exception {
         start(
                 RULES.replace("trust_comments = true", "answer_bytes = 2000"),
-                always(Deed.rows("x".repeat(3000))),
-                always(Deed.rows("x".repeat(1500))));
+                always(Reaction.rows("x".repeat(3000))),
+                always(Reaction.rows("x".repeat(1500))));
         try (SqlClient client = client()) {
-            assertEquals("TDC(SELECT 1)", client.ask("select 1"));
-            assertEquals("E(54000)", client.ask("delete from t returning *"));
-            assertEquals(1, runs("delete from t returning *"));
-            assertEquals("TDC(SELECT 1)", client.ask("select 1"));
+            assertEquals("TDC(SELECT 1)", client.query("select 1"));
+            assertEquals("E(54000)", client.query("delete from t returning *"));
+            assertEquals(1, executionCount("delete from t returning *"));
+            assertEquals("TDC(SELECT 1)", client.query("select 1"));
         }
     }
 
-    private static ByteBuf part(char type, ByteBuf body) {
-        return SqlNode.message(Unpooled.buffer(), type, body);
+    private static ByteBuf message(char type, ByteBuf body) {
+        return ScriptedSqlNode.appendMessage(Unpooled.buffer(), type, body);
     }
 
-    static List<ByteBuf> spoilt() {
+    static List<ByteBuf> malformedResponses() {
         return List.of(
-                part('D', Unpooled.buffer().writeShort(0)),
+                message('D', Unpooled.buffer().writeShort(0)),
                 Unpooled.EMPTY_BUFFER,
-                part('T', Unpooled.buffer().writeShort(3)),
-                part('D', Unpooled.buffer().writeShort(1).writeInt(-2)),
-                part('G', Unpooled.buffer().writeZero(3)),
-                part('T', Unpooled.buffer().writeShort(0)),
+                message('T', Unpooled.buffer().writeShort(3)),
+                message('D', Unpooled.buffer().writeShort(1).writeInt(-2)),
+                message('G', Unpooled.buffer().writeZero(3)),
+                message('T', Unpooled.buffer().writeShort(0)),
                 Unpooled.buffer().writeByte('Z').writeInt(5).writeByte('T'),
                 Unpooled.wrappedBuffer(
-                        Deed.rows().answer().slice(0, 47),
-                        part('D', Unpooled.buffer().writeShort(1).writeInt(-1)),
-                        part('C', SqlNode.text("SELECT 1"))));
+                        Reaction.rows().response().slice(0, 47),
+                        message('D', Unpooled.buffer().writeShort(1).writeInt(-1)),
+                        message('C', ScriptedSqlNode.cString("SELECT 1"))));
     }
 
     @ParameterizedTest
     @MethodSource("spoilt")
-    void aSpoiltAnswerIsNoneAndAReadIsTriedElsewhere(ByteBuf spoilt) throws Exception {
+    void retriesReadElsewhereAfterMalformedResponse(ByteBuf spoilt) throws Exception {
         var sent = new AtomicInteger();
-        start(always(Deed.bytes(spoilt)), any -> sent.incrementAndGet() == 1 ? Deed.bytes(spoilt) : Deed.tag("R"));
+        start(always(Reaction.bytes(spoilt)), any -> sent.incrementAndGet() == 1 ? Reaction.bytes(spoilt) : Reaction.tag("R"));
         try (SqlClient client = client()) {
-            assertEquals("C(R)", client.ask("select 1"));
-            assertEquals("E(40003)", client.ask("delete from t"));
-            assertEquals(1, runs("delete from t"));
+            assertEquals("C(R)", client.query("select 1"));
+            assertEquals("E(40003)", client.query("delete from t"));
+            assertEquals(1, executionCount("delete from t"));
         }
     }
 
     @Test
-    void noticesEmptyAnswersAndSeveralResultsArePassedOn() throws Exception {
-        ByteBuf notice = Encoder.error(false, "01000", "w", null);
+    void forwardsNoticesEmptyResponsesAndSeveralResults() throws Exception {
+        ByteBuf notice = MessageEncoder.error(false, "01000", "w", null);
         notice.setByte(0, 'N');
         ByteBuf several = Unpooled.wrappedBuffer(
                 notice.slice(0, notice.readableBytes() - 6),
-                part('I', Unpooled.EMPTY_BUFFER),
-                Deed.rows("x").answer(),
-                part('T', Unpooled.buffer().writeShort(0)),
-                part('C', SqlNode.text("SELECT 0")));
-        start(always(Deed.bytes(several)), always(Deed.bytes(several)));
+                message('I', Unpooled.EMPTY_BUFFER),
+                Reaction.rows("x").response(),
+                message('T', Unpooled.buffer().writeShort(0)),
+                message('C', ScriptedSqlNode.cString("SELECT 0")));
+        start(always(Reaction.bytes(several)), always(Reaction.bytes(several)));
         try (SqlClient client = client()) {
-            assertEquals("N(01000)ITDC(SELECT 1)TC(SELECT 0)", client.ask("select 1"));
-            assertEquals("N(01000)ITDC(SELECT 1)TC(SELECT 0)", client.ask("call p(); select 1"));
+            assertEquals("N(01000)ITDC(SELECT 1)TC(SELECT 0)", client.query("select 1"));
+            assertEquals("N(01000)ITDC(SELECT 1)TC(SELECT 0)", client.query("call p(); select 1"));
         }
     }
 
@@ -381,16 +381,16 @@
     };
 
     @Test
-    void ofManyStatementsNoWriteReachesAReplicaNoneRunsTwiceAndEachIsAnsweredOnce() throws Exception {
+    void underFaultsWritesReachOnlyThePrimaryRunOnceAndEveryStatementIsAnsweredOnce() throws Exception {
         var random = new Random(5);
         int[] chances = random.ints(100_000, 0, 100).toArray();
         var chance = new AtomicInteger();
-        Function<String, Deed> trouble = text -> switch (chances[chance.getAndIncrement() % chances.length]) {
-            case 0 -> Deed.error("53300");
-            case 2 -> new Deed(Deed.Kind.RESET_BEFORE, null, null);
-            case 3 -> new Deed(Deed.Kind.RESET_AFTER, null, null);
-            case 4 -> Deed.error("XX000");
-            default -> text.startsWith("select a, b") ? Deed.rows("1", "2") : Deed.tag("OK");
+        Function<String, Reaction> trouble = text -> switch (chances[chance.getAndIncrement() % chances.length]) {
+            case 0 -> Reaction.error("53300");
+            case 2 -> new Reaction(Reaction.Kind.RESET_BEFORE, null, null);
+            case 3 -> new Reaction(Reaction.Kind.RESET_AFTER, null, null);
+            case 4 -> Reaction.error("XX000");
+            default -> text.startsWith("select a, b") ? Reaction.rows("1", "2") : Reaction.tag("OK");
         };
         start(trouble, trouble);
         int clients = 8;
@@ -407,12 +407,12 @@
                         String[] forms = dice.nextInt(3) == 0 ? WRITES : READS;
                         String text =
                                 forms[dice.nextInt(forms.length)].replace("%d", Integer.toString(number * each + i));
-                        answers.put(text, client.ask(text));
+                        answers.put(text, client.query(text));
                         if (i % 500 == 499) { // a node loses all its connections
                             nodes.get(dice.nextInt(3)).connections.forEach(Channel::close);
                         }
                     }
-                    assertTrue(client.ended());
+                    assertTrue(client.terminate());
                 }
                 return answers;
             };
@@ -426,11 +426,11 @@
         assertEquals(clients * each, answers.size());
         var ran = new HashMap<String, Integer>();
         var reads = new ArrayList<Long>();
-        for (SqlNode node : nodes) {
-            node.ran.forEach(text -> ran.merge(text, 1, Integer::sum));
+        for (ScriptedSqlNode node : nodes) {
+            node.executedStatements.forEach(text -> ran.merge(text, 1, Integer::sum));
             boolean replica = node != nodes.get(0);
-            assertTrue(!replica || node.ran.stream().noneMatch(SqlRoutingTest::writes));
-            reads.add(node.ran.stream().filter(text -> !writes(text)).count());
+            assertTrue(!replica || node.executedStatements.stream().noneMatch(SqlRoutingTest::isWrite));
+            reads.add(node.executedStatements.stream().filter(text -> !isWrite(text)).count());
         }
         // Reads take turns over the replicas; the primary gets those that both could not take.
         assertTrue(
@@ -443,13 +443,13 @@
             String text = answered.getKey();
             int runs = ran.getOrDefault(text, 0);
             boolean keyed = text.startsWith("insert into posts");
-            assertTrue(!writes(text) || runs <= 1 || keyed, text + " ran " + runs + " times");
+            assertTrue(!isWrite(text) || runs <= 1 || keyed, text + " ran " + runs + " times");
             boolean ok =
                     answered.getValue().endsWith(")") && !answered.getValue().startsWith("E");
             assertTrue(!ok || runs >= 1, text + " was answered but never ran");
             assertTrue(ok || answered.getValue().matches("E\\((53300|40003|XX000)\\)"), answered.getValue());
             assertTrue(
-                    !answered.getValue().equals("E(53300)") || runs == 0 || !writes(text),
+                    !answered.getValue().equals("E(53300)") || runs == 0 || !isWrite(text),
                     text + " ran and was throttled");
         }
         long failed = answers.values().stream()
@@ -458,7 +458,7 @@
         assertTrue(failed < clients * each / 20, failed + " failed");
     }
 
-    private static boolean writes(String text) {
+    private static boolean isWrite(String text) {
         for (String form : WRITES) {
             if (text.matches("(?s)" + java.util.regex.Pattern.quote(form).replace("%d", "\\E[0-9]+\\Q"))) {
                 return true;
@@ -470,10 +470,10 @@
     // ---- a real client ----
 
     @Test
-    void theJdbcDriverConnectsQueriesAndWrites() throws Exception {
+    void servesJdbcDriver() throws Exception {
         start(
-                always(Deed.tag("INSERT 0 1")),
-                text -> text.contains("missing") ? Deed.error("42P01") : Deed.rows("one", "two"));
+                always(Reaction.tag("INSERT 0 1")),
+                text -> text.contains("missing") ? Reaction.error("42P01") : Reaction.rows("one", "two"));
         var address = server.address();
         try (Connection connection = DriverManager.getConnection(
                 "jdbc:postgresql://127.0.0.1:" + address.getPort()
@@ -502,10 +502,10 @@
             }
         }
         assertTrue(
-                nodes.get(0).ran.stream().anyMatch(text -> text.contains("it''s")),
-                () -> nodes.get(0).ran.toString());
+                nodes.get(0).executedStatements.stream().anyMatch(text -> text.contains("it''s")),
+                () -> nodes.get(0).executedStatements.toString());
         assertTrue(nodes.stream()
-                .flatMap(node -> node.tuned.stream())
+                .flatMap(node -> node.settingStatements.stream())
                 .anyMatch(text -> text.contains("application_name TO 'test'")));
     }
 }
--- a/daemon/src/test/java/clayhook/transport/TransportTest.java
+++ b/daemon/src/test/java/clayhook/transport/TransportTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class TransportTest {
-    private final LinkedBlockingQueue<String> heard = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<String> events = new LinkedBlockingQueue<>();
     private final Transport transport = Transport.tcp(() -> {
         throw new ChannelException(new IOException("Too many open files"));
     });
@@ -32,32 +32,32 @@
 
     /** All that hears of a failure belongs to the loop; on another thread it crosses what the loop does just then. */
     @Test
-    void aConnectionForWhichNoDescriptorIsLeftFailsOnTheLoopOnceItsCallerIsDone() throws Exception {
+    void reportsMissingDescriptorOnEventLoopAfterConnectReturns() throws Exception {
         transport
-                .loop()
+                .eventLoop()
                 .submit(() -> {
                     transport.connect(
                             new InetSocketAddress("127.0.0.1", 1),
                             1,
                             () -> new ChannelHandler[0],
-                            () -> heard.add(
-                                    transport.loop().inEventLoop()
+                            () -> events.add(
+                                    transport.eventLoop().inEventLoop()
                                             ? "on the loop"
                                             : "on " + Thread.currentThread().getName()));
-                    heard.add("called");
+                    events.add("called");
                 })
                 .get();
-        assertEquals("called", heard.take());
-        assertEquals("on the loop", heard.take());
-        assertTrue(heard.isEmpty());
+        assertEquals("called", events.take());
+        assertEquals("on the loop", events.take());
+        assertTrue(events.isEmpty());
     }
 
     /** A rehearsal's sockets would count against the process that serves. */
     @Test
-    void closingFromWithinATurnLeavesNothingOpen() throws Exception {
+    void closeFromEventLoopLeavesNoChannelOpen() throws Exception {
         Transport asked = Transport.tcp();
         var accepted = new LinkedBlockingQueue<Channel>();
-        Channel listening = asked.listen(asked.spare(0), () -> new ChannelHandler[] {
+        Channel listening = asked.listen(asked.ephemeralAddress(0), () -> new ChannelHandler[] {
             new ChannelInboundHandlerAdapter() {
                 @Override
                 public void channelActive(ChannelHandlerContext ctx) {
@@ -69,25 +69,25 @@
                 (InetSocketAddress) listening.localAddress(),
                 20,
                 () -> new ChannelHandler[0],
-                () -> heard.add("failed"));
+                () -> events.add("failed"));
         Channel other = accepted.take();
-        asked.loop().submit(asked::close).get();
-        assertTrue(asked.loop().awaitTermination(20, TimeUnit.SECONDS));
+        asked.eventLoop().submit(asked::close).get();
+        assertTrue(asked.eventLoop().awaitTermination(20, TimeUnit.SECONDS));
         assertEquals(List.of(false, false, false), List.of(listening.isOpen(), connected.isOpen(), other.isOpen()));
     }
 
     /** What is told of it changes tables that only the loop may touch. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aSocketThatCannotBeMadeIsToldOnTheLoop(boolean fromTheLoop) throws Exception {
+    void reportsSocketCreationFailureOnEventLoop(boolean fromTheLoop) throws Exception {
         var toldOnTheLoop = new CompletableFuture<Boolean>();
         Runnable connect = () -> transport.connect(
                 new InetSocketAddress("127.0.0.1", 1),
                 1,
                 () -> new ChannelHandler[0],
-                () -> toldOnTheLoop.complete(transport.loop().inEventLoop()));
+                () -> toldOnTheLoop.complete(transport.eventLoop().inEventLoop()));
         if (fromTheLoop) {
-            transport.loop().submit(connect).get();
+            transport.eventLoop().submit(connect).get();
         } else {
             connect.run();
         }
