--- a/lab/src/main/java/clayhook/lab/model/Loopback.java
+++ b/lab/src/main/java/clayhook/lab/model/Loopback.java
@@ -8,13 +8,13 @@
 import clayhook.RoutingSettings;
 import clayhook.config.RouterConfiguration;
 import clayhook.discovery.EndpointList;
-import clayhook.protocol.Allowance;
-import clayhook.protocol.ClientDecoder;
+import clayhook.protocol.MemoryBudget;
+import clayhook.protocol.ClientMessageDecoder;
 import clayhook.protocol.ClientMessage;
-import clayhook.protocol.Encoder;
-import clayhook.protocol.NodeDecoder;
+import clayhook.protocol.MessageEncoder;
+import clayhook.protocol.NodeMessageDecoder;
 import clayhook.protocol.NodeMessage;
-import clayhook.protocol.Statement;
+import clayhook.protocol.KeyValueStatement;
 import clayhook.rehearsal.StubClient;
 import clayhook.rehearsal.StubDiscovery;
 import clayhook.rehearsal.StubNode;
@@ -51,7 +51,7 @@
 
     private final FleetSpec spec;
     private final Transport transport = Transport.tcp();
-    private final WallTime time = new WallTime(transport.loop());
+    private final WallTime time = new WallTime(transport.eventLoop());
     private final Arrivals arrivals;
     private final Audit audit = new Audit(GRACE, OVERLOAD, OVERLOAD_FOR);
     private final Map<String, Asked> open = new HashMap<>();
@@ -95,7 +95,7 @@
         try {
             begin();
             var ended = new CountDownLatch(1);
-            transport.loop().execute(() -> {
+            transport.eventLoop().execute(() -> {
                 start = time.now() + WARMING;
                 time.at(start, time::warm);
                 tally = new Tally(start);
@@ -139,7 +139,7 @@
         }
         var discovery = new StubDiscovery(
                 transport,
-                transport.spare(0),
+                transport.ephemeralAddress(0),
                 call -> call.contains("after=" + listVersion + "&")
                                 || call.endsWith("after=" + listVersion + " HTTP/1.1")
                         ? null
@@ -171,7 +171,7 @@
                     Transport.tcp(),
                     new RouterConfiguration(
                             "lab",
-                            transport.spare(0),
+                            transport.ephemeralAddress(0),
                             discovery.address(),
                             r + 1,
                             1 << 28,
@@ -255,7 +255,7 @@
                 transport.connect(
                         router,
                         CONNECT_TIMEOUT,
-                        () -> new ChannelHandler[] {new NodeDecoder(new Allowance(Long.MAX_VALUE)), opened},
+                        () -> new ChannelHandler[] {new NodeMessageDecoder(new MemoryBudget(Long.MAX_VALUE)), opened},
                         opened::lost);
             } else {
                 connection.send(asked);
@@ -279,7 +279,7 @@
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             channel = ctx.channel();
-            ctx.write(Encoder.startup("lab", "core"));
+            ctx.write(MessageEncoder.startupMessage("lab", "core"));
             send(asked);
         }
 
@@ -298,9 +298,9 @@
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             if (message instanceof NodeMessage.ErrorResponse error) {
-                verdict = error.code().equals("53300") ? RoutingAction.REJECT : RoutingAction.FAIL;
+                verdict = error.sqlState().equals("53300") ? RoutingAction.REJECT : RoutingAction.FAIL;
             } else if (message instanceof NodeMessage.Part part && part.type() == 'D') {
-                position = Double.parseDouble(part.column());
+                position = Double.parseDouble(part.firstColumn());
             } else if (message instanceof NodeMessage.ReadyForQuery && !welcomed) {
                 welcomed = true;
             } else if (message instanceof NodeMessage.ReadyForQuery && asked != null) {
@@ -342,8 +342,8 @@
 
         SocketNode(NodeModel node) throws InterruptedException {
             this.node = node;
-            listening = transport.listen(transport.spare(0), () ->
-                    new ChannelHandler[] {new ClientDecoder(new Allowance(Long.MAX_VALUE)), new NodeHandler(this)});
+            listening = transport.listen(transport.ephemeralAddress(0), () ->
+                    new ChannelHandler[] {new ClientMessageDecoder(new MemoryBudget(Long.MAX_VALUE)), new NodeHandler(this)});
         }
 
         int port() {
@@ -380,7 +380,7 @@
                 return;
             }
             if (message instanceof ClientMessage.Startup) {
-                time.in(spec.machine().connecting(), () -> ctx.writeAndFlush(Encoder.welcome(0, Map.of())));
+                time.in(spec.machine().connecting(), () -> ctx.writeAndFlush(MessageEncoder.startupResponse(0, Map.of())));
             } else if (message instanceof ClientMessage.UnreadableQuery) {
                 ctx.writeAndFlush(StubNode.row(load(node), role(node), millis(node.position()), load(node)));
             } else if (message instanceof ClientMessage.Query query) {
@@ -388,11 +388,11 @@
             }
         }
 
-        private void run(ChannelHandlerContext ctx, Statement statement) {
+        private void run(ChannelHandlerContext ctx, KeyValueStatement statement) {
             NodeModel node = socket.node;
-            Asked asked = open.get(statement.id);
-            if (asked == null || statement.writes && node.role != Role.PRIMARY) {
-                ctx.writeAndFlush(Encoder.error(false, asked == null ? "53300" : "25006", "not here", null));
+            Asked asked = open.get(statement.requestId);
+            if (asked == null || statement.isWrite && node.role != Role.PRIMARY) {
+                ctx.writeAndFlush(MessageEncoder.error(false, asked == null ? "53300" : "25006", "not here", null));
                 return;
             }
             RequestClass group = asked.ask.kind().group();
@@ -407,12 +407,12 @@
             }
             job = new Job(asked.ask.work(), time.now(), done -> {
                 double position =
-                        statement.writes ? world.group(node.node.replicaSetId()).commit() : node.position();
+                        statement.isWrite ? world.group(node.node.replicaSetId()).commit() : node.position();
                 audit.ran(asked.id, node.node, position, needed, time.now());
                 ctx.writeAndFlush(StubNode.row(Double.toString(position), role(node), millis(position), load(node)));
             });
             if (!node.cores.offer(job)) {
-                ctx.writeAndFlush(Encoder.error(false, "53300", "full", null));
+                ctx.writeAndFlush(MessageEncoder.error(false, "53300", "full", null));
             }
         }
 
--- a/trials/src/main/java/clayhook/trials/Caller.java
+++ b/trials/src/main/java/clayhook/trials/Caller.java
@@ -3,7 +3,7 @@
 import clayhook.RequestClass;
 import clayhook.RequestClass.Idempotency;
 import clayhook.RequestClass.ConsistencyLevel;
-import clayhook.protocol.Encoder;
+import clayhook.protocol.MessageEncoder;
 import clayhook.rehearsal.StubClient;
 import clayhook.transport.Transport;
 import io.netty.buffer.ByteBuf;
@@ -115,7 +115,7 @@
     /** Whether a router takes commands; asks nothing that the witness hears of. */
     static boolean greeted(Transport transport, InetSocketAddress router, double seconds) throws InterruptedException {
         var client = new StubClient(transport, router);
-        client.send(Encoder.startup("client", "core"));
+        client.send(MessageEncoder.startupMessage("client", "core"));
         String word = client.nextAnswer(seconds);
         client.close();
         return "ready".equals(word);
--- a/trials/src/main/java/clayhook/trials/ClusterNode.java
+++ b/trials/src/main/java/clayhook/trials/ClusterNode.java
@@ -4,11 +4,11 @@
 import clayhook.RequestClass.ConsistencyLevel;
 import clayhook.Endpoint;
 import clayhook.Node;
-import clayhook.protocol.Allowance;
-import clayhook.protocol.ClientDecoder;
+import clayhook.protocol.MemoryBudget;
+import clayhook.protocol.ClientMessageDecoder;
 import clayhook.protocol.ClientMessage;
-import clayhook.protocol.Encoder;
-import clayhook.protocol.Statement;
+import clayhook.protocol.MessageEncoder;
+import clayhook.protocol.KeyValueStatement;
 import clayhook.rehearsal.StubNode;
 import clayhook.transport.Transport;
 import io.netty.buffer.ByteBuf;
@@ -54,8 +54,8 @@
     ClusterNode(Cluster cluster, Node node, Transport transport) throws InterruptedException {
         this.cluster = cluster;
         this.node = node;
-        listening = transport.listen(transport.spare(0), () ->
-                new ChannelHandler[] {new ClientDecoder(new Allowance(Long.MAX_VALUE), true), new Connection()});
+        listening = transport.listen(transport.ephemeralAddress(0), () ->
+                new ChannelHandler[] {new ClientMessageDecoder(new MemoryBudget(Long.MAX_VALUE), true), new Connection()});
     }
 
     public Node node() {
@@ -149,9 +149,9 @@
                 return;
             } else if (message instanceof ClientMessage.Startup startup) {
                 router = startup.parameters().getOrDefault("user", "");
-                ctx.writeAndFlush(Encoder.welcome(0, Map.of()));
-            } else if (message instanceof ClientMessage.Sql sql) {
-                Statement statement = statement(sql.text());
+                ctx.writeAndFlush(MessageEncoder.startupResponse(0, Map.of()));
+            } else if (message instanceof ClientMessage.SqlQuery sql) {
+                KeyValueStatement statement = statement(sql.text());
                 ByteBuf answer = statement == null ? row(null, position()) : run(statement);
                 if (statement == null || mood == Mood.WELL) {
                     ctx.writeAndFlush(answer);
@@ -161,16 +161,16 @@
             }
         }
 
-        private ByteBuf run(Statement statement) {
+        private ByteBuf run(KeyValueStatement statement) {
             cluster.witness.came(router, node);
-            RequestClass group = cluster.group(statement.group);
+            RequestClass group = cluster.group(statement.requestClassName);
             if (group == null || group.requiresPrimary() && !leads()) {
-                return Encoder.error(false, "25006", "not here", null);
+                return MessageEncoder.error(false, "25006", "not here", null);
             }
             reckonCold();
             boolean writes = group.consistency() == ConsistencyLevel.WRITE;
-            double position = writes ? cluster.write(group, statement.id) : position();
-            cluster.witness.ran(statement.id, node, position);
+            double position = writes ? cluster.write(group, statement.requestId) : position();
+            cluster.witness.ran(statement.requestId, node, position);
             return row(Double.toString(position), writes ? position : position());
         }
 
@@ -181,9 +181,9 @@
     }
 
     /** Null for what is a look at the node. */
-    private static Statement statement(byte[] text) {
+    private static KeyValueStatement statement(byte[] text) {
         try {
-            return Statement.parse(text);
+            return KeyValueStatement.parse(text);
         } catch (IllegalArgumentException e) {
             return null;
         }
--- a/trials/src/main/java/clayhook/trials/Directory.java
+++ b/trials/src/main/java/clayhook/trials/Directory.java
@@ -27,7 +27,7 @@
     Directory(Transport transport, Cluster cluster, IntSupplier routers) throws InterruptedException {
         this.cluster = cluster;
         this.routers = routers;
-        service = new StubDiscovery(transport, transport.spare(0), this::called);
+        service = new StubDiscovery(transport, transport.ephemeralAddress(0), this::called);
         cluster.watch(this::changed);
     }
 
--- a/trials/src/main/java/clayhook/trials/Relay.java
+++ b/trials/src/main/java/clayhook/trials/Relay.java
@@ -59,11 +59,11 @@
         }
         for (int i = 0; i < routers.size(); i++) {
             sockets.add(new Bootstrap()
-                    .group(transport.loop())
+                    .group(transport.eventLoop())
                     .channelFactory(NioDatagramChannel::new)
                     .handler(new Socket(i))
                     .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(LONGEST))
-                    .bind(transport.spare(0))
+                    .bind(transport.ephemeralAddress(0))
                     .sync()
                     .channel());
         }
