--- a/daemon/src/main/java/clayhook/peers/Mailbox.java
+++ b/daemon/src/main/java/clayhook/peers/ConflatingQueue.java
@@ -12,43 +12,43 @@
  * From a thread to the router's loop: of each key the latest value, and never more than one task that waits on the
  * loop. Guards against a loop that is late and finds a pile of news, most of it overtaken.
  */
-final class Mailbox<K, V> {
+final class ConflatingQueue<K, V> {
     /** Values handed over in one turn of the loop, tens of microseconds of it; the rest in the next. */
-    static final int MOST_AT_ONCE = 256;
+    static final int MAX_BATCH = 256;
 
     private final Executor loop;
-    private final Consumer<Map<K, V>> to;
+    private final Consumer<Map<K, V>> consumer;
     /** No more keys than there are entries of the kind; emptied on the loop. */
     private final Map<K, V> latest = new ConcurrentHashMap<>();
 
-    private final AtomicBoolean awaited = new AtomicBoolean();
+    private final AtomicBoolean drainScheduled = new AtomicBoolean();
 
-    Mailbox(Executor loop, Consumer<Map<K, V>> to) {
+    ConflatingQueue(Executor loop, Consumer<Map<K, V>> to) {
         this.loop = loop;
-        this.to = to;
+        this.consumer = to;
     }
 
     void put(K key, V value) {
         latest.put(key, value);
-        await();
+        scheduleDrain();
     }
 
-    private void await() {
-        if (awaited.compareAndSet(false, true)) {
+    private void scheduleDrain() {
+        if (drainScheduled.compareAndSet(false, true)) {
             try {
-                loop.execute(this::empty);
+                loop.execute(this::drain);
             } catch (RejectedExecutionException e) {
                 latest.clear(); // the loop has ended
             }
         }
     }
 
-    private void empty() {
-        awaited.set(false);
+    private void drain() {
+        drainScheduled.set(false);
         var batch = new HashMap<K, V>();
         for (K key : latest.keySet()) {
-            if (batch.size() == MOST_AT_ONCE) {
-                await();
+            if (batch.size() == MAX_BATCH) {
+                scheduleDrain();
                 break;
             }
             V value = latest.remove(key);
@@ -56,6 +56,6 @@
                 batch.put(key, value);
             }
         }
-        to.accept(batch);
+        consumer.accept(batch);
     }
 }
--- a/daemon/src/main/java/clayhook/peers/Peers.java
+++ b/daemon/src/main/java/clayhook/peers/GossipTransport.java
@@ -6,13 +6,13 @@
 import clayhook.config.SharingSettings;
 import clayhook.discovery.EndpointList;
 import clayhook.fleet.Address;
-import clayhook.fleet.Fleet;
-import clayhook.fleet.Machine;
+import clayhook.fleet.MessageDispatcher;
+import clayhook.fleet.ProtocolHandler;
 import clayhook.fleet.Member;
 import clayhook.fleet.Outbox;
-import clayhook.fleet.Part;
+import clayhook.fleet.Message;
 import clayhook.fleet.Peer;
-import clayhook.fleet.Reader;
+import clayhook.fleet.FieldReader;
 import clayhook.fleet.kinds.Fate;
 import clayhook.fleet.members.MemberSettings;
 import clayhook.fleet.members.Members;
@@ -34,49 +34,49 @@
  * The edge of what routers share: a socket, a thread of its own, and queues between that and the router's loop.
  * Whatever comes in, stalls or fails here costs sharing and never a command.
  */
-public final class Peers implements PeerSharing {
+public final class GossipTransport implements PeerSharing {
     /** Seconds that the thread sleeps where there was news or a flood; whole rounds of gossip are longer. */
-    private static final double NAP = 0.02;
+    private static final double SHORT_WAIT = 0.02;
     /**
      * Seconds in which farewells go out, more than once as packets get lost; a part of what is left to a router that
      * ends.
      */
-    private static final double FAREWELL = 0.1;
+    private static final double LEAVE_DURATION = 0.1;
 
-    private static final long LONGEST_END_MS = 150;
+    private static final long MAX_STOP_WAIT_MS = 150;
     /** Seconds by which measured clocks may be off beyond their bound: the error of the measure. */
-    private static final double CLOCK_ERROR = 0.5;
+    private static final double CLOCK_MEASUREMENT_ERROR = 0.5;
 
     private final SharingSettings settings;
     private final RouterConfiguration configuration;
-    private final StateSettings usual;
-    private final Datagrams datagrams;
-    private final Address address;
+    private final StateSettings stateDefaults;
+    private final DatagramEndpoint endpoint;
+    private final Address advertisedAddress;
     private final SlewedClock clock = new SlewedClock();
-    private final Outbound outbound;
+    private final EventQueue eventQueue;
     private Members members;
     /** Null until sharing has begun; commands may come before. */
-    private volatile Exchange exchange;
+    private volatile StateBridge bridge;
 
-    private Fleet fleet;
+    private MessageDispatcher dispatcher;
     private Thread thread;
-    private double reportAt;
+    private double nextReportAt;
     private long faults;
     private volatile boolean closing;
     private volatile boolean leaving;
 
-    private Peers(
+    private GossipTransport(
             SharingSettings settings,
             RouterConfiguration configuration,
             StateSettings usual,
-            Datagrams datagrams,
+            DatagramEndpoint datagrams,
             Address address) {
         this.settings = settings;
         this.configuration = configuration;
-        this.usual = usual;
-        this.datagrams = datagrams;
-        this.address = address;
-        outbound = new Outbound(datagrams::wake);
+        this.stateDefaults = usual;
+        this.endpoint = datagrams;
+        this.advertisedAddress = address;
+        eventQueue = new EventQueue(datagrams::wakeUp);
     }
 
     /** Takes the address; throws IOException naming it where that fails. */
@@ -85,62 +85,62 @@
     }
 
     /** {@code usual}: what the operator's settings do not say. */
-    static Peers open(SharingSettings settings, RouterConfiguration configuration, StateSettings usual) throws IOException {
-        var datagrams = Datagrams.at(settings.listen());
+    static GossipTransport open(SharingSettings settings, RouterConfiguration configuration, StateSettings usual) throws IOException {
+        var datagrams = DatagramEndpoint.bind(settings.listen());
         Address address = settings.advertise() != null
                 ? address(settings.advertise())
                 : new Address(settings.listen().getAddress().getHostAddress(), datagrams.port());
-        return new Peers(settings, configuration, usual, datagrams, address);
+        return new GossipTransport(settings, configuration, usual, datagrams, address);
     }
 
     private static Address address(InetSocketAddress address) {
         return new Address(address.getAddress().getHostAddress(), address.getPort());
     }
 
-    private static List<Address> addresses(SharingSettings settings) {
-        return settings.seeds().stream().map(Peers::address).toList();
+    private static List<Address> seedAddresses(SharingSettings settings) {
+        return settings.seeds().stream().map(GossipTransport::address).toList();
     }
 
     /** Where others send to. */
     Address address() {
-        return address;
+        return advertisedAddress;
     }
 
     @Override
     public void attach(Executor loop, InetSocketAddress discovery, PeerListener listener) {
         double now = clock.now();
         String name = settings.name() == null ? configuration.name() : settings.name();
-        var self = new Peer(new Member(name, (long) (now * 1000)), address);
+        var self = new Peer(new Member(name, (long) (now * 1000)), advertisedAddress);
         // Another life counts and asks by other numbers, whatever the seed.
-        var chance = new SplittableRandom(configuration.seed() ^ self.member().boot());
-        members = new Members(memberSettings(), self, addresses(settings), chance.nextLong(), now, new RosterLog());
+        var chance = new SplittableRandom(configuration.seed() ^ self.member().incarnation());
+        members = new Members(memberSettings(), self, seedAddresses(settings), chance.nextLong(), now, new MembershipLogger());
         boolean marks = settings.shareSessionWrites() && !configuration.settings().requestsCarryLastWrite();
-        var kinds = new Exchange.Kinds(
+        var kinds = new StateBridge.EnabledTypes(
                 settings.shareObservations(),
                 settings.shareEndpointLists(),
                 marks,
                 settings.shareWriteOutcomes() ? Fate.kept(settings.writeOutcomeRetention()) : null,
                 settings.shareQuotas());
-        var state = new State(members, kinds.all(), stateSettings(), chance.nextLong(), now);
-        exchange = new Exchange(
+        var state = new State(members, kinds.types(), stateSettings(), chance.nextLong(), now);
+        bridge = new StateBridge(
                 kinds,
                 settings.sessionRoamDelay(),
                 configuration.settings().routerCount(),
-                source(discovery),
+                discoveryName(discovery),
                 state,
                 members,
                 chance.split(),
                 loop,
                 listener);
-        exchange.know(configuration.knownEndpoints());
+        bridge.updateKnownNodes(configuration.knownEndpoints());
         // The state last: what the exchange puts in goes out in the same turn.
-        fleet = new Fleet(self.member(), List.of(members, new Farewell(), exchange, state), datagrams::send);
-        reportAt = now + settings.logInterval();
+        dispatcher = new MessageDispatcher(self.member(), List.of(members, new LeaveAnnouncer(), bridge, state), endpoint::send);
+        nextReportAt = now + settings.logInterval();
     }
 
     @Override
     public void start() {
-        Log.info("sharing as " + members.self().member().name() + " at " + address + ", seeds "
+        Log.info("sharing as " + members.self().member().name() + " at " + advertisedAddress + ", seeds "
                 + settings.seeds().size());
         thread = new Thread(this::run, "clayhook-peers");
         thread.setDaemon(true);
@@ -168,77 +168,77 @@
 
     private StateSettings stateSettings() {
         return new StateSettings(
-                usual.round(),
-                usual.fanout(),
-                usual.newsParts(),
+                stateDefaults.round(),
+                stateDefaults.fanout(),
+                stateDefaults.newsParts(),
                 settings.gossipBytesPerSecond(),
-                usual.newsFor(),
-                usual.mostNews(),
-                usual.digestEvery(),
-                usual.digestBytes(),
-                usual.answerWait(),
-                usual.silence(),
-                usual.window(),
+                stateDefaults.newsFor(),
+                stateDefaults.mostNews(),
+                stateDefaults.digestEvery(),
+                stateDefaults.digestBytes(),
+                stateDefaults.answerWait(),
+                stateDefaults.silence(),
+                stateDefaults.window(),
                 settings.antiEntropyBytesPerSecond(),
-                usual.pushBytes(),
-                usual.pairsEvery(),
-                settings.maxClockSkew() + CLOCK_ERROR,
-                usual.margin(),
-                usual.aloneAfter(),
-                usual.stood(),
-                usual.sweep());
+                stateDefaults.pushBytes(),
+                stateDefaults.pairsEvery(),
+                settings.maxClockSkew() + CLOCK_MEASUREMENT_ERROR,
+                stateDefaults.margin(),
+                stateDefaults.aloneAfter(),
+                stateDefaults.stood(),
+                stateDefaults.sweep());
     }
 
-    private static String source(InetSocketAddress discovery) {
+    private static String discoveryName(InetSocketAddress discovery) {
         return discovery.getHostString() + ":" + discovery.getPort();
     }
 
     // ---- the thread ----
 
     private void run() {
-        try (datagrams) {
+        try (endpoint) {
             double leaveAt = Double.POSITIVE_INFINITY;
             while (!closing && clock.now() < leaveAt) {
-                leaveAt = leaving && leaveAt == Double.POSITIVE_INFINITY ? clock.now() + FAREWELL : leaveAt;
-                round();
+                leaveAt = leaving && leaveAt == Double.POSITIVE_INFINITY ? clock.now() + LEAVE_DURATION : leaveAt;
+                runIteration();
             }
         } catch (IOException | RuntimeException | Error e) {
             Log.error("sharing has ended, the router serves on", e);
         }
     }
 
-    private void round() throws IOException {
+    private void runIteration() throws IOException {
         double now = clock.now();
-        int news = outbound.drain(each -> guarded(() -> take(each, now)));
-        boolean more = datagrams.receive((from, bytes) -> guarded(() -> fleet.heard(from, bytes, clock.now())));
-        double next = turn(now);
-        if (now >= reportAt) {
-            reportAt = now + settings.logInterval();
-            guarded(() -> report(now));
+        int news = eventQueue.drain(each -> runGuarded(() -> handle(each, now)));
+        boolean more = endpoint.receive((from, bytes) -> runGuarded(() -> dispatcher.onDatagram(from, bytes, clock.now())));
+        double next = tick(now);
+        if (now >= nextReportAt) {
+            nextReportAt = now + settings.logInterval();
+            runGuarded(() -> logSummary(now));
         }
-        boolean dozes = news == 0 && outbound.doze();
-        double wait = more || leaving ? NAP : news > 0 ? Math.min(NAP, next - now) : dozes ? next - now : 0;
-        datagrams.await(wait, more);
-        outbound.wakened();
+        boolean dozes = news == 0 && eventQueue.beginWait();
+        double wait = more || leaving ? SHORT_WAIT : news > 0 ? Math.min(SHORT_WAIT, next - now) : dozes ? next - now : 0;
+        endpoint.await(wait, more);
+        eventQueue.endWait();
     }
 
-    private void take(News news, double now) {
-        if (news instanceof News.Seeds seeds) {
+    private void handle(LocalEvent news, double now) {
+        if (news instanceof LocalEvent.SeedsChanged seeds) {
             members.seek(seeds.seeds());
         } else {
-            exchange.take(news, now);
+            bridge.accept(news, now);
         }
     }
 
     /** Seconds since 1970 at which the next one is due; after a fault soon. */
-    private double turn(double now) {
-        var next = new double[] {now + NAP};
-        guarded(() -> next[0] = fleet.turn(now));
+    private double tick(double now) {
+        var next = new double[] {now + SHORT_WAIT};
+        runGuarded(() -> next[0] = dispatcher.tick(now));
         return next[0];
     }
 
     /** A fault costs one piece of news or one turn, not the thread. */
-    private void guarded(Runnable step) {
+    private void runGuarded(Runnable step) {
         try {
             step.run();
         } catch (RuntimeException e) {
@@ -250,39 +250,39 @@
         }
     }
 
-    private void report(double now) {
-        Fleet.Counts counts = fleet.counts();
-        Log.info("sharing: members " + (1 + members.mayServe(now).size()) + " alive "
-                + (1 + members.others().size()) + ", "
-                + exchange.figures(now) + ", packets in " + counts.packets + " out " + counts.sent + ", bytes out "
-                + counts.sentBytes + ", dropped " + counts.dropped + ", too long " + datagrams.oversize() + ", unsent "
-                + datagrams.unsent() + ", parts unknown " + counts.unknownParts + ", names refused " + members.refused()
-                + ", news put off " + outbound.dropped() + " lost " + outbound.lost()
+    private void logSummary(double now) {
+        MessageDispatcher.TrafficCounters counts = dispatcher.counters();
+        Log.info("sharing: members " + (1 + members.possiblyServing(now).size()) + " alive "
+                + (1 + members.livePeers().size()) + ", "
+                + bridge.summary(now) + ", packets in " + counts.receivedPackets + " out " + counts.sentPackets + ", bytes out "
+                + counts.sentBytes + ", dropped " + counts.droppedByReason + ", too long " + endpoint.oversizedDatagrams() + ", unsent "
+                + endpoint.unsentPackets() + ", parts unknown " + counts.skippedMessages + ", names refused " + members.refused()
+                + ", news put off " + eventQueue.droppedReplaceable() + " lost " + eventQueue.droppedEssential()
                 + (faults > 0 ? ", faults " + faults : "")
-                + (members.doubtful(now) ? ", stood still" : "") + (members.replaced() ? ", replaced" : ""));
+                + (members.recentlyStalled(now) ? ", stood still" : "") + (members.replaced() ? ", replaced" : ""));
     }
 
     /** Tells the others that this router leaves, once it does. */
-    private final class Farewell implements Machine {
-        private boolean said;
+    private final class LeaveAnnouncer implements ProtocolHandler {
+        private boolean announced;
 
         @Override
-        public double turn(double now, Outbox out) {
-            if (leaving && !said) {
-                said = true;
-                exchange.hurry();
+        public double tick(double now, Outbox out) {
+            if (leaving && !announced) {
+                announced = true;
+                bridge.publishOnNextTick();
                 members.leave(now, out);
             }
             return Double.POSITIVE_INFINITY;
         }
 
         @Override
-        public Map<Integer, Function<Reader, ? extends Part>> parts() {
+        public Map<Integer, Function<FieldReader, ? extends Message>> messageReaders() {
             return Map.of();
         }
 
         @Override
-        public void heard(Peer from, Part part, double now, Outbox out) {
+        public void onMessage(Peer from, Message part, double now, Outbox out) {
             throw new IllegalArgumentException("no part is read for this");
         }
     }
@@ -292,39 +292,39 @@
     @Override
     public void recordObservation(Node node, AttemptResult reply, double now) {
         if (settings.shareObservations()) {
-            outbound.add(new News.Looked(node, reply, now));
+            eventQueue.add(new LocalEvent.AttemptFinished(node, reply, now));
         }
     }
 
     @Override
     public void recordEndpointList(InetSocketAddress discovery, EndpointList list) {
-        outbound.add(new News.Listed(source(discovery), list));
+        eventQueue.add(new LocalEvent.EndpointListReceived(discoveryName(discovery), list));
     }
 
     @Override
     public void discoveryMoved(InetSocketAddress discovery) {
-        outbound.add(new News.Moved(source(discovery)));
+        eventQueue.add(new LocalEvent.DiscoveryMoved(discoveryName(discovery)));
     }
 
     @Override
     public double requiredPosition(String session, double now) {
-        Exchange begun = exchange;
+        StateBridge begun = bridge;
         // Guards against commands that come while sharing begins: what others know is not known yet, so all may be
         // needed.
-        return begun == null ? now - settings.sessionRoamDelay() : begun.need(session, now);
+        return begun == null ? now - settings.sessionRoamDelay() : begun.requiredPosition(session, now);
     }
 
     @Override
     public void recordSessionWrite(String session, int group, double position) {
         if (settings.shareSessionWrites() && !configuration.settings().requestsCarryLastWrite()) {
-            outbound.add(new News.Wrote(session, group, position));
+            eventQueue.add(new LocalEvent.SessionWriteCommitted(session, group, position));
         }
     }
 
     @Override
     public void recordWriteOutcome(ClientRequest command, Node ranAt, double now) {
         if (settings.shareWriteOutcomes() && command.outcomeKey != null && !command.attempts.isEmpty()) {
-            outbound.add(new News.Written(
+            eventQueue.add(new LocalEvent.WriteFinished(
                     command.outcomeKey,
                     command.attempts.get(0).sentAt,
                     command.replicaSetId,
@@ -338,19 +338,19 @@
     @Override
     public void recordQuotaUse(SharedQuota limit, int units) {
         if (settings.shareQuotas()) {
-            outbound.add(new News.Used(limit, units));
+            eventQueue.add(new LocalEvent.QuotaUsed(limit, units));
         }
     }
 
     @Override
     public double remainingQuota(SharedQuota limit) {
-        Exchange begun = exchange;
-        return begun == null ? 0 : begun.left(limit);
+        StateBridge begun = bridge;
+        return begun == null ? 0 : begun.remainingQuota(limit);
     }
 
     @Override
     public void reload(SharingSettings fresh) {
-        outbound.add(new News.Seeds(addresses(fresh)));
+        eventQueue.add(new LocalEvent.SeedsChanged(seedAddresses(fresh)));
     }
 
     // ---- the end ----
@@ -358,22 +358,22 @@
     @Override
     public void leave() {
         leaving = true;
-        end();
+        stopThread();
     }
 
     @Override
     public void close() {
         closing = true;
-        end();
+        stopThread();
     }
 
-    private void end() {
-        datagrams.wake();
+    private void stopThread() {
+        endpoint.wakeUp();
         try {
             if (thread == null) {
-                datagrams.close();
+                endpoint.close();
             } else {
-                thread.join(LONGEST_END_MS);
+                thread.join(MAX_STOP_WAIT_MS);
             }
         } catch (IOException e) {
             Log.error("sharing did not close", e);
--- a/daemon/src/main/java/clayhook/peers/RosterLog.java
+++ b/daemon/src/main/java/clayhook/peers/MembershipLogger.java
@@ -5,36 +5,36 @@
 import clayhook.log.Log;
 
 /** Tells in the log how the others stand; of each kind of line one a second at most. */
-final class RosterLog implements Members.Listener {
-    private static String name(Peer peer) {
+final class MembershipLogger implements Members.Listener {
+    private static String describe(Peer peer) {
         return "sharing: " + peer.member().name() + " at " + peer.address();
     }
 
     @Override
     public void joined(Peer member, double now) {
-        Log.info("sharing joined", name(member) + " joined");
+        Log.info("sharing joined", describe(member) + " joined");
     }
 
     @Override
     public void suspected(Peer member, int accusers, double now) {
         if (accusers <= 1) {
-            Log.info("sharing suspected", name(member) + " does not answer");
+            Log.info("sharing suspected", describe(member) + " does not answer");
         }
     }
 
     @Override
     public void alive(Peer member, double now) {
-        Log.info("sharing alive", name(member) + " answers again");
+        Log.info("sharing alive", describe(member) + " answers again");
     }
 
     @Override
     public void gone(Peer member, double now) {
-        Log.warn("sharing gone", name(member) + " is gone");
+        Log.warn("sharing gone", describe(member) + " is gone");
     }
 
     @Override
     public void left(Peer member, double now) {
-        Log.info("sharing left", name(member) + " left");
+        Log.info("sharing left", describe(member) + " left");
     }
 
     @Override
@@ -49,7 +49,7 @@
     public void clockOff(Peer member, double ahead, double now) {
         Log.warn(
                 "sharing clock",
-                name(member) + " has a clock that is " + milliseconds(ahead)
+                describe(member) + " has a clock that is " + toMilliseconds(ahead)
                         + " ms ahead; it is heard only for what needs no clock");
     }
 
@@ -57,10 +57,10 @@
     public void clockFine(Peer member, double ahead, double now) {
         Log.info(
                 "sharing clock fine",
-                name(member) + " has a clock within the bound again, " + milliseconds(ahead) + " ms ahead");
+                describe(member) + " has a clock within the bound again, " + toMilliseconds(ahead) + " ms ahead");
     }
 
-    private static long milliseconds(double seconds) {
+    private static long toMilliseconds(double seconds) {
         return Math.round(seconds * 1000);
     }
 }
--- a/daemon/src/main/java/clayhook/peers/Looks.java
+++ b/daemon/src/main/java/clayhook/peers/NodeObservations.java
@@ -3,8 +3,8 @@
 import clayhook.AttemptOutcome;
 import clayhook.AttemptResult;
 import clayhook.Role;
-import clayhook.fleet.Roster;
-import clayhook.fleet.Shared;
+import clayhook.fleet.MembershipView;
+import clayhook.fleet.ReplicatedStore;
 import clayhook.fleet.kinds.Evidence;
 import clayhook.fleet.kinds.Sight;
 import java.util.HashMap;
@@ -17,59 +17,59 @@
  * What this router has seen of nodes, thinned to what the others do not know yet. Guards against traffic that grows
  * with commands, and against a hundred routers that all tell the same at once.
  */
-final class Looks {
+final class NodeObservations {
     /** Seconds; readers ask for a word of the last second, and a word is some tenths on its way. */
-    static final double FRESH = 0.5;
+    static final double FRESHNESS = 0.5;
     /** Seconds between two turns, and about the time in which one router's word reaches the rest. */
-    static final double EVERY = 0.1;
+    static final double PUBLISH_INTERVAL = 0.1;
     /** Routers that tell at once what cannot wait: one is likely lost or late, ten are not. */
-    private static final int URGENT = 10;
+    private static final int URGENT_PUBLISHERS = 10;
     /** Seconds; a shorter wait for an answer says more of the client than of the node. */
-    private static final double PATIENCE = 0.2;
+    private static final double MIN_SIGNIFICANT_TIMEOUT = 0.2;
     /** Failures known of several routers; more prove no more. */
-    private static final int ENOUGH = 3;
+    private static final int ENOUGH_WITNESSES = 3;
     /** Seconds; a report arrives at most so old, and is made anew so often. */
-    private static final double OLDEST_REPORT = 5, REPORT_AGE = 0.25;
+    private static final double MAX_REPORT_AGE = 5, TYPICAL_REPORT_AGE = 0.25;
 
     private static final double NEVER = Double.NEGATIVE_INFINITY;
 
     /** Of one node since it was last told; times are those of what was seen. */
-    private static final class Look {
-        double heardAt = NEVER, toldAt = NEVER, primaryAt = NEVER, replicaAt = NEVER, loadAt = NEVER, failedAt = NEVER;
+    private static final class PendingObservation {
+        double heardAt = NEVER, positionAt = NEVER, primaryAt = NEVER, replicaAt = NEVER, loadAt = NEVER, failedAt = NEVER;
         double position, lag, load;
-        int strikes;
-        boolean news;
+        int consecutiveFailures;
+        boolean unpublished;
     }
 
-    private final String self;
-    private final Roster roster;
-    private final SplittableRandom chance;
+    private final String selfName;
+    private final MembershipView membership;
+    private final SplittableRandom random;
     /** By key; one a node that answers, emptied with the list of nodes. */
-    private final Map<String, Look> looks = new HashMap<>();
+    private final Map<String, PendingObservation> pendingByKey = new HashMap<>();
 
-    private double nextAt = NEVER;
+    private double nextPublishAt = NEVER;
 
-    Looks(Roster roster, SplittableRandom chance) {
-        this.roster = roster;
-        this.chance = chance;
-        self = roster.self().member().name();
+    NodeObservations(MembershipView roster, SplittableRandom chance) {
+        this.membership = roster;
+        this.random = chance;
+        selfName = roster.self().member().name();
     }
 
     /** That came back from a node. */
-    void saw(String key, AttemptResult reply, double now) {
-        Look look = looks.computeIfAbsent(key, any -> new Look());
-        look.news = true;
+    void recordResult(String key, AttemptResult reply, double now) {
+        PendingObservation look = pendingByKey.computeIfAbsent(key, any -> new PendingObservation());
+        look.unpublished = true;
         double then = now - reply.elapsedSeconds() / 2;
         AttemptOutcome outcome = reply.outcome();
         if (outcome == AttemptOutcome.ANSWERED || outcome == AttemptOutcome.REJECTED || reply.role() != Role.UNKNOWN) {
             look.heardAt = Math.max(look.heardAt, then);
-            look.strikes = 0;
-        } else if (outcome == AttemptOutcome.CONNECT_FAILED || outcome == AttemptOutcome.TIMED_OUT && reply.elapsedSeconds() >= PATIENCE) {
-            look.strikes++;
+            look.consecutiveFailures = 0;
+        } else if (outcome == AttemptOutcome.CONNECT_FAILED || outcome == AttemptOutcome.TIMED_OUT && reply.elapsedSeconds() >= MIN_SIGNIFICANT_TIMEOUT) {
+            look.consecutiveFailures++;
             look.failedAt = now;
         }
-        position(look, reply, then);
-        role(look, reply, then);
+        recordPosition(look, reply, then);
+        recordRole(look, reply, then);
         if (reply.reportedLoad() >= 0) {
             look.load = reply.reportedLoad();
             look.loadAt = then;
@@ -77,17 +77,17 @@
     }
 
     /** As a router reckons it itself: the log goes on, whether or not its primary was heard. */
-    private static void position(Look look, AttemptResult reply, double then) {
+    private static void recordPosition(PendingObservation look, AttemptResult reply, double then) {
         double position = Math.max(reply.appliedPosition(), reply.reportedPosition());
         if (position > 0) {
             look.position = position;
-            look.lag = Math.max(0, (reply.appliedPosition() > 0 ? then : then - REPORT_AGE) - position);
-            look.toldAt = then;
+            look.lag = Math.max(0, (reply.appliedPosition() > 0 ? then : then - TYPICAL_REPORT_AGE) - position);
+            look.positionAt = then;
         }
     }
 
     /** A report is as old as its position, though a replica's may be older than the report. */
-    private static void role(Look look, AttemptResult reply, double then) {
+    private static void recordRole(PendingObservation look, AttemptResult reply, double then) {
         if (reply.role() == Role.PRIMARY) {
             look.primaryAt = Math.max(look.primaryAt, then);
         } else if (reply.role() == Role.REPLICA) {
@@ -97,78 +97,78 @@
         if (reply.reportedRole() == Role.PRIMARY && reported > 0) {
             look.primaryAt = Math.max(look.primaryAt, Math.min(reported, then));
         } else if (reply.reportedRole() == Role.REPLICA) {
-            look.replicaAt = Math.max(look.replicaAt, Math.min(then, Math.max(reported, then - OLDEST_REPORT)));
+            look.replicaAt = Math.max(look.replicaAt, Math.min(then, Math.max(reported, then - MAX_REPORT_AGE)));
         }
     }
 
     /** Only nodes of those keys go on. */
-    void keep(Set<String> keys) {
-        looks.keySet().retainAll(keys);
+    void retainNodes(Set<String> keys) {
+        pendingByKey.keySet().retainAll(keys);
     }
 
     /** Puts in what others do not know; {@code starts} tells when the life of a node began, 0 for long ago. */
-    double turn(Shared shared, ToDoubleFunction<String> starts, double now) {
-        if (now < nextAt) {
-            return nextAt;
+    double publish(ReplicatedStore shared, ToDoubleFunction<String> starts, double now) {
+        if (now < nextPublishAt) {
+            return nextPublishAt;
         }
-        nextAt = now + EVERY;
-        double others = 1 + roster.others().size();
-        looks.forEach((key, look) -> {
-            if (look.news) {
+        nextPublishAt = now + PUBLISH_INTERVAL;
+        double others = 1 + membership.livePeers().size();
+        pendingByKey.forEach((key, look) -> {
+            if (look.unpublished) {
                 double start = starts.applyAsDouble(key);
                 Evidence known = shared.get(Evidence.KIND, key);
-                boolean urgent = known == null || known.nodeStart() < start || differs(look, known);
-                if ((urgent || look.heardAt > at(known.heard()) + FRESH)
-                        && chance.nextDouble() < (urgent ? URGENT : 1) / others) {
-                    look.news = false;
-                    shared.put(Evidence.KIND, key, evidence(look, start), now);
+                boolean urgent = known == null || known.nodeStart() < start || contradicts(look, known);
+                if ((urgent || look.heardAt > timeOf(known.heard()) + FRESHNESS)
+                        && random.nextDouble() < (urgent ? URGENT_PUBLISHERS : 1) / others) {
+                    look.unpublished = false;
+                    shared.merge(Evidence.KIND, key, toObservation(look, start), now);
                 }
             }
         });
-        return nextAt;
+        return nextPublishAt;
     }
 
-    private static double at(Sight sight) {
+    private static double timeOf(Sight sight) {
         return sight == null ? NEVER : sight.at();
     }
 
     /** Another role, or a failure that has not been told by enough. */
-    private boolean differs(Look look, Evidence known) {
+    private boolean contradicts(PendingObservation look, Evidence known) {
         boolean primary = look.primaryAt > look.replicaAt;
         double roleAt = Math.max(look.primaryAt, look.replicaAt);
-        boolean role = primary != at(known.primary()) > at(known.replica())
-                && roleAt > Math.max(at(known.primary()), at(known.replica()));
+        boolean role = primary != timeOf(known.primary()) > timeOf(known.replica())
+                && roleAt > Math.max(timeOf(known.primary()), timeOf(known.replica()));
         boolean said = known.strikes().stream()
                 .anyMatch(strike ->
-                        strike.count() >= look.strikes && strike.sight().by().equals(self));
+                        strike.count() >= look.consecutiveFailures && strike.sight().by().equals(selfName));
         return role
-                || look.strikes > 0
-                        && look.failedAt > at(known.heard())
-                        && known.strikes().size() < ENOUGH
+                || look.consecutiveFailures > 0
+                        && look.failedAt > timeOf(known.heard())
+                        && known.strikes().size() < ENOUGH_WITNESSES
                         && !said;
     }
 
-    private Evidence evidence(Look look, double start) {
+    private Evidence toObservation(PendingObservation look, double start) {
         Evidence evidence = Evidence.none(start);
-        if (look.toldAt > NEVER) {
-            evidence = evidence.told(look.position, look.lag, sight(look.toldAt));
+        if (look.positionAt > NEVER) {
+            evidence = evidence.told(look.position, look.lag, sourceAt(look.positionAt));
         }
         if (look.primaryAt > NEVER) {
-            evidence = evidence.role(true, sight(look.primaryAt));
+            evidence = evidence.role(true, sourceAt(look.primaryAt));
         }
         if (look.replicaAt > NEVER) {
-            evidence = evidence.role(false, sight(look.replicaAt));
+            evidence = evidence.role(false, sourceAt(look.replicaAt));
         }
         if (look.loadAt > NEVER) {
-            evidence = evidence.load(look.load, sight(look.loadAt));
+            evidence = evidence.load(look.load, sourceAt(look.loadAt));
         }
         if (look.heardAt > NEVER) {
-            evidence = evidence.heard(sight(look.heardAt));
+            evidence = evidence.heard(sourceAt(look.heardAt));
         }
-        return look.strikes == 0 ? evidence : evidence.failed(look.strikes, sight(look.failedAt));
+        return look.consecutiveFailures == 0 ? evidence : evidence.failed(look.consecutiveFailures, sourceAt(look.failedAt));
     }
 
-    private Sight sight(double at) {
-        return Sight.of(at, self);
+    private Sight sourceAt(double at) {
+        return Sight.of(at, selfName);
     }
 }
--- a/daemon/src/main/java/clayhook/serve/Server.java
+++ b/daemon/src/main/java/clayhook/serve/Server.java
@@ -4,7 +4,7 @@
 import clayhook.config.RouterConfiguration;
 import clayhook.config.OperatorConfiguration;
 import clayhook.log.Log;
-import clayhook.peers.Peers;
+import clayhook.peers.GossipTransport;
 import clayhook.transport.Transport;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -35,7 +35,7 @@
                 transport,
                 configuration,
                 operator,
-                operator.sharing() == null ? null : Peers.open(operator.sharing(), configuration));
+                operator.sharing() == null ? null : GossipTransport.open(operator.sharing(), configuration));
     }
 
     private Server(Transport transport, RouterConfiguration configuration, OperatorConfiguration operator, PeerSharing sharing)
--- a/daemon/src/test/java/clayhook/peers/PeersTest.java
+++ b/daemon/src/test/java/clayhook/peers/GossipTransportTest.java
@@ -36,21 +36,21 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class PeersTest {
+class GossipTransportTest {
     /** Seconds; far more than any of it takes. */
-    private static final double PATIENCE = 20;
+    private static final double WAIT_LIMIT = 20;
     /** Seconds; shorter than usual, as no router here can know more than those that start with it. */
     private static final double ALONE_AFTER = 0.5;
 
     private static final InetSocketAddress DISCOVERY = new InetSocketAddress("127.0.0.1", 1);
     private static final AttemptResult ANSWER = new AttemptResult(AttemptOutcome.ANSWERED, 0.001, Role.PRIMARY, 1e9, Role.UNKNOWN, 0, 3);
-    private final List<PeerSharing> open = new ArrayList<>();
-    private final Map<String, PeerObservation> told = new ConcurrentHashMap<>();
-    private final Map<String, EndpointList.DiscoveredEndpoint> listed = new ConcurrentHashMap<>();
+    private final List<PeerSharing> openTransports = new ArrayList<>();
+    private final Map<String, PeerObservation> observations = new ConcurrentHashMap<>();
+    private final Map<String, EndpointList.DiscoveredEndpoint> endpoints = new ConcurrentHashMap<>();
 
     @AfterEach
     void close() {
-        open.forEach(PeerSharing::close);
+        openTransports.forEach(PeerSharing::close);
     }
 
     private static double now() {
@@ -58,7 +58,7 @@
     }
 
     private static void await(BooleanSupplier condition) throws InterruptedException {
-        for (double until = now() + PATIENCE; !condition.getAsBoolean(); Thread.sleep(5)) {
+        for (double until = now() + WAIT_LIMIT; !condition.getAsBoolean(); Thread.sleep(5)) {
             assertTrue(now() < until, "not in time");
         }
     }
@@ -73,12 +73,12 @@
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
     }
 
-    private Peers start(String name, int port, int... seeds) throws IOException {
+    private GossipTransport start(String name, int port, int... seeds) throws IOException {
         var settings = new RoutingSettings(
                 2, "a", List.of(), true, true, false, false, true, true, true, true, 1, 3, 0.2, 10, 3, 3, 1, 15);
         StateSettings usual = StateSettings.DEFAULT;
-        var peers = Peers.open(
-                settings(port, Arrays.stream(seeds).mapToObj(PeersTest::at).toList()),
+        var peers = GossipTransport.open(
+                settings(port, Arrays.stream(seeds).mapToObj(GossipTransportTest::at).toList()),
                 new RouterConfiguration(
                         name, at(0), DISCOVERY, 1, 1 << 24, 100, new EndpointList(0, true, List.of()), settings, 1),
                 new StateSettings(
@@ -101,18 +101,18 @@
                         ALONE_AFTER,
                         usual.stood(),
                         usual.sweep()));
-        open.add(peers);
+        openTransports.add(peers);
         assertEquals(999.5, peers.requiredPosition("s", 1000), "a command may come before it begins");
         peers.attach(Runnable::run, DISCOVERY, new PeerSharing.PeerListener() {
             @Override
             public void onPeerUpdate(Map<String, PeerObservation> nodes) {
-                nodes.forEach((node, word) -> told.put(name + " " + node, word));
+                nodes.forEach((node, word) -> observations.put(name + " " + node, word));
             }
 
             @Override
             public void onPeerUpdate(Collection<EndpointList> changes) {
                 changes.forEach(
-                        change -> change.endpoints().forEach(entry -> listed.put(name + " " + entry.id(), entry)));
+                        change -> change.endpoints().forEach(entry -> endpoints.put(name + " " + entry.id(), entry)));
             }
         });
         assertTrue(peers.requiredPosition("s", now()) > now() - 1, "nothing is known before it starts");
@@ -126,7 +126,7 @@
                         + "\"pod_group\":1,\"state\":\"up\",\"role\":\"primary\",\"boot_ms\":0}]}");
     }
 
-    private static void knowsWhatIsToldTo(Peers first, Peers second) throws InterruptedException {
+    private static void assertReceivesWritesOf(GossipTransport first, GossipTransport second) throws InterruptedException {
         double position = now() - 10;
         first.recordSessionWrite("s", 1, position);
         await(() -> second.requiredPosition("s", now()) == position);
@@ -134,10 +134,10 @@
 
     @ParameterizedTest
     @ValueSource(ints = {2, 3})
-    void whatOneIsToldTheOthersKnowAndOneThatReturnsToo(int routers) throws Exception {
-        Peers first = start("r0", 0);
+    void sharesEventsWithAllRoutersAndWithOneThatRestarts(int routers) throws Exception {
+        GossipTransport first = start("r0", 0);
         int seed = first.address().port();
-        var others = new ArrayList<Peers>();
+        var others = new ArrayList<GossipTransport>();
         for (int i = 1; i < routers; i++) {
             others.add(start("r" + i, 0, seed));
         }
@@ -145,31 +145,31 @@
         double position = now() - 10;
         first.recordSessionWrite("s", 1, position);
         for (int i = 1; i < routers; i++) {
-            Peers other = others.get(i - 1);
+            GossipTransport other = others.get(i - 1);
             String node = "r" + i + " n";
             await(() -> other.requiredPosition("s", now()) == position
                     && other.requiredPosition("t", now()) < position
-                    && listed.containsKey(node));
+                    && endpoints.containsKey(node));
             other.recordEndpointList(DISCOVERY, list());
             await(() -> {
                 first.recordObservation(new Node("n", "a", 1), ANSWER, now());
-                return told.containsKey(node);
+                return observations.containsKey(node);
             });
             assertEquals(
                     List.of(1e9, 3.0),
-                    List.of(told.get(node).appliedPosition(), told.get(node).load()));
+                    List.of(observations.get(node).appliedPosition(), observations.get(node).load()));
         }
         // Killed, and back at once with nothing, at the same place, though nobody there was told that.
         others.get(0).close();
-        Peers back = start("r1", others.get(0).address().port(), seed);
+        GossipTransport back = start("r1", others.get(0).address().port(), seed);
         await(() -> back.requiredPosition("s", now()) == position);
         others.get(0).leave();
         back.leave();
     }
 
     @Test
-    void garbageCostsNothingButItself() throws Exception {
-        Peers first = start("r0", 0);
+    void ignoresRandomDatagrams() throws Exception {
+        GossipTransport first = start("r0", 0);
         var random = new Random(1);
         try (var socket = new DatagramSocket()) {
             for (int i = 0; i < 2000; i++) {
@@ -179,55 +179,55 @@
                         bytes, bytes.length, at(first.address().port())));
             }
         }
-        Peers second = start("r1", 0, first.address().port());
-        knowsWhatIsToldTo(first, second);
+        GossipTransport second = start("r1", 0, first.address().port());
+        assertReceivesWritesOf(first, second);
     }
 
     @Test
-    void aSeedThatIsAddedLaterIsFound() throws Exception {
-        Peers first = start("r0", 0);
-        Peers second = start("r1", 0);
+    void findsSeedAddedByReload() throws Exception {
+        GossipTransport first = start("r0", 0);
+        GossipTransport second = start("r1", 0);
         second.reload(settings(0, List.of(at(first.address().port()))));
-        knowsWhatIsToldTo(first, second);
+        assertReceivesWritesOf(first, second);
     }
 
     @Test
-    void anAddressThatIsTakenIsNamed() throws Exception {
+    void reportsAddressThatIsInUse() throws Exception {
         int port = start("r0", 0).address().port();
         IOException told = assertThrows(IOException.class, () -> start("r1", port));
         assertTrue(told.getMessage().contains("sharing.listen: 127.0.0.1:" + port), told::getMessage);
     }
 
     @Test
-    void aFullQueueDropsAndCountsAndWakesWhoWaitsOnce() {
+    void fullEventQueueDropsCountsAndWakesConsumerOnce() {
         var wakes = new AtomicInteger();
-        var queue = new Outbound(wakes::incrementAndGet);
-        assertTrue(queue.doze());
-        for (int i = 0; i < Outbound.PASSING + 10; i++) {
-            queue.add(new News.Looked(new Node("n", "a", 1), ANSWER, 0));
+        var queue = new EventQueue(wakes::incrementAndGet);
+        assertTrue(queue.beginWait());
+        for (int i = 0; i < EventQueue.REPLACEABLE_CAPACITY + 10; i++) {
+            queue.add(new LocalEvent.AttemptFinished(new Node("n", "a", 1), ANSWER, 0));
         }
-        for (int i = 0; i < Outbound.LASTING + 10; i++) {
-            queue.add(new News.Wrote("s", 1, i));
+        for (int i = 0; i < EventQueue.ESSENTIAL_CAPACITY + 10; i++) {
+            queue.add(new LocalEvent.SessionWriteCommitted("s", 1, i));
         }
-        assertEquals(List.of(10L, 10L, 1), List.of(queue.dropped(), queue.lost(), wakes.get()));
+        assertEquals(List.of(10L, 10L, 1), List.of(queue.droppedReplaceable(), queue.droppedEssential(), wakes.get()));
         int taken = 0;
         for (int some = 1; some > 0; taken += some) {
             some = queue.drain(news -> {});
         }
-        assertEquals(Outbound.PASSING + Outbound.LASTING, taken);
+        assertEquals(EventQueue.REPLACEABLE_CAPACITY + EventQueue.ESSENTIAL_CAPACITY, taken);
     }
 
     @Test
-    void theLoopGetsTheLatestOfEachKeyAndNeverTwoTasks() {
+    void conflatingQueueDeliversLatestValuePerKeyInOneTask() {
         var tasks = new ArrayDeque<Runnable>();
         var got = new HashMap<Integer, Integer>();
-        var mailbox = new Mailbox<Integer, Integer>(tasks::add, got::putAll);
-        for (int i = 0; i < 3 * Mailbox.MOST_AT_ONCE; i++) {
+        var mailbox = new ConflatingQueue<Integer, Integer>(tasks::add, got::putAll);
+        for (int i = 0; i < 3 * ConflatingQueue.MAX_BATCH; i++) {
             mailbox.put(i / 2, i);
             assertEquals(1, tasks.size());
         }
         tasks.poll().run();
-        assertEquals(List.of(Mailbox.MOST_AT_ONCE, 1), List.of(got.size(), tasks.size()));
+        assertEquals(List.of(ConflatingQueue.MAX_BATCH, 1), List.of(got.size(), tasks.size()));
         tasks.poll().run();
         assertEquals(0, tasks.size());
         got.forEach((key, value) -> assertEquals(2 * key + 1, value));
--- a/daemon/src/test/java/clayhook/peers/ThinningTest.java
+++ b/daemon/src/test/java/clayhook/peers/ObservationPublishingTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What of all that a router sees is told to others; in virtual time, at one router alone, so that no chance acts. */
-class ThinningTest {
+class ObservationPublishingTest {
     private static final double START = 1e9;
     private final Members members = new Members(
             MemberSettings.DEFAULT,
@@ -33,11 +33,11 @@
             START,
             new Members.Listener() {});
     private final State state = new State(members, List.of(Evidence.KIND, Fate.KIND), StateSettings.DEFAULT, 1, START);
-    private final Looks looks = new Looks(members, new SplittableRandom(1));
-    private final Doubts doubts = new Doubts(state, Fate.KIND);
+    private final NodeObservations observations = new NodeObservations(members, new SplittableRandom(1));
+    private final InDoubtWrites inDoubtWrites = new InDoubtWrites(state, Fate.KIND);
 
-    private Evidence after(AttemptOutcome outcome, Role role, double now) {
-        looks.saw(
+    private Evidence publishedAfter(AttemptOutcome outcome, Role role, double now) {
+        observations.recordResult(
                 "n",
                 new AttemptResult(
                         outcome,
@@ -48,49 +48,49 @@
                         0,
                         -1),
                 START + now);
-        looks.turn(state, key -> 0, START + now);
+        observations.publish(state, key -> 0, START + now);
         return state.get(Evidence.KIND, "n");
     }
 
     @Test
-    void aLookIsToldWhereTheLastWordIsOldOrItSaysSomethingElse() {
-        Evidence first = after(AttemptOutcome.ANSWERED, Role.REPLICA, 0);
+    void publishesWhenPublishedValueIsOldOrContradicted() {
+        Evidence first = publishedAfter(AttemptOutcome.ANSWERED, Role.REPLICA, 0);
         assertEquals(
                 List.of(START - 1, START - 0.001),
                 List.of(first.position().value(), first.heard().at()));
         assertEquals(1, first.lag().value(), 0.01);
-        assertEquals(first, after(AttemptOutcome.ANSWERED, Role.REPLICA, Looks.FRESH - 0.01));
-        Evidence second = after(AttemptOutcome.ANSWERED, Role.REPLICA, Looks.FRESH + Looks.EVERY);
+        assertEquals(first, publishedAfter(AttemptOutcome.ANSWERED, Role.REPLICA, NodeObservations.FRESHNESS - 0.01));
+        Evidence second = publishedAfter(AttemptOutcome.ANSWERED, Role.REPLICA, NodeObservations.FRESHNESS + NodeObservations.PUBLISH_INTERVAL);
         assertTrue(second.heard().at() > first.heard().at());
-        Evidence primary = after(AttemptOutcome.ANSWERED, Role.PRIMARY, Looks.FRESH + 2.5 * Looks.EVERY);
+        Evidence primary = publishedAfter(AttemptOutcome.ANSWERED, Role.PRIMARY, NodeObservations.FRESHNESS + 2.5 * NodeObservations.PUBLISH_INTERVAL);
         assertTrue(primary.primary().at() > primary.replica().at());
-        Evidence failed = after(AttemptOutcome.TIMED_OUT, Role.UNKNOWN, Looks.FRESH + 4 * Looks.EVERY);
+        Evidence failed = publishedAfter(AttemptOutcome.TIMED_OUT, Role.UNKNOWN, NodeObservations.FRESHNESS + 4 * NodeObservations.PUBLISH_INTERVAL);
         assertEquals(
                 List.of(1, "r"),
                 List.of(
                         failed.strikes().get(0).count(),
                         failed.strikes().get(0).sight().by()));
-        assertEquals(failed, after(AttemptOutcome.CANCELLED, Role.UNKNOWN, Looks.FRESH + 6 * Looks.EVERY));
+        assertEquals(failed, publishedAfter(AttemptOutcome.CANCELLED, Role.UNKNOWN, NodeObservations.FRESHNESS + 6 * NodeObservations.PUBLISH_INTERVAL));
     }
 
-    private void told(String key, boolean ran, double now) {
+    private void recordOutcome(String key, boolean ran, double now) {
         var sent = Fate.Sent.of(START, 1, "post", null);
-        doubts.told(
+        inDoubtWrites.recordOutcome(
                 key, ran ? Fate.ran(sent, Fate.Witness.of(START + now, "r", "n")) : Fate.unknown(sent), START + now);
-        doubts.turn(START + now);
+        inDoubtWrites.publishResolved(START + now);
     }
 
     @ParameterizedTest
-    @ValueSource(ints = {0, Doubts.MOST_RAN})
-    void onlyDoubtsAreToldAndWhatEndsThemAsLongAsItIsRemembered(int later) {
-        told("a", true, 1);
+    @ValueSource(ints = {0, InDoubtWrites.MAX_EXECUTED})
+    void publishesOutcomesOnlyForWritesInDoubt(int later) {
+        recordOutcome("a", true, 1);
         assertEquals(0, state.size(Fate.KIND));
         for (int i = 0; i < later; i++) {
-            told("other " + i, true, 2);
+            recordOutcome("other " + i, true, 2);
         }
-        told("a", false, 3);
-        told("b", false, 3);
-        told("b", true, 4);
+        recordOutcome("a", false, 3);
+        recordOutcome("b", false, 3);
+        recordOutcome("b", true, 4);
         assertEquals(
                 later == 0 ? Knowledge.RAN : Knowledge.UNKNOWN,
                 state.get(Fate.KIND, "a").knowledge());
--- a/daemon/src/test/java/clayhook/peers/RecordedDatagramsTest.java
+++ b/daemon/src/test/java/clayhook/peers/RecordedDatagramsTest.java
@@ -11,14 +11,14 @@
 import clayhook.PeerObservation;
 import clayhook.discovery.EndpointList;
 import clayhook.fleet.Address;
-import clayhook.fleet.Fleet;
-import clayhook.fleet.Kind;
-import clayhook.fleet.Machine;
+import clayhook.fleet.MessageDispatcher;
+import clayhook.fleet.ReplicatedType;
+import clayhook.fleet.ProtocolHandler;
 import clayhook.fleet.Member;
 import clayhook.fleet.Outbox;
-import clayhook.fleet.Part;
+import clayhook.fleet.Message;
 import clayhook.fleet.Peer;
-import clayhook.fleet.Reader;
+import clayhook.fleet.FieldReader;
 import clayhook.fleet.kinds.Fate;
 import clayhook.fleet.members.MemberSettings;
 import clayhook.fleet.members.Members;
@@ -43,7 +43,7 @@
 /**
  * Plays a fixed conversation of two routers in virtual time and compares every datagram, in both directions, with the
  * recorded bytes. Each router receives the recorded bytes and never the ones just encoded, so that the decoder is held
- * to the record as well as the encoder. All that {@link Exchange} sends is in it: each local event once at least, and
+ * to the record as well as the encoder. All that {@link StateBridge} sends is in it: each local event once at least, and
  * the farewell.
  */
 class RecordedDatagramsTest {
@@ -59,7 +59,7 @@
     private static final Node REPLICA = new Node("n2", "zone-b", 1);
     private static final EndpointList FIRST_LIST = list(7, true, "up", "up");
     private static final double POSITION = START - 5;
-    private static final Kind<Fate> FATES = Fate.kept(86_400);
+    private static final ReplicatedType<Fate> FATES = Fate.kept(86_400);
 
     private final List<String> recorded = recorded();
     private final List<String> sent = new ArrayList<>();
@@ -86,13 +86,13 @@
                 + "\",\"role\":\"replica\",\"boot_ms\":1600000000000}]}");
     }
 
-    /** One router's end: what {@link Peers} builds, without its socket, thread and clock. */
-    private final class Router implements PeerSharing.PeerListener, Machine {
+    /** One router's end: what {@link GossipTransport} builds, without its socket, thread and clock. */
+    private final class Router implements PeerSharing.PeerListener, ProtocolHandler {
         private final Peer self;
         private final Members members;
         private final State state;
-        private final Exchange exchange;
-        private final Fleet fleet;
+        private final StateBridge exchange;
+        private final MessageDispatcher fleet;
         private final Map<String, PeerObservation> told = new HashMap<>();
         private final Map<String, EndpointList.DiscoveredEndpoint> listed = new HashMap<>();
         private boolean leaving;
@@ -102,12 +102,12 @@
             var random = new SplittableRandom(seed);
             members = new Members(
                     MemberSettings.DEFAULT, self, seeds, random.nextLong(), START, new Members.Listener() {});
-            var kinds = new Exchange.Kinds(true, true, true, FATES, true);
+            var kinds = new StateBridge.EnabledTypes(true, true, true, FATES, true);
             state = new State(
-                    members, kinds.all(), StateSettings.DEFAULT.withAloneAfter(0.2), random.nextLong(), START);
-            exchange = new Exchange(kinds, 0.5, 2, DISCOVERY, state, members, random.split(), Runnable::run, this);
-            exchange.know(FIRST_LIST);
-            fleet = new Fleet(self.member(), List.of(members, this, exchange, state), this::send);
+                    members, kinds.types(), StateSettings.DEFAULT.withAloneAfter(0.2), random.nextLong(), START);
+            exchange = new StateBridge(kinds, 0.5, 2, DISCOVERY, state, members, random.split(), Runnable::run, this);
+            exchange.updateKnownNodes(FIRST_LIST);
+            fleet = new MessageDispatcher(self.member(), List.of(members, this, exchange, state), this::send);
             routers.put(self.address(), this);
         }
 
@@ -120,7 +120,7 @@
             byte[] datagram = HEX.parseHex(expected.substring(expected.indexOf(' ') + 1));
             underWay.add(() -> {
                 if (routers.containsKey(to)) {
-                    routers.get(to).fleet.heard(self.address(), datagram, now);
+                    routers.get(to).fleet.onDatagram(self.address(), datagram, now);
                 }
             });
         }
@@ -136,20 +136,20 @@
         }
 
         @Override
-        public Map<Integer, Function<Reader, ? extends Part>> parts() {
+        public Map<Integer, Function<FieldReader, ? extends Message>> messageReaders() {
             return Map.of();
         }
 
         @Override
-        public void heard(Peer from, Part part, double now, Outbox out) {
+        public void onMessage(Peer from, Message part, double now, Outbox out) {
             throw new IllegalArgumentException("no part is read for this");
         }
 
         @Override
-        public double turn(double now, Outbox out) {
+        public double tick(double now, Outbox out) {
             if (leaving) {
                 leaving = false;
-                exchange.hurry();
+                exchange.publishOnNextTick();
                 members.leave(now, out);
             }
             return Double.POSITIVE_INFINITY;
@@ -162,7 +162,7 @@
         for (int step = (int) Math.round((now - START) * STEPS_A_SECOND); step < seconds * STEPS_A_SECOND; step++) {
             now = START + (double) step / STEPS_A_SECOND;
             for (Router router : turns) {
-                router.fleet.turn(now);
+                router.fleet.tick(now);
             }
             for (int pending = underWay.size(); pending > 0; pending--) {
                 underWay.remove().run();
@@ -175,8 +175,8 @@
         return new AttemptResult(AttemptOutcome.ANSWERED, 0.002, role, position, role, position - 0.25, load);
     }
 
-    private static News.Written written(String mark, boolean ran, double now) {
-        return new News.Written(mark, now - 0.5, 1, "post", ran, ran ? "n1" : "", now);
+    private static LocalEvent.WriteFinished written(String mark, boolean ran, double now) {
+        return new LocalEvent.WriteFinished(mark, now - 0.5, 1, "post", ran, ran ? "n1" : "", now);
     }
 
     @Test
@@ -185,26 +185,26 @@
         var receiver = new Router("receiver", 7402, List.of(sender.self.address()), 2);
         playUntil(1, sender, receiver);
 
-        sender.exchange.take(new News.Listed(DISCOVERY, FIRST_LIST), now);
-        sender.exchange.take(new News.Looked(PRIMARY, answer(Role.PRIMARY, now - 0.01, 3), now), now);
-        sender.exchange.take(new News.Looked(REPLICA, AttemptResult.withoutReport(AttemptOutcome.TIMED_OUT, 0.5), now), now);
-        sender.exchange.take(new News.Wrote("session", 1, POSITION), now);
-        sender.exchange.take(written("in doubt", false, now), now);
-        sender.exchange.take(written("resolved", false, now), now);
-        sender.exchange.take(new News.Used(PeerSharing.SharedQuota.FURTHER_ATTEMPTS, 2), now);
-        sender.exchange.take(new News.Used(PeerSharing.SharedQuota.HEALTH_CHECKS, 3.5), now);
+        sender.exchange.accept(new LocalEvent.EndpointListReceived(DISCOVERY, FIRST_LIST), now);
+        sender.exchange.accept(new LocalEvent.AttemptFinished(PRIMARY, answer(Role.PRIMARY, now - 0.01, 3), now), now);
+        sender.exchange.accept(new LocalEvent.AttemptFinished(REPLICA, AttemptResult.withoutReport(AttemptOutcome.TIMED_OUT, 0.5), now), now);
+        sender.exchange.accept(new LocalEvent.SessionWriteCommitted("session", 1, POSITION), now);
+        sender.exchange.accept(written("in doubt", false, now), now);
+        sender.exchange.accept(written("resolved", false, now), now);
+        sender.exchange.accept(new LocalEvent.QuotaUsed(PeerSharing.SharedQuota.FURTHER_ATTEMPTS, 2), now);
+        sender.exchange.accept(new LocalEvent.QuotaUsed(PeerSharing.SharedQuota.HEALTH_CHECKS, 3.5), now);
         playUntil(2, sender, receiver);
         assertEquals(1, receiver.told.get("n2").failedRouterCount());
-        double granted = receiver.exchange.left(PeerSharing.SharedQuota.FURTHER_ATTEMPTS);
+        double granted = receiver.exchange.remainingQuota(PeerSharing.SharedQuota.FURTHER_ATTEMPTS);
 
-        sender.exchange.take(new News.Listed(DISCOVERY, list(8, false, "up", "draining")), now);
-        sender.exchange.take(new News.Looked(REPLICA, answer(Role.REPLICA, now - 1, 0), now), now);
-        sender.exchange.take(written("resolved", true, now), now);
-        sender.exchange.take(written("only here", true, now), now);
+        sender.exchange.accept(new LocalEvent.EndpointListReceived(DISCOVERY, list(8, false, "up", "draining")), now);
+        sender.exchange.accept(new LocalEvent.AttemptFinished(REPLICA, answer(Role.REPLICA, now - 1, 0), now), now);
+        sender.exchange.accept(written("resolved", true, now), now);
+        sender.exchange.accept(written("only here", true, now), now);
         playUntil(2.5, sender, receiver);
 
-        sender.exchange.take(new News.Moved("10.0.0.9:8080"), now);
-        sender.exchange.take(new News.Listed("10.0.0.9:8080", list(3, true, "up", "removed")), now);
+        sender.exchange.accept(new LocalEvent.DiscoveryMoved("10.0.0.9:8080"), now);
+        sender.exchange.accept(new LocalEvent.EndpointListReceived("10.0.0.9:8080", list(3, true, "up", "removed")), now);
         playUntil(END - 0.2, sender, receiver);
         sender.leaving = true;
         playUntil(END, sender, receiver);
@@ -217,12 +217,12 @@
         PeerObservation replica = receiver.told.get("n2");
         assertEquals(List.of(START + 1, 1.6e9), List.of(replica.appliedPosition(), replica.incarnationStartedAt()));
         assertEquals(Endpoint.State.DRAINING, receiver.listed.get("n2").state());
-        assertEquals(POSITION, receiver.exchange.need("session", now));
+        assertEquals(POSITION, receiver.exchange.requiredPosition("session", now));
         assertEquals(
                 List.of(Fate.Knowledge.UNKNOWN, Fate.Knowledge.RAN),
                 List.of(knowledge(receiver, "in doubt"), knowledge(receiver, "resolved")));
         assertEquals(45, granted);
-        assertEquals(List.of(), receiver.members.others());
+        assertEquals(List.of(), receiver.members.livePeers());
     }
 
     private static Fate.Knowledge knowledge(Router router, String mark) {
--- a/fleet/src/main/java/clayhook/fleet/Reader.java
+++ b/fleet/src/main/java/clayhook/fleet/FieldReader.java
@@ -8,31 +8,31 @@
 import java.util.function.Function;
 
 /**
- * Reads a list of fields as {@link Writer} wrote it. Whatever does not fit throws IllegalArgumentException, which stops
+ * Reads a list of fields as {@link FieldWriter} wrote it. Whatever does not fit throws IllegalArgumentException, which stops
  * where packets are taken apart. Fields that a later release has added are left unread.
  */
-public final class Reader {
+public final class FieldReader {
     /** Of one text; names and keys are far shorter. */
-    private static final int LONGEST_TEXT = 4096;
+    private static final int MAX_TEXT_LENGTH = 4096;
 
-    private final CBORParser in;
+    private final CBORParser parser;
 
-    public Reader(byte[] bytes) {
+    public FieldReader(byte[] bytes) {
         this(bytes, 0, bytes.length);
     }
 
-    public Reader(byte[] bytes, int from, int length) {
+    public FieldReader(byte[] bytes, int from, int length) {
         try {
-            in = Writer.CBOR.createParser(bytes, from, length);
+            parser = FieldWriter.CBOR.createParser(bytes, from, length);
         } catch (IOException e) {
             throw new IllegalArgumentException(e.getMessage(), e);
         }
-        begin();
+        beginList();
     }
 
-    private JsonToken next() {
+    private JsonToken nextToken() {
         try {
-            JsonToken token = in.nextToken();
+            JsonToken token = parser.nextToken();
             if (token == null) {
                 throw new IllegalArgumentException("the bytes end too soon");
             }
@@ -42,22 +42,22 @@
         }
     }
 
-    private void expect(boolean fits, String what) {
+    private void require(boolean fits, String what) {
         if (!fits) {
             throw new IllegalArgumentException("no " + what + " where one belongs");
         }
     }
 
     /** Goes into a list within the list. */
-    public void begin() {
-        expect(next() == JsonToken.START_ARRAY, "list");
+    public void beginList() {
+        require(nextToken() == JsonToken.START_ARRAY, "list");
     }
 
     /** Leaves a list, whatever it still holds. */
-    public void end() {
+    public void endList() {
         int depth = 1;
         while (depth > 0) {
-            switch (next()) {
+            switch (nextToken()) {
                 case START_ARRAY, START_OBJECT -> depth++;
                 case END_ARRAY, END_OBJECT -> depth--;
                 default -> {}
@@ -66,45 +66,45 @@
     }
 
     /** The lists within the next field, which is a list of lists; each is read by {@code each} and left by itself. */
-    public <T> List<T> lists(int most, Function<Reader, T> each) {
-        begin();
+    public <T> List<T> readLists(int most, Function<FieldReader, T> each) {
+        beginList();
         var out = new ArrayList<T>();
-        for (JsonToken token = next(); token != JsonToken.END_ARRAY; token = next()) {
-            expect(token == JsonToken.START_ARRAY && out.size() < most, "list of at most " + most);
+        for (JsonToken token = nextToken(); token != JsonToken.END_ARRAY; token = nextToken()) {
+            require(token == JsonToken.START_ARRAY && out.size() < most, "list of at most " + most);
             out.add(each.apply(this));
-            end();
+            endList();
         }
         return out;
     }
 
     /** The numbers in the next field, which is a list of whole numbers. */
-    public long[] wholes(int most) {
-        begin();
+    public long[] readLongs(int most) {
+        beginList();
         long[] out = new long[Math.min(most, 16)];
         int size = 0;
-        for (JsonToken token = next(); token != JsonToken.END_ARRAY; token = next()) {
-            expect(token == JsonToken.VALUE_NUMBER_INT && size < most, "list of at most " + most + " numbers");
+        for (JsonToken token = nextToken(); token != JsonToken.END_ARRAY; token = nextToken()) {
+            require(token == JsonToken.VALUE_NUMBER_INT && size < most, "list of at most " + most + " numbers");
             out = size == out.length ? java.util.Arrays.copyOf(out, Math.min(most, 2 * size)) : out;
-            out[size++] = longValue();
+            out[size++] = currentLong();
         }
         return java.util.Arrays.copyOf(out, size);
     }
 
-    private long longValue() {
+    private long currentLong() {
         try {
-            return in.getLongValue();
+            return parser.getLongValue();
         } catch (IOException e) {
             throw new IllegalArgumentException(e.getMessage(), e);
         }
     }
 
     /** Null is a text too. */
-    public String text() {
-        JsonToken token = next();
-        expect(token == JsonToken.VALUE_STRING || token == JsonToken.VALUE_NULL, "text");
+    public String readNullableString() {
+        JsonToken token = nextToken();
+        require(token == JsonToken.VALUE_STRING || token == JsonToken.VALUE_NULL, "text");
         try {
-            String text = in.getText();
-            expect(token == JsonToken.VALUE_NULL || text.length() <= LONGEST_TEXT, "short text");
+            String text = parser.getText();
+            require(token == JsonToken.VALUE_NULL || text.length() <= MAX_TEXT_LENGTH, "short text");
             return token == JsonToken.VALUE_NULL ? null : text;
         } catch (IOException e) {
             throw new IllegalArgumentException(e.getMessage(), e);
@@ -112,47 +112,47 @@
     }
 
     /** A text that must be there. */
-    public String name() {
-        String text = text();
-        expect(text != null && !text.isEmpty(), "name");
+    public String readNonEmptyString() {
+        String text = readNullableString();
+        require(text != null && !text.isEmpty(), "name");
         return text;
     }
 
-    public long whole() {
-        expect(next() == JsonToken.VALUE_NUMBER_INT, "whole number");
-        return longValue();
+    public long readLong() {
+        require(nextToken() == JsonToken.VALUE_NUMBER_INT, "whole number");
+        return currentLong();
     }
 
     /** A whole number from 0 on, below {@code end}. */
-    public int small(int end) {
-        long value = whole();
-        expect(value >= 0 && value < end, "number below " + end);
+    public int readIntBelow(int end) {
+        long value = readLong();
+        require(value >= 0 && value < end, "number below " + end);
         return (int) value;
     }
 
     /** Never NaN; infinite only where the writer meant it. */
-    public double number() {
-        JsonToken token = next();
-        expect(token == JsonToken.VALUE_NUMBER_FLOAT || token == JsonToken.VALUE_NUMBER_INT, "number");
+    public double readDouble() {
+        JsonToken token = nextToken();
+        require(token == JsonToken.VALUE_NUMBER_FLOAT || token == JsonToken.VALUE_NUMBER_INT, "number");
         try {
-            double value = in.getDoubleValue();
-            expect(!Double.isNaN(value), "number");
+            double value = parser.getDoubleValue();
+            require(!Double.isNaN(value), "number");
             return value;
         } catch (IOException e) {
             throw new IllegalArgumentException(e.getMessage(), e);
         }
     }
 
-    public boolean flag() {
-        JsonToken token = next();
-        expect(token == JsonToken.VALUE_TRUE || token == JsonToken.VALUE_FALSE, "true or false");
+    public boolean readBoolean() {
+        JsonToken token = nextToken();
+        require(token == JsonToken.VALUE_TRUE || token == JsonToken.VALUE_FALSE, "true or false");
         return token == JsonToken.VALUE_TRUE;
     }
 
-    public byte[] bytes() {
-        expect(next() == JsonToken.VALUE_EMBEDDED_OBJECT, "bytes");
+    public byte[] readBytes() {
+        require(nextToken() == JsonToken.VALUE_EMBEDDED_OBJECT, "bytes");
         try {
-            return in.getBinaryValue();
+            return parser.getBinaryValue();
         } catch (IOException e) {
             throw new IllegalArgumentException(e.getMessage(), e);
         }
--- a/fleet/src/main/java/clayhook/fleet/Writer.java
+++ b/fleet/src/main/java/clayhook/fleet/FieldWriter.java
@@ -7,28 +7,28 @@
 import java.io.UncheckedIOException;
 
 /** Writes a list of fields as CBOR. */
-public final class Writer {
+public final class FieldWriter {
     static final CBORFactory CBOR = new CBORFactory();
 
-    private interface Step {
+    private interface GeneratorCall {
         void run(CBORGenerator out) throws IOException;
     }
 
-    private final ByteArrayBuilder bytes = new ByteArrayBuilder(256);
-    private final CBORGenerator out;
+    private final ByteArrayBuilder buffer = new ByteArrayBuilder(256);
+    private final CBORGenerator generator;
 
-    public Writer() {
+    public FieldWriter() {
         try {
-            out = CBOR.createGenerator(bytes);
+            generator = CBOR.createGenerator(buffer);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        begin();
+        beginList();
     }
 
-    private Writer write(Step step) {
+    private FieldWriter write(GeneratorCall step) {
         try {
-            step.run(out);
+            step.run(generator);
             return this;
         } catch (IOException e) {
             throw new UncheckedIOException(e); // memory does not fail
@@ -36,39 +36,39 @@
     }
 
     /** Begins a list within the list. */
-    public Writer begin() {
+    public FieldWriter beginList() {
         return write(CBORGenerator::writeStartArray);
     }
 
-    public Writer end() {
+    public FieldWriter endList() {
         return write(CBORGenerator::writeEndArray);
     }
 
     /** Null is a text too. */
-    public Writer text(String value) {
+    public FieldWriter writeNullableString(String value) {
         return write(to -> to.writeString(value));
     }
 
-    public Writer whole(long value) {
+    public FieldWriter writeLong(long value) {
         return write(to -> to.writeNumber(value));
     }
 
-    public Writer number(double value) {
+    public FieldWriter writeDouble(double value) {
         return write(to -> to.writeNumber(value));
     }
 
-    public Writer flag(boolean value) {
+    public FieldWriter writeBoolean(boolean value) {
         return write(to -> to.writeBoolean(value));
     }
 
-    public Writer bytes(byte[] value) {
+    public FieldWriter writeBytes(byte[] value) {
         return write(to -> to.writeBinary(value));
     }
 
     /** All that was written; nothing can be written after. */
-    public byte[] done() {
-        end();
+    public byte[] toByteArray() {
+        endList();
         write(CBORGenerator::close);
-        return bytes.toByteArray();
+        return buffer.toByteArray();
     }
 }
--- a/fleet/src/main/java/clayhook/fleet/Member.java
+++ b/fleet/src/main/java/clayhook/fleet/Member.java
@@ -8,12 +8,12 @@
  * @param name of the router, the same after a restart
  * @param boot when this life began, in milliseconds since 1970; of two lives of one name the later one counts
  */
-public record Member(String name, long boot) implements Comparable<Member> {
-    private static final Comparator<Member> ORDER =
-            Comparator.comparing(Member::name).thenComparingLong(Member::boot);
+public record Member(String name, long incarnation) implements Comparable<Member> {
+    private static final Comparator<Member> NAME_THEN_INCARNATION =
+            Comparator.comparing(Member::name).thenComparingLong(Member::incarnation);
 
     @Override
     public int compareTo(Member other) {
-        return ORDER.compare(this, other);
+        return NAME_THEN_INCARNATION.compare(this, other);
     }
 }
--- a/fleet/src/main/java/clayhook/fleet/Packet.java
+++ b/fleet/src/main/java/clayhook/fleet/Packet.java
@@ -16,97 +16,97 @@
     /** Raised when what a packet is made of changes; parts and fields may be added without. */
     static final int VERSION = 1;
     /** Bytes of the hash. */
-    private static final int HASH = Long.BYTES;
+    private static final int HASH_BYTES = Long.BYTES;
     /** Bytes; fits a datagram that networks carry whole, and leaves room for their headers. */
-    public static final int LONGEST = 1400;
+    public static final int MAX_BYTES = 1400;
     /** Bytes that a part may take, beside the sender's name. */
-    public static final int LONGEST_PART = 1200;
+    public static final int MAX_MESSAGE_BYTES = 1200;
     /** Of a name of a router. */
-    public static final int LONGEST_NAME = 100;
+    public static final int MAX_NAME_LENGTH = 100;
     /** Parts in a packet; more than fit. */
-    private static final int MOST_PARTS = LONGEST;
+    private static final int MAX_MESSAGES = MAX_BYTES;
 
     /** What came of taking bytes apart. */
-    public sealed interface Read {
+    public sealed interface DecodeResult {
         /** @param unknown parts of kinds that this release does not know, or that could not be read */
-        record Whole(Member from, List<Part> parts, int unknown) implements Read {}
+        record Decoded(Member from, List<Message> messages, int skippedMessages) implements DecodeResult {}
 
         /** Nothing of it counts. */
-        record Dropped(Why why) implements Read {}
+        record Dropped(DropReason reason) implements DecodeResult {}
 
         /** Why nothing counts: it was cut or garbled, another release wrote it, or it makes no sense. */
-        enum Why {
-            GARBLED,
-            VERSION,
-            SENSELESS
+        enum DropReason {
+            CORRUPTED,
+            UNSUPPORTED_VERSION,
+            MALFORMED
         }
     }
 
     private Packet() {}
 
     /** A part as it stands in a packet. */
-    static byte[] encode(Part part) {
-        var fields = new Writer();
+    static byte[] encode(Message part) {
+        var fields = new FieldWriter();
         part.write(fields);
-        return fields.done();
+        return fields.toByteArray();
     }
 
     /** Bytes that a packet from that sender takes beside its parts, at most. */
-    static int frame(Member from) {
-        return HASH + 16 + 4 * from.name().length() + Long.BYTES + 1;
+    static int maxHeaderBytes(Member from) {
+        return HASH_BYTES + 16 + 4 * from.name().length() + Long.BYTES + 1;
     }
 
     /** Bytes that an encoded part takes in a packet, at most. */
-    static int room(byte[] part) {
+    static int maxFramedBytes(byte[] part) {
         return part.length + 2 + 5 + 3;
     }
 
     static byte[] encode(Member from, List<Integer> numbers, List<byte[]> parts) {
         var out =
-                new Writer().whole(VERSION).text(from.name()).whole(from.boot()).begin();
+                new FieldWriter().writeLong(VERSION).writeNullableString(from.name()).writeLong(from.incarnation()).beginList();
         for (int i = 0; i < parts.size(); i++) {
-            out.begin().whole(numbers.get(i)).bytes(parts.get(i)).end();
+            out.beginList().writeLong(numbers.get(i)).writeBytes(parts.get(i)).endList();
         }
-        byte[] body = out.end().done();
-        return ByteBuffer.allocate(HASH + body.length)
+        byte[] body = out.endList().toByteArray();
+        return ByteBuffer.allocate(HASH_BYTES + body.length)
                 .putLong(Hashing.komihash5_0().hashBytesToLong(body))
                 .put(body)
                 .array();
     }
 
     /** Takes bytes from outside apart. */
-    public static Read decode(byte[] bytes, Map<Integer, Function<Reader, ? extends Part>> known) {
-        if (bytes.length <= HASH
+    public static DecodeResult decode(byte[] bytes, Map<Integer, Function<FieldReader, ? extends Message>> known) {
+        if (bytes.length <= HASH_BYTES
                 || ByteBuffer.wrap(bytes).getLong()
-                        != Hashing.komihash5_0().hashBytesToLong(bytes, HASH, bytes.length - HASH)) {
-            return new Read.Dropped(Read.Why.GARBLED);
+                        != Hashing.komihash5_0().hashBytesToLong(bytes, HASH_BYTES, bytes.length - HASH_BYTES)) {
+            return new DecodeResult.Dropped(DecodeResult.DropReason.CORRUPTED);
         }
         try {
-            var in = new Reader(bytes, HASH, bytes.length - HASH);
-            if (in.whole() != VERSION) {
-                return new Read.Dropped(Read.Why.VERSION);
+            var in = new FieldReader(bytes, HASH_BYTES, bytes.length - HASH_BYTES);
+            if (in.readLong() != VERSION) {
+                return new DecodeResult.Dropped(DecodeResult.DropReason.UNSUPPORTED_VERSION);
             }
-            String name = in.name();
-            if (name.length() > LONGEST_NAME) {
-                return new Read.Dropped(Read.Why.SENSELESS);
+            String name = in.readNonEmptyString();
+            if (name.length() > MAX_NAME_LENGTH) {
+                return new DecodeResult.Dropped(DecodeResult.DropReason.MALFORMED);
             }
-            var from = new Member(name, in.whole());
-            var parts = new ArrayList<Part>();
-            List<Part> read = in.lists(MOST_PARTS, each -> part(each, known));
+            var from = new Member(name, in.readLong());
+            var parts = new ArrayList<Message>();
+            List<Message> read = in.readLists(MAX_MESSAGES, each -> decodeMessage(each, known));
             read.stream().filter(part -> part != null).forEach(parts::add);
-            return new Read.Whole(from, List.copyOf(parts), read.size() - parts.size());
+            return new DecodeResult.Decoded(from, List.copyOf(parts), read.size() - parts.size());
         } catch (IllegalArgumentException e) {
-            return new Read.Dropped(Read.Why.SENSELESS);
+            return new DecodeResult.Dropped(DecodeResult.DropReason.MALFORMED);
         }
     }
 
     /** Null for one that cannot be read. */
-    private static Part part(Reader in, Map<Integer, Function<Reader, ? extends Part>> known) {
-        long number = in.whole();
-        byte[] fields = in.bytes();
-        Function<Reader, ? extends Part> reader = number == (int) number ? known.get((int) number) : null;
+    private static Message decodeMessage(FieldReader in, Map<Integer, Function<FieldReader, ? extends Message>> known) {
+        long number = in.readLong();
+        byte[] fields = in.readBytes();
+        Function<FieldReader, ? extends Message> reader = number == (int) number ? known.get((int) number) : null;
         try {
-            return reader == null ? null : reader.apply(new Reader(fields));
+            return reader == null ? null : reader.apply(new FieldReader(fields));
         } catch (IllegalArgumentException e) {
             return null;
         }
--- a/fleet/src/main/java/clayhook/fleet/kinds/Evidence.java
+++ b/fleet/src/main/java/clayhook/fleet/kinds/Evidence.java
@@ -1,8 +1,8 @@
 package clayhook.fleet.kinds;
 
-import clayhook.fleet.Kind;
-import clayhook.fleet.Reader;
-import clayhook.fleet.Writer;
+import clayhook.fleet.ReplicatedType;
+import clayhook.fleet.FieldReader;
+import clayhook.fleet.FieldWriter;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashSet;
@@ -58,9 +58,9 @@
         }
     }
 
-    public static final Kind<Evidence> KIND = new Kind<>() {
+    public static final ReplicatedType<Evidence> KIND = new ReplicatedType<>() {
         @Override
-        public int number() {
+        public int typeNumber() {
             return 1;
         }
 
@@ -70,12 +70,12 @@
         }
 
         @Override
-        public Evidence join(Evidence a, Evidence b) {
+        public Evidence merge(Evidence a, Evidence b) {
             return a.join(b);
         }
 
         @Override
-        public double at(Evidence value) {
+        public double timestamp(Evidence value) {
             return value.newest;
         }
 
@@ -83,23 +83,23 @@
          * Seconds: some times as long as a reader believes any of it; what nobody has seen for longer is no evidence.
          */
         @Override
-        public double keep() {
+        public double retentionSeconds() {
             return 30;
         }
 
         /** As many nodes as a list may have; some 400 bytes each. */
         @Override
-        public int most() {
+        public int maxEntries() {
             return 10_000;
         }
 
         @Override
-        public void write(Evidence value, Writer out) {
+        public void write(Evidence value, FieldWriter out) {
             value.write(out);
         }
 
         @Override
-        public Evidence read(Reader in) {
+        public Evidence read(FieldReader in) {
             return Evidence.read(in);
         }
     };
@@ -233,32 +233,32 @@
     }
 
     /** One answer tells most fields at once: each sight stands once, fields name its place. */
-    private void write(Writer out) {
+    private void write(FieldWriter out) {
         var sights = new ArrayList<>(new LinkedHashSet<>(
                 Stream.concat(sights(position, lag, slowness, load), sightsOf(primary, replica, heard, strikes))
                         .toList()));
-        out.number(nodeStart).number(newest).begin();
-        sights.forEach(sight -> out.begin().number(sight.at()).text(sight.by()).end());
-        out.end();
+        out.writeDouble(nodeStart).writeDouble(newest).beginList();
+        sights.forEach(sight -> out.beginList().writeDouble(sight.at()).writeNullableString(sight.by()).endList());
+        out.endList();
         for (Seen figure : new Seen[] {position, lag, slowness, load}) {
-            out.whole(figure == null ? 0 : 1 + sights.indexOf(figure.sight()))
-                    .number(figure == null ? 0 : figure.value());
+            out.writeLong(figure == null ? 0 : 1 + sights.indexOf(figure.sight()))
+                    .writeDouble(figure == null ? 0 : figure.value());
         }
         for (Sight sight : new Sight[] {primary, replica, heard}) {
-            out.whole(1 + sights.indexOf(sight));
+            out.writeLong(1 + sights.indexOf(sight));
         }
-        out.begin();
-        strikes.forEach(strike -> out.begin()
-                .whole(1 + sights.indexOf(strike.sight))
-                .whole(strike.count)
-                .end());
-        out.end();
+        out.beginList();
+        strikes.forEach(strike -> out.beginList()
+                .writeLong(1 + sights.indexOf(strike.sight))
+                .writeLong(strike.count)
+                .endList());
+        out.endList();
     }
 
-    private static Evidence read(Reader in) {
-        double nodeStart = in.number();
-        double newest = in.number();
-        List<Sight> sights = in.lists(MOST_SIGHTS, each -> new Sight(each.number(), each.name()));
+    private static Evidence read(FieldReader in) {
+        double nodeStart = in.readDouble();
+        double newest = in.readDouble();
+        List<Sight> sights = in.readLists(MOST_SIGHTS, each -> new Sight(each.readDouble(), each.readNonEmptyString()));
         return new Evidence(
                 nodeStart,
                 newest,
@@ -269,24 +269,24 @@
                 sight(in, sights),
                 sight(in, sights),
                 sight(in, sights),
-                in.lists(MOST_SIGHTS, each -> strike(each, sights)));
+                in.readLists(MOST_SIGHTS, each -> strike(each, sights)));
     }
 
-    private static Seen seen(Reader in, List<Sight> sights) {
+    private static Seen seen(FieldReader in, List<Sight> sights) {
         Sight sight = sight(in, sights);
-        double value = in.number();
+        double value = in.readDouble();
         return sight == null ? null : new Seen(value, sight);
     }
 
-    private static Sight sight(Reader in, List<Sight> sights) {
-        int place = in.small(1 + sights.size());
+    private static Sight sight(FieldReader in, List<Sight> sights) {
+        int place = in.readIntBelow(1 + sights.size());
         return place == 0 ? null : sights.get(place - 1);
     }
 
-    private static Strike strike(Reader in, List<Sight> sights) {
+    private static Strike strike(FieldReader in, List<Sight> sights) {
         Sight sight = sight(in, sights);
         Check.that(sight != null, "strike by nobody");
-        return new Strike(sight, in.small(1 + Strike.MOST));
+        return new Strike(sight, in.readIntBelow(1 + Strike.MOST));
     }
 
     /** The key of a node of any id. */
--- a/fleet/src/main/java/clayhook/fleet/kinds/Fate.java
+++ b/fleet/src/main/java/clayhook/fleet/kinds/Fate.java
@@ -1,8 +1,8 @@
 package clayhook.fleet.kinds;
 
-import clayhook.fleet.Kind;
-import clayhook.fleet.Reader;
-import clayhook.fleet.Writer;
+import clayhook.fleet.ReplicatedType;
+import clayhook.fleet.FieldReader;
+import clayhook.fleet.FieldWriter;
 import java.util.Comparator;
 
 /**
@@ -90,7 +90,7 @@
         }
     }
 
-    private static final class FateKind implements Kind<Fate> {
+    private static final class FateKind implements ReplicatedType<Fate> {
         private final double keep;
 
         private FateKind(double keep) {
@@ -98,7 +98,7 @@
         }
 
         @Override
-        public int number() {
+        public int typeNumber() {
             return 4;
         }
 
@@ -108,7 +108,7 @@
         }
 
         @Override
-        public Fate join(Fate a, Fate b) {
+        public Fate merge(Fate a, Fate b) {
             return new Fate(
                     earlier(a.first, b.first),
                     earlier(a.ran, b.ran),
@@ -117,58 +117,58 @@
         }
 
         @Override
-        public double at(Fate value) {
+        public double timestamp(Fate value) {
             return value.newest;
         }
 
         @Override
-        public double keep() {
+        public double retentionSeconds() {
             return keep;
         }
 
         @Override
-        public int most() {
+        public int maxEntries() {
             return MOST;
         }
 
         /** Knowledge holds whatever the clock of who has it; times only order witnesses. */
         @Override
-        public boolean timed() {
+        public boolean clockDependent() {
             return false;
         }
 
         @Override
-        public void write(Fate value, Writer out) {
+        public void write(Fate value, FieldWriter out) {
             Sent first = value.first;
-            out.number(first.at)
-                    .whole(first.nodeGroup)
-                    .text(first.commandGroup)
-                    .text(first.label)
-                    .number(value.newest);
+            out.writeDouble(first.at)
+                    .writeLong(first.nodeGroup)
+                    .writeNullableString(first.commandGroup)
+                    .writeNullableString(first.label)
+                    .writeDouble(value.newest);
             write(value.ran, out);
             write(value.notRun, out);
         }
 
-        private static void write(Witness witness, Writer out) {
-            out.flag(witness != null);
+        private static void write(Witness witness, FieldWriter out) {
+            out.writeBoolean(witness != null);
             if (witness != null) {
-                out.number(witness.sight.at()).text(witness.sight.by()).text(witness.node);
+                out.writeDouble(witness.sight.at()).writeNullableString(witness.sight.by()).writeNullableString(witness.node);
             }
         }
 
         @Override
-        public Fate read(Reader in) {
-            var first = new Sent(in.number(), in.small(Check.MOST_GROUPS), in.text(), in.text());
-            double newest = in.number();
+        public Fate read(FieldReader in) {
+            var first = new Sent(in.readDouble(), in.readIntBelow(Check.MOST_GROUPS), in.readNullableString(), in.readNullableString());
+            double newest = in.readDouble();
             return new Fate(first, witness(in), witness(in), newest);
         }
 
-        private static Witness witness(Reader in) {
-            return in.flag() ? new Witness(new Sight(in.number(), in.name()), in.text()) : null;
+        private static Witness witness(FieldReader in) {
+            return in.readBoolean() ? new Witness(new Sight(in.readDouble(), in.readNonEmptyString()), in.readNullableString()) : null;
         }
     }
 
-    public static final Kind<Fate> KIND = kept(DAY);
+    public static final ReplicatedType<Fate> KIND = kept(DAY);
 
     public Fate {
         newest = Math.max(Check.time(newest), Math.max(first.at, Math.max(at(ran), at(notRun))));
@@ -184,7 +184,7 @@
     }
 
     /** The same kind where an operator has it kept for so many seconds. */
-    public static Kind<Fate> kept(double seconds) {
+    public static ReplicatedType<Fate> kept(double seconds) {
         return new FateKind(seconds);
     }
 
--- a/fleet/src/main/java/clayhook/fleet/kinds/Fates.java
+++ b/fleet/src/main/java/clayhook/fleet/kinds/Fates.java
@@ -1,7 +1,7 @@
 package clayhook.fleet.kinds;
 
-import clayhook.fleet.Kind;
-import clayhook.fleet.Shared;
+import clayhook.fleet.ReplicatedType;
+import clayhook.fleet.ReplicatedStore;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.EnumMap;
@@ -21,19 +21,19 @@
     /** More conflicts than anyone reads; one beyond is counted and shown, but perhaps told twice. */
     private static final int MOST_TOLD = 1000;
 
-    private final Shared shared;
-    private final Kind<Fate> kind;
+    private final ReplicatedStore shared;
+    private final ReplicatedType<Fate> kind;
     /** Conflicts that were told; the first to come are dropped at the bound. */
     private final Set<String> told = new LinkedHashSet<>();
     /** Those not taken yet; emptied by taking them, and never more than told. */
     private final Set<String> untaken = new LinkedHashSet<>();
 
     /** {@code kind} as this router keeps it: {@link Fate#KIND} or one {@link Fate#kept}. */
-    public Fates(Shared shared, Kind<Fate> kind) {
+    public Fates(ReplicatedStore shared, ReplicatedType<Fate> kind) {
         this.shared = shared;
         this.kind = kind;
-        shared.each(kind, this::mind);
-        shared.listen(kind, (key, fate, now) -> mind(key, fate));
+        shared.forEach(kind, this::mind);
+        shared.addListener(kind, (key, fate, now) -> mind(key, fate));
     }
 
     private void mind(String key, Fate fate) {
@@ -51,7 +51,7 @@
     /** Of what was first sent from then on and before then, seconds since 1970; by that time, then by key. */
     public List<Row> rows(double from, double before) {
         var rows = new ArrayList<Row>();
-        shared.each(kind, (key, fate) -> {
+        shared.forEach(kind, (key, fate) -> {
             if (fate.first().at() >= from && fate.first().at() < before) {
                 rows.add(new Row(key, fate));
             }
@@ -62,8 +62,8 @@
 
     /** Commands with a last word before that, seconds since 1970, may be missing; negative infinity where none are. */
     public double missingBefore(double now) {
-        double floor = shared.floor(kind);
-        return Math.max(floor, now - kind.keep());
+        double floor = shared.evictionFloor(kind);
+        return Math.max(floor, now - kind.retentionSeconds());
     }
 
     /** How many there are of each; all of them are in the map. */
@@ -72,7 +72,7 @@
         for (Fate.Knowledge each : Fate.Knowledge.values()) {
             counts.put(each, 0);
         }
-        shared.each(kind, (key, fate) -> counts.merge(fate.knowledge(), 1, Integer::sum));
+        shared.forEach(kind, (key, fate) -> counts.merge(fate.knowledge(), 1, Integer::sum));
         return counts;
     }
 
--- a/fleet/src/main/java/clayhook/fleet/kinds/Hearsay.java
+++ b/fleet/src/main/java/clayhook/fleet/kinds/Hearsay.java
@@ -2,8 +2,8 @@
 
 import clayhook.fleet.Member;
 import clayhook.fleet.Peer;
-import clayhook.fleet.Roster;
-import clayhook.fleet.Shared;
+import clayhook.fleet.MembershipView;
+import clayhook.fleet.ReplicatedStore;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -45,8 +45,8 @@
             double load,
             double loadWeight) {}
 
-    private final Shared shared;
-    private final Roster roster;
+    private final ReplicatedStore shared;
+    private final MembershipView roster;
     private final String self;
     /**
      * Those of {@link #listed}, by their names as sights have them; made anew when the roster's list is another one.
@@ -55,7 +55,7 @@
 
     private List<Peer> listed;
 
-    public Hearsay(Shared shared, Roster roster) {
+    public Hearsay(ReplicatedStore shared, MembershipView roster) {
         this.shared = shared;
         this.roster = roster;
         self = Keys.name(roster.self().member().name());
@@ -93,8 +93,8 @@
     }
 
     private void knowMembers() {
-        if (listed != roster.others()) {
-            listed = roster.others();
+        if (listed != roster.livePeers()) {
+            listed = roster.livePeers();
             members.clear();
             listed.forEach(peer -> members.put(Keys.name(peer.member().name()), peer.member()));
         }
@@ -114,9 +114,9 @@
             return NEVER;
         }
         Member member = members.get(sight.by());
-        double ahead = member == null ? 0 : roster.ahead(member);
+        double ahead = member == null ? 0 : roster.clockOffset(member);
         double at = sight.at() - (Double.isNaN(ahead) ? 0 : ahead);
-        boolean heard = (member == null || roster.timely(member)) && at <= now + Check.CLOCKS;
+        boolean heard = (member == null || roster.clockWithinBound(member)) && at <= now + Check.CLOCKS;
         return heard ? Math.min(at, now) : NEVER;
     }
 
--- a/fleet/src/main/java/clayhook/fleet/kinds/ListMerge.java
+++ b/fleet/src/main/java/clayhook/fleet/kinds/ListMerge.java
@@ -1,6 +1,6 @@
 package clayhook.fleet.kinds;
 
-import clayhook.fleet.Shared;
+import clayhook.fleet.ReplicatedStore;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -37,7 +37,7 @@
      */
     private record Held(Listed word, long beyond) {}
 
-    private final Shared shared;
+    private final ReplicatedStore shared;
     /** By name, longest unheard first; bounded by {@link #MOST_SOURCES}, the current one always among them. */
     private final Map<String, Source> sources = new LinkedHashMap<>(16, 0.75f, true);
     /** Emptied by the current source's word or whole list. */
@@ -54,12 +54,12 @@
     /**
      * Hears what {@code shared} holds and what peers put there from now on. {@code source} as a text of host and port.
      */
-    public ListMerge(String source, Shared shared) {
+    public ListMerge(String source, ReplicatedStore shared) {
         this.shared = shared;
         current = nameOf(source);
         source(current);
-        shared.each(Listed.KIND, this::told);
-        shared.listen(Listed.KIND, (key, word, now) -> told(key, word));
+        shared.forEach(Listed.KIND, this::told);
+        shared.addListener(Listed.KIND, (key, word, now) -> told(key, word));
     }
 
     private static String nameOf(String source) {
@@ -98,7 +98,7 @@
             late++; // of a node that a newer whole list does not have
             return;
         }
-        Listed joined = known == null ? word : Listed.KIND.join(known, word);
+        Listed joined = known == null ? word : Listed.KIND.merge(known, word);
         late += joined.revision() > word.revision() ? 1 : 0;
         source.words.put(id, joined);
         if (joined.closed()
@@ -113,7 +113,7 @@
      * At the bound nodes that are gone make room, as nobody sends them anything; without any a new node is left out.
      */
     private boolean hasRoom(Source source) {
-        if (source.words.size() < Evidence.KIND.most()) {
+        if (source.words.size() < Evidence.KIND.maxEntries()) {
             return true;
         }
         given.values().removeIf(word -> word.state() == Listed.State.GONE);
@@ -163,8 +163,8 @@
         words.forEach((id, word) -> hear(name, id, word));
         source.newest = Math.max(source.newest, revision);
         source.whole = whole ? Math.max(source.whole, revision) : source.whole;
-        words.forEach((id, word) -> shared.put(Listed.KIND, Listed.key(name, id), word, now));
-        shared.put(Listed.KIND, Listed.key(name, ""), Listed.ofRevision(revision, now), now);
+        words.forEach((id, word) -> shared.merge(Listed.KIND, Listed.key(name, id), word, now));
+        shared.merge(Listed.KIND, Listed.key(name, ""), Listed.ofRevision(revision, now), now);
     }
 
     /** Known nodes that a whole list of that source does not have, with what is known of them. */
@@ -217,16 +217,16 @@
      * so spares it the others. May be called at any time.
      */
     public void renew(double now) {
-        if (now < renewedAt + Listed.KIND.keep() / 8) {
+        if (now < renewedAt + Listed.KIND.retentionSeconds() / 8) {
             return;
         }
         renewedAt = now;
         Source source = sources.get(current);
         source.words.entrySet().stream()
                 .filter(entry -> entry.getValue().revision() <= source.own
-                        && entry.getValue().at() < now - Listed.KIND.keep() / 2)
+                        && entry.getValue().at() < now - Listed.KIND.retentionSeconds() / 2)
                 .toList()
-                .forEach(entry -> shared.put(
+                .forEach(entry -> shared.merge(
                         Listed.KIND,
                         Listed.key(current, entry.getKey()),
                         entry.getValue().heardAt(now),
--- a/fleet/src/main/java/clayhook/fleet/kinds/Listed.java
+++ b/fleet/src/main/java/clayhook/fleet/kinds/Listed.java
@@ -1,8 +1,8 @@
 package clayhook.fleet.kinds;
 
-import clayhook.fleet.Kind;
-import clayhook.fleet.Reader;
-import clayhook.fleet.Writer;
+import clayhook.fleet.ReplicatedType;
+import clayhook.fleet.FieldReader;
+import clayhook.fleet.FieldWriter;
 import java.util.Comparator;
 import java.util.List;
 
@@ -49,9 +49,9 @@
             .thenComparing(Listed::host)
             .thenComparingInt(Listed::port);
 
-    public static final Kind<Listed> KIND = new Kind<>() {
+    public static final ReplicatedType<Listed> KIND = new ReplicatedType<>() {
         @Override
-        public int number() {
+        public int typeNumber() {
             return 2;
         }
 
@@ -65,12 +65,12 @@
          * field.
          */
         @Override
-        public Listed join(Listed a, Listed b) {
+        public Listed merge(Listed a, Listed b) {
             return (ORDER.compare(a, b) >= 0 ? a : b).heardAt(Math.max(a.at, b.at));
         }
 
         @Override
-        public double at(Listed value) {
+        public double timestamp(Listed value) {
             return value.at;
         }
 
@@ -79,13 +79,13 @@
          * down.
          */
         @Override
-        public double keep() {
+        public double retentionSeconds() {
             return 3600;
         }
 
         /** As many nodes as a list may have, of the source and of the one before it. */
         @Override
-        public int most() {
+        public int maxEntries() {
             return 20_000;
         }
 
@@ -96,35 +96,35 @@
 
         /** It goes by revisions; a router with a wrong clock may well hear of a drain first. */
         @Override
-        public boolean timed() {
+        public boolean clockDependent() {
             return false;
         }
 
         @Override
-        public void write(Listed value, Writer out) {
-            out.whole(value.revision)
-                    .whole(value.state.ordinal())
-                    .number(value.nodeStart)
-                    .flag(value.primary)
-                    .text(value.zone)
-                    .whole(value.group)
-                    .text(value.host)
-                    .whole(value.port)
-                    .number(value.at);
+        public void write(Listed value, FieldWriter out) {
+            out.writeLong(value.revision)
+                    .writeLong(value.state.ordinal())
+                    .writeDouble(value.nodeStart)
+                    .writeBoolean(value.primary)
+                    .writeNullableString(value.zone)
+                    .writeLong(value.group)
+                    .writeNullableString(value.host)
+                    .writeLong(value.port)
+                    .writeDouble(value.at);
         }
 
         @Override
-        public Listed read(Reader in) {
+        public Listed read(FieldReader in) {
             return new Listed(
-                    in.whole(),
-                    State.values()[in.small(State.values().length)],
-                    in.number(),
-                    in.flag(),
-                    in.text(),
-                    in.small(Check.MOST_GROUPS),
-                    in.text(),
-                    in.small(1 << 16),
-                    in.number());
+                    in.readLong(),
+                    State.values()[in.readIntBelow(State.values().length)],
+                    in.readDouble(),
+                    in.readBoolean(),
+                    in.readNullableString(),
+                    in.readIntBelow(Check.MOST_GROUPS),
+                    in.readNullableString(),
+                    in.readIntBelow(1 << 16),
+                    in.readDouble());
         }
     };
 
--- a/fleet/src/main/java/clayhook/fleet/kinds/Mark.java
+++ b/fleet/src/main/java/clayhook/fleet/kinds/Mark.java
@@ -1,8 +1,8 @@
 package clayhook.fleet.kinds;
 
-import clayhook.fleet.Kind;
-import clayhook.fleet.Reader;
-import clayhook.fleet.Writer;
+import clayhook.fleet.ReplicatedType;
+import clayhook.fleet.FieldReader;
+import clayhook.fleet.FieldWriter;
 import java.util.Comparator;
 
 /**
@@ -20,9 +20,9 @@
     private static final Comparator<Mark> ORDER =
             Comparator.comparingDouble(Mark::position).thenComparingInt(Mark::group);
 
-    public static final Kind<Mark> KIND = new Kind<>() {
+    public static final ReplicatedType<Mark> KIND = new ReplicatedType<>() {
         @Override
-        public int number() {
+        public int typeNumber() {
             return 3;
         }
 
@@ -32,40 +32,40 @@
         }
 
         @Override
-        public Mark join(Mark a, Mark b) {
+        public Mark merge(Mark a, Mark b) {
             return ORDER.compare(a, b) >= 0 ? a : b;
         }
 
         /** So that the floor is a position too. */
         @Override
-        public double at(Mark value) {
+        public double timestamp(Mark value) {
             return value.position;
         }
 
         @Override
-        public double keep() {
+        public double retentionSeconds() {
             return KEEP;
         }
 
         @Override
-        public int most() {
+        public int maxEntries() {
             return MOST;
         }
 
         /** Positions come from nodes, whatever the clock of the router that passes them on. */
         @Override
-        public boolean timed() {
+        public boolean clockDependent() {
             return false;
         }
 
         @Override
-        public void write(Mark value, Writer out) {
-            out.number(value.position).whole(value.group);
+        public void write(Mark value, FieldWriter out) {
+            out.writeDouble(value.position).writeLong(value.group);
         }
 
         @Override
-        public Mark read(Reader in) {
-            return new Mark(in.number(), in.small(Check.MOST_GROUPS));
+        public Mark read(FieldReader in) {
+            return new Mark(in.readDouble(), in.readIntBelow(Check.MOST_GROUPS));
         }
     };
 
--- a/fleet/src/main/java/clayhook/fleet/kinds/SessionNeeds.java
+++ b/fleet/src/main/java/clayhook/fleet/kinds/SessionNeeds.java
@@ -1,6 +1,6 @@
 package clayhook.fleet.kinds;
 
-import clayhook.fleet.Shared;
+import clayhook.fleet.ReplicatedStore;
 
 /**
  * How far a replica must be to serve a session's read at this router, whichever router took the session's writes.
@@ -16,7 +16,7 @@
     /** Shards looked through for old marks a publishing: all of them in some seconds. */
     private static final int SWEPT = 16;
 
-    private final Shared shared;
+    private final ReplicatedStore shared;
     private final double roam;
     private volatile MarkSnapshot snapshot = MarkSnapshot.EMPTY;
     private MarkSnapshot.Draft draft = new MarkSnapshot.Draft(MarkSnapshot.EMPTY);
@@ -26,11 +26,11 @@
     private int swept;
 
     /** {@code roam}: the least time between the answer to a session's write and its read at another router, seconds. */
-    public SessionNeeds(Shared shared, double roam) {
+    public SessionNeeds(ReplicatedStore shared, double roam) {
         this.shared = shared;
         this.roam = roam;
-        shared.each(Mark.KIND, (session, mark) -> draft.raise(session, mark.position()));
-        shared.listen(Mark.KIND, (session, mark, now) -> draft.raise(session, mark.position()));
+        shared.forEach(Mark.KIND, (session, mark) -> draft.raise(session, mark.position()));
+        shared.addListener(Mark.KIND, (session, mark, now) -> draft.raise(session, mark.position()));
     }
 
     /** Lets other threads see what has changed; copies what did, at most each shard once. */
@@ -42,8 +42,8 @@
             draft.forget(swept, expired);
         }
         dropped = Math.max(dropped, draft.dropped());
-        double floor = Math.max(Math.max(dropped, shared.floor(Mark.KIND)), expired);
-        MarkSnapshot next = draft.done(floor, shared.certainUpTo(now));
+        double floor = Math.max(Math.max(dropped, shared.evictionFloor(Mark.KIND)), expired);
+        MarkSnapshot next = draft.done(floor, shared.completeUpTo(now));
         draft = new MarkSnapshot.Draft(next);
         snapshot = next;
     }
--- a/fleet/src/main/java/clayhook/fleet/kinds/Shares.java
+++ b/fleet/src/main/java/clayhook/fleet/kinds/Shares.java
@@ -2,8 +2,8 @@
 
 import clayhook.fleet.Member;
 import clayhook.fleet.Peer;
-import clayhook.fleet.Roster;
-import clayhook.fleet.Shared;
+import clayhook.fleet.MembershipView;
+import clayhook.fleet.ReplicatedStore;
 import java.util.HashMap;
 import java.util.Map;
 
@@ -25,7 +25,7 @@
     public record Limit(String name, double amount, double window) {
         public Limit {
             Check.text(name, Use.LONGEST_LIMIT, "name of a limit");
-            Check.that(amount >= 0 && window > 0 && 2 * window <= Use.KIND.keep(), "limit " + name);
+            Check.that(amount >= 0 && window > 0 && 2 * window <= Use.KIND.retentionSeconds(), "limit " + name);
         }
     }
 
@@ -68,8 +68,8 @@
         }
     }
 
-    private final Shared shared;
-    private final Roster roster;
+    private final ReplicatedStore shared;
+    private final MembershipView roster;
     private final int configured;
     private final Member self;
     private final Map<String, Own> own = new HashMap<>();
@@ -79,14 +79,14 @@
     private final Map<String, Double> known = new HashMap<>();
 
     /** {@code configured}: routers as the operator's file counts them, at least 1. */
-    public Shares(Shared shared, Roster roster, int configured) {
+    public Shares(ReplicatedStore shared, MembershipView roster, int configured) {
         this.shared = shared;
         this.roster = roster;
         this.configured = configured;
         Member member = roster.self().member();
-        self = new Member(Keys.name(member.name()), member.boot());
-        shared.each(Use.KIND, this::heard);
-        shared.listen(Use.KIND, (key, use, now) -> heard(key, use));
+        self = new Member(Keys.name(member.name()), member.incarnation());
+        shared.forEach(Use.KIND, this::heard);
+        shared.addListener(Use.KIND, (key, use, now) -> heard(key, use));
     }
 
     private void heard(String key, Use use) {
@@ -119,11 +119,11 @@
     public boolean cutOff(double now) {
         remember(now);
         int should = Math.max(1 + known.size(), configured);
-        return should > 1 && 2 * (1 + roster.others().size()) <= should;
+        return should > 1 && 2 * (1 + roster.livePeers().size()) <= should;
     }
 
     private void remember(double now) {
-        for (Peer peer : roster.others()) {
+        for (Peer peer : roster.livePeers()) {
             String name = Keys.name(peer.member().name());
             if (known.size() < MOST_KNOWN || known.containsKey(name)) {
                 known.put(name, now);
@@ -135,10 +135,10 @@
     /** The others that may use of the limit, those included that only fell silent: the boot of each by its name. */
     private Map<String, Long> serving(double now) {
         var boots = new HashMap<String, Long>();
-        roster.mayServe(now).forEach(member -> boots.merge(Keys.name(member.name()), member.boot(), Math::max));
-        roster.others()
+        roster.possiblyServing(now).forEach(member -> boots.merge(Keys.name(member.name()), member.incarnation(), Math::max));
+        roster.livePeers()
                 .forEach(peer -> boots.merge(
-                        Keys.name(peer.member().name()), peer.member().boot(), Math::max));
+                        Keys.name(peer.member().name()), peer.member().incarnation(), Math::max));
         boots.remove(self.name());
         return boots;
     }
@@ -149,7 +149,7 @@
         for (Map.Entry<Member, Use> entry :
                 told.getOrDefault(limit.name, Map.of()).entrySet()) {
             Long boot = serve.get(entry.getKey().name());
-            if (boot == null || entry.getKey().boot() < boot) {
+            if (boot == null || entry.getKey().incarnation() < boot) {
                 double windows = (now - entry.getValue().at()) / limit.window;
                 sum += entry.getValue().rate() * limit.window * Math.max(0, Math.min(1, 2 - windows));
             }
@@ -161,7 +161,7 @@
     private Own own(Limit limit, double now) {
         Own used = own.get(limit.name);
         if (used == null && own.size() >= MOST_LIMITS) {
-            own.values().removeIf(unused -> unused.usedAt < now - Use.KIND.keep());
+            own.values().removeIf(unused -> unused.usedAt < now - Use.KIND.retentionSeconds());
         }
         if (used == null && own.size() < MOST_LIMITS) {
             used = new Own(limit.window);
@@ -190,11 +190,11 @@
                     && now >= used.toldAt + Math.max(used.window / 2, members / TOLD_A_SECOND)) {
                 used.toldTotal = used.total;
                 used.toldAt = now;
-                shared.put(
+                shared.merge(
                         Use.KIND, Use.key(limit, self), new Use(used.total, used.recent(now) / used.window, now), now);
             }
         });
-        told.values().forEach(uses -> uses.values().removeIf(use -> use.at() < now - Use.KIND.keep()));
+        told.values().forEach(uses -> uses.values().removeIf(use -> use.at() < now - Use.KIND.retentionSeconds()));
         told.values().removeIf(Map::isEmpty);
     }
 }
--- a/fleet/src/main/java/clayhook/fleet/kinds/Use.java
+++ b/fleet/src/main/java/clayhook/fleet/kinds/Use.java
@@ -1,9 +1,9 @@
 package clayhook.fleet.kinds;
 
-import clayhook.fleet.Kind;
+import clayhook.fleet.ReplicatedType;
 import clayhook.fleet.Member;
-import clayhook.fleet.Reader;
-import clayhook.fleet.Writer;
+import clayhook.fleet.FieldReader;
+import clayhook.fleet.FieldWriter;
 import java.util.List;
 
 /**
@@ -24,9 +24,9 @@
     /** Units beyond any limit. */
     private static final double MOST = 1e15;
 
-    public static final Kind<Use> KIND = new Kind<>() {
+    public static final ReplicatedType<Use> KIND = new ReplicatedType<>() {
         @Override
-        public int number() {
+        public int typeNumber() {
             return 5;
         }
 
@@ -36,14 +36,14 @@
         }
 
         @Override
-        public Use join(Use a, Use b) {
+        public Use merge(Use a, Use b) {
             int later = a.at != b.at ? Double.compare(a.at, b.at) : Double.compare(a.rate, b.rate);
             Use rate = later >= 0 ? a : b;
             return new Use(Math.max(a.total, b.total), rate.rate, rate.at);
         }
 
         @Override
-        public double at(Use value) {
+        public double timestamp(Use value) {
             return value.at;
         }
 
@@ -51,7 +51,7 @@
          * Seconds: more than two windows of any limit, after which what a router that vanished has used counts no more.
          */
         @Override
-        public double keep() {
+        public double retentionSeconds() {
             return 60;
         }
 
@@ -60,18 +60,18 @@
          * go.
          */
         @Override
-        public int most() {
+        public int maxEntries() {
             return 32_768;
         }
 
         @Override
-        public void write(Use value, Writer out) {
-            out.number(value.total).number(value.rate).number(value.at);
+        public void write(Use value, FieldWriter out) {
+            out.writeDouble(value.total).writeDouble(value.rate).writeDouble(value.at);
         }
 
         @Override
-        public Use read(Reader in) {
-            return new Use(in.number(), in.number(), in.number());
+        public Use read(FieldReader in) {
+            return new Use(in.readDouble(), in.readDouble(), in.readDouble());
         }
     };
 
@@ -88,7 +88,7 @@
 
     /** {@code limit}: the name of a {@link Shares.Limit}. */
     static String key(String limit, Member member) {
-        return Keys.of(limit, Keys.name(member.name()), Long.toString(member.boot()));
+        return Keys.of(limit, Keys.name(member.name()), Long.toString(member.incarnation()));
     }
 
     /** The limit within a key, and whose use it is; null where another release made the key. */
--- a/fleet/src/main/java/clayhook/fleet/members/Claim.java
+++ b/fleet/src/main/java/clayhook/fleet/members/Claim.java
@@ -4,8 +4,8 @@
 import clayhook.fleet.Member;
 import clayhook.fleet.Packet;
 import clayhook.fleet.Peer;
-import clayhook.fleet.Reader;
-import clayhook.fleet.Writer;
+import clayhook.fleet.FieldReader;
+import clayhook.fleet.FieldWriter;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
@@ -32,7 +32,7 @@
      * everywhere.
      */
     static final Comparator<Peer> LIFE = (a, b) -> {
-        int order = Long.compare(a.member().boot(), b.member().boot());
+        int order = Long.compare(a.member().incarnation(), b.member().incarnation());
         order = order != 0 ? order : a.address().host().compareTo(b.address().host());
         return order != 0
                 ? order
@@ -106,41 +106,41 @@
         return room;
     }
 
-    void write(Writer out) {
-        out.text(name())
-                .whole(peer.member().boot())
-                .text(peer.address().host())
-                .whole(peer.address().port());
-        out.whole(standing.ordinal()).whole(counter).whole(accusers.size());
-        accusers.forEach(out::whole);
+    void write(FieldWriter out) {
+        out.writeNullableString(name())
+                .writeLong(peer.member().incarnation())
+                .writeNullableString(peer.address().host())
+                .writeLong(peer.address().port());
+        out.writeLong(standing.ordinal()).writeLong(counter).writeLong(accusers.size());
+        accusers.forEach(out::writeLong);
     }
 
-    static Claim read(Reader in) {
-        String name = in.name();
-        if (name.length() > Packet.LONGEST_NAME) {
+    static Claim read(FieldReader in) {
+        String name = in.readNonEmptyString();
+        if (name.length() > Packet.MAX_NAME_LENGTH) {
             throw new IllegalArgumentException("a name of " + name.length() + " characters");
         }
-        var member = new Member(name, in.whole());
+        var member = new Member(name, in.readLong());
         Address address = address(in);
-        int standing = in.small(Standing.values().length);
+        int standing = in.readIntBelow(Standing.values().length);
         long counter = counter(in);
         var accusers = new ArrayList<Long>();
-        for (int left = in.small(MOST_ACCUSERS + 1); left > 0; left--) {
-            accusers.add(in.whole());
+        for (int left = in.readIntBelow(MOST_ACCUSERS + 1); left > 0; left--) {
+            accusers.add(in.readLong());
         }
         return new Claim(new Peer(member, address), Standing.values()[standing], counter, accusers);
     }
 
-    static Address address(Reader in) {
-        String host = in.name();
+    static Address address(FieldReader in) {
+        String host = in.readNonEmptyString();
         if (host.length() > LONGEST_HOST) {
             throw new IllegalArgumentException("a host of " + host.length() + " characters");
         }
-        return new Address(host, in.small(1 << 16));
+        return new Address(host, in.readIntBelow(1 << 16));
     }
 
-    static long counter(Reader in) {
-        long counter = in.whole();
+    static long counter(FieldReader in) {
+        long counter = in.readLong();
         if (counter < 0 || counter >= COUNTERS) {
             throw new IllegalArgumentException("a counter of " + counter);
         }
--- a/fleet/src/main/java/clayhook/fleet/members/Leveller.java
+++ b/fleet/src/main/java/clayhook/fleet/members/Leveller.java
@@ -78,7 +78,7 @@
         int from = 0;
         for (int left = PAGES; left > 0 && pages >= 1 && from < differing.size(); left--, pages--) {
             var claims = new ArrayList<Word.Page.Aged>();
-            int room = Packet.LONGEST_PART - FRAME;
+            int room = Packet.MAX_MESSAGE_BYTES - FRAME;
             for (;
                     from < differing.size()
                             && (room -= differing.get(from).claim().room() + 9) >= 0;
--- a/fleet/src/main/java/clayhook/fleet/members/Members.java
+++ b/fleet/src/main/java/clayhook/fleet/members/Members.java
@@ -1,13 +1,13 @@
 package clayhook.fleet.members;
 
 import clayhook.fleet.Address;
-import clayhook.fleet.Machine;
+import clayhook.fleet.ProtocolHandler;
 import clayhook.fleet.Member;
 import clayhook.fleet.Outbox;
-import clayhook.fleet.Part;
+import clayhook.fleet.Message;
 import clayhook.fleet.Peer;
-import clayhook.fleet.Reader;
-import clayhook.fleet.Roster;
+import clayhook.fleet.FieldReader;
+import clayhook.fleet.MembershipView;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
@@ -18,7 +18,7 @@
  * (Dadgar, Phillips, Currey 2017). Times are seconds since 1970 on one clock that never goes back while it runs, though
  * it may be off. For one thread.
  */
-public final class Members implements Machine, Roster {
+public final class Members implements ProtocolHandler, MembershipView {
     /** Hears what changes in the roster, after it has changed; what it does may read the roster. */
     public interface Listener {
         /** A life that was not known, or came back after it was forgotten. */
@@ -102,12 +102,12 @@
     }
 
     @Override
-    public Map<Integer, Function<Reader, ? extends Part>> parts() {
+    public Map<Integer, Function<FieldReader, ? extends Message>> messageReaders() {
         return Word.READERS;
     }
 
     @Override
-    public void heard(Peer from, Part part, double now, Outbox out) {
+    public void onMessage(Peer from, Message part, double now, Outbox out) {
         if (from.member().equals(self.member())) {
             return; // a seed of ours that is ourselves
         }
@@ -141,7 +141,7 @@
     }
 
     @Override
-    public double turn(double now, Outbox out) {
+    public double tick(double now, Outbox out) {
         awake(now);
         return health.wants(Math.max(now, work(now, out)));
     }
@@ -355,41 +355,41 @@
     }
 
     @Override
-    public List<Peer> others() {
+    public List<Peer> livePeers() {
         return register.others();
     }
 
     @Override
-    public List<Member> mayServe(double now) {
+    public List<Member> possiblyServing(double now) {
         return register.mayServe(now - settings.deadAfter());
     }
 
     @Override
-    public boolean lives(Member member) {
+    public boolean isLive(Member member) {
         Known known = register.known(member);
         return known != null && known.lives();
     }
 
     @Override
-    public double heardAt(Member member) {
+    public double lastHeardAt(Member member) {
         Known known = register.known(member);
         return known == null ? Double.NEGATIVE_INFINITY : known.heardAt;
     }
 
     @Override
-    public double ahead(Member member) {
+    public double clockOffset(Member member) {
         Known known = register.known(member);
         return known == null ? Double.NaN : known.skew.ahead();
     }
 
     @Override
-    public boolean timely(Member member) {
+    public boolean clockWithinBound(Member member) {
         Known known = register.known(member);
         return known == null || !known.clockOff;
     }
 
     @Override
-    public boolean doubtful(double now) {
+    public boolean recentlyStalled(double now) {
         return health.doubtful(now);
     }
 
--- a/fleet/src/main/java/clayhook/fleet/members/Register.java
+++ b/fleet/src/main/java/clayhook/fleet/members/Register.java
@@ -170,7 +170,7 @@
         return Hashing.komihash5_0()
                 .hashStream()
                 .putString(peer.member().name())
-                .putLong(peer.member().boot())
+                .putLong(peer.member().incarnation())
                 .putString(peer.address().host())
                 .putInt(peer.address().port())
                 .putLong(claim.counter())
--- a/fleet/src/main/java/clayhook/fleet/members/Word.java
+++ b/fleet/src/main/java/clayhook/fleet/members/Word.java
@@ -3,21 +3,21 @@
 import clayhook.fleet.Address;
 import clayhook.fleet.Member;
 import clayhook.fleet.Packet;
-import clayhook.fleet.Part;
+import clayhook.fleet.Message;
 import clayhook.fleet.Peer;
-import clayhook.fleet.Reader;
-import clayhook.fleet.Writer;
+import clayhook.fleet.FieldReader;
+import clayhook.fleet.FieldWriter;
 import java.nio.ByteBuffer;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Function;
 
 /** What members say to each other. Times are seconds since 1970 on the clock of whoever wrote them. */
-sealed interface Word extends Part {
-    Map<Integer, Function<Reader, ? extends Part>> READERS = Map.of(
+sealed interface Word extends Message {
+    Map<Integer, Function<FieldReader, ? extends Message>> READERS = Map.of(
             1, Probe::read, 2, Ack::read, 3, Errand::read, 4, Done::read, 5, News::read, 6, Ask::read, 7, Page::read);
     /** More claims than fit. */
-    int MOST_CLAIMS = Packet.LONGEST_PART;
+    int MOST_CLAIMS = Packet.MAX_MESSAGE_BYTES;
 
     /**
      * Are you there? Says who asks as well, so that a probe is all it takes to be found.
@@ -27,22 +27,22 @@
      */
     record Probe(long sequence, double sentAt, long digest, Address address, long counter) implements Word {
         @Override
-        public int number() {
+        public int typeNumber() {
             return 1;
         }
 
         @Override
-        public void write(Writer out) {
-            out.whole(sequence)
-                    .number(sentAt)
-                    .whole(digest)
-                    .text(address.host())
-                    .whole(address.port())
-                    .whole(counter);
+        public void write(FieldWriter out) {
+            out.writeLong(sequence)
+                    .writeDouble(sentAt)
+                    .writeLong(digest)
+                    .writeNullableString(address.host())
+                    .writeLong(address.port())
+                    .writeLong(counter);
         }
 
-        static Probe read(Reader in) {
-            return new Probe(in.whole(), in.number(), in.whole(), Claim.address(in), Claim.counter(in));
+        static Probe read(FieldReader in) {
+            return new Probe(in.readLong(), in.readDouble(), in.readLong(), Claim.address(in), Claim.counter(in));
         }
     }
 
@@ -54,97 +54,97 @@
      */
     record Ack(long sequence, double sentAt, double gotAt, long digest, Address address, long counter) implements Word {
         @Override
-        public int number() {
+        public int typeNumber() {
             return 2;
         }
 
         @Override
-        public void write(Writer out) {
-            out.whole(sequence).number(sentAt).number(gotAt).whole(digest);
-            out.text(address.host()).whole(address.port()).whole(counter);
+        public void write(FieldWriter out) {
+            out.writeLong(sequence).writeDouble(sentAt).writeDouble(gotAt).writeLong(digest);
+            out.writeNullableString(address.host()).writeLong(address.port()).writeLong(counter);
         }
 
-        static Ack read(Reader in) {
-            return new Ack(in.whole(), in.number(), in.number(), in.whole(), Claim.address(in), Claim.counter(in));
+        static Ack read(FieldReader in) {
+            return new Ack(in.readLong(), in.readDouble(), in.readDouble(), in.readLong(), Claim.address(in), Claim.counter(in));
         }
     }
 
     /** Ask that one for me. */
     record Errand(long sequence, Peer target) implements Word {
         @Override
-        public int number() {
+        public int typeNumber() {
             return 3;
         }
 
         @Override
-        public void write(Writer out) {
-            out.whole(sequence)
-                    .text(target.member().name())
-                    .whole(target.member().boot());
-            out.text(target.address().host()).whole(target.address().port());
+        public void write(FieldWriter out) {
+            out.writeLong(sequence)
+                    .writeNullableString(target.member().name())
+                    .writeLong(target.member().incarnation());
+            out.writeNullableString(target.address().host()).writeLong(target.address().port());
         }
 
-        static Errand read(Reader in) {
-            return new Errand(in.whole(), new Peer(new Member(in.name(), in.whole()), Claim.address(in)));
+        static Errand read(FieldReader in) {
+            return new Errand(in.readLong(), new Peer(new Member(in.readNonEmptyString(), in.readLong()), Claim.address(in)));
         }
     }
 
     /** I asked; it answered, or has not yet. */
     record Done(long sequence, boolean answered) implements Word {
         @Override
-        public int number() {
+        public int typeNumber() {
             return 4;
         }
 
         @Override
-        public void write(Writer out) {
-            out.whole(sequence).flag(answered);
+        public void write(FieldWriter out) {
+            out.writeLong(sequence).writeBoolean(answered);
         }
 
-        static Done read(Reader in) {
-            return new Done(in.whole(), in.flag());
+        static Done read(FieldReader in) {
+            return new Done(in.readLong(), in.readBoolean());
         }
     }
 
     /** Claims that are new to whoever tells them, or that concern the one who is told. */
     record News(List<Claim> claims) implements Word {
         @Override
-        public int number() {
+        public int typeNumber() {
             return 5;
         }
 
         @Override
-        public void write(Writer out) {
-            out.begin();
+        public void write(FieldWriter out) {
+            out.beginList();
             for (Claim claim : claims) {
-                out.begin();
+                out.beginList();
                 claim.write(out);
-                out.end();
+                out.endList();
             }
-            out.end();
+            out.endList();
         }
 
-        static News read(Reader in) {
-            return new News(in.lists(MOST_CLAIMS, Claim::read));
+        static News read(FieldReader in) {
+            return new News(in.readLists(MOST_CLAIMS, Claim::read));
         }
     }
 
     /** These are the digests of my roster, by hash of the name; tell me where yours differs. */
     record Ask(int[] digests) implements Word {
         @Override
-        public int number() {
+        public int typeNumber() {
             return 6;
         }
 
         @Override
-        public void write(Writer out) {
+        public void write(FieldWriter out) {
             var bytes = ByteBuffer.allocate(Integer.BYTES * digests.length);
             bytes.asIntBuffer().put(digests);
-            out.bytes(bytes.array());
+            out.writeBytes(bytes.array());
         }
 
-        static Ask read(Reader in) {
-            byte[] bytes = in.bytes();
+        static Ask read(FieldReader in) {
+            byte[] bytes = in.readBytes();
             int[] digests = new int[Register.BUCKETS];
             if (bytes.length != Integer.BYTES * digests.length) {
                 throw new IllegalArgumentException(bytes.length + " bytes of digests");
@@ -158,29 +158,29 @@
     record Page(List<Aged> claims) implements Word {
         /** @param age seconds since that standing began, as far as whoever tells it knows */
         record Aged(Claim claim, double age) {
-            private static Aged read(Reader in) {
-                return new Aged(Claim.read(in), Math.max(0, in.number()));
+            private static Aged read(FieldReader in) {
+                return new Aged(Claim.read(in), Math.max(0, in.readDouble()));
             }
         }
 
         @Override
-        public int number() {
+        public int typeNumber() {
             return 7;
         }
 
         @Override
-        public void write(Writer out) {
-            out.begin();
+        public void write(FieldWriter out) {
+            out.beginList();
             for (Aged aged : claims) {
-                out.begin();
+                out.beginList();
                 aged.claim.write(out);
-                out.whole((long) aged.age).end();
+                out.writeLong((long) aged.age).endList();
             }
-            out.end();
+            out.endList();
         }
 
-        static Page read(Reader in) {
-            return new Page(in.lists(MOST_CLAIMS, Aged::read));
+        static Page read(FieldReader in) {
+            return new Page(in.readLists(MOST_CLAIMS, Aged::read));
         }
     }
 }
--- a/fleet/src/main/java/clayhook/fleet/state/Answers.java
+++ b/fleet/src/main/java/clayhook/fleet/state/Answers.java
@@ -116,7 +116,7 @@
     /** All that the other lacks in the range, as far as it fits. */
     private <V> Word.Entries range(Word.AskRange ask, Table<V> table) {
         var entries = new ArrayList<Word.Entry>();
-        int room = Packet.LONGEST_PART - Word.FRAME;
+        int room = Packet.MAX_MESSAGE_BYTES - Word.FRAME;
         long had = 0;
         long upTo = ask.to();
         boolean full = false;
--- a/fleet/src/main/java/clayhook/fleet/state/Copy.java
+++ b/fleet/src/main/java/clayhook/fleet/state/Copy.java
@@ -1,9 +1,9 @@
 package clayhook.fleet.state;
 
-import clayhook.fleet.Kind;
+import clayhook.fleet.ReplicatedType;
 import clayhook.fleet.Member;
-import clayhook.fleet.Reader;
-import clayhook.fleet.Roster;
+import clayhook.fleet.FieldReader;
+import clayhook.fleet.MembershipView;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
@@ -15,21 +15,21 @@
     /** Kinds whose roots fit into one part. */
     private static final int MOST_KINDS = 32;
 
-    private final Roster roster;
+    private final MembershipView roster;
     private final StateSettings settings;
     private final StateCounts counts;
     /** Filled at the start only. */
     private final Map<Integer, Table<?>> tables = new TreeMap<>();
 
-    Copy(Roster roster, List<Kind<?>> kinds, StateSettings settings, StateCounts counts) {
+    Copy(MembershipView roster, List<ReplicatedType<?>> kinds, StateSettings settings, StateCounts counts) {
         this.roster = roster;
         this.settings = settings;
         this.counts = counts;
-        for (Kind<?> kind : kinds) {
-            boolean fits = kind.number() >= 0 && kind.number() < Word.MOST_KINDS && tables.size() < MOST_KINDS;
-            if (!fits || tables.put(kind.number(), new Table<>(kind, settings)) != null) {
+        for (ReplicatedType<?> kind : kinds) {
+            boolean fits = kind.typeNumber() >= 0 && kind.typeNumber() < Word.MOST_KINDS && tables.size() < MOST_KINDS;
+            if (!fits || tables.put(kind.typeNumber(), new Table<>(kind, settings)) != null) {
                 throw new IllegalArgumentException(
-                        "no room for the kind " + kind.name() + " with number " + kind.number());
+                        "no room for the kind " + kind.name() + " with number " + kind.typeNumber());
             }
         }
     }
@@ -50,8 +50,8 @@
     }
 
     @SuppressWarnings("unchecked") // a table is filed under its own kind
-    <V> Table<V> table(Kind<V> kind) {
-        Table<?> table = tables.get(kind.number());
+    <V> Table<V> table(ReplicatedType<V> kind) {
+        Table<?> table = tables.get(kind.typeNumber());
         if (table == null || table.kind != kind) {
             throw new IllegalArgumentException("not a kind of this copy: " + kind.name());
         }
@@ -60,7 +60,7 @@
 
     /** Whether what that member says on that kind counts. */
     boolean hears(Member from, Table<?> table) {
-        return !table.kind.timed() || roster.timely(from);
+        return !table.kind.clockDependent() || roster.clockWithinBound(from);
     }
 
     /** Joins in a value that came from that member. */
@@ -74,7 +74,7 @@
     private <V> Fate read(Table<V> table, String key, long hash, byte[] value, double now) {
         V read;
         try {
-            read = table.kind.read(new Reader(value));
+            read = table.kind.read(new FieldReader(value));
         } catch (IllegalArgumentException e) {
             return Fate.UNREADABLE;
         }
@@ -101,6 +101,6 @@
     }
 
     static Word.Root root(Table<?> table) {
-        return new Word.Root(table.kind.number(), table.cutoff(), table.floor(), table.tree.sum(0, 0));
+        return new Word.Root(table.kind.typeNumber(), table.cutoff(), table.floor(), table.tree.sum(0, 0));
     }
 }
--- a/fleet/src/main/java/clayhook/fleet/state/Keys.java
+++ b/fleet/src/main/java/clayhook/fleet/state/Keys.java
@@ -26,7 +26,7 @@
 
     /** Stands for a life of a router on the wire. */
     static long id(Member member) {
-        return HASHER.hashLongLongToLong(HASHER.hashCharsToLong(member.name()), member.boot());
+        return HASHER.hashLongLongToLong(HASHER.hashCharsToLong(member.name()), member.incarnation());
     }
 
     /** Bytes of the key in UTF-8; negative for an empty key and for what is no text. */
--- a/fleet/src/main/java/clayhook/fleet/state/Origins.java
+++ b/fleet/src/main/java/clayhook/fleet/state/Origins.java
@@ -1,7 +1,7 @@
 package clayhook.fleet.state;
 
 import clayhook.fleet.Member;
-import clayhook.fleet.Roster;
+import clayhook.fleet.MembershipView;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -20,7 +20,7 @@
 
     private static final double MS = 1000;
 
-    private final Roster roster;
+    private final MembershipView roster;
     private final StateSettings settings;
     private final long self;
     /** Emptied by {@link #tidy}; at most {@link #STRANGERS} more than may serve. */
@@ -33,7 +33,7 @@
     /** Whose pair is told next. */
     private int turn;
 
-    Origins(Roster roster, StateSettings settings, int turn, double now) {
+    Origins(MembershipView roster, StateSettings settings, int turn, double now) {
         this.roster = roster;
         this.settings = settings;
         this.turn = turn;
@@ -77,7 +77,7 @@
         Track known = byMember.get(member);
         if (known == null) {
             known = track(Keys.id(member), now);
-            known.began(member.boot() / MS);
+            known.began(member.incarnation() / MS);
             byMember.put(member, known);
         }
         return known;
@@ -108,7 +108,7 @@
 
     /** The next ones in turn that fit into so many bytes; the own one is always among them. */
     List<Word.Pair> piece(int bytes, double now) {
-        List<Member> members = roster.mayServe(now);
+        List<Member> members = roster.possiblyServing(now);
         var out = new ArrayList<Word.Pair>(List.of(own(now)));
         int room = bytes - room(out.get(0), now);
         for (int i = 0; i < members.size(); i++) {
@@ -151,7 +151,7 @@
 
     /** Those of whom something has been missing here for longer than that; with {@code all}, all. */
     List<Member> lacking(boolean all, double longer, double now) {
-        return roster.mayServe(now).stream()
+        return roster.possiblyServing(now).stream()
                 .filter(member -> all || of(member, now).lacks(longer, now))
                 .toList();
     }
@@ -159,12 +159,12 @@
     /** Up to when all is here that anyone put in who may serve, on this router's clock. */
     double certain(double now) {
         double least = now;
-        for (Member member : roster.mayServe(now)) {
+        for (Member member : roster.possiblyServing(now)) {
             // What a router whose clock is off puts in is not heard, so nothing can be said of it.
-            if (!roster.timely(member)) {
+            if (!roster.clockWithinBound(member)) {
                 return Double.NEGATIVE_INFINITY;
             }
-            double ahead = roster.ahead(member);
+            double ahead = roster.clockOffset(member);
             least = Math.min(least, of(member, now).sure() - (Double.isNaN(ahead) ? settings.clockBound() : ahead));
         }
         return least;
@@ -172,7 +172,7 @@
 
     /** Forgets who may no more serve. */
     void tidy(double now) {
-        byMember.keySet().retainAll(new HashSet<>(roster.mayServe(now)));
+        byMember.keySet().retainAll(new HashSet<>(roster.possiblyServing(now)));
         var named = new HashSet<>(byMember.values());
         byId.values().removeIf(track -> !named.contains(track) && track.touched + REMEMBERED < now);
     }
--- a/fleet/src/main/java/clayhook/fleet/state/Rumours.java
+++ b/fleet/src/main/java/clayhook/fleet/state/Rumours.java
@@ -181,7 +181,7 @@
         for (Rumour ring : rings) {
             for (Rumour rumour = ring.behind; rumour != ring; rumour = rumour.behind) {
                 byte[] value = rumour.table.bytes(rumour.key, rumour.hash);
-                var told = new Word.Told(rumour.table.kind.number(), rumour.key, value, rumour.numbers());
+                var told = new Word.Told(rumour.table.kind.typeNumber(), rumour.key, value, rumour.numbers());
                 if (told.room() > room) {
                     if (out.size() == parts) {
                         break all;
--- a/fleet/src/main/java/clayhook/fleet/state/State.java
+++ b/fleet/src/main/java/clayhook/fleet/state/State.java
@@ -1,14 +1,14 @@
 package clayhook.fleet.state;
 
-import clayhook.fleet.Kind;
-import clayhook.fleet.Machine;
+import clayhook.fleet.ReplicatedType;
+import clayhook.fleet.ProtocolHandler;
 import clayhook.fleet.Outbox;
 import clayhook.fleet.Packet;
-import clayhook.fleet.Part;
+import clayhook.fleet.Message;
 import clayhook.fleet.Peer;
-import clayhook.fleet.Reader;
-import clayhook.fleet.Roster;
-import clayhook.fleet.Shared;
+import clayhook.fleet.FieldReader;
+import clayhook.fleet.MembershipView;
+import clayhook.fleet.ReplicatedStore;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -37,13 +37,13 @@
  *
  * <p>For one thread. Take a turn at once after putting in a value of an urgent kind.
  */
-public final class State implements Machine, Shared {
+public final class State implements ProtocolHandler, ReplicatedStore {
     /** Seconds between two times at which members that went are forgotten. */
     private static final double TIDY = 5;
     /** Rounds beyond those in which everyone would hear if no word were lost or wasted. */
     private static final int SPARE_ROUNDS = 2;
 
-    private final Roster roster;
+    private final MembershipView roster;
     private final StateSettings settings;
     private final SplittableRandom random;
     private final StateCounts counts = new StateCounts();
@@ -61,7 +61,7 @@
     private double nextTidy;
 
     /** @param kinds at most 32, numbers below 256 */
-    public State(Roster roster, List<Kind<?>> kinds, StateSettings settings, long seed, double now) {
+    public State(MembershipView roster, List<ReplicatedType<?>> kinds, StateSettings settings, long seed, double now) {
         this.roster = roster;
         this.settings = settings;
         random = new SplittableRandom(seed);
@@ -92,7 +92,7 @@
      * (1,000 bytes together); counted by reason.
      */
     @Override
-    public <V> V put(Kind<V> kind, String key, V value, double now) {
+    public <V> V merge(ReplicatedType<V> kind, String key, V value, double now) {
         Table<V> table = copy.table(kind);
         long hash = Keys.hash(key);
         Fate fate = copy.counted(table.merge(key, hash, value, now));
@@ -112,12 +112,12 @@
     }
 
     @Override
-    public <V> V get(Kind<V> kind, String key) {
+    public <V> V get(ReplicatedType<V> kind, String key) {
         return copy.table(kind).get(key);
     }
 
     @Override
-    public <V> void each(Kind<V> kind, BiConsumer<String, V> to) {
+    public <V> void forEach(ReplicatedType<V> kind, BiConsumer<String, V> to) {
         Table<V> table = copy.table(kind);
         for (int slot = table.firstFrom(0); slot >= 0; slot = table.after(slot)) {
             to.accept(table.key(slot), table.value(slot));
@@ -125,39 +125,39 @@
     }
 
     @Override
-    public <V> void listen(Kind<V> kind, Listener<V> listener) {
+    public <V> void addListener(ReplicatedType<V> kind, ChangeListener<V> listener) {
         copy.table(kind).listen(listener);
     }
 
     @Override
-    public int size(Kind<?> kind) {
+    public int size(ReplicatedType<?> kind) {
         return copy.table(kind).size();
     }
 
     @Override
-    public double floor(Kind<?> kind) {
+    public double evictionFloor(ReplicatedType<?> kind) {
         return copy.table(kind).floor();
     }
 
     @Override
-    public double certainUpTo(double now) {
-        return roster.doubtful(now) || !walks.whole(now) ? Double.NEGATIVE_INFINITY : origins.certain(now);
+    public double completeUpTo(double now) {
+        return roster.recentlyStalled(now) || !walks.whole(now) ? Double.NEGATIVE_INFINITY : origins.certain(now);
     }
 
     @Override
-    public long digest(Kind<?> kind, double now) {
+    public long digest(ReplicatedType<?> kind, double now) {
         Table<?> table = copy.table(kind);
         table.sweep(now, settings.sweep());
         return table.tree.sum(0, 0);
     }
 
     @Override
-    public Map<Integer, Function<Reader, ? extends Part>> parts() {
+    public Map<Integer, Function<FieldReader, ? extends Message>> messageReaders() {
         return Word.readers();
     }
 
     @Override
-    public void heard(Peer from, Part part, double now, Outbox out) {
+    public void onMessage(Peer from, Message part, double now, Outbox out) {
         if (part instanceof Word.News news) {
             news(from, news, now);
         } else if (part instanceof Word.Entries entries) {
@@ -237,7 +237,7 @@
     }
 
     @Override
-    public double turn(double now, Outbox out) {
+    public double tick(double now, Outbox out) {
         if (now - lastTurn > settings.stood()) {
             walks.stood(now);
         }
@@ -275,10 +275,10 @@
     }
 
     private void tell(Rumours rumours, double now, Outbox out) {
-        if (rumours.isEmpty() || roster.others().isEmpty() || !newsAllowance.open(now)) {
+        if (rumours.isEmpty() || roster.livePeers().isEmpty() || !newsAllowance.open(now)) {
             return;
         }
-        List<List<Word.Told>> parts = rumours.next(settings.newsParts(), Packet.LONGEST_PART - Word.FRAME, rounds());
+        List<List<Word.Told>> parts = rumours.next(settings.newsParts(), Packet.MAX_MESSAGE_BYTES - Word.FRAME, rounds());
         for (Peer peer : some()) {
             for (List<Word.Told> part : parts) {
                 int bytes = Word.FRAME + part.stream().mapToInt(Word.Told::room).sum();
@@ -292,11 +292,11 @@
 
     /** In how many rounds a rumour is told. */
     private int rounds() {
-        return (int) Math.ceil(Math.log(roster.others().size() + 1) / Math.log(settings.fanout() + 1)) + SPARE_ROUNDS;
+        return (int) Math.ceil(Math.log(roster.livePeers().size() + 1) / Math.log(settings.fanout() + 1)) + SPARE_ROUNDS;
     }
 
     private List<Peer> some() {
-        List<Peer> others = roster.others();
+        List<Peer> others = roster.livePeers();
         if (others.size() <= settings.fanout()) {
             return others;
         }
@@ -311,13 +311,13 @@
     }
 
     private void pairs(double now, Outbox out) {
-        List<Peer> others = roster.others();
+        List<Peer> others = roster.livePeers();
         if (now < nextPairs || others.isEmpty()) {
             nextPairs = others.isEmpty() ? now + settings.pairsEvery() : nextPairs;
             return;
         }
         nextPairs = now + settings.pairsEvery();
-        List<Word.Pair> piece = origins.piece(Packet.LONGEST_PART - Word.FRAME, now);
+        List<Word.Pair> piece = origins.piece(Packet.MAX_MESSAGE_BYTES - Word.FRAME, now);
         counts.pairsBytes += Word.FRAME + (long) Word.TAG * piece.size();
         out.add(others.get(random.nextInt(others.size())).address(), new Word.Pairs(0, 0, now, piece));
     }
--- a/fleet/src/main/java/clayhook/fleet/state/Table.java
+++ b/fleet/src/main/java/clayhook/fleet/state/Table.java
@@ -1,8 +1,8 @@
 package clayhook.fleet.state;
 
-import clayhook.fleet.Kind;
-import clayhook.fleet.Shared;
-import clayhook.fleet.Writer;
+import clayhook.fleet.ReplicatedType;
+import clayhook.fleet.ReplicatedStore;
+import clayhook.fleet.FieldWriter;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -10,7 +10,7 @@
 
 /**
  * The entries of one kind, kept by the hash of their keys so that ranges of hashes come in order. Holds at most
- * {@link Kind#most()} entries; they go when they are past their time or at the bound. An entry out of its time is never
+ * {@link ReplicatedType#maxEntries()} entries; they go when they are past their time or at the bound. An entry out of its time is never
  * taken, so that nothing that was dropped comes back and nothing has to be remembered of it.
  *
  * <p>An entry takes some 56 bytes beside its key and value, measured with 100,000; just after the arrays grew half as
@@ -23,10 +23,10 @@
     private static final int LEAST_BITS = 6;
     private static final int FIRST_SLOTS = 16;
 
-    final Kind<V> kind;
+    final ReplicatedType<V> kind;
     final Tree tree = new Tree();
-    /** Bounded by who calls {@link Shared#listen} once at the start. */
-    private final List<Shared.Listener<V>> listeners = new ArrayList<>();
+    /** Bounded by who calls {@link ReplicatedStore#addListener} once at the start. */
+    private final List<ReplicatedStore.ChangeListener<V>> listeners = new ArrayList<>();
 
     private Consumer<String> dropped = key -> {};
     private final double clockBound;
@@ -55,17 +55,17 @@
     private double cutoff = Double.NEGATIVE_INFINITY;
     private double floor = Double.NEGATIVE_INFINITY;
 
-    Table(Kind<V> kind, StateSettings settings) {
+    Table(ReplicatedType<V> kind, StateSettings settings) {
         this.kind = kind;
         clockBound = settings.clockBound();
         // A kind that is kept for seconds would else never be compared.
-        margin = Math.min(settings.margin(), kind.keep() / 4);
+        margin = Math.min(settings.margin(), kind.retentionSeconds() / 4);
         step = Math.min(1, margin / 2);
         heads = new int[1 << bits];
         Arrays.fill(heads, -1);
     }
 
-    void listen(Shared.Listener<V> listener) {
+    void listen(ReplicatedStore.ChangeListener<V> listener) {
         listeners.add(listener);
     }
 
@@ -88,18 +88,18 @@
 
     /** Joins that value in. */
     Fate merge(String key, long hash, V value, double now) {
-        double at = kind.at(value);
-        if (!Double.isFinite(at) || kind.timed() && at > now + clockBound) {
+        double at = kind.timestamp(value);
+        if (!Double.isFinite(at) || kind.clockDependent() && at > now + clockBound) {
             return Fate.FUTURE;
         }
-        if (at + kind.keep() <= now) {
+        if (at + kind.retentionSeconds() <= now) {
             return Fate.EXPIRED;
         }
         if (at <= floor) {
             return Fate.FLOORED;
         }
         int slot = find(key, hash);
-        V joined = slot < 0 ? value : kind.join(value(slot), value);
+        V joined = slot < 0 ? value : kind.merge(value(slot), value);
         if (slot >= 0 && joined.equals(value(slot))) {
             return Fate.SAME;
         }
@@ -109,20 +109,20 @@
         }
         slot = slot < 0 ? insert(key, hash) : detach(slot);
         attach(slot, joined, Keys.mark(hash, bytes));
-        while (size > kind.most()) {
+        while (size > kind.maxEntries()) {
             floor = ages.at(oldest().oldest());
             dropTo(floor, Integer.MAX_VALUE);
         }
         if (find(key, hash) < 0) {
             return Fate.FLOORED;
         }
-        listeners.forEach(listener -> listener.changed(key, joined, now));
+        listeners.forEach(listener -> listener.onChange(key, joined, now));
         return Fate.CHANGED;
     }
 
     private static boolean fits(String key, byte[] value) {
         int bytes = Keys.bytes(key);
-        return bytes > 0 && bytes <= Shared.LONGEST_KEY && bytes + value.length <= LONGEST_ENTRY;
+        return bytes > 0 && bytes <= ReplicatedStore.MAX_KEY_BYTES && bytes + value.length <= LONGEST_ENTRY;
     }
 
     /** Whether the copy has just that value under that key, as far as hashes tell. */
@@ -148,9 +148,9 @@
     }
 
     byte[] encode(V value) {
-        var out = new Writer();
+        var out = new FieldWriter();
         kind.write(value, out);
-        return out.done();
+        return out.toByteArray();
     }
 
     String key(int slot) {
@@ -196,15 +196,15 @@
      * entries.
      */
     void sweep(double now, int most) {
-        int left = dropTo(Math.max(floor, now - kind.keep()), most);
+        int left = dropTo(Math.max(floor, now - kind.retentionSeconds()), most);
         fade(target(now), left);
     }
 
     /** Steps, so that the digests of two routers that compare at slightly different times leave out the same. */
     private double target(double now) {
-        return Double.isInfinite(kind.keep())
+        return Double.isInfinite(kind.retentionSeconds())
                 ? Double.NEGATIVE_INFINITY
-                : Math.floor((now - kind.keep() + margin) / step) * step;
+                : Math.floor((now - kind.retentionSeconds() + margin) / step) * step;
     }
 
     /** Two routers compare by the later of their cut-offs. */
@@ -216,7 +216,7 @@
 
     /** Floors join by the higher one. */
     void raise(double theirs, double now, int most) {
-        if (theirs > floor && (!kind.timed() || theirs <= now + clockBound) && theirs < Double.POSITIVE_INFINITY) {
+        if (theirs > floor && (!kind.clockDependent() || theirs <= now + clockBound) && theirs < Double.POSITIVE_INFINITY) {
             floor = theirs;
             dropTo(floor, most);
         }
@@ -284,7 +284,7 @@
     private void attach(int slot, V value, long mark) {
         values[slot] = value;
         marks[slot] = mark;
-        ages.set(slot, kind.at(value));
+        ages.set(slot, kind.timestamp(value));
         if (counted(slot)) {
             counted.add(slot);
             tree.add(hashes[slot], mark);
--- a/fleet/src/main/java/clayhook/fleet/state/Walk.java
+++ b/fleet/src/main/java/clayhook/fleet/state/Walk.java
@@ -157,7 +157,7 @@
         } else if (step instanceof Step.Node node) {
             question = new Asked(
                     step,
-                    new Word.AskNode(id, number, node.table.kind.number(), node.table.cutoff(), node.level, node.index),
+                    new Word.AskNode(id, number, node.table.kind.typeNumber(), node.table.cutoff(), node.level, node.index),
                     List.of(),
                     Word.FRAME);
         } else if (step instanceof Step.Range range) {
@@ -195,7 +195,7 @@
         }
         return new Asked(
                 new Step.Range(table, range.from, to),
-                new Word.AskRange(id, number, table.kind.number(), range.from, to, Arrays.copyOf(briefs, keys.size())),
+                new Word.AskRange(id, number, table.kind.typeNumber(), range.from, to, Arrays.copyOf(briefs, keys.size())),
                 keys,
                 Word.FRAME + 5 * keys.size());
     }
@@ -298,7 +298,7 @@
     /** Sends the other what it lacks, as far as one walk may. */
     private void push(Table<?> table, List<String> keys, long had, Outbox out) {
         var entries = new ArrayList<Word.Entry>();
-        int room = Packet.LONGEST_PART - Word.FRAME;
+        int room = Packet.MAX_MESSAGE_BYTES - Word.FRAME;
         for (int i = 0; i < keys.size() && pushed < settings.pushBytes(); i++) {
             byte[] value = (had >>> i & 1) == 0 ? table.bytes(keys.get(i), Keys.hash(keys.get(i))) : null;
             if (value == null) {
@@ -308,7 +308,7 @@
             if (entry.room() > room) {
                 push(table, entries, out);
                 entries = new ArrayList<>();
-                room = Packet.LONGEST_PART - Word.FRAME;
+                room = Packet.MAX_MESSAGE_BYTES - Word.FRAME;
             }
             entries.add(entry);
             room -= entry.room();
@@ -324,7 +324,7 @@
             counts.walkBytes += size;
             out.add(
                     peer.address(),
-                    new Word.Entries(0, 0, table.kind.number(), table.floor(), 0, 0, List.copyOf(entries)));
+                    new Word.Entries(0, 0, table.kind.typeNumber(), table.floor(), 0, 0, List.copyOf(entries)));
         }
     }
 }
--- a/fleet/src/main/java/clayhook/fleet/state/Walks.java
+++ b/fleet/src/main/java/clayhook/fleet/state/Walks.java
@@ -3,7 +3,7 @@
 import clayhook.fleet.Member;
 import clayhook.fleet.Outbox;
 import clayhook.fleet.Peer;
-import clayhook.fleet.Roster;
+import clayhook.fleet.MembershipView;
 import java.util.List;
 import java.util.Optional;
 import java.util.SplittableRandom;
@@ -20,7 +20,7 @@
      */
     private static final double LONGEST_REST = 4;
 
-    private final Roster roster;
+    private final MembershipView roster;
     private final Copy copy;
     private final Origins origins;
     private final StateSettings settings;
@@ -40,7 +40,7 @@
     private boolean met;
 
     Walks(
-            Roster roster,
+            MembershipView roster,
             Copy copy,
             Origins origins,
             StateSettings settings,
@@ -66,8 +66,8 @@
         return broughtUp
                 || now - start >= settings.aloneAfter()
                         && (met
-                                || roster.others().isEmpty()
-                                        && roster.mayServe(now).isEmpty());
+                                || roster.livePeers().isEmpty()
+                                        && roster.possiblyServing(now).isEmpty());
     }
 
     /**
@@ -96,7 +96,7 @@
     }
 
     private void begin(double now) {
-        List<Peer> others = roster.others();
+        List<Peer> others = roster.livePeers();
         if (others.isEmpty()) {
             nextAt = now + HURRY;
             return;
@@ -118,7 +118,7 @@
             }
         }
         Peer peer = others.get(random.nextInt(others.size()));
-        for (int i = 0; i < 3 && (peer.member().equals(shunned) || !roster.timely(peer.member())); i++) {
+        for (int i = 0; i < 3 && (peer.member().equals(shunned) || !roster.clockWithinBound(peer.member())); i++) {
             peer = others.get(random.nextInt(others.size()));
         }
         return peer;
@@ -137,7 +137,7 @@
         counts.walksDone++;
         shunned = walk.peerWhole() ? null : walk.peer.member();
         met = true;
-        if (walk.complete() && roster.timely(walk.peer.member())) {
+        if (walk.complete() && roster.clockWithinBound(walk.peer.member())) {
             walk.pairs().forEach(pair -> origins.has(pair, now));
             broughtUp |= walk.peerWhole() || now - start >= settings.aloneAfter();
         }
--- a/fleet/src/main/java/clayhook/fleet/state/Word.java
+++ b/fleet/src/main/java/clayhook/fleet/state/Word.java
@@ -1,8 +1,8 @@
 package clayhook.fleet.state;
 
-import clayhook.fleet.Part;
-import clayhook.fleet.Reader;
-import clayhook.fleet.Writer;
+import clayhook.fleet.Message;
+import clayhook.fleet.FieldReader;
+import clayhook.fleet.FieldWriter;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Function;
@@ -11,7 +11,7 @@
  * What copies tell and ask each other: parts 20 to 28. A question carries the number of its walk and its own; the
  * answer repeats both, and makes sense by itself whenever it comes.
  */
-sealed interface Word extends Part {
+sealed interface Word extends Message {
     /** Marks on an entry told as news; with more the oldest are dropped. */
     int MOST_TAGS = 8;
     /** Bytes that an entry takes in a part beside key, value and tags, at most. */
@@ -37,14 +37,14 @@
             return ENTRY + Keys.bytes(key) + value.length + TAG / 2 * tags.length;
         }
 
-        private void write(Writer out) {
-            out.begin().whole(kind).text(key).bytes(value);
+        private void write(FieldWriter out) {
+            out.beginList().writeLong(kind).writeNullableString(key).writeBytes(value);
             wholes(tags, out);
-            out.end();
+            out.endList();
         }
 
-        private static Told read(Reader in) {
-            return new Told(in.small(MOST_KINDS), in.name(), in.bytes(), in.wholes(2 * MOST_TAGS));
+        private static Told read(FieldReader in) {
+            return new Told(in.readIntBelow(MOST_KINDS), in.readNonEmptyString(), in.readBytes(), in.readLongs(2 * MOST_TAGS));
         }
     }
 
@@ -71,19 +71,19 @@
         static final int NUMBER = 20;
 
         @Override
-        public int number() {
+        public int typeNumber() {
             return NUMBER;
         }
 
         @Override
-        public void write(Writer out) {
-            out.whole(count).number(asOf).begin();
+        public void write(FieldWriter out) {
+            out.writeLong(count).writeDouble(asOf).beginList();
             entries.forEach(told -> told.write(out));
-            out.end();
+            out.endList();
         }
 
-        private static News read(Reader in) {
-            return new News(in.whole(), in.number(), in.lists(MOST, Told::read));
+        private static News read(FieldReader in) {
+            return new News(in.readLong(), in.readDouble(), in.readLists(MOST, Told::read));
         }
     }
 
@@ -93,33 +93,33 @@
         private static final double MS = 1000;
 
         @Override
-        public int number() {
+        public int typeNumber() {
             return NUMBER;
         }
 
         /** Times are written as whole milliseconds before {@code now}, rounded to the older side. */
         @Override
-        public void write(Writer out) {
-            out.whole(walk).whole(ask).number(now).begin();
+        public void write(FieldWriter out) {
+            out.writeLong(walk).writeLong(ask).writeDouble(now).beginList();
             for (Pair pair : pairs) {
-                out.begin().whole(pair.id).whole(pair.count).whole(age(pair)).end();
+                out.beginList().writeLong(pair.id).writeLong(pair.count).writeLong(age(pair)).endList();
             }
-            out.end();
+            out.endList();
         }
 
         private long age(Pair pair) {
             return (long) Math.ceil((now - pair.asOf) * MS);
         }
 
-        private static Pairs read(Reader in) {
-            long walk = in.whole();
-            int ask = in.small(Integer.MAX_VALUE);
-            double now = in.number();
+        private static Pairs read(FieldReader in) {
+            long walk = in.readLong();
+            int ask = in.readIntBelow(Integer.MAX_VALUE);
+            double now = in.readDouble();
             return new Pairs(
                     walk,
                     ask,
                     now,
-                    in.lists(MOST, each -> new Pair(each.whole(), each.whole(), now - each.whole() / MS)));
+                    in.readLists(MOST, each -> new Pair(each.readLong(), each.readLong(), now - each.readLong() / MS)));
         }
     }
 
@@ -128,18 +128,18 @@
         static final int NUMBER = 22;
 
         @Override
-        public int number() {
+        public int typeNumber() {
             return NUMBER;
         }
 
         @Override
-        public void write(Writer out) {
-            out.whole(walk).whole(ask);
+        public void write(FieldWriter out) {
+            out.writeLong(walk).writeLong(ask);
             wholes(ids, out);
         }
 
-        private static AskPairs read(Reader in) {
-            return new AskPairs(in.whole(), in.small(Integer.MAX_VALUE), in.wholes(MOST_IDS));
+        private static AskPairs read(FieldReader in) {
+            return new AskPairs(in.readLong(), in.readIntBelow(Integer.MAX_VALUE), in.readLongs(MOST_IDS));
         }
     }
 
@@ -148,18 +148,18 @@
         static final int NUMBER = 23;
 
         @Override
-        public int number() {
+        public int typeNumber() {
             return NUMBER;
         }
 
         @Override
-        public void write(Writer out) {
-            out.whole(walk).whole(ask);
+        public void write(FieldWriter out) {
+            out.writeLong(walk).writeLong(ask);
             writeRoots(roots, out);
         }
 
-        private static AskRoots read(Reader in) {
-            return new AskRoots(in.whole(), in.small(Integer.MAX_VALUE), in.lists(MOST_KINDS, Word::root));
+        private static AskRoots read(FieldReader in) {
+            return new AskRoots(in.readLong(), in.readIntBelow(Integer.MAX_VALUE), in.readLists(MOST_KINDS, Word::root));
         }
     }
 
@@ -168,18 +168,18 @@
         static final int NUMBER = 24;
 
         @Override
-        public int number() {
+        public int typeNumber() {
             return NUMBER;
         }
 
         @Override
-        public void write(Writer out) {
-            out.whole(walk).whole(ask).flag(whole);
+        public void write(FieldWriter out) {
+            out.writeLong(walk).writeLong(ask).writeBoolean(whole);
             writeRoots(roots, out);
         }
 
-        private static Roots read(Reader in) {
-            return new Roots(in.whole(), in.small(Integer.MAX_VALUE), in.flag(), in.lists(MOST_KINDS, Word::root));
+        private static Roots read(FieldReader in) {
+            return new Roots(in.readLong(), in.readIntBelow(Integer.MAX_VALUE), in.readBoolean(), in.readLists(MOST_KINDS, Word::root));
         }
     }
 
@@ -188,22 +188,22 @@
         static final int NUMBER = 25;
 
         @Override
-        public int number() {
+        public int typeNumber() {
             return NUMBER;
         }
 
         @Override
-        public void write(Writer out) {
-            out.whole(walk).whole(ask).whole(kind).number(cutoff).whole(level).whole(index);
+        public void write(FieldWriter out) {
+            out.writeLong(walk).writeLong(ask).writeLong(kind).writeDouble(cutoff).writeLong(level).writeLong(index);
         }
 
-        private static AskNode read(Reader in) {
-            long walk = in.whole();
-            int ask = in.small(Integer.MAX_VALUE);
-            int kind = in.small(MOST_KINDS);
-            double cutoff = in.number();
-            int level = in.small(Tree.LEAVES);
-            return new AskNode(walk, ask, kind, cutoff, level, in.small(Tree.ranges(level)));
+        private static AskNode read(FieldReader in) {
+            long walk = in.readLong();
+            int ask = in.readIntBelow(Integer.MAX_VALUE);
+            int kind = in.readIntBelow(MOST_KINDS);
+            double cutoff = in.readDouble();
+            int level = in.readIntBelow(Tree.LEAVES);
+            return new AskNode(walk, ask, kind, cutoff, level, in.readIntBelow(Tree.ranges(level)));
         }
     }
 
@@ -212,25 +212,25 @@
         static final int NUMBER = 26;
 
         @Override
-        public int number() {
+        public int typeNumber() {
             return NUMBER;
         }
 
         @Override
-        public void write(Writer out) {
-            out.whole(walk).whole(ask).number(cutoff).number(floor);
+        public void write(FieldWriter out) {
+            out.writeLong(walk).writeLong(ask).writeDouble(cutoff).writeDouble(floor);
             wholes(sums, out);
             wholes(counts, out);
         }
 
-        private static Node read(Reader in) {
+        private static Node read(FieldReader in) {
             var node = new Node(
-                    in.whole(),
-                    in.small(Integer.MAX_VALUE),
-                    in.number(),
-                    in.number(),
-                    in.wholes(Tree.FAN),
-                    in.wholes(Tree.FAN));
+                    in.readLong(),
+                    in.readIntBelow(Integer.MAX_VALUE),
+                    in.readDouble(),
+                    in.readDouble(),
+                    in.readLongs(Tree.FAN),
+                    in.readLongs(Tree.FAN));
             if (node.sums.length != Tree.FAN || node.counts.length != Tree.FAN) {
                 throw new IllegalArgumentException("a node of " + node.sums.length + " ranges");
             }
@@ -243,24 +243,24 @@
         static final int NUMBER = 27;
 
         @Override
-        public int number() {
+        public int typeNumber() {
             return NUMBER;
         }
 
         @Override
-        public void write(Writer out) {
-            out.whole(walk).whole(ask).whole(kind).whole(from).whole(to);
+        public void write(FieldWriter out) {
+            out.writeLong(walk).writeLong(ask).writeLong(kind).writeLong(from).writeLong(to);
             wholes(briefs, out);
         }
 
-        private static AskRange read(Reader in) {
+        private static AskRange read(FieldReader in) {
             return new AskRange(
-                    in.whole(),
-                    in.small(Integer.MAX_VALUE),
-                    in.small(MOST_KINDS),
-                    in.whole(),
-                    in.whole(),
-                    in.wholes(MOST_BRIEFS));
+                    in.readLong(),
+                    in.readIntBelow(Integer.MAX_VALUE),
+                    in.readIntBelow(MOST_KINDS),
+                    in.readLong(),
+                    in.readLong(),
+                    in.readLongs(MOST_BRIEFS));
         }
     }
 
@@ -276,38 +276,38 @@
         static final int NUMBER = 28;
 
         @Override
-        public int number() {
+        public int typeNumber() {
             return NUMBER;
         }
 
         @Override
-        public void write(Writer out) {
-            out.whole(walk)
-                    .whole(ask)
-                    .whole(kind)
-                    .number(floor)
-                    .whole(upTo)
-                    .whole(had)
-                    .begin();
+        public void write(FieldWriter out) {
+            out.writeLong(walk)
+                    .writeLong(ask)
+                    .writeLong(kind)
+                    .writeDouble(floor)
+                    .writeLong(upTo)
+                    .writeLong(had)
+                    .beginList();
             entries.forEach(
-                    entry -> out.begin().text(entry.key).bytes(entry.value).end());
-            out.end();
+                    entry -> out.beginList().writeNullableString(entry.key).writeBytes(entry.value).endList());
+            out.endList();
         }
 
-        private static Entries read(Reader in) {
+        private static Entries read(FieldReader in) {
             return new Entries(
-                    in.whole(),
-                    in.small(Integer.MAX_VALUE),
-                    in.small(MOST_KINDS),
-                    in.number(),
-                    in.whole(),
-                    in.whole(),
-                    in.lists(MOST, each -> new Entry(each.name(), each.bytes())));
+                    in.readLong(),
+                    in.readIntBelow(Integer.MAX_VALUE),
+                    in.readIntBelow(MOST_KINDS),
+                    in.readDouble(),
+                    in.readLong(),
+                    in.readLong(),
+                    in.readLists(MOST, each -> new Entry(each.readNonEmptyString(), each.readBytes())));
         }
     }
 
     /** How each of them is read. */
-    static Map<Integer, Function<Reader, ? extends Part>> readers() {
+    static Map<Integer, Function<FieldReader, ? extends Message>> readers() {
         return Map.of(
                 News.NUMBER,
                 News::read,
@@ -329,26 +329,26 @@
                 Entries::read);
     }
 
-    private static void wholes(long[] values, Writer out) {
-        out.begin();
+    private static void wholes(long[] values, FieldWriter out) {
+        out.beginList();
         for (long value : values) {
-            out.whole(value);
+            out.writeLong(value);
         }
-        out.end();
+        out.endList();
     }
 
-    private static void writeRoots(List<Root> roots, Writer out) {
-        out.begin();
-        roots.forEach(root -> out.begin()
-                .whole(root.kind)
-                .number(root.cutoff)
-                .number(root.floor)
-                .whole(root.sum)
-                .end());
-        out.end();
+    private static void writeRoots(List<Root> roots, FieldWriter out) {
+        out.beginList();
+        roots.forEach(root -> out.beginList()
+                .writeLong(root.kind)
+                .writeDouble(root.cutoff)
+                .writeDouble(root.floor)
+                .writeLong(root.sum)
+                .endList());
+        out.endList();
     }
 
-    private static Root root(Reader in) {
-        return new Root(in.small(MOST_KINDS), in.number(), in.number(), in.whole());
+    private static Root root(FieldReader in) {
+        return new Root(in.readIntBelow(MOST_KINDS), in.readDouble(), in.readDouble(), in.readLong());
     }
 }
--- a/fleet/src/main/java/clayhook/rollout/Answer.java
+++ b/fleet/src/main/java/clayhook/rollout/Answer.java
@@ -1,8 +1,8 @@
 package clayhook.rollout;
 
-import clayhook.fleet.Part;
-import clayhook.fleet.Reader;
-import clayhook.fleet.Writer;
+import clayhook.fleet.Message;
+import clayhook.fleet.FieldReader;
+import clayhook.fleet.FieldWriter;
 
 /**
  * To an {@link Ask}.
@@ -10,20 +10,20 @@
  * @param asked as the ask had it
  * @param granted for the rollout's lease from then on; else the asker may not count on this router any more
  */
-record Answer(String round, double asked, boolean granted) implements Part {
+record Answer(String round, double asked, boolean granted) implements Message {
     static final int NUMBER = 41;
 
-    static Answer read(Reader in) {
-        return new Answer(in.name(), in.number(), in.flag());
+    static Answer read(FieldReader in) {
+        return new Answer(in.readNonEmptyString(), in.readDouble(), in.readBoolean());
     }
 
     @Override
-    public int number() {
+    public int typeNumber() {
         return NUMBER;
     }
 
     @Override
-    public void write(Writer out) {
-        out.text(round).number(asked).flag(granted);
+    public void write(FieldWriter out) {
+        out.writeNullableString(round).writeDouble(asked).writeBoolean(granted);
     }
 }
--- a/fleet/src/main/java/clayhook/rollout/Ask.java
+++ b/fleet/src/main/java/clayhook/rollout/Ask.java
@@ -1,28 +1,28 @@
 package clayhook.rollout;
 
-import clayhook.fleet.Part;
-import clayhook.fleet.Reader;
-import clayhook.fleet.Writer;
+import clayhook.fleet.Message;
+import clayhook.fleet.FieldReader;
+import clayhook.fleet.FieldWriter;
 
 /**
  * May I run the candidate of that rollout?
  *
  * @param at when it is asked, on the asker's clock, which alone understands it
  */
-record Ask(String round, double at) implements Part {
+record Ask(String round, double at) implements Message {
     static final int NUMBER = 40;
 
-    static Ask read(Reader in) {
-        return new Ask(in.name(), in.number());
+    static Ask read(FieldReader in) {
+        return new Ask(in.readNonEmptyString(), in.readDouble());
     }
 
     @Override
-    public int number() {
+    public int typeNumber() {
         return NUMBER;
     }
 
     @Override
-    public void write(Writer out) {
-        out.text(round).number(at);
+    public void write(FieldWriter out) {
+        out.writeNullableString(round).writeDouble(at);
     }
 }
--- a/fleet/src/main/java/clayhook/rollout/End.java
+++ b/fleet/src/main/java/clayhook/rollout/End.java
@@ -1,7 +1,7 @@
 package clayhook.rollout;
 
-import clayhook.fleet.Reader;
-import clayhook.fleet.Writer;
+import clayhook.fleet.FieldReader;
+import clayhook.fleet.FieldWriter;
 import java.util.Comparator;
 
 /**
@@ -40,14 +40,14 @@
         return a == null ? b : b == null || ORDER.compare(a, b) <= 0 ? a : b;
     }
 
-    void write(Writer out) {
-        out.begin().whole(what.ordinal()).text(reason).text(by).number(at).end();
+    void write(FieldWriter out) {
+        out.beginList().writeLong(what.ordinal()).writeNullableString(reason).writeNullableString(by).writeDouble(at).endList();
     }
 
-    static End read(Reader in) {
-        in.begin();
-        var end = new End(What.values()[in.small(What.values().length)], in.text(), in.name(), in.number());
-        in.end();
+    static End read(FieldReader in) {
+        in.beginList();
+        var end = new End(What.values()[in.readIntBelow(What.values().length)], in.readNullableString(), in.readNonEmptyString(), in.readDouble());
+        in.endList();
         return end;
     }
 }
--- a/fleet/src/main/java/clayhook/rollout/Figure.java
+++ b/fleet/src/main/java/clayhook/rollout/Figure.java
@@ -1,9 +1,9 @@
 package clayhook.rollout;
 
-import clayhook.fleet.Kind;
+import clayhook.fleet.ReplicatedType;
 import clayhook.fleet.Member;
-import clayhook.fleet.Reader;
-import clayhook.fleet.Writer;
+import clayhook.fleet.FieldReader;
+import clayhook.fleet.FieldWriter;
 import java.util.Arrays;
 
 /**
@@ -21,11 +21,11 @@
     private static final int MOST = 32_768;
 
     /** Sums of the sequential test and counts by session's bucket: the old version's, then the candidate's. */
-    static final Kind<Figure> COUNTS = kind(13, "rollout counts", Sums.SIZE + 2 * Batch.Cell.SIZE);
+    static final ReplicatedType<Figure> COUNTS = kind(13, "rollout counts", Sums.SIZE + 2 * Batch.Cell.SIZE);
     /** Times of the old version. */
-    static final Kind<Figure> OLD_TIMES = kind(14, "rollout times, old version", Times.SIZE);
+    static final ReplicatedType<Figure> OLD_TIMES = kind(14, "rollout times, old version", Times.SIZE);
     /** Times of the candidate. */
-    static final Kind<Figure> CANDIDATE_TIMES = kind(15, "rollout times, candidate", Times.SIZE);
+    static final ReplicatedType<Figure> CANDIDATE_TIMES = kind(15, "rollout times, candidate", Times.SIZE);
 
     /** Sums of the test, within the counts: a row for each measure. */
     static final class Sums {
@@ -42,7 +42,7 @@
                     + '/'
                     + stage
                     + '/'
-                    + Long.toString(by.boot(), Character.MAX_RADIX)
+                    + Long.toString(by.incarnation(), Character.MAX_RADIX)
                     + '/'
                     + by.name().length()
                     + '/'
@@ -67,10 +67,10 @@
         }
     }
 
-    private static Kind<Figure> kind(int number, String name, int size) {
-        return new Kind<>() {
+    private static ReplicatedType<Figure> kind(int number, String name, int size) {
+        return new ReplicatedType<>() {
             @Override
-            public int number() {
+            public int typeNumber() {
                 return number;
             }
 
@@ -80,39 +80,39 @@
             }
 
             @Override
-            public Figure join(Figure a, Figure b) {
+            public Figure merge(Figure a, Figure b) {
                 int order = Long.compare(a.number, b.number);
                 Figure newer = order > 0 || order == 0 && Arrays.compare(a.counts, b.counts) >= 0 ? a : b;
                 return new Figure(newer.number, Math.max(a.at, b.at), newer.counts);
             }
 
             @Override
-            public double at(Figure figure) {
+            public double timestamp(Figure figure) {
                 return figure.at;
             }
 
             @Override
-            public double keep() {
+            public double retentionSeconds() {
                 return KEEP;
             }
 
             @Override
-            public int most() {
+            public int maxEntries() {
                 return MOST;
             }
 
             @Override
-            public void write(Figure figure, Writer out) {
-                out.whole(figure.number).number(figure.at).begin();
+            public void write(Figure figure, FieldWriter out) {
+                out.writeLong(figure.number).writeDouble(figure.at).beginList();
                 for (long count : figure.counts) {
-                    out.whole(count);
+                    out.writeLong(count);
                 }
-                out.end();
+                out.endList();
             }
 
             @Override
-            public Figure read(Reader in) {
-                var figure = new Figure(in.whole(), in.number(), in.wholes(size));
+            public Figure read(FieldReader in) {
+                var figure = new Figure(in.readLong(), in.readDouble(), in.readLongs(size));
                 if (figure.counts.length != size) {
                     throw new IllegalArgumentException(figure.counts.length + " counts");
                 }
--- a/fleet/src/main/java/clayhook/rollout/Figures.java
+++ b/fleet/src/main/java/clayhook/rollout/Figures.java
@@ -1,7 +1,7 @@
 package clayhook.rollout;
 
 import clayhook.fleet.Member;
-import clayhook.fleet.Shared;
+import clayhook.fleet.ReplicatedStore;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.TreeMap;
@@ -79,17 +79,17 @@
     private final Map<Member, Double> at = new HashMap<>();
 
     /** Of that stage. */
-    static Figures of(Shared shared, String round, int stage) {
+    static Figures of(ReplicatedStore shared, String round, int stage) {
         var figures = new Figures();
-        shared.each(Figure.COUNTS, (text, figure) -> {
+        shared.forEach(Figure.COUNTS, (text, figure) -> {
             Figure.Key key = Figure.Key.of(text);
             if (key != null && key.round().equals(round) && key.stage() == stage) {
                 figures.group(key.group()).add(figure.counts());
                 figures.at.merge(key.by(), figure.at(), Math::max);
             }
         });
-        shared.each(Figure.OLD_TIMES, (text, figure) -> figures.times(text, round, stage, figure, 0));
-        shared.each(Figure.CANDIDATE_TIMES, (text, figure) -> figures.times(text, round, stage, figure, 1));
+        shared.forEach(Figure.OLD_TIMES, (text, figure) -> figures.times(text, round, stage, figure, 0));
+        shared.forEach(Figure.CANDIDATE_TIMES, (text, figure) -> figures.times(text, round, stage, figure, 1));
         return figures;
     }
 
--- a/fleet/src/main/java/clayhook/rollout/Guard.java
+++ b/fleet/src/main/java/clayhook/rollout/Guard.java
@@ -1,7 +1,7 @@
 package clayhook.rollout;
 
-import clayhook.fleet.Reader;
-import clayhook.fleet.Writer;
+import clayhook.fleet.FieldReader;
+import clayhook.fleet.FieldWriter;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
@@ -38,16 +38,16 @@
         }
     }
 
-    void write(Writer out) {
-        out.begin()
-                .text(group)
-                .whole(measure.ordinal())
-                .number(most)
-                .number(worse)
-                .end();
+    void write(FieldWriter out) {
+        out.beginList()
+                .writeNullableString(group)
+                .writeLong(measure.ordinal())
+                .writeDouble(most)
+                .writeDouble(worse)
+                .endList();
     }
 
-    static Guard read(Reader in) {
-        return new Guard(in.name(), Measure.values()[in.small(Measure.values().length)], in.number(), in.number());
+    static Guard read(FieldReader in) {
+        return new Guard(in.readNonEmptyString(), Measure.values()[in.readIntBelow(Measure.values().length)], in.readDouble(), in.readDouble());
     }
 }
--- a/fleet/src/main/java/clayhook/rollout/Known.java
+++ b/fleet/src/main/java/clayhook/rollout/Known.java
@@ -1,8 +1,8 @@
 package clayhook.rollout;
 
 import clayhook.fleet.Member;
-import clayhook.fleet.Roster;
-import clayhook.fleet.Shared;
+import clayhook.fleet.MembershipView;
+import clayhook.fleet.ReplicatedStore;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -17,8 +17,8 @@
  * The rollouts that this router knows: what was heard of them, what could be read, which goes on, and which have ended.
  */
 final class Known {
-    private final Roster roster;
-    private final Shared shared;
+    private final MembershipView roster;
+    private final ReplicatedStore shared;
     private final RolloutSettings settings;
     private final Checker checker;
     private final Listener listener;
@@ -34,8 +34,8 @@
     private String standing;
 
     Known(
-            Roster roster,
-            Shared shared,
+            MembershipView roster,
+            ReplicatedStore shared,
             RolloutSettings settings,
             Checker checker,
             Listener listener,
@@ -52,7 +52,7 @@
         this.changed = changed;
         this.self = roster.self().member();
         this.standing = settings.standing();
-        shared.listen(Round.KIND, this::hear);
+        shared.addListener(Round.KIND, this::hear);
     }
 
     /** Null where it is not known. */
@@ -86,7 +86,7 @@
         } else if (!live.round.equals(round)) {
             int stage = live.stage();
             boolean ended = live.ended();
-            live.round = Round.KIND.join(live.round, round);
+            live.round = Round.KIND.merge(live.round, round);
             if (live.stage() > stage) {
                 reached(live, now);
             }
@@ -119,7 +119,7 @@
     /** Takes in what is known of rollouts, and forgets what is known nowhere any more. */
     void learn(double now) {
         var heard = new HashMap<String, Round>();
-        shared.each(Round.KIND, heard::put);
+        shared.forEach(Round.KIND, heard::put);
         heard.forEach((id, round) -> hear(id, round, now));
         rounds.values().removeIf(live -> !heard.containsKey(live.id) && !live.done());
         for (Live live : new ArrayList<>(rounds.values())) {
@@ -140,20 +140,20 @@
             }
             Vote vote = shared.get(Vote.KIND, Vote.key(live.id, self));
             if (vote != null) {
-                shared.put(Vote.KIND, Vote.key(live.id, self), new Vote(vote.stage(), young), now);
+                shared.merge(Vote.KIND, Vote.key(live.id, self), new Vote(vote.stage(), young), now);
             }
         }
     }
 
     void put(Live live, Round round, double now) {
-        Round joined = shared.put(Round.KIND, live.id, round, now);
+        Round joined = shared.merge(Round.KIND, live.id, round, now);
         hear(live.id, joined == null ? round : joined, now);
     }
 
     /** A rollout of this router's own. */
     void begin(Round round, double now) {
         String id = round.proposal().id();
-        Round joined = shared.put(Round.KIND, id, round, now);
+        Round joined = shared.merge(Round.KIND, id, round, now);
         hear(id, joined == null ? round : joined, now);
         read(rounds.get(id), now);
     }
@@ -294,9 +294,9 @@
     /** As far as the majority has come, this router has heard; it votes no more, so nothing can begin any more. */
     private boolean neverBegan(Live live, double now) {
         long lives = live.terms.roster().stream()
-                .filter(member -> member.equals(self) || roster.lives(member))
+                .filter(member -> member.equals(self) || roster.isLive(member))
                 .count();
-        return lives >= majority(live) && shared.certainUpTo(now) > live.seen + 2 * settings.patience();
+        return lives >= majority(live) && shared.completeUpTo(now) > live.seen + 2 * settings.patience();
     }
 
     /** How many of its frozen roster must say the same. */
--- a/fleet/src/main/java/clayhook/rollout/Live.java
+++ b/fleet/src/main/java/clayhook/rollout/Live.java
@@ -1,8 +1,8 @@
 package clayhook.rollout;
 
 import clayhook.fleet.Member;
-import clayhook.fleet.Roster;
-import clayhook.fleet.Shared;
+import clayhook.fleet.MembershipView;
+import clayhook.fleet.ReplicatedStore;
 import java.nio.charset.StandardCharsets;
 import java.util.HashSet;
 import java.util.Map;
@@ -79,7 +79,7 @@
     }
 
     /** Gathers what the proposal names from its pieces; true when the last of it came. */
-    boolean gather(Shared shared) {
+    boolean gather(ReplicatedStore shared) {
         if (read()) {
             return false;
         }
@@ -95,7 +95,7 @@
     }
 
     /** Routers of the frozen roster that have voted for that stage. */
-    int votes(Shared shared, int stage) {
+    int votes(ReplicatedStore shared, int stage) {
         int votes = 0;
         for (Member member : terms.roster()) {
             Vote vote = shared.get(Vote.KIND, Vote.key(id, member));
@@ -105,9 +105,9 @@
     }
 
     /** A member that lives and has not said that it can run the candidate; null for none. */
-    Member unread(Shared shared, Roster roster) {
+    Member unread(ReplicatedStore shared, MembershipView roster) {
         for (Member member : terms.roster()) {
-            if ((member.equals(roster.self().member()) || roster.lives(member))
+            if ((member.equals(roster.self().member()) || roster.isLive(member))
                     && shared.get(Vote.KIND, Vote.key(id, member)) == null) {
                 return member;
             }
--- a/fleet/src/main/java/clayhook/rollout/Look.java
+++ b/fleet/src/main/java/clayhook/rollout/Look.java
@@ -1,7 +1,7 @@
 package clayhook.rollout;
 
 import clayhook.fleet.Member;
-import clayhook.fleet.Roster;
+import clayhook.fleet.MembershipView;
 import java.util.List;
 import java.util.Locale;
 
@@ -16,12 +16,12 @@
 
     private static final double NEWS_SECONDS = 2;
 
-    private final Roster roster;
+    private final MembershipView roster;
     private final Known known;
     private final RolloutSettings settings;
     private final Member self;
 
-    Look(Roster roster, Known known, RolloutSettings settings) {
+    Look(MembershipView roster, Known known, RolloutSettings settings) {
         this.roster = roster;
         this.known = known;
         this.settings = settings;
@@ -42,8 +42,8 @@
         live.heard = 0;
         live.dead = 0;
         figures.at().forEach((member, at) -> {
-            boolean lives = member.equals(self) || roster.lives(member);
-            double ahead = member.equals(self) ? 0 : roster.ahead(member);
+            boolean lives = member.equals(self) || roster.isLive(member);
+            double ahead = member.equals(self) ? 0 : roster.clockOffset(member);
             live.heard += lives && live.votes(member) && at - (Double.isNaN(ahead) ? 0 : ahead) >= now - stale ? 1 : 0;
             live.dead += lives ? 0 : 1;
             if (!lives && live.told.add("dead " + member)) {
@@ -77,7 +77,7 @@
         if (live.heard < known.majority(live)) {
             return "fresh figures of " + live.heard + " routers only";
         }
-        if (roster.doubtful(now)) {
+        if (roster.recentlyStalled(now)) {
             return "this router stood still";
         }
         if (left > 0) {
--- a/fleet/src/main/java/clayhook/rollout/Piece.java
+++ b/fleet/src/main/java/clayhook/rollout/Piece.java
@@ -1,9 +1,9 @@
 package clayhook.rollout;
 
-import clayhook.fleet.Kind;
-import clayhook.fleet.Reader;
-import clayhook.fleet.Shared;
-import clayhook.fleet.Writer;
+import clayhook.fleet.ReplicatedType;
+import clayhook.fleet.FieldReader;
+import clayhook.fleet.ReplicatedStore;
+import clayhook.fleet.FieldWriter;
 import com.dynatrace.hash4j.hashing.HashValue128;
 import com.dynatrace.hash4j.hashing.Hashing;
 import java.util.Arrays;
@@ -14,9 +14,9 @@
     private static final int LONGEST = 900;
 
     /** Texts go as they get old, or as others come: nine of the longest fit. */
-    static final Kind<Piece> KIND = new Kind<>() {
+    static final ReplicatedType<Piece> KIND = new ReplicatedType<>() {
         @Override
-        public int number() {
+        public int typeNumber() {
             return 11;
         }
 
@@ -26,42 +26,42 @@
         }
 
         @Override
-        public Piece join(Piece a, Piece b) {
+        public Piece merge(Piece a, Piece b) {
             return new Piece(Arrays.compare(a.bytes, b.bytes) <= 0 ? a.bytes : b.bytes, Math.max(a.at, b.at));
         }
 
         @Override
-        public double at(Piece piece) {
+        public double timestamp(Piece piece) {
             return piece.at;
         }
 
         @Override
-        public double keep() {
+        public double retentionSeconds() {
             return Round.KEEP;
         }
 
         @Override
-        public int most() {
+        public int maxEntries() {
             return 3072;
         }
 
         @Override
-        public boolean timed() {
+        public boolean clockDependent() {
             return false;
         }
 
         @Override
-        public void write(Piece piece, Writer out) {
-            out.bytes(piece.bytes).number(piece.at);
+        public void write(Piece piece, FieldWriter out) {
+            out.writeBytes(piece.bytes).writeDouble(piece.at);
         }
 
         @Override
-        public Piece read(Reader in) {
-            byte[] bytes = in.bytes();
+        public Piece read(FieldReader in) {
+            byte[] bytes = in.readBytes();
             if (bytes.length > LONGEST) {
                 throw new IllegalArgumentException("a piece of " + bytes.length + " bytes");
             }
-            return new Piece(bytes, in.number());
+            return new Piece(bytes, in.readDouble());
         }
     };
 
@@ -72,16 +72,16 @@
     }
 
     /** Spreads bytes. */
-    static void put(Shared shared, byte[] whole, double at, double now) {
+    static void put(ReplicatedStore shared, byte[] whole, double at, double now) {
         String hash = hash(whole);
         for (int from = 0; from < whole.length; from += LONGEST) {
             byte[] bytes = Arrays.copyOfRange(whole, from, Math.min(whole.length, from + LONGEST));
-            shared.put(KIND, hash + '/' + from / LONGEST, new Piece(bytes, at), now);
+            shared.merge(KIND, hash + '/' + from / LONGEST, new Piece(bytes, at), now);
         }
     }
 
     /** The whole, or null while pieces are missing or do not make what the hash names. */
-    static byte[] whole(Shared shared, String hash, int length) {
+    static byte[] whole(ReplicatedStore shared, String hash, int length) {
         byte[] whole = new byte[length];
         for (int from = 0; from < length; from += LONGEST) {
             Piece piece = shared.get(KIND, hash + '/' + from / LONGEST);
--- a/fleet/src/main/java/clayhook/rollout/Plan.java
+++ b/fleet/src/main/java/clayhook/rollout/Plan.java
@@ -1,7 +1,7 @@
 package clayhook.rollout;
 
-import clayhook.fleet.Reader;
-import clayhook.fleet.Writer;
+import clayhook.fleet.FieldReader;
+import clayhook.fleet.FieldWriter;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -61,18 +61,18 @@
         return new Plan(stages, alpha, attempt);
     }
 
-    void write(Writer out) {
-        out.begin().number(alpha).whole(attempt).begin();
+    void write(FieldWriter out) {
+        out.beginList().writeDouble(alpha).writeLong(attempt).beginList();
         stages.forEach(stage -> stage.write(out));
-        out.end().end();
+        out.endList().endList();
     }
 
-    static Plan read(Reader in) {
-        in.begin();
-        double alpha = in.number();
-        int attempt = in.small(Integer.MAX_VALUE);
-        var plan = new Plan(in.lists(MOST_STAGES, Stage::read), alpha, attempt);
-        in.end();
+    static Plan read(FieldReader in) {
+        in.beginList();
+        double alpha = in.readDouble();
+        int attempt = in.readIntBelow(Integer.MAX_VALUE);
+        var plan = new Plan(in.readLists(MOST_STAGES, Stage::read), alpha, attempt);
+        in.endList();
         return plan;
     }
 }
--- a/fleet/src/main/java/clayhook/rollout/Proposal.java
+++ b/fleet/src/main/java/clayhook/rollout/Proposal.java
@@ -1,8 +1,8 @@
 package clayhook.rollout;
 
 import clayhook.fleet.Member;
-import clayhook.fleet.Reader;
-import clayhook.fleet.Writer;
+import clayhook.fleet.FieldReader;
+import clayhook.fleet.FieldWriter;
 import com.dynatrace.hash4j.hashing.Hashing;
 import java.util.Comparator;
 
@@ -44,7 +44,7 @@
 
     /** The key under which routers share whatever belongs to this rollout. */
     String id() {
-        var text = by.name() + '\n' + by.boot() + '\n' + begun + '\n' + rules + '\n' + terms + '\n' + base + '\n'
+        var text = by.name() + '\n' + by.incarnation() + '\n' + begun + '\n' + rules + '\n' + terms + '\n' + base + '\n'
                 + attempt;
         return String.format("%016x", Hashing.komihash5_0().hashCharsToLong(text));
     }
@@ -54,34 +54,34 @@
         return ORDER.compare(this, other);
     }
 
-    void write(Writer out) {
-        out.begin()
-                .text(by.name())
-                .whole(by.boot())
-                .number(begun)
-                .text(base)
-                .text(rules)
-                .whole(rulesBytes)
-                .text(terms)
-                .whole(termsBytes)
-                .number(lease)
-                .whole(attempt)
-                .end();
+    void write(FieldWriter out) {
+        out.beginList()
+                .writeNullableString(by.name())
+                .writeLong(by.incarnation())
+                .writeDouble(begun)
+                .writeNullableString(base)
+                .writeNullableString(rules)
+                .writeLong(rulesBytes)
+                .writeNullableString(terms)
+                .writeLong(termsBytes)
+                .writeDouble(lease)
+                .writeLong(attempt)
+                .endList();
     }
 
-    static Proposal read(Reader in) {
-        in.begin();
+    static Proposal read(FieldReader in) {
+        in.beginList();
         var proposal = new Proposal(
-                new Member(in.name(), in.whole()),
-                in.number(),
-                in.name(),
-                in.name(),
-                in.small(RuleSet.LONGEST + 1),
-                in.name(),
-                in.small(Terms.LONGEST + 1),
-                in.number(),
-                in.small(Integer.MAX_VALUE));
-        in.end();
+                new Member(in.readNonEmptyString(), in.readLong()),
+                in.readDouble(),
+                in.readNonEmptyString(),
+                in.readNonEmptyString(),
+                in.readIntBelow(RuleSet.LONGEST + 1),
+                in.readNonEmptyString(),
+                in.readIntBelow(Terms.LONGEST + 1),
+                in.readDouble(),
+                in.readIntBelow(Integer.MAX_VALUE));
+        in.endList();
         if (!(proposal.lease > 0 && proposal.lease <= LONGEST_LEASE)) {
             throw new IllegalArgumentException("a lease of " + proposal.lease + " s");
         }
