--- a/fleet/src/main/java/clayhook/rollout/Rollouts.java
+++ b/fleet/src/main/java/clayhook/rollout/Rollouts.java
@@ -1,14 +1,14 @@
 package clayhook.rollout;
 
-import clayhook.fleet.Kind;
-import clayhook.fleet.Machine;
+import clayhook.fleet.ReplicatedType;
+import clayhook.fleet.ProtocolHandler;
 import clayhook.fleet.Member;
 import clayhook.fleet.Outbox;
-import clayhook.fleet.Part;
+import clayhook.fleet.Message;
 import clayhook.fleet.Peer;
-import clayhook.fleet.Reader;
-import clayhook.fleet.Roster;
-import clayhook.fleet.Shared;
+import clayhook.fleet.FieldReader;
+import clayhook.fleet.MembershipView;
+import clayhook.fleet.ReplicatedStore;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -26,7 +26,7 @@
  * sees, and a stage is whatever a majority of the frozen roster has voted for. For one thread; {@link #split()} alone
  * is for all.
  */
-public final class Rollouts implements Machine {
+public final class Rollouts implements ProtocolHandler {
     /** Seconds between turns while a rollout is under way, and while there is none. */
     private static final double TURN = 0.25;
 
@@ -48,8 +48,8 @@
         }
     }
 
-    private final Roster roster;
-    private final Shared shared;
+    private final MembershipView roster;
+    private final ReplicatedStore shared;
     private final RolloutSettings settings;
     private final Checker checker;
     private final Random chance;
@@ -69,8 +69,8 @@
     private volatile Status status;
 
     public Rollouts(
-            Roster roster,
-            Shared shared,
+            MembershipView roster,
+            ReplicatedStore shared,
             RolloutSettings settings,
             Checker checker,
             long seed,
@@ -81,8 +81,8 @@
 
     /** For tests that break the majority or the lease. */
     Rollouts(
-            Roster roster,
-            Shared shared,
+            MembershipView roster,
+            ReplicatedStore shared,
             RolloutSettings settings,
             Checker checker,
             long seed,
@@ -111,7 +111,7 @@
     }
 
     /** The kinds of values that it shares. */
-    public static List<Kind<?>> kinds() {
+    public static List<ReplicatedType<?>> kinds() {
         return List.of(Round.KIND, Piece.KIND, Vote.KIND, Figure.COUNTS, Figure.OLD_TIMES, Figure.CANDIDATE_TIMES);
     }
 
@@ -234,12 +234,12 @@
     // What comes from the others.
 
     @Override
-    public Map<Integer, Function<Reader, ? extends Part>> parts() {
+    public Map<Integer, Function<FieldReader, ? extends Message>> messageReaders() {
         return Map.of(Ask.NUMBER, Ask::read, Answer.NUMBER, Answer::read);
     }
 
     @Override
-    public void heard(Peer from, Part part, double now, Outbox out) {
+    public void onMessage(Peer from, Message part, double now, Outbox out) {
         if (part instanceof Ask ask) {
             Live live = known.get(ask.round());
             boolean granted = live != null && grant(live, now);
@@ -267,7 +267,7 @@
     // What is due.
 
     @Override
-    public double turn(double now, Outbox out) {
+    public double tick(double now, Outbox out) {
         known.learn(now);
         if (waiting != null) {
             begin(now);
@@ -321,12 +321,12 @@
 
     /** Why nothing may begin now, or null. */
     private String hold(double now) {
-        int members = roster.others().size() + 1;
+        int members = roster.livePeers().size() + 1;
         return now < started + settings.settle()
                 ? "this router has only begun"
-                : shared.certainUpTo(now) == Double.NEGATIVE_INFINITY
+                : shared.completeUpTo(now) == Double.NEGATIVE_INFINITY
                         ? "this router is being brought up"
-                        : roster.doubtful(now)
+                        : roster.recentlyStalled(now)
                                 ? "this router stood still"
                                 : members < quorum.of(settings.fleet())
                                         ? members + " routers are in sight, of " + settings.fleet()
@@ -335,7 +335,7 @@
 
     private void spread(Waiting asked, double now) {
         List<Member> frozen = Stream.concat(
-                        Stream.of(self), roster.others().stream().map(Peer::member))
+                        Stream.of(self), roster.livePeers().stream().map(Peer::member))
                 .sorted()
                 .toList();
         byte[] terms = new Terms(asked.plan, settings.fleet(), frozen).bytes();
@@ -361,7 +361,7 @@
         String key = Vote.key(live.id, self);
         Vote before = shared.get(Vote.KIND, key);
         if (before == null || before.stage() < stage) {
-            shared.put(Vote.KIND, key, new Vote(stage, live.round.at()), now);
+            shared.merge(Vote.KIND, key, new Vote(stage, live.round.at()), now);
         }
     }
 
@@ -370,7 +370,7 @@
             return;
         }
         vote(live, 0, now);
-        if (now - live.seen >= settings.settle() && !roster.doubtful(now) && live.unread(shared, roster) == null) {
+        if (now - live.seen >= settings.settle() && !roster.recentlyStalled(now) && live.unread(shared, roster) == null) {
             vote(live, 1, now);
         }
     }
@@ -403,7 +403,7 @@
             live.lease.granted(self, now, now);
         }
         List<Peer> voters = new ArrayList<>();
-        for (Peer peer : roster.others()) {
+        for (Peer peer : roster.livePeers()) {
             if (live.votes(peer.member())) {
                 voters.add(peer);
             }
--- a/fleet/src/main/java/clayhook/rollout/Round.java
+++ b/fleet/src/main/java/clayhook/rollout/Round.java
@@ -1,8 +1,8 @@
 package clayhook.rollout;
 
-import clayhook.fleet.Kind;
-import clayhook.fleet.Reader;
-import clayhook.fleet.Writer;
+import clayhook.fleet.ReplicatedType;
+import clayhook.fleet.FieldReader;
+import clayhook.fleet.FieldWriter;
 
 /**
  * How far a rollout has come, as far as is known here. An end wins over every stage.
@@ -19,9 +19,9 @@
     static final double KEEP = 14 * 86_400;
 
     /** Empties itself as rollouts get old; rollouts are rare, so the bound is far away. */
-    static final Kind<Round> KIND = new Kind<>() {
+    static final ReplicatedType<Round> KIND = new ReplicatedType<>() {
         @Override
-        public int number() {
+        public int typeNumber() {
             return 10;
         }
 
@@ -31,23 +31,23 @@
         }
 
         @Override
-        public Round join(Round a, Round b) {
+        public Round merge(Round a, Round b) {
             Proposal proposal = a.proposal.compareTo(b.proposal) <= 0 ? a.proposal : b.proposal;
             return new Round(proposal, Math.max(a.stage, b.stage), End.join(a.end, b.end), Math.max(a.at, b.at));
         }
 
         @Override
-        public double at(Round round) {
+        public double timestamp(Round round) {
             return round.at;
         }
 
         @Override
-        public double keep() {
+        public double retentionSeconds() {
             return KEEP;
         }
 
         @Override
-        public int most() {
+        public int maxEntries() {
             return 256;
         }
 
@@ -58,25 +58,25 @@
 
         /** A halt counts whatever the clock of whoever says so. */
         @Override
-        public boolean timed() {
+        public boolean clockDependent() {
             return false;
         }
 
         @Override
-        public void write(Round round, Writer out) {
+        public void write(Round round, FieldWriter out) {
             round.proposal.write(out);
-            out.whole(round.stage).number(round.at).flag(round.end != null);
+            out.writeLong(round.stage).writeDouble(round.at).writeBoolean(round.end != null);
             if (round.end != null) {
                 round.end.write(out);
             }
         }
 
         @Override
-        public Round read(Reader in) {
+        public Round read(FieldReader in) {
             Proposal proposal = Proposal.read(in);
-            int stage = in.small(Plan.MOST_STAGES + 2);
-            double at = in.number();
-            return new Round(proposal, stage, in.flag() ? End.read(in) : null, at);
+            int stage = in.readIntBelow(Plan.MOST_STAGES + 2);
+            double at = in.readDouble();
+            return new Round(proposal, stage, in.readBoolean() ? End.read(in) : null, at);
         }
     };
 
--- a/fleet/src/main/java/clayhook/rollout/Stage.java
+++ b/fleet/src/main/java/clayhook/rollout/Stage.java
@@ -1,7 +1,7 @@
 package clayhook.rollout;
 
-import clayhook.fleet.Reader;
-import clayhook.fleet.Writer;
+import clayhook.fleet.FieldReader;
+import clayhook.fleet.FieldWriter;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
@@ -51,13 +51,13 @@
         }
     }
 
-    void write(Writer out) {
-        out.begin().number(share).number(seconds).whole(samples).begin();
+    void write(FieldWriter out) {
+        out.beginList().writeDouble(share).writeDouble(seconds).writeLong(samples).beginList();
         guards.forEach(guard -> guard.write(out));
-        out.end().end();
+        out.endList().endList();
     }
 
-    static Stage read(Reader in) {
-        return new Stage(in.number(), in.number(), in.whole(), in.lists(MOST_GUARDS, Guard::read));
+    static Stage read(FieldReader in) {
+        return new Stage(in.readDouble(), in.readDouble(), in.readLong(), in.readLists(MOST_GUARDS, Guard::read));
     }
 }
--- a/fleet/src/main/java/clayhook/rollout/Tally.java
+++ b/fleet/src/main/java/clayhook/rollout/Tally.java
@@ -1,7 +1,7 @@
 package clayhook.rollout;
 
 import clayhook.fleet.Member;
-import clayhook.fleet.Shared;
+import clayhook.fleet.ReplicatedStore;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Set;
@@ -149,7 +149,7 @@
     }
 
     /** Puts what is new where the others find it, and in any case one figure of that stage, as a sign of life. */
-    void share(Shared shared, int stage, double now) {
+    void share(ReplicatedStore shared, int stage, double now) {
         groups(stage);
         stages.forEach((of, groups) -> {
             boolean sign = of == stage;
@@ -162,7 +162,7 @@
         });
     }
 
-    private static void share(Shared shared, String key, Group group, double now) {
+    private static void share(ReplicatedStore shared, String key, Group group, double now) {
         long number = ++group.writings;
         long[] counts = new long[Figure.Sums.SIZE + 2 * Batch.Cell.SIZE];
         for (int i = 0; i < Figure.Sums.SIZE; i++) {
@@ -170,10 +170,10 @@
         }
         System.arraycopy(group.closed[0].counts, 0, counts, Figure.Sums.SIZE, Batch.Cell.SIZE);
         System.arraycopy(group.closed[1].counts, 0, counts, Figure.Sums.SIZE + Batch.Cell.SIZE, Batch.Cell.SIZE);
-        shared.put(Figure.COUNTS, key, new Figure(number, now, counts), now);
+        shared.merge(Figure.COUNTS, key, new Figure(number, now, counts), now);
         if (group.news) {
-            shared.put(Figure.OLD_TIMES, key, new Figure(number, now, group.closed[0].times.clone()), now);
-            shared.put(Figure.CANDIDATE_TIMES, key, new Figure(number, now, group.closed[1].times.clone()), now);
+            shared.merge(Figure.OLD_TIMES, key, new Figure(number, now, group.closed[0].times.clone()), now);
+            shared.merge(Figure.CANDIDATE_TIMES, key, new Figure(number, now, group.closed[1].times.clone()), now);
         }
         group.news = false;
     }
--- a/fleet/src/main/java/clayhook/rollout/Terms.java
+++ b/fleet/src/main/java/clayhook/rollout/Terms.java
@@ -1,8 +1,8 @@
 package clayhook.rollout;
 
 import clayhook.fleet.Member;
-import clayhook.fleet.Reader;
-import clayhook.fleet.Writer;
+import clayhook.fleet.FieldReader;
+import clayhook.fleet.FieldWriter;
 import java.util.List;
 
 /**
@@ -22,21 +22,21 @@
     }
 
     byte[] bytes() {
-        var out = new Writer();
+        var out = new FieldWriter();
         plan.write(out);
-        out.whole(fleet).begin();
+        out.writeLong(fleet).beginList();
         roster.forEach(
-                member -> out.begin().text(member.name()).whole(member.boot()).end());
-        return out.end().done();
+                member -> out.beginList().writeNullableString(member.name()).writeLong(member.incarnation()).endList());
+        return out.endList().toByteArray();
     }
 
     /** Throws IllegalArgumentException for what cannot be. */
     static Terms of(byte[] bytes) {
-        var in = new Reader(bytes);
+        var in = new FieldReader(bytes);
         var terms = new Terms(
                 Plan.read(in),
-                in.small(Integer.MAX_VALUE),
-                in.lists(MOST_ROUTERS, member -> new Member(member.name(), member.whole())));
+                in.readIntBelow(Integer.MAX_VALUE),
+                in.readLists(MOST_ROUTERS, member -> new Member(member.readNonEmptyString(), member.readLong())));
         List<Fault> faults = terms.plan.faults();
         if (!faults.isEmpty()) {
             throw new IllegalArgumentException(faults.get(0).toString());
--- a/fleet/src/main/java/clayhook/rollout/Vote.java
+++ b/fleet/src/main/java/clayhook/rollout/Vote.java
@@ -1,9 +1,9 @@
 package clayhook.rollout;
 
-import clayhook.fleet.Kind;
+import clayhook.fleet.ReplicatedType;
 import clayhook.fleet.Member;
-import clayhook.fleet.Reader;
-import clayhook.fleet.Writer;
+import clayhook.fleet.FieldReader;
+import clayhook.fleet.FieldWriter;
 
 /**
  * What one router of the frozen roster has said to a rollout. It never takes a word back.
@@ -12,9 +12,9 @@
  */
 record Vote(int stage, double at) {
     /** One a router and rollout: two rollouts of the largest fleet, and room for the ones before. */
-    static final Kind<Vote> KIND = new Kind<>() {
+    static final ReplicatedType<Vote> KIND = new ReplicatedType<>() {
         @Override
-        public int number() {
+        public int typeNumber() {
             return 12;
         }
 
@@ -24,42 +24,42 @@
         }
 
         @Override
-        public Vote join(Vote a, Vote b) {
+        public Vote merge(Vote a, Vote b) {
             return new Vote(Math.max(a.stage, b.stage), Math.max(a.at, b.at));
         }
 
         @Override
-        public double at(Vote vote) {
+        public double timestamp(Vote vote) {
             return vote.at;
         }
 
         @Override
-        public double keep() {
+        public double retentionSeconds() {
             return Round.KEEP;
         }
 
         @Override
-        public int most() {
+        public int maxEntries() {
             return 4096;
         }
 
         @Override
-        public boolean timed() {
+        public boolean clockDependent() {
             return false;
         }
 
         @Override
-        public void write(Vote vote, Writer out) {
-            out.whole(vote.stage).number(vote.at);
+        public void write(Vote vote, FieldWriter out) {
+            out.writeLong(vote.stage).writeDouble(vote.at);
         }
 
         @Override
-        public Vote read(Reader in) {
-            return new Vote(in.small(Plan.MOST_STAGES + 2), in.number());
+        public Vote read(FieldReader in) {
+            return new Vote(in.readIntBelow(Plan.MOST_STAGES + 2), in.readDouble());
         }
     };
 
     static String key(String round, Member by) {
-        return round + '/' + Long.toString(by.boot(), Character.MAX_RADIX) + '/' + by.name();
+        return round + '/' + Long.toString(by.incarnation(), Character.MAX_RADIX) + '/' + by.name();
     }
 }
--- a/fleet/src/test/java/clayhook/fleet/RecordedPacketsTest.java
+++ b/fleet/src/test/java/clayhook/fleet/RecordedPacketsTest.java
@@ -35,22 +35,22 @@
     private static final String PACKETS = "recorded-packets.txt";
 
     /** A message of one number and one text. */
-    private record Sample(int number, long value, String text) implements Part {
+    private record Sample(int typeNumber, long value, String text) implements Message {
         @Override
-        public void write(Writer out) {
-            out.whole(value).text(text);
+        public void write(FieldWriter out) {
+            out.writeLong(value).writeNullableString(text);
         }
 
-        static Function<Reader, Sample> reader(int number) {
-            return in -> new Sample(number, in.whole(), in.text());
+        static Function<FieldReader, Sample> reader(int number) {
+            return in -> new Sample(number, in.readLong(), in.readNullableString());
         }
     }
 
     /** A message as it came, and from whom. */
-    private record Received(Peer from, Part part) {}
+    private record Received(Peer from, Message part) {}
 
     /** Sends given messages on its first turn, and keeps those that it receives. */
-    private static final class SampleHandler implements Machine {
+    private static final class SampleHandler implements ProtocolHandler {
         private final List<Integer> numbers;
         private final Consumer<Outbox> messages;
         private final List<Received> received = new ArrayList<>();
@@ -61,19 +61,19 @@
         }
 
         @Override
-        public Map<Integer, Function<Reader, ? extends Part>> parts() {
-            var readers = new HashMap<Integer, Function<Reader, ? extends Part>>();
+        public Map<Integer, Function<FieldReader, ? extends Message>> messageReaders() {
+            var readers = new HashMap<Integer, Function<FieldReader, ? extends Message>>();
             numbers.forEach(number -> readers.put(number, Sample.reader(number)));
             return readers;
         }
 
         @Override
-        public void heard(Peer from, Part part, double now, Outbox out) {
+        public void onMessage(Peer from, Message part, double now, Outbox out) {
             received.add(new Received(from, part));
         }
 
         @Override
-        public double turn(double now, Outbox out) {
+        public double tick(double now, Outbox out) {
             messages.accept(out);
             return Double.POSITIVE_INFINITY;
         }
@@ -82,7 +82,7 @@
     // ---- fields ----
 
     /** One recorded list of fields: its bytes, what it holds, and the calls that write and read it. */
-    private record Field<T>(String hex, T value, BiConsumer<Writer, T> write, Function<Reader, T> read) {
+    private record Field<T>(String hex, T value, BiConsumer<FieldWriter, T> write, Function<FieldReader, T> read) {
         @Override
         public String toString() {
             String name = value instanceof byte[] bytes ? HEX.formatHex(bytes) : String.valueOf(value);
@@ -92,23 +92,23 @@
     }
 
     private static Field<String> text(String hex, String value) {
-        return new Field<>(hex, value, Writer::text, Reader::text);
+        return new Field<>(hex, value, FieldWriter::writeNullableString, FieldReader::readNullableString);
     }
 
     private static Field<Long> whole(String hex, long value) {
-        return new Field<>(hex, value, Writer::whole, Reader::whole);
+        return new Field<>(hex, value, FieldWriter::writeLong, FieldReader::readLong);
     }
 
     private static Field<Double> number(String hex, double value) {
-        return new Field<>(hex, value, Writer::number, Reader::number);
+        return new Field<>(hex, value, FieldWriter::writeDouble, FieldReader::readDouble);
     }
 
     private static Field<Boolean> flag(String hex, boolean value) {
-        return new Field<>(hex, value, Writer::flag, Reader::flag);
+        return new Field<>(hex, value, FieldWriter::writeBoolean, FieldReader::readBoolean);
     }
 
     private static Field<byte[]> bytes(String hex, byte[] value) {
-        return new Field<>(hex, value, Writer::bytes, Reader::bytes);
+        return new Field<>(hex, value, FieldWriter::writeBytes, FieldReader::readBytes);
     }
 
     private static Field<List<List<Long>>> lists(String hex, List<List<Long>> value) {
@@ -116,15 +116,15 @@
                 hex,
                 value,
                 (out, lists) -> {
-                    out.begin();
+                    out.beginList();
                     lists.forEach(list -> {
-                        out.begin();
-                        list.forEach(out::whole);
-                        out.end();
+                        out.beginList();
+                        list.forEach(out::writeLong);
+                        out.endList();
                     });
-                    out.end();
+                    out.endList();
                 },
-                in -> in.lists(10, each -> List.of(each.whole(), each.whole())));
+                in -> in.readLists(10, each -> List.of(each.readLong(), each.readLong())));
     }
 
     private static Field<List<Long>> wholes(String hex, List<Long> value) {
@@ -132,11 +132,11 @@
                 hex,
                 value,
                 (out, list) -> {
-                    out.begin();
-                    list.forEach(out::whole);
-                    out.end();
+                    out.beginList();
+                    list.forEach(out::writeLong);
+                    out.endList();
                 },
-                in -> Arrays.stream(in.wholes(30)).boxed().toList());
+                in -> Arrays.stream(in.readLongs(30)).boxed().toList());
     }
 
     static List<Field<?>> fields() {
@@ -195,15 +195,15 @@
     @ParameterizedTest
     @MethodSource("fields")
     <T> void encodesEachFieldAsRecorded(Field<T> field) {
-        var out = new Writer();
+        var out = new FieldWriter();
         field.write().accept(out, field.value());
-        assertEquals(field.hex(), HEX.formatHex(out.done()));
+        assertEquals(field.hex(), HEX.formatHex(out.toByteArray()));
     }
 
     @ParameterizedTest
     @MethodSource("fields")
     <T> void decodesEachFieldAsRecorded(Field<T> field) {
-        T read = field.read().apply(new Reader(HEX.parseHex(field.hex())));
+        T read = field.read().apply(new FieldReader(HEX.parseHex(field.hex())));
         if (field.value() instanceof byte[] bytes) {
             assertArrayEquals(bytes, (byte[]) read);
         } else {
@@ -213,39 +213,39 @@
 
     @Test
     void readsWholeNumberWhereFractionIsAllowed() {
-        assertEquals(7.0, new Reader(HEX.parseHex("9f07ff")).number());
+        assertEquals(7.0, new FieldReader(HEX.parseHex("9f07ff")).readDouble());
     }
 
     @Test
     void leavesFieldsOfLaterReleaseUnread() {
         // 1, then a list [2, [3], {"a": 4}] of which only the first field is known, then the text "b".
-        var in = new Reader(HEX.parseHex("9f019f029f03ffbf616104ffff6162ff"));
-        assertEquals(1, in.whole());
-        in.begin();
-        assertEquals(2, in.whole());
-        in.end();
-        assertEquals("b", in.text());
+        var in = new FieldReader(HEX.parseHex("9f019f029f03ffbf616104ffff6162ff"));
+        assertEquals(1, in.readLong());
+        in.beginList();
+        assertEquals(2, in.readLong());
+        in.endList();
+        assertEquals("b", in.readNullableString());
     }
 
     @Test
     void rejectsBytesThatAreNotTheExpectedField() {
-        Map<String, Consumer<Reader>> cases = Map.of(
-                "9f01ff", Reader::text,
-                "9f6161ff", Reader::whole,
-                "9f60ff", Reader::name,
-                "9ffb7ff8000000000000ff", Reader::number,
-                "9f04ff", in -> in.small(4),
-                "9ff6ff", Reader::flag,
-                "9f6162ff", Reader::bytes,
-                "9f0000ff", Reader::begin,
-                "9f9f00ffff", in -> in.lists(1, each -> 0),
-                "9f9f0000ffff", in -> in.wholes(1));
+        Map<String, Consumer<FieldReader>> cases = Map.of(
+                "9f01ff", FieldReader::readNullableString,
+                "9f6161ff", FieldReader::readLong,
+                "9f60ff", FieldReader::readNonEmptyString,
+                "9ffb7ff8000000000000ff", FieldReader::readDouble,
+                "9f04ff", in -> in.readIntBelow(4),
+                "9ff6ff", FieldReader::readBoolean,
+                "9f6162ff", FieldReader::readBytes,
+                "9f0000ff", FieldReader::beginList,
+                "9f9f00ffff", in -> in.readLists(1, each -> 0),
+                "9f9f0000ffff", in -> in.readLongs(1));
         cases.forEach((hex, read) -> {
-            var in = new Reader(HEX.parseHex(hex));
+            var in = new FieldReader(HEX.parseHex(hex));
             assertThrows(IllegalArgumentException.class, () -> read.accept(in), hex);
         });
-        assertThrows(IllegalArgumentException.class, () -> new Reader(HEX.parseHex("00")));
-        assertThrows(IllegalArgumentException.class, () -> new Reader(HEX.parseHex("9f")).whole());
+        assertThrows(IllegalArgumentException.class, () -> new FieldReader(HEX.parseHex("00")));
+        assertThrows(IllegalArgumentException.class, () -> new FieldReader(HEX.parseHex("9f")).readLong());
     }
 
     // ---- packets ----
@@ -280,24 +280,24 @@
     void packsMessagesIntoPacketsAsRecorded() throws IOException {
         var sent = new ArrayList<String>();
         var handler = new SampleHandler(NUMBERS, RecordedPacketsTest::messagesToSend);
-        new Fleet(SENDER, List.of(handler), (to, bytes) -> sent.add(to + " " + HEX.formatHex(bytes))).turn(0);
+        new MessageDispatcher(SENDER, List.of(handler), (to, bytes) -> sent.add(to + " " + HEX.formatHex(bytes))).tick(0);
         assertEquals(recorded(), sent);
     }
 
     @Test
     void unpacksRecordedPackets() throws IOException {
-        var expected = new HashMap<Address, List<Part>>();
+        var expected = new HashMap<Address, List<Message>>();
         messagesToSend((to, part) ->
                 expected.computeIfAbsent(to, any -> new ArrayList<>()).add(part));
-        var unpacked = new HashMap<Address, List<Part>>();
+        var unpacked = new HashMap<Address, List<Message>>();
         var from = new Address("10.0.0.9", 9);
         for (String line : recorded()) {
             var handler = new SampleHandler(NUMBERS, out -> {});
-            var fleet = new Fleet(new Member("other", 1), List.of(handler), (to, bytes) -> {});
-            fleet.heard(from, packet(line), 0);
+            var fleet = new MessageDispatcher(new Member("other", 1), List.of(handler), (to, bytes) -> {});
+            fleet.onDatagram(from, packet(line), 0);
             assertEquals(
                     List.of(1L, 0L, Map.of()),
-                    List.of(fleet.counts().packets, fleet.counts().unknownParts, fleet.counts().dropped));
+                    List.of(fleet.counters().receivedPackets, fleet.counters().skippedMessages, fleet.counters().droppedByReason));
             Address to = address(line);
             handler.received.forEach(received -> {
                 assertEquals(new Peer(SENDER, from), received.from());
@@ -315,12 +315,12 @@
 
     @Test
     void skipsMessagesOfUnknownNumberAndOfUnreadableFields() throws IOException {
-        Map<Integer, Function<Reader, ? extends Part>> readers = Map.of(1, Sample.reader(1), 24, in -> {
+        Map<Integer, Function<FieldReader, ? extends Message>> readers = Map.of(1, Sample.reader(1), 24, in -> {
             throw new IllegalArgumentException("cannot be read");
         });
-        var read = (Packet.Read.Whole) Packet.decode(packet(recorded().get(0)), readers);
-        assertEquals(List.of(new Sample(1, 0, null)), read.parts());
-        assertEquals(List.of(SENDER, 2), List.of(read.from(), read.unknown()));
+        var read = (Packet.DecodeResult.Decoded) Packet.decode(packet(recorded().get(0)), readers);
+        assertEquals(List.of(new Sample(1, 0, null)), read.messages());
+        assertEquals(List.of(SENDER, 2), List.of(read.from(), read.skippedMessages()));
     }
 
     @Test
@@ -330,9 +330,9 @@
             byte[] changed = bytes.clone();
             changed[i] ^= 1;
             assertEquals(
-                    new Packet.Read.Dropped(Packet.Read.Why.GARBLED), Packet.decode(changed, Map.of()), "byte " + i);
+                    new Packet.DecodeResult.Dropped(Packet.DecodeResult.DropReason.CORRUPTED), Packet.decode(changed, Map.of()), "byte " + i);
             byte[] cut = Arrays.copyOf(bytes, i);
-            assertEquals(new Packet.Read.Dropped(Packet.Read.Why.GARBLED), Packet.decode(cut, Map.of()), "cut at " + i);
+            assertEquals(new Packet.DecodeResult.Dropped(Packet.DecodeResult.DropReason.CORRUPTED), Packet.decode(cut, Map.of()), "cut at " + i);
         }
     }
 
@@ -355,25 +355,25 @@
 
     @Test
     void decodesPacketWithoutMessagesAsRecorded() {
-        assertEquals(new Packet.Read.Whole(SENDER, List.of(), 0), Packet.decode(HEX.parseHex(EMPTY), Map.of()));
+        assertEquals(new Packet.DecodeResult.Decoded(SENDER, List.of(), 0), Packet.decode(HEX.parseHex(EMPTY), Map.of()));
     }
 
     @Test
     void dropsRecordedPacketOfAnotherVersion() {
         assertEquals(
-                new Packet.Read.Dropped(Packet.Read.Why.VERSION), Packet.decode(HEX.parseHex(VERSION_2), Map.of()));
+                new Packet.DecodeResult.Dropped(Packet.DecodeResult.DropReason.UNSUPPORTED_VERSION), Packet.decode(HEX.parseHex(VERSION_2), Map.of()));
     }
 
     @Test
     void dropsRecordedPacketWithTooLongName() {
         assertEquals(
-                new Packet.Read.Dropped(Packet.Read.Why.SENSELESS), Packet.decode(HEX.parseHex(LONG_NAME), Map.of()));
+                new Packet.DecodeResult.Dropped(Packet.DecodeResult.DropReason.MALFORMED), Packet.decode(HEX.parseHex(LONG_NAME), Map.of()));
     }
 
     @Test
     void decodesRecordedPacketWithAdditionalFields() {
-        Packet.Read read = Packet.decode(HEX.parseHex(LATER), Map.of(1, Sample.reader(1)));
-        assertEquals(new Packet.Read.Whole(SENDER, List.of(new Sample(1, 7, "a")), 0), read);
+        Packet.DecodeResult read = Packet.decode(HEX.parseHex(LATER), Map.of(1, Sample.reader(1)));
+        assertEquals(new Packet.DecodeResult.Decoded(SENDER, List.of(new Sample(1, 7, "a")), 0), read);
     }
 
     @Test
@@ -386,7 +386,7 @@
                 out.add(FIRST, new Sample(1, 0, "x".repeat(600)));
                 out.add(FIRST, new Sample(1, 0, "x".repeat(last)));
             });
-            new Fleet(SENDER, List.of(handler), (to, bytes) -> sizes.add(bytes.length)).turn(0);
+            new MessageDispatcher(SENDER, List.of(handler), (to, bytes) -> sizes.add(bytes.length)).tick(0);
             longest = sizes.size() == 1 ? length : longest;
             assertEquals(length <= LONGEST_SECOND_TEXT ? 1 : 2, sizes.size(), "length " + length);
         }
@@ -401,11 +401,11 @@
         var sizes = new ArrayList<Integer>();
         // 1,194 characters make a message of 1,200 bytes: two for the list, one for the number, three before the text.
         var fits = new SampleHandler(List.of(1), out -> out.add(FIRST, new Sample(1, 0, "x".repeat(1194))));
-        new Fleet(SENDER, List.of(fits), (to, bytes) -> sizes.add(bytes.length)).turn(0);
+        new MessageDispatcher(SENDER, List.of(fits), (to, bytes) -> sizes.add(bytes.length)).tick(0);
         assertEquals(List.of(1237), sizes);
         var tooLong = new SampleHandler(List.of(1), out -> out.add(FIRST, new Sample(1, 0, "x".repeat(1195))));
-        var fleet = new Fleet(SENDER, List.of(tooLong), (to, bytes) -> {});
-        assertThrows(IllegalArgumentException.class, () -> fleet.turn(0));
-        assertEquals(0, fleet.counts().sent);
+        var fleet = new MessageDispatcher(SENDER, List.of(tooLong), (to, bytes) -> {});
+        assertThrows(IllegalArgumentException.class, () -> fleet.tick(0));
+        assertEquals(0, fleet.counters().sentPackets);
     }
 }
--- a/fleet/src/test/java/clayhook/fleet/VirtualNetwork.java
+++ b/fleet/src/test/java/clayhook/fleet/VirtualNetwork.java
@@ -18,67 +18,67 @@
  */
 public final class VirtualNetwork {
     /** 2023; figures that only work near zero fail. */
-    public static final double START = 1.7e9;
+    public static final double START_TIME = 1.7e9;
     /** Datagrams that wait at a router that stands; further ones are lost, as at a socket. */
-    private static final int DOOR = 1000;
+    private static final int RECEIVE_QUEUE_LIMIT = 1000;
     /** Seconds; timers are no finer. */
-    private static final double TICK = 0.001;
+    private static final double MIN_TICK_INTERVAL = 0.001;
 
-    private record Event(double at, long order, Runnable run) implements Comparable<Event> {
+    private record ScheduledEvent(double time, long sequence, Runnable action) implements Comparable<ScheduledEvent> {
         @Override
-        public int compareTo(Event other) {
-            int order = Double.compare(at, other.at);
-            return order != 0 ? order : Long.compare(this.order, other.order);
+        public int compareTo(ScheduledEvent other) {
+            int order = Double.compare(time, other.time);
+            return order != 0 ? order : Long.compare(this.sequence, other.sequence);
         }
     }
 
     /** A process at an address; its clock may be off. */
     public final class Host {
         public final Address address;
-        public double clockAhead;
-        public Fleet fleet;
+        public double clockOffset;
+        public MessageDispatcher dispatcher;
         private boolean running = true;
-        private double standsUntil;
-        private double turnAt = Double.POSITIVE_INFINITY;
-        private final Queue<Runnable> door = new ArrayDeque<>();
+        private double stalledUntil;
+        private double nextTickAt = Double.POSITIVE_INFINITY;
+        private final Queue<Runnable> receiveQueue = new ArrayDeque<>();
 
         private Host(Address address, double clockAhead) {
             this.address = address;
-            this.clockAhead = clockAhead;
+            this.clockOffset = clockAhead;
         }
 
         public double clock() {
-            return now + clockAhead;
+            return now + clockOffset;
         }
 
-        private void wire(Address to, byte[] bytes) {
+        private void send(Address to, byte[] bytes) {
             Host host = hosts.get(to);
-            if (host == null || cut.test(this, host)) {
+            if (host == null || partitioned.test(this, host)) {
                 return;
             }
-            for (int copies = chance.nextDouble() < doubled ? 2 : 1; copies > 0; copies--) {
-                if (chance.nextDouble() >= lost) {
-                    at(now + least + chance.nextDouble() * (most - least), () -> host.heard(address, bytes));
+            for (int copies = random.nextDouble() < duplicationProbability ? 2 : 1; copies > 0; copies--) {
+                if (random.nextDouble() >= lossProbability) {
+                    schedule(now + minDelay + random.nextDouble() * (maxDelay - minDelay), () -> host.receive(address, bytes));
                 }
             }
         }
 
-        private void heard(Address from, byte[] bytes) {
-            if (now < standsUntil) {
-                if (door.size() < DOOR) {
-                    door.add(() -> heard(from, bytes));
+        private void receive(Address from, byte[] bytes) {
+            if (now < stalledUntil) {
+                if (receiveQueue.size() < RECEIVE_QUEUE_LIMIT) {
+                    receiveQueue.add(() -> receive(from, bytes));
                 }
             } else if (running) {
-                fleet.heard(from, bytes, clock());
+                dispatcher.onDatagram(from, bytes, clock());
             }
         }
 
-        private void turn() {
-            if (!running || now < turnAt || now < standsUntil) {
+        private void tick() {
+            if (!running || now < nextTickAt || now < stalledUntil) {
                 return;
             }
-            turnAt = Math.max(now + TICK, fleet.turn(clock()) - clockAhead);
-            at(turnAt, this::turn);
+            nextTickAt = Math.max(now + MIN_TICK_INTERVAL, dispatcher.tick(clock()) - clockOffset);
+            schedule(nextTickAt, this::tick);
         }
 
         /** Dies at once. */
@@ -88,48 +88,48 @@
         }
 
         /** SIGSTOP, and SIGCONT after that many seconds. */
-        public void stand(double seconds) {
-            standsUntil = now + seconds;
-            at(standsUntil, () -> {
-                while (!door.isEmpty()) {
-                    door.remove().run();
+        public void stall(double seconds) {
+            stalledUntil = now + seconds;
+            schedule(stalledUntil, () -> {
+                while (!receiveQueue.isEmpty()) {
+                    receiveQueue.remove().run();
                 }
-                turn();
+                tick();
             });
         }
     }
 
-    public double lost;
-    public double doubled;
+    public double lossProbability;
+    public double duplicationProbability;
     /** Seconds that a datagram takes; by chance between the two, so that some overtake others. */
-    public double least = 0.0002;
+    public double minDelay = 0.0002;
 
-    public double most = 0.002;
+    public double maxDelay = 0.002;
     /** Whether what goes from the first to the second never comes. */
-    public BiPredicate<Host, Host> cut = (from, to) -> false;
+    public BiPredicate<Host, Host> partitioned = (from, to) -> false;
 
-    public double now = START;
-    private final SplittableRandom chance;
+    public double now = START_TIME;
+    private final SplittableRandom random;
     private final Map<Address, Host> hosts = new HashMap<>();
-    private final PriorityQueue<Event> events = new PriorityQueue<>();
-    private long order;
+    private final PriorityQueue<ScheduledEvent> events = new PriorityQueue<>();
+    private long nextSequence;
 
     public VirtualNetwork(long seed) {
-        chance = new SplittableRandom(seed);
+        random = new SplittableRandom(seed);
     }
 
     /** What makes a router's end; {@code wire} is to be its wire. */
-    public interface Maker {
-        Fleet make(Host host, BiConsumer<Address, byte[]> wire);
+    public interface DispatcherFactory {
+        MessageDispatcher create(Host host, BiConsumer<Address, byte[]> wire);
     }
 
     /** A process begins there. */
-    public Host start(Address address, double clockAhead, Maker maker) {
+    public Host start(Address address, double clockAhead, DispatcherFactory maker) {
         var host = new Host(address, clockAhead);
         hosts.put(address, host);
-        host.fleet = maker.make(host, host::wire);
-        host.turnAt = now;
-        at(now, host::turn);
+        host.dispatcher = maker.create(host, host::send);
+        host.nextTickAt = now;
+        schedule(now, host::tick);
         return host;
     }
 
@@ -137,22 +137,22 @@
         return new ArrayList<>(hosts.values());
     }
 
-    public void at(double time, Runnable run) {
-        events.add(new Event(time, order++, run));
+    public void schedule(double time, Runnable run) {
+        events.add(new ScheduledEvent(time, nextSequence++, run));
     }
 
     public void run(double seconds) {
-        reaches(() -> false, seconds);
+        runUntil(() -> false, seconds);
     }
 
     /** Plays until that holds, looked at every 50 ms; false when it does not within those seconds. */
-    public boolean reaches(BooleanSupplier condition, double within) {
+    public boolean runUntil(BooleanSupplier condition, double within) {
         double end = now + within;
         for (double look = now; !condition.getAsBoolean(); look += 0.05) {
-            while (!events.isEmpty() && events.peek().at() <= Math.min(look, end)) {
-                Event event = events.remove();
-                now = Math.max(now, event.at());
-                event.run().run();
+            while (!events.isEmpty() && events.peek().time() <= Math.min(look, end)) {
+                ScheduledEvent event = events.remove();
+                now = Math.max(now, event.time());
+                event.action().run();
             }
             if (look >= end) {
                 now = end;
--- a/fleet/src/test/java/clayhook/fleet/kinds/JoinTest.java
+++ b/fleet/src/test/java/clayhook/fleet/kinds/JoinTest.java
@@ -4,11 +4,11 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clayhook.fleet.Kind;
+import clayhook.fleet.ReplicatedType;
 import clayhook.fleet.Member;
-import clayhook.fleet.Reader;
-import clayhook.fleet.Shared;
-import clayhook.fleet.Writer;
+import clayhook.fleet.FieldReader;
+import clayhook.fleet.ReplicatedStore;
+import clayhook.fleet.FieldWriter;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -21,7 +21,7 @@
 /** What holds for the join and the fields of every kind. Few different figures, so that values meet in all ways. */
 class JoinTest {
     /** A kind with a source of its values. */
-    private record Case<V>(Kind<V> kind, Function<Random, V> value) {
+    private record Case<V>(ReplicatedType<V> kind, Function<Random, V> value) {
         V next(Random random) {
             return value.apply(random);
         }
@@ -78,10 +78,10 @@
                 : r.nextBoolean() ? Fate.ran(sent, witness) : Fate.notRun(sent, witness);
     }
 
-    private static <V> byte[] bytes(Kind<V> kind, V value, boolean later) {
-        var out = new Writer();
+    private static <V> byte[] bytes(ReplicatedType<V> kind, V value, boolean later) {
+        var out = new FieldWriter();
         kind.write(value, out);
-        return later ? out.text("of a later release").begin().whole(7).end().done() : out.done();
+        return later ? out.writeNullableString("of a later release").beginList().writeLong(7).endList().toByteArray() : out.toByteArray();
     }
 
     @Property(tries = 400, seed = "27")
@@ -90,16 +90,16 @@
     }
 
     private static <V> void joins(Case<V> each, Random random) {
-        Kind<V> kind = each.kind;
+        ReplicatedType<V> kind = each.kind;
         V a = each.next(random), b = each.next(random), c = each.next(random);
-        V ab = kind.join(a, b);
-        assertEquals(ab, kind.join(b, a), kind.name());
-        assertEquals(kind.join(ab, c), kind.join(a, kind.join(b, c)), kind.name());
-        assertEquals(ab, kind.join(ab, a), kind.name());
-        assertTrue(kind.at(ab) >= Math.max(kind.at(a), kind.at(b)), kind.name() + " falls");
-        for (V value : List.of(a, ab, kind.join(ab, c))) {
-            assertEquals(value, kind.read(new Reader(bytes(kind, value, false))), kind.name());
-            assertEquals(value, kind.read(new Reader(bytes(kind, value, true))), kind.name());
+        V ab = kind.merge(a, b);
+        assertEquals(ab, kind.merge(b, a), kind.name());
+        assertEquals(kind.merge(ab, c), kind.merge(a, kind.merge(b, c)), kind.name());
+        assertEquals(ab, kind.merge(ab, a), kind.name());
+        assertTrue(kind.timestamp(ab) >= Math.max(kind.timestamp(a), kind.timestamp(b)), kind.name() + " falls");
+        for (V value : List.of(a, ab, kind.merge(ab, c))) {
+            assertEquals(value, kind.read(new FieldReader(bytes(kind, value, false))), kind.name());
+            assertEquals(value, kind.read(new FieldReader(bytes(kind, value, true))), kind.name());
         }
     }
 
@@ -116,10 +116,10 @@
         }
         byte[] some = random.nextInt(4) > 0 ? bytes : java.util.Arrays.copyOf(bytes, random.nextInt(bytes.length));
         try {
-            V read = each.kind.read(new Reader(some));
-            assertEquals(read, each.kind.join(read, read));
+            V read = each.kind.read(new FieldReader(some));
+            assertEquals(read, each.kind.merge(read, read));
             assertEquals(
-                    read, each.kind.read(new Reader(bytes(each.kind, read, false))), "what was read can be passed on");
+                    read, each.kind.read(new FieldReader(bytes(each.kind, read, false))), "what was read can be passed on");
         } catch (IllegalArgumentException e) {
             assertTrue(true, "refused");
         }
@@ -132,16 +132,16 @@
     void senselessFieldsAreRefused() {
         for (Case<?> each : KINDS) {
             for (double senseless : new double[] {Double.NaN, -1, 1e300, Double.POSITIVE_INFINITY}) {
-                byte[] fields = new Writer()
-                        .number(senseless)
-                        .number(1)
-                        .number(1)
-                        .number(1)
-                        .text("x")
-                        .text("x")
-                        .done();
+                byte[] fields = new FieldWriter()
+                        .writeDouble(senseless)
+                        .writeDouble(1)
+                        .writeDouble(1)
+                        .writeDouble(1)
+                        .writeNullableString("x")
+                        .writeNullableString("x")
+                        .toByteArray();
                 assertThrows(
-                        IllegalArgumentException.class, () -> each.kind.read(new Reader(fields)), each.kind.name());
+                        IllegalArgumentException.class, () -> each.kind.read(new FieldReader(fields)), each.kind.name());
             }
         }
         List<Runnable> senseless = List.of(
@@ -187,7 +187,7 @@
             }
             sizes.add(bytes(Evidence.KIND, evidence, false).length + Keys.LONGEST_TEXT);
             var sent = Fate.Sent.of(1.7e9 + 0.1, 1 << 19, name, name);
-            var fate = Fate.KIND.join(
+            var fate = Fate.KIND.merge(
                     Fate.ran(sent, Fate.Witness.of(1.7e9 + 0.1, name, name)),
                     Fate.notRun(sent, Fate.Witness.of(1.7e9 + 0.3, name, name)));
             sizes.add(bytes(Fate.KIND, fate, false).length + Keys.LONGEST_TEXT);
@@ -205,10 +205,10 @@
                                             1.7e9),
                                     false)
                             .length
-                    + Shared.LONGEST_KEY);
+                    + ReplicatedStore.MAX_KEY_BYTES);
             String use = Use.key(Use.cold(name, 1.7e9), new Member(name, Long.MAX_VALUE));
             List.of(Listed.key(name, name), Evidence.key(name), Mark.key(name), use)
-                    .forEach(key -> assertTrue(Check.bytes(key.replace('\u001f', '/')) <= Shared.LONGEST_KEY, key));
+                    .forEach(key -> assertTrue(Check.bytes(key.replace('\u001f', '/')) <= ReplicatedStore.MAX_KEY_BYTES, key));
             assertEquals(Keys.name(name), Keys.name(Keys.name(name)));
         }
         assertTrue(sizes.stream().allMatch(size -> size <= 1000), sizes.toString());
--- a/fleet/src/test/java/clayhook/fleet/kinds/ListMergeTest.java
+++ b/fleet/src/test/java/clayhook/fleet/kinds/ListMergeTest.java
@@ -116,13 +116,13 @@
     void peersAheadAreCountedAndWordsRenewedOnce() {
         merge.own("old:1", 50, true, entries(50, Map.of("a", State.READY)), 100);
         peer("old:1", "", word(53, State.READY));
-        shared.put(Listed.KIND, "a key of another release", word(1, State.DRAINING), 100);
+        shared.merge(Listed.KIND, "a key of another release", word(1, State.DRAINING), 100);
         assertEquals(3, merge.behind());
-        merge.renew(100 + Listed.KIND.keep() / 4);
+        merge.renew(100 + Listed.KIND.retentionSeconds() / 4);
         assertEquals(100, shared.get(Listed.KIND, Listed.key("old:1", "a")).at());
-        merge.renew(101 + Listed.KIND.keep() / 2);
+        merge.renew(101 + Listed.KIND.retentionSeconds() / 2);
         assertEquals(
-                101 + Listed.KIND.keep() / 2,
+                101 + Listed.KIND.retentionSeconds() / 2,
                 shared.get(Listed.KIND, Listed.key("old:1", "a")).at());
         assertEquals("{a=READY}", take());
         var late = new ListMerge("old:1", shared);
@@ -130,6 +130,6 @@
     }
 
     private void peer(String source, String id, Listed word) {
-        shared.put(Listed.KIND, Listed.key(source, id), word, 100);
+        shared.merge(Listed.KIND, Listed.key(source, id), word, 100);
     }
 }
--- a/fleet/src/test/java/clayhook/fleet/kinds/ReadersTest.java
+++ b/fleet/src/test/java/clayhook/fleet/kinds/ReadersTest.java
@@ -34,7 +34,7 @@
                 .failed(1, new Sight(98, "a"))
                 .failed(1, new Sight(97, "gone"))
                 .failed(3, new Sight(95, "before it was heard"));
-        shared.put(Evidence.KIND, Evidence.key("n"), evidence, 100);
+        shared.merge(Evidence.KIND, Evidence.key("n"), evidence, 100);
         assertEquals(
                 new Hearsay.Word(50, 95, 96, 1, 96, NEVER, 97, NEVER, 99, 2, 0.5, 0.3, 3, 0.15),
                 hearsay.on("n", 50, 100));
@@ -60,7 +60,7 @@
                 default -> evidence.load(2, sight).told(99, 1, sight).role(random.nextBoolean(), sight);
             };
         }
-        shared.put(Evidence.KIND, "n", evidence, 100);
+        shared.merge(Evidence.KIND, "n", evidence, 100);
         Hearsay.Word last = hearsay.on("n", 0, 104);
         for (double now = 104; now < 130; now += random.nextDouble()) {
             Hearsay.Word word = hearsay.on("n", 0, now);
@@ -119,7 +119,7 @@
         var shared = new Memory();
         var before = new Shares(
                 shared,
-                new Sighted(new Member("r9", 1), Sighted.of(9, List.of(1, 2)).others()),
+                new Sighted(new Member("r9", 1), Sighted.of(9, List.of(1, 2)).livePeers()),
                 3);
         assertEquals(30, before.left(limit, 100), 1e-9);
         before.used(limit, 30, 100);
@@ -138,7 +138,7 @@
                 .forEach(i -> assertEquals(left[i], alone.share(limit, 100 + ages[i]), 1e-9, "after " + ages[i]));
         var again = new Shares(
                 shared,
-                new Sighted(new Member("r9", 2), Sighted.of(9, List.of(1, 2)).others()),
+                new Sighted(new Member("r9", 2), Sighted.of(9, List.of(1, 2)).livePeers()),
                 3);
         assertEquals(20, again.left(limit, 105), 1e-9, "use before its own restart counts");
         var peers = new Shares(shared, new Sighted(Sighted.member(1), List.of(Sighted.peer(new Member("r9", 2)))), 2);
@@ -156,10 +156,10 @@
         var fates = new Fates(shared, Fate.KIND);
         var early = Fate.Sent.of(100, 1, "pay", "toll 1");
         var late = Fate.Sent.of(200, 1, "pay", null);
-        shared.put(Fate.KIND, "k2", Fate.unknown(late), 200);
-        shared.put(Fate.KIND, "k9", Fate.ran(early, Fate.Witness.of(150, "b", "n1")), 200);
-        shared.put(Fate.KIND, "k3", Fate.unknown(late), 200);
-        shared.put(Fate.KIND, "k3", Fate.notRun(late, Fate.Witness.of(220, "b", "n1")), 200);
+        shared.merge(Fate.KIND, "k2", Fate.unknown(late), 200);
+        shared.merge(Fate.KIND, "k9", Fate.ran(early, Fate.Witness.of(150, "b", "n1")), 200);
+        shared.merge(Fate.KIND, "k3", Fate.unknown(late), 200);
+        shared.merge(Fate.KIND, "k3", Fate.notRun(late, Fate.Witness.of(220, "b", "n1")), 200);
         assertEquals(
                 List.of("k9", "k2", "k3"),
                 fates.rows(0, 300).stream().map(Fates.Row::key).toList());
@@ -168,7 +168,7 @@
                 fates.rows(200, 300).stream().map(Fates.Row::key).toList());
         assertEquals(List.of(), fates.newConflicts());
         for (int i = 0; i < 2; i++) {
-            shared.put(Fate.KIND, "k9", Fate.notRun(early, Fate.Witness.of(140 + i, "c", "n2")), 201);
+            shared.merge(Fate.KIND, "k9", Fate.notRun(early, Fate.Witness.of(140 + i, "c", "n2")), 201);
         }
         var conflict = fates.newConflicts();
         assertEquals(List.of("k9"), conflict.stream().map(Fates.Row::key).toList());
@@ -176,7 +176,7 @@
         assertEquals(
                 List.of(new Sight(150, "b"), new Sight(140, "c")),
                 List.of(both.ran().sight(), both.notRun().sight()));
-        shared.put(Fate.KIND, "k9", Fate.ran(early, Fate.Witness.of(149, "b", "n1")), 202);
+        shared.merge(Fate.KIND, "k9", Fate.ran(early, Fate.Witness.of(149, "b", "n1")), 202);
         assertEquals(List.of(), fates.newConflicts());
         assertEquals(List.of(1, 0, 1, 1), List.copyOf(fates.counts().values()));
         shared.floor = 150;
--- a/fleet/src/test/java/clayhook/fleet/kinds/RecordedValuesTest.java
+++ b/fleet/src/test/java/clayhook/fleet/kinds/RecordedValuesTest.java
@@ -2,11 +2,11 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import clayhook.fleet.Kind;
+import clayhook.fleet.ReplicatedType;
 import clayhook.fleet.Member;
-import clayhook.fleet.Reader;
+import clayhook.fleet.FieldReader;
 import clayhook.fleet.RecordedBytes;
-import clayhook.fleet.Writer;
+import clayhook.fleet.FieldWriter;
 import java.util.EnumSet;
 import java.util.HashSet;
 import java.util.HexFormat;
@@ -33,15 +33,15 @@
     private static final Map<String, String> KEYS = keys();
 
     /** A value and the kind that reads and writes it. */
-    private record Case<V>(Kind<V> kind, V value) {
+    private record Case<V>(ReplicatedType<V> kind, V value) {
         byte[] encoded() {
-            var out = new Writer();
+            var out = new FieldWriter();
             kind.write(value, out);
-            return out.done();
+            return out.toByteArray();
         }
 
         void assertReadFrom(byte[] bytes) {
-            assertEquals(value, kind.read(new Reader(bytes)));
+            assertEquals(value, kind.read(new FieldReader(bytes)));
         }
     }
 
@@ -93,7 +93,7 @@
                         .load(7, Sight.of(NOW - 7, "router-6"))
                         .failed(8, Sight.of(NOW - 4, "router-7"))
                         .failed(9, two));
-        evidence.put("of-a-later-sight", Evidence.KIND.join(none.heard(one), Evidence.none(NOW - 50)));
+        evidence.put("of-a-later-sight", Evidence.KIND.merge(none.heard(one), Evidence.none(NOW - 50)));
         return evidence;
     }
 
@@ -128,7 +128,7 @@
         fates.put("unknown-of-long-names", Fate.unknown(Fate.Sent.of(0, 0, LONG_NAME, LONG_NAME)));
         fates.put("ran", Fate.ran(unlabelled, witness));
         fates.put("not-run", Fate.notRun(labelled, other));
-        fates.put("conflict", Fate.KIND.join(Fate.ran(unlabelled, other), Fate.notRun(labelled, witness)));
+        fates.put("conflict", Fate.KIND.merge(Fate.ran(unlabelled, other), Fate.notRun(labelled, witness)));
         return fates;
     }
 
@@ -160,7 +160,7 @@
     }
 
     private static String hex(String text) {
-        var out = new Writer().text(text).done();
+        var out = new FieldWriter().writeNullableString(text).toByteArray();
         return hex(out);
     }
 
@@ -204,7 +204,7 @@
     }
 
     private static String recordedKey(String name) {
-        return new Reader(KEY_BYTES.get(name)).text();
+        return new FieldReader(KEY_BYTES.get(name)).readNullableString();
     }
 
     @Test
@@ -229,13 +229,13 @@
 
     @Test
     void kindKeepsItsNumberAndName() {
-        assertEquals(List.of(1, 2, 3, 4, 5), kinds().map(Kind::number).toList());
+        assertEquals(List.of(1, 2, 3, 4, 5), kinds().map(ReplicatedType::typeNumber).toList());
         assertEquals(
                 List.of("evidence", "listed", "marks", "fates", "use"),
-                kinds().map(Kind::name).toList());
+                kinds().map(ReplicatedType::name).toList());
     }
 
-    private static Stream<Kind<?>> kinds() {
+    private static Stream<ReplicatedType<?>> kinds() {
         return Stream.of(Evidence.KIND, Listed.KIND, Mark.KIND, Fate.KIND, Use.KIND);
     }
 }
--- a/fleet/src/test/java/clayhook/fleet/kinds/SessionNeedsTest.java
+++ b/fleet/src/test/java/clayhook/fleet/kinds/SessionNeedsTest.java
@@ -22,7 +22,7 @@
     @Example
     void aReadCoversWhatIsKnownOrMayBeMissing() {
         assertEquals(998, needs.need("s", 1000), "nothing was published yet");
-        shared.put(Mark.KIND, "s", new Mark(990, 1), 1000);
+        shared.merge(Mark.KIND, "s", new Mark(990, 1), 1000);
         shared.certainUpTo = 998;
         needs.publish(1000);
         assertEquals(990, needs.need("s", 1000), "certain up to where it is asked");
@@ -33,9 +33,9 @@
         assertEquals(990, needs.need("s", 1000), "as published");
         needs.publish(1000.1);
         assertEquals(995, needs.need("s", 1000));
-        shared.put(Mark.KIND, "s", new Mark(999, 1), 1000);
+        shared.merge(Mark.KIND, "s", new Mark(999, 1), 1000);
         needs.publish(1000.2);
-        shared.put(Mark.KIND, "s", new Mark(999.5, 1), 1000);
+        shared.merge(Mark.KIND, "s", new Mark(999.5, 1), 1000);
         assertEquals(999, needs.need("s", 1000), "as published");
     }
 
@@ -79,11 +79,11 @@
                 .filter(name -> MarkSnapshot.shard(name) == 7)
                 .limit(MarkSnapshot.MOST_IN_SHARD + 10)
                 .toList();
-        meeting.forEach(name -> shared.put(Mark.KIND, name, new Mark(2000 + meeting.indexOf(name), 0), 2000));
+        meeting.forEach(name -> shared.merge(Mark.KIND, name, new Mark(2000 + meeting.indexOf(name), 0), 2000));
         needs.publish(2000);
         assertEquals(2009, needs.snapshot().floor());
         assertEquals(2009, needs.need(meeting.get(9), 2000));
-        shared.put(Mark.KIND, "new", new Mark(2000.5, 0), 2000);
+        shared.merge(Mark.KIND, "new", new Mark(2000.5, 0), 2000);
         for (int i = 0; i < MarkSnapshot.SHARDS; i++) {
             needs.publish(2000 + 2 * Mark.KEEP + 500);
         }
@@ -124,8 +124,8 @@
         started.await();
         var random = new Random(7);
         for (int round = 1; round <= rounds; round++) {
-            shared.put(Mark.KIND, "s" + random.nextInt(sessions), new Mark(1000 + random.nextInt(round), 0), 1000);
-            shared.put(Mark.KIND, "s0", new Mark(1000 + round, 0), 1000);
+            shared.merge(Mark.KIND, "s" + random.nextInt(sessions), new Mark(1000 + random.nextInt(round), 0), 1000);
+            shared.merge(Mark.KIND, "s0", new Mark(1000 + round, 0), 1000);
             needs.publish(1000);
         }
         for (Thread thread : threads) {
--- a/fleet/src/test/java/clayhook/fleet/kinds/Sighted.java
+++ b/fleet/src/test/java/clayhook/fleet/kinds/Sighted.java
@@ -3,13 +3,13 @@
 import clayhook.fleet.Address;
 import clayhook.fleet.Member;
 import clayhook.fleet.Peer;
-import clayhook.fleet.Roster;
+import clayhook.fleet.MembershipView;
 import java.util.Collection;
 import java.util.List;
 import java.util.Set;
 
 /** A roster that sees just those members; names that begin with "off" have clocks that cannot be used, 3 s ahead. */
-record Sighted(Member me, List<Peer> others) implements Roster {
+record Sighted(Member me, List<Peer> others) implements MembershipView {
     static Sighted of(int self, Collection<Integer> seen) {
         return new Sighted(
                 member(self),
@@ -34,32 +34,32 @@
     }
 
     @Override
-    public List<Member> mayServe(double now) {
+    public List<Member> possiblyServing(double now) {
         return others.stream().map(Peer::member).toList();
     }
 
     @Override
-    public boolean lives(Member member) {
+    public boolean isLive(Member member) {
         return others.stream().anyMatch(peer -> peer.member().equals(member));
     }
 
     @Override
-    public double heardAt(Member member) {
+    public double lastHeardAt(Member member) {
         return Double.NEGATIVE_INFINITY;
     }
 
     @Override
-    public double ahead(Member member) {
+    public double clockOffset(Member member) {
         return Set.of("ahead", "off").contains(member.name()) ? 3 : Double.NaN;
     }
 
     @Override
-    public boolean timely(Member member) {
+    public boolean clockWithinBound(Member member) {
         return !member.name().equals("off");
     }
 
     @Override
-    public boolean doubtful(double now) {
+    public boolean recentlyStalled(double now) {
         return false;
     }
 }
--- a/fleet/src/test/java/clayhook/fleet/members/ClaimPropertiesTest.java
+++ b/fleet/src/test/java/clayhook/fleet/members/ClaimPropertiesTest.java
@@ -7,8 +7,8 @@
 import clayhook.fleet.Member;
 import clayhook.fleet.Packet;
 import clayhook.fleet.Peer;
-import clayhook.fleet.Reader;
-import clayhook.fleet.Writer;
+import clayhook.fleet.FieldReader;
+import clayhook.fleet.FieldWriter;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
@@ -53,7 +53,7 @@
         assertEquals(a.join(b).join(c), a.join(b.join(c)));
         assertEquals(a, a.join(a));
         assertEquals(a.join(b), a.join(b).join(b));
-        assertTrue(a.peer().member().boot() <= b.peer().member().boot() || a.join(b) == a, "the younger life counts");
+        assertTrue(a.peer().member().incarnation() <= b.peer().member().incarnation() || a.join(b) == a, "the younger life counts");
         assertTrue(
                 !a.peer().equals(b.peer())
                         || a.standing() != Standing.LEFT
@@ -94,14 +94,14 @@
                 claim.standing(),
                 1L << 49,
                 claim.accusers());
-        var out = new Writer();
+        var out = new FieldWriter();
         new Word.Page(List.of(new Word.Page.Aged(wide, 1e9))).write(out);
-        byte[] bytes = out.done();
-        assertTrue(bytes.length <= Packet.LONGEST_PART);
-        assertEquals(wide, Word.Page.read(new Reader(bytes)).claims().get(0).claim());
-        var alone = new Writer();
+        byte[] bytes = out.toByteArray();
+        assertTrue(bytes.length <= Packet.MAX_MESSAGE_BYTES);
+        assertEquals(wide, Word.Page.read(new FieldReader(bytes)).claims().get(0).claim());
+        var alone = new FieldWriter();
         wide.write(alone);
-        assertTrue(alone.done().length <= wide.room());
+        assertTrue(alone.toByteArray().length <= wide.room());
     }
 
     @Provide
--- a/fleet/src/test/java/clayhook/fleet/members/MembersTest.java
+++ b/fleet/src/test/java/clayhook/fleet/members/MembersTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import clayhook.fleet.Address;
-import clayhook.fleet.Fleet;
+import clayhook.fleet.MessageDispatcher;
 import clayhook.fleet.Member;
 import clayhook.fleet.Peer;
 import clayhook.fleet.VirtualNetwork;
@@ -59,7 +59,7 @@
 
         @Override
         public void twins(Peer counts, Peer other, double now) {
-            lines.add("twins " + counts.member().boot() + " " + other.member().boot());
+            lines.add("twins " + counts.member().incarnation() + " " + other.member().incarnation());
         }
 
         @Override
@@ -107,7 +107,7 @@
                         seed * 7919 + address.hashCode(),
                         self.clock(),
                         log);
-                return new Fleet(member, List.of(made[0]), wire);
+                return new MessageDispatcher(member, List.of(made[0]), wire);
             });
             var router = new Router(host, made[0], log);
             routers.put(name, router);
@@ -124,9 +124,9 @@
                 introduceAll(); // a million first meetings cost 20 s of work
             }
             assertTrue(
-                    network.reaches(this::whole, 30),
+                    network.runUntil(this::whole, 30),
                     () -> "no whole roster: "
-                            + all().get(size - 1).members.others().size());
+                            + all().get(size - 1).members.livePeers().size());
             return this;
         }
 
@@ -134,7 +134,7 @@
             var page = new Word.Page(all().stream()
                     .map(router -> new Word.Page.Aged(Claim.alive(router.members.self(), 0), 0))
                     .toList());
-            all().forEach(router -> router.members.heard(
+            all().forEach(router -> router.members.onMessage(
                     new Peer(new Member("teller", 0), address(0)), page, network.now, (to, part) -> {}));
         }
 
@@ -147,7 +147,7 @@
         }
 
         boolean whole() {
-            return all(router -> router.members.others().size() == routers.size() - 1);
+            return all(router -> router.members.livePeers().size() == routers.size() - 1);
         }
 
         boolean all(Predicate<Router> holds) {
@@ -169,7 +169,7 @@
 
         double bytes() {
             return routers.values().stream()
-                    .mapToLong(router -> router.host.fleet.counts().sentBytes)
+                    .mapToLong(router -> router.host.dispatcher.counters().sentBytes)
                     .average()
                     .orElseThrow();
         }
@@ -179,22 +179,22 @@
     @CsvSource({"1, 0, 3", "2, 0, 3", "3, 0.2, 5", "4, 0.2, 5"})
     void theKilledIsGoneEverywhereSoonAndNobodyElseIs(long seed, double lost, double within) {
         Site site = Site.of(100, seed);
-        site.network.lost = lost;
-        site.network.doubled = lost;
-        site.network.most = lost == 0 ? 0.002 : 0.05;
+        site.network.lossProbability = lost;
+        site.network.duplicationProbability = lost;
+        site.network.maxDelay = lost == 0 ? 0.002 : 0.05;
         site.network.run(120);
         assertEquals(0, site.told("gone"));
         assertEquals(lost > 0, site.told("suspected") > 0);
         Router killed = null;
         for (int i = 10; i < 20; i++) {
             Router last = site.kill(i);
-            assertTrue(site.network.reaches(() -> site.all(router -> !router.members.lives(last.member())), within));
+            assertTrue(site.network.runUntil(() -> site.all(router -> !router.members.isLive(last.member())), within));
             killed = last;
         }
         assertEquals(90 * 10, site.told("gone"));
-        assertTrue(site.get(3).members.mayServe(site.network.now).contains(killed.member()));
+        assertTrue(site.get(3).members.possiblyServing(site.network.now).contains(killed.member()));
         site.network.run(MemberSettings.DEFAULT.deadAfter());
-        assertFalse(site.get(3).members.mayServe(site.network.now).contains(killed.member()));
+        assertFalse(site.get(3).members.possiblyServing(site.network.now).contains(killed.member()));
         assertEquals(90 * 10, site.told("gone"));
     }
 
@@ -204,22 +204,22 @@
         Site site = Site.of(100, seed);
         Router leaver = site.routers.remove("router-5");
         leaver.members.leave(site.network.now, (to, part) -> {});
-        assertTrue(site.network.reaches(() -> site.all(router -> !router.members.lives(leaver.member())), 1));
-        assertTrue(site.all(router -> !router.members.mayServe(site.network.now).contains(leaver.member())));
+        assertTrue(site.network.runUntil(() -> site.all(router -> !router.members.isLive(leaver.member())), 1));
+        assertTrue(site.all(router -> !router.members.possiblyServing(site.network.now).contains(leaver.member())));
         site.network.run(10); // it drains, and still answers
         assertEquals(99, site.told("left"));
         assertEquals(0, site.told("gone") + site.told("alive"));
         leaver.host.kill();
         Router again = site.start("router-5", leaver.host.address, 0);
-        assertTrue(site.network.reaches(site::whole, 5));
-        assertTrue(site.all(router -> router == again || router.members.lives(again.member())));
+        assertTrue(site.network.runUntil(site::whole, 5));
+        assertTrue(site.all(router -> router == again || router.members.isLive(again.member())));
     }
 
     @ParameterizedTest
     @CsvSource({"2, 1", "5, 2", "100, 3"})
     void aLinkCutOneWayOrBothIsNoDeath(int size, long seed) {
         Site site = Site.of(Math.max(3, size), seed);
-        site.network.cut = (from, to) -> from == site.get(0).host && to == site.get(1).host
+        site.network.partitioned = (from, to) -> from == site.get(0).host && to == site.get(1).host
                 || size > 2 && from == site.get(1).host && to == site.get(0).host;
         site.network.run(60);
         assertEquals(0, site.told("suspected"));
@@ -258,14 +258,14 @@
                 .filter(router -> router.host.address.hashCode() % 2 == 0)
                 .map(Router::host)
                 .collect(Collectors.toSet());
-        site.network.cut = (from, to) -> half.contains(from) != half.contains(to);
+        site.network.partitioned = (from, to) -> half.contains(from) != half.contains(to);
         site.network.run(80);
-        assertTrue(site.all(router -> router.members.others().size()
+        assertTrue(site.all(router -> router.members.livePeers().size()
                 == (half.contains(router.host) ? half.size() : site.routers.size() - half.size()) - 1));
         site.all().forEach(router -> router.log.lines.clear());
-        site.network.cut = (from, to) -> false;
+        site.network.partitioned = (from, to) -> false;
         double healed = site.network.now;
-        assertTrue(site.network.reaches(site::whole, 12));
+        assertTrue(site.network.runUntil(site::whole, 12));
         System.out.printf(
                 "%d members, %s: whole %.2f s after the heal%n",
                 size, remember > 60 ? "remembered" : "forgotten", site.network.now - healed);
@@ -278,19 +278,19 @@
     void whoStoodStillDoubtsItself(long seed, double seconds, int gone) {
         Site site = Site.of(100, seed);
         Router stood = site.get(9);
-        stood.host.stand(seconds);
+        stood.host.stall(seconds);
         site.network.run(seconds - 0.01);
-        site.network.cut =
+        site.network.partitioned =
                 (from, to) -> gone > 0 && (from == stood.host || to == stood.host); // its links are slow to come back
         stood.log.lines.clear();
         site.network.run(0.02);
-        assertTrue(stood.members.doubtful(site.network.now));
+        assertTrue(stood.members.recentlyStalled(site.network.now));
         site.network.run(gone > 0 ? 2 : 0);
-        site.network.cut = (from, to) -> false;
-        assertTrue(site.network.reaches(
-                () -> site.all(router -> router == stood || router.members.lives(stood.member())), 3));
+        site.network.partitioned = (from, to) -> false;
+        assertTrue(site.network.runUntil(
+                () -> site.all(router -> router == stood || router.members.isLive(stood.member())), 3));
         site.network.run(10);
-        assertFalse(stood.members.doubtful(site.network.now));
+        assertFalse(stood.members.recentlyStalled(site.network.now));
         assertEquals(List.of(), stood.log.lines, "it accuses nobody");
         assertEquals(gone, site.told("gone"), "nobody but it was gone, and only when it stood for long");
         assertTrue(site.whole());
@@ -301,15 +301,15 @@
         Site site = Site.of(20, 5);
         Router older = site.get(7);
         Router younger = site.start("router-7", new Address("10.9.9.9", 7100), 0);
-        assertTrue(site.network.reaches(() -> older.members.replaced() && site.whole(), 5));
+        assertTrue(site.network.runUntil(() -> older.members.replaced() && site.whole(), 5));
         site.network.run(20);
-        String line = "twins " + younger.member().boot() + " " + older.member().boot();
+        String line = "twins " + younger.member().incarnation() + " " + older.member().incarnation();
         assertEquals(
                 List.of(line),
                 older.log.lines.stream()
                         .filter(told -> told.startsWith("twins"))
                         .toList());
-        assertTrue(site.all(router -> router.members.others().contains(younger.members.self()) != (router == younger)));
+        assertTrue(site.all(router -> router.members.livePeers().contains(younger.members.self()) != (router == younger)));
         assertTrue(site.told(line) > 10, "the others are told once each that hears both");
         assertTrue(site.all(
                 router -> router.log.lines.stream().filter(line::equals).count() <= 1));
@@ -321,18 +321,18 @@
     void aClockThatIsOffIsMeasuredAndToldOnce(double ahead) {
         var site = new Site(6);
         Router off = site.start("off", Site.address(30), ahead);
-        site.network.least = 0.02;
-        site.network.most = 0.1;
+        site.network.minDelay = 0.02;
+        site.network.maxDelay = 0.1;
         site.with(10);
         site.network.run(30);
         boolean far = Math.abs(ahead) > 0.5;
         Predicate<Router> isOff = router -> router == off;
-        assertTrue(site.all(isOff.or(router -> Math.abs(router.members.ahead(off.member()) - ahead) < 0.05)));
-        assertTrue(site.all(isOff.or(router -> router.members.timely(off.member()) != far)));
+        assertTrue(site.all(isOff.or(router -> Math.abs(router.members.clockOffset(off.member()) - ahead) < 0.05)));
+        assertTrue(site.all(isOff.or(router -> router.members.clockWithinBound(off.member()) != far)));
         assertEquals(far ? 20 : 0, site.told("off"), "each of ten of it, and it of each");
         assertEquals(0, site.told("gone"));
         for (int i = 0; i < 1000 && Math.abs(ahead) == 0.7; i++) { // led back, as the process's clock is
-            off.host.clockAhead -= 0.0005 * Math.signum(ahead);
+            off.host.clockOffset -= 0.0005 * Math.signum(ahead);
             site.network.run(0.1);
         }
         assertEquals(Math.abs(ahead) == 0.7 ? 10 : 0, site.told("fine off"));
@@ -344,9 +344,9 @@
         Members one = site.get(0).members;
         for (int i = 0; i < 17_000; i++) {
             Claim claim = Claim.alive(new Peer(new Member("name-" + i, 1), Site.address(i)), 0);
-            one.heard(site.get(1).members.self(), new Word.News(List.of(claim)), site.network.now, (to, part) -> {});
+            one.onMessage(site.get(1).members.self(), new Word.News(List.of(claim)), site.network.now, (to, part) -> {});
         }
-        assertEquals(MemberSettings.DEFAULT.mostNames(), one.others().size());
+        assertEquals(MemberSettings.DEFAULT.mostNames(), one.livePeers().size());
         assertEquals(17_001 - MemberSettings.DEFAULT.mostNames(), one.refused());
     }
 
@@ -355,7 +355,7 @@
     void trafficIsFlatWhateverTheSize(int size) {
         long began = System.nanoTime();
         Site site = Site.of(size, 9);
-        double joined = site.network.now - VirtualNetwork.START;
+        double joined = site.network.now - VirtualNetwork.START_TIME;
         double joining = site.bytes();
         site.network.run(10);
         double before = site.bytes();
@@ -364,7 +364,7 @@
         Router killed = site.kill(5);
         double at = site.network.now;
         before = site.bytes();
-        assertTrue(site.network.reaches(() -> site.all(router -> !router.members.lives(killed.member())), 6));
+        assertTrue(site.network.runUntil(() -> site.all(router -> !router.members.isLive(killed.member())), 6));
         System.out.printf(
                 "%d members: whole after %.2f s and %.0f bytes a router; idle %.0f bytes/s; killed known after %.2f s, "
                         + "%.0f bytes/s; %.1f s of work%n",
--- a/fleet/src/test/java/clayhook/fleet/members/RecordedMessagesTest.java
+++ b/fleet/src/test/java/clayhook/fleet/members/RecordedMessagesTest.java
@@ -5,11 +5,11 @@
 
 import clayhook.fleet.Address;
 import clayhook.fleet.Member;
-import clayhook.fleet.Part;
+import clayhook.fleet.Message;
 import clayhook.fleet.Peer;
-import clayhook.fleet.Reader;
+import clayhook.fleet.FieldReader;
 import clayhook.fleet.RecordedBytes;
-import clayhook.fleet.Writer;
+import clayhook.fleet.FieldWriter;
 import java.util.Arrays;
 import java.util.EnumSet;
 import java.util.HashSet;
@@ -101,17 +101,17 @@
         return 7;
     }
 
-    private static byte[] encode(Part message) {
-        var out = new Writer();
+    private static byte[] encode(Message message) {
+        var out = new FieldWriter();
         message.write(out);
-        return out.done();
+        return out.toByteArray();
     }
 
     @TestFactory
     Stream<DynamicTest> messageIsWrittenAsRecorded() {
         return MESSAGES.entrySet().stream()
                 .map(each -> DynamicTest.dynamicTest(each.getKey(), () -> {
-                    assertEquals(number(each.getValue()), each.getValue().number());
+                    assertEquals(number(each.getValue()), each.getValue().typeNumber());
                     assertEquals(
                             HexFormat.of().formatHex(RECORDED.getOrDefault(each.getKey(), new byte[0])),
                             HexFormat.of().formatHex(encode(each.getValue())),
@@ -124,7 +124,7 @@
         return MESSAGES.entrySet().stream()
                 .map(each -> DynamicTest.dynamicTest(each.getKey(), () -> {
                     Word message = each.getValue();
-                    Part read = Word.READERS.get(number(message)).apply(new Reader(RECORDED.get(each.getKey())));
+                    Message read = Word.READERS.get(number(message)).apply(new FieldReader(RECORDED.get(each.getKey())));
                     if (message instanceof Word.Ask ask) {
                         assertArrayEquals(ask.digests(), ((Word.Ask) read).digests());
                     } else {
--- a/fleet/src/test/java/clayhook/fleet/state/FiguresTest.java
+++ b/fleet/src/test/java/clayhook/fleet/state/FiguresTest.java
@@ -29,7 +29,7 @@
 
     private static void put(Net net, String key) {
         Net.Node node = net.nodes.get(net.random.nextInt(net.nodes.size()));
-        node.state.put(MARKS, key, new Stamped(net.random.nextInt(1000), node.clock()), node.clock());
+        node.state.merge(MARKS, key, new Stamped(net.random.nextInt(1000), node.clock()), node.clock());
     }
 
     @ParameterizedTest
@@ -71,7 +71,7 @@
             net.run(news == 0 ? seconds : 0);
             bytes += sent(net);
             double sure = net.nodes.stream()
-                    .mapToDouble(node -> node.state.certainUpTo(node.clock()) + node.behind)
+                    .mapToDouble(node -> node.state.completeUpTo(node.clock()) + node.behind)
                     .min()
                     .orElseThrow();
             System.out.printf(
@@ -88,7 +88,7 @@
 
     private static double sent(Net net) {
         return net.nodes.stream()
-                .mapToLong(node -> node.fleet.counts().sentBytes)
+                .mapToLong(node -> node.fleet.counters().sentBytes)
                 .sum();
     }
 
@@ -100,7 +100,7 @@
         for (int i = 0; i < 100_000; i++) {
             String key = "session " + Long.toHexString(random.nextLong());
             for (Net.Node node : net.nodes) {
-                node.state.put(MARKS, key, new Stamped(i, net.now - 60 + i * 1e-4), node.clock());
+                node.state.merge(MARKS, key, new Stamped(i, net.now - 60 + i * 1e-4), node.clock());
             }
         }
         net.run(12);
--- a/fleet/src/test/java/clayhook/fleet/state/Net.java
+++ b/fleet/src/test/java/clayhook/fleet/state/Net.java
@@ -1,11 +1,11 @@
 package clayhook.fleet.state;
 
 import clayhook.fleet.Address;
-import clayhook.fleet.Fleet;
-import clayhook.fleet.Kind;
+import clayhook.fleet.MessageDispatcher;
+import clayhook.fleet.ReplicatedType;
 import clayhook.fleet.Member;
 import clayhook.fleet.Peer;
-import clayhook.fleet.Roster;
+import clayhook.fleet.MembershipView;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.IdentityHashMap;
@@ -27,15 +27,15 @@
     }
 
     /** One router; {@code behind} is by how much its clock is. */
-    final class Node implements Roster {
+    final class Node implements MembershipView {
         final Address address;
         double behind;
         Peer self;
         private long boot;
         /** Of its release. */
-        List<Kind<?>> knows = kinds;
+        List<ReplicatedType<?>> knows = kinds;
 
-        Fleet fleet;
+        MessageDispatcher fleet;
         State state;
         int side;
         boolean frozen;
@@ -60,22 +60,22 @@
             peers.clear();
             members.clear();
             state = new State(this, knows, settings, random.nextLong(), clock());
-            fleet = new Fleet(self.member(), List.of(state), (to, bytes) -> send(this, to, bytes));
+            fleet = new MessageDispatcher(self.member(), List.of(state), (to, bytes) -> send(this, to, bytes));
             turn(fleet);
         }
 
-        private void turn(Fleet life) {
+        private void turn(MessageDispatcher life) {
             if (life == fleet) {
-                double next = frozen ? clock() + 0.05 : life.turn(clock());
+                double next = frozen ? clock() + 0.05 : life.tick(clock());
                 at(Math.max(now + 1e-4, next + behind), () -> turn(life));
             }
         }
 
         private void heard(Address from, byte[] bytes) {
             if (!frozen) {
-                fleet.heard(from, bytes, clock());
+                fleet.onDatagram(from, bytes, clock());
             } else if (missed.size() < 200) {
-                missed.add(() -> fleet.heard(from, bytes, clock()));
+                missed.add(() -> fleet.onDatagram(from, bytes, clock()));
             }
         }
 
@@ -91,7 +91,7 @@
         }
 
         @Override
-        public List<Peer> others() {
+        public List<Peer> livePeers() {
             return peers.computeIfAbsent(this, any -> nodes.stream()
                     .filter(node -> node != this && node.self != null)
                     .map(node -> node.self)
@@ -99,40 +99,40 @@
         }
 
         @Override
-        public List<Member> mayServe(double time) {
+        public List<Member> possiblyServing(double time) {
             return members.computeIfAbsent(
-                    others(), list -> list.stream().map(Peer::member).toList());
+                    livePeers(), list -> list.stream().map(Peer::member).toList());
         }
 
         @Override
-        public boolean lives(Member member) {
+        public boolean isLive(Member member) {
             return byAddress.get(member.name()).self.member().equals(member);
         }
 
         @Override
-        public double heardAt(Member member) {
+        public double lastHeardAt(Member member) {
             return now;
         }
 
         @Override
-        public double ahead(Member member) {
+        public double clockOffset(Member member) {
             return behind - byAddress.get(member.name()).behind;
         }
 
         @Override
-        public boolean timely(Member member) {
-            return Math.abs(ahead(member)) <= settings.clockBound();
+        public boolean clockWithinBound(Member member) {
+            return Math.abs(clockOffset(member)) <= settings.clockBound();
         }
 
         @Override
-        public boolean doubtful(double time) {
+        public boolean recentlyStalled(double time) {
             return doubtful;
         }
     }
 
     final List<Node> nodes = new ArrayList<>();
     final SplittableRandom random;
-    final List<Kind<?>> kinds;
+    final List<ReplicatedType<?>> kinds;
     final StateSettings settings;
     private final Map<String, Node> byAddress = new HashMap<>();
     private final Map<Node, List<Peer>> peers = new HashMap<>();
@@ -147,7 +147,7 @@
 
     double jitter;
 
-    Net(long seed, int size, List<Kind<?>> kinds, StateSettings settings) {
+    Net(long seed, int size, List<ReplicatedType<?>> kinds, StateSettings settings) {
         random = new SplittableRandom(seed);
         this.kinds = kinds;
         this.settings = settings;
@@ -165,7 +165,7 @@
 
     /** Until all copies hold themselves for whole and know up to when. */
     Net settled() {
-        until(30, () -> nodes.stream().allMatch(node -> node.state.certainUpTo(node.clock()) > now - 20));
+        until(30, () -> nodes.stream().allMatch(node -> node.state.completeUpTo(node.clock()) > now - 20));
         return this;
     }
 
@@ -220,7 +220,7 @@
                                         .count()
                                 == 1
                         && nodes.stream()
-                                        .mapToDouble(node -> node.state.floor(kind))
+                                        .mapToDouble(node -> node.state.evictionFloor(kind))
                                         .distinct()
                                         .count()
                                 == 1);
--- a/fleet/src/test/java/clayhook/fleet/state/Plain.java
+++ b/fleet/src/test/java/clayhook/fleet/state/Plain.java
@@ -1,13 +1,13 @@
 package clayhook.fleet.state;
 
-import clayhook.fleet.Kind;
-import clayhook.fleet.Reader;
-import clayhook.fleet.Writer;
+import clayhook.fleet.ReplicatedType;
+import clayhook.fleet.FieldReader;
+import clayhook.fleet.FieldWriter;
 import java.util.function.BinaryOperator;
 
 /** A kind for tests: numbers with a time, and a join of choice. */
-record Plain(int number, double keep, int most, boolean urgent, BinaryOperator<Plain.Stamped> rule)
-        implements Kind<Plain.Stamped> {
+record Plain(int typeNumber, double retentionSeconds, int maxEntries, boolean urgent, BinaryOperator<Plain.Stamped> rule)
+        implements ReplicatedType<Plain.Stamped> {
     record Stamped(long value, double at) {}
 
     /** The later one, of two of one time the greater one. */
@@ -19,32 +19,32 @@
 
     @Override
     public String name() {
-        return "plain " + number;
+        return "plain " + typeNumber;
     }
 
     @Override
-    public Stamped join(Stamped a, Stamped b) {
+    public Stamped merge(Stamped a, Stamped b) {
         return rule.apply(a, b);
     }
 
     @Override
-    public double at(Stamped value) {
+    public double timestamp(Stamped value) {
         return value.at;
     }
 
     /** What is kept for ever needs no clock. */
     @Override
-    public boolean timed() {
-        return keep < Double.POSITIVE_INFINITY;
+    public boolean clockDependent() {
+        return retentionSeconds < Double.POSITIVE_INFINITY;
     }
 
     @Override
-    public void write(Stamped value, Writer out) {
-        out.whole(value.value).number(value.at);
+    public void write(Stamped value, FieldWriter out) {
+        out.writeLong(value.value).writeDouble(value.at);
     }
 
     @Override
-    public Stamped read(Reader in) {
-        return new Stamped(in.whole(), in.number());
+    public Stamped read(FieldReader in) {
+        return new Stamped(in.readLong(), in.readDouble());
     }
 }
--- a/fleet/src/test/java/clayhook/fleet/state/RecordedStateMessagesTest.java
+++ b/fleet/src/test/java/clayhook/fleet/state/RecordedStateMessagesTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import clayhook.fleet.Member;
-import clayhook.fleet.Part;
-import clayhook.fleet.Reader;
-import clayhook.fleet.Writer;
+import clayhook.fleet.Message;
+import clayhook.fleet.FieldReader;
+import clayhook.fleet.FieldWriter;
 import java.lang.reflect.Array;
 import java.lang.reflect.RecordComponent;
 import java.util.ArrayList;
@@ -246,14 +246,14 @@
         return out;
     }
 
-    private static String encode(Part message) {
-        var out = new Writer();
+    private static String encode(Message message) {
+        var out = new FieldWriter();
         message.write(out);
-        return HexFormat.of().formatHex(out.done());
+        return HexFormat.of().formatHex(out.toByteArray());
     }
 
-    private static Part decode(int number, byte[] bytes) {
-        return Word.readers().get(number).apply(new Reader(bytes));
+    private static Message decode(int number, byte[] bytes) {
+        return Word.readers().get(number).apply(new FieldReader(bytes));
     }
 
     /** The message as nested lists, since records compare arrays by identity. */
@@ -281,14 +281,14 @@
     @ParameterizedTest
     @MethodSource("recordings")
     void encodesToTheRecordedBytes(Recording recording) {
-        assertEquals(recording.number, recording.message.number());
+        assertEquals(recording.number, recording.message.typeNumber());
         assertEquals(HexFormat.of().formatHex(recording.bytes()), encode(recording.message));
     }
 
     @ParameterizedTest
     @MethodSource("recordings")
     void decodesTheRecordedBytes(Recording recording) throws ReflectiveOperationException {
-        Part decoded = decode(recording.number, recording.bytes());
+        Message decoded = decode(recording.number, recording.bytes());
         assertEquals(recording.message.getClass(), decoded.getClass());
         assertEquals(plain(recording.message), plain(decoded));
     }
@@ -332,34 +332,34 @@
         assertEquals(encode(exact), encode(rounded));
     }
 
-    private static Writer fields(long... values) {
-        var out = new Writer();
-        Arrays.stream(values).forEach(out::whole);
+    private static FieldWriter fields(long... values) {
+        var out = new FieldWriter();
+        Arrays.stream(values).forEach(out::writeLong);
         return out;
     }
 
-    private static Writer longs(Writer out, int size) {
-        out.begin();
-        IntStream.range(0, size).forEach(out::whole);
-        return out.end();
+    private static FieldWriter longs(FieldWriter out, int size) {
+        out.beginList();
+        IntStream.range(0, size).forEach(out::writeLong);
+        return out.endList();
     }
 
-    private static Writer lists(Writer out, int size, Runnable fields) {
-        out.begin();
+    private static FieldWriter lists(FieldWriter out, int size, Runnable fields) {
+        out.beginList();
         for (int i = 0; i < size; i++) {
-            out.begin();
+            out.beginList();
             fields.run();
-            out.end();
+            out.endList();
         }
-        return out.end();
+        return out.endList();
     }
 
-    private static Writer root(Writer out, int kind) {
-        return out.whole(kind).number(1).number(2).whole(3);
+    private static FieldWriter root(FieldWriter out, int kind) {
+        return out.writeLong(kind).writeDouble(1).writeDouble(2).writeLong(3);
     }
 
-    private static Writer told(Writer out, int kind, String key, int tags) {
-        return longs(out.whole(kind).text(key).bytes(new byte[1]), tags);
+    private static FieldWriter told(FieldWriter out, int kind, String key, int tags) {
+        return longs(out.writeLong(kind).writeNullableString(key).writeBytes(new byte[1]), tags);
     }
 
     /** Bytes at a bound of the decoder, and the same just beyond it, which it must not take. */
@@ -371,173 +371,173 @@
     }
 
     static Stream<Bound> bounds() {
-        Writer[] out = new Writer[26];
+        FieldWriter[] out = new FieldWriter[26];
         for (int i = 0; i < out.length; i++) {
-            out[i] = new Writer();
+            out[i] = new FieldWriter();
         }
         return Stream.of(
                 new Bound(
                         "kind of news",
                         20,
-                        lists(out[0].whole(1).number(2), 1, () -> told(out[0], 255, "k", 0))
-                                .done(),
-                        lists(out[1].whole(1).number(2), 1, () -> told(out[1], 256, "k", 0))
-                                .done()),
+                        lists(out[0].writeLong(1).writeDouble(2), 1, () -> told(out[0], 255, "k", 0))
+                                .toByteArray(),
+                        lists(out[1].writeLong(1).writeDouble(2), 1, () -> told(out[1], 256, "k", 0))
+                                .toByteArray()),
                 new Bound(
                         "key of news",
                         20,
-                        lists(out[2].whole(1).number(2), 1, () -> told(out[2], 1, "k".repeat(4096), 0))
-                                .done(),
-                        lists(out[3].whole(1).number(2), 1, () -> told(out[3], 1, "", 0))
-                                .done()),
+                        lists(out[2].writeLong(1).writeDouble(2), 1, () -> told(out[2], 1, "k".repeat(4096), 0))
+                                .toByteArray(),
+                        lists(out[3].writeLong(1).writeDouble(2), 1, () -> told(out[3], 1, "", 0))
+                                .toByteArray()),
                 new Bound(
                         "tags of news",
                         20,
-                        lists(out[4].whole(1).number(2), 1, () -> told(out[4], 1, "k", 16))
-                                .done(),
-                        lists(out[5].whole(1).number(2), 1, () -> told(out[5], 1, "k", 17))
-                                .done()),
+                        lists(out[4].writeLong(1).writeDouble(2), 1, () -> told(out[4], 1, "k", 16))
+                                .toByteArray(),
+                        lists(out[5].writeLong(1).writeDouble(2), 1, () -> told(out[5], 1, "k", 17))
+                                .toByteArray()),
                 new Bound(
                         "entries of news",
                         20,
-                        lists(out[6].whole(1).number(2), 256, () -> told(out[6], 1, "k", 0))
-                                .done(),
-                        lists(out[7].whole(1).number(2), 257, () -> told(out[7], 1, "k", 0))
-                                .done()),
+                        lists(out[6].writeLong(1).writeDouble(2), 256, () -> told(out[6], 1, "k", 0))
+                                .toByteArray(),
+                        lists(out[7].writeLong(1).writeDouble(2), 257, () -> told(out[7], 1, "k", 0))
+                                .toByteArray()),
                 new Bound(
                         "pairs",
                         21,
-                        lists(out[8].whole(1).whole(2).number(3), 256, () -> out[8].whole(1)
-                                        .whole(2)
-                                        .whole(250))
-                                .done(),
-                        lists(out[9].whole(1).whole(2).number(3), 257, () -> out[9].whole(1)
-                                        .whole(2)
-                                        .whole(250))
-                                .done()),
+                        lists(out[8].writeLong(1).writeLong(2).writeDouble(3), 256, () -> out[8].writeLong(1)
+                                        .writeLong(2)
+                                        .writeLong(250))
+                                .toByteArray(),
+                        lists(out[9].writeLong(1).writeLong(2).writeDouble(3), 257, () -> out[9].writeLong(1)
+                                        .writeLong(2)
+                                        .writeLong(250))
+                                .toByteArray()),
                 new Bound(
                         "number of a question",
                         22,
-                        longs(fields(1, Integer.MAX_VALUE - 1), 1).done(),
-                        longs(fields(1, Integer.MAX_VALUE), 1).done()),
+                        longs(fields(1, Integer.MAX_VALUE - 1), 1).toByteArray(),
+                        longs(fields(1, Integer.MAX_VALUE), 1).toByteArray()),
                 new Bound(
                         "members asked about",
                         22,
-                        longs(fields(1, 2), 40).done(),
-                        longs(fields(1, 2), 41).done()),
+                        longs(fields(1, 2), 40).toByteArray(),
+                        longs(fields(1, 2), 41).toByteArray()),
                 new Bound(
                         "roots asked for",
                         23,
-                        lists(out[10].whole(1).whole(2), 256, () -> root(out[10], 255))
-                                .done(),
-                        lists(out[11].whole(1).whole(2), 257, () -> root(out[11], 255))
-                                .done()),
+                        lists(out[10].writeLong(1).writeLong(2), 256, () -> root(out[10], 255))
+                                .toByteArray(),
+                        lists(out[11].writeLong(1).writeLong(2), 257, () -> root(out[11], 255))
+                                .toByteArray()),
                 new Bound(
                         "kind of a root",
                         24,
-                        lists(out[12].whole(1).whole(2).flag(true), 256, () -> root(out[12], 255))
-                                .done(),
-                        lists(out[13].whole(1).whole(2).flag(true), 1, () -> root(out[13], 256))
-                                .done()),
+                        lists(out[12].writeLong(1).writeLong(2).writeBoolean(true), 256, () -> root(out[12], 255))
+                                .toByteArray(),
+                        lists(out[13].writeLong(1).writeLong(2).writeBoolean(true), 1, () -> root(out[13], 256))
+                                .toByteArray()),
                 new Bound(
                         "level of a node",
                         25,
-                        out[14].whole(1)
-                                .whole(2)
-                                .whole(3)
-                                .number(4)
-                                .whole(2)
-                                .whole(255)
-                                .done(),
-                        out[15].whole(1)
-                                .whole(2)
-                                .whole(3)
-                                .number(4)
-                                .whole(3)
-                                .whole(0)
-                                .done()),
+                        out[14].writeLong(1)
+                                .writeLong(2)
+                                .writeLong(3)
+                                .writeDouble(4)
+                                .writeLong(2)
+                                .writeLong(255)
+                                .toByteArray(),
+                        out[15].writeLong(1)
+                                .writeLong(2)
+                                .writeLong(3)
+                                .writeDouble(4)
+                                .writeLong(3)
+                                .writeLong(0)
+                                .toByteArray()),
                 new Bound(
                         "place of a node",
                         25,
-                        out[16].whole(1)
-                                .whole(2)
-                                .whole(3)
-                                .number(4)
-                                .whole(1)
-                                .whole(15)
-                                .done(),
-                        out[17].whole(1)
-                                .whole(2)
-                                .whole(3)
-                                .number(4)
-                                .whole(1)
-                                .whole(16)
-                                .done()),
+                        out[16].writeLong(1)
+                                .writeLong(2)
+                                .writeLong(3)
+                                .writeDouble(4)
+                                .writeLong(1)
+                                .writeLong(15)
+                                .toByteArray(),
+                        out[17].writeLong(1)
+                                .writeLong(2)
+                                .writeLong(3)
+                                .writeDouble(4)
+                                .writeLong(1)
+                                .writeLong(16)
+                                .toByteArray()),
                 new Bound(
                         "sums of a node, fewer",
                         26,
-                        longs(longs(out[18].whole(1).whole(2).number(3).number(4), 16), 16)
-                                .done(),
-                        longs(longs(out[19].whole(1).whole(2).number(3).number(4), 15), 16)
-                                .done()),
+                        longs(longs(out[18].writeLong(1).writeLong(2).writeDouble(3).writeDouble(4), 16), 16)
+                                .toByteArray(),
+                        longs(longs(out[19].writeLong(1).writeLong(2).writeDouble(3).writeDouble(4), 15), 16)
+                                .toByteArray()),
                 new Bound(
                         "counts of a node, more",
                         26,
-                        longs(longs(out[20].whole(1).whole(2).number(3).number(4), 16), 16)
-                                .done(),
-                        longs(longs(out[21].whole(1).whole(2).number(3).number(4), 16), 17)
-                                .done()),
+                        longs(longs(out[20].writeLong(1).writeLong(2).writeDouble(3).writeDouble(4), 16), 16)
+                                .toByteArray(),
+                        longs(longs(out[21].writeLong(1).writeLong(2).writeDouble(3).writeDouble(4), 16), 17)
+                                .toByteArray()),
                 new Bound(
                         "entries told in brief",
                         27,
-                        longs(fields(1, 2, 255, 4, 5), 62).done(),
-                        longs(fields(1, 2, 255, 4, 5), 63).done()),
+                        longs(fields(1, 2, 255, 4, 5), 62).toByteArray(),
+                        longs(fields(1, 2, 255, 4, 5), 63).toByteArray()),
                 new Bound(
                         "entries",
                         28,
                         lists(
-                                        out[22].whole(1)
-                                                .whole(2)
-                                                .whole(3)
-                                                .number(4)
-                                                .whole(5)
-                                                .whole(6),
+                                        out[22].writeLong(1)
+                                                .writeLong(2)
+                                                .writeLong(3)
+                                                .writeDouble(4)
+                                                .writeLong(5)
+                                                .writeLong(6),
                                         256,
-                                        () -> out[22].text("k").bytes(new byte[1]))
-                                .done(),
+                                        () -> out[22].writeNullableString("k").writeBytes(new byte[1]))
+                                .toByteArray(),
                         lists(
-                                        out[23].whole(1)
-                                                .whole(2)
-                                                .whole(3)
-                                                .number(4)
-                                                .whole(5)
-                                                .whole(6),
+                                        out[23].writeLong(1)
+                                                .writeLong(2)
+                                                .writeLong(3)
+                                                .writeDouble(4)
+                                                .writeLong(5)
+                                                .writeLong(6),
                                         257,
-                                        () -> out[23].text("k").bytes(new byte[1]))
-                                .done()),
+                                        () -> out[23].writeNullableString("k").writeBytes(new byte[1]))
+                                .toByteArray()),
                 new Bound(
                         "floor that is no number",
                         28,
                         lists(
-                                        out[24].whole(1)
-                                                .whole(2)
-                                                .whole(3)
-                                                .number(-FOREVER)
-                                                .whole(5)
-                                                .whole(6),
+                                        out[24].writeLong(1)
+                                                .writeLong(2)
+                                                .writeLong(3)
+                                                .writeDouble(-FOREVER)
+                                                .writeLong(5)
+                                                .writeLong(6),
                                         0,
                                         () -> {})
-                                .done(),
+                                .toByteArray(),
                         lists(
-                                        out[25].whole(1)
-                                                .whole(2)
-                                                .whole(3)
-                                                .number(Double.NaN)
-                                                .whole(5)
-                                                .whole(6),
+                                        out[25].writeLong(1)
+                                                .writeLong(2)
+                                                .writeLong(3)
+                                                .writeDouble(Double.NaN)
+                                                .writeLong(5)
+                                                .writeLong(6),
                                         0,
                                         () -> {})
-                                .done()));
+                                .toByteArray()));
     }
 
     @ParameterizedTest
--- a/fleet/src/test/java/clayhook/fleet/state/StateTest.java
+++ b/fleet/src/test/java/clayhook/fleet/state/StateTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clayhook.fleet.Kind;
+import clayhook.fleet.ReplicatedType;
 import clayhook.fleet.state.Plain.Stamped;
 import clayhook.fleet.state.Story.Act;
 import java.util.ArrayList;
@@ -76,11 +76,11 @@
     }
 
     private static Net net(int size, Plain... kinds) {
-        return new Net(1, size, List.<Kind<?>>of(kinds), StateSettings.DEFAULT).started();
+        return new Net(1, size, List.<ReplicatedType<?>>of(kinds), StateSettings.DEFAULT).started();
     }
 
     private static Stamped put(Net.Node node, Plain kind, String key, double age) {
-        return node.state.put(kind, key, new Stamped(7, node.clock() - age), node.clock());
+        return node.state.merge(kind, key, new Stamped(7, node.clock() - age), node.clock());
     }
 
     @ParameterizedTest
@@ -111,13 +111,13 @@
         Net.Node node = net.nodes.get(0);
         double start = node.clock();
         for (int i = 0; i < 20; i++) {
-            assertNotNull(node.state.put(FEW, "k" + i, new Stamped(i, start + i * 0.01), node.clock()));
+            assertNotNull(node.state.merge(FEW, "k" + i, new Stamped(i, start + i * 0.01), node.clock()));
         }
         net.run(3);
         for (Net.Node each : net.nodes) {
             assertEquals(8, each.state.size(FEW));
-            assertEquals(start + 0.11, each.state.floor(FEW), 1e-9);
-            assertNull(each.state.put(FEW, "old", new Stamped(1, start + 0.11), each.clock()));
+            assertEquals(start + 0.11, each.state.evictionFloor(FEW), 1e-9);
+            assertNull(each.state.merge(FEW, "old", new Stamped(1, start + 0.11), each.clock()));
             assertNotNull(each.state.get(FEW, "k12"));
         }
     }
@@ -143,7 +143,7 @@
         net.run(19);
         net.nodes.get(3).thaw();
         var heard = new ArrayList<String>();
-        net.nodes.forEach(node -> node.state.listen(REGISTERS, (key, value, now) -> heard.add(key)));
+        net.nodes.forEach(node -> node.state.addListener(REGISTERS, (key, value, now) -> heard.add(key)));
         net.run(3);
         assertEquals(
                 List.of(0, 0, 0, 0),
@@ -182,24 +182,24 @@
         net.nodes.get(1).side = 1;
         net.nodes.get(2).side = 1;
         net.run(15);
-        assertEquals(-EVER, first.state.certainUpTo(first.clock()), "knows others and was brought up by none");
+        assertEquals(-EVER, first.state.completeUpTo(first.clock()), "knows others and was brought up by none");
         net.nodes.get(1).side = 0;
         net.nodes.get(2).side = 0;
         net.nodes.forEach(Net.Node::start);
         net.run(5);
-        assertEquals(-EVER, first.state.certainUpTo(first.clock()), "those whom it met know no more than itself");
+        assertEquals(-EVER, first.state.completeUpTo(first.clock()), "those whom it met know no more than itself");
         net.settled();
         net.run(5);
-        assertEquals(first.clock(), first.state.certainUpTo(first.clock()), 1.5);
+        assertEquals(first.clock(), first.state.completeUpTo(first.clock()), 1.5);
         net.nodes.get(1).side = 1;
         net.run(10);
         assertEquals(
-                first.clock() - 10, first.state.certainUpTo(first.clock()), 1.5, "one that may serve is not heard");
+                first.clock() - 10, first.state.completeUpTo(first.clock()), 1.5, "one that may serve is not heard");
         first.doubtful = true;
-        assertEquals(-EVER, first.state.certainUpTo(first.clock()), "stood itself");
+        assertEquals(-EVER, first.state.completeUpTo(first.clock()), "stood itself");
         Net.Node alone = net(1, REGISTERS).nodes.get(0);
-        assertEquals(-EVER, alone.state.certainUpTo(alone.clock() + 9.9), "too early to be the only one");
-        assertEquals(alone.clock() + 10.1, alone.state.certainUpTo(alone.clock() + 10.1));
+        assertEquals(-EVER, alone.state.completeUpTo(alone.clock() + 9.9), "too early to be the only one");
+        assertEquals(alone.clock() + 10.1, alone.state.completeUpTo(alone.clock() + 10.1));
     }
 
     /** A member whose clock is off is heard only on kinds that need none, and takes all certainty. */
@@ -217,7 +217,7 @@
             assertNull(node.state.get(REGISTERS, "timed"));
             assertNotNull(node.state.get(REGISTERS, "right"));
             assertNotNull(node.state.get(SETS, "untimed"));
-            assertEquals(-EVER, node.state.certainUpTo(node.clock()));
+            assertEquals(-EVER, node.state.completeUpTo(node.clock()));
         }
     }
 
@@ -232,7 +232,7 @@
         net.run(5);
         for (Net.Node node : net.nodes) {
             assertEquals(4, node.state.size(REGISTERS));
-            assertEquals(node.clock(), node.state.certainUpTo(node.clock()), 2);
+            assertEquals(node.clock(), node.state.completeUpTo(node.clock()), 2);
             assertTrue(
                     node.knows.size() == 2
                             ? node.state.get(SETS, "new") != null
@@ -248,10 +248,10 @@
         cut.side = 0;
         net.run(3);
         assertTrue(
-                cut.state.certainUpTo(cut.clock()) + cut.behind < before,
+                cut.state.completeUpTo(cut.clock()) + cut.behind < before,
                 "those who don't know the kind can't vouch for it");
         source.thaw();
-        assertTrue(net.until(5, () -> cut.state.certainUpTo(cut.clock()) + cut.behind > before) < 5);
+        assertTrue(net.until(5, () -> cut.state.completeUpTo(cut.clock()) + cut.behind > before) < 5);
         assertNotNull(cut.state.get(SETS, "newer"));
     }
 
@@ -272,7 +272,7 @@
         net.nodes.forEach(node -> before.put(node, node.state.counts().walkBytes));
         back.start();
         net.until(5, () -> back.state.size(SETS) > 300);
-        assertTrue(back.state.size(SETS) < 1000 && back.state.certainUpTo(back.clock()) == -EVER);
+        assertTrue(back.state.size(SETS) < 1000 && back.state.completeUpTo(back.clock()) == -EVER);
         Net.Node asked = net.nodes.subList(0, 3).stream()
                 .max(Comparator.comparing(node -> node.state.counts().walkBytes - before.get(node)))
                 .orElseThrow();
--- a/fleet/src/test/java/clayhook/fleet/state/Story.java
+++ b/fleet/src/test/java/clayhook/fleet/state/Story.java
@@ -62,11 +62,11 @@
         var key = new Key(kinds.get(act.value % kinds.size()), "key " + act.key % 15);
         double age = act.value % 11 == 0 ? 30 : act.value % 13 == 0 ? -30 : act.value % 10 * 0.3;
         var value = new Stamped(1L << act.value % 60, node.clock() - age);
-        Stamped joined = node.state.put(key.kind, key.key, value, node.clock());
+        Stamped joined = node.state.merge(key.kind, key.key, value, node.clock());
         if (joined != null) {
             puts.add(new Put(key, value, node.self.member(), net.now));
-            most.merge(key, value, key.kind::join);
-            least.merge(key, value, key.kind::join);
+            most.merge(key, value, key.kind::merge);
+            least.merge(key, value, key.kind::merge);
         }
     }
 
@@ -76,25 +76,25 @@
         net.nodes.stream()
                 .filter(other -> other != node)
                 .forEach(other -> kinds.forEach(kind ->
-                        other.state.each(kind, (key, value) -> least.merge(new Key(kind, key), value, kind::join))));
+                        other.state.forEach(kind, (key, value) -> least.merge(new Key(kind, key), value, kind::merge))));
         node.start();
     }
 
     /** What a copy calls certain is there. */
     private void certain(Net.Node node) {
-        double upTo = node.state.certainUpTo(node.clock()) + node.behind;
+        double upTo = node.state.completeUpTo(node.clock()) + node.behind;
         for (Put put : puts) {
-            if (put.when < upTo - 0.002 && !put.by.equals(node.self.member()) && node.lives(put.by)) {
+            if (put.when < upTo - 0.002 && !put.by.equals(node.self.member()) && node.isLive(put.by)) {
                 expect(node, put.key, put.value, "certain up to " + (net.now - upTo) + " s ago");
             }
         }
     }
 
     private void expect(Net.Node node, Key key, Stamped value, String why) {
-        double ends = value.at() + key.kind.keep() - StateSettings.DEFAULT.margin() - SLACK;
-        if (ends > net.now && value.at() > node.state.floor(key.kind)) {
+        double ends = value.at() + key.kind.retentionSeconds() - StateSettings.DEFAULT.margin() - SLACK;
+        if (ends > net.now && value.at() > node.state.evictionFloor(key.kind)) {
             Stamped here = node.state.get(key.kind, key.key);
-            if (here == null || !key.kind.join(here, value).equals(here)) {
+            if (here == null || !key.kind.merge(here, value).equals(here)) {
                 throw new AssertionError(
                         node.address + " lacks " + value + " of " + key + ", has " + here + ", " + why);
             }
@@ -111,15 +111,15 @@
         }
         for (Net.Node node : net.nodes) {
             least.forEach((key, value) -> expect(node, key, value, "at the end"));
-            kinds.forEach(kind -> node.state.each(kind, (key, value) -> {
+            kinds.forEach(kind -> node.state.forEach(kind, (key, value) -> {
                 Stamped all = most.get(new Key(kind, key));
-                if (all == null || !kind.join(value, all).equals(all)) {
+                if (all == null || !kind.merge(value, all).equals(all)) {
                     throw new AssertionError(node.address + " has " + value + " under " + key + ", put in was " + all);
                 }
             }));
         }
         double sure = net.until(
-                20, () -> net.nodes.stream().allMatch(node -> node.state.certainUpTo(node.clock()) > net.now - 4));
+                20, () -> net.nodes.stream().allMatch(node -> node.state.completeUpTo(node.clock()) > net.now - 4));
         if (sure > 20) {
             throw new AssertionError("not certain after 20 s");
         }
--- a/fleet/src/test/java/clayhook/rollout/AgreementTest.java
+++ b/fleet/src/test/java/clayhook/rollout/AgreementTest.java
@@ -78,7 +78,7 @@
     private static void endsStay(Net net, Set<String> ended) {
         for (Net.Node node : net.nodes) {
             if (node != null) {
-                node.shared.each(Round.KIND, (id, round) -> {
+                node.shared.forEach(Round.KIND, (id, round) -> {
                     if (round.end() != null) {
                         ended.add(node.member + id);
                     }
--- a/fleet/src/test/java/clayhook/rollout/JoinTest.java
+++ b/fleet/src/test/java/clayhook/rollout/JoinTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clayhook.fleet.Kind;
+import clayhook.fleet.ReplicatedType;
 import clayhook.fleet.Member;
 import java.util.Random;
 import java.util.function.Function;
@@ -59,17 +59,17 @@
         }
     }
 
-    private static <V> void holds(Kind<V> kind, Function<Random, V> values, long seed) {
+    private static <V> void holds(ReplicatedType<V> kind, Function<Random, V> values, long seed) {
         var chance = new Random(seed);
         V a = values.apply(chance);
         V b = values.apply(chance);
         V c = values.apply(chance);
-        V joined = kind.join(a, b);
-        assertEquals(joined, kind.join(b, a));
-        assertEquals(kind.join(joined, c), kind.join(a, kind.join(b, c)));
-        assertEquals(a, kind.join(a, a));
-        assertEquals(joined, kind.join(joined, a));
-        assertTrue(kind.at(joined) >= Math.max(kind.at(a), kind.at(b)));
+        V joined = kind.merge(a, b);
+        assertEquals(joined, kind.merge(b, a));
+        assertEquals(kind.merge(joined, c), kind.merge(a, kind.merge(b, c)));
+        assertEquals(a, kind.merge(a, a));
+        assertEquals(joined, kind.merge(joined, a));
+        assertTrue(kind.timestamp(joined) >= Math.max(kind.timestamp(a), kind.timestamp(b)));
         assertEquals(
                 a,
                 Net.carried(
@@ -100,13 +100,13 @@
             Figure figure = new Figure(i, i, counts);
             newest[by] = figure;
             String key = new Figure.Key("round", 1, new Member("r/" + by, 1), "a/b").text();
-            copy.put(Figure.COUNTS, key, figure, 40);
+            copy.merge(Figure.COUNTS, key, figure, 40);
             if (chance.nextBoolean()) {
-                late.put(Figure.COUNTS, key, figure, 40);
+                late.merge(Figure.COUNTS, key, figure, 40);
             }
         }
-        copy.each(Figure.COUNTS, (key, figure) -> late.put(Figure.COUNTS, key, figure, 40));
-        late.each(Figure.COUNTS, (key, figure) -> copy.put(Figure.COUNTS, key, figure, 40));
+        copy.forEach(Figure.COUNTS, (key, figure) -> late.merge(Figure.COUNTS, key, figure, 40));
+        late.forEach(Figure.COUNTS, (key, figure) -> copy.merge(Figure.COUNTS, key, figure, 40));
         long sum = 0;
         for (Figure figure : newest) {
             sum += figure == null ? 0 : figure.counts()[Figure.Sums.SIZE];
--- a/fleet/src/test/java/clayhook/rollout/Net.java
+++ b/fleet/src/test/java/clayhook/rollout/Net.java
@@ -1,15 +1,15 @@
 package clayhook.rollout;
 
 import clayhook.fleet.Address;
-import clayhook.fleet.Kind;
+import clayhook.fleet.ReplicatedType;
 import clayhook.fleet.Member;
 import clayhook.fleet.Outbox;
-import clayhook.fleet.Part;
+import clayhook.fleet.Message;
 import clayhook.fleet.Peer;
-import clayhook.fleet.Reader;
-import clayhook.fleet.Roster;
-import clayhook.fleet.Shared;
-import clayhook.fleet.Writer;
+import clayhook.fleet.FieldReader;
+import clayhook.fleet.MembershipView;
+import clayhook.fleet.ReplicatedStore;
+import clayhook.fleet.FieldWriter;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -30,26 +30,26 @@
     /** Seconds of silence after which a member counts as gone. */
     static final double GONE = 3;
 
-    private static final Set<Kind<?>> FIGURES = Set.of(Figure.COUNTS, Figure.OLD_TIMES, Figure.CANDIDATE_TIMES);
+    private static final Set<ReplicatedType<?>> FIGURES = Set.of(Figure.COUNTS, Figure.OLD_TIMES, Figure.CANDIDATE_TIMES);
     /** A copy that is exchanged whole: slow, and easily seen to be right. */
-    static final class Copy implements Shared {
+    static final class Copy implements ReplicatedStore {
         private final Map<Integer, TreeMap<String, Object>> values = new TreeMap<>();
-        private final Map<Integer, Shared.Listener<Object>> listeners = new HashMap<>();
+        private final Map<Integer, ReplicatedStore.ChangeListener<Object>> listeners = new HashMap<>();
         boolean whole = true;
 
         @Override
         @SuppressWarnings("unchecked")
-        public <V> V put(Kind<V> kind, String key, V value, double now) {
-            if (now - kind.at(value) > kind.keep()) {
+        public <V> V merge(ReplicatedType<V> kind, String key, V value, double now) {
+            if (now - kind.timestamp(value) > kind.retentionSeconds()) {
                 return null;
             }
             V before = get(kind, key);
-            V joined = before == null ? value : kind.join(before, value);
+            V joined = before == null ? value : kind.merge(before, value);
             if (!joined.equals(before)) {
-                values.computeIfAbsent(kind.number(), any -> new TreeMap<>()).put(key, joined);
-                Listener<Object> listener = listeners.get(kind.number());
+                values.computeIfAbsent(kind.typeNumber(), any -> new TreeMap<>()).put(key, joined);
+                ChangeListener<Object> listener = listeners.get(kind.typeNumber());
                 if (listener != null) {
-                    listener.changed(key, joined, now);
+                    listener.onChange(key, joined, now);
                 }
             }
             return joined;
@@ -57,62 +57,62 @@
 
         @Override
         @SuppressWarnings("unchecked")
-        public <V> V get(Kind<V> kind, String key) {
-            return (V) values.getOrDefault(kind.number(), new TreeMap<>()).get(key);
+        public <V> V get(ReplicatedType<V> kind, String key) {
+            return (V) values.getOrDefault(kind.typeNumber(), new TreeMap<>()).get(key);
         }
 
         @Override
         @SuppressWarnings("unchecked")
-        public <V> void each(Kind<V> kind, BiConsumer<String, V> to) {
-            values.getOrDefault(kind.number(), new TreeMap<>()).forEach((key, value) -> to.accept(key, (V) value));
+        public <V> void forEach(ReplicatedType<V> kind, BiConsumer<String, V> to) {
+            values.getOrDefault(kind.typeNumber(), new TreeMap<>()).forEach((key, value) -> to.accept(key, (V) value));
         }
 
         @Override
         @SuppressWarnings("unchecked")
-        public <V> void listen(Kind<V> kind, Listener<V> listener) {
-            listeners.put(kind.number(), (Listener<Object>) listener);
+        public <V> void addListener(ReplicatedType<V> kind, ChangeListener<V> listener) {
+            listeners.put(kind.typeNumber(), (ChangeListener<Object>) listener);
         }
 
         @Override
-        public int size(Kind<?> kind) {
-            return values.getOrDefault(kind.number(), new TreeMap<>()).size();
+        public int size(ReplicatedType<?> kind) {
+            return values.getOrDefault(kind.typeNumber(), new TreeMap<>()).size();
         }
 
         @Override
-        public double floor(Kind<?> kind) {
+        public double evictionFloor(ReplicatedType<?> kind) {
             return Double.NEGATIVE_INFINITY;
         }
 
         @Override
-        public double certainUpTo(double now) {
+        public double completeUpTo(double now) {
             return whole ? now - 1 : Double.NEGATIVE_INFINITY;
         }
 
         @Override
-        public long digest(Kind<?> kind, double now) {
-            return values.getOrDefault(kind.number(), new TreeMap<>()).hashCode();
+        public long digest(ReplicatedType<?> kind, double now) {
+            return values.getOrDefault(kind.typeNumber(), new TreeMap<>()).hashCode();
         }
 
-        private <V> void take(Copy from, Kind<V> kind, double now) {
+        private <V> void take(Copy from, ReplicatedType<V> kind, double now) {
             var all = new TreeMap<String, V>();
-            from.each(kind, all::put);
-            all.forEach((key, value) -> put(kind, key, value, now));
+            from.forEach(kind, all::put);
+            all.forEach((key, value) -> merge(kind, key, value, now));
         }
     }
 
     /** Across the wire and back. */
-    static <V> V carried(Kind<V> kind, String key, V value) {
-        var out = new Writer();
+    static <V> V carried(ReplicatedType<V> kind, String key, V value) {
+        var out = new FieldWriter();
         kind.write(value, out);
-        byte[] bytes = out.done();
-        if (key.length() > Shared.LONGEST_KEY || bytes.length + key.length() > 1200) {
+        byte[] bytes = out.toByteArray();
+        if (key.length() > ReplicatedStore.MAX_KEY_BYTES || bytes.length + key.length() > 1200) {
             throw new AssertionError(kind.name() + " of " + bytes.length + " bytes under " + key);
         }
-        return kind.read(new Reader(bytes));
+        return kind.read(new FieldReader(bytes));
     }
 
     /** One life of one router. */
-    final class Node implements Roster, Outbox {
+    final class Node implements MembershipView, Outbox {
         final int number;
         final Member member;
         final Copy shared = new Copy();
@@ -154,7 +154,7 @@
 
         Round round() {
             var rounds = new ArrayList<Round>();
-            shared.each(Round.KIND, (key, round) -> rounds.add(round));
+            shared.forEach(Round.KIND, (key, round) -> rounds.add(round));
             return rounds.isEmpty() ? null : rounds.get(rounds.size() - 1);
         }
 
@@ -164,10 +164,10 @@
         }
 
         @Override
-        public List<Peer> others() {
+        public List<Peer> livePeers() {
             var others = new ArrayList<Peer>();
             for (Node node : nodes) {
-                if (node != null && node != this && lives(node.member)) {
+                if (node != null && node != this && isLive(node.member)) {
                     others.add(node.self());
                 }
             }
@@ -175,12 +175,12 @@
         }
 
         @Override
-        public List<Member> mayServe(double now) {
-            return others().stream().map(Peer::member).toList();
+        public List<Member> possiblyServing(double now) {
+            return livePeers().stream().map(Peer::member).toList();
         }
 
         @Override
-        public boolean lives(Member other) {
+        public boolean isLive(Member other) {
             for (Node node : nodes) {
                 if (node != null && node.member.equals(other)) {
                     return now - heardAt[node.number] < GONE;
@@ -190,27 +190,27 @@
         }
 
         @Override
-        public double heardAt(Member other) {
+        public double lastHeardAt(Member other) {
             return Double.NEGATIVE_INFINITY;
         }
 
         @Override
-        public double ahead(Member other) {
+        public double clockOffset(Member other) {
             return Double.NaN;
         }
 
         @Override
-        public boolean timely(Member other) {
+        public boolean clockWithinBound(Member other) {
             return true;
         }
 
         @Override
-        public boolean doubtful(double now) {
+        public boolean recentlyStalled(double now) {
             return false;
         }
 
         @Override
-        public void add(Address to, Part part) {
+        public void add(Address to, Message part) {
             Deque<Sent> link = links.get(number).get(to.port());
             link.addLast(new Sent(self(), part));
             if (link.size() > mostOnLink) {
@@ -220,7 +220,7 @@
     }
 
     /** A part under way. */
-    record Sent(Peer from, Part part) {}
+    record Sent(Peer from, Message part) {}
 
     final RolloutSettings settings;
     final Quorum quorum;
@@ -295,7 +295,7 @@
     void exchange(int from, int to) {
         if (up(from, to) && from != to) {
             nodes[to].heardAt[from] = now;
-            for (Kind<?> kind : Rollouts.kinds()) {
+            for (ReplicatedType<?> kind : Rollouts.kinds()) {
                 if (!mute || !FIGURES.contains(kind)) {
                     nodes[to].shared.take(nodes[from].shared, kind, now);
                 }
@@ -309,17 +309,17 @@
         Sent sent = links.get(from).get(to).pollFirst();
         if (sent != null && up(from, to)) {
             Node node = nodes[to];
-            Part part = sent.part();
+            Message part = sent.part();
             if (part instanceof Answer answer && answer.granted()) {
                 node.answered.merge(sent.from().member(), answer.asked(), Math::max);
             }
-            node.rollouts.heard(sent.from(), part, now, node);
+            node.rollouts.onMessage(sent.from(), part, now, node);
         }
     }
 
     void turn(int i) {
         if (nodes[i] != null) {
-            nodes[i].rollouts.turn(now, nodes[i]);
+            nodes[i].rollouts.tick(now, nodes[i]);
             note();
         }
     }
@@ -327,7 +327,7 @@
     private void note() {
         for (Node node : nodes) {
             if (node != null) {
-                node.shared.each(Vote.KIND, (key, vote) -> votes.merge(key, vote.stage(), Math::max));
+                node.shared.forEach(Vote.KIND, (key, vote) -> votes.merge(key, vote.stage(), Math::max));
             }
         }
     }
@@ -362,7 +362,7 @@
                 continue;
             }
             String[] broken = {null};
-            node.shared.each(Round.KIND, (id, round) -> {
+            node.shared.forEach(Round.KIND, (id, round) -> {
                 Terms terms = terms(round);
                 if (terms != null && round.stage() > 0) {
                     long voters = terms.roster().stream()
--- a/fleet/src/test/java/clayhook/rollout/RecordedBytesTest.java
+++ b/fleet/src/test/java/clayhook/rollout/RecordedBytesTest.java
@@ -4,11 +4,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clayhook.fleet.Kind;
+import clayhook.fleet.ReplicatedType;
 import clayhook.fleet.Member;
-import clayhook.fleet.Part;
-import clayhook.fleet.Reader;
-import clayhook.fleet.Writer;
+import clayhook.fleet.Message;
+import clayhook.fleet.FieldReader;
+import clayhook.fleet.FieldWriter;
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
@@ -55,15 +55,15 @@
 
     /** Encodes a value as the fields of one list. */
     private interface Encoder {
-        void write(Writer out);
+        void write(FieldWriter out);
     }
 
     /** A recorded form: the bytes under {@code name}, the value that they stand for, and how it is written and read. */
-    private record Form(String name, Object value, Encoder encoder, Function<Reader, ?> decoder) {
+    private record Form(String name, Object value, Encoder encoder, Function<FieldReader, ?> decoder) {
         byte[] bytes() {
-            var out = new Writer();
+            var out = new FieldWriter();
             encoder.write(out);
-            return out.done();
+            return out.toByteArray();
         }
 
         @Override
@@ -72,30 +72,30 @@
         }
     }
 
-    private static Form message(String name, Part part) {
-        Map<Integer, Function<Reader, ? extends Part>> decoders = new Net(1).nodes[0].rollouts.parts();
+    private static Form message(String name, Message part) {
+        Map<Integer, Function<FieldReader, ? extends Message>> decoders = new Net(1).nodes[0].rollouts.messageReaders();
         assertEquals(Set.of(40, 41), decoders.keySet());
-        return new Form("message." + part.number() + "." + name, part, part::write, decoders.get(part.number()));
+        return new Form("message." + part.typeNumber() + "." + name, part, part::write, decoders.get(part.typeNumber()));
     }
 
-    private static <V> Form value(String name, Kind<V> kind, V value) {
-        return new Form("value." + kind.number() + "." + name, value, out -> kind.write(value, out), kind::read);
+    private static <V> Form value(String name, ReplicatedType<V> kind, V value) {
+        return new Form("value." + kind.typeNumber() + "." + name, value, out -> kind.write(value, out), kind::read);
     }
 
     /** What stands in another value as an element of a list. */
-    private static Form element(String name, Object value, Encoder encoder, Function<Reader, ?> decoder) {
+    private static Form element(String name, Object value, Encoder encoder, Function<FieldReader, ?> decoder) {
         return new Form(
                 "element." + name,
                 value,
                 out -> {
-                    out.begin();
+                    out.beginList();
                     encoder.write(out);
-                    out.end();
+                    out.endList();
                 },
-                in -> in.lists(1, decoder).get(0));
+                in -> in.readLists(1, decoder).get(0));
     }
 
-    private static Form field(String name, Object value, Encoder encoder, Function<Reader, ?> decoder) {
+    private static Form field(String name, Object value, Encoder encoder, Function<FieldReader, ?> decoder) {
         return new Form("field." + name, value, encoder, decoder);
     }
 
@@ -181,7 +181,7 @@
     @ParameterizedTest
     @MethodSource("forms")
     void decodesRecordedBytes(Form form) {
-        assertEquals(form.value(), form.decoder().apply(new Reader(bytes(form.name()))));
+        assertEquals(form.value(), form.decoder().apply(new FieldReader(bytes(form.name()))));
     }
 
     @Test
@@ -200,11 +200,11 @@
         assertEquals(names, new TreeSet<>(RECORDED.stringPropertyNames()));
         assertEquals(
                 List.of(10, 11, 12, 13, 14, 15),
-                Rollouts.kinds().stream().map(Kind::number).toList());
-        for (Kind<?> kind : Rollouts.kinds()) {
+                Rollouts.kinds().stream().map(ReplicatedType::typeNumber).toList());
+        for (ReplicatedType<?> kind : Rollouts.kinds()) {
             assertTrue(
-                    names.stream().anyMatch(name -> name.startsWith("value." + kind.number() + ".")),
-                    "kind " + kind.number());
+                    names.stream().anyMatch(name -> name.startsWith("value." + kind.typeNumber() + ".")),
+                    "kind " + kind.typeNumber());
         }
     }
 
@@ -234,7 +234,7 @@
         var copy = new Net.Copy();
         Piece.put(copy, text, TIME, TIME);
         var lengths = new TreeMap<String, Integer>();
-        copy.each(Piece.KIND, (key, piece) -> lengths.put(key, piece.bytes().length));
+        copy.forEach(Piece.KIND, (key, piece) -> lengths.put(key, piece.bytes().length));
         assertEquals(Map.of(hash + "/0", 900, hash + "/1", 900, hash + "/2", 50), lengths);
         assertArrayEquals(text, Piece.whole(copy, hash, text.length));
     }
@@ -345,7 +345,7 @@
         entries(net.nodes[2], lines);
         net.nodes[1].rollouts.withdraw(net.now);
         step(net, lines);
-        net.nodes[2].shared.each(Round.KIND, (key, round) -> entry(Round.KIND, key, round, lines));
+        net.nodes[2].shared.forEach(Round.KIND, (key, round) -> entry(Round.KIND, key, round, lines));
         return lines;
     }
 
@@ -359,10 +359,10 @@
             for (int j = 0; j < net.nodes.length; j++) {
                 net.exchange(i, j);
                 while (!net.links.get(i).get(j).isEmpty()) {
-                    Part part = net.links.get(i).get(j).peekFirst().part();
-                    var out = new Writer();
+                    Message part = net.links.get(i).get(j).peekFirst().part();
+                    var out = new FieldWriter();
                     part.write(out);
-                    lines.add(i + " to " + j + ": " + part.number() + " " + hex(out.done()));
+                    lines.add(i + " to " + j + ": " + part.typeNumber() + " " + hex(out.toByteArray()));
                     net.deliver(i, j);
                 }
             }
@@ -370,18 +370,18 @@
     }
 
     private static void entries(Net.Node node, List<String> lines) {
-        for (Kind<?> kind : Rollouts.kinds()) {
+        for (ReplicatedType<?> kind : Rollouts.kinds()) {
             entries(node, kind, lines);
         }
     }
 
-    private static <V> void entries(Net.Node node, Kind<V> kind, List<String> lines) {
-        node.shared.each(kind, (key, value) -> entry(kind, key, value, lines));
+    private static <V> void entries(Net.Node node, ReplicatedType<V> kind, List<String> lines) {
+        node.shared.forEach(kind, (key, value) -> entry(kind, key, value, lines));
     }
 
-    private static <V> void entry(Kind<V> kind, String key, V value, List<String> lines) {
-        var out = new Writer();
+    private static <V> void entry(ReplicatedType<V> kind, String key, V value, List<String> lines) {
+        var out = new FieldWriter();
         kind.write(value, out);
-        lines.add("kind " + kind.number() + ": " + key + " " + hex(out.done()));
+        lines.add("kind " + kind.typeNumber() + ": " + key + " " + hex(out.toByteArray()));
     }
 }
--- a/lab/src/main/java/clayhook/lab/sharing/Company.java
+++ b/lab/src/main/java/clayhook/lab/sharing/Company.java
@@ -1,7 +1,7 @@
 package clayhook.lab.sharing;
 
 import clayhook.fleet.Address;
-import clayhook.fleet.Kind;
+import clayhook.fleet.ReplicatedType;
 import clayhook.fleet.Member;
 import clayhook.fleet.Peer;
 import clayhook.lab.model.Time;
@@ -82,13 +82,13 @@
     // ---- whether all agree ----
 
     private static Set<Member> seen(PeeredRouter by) {
-        var seen = by.roster().others().stream().map(Peer::member).collect(Collectors.toSet());
+        var seen = by.roster().livePeers().stream().map(Peer::member).collect(Collectors.toSet());
         seen.add(by.roster().self().member());
         return seen;
     }
 
     /** Who sees other members than the rest, or has another copy of one of these kinds; null while all agree. */
-    public String disagreement(List<Kind<?>> kinds) {
+    public String disagreement(List<ReplicatedType<?>> kinds) {
         List<PeeredRouter> awake = routers.stream().filter(PeeredRouter::awake).toList();
         Set<Member> living =
                 awake.stream().map(router -> router.roster().self().member()).collect(Collectors.toSet());
@@ -103,7 +103,7 @@
                                 .orElse("too many");
             }
         }
-        for (Kind<?> kind : kinds) {
+        for (ReplicatedType<?> kind : kinds) {
             PeeredRouter first = awake.get(0);
             long digest = first.shared().digest(kind, first.now());
             for (PeeredRouter router : awake) {
--- a/lab/src/main/java/clayhook/lab/sharing/Learning.java
+++ b/lab/src/main/java/clayhook/lab/sharing/Learning.java
@@ -1,6 +1,6 @@
 package clayhook.lab.sharing;
 
-import clayhook.fleet.Kind;
+import clayhook.fleet.ReplicatedType;
 import clayhook.fleet.kinds.Evidence;
 import clayhook.fleet.kinds.Fate;
 import clayhook.fleet.kinds.Listed;
@@ -21,13 +21,13 @@
     private static final double NODE_LIVES = 40, REVISION = 2;
 
     /** One value that a router put in, at the true time. */
-    record Said<V>(Kind<V> kind, String key, V value, PeeredRouter by, int life, double at) {}
+    record Said<V>(ReplicatedType<V> kind, String key, V value, PeeredRouter by, int life, double at) {}
 
     private final SplittableRandom random;
-    private final List<Kind<?>> kinds;
+    private final List<ReplicatedType<?>> kinds;
 
     /** {@code kinds} as the routers' copies have them, in order of their numbers; their values are the usual ones. */
-    Learning(List<Kind<?>> kinds, long seed) {
+    Learning(List<ReplicatedType<?>> kinds, long seed) {
         this.kinds = kinds;
         random = new SplittableRandom(seed);
     }
@@ -59,7 +59,7 @@
 
     @SuppressWarnings("unchecked") // the kinds stand in order of their numbers
     private <V> Said<V> said(int kind, String key, Maker<V> maker, PeeredRouter by, double now) {
-        return new Said<>((Kind<V>) kinds.get(kind), key, maker.of(key), by, by.lives(), now);
+        return new Said<>((ReplicatedType<V>) kinds.get(kind), key, maker.of(key), by, by.lives(), now);
     }
 
     private Evidence evidence(String key, PeeredRouter by, double now) {
--- a/lab/src/main/java/clayhook/lab/sharing/Life.java
+++ b/lab/src/main/java/clayhook/lab/sharing/Life.java
@@ -1,11 +1,11 @@
 package clayhook.lab.sharing;
 
 import clayhook.fleet.Address;
-import clayhook.fleet.Kind;
-import clayhook.fleet.Machine;
+import clayhook.fleet.ReplicatedType;
+import clayhook.fleet.ProtocolHandler;
 import clayhook.fleet.Peer;
-import clayhook.fleet.Roster;
-import clayhook.fleet.Shared;
+import clayhook.fleet.MembershipView;
+import clayhook.fleet.ReplicatedStore;
 import clayhook.fleet.members.MemberSettings;
 import clayhook.fleet.members.Members;
 import clayhook.fleet.state.State;
@@ -17,7 +17,7 @@
  *
  * @param machines in the order of their turns
  */
-public record Life(Roster roster, Shared shared, List<? extends Machine> machines) {
+public record Life(MembershipView roster, ReplicatedStore shared, List<? extends ProtocolHandler> machines) {
 
     /** Begins one; {@code now} is told by the router's own clock. */
     public interface Birth {
@@ -25,7 +25,7 @@
     }
 
     /** The roster and the copy as routers run them, with nothing beside. */
-    public static Birth sharing(List<Kind<?>> kinds) {
+    public static Birth sharing(List<ReplicatedType<?>> kinds) {
         return (self, seeds, seed, now) -> {
             var members = new Members(MemberSettings.DEFAULT, self, seeds, seed, now, new Members.Listener() {});
             var state = new State(members, kinds, StateSettings.DEFAULT, seed + 1, now);
--- a/lab/src/main/java/clayhook/lab/sharing/ModelPeer.java
+++ b/lab/src/main/java/clayhook/lab/sharing/ModelPeer.java
@@ -16,8 +16,8 @@
 import clayhook.lab.model.Hearing;
 import clayhook.lab.model.Peers;
 import clayhook.lab.model.Time;
-import clayhook.peers.Exchange;
-import clayhook.peers.News;
+import clayhook.peers.StateBridge;
+import clayhook.peers.LocalEvent;
 import clayhook.serve.PeerSharing;
 import java.net.InetSocketAddress;
 import java.util.Collection;
@@ -47,7 +47,7 @@
 
     private long revision;
     private PeeredRouter peer;
-    private Exchange exchange;
+    private StateBridge exchange;
 
     /** {@code marks}: clients carry none, so that routers must share them. */
     ModelPeer(Time time, Hearing router, int routers, boolean marks, double roam) {
@@ -67,19 +67,19 @@
         var chance = new SplittableRandom(seed);
         var members =
                 new Members(MemberSettings.DEFAULT, self, seeds, chance.nextLong(), now, new Members.Listener() {});
-        var kinds = new Exchange.Kinds(true, true, marks, Fate.KIND, true);
-        var state = new State(members, kinds.all(), StateSettings.DEFAULT, chance.nextLong(), now);
-        exchange = new Exchange(
+        var kinds = new StateBridge.EnabledTypes(true, true, marks, Fate.KIND, true);
+        var state = new State(members, kinds.types(), StateSettings.DEFAULT, chance.nextLong(), now);
+        exchange = new StateBridge(
                 kinds, roam, routers, SOURCE, state, members, chance.split(), what -> time.in(0, what), this);
         if (!listed.isEmpty()) {
-            exchange.take(new News.Listed(SOURCE, new EndpointList(revision, true, List.copyOf(listed.values()))), now);
+            exchange.accept(new LocalEvent.EndpointListReceived(SOURCE, new EndpointList(revision, true, List.copyOf(listed.values()))), now);
         }
         return new Life(members, state, List.of(members, exchange, state));
     }
 
-    private void tell(News news) {
+    private void tell(LocalEvent news) {
         if (peer.awake()) {
-            exchange.take(news, peer.now());
+            exchange.accept(news, peer.now());
             peer.stir();
         }
     }
@@ -91,7 +91,7 @@
         List<EndpointList.DiscoveredEndpoint> told = entries.stream().map(ModelPeer::entry).toList();
         told.forEach(entry -> listed.put(entry.id(), entry));
         revision = as;
-        tell(new News.Listed(SOURCE, new EndpointList(as, whole, told)));
+        tell(new LocalEvent.EndpointListReceived(SOURCE, new EndpointList(as, whole, told)));
     }
 
     private static EndpointList.DiscoveredEndpoint entry(Endpoint listing) {
@@ -102,19 +102,19 @@
 
     @Override
     public void looked(Node node, AttemptResult reply) {
-        tell(new News.Looked(node, reply, peer.now()));
+        tell(new LocalEvent.AttemptFinished(node, reply, peer.now()));
     }
 
     @Override
     public void wrote(Request command, double position) {
         if (marks) {
-            tell(new News.Wrote(command.sessionId, command.replicaSetId, position));
+            tell(new LocalEvent.SessionWriteCommitted(command.sessionId, command.replicaSetId, position));
         }
     }
 
     @Override
     public void written(Request command, String mark, Node ranAt) {
-        tell(new News.Written(
+        tell(new LocalEvent.WriteFinished(
                 mark,
                 command.attempts.get(0).sentAt,
                 command.replicaSetId,
@@ -127,17 +127,17 @@
     @Override
     public void used(int probes, int repeats) {
         if (probes > 0) {
-            tell(new News.Used(PeerSharing.SharedQuota.HEALTH_CHECKS, probes));
+            tell(new LocalEvent.QuotaUsed(PeerSharing.SharedQuota.HEALTH_CHECKS, probes));
         }
         if (repeats > 0) {
-            tell(new News.Used(PeerSharing.SharedQuota.FURTHER_ATTEMPTS, repeats));
+            tell(new LocalEvent.QuotaUsed(PeerSharing.SharedQuota.FURTHER_ATTEMPTS, repeats));
         }
     }
 
     /** Where peers cannot be asked, anything may have been written up to now. */
     @Override
     public double needs(String session) {
-        return !marks ? 0 : peer.awake() ? exchange.need(session, peer.now()) : time.now();
+        return !marks ? 0 : peer.awake() ? exchange.requiredPosition(session, peer.now()) : time.now();
     }
 
     // ---- to the router ----
--- a/lab/src/main/java/clayhook/lab/sharing/PeeredRouter.java
+++ b/lab/src/main/java/clayhook/lab/sharing/PeeredRouter.java
@@ -1,12 +1,12 @@
 package clayhook.lab.sharing;
 
 import clayhook.fleet.Address;
-import clayhook.fleet.Fleet;
-import clayhook.fleet.Kind;
+import clayhook.fleet.MessageDispatcher;
+import clayhook.fleet.ReplicatedType;
 import clayhook.fleet.Member;
 import clayhook.fleet.Peer;
-import clayhook.fleet.Roster;
-import clayhook.fleet.Shared;
+import clayhook.fleet.MembershipView;
+import clayhook.fleet.ReplicatedStore;
 import clayhook.lab.model.Time;
 import java.util.ArrayDeque;
 import java.util.List;
@@ -39,7 +39,7 @@
     private final Queue<Letter> waiting = new ArrayDeque<>();
 
     private Life life;
-    private Fleet fleet;
+    private MessageDispatcher fleet;
     private int lives;
     private long boot;
     private double ahead;
@@ -75,7 +75,7 @@
         boot = Math.max(boot + 1, (long) (1000 * now()));
         var self = new Member(address.host(), boot);
         life = birth.begin(new Peer(self, address), seeds, seed * 1_000_003 + lives, now());
-        fleet = new Fleet(self, life.machines(), (to, bytes) -> network.send(address, to, bytes));
+        fleet = new MessageDispatcher(self, life.machines(), (to, bytes) -> network.send(address, to, bytes));
         wakeAt = Double.POSITIVE_INFINITY;
         wake(time.now());
     }
@@ -115,7 +115,7 @@
         if (--stands == 0) {
             while (awake() && !waiting.isEmpty()) {
                 Letter letter = waiting.poll();
-                fleet.heard(letter.from(), letter.bytes(), now());
+                fleet.onDatagram(letter.from(), letter.bytes(), now());
             }
             wake(time.now());
         }
@@ -125,7 +125,7 @@
 
     private void heard(Address from, byte[] bytes) {
         if (awake()) {
-            fleet.heard(from, bytes, now());
+            fleet.onDatagram(from, bytes, now());
             wake(time.now() + SOON);
         } else if (life != null && waiting.size() < WAITING) {
             waiting.add(new Letter(from, bytes));
@@ -148,14 +148,14 @@
 
     private void turn() {
         if (awake()) {
-            double next = fleet.turn(now());
+            double next = fleet.tick(now());
             wake(Math.max(time.now() + LEAST_PAUSE, clock.when(next)));
         }
     }
 
     /** Puts a value in and lets the machines say it. */
-    public <V> V put(Kind<V> kind, String key, V value) {
-        V joined = life.shared().put(kind, key, value, now());
+    public <V> V put(ReplicatedType<V> kind, String key, V value) {
+        V joined = life.shared().merge(kind, key, value, now());
         wake(time.now());
         return joined;
     }
@@ -187,18 +187,18 @@
     }
 
     /** Null while it is dead. */
-    public Shared shared() {
+    public ReplicatedStore shared() {
         return life == null ? null : life.shared();
     }
 
     /** Null while it is dead. */
-    public Roster roster() {
+    public MembershipView roster() {
         return life == null ? null : life.roster();
     }
 
     /** Of this life. */
-    public Fleet.Counts counts() {
-        return fleet.counts();
+    public MessageDispatcher.TrafficCounters counts() {
+        return fleet.counters();
     }
 
     @Override
--- a/lab/src/main/java/clayhook/lab/sharing/SharingFigures.java
+++ b/lab/src/main/java/clayhook/lab/sharing/SharingFigures.java
@@ -1,6 +1,6 @@
 package clayhook.lab.sharing;
 
-import clayhook.fleet.Kind;
+import clayhook.fleet.ReplicatedType;
 import clayhook.fleet.kinds.Listed;
 import clayhook.fleet.kinds.Mark;
 import clayhook.lab.model.Timeline;
@@ -68,13 +68,13 @@
         V of(int number);
     }
 
-    private <V> void news(String name, Company.Spec lossy, Kind<V> kind, Piece<V> piece) {
+    private <V> void news(String name, Company.Spec lossy, ReplicatedType<V> kind, Piece<V> piece) {
         var time = new Timeline(START);
         Company company = company(time, lossy, FaultPlan.NONE, seed);
         var random = new SplittableRandom(seed);
         double[][] came = new double[NEWS][lossy.routers()];
         company.routers().forEach(router -> router.shared()
-                .listen(kind, (key, value, now) -> came[Integer.parseInt(key)][router.number()] = time.now()));
+                .addListener(kind, (key, value, now) -> came[Integer.parseInt(key)][router.number()] = time.now()));
         double[] told = new double[NEWS];
         for (int i = 0; i < NEWS; i++) {
             int number = i;
@@ -171,7 +171,7 @@
         while (Double.isNaN(certain) && time.now() < back + GIVEN_UP) {
             time.run(time.now() + LOOK);
             full = Double.isNaN(full) && away.shared().size(Mark.KIND) >= marks ? time.now() - back : full;
-            certain = !Double.isNaN(full) && away.shared().certainUpTo(away.now()) > back
+            certain = !Double.isNaN(full) && away.shared().completeUpTo(away.now()) > back
                     ? time.now() - back
                     : Double.NaN;
         }
--- a/lab/src/main/java/clayhook/lab/sharing/SharingSweep.java
+++ b/lab/src/main/java/clayhook/lab/sharing/SharingSweep.java
@@ -1,6 +1,6 @@
 package clayhook.lab.sharing;
 
-import clayhook.fleet.Kind;
+import clayhook.fleet.ReplicatedType;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
@@ -51,12 +51,12 @@
     }
 
     private final Trial.Spec spec;
-    private final List<Kind<?>> kinds;
+    private final List<ReplicatedType<?>> kinds;
     private final FaultPlan given;
     private final int faults;
 
     /** @param given faults of all trials; where there are none, {@code faults} are drawn for each */
-    public SharingSweep(Trial.Spec spec, List<Kind<?>> kinds, FaultPlan given, int faults) {
+    public SharingSweep(Trial.Spec spec, List<ReplicatedType<?>> kinds, FaultPlan given, int faults) {
         this.spec = spec;
         this.kinds = kinds;
         this.given = given;
--- a/lab/src/main/java/clayhook/lab/sharing/Trial.java
+++ b/lab/src/main/java/clayhook/lab/sharing/Trial.java
@@ -1,8 +1,8 @@
 package clayhook.lab.sharing;
 
-import clayhook.fleet.Kind;
+import clayhook.fleet.ReplicatedType;
 import clayhook.fleet.Member;
-import clayhook.fleet.Shared;
+import clayhook.fleet.ReplicatedStore;
 import clayhook.fleet.kinds.Evidence;
 import clayhook.fleet.kinds.Fate;
 import clayhook.fleet.kinds.Listed;
@@ -41,7 +41,7 @@
     private static final double LOOK = 0.25;
 
     /** The values that routers share, in order of their numbers. */
-    public static final List<Kind<?>> KINDS = List.of(Evidence.KIND, Listed.KIND, Mark.KIND, Fate.KIND, Use.KIND);
+    public static final List<ReplicatedType<?>> KINDS = List.of(Evidence.KIND, Listed.KIND, Mark.KIND, Fate.KIND, Use.KIND);
 
     /**
      * What is played.
@@ -62,19 +62,19 @@
 
     private final Timeline time = new Timeline(START);
     private final Spec spec;
-    private final List<Kind<?>> kinds;
+    private final List<ReplicatedType<?>> kinds;
     private final Company company;
     private final Learning learning;
     private final SplittableRandom random;
     /** All that was put in. */
     private final List<Said<?>> said = new ArrayList<>();
 
-    private final Map<Shared, SessionNeeds> needs = new HashMap<>();
+    private final Map<ReplicatedStore, SessionNeeds> needs = new HashMap<>();
     private final double end;
     private String broken;
 
     /** {@code kinds} are {@link #KINDS}, or some of them broken on purpose. */
-    private Trial(Spec spec, List<Kind<?>> kinds, FaultPlan plan, long seed) {
+    private Trial(Spec spec, List<ReplicatedType<?>> kinds, FaultPlan plan, long seed) {
         this.spec = spec;
         this.kinds = kinds;
         random = new SplittableRandom(seed);
@@ -85,7 +85,7 @@
     }
 
     /** The same seed and plan give the same verdict. */
-    public static Verdict play(Spec spec, List<Kind<?>> kinds, FaultPlan plan, long seed) {
+    public static Verdict play(Spec spec, List<ReplicatedType<?>> kinds, FaultPlan plan, long seed) {
         return new Trial(spec, kinds, plan, seed).play();
     }
 
@@ -166,7 +166,7 @@
                 mark.by().roster() == null ? null : mark.by().roster().self().member();
         boolean lives = mark.by().lives() == mark.life()
                 && writer != null
-                && (mark.by() == at || at.roster().mayServe(at.now()).contains(writer));
+                && (mark.by() == at || at.roster().possiblyServing(at.now()).contains(writer));
         return lives
                 && Math.abs(at.now() - time.now()) < CLOCKS
                 && time.now() - mark.at() > ROAM + CLOCKS
@@ -175,16 +175,16 @@
 
     // ---- what is in the copies in the end ----
 
-    private <V> void compare(Kind<V> kind) {
-        Kind<V> right = right(kind);
+    private <V> void compare(ReplicatedType<V> kind) {
+        ReplicatedType<V> right = right(kind);
         var must = new HashMap<String, V>();
         var may = new HashMap<String, V>();
         for (Said<?> each : said) {
             if (each.kind() == kind) {
                 Said<V> mine = own(each);
-                may.merge(mine.key(), mine.value(), right::join);
+                may.merge(mine.key(), mine.value(), right::merge);
                 if (mine.life() == mine.by().lives() && lasts(kind, mine)) {
-                    must.merge(mine.key(), mine.value(), right::join);
+                    must.merge(mine.key(), mine.value(), right::merge);
                 }
             }
         }
@@ -192,16 +192,16 @@
             must.forEach((key, value) -> {
                 V has = router.shared().get(kind, key);
                 broke(
-                        has != null && right.join(has, value).equals(has)
+                        has != null && right.merge(has, value).equals(has)
                                 ? null
                                 : router + " lacks of " + kind.name() + " " + key + ": " + value + ", has " + has);
             });
             router.shared()
-                    .each(
+                    .forEach(
                             kind,
                             (key, has) -> broke(
                                     may.containsKey(key)
-                                                    && right.join(may.get(key), has)
+                                                    && right.merge(may.get(key), has)
                                                             .equals(may.get(key))
                                             ? null
                                             : router + " has of " + kind.name() + " what nobody put in, under " + key
@@ -210,15 +210,15 @@
     }
 
     /** It may not have gone with its time, and no clock kept it from being heard. */
-    private <V> boolean lasts(Kind<V> kind, Said<V> mine) {
-        return kind.at(mine.value()) + kind.keep() > time.now() + FADING
-                && (!kind.timed() || Math.abs(mine.by().now() - time.now()) < CLOCKS);
+    private <V> boolean lasts(ReplicatedType<V> kind, Said<V> mine) {
+        return kind.timestamp(mine.value()) + kind.retentionSeconds() > time.now() + FADING
+                && (!kind.clockDependent() || Math.abs(mine.by().now() - time.now()) < CLOCKS);
     }
 
     @SuppressWarnings("unchecked") // of the same number, so of the same values
-    private static <V> Kind<V> right(Kind<V> kind) {
-        return (Kind<V>) KINDS.stream()
-                .filter(one -> one.number() == kind.number())
+    private static <V> ReplicatedType<V> right(ReplicatedType<V> kind) {
+        return (ReplicatedType<V>) KINDS.stream()
+                .filter(one -> one.typeNumber() == kind.typeNumber())
                 .findFirst()
                 .orElse(kind);
     }
--- a/lab/src/test/java/clayhook/lab/sharing/SharingTest.java
+++ b/lab/src/test/java/clayhook/lab/sharing/SharingTest.java
@@ -8,8 +8,8 @@
 import clayhook.RequestClass.Idempotency;
 import clayhook.RequestClass.ConsistencyLevel;
 import clayhook.RequestClass.DeduplicationScope;
-import clayhook.fleet.Reader;
-import clayhook.fleet.Writer;
+import clayhook.fleet.FieldReader;
+import clayhook.fleet.FieldWriter;
 import clayhook.lab.model.Audit.RuleKept;
 import clayhook.lab.model.Failure;
 import clayhook.lab.model.Fleet;
@@ -46,16 +46,16 @@
     }
 
     /** The later word wins: neither commutative nor anything else. */
-    private static final class Broken<V> implements clayhook.fleet.Kind<V> {
-        private final clayhook.fleet.Kind<V> kind;
+    private static final class Broken<V> implements clayhook.fleet.ReplicatedType<V> {
+        private final clayhook.fleet.ReplicatedType<V> kind;
 
-        Broken(clayhook.fleet.Kind<V> kind) {
+        Broken(clayhook.fleet.ReplicatedType<V> kind) {
             this.kind = kind;
         }
 
         @Override
-        public int number() {
-            return kind.number();
+        public int typeNumber() {
+            return kind.typeNumber();
         }
 
         @Override
@@ -64,23 +64,23 @@
         }
 
         @Override
-        public V join(V a, V b) {
+        public V merge(V a, V b) {
             return b;
         }
 
         @Override
-        public double at(V value) {
-            return kind.at(value);
+        public double timestamp(V value) {
+            return kind.timestamp(value);
         }
 
         @Override
-        public double keep() {
-            return kind.keep();
+        public double retentionSeconds() {
+            return kind.retentionSeconds();
         }
 
         @Override
-        public int most() {
-            return kind.most();
+        public int maxEntries() {
+            return kind.maxEntries();
         }
 
         @Override
@@ -89,17 +89,17 @@
         }
 
         @Override
-        public boolean timed() {
-            return kind.timed();
+        public boolean clockDependent() {
+            return kind.clockDependent();
         }
 
         @Override
-        public void write(V value, Writer out) {
+        public void write(V value, FieldWriter out) {
             kind.write(value, out);
         }
 
         @Override
-        public V read(Reader in) {
+        public V read(FieldReader in) {
             return kind.read(in);
         }
     }
