--- a/daemon/src/main/java/clayhook/peers/GossipTransport.java
+++ b/daemon/src/main/java/clayhook/peers/GossipTransport.java
@@ -13,9 +13,9 @@
 import clayhook.fleet.Message;
 import clayhook.fleet.Peer;
 import clayhook.fleet.FieldReader;
-import clayhook.fleet.kinds.Fate;
-import clayhook.fleet.members.MemberSettings;
-import clayhook.fleet.members.Members;
+import clayhook.fleet.kinds.WriteOutcome;
+import clayhook.fleet.members.MembershipSettings;
+import clayhook.fleet.members.Membership;
 import clayhook.fleet.state.State;
 import clayhook.fleet.state.StateSettings;
 import clayhook.front.ClientRequest;
@@ -54,7 +54,7 @@
     private final Address advertisedAddress;
     private final SlewedClock clock = new SlewedClock();
     private final EventQueue eventQueue;
-    private Members members;
+    private Membership members;
     /** Null until sharing has begun; commands may come before. */
     private volatile StateBridge bridge;
 
@@ -113,13 +113,13 @@
         var self = new Peer(new Member(name, (long) (now * 1000)), advertisedAddress);
         // Another life counts and asks by other numbers, whatever the seed.
         var chance = new SplittableRandom(configuration.seed() ^ self.member().incarnation());
-        members = new Members(memberSettings(), self, seedAddresses(settings), chance.nextLong(), now, new MembershipLogger());
+        members = new Membership(memberSettings(), self, seedAddresses(settings), chance.nextLong(), now, new MembershipLogger());
         boolean marks = settings.shareSessionWrites() && !configuration.settings().requestsCarryLastWrite();
         var kinds = new StateBridge.EnabledTypes(
                 settings.shareObservations(),
                 settings.shareEndpointLists(),
                 marks,
-                settings.shareWriteOutcomes() ? Fate.kept(settings.writeOutcomeRetention()) : null,
+                settings.shareWriteOutcomes() ? WriteOutcome.typeWithRetention(settings.writeOutcomeRetention()) : null,
                 settings.shareQuotas());
         var state = new State(members, kinds.types(), stateSettings(), chance.nextLong(), now);
         bridge = new StateBridge(
@@ -147,23 +147,23 @@
         thread.start();
     }
 
-    private MemberSettings memberSettings() {
-        MemberSettings usual = MemberSettings.DEFAULT;
-        return new MemberSettings(
-                usual.period(),
-                usual.retry(),
-                usual.helpers(),
-                usual.gossip(),
-                usual.fan(),
-                usual.suspicion(),
-                usual.alone(),
-                usual.knock(),
-                usual.knockMost(),
-                usual.remember(),
+    private MembershipSettings memberSettings() {
+        MembershipSettings usual = MembershipSettings.DEFAULT;
+        return new MembershipSettings(
+                usual.probeInterval(),
+                usual.probeRetryDelay(),
+                usual.indirectPings(),
+                usual.gossipInterval(),
+                usual.gossipFanout(),
+                usual.suspicionMultiplier(),
+                usual.maxSuspicionFactor(),
+                usual.reconnectInterval(),
+                usual.maxReconnectInterval(),
+                usual.deadMemberRetention(),
                 settings.deadAfter(),
                 settings.maxClockSkew(),
-                usual.late(),
-                usual.mostNames());
+                usual.stallThreshold(),
+                usual.maxNames());
     }
 
     private StateSettings stateSettings() {
@@ -224,7 +224,7 @@
 
     private void handle(LocalEvent news, double now) {
         if (news instanceof LocalEvent.SeedsChanged seeds) {
-            members.seek(seeds.seeds());
+            members.addSeeds(seeds.seeds());
         } else {
             bridge.accept(news, now);
         }
@@ -256,10 +256,10 @@
                 + (1 + members.livePeers().size()) + ", "
                 + bridge.summary(now) + ", packets in " + counts.receivedPackets + " out " + counts.sentPackets + ", bytes out "
                 + counts.sentBytes + ", dropped " + counts.droppedByReason + ", too long " + endpoint.oversizedDatagrams() + ", unsent "
-                + endpoint.unsentPackets() + ", parts unknown " + counts.skippedMessages + ", names refused " + members.refused()
+                + endpoint.unsentPackets() + ", parts unknown " + counts.skippedMessages + ", names refused " + members.rejectedNames()
                 + ", news put off " + eventQueue.droppedReplaceable() + " lost " + eventQueue.droppedEssential()
                 + (faults > 0 ? ", faults " + faults : "")
-                + (members.recentlyStalled(now) ? ", stood still" : "") + (members.replaced() ? ", replaced" : ""));
+                + (members.recentlyStalled(now) ? ", stood still" : "") + (members.isSuperseded() ? ", replaced" : ""));
     }
 
     /** Tells the others that this router leaves, once it does. */
--- a/daemon/src/main/java/clayhook/peers/InDoubtWrites.java
+++ b/daemon/src/main/java/clayhook/peers/InDoubtWrites.java
@@ -2,7 +2,7 @@
 
 import clayhook.fleet.ReplicatedType;
 import clayhook.fleet.ReplicatedStore;
-import clayhook.fleet.kinds.Fate;
+import clayhook.fleet.kinds.WriteOutcome;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.Map;
@@ -17,13 +17,13 @@
     static final int MAX_EXECUTED = 20_000;
 
     private final ReplicatedStore store;
-    private final ReplicatedType<Fate> type;
+    private final ReplicatedType<WriteOutcome> type;
     /** By key, oldest first; at the bound the oldest go, and a doubt told later than that stays one. */
-    private final Map<String, Fate> executedWrites = new LinkedHashMap<>();
+    private final Map<String, WriteOutcome> executedWrites = new LinkedHashMap<>();
     /** Doubts that others told of what ran here; emptied each turn. */
     private final Set<String> resolvableKeys = new LinkedHashSet<>();
 
-    InDoubtWrites(ReplicatedStore shared, ReplicatedType<Fate> kind) {
+    InDoubtWrites(ReplicatedStore shared, ReplicatedType<WriteOutcome> kind) {
         this.store = shared;
         this.type = kind;
         shared.addListener(kind, (key, fate, now) -> {
@@ -33,7 +33,7 @@
         });
     }
 
-    void recordOutcome(String key, Fate fate, double now) {
+    void recordOutcome(String key, WriteOutcome fate, double now) {
         if (fate.ran() == null) {
             store.merge(type, key, fate, now);
             return;
@@ -50,7 +50,7 @@
     /** Ends the doubts that can be ended here. */
     void publishResolved(double now) {
         for (String key : Set.copyOf(resolvableKeys)) {
-            Fate fate = executedWrites.get(key);
+            WriteOutcome fate = executedWrites.get(key);
             if (fate != null) {
                 store.merge(type, key, fate, now);
             }
--- a/daemon/src/main/java/clayhook/peers/MembershipLogger.java
+++ b/daemon/src/main/java/clayhook/peers/MembershipLogger.java
@@ -1,44 +1,44 @@
 package clayhook.peers;
 
 import clayhook.fleet.Peer;
-import clayhook.fleet.members.Members;
+import clayhook.fleet.members.Membership;
 import clayhook.log.Log;
 
 /** Tells in the log how the others stand; of each kind of line one a second at most. */
-final class MembershipLogger implements Members.Listener {
+final class MembershipLogger implements Membership.MembershipListener {
     private static String describe(Peer peer) {
         return "sharing: " + peer.member().name() + " at " + peer.address();
     }
 
     @Override
-    public void joined(Peer member, double now) {
+    public void onJoined(Peer member, double now) {
         Log.info("sharing joined", describe(member) + " joined");
     }
 
     @Override
-    public void suspected(Peer member, int accusers, double now) {
+    public void onSuspected(Peer member, int accusers, double now) {
         if (accusers <= 1) {
             Log.info("sharing suspected", describe(member) + " does not answer");
         }
     }
 
     @Override
-    public void alive(Peer member, double now) {
+    public void onAlive(Peer member, double now) {
         Log.info("sharing alive", describe(member) + " answers again");
     }
 
     @Override
-    public void gone(Peer member, double now) {
+    public void onDead(Peer member, double now) {
         Log.warn("sharing gone", describe(member) + " is gone");
     }
 
     @Override
-    public void left(Peer member, double now) {
+    public void onLeft(Peer member, double now) {
         Log.info("sharing left", describe(member) + " left");
     }
 
     @Override
-    public void twins(Peer counts, Peer other, double now) {
+    public void onDuplicateName(Peer counts, Peer other, double now) {
         Log.warn(
                 "sharing twins",
                 "sharing: two routers are called " + counts.member().name() + ", at " + counts.address() + " and at "
@@ -46,7 +46,7 @@
     }
 
     @Override
-    public void clockOff(Peer member, double ahead, double now) {
+    public void onClockSkewed(Peer member, double ahead, double now) {
         Log.warn(
                 "sharing clock",
                 describe(member) + " has a clock that is " + toMilliseconds(ahead)
@@ -54,7 +54,7 @@
     }
 
     @Override
-    public void clockFine(Peer member, double ahead, double now) {
+    public void onClockRecovered(Peer member, double ahead, double now) {
         Log.info(
                 "sharing clock fine",
                 describe(member) + " has a clock within the bound again, " + toMilliseconds(ahead) + " ms ahead");
--- a/daemon/src/main/java/clayhook/peers/NodeObservations.java
+++ b/daemon/src/main/java/clayhook/peers/NodeObservations.java
@@ -5,8 +5,8 @@
 import clayhook.Role;
 import clayhook.fleet.MembershipView;
 import clayhook.fleet.ReplicatedStore;
-import clayhook.fleet.kinds.Evidence;
-import clayhook.fleet.kinds.Sight;
+import clayhook.fleet.kinds.NodeObservation;
+import clayhook.fleet.kinds.ObservationSource;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Set;
@@ -116,59 +116,59 @@
         pendingByKey.forEach((key, look) -> {
             if (look.unpublished) {
                 double start = starts.applyAsDouble(key);
-                Evidence known = shared.get(Evidence.KIND, key);
-                boolean urgent = known == null || known.nodeStart() < start || contradicts(look, known);
-                if ((urgent || look.heardAt > timeOf(known.heard()) + FRESHNESS)
+                NodeObservation known = shared.get(NodeObservation.TYPE, key);
+                boolean urgent = known == null || known.incarnationStartedAt() < start || contradicts(look, known);
+                if ((urgent || look.heardAt > timeOf(known.lastSeen()) + FRESHNESS)
                         && random.nextDouble() < (urgent ? URGENT_PUBLISHERS : 1) / others) {
                     look.unpublished = false;
-                    shared.merge(Evidence.KIND, key, toObservation(look, start), now);
+                    shared.merge(NodeObservation.TYPE, key, toObservation(look, start), now);
                 }
             }
         });
         return nextPublishAt;
     }
 
-    private static double timeOf(Sight sight) {
-        return sight == null ? NEVER : sight.at();
+    private static double timeOf(ObservationSource sight) {
+        return sight == null ? NEVER : sight.observedAt();
     }
 
     /** Another role, or a failure that has not been told by enough. */
-    private boolean contradicts(PendingObservation look, Evidence known) {
+    private boolean contradicts(PendingObservation look, NodeObservation known) {
         boolean primary = look.primaryAt > look.replicaAt;
         double roleAt = Math.max(look.primaryAt, look.replicaAt);
-        boolean role = primary != timeOf(known.primary()) > timeOf(known.replica())
-                && roleAt > Math.max(timeOf(known.primary()), timeOf(known.replica()));
-        boolean said = known.strikes().stream()
+        boolean role = primary != timeOf(known.primaryClaim()) > timeOf(known.replicaClaim())
+                && roleAt > Math.max(timeOf(known.primaryClaim()), timeOf(known.replicaClaim()));
+        boolean said = known.failureStreaks().stream()
                 .anyMatch(strike ->
-                        strike.count() >= look.consecutiveFailures && strike.sight().by().equals(selfName));
+                        strike.count() >= look.consecutiveFailures && strike.source().router().equals(selfName));
         return role
                 || look.consecutiveFailures > 0
-                        && look.failedAt > timeOf(known.heard())
-                        && known.strikes().size() < ENOUGH_WITNESSES
+                        && look.failedAt > timeOf(known.lastSeen())
+                        && known.failureStreaks().size() < ENOUGH_WITNESSES
                         && !said;
     }
 
-    private Evidence toObservation(PendingObservation look, double start) {
-        Evidence evidence = Evidence.none(start);
+    private NodeObservation toObservation(PendingObservation look, double start) {
+        NodeObservation evidence = NodeObservation.empty(start);
         if (look.positionAt > NEVER) {
-            evidence = evidence.told(look.position, look.lag, sourceAt(look.positionAt));
+            evidence = evidence.withPosition(look.position, look.lag, sourceAt(look.positionAt));
         }
         if (look.primaryAt > NEVER) {
-            evidence = evidence.role(true, sourceAt(look.primaryAt));
+            evidence = evidence.withRole(true, sourceAt(look.primaryAt));
         }
         if (look.replicaAt > NEVER) {
-            evidence = evidence.role(false, sourceAt(look.replicaAt));
+            evidence = evidence.withRole(false, sourceAt(look.replicaAt));
         }
         if (look.loadAt > NEVER) {
-            evidence = evidence.load(look.load, sourceAt(look.loadAt));
+            evidence = evidence.withLoad(look.load, sourceAt(look.loadAt));
         }
         if (look.heardAt > NEVER) {
-            evidence = evidence.heard(sourceAt(look.heardAt));
+            evidence = evidence.withResponse(sourceAt(look.heardAt));
         }
-        return look.consecutiveFailures == 0 ? evidence : evidence.failed(look.consecutiveFailures, sourceAt(look.failedAt));
+        return look.consecutiveFailures == 0 ? evidence : evidence.withFailures(look.consecutiveFailures, sourceAt(look.failedAt));
     }
 
-    private Sight sourceAt(double at) {
-        return Sight.of(at, selfName);
+    private ObservationSource sourceAt(double at) {
+        return ObservationSource.of(at, selfName);
     }
 }
--- a/daemon/src/main/java/clayhook/peers/StateBridge.java
+++ b/daemon/src/main/java/clayhook/peers/StateBridge.java
@@ -11,16 +11,16 @@
 import clayhook.fleet.FieldReader;
 import clayhook.fleet.MembershipView;
 import clayhook.fleet.ReplicatedStore;
-import clayhook.fleet.kinds.Evidence;
-import clayhook.fleet.kinds.Fate;
-import clayhook.fleet.kinds.Fates;
-import clayhook.fleet.kinds.Hearsay;
-import clayhook.fleet.kinds.ListMerge;
-import clayhook.fleet.kinds.Listed;
-import clayhook.fleet.kinds.Mark;
-import clayhook.fleet.kinds.SessionNeeds;
-import clayhook.fleet.kinds.Shares;
-import clayhook.fleet.kinds.Use;
+import clayhook.fleet.kinds.NodeObservation;
+import clayhook.fleet.kinds.WriteOutcome;
+import clayhook.fleet.kinds.WriteOutcomes;
+import clayhook.fleet.kinds.PeerObservations;
+import clayhook.fleet.kinds.EndpointListMerge;
+import clayhook.fleet.kinds.ListedEndpoint;
+import clayhook.fleet.kinds.SessionWrite;
+import clayhook.fleet.kinds.SessionConsistency;
+import clayhook.fleet.kinds.FleetQuota;
+import clayhook.fleet.kinds.QuotaUsage;
 import clayhook.log.Log;
 import clayhook.serve.PeerSharing;
 import java.net.InetSocketAddress;
@@ -56,23 +56,23 @@
     private static final double FLEET_RETRIES = 90, HEALTH_CHECKS_PER_ROUTER = 15, QUOTA_WINDOW = 10;
 
     /** What this router's copy holds; each is null where the operator has turned it off. */
-    public record EnabledTypes(boolean observations, boolean endpointLists, boolean sessionWrites, ReplicatedType<Fate> writeOutcomes, boolean quotas) {
+    public record EnabledTypes(boolean observations, boolean endpointLists, boolean sessionWrites, ReplicatedType<WriteOutcome> writeOutcomes, boolean quotas) {
         public List<ReplicatedType<?>> types() {
             var kinds = new ArrayList<ReplicatedType<?>>();
             if (observations) {
-                kinds.add(Evidence.KIND);
+                kinds.add(NodeObservation.TYPE);
             }
             if (endpointLists) {
-                kinds.add(Listed.KIND);
+                kinds.add(ListedEndpoint.TYPE);
             }
             if (sessionWrites) {
-                kinds.add(Mark.KIND);
+                kinds.add(SessionWrite.TYPE);
             }
             if (writeOutcomes != null) {
                 kinds.add(writeOutcomes);
             }
             if (quotas) {
-                kinds.add(Use.KIND);
+                kinds.add(QuotaUsage.TYPE);
             }
             return kinds;
         }
@@ -88,18 +88,18 @@
     private final ConflatingQueue<String, EndpointList> endpointQueue;
     // null where that kind is off
     private NodeObservations ownObservations;
-    private Hearsay peerObservations;
-    private ListMerge listMerge;
-    private SessionNeeds sessionNeeds;
+    private PeerObservations peerObservations;
+    private EndpointListMerge listMerge;
+    private SessionConsistency sessionNeeds;
     private InDoubtWrites inDoubtWrites;
-    private Fates writeOutcomes;
-    private Shares fleetQuota;
-    private final Map<PeerSharing.SharedQuota, Shares.Limit> quotas = new EnumMap<>(PeerSharing.SharedQuota.class);
+    private WriteOutcomes writeOutcomes;
+    private FleetQuota fleetQuota;
+    private final Map<PeerSharing.SharedQuota, FleetQuota.Quota> quotas = new EnumMap<>(PeerSharing.SharedQuota.class);
     private final Map<String, KnownNode> knownNodes = new HashMap<>();
     /** Keys of nodes on which others have put in something; emptied each turn. */
     private final Set<String> changedNodeKeys = new LinkedHashSet<>();
     /** Marks of this router's own writes; emptied with each snapshot, before which there are few. */
-    private final Map<String, Mark> pendingSessionWrites = new LinkedHashMap<>();
+    private final Map<String, SessionWrite> pendingSessionWrites = new LinkedHashMap<>();
     /** What this router itself puts in is no news to it. */
     private boolean publishing;
 
@@ -126,23 +126,23 @@
         endpointQueue = new ConflatingQueue<>(loop, news -> listener.onPeerUpdate(news.values()));
         if (kinds.observations()) {
             ownObservations = new NodeObservations(roster, chance);
-            peerObservations = new Hearsay(shared, roster);
-            shared.addListener(Evidence.KIND, (key, value, now) -> {
+            peerObservations = new PeerObservations(shared, roster);
+            shared.addListener(NodeObservation.TYPE, (key, value, now) -> {
                 if (!publishing) {
                     changedNodeKeys.add(key);
                 }
             });
         }
-        listMerge = kinds.endpointLists() ? new ListMerge(source, shared) : null;
-        sessionNeeds = kinds.sessionWrites() ? new SessionNeeds(shared, roam) : null;
+        listMerge = kinds.endpointLists() ? new EndpointListMerge(source, shared) : null;
+        sessionNeeds = kinds.sessionWrites() ? new SessionConsistency(shared, roam) : null;
         if (kinds.writeOutcomes() != null) {
             inDoubtWrites = new InDoubtWrites(shared, kinds.writeOutcomes());
-            writeOutcomes = new Fates(shared, kinds.writeOutcomes());
+            writeOutcomes = new WriteOutcomes(shared, kinds.writeOutcomes());
         }
         if (kinds.quotas()) {
-            fleetQuota = new Shares(shared, roster, routers);
-            quotas.put(PeerSharing.SharedQuota.FURTHER_ATTEMPTS, new Shares.Limit(Use.REPEATS, FLEET_RETRIES, QUOTA_WINDOW));
-            quotas.put(PeerSharing.SharedQuota.HEALTH_CHECKS, new Shares.Limit(Use.PROBES, HEALTH_CHECKS_PER_ROUTER * routers, QUOTA_WINDOW));
+            fleetQuota = new FleetQuota(shared, roster, routers);
+            quotas.put(PeerSharing.SharedQuota.FURTHER_ATTEMPTS, new FleetQuota.Quota(QuotaUsage.RETRIES, FLEET_RETRIES, QUOTA_WINDOW));
+            quotas.put(PeerSharing.SharedQuota.HEALTH_CHECKS, new FleetQuota.Quota(QuotaUsage.HEALTH_CHECKS, HEALTH_CHECKS_PER_ROUTER * routers, QUOTA_WINDOW));
         }
     }
 
@@ -160,34 +160,34 @@
     private void apply(LocalEvent news, double now) {
         if (news instanceof LocalEvent.AttemptFinished looked) {
             if (ownObservations != null) {
-                ownObservations.recordResult(Evidence.key(looked.node().id()), looked.result(), looked.finishedAt());
+                ownObservations.recordResult(NodeObservation.key(looked.node().id()), looked.result(), looked.finishedAt());
             }
         } else if (news instanceof LocalEvent.EndpointListReceived listed) {
             onEndpointList(listed.source(), listed.list(), now);
         } else if (news instanceof LocalEvent.DiscoveryMoved moved) {
             if (listMerge != null) {
-                listMerge.moved(moved.source());
+                listMerge.onSourceChanged(moved.source());
             }
         } else if (news instanceof LocalEvent.SessionWriteCommitted wrote) {
             if (sessionNeeds != null) {
-                pendingSessionWrites.merge(Mark.key(wrote.session()), new Mark(wrote.position(), wrote.replicaSet()), Mark.KIND::merge);
+                pendingSessionWrites.merge(SessionWrite.key(wrote.session()), new SessionWrite(wrote.position(), wrote.replicaSet()), SessionWrite.TYPE::merge);
             }
         } else if (news instanceof LocalEvent.WriteFinished written) {
             if (inDoubtWrites != null) {
-                inDoubtWrites.recordOutcome(Fate.key(written.writeKey()), writeOutcome(written), now);
+                inDoubtWrites.recordOutcome(WriteOutcome.key(written.writeKey()), writeOutcome(written), now);
             }
         } else if (news instanceof LocalEvent.QuotaUsed used && fleetQuota != null) {
-            fleetQuota.used(quotas.get(used.limit()), used.units(), now);
+            fleetQuota.recordUse(quotas.get(used.limit()), used.units(), now);
         }
     }
 
-    private Fate writeOutcome(LocalEvent.WriteFinished written) {
-        var first = Fate.Sent.of(written.sentAt(), written.replicaSet(), written.requestClass(), null);
+    private WriteOutcome writeOutcome(LocalEvent.WriteFinished written) {
+        var first = WriteOutcome.SentWrite.of(written.sentAt(), written.replicaSet(), written.requestClass(), null);
         return written.executed()
-                ? Fate.ran(
+                ? WriteOutcome.ran(
                         first,
-                        Fate.Witness.of(written.finishedAt(), membership.self().member().name(), written.nodeId()))
-                : Fate.unknown(first);
+                        WriteOutcome.OutcomeWitness.of(written.finishedAt(), membership.self().member().name(), written.nodeId()))
+                : WriteOutcome.unknown(first);
     }
 
     /** This router knows those nodes; what it only remembers of them is not put in as news of discovery. */
@@ -196,7 +196,7 @@
             knownNodes.clear();
         }
         for (EndpointList.DiscoveredEndpoint entry : list.endpoints()) {
-            String key = Evidence.key(entry.id());
+            String key = NodeObservation.key(entry.id());
             if (entry.state() == Endpoint.State.GONE) {
                 knownNodes.remove(key);
             } else {
@@ -213,7 +213,7 @@
         if (listMerge == null) {
             return;
         }
-        var entries = new ArrayList<ListMerge.Entry>();
+        var entries = new ArrayList<EndpointListMerge.EndpointUpdate>();
         boolean fits = true;
         for (EndpointList.DiscoveredEndpoint entry : list.endpoints()) {
             try {
@@ -224,24 +224,24 @@
             }
         }
         // Guards against calling a node gone that only could not be told: what is left out of a whole list is gone.
-        listMerge.own(source, list.version(), list.complete() && fits, entries, now);
-        Set<String> heard = entries.stream().map(ListMerge.Entry::id).collect(Collectors.toSet());
+        listMerge.onDiscoveryUpdate(source, list.version(), list.complete() && fits, entries, now);
+        Set<String> heard = entries.stream().map(EndpointListMerge.EndpointUpdate::id).collect(Collectors.toSet());
         // The loop has heard the same from discovery itself.
-        listMerge.changes().stream()
+        listMerge.takeChanges().stream()
                 .filter(change ->
-                        change.word().revision() != list.version() || !(list.complete() || heard.contains(change.id())))
+                        change.endpoint().revision() != list.version() || !(list.complete() || heard.contains(change.id())))
                 .forEach(this::deliver);
     }
 
-    private static ListMerge.Entry toListEntry(EndpointList.DiscoveredEndpoint entry, long revision, double now) {
+    private static EndpointListMerge.EndpointUpdate toListEntry(EndpointList.DiscoveredEndpoint entry, long revision, double now) {
         if (entry.id().length() > MAX_ID_LENGTH) {
             throw new IllegalArgumentException("a long id");
         }
-        return new ListMerge.Entry(
+        return new EndpointListMerge.EndpointUpdate(
                 entry.id(),
-                new Listed(
+                new ListedEndpoint(
                         revision,
-                        Listed.State.valueOf(entry.state().name()),
+                        ListedEndpoint.EndpointState.valueOf(entry.state().name()),
                         entry.startedAt(),
                         entry.primary(),
                         entry.zone(),
@@ -265,23 +265,23 @@
         }
         if (inDoubtWrites != null) {
             inDoubtWrites.publishResolved(now);
-            writeOutcomes.newConflicts()
+            writeOutcomes.takeNewConflicts()
                     .forEach(row -> Log.warn(
                             "sharing conflict",
                             "sharing: command " + row.key() + " has run, says "
-                                    + row.fate().ran().sight().by() + ", and has not, says "
-                                    + row.fate().notRun().sight().by()));
+                                    + row.outcome().ran().source().router() + ", and has not, says "
+                                    + row.outcome().notRun().source().router()));
         }
         if (now >= nextSlowTickAt) {
             nextSlowTickAt = now + SLOW_INTERVAL;
             slowTick(now);
         }
         if (listMerge != null) {
-            listMerge.changes().forEach(this::deliver);
+            listMerge.takeChanges().forEach(this::deliver);
         }
         if (sessionNeeds != null && now >= nextPublishAt) {
             nextPublishAt = now + PUBLISH_INTERVAL;
-            pendingSessionWrites.forEach((session, mark) -> store.merge(Mark.KIND, session, mark, now));
+            pendingSessionWrites.forEach((session, mark) -> store.merge(SessionWrite.TYPE, session, mark, now));
             pendingSessionWrites.clear();
             sessionNeeds.publish(now);
         }
@@ -298,9 +298,9 @@
             listMerge.renew(now);
         }
         if (fleetQuota != null) {
-            fleetQuota.tell(now);
+            fleetQuota.publish(now);
             var fresh = new EnumMap<PeerSharing.SharedQuota, Double>(PeerSharing.SharedQuota.class);
-            quotas.forEach((limit, shared) -> fresh.put(limit, fleetQuota.left(shared, now)));
+            quotas.forEach((limit, shared) -> fresh.put(limit, fleetQuota.remaining(shared, now)));
             remainingQuota = fresh;
         }
     }
@@ -308,23 +308,23 @@
     private void deliver(double now) {
         for (String key : changedNodeKeys) {
             KnownNode node = knownNodes.get(key);
-            Hearsay.Word word = node == null ? null : peerObservations.on(node.id(), node.startedAt(), now);
+            PeerObservations.NodeSummary word = node == null ? null : peerObservations.summarize(node.id(), node.startedAt(), now);
             if (word != null) {
                 observationQueue.put(
                         node.id(),
                         new PeerObservation(
-                                word.nodeStart(),
-                                word.position(),
-                                word.positionAt(),
-                                word.lag(),
-                                word.lagAt(),
-                                word.primaryAt(),
-                                word.replicaAt(),
-                                word.heardAt(),
-                                word.failedAt(),
-                                word.strikes(),
-                                word.slowness(),
-                                word.slownessWeight(),
+                                word.incarnationStartedAt(),
+                                word.appliedPosition(),
+                                word.appliedPositionAt(),
+                                word.lagSeconds(),
+                                word.lagMeasuredAt(),
+                                word.primaryClaimedAt(),
+                                word.replicaClaimedAt(),
+                                word.lastSeenAt(),
+                                word.lastFailureAt(),
+                                word.failedRouterCount(),
+                                word.latencyRatio(),
+                                word.latencyRatioWeight(),
                                 word.load(),
                                 word.loadWeight()));
             }
@@ -332,8 +332,8 @@
         changedNodeKeys.clear();
     }
 
-    private void deliver(ListMerge.Entry change) {
-        Listed word = change.word();
+    private void deliver(EndpointListMerge.EndpointUpdate change) {
+        ListedEndpoint word = change.endpoint();
         InetSocketAddress address = EndpointList.parseAddress(word.host() + ":" + word.port());
         if (address == null || word.zone().isEmpty()) {
             rejectedValues++;
@@ -348,15 +348,15 @@
                                 change.id(),
                                 address,
                                 word.zone(),
-                                word.group(),
+                                word.replicaSet(),
                                 Endpoint.State.valueOf(word.state().name()),
                                 word.primary(),
-                                word.nodeStart()))));
+                                word.incarnationStartedAt()))));
     }
 
     /** The position that a read of that session must cover; 0 for none. For any thread. */
     public double requiredPosition(String session, double now) {
-        return sessionNeeds == null || session == null ? 0 : Math.max(0, sessionNeeds.need(Mark.key(session), now));
+        return sessionNeeds == null || session == null ? 0 : Math.max(0, sessionNeeds.requiredPosition(SessionWrite.key(session), now));
     }
 
     /** For any thread. */
@@ -383,13 +383,13 @@
                         ? ", not certain"
                         : ", certain " + roundToTenths(now - certain) + " s ago");
         if (listMerge != null) {
-            text.append(", list behind ").append(listMerge.behind());
+            text.append(", list behind ").append(listMerge.revisionsBehind());
         }
         if (writeOutcomes != null) {
             text.append(", fates ").append(writeOutcomes.counts());
         }
         if (fleetQuota != null) {
-            text.append(fleetQuota.cutOff(now) ? ", cut off" : "");
+            text.append(fleetQuota.isPartitioned(now) ? ", cut off" : "");
         }
         return text.append(", senseless ").append(rejectedValues).toString();
     }
--- a/daemon/src/test/java/clayhook/peers/RecordedDatagramsTest.java
+++ b/daemon/src/test/java/clayhook/peers/RecordedDatagramsTest.java
@@ -19,9 +19,9 @@
 import clayhook.fleet.Message;
 import clayhook.fleet.Peer;
 import clayhook.fleet.FieldReader;
-import clayhook.fleet.kinds.Fate;
-import clayhook.fleet.members.MemberSettings;
-import clayhook.fleet.members.Members;
+import clayhook.fleet.kinds.WriteOutcome;
+import clayhook.fleet.members.MembershipSettings;
+import clayhook.fleet.members.Membership;
 import clayhook.fleet.state.State;
 import clayhook.fleet.state.StateSettings;
 import clayhook.serve.PeerSharing;
@@ -59,7 +59,7 @@
     private static final Node REPLICA = new Node("n2", "zone-b", 1);
     private static final EndpointList FIRST_LIST = list(7, true, "up", "up");
     private static final double POSITION = START - 5;
-    private static final ReplicatedType<Fate> FATES = Fate.kept(86_400);
+    private static final ReplicatedType<WriteOutcome> FATES = WriteOutcome.typeWithRetention(86_400);
 
     private final List<String> recorded = recorded();
     private final List<String> sent = new ArrayList<>();
@@ -89,7 +89,7 @@
     /** One router's end: what {@link GossipTransport} builds, without its socket, thread and clock. */
     private final class Router implements PeerSharing.PeerListener, ProtocolHandler {
         private final Peer self;
-        private final Members members;
+        private final Membership members;
         private final State state;
         private final StateBridge exchange;
         private final MessageDispatcher fleet;
@@ -100,8 +100,8 @@
         private Router(String name, int port, List<Address> seeds, long seed) {
             self = new Peer(new Member(name, (long) (START * 1000) + port), new Address("10.0.0.1", port));
             var random = new SplittableRandom(seed);
-            members = new Members(
-                    MemberSettings.DEFAULT, self, seeds, random.nextLong(), START, new Members.Listener() {});
+            members = new Membership(
+                    MembershipSettings.DEFAULT, self, seeds, random.nextLong(), START, new Membership.MembershipListener() {});
             var kinds = new StateBridge.EnabledTypes(true, true, true, FATES, true);
             state = new State(
                     members, kinds.types(), StateSettings.DEFAULT.withAloneAfter(0.2), random.nextLong(), START);
@@ -219,13 +219,13 @@
         assertEquals(Endpoint.State.DRAINING, receiver.listed.get("n2").state());
         assertEquals(POSITION, receiver.exchange.requiredPosition("session", now));
         assertEquals(
-                List.of(Fate.Knowledge.UNKNOWN, Fate.Knowledge.RAN),
+                List.of(WriteOutcome.OutcomeStatus.UNKNOWN, WriteOutcome.OutcomeStatus.RAN),
                 List.of(knowledge(receiver, "in doubt"), knowledge(receiver, "resolved")));
         assertEquals(45, granted);
         assertEquals(List.of(), receiver.members.livePeers());
     }
 
-    private static Fate.Knowledge knowledge(Router router, String mark) {
-        return router.state.get(FATES, Fate.key(mark)).knowledge();
+    private static WriteOutcome.OutcomeStatus knowledge(Router router, String mark) {
+        return router.state.get(FATES, WriteOutcome.key(mark)).status();
     }
 }
--- a/fleet/src/main/java/clayhook/fleet/kinds/Check.java
+++ b/fleet/src/main/java/clayhook/fleet/kinds/FieldValidation.java
@@ -4,31 +4,31 @@
  * What may stand in a value. All that comes from outside goes through here; what cannot be throws
  * IllegalArgumentException.
  */
-final class Check {
+final class FieldValidation {
     /** Seconds since 1970, of the year 2286; what is beyond is no time of ours. */
-    static final double LATEST = 1e10;
+    static final double MAX_TIME = 1e10;
     /** Seconds by which clocks of routers and nodes may differ before a word about the future is senseless. */
-    static final double CLOCKS = 10;
+    static final double MAX_CLOCK_DIFFERENCE = 10;
     /** Node groups are counted from 0; far more than anyone has. */
-    static final int MOST_GROUPS = 1 << 20;
+    static final int MAX_REPLICA_SETS = 1 << 20;
 
-    private Check() {}
+    private FieldValidation() {}
 
     /**
      * From 0 to {@code most}; zero for minus zero. Guards against joins that go by order, as these two compare equal.
      */
-    static double within(double value, double most, String what) {
+    static double requireWithin(double value, double most, String what) {
         if (!(value >= 0 && value <= most)) {
             throw new IllegalArgumentException(what + " of " + value);
         }
         return value + 0.0;
     }
 
-    static double time(double value) {
-        return within(value, LATEST, "time");
+    static double requireTime(double value) {
+        return requireWithin(value, MAX_TIME, "time");
     }
 
-    static void that(boolean holds, String what) {
+    static void require(boolean holds, String what) {
         if (!holds) {
             throw new IllegalArgumentException(what);
         }
@@ -38,13 +38,13 @@
      * A text of at most so many bytes in UTF-8, without control characters. Guards against halves of characters, which
      * can be read from garbled bytes but not be written again.
      */
-    static String text(String value, int most, String what) {
-        that(value != null && bytes(value) <= most, what);
+    static String requireText(String value, int most, String what) {
+        require(value != null && utf8Length(value) <= most, what);
         return value;
     }
 
     /** In UTF-8; far too many for a text that cannot be written, or has control characters. */
-    static int bytes(String text) {
+    static int utf8Length(String text) {
         int bytes = 0;
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
--- a/fleet/src/main/java/clayhook/fleet/kinds/Listed.java
+++ b/fleet/src/main/java/clayhook/fleet/kinds/ListedEndpoint.java
@@ -17,39 +17,39 @@
  * @param zone of the node, and its group, host and port: for a peer that has not heard the list
  * @param at when a router last had it so from the source itself, seconds since 1970
  */
-public record Listed(
+public record ListedEndpoint(
         long revision,
-        State state,
-        double nodeStart,
+        EndpointState state,
+        double incarnationStartedAt,
         boolean primary,
         String zone,
-        int group,
+        int replicaSet,
         String host,
         int port,
-        double at) {
+        double lastHeardAt) {
     /** In order of how closed the node is. */
-    public enum State {
+    public enum EndpointState {
         READY,
         DRAINING,
         GONE
     }
 
     /** Bytes; the longest name that hosts may have. */
-    private static final int LONGEST_HOST = 255;
+    private static final int MAX_HOST_BYTES = 255;
     /** Bytes of a source within a key; host and port. */
-    private static final int LONGEST_SOURCE = 100;
+    private static final int MAX_SOURCE_BYTES = 100;
 
     /** Where all that is said is the same, by when it was heard. */
-    private static final Comparator<Listed> ORDER = Comparator.comparingLong(Listed::revision)
-            .thenComparing(Listed::state)
-            .thenComparingDouble(Listed::nodeStart)
-            .thenComparing(Listed::primary)
-            .thenComparing(Listed::zone)
-            .thenComparingInt(Listed::group)
-            .thenComparing(Listed::host)
-            .thenComparingInt(Listed::port);
-
-    public static final ReplicatedType<Listed> KIND = new ReplicatedType<>() {
+    private static final Comparator<ListedEndpoint> ORDER = Comparator.comparingLong(ListedEndpoint::revision)
+            .thenComparing(ListedEndpoint::state)
+            .thenComparingDouble(ListedEndpoint::incarnationStartedAt)
+            .thenComparing(ListedEndpoint::primary)
+            .thenComparing(ListedEndpoint::zone)
+            .thenComparingInt(ListedEndpoint::replicaSet)
+            .thenComparing(ListedEndpoint::host)
+            .thenComparingInt(ListedEndpoint::port);
+
+    public static final ReplicatedType<ListedEndpoint> TYPE = new ReplicatedType<>() {
         @Override
         public int typeNumber() {
             return 2;
@@ -65,13 +65,13 @@
          * field.
          */
         @Override
-        public Listed merge(Listed a, Listed b) {
-            return (ORDER.compare(a, b) >= 0 ? a : b).heardAt(Math.max(a.at, b.at));
+        public ListedEndpoint merge(ListedEndpoint a, ListedEndpoint b) {
+            return (ORDER.compare(a, b) >= 0 ? a : b).withLastHeardAt(Math.max(a.lastHeardAt, b.lastHeardAt));
         }
 
         @Override
-        public double timestamp(Listed value) {
-            return value.at;
+        public double timestamp(ListedEndpoint value) {
+            return value.lastHeardAt;
         }
 
         /**
@@ -101,83 +101,83 @@
         }
 
         @Override
-        public void write(Listed value, FieldWriter out) {
+        public void write(ListedEndpoint value, FieldWriter out) {
             out.writeLong(value.revision)
                     .writeLong(value.state.ordinal())
-                    .writeDouble(value.nodeStart)
+                    .writeDouble(value.incarnationStartedAt)
                     .writeBoolean(value.primary)
                     .writeNullableString(value.zone)
-                    .writeLong(value.group)
+                    .writeLong(value.replicaSet)
                     .writeNullableString(value.host)
                     .writeLong(value.port)
-                    .writeDouble(value.at);
+                    .writeDouble(value.lastHeardAt);
         }
 
         @Override
-        public Listed read(FieldReader in) {
-            return new Listed(
+        public ListedEndpoint read(FieldReader in) {
+            return new ListedEndpoint(
                     in.readLong(),
-                    State.values()[in.readIntBelow(State.values().length)],
+                    EndpointState.values()[in.readIntBelow(EndpointState.values().length)],
                     in.readDouble(),
                     in.readBoolean(),
                     in.readNullableString(),
-                    in.readIntBelow(Check.MOST_GROUPS),
+                    in.readIntBelow(FieldValidation.MAX_REPLICA_SETS),
                     in.readNullableString(),
                     in.readIntBelow(1 << 16),
                     in.readDouble());
         }
     };
 
-    public Listed {
-        Check.that(revision >= 0 && state != null, "revision or state");
-        nodeStart = Check.time(nodeStart);
-        Check.text(zone, Keys.LONGEST_NAME, "zone");
-        Check.that(group >= 0 && group < Check.MOST_GROUPS && port >= 0 && port < 1 << 16, "group or port");
-        Check.text(host, LONGEST_HOST, "host");
-        at = Check.time(at);
+    public ListedEndpoint {
+        FieldValidation.require(revision >= 0 && state != null, "revision or state");
+        incarnationStartedAt = FieldValidation.requireTime(incarnationStartedAt);
+        FieldValidation.requireText(zone, ReplicatedKeys.MAX_NAME_BYTES, "zone");
+        FieldValidation.require(replicaSet >= 0 && replicaSet < FieldValidation.MAX_REPLICA_SETS && port >= 0 && port < 1 << 16, "group or port");
+        FieldValidation.requireText(host, MAX_HOST_BYTES, "host");
+        lastHeardAt = FieldValidation.requireTime(lastHeardAt);
     }
 
     /** That revision was heard, whatever it says of nodes. */
-    static Listed ofRevision(long revision, double at) {
-        return new Listed(revision, State.READY, 0, false, "", 0, "", 0, at);
+    static ListedEndpoint ofRevision(long revision, double at) {
+        return new ListedEndpoint(revision, EndpointState.READY, 0, false, "", 0, "", 0, at);
     }
 
     /** Of a node, or with an empty id of the revision. */
     static String key(String source, String id) {
-        return Keys.of(Keys.cut(source, LONGEST_SOURCE), Keys.whole(id));
+        return ReplicatedKeys.join(ReplicatedKeys.truncate(source, MAX_SOURCE_BYTES), ReplicatedKeys.truncateKeyText(id));
     }
 
     /** The source and the id, or any other number of texts where another release made the key. */
-    static List<String> parts(String key) {
-        return Keys.parts(key);
+    static List<String> parseKey(String key) {
+        return ReplicatedKeys.split(key);
     }
 
-    Listed heardAt(double time) {
-        return new Listed(revision, state, nodeStart, primary, zone, group, host, port, time);
+    ListedEndpoint withLastHeardAt(double time) {
+        return new ListedEndpoint(revision, state, incarnationStartedAt, primary, zone, replicaSet, host, port, time);
     }
 
     /** The list of that revision does not have it any more. */
-    Listed gone(long later, double now) {
-        return new Listed(later, State.GONE, nodeStart, false, zone, group, host, port, now);
+    ListedEndpoint asRemoved(long later, double now) {
+        return new ListedEndpoint(later, EndpointState.GONE, incarnationStartedAt, false, zone, replicaSet, host, port, now);
     }
 
     /** It gets nothing new. */
-    public boolean closed() {
-        return state != State.READY;
+    public boolean isClosed() {
+        return state != EndpointState.READY;
     }
 
     /** Whether it says the same of the node, in whichever revision. */
-    boolean saysAs(Listed other) {
+    boolean describesSameAs(ListedEndpoint other) {
         return other != null
-                && equals(new Listed(
+                && equals(new ListedEndpoint(
                         revision,
                         other.state,
-                        other.nodeStart,
+                        other.incarnationStartedAt,
                         other.primary,
                         other.zone,
-                        other.group,
+                        other.replicaSet,
                         other.host,
                         other.port,
-                        at));
+                        lastHeardAt));
     }
 }
--- a/fleet/src/main/java/clayhook/fleet/kinds/Use.java
+++ b/fleet/src/main/java/clayhook/fleet/kinds/QuotaUsage.java
@@ -14,17 +14,17 @@
  * @param rate units a second over the limit's window before {@code at}
  * @param at when the router told so, seconds since 1970 on its clock
  */
-public record Use(double total, double rate, double at) {
+public record QuotaUsage(double totalUnits, double unitsPerSecond, double reportedAt) {
     /** Probes that routers send. */
-    public static final String PROBES = "probes";
+    public static final String HEALTH_CHECKS = "probes";
     /** Repeats and second copies, out of the store of extras. */
-    public static final String REPEATS = "repeats";
+    public static final String RETRIES = "repeats";
     /** Bytes of the name of a limit. */
-    static final int LONGEST_LIMIT = 100;
+    static final int MAX_QUOTA_NAME_BYTES = 100;
     /** Units beyond any limit. */
-    private static final double MOST = 1e15;
+    private static final double MAX_UNITS = 1e15;
 
-    public static final ReplicatedType<Use> KIND = new ReplicatedType<>() {
+    public static final ReplicatedType<QuotaUsage> TYPE = new ReplicatedType<>() {
         @Override
         public int typeNumber() {
             return 5;
@@ -36,15 +36,15 @@
         }
 
         @Override
-        public Use merge(Use a, Use b) {
-            int later = a.at != b.at ? Double.compare(a.at, b.at) : Double.compare(a.rate, b.rate);
-            Use rate = later >= 0 ? a : b;
-            return new Use(Math.max(a.total, b.total), rate.rate, rate.at);
+        public QuotaUsage merge(QuotaUsage a, QuotaUsage b) {
+            int later = a.reportedAt != b.reportedAt ? Double.compare(a.reportedAt, b.reportedAt) : Double.compare(a.unitsPerSecond, b.unitsPerSecond);
+            QuotaUsage rate = later >= 0 ? a : b;
+            return new QuotaUsage(Math.max(a.totalUnits, b.totalUnits), rate.unitsPerSecond, rate.reportedAt);
         }
 
         @Override
-        public double timestamp(Use value) {
-            return value.at;
+        public double timestamp(QuotaUsage value) {
+            return value.reportedAt;
         }
 
         /**
@@ -65,44 +65,44 @@
         }
 
         @Override
-        public void write(Use value, FieldWriter out) {
-            out.writeDouble(value.total).writeDouble(value.rate).writeDouble(value.at);
+        public void write(QuotaUsage value, FieldWriter out) {
+            out.writeDouble(value.totalUnits).writeDouble(value.unitsPerSecond).writeDouble(value.reportedAt);
         }
 
         @Override
-        public Use read(FieldReader in) {
-            return new Use(in.readDouble(), in.readDouble(), in.readDouble());
+        public QuotaUsage read(FieldReader in) {
+            return new QuotaUsage(in.readDouble(), in.readDouble(), in.readDouble());
         }
     };
 
-    public Use {
-        total = Check.within(total, MOST, "use");
-        rate = Check.within(rate, MOST, "rate");
-        at = Check.time(at);
+    public QuotaUsage {
+        totalUnits = FieldValidation.requireWithin(totalUnits, MAX_UNITS, "use");
+        unitsPerSecond = FieldValidation.requireWithin(unitsPerSecond, MAX_UNITS, "rate");
+        reportedAt = FieldValidation.requireTime(reportedAt);
     }
 
     /** Work sent to a node while it is cold, in that life of it; in seconds of a core. */
-    public static String cold(String node, double nodeStart) {
-        return "cold " + Keys.name(node) + " " + nodeStart;
+    public static String slowStart(String node, double nodeStart) {
+        return "cold " + ReplicatedKeys.truncateName(node) + " " + nodeStart;
     }
 
-    /** {@code limit}: the name of a {@link Shares.Limit}. */
+    /** {@code limit}: the name of a {@link FleetQuota.Quota}. */
     static String key(String limit, Member member) {
-        return Keys.of(limit, Keys.name(member.name()), Long.toString(member.incarnation()));
+        return ReplicatedKeys.join(limit, ReplicatedKeys.truncateName(member.name()), Long.toString(member.incarnation()));
     }
 
     /** The limit within a key, and whose use it is; null where another release made the key. */
-    static Owner owner(String key) {
-        List<String> parts = Keys.parts(key);
+    static UsageKey parseKey(String key) {
+        List<String> parts = ReplicatedKeys.split(key);
         try {
             return parts.size() != 3
                     ? null
-                    : new Owner(parts.get(0), new Member(parts.get(1), Long.parseLong(parts.get(2))));
+                    : new UsageKey(parts.get(0), new Member(parts.get(1), Long.parseLong(parts.get(2))));
         } catch (NumberFormatException e) {
             return null;
         }
     }
 
     /** @param member its name as keys have it */
-    record Owner(String limit, Member member) {}
+    record UsageKey(String quota, Member member) {}
 }
--- a/fleet/src/main/java/clayhook/fleet/kinds/Mark.java
+++ b/fleet/src/main/java/clayhook/fleet/kinds/SessionWrite.java
@@ -11,16 +11,16 @@
  * @param position in the log of the node group, as its primary told the router that sent the write; seconds since 1970
  * @param group the node group
  */
-public record Mark(double position, int group) {
+public record SessionWrite(double position, int replicaSet) {
     /** Seconds. Longer than any replica's ordinary lag: one further behind than that serves no session. */
-    static final double KEEP = 120;
+    static final double RETENTION_SECONDS = 120;
     /** Some 200 bytes each; at eight hundred sessions a second that write, all of those two minutes. */
-    static final int MOST = 100_000;
+    static final int MAX_ENTRIES = 100_000;
 
-    private static final Comparator<Mark> ORDER =
-            Comparator.comparingDouble(Mark::position).thenComparingInt(Mark::group);
+    private static final Comparator<SessionWrite> ORDER =
+            Comparator.comparingDouble(SessionWrite::position).thenComparingInt(SessionWrite::replicaSet);
 
-    public static final ReplicatedType<Mark> KIND = new ReplicatedType<>() {
+    public static final ReplicatedType<SessionWrite> TYPE = new ReplicatedType<>() {
         @Override
         public int typeNumber() {
             return 3;
@@ -32,24 +32,24 @@
         }
 
         @Override
-        public Mark merge(Mark a, Mark b) {
+        public SessionWrite merge(SessionWrite a, SessionWrite b) {
             return ORDER.compare(a, b) >= 0 ? a : b;
         }
 
         /** So that the floor is a position too. */
         @Override
-        public double timestamp(Mark value) {
+        public double timestamp(SessionWrite value) {
             return value.position;
         }
 
         @Override
         public double retentionSeconds() {
-            return KEEP;
+            return RETENTION_SECONDS;
         }
 
         @Override
         public int maxEntries() {
-            return MOST;
+            return MAX_ENTRIES;
         }
 
         /** Positions come from nodes, whatever the clock of the router that passes them on. */
@@ -59,23 +59,23 @@
         }
 
         @Override
-        public void write(Mark value, FieldWriter out) {
-            out.writeDouble(value.position).writeLong(value.group);
+        public void write(SessionWrite value, FieldWriter out) {
+            out.writeDouble(value.position).writeLong(value.replicaSet);
         }
 
         @Override
-        public Mark read(FieldReader in) {
-            return new Mark(in.readDouble(), in.readIntBelow(Check.MOST_GROUPS));
+        public SessionWrite read(FieldReader in) {
+            return new SessionWrite(in.readDouble(), in.readIntBelow(FieldValidation.MAX_REPLICA_SETS));
         }
     };
 
-    public Mark {
-        position = Check.time(position);
-        Check.that(group >= 0 && group < Check.MOST_GROUPS, "group");
+    public SessionWrite {
+        position = FieldValidation.requireTime(position);
+        FieldValidation.require(replicaSet >= 0 && replicaSet < FieldValidation.MAX_REPLICA_SETS, "group");
     }
 
     /** The key of a session of any name. */
     public static String key(String session) {
-        return Keys.whole(session);
+        return ReplicatedKeys.truncateKeyText(session);
     }
 }
--- a/fleet/src/main/java/clayhook/fleet/kinds/MarkSnapshot.java
+++ b/fleet/src/main/java/clayhook/fleet/kinds/SessionWriteSnapshot.java
@@ -9,18 +9,18 @@
  *
  * <p>Sessions stand by a hash of 64 bits. Two that ever meet in one have the further mark of both, which is safe.
  */
-public final class MarkSnapshot {
+public final class SessionWriteSnapshot {
     /**
      * Some fifty marks in each at the most that are kept: little to copy for one mark, nor is the list of shards long.
      */
-    static final int SHARDS = 2048;
+    static final int SHARD_COUNT = 2048;
     /** Marks in a shard. Guards against long copies where names of sessions are made to meet in one. */
-    static final int MOST_IN_SHARD = 256;
+    static final int MAX_ENTRIES_PER_SHARD = 256;
 
     private static final double NONE = Double.NEGATIVE_INFINITY;
 
     /** Nothing known: no mark, and no certainty of any. */
-    public static final MarkSnapshot EMPTY = new MarkSnapshot(new long[SHARDS][], NONE, NONE);
+    public static final SessionWriteSnapshot EMPTY = new SessionWriteSnapshot(new long[SHARD_COUNT][], NONE, NONE);
 
     /**
      * Each null, or pairs of a session's hash and its position's bits, so that a look-up touches little memory. A pair
@@ -29,12 +29,12 @@
      */
     private final long[][] shards;
 
-    private final double floor, certainUpTo;
+    private final double evictionFloor, completeUpTo;
 
-    private MarkSnapshot(long[][] shards, double floor, double certainUpTo) {
+    private SessionWriteSnapshot(long[][] shards, double floor, double certainUpTo) {
         this.shards = shards;
-        this.floor = floor;
-        this.certainUpTo = certainUpTo;
+        this.evictionFloor = floor;
+        this.completeUpTo = certainUpTo;
     }
 
     private static long hash(String session) {
@@ -42,15 +42,15 @@
         return hash == 0 ? 1 : hash;
     }
 
-    private static int shard(long hash) {
-        return (int) (hash >>> Long.SIZE - Integer.numberOfTrailingZeros(SHARDS));
+    private static int shardOf(long hash) {
+        return (int) (hash >>> Long.SIZE - Integer.numberOfTrailingZeros(SHARD_COUNT));
     }
 
-    static int shard(String session) {
-        return shard(hash(session));
+    static int shardOf(String session) {
+        return shardOf(hash(session));
     }
 
-    private static int place(long[] pairs, long hash) {
+    private static int slotOf(long[] pairs, long hash) {
         int mask = pairs.length - 1;
         int place = (int) (2 * hash) & mask;
         while (pairs[place] != 0 && pairs[place] != hash) {
@@ -62,75 +62,75 @@
     /** The session's mark, seconds since 1970; negative infinity where there is none. */
     public double position(String session) {
         long hash = hash(session);
-        long[] pairs = shards[shard(hash)];
+        long[] pairs = shards[shardOf(hash)];
         if (pairs == null) {
             return NONE;
         }
-        int place = place(pairs, hash);
+        int place = slotOf(pairs, hash);
         return pairs[place] == 0 ? NONE : Double.longBitsToDouble(pairs[place + 1]);
     }
 
     /** Marks up to that position may be missing, seconds since 1970. */
-    public double floor() {
-        return floor;
+    public double evictionFloor() {
+        return evictionFloor;
     }
 
     /** Up to when it has the marks that other routers put in, seconds since 1970. */
-    public double certainUpTo() {
-        return certainUpTo;
+    public double completeUpTo() {
+        return completeUpTo;
     }
 
     /** What the next snapshot will be; for one thread, to be used until it is done. */
-    static final class Draft {
+    static final class Builder {
         private static final long[] NO_PAIRS = {};
 
         private final long[][] shards;
         /** Those that are this draft's own and may be changed, and how many marks they have. */
-        private final BitSet copied = new BitSet(SHARDS);
+        private final BitSet ownedShards = new BitSet(SHARD_COUNT);
 
-        private final int[] sizes = new int[SHARDS];
+        private final int[] shardSizes = new int[SHARD_COUNT];
         /** The newest position that was dropped for want of room. */
-        private double dropped = NONE;
+        private double newestDropped = NONE;
 
-        Draft(MarkSnapshot from) {
+        Builder(SessionWriteSnapshot from) {
             shards = from.shards.clone();
         }
 
         /** That session's mark is at least so far. */
         void raise(String session, double position) {
             long hash = hash(session);
-            int number = shard(hash);
-            if (!copied.get(number) || 4 * (sizes[number] + 1) > shards[number].length) {
-                copy(number, NONE);
+            int number = shardOf(hash);
+            if (!ownedShards.get(number) || 4 * (shardSizes[number] + 1) > shards[number].length) {
+                copyShard(number, NONE);
             }
             put(number, hash, position);
-            if (sizes[number] > MOST_IN_SHARD) {
-                double oldest = oldest(shards[number]);
-                dropped = Math.max(dropped, oldest);
-                copy(number, Math.nextUp(oldest));
+            if (shardSizes[number] > MAX_ENTRIES_PER_SHARD) {
+                double oldest = oldestPosition(shards[number]);
+                newestDropped = Math.max(newestDropped, oldest);
+                copyShard(number, Math.nextUp(oldest));
             }
         }
 
         private void put(int number, long hash, double position) {
             long[] pairs = shards[number];
-            int place = place(pairs, hash);
+            int place = slotOf(pairs, hash);
             boolean known = pairs[place] != 0;
-            sizes[number] += known ? 0 : 1;
+            shardSizes[number] += known ? 0 : 1;
             pairs[place] = hash;
             pairs[place + 1] = Double.doubleToLongBits(
                     known ? Math.max(position, Double.longBitsToDouble(pairs[place + 1])) : position);
         }
 
         /** Makes the shard this draft's own, with its marks from that position on and room for one more. */
-        private void copy(int number, double from) {
+        private void copyShard(int number, double from) {
             long[] old = shards[number] == null ? NO_PAIRS : shards[number];
             int left = 0;
             for (int i = 0; i < old.length; i += 2) {
                 left += old[i] != 0 && Double.longBitsToDouble(old[i + 1]) >= from ? 1 : 0;
             }
             shards[number] = new long[Math.max(16, 4 * Integer.highestOneBit(2 * left + 1))];
-            sizes[number] = 0;
-            copied.set(number);
+            shardSizes[number] = 0;
+            ownedShards.set(number);
             for (int i = 0; i < old.length; i += 2) {
                 double position = Double.longBitsToDouble(old[i + 1]);
                 if (old[i] != 0 && position >= from) {
@@ -139,7 +139,7 @@
             }
         }
 
-        private static double oldest(long[] pairs) {
+        private static double oldestPosition(long[] pairs) {
             double oldest = Double.POSITIVE_INFINITY;
             for (int i = 0; i < pairs.length; i += 2) {
                 oldest = pairs[i] != 0 ? Math.min(oldest, Double.longBitsToDouble(pairs[i + 1])) : oldest;
@@ -148,22 +148,22 @@
         }
 
         /** Drops what is before that position from one shard, if it has any. */
-        void forget(int number, double before) {
-            if (shards[number] != null && oldest(shards[number]) < before) {
-                copy(number, before);
-                if (sizes[number] == 0) {
+        void removeBefore(int number, double before) {
+            if (shards[number] != null && oldestPosition(shards[number]) < before) {
+                copyShard(number, before);
+                if (shardSizes[number] == 0) {
                     shards[number] = null;
-                    copied.clear(number);
+                    ownedShards.clear(number);
                 }
             }
         }
 
-        double dropped() {
-            return dropped;
+        double newestDropped() {
+            return newestDropped;
         }
 
-        MarkSnapshot done(double floor, double certainUpTo) {
-            return new MarkSnapshot(shards, floor, certainUpTo);
+        SessionWriteSnapshot build(double floor, double certainUpTo) {
+            return new SessionWriteSnapshot(shards, floor, certainUpTo);
         }
     }
 }
--- a/fleet/src/main/java/clayhook/fleet/members/Rumours.java
+++ b/fleet/src/main/java/clayhook/fleet/members/BroadcastQueue.java
@@ -8,66 +8,66 @@
 import java.util.Map;
 
 /** Claims that are news here, those told least first. */
-final class Rumours {
+final class BroadcastQueue {
     /**
      * Seconds; older news is found by comparing rosters. Keeps a thousand routers that start at once from telling for
      * minutes.
      */
-    private static final double FRESH = 3;
+    private static final double MAX_AGE_SECONDS = 3;
     /** Told this often beyond what the size of the fleet asks for: small fleets lose packets too. */
-    private static final int LEAST_TELLINGS = 3;
+    private static final int MIN_TRANSMISSIONS = 3;
     /**
      * Times told by binary logarithm of the members: one of a hundred is missed once in thirty news at a fifth lost.
      */
-    private static final double TELLINGS = 1.5;
+    private static final double TRANSMISSIONS_PER_DOUBLING = 1.5;
 
-    private static final class Rumour {
-        final Claim claim;
-        final double until;
-        int told;
+    private static final class PendingBroadcast {
+        final MemberClaim claim;
+        final double expiresAt;
+        int transmissions;
 
-        Rumour(Claim claim, double until) {
+        PendingBroadcast(MemberClaim claim, double until) {
             this.claim = claim;
-            this.until = until;
+            this.expiresAt = until;
         }
     }
 
     /** One a name; emptied of what was told often enough or is old. */
-    private final Map<String, Rumour> byName = new HashMap<>();
+    private final Map<String, PendingBroadcast> byName = new HashMap<>();
     /**
      * By how often they were told, the newest first; holds those that were replaced as well, until their turn comes.
      */
-    private final List<Deque<Rumour>> waiting = new ArrayList<>();
+    private final List<Deque<PendingBroadcast>> queuesByTransmissions = new ArrayList<>();
 
     /** What was told of that name before is forgotten. */
-    void tell(Claim claim, double now) {
-        var rumour = new Rumour(claim, now + FRESH);
+    void enqueue(MemberClaim claim, double now) {
+        var rumour = new PendingBroadcast(claim, now + MAX_AGE_SECONDS);
         byName.put(claim.name(), rumour);
-        waiting(0).addFirst(rumour);
+        queueFor(0).addFirst(rumour);
     }
 
-    private Deque<Rumour> waiting(int told) {
-        while (waiting.size() <= told) {
-            waiting.add(new ArrayDeque<>());
+    private Deque<PendingBroadcast> queueFor(int told) {
+        while (queuesByTransmissions.size() <= told) {
+            queuesByTransmissions.add(new ArrayDeque<>());
         }
-        return waiting.get(told);
+        return queuesByTransmissions.get(told);
     }
 
-    boolean none() {
+    boolean isEmpty() {
         return byName.isEmpty();
     }
 
     /** Claims that fit into that many bytes, one at least where there is any; they count as told once more. */
-    List<Claim> pick(int bytes, int members, double now) {
-        var picked = new ArrayList<Rumour>();
+    List<MemberClaim> select(int bytes, int members, double now) {
+        var picked = new ArrayList<PendingBroadcast>();
         int room = bytes;
-        for (int told = 0; told < waiting.size() && room > 0; told++) {
-            room = pick(waiting.get(told), room, picked, now);
+        for (int told = 0; told < queuesByTransmissions.size() && room > 0; told++) {
+            room = select(queuesByTransmissions.get(told), room, picked, now);
         }
-        int most = LEAST_TELLINGS + (int) Math.ceil(TELLINGS * Math.log(members + 1.0) / Math.log(2));
-        for (Rumour rumour : picked) {
-            if (++rumour.told < most) {
-                waiting(rumour.told).addFirst(rumour);
+        int most = MIN_TRANSMISSIONS + (int) Math.ceil(TRANSMISSIONS_PER_DOUBLING * Math.log(members + 1.0) / Math.log(2));
+        for (PendingBroadcast rumour : picked) {
+            if (++rumour.transmissions < most) {
+                queueFor(rumour.transmissions).addFirst(rumour);
             } else {
                 byName.remove(rumour.claim.name());
             }
@@ -76,11 +76,11 @@
     }
 
     /** Returns the room that is left, 0 when the next one does not fit. */
-    private int pick(Deque<Rumour> from, int room, List<Rumour> picked, double now) {
+    private int select(Deque<PendingBroadcast> from, int room, List<PendingBroadcast> picked, double now) {
         int left = room;
-        for (Rumour rumour = from.peekFirst(); rumour != null; rumour = from.peekFirst()) {
-            if (byName.get(rumour.claim.name()) == rumour && rumour.until >= now) {
-                int size = rumour.claim.room();
+        for (PendingBroadcast rumour = from.peekFirst(); rumour != null; rumour = from.peekFirst()) {
+            if (byName.get(rumour.claim.name()) == rumour && rumour.expiresAt >= now) {
+                int size = rumour.claim.maxEncodedBytes();
                 if (size > left && !picked.isEmpty()) {
                     return 0;
                 }
--- a/fleet/src/main/java/clayhook/fleet/members/Claim.java
+++ b/fleet/src/main/java/clayhook/fleet/members/MemberClaim.java
@@ -19,19 +19,19 @@
  * @param counter how often it has refuted others in this life
  * @param accusers of a suspect: the least few of the hashes of their names, in order; else empty
  */
-record Claim(Peer peer, Standing standing, long counter, List<Long> accusers) {
+record MemberClaim(Peer peer, MemberStatus status, long refutationCount, List<Long> accusers) {
     /** Accusers counted: one that begins and three that agree. More would not shorten the wait. */
-    static final int MOST_ACCUSERS = 4;
+    static final int MAX_ACCUSERS = 4;
     /** Of a host's name, as the name system has it. */
-    private static final int LONGEST_HOST = 253;
+    private static final int MAX_HOST_LENGTH = 253;
     /** Beyond any number of refutations; leaves room to count on. */
-    private static final long COUNTERS = 1L << 50;
+    private static final long REFUTATION_COUNT_LIMIT = 1L << 50;
 
     /**
      * Of two lives of one name; of two that began in the same millisecond the address tells which one counts, the same
      * everywhere.
      */
-    static final Comparator<Peer> LIFE = (a, b) -> {
+    static final Comparator<Peer> INCARNATION_ORDER = (a, b) -> {
         int order = Long.compare(a.member().incarnation(), b.member().incarnation());
         order = order != 0 ? order : a.address().host().compareTo(b.address().host());
         return order != 0
@@ -39,66 +39,66 @@
                 : Integer.compare(a.address().port(), b.address().port());
     };
 
-    Claim {
-        accusers = standing == Standing.SUSPECTED ? least(accusers) : List.of();
+    MemberClaim {
+        accusers = status == MemberStatus.SUSPECT ? smallestDistinct(accusers) : List.of();
     }
 
-    static Claim alive(Peer peer, long counter) {
-        return new Claim(peer, Standing.ALIVE, counter, List.of());
+    static MemberClaim alive(Peer peer, long counter) {
+        return new MemberClaim(peer, MemberStatus.ALIVE, counter, List.of());
     }
 
-    private static List<Long> least(Collection<Long> accusers) {
+    private static List<Long> smallestDistinct(Collection<Long> accusers) {
         return accusers.size() < 2
                 ? List.copyOf(accusers)
-                : new TreeSet<>(accusers).stream().limit(MOST_ACCUSERS).toList();
+                : new TreeSet<>(accusers).stream().limit(MAX_ACCUSERS).toList();
     }
 
-    static long accuser(String name) {
-        return Known.spot(name);
+    static long accuserHash(String name) {
+        return MemberRecord.ringPosition(name);
     }
 
     String name() {
         return peer.member().name();
     }
 
-    boolean lives() {
-        return standing.lives();
+    boolean isLive() {
+        return status.isLive();
     }
 
     /** Above 0 where this one outdoes the other; 0 where at most their accusers differ. */
-    private int compare(Claim other) {
-        int order = LIFE.compare(peer, other.peer);
-        order = order != 0 ? order : Boolean.compare(standing == Standing.LEFT, other.standing == Standing.LEFT);
-        order = order != 0 ? order : Long.compare(counter, other.counter);
-        return order != 0 ? order : standing.compareTo(other.standing);
+    private int compare(MemberClaim other) {
+        int order = INCARNATION_ORDER.compare(peer, other.peer);
+        order = order != 0 ? order : Boolean.compare(status == MemberStatus.LEFT, other.status == MemberStatus.LEFT);
+        order = order != 0 ? order : Long.compare(refutationCount, other.refutationCount);
+        return order != 0 ? order : status.compareTo(other.status);
     }
 
     /** Commutative, associative and idempotent, for claims on one name. */
-    Claim join(Claim other) {
+    MemberClaim merge(MemberClaim other) {
         int order = compare(other);
-        if (order != 0 || standing != Standing.SUSPECTED) {
+        if (order != 0 || status != MemberStatus.SUSPECT) {
             return order < 0 ? other : this;
         }
         var all = new ArrayList<>(accusers);
         all.addAll(other.accusers);
-        return new Claim(peer, standing, counter, all);
+        return new MemberClaim(peer, status, refutationCount, all);
     }
 
     /** Whether a join with that one would keep this one whole. */
-    boolean outdoes(Claim other) {
+    boolean supersedes(MemberClaim other) {
         return compare(other) > 0;
     }
 
-    Claim as(Standing other, List<Long> accusers) {
-        return new Claim(peer, other, counter, accusers);
+    MemberClaim withStatus(MemberStatus other, List<Long> accusers) {
+        return new MemberClaim(peer, other, refutationCount, accusers);
     }
 
     /** Bytes that it takes on the wire, at most. */
-    int room() {
-        return 2 + room(name()) + 9 + room(peer.address().host()) + 5 + 1 + 9 + 1 + 9 * accusers.size();
+    int maxEncodedBytes() {
+        return 2 + maxEncodedBytes(name()) + 9 + maxEncodedBytes(peer.address().host()) + 5 + 1 + 9 + 1 + 9 * accusers.size();
     }
 
-    private static int room(String text) {
+    private static int maxEncodedBytes(String text) {
         int room = 3;
         for (int i = 0; i < text.length(); i++) {
             room += text.charAt(i) < 0x80 ? 1 : 3;
@@ -111,37 +111,37 @@
                 .writeLong(peer.member().incarnation())
                 .writeNullableString(peer.address().host())
                 .writeLong(peer.address().port());
-        out.writeLong(standing.ordinal()).writeLong(counter).writeLong(accusers.size());
+        out.writeLong(status.ordinal()).writeLong(refutationCount).writeLong(accusers.size());
         accusers.forEach(out::writeLong);
     }
 
-    static Claim read(FieldReader in) {
+    static MemberClaim read(FieldReader in) {
         String name = in.readNonEmptyString();
         if (name.length() > Packet.MAX_NAME_LENGTH) {
             throw new IllegalArgumentException("a name of " + name.length() + " characters");
         }
         var member = new Member(name, in.readLong());
-        Address address = address(in);
-        int standing = in.readIntBelow(Standing.values().length);
-        long counter = counter(in);
+        Address address = readAddress(in);
+        int standing = in.readIntBelow(MemberStatus.values().length);
+        long counter = readRefutationCount(in);
         var accusers = new ArrayList<Long>();
-        for (int left = in.readIntBelow(MOST_ACCUSERS + 1); left > 0; left--) {
+        for (int left = in.readIntBelow(MAX_ACCUSERS + 1); left > 0; left--) {
             accusers.add(in.readLong());
         }
-        return new Claim(new Peer(member, address), Standing.values()[standing], counter, accusers);
+        return new MemberClaim(new Peer(member, address), MemberStatus.values()[standing], counter, accusers);
     }
 
-    static Address address(FieldReader in) {
+    static Address readAddress(FieldReader in) {
         String host = in.readNonEmptyString();
-        if (host.length() > LONGEST_HOST) {
+        if (host.length() > MAX_HOST_LENGTH) {
             throw new IllegalArgumentException("a host of " + host.length() + " characters");
         }
         return new Address(host, in.readIntBelow(1 << 16));
     }
 
-    static long counter(FieldReader in) {
+    static long readRefutationCount(FieldReader in) {
         long counter = in.readLong();
-        if (counter < 0 || counter >= COUNTERS) {
+        if (counter < 0 || counter >= REFUTATION_COUNT_LIMIT) {
             throw new IllegalArgumentException("a counter of " + counter);
         }
         return counter;
--- a/fleet/src/main/java/clayhook/fleet/members/Known.java
+++ b/fleet/src/main/java/clayhook/fleet/members/MemberRecord.java
@@ -5,58 +5,58 @@
 import com.dynatrace.hash4j.hashing.Hashing;
 
 /** What this router knows of one name. */
-final class Known {
-    Claim claim;
+final class MemberRecord {
+    MemberClaim claim;
     /** Hash of the name: where it stands in the ring, and its part of the digest. */
-    final long spot;
+    final long ringPosition;
     /** When the life began to be known. */
-    double metAt;
+    double knownSince;
     /** When its standing began, as far as is known. */
-    double since;
+    double statusSince;
     /** When that very life was heard last. */
-    double heardAt;
+    double lastHeardAt;
 
-    Skew skew;
-    boolean clockOff;
+    ClockSkew clockSkew;
+    boolean clockSkewed;
     /** When its clock was last asked for beside the probes. */
-    double clockAskedAt;
+    double clockPingedAt;
     /** An older life that was heard although this one is known. */
-    Peer twin;
+    Peer reportedDuplicate;
     /** What it adds to the digest. */
-    long hash;
+    long digestContribution;
     /** Where it stands in the list of those alive or of those gone. */
-    int place;
+    int listIndex;
 
-    Known(Claim claim, double since, double now) {
+    MemberRecord(MemberClaim claim, double since, double now) {
         this.claim = claim;
-        spot = spot(claim.name());
-        begin(since, now);
+        ringPosition = ringPosition(claim.name());
+        startIncarnation(since, now);
     }
 
-    static long spot(String name) {
+    static long ringPosition(String name) {
         return Hashing.komihash5_0().hashCharsToLong(name);
     }
 
     /** Another life: what was measured of the last one is over. */
-    void begin(double since, double now) {
-        this.since = since;
-        metAt = now;
-        heardAt = Double.NEGATIVE_INFINITY;
-        skew = new Skew();
-        clockOff = false;
-        clockAskedAt = Double.NEGATIVE_INFINITY;
-        twin = null;
+    void startIncarnation(double since, double now) {
+        this.statusSince = since;
+        knownSince = now;
+        lastHeardAt = Double.NEGATIVE_INFINITY;
+        clockSkew = new ClockSkew();
+        clockSkewed = false;
+        clockPingedAt = Double.NEGATIVE_INFINITY;
+        reportedDuplicate = null;
     }
 
     Peer peer() {
         return claim.peer();
     }
 
-    boolean is(Member member) {
+    boolean isIncarnation(Member member) {
         return claim.peer().member().equals(member);
     }
 
-    boolean lives() {
-        return claim.lives();
+    boolean isLive() {
+        return claim.isLive();
     }
 }
--- a/fleet/src/main/java/clayhook/fleet/members/Standing.java
+++ b/fleet/src/main/java/clayhook/fleet/members/MemberStatus.java
@@ -1,14 +1,14 @@
 package clayhook.fleet.members;
 
 /** How a life of a router stands; of two claims with the same counter the later one here counts. */
-enum Standing {
+enum MemberStatus {
     ALIVE,
-    SUSPECTED,
-    GONE,
+    SUSPECT,
+    DEAD,
     LEFT;
 
     /** It is asked, told and counted. */
-    boolean lives() {
-        return this == ALIVE || this == SUSPECTED;
+    boolean isLive() {
+        return this == ALIVE || this == SUSPECT;
     }
 }
--- a/fleet/src/main/java/clayhook/fleet/members/Word.java
+++ b/fleet/src/main/java/clayhook/fleet/members/MembershipMessage.java
@@ -13,11 +13,11 @@
 import java.util.function.Function;
 
 /** What members say to each other. Times are seconds since 1970 on the clock of whoever wrote them. */
-sealed interface Word extends Message {
+sealed interface MembershipMessage extends Message {
     Map<Integer, Function<FieldReader, ? extends Message>> READERS = Map.of(
-            1, Probe::read, 2, Ack::read, 3, Errand::read, 4, Done::read, 5, News::read, 6, Ask::read, 7, Page::read);
+            1, Ping::read, 2, Ack::read, 3, PingRequest::read, 4, PingRequestResult::read, 5, ClaimBroadcast::read, 6, SyncRequest::read, 7, SyncPage::read);
     /** More claims than fit. */
-    int MOST_CLAIMS = Packet.MAX_MESSAGE_BYTES;
+    int MAX_CLAIMS = Packet.MAX_MESSAGE_BYTES;
 
     /**
      * Are you there? Says who asks as well, so that a probe is all it takes to be found.
@@ -25,7 +25,7 @@
      * @param sentAt comes back in the answer
      * @param digest of the asker's roster
      */
-    record Probe(long sequence, double sentAt, long digest, Address address, long counter) implements Word {
+    record Ping(long sequence, double sentAt, long digest, Address address, long refutationCount) implements MembershipMessage {
         @Override
         public int typeNumber() {
             return 1;
@@ -38,11 +38,11 @@
                     .writeLong(digest)
                     .writeNullableString(address.host())
                     .writeLong(address.port())
-                    .writeLong(counter);
+                    .writeLong(refutationCount);
         }
 
-        static Probe read(FieldReader in) {
-            return new Probe(in.readLong(), in.readDouble(), in.readLong(), Claim.address(in), Claim.counter(in));
+        static Ping read(FieldReader in) {
+            return new Ping(in.readLong(), in.readDouble(), in.readLong(), MemberClaim.readAddress(in), MemberClaim.readRefutationCount(in));
         }
     }
 
@@ -52,7 +52,7 @@
      * @param sentAt as the probe had it, on the asker's clock
      * @param gotAt when the probe came, on the clock of whoever answers; the answer leaves at once
      */
-    record Ack(long sequence, double sentAt, double gotAt, long digest, Address address, long counter) implements Word {
+    record Ack(long sequence, double sentAt, double receivedAt, long digest, Address address, long refutationCount) implements MembershipMessage {
         @Override
         public int typeNumber() {
             return 2;
@@ -60,17 +60,17 @@
 
         @Override
         public void write(FieldWriter out) {
-            out.writeLong(sequence).writeDouble(sentAt).writeDouble(gotAt).writeLong(digest);
-            out.writeNullableString(address.host()).writeLong(address.port()).writeLong(counter);
+            out.writeLong(sequence).writeDouble(sentAt).writeDouble(receivedAt).writeLong(digest);
+            out.writeNullableString(address.host()).writeLong(address.port()).writeLong(refutationCount);
         }
 
         static Ack read(FieldReader in) {
-            return new Ack(in.readLong(), in.readDouble(), in.readDouble(), in.readLong(), Claim.address(in), Claim.counter(in));
+            return new Ack(in.readLong(), in.readDouble(), in.readDouble(), in.readLong(), MemberClaim.readAddress(in), MemberClaim.readRefutationCount(in));
         }
     }
 
     /** Ask that one for me. */
-    record Errand(long sequence, Peer target) implements Word {
+    record PingRequest(long sequence, Peer target) implements MembershipMessage {
         @Override
         public int typeNumber() {
             return 3;
@@ -84,13 +84,13 @@
             out.writeNullableString(target.address().host()).writeLong(target.address().port());
         }
 
-        static Errand read(FieldReader in) {
-            return new Errand(in.readLong(), new Peer(new Member(in.readNonEmptyString(), in.readLong()), Claim.address(in)));
+        static PingRequest read(FieldReader in) {
+            return new PingRequest(in.readLong(), new Peer(new Member(in.readNonEmptyString(), in.readLong()), MemberClaim.readAddress(in)));
         }
     }
 
     /** I asked; it answered, or has not yet. */
-    record Done(long sequence, boolean answered) implements Word {
+    record PingRequestResult(long sequence, boolean answered) implements MembershipMessage {
         @Override
         public int typeNumber() {
             return 4;
@@ -101,13 +101,13 @@
             out.writeLong(sequence).writeBoolean(answered);
         }
 
-        static Done read(FieldReader in) {
-            return new Done(in.readLong(), in.readBoolean());
+        static PingRequestResult read(FieldReader in) {
+            return new PingRequestResult(in.readLong(), in.readBoolean());
         }
     }
 
     /** Claims that are new to whoever tells them, or that concern the one who is told. */
-    record News(List<Claim> claims) implements Word {
+    record ClaimBroadcast(List<MemberClaim> claims) implements MembershipMessage {
         @Override
         public int typeNumber() {
             return 5;
@@ -116,7 +116,7 @@
         @Override
         public void write(FieldWriter out) {
             out.beginList();
-            for (Claim claim : claims) {
+            for (MemberClaim claim : claims) {
                 out.beginList();
                 claim.write(out);
                 out.endList();
@@ -124,13 +124,13 @@
             out.endList();
         }
 
-        static News read(FieldReader in) {
-            return new News(in.readLists(MOST_CLAIMS, Claim::read));
+        static ClaimBroadcast read(FieldReader in) {
+            return new ClaimBroadcast(in.readLists(MAX_CLAIMS, MemberClaim::read));
         }
     }
 
     /** These are the digests of my roster, by hash of the name; tell me where yours differs. */
-    record Ask(int[] digests) implements Word {
+    record SyncRequest(int[] bucketDigests) implements MembershipMessage {
         @Override
         public int typeNumber() {
             return 6;
@@ -138,28 +138,28 @@
 
         @Override
         public void write(FieldWriter out) {
-            var bytes = ByteBuffer.allocate(Integer.BYTES * digests.length);
-            bytes.asIntBuffer().put(digests);
+            var bytes = ByteBuffer.allocate(Integer.BYTES * bucketDigests.length);
+            bytes.asIntBuffer().put(bucketDigests);
             out.writeBytes(bytes.array());
         }
 
-        static Ask read(FieldReader in) {
+        static SyncRequest read(FieldReader in) {
             byte[] bytes = in.readBytes();
-            int[] digests = new int[Register.BUCKETS];
+            int[] digests = new int[MembershipTable.BUCKETS];
             if (bytes.length != Integer.BYTES * digests.length) {
                 throw new IllegalArgumentException(bytes.length + " bytes of digests");
             }
             ByteBuffer.wrap(bytes).asIntBuffer().get(digests);
-            return new Ask(digests);
+            return new SyncRequest(digests);
         }
     }
 
     /** A part of a roster. */
-    record Page(List<Aged> claims) implements Word {
+    record SyncPage(List<AgedClaim> claims) implements MembershipMessage {
         /** @param age seconds since that standing began, as far as whoever tells it knows */
-        record Aged(Claim claim, double age) {
-            private static Aged read(FieldReader in) {
-                return new Aged(Claim.read(in), Math.max(0, in.readDouble()));
+        record AgedClaim(MemberClaim claim, double ageSeconds) {
+            private static AgedClaim read(FieldReader in) {
+                return new AgedClaim(MemberClaim.read(in), Math.max(0, in.readDouble()));
             }
         }
 
@@ -171,16 +171,16 @@
         @Override
         public void write(FieldWriter out) {
             out.beginList();
-            for (Aged aged : claims) {
+            for (AgedClaim aged : claims) {
                 out.beginList();
                 aged.claim.write(out);
-                out.writeLong((long) aged.age).endList();
+                out.writeLong((long) aged.ageSeconds).endList();
             }
             out.endList();
         }
 
-        static Page read(FieldReader in) {
-            return new Page(in.readLists(MOST_CLAIMS, Aged::read));
+        static SyncPage read(FieldReader in) {
+            return new SyncPage(in.readLists(MAX_CLAIMS, AgedClaim::read));
         }
     }
 }
--- a/fleet/src/main/java/clayhook/fleet/members/MemberSettings.java
+++ b/fleet/src/main/java/clayhook/fleet/members/MembershipSettings.java
@@ -19,48 +19,48 @@
  * @param late a turn that comes that much later than asked for means that this router stood still
  * @param mostNames names in the roster; further ones are refused and counted
  */
-public record MemberSettings(
-        double period,
-        double retry,
-        int helpers,
-        double gossip,
-        int fan,
-        double suspicion,
-        double alone,
-        double knock,
-        double knockMost,
-        double remember,
-        double deadAfter,
-        double clockBound,
-        double late,
-        int mostNames) {
+public record MembershipSettings(
+        double probeInterval,
+        double probeRetryDelay,
+        int indirectPings,
+        double gossipInterval,
+        int gossipFanout,
+        double suspicionMultiplier,
+        double maxSuspicionFactor,
+        double reconnectInterval,
+        double maxReconnectInterval,
+        double deadMemberRetention,
+        double servingGracePeriod,
+        double maxClockSkew,
+        double stallThreshold,
+        int maxNames) {
     /**
      * A killed member is gone at a hundred routers after two to three seconds. Memory follows the members there are:
      * some 500 bytes each.
      */
-    public static final MemberSettings DEFAULT =
-            new MemberSettings(0.5, 0.15, 3, 0.1, 3, 0.4, 4, 1, 3, 3600, 60, 0.5, 0.3, 16_384);
+    public static final MembershipSettings DEFAULT =
+            new MembershipSettings(0.5, 0.15, 3, 0.1, 3, 0.4, 4, 1, 3, 3600, 60, 0.5, 0.3, 16_384);
 
     /**
      * Periods; far more than a large fleet needs to agree on who is gone, else one still held alive here and there
      * comes back for ever.
      */
-    private static final double LEAST_REMEMBERED = 60;
+    private static final double MIN_RETENTION_INTERVALS = 60;
 
-    public MemberSettings {
-        double[] times = {period, retry, gossip, suspicion, knock, remember, deadAfter, clockBound, late};
+    public MembershipSettings {
+        double[] times = {probeInterval, probeRetryDelay, gossipInterval, suspicionMultiplier, reconnectInterval, deadMemberRetention, servingGracePeriod, maxClockSkew, stallThreshold};
         for (double time : times) {
             if (!(time > 0 && time < Double.POSITIVE_INFINITY)) {
                 throw new IllegalArgumentException("a period or bound of members that is not above 0: " + time);
             }
         }
-        if (retry >= period
-                || remember < LEAST_REMEMBERED * period
-                || !(alone >= 1)
-                || !(knockMost >= knock)
-                || helpers < 0
-                || fan < 1
-                || mostNames < 1024) {
+        if (probeRetryDelay >= probeInterval
+                || deadMemberRetention < MIN_RETENTION_INTERVALS * probeInterval
+                || !(maxSuspicionFactor >= 1)
+                || !(maxReconnectInterval >= reconnectInterval)
+                || indirectPings < 0
+                || gossipFanout < 1
+                || maxNames < 1024) {
             throw new IllegalArgumentException("settings of members that do not fit each other");
         }
     }
--- /dev/null
+++ b/fleet/src/test/java/clayhook/fleet/kinds/EndpointListMergeTest.java
@@ -0,0 +1,135 @@
+package clayhook.fleet.kinds;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+
+import clayhook.fleet.kinds.ListedEndpoint.EndpointState;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import java.util.TreeMap;
+import net.jqwik.api.Example;
+import net.jqwik.api.ForAll;
+import net.jqwik.api.Property;
+
+class EndpointListMergeTest {
+    private final SharedMemoryStore store = new SharedMemoryStore();
+    private final EndpointListMerge merge = new EndpointListMerge("old:1", store);
+    private final Map<String, EndpointState> published = new TreeMap<>();
+
+    private static ListedEndpoint endpoint(long revision, EndpointState state) {
+        return new ListedEndpoint(revision, state, 0, false, "z", 0, "h", 1, 100);
+    }
+
+    private static List<EndpointListMerge.EndpointUpdate> updates(long revision, Map<String, EndpointState> states) {
+        return states.entrySet().stream()
+                .map(each -> new EndpointListMerge.EndpointUpdate(each.getKey(), endpoint(revision, each.getValue())))
+                .toList();
+    }
+
+    private String takeChanges() {
+        var out = new TreeMap<String, EndpointState>();
+        merge.takeChanges().forEach(entry -> out.put(entry.id(), entry.endpoint().state()));
+        published.putAll(out);
+        return out.toString();
+    }
+
+    /**
+     * Deltas and whole lists by this router's discovery, words by peers, late and doubled: the newest counts at each
+     * step.
+     */
+    @Property(tries = 500, seed = "27")
+    void newestRevisionWinsInAnyOrderOfUpdates(@ForAll Random random) {
+        new EndpointListMergeTest().checkRandomUpdates(random);
+    }
+
+    private void checkRandomUpdates(Random random) {
+        record News(long revision, boolean whole, boolean byPeer, Map<String, EndpointState> states) {}
+        var truth = new HashMap<String, EndpointState>();
+        var news = new ArrayList<News>();
+        for (long revision = 1; revision <= 12; revision++) {
+            String id = "n" + random.nextInt(4);
+            EndpointState state = EndpointState.values()[random.nextInt(3)];
+            truth.remove(id);
+            if (state != EndpointState.GONE) {
+                truth.put(id, state);
+            }
+            news.add(
+                    random.nextInt(3) == 0
+                            ? new News(revision, true, false, Map.copyOf(truth))
+                            : new News(revision, false, random.nextBoolean(), Map.of(id, state)));
+        }
+        news.addAll(List.copyOf(news.subList(0, 4)));
+        Collections.shuffle(news, random);
+        var newest = new HashMap<String, Long>();
+        var expected = new HashMap<String, EndpointState>();
+        for (News each : news) {
+            for (String id : List.of("n0", "n1", "n2", "n3")) {
+                if ((each.whole || each.states.containsKey(id)) && each.revision > newest.getOrDefault(id, 0L)) {
+                    newest.put(id, each.revision);
+                    expected.put(id, each.states.getOrDefault(id, EndpointState.GONE));
+                }
+            }
+            if (each.byPeer) {
+                each.states.forEach((id, state) -> putAsPeer("old:1", id, endpoint(each.revision, state)));
+            } else {
+                merge.onDiscoveryUpdate("old:1", each.revision, each.whole, updates(each.revision, each.states), 100);
+            }
+            takeChanges();
+            expected.forEach(
+                    (id, state) -> assertEquals(state, published.getOrDefault(id, EndpointState.GONE), id + " after " + each));
+        }
+    }
+
+    @Example
+    void afterASourceChangeOnlyDrainsOfOtherSourcesHoldUntilTheNewSourceUpdates() {
+        var states = Map.of("a", EndpointState.READY, "b", EndpointState.DRAINING, "c", EndpointState.READY, "d", EndpointState.READY);
+        merge.onDiscoveryUpdate("old:1", 50, true, updates(50, states), 100);
+        assertEquals("{a=READY, b=DRAINING, c=READY, d=READY}", takeChanges());
+        putAsPeer("new:1", "a", endpoint(3, EndpointState.DRAINING));
+        assertEquals("{}", takeChanges(), "the current source has its say");
+        merge.onSourceChanged("new:1");
+        assertEquals("{a=DRAINING}", takeChanges(), "a peer that moved first has heard it");
+        putAsPeer("old:1", "b", endpoint(51, EndpointState.READY));
+        putAsPeer("old:1", "c", endpoint(51, EndpointState.DRAINING));
+        putAsPeer("old:1", "d", endpoint(51, EndpointState.READY).asRemoved(51, 100));
+        assertEquals("{c=DRAINING, d=GONE}", takeChanges(), "b drains on");
+        merge.onDiscoveryUpdate("new:1", 4, false, updates(4, Map.of("c", EndpointState.READY)), 100);
+        putAsPeer("old:1", "c", endpoint(60, EndpointState.DRAINING));
+        assertEquals("{c=READY}", takeChanges());
+        merge.onDiscoveryUpdate("new:1", 5, true, updates(5, Map.of("a", EndpointState.DRAINING, "b", EndpointState.READY, "c", EndpointState.READY)), 100);
+        assertEquals("{b=READY}", takeChanges());
+        assertEquals(
+                EndpointState.GONE,
+                store.get(ListedEndpoint.TYPE, ListedEndpoint.key("new:1", "d")).state(),
+                "peers are told what it leaves out");
+        merge.onSourceChanged("old:1");
+        assertEquals("{c=DRAINING}", takeChanges(), "a drains on: what the old source said before the move is an older word");
+        merge.onDiscoveryUpdate("old:1", 50, true, updates(50, Map.of("a", EndpointState.READY)), 100);
+        assertEquals("{a=READY}", takeChanges(), "but what it says now counts, though it be nothing new");
+    }
+
+    @Example
+    void countsRevisionsBehindAndRenewsEntriesOnce() {
+        merge.onDiscoveryUpdate("old:1", 50, true, updates(50, Map.of("a", EndpointState.READY)), 100);
+        putAsPeer("old:1", "", endpoint(53, EndpointState.READY));
+        store.merge(ListedEndpoint.TYPE, "a key of another release", endpoint(1, EndpointState.DRAINING), 100);
+        assertEquals(3, merge.revisionsBehind());
+        merge.renew(100 + ListedEndpoint.TYPE.retentionSeconds() / 4);
+        assertEquals(100, store.get(ListedEndpoint.TYPE, ListedEndpoint.key("old:1", "a")).lastHeardAt());
+        merge.renew(101 + ListedEndpoint.TYPE.retentionSeconds() / 2);
+        assertEquals(
+                101 + ListedEndpoint.TYPE.retentionSeconds() / 2,
+                store.get(ListedEndpoint.TYPE, ListedEndpoint.key("old:1", "a")).lastHeardAt());
+        assertEquals("{a=READY}", takeChanges());
+        var late = new EndpointListMerge("old:1", store);
+        assertFalse(late.takeChanges().isEmpty(), "a router that starts has what its peers had heard");
+    }
+
+    private void putAsPeer(String source, String id, ListedEndpoint word) {
+        store.merge(ListedEndpoint.TYPE, ListedEndpoint.key(source, id), word, 100);
+    }
+}
--- a/fleet/src/test/java/clayhook/fleet/kinds/Sighted.java
+++ b/fleet/src/test/java/clayhook/fleet/kinds/FixedMembershipView.java
@@ -9,9 +9,9 @@
 import java.util.Set;
 
 /** A roster that sees just those members; names that begin with "off" have clocks that cannot be used, 3 s ahead. */
-record Sighted(Member me, List<Peer> others) implements MembershipView {
-    static Sighted of(int self, Collection<Integer> seen) {
-        return new Sighted(
+record FixedMembershipView(Member selfMember, List<Peer> livePeers) implements MembershipView {
+    static FixedMembershipView of(int self, Collection<Integer> seen) {
+        return new FixedMembershipView(
                 member(self),
                 seen.stream()
                         .filter(other -> other != self)
@@ -30,17 +30,17 @@
 
     @Override
     public Peer self() {
-        return peer(me);
+        return peer(selfMember);
     }
 
     @Override
     public List<Member> possiblyServing(double now) {
-        return others.stream().map(Peer::member).toList();
+        return livePeers.stream().map(Peer::member).toList();
     }
 
     @Override
     public boolean isLive(Member member) {
-        return others.stream().anyMatch(peer -> peer.member().equals(member));
+        return livePeers.stream().anyMatch(peer -> peer.member().equals(member));
     }
 
     @Override
--- a/fleet/src/test/java/clayhook/fleet/kinds/RecordedValuesTest.java
+++ b/fleet/src/test/java/clayhook/fleet/kinds/RecordedValuesTest.java
@@ -47,64 +47,64 @@
 
     private static Map<String, Case<?>> values() {
         var values = new LinkedHashMap<String, Case<?>>();
-        evidence().forEach((name, value) -> values.put("evidence-" + name, new Case<>(Evidence.KIND, value)));
-        listed().forEach((name, value) -> values.put("listed-" + name, new Case<>(Listed.KIND, value)));
-        values.put("mark", new Case<>(Mark.KIND, new Mark(NOW, 1)));
-        values.put("mark-of-extremes", new Case<>(Mark.KIND, new Mark(0, (1 << 20) - 1)));
-        fates().forEach((name, value) -> values.put("fate-" + name, new Case<>(Fate.KIND, value)));
-        values.put("use", new Case<>(Use.KIND, new Use(1234.5, 0.1, NOW)));
-        values.put("use-none", new Case<>(Use.KIND, new Use(0, 0, 0)));
+        evidence().forEach((name, value) -> values.put("evidence-" + name, new Case<>(NodeObservation.TYPE, value)));
+        listed().forEach((name, value) -> values.put("listed-" + name, new Case<>(ListedEndpoint.TYPE, value)));
+        values.put("mark", new Case<>(SessionWrite.TYPE, new SessionWrite(NOW, 1)));
+        values.put("mark-of-extremes", new Case<>(SessionWrite.TYPE, new SessionWrite(0, (1 << 20) - 1)));
+        fates().forEach((name, value) -> values.put("fate-" + name, new Case<>(WriteOutcome.TYPE, value)));
+        values.put("use", new Case<>(QuotaUsage.TYPE, new QuotaUsage(1234.5, 0.1, NOW)));
+        values.put("use-none", new Case<>(QuotaUsage.TYPE, new QuotaUsage(0, 0, 0)));
         return values;
     }
 
-    private static Map<String, Evidence> evidence() {
-        Evidence none = Evidence.none(NOW - 100);
-        var one = Sight.of(NOW, "router-1");
-        var two = Sight.of(NOW + 1.1, WIDE_NAME);
-        var three = Sight.of(NOW + 2, LONG_NAME);
-        var evidence = new LinkedHashMap<String, Evidence>();
+    private static Map<String, NodeObservation> evidence() {
+        NodeObservation none = NodeObservation.empty(NOW - 100);
+        var one = ObservationSource.of(NOW, "router-1");
+        var two = ObservationSource.of(NOW + 1.1, WIDE_NAME);
+        var three = ObservationSource.of(NOW + 2, LONG_NAME);
+        var evidence = new LinkedHashMap<String, NodeObservation>();
         evidence.put("none", none);
-        evidence.put("of-long-ago", Evidence.none(0));
-        evidence.put("position", none.told(NOW - 0.5, 0.25, one));
-        evidence.put("lag-alone", none.told(-1, 0.25, one));
-        evidence.put("primary", none.role(true, one));
-        evidence.put("replica", none.role(false, two));
-        evidence.put("heard", none.heard(three));
-        evidence.put("failed", none.failed(1, one));
+        evidence.put("of-long-ago", NodeObservation.empty(0));
+        evidence.put("position", none.withPosition(NOW - 0.5, 0.25, one));
+        evidence.put("lag-alone", none.withPosition(-1, 0.25, one));
+        evidence.put("primary", none.withRole(true, one));
+        evidence.put("replica", none.withRole(false, two));
+        evidence.put("heard", none.withResponse(three));
+        evidence.put("failed", none.withFailures(1, one));
         evidence.put(
                 "failed-for-several",
-                none.failed(1000, one)
-                        .failed(2, two)
-                        .failed(3, three)
-                        .failed(4, Sight.of(NOW - 1, "router-4"))
-                        .failed(5, Sight.of(NOW - 2, "router-5")));
-        evidence.put("slowness", none.pace(1.5, one));
-        evidence.put("load", none.load(300, two));
+                none.withFailures(1000, one)
+                        .withFailures(2, two)
+                        .withFailures(3, three)
+                        .withFailures(4, ObservationSource.of(NOW - 1, "router-4"))
+                        .withFailures(5, ObservationSource.of(NOW - 2, "router-5")));
+        evidence.put("slowness", none.withLatencyRatio(1.5, one));
+        evidence.put("load", none.withLoad(300, two));
         evidence.put(
                 "one-sight",
-                none.told(NOW, 0, one).role(true, one).heard(one).load(1e6, one).pace(1000, one));
+                none.withPosition(NOW, 0, one).withRole(true, one).withResponse(one).withLoad(1e6, one).withLatencyRatio(1000, one));
         evidence.put(
                 "all",
-                none.told(NOW - 3, 1e6, one)
-                        .role(true, two)
-                        .role(false, three)
-                        .heard(Sight.of(NOW - 5, "router-4"))
-                        .pace(0.001, Sight.of(NOW - 6, "router-5"))
-                        .load(7, Sight.of(NOW - 7, "router-6"))
-                        .failed(8, Sight.of(NOW - 4, "router-7"))
-                        .failed(9, two));
-        evidence.put("of-a-later-sight", Evidence.KIND.merge(none.heard(one), Evidence.none(NOW - 50)));
+                none.withPosition(NOW - 3, 1e6, one)
+                        .withRole(true, two)
+                        .withRole(false, three)
+                        .withResponse(ObservationSource.of(NOW - 5, "router-4"))
+                        .withLatencyRatio(0.001, ObservationSource.of(NOW - 6, "router-5"))
+                        .withLoad(7, ObservationSource.of(NOW - 7, "router-6"))
+                        .withFailures(8, ObservationSource.of(NOW - 4, "router-7"))
+                        .withFailures(9, two));
+        evidence.put("of-a-later-sight", NodeObservation.TYPE.merge(none.withResponse(one), NodeObservation.empty(NOW - 50)));
         return evidence;
     }
 
-    private static Map<String, Listed> listed() {
-        var listed = new LinkedHashMap<String, Listed>();
-        listed.put("ready", new Listed(7, Listed.State.READY, NOW - 10, true, "zone-a", 1, "10.0.0.1", 5432, NOW));
+    private static Map<String, ListedEndpoint> listed() {
+        var listed = new LinkedHashMap<String, ListedEndpoint>();
+        listed.put("ready", new ListedEndpoint(7, ListedEndpoint.EndpointState.READY, NOW - 10, true, "zone-a", 1, "10.0.0.1", 5432, NOW));
         listed.put(
                 "draining",
-                new Listed(
+                new ListedEndpoint(
                         300,
-                        Listed.State.DRAINING,
+                        ListedEndpoint.EndpointState.DRAINING,
                         0,
                         false,
                         WIDE_NAME,
@@ -112,23 +112,23 @@
                         "node.example.org",
                         65_535,
                         NOW + 0.1));
-        listed.put("gone", listed.get("ready").gone(Long.MAX_VALUE, NOW + 1));
-        listed.put("of-revision", Listed.ofRevision(1L << 40, NOW));
+        listed.put("gone", listed.get("ready").asRemoved(Long.MAX_VALUE, NOW + 1));
+        listed.put("of-revision", ListedEndpoint.ofRevision(1L << 40, NOW));
         return listed;
     }
 
-    private static Map<String, Fate> fates() {
-        var unlabelled = Fate.Sent.of(NOW, 1, "pay", null);
-        var labelled = Fate.Sent.of(NOW + 0.1, (1 << 20) - 1, WIDE_NAME, "label " + WIDE_NAME);
-        var witness = Fate.Witness.of(NOW + 1, "router-1", "node-1");
-        var other = Fate.Witness.of(NOW + 2, WIDE_NAME, LONG_NAME);
-        var fates = new LinkedHashMap<String, Fate>();
-        fates.put("unknown", Fate.unknown(unlabelled));
-        fates.put("unknown-labelled", Fate.unknown(labelled));
-        fates.put("unknown-of-long-names", Fate.unknown(Fate.Sent.of(0, 0, LONG_NAME, LONG_NAME)));
-        fates.put("ran", Fate.ran(unlabelled, witness));
-        fates.put("not-run", Fate.notRun(labelled, other));
-        fates.put("conflict", Fate.KIND.merge(Fate.ran(unlabelled, other), Fate.notRun(labelled, witness)));
+    private static Map<String, WriteOutcome> fates() {
+        var unlabelled = WriteOutcome.SentWrite.of(NOW, 1, "pay", null);
+        var labelled = WriteOutcome.SentWrite.of(NOW + 0.1, (1 << 20) - 1, WIDE_NAME, "label " + WIDE_NAME);
+        var witness = WriteOutcome.OutcomeWitness.of(NOW + 1, "router-1", "node-1");
+        var other = WriteOutcome.OutcomeWitness.of(NOW + 2, WIDE_NAME, LONG_NAME);
+        var fates = new LinkedHashMap<String, WriteOutcome>();
+        fates.put("unknown", WriteOutcome.unknown(unlabelled));
+        fates.put("unknown-labelled", WriteOutcome.unknown(labelled));
+        fates.put("unknown-of-long-names", WriteOutcome.unknown(WriteOutcome.SentWrite.of(0, 0, LONG_NAME, LONG_NAME)));
+        fates.put("ran", WriteOutcome.ran(unlabelled, witness));
+        fates.put("not-run", WriteOutcome.notRun(labelled, other));
+        fates.put("conflict", WriteOutcome.TYPE.merge(WriteOutcome.ran(unlabelled, other), WriteOutcome.notRun(labelled, witness)));
         return fates;
     }
 
@@ -141,17 +141,17 @@
                 .sorted(Map.Entry.comparingByKey())
                 .toList()) {
             String name = each.getValue();
-            keys.put("evidence-" + each.getKey(), Evidence.key(name));
-            keys.put("listed-" + each.getKey(), Listed.key("10.0.0.9:7000", name));
-            keys.put("listed-source-" + each.getKey(), Listed.key(name, ""));
-            keys.put("mark-" + each.getKey(), Mark.key(name));
-            keys.put("fate-" + each.getKey(), Fate.key(name));
-            keys.put("use-" + each.getKey(), Use.key(Use.PROBES, new Member(name, 1_700_000_000_123L)));
-            keys.put("use-cold-" + each.getKey(), Use.key(Use.cold(name, NOW), new Member("router-1", -1)));
-            keys.put("sight-" + each.getKey(), Sight.of(NOW, name).by());
+            keys.put("evidence-" + each.getKey(), NodeObservation.key(name));
+            keys.put("listed-" + each.getKey(), ListedEndpoint.key("10.0.0.9:7000", name));
+            keys.put("listed-source-" + each.getKey(), ListedEndpoint.key(name, ""));
+            keys.put("mark-" + each.getKey(), SessionWrite.key(name));
+            keys.put("fate-" + each.getKey(), WriteOutcome.key(name));
+            keys.put("use-" + each.getKey(), QuotaUsage.key(QuotaUsage.HEALTH_CHECKS, new Member(name, 1_700_000_000_123L)));
+            keys.put("use-cold-" + each.getKey(), QuotaUsage.key(QuotaUsage.slowStart(name, NOW), new Member("router-1", -1)));
+            keys.put("sight-" + each.getKey(), ObservationSource.of(NOW, name).router());
         }
-        keys.put("use-repeats", Use.key(Use.REPEATS, new Member("router-1", 0)));
-        keys.put("use-cold-of-long-ago", Use.cold("node-1", 0));
+        keys.put("use-repeats", QuotaUsage.key(QuotaUsage.RETRIES, new Member("router-1", 0)));
+        keys.put("use-cold-of-long-ago", QuotaUsage.slowStart("node-1", 0));
         return keys;
     }
 
@@ -192,15 +192,15 @@
 
     @Test
     void recordedKeysAreReadAsTheirParts() {
-        assertEquals(List.of("10.0.0.9:7000", "node-1"), Listed.parts(recordedKey("listed-plain")));
-        assertEquals(List.of("10.0.0.9:7000", WIDE_NAME), Listed.parts(recordedKey("listed-wide")));
-        assertEquals(List.of("node-1", ""), Listed.parts(recordedKey("listed-source-plain")));
+        assertEquals(List.of("10.0.0.9:7000", "node-1"), ListedEndpoint.parseKey(recordedKey("listed-plain")));
+        assertEquals(List.of("10.0.0.9:7000", WIDE_NAME), ListedEndpoint.parseKey(recordedKey("listed-wide")));
+        assertEquals(List.of("node-1", ""), ListedEndpoint.parseKey(recordedKey("listed-source-plain")));
         assertEquals(
-                new Use.Owner("probes", new Member("node-1", 1_700_000_000_123L)), Use.owner(recordedKey("use-plain")));
-        assertEquals(new Use.Owner("repeats", new Member("router-1", 0)), Use.owner(recordedKey("use-repeats")));
+                new QuotaUsage.UsageKey("probes", new Member("node-1", 1_700_000_000_123L)), QuotaUsage.parseKey(recordedKey("use-plain")));
+        assertEquals(new QuotaUsage.UsageKey("repeats", new Member("router-1", 0)), QuotaUsage.parseKey(recordedKey("use-repeats")));
         assertEquals(
-                new Use.Owner("cold node-1 1.70000000025E9", new Member("router-1", -1)),
-                Use.owner(recordedKey("use-cold-plain")));
+                new QuotaUsage.UsageKey("cold node-1 1.70000000025E9", new Member("router-1", -1)),
+                QuotaUsage.parseKey(recordedKey("use-cold-plain")));
     }
 
     private static String recordedKey(String name) {
@@ -212,19 +212,19 @@
         assertEquals(VALUES.keySet(), VALUE_BYTES.keySet());
         assertEquals(KEYS.keySet(), KEY_BYTES.keySet());
         assertEquals(
-                Set.of(Evidence.KIND, Listed.KIND, Mark.KIND, Fate.KIND, Use.KIND),
+                Set.of(NodeObservation.TYPE, ListedEndpoint.TYPE, SessionWrite.TYPE, WriteOutcome.TYPE, QuotaUsage.TYPE),
                 VALUES.values().stream().map(Case::kind).collect(Collectors.toSet()));
-        var states = new HashSet<Listed.State>();
-        var knowledge = new HashSet<Fate.Knowledge>();
+        var states = new HashSet<ListedEndpoint.EndpointState>();
+        var knowledge = new HashSet<WriteOutcome.OutcomeStatus>();
         for (Case<?> each : VALUES.values()) {
-            if (each.value() instanceof Listed listed) {
+            if (each.value() instanceof ListedEndpoint listed) {
                 states.add(listed.state());
-            } else if (each.value() instanceof Fate fate) {
-                knowledge.add(fate.knowledge());
+            } else if (each.value() instanceof WriteOutcome fate) {
+                knowledge.add(fate.status());
             }
         }
-        assertEquals(EnumSet.allOf(Listed.State.class), states);
-        assertEquals(EnumSet.allOf(Fate.Knowledge.class), knowledge);
+        assertEquals(EnumSet.allOf(ListedEndpoint.EndpointState.class), states);
+        assertEquals(EnumSet.allOf(WriteOutcome.OutcomeStatus.class), knowledge);
     }
 
     @Test
@@ -236,6 +236,6 @@
     }
 
     private static Stream<ReplicatedType<?>> kinds() {
-        return Stream.of(Evidence.KIND, Listed.KIND, Mark.KIND, Fate.KIND, Use.KIND);
+        return Stream.of(NodeObservation.TYPE, ListedEndpoint.TYPE, SessionWrite.TYPE, WriteOutcome.TYPE, QuotaUsage.TYPE);
     }
 }
--- a/fleet/src/test/java/clayhook/fleet/kinds/Memory.java
+++ b/fleet/src/test/java/clayhook/fleet/kinds/SharedMemoryStore.java
@@ -10,13 +10,13 @@
 import java.util.function.BiConsumer;
 
 /** One copy that all routers of a test share at once. */
-final class Memory implements ReplicatedStore {
+final class SharedMemoryStore implements ReplicatedStore {
     double floor = Double.NEGATIVE_INFINITY;
     double certainUpTo = Double.POSITIVE_INFINITY;
     private final Map<ReplicatedType<?>, Map<String, Object>> values = new HashMap<>();
     private final Map<ReplicatedType<?>, List<ChangeListener<?>>> listeners = new HashMap<>();
 
-    private Map<String, Object> of(ReplicatedType<?> kind) {
+    private Map<String, Object> valuesOf(ReplicatedType<?> kind) {
         return values.computeIfAbsent(kind, any -> new TreeMap<>());
     }
 
@@ -25,7 +25,7 @@
     public <V> V merge(ReplicatedType<V> kind, String key, V value, double now) {
         V known = get(kind, key);
         V joined = known == null ? value : kind.merge(known, value);
-        if (!joined.equals(of(kind).put(key, joined))) {
+        if (!joined.equals(valuesOf(kind).put(key, joined))) {
             listeners.getOrDefault(kind, List.of()).forEach(to -> ((ChangeListener<V>) to).onChange(key, joined, now));
         }
         return joined;
@@ -34,13 +34,13 @@
     @Override
     @SuppressWarnings("unchecked")
     public <V> V get(ReplicatedType<V> kind, String key) {
-        return (V) of(kind).get(key);
+        return (V) valuesOf(kind).get(key);
     }
 
     @Override
     @SuppressWarnings("unchecked")
     public <V> void forEach(ReplicatedType<V> kind, BiConsumer<String, V> to) {
-        of(kind).forEach((key, value) -> to.accept(key, (V) value));
+        valuesOf(kind).forEach((key, value) -> to.accept(key, (V) value));
     }
 
     @Override
@@ -50,7 +50,7 @@
 
     @Override
     public int size(ReplicatedType<?> kind) {
-        return of(kind).size();
+        return valuesOf(kind).size();
     }
 
     @Override
@@ -65,6 +65,6 @@
 
     @Override
     public long digest(ReplicatedType<?> kind, double now) {
-        return of(kind).hashCode();
+        return valuesOf(kind).hashCode();
     }
 }
--- a/fleet/src/test/java/clayhook/fleet/members/RecordedMessagesTest.java
+++ b/fleet/src/test/java/clayhook/fleet/members/RecordedMessagesTest.java
@@ -34,68 +34,68 @@
     private static final Peer PEER = new Peer(new Member("router-1", 1_700_000_000_123L), ADDRESS);
     private static final Peer OTHER_PEER = new Peer(
             new Member("r\u00fcter-\u20ac-\ud83d\ude00", Long.MIN_VALUE), new Address("node.example.org", 65_535));
-    private static final Map<String, Word> MESSAGES = messages();
+    private static final Map<String, MembershipMessage> MESSAGES = messages();
 
-    private static Map<String, Word> messages() {
-        var messages = new LinkedHashMap<String, Word>();
-        messages.put("probe", new Word.Probe(1, SENT_AT, -2, ADDRESS, 3));
+    private static Map<String, MembershipMessage> messages() {
+        var messages = new LinkedHashMap<String, MembershipMessage>();
+        messages.put("probe", new MembershipMessage.Ping(1, SENT_AT, -2, ADDRESS, 3));
         messages.put(
                 "probe-of-extremes",
-                new Word.Probe(
+                new MembershipMessage.Ping(
                         Long.MAX_VALUE, Double.POSITIVE_INFINITY, Long.MIN_VALUE, new Address("h", 0), (1L << 50) - 1));
-        messages.put("ack", new Word.Ack(1, SENT_AT, RECEIVED_AT, Long.MAX_VALUE, ADDRESS, 24));
+        messages.put("ack", new MembershipMessage.Ack(1, SENT_AT, RECEIVED_AT, Long.MAX_VALUE, ADDRESS, 24));
         messages.put(
                 "ack-of-extremes",
-                new Word.Ack(Long.MIN_VALUE, -0.5, 1e300, 0, new Address("node.example.org", 65_535), 0));
-        messages.put("errand", new Word.Errand(256, PEER));
-        messages.put("errand-wide", new Word.Errand(1L << 32, OTHER_PEER));
-        messages.put("done-answered", new Word.Done(256, true));
-        messages.put("done-unanswered", new Word.Done(70_000, false));
-        messages.put("news-empty", new Word.News(List.of()));
-        messages.put("news-alive", new Word.News(List.of(Claim.alive(PEER, 0))));
-        messages.put("news-suspected", new Word.News(List.of(suspected(-1L, 2L, Long.MAX_VALUE, Long.MIN_VALUE))));
-        messages.put("news-suspected-by-one", new Word.News(List.of(suspected(0x1234_5678_9abc_def0L))));
-        messages.put("news-suspected-by-none", new Word.News(List.of(suspected())));
-        messages.put("news-gone", new Word.News(List.of(new Claim(PEER, Standing.GONE, 23, List.of()))));
-        messages.put("news-left", new Word.News(List.of(new Claim(OTHER_PEER, Standing.LEFT, 1L << 49, List.of()))));
+                new MembershipMessage.Ack(Long.MIN_VALUE, -0.5, 1e300, 0, new Address("node.example.org", 65_535), 0));
+        messages.put("errand", new MembershipMessage.PingRequest(256, PEER));
+        messages.put("errand-wide", new MembershipMessage.PingRequest(1L << 32, OTHER_PEER));
+        messages.put("done-answered", new MembershipMessage.PingRequestResult(256, true));
+        messages.put("done-unanswered", new MembershipMessage.PingRequestResult(70_000, false));
+        messages.put("news-empty", new MembershipMessage.ClaimBroadcast(List.of()));
+        messages.put("news-alive", new MembershipMessage.ClaimBroadcast(List.of(MemberClaim.alive(PEER, 0))));
+        messages.put("news-suspected", new MembershipMessage.ClaimBroadcast(List.of(suspected(-1L, 2L, Long.MAX_VALUE, Long.MIN_VALUE))));
+        messages.put("news-suspected-by-one", new MembershipMessage.ClaimBroadcast(List.of(suspected(0x1234_5678_9abc_def0L))));
+        messages.put("news-suspected-by-none", new MembershipMessage.ClaimBroadcast(List.of(suspected())));
+        messages.put("news-gone", new MembershipMessage.ClaimBroadcast(List.of(new MemberClaim(PEER, MemberStatus.DEAD, 23, List.of()))));
+        messages.put("news-left", new MembershipMessage.ClaimBroadcast(List.of(new MemberClaim(OTHER_PEER, MemberStatus.LEFT, 1L << 49, List.of()))));
         messages.put(
                 "news-several",
-                new Word.News(List.of(
-                        Claim.alive(OTHER_PEER, 1), suspected(3L, 4L), new Claim(PEER, Standing.LEFT, 2, List.of()))));
+                new MembershipMessage.ClaimBroadcast(List.of(
+                        MemberClaim.alive(OTHER_PEER, 1), suspected(3L, 4L), new MemberClaim(PEER, MemberStatus.LEFT, 2, List.of()))));
         messages.put(
                 "ask",
-                new Word.Ask(IntStream.range(0, Register.BUCKETS)
+                new MembershipMessage.SyncRequest(IntStream.range(0, MembershipTable.BUCKETS)
                         .map(i -> i * 0x9e37_79b9)
                         .toArray()));
-        messages.put("ask-empty", new Word.Ask(new int[Register.BUCKETS]));
-        messages.put("page-empty", new Word.Page(List.of()));
+        messages.put("ask-empty", new MembershipMessage.SyncRequest(new int[MembershipTable.BUCKETS]));
+        messages.put("page-empty", new MembershipMessage.SyncPage(List.of()));
         messages.put(
                 "page",
-                new Word.Page(List.of(
-                        new Word.Page.Aged(Claim.alive(PEER, 5), 0),
-                        new Word.Page.Aged(suspected(7L, 8L, 9L), 1),
-                        new Word.Page.Aged(new Claim(OTHER_PEER, Standing.GONE, 6, List.of()), 3600),
-                        new Word.Page.Aged(new Claim(PEER, Standing.LEFT, 0, List.of()), 1e9))));
+                new MembershipMessage.SyncPage(List.of(
+                        new MembershipMessage.SyncPage.AgedClaim(MemberClaim.alive(PEER, 5), 0),
+                        new MembershipMessage.SyncPage.AgedClaim(suspected(7L, 8L, 9L), 1),
+                        new MembershipMessage.SyncPage.AgedClaim(new MemberClaim(OTHER_PEER, MemberStatus.DEAD, 6, List.of()), 3600),
+                        new MembershipMessage.SyncPage.AgedClaim(new MemberClaim(PEER, MemberStatus.LEFT, 0, List.of()), 1e9))));
         return messages;
     }
 
-    private static Claim suspected(Long... accusers) {
-        return new Claim(PEER, Standing.SUSPECTED, 1, List.of(accusers));
+    private static MemberClaim suspected(Long... accusers) {
+        return new MemberClaim(PEER, MemberStatus.SUSPECT, 1, List.of(accusers));
     }
 
     /** Each message's number on the wire, which chooses the reader of its bytes. */
-    private static int number(Word message) {
-        if (message instanceof Word.Probe) {
+    private static int number(MembershipMessage message) {
+        if (message instanceof MembershipMessage.Ping) {
             return 1;
-        } else if (message instanceof Word.Ack) {
+        } else if (message instanceof MembershipMessage.Ack) {
             return 2;
-        } else if (message instanceof Word.Errand) {
+        } else if (message instanceof MembershipMessage.PingRequest) {
             return 3;
-        } else if (message instanceof Word.Done) {
+        } else if (message instanceof MembershipMessage.PingRequestResult) {
             return 4;
-        } else if (message instanceof Word.News) {
+        } else if (message instanceof MembershipMessage.ClaimBroadcast) {
             return 5;
-        } else if (message instanceof Word.Ask) {
+        } else if (message instanceof MembershipMessage.SyncRequest) {
             return 6;
         }
         return 7;
@@ -123,10 +123,10 @@
     Stream<DynamicTest> recordedBytesAreReadAsTheMessage() {
         return MESSAGES.entrySet().stream()
                 .map(each -> DynamicTest.dynamicTest(each.getKey(), () -> {
-                    Word message = each.getValue();
-                    Message read = Word.READERS.get(number(message)).apply(new FieldReader(RECORDED.get(each.getKey())));
-                    if (message instanceof Word.Ask ask) {
-                        assertArrayEquals(ask.digests(), ((Word.Ask) read).digests());
+                    MembershipMessage message = each.getValue();
+                    Message read = MembershipMessage.READERS.get(number(message)).apply(new FieldReader(RECORDED.get(each.getKey())));
+                    if (message instanceof MembershipMessage.SyncRequest ask) {
+                        assertArrayEquals(ask.bucketDigests(), ((MembershipMessage.SyncRequest) read).bucketDigests());
                     } else {
                         assertEquals(message, read);
                     }
@@ -137,25 +137,25 @@
     void everyFormOfMessageIsRecorded() {
         assertEquals(MESSAGES.keySet(), RECORDED.keySet());
         assertEquals(
-                Arrays.stream(Word.class.getPermittedSubclasses()).collect(Collectors.toSet()),
+                Arrays.stream(MembershipMessage.class.getPermittedSubclasses()).collect(Collectors.toSet()),
                 MESSAGES.values().stream().map(Object::getClass).collect(Collectors.toSet()));
-        assertEquals(Set.of(1, 2, 3, 4, 5, 6, 7), Word.READERS.keySet());
-        var standings = new HashSet<Standing>();
-        for (Word message : MESSAGES.values()) {
-            if (message instanceof Word.News news) {
-                news.claims().forEach(claim -> standings.add(claim.standing()));
+        assertEquals(Set.of(1, 2, 3, 4, 5, 6, 7), MembershipMessage.READERS.keySet());
+        var standings = new HashSet<MemberStatus>();
+        for (MembershipMessage message : MESSAGES.values()) {
+            if (message instanceof MembershipMessage.ClaimBroadcast news) {
+                news.claims().forEach(claim -> standings.add(claim.status()));
             }
         }
-        assertEquals(EnumSet.allOf(Standing.class), standings);
+        assertEquals(EnumSet.allOf(MemberStatus.class), standings);
     }
 
     @Test
     void ageIsWrittenInWholeSeconds() {
-        var aged = new Word.Page(List.of(
-                new Word.Page.Aged(Claim.alive(PEER, 5), 0.9),
-                new Word.Page.Aged(suspected(9L, 7L, 8L, 7L), 1.99),
-                new Word.Page.Aged(new Claim(OTHER_PEER, Standing.GONE, 6, List.of(1L)), 3600.5),
-                new Word.Page.Aged(new Claim(PEER, Standing.LEFT, 0, List.of()), 1e9)));
+        var aged = new MembershipMessage.SyncPage(List.of(
+                new MembershipMessage.SyncPage.AgedClaim(MemberClaim.alive(PEER, 5), 0.9),
+                new MembershipMessage.SyncPage.AgedClaim(suspected(9L, 7L, 8L, 7L), 1.99),
+                new MembershipMessage.SyncPage.AgedClaim(new MemberClaim(OTHER_PEER, MemberStatus.DEAD, 6, List.of(1L)), 3600.5),
+                new MembershipMessage.SyncPage.AgedClaim(new MemberClaim(PEER, MemberStatus.LEFT, 0, List.of()), 1e9)));
         assertArrayEquals(RECORDED.get("page"), encode(aged));
     }
 }
--- a/lab/src/main/java/clayhook/lab/sharing/Learning.java
+++ b/lab/src/main/java/clayhook/lab/sharing/Learning.java
@@ -1,12 +1,12 @@
 package clayhook.lab.sharing;
 
 import clayhook.fleet.ReplicatedType;
-import clayhook.fleet.kinds.Evidence;
-import clayhook.fleet.kinds.Fate;
-import clayhook.fleet.kinds.Listed;
-import clayhook.fleet.kinds.Mark;
-import clayhook.fleet.kinds.Sight;
-import clayhook.fleet.kinds.Use;
+import clayhook.fleet.kinds.NodeObservation;
+import clayhook.fleet.kinds.WriteOutcome;
+import clayhook.fleet.kinds.ListedEndpoint;
+import clayhook.fleet.kinds.SessionWrite;
+import clayhook.fleet.kinds.ObservationSource;
+import clayhook.fleet.kinds.QuotaUsage;
 import java.util.List;
 import java.util.SplittableRandom;
 
@@ -38,13 +38,13 @@
             return switch (random.nextInt(kinds.size())) {
                 case 0 -> said(0, "n" + random.nextInt(NODES), key -> evidence(key, by, now), by, now);
                 case 1 -> said(1, "n" + random.nextInt(NODES), key -> listed(key, by, now), by, now);
-                case 2 -> said(2, "s" + random.nextInt(SESSIONS), key -> new Mark(now, 1), by, now);
+                case 2 -> said(2, "s" + random.nextInt(SESSIONS), key -> new SessionWrite(now, 1), by, now);
                 case 3 -> said(3, "c" + random.nextInt(COMMANDS), key -> fate(key, by, now), by, now);
                 default ->
                     said(
                             4,
                             "probes of " + by + " " + by.lives(),
-                            key -> new Use(now, random.nextInt(9), by.now()),
+                            key -> new QuotaUsage(now, random.nextInt(9), by.now()),
                             by,
                             now);
             };
@@ -62,35 +62,35 @@
         return new Said<>((ReplicatedType<V>) kinds.get(kind), key, maker.of(key), by, by.lives(), now);
     }
 
-    private Evidence evidence(String key, PeeredRouter by, double now) {
+    private NodeObservation evidence(String key, PeeredRouter by, double now) {
         double start = Math.floor(now / NODE_LIVES + key.hashCode() % 7 / 7.0) * NODE_LIVES - NODE_LIVES;
-        Sight sight = Sight.of(by.now(), by.toString());
-        Evidence none = Evidence.none(start);
+        ObservationSource sight = ObservationSource.of(by.now(), by.toString());
+        NodeObservation none = NodeObservation.empty(start);
         return switch (random.nextInt(5)) {
-            case 0 -> none.heard(sight).told(now, random.nextDouble(), sight);
-            case 1 -> none.heard(sight).role(random.nextBoolean(), sight);
-            case 2 -> none.failed(1 + random.nextInt(3), sight);
-            case 3 -> none.pace(random.nextDouble(), sight);
-            default -> none.load(random.nextInt(20), sight);
+            case 0 -> none.withResponse(sight).withPosition(now, random.nextDouble(), sight);
+            case 1 -> none.withResponse(sight).withRole(random.nextBoolean(), sight);
+            case 2 -> none.withFailures(1 + random.nextInt(3), sight);
+            case 3 -> none.withLatencyRatio(random.nextDouble(), sight);
+            default -> none.withLoad(random.nextInt(20), sight);
         };
     }
 
     /** Routers hear of a revision at different times; of one node and revision all hear the same. */
-    private Listed listed(String key, PeeredRouter by, double now) {
+    private ListedEndpoint listed(String key, PeeredRouter by, double now) {
         long revision = (long) (now / REVISION) - random.nextInt(4);
-        var state = Listed.State.values()[Math.floorMod(Long.hashCode(revision * 31 + key.hashCode()), 3)];
-        return new Listed(revision, state, 0, false, "a", 1, "10.0.0.1", 1, by.now());
+        var state = ListedEndpoint.EndpointState.values()[Math.floorMod(Long.hashCode(revision * 31 + key.hashCode()), 3)];
+        return new ListedEndpoint(revision, state, 0, false, "a", 1, "10.0.0.1", 1, by.now());
     }
 
     /** Each command has run or not; its router may know or be in doubt. */
-    private Fate fate(String key, PeeredRouter by, double now) {
+    private WriteOutcome fate(String key, PeeredRouter by, double now) {
         String router = by.toString();
-        var first = Fate.Sent.of(by.now(), 1, "pay", null);
+        var first = WriteOutcome.SentWrite.of(by.now(), 1, "pay", null);
         boolean ran = key.hashCode() % 2 == 0;
         return random.nextInt(3) > 0
-                ? Fate.unknown(first)
+                ? WriteOutcome.unknown(first)
                 : ran
-                        ? Fate.ran(first, Fate.Witness.of(by.now(), router, "n1"))
-                        : Fate.notRun(first, Fate.Witness.of(by.now(), router, ""));
+                        ? WriteOutcome.ran(first, WriteOutcome.OutcomeWitness.of(by.now(), router, "n1"))
+                        : WriteOutcome.notRun(first, WriteOutcome.OutcomeWitness.of(by.now(), router, ""));
     }
 }
--- a/lab/src/main/java/clayhook/lab/sharing/Life.java
+++ b/lab/src/main/java/clayhook/lab/sharing/Life.java
@@ -6,8 +6,8 @@
 import clayhook.fleet.Peer;
 import clayhook.fleet.MembershipView;
 import clayhook.fleet.ReplicatedStore;
-import clayhook.fleet.members.MemberSettings;
-import clayhook.fleet.members.Members;
+import clayhook.fleet.members.MembershipSettings;
+import clayhook.fleet.members.Membership;
 import clayhook.fleet.state.State;
 import clayhook.fleet.state.StateSettings;
 import java.util.List;
@@ -27,7 +27,7 @@
     /** The roster and the copy as routers run them, with nothing beside. */
     public static Birth sharing(List<ReplicatedType<?>> kinds) {
         return (self, seeds, seed, now) -> {
-            var members = new Members(MemberSettings.DEFAULT, self, seeds, seed, now, new Members.Listener() {});
+            var members = new Membership(MembershipSettings.DEFAULT, self, seeds, seed, now, new Membership.MembershipListener() {});
             var state = new State(members, kinds, StateSettings.DEFAULT, seed + 1, now);
             return new Life(members, state, List.of(members, state));
         };
--- a/lab/src/main/java/clayhook/lab/sharing/ModelPeer.java
+++ b/lab/src/main/java/clayhook/lab/sharing/ModelPeer.java
@@ -8,9 +8,9 @@
 import clayhook.discovery.EndpointList;
 import clayhook.fleet.Address;
 import clayhook.fleet.Peer;
-import clayhook.fleet.kinds.Fate;
-import clayhook.fleet.members.MemberSettings;
-import clayhook.fleet.members.Members;
+import clayhook.fleet.kinds.WriteOutcome;
+import clayhook.fleet.members.MembershipSettings;
+import clayhook.fleet.members.Membership;
 import clayhook.fleet.state.State;
 import clayhook.fleet.state.StateSettings;
 import clayhook.lab.model.Hearing;
@@ -66,8 +66,8 @@
     public Life begin(Peer self, List<Address> seeds, long seed, double now) {
         var chance = new SplittableRandom(seed);
         var members =
-                new Members(MemberSettings.DEFAULT, self, seeds, chance.nextLong(), now, new Members.Listener() {});
-        var kinds = new StateBridge.EnabledTypes(true, true, marks, Fate.KIND, true);
+                new Membership(MembershipSettings.DEFAULT, self, seeds, chance.nextLong(), now, new Membership.MembershipListener() {});
+        var kinds = new StateBridge.EnabledTypes(true, true, marks, WriteOutcome.TYPE, true);
         var state = new State(members, kinds.types(), StateSettings.DEFAULT, chance.nextLong(), now);
         exchange = new StateBridge(
                 kinds, roam, routers, SOURCE, state, members, chance.split(), what -> time.in(0, what), this);
--- a/lab/src/main/java/clayhook/lab/sharing/SharingFigures.java
+++ b/lab/src/main/java/clayhook/lab/sharing/SharingFigures.java
@@ -1,8 +1,8 @@
 package clayhook.lab.sharing;
 
 import clayhook.fleet.ReplicatedType;
-import clayhook.fleet.kinds.Listed;
-import clayhook.fleet.kinds.Mark;
+import clayhook.fleet.kinds.ListedEndpoint;
+import clayhook.fleet.kinds.SessionWrite;
 import clayhook.lab.model.Timeline;
 import java.lang.management.ManagementFactory;
 import java.util.Arrays;
@@ -58,9 +58,9 @@
             news(
                     "urgent",
                     lossy,
-                    Listed.KIND,
-                    number -> new Listed(number, Listed.State.DRAINING, 0, false, "a", 1, "10.0.0.1", 1, START));
-            news("usual", lossy, Mark.KIND, number -> new Mark(START + BETWEEN * number, 1));
+                    ListedEndpoint.TYPE,
+                    number -> new ListedEndpoint(number, ListedEndpoint.EndpointState.DRAINING, 0, false, "a", 1, "10.0.0.1", 1, START));
+            news("usual", lossy, SessionWrite.TYPE, number -> new SessionWrite(START + BETWEEN * number, 1));
         }
     }
 
@@ -161,7 +161,7 @@
             double at = START + SETTLED + (AWAY - 1) * i / marks;
             time.at(at, () -> company.routers()
                     .get(1 + number % (spec.routers() - 1))
-                    .put(Mark.KIND, "s" + number, new Mark(at, 1)));
+                    .put(SessionWrite.TYPE, "s" + number, new SessionWrite(at, 1)));
         }
         double back = START + SETTLED + AWAY;
         time.run(back);
@@ -170,7 +170,7 @@
         double certain = Double.NaN;
         while (Double.isNaN(certain) && time.now() < back + GIVEN_UP) {
             time.run(time.now() + LOOK);
-            full = Double.isNaN(full) && away.shared().size(Mark.KIND) >= marks ? time.now() - back : full;
+            full = Double.isNaN(full) && away.shared().size(SessionWrite.TYPE) >= marks ? time.now() - back : full;
             certain = !Double.isNaN(full) && away.shared().completeUpTo(away.now()) > back
                     ? time.now() - back
                     : Double.NaN;
--- a/lab/src/main/java/clayhook/lab/sharing/Trial.java
+++ b/lab/src/main/java/clayhook/lab/sharing/Trial.java
@@ -3,12 +3,12 @@
 import clayhook.fleet.ReplicatedType;
 import clayhook.fleet.Member;
 import clayhook.fleet.ReplicatedStore;
-import clayhook.fleet.kinds.Evidence;
-import clayhook.fleet.kinds.Fate;
-import clayhook.fleet.kinds.Listed;
-import clayhook.fleet.kinds.Mark;
-import clayhook.fleet.kinds.SessionNeeds;
-import clayhook.fleet.kinds.Use;
+import clayhook.fleet.kinds.NodeObservation;
+import clayhook.fleet.kinds.WriteOutcome;
+import clayhook.fleet.kinds.ListedEndpoint;
+import clayhook.fleet.kinds.SessionWrite;
+import clayhook.fleet.kinds.SessionConsistency;
+import clayhook.fleet.kinds.QuotaUsage;
 import clayhook.lab.model.Timeline;
 import clayhook.lab.sharing.Learning.Said;
 import java.util.ArrayList;
@@ -41,7 +41,7 @@
     private static final double LOOK = 0.25;
 
     /** The values that routers share, in order of their numbers. */
-    public static final List<ReplicatedType<?>> KINDS = List.of(Evidence.KIND, Listed.KIND, Mark.KIND, Fate.KIND, Use.KIND);
+    public static final List<ReplicatedType<?>> KINDS = List.of(NodeObservation.TYPE, ListedEndpoint.TYPE, SessionWrite.TYPE, WriteOutcome.TYPE, QuotaUsage.TYPE);
 
     /**
      * What is played.
@@ -69,7 +69,7 @@
     /** All that was put in. */
     private final List<Said<?>> said = new ArrayList<>();
 
-    private final Map<ReplicatedStore, SessionNeeds> needs = new HashMap<>();
+    private final Map<ReplicatedStore, SessionConsistency> needs = new HashMap<>();
     private final double end;
     private String broken;
 
@@ -120,7 +120,7 @@
 
     private void learn(PeeredRouter by) {
         Said<?> next = by.awake() ? learning.next(by, time.now()) : null;
-        if (next != null && put(next) && next.kind() == Mark.KIND) {
+        if (next != null && put(next) && next.kind() == SessionWrite.TYPE) {
             roam(next);
         }
     }
@@ -145,9 +145,9 @@
     }
 
     private void read(Said<?> mark, PeeredRouter at) {
-        SessionNeeds marks = needs.computeIfAbsent(at.shared(), shared -> new SessionNeeds(shared, ROAM));
+        SessionConsistency marks = needs.computeIfAbsent(at.shared(), shared -> new SessionConsistency(shared, ROAM));
         marks.publish(at.now());
-        double need = marks.need(Mark.key(mark.key()), at.now());
+        double need = marks.requiredPosition(SessionWrite.key(mark.key()), at.now());
         if (need < mark.at() && promised(mark, at)) {
             broke(String.format(
                     Locale.ROOT,
