--- a/daemon/src/main/java/clayhook/peers/GossipTransport.java
+++ b/daemon/src/main/java/clayhook/peers/GossipTransport.java
@@ -16,7 +16,7 @@
 import clayhook.fleet.kinds.WriteOutcome;
 import clayhook.fleet.members.MembershipSettings;
 import clayhook.fleet.members.Membership;
-import clayhook.fleet.state.State;
+import clayhook.fleet.state.ReplicatedState;
 import clayhook.fleet.state.StateSettings;
 import clayhook.front.ClientRequest;
 import clayhook.log.Log;
@@ -121,7 +121,7 @@
                 marks,
                 settings.shareWriteOutcomes() ? WriteOutcome.typeWithRetention(settings.writeOutcomeRetention()) : null,
                 settings.shareQuotas());
-        var state = new State(members, kinds.types(), stateSettings(), chance.nextLong(), now);
+        var state = new ReplicatedState(members, kinds.types(), stateSettings(), chance.nextLong(), now);
         bridge = new StateBridge(
                 kinds,
                 settings.sessionRoamDelay(),
@@ -168,25 +168,25 @@
 
     private StateSettings stateSettings() {
         return new StateSettings(
-                stateDefaults.round(),
+                stateDefaults.broadcastInterval(),
                 stateDefaults.fanout(),
-                stateDefaults.newsParts(),
+                stateDefaults.maxMessagesPerRound(),
                 settings.gossipBytesPerSecond(),
-                stateDefaults.newsFor(),
-                stateDefaults.mostNews(),
-                stateDefaults.digestEvery(),
-                stateDefaults.digestBytes(),
-                stateDefaults.answerWait(),
-                stateDefaults.silence(),
-                stateDefaults.window(),
+                stateDefaults.deltaLifetime(),
+                stateDefaults.maxPendingDeltas(),
+                stateDefaults.antiEntropyInterval(),
+                stateDefaults.antiEntropyBytesPerSecond(),
+                stateDefaults.retryTimeout(),
+                stateDefaults.peerTimeout(),
+                stateDefaults.maxOutstandingRequests(),
                 settings.antiEntropyBytesPerSecond(),
-                stateDefaults.pushBytes(),
-                stateDefaults.pairsEvery(),
+                stateDefaults.maxPushBytes(),
+                stateDefaults.versionGossipInterval(),
                 settings.maxClockSkew() + CLOCK_MEASUREMENT_ERROR,
-                stateDefaults.margin(),
-                stateDefaults.aloneAfter(),
-                stateDefaults.stood(),
-                stateDefaults.sweep());
+                stateDefaults.digestExclusionMargin(),
+                stateDefaults.bootstrapTimeout(),
+                stateDefaults.stallThreshold(),
+                stateDefaults.maxSweptEntries());
     }
 
     private static String discoveryName(InetSocketAddress discovery) {
--- a/daemon/src/test/java/clayhook/peers/GossipTransportTest.java
+++ b/daemon/src/test/java/clayhook/peers/GossipTransportTest.java
@@ -82,25 +82,25 @@
                 new RouterConfiguration(
                         name, at(0), DISCOVERY, 1, 1 << 24, 100, new EndpointList(0, true, List.of()), settings, 1),
                 new StateSettings(
-                        usual.round(),
+                        usual.broadcastInterval(),
                         usual.fanout(),
-                        usual.newsParts(),
-                        usual.newsBytes(),
-                        usual.newsFor(),
-                        usual.mostNews(),
-                        usual.digestEvery(),
-                        usual.digestBytes(),
-                        usual.answerWait(),
-                        usual.silence(),
-                        usual.window(),
-                        usual.catchUpBytes(),
-                        usual.pushBytes(),
-                        usual.pairsEvery(),
-                        usual.clockBound(),
-                        usual.margin(),
+                        usual.maxMessagesPerRound(),
+                        usual.broadcastBytesPerSecond(),
+                        usual.deltaLifetime(),
+                        usual.maxPendingDeltas(),
+                        usual.antiEntropyInterval(),
+                        usual.antiEntropyBytesPerSecond(),
+                        usual.retryTimeout(),
+                        usual.peerTimeout(),
+                        usual.maxOutstandingRequests(),
+                        usual.catchUpBytesPerSecond(),
+                        usual.maxPushBytes(),
+                        usual.versionGossipInterval(),
+                        usual.maxClockSkew(),
+                        usual.digestExclusionMargin(),
                         ALONE_AFTER,
-                        usual.stood(),
-                        usual.sweep()));
+                        usual.stallThreshold(),
+                        usual.maxSweptEntries()));
         openTransports.add(peers);
         assertEquals(999.5, peers.requiredPosition("s", 1000), "a command may come before it begins");
         peers.attach(Runnable::run, DISCOVERY, new PeerSharing.PeerListener() {
--- a/daemon/src/test/java/clayhook/peers/ObservationPublishingTest.java
+++ b/daemon/src/test/java/clayhook/peers/ObservationPublishingTest.java
@@ -14,7 +14,7 @@
 import clayhook.fleet.kinds.WriteOutcome.OutcomeStatus;
 import clayhook.fleet.members.MembershipSettings;
 import clayhook.fleet.members.Membership;
-import clayhook.fleet.state.State;
+import clayhook.fleet.state.ReplicatedState;
 import clayhook.fleet.state.StateSettings;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -32,7 +32,7 @@
             1,
             START,
             new Membership.MembershipListener() {});
-    private final State state = new State(members, List.of(NodeObservation.TYPE, WriteOutcome.TYPE), StateSettings.DEFAULT, 1, START);
+    private final ReplicatedState state = new ReplicatedState(members, List.of(NodeObservation.TYPE, WriteOutcome.TYPE), StateSettings.DEFAULT, 1, START);
     private final NodeObservations observations = new NodeObservations(members, new SplittableRandom(1));
     private final InDoubtWrites inDoubtWrites = new InDoubtWrites(state, WriteOutcome.TYPE);
 
--- a/daemon/src/test/java/clayhook/peers/RecordedDatagramsTest.java
+++ b/daemon/src/test/java/clayhook/peers/RecordedDatagramsTest.java
@@ -22,7 +22,7 @@
 import clayhook.fleet.kinds.WriteOutcome;
 import clayhook.fleet.members.MembershipSettings;
 import clayhook.fleet.members.Membership;
-import clayhook.fleet.state.State;
+import clayhook.fleet.state.ReplicatedState;
 import clayhook.fleet.state.StateSettings;
 import clayhook.serve.PeerSharing;
 import java.io.IOException;
@@ -90,7 +90,7 @@
     private final class Router implements PeerSharing.PeerListener, ProtocolHandler {
         private final Peer self;
         private final Membership members;
-        private final State state;
+        private final ReplicatedState state;
         private final StateBridge exchange;
         private final MessageDispatcher fleet;
         private final Map<String, PeerObservation> told = new HashMap<>();
@@ -103,8 +103,8 @@
             members = new Membership(
                     MembershipSettings.DEFAULT, self, seeds, random.nextLong(), START, new Membership.MembershipListener() {});
             var kinds = new StateBridge.EnabledTypes(true, true, true, FATES, true);
-            state = new State(
-                    members, kinds.types(), StateSettings.DEFAULT.withAloneAfter(0.2), random.nextLong(), START);
+            state = new ReplicatedState(
+                    members, kinds.types(), StateSettings.DEFAULT.withBootstrapTimeout(0.2), random.nextLong(), START);
             exchange = new StateBridge(kinds, 0.5, 2, DISCOVERY, state, members, random.split(), Runnable::run, this);
             exchange.updateKnownNodes(FIRST_LIST);
             fleet = new MessageDispatcher(self.member(), List.of(members, this, exchange, state), this::send);
--- a/fleet/src/main/java/clayhook/fleet/state/Fate.java
+++ b/fleet/src/main/java/clayhook/fleet/state/ApplyResult.java
@@ -1,32 +1,32 @@
 package clayhook.fleet.state;
 
 /** What came of a value that was put in or heard. */
-public enum Fate {
+public enum ApplyResult {
     /** It changed the copy. */
     CHANGED,
     /** The copy had it, or more. */
-    SAME,
+    UNCHANGED,
     /** It is past its time. */
     EXPIRED,
     /** It is at or below the floor of its kind. */
-    FLOORED,
+    BELOW_FLOOR,
     /** It is from further in the future than clocks may be off. */
     FUTURE,
     /** Its key is empty or no text, or key and value together are too long. */
     UNFIT,
     /** It could not be read. */
-    UNREADABLE,
+    MALFORMED,
     /** Its kind goes by clocks, and that of the router that told it is off. */
-    UNTIMELY;
+    CLOCK_SKEWED;
 
-    boolean taken() {
-        return this == CHANGED || this == SAME;
+    boolean isAccepted() {
+        return this == CHANGED || this == UNCHANGED;
     }
 
     /**
      * Whether the copy lacks nothing that it should hold: what is past its time or below the floor is missing rightly.
      */
-    boolean settled() {
-        return taken() || this == EXPIRED || this == FLOORED;
+    boolean isSettled() {
+        return isAccepted() || this == EXPIRED || this == BELOW_FLOOR;
     }
 }
--- a/fleet/src/main/java/clayhook/fleet/state/Keys.java
+++ b/fleet/src/main/java/clayhook/fleet/state/StableHash.java
@@ -5,32 +5,32 @@
 import com.dynatrace.hash4j.hashing.Hashing;
 
 /** Hashes that are the same at all routers, and what a key may be. */
-final class Keys {
+final class StableHash {
     private static final Hasher64 HASHER = Hashing.komihash5_0();
 
-    private Keys() {}
+    private StableHash() {}
 
-    static long hash(String key) {
+    static long ofKey(String key) {
         return HASHER.hashCharsToLong(key);
     }
 
     /** Of one entry; what digests are made of. */
-    static long mark(long key, byte[] value) {
+    static long ofEntry(long key, byte[] value) {
         return HASHER.hashLongLongToLong(key, HASHER.hashBytesToLong(value));
     }
 
     /** Of a mark, for one walk; what two marks have in common by chance they don't have in common in the next walk. */
-    static int brief(long mark, long walk) {
+    static int fingerprint(long mark, long walk) {
         return (int) HASHER.hashLongLongToLong(mark, walk);
     }
 
     /** Stands for a life of a router on the wire. */
-    static long id(Member member) {
+    static long ofMember(Member member) {
         return HASHER.hashLongLongToLong(HASHER.hashCharsToLong(member.name()), member.incarnation());
     }
 
     /** Bytes of the key in UTF-8; negative for an empty key and for what is no text. */
-    static int bytes(String key) {
+    static int utf8Length(String key) {
         int bytes = key.isEmpty() ? -1 : 0;
         for (int i = 0; i < key.length(); i++) {
             char c = key.charAt(i);
--- a/fleet/src/main/java/clayhook/fleet/state/StateSettings.java
+++ b/fleet/src/main/java/clayhook/fleet/state/StateSettings.java
@@ -24,25 +24,25 @@
  * @param sweep entries dropped or left out of the digests in one turn at most
  */
 public record StateSettings(
-        double round,
+        double broadcastInterval,
         int fanout,
-        int newsParts,
-        double newsBytes,
-        double newsFor,
-        int mostNews,
-        double digestEvery,
-        double digestBytes,
-        double answerWait,
-        double silence,
-        int window,
-        double catchUpBytes,
-        double pushBytes,
-        double pairsEvery,
-        double clockBound,
-        double margin,
-        double aloneAfter,
-        double stood,
-        int sweep) {
+        int maxMessagesPerRound,
+        double broadcastBytesPerSecond,
+        double deltaLifetime,
+        int maxPendingDeltas,
+        double antiEntropyInterval,
+        double antiEntropyBytesPerSecond,
+        double retryTimeout,
+        double peerTimeout,
+        int maxOutstandingRequests,
+        double catchUpBytesPerSecond,
+        double maxPushBytes,
+        double versionGossipInterval,
+        double maxClockSkew,
+        double digestExclusionMargin,
+        double bootstrapTimeout,
+        double stallThreshold,
+        int maxSweptEntries) {
     /** For up to a thousand routers in one network. */
     public static final StateSettings DEFAULT = new StateSettings(
             0.05, 3, 8, 512 << 10, 2, 8_192, // five or six rounds reach a hundred routers
@@ -52,27 +52,27 @@
             1, 4, // the margin holds the clock's bound, a step of the cut-off and a walk
             10, 1, 2_000);
 
-    /** The same but for {@link #aloneAfter}, for fleets that start all at once and need not wait for anyone. */
-    public StateSettings withAloneAfter(double seconds) {
+    /** The same but for {@link #bootstrapTimeout}, for fleets that start all at once and need not wait for anyone. */
+    public StateSettings withBootstrapTimeout(double seconds) {
         return new StateSettings(
-                round,
+                broadcastInterval,
                 fanout,
-                newsParts,
-                newsBytes,
-                newsFor,
-                mostNews,
-                digestEvery,
-                digestBytes,
-                answerWait,
-                silence,
-                window,
-                catchUpBytes,
-                pushBytes,
-                pairsEvery,
-                clockBound,
-                margin,
+                maxMessagesPerRound,
+                broadcastBytesPerSecond,
+                deltaLifetime,
+                maxPendingDeltas,
+                antiEntropyInterval,
+                antiEntropyBytesPerSecond,
+                retryTimeout,
+                peerTimeout,
+                maxOutstandingRequests,
+                catchUpBytesPerSecond,
+                maxPushBytes,
+                versionGossipInterval,
+                maxClockSkew,
+                digestExclusionMargin,
                 seconds,
-                stood,
-                sweep);
+                stallThreshold,
+                maxSweptEntries);
     }
 }
--- a/fleet/src/test/java/clayhook/fleet/state/RecordedStateMessagesTest.java
+++ b/fleet/src/test/java/clayhook/fleet/state/RecordedStateMessagesTest.java
@@ -34,7 +34,7 @@
     private static final double FOREVER = Double.POSITIVE_INFINITY;
 
     /** One message and the bytes that were recorded for it; {@code number} chooses its decoder on the wire. */
-    private record Recording(String name, int number, Word message, String hex) {
+    private record Recording(String name, int number, StateMessage message, String hex) {
         byte[] bytes() {
             return HexFormat.of().parseHex(hex.replace(" ", ""));
         }
@@ -48,7 +48,7 @@
     static Stream<Recording> recordings() {
         return Stream.of(
                 new Recording(
-                        "news without entries", 20, new Word.News(0, 0, List.of()), "9f00fb00000000000000009fffff"),
+                        "news without entries", 20, new StateMessage.DeltaBroadcast(0, 0, List.of()), "9f00fb00000000000000009fffff"),
                 new Recording(
                         "news",
                         20,
@@ -63,7 +63,7 @@
                 new Recording(
                         "pairs without members",
                         21,
-                        new Word.Pairs(0, 0, NOW, List.of()),
+                        new StateMessage.VersionVectorUpdate(0, 0, NOW, List.of()),
                         "9f0000fb41d954fc402000009fffff"),
                 new Recording(
                         "pairs",
@@ -72,11 +72,11 @@
                         "9f381a181cfb41d954fc402000009f9f000000ff9f200118faff9f3b7fffffffffffffff18ff3901f3ff9f1b"
                                 + "7fffffffffffffff1b00000100000000001a05265c00ffffff"),
                 new Recording(
-                        "question for pairs without members", 22, new Word.AskPairs(1, 0, new long[0]), "9f01009fffff"),
+                        "question for pairs without members", 22, new StateMessage.VersionVectorRequest(1, 0, new long[0]), "9f01009fffff"),
                 new Recording(
                         "question for pairs",
                         22,
-                        new Word.AskPairs(-2, Integer.MAX_VALUE - 1, new long[] {
+                        new StateMessage.VersionVectorRequest(-2, Integer.MAX_VALUE - 1, new long[] {
                             0, -1, Long.MIN_VALUE, Long.MAX_VALUE, 255, 256, 65_536, 1L << 32
                         }),
                         "9f211a7ffffffe9f00203b7fffffffffffffff1b7fffffffffffffff18ff1901001a000100001b0000000100"
@@ -84,41 +84,41 @@
                 new Recording(
                         "question for pairs of the most members",
                         22,
-                        new Word.AskPairs(
-                                3, 4, LongStream.range(0, Word.MOST_IDS).toArray()),
+                        new StateMessage.VersionVectorRequest(
+                                3, 4, LongStream.range(0, StateMessage.MAX_REQUESTED_ORIGINS).toArray()),
                         "9f03049f000102030405060708090a0b0c0d0e0f101112131415161718181819181a181b181c181d181e181f"
                                 + "18201821182218231824182518261827ffff"),
                 new Recording(
-                        "question for roots without kinds", 23, new Word.AskRoots(5, 6, List.of()), "9f05069fffff"),
+                        "question for roots without kinds", 23, new StateMessage.RootDigestsRequest(5, 6, List.of()), "9f05069fffff"),
                 new Recording(
                         "question for roots",
                         23,
-                        new Word.AskRoots(Long.MAX_VALUE, 7, roots()),
+                        new StateMessage.RootDigestsRequest(Long.MAX_VALUE, 7, roots()),
                         "9f1b7fffffffffffffff079f9f00fbfff0000000000000fbfff000000000000000ff9f01fb41d954fc3c2000"
                                 + "00fb41d954fc3b20000020ff9f18fffb0000000000000000fbbfe00000000000003b7fffffffffffffffffff"
                                 + "ff"),
-                new Recording("roots without kinds", 24, new Word.Roots(8, 9, false, List.of()), "9f0809f49fffff"),
+                new Recording("roots without kinds", 24, new StateMessage.RootDigestsResponse(8, 9, false, List.of()), "9f0809f49fffff"),
                 new Recording(
                         "roots",
                         24,
-                        new Word.Roots(Long.MIN_VALUE, 10, true, roots()),
+                        new StateMessage.RootDigestsResponse(Long.MIN_VALUE, 10, true, roots()),
                         "9f3b7fffffffffffffff0af59f9f00fbfff0000000000000fbfff000000000000000ff9f01fb41d954fc3c20"
                                 + "0000fb41d954fc3b20000020ff9f18fffb0000000000000000fbbfe00000000000003b7fffffffffffffffff"
                                 + "ffff"),
                 new Recording(
                         "question for the root node",
                         25,
-                        new Word.AskNode(11, 12, 0, -FOREVER, 0, 0),
+                        new StateMessage.TreeNodeRequest(11, 12, 0, -FOREVER, 0, 0),
                         "9f0b0c00fbfff00000000000000000ff"),
                 new Recording(
                         "question for the last inner node",
                         25,
-                        new Word.AskNode(-13, 14, 255, NOW, 2, 255),
+                        new StateMessage.TreeNodeRequest(-13, 14, 255, NOW, 2, 255),
                         "9f2c0e18fffb41d954fc402000000218ffff"),
                 new Recording(
                         "node",
                         26,
-                        new Word.Node(15, 16, -FOREVER, NOW - 60, sums(), counts()),
+                        new StateMessage.TreeNodeResponse(15, 16, -FOREVER, NOW - 60, sums(), counts()),
                         "9f0f10fbfff0000000000000fb41d954fc312000009f003b61c8864680b583ea1b3c6ef372fe94f82a3b2559"
                                 + "92d382208bc01b78dde6e5fd29f0541b1715609f7c746c693b4ab325a7044117811b538454127b0964933b0e"
                                 + "44323405ac1f573b700cb87a8661a3421b2e2ac13ef8e8d8d23b339dc50787ccab181b6a99b4b1f77dd0fc1b"
@@ -127,37 +127,37 @@
                 new Recording(
                         "question for all hashes",
                         27,
-                        new Word.AskRange(17, 18, 1, 0, -1, new long[0]),
+                        new StateMessage.RangeRequest(17, 18, 1, 0, -1, new long[0]),
                         "9f11120100209fffff"),
                 new Recording(
                         "question for a range",
                         27,
-                        new Word.AskRange(-19, 20, 255, 0x1230L << 48, (0x1231L << 48) - 1, new long[] {
+                        new StateMessage.RangeRequest(-19, 20, 255, 0x1230L << 48, (0x1231L << 48) - 1, new long[] {
                             Integer.MIN_VALUE, -1, 0, 1, Integer.MAX_VALUE
                         }),
                         "9f321418ff1b12300000000000001b1230ffffffffffff9f3a7fffffff2000011a7fffffffffff"),
                 new Recording(
                         "question for a range with the most entries told in brief",
                         27,
-                        new Word.AskRange(
+                        new StateMessage.RangeRequest(
                                 21,
                                 22,
                                 2,
                                 -2,
                                 -1,
-                                LongStream.range(0, Word.MOST_BRIEFS).toArray()),
+                                LongStream.range(0, StateMessage.MAX_FINGERPRINTS).toArray()),
                         "9f15160221209f000102030405060708090a0b0c0d0e0f101112131415161718181819181a181b181c181d18"
                                 + "1e181f1820182118221823182418251826182718281829182a182b182c182d182e182f183018311832183318"
                                 + "3418351836183718381839183a183b183c183dffff"),
                 new Recording(
                         "no entries",
                         28,
-                        new Word.Entries(23, 24, 3, -FOREVER, -1, 0, List.of()),
+                        new StateMessage.RangeEntries(23, 24, 3, -FOREVER, -1, 0, List.of()),
                         "9f17181803fbfff000000000000020009fffff"),
                 new Recording(
                         "entries",
                         28,
-                        new Word.Entries(-25, 26, 255, NOW - 3600, 0x7fffL << 48, 0x3fff_ffff_ffff_ffffL, entries()),
+                        new StateMessage.RangeEntries(-25, 26, 255, NOW - 3600, 0x7fffL << 48, 0x3fff_ffff_ffff_ffffL, entries()),
                         "9f3818181a18fffb41d954f8bc2000001b7fff0000000000001b3fffffffffffffff9f9f616b40ff9f6f72c3"
                                 + "bc74657220e282ac20f09f988044007f80ffff9f790100"
                                 + "6b".repeat(256)
@@ -167,19 +167,19 @@
                 new Recording(
                         "unasked entries",
                         28,
-                        new Word.Entries(0, 0, 4, -FOREVER, 0, 0, entries().subList(0, 1)),
+                        new StateMessage.RangeEntries(0, 0, 4, -FOREVER, 0, 0, entries().subList(0, 1)),
                         "9f000004fbfff000000000000000009f9f616b40ffffff"));
     }
 
-    private static Word.News news() {
-        return new Word.News(
+    private static StateMessage.DeltaBroadcast news() {
+        return new StateMessage.DeltaBroadcast(
                 70_000,
                 NOW,
                 List.of(
-                        new Word.Told(0, "k", new byte[0], new long[0]),
-                        new Word.Told(
+                        new StateMessage.DeltaEntry(0, "k", new byte[0], new long[0]),
+                        new StateMessage.DeltaEntry(
                                 23, "r\u00fcter \u20ac \ud83d\ude00", bytes(0, 1, 127, 128, 255), new long[] {-1, 1}),
-                        new Word.Told(24, "session 1", bytes(0x9f, 0x01, 0xff), new long[] {
+                        new StateMessage.DeltaEntry(24, "session 1", bytes(0x9f, 0x01, 0xff), new long[] {
                             Long.MIN_VALUE,
                             23,
                             Long.MAX_VALUE,
@@ -197,45 +197,45 @@
                             5,
                             0
                         }),
-                        new Word.Told(
+                        new StateMessage.DeltaEntry(
                                 255, "k".repeat(256), new byte[30], new long[] {0x0123_4567_89ab_cdefL, 1L << 40})));
     }
 
     /** Their ages are whole milliseconds, so that decoding gives the same times back. */
-    private static Word.Pairs pairs() {
-        return new Word.Pairs(
+    private static StateMessage.VersionVectorUpdate pairs() {
+        return new StateMessage.VersionVectorUpdate(
                 -27,
                 28,
                 NOW,
                 List.of(
-                        new Word.Pair(0, 0, NOW),
-                        new Word.Pair(-1, 1, NOW - 0.25),
-                        new Word.Pair(Long.MIN_VALUE, 255, NOW + 0.5),
-                        new Word.Pair(Long.MAX_VALUE, 1L << 40, NOW - 86_400)));
+                        new StateMessage.OriginVersion(0, 0, NOW),
+                        new StateMessage.OriginVersion(-1, 1, NOW - 0.25),
+                        new StateMessage.OriginVersion(Long.MIN_VALUE, 255, NOW + 0.5),
+                        new StateMessage.OriginVersion(Long.MAX_VALUE, 1L << 40, NOW - 86_400)));
     }
 
-    private static List<Word.Root> roots() {
+    private static List<StateMessage.RootDigest> roots() {
         return List.of(
-                new Word.Root(0, -FOREVER, -FOREVER, 0),
-                new Word.Root(1, NOW - 16, NOW - 20, -1),
-                new Word.Root(255, 0, -0.5, Long.MIN_VALUE));
+                new StateMessage.RootDigest(0, -FOREVER, -FOREVER, 0),
+                new StateMessage.RootDigest(1, NOW - 16, NOW - 20, -1),
+                new StateMessage.RootDigest(255, 0, -0.5, Long.MIN_VALUE));
     }
 
     private static long[] sums() {
-        return IntStream.range(0, Tree.FAN)
+        return IntStream.range(0, HashTree.FANOUT)
                 .mapToLong(i -> i * 0x9e37_79b9_7f4a_7c15L)
                 .toArray();
     }
 
     private static long[] counts() {
-        return IntStream.range(0, Tree.FAN).mapToLong(i -> (1L << 2 * i) - 1).toArray();
+        return IntStream.range(0, HashTree.FANOUT).mapToLong(i -> (1L << 2 * i) - 1).toArray();
     }
 
-    private static List<Word.Entry> entries() {
+    private static List<StateMessage.RangeEntry> entries() {
         return List.of(
-                new Word.Entry("k", new byte[0]),
-                new Word.Entry("r\u00fcter \u20ac \ud83d\ude00", bytes(0, 127, 128, 255)),
-                new Word.Entry("k".repeat(256), new byte[30]));
+                new StateMessage.RangeEntry("k", new byte[0]),
+                new StateMessage.RangeEntry("r\u00fcter \u20ac \ud83d\ude00", bytes(0, 127, 128, 255)),
+                new StateMessage.RangeEntry("k".repeat(256), new byte[30]));
     }
 
     private static byte[] bytes(int... values) {
@@ -253,7 +253,7 @@
     }
 
     private static Message decode(int number, byte[] bytes) {
-        return Word.readers().get(number).apply(new FieldReader(bytes));
+        return StateMessage.messageReaders().get(number).apply(new FieldReader(bytes));
     }
 
     /** The message as nested lists, since records compare arrays by identity. */
@@ -321,14 +321,14 @@
         Set<Integer> recorded =
                 new TreeSet<>(recordings().map(Recording::number).toList());
         assertEquals(new TreeSet<>(IntStream.rangeClosed(20, 28).boxed().toList()), recorded);
-        assertEquals(recorded, new TreeSet<>(Word.readers().keySet()));
+        assertEquals(recorded, new TreeSet<>(StateMessage.messageReaders().keySet()));
     }
 
     /** An age is rounded up, so that a receiver never takes a member's numbers for newer than they were. */
     @Test
     void encodesAgesInMillisecondsRoundedUp() {
-        var exact = new Word.Pairs(0, 0, NOW, List.of(new Word.Pair(1, 2, NOW - 0.25)));
-        var rounded = new Word.Pairs(0, 0, NOW, List.of(new Word.Pair(1, 2, NOW - 0.249_5)));
+        var exact = new StateMessage.VersionVectorUpdate(0, 0, NOW, List.of(new StateMessage.OriginVersion(1, 2, NOW - 0.25)));
+        var rounded = new StateMessage.VersionVectorUpdate(0, 0, NOW, List.of(new StateMessage.OriginVersion(1, 2, NOW - 0.249_5)));
         assertEquals(encode(exact), encode(rounded));
     }
 
@@ -559,46 +559,46 @@
                         "brief", -1187007122L,
                         "member", -3665406089380348712L),
                 Map.of(
-                        "key", Keys.hash("session 1"),
-                        "key beyond ASCII", Keys.hash("r\u00fcter \u20ac \ud83d\ude00"),
-                        "entry", Keys.mark(Keys.hash("session 1"), bytes(0x9f, 0x01, 0xff)),
-                        "empty entry", Keys.mark(-1, new byte[0]),
-                        "brief", (long) Keys.brief(0x0123_4567_89ab_cdefL, -27),
-                        "member", Keys.id(new Member("router-1", 1_700_000_000_123L))));
+                        "key", StableHash.ofKey("session 1"),
+                        "key beyond ASCII", StableHash.ofKey("r\u00fcter \u20ac \ud83d\ude00"),
+                        "entry", StableHash.ofEntry(StableHash.ofKey("session 1"), bytes(0x9f, 0x01, 0xff)),
+                        "empty entry", StableHash.ofEntry(-1, new byte[0]),
+                        "brief", (long) StableHash.fingerprint(0x0123_4567_89ab_cdefL, -27),
+                        "member", StableHash.ofMember(new Member("router-1", 1_700_000_000_123L))));
     }
 
     /** Sums of nodes and the bounds of their ranges travel in messages. */
     @Test
     void nodesOfTheHashTreeAreAsRecorded() {
-        var tree = new Tree();
+        var tree = new HashTree();
         tree.add(0xfedc_ba98_7654_3210L, 5);
         tree.add(0xfedc_0000_0000_0000L, -7);
         tree.add(0x0123_4567_89ab_cdefL, Long.MAX_VALUE);
         tree.remove(0x0123_4567_89ab_cdefL, Long.MAX_VALUE);
         tree.add(0x0000_0000_0000_0000L, 100);
         assertArrayEquals(new long[] {98, 100, -2, -2, -2, 0, 0}, new long[] {
-            tree.sum(0, 0),
-            tree.sum(1, 0),
-            tree.sum(1, 15),
-            tree.sum(2, 0xfe),
-            tree.sum(3, 0xfed),
-            tree.sum(3, 0xfdc),
-            tree.sum(3, 0x012)
+            tree.hashSum(0, 0),
+            tree.hashSum(1, 0),
+            tree.hashSum(1, 15),
+            tree.hashSum(2, 0xfe),
+            tree.hashSum(3, 0xfed),
+            tree.hashSum(3, 0xfdc),
+            tree.hashSum(3, 0x012)
         });
         assertArrayEquals(new int[] {3, 1, 2, 2, 2, 0, 0}, new int[] {
-            tree.count(0, 0),
-            tree.count(1, 0),
-            tree.count(1, 15),
-            tree.count(2, 0xfe),
-            tree.count(3, 0xfed),
-            tree.count(3, 0xfdc),
-            tree.count(3, 0x012)
+            tree.entryCount(0, 0),
+            tree.entryCount(1, 0),
+            tree.entryCount(1, 15),
+            tree.entryCount(2, 0xfe),
+            tree.entryCount(3, 0xfed),
+            tree.entryCount(3, 0xfdc),
+            tree.entryCount(3, 0x012)
         });
         assertArrayEquals(
                 new long[] {0, 0xf000_0000_0000_0000L, 0xfe00_0000_0000_0000L, 0x0120_0000_0000_0000L},
-                new long[] {Tree.from(0, 0), Tree.from(1, 15), Tree.from(2, 0xfe), Tree.from(3, 0x012)});
+                new long[] {HashTree.firstHash(0, 0), HashTree.firstHash(1, 15), HashTree.firstHash(2, 0xfe), HashTree.firstHash(3, 0x012)});
         assertArrayEquals(
                 new long[] {-1, -1, 0xfeff_ffff_ffff_ffffL, 0x012f_ffff_ffff_ffffL},
-                new long[] {Tree.to(0, 0), Tree.to(1, 15), Tree.to(2, 0xfe), Tree.to(3, 0x012)});
+                new long[] {HashTree.lastHash(0, 0), HashTree.lastHash(1, 15), HashTree.lastHash(2, 0xfe), HashTree.lastHash(3, 0x012)});
     }
 }
--- a/fleet/src/test/java/clayhook/fleet/state/FiguresTest.java
+++ b/fleet/src/test/java/clayhook/fleet/state/StatePerformanceTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clayhook.fleet.state.Plain.Stamped;
+import clayhook.fleet.state.TimestampedNumberType.TimestampedNumber;
 import java.lang.management.ManagementFactory;
 import java.lang.management.ThreadMXBean;
 import java.util.Arrays;
@@ -14,37 +14,37 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What is promised in figures; printed, since they are quoted in the documentation. */
-class FiguresTest {
+class StatePerformanceTest {
     /** Counts what this thread uses, whatever else the machine does. */
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
-    private static final Plain MARKS = new Plain(1, 3600, 200_000, false, Plain.LATEST);
+    private static final TimestampedNumberType REGISTERS = new TimestampedNumberType(1, 3600, 200_000, false, TimestampedNumberType.LATEST);
 
-    private static Net net(int size, Plain kind) {
-        Net net = new Net(27, size, List.of(kind), StateSettings.DEFAULT.withAloneAfter(2)).started();
+    private static StateTestNetwork startedNetwork(int size, TimestampedNumberType kind) {
+        StateTestNetwork net = new StateTestNetwork(27, size, List.of(kind), StateSettings.DEFAULT.withBootstrapTimeout(2)).startAll();
         net.jitter = 0.002;
         net.run(5);
         return net;
     }
 
-    private static void put(Net net, String key) {
-        Net.Node node = net.nodes.get(net.random.nextInt(net.nodes.size()));
-        node.state.merge(MARKS, key, new Stamped(net.random.nextInt(1000), node.clock()), node.clock());
+    private static void put(StateTestNetwork net, String key) {
+        StateTestNetwork.SimulatedMember node = net.nodes.get(net.random.nextInt(net.nodes.size()));
+        node.state.merge(REGISTERS, key, new TimestampedNumber(net.random.nextInt(1000), node.clock()), node.clock());
     }
 
     @ParameterizedTest
     @CsvSource({"0, 0.5", "0.2, 1.5"})
-    void newsIsAtNinetyNineOfAHundredInTime(double loss, double within) {
-        Net net = net(100, MARKS);
-        net.loss = loss;
+    void deltasReachNinetyNineOfAHundredRoutersInTime(double loss, double within) {
+        StateTestNetwork net = startedNetwork(100, REGISTERS);
+        net.lossProbability = loss;
         double[] times = new double[40];
         for (int i = 0; i < times.length; i++) {
             String key = "mark " + i;
             put(net, key);
-            times[i] = net.until(
+            times[i] = net.runUntil(
                     10,
                     () -> net.nodes.stream()
-                                    .filter(node -> node.state.get(MARKS, key) != null)
+                                    .filter(node -> node.state.get(REGISTERS, key) != null)
                                     .count()
                             >= 99);
             net.run(0.1);
@@ -58,20 +58,20 @@
 
     @ParameterizedTest
     @ValueSource(ints = {10, 100, 1000})
-    void trafficIsFlatBeyondNews(int size) {
-        Net net = net(size, MARKS);
+    void idleTrafficDoesNotGrowWithFleetSize(int size) {
+        StateTestNetwork net = startedNetwork(size, REGISTERS);
         double seconds = size > 100 ? 2 : 5;
         for (int news : size > 100 ? new int[] {0, 20} : new int[] {0, 20, 500, 1000}) {
-            double bytes = -sent(net);
+            double bytes = -sentBytes(net);
             long cpu = THREADS.getCurrentThreadCpuTime();
             for (int i = 0; i < news * seconds; i++) {
                 put(net, "mark " + i);
                 net.run(1.0 / news);
             }
             net.run(news == 0 ? seconds : 0);
-            bytes += sent(net);
+            bytes += sentBytes(net);
             double sure = net.nodes.stream()
-                    .mapToDouble(node -> node.state.completeUpTo(node.clock()) + node.behind)
+                    .mapToDouble(node -> node.state.completeUpTo(node.clock()) + node.clockLag)
                     .min()
                     .orElseThrow();
             System.out.printf(
@@ -86,42 +86,42 @@
         }
     }
 
-    private static double sent(Net net) {
+    private static double sentBytes(StateTestNetwork net) {
         return net.nodes.stream()
                 .mapToLong(node -> node.fleet.counters().sentBytes)
                 .sum();
     }
 
     @Test
-    void aHundredThousandMarksAreCaughtUpInTwoSeconds() {
-        Net net = net(3, MARKS);
+    void catchesUpOnAHundredThousandEntriesInTwoSeconds() {
+        StateTestNetwork net = startedNetwork(3, REGISTERS);
         net.jitter = 0;
         var random = new SplittableRandom(27);
         for (int i = 0; i < 100_000; i++) {
             String key = "session " + Long.toHexString(random.nextLong());
-            for (Net.Node node : net.nodes) {
-                node.state.merge(MARKS, key, new Stamped(i, net.now - 60 + i * 1e-4), node.clock());
+            for (StateTestNetwork.SimulatedMember node : net.nodes) {
+                node.state.merge(REGISTERS, key, new TimestampedNumber(i, net.now - 60 + i * 1e-4), node.clock());
             }
         }
         net.run(12);
-        Net.Node back = net.nodes.get(2);
+        StateTestNetwork.SimulatedMember back = net.nodes.get(2);
         net.run(1);
-        long memory = memory();
-        back.side = 1;
+        long memory = usedHeapBytes();
+        back.partition = 1;
         back.start();
         net.run(0.1);
-        back.side = 0;
+        back.partition = 0;
         System.out.printf(
-                "bytes an entry, with its key of 24 letters and its value: %.0f%n", (memory - memory()) / 1e5);
+                "bytes an entry, with its key of 24 letters and its value: %.0f%n", (memory - usedHeapBytes()) / 1e5);
         long cpu = THREADS.getCurrentThreadCpuTime();
-        double took = net.until(10, () -> back.state.size(MARKS) == 100_000);
+        double took = net.runUntil(10, () -> back.state.size(REGISTERS) == 100_000);
         System.out.printf(
                 "100,000 marks caught up in %.2f s, %.0f ms of processor at both ends%n",
                 took, (THREADS.getCurrentThreadCpuTime() - cpu) / 1e6);
         assertTrue(took < 2);
     }
 
-    private static long memory() {
+    private static long usedHeapBytes() {
         System.gc();
         return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
     }
--- a/fleet/src/test/java/clayhook/fleet/state/Net.java
+++ b/fleet/src/test/java/clayhook/fleet/state/StateTestNetwork.java
@@ -18,48 +18,48 @@
 /**
  * Routers with a fixed roster on a network of our own, in virtual time: it loses, doubles, delays, cuts and freezes.
  */
-final class Net {
-    private record Event(double at, long order, Runnable what) implements Comparable<Event> {
+final class StateTestNetwork {
+    private record ScheduledAction(double at, long order, Runnable action) implements Comparable<ScheduledAction> {
         @Override
-        public int compareTo(Event other) {
+        public int compareTo(ScheduledAction other) {
             return at != other.at ? Double.compare(at, other.at) : Long.compare(order, other.order);
         }
     }
 
     /** One router; {@code behind} is by how much its clock is. */
-    final class Node implements MembershipView {
+    final class SimulatedMember implements MembershipView {
         final Address address;
-        double behind;
+        double clockLag;
         Peer self;
-        private long boot;
+        private long incarnation;
         /** Of its release. */
-        List<ReplicatedType<?>> knows = kinds;
+        List<ReplicatedType<?>> supportedTypes = types;
 
         MessageDispatcher fleet;
-        State state;
-        int side;
+        ReplicatedState state;
+        int partition;
         boolean frozen;
         boolean doubtful;
-        private final List<Runnable> missed = new ArrayList<>();
+        private final List<Runnable> missedPackets = new ArrayList<>();
 
-        private Node(int index, double behind) {
+        private SimulatedMember(int index, double behind) {
             address = new Address("r" + String.format("%04d", index), 1);
-            this.behind = behind;
+            this.clockLag = behind;
         }
 
         double clock() {
-            return now - behind;
+            return now - clockLag;
         }
 
         /** Begins a new life; what was in memory is gone. */
         void start() {
             frozen = false;
-            missed.clear();
-            boot = Math.max(boot + 1, (long) (clock() * 1000));
-            self = new Peer(new Member(address.host(), boot), address);
+            missedPackets.clear();
+            incarnation = Math.max(incarnation + 1, (long) (clock() * 1000));
+            self = new Peer(new Member(address.host(), incarnation), address);
             peers.clear();
             members.clear();
-            state = new State(this, knows, settings, random.nextLong(), clock());
+            state = new ReplicatedState(this, supportedTypes, settings, random.nextLong(), clock());
             fleet = new MessageDispatcher(self.member(), List.of(state), (to, bytes) -> send(this, to, bytes));
             turn(fleet);
         }
@@ -67,22 +67,22 @@
         private void turn(MessageDispatcher life) {
             if (life == fleet) {
                 double next = frozen ? clock() + 0.05 : life.tick(clock());
-                at(Math.max(now + 1e-4, next + behind), () -> turn(life));
+                schedule(Math.max(now + 1e-4, next + clockLag), () -> turn(life));
             }
         }
 
         private void heard(Address from, byte[] bytes) {
             if (!frozen) {
                 fleet.onDatagram(from, bytes, clock());
-            } else if (missed.size() < 200) {
-                missed.add(() -> fleet.onDatagram(from, bytes, clock()));
+            } else if (missedPackets.size() < 200) {
+                missedPackets.add(() -> fleet.onDatagram(from, bytes, clock()));
             }
         }
 
         void thaw() {
             frozen = false;
-            missed.forEach(Runnable::run);
-            missed.clear();
+            missedPackets.forEach(Runnable::run);
+            missedPackets.clear();
         }
 
         @Override
@@ -116,12 +116,12 @@
 
         @Override
         public double clockOffset(Member member) {
-            return behind - byAddress.get(member.name()).behind;
+            return clockLag - byAddress.get(member.name()).clockLag;
         }
 
         @Override
         public boolean clockWithinBound(Member member) {
-            return Math.abs(clockOffset(member)) <= settings.clockBound();
+            return Math.abs(clockOffset(member)) <= settings.maxClockSkew();
         }
 
         @Override
@@ -130,55 +130,55 @@
         }
     }
 
-    final List<Node> nodes = new ArrayList<>();
+    final List<SimulatedMember> nodes = new ArrayList<>();
     final SplittableRandom random;
-    final List<ReplicatedType<?>> kinds;
+    final List<ReplicatedType<?>> types;
     final StateSettings settings;
-    private final Map<String, Node> byAddress = new HashMap<>();
-    private final Map<Node, List<Peer>> peers = new HashMap<>();
+    private final Map<String, SimulatedMember> byAddress = new HashMap<>();
+    private final Map<SimulatedMember, List<Peer>> peers = new HashMap<>();
     private final Map<List<Peer>, List<Member>> members = new IdentityHashMap<>();
-    private final PriorityQueue<Event> events = new PriorityQueue<>();
+    private final PriorityQueue<ScheduledAction> events = new PriorityQueue<>();
     private long order;
     double now = 1_000_000;
-    double loss;
-    double doubled;
+    double lossProbability;
+    double duplicationProbability;
     /** Seconds from router to router at least, and how much more it may be. */
     double delay = 0.0005;
 
     double jitter;
 
-    Net(long seed, int size, List<ReplicatedType<?>> kinds, StateSettings settings) {
+    StateTestNetwork(long seed, int size, List<ReplicatedType<?>> kinds, StateSettings settings) {
         random = new SplittableRandom(seed);
-        this.kinds = kinds;
+        this.types = kinds;
         this.settings = settings;
         for (int i = 0; i < size; i++) {
-            nodes.add(new Node(i, (random.nextDouble() - 0.5) * settings.clockBound() / 2));
+            nodes.add(new SimulatedMember(i, (random.nextDouble() - 0.5) * settings.maxClockSkew() / 2));
             byAddress.put(nodes.get(i).address.host(), nodes.get(i));
         }
     }
 
     /** Starts those that never were. */
-    Net started() {
-        nodes.stream().filter(node -> node.self == null).forEach(Node::start);
+    StateTestNetwork startAll() {
+        nodes.stream().filter(node -> node.self == null).forEach(SimulatedMember::start);
         return this;
     }
 
     /** Until all copies hold themselves for whole and know up to when. */
-    Net settled() {
-        until(30, () -> nodes.stream().allMatch(node -> node.state.completeUpTo(node.clock()) > now - 20));
+    StateTestNetwork awaitCertainty() {
+        runUntil(30, () -> nodes.stream().allMatch(node -> node.state.completeUpTo(node.clock()) > now - 20));
         return this;
     }
 
-    void at(double time, Runnable what) {
-        events.add(new Event(time, order++, what));
+    void schedule(double time, Runnable what) {
+        events.add(new ScheduledAction(time, order++, what));
     }
 
-    private void send(Node from, Address to, byte[] bytes) {
-        for (int copies = random.nextDouble() < doubled ? 2 : 1; copies > 0; copies--) {
-            if (random.nextDouble() >= loss) {
-                at(now + delay + jitter * random.nextDouble(), () -> {
-                    Node target = byAddress.get(to.host());
-                    if (target.side == from.side && target.fleet != null) {
+    private void send(SimulatedMember from, Address to, byte[] bytes) {
+        for (int copies = random.nextDouble() < duplicationProbability ? 2 : 1; copies > 0; copies--) {
+            if (random.nextDouble() >= lossProbability) {
+                schedule(now + delay + jitter * random.nextDouble(), () -> {
+                    SimulatedMember target = byAddress.get(to.host());
+                    if (target.partition == from.partition && target.fleet != null) {
                         target.heard(from.address, bytes);
                     }
                 });
@@ -187,20 +187,20 @@
     }
 
     void run(double seconds) {
-        until(seconds, () -> false);
+        runUntil(seconds, () -> false);
     }
 
     /**
      * Runs until that is so, asked after each event that may change it; returns seconds, or more than the limit for
      * never.
      */
-    double until(double limit, BooleanSupplier so) {
+    double runUntil(double limit, BooleanSupplier so) {
         double start = now;
         double asked = now;
         while (events.peek().at <= start + limit) {
-            Event event = events.poll();
+            ScheduledAction event = events.poll();
             now = event.at;
-            event.what.run();
+            event.action.run();
             if (now - asked > 0.005) {
                 asked = now;
                 if (so.getAsBoolean()) {
@@ -212,8 +212,8 @@
         return so.getAsBoolean() ? limit : Double.POSITIVE_INFINITY;
     }
 
-    boolean alike() {
-        return kinds.stream()
+    boolean replicasAreEqual() {
+        return types.stream()
                 .allMatch(kind -> nodes.stream()
                                         .mapToLong(node -> node.state.digest(kind, now))
                                         .distinct()
--- /dev/null
+++ b/fleet/src/test/java/clayhook/fleet/state/TimestampedNumberType.java
@@ -0,0 +1,50 @@
+package clayhook.fleet.state;
+
+import clayhook.fleet.ReplicatedType;
+import clayhook.fleet.FieldReader;
+import clayhook.fleet.FieldWriter;
+import java.util.function.BinaryOperator;
+
+/** A kind for tests: numbers with a time, and a join of choice. */
+record TimestampedNumberType(int typeNumber, double retentionSeconds, int maxEntries, boolean urgent, BinaryOperator<TimestampedNumberType.TimestampedNumber> mergeRule)
+        implements ReplicatedType<TimestampedNumberType.TimestampedNumber> {
+    record TimestampedNumber(long value, double at) {}
+
+    /** The later one, of two of one time the greater one. */
+    static final BinaryOperator<TimestampedNumber> LATEST = (a, b) -> a.at > b.at || a.at == b.at && a.value >= b.value ? a : b;
+    /** A set of small numbers that only grows. */
+    static final BinaryOperator<TimestampedNumber> UNION = (a, b) -> new TimestampedNumber(a.value | b.value, Math.max(a.at, b.at));
+    /** The defect that tests must find: whoever is heard last wins. */
+    static final BinaryOperator<TimestampedNumber> LAST_HEARD = (a, b) -> b;
+
+    @Override
+    public String name() {
+        return "plain " + typeNumber;
+    }
+
+    @Override
+    public TimestampedNumber merge(TimestampedNumber a, TimestampedNumber b) {
+        return mergeRule.apply(a, b);
+    }
+
+    @Override
+    public double timestamp(TimestampedNumber value) {
+        return value.at;
+    }
+
+    /** What is kept for ever needs no clock. */
+    @Override
+    public boolean clockDependent() {
+        return retentionSeconds < Double.POSITIVE_INFINITY;
+    }
+
+    @Override
+    public void write(TimestampedNumber value, FieldWriter out) {
+        out.writeLong(value.value).writeDouble(value.at);
+    }
+
+    @Override
+    public TimestampedNumber read(FieldReader in) {
+        return new TimestampedNumber(in.readLong(), in.readDouble());
+    }
+}
--- a/lab/src/main/java/clayhook/lab/sharing/Life.java
+++ b/lab/src/main/java/clayhook/lab/sharing/Life.java
@@ -8,7 +8,7 @@
 import clayhook.fleet.ReplicatedStore;
 import clayhook.fleet.members.MembershipSettings;
 import clayhook.fleet.members.Membership;
-import clayhook.fleet.state.State;
+import clayhook.fleet.state.ReplicatedState;
 import clayhook.fleet.state.StateSettings;
 import java.util.List;
 
@@ -28,7 +28,7 @@
     public static Birth sharing(List<ReplicatedType<?>> kinds) {
         return (self, seeds, seed, now) -> {
             var members = new Membership(MembershipSettings.DEFAULT, self, seeds, seed, now, new Membership.MembershipListener() {});
-            var state = new State(members, kinds, StateSettings.DEFAULT, seed + 1, now);
+            var state = new ReplicatedState(members, kinds, StateSettings.DEFAULT, seed + 1, now);
             return new Life(members, state, List.of(members, state));
         };
     }
--- a/lab/src/main/java/clayhook/lab/sharing/ModelPeer.java
+++ b/lab/src/main/java/clayhook/lab/sharing/ModelPeer.java
@@ -11,7 +11,7 @@
 import clayhook.fleet.kinds.WriteOutcome;
 import clayhook.fleet.members.MembershipSettings;
 import clayhook.fleet.members.Membership;
-import clayhook.fleet.state.State;
+import clayhook.fleet.state.ReplicatedState;
 import clayhook.fleet.state.StateSettings;
 import clayhook.lab.model.Hearing;
 import clayhook.lab.model.Peers;
@@ -68,7 +68,7 @@
         var members =
                 new Membership(MembershipSettings.DEFAULT, self, seeds, chance.nextLong(), now, new Membership.MembershipListener() {});
         var kinds = new StateBridge.EnabledTypes(true, true, marks, WriteOutcome.TYPE, true);
-        var state = new State(members, kinds.types(), StateSettings.DEFAULT, chance.nextLong(), now);
+        var state = new ReplicatedState(members, kinds.types(), StateSettings.DEFAULT, chance.nextLong(), now);
         exchange = new StateBridge(
                 kinds, roam, routers, SOURCE, state, members, chance.split(), what -> time.in(0, what), this);
         if (!listed.isEmpty()) {
