--- a/fleet/src/main/java/clayhook/rollout/Measure.java
+++ b/fleet/src/main/java/clayhook/rollout/GuardMetric.java
@@ -1,7 +1,7 @@
 package clayhook.rollout;
 
 /** What a guard watches: the share of commands that end so. */
-public enum Measure {
+public enum GuardMetric {
     /** Ended in an error that is not the statement's own. */
     FAILED,
     /** Answered past their response target. */
--- a/fleet/src/main/java/clayhook/rollout/Times.java
+++ b/fleet/src/main/java/clayhook/rollout/LatencyHistogram.java
@@ -5,27 +5,27 @@
  * enough for a 99th percentile, and small enough for one packet whatever the counts. HdrHistogram's coarsest (one
  * digit) has 12% and more counters over the same range.
  */
-final class Times {
-    private static final int STEPS = 8;
+final class LatencyHistogram {
+    private static final int BUCKETS_PER_DOUBLING = 8;
     /** Seconds below which all is one. */
-    private static final double LEAST = 1e-4;
+    private static final double MIN_SECONDS = 1e-4;
     /** Up to 100 s, and beyond. */
-    static final int SIZE = 20 * STEPS;
+    static final int SIZE = 20 * BUCKETS_PER_DOUBLING;
 
-    private Times() {}
+    private LatencyHistogram() {}
 
-    static int step(double seconds) {
-        double at = Math.floor(Math.log(seconds / LEAST) / Math.log(2) * STEPS) + 1;
+    static int bucketOf(double seconds) {
+        double at = Math.floor(Math.log(seconds / MIN_SECONDS) / Math.log(2) * BUCKETS_PER_DOUBLING) + 1;
         return (int) Math.max(0, Math.min(SIZE - 1, at));
     }
 
     /** Seconds at which that step ends. */
-    static double end(int step) {
-        return LEAST * Math.pow(2, (double) step / STEPS);
+    static double upperBound(int step) {
+        return MIN_SECONDS * Math.pow(2, (double) step / BUCKETS_PER_DOUBLING);
     }
 
     /** Seconds that all but a hundredth do not exceed, by the step's end; NaN for no times. */
-    static double slowest(long[] counts) {
+    static double percentile99(long[] counts) {
         long all = 0;
         for (long count : counts) {
             all += count;
@@ -35,7 +35,7 @@
         for (int i = SIZE - 1; i >= 0 && all > 0; i--) {
             seen += counts[i];
             if (seen > above) {
-                return end(i);
+                return upperBound(i);
             }
         }
         return Double.NaN;
--- a/fleet/src/main/java/clayhook/rollout/Lease.java
+++ b/fleet/src/main/java/clayhook/rollout/Lease.java
@@ -13,47 +13,47 @@
  */
 class Lease {
     /** Asks that a grant may answer; later grants of older ones are worth nothing any more. */
-    private static final int MOST_ASKS = 16;
+    private static final int MAX_REMEMBERED_REQUESTS = 16;
 
-    private final Deque<Double> asks = new ArrayDeque<>();
+    private final Deque<Double> requestTimes = new ArrayDeque<>();
     /** By member of the frozen roster, when it was asked what it granted last. Gone with the rollout. */
-    private final Map<Member, Double> granted = new HashMap<>();
+    private final Map<Member, Double> grantTimes = new HashMap<>();
 
-    void asked(double now) {
-        asks.addLast(now);
-        if (asks.size() > MOST_ASKS) {
-            asks.removeFirst();
+    void onRequested(double now) {
+        requestTimes.addLast(now);
+        if (requestTimes.size() > MAX_REMEMBERED_REQUESTS) {
+            requestTimes.removeFirst();
         }
     }
 
     /** Guards against an echo that was never sent, which could stand for a lease without end. */
     void granted(Member by, double asked, double now) {
-        if (asks.contains(asked)) {
-            granted.merge(by, from(asked, now), Math::max);
+        if (requestTimes.contains(asked)) {
+            grantTimes.merge(by, countedFrom(asked, now), Math::max);
         }
     }
 
     /** From when a grant counts. */
-    double from(double asked, double now) {
+    double countedFrom(double asked, double now) {
         return asked;
     }
 
-    void refused(Member by) {
-        granted.remove(by);
+    void onDenied(Member by) {
+        grantTimes.remove(by);
     }
 
     /** For tests that tell one state from another. */
     Map<Member, Double> granted() {
-        return granted;
+        return grantTimes;
     }
 
     /** When contact with so many is that long ago; negative infinity while there was none. */
-    double until(int majority, double length) {
-        if (granted.size() < majority) {
+    double expiresAt(int majority, double length) {
+        if (grantTimes.size() < majority) {
             return Double.NEGATIVE_INFINITY;
         }
         double[] times =
-                granted.values().stream().mapToDouble(Double::doubleValue).toArray();
+                grantTimes.values().stream().mapToDouble(Double::doubleValue).toArray();
         Arrays.sort(times);
         return times[times.length - majority] + length;
     }
--- a/fleet/src/main/java/clayhook/rollout/Ask.java
+++ b/fleet/src/main/java/clayhook/rollout/LeaseRequest.java
@@ -9,20 +9,20 @@
  *
  * @param at when it is asked, on the asker's clock, which alone understands it
  */
-record Ask(String round, double at) implements Message {
-    static final int NUMBER = 40;
+record LeaseRequest(String rolloutId, double requestedAt) implements Message {
+    static final int TYPE_NUMBER = 40;
 
-    static Ask read(FieldReader in) {
-        return new Ask(in.readNonEmptyString(), in.readDouble());
+    static LeaseRequest read(FieldReader in) {
+        return new LeaseRequest(in.readNonEmptyString(), in.readDouble());
     }
 
     @Override
     public int typeNumber() {
-        return NUMBER;
+        return TYPE_NUMBER;
     }
 
     @Override
     public void write(FieldWriter out) {
-        out.writeNullableString(round).writeDouble(at);
+        out.writeNullableString(rolloutId).writeDouble(requestedAt);
     }
 }
--- a/fleet/src/main/java/clayhook/rollout/Live.java
+++ b/fleet/src/main/java/clayhook/rollout/LocalRollout.java
@@ -9,68 +9,68 @@
 import java.util.Set;
 
 /** A rollout as this router knows it. */
-final class Live {
+final class LocalRollout {
     final String id;
     final Proposal proposal;
     /** When it was first heard of here. */
-    final double seen;
+    final double firstSeenAt;
 
-    Round round;
+    RolloutProgress progress;
     /** Null until its pieces are here. */
-    Terms terms;
+    RolloutTerms terms;
 
     RuleSet rules;
     /** Why this router cannot run the candidate; null while it can, or has not read it. */
-    String fault;
+    String problem;
     /** When the stage was first known here. */
-    double stageSince;
+    double stageStartedAt;
 
     Lease lease;
-    Tally tally;
+    LocalCounters counters;
     /** The versions of this stage here, null until the candidate runs. */
-    Version old;
-
-    Version candidate;
-    Map<String, Double> limits;
-    double nextAsk = Double.NEGATIVE_INFINITY;
-    double nextLook = Double.NEGATIVE_INFINITY;
-    boolean runs;
-    boolean blind;
+    RuleSetVersion baseline;
+
+    RuleSetVersion candidate;
+    Map<String, Double> slowThresholds;
+    double nextLeaseRequestAt = Double.NEGATIVE_INFINITY;
+    double nextEvaluationAt = Double.NEGATIVE_INFINITY;
+    boolean running;
+    boolean lacksCounters;
     /** Routers of the roster whose figures were fresh at the last look. */
-    int heard;
+    int freshMembers;
 
-    int dead;
-    String waits = "";
+    int departedMembers;
+    String holdReason = "";
     /** What operators were told already, so that each is told once. */
-    final Set<String> told = new HashSet<>();
+    final Set<String> announced = new HashSet<>();
 
-    Live(String id, Round round, double now) {
+    LocalRollout(String id, RolloutProgress round, double now) {
         this.id = id;
         this.proposal = round.proposal();
-        this.round = round;
-        this.seen = now;
-        this.stageSince = now;
+        this.progress = round;
+        this.firstSeenAt = now;
+        this.stageStartedAt = now;
     }
 
-    boolean ended() {
-        return round.end() != null;
+    boolean isEnded() {
+        return progress.end() != null;
     }
 
     int stage() {
-        return round.stage();
+        return progress.stage();
     }
 
     /** All sessions have the candidate. */
-    boolean done() {
-        return !ended() && terms != null && stage() > terms.plan().stages().size();
+    boolean isCompleted() {
+        return !isEnded() && terms != null && stage() > terms.plan().stages().size();
     }
 
     /** Its time to begin is over; a proposal from a router that was away, or whose clock is behind, never begins. */
-    boolean stale(double now, double patience) {
-        return stage() == 0 && now - Math.min(seen, proposal.begun()) > patience;
+    boolean isPastStartDeadline(double now, double patience) {
+        return stage() == 0 && now - Math.min(firstSeenAt, proposal.proposedAt()) > patience;
     }
 
-    boolean read() {
+    boolean isLoaded() {
         return terms != null && rules != null;
     }
 
@@ -79,36 +79,36 @@
     }
 
     /** Gathers what the proposal names from its pieces; true when the last of it came. */
-    boolean gather(ReplicatedStore shared) {
-        if (read()) {
+    boolean loadChunks(ReplicatedStore shared) {
+        if (isLoaded()) {
             return false;
         }
         if (terms == null) {
-            byte[] bytes = Piece.whole(shared, proposal.terms(), proposal.termsBytes());
-            terms = bytes == null ? null : Terms.of(bytes);
+            byte[] bytes = TextChunk.assemble(shared, proposal.termsHash(), proposal.termsLength());
+            terms = bytes == null ? null : RolloutTerms.decode(bytes);
         }
         if (rules == null) {
-            byte[] bytes = Piece.whole(shared, proposal.rules(), proposal.rulesBytes());
+            byte[] bytes = TextChunk.assemble(shared, proposal.rulesHash(), proposal.rulesLength());
             rules = bytes == null ? null : RuleSet.of(new String(bytes, StandardCharsets.UTF_8));
         }
-        return read();
+        return isLoaded();
     }
 
     /** Routers of the frozen roster that have voted for that stage. */
     int votes(ReplicatedStore shared, int stage) {
         int votes = 0;
         for (Member member : terms.roster()) {
-            Vote vote = shared.get(Vote.KIND, Vote.key(id, member));
+            StageVote vote = shared.get(StageVote.TYPE, StageVote.key(id, member));
             votes += vote != null && vote.stage() >= stage ? 1 : 0;
         }
         return votes;
     }
 
     /** A member that lives and has not said that it can run the candidate; null for none. */
-    Member unread(ReplicatedStore shared, MembershipView roster) {
+    Member firstUnreadyMember(ReplicatedStore shared, MembershipView roster) {
         for (Member member : terms.roster()) {
             if ((member.equals(roster.self().member()) || roster.isLive(member))
-                    && shared.get(Vote.KIND, Vote.key(id, member)) == null) {
+                    && shared.get(StageVote.TYPE, StageVote.key(id, member)) == null) {
                 return member;
             }
         }
@@ -116,7 +116,7 @@
     }
 
     /** For the log. */
-    String name() {
-        return proposal.rules().substring(0, 8) + " of " + proposal.by().name();
+    String displayName() {
+        return proposal.rulesHash().substring(0, 8) + " of " + proposal.proposer().name();
     }
 }
--- a/fleet/src/main/java/clayhook/rollout/Figure.java
+++ b/fleet/src/main/java/clayhook/rollout/MemberCounters.java
@@ -14,49 +14,49 @@
  * @param number of the writing; the higher one counts
  * @param at when it was written, on the writer's clock
  */
-record Figure(long number, double at, long[] counts) {
+record MemberCounters(long revision, double recordedAt, long[] counts) {
     /** Seconds; a stage that takes longer forgets routers that died so long ago. */
-    private static final double KEEP = 2 * 86_400;
+    private static final double RETENTION_SECONDS = 2 * 86_400;
     /** Of each kind: 1,024 routers with eight groups in two stages, and as many again. */
-    private static final int MOST = 32_768;
+    private static final int MAX_ENTRIES = 32_768;
 
     /** Sums of the sequential test and counts by session's bucket: the old version's, then the candidate's. */
-    static final ReplicatedType<Figure> COUNTS = kind(13, "rollout counts", Sums.SIZE + 2 * Batch.Cell.SIZE);
+    static final ReplicatedType<MemberCounters> OUTCOME_COUNTS = replicatedType(13, "rollout counts", EvidenceSums.SIZE + 2 * CounterBatch.OutcomeCounters.SIZE);
     /** Times of the old version. */
-    static final ReplicatedType<Figure> OLD_TIMES = kind(14, "rollout times, old version", Times.SIZE);
+    static final ReplicatedType<MemberCounters> BASELINE_LATENCIES = replicatedType(14, "rollout times, old version", LatencyHistogram.SIZE);
     /** Times of the candidate. */
-    static final ReplicatedType<Figure> CANDIDATE_TIMES = kind(15, "rollout times, candidate", Times.SIZE);
+    static final ReplicatedType<MemberCounters> CANDIDATE_LATENCIES = replicatedType(15, "rollout times, candidate", LatencyHistogram.SIZE);
 
     /** Sums of the test, within the counts: a row for each measure. */
-    static final class Sums {
-        static final int WIDTH = SequentialTest.RATIOS.length;
-        static final int SIZE = Measure.values().length * WIDTH;
+    static final class EvidenceSums {
+        static final int SUMS_PER_METRIC = SequentialTest.RATIOS.length;
+        static final int SIZE = GuardMetric.values().length * SUMS_PER_METRIC;
 
-        private Sums() {}
+        private EvidenceSums() {}
     }
 
     /** Whose and of what a figure is. */
-    record Key(String round, int stage, Member by, String group) {
-        String text() {
-            return round
+    record CounterKey(String rolloutId, int stage, Member member, String requestClass) {
+        String encode() {
+            return rolloutId
                     + '/'
                     + stage
                     + '/'
-                    + Long.toString(by.incarnation(), Character.MAX_RADIX)
+                    + Long.toString(member.incarnation(), Character.MAX_RADIX)
                     + '/'
-                    + by.name().length()
+                    + member.name().length()
                     + '/'
-                    + by.name()
+                    + member.name()
                     + '/'
-                    + group;
+                    + requestClass;
         }
 
         /** Null for what is none. */
-        static Key of(String text) {
+        static CounterKey decode(String text) {
             String[] parts = text.split("/", 5);
             try {
                 int length = Integer.parseInt(parts[3]);
-                return new Key(
+                return new CounterKey(
                         parts[0],
                         Integer.parseInt(parts[1]),
                         new Member(parts[4].substring(0, length), Long.parseLong(parts[2], Character.MAX_RADIX)),
@@ -67,7 +67,7 @@
         }
     }
 
-    private static ReplicatedType<Figure> kind(int number, String name, int size) {
+    private static ReplicatedType<MemberCounters> replicatedType(int number, String name, int size) {
         return new ReplicatedType<>() {
             @Override
             public int typeNumber() {
@@ -80,30 +80,30 @@
             }
 
             @Override
-            public Figure merge(Figure a, Figure b) {
-                int order = Long.compare(a.number, b.number);
-                Figure newer = order > 0 || order == 0 && Arrays.compare(a.counts, b.counts) >= 0 ? a : b;
-                return new Figure(newer.number, Math.max(a.at, b.at), newer.counts);
+            public MemberCounters merge(MemberCounters a, MemberCounters b) {
+                int order = Long.compare(a.revision, b.revision);
+                MemberCounters newer = order > 0 || order == 0 && Arrays.compare(a.counts, b.counts) >= 0 ? a : b;
+                return new MemberCounters(newer.revision, Math.max(a.recordedAt, b.recordedAt), newer.counts);
             }
 
             @Override
-            public double timestamp(Figure figure) {
-                return figure.at;
+            public double timestamp(MemberCounters figure) {
+                return figure.recordedAt;
             }
 
             @Override
             public double retentionSeconds() {
-                return KEEP;
+                return RETENTION_SECONDS;
             }
 
             @Override
             public int maxEntries() {
-                return MOST;
+                return MAX_ENTRIES;
             }
 
             @Override
-            public void write(Figure figure, FieldWriter out) {
-                out.writeLong(figure.number).writeDouble(figure.at).beginList();
+            public void write(MemberCounters figure, FieldWriter out) {
+                out.writeLong(figure.revision).writeDouble(figure.recordedAt).beginList();
                 for (long count : figure.counts) {
                     out.writeLong(count);
                 }
@@ -111,8 +111,8 @@
             }
 
             @Override
-            public Figure read(FieldReader in) {
-                var figure = new Figure(in.readLong(), in.readDouble(), in.readLongs(size));
+            public MemberCounters read(FieldReader in) {
+                var figure = new MemberCounters(in.readLong(), in.readDouble(), in.readLongs(size));
                 if (figure.counts.length != size) {
                     throw new IllegalArgumentException(figure.counts.length + " counts");
                 }
@@ -123,14 +123,14 @@
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof Figure figure
-                && number == figure.number
-                && at == figure.at
+        return other instanceof MemberCounters figure
+                && revision == figure.revision
+                && recordedAt == figure.recordedAt
                 && Arrays.equals(counts, figure.counts);
     }
 
     @Override
     public int hashCode() {
-        return 31 * Arrays.hashCode(counts) + Long.hashCode(number);
+        return 31 * Arrays.hashCode(counts) + Long.hashCode(revision);
     }
 }
--- a/fleet/src/main/java/clayhook/rollout/Proposal.java
+++ b/fleet/src/main/java/clayhook/rollout/Proposal.java
@@ -19,32 +19,32 @@
  * @param attempt of this candidate, counted from 1
  */
 record Proposal(
-        Member by,
-        double begun,
-        String base,
-        String rules,
-        int rulesBytes,
-        String terms,
-        int termsBytes,
-        double lease,
+        Member proposer,
+        double proposedAt,
+        String baseRulesHash,
+        String rulesHash,
+        int rulesLength,
+        String termsHash,
+        int termsLength,
+        double leaseSeconds,
         int attempt)
         implements Comparable<Proposal> {
     /** Of two begun at two ends the earlier one wins everywhere, of two begun at once the one with the smaller hash. */
-    private static final Comparator<Proposal> ORDER = Comparator.comparingDouble(Proposal::begun)
-            .thenComparing(Proposal::rules)
-            .thenComparing(Proposal::by)
-            .thenComparing(Proposal::terms)
-            .thenComparing(Proposal::base)
+    private static final Comparator<Proposal> ORDER = Comparator.comparingDouble(Proposal::proposedAt)
+            .thenComparing(Proposal::rulesHash)
+            .thenComparing(Proposal::proposer)
+            .thenComparing(Proposal::termsHash)
+            .thenComparing(Proposal::baseRulesHash)
             .thenComparingInt(Proposal::attempt)
-            .thenComparingDouble(Proposal::lease)
-            .thenComparingInt(Proposal::rulesBytes)
-            .thenComparingInt(Proposal::termsBytes);
+            .thenComparingDouble(Proposal::leaseSeconds)
+            .thenComparingInt(Proposal::rulesLength)
+            .thenComparingInt(Proposal::termsLength);
     /** Seconds that a lease may have at most. */
-    static final double LONGEST_LEASE = 300;
+    static final double MAX_LEASE_SECONDS = 300;
 
     /** The key under which routers share whatever belongs to this rollout. */
     String id() {
-        var text = by.name() + '\n' + by.incarnation() + '\n' + begun + '\n' + rules + '\n' + terms + '\n' + base + '\n'
+        var text = proposer.name() + '\n' + proposer.incarnation() + '\n' + proposedAt + '\n' + rulesHash + '\n' + termsHash + '\n' + baseRulesHash + '\n'
                 + attempt;
         return String.format("%016x", Hashing.komihash5_0().hashCharsToLong(text));
     }
@@ -56,15 +56,15 @@
 
     void write(FieldWriter out) {
         out.beginList()
-                .writeNullableString(by.name())
-                .writeLong(by.incarnation())
-                .writeDouble(begun)
-                .writeNullableString(base)
-                .writeNullableString(rules)
-                .writeLong(rulesBytes)
-                .writeNullableString(terms)
-                .writeLong(termsBytes)
-                .writeDouble(lease)
+                .writeNullableString(proposer.name())
+                .writeLong(proposer.incarnation())
+                .writeDouble(proposedAt)
+                .writeNullableString(baseRulesHash)
+                .writeNullableString(rulesHash)
+                .writeLong(rulesLength)
+                .writeNullableString(termsHash)
+                .writeLong(termsLength)
+                .writeDouble(leaseSeconds)
                 .writeLong(attempt)
                 .endList();
     }
@@ -76,14 +76,14 @@
                 in.readDouble(),
                 in.readNonEmptyString(),
                 in.readNonEmptyString(),
-                in.readIntBelow(RuleSet.LONGEST + 1),
+                in.readIntBelow(RuleSet.MAX_BYTES + 1),
                 in.readNonEmptyString(),
-                in.readIntBelow(Terms.LONGEST + 1),
+                in.readIntBelow(RolloutTerms.MAX_BYTES + 1),
                 in.readDouble(),
                 in.readIntBelow(Integer.MAX_VALUE));
         in.endList();
-        if (!(proposal.lease > 0 && proposal.lease <= LONGEST_LEASE)) {
-            throw new IllegalArgumentException("a lease of " + proposal.lease + " s");
+        if (!(proposal.leaseSeconds > 0 && proposal.leaseSeconds <= MAX_LEASE_SECONDS)) {
+            throw new IllegalArgumentException("a lease of " + proposal.leaseSeconds + " s");
         }
         return proposal;
     }
--- a/fleet/src/main/java/clayhook/rollout/News.java
+++ b/fleet/src/main/java/clayhook/rollout/RolloutEvent.java
@@ -6,35 +6,35 @@
  * @param rules hash of the candidate
  * @param text with names and figures
  */
-public record News(What what, String rules, String text) {
+public record RolloutEvent(EventType type, String rulesHash, String message) {
     /** Kinds of news; {@code docs/rollouts.md} says what to do about each. */
-    public enum What {
+    public enum EventType {
         /** A proposal waits for members, for its copy, or for its settling. */
         WAITING,
         /** A rollout is known here. */
         PROPOSED,
         /** This router's operator asked for what cannot be done now. */
-        REFUSED,
+        REJECTED,
         /** A majority went on to another stage. */
         ADVANCED,
         /** All sessions get the candidate, which is what the fleet stands on from now on. */
-        DONE,
+        COMPLETED,
         HALTED,
         VETOED,
         WITHDRAWN,
         SUPERSEDED,
         EXPIRED,
         /** The figures do not show enough routers; nothing is decided. */
-        BLIND,
+        COUNTERS_MISSING,
         /** They do again. */
-        SEEING,
+        COUNTERS_RESTORED,
         /** The candidate runs at this router. */
-        RUNS,
+        CANDIDATE_RUNNING,
         /** It does not any more, as there was no contact with a majority. */
-        CUT_OFF,
+        LEASE_EXPIRED,
         /** This router cannot take part: it stands on other rules, or could not read these. */
-        SITS_OUT,
+        NOT_PARTICIPATING,
         /** A router that died has counted something; what it counted last is lost. */
-        FIGURES_END
+        MEMBER_DEPARTED
     }
 }
--- a/fleet/src/main/java/clayhook/rollout/Listener.java
+++ b/fleet/src/main/java/clayhook/rollout/RolloutListener.java
@@ -1,6 +1,6 @@
 package clayhook.rollout;
 
 /** Hears what operators are to see; called on the thread that turns the machine. */
-public interface Listener {
-    void told(News news);
+public interface RolloutListener {
+    void onEvent(RolloutEvent news);
 }
--- a/fleet/src/main/java/clayhook/rollout/Plan.java
+++ b/fleet/src/main/java/clayhook/rollout/RolloutPlan.java
@@ -13,52 +13,52 @@
  * @param alpha chance that a rollout without any difference is halted wrongly, all its guards and stages together
  * @param attempt 1 for the first; whoever raises it asks for a rollout anew after one of that set has ended
  */
-public record Plan(List<Stage> stages, double alpha, int attempt) {
+public record RolloutPlan(List<RolloutStage> stages, double alpha, int attempt) {
     /** Of a plan. */
-    static final int MOST_STAGES = 16;
+    static final int MAX_STAGES = 16;
     /** Half of the one in a hundred that is promised: routers look at copies of the figures that differ for moments. */
-    public static final double ALPHA = 0.005;
+    public static final double DEFAULT_ALPHA = 0.005;
     /** The most that may be asked for. */
-    static final double HIGHEST_ALPHA = 0.01;
+    static final double MAX_ALPHA = 0.01;
 
-    public Plan {
+    public RolloutPlan {
         stages = List.copyOf(stages);
     }
 
     /** All that is wrong with it, each with its key; empty for a plan that can be taken. */
-    public List<Fault> faults() {
-        var faults = new ArrayList<Fault>();
-        if (stages.isEmpty() || stages.size() > MOST_STAGES) {
-            faults.add(new Fault("stage", "needs 1 to " + MOST_STAGES + " stages"));
+    public List<RolloutProblem> validate() {
+        var faults = new ArrayList<RolloutProblem>();
+        if (stages.isEmpty() || stages.size() > MAX_STAGES) {
+            faults.add(new RolloutProblem("stage", "needs 1 to " + MAX_STAGES + " stages"));
         }
         double before = 0;
         for (int i = 0; i < stages.size(); i++) {
-            stages.get(i).check("stage[" + i + "]", before, faults);
+            stages.get(i).validate("stage[" + i + "]", before, faults);
             before = stages.get(i).share();
         }
-        if (!(alpha > 0) || alpha > HIGHEST_ALPHA) {
-            faults.add(new Fault("alpha", "must be above 0 and at most " + HIGHEST_ALPHA));
+        if (!(alpha > 0) || alpha > MAX_ALPHA) {
+            faults.add(new RolloutProblem("alpha", "must be above 0 and at most " + MAX_ALPHA));
         }
         if (attempt < 1) {
-            faults.add(new Fault("attempt", "must be 1 or more"));
+            faults.add(new RolloutProblem("attempt", "must be 1 or more"));
         }
         return faults;
     }
 
     /** Of the alpha, what each guard of a stage may spend: the union bound over stages and guards. */
-    double alphaOfGuard(Stage stage) {
+    double alphaPerGuard(RolloutStage stage) {
         return alpha / stages.size() / stage.guards().size();
     }
 
-    /** The command groups that guards name, {@link Guard#ALL} among them if one does. */
-    Set<String> groups() {
+    /** The command groups that guards name, {@link Guard#ALL_CLASSES} among them if one does. */
+    Set<String> requestClasses() {
         var groups = new TreeSet<String>();
-        stages.forEach(stage -> stage.guards().forEach(guard -> groups.add(guard.group())));
+        stages.forEach(stage -> stage.guards().forEach(guard -> groups.add(guard.requestClass())));
         return groups;
     }
 
-    Plan again(int attempt) {
-        return new Plan(stages, alpha, attempt);
+    RolloutPlan withAttempt(int attempt) {
+        return new RolloutPlan(stages, alpha, attempt);
     }
 
     void write(FieldWriter out) {
@@ -67,11 +67,11 @@
         out.endList().endList();
     }
 
-    static Plan read(FieldReader in) {
+    static RolloutPlan read(FieldReader in) {
         in.beginList();
         double alpha = in.readDouble();
         int attempt = in.readIntBelow(Integer.MAX_VALUE);
-        var plan = new Plan(in.readLists(MOST_STAGES, Stage::read), alpha, attempt);
+        var plan = new RolloutPlan(in.readLists(MAX_STAGES, RolloutStage::read), alpha, attempt);
         in.endList();
         return plan;
     }
--- a/fleet/src/main/java/clayhook/rollout/Fault.java
+++ b/fleet/src/main/java/clayhook/rollout/RolloutProblem.java
@@ -5,9 +5,9 @@
  *
  * @param key of the operator's file, below the rollout's table; empty where no key is to blame
  */
-public record Fault(String key, String text) {
+public record RolloutProblem(String key, String message) {
     @Override
     public String toString() {
-        return key.isEmpty() ? text : key + ": " + text;
+        return key.isEmpty() ? message : key + ": " + message;
     }
 }
--- a/fleet/src/main/java/clayhook/rollout/Round.java
+++ b/fleet/src/main/java/clayhook/rollout/RolloutProgress.java
@@ -11,15 +11,15 @@
  * @param end null while it goes on
  * @param at when it was proposed, or made young again so that it is kept
  */
-record Round(Proposal proposal, int stage, End end, double at) {
+record RolloutProgress(Proposal proposal, int stage, RolloutEnd end, double retainedFrom) {
     /**
      * Seconds. Routers that go on with a rollout make what belongs to it young again at half of this, all to the same
      * time; so this is how long a halt is remembered, and how long a router may be away before it could miss one.
      */
-    static final double KEEP = 14 * 86_400;
+    static final double RETENTION_SECONDS = 14 * 86_400;
 
     /** Empties itself as rollouts get old; rollouts are rare, so the bound is far away. */
-    static final ReplicatedType<Round> KIND = new ReplicatedType<>() {
+    static final ReplicatedType<RolloutProgress> TYPE = new ReplicatedType<>() {
         @Override
         public int typeNumber() {
             return 10;
@@ -31,19 +31,19 @@
         }
 
         @Override
-        public Round merge(Round a, Round b) {
+        public RolloutProgress merge(RolloutProgress a, RolloutProgress b) {
             Proposal proposal = a.proposal.compareTo(b.proposal) <= 0 ? a.proposal : b.proposal;
-            return new Round(proposal, Math.max(a.stage, b.stage), End.join(a.end, b.end), Math.max(a.at, b.at));
+            return new RolloutProgress(proposal, Math.max(a.stage, b.stage), RolloutEnd.merge(a.end, b.end), Math.max(a.retainedFrom, b.retainedFrom));
         }
 
         @Override
-        public double timestamp(Round round) {
-            return round.at;
+        public double timestamp(RolloutProgress round) {
+            return round.retainedFrom;
         }
 
         @Override
         public double retentionSeconds() {
-            return KEEP;
+            return RETENTION_SECONDS;
         }
 
         @Override
@@ -63,37 +63,37 @@
         }
 
         @Override
-        public void write(Round round, FieldWriter out) {
+        public void write(RolloutProgress round, FieldWriter out) {
             round.proposal.write(out);
-            out.writeLong(round.stage).writeDouble(round.at).writeBoolean(round.end != null);
+            out.writeLong(round.stage).writeDouble(round.retainedFrom).writeBoolean(round.end != null);
             if (round.end != null) {
                 round.end.write(out);
             }
         }
 
         @Override
-        public Round read(FieldReader in) {
+        public RolloutProgress read(FieldReader in) {
             Proposal proposal = Proposal.read(in);
-            int stage = in.readIntBelow(Plan.MOST_STAGES + 2);
+            int stage = in.readIntBelow(RolloutPlan.MAX_STAGES + 2);
             double at = in.readDouble();
-            return new Round(proposal, stage, in.readBoolean() ? End.read(in) : null, at);
+            return new RolloutProgress(proposal, stage, in.readBoolean() ? RolloutEnd.read(in) : null, at);
         }
     };
 
     /** The time to which everyone makes it young again now: the same for all, so that it is one piece of news. */
-    static double young(double begun, double now) {
-        return begun + Math.max(0, Math.floor((now - begun) / (KEEP / 2))) * (KEEP / 2);
+    static double renewedRetention(double begun, double now) {
+        return begun + Math.max(0, Math.floor((now - begun) / (RETENTION_SECONDS / 2))) * (RETENTION_SECONDS / 2);
     }
 
-    Round ended(End by) {
-        return new Round(proposal, stage, by, at);
+    RolloutProgress withEnd(RolloutEnd by) {
+        return new RolloutProgress(proposal, stage, by, retainedFrom);
     }
 
-    Round reached(int further) {
-        return new Round(proposal, further, end, at);
+    RolloutProgress withStage(int further) {
+        return new RolloutProgress(proposal, further, end, retainedFrom);
     }
 
-    Round at(double when) {
-        return new Round(proposal, stage, end, when);
+    RolloutProgress at(double when) {
+        return new RolloutProgress(proposal, stage, end, when);
     }
 }
--- a/fleet/src/main/java/clayhook/rollout/RolloutSettings.java
+++ b/fleet/src/main/java/clayhook/rollout/RolloutSettings.java
@@ -11,20 +11,20 @@
  * @param patience seconds within which a proposal must begin
  * @param every seconds between figures that are shared, at least
  */
-public record RolloutSettings(String standing, int fleet, double lease, double settle, double patience, double every) {
+public record RolloutSettings(String configuredRulesHash, int fleetSize, double leaseSeconds, double settleSeconds, double startTimeoutSeconds, double shareIntervalSeconds) {
     /** Fails on what no settings reader should let through. */
     public RolloutSettings {
-        if (fleet < 1
-                || !(lease > 0 && lease <= Proposal.LONGEST_LEASE)
-                || !(settle >= 0)
-                || !(patience > settle)
-                || !(every > 0)) {
+        if (fleetSize < 1
+                || !(leaseSeconds > 0 && leaseSeconds <= Proposal.MAX_LEASE_SECONDS)
+                || !(settleSeconds >= 0)
+                || !(startTimeoutSeconds > settleSeconds)
+                || !(shareIntervalSeconds > 0)) {
             throw new IllegalArgumentException("settings of rollouts out of range");
         }
     }
 
     /** The usual ones. */
-    public static RolloutSettings usual(String standing, int fleet) {
+    public static RolloutSettings defaults(String standing, int fleet) {
         return new RolloutSettings(standing, fleet, 10, 2, 60, 1);
     }
 }
--- a/fleet/src/main/java/clayhook/rollout/Status.java
+++ b/fleet/src/main/java/clayhook/rollout/RolloutStatus.java
@@ -13,21 +13,21 @@
  * @param dead routers whose figures count although they are gone
  * @param waits why the stage goes on
  */
-public record Status(
-        String rules,
+public record RolloutStatus(
+        String rulesHash,
         int stage,
         double share,
-        double until,
-        int heard,
+        double leaseExpiresAt,
+        int freshMembers,
         int voters,
-        int dead,
-        String waits,
-        List<Rate> rates) {
+        int departedMembers,
+        String holdReason,
+        List<MetricComparison> metrics) {
     /**
      * A measure of a command group, merged.
      *
-     * @param candidate share of commands; seconds at the 99th percentile for {@link Measure#SLOW}
+     * @param candidate share of commands; seconds at the 99th percentile for {@link GuardMetric#SLOW}
      * @param evidence natural logarithm of the evidence that the candidate is worse
      */
-    public record Rate(String group, Measure measure, long commands, double candidate, double old, double evidence) {}
+    public record MetricComparison(String requestClass, GuardMetric metric, long requests, double candidate, double baseline, double logEvidence) {}
 }
--- a/fleet/src/main/java/clayhook/rollout/Terms.java
+++ b/fleet/src/main/java/clayhook/rollout/RolloutTerms.java
@@ -11,33 +11,33 @@
  * @param fleet routers that the operator counts with; the majority is of these where the roster has fewer
  * @param roster as frozen at the beginning: only these vote and grant leases, and the dead among them still count
  */
-record Terms(Plan plan, int fleet, List<Member> roster) {
+record RolloutTerms(RolloutPlan plan, int fleetSize, List<Member> roster) {
     /** Routers. */
-    static final int MOST_ROUTERS = 4096;
+    static final int MAX_ROUTERS = 4096;
     /** Bytes, for the longest plan and roster. */
-    static final int LONGEST = 1024 * 1024;
+    static final int MAX_BYTES = 1024 * 1024;
 
-    Terms {
+    RolloutTerms {
         roster = List.copyOf(roster);
     }
 
-    byte[] bytes() {
+    byte[] encode() {
         var out = new FieldWriter();
         plan.write(out);
-        out.writeLong(fleet).beginList();
+        out.writeLong(fleetSize).beginList();
         roster.forEach(
                 member -> out.beginList().writeNullableString(member.name()).writeLong(member.incarnation()).endList());
         return out.endList().toByteArray();
     }
 
     /** Throws IllegalArgumentException for what cannot be. */
-    static Terms of(byte[] bytes) {
+    static RolloutTerms decode(byte[] bytes) {
         var in = new FieldReader(bytes);
-        var terms = new Terms(
-                Plan.read(in),
+        var terms = new RolloutTerms(
+                RolloutPlan.read(in),
                 in.readIntBelow(Integer.MAX_VALUE),
-                in.readLists(MOST_ROUTERS, member -> new Member(member.readNonEmptyString(), member.readLong())));
-        List<Fault> faults = terms.plan.faults();
+                in.readLists(MAX_ROUTERS, member -> new Member(member.readNonEmptyString(), member.readLong())));
+        List<RolloutProblem> faults = terms.plan.validate();
         if (!faults.isEmpty()) {
             throw new IllegalArgumentException(faults.get(0).toString());
         }
@@ -45,7 +45,7 @@
     }
 
     /** Of how many routers a majority is taken. */
-    int voters() {
-        return Math.max(roster.size(), fleet);
+    int voterCount() {
+        return Math.max(roster.size(), fleetSize);
     }
 }
--- a/fleet/src/main/java/clayhook/rollout/RuleSet.java
+++ b/fleet/src/main/java/clayhook/rollout/RuleSet.java
@@ -16,11 +16,11 @@
  */
 public record RuleSet(String text, String hash) {
     /** Bytes of a text. */
-    public static final int LONGEST = 256 * 1024;
+    public static final int MAX_BYTES = 256 * 1024;
     /** Of {@code [statements]}: where statements go that no rule matches. */
-    private static final Set<String> DEFAULTS = Set.of("read_group", "write_group", "nodes", "timeout");
+    private static final Set<String> DEFAULT_KEYS = Set.of("read_group", "write_group", "nodes", "timeout");
     /** Of {@code [[statements.rule]]}; none of them makes a read of what may write. */
-    private static final Set<String> KEYS = Set.of(
+    private static final Set<String> RULE_KEYS = Set.of(
             "name",
             "class",
             "kinds",
@@ -41,7 +41,7 @@
 
     /** Names that text. */
     public static RuleSet of(String text) {
-        return new RuleSet(text, Piece.hash(text.getBytes(StandardCharsets.UTF_8)));
+        return new RuleSet(text, TextChunk.contentHash(text.getBytes(StandardCharsets.UTF_8)));
     }
 
     /**
@@ -53,29 +53,29 @@
      * @param faults gets whatever cannot be staged, with its key
      * @return null where there are faults
      */
-    public static RuleSet of(Map<String, ?> defaults, List<? extends Map<String, ?>> rules, List<Fault> faults) {
+    public static RuleSet of(Map<String, ?> defaults, List<? extends Map<String, ?>> rules, List<RolloutProblem> faults) {
         int before = faults.size();
         var out = new StringBuilder("[statements]\n");
-        table(defaults, DEFAULTS, "", out, faults);
+        appendTable(defaults, DEFAULT_KEYS, "", out, faults);
         for (int i = 0; i < rules.size(); i++) {
             out.append("[[statements.rule]]\n");
-            table(rules.get(i), KEYS, "rule[" + i + "].", out, faults);
+            appendTable(rules.get(i), RULE_KEYS, "rule[" + i + "].", out, faults);
         }
         String text = out.toString();
-        if (text.getBytes(StandardCharsets.UTF_8).length > LONGEST) {
-            faults.add(new Fault("rule", "the rules must have at most " + LONGEST + " bytes"));
+        if (text.getBytes(StandardCharsets.UTF_8).length > MAX_BYTES) {
+            faults.add(new RolloutProblem("rule", "the rules must have at most " + MAX_BYTES + " bytes"));
         }
         return faults.size() > before ? null : of(text);
     }
 
-    private static void table(
-            Map<String, ?> table, Set<String> known, String prefix, StringBuilder out, List<Fault> faults) {
+    private static void appendTable(
+            Map<String, ?> table, Set<String> known, String prefix, StringBuilder out, List<RolloutProblem> faults) {
         new TreeMap<>(table).forEach((key, value) -> {
-            String text = known.contains(key) ? value(value) : null;
+            String text = known.contains(key) ? format(value) : null;
             if (!known.contains(key)) {
-                faults.add(new Fault(prefix + key, "can't be staged"));
+                faults.add(new RolloutProblem(prefix + key, "can't be staged"));
             } else if (text == null) {
-                faults.add(new Fault(prefix + key, "must be a text, a number, true, false, or a list of these"));
+                faults.add(new RolloutProblem(prefix + key, "must be a text, a number, true, false, or a list of these"));
             } else {
                 out.append(key).append(" = ").append(text).append('\n');
             }
@@ -83,9 +83,9 @@
     }
 
     /** Null for what none of the keys can hold. */
-    private static String value(Object value) {
+    private static String format(Object value) {
         if (value instanceof String text) {
-            return quoted(text);
+            return quote(text);
         }
         if (value instanceof Integer || value instanceof Long || value instanceof Boolean) {
             return value.toString();
@@ -95,13 +95,13 @@
         }
         if (value instanceof List<?> list) {
             var items = new ArrayList<String>();
-            list.forEach(item -> items.add(item instanceof List ? null : value(item)));
+            list.forEach(item -> items.add(item instanceof List ? null : format(item)));
             return items.contains(null) ? null : "[" + String.join(", ", items) + "]";
         }
         return null;
     }
 
-    private static String quoted(String text) {
+    private static String quote(String text) {
         var out = new StringBuilder("\"");
         text.chars().forEach(c -> {
             if (c == '"' || c == '\\') {
--- a/fleet/src/main/java/clayhook/rollout/Version.java
+++ b/fleet/src/main/java/clayhook/rollout/RuleSetVersion.java
@@ -6,33 +6,33 @@
  * The rules that a command began with. The edge stores it with the command and hands it back with the outcome; of one
  * stage at one router there is one object for the old version and one for the candidate, and both stand ready.
  */
-public final class Version {
-    private final String rules;
-    private final String round;
+public final class RuleSetVersion {
+    private final String rulesHash;
+    private final String rolloutId;
     private final int stage;
     private final boolean candidate;
-    private final Map<String, Double> slowFrom;
+    private final Map<String, Double> slowThresholds;
 
-    Version(String rules, String round, int stage, boolean candidate, Map<String, Double> slowFrom) {
-        this.rules = rules;
-        this.round = round;
+    RuleSetVersion(String rules, String round, int stage, boolean candidate, Map<String, Double> slowFrom) {
+        this.rulesHash = rules;
+        this.rolloutId = round;
         this.stage = stage;
         this.candidate = candidate;
-        this.slowFrom = Map.copyOf(slowFrom);
+        this.slowThresholds = Map.copyOf(slowFrom);
     }
 
     /** Hash of the rules. */
-    public String rules() {
-        return rules;
+    public String rulesHash() {
+        return rulesHash;
     }
 
-    public boolean candidate() {
+    public boolean isCandidate() {
         return candidate;
     }
 
     /** Null where no rollout runs here: such commands are not compared. */
-    String round() {
-        return round;
+    String rolloutId() {
+        return rolloutId;
     }
 
     int stage() {
@@ -40,17 +40,17 @@
     }
 
     /** Whether commands of that group are watched. */
-    boolean watches(String group) {
-        return slowFrom.containsKey(group);
+    boolean isGuarded(String group) {
+        return slowThresholds.containsKey(group);
     }
 
     /** Seconds from which a command counts as slow; NaN while that is not known. */
-    double slowFrom(String group) {
-        return slowFrom.get(group);
+    double slowThreshold(String group) {
+        return slowThresholds.get(group);
     }
 
     @Override
     public String toString() {
-        return rules.substring(0, Math.min(8, rules.length())) + (candidate ? " (candidate)" : "");
+        return rulesHash.substring(0, Math.min(8, rulesHash.length())) + (candidate ? " (candidate)" : "");
     }
 }
--- a/fleet/src/main/java/clayhook/rollout/SequentialTest.java
+++ b/fleet/src/main/java/clayhook/rollout/SequentialTest.java
@@ -22,14 +22,14 @@
      */
     static final double[] RATIOS = {1.1, 1.2, 1.35, 1.6, 2, 3, 5, 10};
     /** Logarithms are shared as whole numbers of this part. */
-    private static final double GRAIN = 1e-4;
+    private static final double SUM_RESOLUTION = 1e-4;
     /** Of a version, that must have commands: what a session or two do says nothing about the rules. */
-    private static final int LEAST_BUCKETS = 6;
+    private static final int MIN_BUCKETS = 6;
 
     private SequentialTest() {}
 
     /** Adds what one router saw in one second: ends of each version and the bad ones among them. */
-    static void add(double[] sums, int from, long old, long oldBad, long candidate, long candidateBad) {
+    static void addInterval(double[] sums, int from, long old, long oldBad, long candidate, long candidateBad) {
         if (oldBad + candidateBad == 0 || old == 0 || candidate == 0) {
             return;
         }
@@ -41,19 +41,19 @@
     }
 
     /** A sum as it is shared. */
-    static long shared(double sum) {
-        return Math.round(sum / GRAIN);
+    static long toFixedPoint(double sum) {
+        return Math.round(sum / SUM_RESOLUTION);
     }
 
     /** The logarithm of the evidence for a worse candidate, from shared sums. */
-    static double evidence(long[] sums, int from) {
+    static double logEvidence(long[] sums, int from) {
         double most = Double.NEGATIVE_INFINITY;
         for (int i = 0; i < RATIOS.length; i++) {
-            most = Math.max(most, sums[from + i] * GRAIN);
+            most = Math.max(most, sums[from + i] * SUM_RESOLUTION);
         }
         double mean = 0;
         for (int i = 0; i < RATIOS.length; i++) {
-            mean += Math.exp(sums[from + i] * GRAIN - most) / RATIOS.length;
+            mean += Math.exp(sums[from + i] * SUM_RESOLUTION - most) / RATIOS.length;
         }
         return most + Math.log(mean);
     }
@@ -69,16 +69,16 @@
      */
     static double dispersion(long[] counts, int from, int all, int bad) {
         return Math.max(
-                1, Math.max(dispersed(counts, from, all, bad), dispersed(counts, from + Batch.Cell.SIZE, all, bad)));
+                1, Math.max(versionDispersion(counts, from, all, bad), versionDispersion(counts, from + CounterBatch.OutcomeCounters.SIZE, all, bad)));
     }
 
-    private static double dispersed(long[] counts, int start, int all, int bad) {
-        double commands = total(counts, start, all);
-        double share = total(counts, start, bad) / commands;
+    private static double versionDispersion(long[] counts, int start, int all, int bad) {
+        double commands = sumBuckets(counts, start, all);
+        double share = sumBuckets(counts, start, bad) / commands;
         int buckets = 0;
         double sum = 0;
         double squares = 0;
-        for (int at = start; at < start + Batch.Cell.SIZE; at += Batch.Cell.WIDTH) {
+        for (int at = start; at < start + CounterBatch.OutcomeCounters.SIZE; at += CounterBatch.OutcomeCounters.COUNTERS_PER_BUCKET) {
             if (counts[at + all] > 0) {
                 double off = (share * commands - counts[at + bad]) / (commands - counts[at + all]) - share;
                 buckets++;
@@ -86,7 +86,7 @@
                 squares += off * off;
             }
         }
-        if (buckets < LEAST_BUCKETS) {
+        if (buckets < MIN_BUCKETS) {
             return Double.POSITIVE_INFINITY;
         }
         double variance = (squares - sum * sum / buckets) * (buckets - 1) / buckets;
@@ -94,16 +94,16 @@
     }
 
     /** Of a version's buckets. */
-    static long total(long[] counts, int start, int which) {
+    static long sumBuckets(long[] counts, int start, int which) {
         long total = 0;
-        for (int at = start; at < start + Batch.Cell.SIZE; at += Batch.Cell.WIDTH) {
+        for (int at = start; at < start + CounterBatch.OutcomeCounters.SIZE; at += CounterBatch.OutcomeCounters.COUNTERS_PER_BUCKET) {
             total += counts[at + which];
         }
         return total;
     }
 
     /** Whether it is proven, but for a chance of alpha. */
-    static boolean proven(double evidence, double alpha) {
+    static boolean isProven(double evidence, double alpha) {
         return evidence >= -Math.log(alpha);
     }
 }
--- a/fleet/src/main/java/clayhook/rollout/Vote.java
+++ b/fleet/src/main/java/clayhook/rollout/StageVote.java
@@ -10,9 +10,9 @@
  *
  * @param stage up to which it wants to go; 0: it has read the candidate and could run it
  */
-record Vote(int stage, double at) {
+record StageVote(int stage, double retainedFrom) {
     /** One a router and rollout: two rollouts of the largest fleet, and room for the ones before. */
-    static final ReplicatedType<Vote> KIND = new ReplicatedType<>() {
+    static final ReplicatedType<StageVote> TYPE = new ReplicatedType<>() {
         @Override
         public int typeNumber() {
             return 12;
@@ -24,18 +24,18 @@
         }
 
         @Override
-        public Vote merge(Vote a, Vote b) {
-            return new Vote(Math.max(a.stage, b.stage), Math.max(a.at, b.at));
+        public StageVote merge(StageVote a, StageVote b) {
+            return new StageVote(Math.max(a.stage, b.stage), Math.max(a.retainedFrom, b.retainedFrom));
         }
 
         @Override
-        public double timestamp(Vote vote) {
-            return vote.at;
+        public double timestamp(StageVote vote) {
+            return vote.retainedFrom;
         }
 
         @Override
         public double retentionSeconds() {
-            return Round.KEEP;
+            return RolloutProgress.RETENTION_SECONDS;
         }
 
         @Override
@@ -49,13 +49,13 @@
         }
 
         @Override
-        public void write(Vote vote, FieldWriter out) {
-            out.writeLong(vote.stage).writeDouble(vote.at);
+        public void write(StageVote vote, FieldWriter out) {
+            out.writeLong(vote.stage).writeDouble(vote.retainedFrom);
         }
 
         @Override
-        public Vote read(FieldReader in) {
-            return new Vote(in.readIntBelow(Plan.MOST_STAGES + 2), in.readDouble());
+        public StageVote read(FieldReader in) {
+            return new StageVote(in.readIntBelow(RolloutPlan.MAX_STAGES + 2), in.readDouble());
         }
     };
 
--- a/fleet/src/main/java/clayhook/rollout/Piece.java
+++ b/fleet/src/main/java/clayhook/rollout/TextChunk.java
@@ -9,12 +9,12 @@
 import java.util.Arrays;
 
 /** A part of a text too long for one packet, kept under the hash of the whole, so that the same text is spread once. */
-record Piece(byte[] bytes, double at) {
+record TextChunk(byte[] bytes, double retainedFrom) {
     /** Bytes; with the key it fits a part. */
-    private static final int LONGEST = 900;
+    private static final int MAX_BYTES = 900;
 
     /** Texts go as they get old, or as others come: nine of the longest fit. */
-    static final ReplicatedType<Piece> KIND = new ReplicatedType<>() {
+    static final ReplicatedType<TextChunk> TYPE = new ReplicatedType<>() {
         @Override
         public int typeNumber() {
             return 11;
@@ -26,18 +26,18 @@
         }
 
         @Override
-        public Piece merge(Piece a, Piece b) {
-            return new Piece(Arrays.compare(a.bytes, b.bytes) <= 0 ? a.bytes : b.bytes, Math.max(a.at, b.at));
+        public TextChunk merge(TextChunk a, TextChunk b) {
+            return new TextChunk(Arrays.compare(a.bytes, b.bytes) <= 0 ? a.bytes : b.bytes, Math.max(a.retainedFrom, b.retainedFrom));
         }
 
         @Override
-        public double timestamp(Piece piece) {
-            return piece.at;
+        public double timestamp(TextChunk piece) {
+            return piece.retainedFrom;
         }
 
         @Override
         public double retentionSeconds() {
-            return Round.KEEP;
+            return RolloutProgress.RETENTION_SECONDS;
         }
 
         @Override
@@ -51,55 +51,55 @@
         }
 
         @Override
-        public void write(Piece piece, FieldWriter out) {
-            out.writeBytes(piece.bytes).writeDouble(piece.at);
+        public void write(TextChunk piece, FieldWriter out) {
+            out.writeBytes(piece.bytes).writeDouble(piece.retainedFrom);
         }
 
         @Override
-        public Piece read(FieldReader in) {
+        public TextChunk read(FieldReader in) {
             byte[] bytes = in.readBytes();
-            if (bytes.length > LONGEST) {
+            if (bytes.length > MAX_BYTES) {
                 throw new IllegalArgumentException("a piece of " + bytes.length + " bytes");
             }
-            return new Piece(bytes, in.readDouble());
+            return new TextChunk(bytes, in.readDouble());
         }
     };
 
     /** The name of bytes, as that of a set of rules. */
-    static String hash(byte[] whole) {
+    static String contentHash(byte[] whole) {
         HashValue128 hash = Hashing.murmur3_128().hashBytesTo128Bits(whole);
         return String.format("%016x%016x", hash.getMostSignificantBits(), hash.getLeastSignificantBits());
     }
 
     /** Spreads bytes. */
-    static void put(ReplicatedStore shared, byte[] whole, double at, double now) {
-        String hash = hash(whole);
-        for (int from = 0; from < whole.length; from += LONGEST) {
-            byte[] bytes = Arrays.copyOfRange(whole, from, Math.min(whole.length, from + LONGEST));
-            shared.merge(KIND, hash + '/' + from / LONGEST, new Piece(bytes, at), now);
+    static void publish(ReplicatedStore shared, byte[] whole, double at, double now) {
+        String hash = contentHash(whole);
+        for (int from = 0; from < whole.length; from += MAX_BYTES) {
+            byte[] bytes = Arrays.copyOfRange(whole, from, Math.min(whole.length, from + MAX_BYTES));
+            shared.merge(TYPE, hash + '/' + from / MAX_BYTES, new TextChunk(bytes, at), now);
         }
     }
 
     /** The whole, or null while pieces are missing or do not make what the hash names. */
-    static byte[] whole(ReplicatedStore shared, String hash, int length) {
+    static byte[] assemble(ReplicatedStore shared, String hash, int length) {
         byte[] whole = new byte[length];
-        for (int from = 0; from < length; from += LONGEST) {
-            Piece piece = shared.get(KIND, hash + '/' + from / LONGEST);
-            if (piece == null || piece.bytes.length != Math.min(LONGEST, length - from)) {
+        for (int from = 0; from < length; from += MAX_BYTES) {
+            TextChunk piece = shared.get(TYPE, hash + '/' + from / MAX_BYTES);
+            if (piece == null || piece.bytes.length != Math.min(MAX_BYTES, length - from)) {
                 return null;
             }
             System.arraycopy(piece.bytes, 0, whole, from, piece.bytes.length);
         }
-        return hash(whole).equals(hash) ? whole : null;
+        return contentHash(whole).equals(hash) ? whole : null;
     }
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof Piece piece && at == piece.at && Arrays.equals(bytes, piece.bytes);
+        return other instanceof TextChunk piece && retainedFrom == piece.retainedFrom && Arrays.equals(bytes, piece.bytes);
     }
 
     @Override
     public int hashCode() {
-        return 31 * Arrays.hashCode(bytes) + Double.hashCode(at);
+        return 31 * Arrays.hashCode(bytes) + Double.hashCode(retainedFrom);
     }
 }
--- a/fleet/src/test/java/clayhook/rollout/RecordedBytesTest.java
+++ b/fleet/src/test/java/clayhook/rollout/RecordedBytesTest.java
@@ -73,7 +73,7 @@
     }
 
     private static Form message(String name, Message part) {
-        Map<Integer, Function<FieldReader, ? extends Message>> decoders = new Net(1).nodes[0].rollouts.messageReaders();
+        Map<Integer, Function<FieldReader, ? extends Message>> decoders = new RolloutCluster(1).nodes[0].controller.messageReaders();
         assertEquals(Set.of(40, 41), decoders.keySet());
         return new Form("message." + part.typeNumber() + "." + name, part, part::write, decoders.get(part.typeNumber()));
     }
@@ -99,20 +99,20 @@
         return new Form("field." + name, value, encoder, decoder);
     }
 
-    private static Guard guard(Measure measure) {
+    private static Guard guard(GuardMetric measure) {
         return switch (measure) {
             case FAILED -> new Guard("read", measure, 0.02, 0.01);
             case LATE -> new Guard("read", measure, NONE, 0);
-            case THROTTLED -> new Guard(Guard.ALL, measure, 0.5, NONE);
+            case THROTTLED -> new Guard(Guard.ALL_CLASSES, measure, 0.5, NONE);
             case SLOW -> new Guard("schreiben/ü", measure, 3, 0.2);
         };
     }
 
-    private static Plan plan() {
-        return new Plan(
+    private static RolloutPlan plan() {
+        return new RolloutPlan(
                 List.of(
-                        new Stage(0.01, 60, 100, List.of(guard(Measure.FAILED), guard(Measure.SLOW))),
-                        new Stage(0.99, 0, 1, List.of(guard(Measure.LATE), guard(Measure.THROTTLED)))),
+                        new RolloutStage(0.01, 60, 100, List.of(guard(GuardMetric.FAILED), guard(GuardMetric.SLOW))),
+                        new RolloutStage(0.99, 0, 1, List.of(guard(GuardMetric.LATE), guard(GuardMetric.THROTTLED)))),
                 0.005,
                 3);
     }
@@ -121,43 +121,43 @@
         return new Proposal(MEMBER, TIME, BASE, RULES, 262_144, TERMS, 70_000, 10, 2);
     }
 
-    private static End end(End.What what) {
-        return End.of(what, "stage 1, *: 2.000% failed", "router/ä-1", TIME + 1);
+    private static RolloutEnd end(RolloutEnd.EndCause what) {
+        return RolloutEnd.of(what, "stage 1, *: 2.000% failed", "router/ä-1", TIME + 1);
     }
 
-    private static Terms terms() {
-        return new Terms(plan(), 5, List.of(new Member("a", 1), MEMBER));
+    private static RolloutTerms terms() {
+        return new RolloutTerms(plan(), 5, List.of(new Member("a", 1), MEMBER));
     }
 
-    private static Figure figure(int size) {
+    private static MemberCounters figure(int size) {
         long[] counts = new long[size];
         for (int i = 0; i < size; i++) {
             // One to nine bytes long, of both signs.
             counts[i] = i % 3 == 0 ? 0 : (1L << i % 63) * (i % 2 == 0 ? 1 : -1);
         }
-        return new Figure(7, TIME, counts);
+        return new MemberCounters(7, TIME, counts);
     }
 
     static Stream<Form> forms() {
         var forms = new ArrayList<Form>();
-        forms.add(message("ask", new Ask(ROUND, TIME)));
-        forms.add(message("answer.granted", new Answer(ROUND, TIME, true)));
-        forms.add(message("answer.refused", new Answer(ROUND, TIME, false)));
-        forms.add(value("round.new", Round.KIND, new Round(proposal(), 0, null, TIME)));
-        forms.add(value("round.ended", Round.KIND, new Round(proposal(), 17, end(End.What.HALTED), TIME + 2)));
-        forms.add(value("piece", Piece.KIND, new Piece(new byte[] {0, 1, 127, -128, -1}, TIME)));
-        forms.add(value("vote", Vote.KIND, new Vote(17, TIME)));
-        forms.add(value("counts", Figure.COUNTS, figure(176)));
-        forms.add(value("times.old", Figure.OLD_TIMES, figure(160)));
-        forms.add(value("times.candidate", Figure.CANDIDATE_TIMES, figure(160)));
+        forms.add(message("ask", new LeaseRequest(ROUND, TIME)));
+        forms.add(message("answer.granted", new LeaseResponse(ROUND, TIME, true)));
+        forms.add(message("answer.refused", new LeaseResponse(ROUND, TIME, false)));
+        forms.add(value("round.new", RolloutProgress.TYPE, new RolloutProgress(proposal(), 0, null, TIME)));
+        forms.add(value("round.ended", RolloutProgress.TYPE, new RolloutProgress(proposal(), 17, end(RolloutEnd.EndCause.HALTED), TIME + 2)));
+        forms.add(value("piece", TextChunk.TYPE, new TextChunk(new byte[] {0, 1, 127, -128, -1}, TIME)));
+        forms.add(value("vote", StageVote.TYPE, new StageVote(17, TIME)));
+        forms.add(value("counts", MemberCounters.OUTCOME_COUNTS, figure(176)));
+        forms.add(value("times.old", MemberCounters.BASELINE_LATENCIES, figure(160)));
+        forms.add(value("times.candidate", MemberCounters.CANDIDATE_LATENCIES, figure(160)));
         forms.add(field("proposal", proposal(), proposal()::write, Proposal::read));
-        for (End.What what : End.What.values()) {
-            forms.add(field("end." + what.ordinal(), end(what), end(what)::write, End::read));
+        for (RolloutEnd.EndCause what : RolloutEnd.EndCause.values()) {
+            forms.add(field("end." + what.ordinal(), end(what), end(what)::write, RolloutEnd::read));
         }
-        forms.add(field("plan", plan(), plan()::write, Plan::read));
-        Stage stage = plan().stages().get(0);
-        forms.add(element("stage", stage, stage::write, Stage::read));
-        for (Measure measure : Measure.values()) {
+        forms.add(field("plan", plan(), plan()::write, RolloutPlan::read));
+        RolloutStage stage = plan().stages().get(0);
+        forms.add(element("stage", stage, stage::write, RolloutStage::read));
+        for (GuardMetric measure : GuardMetric.values()) {
             Guard guard = guard(measure);
             forms.add(element("guard." + measure.ordinal(), guard, guard::write, Guard::read));
         }
@@ -186,22 +186,22 @@
 
     @Test
     void termsKeepTheirBytes() {
-        assertEquals(RECORDED.getProperty("terms"), hex(terms().bytes()));
-        assertEquals(terms(), Terms.of(bytes("terms")));
+        assertEquals(RECORDED.getProperty("terms"), hex(terms().encode()));
+        assertEquals(terms(), RolloutTerms.decode(bytes("terms")));
     }
 
     @Test
     void everyRecordedFormIsChecked() {
         Set<String> names = forms().map(Form::name).collect(Collectors.toCollection(TreeSet::new));
         names.add("terms");
-        for (Measure measure : Measure.values()) {
+        for (GuardMetric measure : GuardMetric.values()) {
             Stream.of("counts", "old", "candidate").forEach(kind -> names.add(layout(measure, kind)));
         }
         assertEquals(names, new TreeSet<>(RECORDED.stringPropertyNames()));
         assertEquals(
                 List.of(10, 11, 12, 13, 14, 15),
-                Rollouts.kinds().stream().map(ReplicatedType::typeNumber).toList());
-        for (ReplicatedType<?> kind : Rollouts.kinds()) {
+                RolloutController.replicatedTypes().stream().map(ReplicatedType::typeNumber).toList());
+        for (ReplicatedType<?> kind : RolloutController.replicatedTypes()) {
             assertTrue(
                     names.stream().anyMatch(name -> name.startsWith("value." + kind.typeNumber() + ".")),
                     "kind " + kind.typeNumber());
@@ -212,36 +212,36 @@
     @Test
     void endsKeepTheirNumbers() {
         assertEquals(
-                List.of(End.What.HALTED, End.What.VETOED, End.What.WITHDRAWN, End.What.SUPERSEDED, End.What.EXPIRED),
-                List.of(End.What.values()));
-        assertEquals(List.of(Measure.FAILED, Measure.LATE, Measure.THROTTLED, Measure.SLOW), List.of(Measure.values()));
+                List.of(RolloutEnd.EndCause.HALTED, RolloutEnd.EndCause.VETOED, RolloutEnd.EndCause.WITHDRAWN, RolloutEnd.EndCause.SUPERSEDED, RolloutEnd.EndCause.EXPIRED),
+                List.of(RolloutEnd.EndCause.values()));
+        assertEquals(List.of(GuardMetric.FAILED, GuardMetric.LATE, GuardMetric.THROTTLED, GuardMetric.SLOW), List.of(GuardMetric.values()));
     }
 
     @Test
     void keysKeepTheirText() {
         assertEquals("0fa4cf391cad9e48", proposal().id());
-        assertEquals("0123456789abcdef/loyw3v5n/router/ä-1", Vote.key(ROUND, MEMBER));
-        var key = new Figure.Key(ROUND, 2, MEMBER, "read/only");
-        assertEquals("0123456789abcdef/2/loyw3v5n/10/router/ä-1/read/only", key.text());
-        assertEquals(key, Figure.Key.of("0123456789abcdef/2/loyw3v5n/10/router/ä-1/read/only"));
+        assertEquals("0123456789abcdef/loyw3v5n/router/ä-1", StageVote.key(ROUND, MEMBER));
+        var key = new MemberCounters.CounterKey(ROUND, 2, MEMBER, "read/only");
+        assertEquals("0123456789abcdef/2/loyw3v5n/10/router/ä-1/read/only", key.encode());
+        assertEquals(key, MemberCounters.CounterKey.decode("0123456789abcdef/2/loyw3v5n/10/router/ä-1/read/only"));
     }
 
     @Test
     void textsAreCutIntoTheSamePieces() {
         byte[] text = "0123456789".repeat(185).getBytes(StandardCharsets.UTF_8);
         String hash = "51144900af68e240bdf5b2057074d1e6";
-        assertEquals(hash, Piece.hash(text));
-        var copy = new Net.Copy();
-        Piece.put(copy, text, TIME, TIME);
+        assertEquals(hash, TextChunk.contentHash(text));
+        var copy = new RolloutCluster.InMemoryStore();
+        TextChunk.publish(copy, text, TIME, TIME);
         var lengths = new TreeMap<String, Integer>();
-        copy.forEach(Piece.KIND, (key, piece) -> lengths.put(key, piece.bytes().length));
+        copy.forEach(TextChunk.TYPE, (key, piece) -> lengths.put(key, piece.bytes().length));
         assertEquals(Map.of(hash + "/0", 900, hash + "/1", 900, hash + "/2", 50), lengths);
-        assertArrayEquals(text, Piece.whole(copy, hash, text.length));
+        assertArrayEquals(text, TextChunk.assemble(copy, hash, text.length));
     }
 
     @Test
     void ruleSetsKeepTextAndHash() {
-        var faults = new ArrayList<Fault>();
+        var faults = new ArrayList<RolloutProblem>();
         RuleSet set = RuleSet.of(
                 Map.of("timeout", 2.5, "read_group", "reads"),
                 List.of(Map.of("name", "a\t\"b\"", "kinds", List.of("select"), "cost_from", 10, "only", true)),
@@ -257,8 +257,8 @@
     /** Routers must agree on which sessions get the candidate. */
     @Test
     void sessionsKeepTheirVersion() {
-        var old = new Version("old", null, 0, false, Map.of());
-        Split split = Split.two(old, old, new Version("00000000deadbeef", null, 1, true, Map.of()), 0.25, TIME);
+        var old = new RuleSetVersion("old", null, 0, false, Map.of());
+        TrafficSplit split = TrafficSplit.between(old, old, new RuleSetVersion("00000000deadbeef", null, 1, true, Map.of()), 0.25, TIME);
         var candidates = new ArrayList<Long>();
         for (long session = 0; session < 40; session++) {
             if (split.candidate(session)) {
@@ -271,39 +271,39 @@
 
     /** Which count stands where, and what a histogram's steps are, is part of the format too. */
     @ParameterizedTest
-    @EnumSource(Measure.class)
-    void countsKeepTheirPlaces(Measure measure) {
-        var copy = new Net.Copy();
-        var tally = new Tally(ROUND, MEMBER, Set.of("read"));
-        var old = new Version(BASE, ROUND, 1, false, Map.of("read", 0.05));
-        var candidate = new Version(RULES, ROUND, 1, true, Map.of("read", 0.05));
-        var batch = new Batch();
+    @EnumSource(GuardMetric.class)
+    void countsKeepTheirPlaces(GuardMetric measure) {
+        var copy = new RolloutCluster.InMemoryStore();
+        var tally = new LocalCounters(ROUND, MEMBER, Set.of("read"));
+        var old = new RuleSetVersion(BASE, ROUND, 1, false, Map.of("read", 0.05));
+        var candidate = new RuleSetVersion(RULES, ROUND, 1, true, Map.of("read", 0.05));
+        var batch = new CounterBatch();
         for (int session = 0; session < 6; session++) {
             batch.add(old, "read", session, false, false, false, 0.004);
             batch.add(
                     candidate,
                     "read",
                     session,
-                    measure == Measure.FAILED,
-                    measure == Measure.LATE,
-                    measure == Measure.THROTTLED,
-                    measure == Measure.SLOW ? 0.1 : Double.NaN);
+                    measure == GuardMetric.FAILED,
+                    measure == GuardMetric.LATE,
+                    measure == GuardMetric.THROTTLED,
+                    measure == GuardMetric.SLOW ? 0.1 : Double.NaN);
         }
-        batch.each(tally::took);
-        tally.turn(TIME);
-        tally.share(copy, 1, TIME);
+        batch.forEach(tally::add);
+        tally.tick(TIME);
+        tally.publish(copy, 1, TIME);
         String key = "0123456789abcdef/1/loyw3v5n/10/router/ä-1/read";
-        assertEquals(RECORDED.getProperty(layout(measure, "counts")), sparse(copy.get(Figure.COUNTS, key)));
-        assertEquals(RECORDED.getProperty(layout(measure, "old")), sparse(copy.get(Figure.OLD_TIMES, key)));
-        assertEquals(RECORDED.getProperty(layout(measure, "candidate")), sparse(copy.get(Figure.CANDIDATE_TIMES, key)));
+        assertEquals(RECORDED.getProperty(layout(measure, "counts")), sparse(copy.get(MemberCounters.OUTCOME_COUNTS, key)));
+        assertEquals(RECORDED.getProperty(layout(measure, "old")), sparse(copy.get(MemberCounters.BASELINE_LATENCIES, key)));
+        assertEquals(RECORDED.getProperty(layout(measure, "candidate")), sparse(copy.get(MemberCounters.CANDIDATE_LATENCIES, key)));
     }
 
-    private static String layout(Measure measure, String kind) {
+    private static String layout(GuardMetric measure, String kind) {
         return "layout." + measure.ordinal() + "." + kind;
     }
 
     /** The places of counts that are not zero. */
-    private static String sparse(Figure figure) {
+    private static String sparse(MemberCounters figure) {
         var out = new StringBuilder();
         for (int i = 0; i < figure.counts().length; i++) {
             if (figure.counts()[i] != 0) {
@@ -316,13 +316,13 @@
     /** A rollout at three routers that comes to its end and is then withdrawn. */
     @Test
     void aCompletedRolloutKeepsEveryByte() throws IOException {
-        assertEquals(recordedRollout("completed"), rollout(0, News.What.DONE));
+        assertEquals(recordedRollout("completed"), rollout(0, RolloutEvent.EventType.COMPLETED));
     }
 
     /** A rollout at three routers that is halted by its figures. */
     @Test
     void aHaltedRolloutKeepsEveryByte() throws IOException {
-        assertEquals(recordedRollout("halted"), rollout(0.2, News.What.HALTED));
+        assertEquals(recordedRollout("halted"), rollout(0.2, RolloutEvent.EventType.HALTED));
     }
 
     private static List<String> recordedRollout(String name) throws IOException {
@@ -332,34 +332,34 @@
     }
 
     /** Each message in the order sent, and what a router knows when it is told of that, and after a withdrawal. */
-    private static List<String> rollout(double failing, News.What last) {
+    private static List<String> rollout(double failing, RolloutEvent.EventType last) {
         var lines = new ArrayList<String>();
-        var net = new Net(3);
+        var net = new RolloutCluster(3);
         net.run(5);
-        assertEquals(List.of(), net.nodes[0].rollouts.propose(Net.plan(1, 5), "[statements]\n", net.now));
-        for (int i = 0; i < 80 && !net.nodes[2].told(last); i++) {
-            net.serve(40, failing);
+        assertEquals(List.of(), net.nodes[0].controller.propose(RolloutCluster.plan(1, 5), "[statements]\n", net.now));
+        for (int i = 0; i < 80 && !net.nodes[2].hasEvent(last); i++) {
+            net.serveRequests(40, failing);
             step(net, lines);
         }
-        assertTrue(net.nodes[2].told(last));
+        assertTrue(net.nodes[2].hasEvent(last));
         entries(net.nodes[2], lines);
-        net.nodes[1].rollouts.withdraw(net.now);
+        net.nodes[1].controller.withdraw(net.now);
         step(net, lines);
-        net.nodes[2].shared.forEach(Round.KIND, (key, round) -> entry(Round.KIND, key, round, lines));
+        net.nodes[2].store.forEach(RolloutProgress.TYPE, (key, round) -> entry(RolloutProgress.TYPE, key, round, lines));
         return lines;
     }
 
-    /** As {@link Net#step()}, which keeps no record. */
-    private static void step(Net net, List<String> lines) {
+    /** As {@link RolloutCluster#step()}, which keeps no record. */
+    private static void step(RolloutCluster net, List<String> lines) {
         net.now += 0.25;
         for (int i = 0; i < net.nodes.length; i++) {
-            net.turn(i);
+            net.tick(i);
         }
         for (int i = 0; i < net.nodes.length; i++) {
             for (int j = 0; j < net.nodes.length; j++) {
                 net.exchange(i, j);
                 while (!net.links.get(i).get(j).isEmpty()) {
-                    Message part = net.links.get(i).get(j).peekFirst().part();
+                    Message part = net.links.get(i).get(j).peekFirst().message();
                     var out = new FieldWriter();
                     part.write(out);
                     lines.add(i + " to " + j + ": " + part.typeNumber() + " " + hex(out.toByteArray()));
@@ -369,14 +369,14 @@
         }
     }
 
-    private static void entries(Net.Node node, List<String> lines) {
-        for (ReplicatedType<?> kind : Rollouts.kinds()) {
+    private static void entries(RolloutCluster.RolloutNode node, List<String> lines) {
+        for (ReplicatedType<?> kind : RolloutController.replicatedTypes()) {
             entries(node, kind, lines);
         }
     }
 
-    private static <V> void entries(Net.Node node, ReplicatedType<V> kind, List<String> lines) {
-        node.shared.forEach(kind, (key, value) -> entry(kind, key, value, lines));
+    private static <V> void entries(RolloutCluster.RolloutNode node, ReplicatedType<V> kind, List<String> lines) {
+        node.store.forEach(kind, (key, value) -> entry(kind, key, value, lines));
     }
 
     private static <V> void entry(ReplicatedType<V> kind, String key, V value, List<String> lines) {
--- a/fleet/src/test/java/clayhook/rollout/Net.java
+++ b/fleet/src/test/java/clayhook/rollout/RolloutCluster.java
@@ -26,16 +26,16 @@
  * Routers in virtual time. What they share is exchanged whole, link by link; parts wait in queues until they are
  * delivered.
  */
-final class Net {
+final class RolloutCluster {
     /** Seconds of silence after which a member counts as gone. */
-    static final double GONE = 3;
+    static final double MEMBER_TIMEOUT_SECONDS = 3;
 
-    private static final Set<ReplicatedType<?>> FIGURES = Set.of(Figure.COUNTS, Figure.OLD_TIMES, Figure.CANDIDATE_TIMES);
+    private static final Set<ReplicatedType<?>> COUNTER_TYPES = Set.of(MemberCounters.OUTCOME_COUNTS, MemberCounters.BASELINE_LATENCIES, MemberCounters.CANDIDATE_LATENCIES);
     /** A copy that is exchanged whole: slow, and easily seen to be right. */
-    static final class Copy implements ReplicatedStore {
+    static final class InMemoryStore implements ReplicatedStore {
         private final Map<Integer, TreeMap<String, Object>> values = new TreeMap<>();
         private final Map<Integer, ReplicatedStore.ChangeListener<Object>> listeners = new HashMap<>();
-        boolean whole = true;
+        boolean complete = true;
 
         @Override
         @SuppressWarnings("unchecked")
@@ -85,7 +85,7 @@
 
         @Override
         public double completeUpTo(double now) {
-            return whole ? now - 1 : Double.NEGATIVE_INFINITY;
+            return complete ? now - 1 : Double.NEGATIVE_INFINITY;
         }
 
         @Override
@@ -93,7 +93,7 @@
             return values.getOrDefault(kind.typeNumber(), new TreeMap<>()).hashCode();
         }
 
-        private <V> void take(Copy from, ReplicatedType<V> kind, double now) {
+        private <V> void mergeFrom(InMemoryStore from, ReplicatedType<V> kind, double now) {
             var all = new TreeMap<String, V>();
             from.forEach(kind, all::put);
             all.forEach((key, value) -> merge(kind, key, value, now));
@@ -101,7 +101,7 @@
     }
 
     /** Across the wire and back. */
-    static <V> V carried(ReplicatedType<V> kind, String key, V value) {
+    static <V> V encodeAndDecode(ReplicatedType<V> kind, String key, V value) {
         var out = new FieldWriter();
         kind.write(value, out);
         byte[] bytes = out.toByteArray();
@@ -112,49 +112,49 @@
     }
 
     /** One life of one router. */
-    final class Node implements MembershipView, Outbox {
+    final class RolloutNode implements MembershipView, Outbox {
         final int number;
         final Member member;
-        final Copy shared = new Copy();
-        final List<News> news = new ArrayList<>();
-        final Rollouts rollouts;
-        final double[] heardAt;
+        final InMemoryStore store = new InMemoryStore();
+        final List<RolloutEvent> events = new ArrayList<>();
+        final RolloutController controller;
+        final double[] lastContactAt;
         /** Texts that it cannot read. */
-        String unreadable = "";
+        String unreadableRules = "";
         /** Ground truth: when it was asked, by asker's number, as far as its answer came back. */
-        final Map<Member, Double> answered = new HashMap<>();
+        final Map<Member, Double> grantedRequestAt = new HashMap<>();
 
-        Node(int number, long boot) {
+        RolloutNode(int number, long boot) {
             this.number = number;
             member = new Member("r" + number, boot);
-            heardAt = new double[nodes.length];
-            for (int i = 0; i < heardAt.length; i++) {
-                heardAt[i] = Double.NEGATIVE_INFINITY;
+            lastContactAt = new double[nodes.length];
+            for (int i = 0; i < lastContactAt.length; i++) {
+                lastContactAt[i] = Double.NEGATIVE_INFINITY;
             }
-            rollouts = new Rollouts(
+            controller = new RolloutController(
                     this,
-                    shared,
+                    store,
                     settings,
-                    (hash, rules) -> rules.equals(unreadable) ? "no such key" : null,
+                    (hash, rules) -> rules.equals(unreadableRules) ? "no such key" : null,
                     number,
                     now,
-                    news::add,
+                    events::add,
                     quorum,
-                    leases);
+                    leaseFactory);
         }
 
-        boolean told(News.What what) {
-            return news.stream().anyMatch(each -> each.what() == what);
+        boolean hasEvent(RolloutEvent.EventType what) {
+            return events.stream().anyMatch(each -> each.type() == what);
         }
 
-        boolean runs() {
-            return rollouts.split().candidate() != null
-                    && now < rollouts.split().until();
+        boolean isRunning() {
+            return controller.split().candidate() != null
+                    && now < controller.split().validUntil();
         }
 
-        Round round() {
-            var rounds = new ArrayList<Round>();
-            shared.forEach(Round.KIND, (key, round) -> rounds.add(round));
+        RolloutProgress latestProgress() {
+            var rounds = new ArrayList<RolloutProgress>();
+            store.forEach(RolloutProgress.TYPE, (key, round) -> rounds.add(round));
             return rounds.isEmpty() ? null : rounds.get(rounds.size() - 1);
         }
 
@@ -166,7 +166,7 @@
         @Override
         public List<Peer> livePeers() {
             var others = new ArrayList<Peer>();
-            for (Node node : nodes) {
+            for (RolloutNode node : nodes) {
                 if (node != null && node != this && isLive(node.member)) {
                     others.add(node.self());
                 }
@@ -181,9 +181,9 @@
 
         @Override
         public boolean isLive(Member other) {
-            for (Node node : nodes) {
+            for (RolloutNode node : nodes) {
                 if (node != null && node.member.equals(other)) {
-                    return now - heardAt[node.number] < GONE;
+                    return now - lastContactAt[node.number] < MEMBER_TIMEOUT_SECONDS;
                 }
             }
             return false;
@@ -211,42 +211,42 @@
 
         @Override
         public void add(Address to, Message part) {
-            Deque<Sent> link = links.get(number).get(to.port());
-            link.addLast(new Sent(self(), part));
-            if (link.size() > mostOnLink) {
+            Deque<SentMessage> link = links.get(number).get(to.port());
+            link.addLast(new SentMessage(self(), part));
+            if (link.size() > linkCapacity) {
                 link.removeFirst();
             }
         }
     }
 
     /** A part under way. */
-    record Sent(Peer from, Message part) {}
+    record SentMessage(Peer from, Message message) {}
 
     final RolloutSettings settings;
     final Quorum quorum;
-    final Supplier<Lease> leases;
-    final Node[] nodes;
-    final List<List<Deque<Sent>>> links = new ArrayList<>();
+    final Supplier<Lease> leaseFactory;
+    final RolloutNode[] nodes;
+    final List<List<Deque<SentMessage>>> links = new ArrayList<>();
     /** Directed links that are cut: from * n + to. */
-    final Set<Integer> cut = new HashSet<>();
+    final Set<Integer> cutLinks = new HashSet<>();
     /** Ground truth: all that ever voted for a stage, by vote's key, whoever has died since. */
     final Map<String, Integer> votes = new HashMap<>();
 
     double now = 1_000_000;
     /** Parts on a link; the oldest gets lost. */
-    int mostOnLink = 4;
+    int linkCapacity = 4;
     /** Members hear each other, but no figures. */
-    boolean mute;
+    boolean countersMuted;
 
-    private final Map<String, Terms> terms = new HashMap<>();
-    private long boots;
-    private long served;
+    private final Map<String, RolloutTerms> terms = new HashMap<>();
+    private long incarnations;
+    private long sessionsServed;
 
-    Net(int size, Quorum quorum, Supplier<Lease> leases) {
+    RolloutCluster(int size, Quorum quorum, Supplier<Lease> leases) {
         this.settings = new RolloutSettings("0000000000000000base", size, 4, 1, 30, 1);
         this.quorum = quorum;
-        this.leases = leases;
-        nodes = new Node[size];
+        this.leaseFactory = leases;
+        nodes = new RolloutNode[size];
         for (int i = 0; i < size; i++) {
             links.add(new ArrayList<>());
             for (int j = 0; j < size; j++) {
@@ -254,16 +254,16 @@
             }
         }
         for (int i = 0; i < size; i++) {
-            start(i);
+            startNode(i);
         }
     }
 
-    Net(int size) {
+    RolloutCluster(int size) {
         this(size, new Quorum(), Lease::new);
     }
 
-    Node start(int i) {
-        nodes[i] = new Node(i, ++boots);
+    RolloutNode startNode(int i) {
+        nodes[i] = new RolloutNode(i, ++incarnations);
         for (int j = 0; j < nodes.length; j++) {
             links.get(j).get(i).clear();
             links.get(i).get(j).clear();
@@ -271,21 +271,21 @@
         return nodes[i];
     }
 
-    void kill(int i) {
+    void killNode(int i) {
         nodes[i] = null;
     }
 
-    boolean up(int from, int to) {
-        return nodes[from] != null && nodes[to] != null && !cut.contains(from * nodes.length + to);
+    boolean isLinkUp(int from, int to) {
+        return nodes[from] != null && nodes[to] != null && !cutLinks.contains(from * nodes.length + to);
     }
 
     /** Cuts the nodes below that number from the others, both ways; 0 heals. */
-    void split(int at) {
-        cut.clear();
+    void partition(int at) {
+        cutLinks.clear();
         for (int i = 0; i < nodes.length; i++) {
             for (int j = 0; j < nodes.length; j++) {
                 if (i < at != j < at) {
-                    cut.add(i * nodes.length + j);
+                    cutLinks.add(i * nodes.length + j);
                 }
             }
         }
@@ -293,41 +293,41 @@
 
     /** All that one router shares comes to another. */
     void exchange(int from, int to) {
-        if (up(from, to) && from != to) {
-            nodes[to].heardAt[from] = now;
-            for (ReplicatedType<?> kind : Rollouts.kinds()) {
-                if (!mute || !FIGURES.contains(kind)) {
-                    nodes[to].shared.take(nodes[from].shared, kind, now);
+        if (isLinkUp(from, to) && from != to) {
+            nodes[to].lastContactAt[from] = now;
+            for (ReplicatedType<?> kind : RolloutController.replicatedTypes()) {
+                if (!countersMuted || !COUNTER_TYPES.contains(kind)) {
+                    nodes[to].store.mergeFrom(nodes[from].store, kind, now);
                 }
             }
-            note();
+            recordVotes();
         }
     }
 
     /** The oldest part on that link arrives. */
     void deliver(int from, int to) {
-        Sent sent = links.get(from).get(to).pollFirst();
-        if (sent != null && up(from, to)) {
-            Node node = nodes[to];
-            Message part = sent.part();
-            if (part instanceof Answer answer && answer.granted()) {
-                node.answered.merge(sent.from().member(), answer.asked(), Math::max);
+        SentMessage sent = links.get(from).get(to).pollFirst();
+        if (sent != null && isLinkUp(from, to)) {
+            RolloutNode node = nodes[to];
+            Message part = sent.message();
+            if (part instanceof LeaseResponse answer && answer.granted()) {
+                node.grantedRequestAt.merge(sent.from().member(), answer.requestedAt(), Math::max);
             }
-            node.rollouts.onMessage(sent.from(), part, now, node);
+            node.controller.onMessage(sent.from(), part, now, node);
         }
     }
 
-    void turn(int i) {
+    void tick(int i) {
         if (nodes[i] != null) {
-            nodes[i].rollouts.tick(now, nodes[i]);
-            note();
+            nodes[i].controller.tick(now, nodes[i]);
+            recordVotes();
         }
     }
 
-    private void note() {
-        for (Node node : nodes) {
+    private void recordVotes() {
+        for (RolloutNode node : nodes) {
             if (node != null) {
-                node.shared.forEach(Vote.KIND, (key, vote) -> votes.merge(key, vote.stage(), Math::max));
+                node.store.forEach(StageVote.TYPE, (key, vote) -> votes.merge(key, vote.stage(), Math::max));
             }
         }
     }
@@ -336,7 +336,7 @@
     void step() {
         now += 0.25;
         for (int i = 0; i < nodes.length; i++) {
-            turn(i);
+            tick(i);
         }
         for (int i = 0; i < nodes.length; i++) {
             for (int j = 0; j < nodes.length; j++) {
@@ -355,46 +355,46 @@
     }
 
     /** The rules that hold whatever happens; null while they do, else which one does not. */
-    String broken() {
+    String findViolation() {
         Set<String> running = new HashSet<>();
-        for (Node node : nodes) {
+        for (RolloutNode node : nodes) {
             if (node == null) {
                 continue;
             }
             String[] broken = {null};
-            node.shared.forEach(Round.KIND, (id, round) -> {
-                Terms terms = terms(round);
+            node.store.forEach(RolloutProgress.TYPE, (id, round) -> {
+                RolloutTerms terms = terms(round);
                 if (terms != null && round.stage() > 0) {
                     long voters = terms.roster().stream()
-                            .filter(by -> votes.getOrDefault(Vote.key(id, by), -1) >= round.stage())
+                            .filter(by -> votes.getOrDefault(StageVote.key(id, by), -1) >= round.stage())
                             .count();
-                    broken[0] = 2 * voters <= terms.voters()
+                    broken[0] = 2 * voters <= terms.voterCount()
                             ? node.member + " went on with " + voters + " votes"
                             : broken[0];
                 }
                 if (round.end() != null
-                        && node.runs()
-                        && node.rollouts
+                        && node.isRunning()
+                        && node.controller
                                 .split()
                                 .candidate()
-                                .equals(round.proposal().rules())
-                        && only(node, round)) {
+                                .equals(round.proposal().rulesHash())
+                        && runsThatRollout(node, round)) {
                     broken[0] = node.member + " runs what was ended";
                 }
             });
             if (broken[0] != null) {
                 return broken[0];
             }
-            if (node.runs()) {
-                Version version = candidate(node);
-                running.add(version.round());
-                Round round = node.shared.get(Round.KIND, version.round());
-                Terms terms = terms(round);
+            if (node.isRunning()) {
+                RuleSetVersion version = candidateVersion(node);
+                running.add(version.rolloutId());
+                RolloutProgress round = node.store.get(RolloutProgress.TYPE, version.rolloutId());
+                RolloutTerms terms = terms(round);
                 long contacts = terms.roster().stream()
                         .filter(by -> by.equals(node.member)
-                                || now - node.answered.getOrDefault(by, Double.NEGATIVE_INFINITY) < settings.lease())
+                                || now - node.grantedRequestAt.getOrDefault(by, Double.NEGATIVE_INFINITY) < settings.leaseSeconds())
                         .count();
-                if (2 * contacts <= terms.voters()) {
+                if (2 * contacts <= terms.voterCount()) {
                     return node.member + " runs the candidate with " + contacts + " contacts within a lease";
                 }
             }
@@ -402,59 +402,59 @@
         return running.size() > 1 ? "two rollouts in force: " + running : null;
     }
 
-    private static boolean only(Node node, Round ended) {
-        return candidate(node).round().equals(ended.proposal().id());
+    private static boolean runsThatRollout(RolloutNode node, RolloutProgress ended) {
+        return candidateVersion(node).rolloutId().equals(ended.proposal().id());
     }
 
     /** The version that sessions of the candidate's share get. */
-    static Version candidate(Node node) {
+    static RuleSetVersion candidateVersion(RolloutNode node) {
         for (long session = 0; ; session++) {
-            if (node.rollouts.split().candidate(session)) {
-                return node.rollouts.split().version(session, Double.NEGATIVE_INFINITY);
+            if (node.controller.split().candidate(session)) {
+                return node.controller.split().versionFor(session, Double.NEGATIVE_INFINITY);
             }
         }
     }
 
-    private Terms terms(Round round) {
-        for (Node node : nodes) {
-            byte[] bytes = node == null || terms.containsKey(round.proposal().terms())
+    private RolloutTerms terms(RolloutProgress round) {
+        for (RolloutNode node : nodes) {
+            byte[] bytes = node == null || terms.containsKey(round.proposal().termsHash())
                     ? null
-                    : Piece.whole(
-                            node.shared,
-                            round.proposal().terms(),
-                            round.proposal().termsBytes());
+                    : TextChunk.assemble(
+                            node.store,
+                            round.proposal().termsHash(),
+                            round.proposal().termsLength());
             if (bytes != null) {
-                terms.put(round.proposal().terms(), Terms.of(bytes));
+                terms.put(round.proposal().termsHash(), RolloutTerms.decode(bytes));
             }
         }
-        return terms.get(round.proposal().terms());
+        return terms.get(round.proposal().termsHash());
     }
 
     /**
      * Each router that runs a candidate answers so many commands of each version's sessions; of the candidate's so many
      * fail.
      */
-    void serve(int commands, double failing) {
-        for (Node node : nodes) {
+    void serveRequests(int commands, double failing) {
+        for (RolloutNode node : nodes) {
             if (node != null) {
-                var batch = new Batch();
+                var batch = new CounterBatch();
                 for (int i = 0; i < commands; i++) {
-                    long session = served++;
-                    Version version = node.rollouts.split().version(session, now);
-                    boolean failed = version.candidate() && failing * commands > i;
+                    long session = sessionsServed++;
+                    RuleSetVersion version = node.controller.split().versionFor(session, now);
+                    boolean failed = version.isCandidate() && failing * commands > i;
                     batch.add(version, "read", session, failed, false, false, 0.01);
                 }
-                node.rollouts.took(batch, now);
+                node.controller.addOutcomes(batch, now);
             }
         }
     }
 
     /** Two stages with a guard on failures. */
-    static Plan plan(double seconds, long samples) {
-        List<Guard> guards = List.of(new Guard(Guard.ALL, Measure.FAILED, Double.POSITIVE_INFINITY, 0.002));
-        return new Plan(
-                List.of(new Stage(0.1, seconds, samples, guards), new Stage(0.5, seconds, samples, guards)),
-                Plan.ALPHA,
+    static RolloutPlan plan(double seconds, long samples) {
+        List<Guard> guards = List.of(new Guard(Guard.ALL_CLASSES, GuardMetric.FAILED, Double.POSITIVE_INFINITY, 0.002));
+        return new RolloutPlan(
+                List.of(new RolloutStage(0.1, seconds, samples, guards), new RolloutStage(0.5, seconds, samples, guards)),
+                RolloutPlan.DEFAULT_ALPHA,
                 1);
     }
 }
--- /dev/null
+++ b/fleet/src/test/java/clayhook/rollout/RolloutControllerTest.java
@@ -0,0 +1,234 @@
+package clayhook.rollout;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.Arrays;
+import java.util.List;
+import java.util.function.BooleanSupplier;
+import java.util.function.Predicate;
+import java.util.stream.IntStream;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** Five routers from the proposal to its end, and each rule on what may come between. */
+class RolloutControllerTest {
+    private static final String RULES = "[statements]\n".repeat(9000);
+    private static final RolloutPlan PLAN = RolloutCluster.plan(3, 20);
+
+    private final RolloutCluster cluster = new RolloutCluster(5);
+
+    @BeforeEach
+    void runUntilSettled() {
+        cluster.run(5);
+    }
+
+    private void runUntil(double seconds, double failing, BooleanSupplier done) {
+        for (double end = cluster.now + seconds; !done.getAsBoolean(); ) {
+            assertTrue(cluster.now < end, "too late");
+            cluster.serveRequests(200, failing);
+            cluster.step();
+            assertNull(cluster.findViolation());
+        }
+    }
+
+    private boolean allNodes(Predicate<RolloutCluster.RolloutNode> holds) {
+        return Arrays.stream(cluster.nodes).allMatch(node -> node == null || holds.test(node));
+    }
+
+    private void startRollout() {
+        assertEquals(List.of(), cluster.nodes[0].controller.propose(PLAN, RULES, cluster.now));
+        runUntil(10, 0, () -> allNodes(RolloutCluster.RolloutNode::isRunning));
+    }
+
+    private boolean allEnded(RolloutEnd.EndCause what) {
+        return allNodes(node -> node.latestProgress() != null
+                && node.latestProgress().end() != null
+                && node.latestProgress().end().cause() == what
+                && !node.isRunning());
+    }
+
+    @Test
+    void advancesThroughAllStages() {
+        startRollout();
+        runUntil(40, 0, () -> {
+            assertTrue(allNodes(node -> !node.isRunning()
+                    || IntStream.range(0, 50)
+                            .allMatch(session ->
+                                    cluster.nodes[0].latestProgress().stage() != node.latestProgress().stage()
+                                            || !cluster.nodes[0].isRunning()
+                                            || cluster.nodes[0].controller.split().candidate(session)
+                                                    == node.controller.split().candidate(session))));
+            return allNodes(node -> node.hasEvent(RolloutEvent.EventType.COMPLETED));
+        });
+        String hash = RuleSet.of(RULES).hash();
+        assertTrue(allNodes(node -> node.controller.split().currentRulesHash().equals(hash)
+                && node.controller.split().candidate() == null));
+        assertEquals(List.of(), cluster.nodes[0].controller.propose(PLAN, RULES, cluster.now), "the same file read again");
+        RolloutCluster.RolloutNode late = cluster.startNode(2);
+        runUntil(5, 0, () -> late.controller.split().currentRulesHash().equals(hash));
+        cluster.nodes[3].controller.onConfiguredRules(hash, cluster.now);
+        assertNotNull(cluster.nodes[3].controller.withdraw(cluster.now), "its own file has the rules");
+        assertNull(cluster.nodes[0].controller.withdraw(cluster.now));
+        runUntil(2, 0, () -> cluster.nodes[1].controller.split().currentRulesHash().equals(cluster.settings.configuredRulesHash()));
+    }
+
+    @Test
+    void routerThatCannotReadTheRulesVetoesBeforeTheStart() {
+        cluster.nodes[3].unreadableRules = RULES;
+        cluster.nodes[0].controller.propose(PLAN, RULES, cluster.now);
+        runUntil(3, 0, () -> allEnded(RolloutEnd.EndCause.VETOED));
+        assertEquals("no such key", cluster.nodes[1].latestProgress().end().reason());
+        assertFalse(Arrays.stream(cluster.nodes).anyMatch(node -> node.hasEvent(RolloutEvent.EventType.CANDIDATE_RUNNING)));
+    }
+
+    @Test
+    void haltedRolloutRestartsOnlyOnResume() {
+        startRollout();
+        runUntil(10, 0.2, () -> allEnded(RolloutEnd.EndCause.HALTED));
+        assertTrue(
+                cluster.nodes[4].latestProgress().end().reason().startsWith("stage 1, *:"),
+                cluster.nodes[4].latestProgress().end().reason());
+        assertEquals(
+                "attempt",
+                cluster.nodes[0].controller.propose(PLAN, RULES, cluster.now).get(0).key());
+        cluster.run(5);
+        assertTrue(allNodes(node -> !node.isRunning()));
+        assertNull(cluster.nodes[4].controller.resume(cluster.now));
+        runUntil(10, 0, () -> allNodes(RolloutCluster.RolloutNode::isRunning));
+        assertEquals(1, cluster.nodes[0].controller.status().stage());
+    }
+
+    /** What the side without a majority may do: fall back, and halt; the halt crosses the heal within a second. */
+    @ParameterizedTest
+    @ValueSource(booleans = {false, true})
+    void partitionedMinorityFallsBackWhenItsLeaseExpires(boolean withdraws) {
+        startRollout();
+        cluster.partition(2);
+        double cut = cluster.now;
+        runUntil(cluster.settings.leaseSeconds() + 0.5, 0, () -> !cluster.nodes[0].isRunning() && !cluster.nodes[1].isRunning());
+        assertTrue(cluster.now - cut > 1, "it had a lease");
+        assertTrue(cluster.nodes[0].hasEvent(RolloutEvent.EventType.LEASE_EXPIRED));
+        runUntil(20, 0, () -> cluster.nodes[4].latestProgress().stage() == 2);
+        assertEquals(1, cluster.nodes[0].latestProgress().stage());
+        if (withdraws) {
+            assertNull(cluster.nodes[0].controller.withdraw(cluster.now));
+        }
+        cluster.partition(0);
+        runUntil(withdraws ? 1 : 5, 0, () -> withdraws ? allEnded(RolloutEnd.EndCause.WITHDRAWN) : allNodes(RolloutCluster.RolloutNode::isRunning));
+    }
+
+    @ParameterizedTest
+    @ValueSource(ints = {0, 2})
+    void earlierOfTwoConcurrentProposalsWins(int cut) {
+        cluster.partition(cut);
+        cluster.run(2 * cut);
+        assertEquals(List.of(), cluster.nodes[4].controller.propose(PLAN, "b", cluster.now));
+        cluster.tick(4);
+        cluster.now += 0.1;
+        assertEquals(List.of(), cluster.nodes[0].controller.propose(PLAN, "a", cluster.now));
+        cluster.tick(0);
+        assertEquals(cut == 0, cluster.nodes[0].hasEvent(RolloutEvent.EventType.PROPOSED), "no half of the fleet begins one");
+        runUntil(cut == 0 ? 10 : 15, 0, () -> cluster.nodes[3].isRunning());
+        cluster.partition(0);
+        runUntil(10, 0, () -> allNodes(RolloutCluster.RolloutNode::isRunning));
+        assertTrue(allNodes(
+                node -> node.controller.split().candidate().equals(RuleSet.of("b").hash())));
+        assertTrue(cluster.nodes[0].hasEvent(cut == 0 ? RolloutEvent.EventType.SUPERSEDED : RolloutEvent.EventType.REJECTED));
+        assertNotNull(cluster.nodes[0].controller.withdraw(cluster.now), "it has lost, and leaves the other alone");
+    }
+
+    /**
+     * A router that runs one candidate is cut off with its whole lease ahead, and the others go for another one:
+     * because an earlier proposal came to them, or because they were started anew and know nothing of the first.
+     */
+    @ParameterizedTest
+    @ValueSource(booleans = {false, true})
+    void twoRolloutsNeverRunAtOnce(boolean restarted) {
+        var three = new RolloutCluster(3);
+        three.run(5);
+        three.partition(1);
+        three.nodes[0].controller.propose(PLAN, "a", three.now);
+        three.tick(0);
+        three.now += 0.1;
+        three.nodes[2].controller.propose(PLAN, "b", three.now);
+        RolloutCluster.RolloutNode last = three.nodes[2];
+        stepUntil(three, () -> last.isRunning() && last.controller.split().validUntil() - three.now > three.settings.leaseSeconds() - 0.3);
+        three.partition(2);
+        if (restarted) {
+            three.startNode(0);
+            three.startNode(1);
+            three.nodes[0].controller.propose(PLAN, "a", three.now);
+        }
+        stepUntil(three, () -> three.nodes[0].isRunning() && three.nodes[1].isRunning());
+        assertFalse(last.isRunning());
+        assertEquals(RuleSet.of("a").hash(), three.nodes[1].controller.split().candidate());
+    }
+
+    private static void stepUntil(RolloutCluster net, BooleanSupplier done) {
+        for (double end = net.now + 20; !done.getAsBoolean(); ) {
+            assertTrue(net.now < end, "too late");
+            net.step();
+            assertNull(net.findViolation());
+        }
+    }
+
+    @Test
+    void rolloutRestartsFromTheFirstStageAfterAllRoutersRestart() {
+        startRollout();
+        runUntil(20, 0, () -> cluster.nodes[2].latestProgress().stage() == 2);
+        for (int i = 0; i < 5; i++) {
+            cluster.startNode(i);
+        }
+        assertTrue(allNodes(node -> !node.isRunning() && node.controller.split().currentRulesHash().equals(cluster.settings.configuredRulesHash())));
+        assertEquals(List.of(), cluster.nodes[0].controller.propose(PLAN, RULES, cluster.now));
+        runUntil(15, 0, () -> allNodes(RolloutCluster.RolloutNode::isRunning));
+        assertEquals(1, cluster.nodes[0].latestProgress().stage());
+    }
+
+    @Test
+    void departedMembersCountInTheMajorityAndNewMembersDoNotVote() {
+        startRollout();
+        cluster.serveRequests(200, 0);
+        cluster.run(2);
+        cluster.startNode(4);
+        runUntil(5, 0, () -> cluster.nodes[4].isRunning() && cluster.nodes[0].hasEvent(RolloutEvent.EventType.MEMBER_DEPARTED));
+        cluster.killNode(3);
+        runUntil(20, 0, () -> cluster.nodes[0].latestProgress().stage() == 2);
+        assertNull(cluster.nodes[0].store.get(
+                StageVote.TYPE, StageVote.key(cluster.nodes[0].latestProgress().proposal().id(), cluster.nodes[4].member)));
+        cluster.killNode(2);
+        runUntil(cluster.settings.leaseSeconds() + 0.5, 0, () -> allNodes(node -> !node.isRunning()));
+        cluster.run(20);
+        assertEquals(2, cluster.nodes[0].latestProgress().stage());
+    }
+
+    /** Contact there is, but no figures: neither on nor back. */
+    @Test
+    void stageHoldsWhileCountersAreMissing() {
+        startRollout();
+        cluster.countersMuted = true;
+        runUntil(20, 0, () -> allNodes(node -> node.hasEvent(RolloutEvent.EventType.COUNTERS_MISSING)));
+        int stage = cluster.nodes[0].latestProgress().stage();
+        cluster.serveRequests(200, 0);
+        cluster.run(20);
+        assertTrue(allNodes(node -> node.isRunning() && node.latestProgress().stage() == stage));
+        cluster.countersMuted = false;
+        runUntil(
+                20,
+                0,
+                () -> allNodes(node -> node.hasEvent(RolloutEvent.EventType.COUNTERS_RESTORED) && node.latestProgress().stage() > stage));
+    }
+
+    @Test
+    void changedConfiguredRulesHaltTheRollout() {
+        startRollout();
+        cluster.nodes[2].controller.onConfiguredRules("other", cluster.now);
+        runUntil(1, 0, () -> allEnded(RolloutEnd.EndCause.HALTED));
+    }
+}
--- a/fleet/src/test/java/clayhook/rollout/PlanTest.java
+++ b/fleet/src/test/java/clayhook/rollout/RolloutPlanTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class PlanTest {
+class RolloutPlanTest {
     private static final double NONE = Double.POSITIVE_INFINITY;
 
     @ParameterizedTest
@@ -33,36 +33,36 @@
         "0.5,  10, 5, read, FAILED, 0.02, -0.1,  stage[1].guard[0].worse",
         "0.5,  10, 5, read, FAILED, Infinity, Infinity, stage[1].guard[0]"
     })
-    void faultsNameTheirKey(
+    void validationNamesTheInvalidKey(
             double share,
             double seconds,
             long samples,
             String group,
-            Measure measure,
+            GuardMetric measure,
             double most,
             double worse,
             String key) {
-        var first = new Stage(0.1, 0, 1, List.of(new Guard("*", Measure.LATE, NONE, 0)));
-        var plan = new Plan(
-                List.of(first, new Stage(share, seconds, samples, List.of(new Guard(group, measure, most, worse)))),
-                Plan.ALPHA,
+        var first = new RolloutStage(0.1, 0, 1, List.of(new Guard("*", GuardMetric.LATE, NONE, 0)));
+        var plan = new RolloutPlan(
+                List.of(first, new RolloutStage(share, seconds, samples, List.of(new Guard(group, measure, most, worse)))),
+                RolloutPlan.DEFAULT_ALPHA,
                 1);
         assertEquals(
                 key.isEmpty() ? List.of() : List.of(key),
-                plan.faults().stream().map(Fault::key).toList());
+                plan.validate().stream().map(RolloutProblem::key).toList());
         if (key.isEmpty()) {
-            var terms = new Terms(plan, 3, List.of(new Member("a", 1), new Member("b", 2)));
-            assertEquals(terms, Terms.of(terms.bytes()));
+            var terms = new RolloutTerms(plan, 3, List.of(new Member("a", 1), new Member("b", 2)));
+            assertEquals(terms, RolloutTerms.decode(terms.encode()));
         }
     }
 
     @Test
-    void aSetIsNamedByWhatItSaysNotHowItIsLaidOut() {
+    void ruleSetHashIgnoresKeyOrder() {
         Map<String, Object> one =
                 Map.of("name", "a \"b\"\n", "class", "read", "cost_from", 0.5, "nodes", List.of(1L, 2L));
         var other = new LinkedHashMap<String, Object>();
         List.of("nodes", "cost_from", "class", "name").forEach(key -> other.put(key, one.get(key)));
-        var faults = new ArrayList<Fault>();
+        var faults = new ArrayList<RolloutProblem>();
         RuleSet set = RuleSet.of(Map.of(), List.of(one), faults);
         assertEquals(set, RuleSet.of(Map.of(), List.of(other), faults));
         assertEquals(
@@ -74,7 +74,7 @@
         assertNull(RuleSet.of(Map.of("reads", List.of("f")), List.of(Map.of("nodes", new Object())), faults));
         assertEquals(
                 List.of("reads", "rule[0].nodes"),
-                faults.stream().map(Fault::key).toList());
+                faults.stream().map(RolloutProblem::key).toList());
     }
 
     /**
@@ -82,35 +82,35 @@
      * met.
      */
     @Property(tries = 50, seed = "42")
-    void sessionsStayWhereTheyAre(
+    void sessionsKeepTheCandidateAsTheShareGrows(
             @ForAll long seed, @ForAll @DoubleRange(max = 1) double share, @ForAll @DoubleRange(max = 1) double more) {
-        Split small = split(share * more);
-        Split large = split(share);
+        TrafficSplit small = split(share * more);
+        TrafficSplit large = split(share);
         int candidates = 0;
         for (int i = 0; i < 4000; i++) {
             long session = seed + i;
             assertTrue(!small.candidate(session) || large.candidate(session));
-            assertEquals(large.candidate(session), large.version(session, 9).candidate());
-            assertEquals("old", large.version(session, 10).rules(), "the lease is over");
+            assertEquals(large.candidate(session), large.versionFor(session, 9).isCandidate());
+            assertEquals("old", large.versionFor(session, 10).rulesHash(), "the lease is over");
             candidates += large.candidate(session) ? 1 : 0;
         }
         assertEquals(share, candidates / 4000.0, 0.05);
     }
 
-    private static Split split(double share) {
-        var old = new Version("old", null, 0, false, Map.of());
-        return Split.two(old, old, new Version("00000000deadbeef", "round", 1, true, Map.of()), share, 10);
+    private static TrafficSplit split(double share) {
+        var old = new RuleSetVersion("old", null, 0, false, Map.of());
+        return TrafficSplit.between(old, old, new RuleSetVersion("00000000deadbeef", "round", 1, true, Map.of()), share, 10);
     }
 
     @Test
-    void theSlowestHundredthIsFoundWithinAStep() {
-        long[] counts = new long[Times.SIZE];
+    void percentile99IsWithinOneBucket() {
+        long[] counts = new long[LatencyHistogram.SIZE];
         for (int i = 1; i <= 10_000; i++) {
-            counts[Times.step(i / 1000.0)]++;
+            counts[LatencyHistogram.bucketOf(i / 1000.0)]++;
         }
-        assertEquals(9.9, Times.slowest(counts), 9.9 * 0.1);
-        assertTrue(Double.isNaN(Times.slowest(new long[Times.SIZE])));
-        assertEquals(0, Times.step(0));
-        assertEquals(Times.SIZE - 1, Times.step(1e9));
+        assertEquals(9.9, LatencyHistogram.percentile99(counts), 9.9 * 0.1);
+        assertTrue(Double.isNaN(LatencyHistogram.percentile99(new long[LatencyHistogram.SIZE])));
+        assertEquals(0, LatencyHistogram.bucketOf(0));
+        assertEquals(LatencyHistogram.SIZE - 1, LatencyHistogram.bucketOf(1e9));
     }
 }
--- a/fleet/src/test/java/clayhook/rollout/SequentialTestTest.java
+++ b/fleet/src/test/java/clayhook/rollout/SequentialTestTest.java
@@ -14,18 +14,18 @@
     /** Looked at each second, for a minute and a half: a plain test at this level would halt a good part of them. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void withoutADifferenceFewerThanOneInAHundredIsHalted(boolean rough) {
-        long halted = Trial.halted(new Trial(3, 150, 1000, 0, rough), Trial.plan(30), 1000, 42);
+    void fewerThanOnePercentAreHaltedWithoutADifference(boolean rough) {
+        long halted = RolloutSimulation.countHalted(new RolloutSimulation(3, 150, 1000, 0, rough), RolloutSimulation.plan(30), 1000, 42);
         assertTrue(halted < 10, halted + " of 1,000 halted");
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void fivePointsMoreFailuresHaltBeforeTheLastStage(boolean rough) {
-        var trial = new Trial(5, 1000, 5000, 0.05, rough);
+    void fivePercentagePointsMoreFailuresHaltBeforeTheLastStage(boolean rough) {
+        var trial = new RolloutSimulation(5, 1000, 5000, 0.05, rough);
         int[] at = IntStream.range(0, 20)
                 .parallel()
-                .map(i -> trial.play(Trial.plan(60), i).halted())
+                .map(i -> trial.run(RolloutSimulation.plan(60), i).haltedAtSecond())
                 .sorted()
                 .toArray();
         assertTrue(at[0] > 0 && at[10] < 75, "halted at " + at[0] + " to " + at[19]);
@@ -34,54 +34,54 @@
     /** {@code -Dclayhook.rollouts=10000}: minutes. */
     @Test
     @EnabledIfSystemProperty(named = "clayhook.rollouts", matches = "[0-9]+")
-    void report() {
-        Trial.report(Integer.getInteger("clayhook.rollouts"));
+    void reportHaltRates() {
+        RolloutSimulation.printReport(Integer.getInteger("clayhook.rollouts"));
     }
 
     @Test
-    void mergedFiguresTellWhatNoRouterCould() {
-        var trial = new Trial(20, 1000, 5000, 0.03, false);
+    void mergedCountersDetectWhatNoSingleRouterCan() {
+        var trial = new RolloutSimulation(20, 1000, 5000, 0.03, false);
         for (int seed = 0; seed < 5; seed++) {
-            Trial.Outcome outcome = trial.play(Trial.plan(60), seed);
-            assertTrue(outcome.halted() > 0);
-            assertFalse(outcome.alone());
+            RolloutSimulation.SimulationOutcome outcome = trial.run(RolloutSimulation.plan(60), seed);
+            assertTrue(outcome.haltedAtSecond() > 0);
+            assertFalse(outcome.anyRouterHaltsAlone());
         }
     }
 
     /** One broken client among the candidate's sessions is no proof, however long it goes on. */
     @Test
-    void oneSessionIsNoProof() {
-        long[] counts = new long[Figure.Sums.SIZE + 2 * Batch.Cell.SIZE];
-        double[] sums = new double[Figure.Sums.SIZE];
-        for (int bucket = 0; bucket < Batch.Cell.BUCKETS; bucket++) {
+    void oneFailingSessionIsNotProof() {
+        long[] counts = new long[MemberCounters.EvidenceSums.SIZE + 2 * CounterBatch.OutcomeCounters.SIZE];
+        double[] sums = new double[MemberCounters.EvidenceSums.SIZE];
+        for (int bucket = 0; bucket < CounterBatch.OutcomeCounters.SESSION_BUCKETS; bucket++) {
             for (int version = 0; version < 2; version++) {
-                int at = Figure.Sums.SIZE + version * Batch.Cell.SIZE + bucket * Batch.Cell.WIDTH;
-                counts[at + Batch.Cell.ALL] = 1000;
-                counts[at + Batch.Cell.FAILED] = version == 1 && bucket == 5 ? 1000 : 10;
+                int at = MemberCounters.EvidenceSums.SIZE + version * CounterBatch.OutcomeCounters.SIZE + bucket * CounterBatch.OutcomeCounters.COUNTERS_PER_BUCKET;
+                counts[at + CounterBatch.OutcomeCounters.TOTAL] = 1000;
+                counts[at + CounterBatch.OutcomeCounters.FAILED] = version == 1 && bucket == 5 ? 1000 : 10;
             }
         }
-        SequentialTest.add(sums, 0, 12_000, 120, 12_000, 1110);
+        SequentialTest.addInterval(sums, 0, 12_000, 120, 12_000, 1110);
         assertTrue(sums[0] > 10);
-        double dispersion = SequentialTest.dispersion(counts, Figure.Sums.SIZE, Batch.Cell.ALL, Batch.Cell.FAILED);
+        double dispersion = SequentialTest.dispersion(counts, MemberCounters.EvidenceSums.SIZE, CounterBatch.OutcomeCounters.TOTAL, CounterBatch.OutcomeCounters.FAILED);
         for (int i = 0; i < sums.length; i++) {
-            counts[i] = SequentialTest.shared(sums[i]);
+            counts[i] = SequentialTest.toFixedPoint(sums[i]);
         }
         assertFalse(
-                SequentialTest.proven(SequentialTest.evidence(counts, 0) / dispersion, 0.001),
+                SequentialTest.isProven(SequentialTest.logEvidence(counts, 0) / dispersion, 0.001),
                 "dispersion " + dispersion);
     }
 
     /** What hits both versions in one second and at one router tells nothing; the same ends at unlike times do. */
     @Test
-    void onlyWhatDiffersAtTheSameTimeCounts() {
-        double[] both = new double[Figure.Sums.SIZE];
-        SequentialTest.add(both, 0, 900, 450, 100, 50);
+    void onlyDifferencesWithinTheSameIntervalCount() {
+        double[] both = new double[MemberCounters.EvidenceSums.SIZE];
+        SequentialTest.addInterval(both, 0, 900, 450, 100, 50);
         assertTrue(both[0] < 0 && both[4] < 0);
-        double[] none = new double[Figure.Sums.SIZE];
-        SequentialTest.add(none, 0, 0, 0, 100, 100);
+        double[] none = new double[MemberCounters.EvidenceSums.SIZE];
+        SequentialTest.addInterval(none, 0, 0, 0, 100, 100);
         assertEquals(0, none[0]);
-        double[] worse = new double[Figure.Sums.SIZE];
-        SequentialTest.add(worse, 0, 900, 9, 100, 10);
+        double[] worse = new double[MemberCounters.EvidenceSums.SIZE];
+        SequentialTest.addInterval(worse, 0, 900, 9, 100, 10);
         assertTrue(worse[5] > 5, "ten of a hundred against one of a hundred: " + worse[5]);
     }
 }
