--- a/benchmarks/src/main/java/clayhook/benchmarks/Gathering.java
+++ b/benchmarks/src/main/java/clayhook/benchmarks/Gathering.java
@@ -2,17 +2,17 @@
 
 import static java.nio.charset.StandardCharsets.ISO_8859_1;
 
-import clayhook.gather.Acts;
-import clayhook.gather.Allowance;
+import clayhook.gather.GatherActions;
+import clayhook.gather.MemoryPool;
 import clayhook.gather.Column;
 import clayhook.gather.Gather;
-import clayhook.gather.Key;
+import clayhook.gather.SortKey;
 import clayhook.gather.Limit;
-import clayhook.gather.Merging;
-import clayhook.gather.Part;
-import clayhook.gather.Plan;
-import clayhook.gather.Rows;
-import clayhook.gather.Verdict;
+import clayhook.gather.MergeSpec;
+import clayhook.gather.GatherPart;
+import clayhook.gather.GatherPlan;
+import clayhook.gather.RowSet;
+import clayhook.gather.GatherResult;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -57,7 +57,7 @@
 
     /** Row of a part, sorted by amount, which many rows share, then by plate. */
     static byte[] row(int part, int number) {
-        return Rows.message(List.of(Integer.toString(number / 3 * 10), "KS" + (1_000_000 + number * 7 + part), REST));
+        return RowSet.message(List.of(Integer.toString(number / 3 * 10), "KS" + (1_000_000 + number * 7 + part), REST));
     }
 
     @Setup
@@ -73,15 +73,15 @@
     }
 
     /** Feeds parts as far as they have credit, in turns, as connections that are all ready would. */
-    static Verdict gather(List<IntFunction<byte[]>> sources, int limit, Consumer<byte[]> out, Consumer<Gather> look) {
+    static GatherResult gather(List<IntFunction<byte[]>> sources, int limit, Consumer<byte[]> out, Consumer<Gather> look) {
         var feed = new Feed(out);
-        List<Part> parts = new ArrayList<>();
+        List<GatherPart> parts = new ArrayList<>();
         for (int i = 0; i < PARTS; i++) {
-            parts.add(new Part("p" + i, i));
+            parts.add(new GatherPart("p" + i, i));
         }
-        Plan plan = Plan.of(
-                Merging.by(Key.ascending("amount"), Key.ascending("plate")).cut(Limit.rows(limit)));
-        var gather = new Gather(plan, parts, Allowance.of(64 << 20), feed);
+        GatherPlan plan = GatherPlan.of(
+                MergeSpec.by(SortKey.ascending("amount"), SortKey.ascending("plate")).cut(Limit.rows(limit)));
+        var gather = new Gather(plan, parts, MemoryPool.of(64 << 20), feed);
         gather.begin(0, 1);
         gather.room(Integer.MAX_VALUE);
         parts.forEach(part -> gather.described(part, COLUMNS));
@@ -134,7 +134,7 @@
     }
 
     @Benchmark
-    public Verdict gathered(Blackhole out) {
+    public GatherResult gathered(Blackhole out) {
         return gather(sources, limit, out::consume, any -> {});
     }
 
@@ -143,25 +143,25 @@
         naive(sources, limit, out::consume, () -> {});
     }
 
-    private static final class Feed implements Acts {
+    private static final class Feed implements GatherActions {
         final int[] credit = new int[PARTS];
         private final Consumer<byte[]> out;
-        Verdict verdict;
+        GatherResult verdict;
 
         Feed(Consumer<byte[]> out) {
             this.out = out;
         }
 
         @Override
-        public void ask(Part part) {}
+        public void ask(GatherPart part) {}
 
         @Override
-        public void recall(Part part) {
+        public void recall(GatherPart part) {
             credit[part.number()] = 0;
         }
 
         @Override
-        public void credit(Part part, int rows) {
+        public void credit(GatherPart part, int rows) {
             credit[part.number()] += rows;
         }
 
@@ -174,7 +174,7 @@
         }
 
         @Override
-        public void finish(Verdict end) {
+        public void finish(GatherResult end) {
             verdict = end;
         }
     }
--- a/gather/src/main/java/clayhook/gather/Measure.java
+++ b/gather/src/main/java/clayhook/gather/Aggregate.java
@@ -9,7 +9,7 @@
  * @param share of a quantile, 0 to 1; else 0
  * @param name of its column in the answer
  */
-public record Measure(What what, String column, String by, double share, String name) {
+public record Aggregate(What what, String column, String by, double share, String name) {
     /** Kinds of figures. */
     public enum What {
         /** Rows, or rows with a value. */
@@ -27,33 +27,33 @@
         MEAN,
         /** Mean from sums and counts that parts made themselves. */
         MEAN_OF_SUMS,
-        /** How many unlike values: exact up to {@link Distinct#EXACT}, then a sketch. */
+        /** How many unlike values: exact up to {@link DistinctAggregator#EXACT}, then a sketch. */
         DISTINCT,
         /**
-         * The least value that has that share of values at or below it: exact up to {@link Quantile#EXACT}, then a
+         * The least value that has that share of values at or below it: exact up to {@link QuantileAggregator#EXACT}, then a
          * sketch.
          */
         QUANTILE
     }
 
-    public static Measure count(String name) {
-        return new Measure(What.COUNT, null, null, 0, name);
+    public static Aggregate count(String name) {
+        return new Aggregate(What.COUNT, null, null, 0, name);
     }
 
-    public static Measure of(What what, String column, String name) {
-        return new Measure(what, column, null, 0, name);
+    public static Aggregate of(What what, String column, String name) {
+        return new Aggregate(what, column, null, 0, name);
     }
 
     /** A mean of values of which parts tell the sum and the count. */
-    public static Measure mean(String sum, String count, String name) {
-        return new Measure(What.MEAN_OF_SUMS, sum, count, 0, name);
+    public static Aggregate mean(String sum, String count, String name) {
+        return new Aggregate(What.MEAN_OF_SUMS, sum, count, 0, name);
     }
 
-    public static Measure quantile(String column, double share, String name) {
-        return new Measure(What.QUANTILE, column, null, share, name);
+    public static Aggregate quantile(String column, double share, String name) {
+        return new Aggregate(What.QUANTILE, column, null, share, name);
     }
 
-    public Measure {
+    public Aggregate {
         if ((column == null) != (what == What.COUNT) && what != What.COUNT
                 || (by == null) == (what == What.MEAN_OF_SUMS)
                 || !(share >= 0 && share <= 1)) {
--- a/gather/src/main/java/clayhook/gather/Groups.java
+++ b/gather/src/main/java/clayhook/gather/AggregateGroups.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 
 /** Groups of rows with their figures, as far as they have come. */
-final class Groups implements Pool {
+final class AggregateGroups implements RowStore {
     /** What groups count as a part of: rows of the answer are of no single one. */
-    static final Part ANSWER = new Part("answer", 0);
+    static final GatherPart ANSWER = new GatherPart("answer", 0);
     /** Of an entry of the map and what hangs on it, and of the row that is made of it at the end, about. */
     private static final int ENTRY = 400;
 
@@ -22,15 +22,15 @@
          */
         byte[][] shown;
 
-        Part part;
+        GatherPart part;
         long number;
-        final Tally[] tallies;
+        final Aggregator[] tallies;
 
-        Group(Tally[] tallies) {
+        Group(Aggregator[] tallies) {
             this.tallies = tallies;
         }
 
-        void show(byte[][] fields, Part from, long row) {
+        void show(byte[][] fields, GatherPart from, long row) {
             if (part == null || from.number() < part.number() || from.number() == part.number() && row < number) {
                 shown = fields;
                 part = from;
@@ -40,7 +40,7 @@
 
         long weight() {
             long weight = ENTRY;
-            for (Tally tally : tallies) {
+            for (Aggregator tally : tallies) {
                 weight += tally.weight();
             }
             for (byte[] field : shown) {
@@ -50,25 +50,25 @@
         }
     }
 
-    private final Layout layout;
-    private final Account account;
+    private final ColumnLayout layout;
+    private final MemoryReservation account;
     private final long most;
     /** Emptied by {@link #join} into another, or {@link #drop}; bounded by groups and by the account. */
-    private final Map<List<Cell>, Group> byKey = new HashMap<>();
+    private final Map<List<ColumnValue>, Group> byKey = new HashMap<>();
 
     private final Map<String, Double> errors = new LinkedHashMap<>();
-    private Fault fault;
+    private GatherFault fault;
     private long held;
 
-    Groups(Layout layout, Account account, long most) {
+    AggregateGroups(ColumnLayout layout, MemoryReservation account, long most) {
         this.layout = layout;
         this.account = account;
         this.most = most;
     }
 
     @Override
-    public Fault add(Row row) {
-        var key = new ArrayList<Cell>();
+    public GatherFault add(Row row) {
+        var key = new ArrayList<ColumnValue>();
         for (int slot : layout.groupSlots()) {
             key.add(row.cell(slot));
         }
@@ -94,8 +94,8 @@
         return take(group.weight() - before) ? null : full(row.part, row.number);
     }
 
-    private Tally[] tallies() {
-        return layout.figures().stream().map(Figure::tally).toArray(Tally[]::new);
+    private Aggregator[] tallies() {
+        return layout.figures().stream().map(AggregateColumn::tally).toArray(Aggregator[]::new);
     }
 
     private boolean take(long bytes) {
@@ -108,17 +108,17 @@
         return true;
     }
 
-    private Fault full(Part part, long row) {
-        return new Fault(
-                Fault.Kind.FULL,
+    private GatherFault full(GatherPart part, long row) {
+        return new GatherFault(
+                GatherFault.Kind.FULL,
                 part,
                 row,
                 byKey.size() + " groups of " + held + " bytes have to be held for the answer, and that is the bound");
     }
 
     @Override
-    public Fault join(Pool pool) {
-        var other = (Groups) pool;
+    public GatherFault join(RowStore pool) {
+        var other = (AggregateGroups) pool;
         held += other.held;
         other.held = 0;
         for (var entry : other.byKey.entrySet()) {
@@ -152,10 +152,10 @@
             none.shown = new byte[0][];
             byKey.put(List.of(), none);
         }
-        List<List<Cell>> keys = new ArrayList<>(byKey.keySet());
-        keys.sort(Groups::compare);
+        List<List<ColumnValue>> keys = new ArrayList<>(byKey.keySet());
+        keys.sort(AggregateGroups::compare);
         var rows = new ArrayList<Row>(keys.size());
-        for (List<Cell> key : keys) {
+        for (List<ColumnValue> key : keys) {
             Row row = row(byKey.get(key), rows.size() + 1);
             if (row == null) {
                 return null;
@@ -165,10 +165,10 @@
         return rows;
     }
 
-    private static int compare(List<Cell> a, List<Cell> b) {
+    private static int compare(List<ColumnValue> a, List<ColumnValue> b) {
         for (int i = 0; i < a.size(); i++) {
-            boolean none = a.get(i) == Cell.NULL;
-            boolean other = b.get(i) == Cell.NULL;
+            boolean none = a.get(i) == ColumnValue.NULL;
+            boolean other = b.get(i) == ColumnValue.NULL;
             int one = none || other ? Boolean.compare(none, other) : a.get(i).compareTo(b.get(i));
             if (one != 0) {
                 return one;
@@ -180,16 +180,16 @@
     private Row row(Group group, long number) {
         byte[][] fields = Arrays.copyOf(group.shown, group.shown.length + group.tallies.length);
         for (int i = 0; i < group.tallies.length; i++) {
-            Tally tally = group.tallies[i];
+            Aggregator tally = group.tallies[i];
             String name = layout.figures().get(i).measure().name();
             if (tally.fault() != null) {
-                fault = new Fault(
+                fault = new GatherFault(
                         tally.fault(),
                         null,
                         -1,
                         name
-                                + (tally.fault() == Fault.Kind.FULL
-                                        ? " of more than " + Quantile.EXACT + " values that are no numbers"
+                                + (tally.fault() == GatherFault.Kind.FULL
+                                        ? " of more than " + QuantileAggregator.EXACT + " values that are no numbers"
                                         : " is beyond its type"));
                 return null;
             }
@@ -202,7 +202,7 @@
     }
 
     @Override
-    public Fault fault() {
+    public GatherFault fault() {
         return fault;
     }
 
--- a/gather/src/main/java/clayhook/gather/Tally.java
+++ b/gather/src/main/java/clayhook/gather/Aggregator.java
@@ -7,14 +7,14 @@
 /**
  * The partial state of one figure of one group: takes values in any order, joins in any tree, and comes to the same.
  */
-abstract class Tally {
+abstract class Aggregator {
     /** Of an object and its fields, about. */
     static final int OBJECT = 64;
 
-    abstract void add(Row row, Figure figure);
+    abstract void add(Row row, AggregateColumn figure);
 
     /** The other one is of the same figure, and is not used afterwards. */
-    abstract void join(Tally other);
+    abstract void join(Aggregator other);
 
     /** The result as PostgreSQL writes it; null for no value. */
     abstract byte[] text();
@@ -23,7 +23,7 @@
     abstract long weight();
 
     /** Why there is no result, or null. */
-    Fault.Kind fault() {
+    GatherFault.Kind fault() {
         return null;
     }
 
@@ -37,17 +37,17 @@
     }
 
     /** Rows, or rows with a value. */
-    static final class Count extends Tally {
+    static final class CountAggregator extends Aggregator {
         private long count;
 
         @Override
-        void add(Row row, Figure figure) {
-            count += figure.slot() < 0 || row.cell(figure.slot()) != Cell.NULL ? 1 : 0;
+        void add(Row row, AggregateColumn figure) {
+            count += figure.slot() < 0 || row.cell(figure.slot()) != ColumnValue.NULL ? 1 : 0;
         }
 
         @Override
-        void join(Tally other) {
-            count += ((Count) other).count;
+        void join(Aggregator other) {
+            count += ((CountAggregator) other).count;
         }
 
         @Override
@@ -62,20 +62,20 @@
     }
 
     /** The least or the most, as its part wrote it. */
-    static final class Extreme extends Tally {
+    static final class ExtremeAggregator extends Aggregator {
         private final int sign;
-        private Cell cell = Cell.NULL;
+        private ColumnValue cell = ColumnValue.NULL;
         private byte[] raw;
 
-        Extreme(boolean most) {
+        ExtremeAggregator(boolean most) {
             sign = most ? -1 : 1;
         }
 
         @Override
-        void add(Row row, Figure figure) {
-            Cell other = row.cell(figure.slot());
-            if (other != Cell.NULL) {
-                int compared = cell == Cell.NULL ? -1 : sign * other.compareTo(cell);
+        void add(Row row, AggregateColumn figure) {
+            ColumnValue other = row.cell(figure.slot());
+            if (other != ColumnValue.NULL) {
+                int compared = cell == ColumnValue.NULL ? -1 : sign * other.compareTo(cell);
                 if (compared <= 0) {
                     take(compared, other, row.raw(figure.slot()));
                 }
@@ -85,7 +85,7 @@
         /**
          * Of values that are equal and yet written in two ways, as 1.0 and 1.00, the same one is taken in any order.
          */
-        private void take(int compared, Cell other, byte[] bytes) {
+        private void take(int compared, ColumnValue other, byte[] bytes) {
             if (compared < 0 || compared == 0 && Arrays.compareUnsigned(bytes, raw) < 0) {
                 cell = other;
                 raw = bytes;
@@ -93,10 +93,10 @@
         }
 
         @Override
-        void join(Tally tally) {
-            var other = (Extreme) tally;
-            if (other.cell != Cell.NULL) {
-                take(cell == Cell.NULL ? -1 : sign * other.cell.compareTo(cell), other.cell, other.raw);
+        void join(Aggregator tally) {
+            var other = (ExtremeAggregator) tally;
+            if (other.cell != ColumnValue.NULL) {
+                take(cell == ColumnValue.NULL ? -1 : sign * other.cell.compareTo(cell), other.cell, other.raw);
             }
         }
 
--- a/gather/src/main/java/clayhook/gather/Output.java
+++ b/gather/src/main/java/clayhook/gather/AnswerWriter.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /** The answer on its way out: as much as there is room for, up to its limit. */
-final class Output {
-    private final Acts acts;
+final class AnswerWriter {
+    private final GatherActions acts;
     private final Limit limit;
     private long room;
     private long rows;
@@ -12,7 +12,7 @@
     private boolean tooLong;
     private boolean begun;
 
-    Output(Acts acts, Limit limit) {
+    AnswerWriter(GatherActions acts, Limit limit) {
         this.acts = acts;
         this.limit = limit;
     }
@@ -57,9 +57,9 @@
         return rows;
     }
 
-    Verdict.Cut.Where where() {
+    GatherResult.Truncation.Where where() {
         return tooLong
-                ? Verdict.Cut.Where.BYTES
-                : rows >= limit.rows() ? Verdict.Cut.Where.ROWS : Verdict.Cut.Where.NONE;
+                ? GatherResult.Truncation.Where.BYTES
+                : rows >= limit.rows() ? GatherResult.Truncation.Where.ROWS : GatherResult.Truncation.Where.NONE;
     }
 }
--- a/gather/src/main/java/clayhook/gather/Bounds.java
+++ b/gather/src/main/java/clayhook/gather/BufferLimits.java
@@ -10,10 +10,10 @@
  * @param heldRows rows, or groups, that have to be held until the end
  * @param heldBytes memory for these
  */
-public record Bounds(int bufferRows, long bufferBytes, int longestRow, long partRows, long heldRows, long heldBytes) {
+public record BufferLimits(int bufferRows, long bufferBytes, int longestRow, long partRows, long heldRows, long heldBytes) {
     /**
      * For a heap of 72 MB. What is read ahead of ten parts stays in a processor's caches; to read further ahead gains
      * nothing, as what is not read yet waits in the sockets.
      */
-    public static final Bounds DEFAULT = new Bounds(64, 2 << 20, 16 << 10, 10_000_000, 100_000, 8 << 20);
+    public static final BufferLimits DEFAULT = new BufferLimits(64, 2 << 20, 16 << 10, 10_000_000, 100_000, 8 << 20);
 }
--- a/gather/src/main/java/clayhook/gather/Pooled.java
+++ b/gather/src/main/java/clayhook/gather/BufferedMerge.java
@@ -10,54 +10,54 @@
  * All rows are held until the parts have ended: each part in a pool of its own, so that one that fails can be asked
  * anew, or be left out, and joined once it is known to count.
  */
-final class Pooled implements Blend {
-    private final Merging merging;
-    private final Account account;
-    private final Bounds bounds;
-    private Layout layout;
+final class BufferedMerge implements MergeStrategy {
+    private final MergeSpec merging;
+    private final MemoryReservation account;
+    private final BufferLimits bounds;
+    private ColumnLayout layout;
     /** Emptied when the answer is made, and at the end; bounded by the account. */
-    private final Map<Stream, Pool> pools = new HashMap<>();
+    private final Map<PartStream, RowStore> pools = new HashMap<>();
     /** What is to go out; emptied as it goes. */
     private ArrayDeque<Row> answer;
 
-    private Pool whole;
-    private Fault fault;
+    private RowStore whole;
+    private GatherFault fault;
     private long conflicts;
     private Map<String, Double> errors = Map.of();
 
-    Pooled(Merging merging, Account account, Bounds bounds) {
+    BufferedMerge(MergeSpec merging, MemoryReservation account, BufferLimits bounds) {
         this.merging = merging;
         this.account = account;
         this.bounds = bounds;
     }
 
-    private Pool pool() {
+    private RowStore pool() {
         return merging.duplicates() == null && merging.groups() != null
-                ? new Groups(layout, account, bounds.heldRows())
-                : new Table(layout, account, bounds.heldRows());
+                ? new AggregateGroups(layout, account, bounds.heldRows())
+                : new RowTable(layout, account, bounds.heldRows());
     }
 
     @Override
-    public void take(Stream from, Row row, Layout plan) {
+    public void take(PartStream from, Row row, ColumnLayout plan) {
         layout = plan;
         fault = pools.computeIfAbsent(from, any -> pool()).add(row);
     }
 
     @Override
-    public void forget(Stream from) {
-        Pool pool = pools.remove(from);
+    public void forget(PartStream from) {
+        RowStore pool = pools.remove(from);
         if (pool != null) {
             pool.drop();
         }
     }
 
     @Override
-    public boolean ready(Stream part) {
+    public boolean ready(PartStream part) {
         return part.over;
     }
 
     @Override
-    public boolean firm(Stream part) {
+    public boolean firm(PartStream part) {
         return part.over;
     }
 
@@ -66,15 +66,15 @@
      * true.
      */
     @Override
-    public void begin(List<Stream> parts, Layout plan) {
+    public void begin(List<PartStream> parts, ColumnLayout plan) {
         layout = plan;
         whole = layout == null ? null : pool();
-        for (Stream part : parts) {
+        for (PartStream part : parts) {
             part.dry = part.shortened;
             if (merging.groups() != null && part.fall != null) {
                 forget(part);
             }
-            Pool pool = pools.remove(part);
+            RowStore pool = pools.remove(part);
             part.counted = pool == null ? 0 : part.rows;
             if (pool != null && fault == null) {
                 fault = whole.join(pool);
@@ -88,7 +88,7 @@
     }
 
     private List<Row> answer() {
-        if (whole instanceof Table table) {
+        if (whole instanceof RowTable table) {
             conflicts = table.conflicts();
         }
         List<Row> rows = whole.rows();
@@ -101,7 +101,7 @@
         if (fault != null) {
             return List.of();
         }
-        if (whole instanceof Groups groups) {
+        if (whole instanceof AggregateGroups groups) {
             errors = groups.errors();
         }
         rows = new ArrayList<>(rows);
@@ -112,8 +112,8 @@
 
     /** Groups of what duplicates have left. */
     private List<Row> grouped(List<Row> rows) {
-        Pool table = whole;
-        whole = new Groups(layout, account, bounds.heldRows());
+        RowStore table = whole;
+        whole = new AggregateGroups(layout, account, bounds.heldRows());
         for (Row row : rows) {
             fault = fault == null ? whole.add(row) : fault;
         }
@@ -122,7 +122,7 @@
     }
 
     @Override
-    public boolean pour(Output out) {
+    public boolean pour(AnswerWriter out) {
         while (fault == null && !out.full() && !answer.isEmpty()) {
             if (out.blocked()) {
                 return false;
@@ -133,12 +133,12 @@
     }
 
     @Override
-    public long useful(Output out) {
+    public long useful(AnswerWriter out) {
         return Long.MAX_VALUE;
     }
 
     @Override
-    public Fault fault() {
+    public GatherFault fault() {
         return fault;
     }
 
--- a/gather/src/main/java/clayhook/gather/Layout.java
+++ b/gather/src/main/java/clayhook/gather/ColumnLayout.java
@@ -7,36 +7,36 @@
 import java.util.function.ToDoubleFunction;
 
 /** A plan for merging, for certain columns. */
-final class Layout {
+final class ColumnLayout {
     private final List<Column> columns;
-    private final Reading reading;
-    private final Ranks ranks;
-    private final List<Figure> figures;
+    private final ColumnReader reading;
+    private final DuplicateRanking ranks;
+    private final List<AggregateColumn> figures;
     private final int[] groupSlots;
     private List<Column> shown;
-    private final Reading shownReading;
-    private final Order order;
+    private final ColumnReader shownReading;
+    private final RowComparator order;
     private final String misfit;
 
-    Layout(Merging merging, List<Column> columns, ToDoubleFunction<Part> positions) {
+    ColumnLayout(MergeSpec merging, List<Column> columns, ToDoubleFunction<GatherPart> positions) {
         this.columns = columns;
-        reading = new Reading(columns);
-        ranks = merging.duplicates() == null ? null : new Ranks(merging.duplicates(), columns, reading, positions);
+        reading = new ColumnReader(columns);
+        ranks = merging.duplicates() == null ? null : new DuplicateRanking(merging.duplicates(), columns, reading, positions);
         Grouping grouping = merging.groups();
         if (grouping == null) {
             figures = List.of();
             groupSlots = new int[0];
             shown = columns;
             shownReading = reading;
-            order = Order.of(merging.order(), columns, reading);
+            order = RowComparator.of(merging.order(), columns, reading);
         } else {
             figures = grouping.measures().stream()
-                    .map(measure -> Figure.of(measure, columns, reading))
+                    .map(measure -> AggregateColumn.of(measure, columns, reading))
                     .toList();
             groupSlots = grouping.by().stream().mapToInt(this::slot).toArray();
             shown = figures.stream().anyMatch(Objects::isNull) || negative(groupSlots) ? List.of() : shown(grouping);
-            shownReading = new Reading(shown);
-            order = Order.of(merging.order(), shown, shownReading);
+            shownReading = new ColumnReader(shown);
+            order = RowComparator.of(merging.order(), shown, shownReading);
         }
         String lacking = ranks != null && !ranks.fit()
                 ? "tell duplicates by"
@@ -50,7 +50,7 @@
 
     private int slot(String name) {
         int column = Column.find(columns, name);
-        return column < 0 || Type.of(columns.get(column).type()) == Type.OPAQUE ? -1 : reading.slot(column);
+        return column < 0 || ColumnType.of(columns.get(column).type()) == ColumnType.OPAQUE ? -1 : reading.slot(column);
     }
 
     private static boolean negative(int[] slots) {
@@ -106,26 +106,26 @@
     }
 
     /** Of rows as they come. */
-    Reading reading() {
+    ColumnReader reading() {
         return reading;
     }
 
     /** Of rows of the answer. */
-    Reading shownReading() {
+    ColumnReader shownReading() {
         return shownReading;
     }
 
     /** Of rows of the answer; the same as those that come where there are no groups. */
-    Order order() {
+    RowComparator order() {
         return order;
     }
 
     /** Null where each row counts. */
-    Ranks ranks() {
+    DuplicateRanking ranks() {
         return ranks;
     }
 
-    List<Figure> figures() {
+    List<AggregateColumn> figures() {
         return figures;
     }
 
--- a/gather/src/main/java/clayhook/gather/Reading.java
+++ b/gather/src/main/java/clayhook/gather/ColumnReader.java
@@ -4,14 +4,14 @@
 import java.util.List;
 
 /** The columns that merging looks at, each with its slot among the values read; all others are left as bytes. */
-final class Reading {
+final class ColumnReader {
     private final List<Column> columns;
     private final List<Integer> wanted = new ArrayList<>();
     private int[] slots;
     /** By column like the slots. */
-    private Type[] types;
+    private ColumnType[] types;
 
-    Reading(List<Column> columns) {
+    ColumnReader(List<Column> columns) {
         this.columns = columns;
     }
 
@@ -30,8 +30,8 @@
         return wanted.get(slot);
     }
 
-    Type type(int slot) {
-        return Type.of(columns.get(column(slot)).type());
+    ColumnType type(int slot) {
+        return ColumnType.of(columns.get(column(slot)).type());
     }
 
     int width() {
@@ -46,7 +46,7 @@
     static final int READ = -1, MISSHAPEN = -2;
 
     /** Reads into {@code cells} in one walk; returns the column that is no value of its type, or one of the above. */
-    int read(byte[] message, Cell[] cells) {
+    int read(byte[] message, ColumnValue[] cells) {
         if (slots == null) {
             prepare();
         }
@@ -65,7 +65,7 @@
             }
             int slot = slots[i];
             if (slot >= 0) {
-                Cell cell = length < 0 ? Cell.NULL : types[i].read(message, at, length);
+                ColumnValue cell = length < 0 ? ColumnValue.NULL : types[i].read(message, at, length);
                 if (cell == null) {
                     return i;
                 }
@@ -79,16 +79,16 @@
     /** By column: its slot, or -1, and its type. */
     private void prepare() {
         slots = new int[columns.size()];
-        types = new Type[slots.length];
+        types = new ColumnType[slots.length];
         for (int i = 0; i < slots.length; i++) {
             slots[i] = wanted.indexOf(i);
-            types[i] = Type.of(columns.get(i).type());
+            types[i] = ColumnType.of(columns.get(i).type());
         }
     }
 
     /** A row made here; what it shows was read before or is of its type. */
-    Row row(Part part, long number, byte[] message) {
-        Cell[] cells = new Cell[size()];
+    Row row(GatherPart part, long number, byte[] message) {
+        ColumnValue[] cells = new ColumnValue[size()];
         if (read(message, cells) != READ) {
             throw new IllegalStateException("a row made here cannot be read");
         }
--- a/gather/src/main/java/clayhook/gather/Type.java
+++ b/gather/src/main/java/clayhook/gather/ColumnType.java
@@ -6,7 +6,7 @@
 import java.util.Arrays;
 
 /** How the text of a column is read, by the number that PostgreSQL gives its type (pg_type.dat, fixed for ever). */
-enum Type {
+enum ColumnType {
     WHOLE,
     DECIMAL,
     SINGLE,
@@ -27,7 +27,7 @@
 
     private static final int UUID_LENGTH = 36;
 
-    static Type of(int oid) {
+    static ColumnType of(int oid) {
         return switch (oid) {
             case INT2, INT4, INT8, 26 -> WHOLE;
             case NUMERIC -> DECIMAL;
@@ -52,31 +52,31 @@
     }
 
     /** The value of those bytes, or null where they are none of this type. */
-    Cell read(byte[] in, int from, int length) {
+    ColumnValue read(byte[] in, int from, int length) {
         return switch (this) {
             case WHOLE -> whole(in, from, length);
             case DECIMAL -> decimal(in, from, length);
             case SINGLE, REAL -> real(in, from, length);
-            case TEXT -> new Cell.Text(Arrays.copyOfRange(in, from, from + length));
+            case TEXT -> new ColumnValue.TextValue(Arrays.copyOfRange(in, from, from + length));
             case PADDED -> padded(in, from, length);
-            case TIME -> Times.read(new String(in, from, length, ISO_8859_1));
-            case FLAG -> length == 1 && (in[from] == 't' || in[from] == 'f') ? new Cell.Flag(in[from] == 't') : null;
+            case TIME -> TimestampParser.read(new String(in, from, length, ISO_8859_1));
+            case FLAG -> length == 1 && (in[from] == 't' || in[from] == 'f') ? new ColumnValue.BooleanValue(in[from] == 't') : null;
             case BYTES ->
                 length >= 2 && in[from] == '\\' && in[from + 1] == 'x' && digits(in, from + 2, length - 2)
-                        ? new Cell.Text(Arrays.copyOfRange(in, from, from + length))
+                        ? new ColumnValue.TextValue(Arrays.copyOfRange(in, from, from + length))
                         : null;
             case UUID ->
                 length == UUID_LENGTH && digits(in, from, length)
-                        ? new Cell.Text(Arrays.copyOfRange(in, from, from + length))
+                        ? new ColumnValue.TextValue(Arrays.copyOfRange(in, from, from + length))
                         : null;
             case OPAQUE -> null;
         };
     }
 
-    private static Cell whole(byte[] in, int from, int length) {
+    private static ColumnValue whole(byte[] in, int from, int length) {
         if (length > SURE_DIGITS) { // rare: with a check for overflow
             try {
-                return new Cell.Whole(Long.parseLong(new String(in, from, length, ISO_8859_1)));
+                return new ColumnValue.IntegerValue(Long.parseLong(new String(in, from, length, ISO_8859_1)));
             } catch (NumberFormatException e) {
                 return null;
             }
@@ -90,10 +90,10 @@
             }
             value = 10 * value + digit;
         }
-        return length > (below ? 1 : 0) ? new Cell.Whole(below ? -value : value) : null;
+        return length > (below ? 1 : 0) ? new ColumnValue.IntegerValue(below ? -value : value) : null;
     }
 
-    private static Cell decimal(byte[] in, int from, int length) {
+    private static ColumnValue decimal(byte[] in, int from, int length) {
         boolean below = length > 0 && in[from] == '-';
         int start = from + (below ? 1 : 0);
         int point = -1;
@@ -114,12 +114,12 @@
             return null;
         }
         return digits > SURE_DIGITS
-                ? new Cell.Decimal(new BigDecimal(new String(in, from, length, ISO_8859_1)))
-                : new Cell.Decimal(
+                ? new ColumnValue.DecimalValue(new BigDecimal(new String(in, from, length, ISO_8859_1)))
+                : new ColumnValue.DecimalValue(
                         BigDecimal.valueOf(below ? -value : value, point < 0 ? 0 : from + length - point - 1));
     }
 
-    private Cell real(byte[] in, int from, int length) {
+    private ColumnValue real(byte[] in, int from, int length) {
         String text = new String(in, from, length, ISO_8859_1);
         for (int i = 0; i < length; i++) {
             char c = text.charAt(i);
@@ -131,28 +131,28 @@
             return null;
         }
         try {
-            return new Cell.Real(this == SINGLE ? Float.parseFloat(text) : Double.parseDouble(text));
+            return new ColumnValue.FloatValue(this == SINGLE ? Float.parseFloat(text) : Double.parseDouble(text));
         } catch (NumberFormatException e) {
             return null;
         }
     }
 
-    private static Cell special(String text) {
+    private static ColumnValue special(String text) {
         return switch (text) {
-            case "NaN" -> new Cell.Real(Double.NaN);
-            case "Infinity" -> new Cell.Real(Double.POSITIVE_INFINITY);
-            case "-Infinity" -> new Cell.Real(Double.NEGATIVE_INFINITY);
+            case "NaN" -> new ColumnValue.FloatValue(Double.NaN);
+            case "Infinity" -> new ColumnValue.FloatValue(Double.POSITIVE_INFINITY);
+            case "-Infinity" -> new ColumnValue.FloatValue(Double.NEGATIVE_INFINITY);
             default -> null;
         };
     }
 
     /** Blanks at the end of a char(n) mean nothing. */
-    private static Cell padded(byte[] in, int from, int length) {
+    private static ColumnValue padded(byte[] in, int from, int length) {
         int end = from + length;
         while (end > from && in[end - 1] == ' ') {
             end--;
         }
-        return new Cell.Text(Arrays.copyOfRange(in, from, end));
+        return new ColumnValue.TextValue(Arrays.copyOfRange(in, from, end));
     }
 
     /** Only hexadecimal digits in lower case, or dashes: else the order of the text is not that of what it means. */
--- a/gather/src/main/java/clayhook/gather/Cell.java
+++ b/gather/src/main/java/clayhook/gather/ColumnValue.java
@@ -6,55 +6,55 @@
 /**
  * One value of a row, as merging needs it. Cells of one column compare as PostgreSQL orders them, texts by bytes
  * (collation C); those that compare as equal are equal. {@link #NULL} compares with nothing: where nulls go is
- * {@link Key}'s.
+ * {@link SortKey}'s.
  */
-public sealed interface Cell extends Comparable<Cell> {
-    Cell NULL = new Null();
+public sealed interface ColumnValue extends Comparable<ColumnValue> {
+    ColumnValue NULL = new NullValue();
 
     /** A number that never contradicts {@link #compareTo}: of unlike ones the lesser has the lesser cell. */
     long rough();
 
     /** No value. */
-    record Null() implements Cell {
+    record NullValue() implements ColumnValue {
         @Override
         public long rough() {
             return 0;
         }
 
         @Override
-        public int compareTo(Cell other) {
+        public int compareTo(ColumnValue other) {
             return 0;
         }
     }
 
     /** Of int2, int4, int8 and oid. */
-    record Whole(long value) implements Cell {
+    record IntegerValue(long value) implements ColumnValue {
         @Override
         public long rough() {
             return value;
         }
 
         @Override
-        public int compareTo(Cell other) {
-            return Long.compare(value, ((Whole) other).value);
+        public int compareTo(ColumnValue other) {
+            return Long.compare(value, ((IntegerValue) other).value);
         }
     }
 
     /** A finite numeric; 1.0 equals 1.00. */
-    record Decimal(BigDecimal value) implements Cell {
+    record DecimalValue(BigDecimal value) implements ColumnValue {
         @Override
         public long rough() {
-            return Real.rough(value.doubleValue());
+            return FloatValue.rough(value.doubleValue());
         }
 
         @Override
-        public int compareTo(Cell other) {
-            return other instanceof Decimal decimal ? value.compareTo(decimal.value) : -other.compareTo(this);
+        public int compareTo(ColumnValue other) {
+            return other instanceof DecimalValue decimal ? value.compareTo(decimal.value) : -other.compareTo(this);
         }
 
         @Override
         public boolean equals(Object other) {
-            return other instanceof Decimal decimal && value.compareTo(decimal.value) == 0;
+            return other instanceof DecimalValue decimal && value.compareTo(decimal.value) == 0;
         }
 
         @Override
@@ -64,8 +64,8 @@
     }
 
     /** A double, or a numeric that is infinite or NaN. NaN equals itself and is above all others, -0 equals 0. */
-    record Real(double value) implements Cell {
-        public Real {
+    record FloatValue(double value) implements ColumnValue {
+        public FloatValue {
             value += 0.0; // no -0
         }
 
@@ -80,15 +80,15 @@
         }
 
         @Override
-        public int compareTo(Cell other) {
-            return other instanceof Real real
+        public int compareTo(ColumnValue other) {
+            return other instanceof FloatValue real
                     ? Double.compare(value, real.value)
                     : value == Double.NEGATIVE_INFINITY ? -1 : 1;
         }
     }
 
     /** Text, uuid and bytea, the latter two in their one form of digits, whose order is that of the bytes meant. */
-    record Text(byte[] bytes) implements Cell {
+    record TextValue(byte[] bytes) implements ColumnValue {
         /** The first eight bytes. */
         @Override
         public long rough() {
@@ -100,13 +100,13 @@
         }
 
         @Override
-        public int compareTo(Cell other) {
-            return Arrays.compareUnsigned(bytes, ((Text) other).bytes);
+        public int compareTo(ColumnValue other) {
+            return Arrays.compareUnsigned(bytes, ((TextValue) other).bytes);
         }
 
         @Override
         public boolean equals(Object other) {
-            return other instanceof Text text && Arrays.equals(bytes, text.bytes);
+            return other instanceof TextValue text && Arrays.equals(bytes, text.bytes);
         }
 
         @Override
@@ -118,27 +118,27 @@
     /**
      * Microseconds since 1970 of a date, or of a time with its zone or without; the ends of long are the infinite ones.
      */
-    record Time(long micros) implements Cell {
+    record TimestampValue(long micros) implements ColumnValue {
         @Override
         public long rough() {
             return micros;
         }
 
         @Override
-        public int compareTo(Cell other) {
-            return Long.compare(micros, ((Time) other).micros);
+        public int compareTo(ColumnValue other) {
+            return Long.compare(micros, ((TimestampValue) other).micros);
         }
     }
 
-    record Flag(boolean value) implements Cell {
+    record BooleanValue(boolean value) implements ColumnValue {
         @Override
         public long rough() {
             return value ? 1 : 0;
         }
 
         @Override
-        public int compareTo(Cell other) {
-            return Boolean.compare(value, ((Flag) other).value);
+        public int compareTo(ColumnValue other) {
+            return Boolean.compare(value, ((BooleanValue) other).value);
         }
     }
 }
--- a/gather/src/main/java/clayhook/gather/Enough.java
+++ b/gather/src/main/java/clayhook/gather/CompletionPolicy.java
@@ -1,17 +1,17 @@
 package clayhook.gather;
 
 /** Which parts an answer needs. */
-public sealed interface Enough {
+public sealed interface CompletionPolicy {
     /** Every part. */
-    record All() implements Enough {}
+    record All() implements CompletionPolicy {}
 
     /**
      * That many whole and fresh parts, whichever they are; the others are recalled then. Made for parts that hold the
      * same. Rows begin to go out when so many parts are whole, or have more than is held of one: of the latter one may
      * still fail.
      */
-    record Quorum(int parts) implements Enough {}
+    record Quorum(int parts) implements CompletionPolicy {}
 
     /** Whatever is there by the deadline. */
-    record Best() implements Enough {}
+    record Best() implements CompletionPolicy {}
 }
--- a/gather/src/main/java/clayhook/gather/Distinct.java
+++ b/gather/src/main/java/clayhook/gather/DistinctAggregator.java
@@ -11,7 +11,7 @@
  * How many unlike values. Those up to a bound are held; beyond it only a sketch, whose registers take the larger of
  * two, so that neither order nor tree shows. Whether it is one depends on all values together alone.
  */
-public final class Distinct extends Tally {
+public final class DistinctAggregator extends Aggregator {
     /** So many values are counted exactly, if they are not longer than this many bytes together. */
     public static final int EXACT = 1024, EXACT_BYTES = 1 << 15;
     /** 4 KiB a sketch. */
@@ -25,22 +25,22 @@
     private static final int ENTRY = 80;
 
     /** Null once there are too many. */
-    private Set<Cell> values = new HashSet<>();
+    private Set<ColumnValue> values = new HashSet<>();
 
     private long length;
     private UltraLogLog sketch;
 
-    Distinct() {}
+    DistinctAggregator() {}
 
     @Override
-    void add(Row row, Figure figure) {
-        Cell cell = row.cell(figure.slot());
-        if (cell != Cell.NULL) {
+    void add(Row row, AggregateColumn figure) {
+        ColumnValue cell = row.cell(figure.slot());
+        if (cell != ColumnValue.NULL) {
             add(cell);
         }
     }
 
-    private void add(Cell cell) {
+    private void add(ColumnValue cell) {
         if (values == null) {
             sketch.add(hash(cell));
         } else if (values.add(cell)) {
@@ -53,26 +53,26 @@
         }
     }
 
-    private static int length(Cell cell) {
-        return cell instanceof Cell.Text text
+    private static int length(ColumnValue cell) {
+        return cell instanceof ColumnValue.TextValue text
                 ? text.bytes().length
-                : cell instanceof Cell.Decimal decimal
+                : cell instanceof ColumnValue.DecimalValue decimal
                         ? decimal.value().unscaledValue().bitLength() / 8
                         : 0;
     }
 
-    private static long hash(Cell cell) {
-        byte[] bytes = cell instanceof Cell.Text text
+    private static long hash(ColumnValue cell) {
+        byte[] bytes = cell instanceof ColumnValue.TextValue text
                 ? text.bytes()
-                : cell instanceof Cell.Decimal decimal
+                : cell instanceof ColumnValue.DecimalValue decimal
                         ? decimal.value().stripTrailingZeros().toString().getBytes(US_ASCII)
                         : cell.toString().getBytes(US_ASCII);
         return Hashing.komihash5_0().hashBytesToLong(bytes);
     }
 
     @Override
-    void join(Tally tally) {
-        var other = (Distinct) tally;
+    void join(Aggregator tally) {
+        var other = (DistinctAggregator) tally;
         if (other.values != null) {
             other.values.forEach(this::add);
         } else if (values != null) {
--- a/gather/src/main/java/clayhook/gather/Copies.java
+++ b/gather/src/main/java/clayhook/gather/DuplicateGroup.java
@@ -3,15 +3,15 @@
 import java.util.Arrays;
 
 /** Rows with one key, as far as they are needed: joined in any order they come to the same. */
-final class Copies {
-    private final Ranks ranks;
+final class DuplicateGroup {
+    private final DuplicateRanking ranks;
     private Row best;
     /** By column, the best copy that has a value there; null where no union is asked for. */
     private final Row[] fills;
 
     private boolean conflict;
 
-    Copies(Ranks ranks, Row row) {
+    DuplicateGroup(DuplicateRanking ranks, Row row) {
         this.ranks = ranks;
         best = row;
         if (ranks != null && ranks.union()) {
@@ -23,7 +23,7 @@
         }
     }
 
-    void join(Copies other) {
+    void join(DuplicateGroup other) {
         boolean differ = ranks.differ(best, other.best);
         conflict = ranks.outranks(best, other.best)
                 ? conflict
@@ -61,7 +61,7 @@
     }
 
     /** The one row that stands for all: the best as it came, unless columns of others or a conflict show in it. */
-    Row row(Reading reading) {
+    Row row(ColumnReader reading) {
         boolean filled = false;
         for (int i = 0; fills != null && i < fills.length; i++) {
             filled |= fills[i] != null && fills[i] != best && best.field(i) == null;
--- a/gather/src/main/java/clayhook/gather/Ranks.java
+++ b/gather/src/main/java/clayhook/gather/DuplicateRanking.java
@@ -12,7 +12,7 @@
 import java.util.function.ToDoubleFunction;
 
 /** The rules on copies, for certain columns: the better copy is the lesser. No two rows are alike to it. */
-final class Ranks implements Comparator<Row> {
+final class DuplicateRanking implements Comparator<Row> {
     private final int[] key;
     private final List<Comparator<Row>> rules = new ArrayList<>();
     private final boolean union;
@@ -20,12 +20,12 @@
     private int conflictSlot = -1;
 
     private byte[] conflict;
-    private Map<Cell, Integer> levels = Map.of();
+    private Map<ColumnValue, Integer> levels = Map.of();
     private int named;
     private boolean fit = true;
 
     /** @param positions of parts, as known when copies are compared */
-    Ranks(Duplicates duplicates, List<Column> columns, Reading reading, ToDoubleFunction<Part> positions) {
+    DuplicateRanking(Duplicates duplicates, List<Column> columns, ColumnReader reading, ToDoubleFunction<GatherPart> positions) {
         key = duplicates.key().stream()
                 .mapToInt(name -> slot(name, columns, reading))
                 .toArray();
@@ -36,14 +36,14 @@
         rules.add(Comparator.comparingInt((Row row) -> row.part.number()).thenComparingLong(row -> row.number));
     }
 
-    private int slot(String name, List<Column> columns, Reading reading) {
+    private int slot(String name, List<Column> columns, ColumnReader reading) {
         int column = Column.find(columns, name);
-        fit &= column >= 0 && Type.of(columns.get(column).type()) != Type.OPAQUE;
+        fit &= column >= 0 && ColumnType.of(columns.get(column).type()) != ColumnType.OPAQUE;
         return reading.slot(Math.max(0, column));
     }
 
     private Comparator<Row> comparator(
-            Rule rule, List<Column> columns, Reading reading, ToDoubleFunction<Part> positions) {
+            Rule rule, List<Column> columns, ColumnReader reading, ToDoubleFunction<GatherPart> positions) {
         if (rule instanceof Rule.Newest newest) {
             int slot = slot(newest.column(), columns, reading);
             return (a, b) -> newer(a.cell(slot), b.cell(slot));
@@ -58,16 +58,16 @@
         return ranking((Rule.Ranking) rule, columns, reading);
     }
 
-    private static int newer(Cell a, Cell b) {
-        return a == Cell.NULL || b == Cell.NULL ? Boolean.compare(a == Cell.NULL, b == Cell.NULL) : b.compareTo(a);
+    private static int newer(ColumnValue a, ColumnValue b) {
+        return a == ColumnValue.NULL || b == ColumnValue.NULL ? Boolean.compare(a == ColumnValue.NULL, b == ColumnValue.NULL) : b.compareTo(a);
     }
 
-    private Comparator<Row> ranking(Rule.Ranking rule, List<Column> columns, Reading reading) {
+    private Comparator<Row> ranking(Rule.Ranking rule, List<Column> columns, ColumnReader reading) {
         int slot = slot(rule.column(), columns, reading);
-        var ranks = new HashMap<Cell, Integer>();
+        var ranks = new HashMap<ColumnValue, Integer>();
         for (int level = 0; level < rule.levels().size(); level++) {
             for (String text : rule.levels().get(level)) {
-                ranks.putIfAbsent(new Cell.Text(text.getBytes(UTF_8)), level);
+                ranks.putIfAbsent(new ColumnValue.TextValue(text.getBytes(UTF_8)), level);
             }
         }
         int last = rule.levels().size();
@@ -76,14 +76,14 @@
             conflict = rule.conflict().getBytes(UTF_8);
             levels = ranks;
             named = last;
-            fit &= reading.type(slot) == Type.TEXT;
+            fit &= reading.type(slot) == ColumnType.TEXT;
         }
         return Comparator.comparingInt(row -> level(row, slot, ranks, last));
     }
 
-    private static int level(Row row, int slot, Map<Cell, Integer> ranks, int last) {
+    private static int level(Row row, int slot, Map<ColumnValue, Integer> ranks, int last) {
         byte[] raw = row.raw(slot);
-        return raw == null ? last : ranks.getOrDefault(new Cell.Text(raw), last);
+        return raw == null ? last : ranks.getOrDefault(new ColumnValue.TextValue(raw), last);
     }
 
     /** Whether all columns are there and of types that can be compared. */
@@ -111,7 +111,7 @@
         return true;
     }
 
-    List<Cell> key(Row row) {
+    List<ColumnValue> key(Row row) {
         return Arrays.stream(key).mapToObj(row::cell).toList();
     }
 
--- a/gather/src/main/java/clayhook/gather/Sum.java
+++ b/gather/src/main/java/clayhook/gather/ExactSum.java
@@ -10,7 +10,7 @@
  * once. Hence it does not depend on the order; a sum of a node itself, which rounds at each step, may end in other
  * digits.
  */
-final class Sum {
+final class ExactSum {
     /**
      * What PostgreSQL's quotients of numerics have at least (numeric.c describes it as significant digits), and at
      * most.
@@ -27,12 +27,12 @@
 
     private boolean any;
 
-    void add(Cell cell) {
-        if (cell instanceof Cell.Whole whole) {
+    void add(ColumnValue cell) {
+        if (cell instanceof ColumnValue.IntegerValue whole) {
             add(whole.value());
-        } else if (cell instanceof Cell.Decimal decimal) {
+        } else if (cell instanceof ColumnValue.DecimalValue decimal) {
             add(decimal.value());
-        } else if (cell instanceof Cell.Real real) {
+        } else if (cell instanceof ColumnValue.FloatValue real) {
             if (Double.isFinite(real.value())) {
                 add(new BigDecimal(real.value()));
             } else {
@@ -57,7 +57,7 @@
         any = true;
     }
 
-    void join(Sum other) {
+    void join(ExactSum other) {
         if (other.any) {
             add(other.small);
         }
@@ -79,9 +79,9 @@
     /** Whether the result does not fit its type. */
     boolean overflows(int type) {
         return switch (type) {
-            case Type.INT8 -> exact().toBigInteger().bitLength() >= Long.SIZE;
-            case Type.FLOAT4 -> special == 0 && Float.isInfinite(exact().floatValue());
-            case Type.FLOAT8 -> special == 0 && Double.isInfinite(exact().doubleValue());
+            case ColumnType.INT8 -> exact().toBigInteger().bitLength() >= Long.SIZE;
+            case ColumnType.FLOAT4 -> special == 0 && Float.isInfinite(exact().floatValue());
+            case ColumnType.FLOAT8 -> special == 0 && Double.isInfinite(exact().doubleValue());
             default -> false;
         };
     }
@@ -92,12 +92,12 @@
             return null;
         }
         if (special != 0) {
-            return Tally.bytes(text(special));
+            return Aggregator.bytes(text(special));
         }
-        return Tally.bytes(
+        return Aggregator.bytes(
                 switch (type) {
-                    case Type.FLOAT4 -> text(exact().floatValue());
-                    case Type.FLOAT8 -> text(exact().doubleValue());
+                    case ColumnType.FLOAT4 -> text(exact().floatValue());
+                    case ColumnType.FLOAT8 -> text(exact().doubleValue());
                     default -> exact().toPlainString();
                 });
     }
@@ -108,11 +108,11 @@
             return null;
         }
         if (special != 0) {
-            return Tally.bytes(text(special));
+            return Aggregator.bytes(text(special));
         }
         BigDecimal divisor = new BigDecimal(count);
-        return Tally.bytes(
-                type == Type.FLOAT8
+        return Aggregator.bytes(
+                type == ColumnType.FLOAT8
                         ? text(exact().divide(divisor, MathContext.DECIMAL128).doubleValue())
                         : exact().divide(divisor, scale(exact(), divisor), RoundingMode.HALF_UP)
                                 .toPlainString());
@@ -148,29 +148,29 @@
     }
 
     long weight() {
-        return Tally.OBJECT
-                + (big == null ? 0 : Tally.OBJECT + big.unscaledValue().bitLength() / 8);
+        return Aggregator.OBJECT
+                + (big == null ? 0 : Aggregator.OBJECT + big.unscaledValue().bitLength() / 8);
     }
 
     /** A sum, or a sum of counts, which is 0 without any. */
-    static final class Tallied extends Tally {
-        private final Sum sum = new Sum();
+    static final class SumAggregator extends Aggregator {
+        private final ExactSum sum = new ExactSum();
         private final int type;
         private final boolean counted;
 
-        Tallied(int type, boolean counted) {
+        SumAggregator(int type, boolean counted) {
             this.type = type;
             this.counted = counted;
         }
 
         @Override
-        void add(Row row, Figure figure) {
+        void add(Row row, AggregateColumn figure) {
             sum.add(row.cell(figure.slot()));
         }
 
         @Override
-        void join(Tally other) {
-            sum.join(((Tallied) other).sum);
+        void join(Aggregator other) {
+            sum.join(((SumAggregator) other).sum);
         }
 
         @Override
@@ -179,8 +179,8 @@
         }
 
         @Override
-        Fault.Kind fault() {
-            return sum.overflows(type) ? Fault.Kind.OVERFLOW : null;
+        GatherFault.Kind fault() {
+            return sum.overflows(type) ? GatherFault.Kind.OVERFLOW : null;
         }
 
         @Override
@@ -190,28 +190,28 @@
     }
 
     /** A mean, of values or of the parts' own sums and counts. */
-    static final class Mean extends Tally {
-        private final Sum sum = new Sum();
-        private final Sum count = new Sum();
+    static final class MeanAggregator extends Aggregator {
+        private final ExactSum sum = new ExactSum();
+        private final ExactSum count = new ExactSum();
         private final int type;
 
-        Mean(int type) {
+        MeanAggregator(int type) {
             this.type = type;
         }
 
         @Override
-        void add(Row row, Figure figure) {
-            Cell value = row.cell(figure.slot());
-            Cell times = figure.bySlot() < 0 ? null : row.cell(figure.bySlot());
-            if (value != Cell.NULL && times != Cell.NULL) {
+        void add(Row row, AggregateColumn figure) {
+            ColumnValue value = row.cell(figure.slot());
+            ColumnValue times = figure.bySlot() < 0 ? null : row.cell(figure.bySlot());
+            if (value != ColumnValue.NULL && times != ColumnValue.NULL) {
                 sum.add(value);
-                count.add(times == null ? 1 : ((Cell.Whole) times).value());
+                count.add(times == null ? 1 : ((ColumnValue.IntegerValue) times).value());
             }
         }
 
         @Override
-        void join(Tally tally) {
-            var other = (Mean) tally;
+        void join(Aggregator tally) {
+            var other = (MeanAggregator) tally;
             sum.join(other.sum);
             count.join(other.count);
         }
--- a/gather/src/main/java/clayhook/gather/Gather.java
+++ b/gather/src/main/java/clayhook/gather/Gather.java
@@ -1,9 +1,9 @@
 package clayhook.gather;
 
-import clayhook.gather.Verdict.Cut;
-import clayhook.gather.Verdict.Note;
-import clayhook.gather.Verdict.Outcome;
-import clayhook.gather.Verdict.Standing;
+import clayhook.gather.GatherResult.Truncation;
+import clayhook.gather.GatherResult.PartNote;
+import clayhook.gather.GatherResult.Outcome;
+import clayhook.gather.GatherResult.PartStatus;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -18,18 +18,18 @@
  * earlier asking still brings is not to be told.
  */
 public final class Gather {
-    private final Plan plan;
-    private final Merging merging;
-    private final List<Stream> streams;
-    private final Account account;
-    private final Acts acts;
-    private final Blend blend;
-    private final Output out;
+    private final GatherPlan plan;
+    private final MergeSpec merging;
+    private final List<PartStream> streams;
+    private final MemoryReservation account;
+    private final GatherActions acts;
+    private final MergeStrategy blend;
+    private final AnswerWriter out;
     /** The most that a row can weigh, and what is read ahead of each part. */
     private final long heaviest;
 
     private final long ahead;
-    private Layout layout;
+    private ColumnLayout layout;
     private double now;
     private double deadline;
     private boolean begun;
@@ -49,18 +49,18 @@
     private int spare;
 
     /** @param parts in the order of their numbers, which count from 0 */
-    public Gather(Plan plan, List<Part> parts, Allowance allowance, Acts acts) {
+    public Gather(GatherPlan plan, List<GatherPart> parts, MemoryPool allowance, GatherActions acts) {
         this.plan = plan;
         this.acts = acts;
         merging = plan.merging();
-        streams = parts.stream().map(Stream::new).toList();
+        streams = parts.stream().map(PartStream::new).toList();
         for (int i = 0; i < parts.size(); i++) {
             if (parts.get(i).number() != i) {
                 throw new IllegalArgumentException(
                         "part " + parts.get(i) + " has number " + parts.get(i).number() + " in place " + i);
             }
         }
-        Bounds bounds = plan.bounds();
+        BufferLimits bounds = plan.bounds();
         int cells = merging.order().size()
                 + (merging.duplicates() == null
                         ? 0
@@ -69,11 +69,11 @@
         heaviest = Row.weight(bounds.longestRow(), cells);
         ahead = Math.max(
                 heaviest, Math.min(bounds.bufferBytes() / Math.max(1, parts.size()), bounds.bufferRows() * heaviest));
-        account = new Account(allowance, reserve() + bounds.heldBytes());
+        account = new MemoryReservation(allowance, reserve() + bounds.heldBytes());
         blend = merging.streams()
-                ? new Merge(merging, account, bounds, this::follow)
-                : new Pooled(merging, account, bounds);
-        out = new Output(acts, merging.limit());
+                ? new SortedMerge(merging, account, bounds, this::follow)
+                : new BufferedMerge(merging, account, bounds);
+        out = new AnswerWriter(acts, merging.limit());
     }
 
     /**
@@ -95,8 +95,8 @@
         if (!account.take(reserve())) {
             streams.forEach(stream -> stream.over = stream.spare = true);
             finish(
-                    new Fault(
-                            Fault.Kind.FULL,
+                    new GatherFault(
+                            GatherFault.Kind.FULL,
                             null,
                             -1,
                             "no memory is left to read ahead of " + streams.size() + " parts"),
@@ -118,8 +118,8 @@
     }
 
     /** The part's stream, if it is still heard; then {@link #leave} must follow. */
-    private Stream heard(Part part) {
-        Stream stream = streams.get(part.number());
+    private PartStream heard(GatherPart part) {
+        PartStream stream = streams.get(part.number());
         if (stream.part != part && !stream.part.equals(part) || !begun) {
             throw new IllegalArgumentException(begun ? "no part of this gather: " + part : "not begun");
         }
@@ -131,15 +131,15 @@
         return stream;
     }
 
-    private void leave(Stream stream) {
+    private void leave(PartStream stream) {
         follow(stream);
         settle();
         busy = false;
     }
 
     /** A position that the part is known to have reached, told ahead of its end where that is known. */
-    public void placed(Part part, double position) {
-        Stream stream = heard(part);
+    public void placed(GatherPart part, double position) {
+        PartStream stream = heard(part);
         if (stream != null) {
             stream.position = Math.max(stream.position, position);
             leave(stream);
@@ -147,10 +147,10 @@
     }
 
     /** The part's columns; of a part that cannot be described as text, null. */
-    public void described(Part part, List<Column> columns) {
-        Stream stream = heard(part);
+    public void described(GatherPart part, List<Column> columns) {
+        PartStream stream = heard(part);
         if (stream != null) {
-            Fault fault = describe(stream, columns);
+            GatherFault fault = describe(stream, columns);
             if (fault != null) {
                 reject(stream, fault);
             }
@@ -158,28 +158,28 @@
         }
     }
 
-    private Fault describe(Stream stream, List<Column> columns) {
+    private GatherFault describe(PartStream stream, List<Column> columns) {
         stream.described = true;
         if (columns == null) {
-            return new Fault(Fault.Kind.MIXED, stream.part, 0, "no columns of text");
+            return new GatherFault(GatherFault.Kind.MIXED, stream.part, 0, "no columns of text");
         }
         if (layout == null) {
-            var first = new Layout(merging, List.copyOf(columns), part -> streams.get(part.number()).position);
+            var first = new ColumnLayout(merging, List.copyOf(columns), part -> streams.get(part.number()).position);
             layout = first.misfit() == null ? first : null;
-            return layout != null ? null : new Fault(Fault.Kind.UNFIT, stream.part, 0, first.misfit());
+            return layout != null ? null : new GatherFault(GatherFault.Kind.UNFIT, stream.part, 0, first.misfit());
         }
         String differs = layout.differs(columns);
         if (differs == null) {
             layout.loosen(columns);
         }
-        return differs == null ? null : new Fault(Fault.Kind.MIXED, stream.part, 0, differs);
+        return differs == null ? null : new GatherFault(GatherFault.Kind.MIXED, stream.part, 0, differs);
     }
 
     /** A row of the part, a whole DataRow message; it is kept as it is and must not change any more. */
-    public void row(Part part, byte[] message) {
-        Stream stream = heard(part);
+    public void row(GatherPart part, byte[] message) {
+        PartStream stream = heard(part);
         if (stream != null) {
-            Fault fault = admit(stream, message);
+            GatherFault fault = admit(stream, message);
             if (fault != null) {
                 reject(stream, fault);
             }
@@ -187,10 +187,10 @@
         }
     }
 
-    private Fault admit(Stream stream, byte[] message) {
+    private GatherFault admit(PartStream stream, byte[] message) {
         stream.rows++;
         stream.owed--;
-        Fault.Kind unfit = unfit(stream, message);
+        GatherFault.Kind unfit = unfit(stream, message);
         if (unfit != null) {
             return fault(stream, unfit, message);
         }
@@ -200,13 +200,13 @@
             acts.recall(stream.part);
             return null;
         }
-        Cell[] cells = new Cell[layout.reading().size()];
+        ColumnValue[] cells = new ColumnValue[layout.reading().size()];
         int column = layout.reading().read(message, cells);
-        if (column != Reading.READ) {
-            return column == Reading.MISSHAPEN
-                    ? fault(stream, Fault.Kind.WIDTH, message)
-                    : new Fault(
-                            Fault.Kind.UNREADABLE,
+        if (column != ColumnReader.READ) {
+            return column == ColumnReader.MISSHAPEN
+                    ? fault(stream, GatherFault.Kind.WIDTH, message)
+                    : new GatherFault(
+                            GatherFault.Kind.UNREADABLE,
                             stream.part,
                             stream.rows,
                             "column " + layout.columns().get(column).name() + " is no value of type "
@@ -218,25 +218,25 @@
             layout.order().mark(row);
         }
         if (ordered && stream.last != null && layout.order().keys(stream.last, row) > 0) {
-            return fault(stream, Fault.Kind.UNORDERED, message);
+            return fault(stream, GatherFault.Kind.UNORDERED, message);
         }
         stream.last = ordered ? row : null;
         blend.take(stream, row, layout);
         return null;
     }
 
-    private Fault.Kind unfit(Stream stream, byte[] message) {
+    private GatherFault.Kind unfit(PartStream stream, byte[] message) {
         return stream.owed < 0
-                ? Fault.Kind.OVERRUN
+                ? GatherFault.Kind.OVERRUN
                 : message.length > plan.bounds().longestRow()
-                        ? Fault.Kind.TOO_LONG
+                        ? GatherFault.Kind.TOO_LONG
                         : !stream.described
-                                ? Fault.Kind.WIDTH
-                                : stream.rows > plan.bounds().partRows() ? Fault.Kind.ENDLESS : null;
+                                ? GatherFault.Kind.WIDTH
+                                : stream.rows > plan.bounds().partRows() ? GatherFault.Kind.ENDLESS : null;
     }
 
-    private Fault fault(Stream stream, Fault.Kind kind, byte[] message) {
-        return new Fault(
+    private GatherFault fault(PartStream stream, GatherFault.Kind kind, byte[] message) {
+        return new GatherFault(
                 kind,
                 stream.part,
                 stream.rows,
@@ -258,8 +258,8 @@
      * The part came to its end. @param position at which it was read, seconds since 1970; negative infinity where
      * unknown
      */
-    public void ended(Part part, double position) {
-        Stream stream = heard(part);
+    public void ended(GatherPart part, double position) {
+        PartStream stream = heard(part);
         if (stream != null) {
             stream.position = Math.max(stream.position, position);
             stream.end(stream.rows >= merging.limit().depth());
@@ -272,15 +272,15 @@
      *
      * @param mayAskAgain what the router decides. A part of which rows may be in the answer already is not asked again
      */
-    public void failed(Part part, String why, boolean mayAskAgain) {
-        Stream stream = heard(part);
+    public void failed(GatherPart part, String why, boolean mayAskAgain) {
+        PartStream stream = heard(part);
         if (stream != null) {
             if (mayAskAgain && !blending) {
                 blend.forget(stream);
                 stream.reset();
                 acts.ask(part);
             } else {
-                stream.fall(Standing.MISSING, why, null);
+                stream.fall(PartStatus.MISSING, why, null);
             }
             leave(stream);
         }
@@ -318,11 +318,11 @@
         enter();
         now = Math.max(now, time);
         boolean expired = now >= deadline;
-        for (Stream stream : streams) {
+        for (PartStream stream : streams) {
             stream.clock(now);
             if (!stream.over && (expired || stream.late(plan.patience()))) {
                 acts.recall(stream.part);
-                stream.fall(Standing.LATE, expired ? "not there by the deadline" : "took longer than a part may", null);
+                stream.fall(PartStatus.LATE, expired ? "not there by the deadline" : "took longer than a part may", null);
                 note(stream);
             }
         }
@@ -336,7 +336,7 @@
 
     private double due() {
         double next = deadline;
-        for (Stream stream : streams) {
+        for (PartStream stream : streams) {
             stream.clock(now);
             next = Math.min(next, stream.due(plan.patience()));
         }
@@ -344,9 +344,9 @@
     }
 
     /** Guards against a part whose rows cannot be trusted: those that are not in the answer yet never will be. */
-    private void reject(Stream stream, Fault fault) {
+    private void reject(PartStream stream, GatherFault fault) {
         acts.recall(stream.part);
-        stream.fall(Standing.MISSING, fault.toString(), fault);
+        stream.fall(PartStatus.MISSING, fault.toString(), fault);
         blend.forget(stream);
     }
 
@@ -354,7 +354,7 @@
      * Something has changed about that part: it may be given more credit, and what is counted of it is brought up to
      * date.
      */
-    private void follow(Stream stream) {
+    private void follow(PartStream stream) {
         int more = stream.over ? 0 : stream.room(plan.bounds().bufferRows(), ahead, heaviest, blend.useful(out));
         if (more > 0) {
             stream.owed += more;
@@ -364,7 +364,7 @@
         note(stream);
     }
 
-    private void note(Stream stream) {
+    private void note(PartStream stream) {
         if (blending && !stream.over) {
             return; // what counts for the beginning is past
         }
@@ -385,7 +385,7 @@
         return before == after ? 0 : after ? 1 : -1;
     }
 
-    private boolean old(Stream stream) {
+    private boolean old(PartStream stream) {
         return stream.position < plan.oldest();
     }
 
@@ -408,23 +408,23 @@
 
     /** Whether so many parts are lost that what is left cannot be enough. */
     private boolean hopeless() {
-        return !(plan.enough() instanceof Enough.Best) && streams.size() - spare - lost < needed();
+        return !(plan.enough() instanceof CompletionPolicy.Best) && streams.size() - spare - lost < needed();
     }
 
     private long needed() {
-        return plan.enough() instanceof Enough.Quorum quorum ? quorum.parts() : streams.size();
+        return plan.enough() instanceof CompletionPolicy.Quorum quorum ? quorum.parts() : streams.size();
     }
 
     private boolean mayBegin() {
-        return plan.enough() instanceof Enough.Quorum quorum
+        return plan.enough() instanceof CompletionPolicy.Quorum quorum
                 ? firm >= quorum.parts() || streams.stream().allMatch(stream -> stream.over)
                 : ready == streams.size();
     }
 
     private void blend() {
         blending = true;
-        if (plan.enough() instanceof Enough.Quorum quorum && firm >= quorum.parts()) {
-            List<Stream> needed = streams.stream()
+        if (plan.enough() instanceof CompletionPolicy.Quorum quorum && firm >= quorum.parts()) {
+            List<PartStream> needed = streams.stream()
                     .filter(stream -> stream.firm)
                     .limit(quorum.parts())
                     .toList();
@@ -436,7 +436,7 @@
         }
     }
 
-    private void spare(Stream stream) {
+    private void spare(PartStream stream) {
         if (!stream.over) {
             acts.recall(stream.part);
         }
@@ -448,22 +448,22 @@
     }
 
     /** The one place where it ends. @param broken whether the answer was not at its end */
-    private void finish(Fault fault, boolean broken) {
+    private void finish(GatherFault fault, boolean broken) {
         over = true;
-        var notes = new ArrayList<Note>();
-        for (Stream stream : streams) {
+        var notes = new ArrayList<PartNote>();
+        for (PartStream stream : streams) {
             if (!stream.over) {
                 acts.recall(stream.part);
             }
             stream.dry = blending ? stream.dry : stream.shortened;
-            Standing standing = standing(stream, broken);
+            PartStatus standing = standing(stream, broken);
             String why = stream.dry && stream.deeper ? "has more than the rows that it was asked for" : stream.why;
-            notes.add(new Note(
-                    stream.part, standing, standing == Standing.WHOLE ? "" : why, stream.fault, stream.position));
+            notes.add(new PartNote(
+                    stream.part, standing, standing == PartStatus.WHOLE ? "" : why, stream.fault, stream.position));
         }
-        Verdict verdict = verdict(fault, broken, List.copyOf(notes));
+        GatherResult verdict = verdict(fault, broken, List.copyOf(notes));
         blend.drop();
-        streams.forEach(Stream::clear);
+        streams.forEach(PartStream::clear);
         account.close();
         if (layout != null) {
             out.begin(layout.shown());
@@ -471,8 +471,8 @@
         acts.finish(verdict);
     }
 
-    private Verdict verdict(Fault fault, boolean broken, List<Note> notes) {
-        List<Note> used = notes.stream()
+    private GatherResult verdict(GatherFault fault, boolean broken, List<PartNote> notes) {
+        List<PartNote> used = notes.stream()
                 .filter(note -> switch (note.standing()) {
                     case WHOLE, OLD, CUT -> true;
                     case SPARE, MISSING, LATE -> false;
@@ -480,19 +480,19 @@
                 .toList();
         boolean complete = !broken
                 && used.stream()
-                                .filter(note -> note.standing() == Standing.WHOLE)
+                                .filter(note -> note.standing() == PartStatus.WHOLE)
                                 .count()
                         >= needed();
-        boolean enough = complete || !broken && plan.enough() instanceof Enough.Best && !used.isEmpty();
-        var cut = new Cut(
-                broken && now >= deadline ? Cut.Where.DEADLINE : out.where(),
+        boolean enough = complete || !broken && plan.enough() instanceof CompletionPolicy.Best && !used.isEmpty();
+        var cut = new Truncation(
+                broken && now >= deadline ? Truncation.Where.DEADLINE : out.where(),
                 !broken && streams.stream().noneMatch(stream -> stream.dry),
                 streams.stream()
                         .filter(stream -> stream.dry && stream.deeper)
                         .map(stream -> stream.part)
                         .toList());
-        double position = used.stream().mapToDouble(Note::position).min().orElse(Double.POSITIVE_INFINITY);
-        return new Verdict(
+        double position = used.stream().mapToDouble(PartNote::position).min().orElse(Double.POSITIVE_INFINITY);
+        return new GatherResult(
                 fault != null ? Outcome.FAILED : complete ? Outcome.COMPLETE : Outcome.PARTIAL,
                 enough,
                 position,
@@ -505,14 +505,14 @@
     }
 
     /** A part that broke off is whole all the same where the answer ended before it would have needed more of it. */
-    private Standing standing(Stream stream, boolean broken) {
+    private PartStatus standing(PartStream stream, boolean broken) {
         if (stream.spare || !stream.over && broken) {
-            return Standing.SPARE;
+            return PartStatus.SPARE;
         }
         if (stream.dry || stream.fall != null && broken) {
-            return stream.fall == null || stream.counted > 0 ? Standing.CUT : stream.fall;
+            return stream.fall == null || stream.counted > 0 ? PartStatus.CUT : stream.fall;
         }
-        return old(stream) ? Standing.OLD : Standing.WHOLE;
+        return old(stream) ? PartStatus.OLD : PartStatus.WHOLE;
     }
 
     /** Whether the final answer was given. */
@@ -527,7 +527,7 @@
 
     /** Bytes of memory that rows read ahead take. */
     long readAhead() {
-        return streams.stream().mapToLong(Stream::held).sum();
+        return streams.stream().mapToLong(PartStream::held).sum();
     }
 
     /** Bytes of memory taken from the allowance now. */
--- a/gather/src/main/java/clayhook/gather/Acts.java
+++ b/gather/src/main/java/clayhook/gather/GatherActions.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /** What a gather wants done. None of these may call back into it: what follows from them is told to it afterwards. */
-public interface Acts {
+public interface GatherActions {
     /** Send that part its statement; of one asked again, what came for the first time is forgotten. */
-    void ask(Part part);
+    void ask(GatherPart part);
 
     /** What was sent to that part is not wanted any more. */
-    void recall(Part part);
+    void recall(GatherPart part);
 
     /** That many more rows may be handed in from there. Until then they wait where they are. */
-    void credit(Part part, int rows);
+    void credit(GatherPart part, int rows);
 
     /** The columns of the answer, once, ahead of all rows; not at all where no part told any. */
     void columns(List<Column> columns);
@@ -20,5 +20,5 @@
     void emit(byte[] row);
 
     /** The end, once. */
-    void finish(Verdict verdict);
+    void finish(GatherResult verdict);
 }
--- a/gather/src/main/java/clayhook/gather/Fault.java
+++ b/gather/src/main/java/clayhook/gather/GatherFault.java
@@ -6,7 +6,7 @@
  * @param part null where it is in no single part
  * @param row of that part, counted from 1; 0 for its description, -1 where it is in no single row
  */
-public record Fault(Kind kind, Part part, long row, String detail) {
+public record GatherFault(Kind kind, GatherPart part, long row, String detail) {
     /** Kinds of faults. */
     public enum Kind {
         /** Bytes that are no value of their column's type. */
--- a/gather/src/main/java/clayhook/gather/Part.java
+++ b/gather/src/main/java/clayhook/gather/GatherPart.java
@@ -6,7 +6,7 @@
  * @param number its place among the parts of the gather, from 0; of rows with equal keys the one of the lower number is
  *     first
  */
-public record Part(String name, int number) {
+public record GatherPart(String name, int number) {
     @Override
     public String toString() {
         return name;
--- a/gather/src/main/java/clayhook/gather/Verdict.java
+++ b/gather/src/main/java/clayhook/gather/GatherResult.java
@@ -16,14 +16,14 @@
  * @param conflicts keys of which copies contradict each other
  * @param errors by figure that is not exact, its standard or greatest error as a share of the value
  */
-public record Verdict(
+public record GatherResult(
         Outcome outcome,
         boolean enough,
         double position,
-        List<Note> notes,
-        Cut cut,
+        List<PartNote> notes,
+        Truncation cut,
         long rows,
-        Fault fault,
+        GatherFault fault,
         long conflicts,
         Map<String, Double> errors) {
     /** Kinds of answers. */
@@ -34,7 +34,7 @@
     }
 
     /** What became of a part. */
-    public enum Standing {
+    public enum PartStatus {
         /** All that the answer needs of it is in, read at a position that is fresh enough. */
         WHOLE,
         /** It was recalled, as others are enough or nothing can be enough any more. */
@@ -50,7 +50,7 @@
     }
 
     /** On one part. */
-    public record Note(Part part, Standing standing, String why, Fault fault, double position) {
+    public record PartNote(GatherPart part, PartStatus standing, String why, GatherFault fault, double position) {
         @Override
         public String toString() {
             return part + " " + standing.name().toLowerCase(Locale.ROOT) + (why.isEmpty() ? "" : " (" + why + ")");
@@ -64,7 +64,7 @@
      *     groups and of rows held whole it is only claimed when no part has more
      * @param deeper parts that were asked for too few rows to know
      */
-    public record Cut(Where where, boolean exact, List<Part> deeper) {
+    public record Truncation(Where where, boolean exact, List<GatherPart> deeper) {
         /** Kinds of ends. */
         public enum Where {
             NONE,
@@ -75,10 +75,10 @@
     }
 
     /** The parts with that standing. */
-    public List<Part> parts(Standing standing) {
+    public List<GatherPart> parts(PartStatus standing) {
         return notes.stream()
                 .filter(note -> note.standing == standing)
-                .map(Note::part)
+                .map(PartNote::part)
                 .toList();
     }
 
@@ -86,8 +86,8 @@
     @Override
     public String toString() {
         String parts = notes.stream()
-                .filter(note -> note.standing != Standing.WHOLE && note.standing != Standing.SPARE)
-                .map(Note::toString)
+                .filter(note -> note.standing != PartStatus.WHOLE && note.standing != PartStatus.SPARE)
+                .map(PartNote::toString)
                 .collect(Collectors.joining(", "));
         return outcome.name().toLowerCase(Locale.ROOT)
                 + (fault == null ? "" : ": " + fault)
--- a/gather/src/main/java/clayhook/gather/Grouping.java
+++ b/gather/src/main/java/clayhook/gather/Grouping.java
@@ -7,7 +7,7 @@
  *
  * @param by empty for one group of all rows, which is there without any row too, as in PostgreSQL
  */
-public record Grouping(List<String> by, List<Measure> measures) {
+public record Grouping(List<String> by, List<Aggregate> measures) {
     public Grouping {
         by = List.copyOf(by);
         measures = List.copyOf(measures);
--- a/gather/src/main/java/clayhook/gather/Tournament.java
+++ b/gather/src/main/java/clayhook/gather/LoserTree.java
@@ -6,15 +6,15 @@
  * A tree of losers over the first rows of many sorted parts: the least of all is at the top, and the next one is found
  * in one comparison a level (Knuth, The Art of Computer Programming 3, 5.4.1). A part without rows loses against all.
  */
-final class Tournament {
-    private final Order order;
+final class LoserTree {
+    private final RowComparator order;
     private final Row[] heads;
     /** Of each head: most comparisons look no further. */
     private final long[] rough;
     /** By inner node, from 1: who lost there. At 0: who won all. */
     private final int[] losers;
 
-    Tournament(Order order, Row[] heads) {
+    LoserTree(RowComparator order, Row[] heads) {
         this.order = order;
         this.heads = heads;
         rough = new long[heads.length];
--- a/gather/src/main/java/clayhook/gather/Allowance.java
+++ b/gather/src/main/java/clayhook/gather/MemoryPool.java
@@ -1,7 +1,7 @@
 package clayhook.gather;
 
 /** Memory that all gathers of a router share. Called from the gathers' own thread. */
-public interface Allowance {
+public interface MemoryPool {
     /** Takes that many bytes, or nothing and returns false. */
     boolean take(long bytes);
 
@@ -9,8 +9,8 @@
     void give(long bytes);
 
     /** That many bytes in all, for gathers of one thread. */
-    static Allowance of(long bytes) {
-        return new Allowance() {
+    static MemoryPool of(long bytes) {
+        return new MemoryPool() {
             private long left = bytes;
 
             @Override
--- a/gather/src/main/java/clayhook/gather/Account.java
+++ b/gather/src/main/java/clayhook/gather/MemoryReservation.java
@@ -1,13 +1,13 @@
 package clayhook.gather;
 
 /** What one gather holds, out of the router's allowance and under its own bound. */
-final class Account {
-    private final Allowance allowance;
+final class MemoryReservation {
+    private final MemoryPool allowance;
     private final long most;
     private long used;
     private long peak;
 
-    Account(Allowance allowance, long most) {
+    MemoryReservation(MemoryPool allowance, long most) {
         this.allowance = allowance;
         this.most = most;
     }
--- a/gather/src/main/java/clayhook/gather/Merging.java
+++ b/gather/src/main/java/clayhook/gather/MergeSpec.java
@@ -11,31 +11,31 @@
  * @param duplicates null where each row counts
  * @param groups null where rows stay rows; else formed of what is left after duplicates
  */
-public record Merging(List<Key> order, boolean sorted, Duplicates duplicates, Grouping groups, Limit limit) {
-    public Merging {
+public record MergeSpec(List<SortKey> order, boolean sorted, Duplicates duplicates, Grouping groups, Limit limit) {
+    public MergeSpec {
         order = List.copyOf(order);
     }
 
     /** Parts that are sorted by these. */
-    public static Merging by(Key... keys) {
-        return new Merging(List.of(keys), true, null, null, Limit.NONE);
+    public static MergeSpec by(SortKey... keys) {
+        return new MergeSpec(List.of(keys), true, null, null, Limit.NONE);
     }
 
     /** Parts come in any order. */
-    public Merging unsorted() {
-        return new Merging(order, false, duplicates, groups, limit);
+    public MergeSpec unsorted() {
+        return new MergeSpec(order, false, duplicates, groups, limit);
     }
 
-    public Merging without(Duplicates copies) {
-        return new Merging(order, sorted, copies, groups, limit);
+    public MergeSpec without(Duplicates copies) {
+        return new MergeSpec(order, sorted, copies, groups, limit);
     }
 
-    public Merging grouped(Grouping grouping) {
-        return new Merging(order, sorted, duplicates, grouping, limit);
+    public MergeSpec grouped(Grouping grouping) {
+        return new MergeSpec(order, sorted, duplicates, grouping, limit);
     }
 
-    public Merging cut(Limit at) {
-        return new Merging(order, sorted, duplicates, groups, at);
+    public MergeSpec cut(Limit at) {
+        return new MergeSpec(order, sorted, duplicates, groups, at);
     }
 
     /** Whether rows go through as they come. Else all of them are held to the end. */
@@ -51,6 +51,6 @@
         return sorted
                 && size <= order.size()
                 && duplicates.rules().stream().noneMatch(Duplicates.Rule.Position.class::isInstance)
-                && order.subList(0, size).stream().map(Key::column).toList().containsAll(duplicates.key());
+                && order.subList(0, size).stream().map(SortKey::column).toList().containsAll(duplicates.key());
     }
 }
--- a/gather/src/main/java/clayhook/gather/Stream.java
+++ b/gather/src/main/java/clayhook/gather/PartStream.java
@@ -3,8 +3,8 @@
 import java.util.ArrayDeque;
 
 /** One part in one gather: what was asked of it, what came, and how it ended. */
-final class Stream {
-    final Part part;
+final class PartStream {
+    final GatherPart part;
     /** What came and was not taken yet; emptied by the merge and at the end, bounded by credit. */
     final ArrayDeque<Row> buffer = new ArrayDeque<>();
     /** Rows that may still be handed in. */
@@ -34,15 +34,15 @@
     boolean lost;
     double position = Double.NEGATIVE_INFINITY;
     /** Why it did not come to its end. */
-    Verdict.Standing fall;
+    GatherResult.PartStatus fall;
 
     String why = "";
-    Fault fault;
+    GatherFault fault;
     private long held;
     private double spent;
     private double since = Double.NaN;
 
-    Stream(Part part) {
+    PartStream(GatherPart part) {
         this.part = part;
     }
 
@@ -58,7 +58,7 @@
     }
 
     /** It takes no further part, and what is not in the answer yet never will be. */
-    void fall(Verdict.Standing standing, String reason, Fault wrong) {
+    void fall(GatherResult.PartStatus standing, String reason, GatherFault wrong) {
         over = true;
         shortened = true;
         fall = standing;
--- a/gather/src/main/java/clayhook/gather/Quantile.java
+++ b/gather/src/main/java/clayhook/gather/QuantileAggregator.java
@@ -7,37 +7,37 @@
 import java.util.List;
 
 /** A quantile as percentile_disc has it. Values up to a bound are held; beyond it numbers go into buckets. */
-public final class Quantile extends Tally {
+public final class QuantileAggregator extends Aggregator {
     /**
-     * So many values give an exact quantile; more are told with {@link Buckets}' error, or not at all where they are no
+     * So many values give an exact quantile; more are told with {@link QuantileBuckets}' error, or not at all where they are no
      * numbers.
      */
     public static final int EXACT = 1024, EXACT_BYTES = 1 << 15;
     /** Of an entry and its bytes, about. */
     private static final int ENTRY = 120;
 
-    private record Value(Cell cell, byte[] raw) {
+    private record Value(ColumnValue cell, byte[] raw) {
         private static final Comparator<Value> ORDER =
                 Comparator.comparing(Value::cell).thenComparing((a, b) -> Arrays.compareUnsigned(a.raw, b.raw));
     }
 
-    private final Type type;
+    private final ColumnType type;
     private final double share;
     /** Null once there are too many. */
     private List<Value> values = new ArrayList<>();
 
     private long length;
-    private Buckets buckets;
+    private QuantileBuckets buckets;
 
-    Quantile(Type type, double share) {
+    QuantileAggregator(ColumnType type, double share) {
         this.type = type;
         this.share = share;
     }
 
     @Override
-    void add(Row row, Figure figure) {
-        Cell cell = row.cell(figure.slot());
-        if (cell == Cell.NULL) {
+    void add(Row row, AggregateColumn figure) {
+        ColumnValue cell = row.cell(figure.slot());
+        if (cell == ColumnValue.NULL) {
             return;
         }
         if (values != null) {
@@ -56,25 +56,25 @@
     }
 
     private void sketch() {
-        buckets = new Buckets();
+        buckets = new QuantileBuckets();
         values.forEach(value -> count(value.cell));
         values = null;
     }
 
-    private void count(Cell cell) {
+    private void count(ColumnValue cell) {
         if (type.number()) {
             buckets.add(
-                    cell instanceof Cell.Whole whole
+                    cell instanceof ColumnValue.IntegerValue whole
                             ? whole.value()
-                            : cell instanceof Cell.Real real
+                            : cell instanceof ColumnValue.FloatValue real
                                     ? real.value()
-                                    : ((Cell.Decimal) cell).value().doubleValue());
+                                    : ((ColumnValue.DecimalValue) cell).value().doubleValue());
         }
     }
 
     @Override
-    void join(Tally tally) {
-        var other = (Quantile) tally;
+    void join(Aggregator tally) {
+        var other = (QuantileAggregator) tally;
         if (other.values != null) {
             for (Value value : other.values) {
                 if (values != null) {
@@ -111,20 +111,20 @@
     private byte[] number(double value) {
         return bytes(
                 type.floating() || !Double.isFinite(value)
-                        ? Sum.text(value)
-                        : type == Type.WHOLE
+                        ? ExactSum.text(value)
+                        : type == ColumnType.WHOLE
                                 ? Long.toString(Math.round(value))
                                 : BigDecimal.valueOf(value).toPlainString());
     }
 
     /** Buckets hold numbers only, and no numeric that is beyond a double. */
     @Override
-    Fault.Kind fault() {
+    GatherFault.Kind fault() {
         return values != null
                 ? null
                 : !type.number()
-                        ? Fault.Kind.FULL
-                        : !type.floating() && Double.isInfinite(buckets.quantile(share)) ? Fault.Kind.OVERFLOW : null;
+                        ? GatherFault.Kind.FULL
+                        : !type.floating() && Double.isInfinite(buckets.quantile(share)) ? GatherFault.Kind.OVERFLOW : null;
     }
 
     @Override
--- a/gather/src/main/java/clayhook/gather/Buckets.java
+++ b/gather/src/main/java/clayhook/gather/QuantileBuckets.java
@@ -8,7 +8,7 @@
  * 2019). When there are too many buckets, each two become one (UDDSketch, Epicoco and others 2020): that depends on the
  * values alone and not on their order, which is why it stands here and neither t-digest nor KLL do.
  */
-final class Buckets {
+final class QuantileBuckets {
     /**
      * Of the value, while numbers of a sign are within a factor of 25,000 of each other; doubled for each square of
      * that.
@@ -68,7 +68,7 @@
     }
 
     /** The other one is not used afterwards. */
-    void join(Buckets other) {
+    void join(QuantileBuckets other) {
         for (; level < other.level; level++) {
             fold(above);
             fold(below);
@@ -92,7 +92,7 @@
 
     /** There is at least one value. */
     double quantile(double share) {
-        long left = Quantile.rank(share, lowest + sum(below) + zeros + sum(above) + highest + nans) - lowest;
+        long left = QuantileAggregator.rank(share, lowest + sum(below) + zeros + sum(above) + highest + nans) - lowest;
         if (left < 0) {
             return Double.NEGATIVE_INFINITY;
         }
@@ -130,6 +130,6 @@
     }
 
     long weight() {
-        return 2 * Tally.OBJECT + (long) (above.size() + below.size()) * ENTRY;
+        return 2 * Aggregator.OBJECT + (long) (above.size() + below.size()) * ENTRY;
     }
 }
--- a/gather/src/main/java/clayhook/gather/Row.java
+++ b/gather/src/main/java/clayhook/gather/Row.java
@@ -10,20 +10,20 @@
     /** Of the objects that make a row on a 64-bit machine, and of each value read from it, about. */
     private static final int OBJECTS = 72, CELL = 48;
 
-    final Part part;
+    final GatherPart part;
     /** Within its part, from 1. */
     final long number;
     /** A whole DataRow message. */
     final byte[] bytes;
 
-    private final Reading reading;
-    private final Cell[] cells;
+    private final ColumnReader reading;
+    private final ColumnValue[] cells;
     /** Kept, as by the time that it is asked for the bytes are out of the processor's caches. */
     private final long weight;
-    /** Where it stands by the first key, about; set by {@link Order#mark}. */
+    /** Where it stands by the first key, about; set by {@link RowComparator#mark}. */
     long rough;
 
-    Row(Part part, long number, byte[] bytes, Reading reading, Cell[] cells) {
+    Row(GatherPart part, long number, byte[] bytes, ColumnReader reading, ColumnValue[] cells) {
         this.part = part;
         this.number = number;
         this.bytes = bytes;
@@ -32,7 +32,7 @@
         weight = weight(bytes.length, cells.length);
     }
 
-    Cell cell(int slot) {
+    ColumnValue cell(int slot) {
         return cells[slot];
     }
 
--- a/gather/src/main/java/clayhook/gather/Order.java
+++ b/gather/src/main/java/clayhook/gather/RowComparator.java
@@ -4,30 +4,30 @@
 import java.util.List;
 
 /** Rows by their keys; equal ones by part and place in it, so that no two rows are alike and ties are stable. */
-final class Order implements Comparator<Row> {
+final class RowComparator implements Comparator<Row> {
     private final int[] slots;
-    private final Key[] keys;
+    private final SortKey[] keys;
     /** Whether the rough place says all of the first key. */
     private final boolean roughIsAll;
 
-    private Order(List<Key> keys, int[] slots, Reading reading) {
-        this.keys = keys.toArray(Key[]::new);
+    private RowComparator(List<SortKey> keys, int[] slots, ColumnReader reading) {
+        this.keys = keys.toArray(SortKey[]::new);
         this.slots = slots;
-        Type first = slots.length == 0 ? Type.OPAQUE : reading.type(slots[0]);
-        roughIsAll = first == Type.WHOLE || first == Type.TIME || first == Type.FLAG || first.floating();
+        ColumnType first = slots.length == 0 ? ColumnType.OPAQUE : reading.type(slots[0]);
+        roughIsAll = first == ColumnType.WHOLE || first == ColumnType.TIME || first == ColumnType.FLAG || first.floating();
     }
 
     /** Null where one of the keys is no column that can be ordered. */
-    static Order of(List<Key> keys, List<Column> columns, Reading reading) {
+    static RowComparator of(List<SortKey> keys, List<Column> columns, ColumnReader reading) {
         int[] slots = new int[keys.size()];
         for (int i = 0; i < slots.length; i++) {
             int column = Column.find(columns, keys.get(i).column());
-            if (column < 0 || Type.of(columns.get(column).type()) == Type.OPAQUE) {
+            if (column < 0 || ColumnType.of(columns.get(column).type()) == ColumnType.OPAQUE) {
                 return null;
             }
             slots[i] = reading.slot(column);
         }
-        return new Order(keys, slots, reading);
+        return new RowComparator(keys, slots, reading);
     }
 
     @Override
@@ -42,8 +42,8 @@
     /** Gives a row its rough place, which all rows that are compared must have: most comparisons end there. */
     void mark(Row row) {
         if (slots.length > 0) {
-            Cell cell = row.cell(slots[0]);
-            row.rough = cell == Cell.NULL
+            ColumnValue cell = row.cell(slots[0]);
+            row.rough = cell == ColumnValue.NULL
                     ? keys[0].nullsFirst() ? Long.MIN_VALUE : Long.MAX_VALUE
                     : keys[0].descending() ? ~cell.rough() : cell.rough();
         }
@@ -64,9 +64,9 @@
         return 0;
     }
 
-    private static int compare(Key key, Cell a, Cell b) {
-        if (a == Cell.NULL || b == Cell.NULL) {
-            return a == b ? 0 : (a == Cell.NULL) == key.nullsFirst() ? -1 : 1;
+    private static int compare(SortKey key, ColumnValue a, ColumnValue b) {
+        if (a == ColumnValue.NULL || b == ColumnValue.NULL) {
+            return a == b ? 0 : (a == ColumnValue.NULL) == key.nullsFirst() ? -1 : 1;
         }
         int compared = a.compareTo(b);
         return key.descending() ? -compared : compared;
--- a/gather/src/main/java/clayhook/gather/Rows.java
+++ b/gather/src/main/java/clayhook/gather/RowSet.java
@@ -10,23 +10,23 @@
  *
  * @param messages whole DataRow messages
  */
-public record Rows(List<Column> columns, List<byte[]> messages) {
+public record RowSet(List<Column> columns, List<byte[]> messages) {
     /**
      * What one part holds. @param rows null where it is out of reach, and {@code why} says how; @param position as of
      * the gather
      */
-    public record Held(Part part, Rows rows, String why, double position) {}
+    public record Held(GatherPart part, RowSet rows, String why, double position) {}
 
     /** An answer with its verdict. @param columns empty where no part told any */
-    public record Answer(List<Column> columns, List<byte[]> rows, Verdict verdict) {}
+    public record Answer(List<Column> columns, List<byte[]> rows, GatherResult verdict) {}
 
     /** @param rows values as PostgreSQL writes them, null for none */
-    public static Rows table(List<Column> columns, List<List<String>> rows) {
+    public static RowSet table(List<Column> columns, List<List<String>> rows) {
         var messages = new ArrayList<byte[]>(rows.size());
         for (List<String> row : rows) {
             messages.add(message(row));
         }
-        return new Rows(List.copyOf(columns), messages);
+        return new RowSet(List.copyOf(columns), messages);
     }
 
     /** One row as a whole DataRow message. */
@@ -39,14 +39,14 @@
     /** The values of a whole DataRow message, null for none. */
     public static List<String> values(byte[] message) {
         var values = new ArrayList<String>();
-        for (byte[] field : new Row(null, 0, message, null, new Cell[0]).fields()) {
+        for (byte[] field : new Row(null, 0, message, null, new ColumnValue[0]).fields()) {
             values.add(field == null ? null : new String(field, UTF_8));
         }
         return values;
     }
 
     /** Gathers what is at hand; at once, so that no part is late. */
-    public static Answer gather(Plan plan, List<Held> parts, Allowance allowance) {
+    public static Answer gather(GatherPlan plan, List<Held> parts, MemoryPool allowance) {
         var feed = new Feed(parts.size());
         var gather = new Gather(plan, parts.stream().map(Held::part).toList(), allowance, feed);
         gather.begin(0, Double.POSITIVE_INFINITY);
@@ -77,7 +77,7 @@
     }
 
     /** Remembers what the gather wants. */
-    private static final class Feed implements Acts {
+    private static final class Feed implements GatherActions {
         final long[] credit;
         /** Nothing more is to be fed from there. */
         final boolean[] done;
@@ -86,28 +86,28 @@
         /** The answer; bounded by what the parts hold. */
         final List<byte[]> rows = new ArrayList<>();
 
-        Verdict verdict;
+        GatherResult verdict;
 
         Feed(int parts) {
             credit = new long[parts];
             done = new boolean[parts];
         }
 
-        void end(Part part) {
+        void end(GatherPart part) {
             done[part.number()] = true;
             credit[part.number()] = 0;
         }
 
         @Override
-        public void ask(Part part) {}
+        public void ask(GatherPart part) {}
 
         @Override
-        public void recall(Part part) {
+        public void recall(GatherPart part) {
             end(part);
         }
 
         @Override
-        public void credit(Part part, int more) {
+        public void credit(GatherPart part, int more) {
             credit[part.number()] += more;
         }
 
@@ -122,7 +122,7 @@
         }
 
         @Override
-        public void finish(Verdict end) {
+        public void finish(GatherResult end) {
             verdict = end;
         }
     }
--- a/gather/src/main/java/clayhook/gather/Table.java
+++ b/gather/src/main/java/clayhook/gather/RowTable.java
@@ -6,32 +6,32 @@
 import java.util.Map;
 
 /** Rows held whole, one a key where duplicates are sorted out. */
-final class Table implements Pool {
+final class RowTable implements RowStore {
     /** Of an entry of the map, its key and the copies around the row, about. */
     private static final int ENTRY = 200;
 
-    private final Layout layout;
-    private final Account account;
+    private final ColumnLayout layout;
+    private final MemoryReservation account;
     /** Emptied by {@link #join} into another, or {@link #drop}; bounded by rows and by the account. */
-    private final Map<Object, Copies> byKey = new HashMap<>();
+    private final Map<Object, DuplicateGroup> byKey = new HashMap<>();
 
     private final long mostRows;
     private long held;
 
-    Table(Layout layout, Account account, long mostRows) {
+    RowTable(ColumnLayout layout, MemoryReservation account, long mostRows) {
         this.layout = layout;
         this.account = account;
         this.mostRows = mostRows;
     }
 
     @Override
-    public Fault add(Row row) {
+    public GatherFault add(Row row) {
         Object key = layout.ranks() == null ? row : layout.ranks().key(row);
-        return put(key, new Copies(layout.ranks(), row), true) ? null : full(row);
+        return put(key, new DuplicateGroup(layout.ranks(), row), true) ? null : full(row);
     }
 
-    private boolean put(Object key, Copies copies, boolean fresh) {
-        Copies known = byKey.get(key);
+    private boolean put(Object key, DuplicateGroup copies, boolean fresh) {
+        DuplicateGroup known = byKey.get(key);
         if (known == null) {
             if (byKey.size() >= mostRows || fresh && !take(copies.weight() + ENTRY)) {
                 return false;
@@ -54,17 +54,17 @@
         return true;
     }
 
-    private Fault full(Row row) {
-        return new Fault(
-                Fault.Kind.FULL,
+    private GatherFault full(Row row) {
+        return new GatherFault(
+                GatherFault.Kind.FULL,
                 row.part,
                 row.number,
                 byKey.size() + " rows of " + held + " bytes have to be held for the answer, and that is the bound");
     }
 
     @Override
-    public Fault join(Pool pool) {
-        var other = (Table) pool;
+    public GatherFault join(RowStore pool) {
+        var other = (RowTable) pool;
         held += other.held;
         other.held = 0;
         for (var entry : other.byKey.entrySet()) {
@@ -85,11 +85,11 @@
 
     /** Keys of which copies contradict each other. */
     long conflicts() {
-        return byKey.values().stream().filter(Copies::conflict).count();
+        return byKey.values().stream().filter(DuplicateGroup::conflict).count();
     }
 
     @Override
-    public Fault fault() {
+    public GatherFault fault() {
         return null;
     }
 
--- a/gather/src/main/java/clayhook/gather/Merge.java
+++ b/gather/src/main/java/clayhook/gather/SortedMerge.java
@@ -5,26 +5,26 @@
 import java.util.function.Consumer;
 
 /** Sorted parts become a sorted answer; only what is read ahead is held, and the copies of the row that is next. */
-final class Merge implements Blend {
-    private final Account account;
-    private final Bounds bounds;
+final class SortedMerge implements MergeStrategy {
+    private final MemoryReservation account;
+    private final BufferLimits bounds;
     /** Hears of each part of which a row went on. */
-    private final Consumer<Stream> taken;
+    private final Consumer<PartStream> taken;
 
-    private List<Stream> parts = List.of();
-    private Layout layout;
-    private Tournament tournament;
+    private List<PartStream> parts = List.of();
+    private ColumnLayout layout;
+    private LoserTree tournament;
     /** The slot whose next row is not there yet; -1 for none. */
     private int unknown = -1;
     /** The row that goes out when one with another key is next; null for none. */
-    private Copies next;
+    private DuplicateGroup next;
 
     private long held;
     private long conflicts;
     private final boolean copies;
-    private Fault fault;
+    private GatherFault fault;
 
-    Merge(Merging merging, Account account, Bounds bounds, Consumer<Stream> taken) {
+    SortedMerge(MergeSpec merging, MemoryReservation account, BufferLimits bounds, Consumer<PartStream> taken) {
         this.account = account;
         this.bounds = bounds;
         this.taken = taken;
@@ -32,12 +32,12 @@
     }
 
     @Override
-    public void take(Stream from, Row row, Layout plan) {
+    public void take(PartStream from, Row row, ColumnLayout plan) {
         from.put(row);
     }
 
     @Override
-    public void forget(Stream from) {
+    public void forget(PartStream from) {
         from.clear();
         int slot = parts.indexOf(from);
         if (slot >= 0 && slot != unknown) {
@@ -47,17 +47,17 @@
     }
 
     @Override
-    public boolean ready(Stream part) {
+    public boolean ready(PartStream part) {
         return part.over || !part.buffer.isEmpty();
     }
 
     @Override
-    public boolean firm(Stream part) {
+    public boolean firm(PartStream part) {
         return part.over || part.owed == 0 && !part.buffer.isEmpty();
     }
 
     @Override
-    public void begin(List<Stream> streams, Layout plan) {
+    public void begin(List<PartStream> streams, ColumnLayout plan) {
         parts = streams;
         layout = plan;
         Row[] heads = new Row[parts.size()];
@@ -67,15 +67,15 @@
                 dry(parts.get(i));
             }
         }
-        tournament = heads.length == 0 ? null : new Tournament(layout.order(), heads);
+        tournament = heads.length == 0 ? null : new LoserTree(layout.order(), heads);
     }
 
-    private static void dry(Stream part) {
+    private static void dry(PartStream part) {
         part.dry = part.over && part.shortened;
     }
 
     @Override
-    public boolean pour(Output out) {
+    public boolean pour(AnswerWriter out) {
         while (tournament != null && fault == null && !out.full()) {
             if (unknown >= 0 && !know()) {
                 return false;
@@ -104,7 +104,7 @@
 
     /** Whether the part whose row went out last has shown its next one, or its end. */
     private boolean know() {
-        Stream part = parts.get(unknown);
+        PartStream part = parts.get(unknown);
         Row head = part.buffer.peek();
         if (head == null) {
             if (!part.over) {
@@ -119,13 +119,13 @@
 
     private void next() {
         unknown = tournament.winner();
-        Stream part = parts.get(unknown);
+        PartStream part = parts.get(unknown);
         part.poll();
         taken.accept(part);
     }
 
     private void hold(Row row) {
-        var copy = new Copies(layout.ranks(), row);
+        var copy = new DuplicateGroup(layout.ranks(), row);
         long before = next == null ? 0 : next.weight();
         if (next == null) {
             next = copy;
@@ -136,14 +136,14 @@
         if (more < 0) {
             account.give(-more);
         } else if (!account.take(more)) {
-            fault = new Fault(
-                    Fault.Kind.FULL, row.part, row.number, "the copies of one row are beyond the memory for it");
+            fault = new GatherFault(
+                    GatherFault.Kind.FULL, row.part, row.number, "the copies of one row are beyond the memory for it");
             return;
         }
         held += more;
     }
 
-    private void give(Output out) {
+    private void give(AnswerWriter out) {
         conflicts += next.conflict() ? 1 : 0;
         out.emit(next.row(layout.reading()).bytes);
         next = null;
@@ -156,12 +156,12 @@
      * though.
      */
     @Override
-    public long useful(Output out) {
+    public long useful(AnswerWriter out) {
         return copies ? bounds.bufferRows() : Math.max(1, out.left());
     }
 
     @Override
-    public Fault fault() {
+    public GatherFault fault() {
         return fault;
     }
 
--- a/gather/src/main/java/clayhook/gather/Times.java
+++ b/gather/src/main/java/clayhook/gather/TimestampParser.java
@@ -6,7 +6,7 @@
 import java.util.regex.Pattern;
 
 /** Dates and times in PostgreSQL's style ISO, its default. */
-final class Times {
+final class TimestampParser {
     /** Year, month, day; hour, minute, second, fraction; zone as hours, minutes, seconds; before our era. */
     private static final Pattern ISO =
             Pattern.compile("(\\d{4,6})-(\\d\\d)-(\\d\\d)(?: (\\d\\d):(\\d\\d):(\\d\\d)(?:\\.(\\d{1,6}))?"
@@ -15,12 +15,12 @@
     private static final long MICROS = 1_000_000;
     private static final long DAY = 86_400;
 
-    private Times() {}
+    private TimestampParser() {}
 
     /** Null where that is none. */
-    static Cell read(String text) {
+    static ColumnValue read(String text) {
         if (text.equals("infinity") || text.equals("-infinity")) {
-            return new Cell.Time(text.charAt(0) == '-' ? Long.MIN_VALUE : Long.MAX_VALUE);
+            return new ColumnValue.TimestampValue(text.charAt(0) == '-' ? Long.MIN_VALUE : Long.MAX_VALUE);
         }
         Matcher fields = ISO.matcher(text);
         if (!fields.matches()) {
@@ -46,7 +46,7 @@
         // at most six digits of years are 3e19 microseconds, beyond a long; PostgreSQL's own end at the year 294276 is
         // not
         long since = LocalDate.of(year, month, day).toEpochDay() * DAY + seconds - zone;
-        return Math.abs(since) < Long.MAX_VALUE / MICROS - 1 ? new Cell.Time(since * MICROS + micros) : null;
+        return Math.abs(since) < Long.MAX_VALUE / MICROS - 1 ? new ColumnValue.TimestampValue(since * MICROS + micros) : null;
     }
 
     private static int number(Matcher fields, int group) {
--- a/gather/src/test/java/clayhook/gather/GroupsPropertiesTest.java
+++ b/gather/src/test/java/clayhook/gather/GroupsPropertiesTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clayhook.gather.Measure.What;
+import clayhook.gather.Aggregate.What;
 import clayhook.gather.Sample.Line;
 import clayhook.gather.Sample.Value;
 import java.math.BigDecimal;
@@ -26,16 +26,16 @@
 
 /** Figures of groups: joined in any order or tree they are those of plain lists, and sketches keep to their errors. */
 class GroupsPropertiesTest {
-    private static final List<Measure> MEASURES = List.of(
-            Measure.count("rows"),
-            Measure.of(What.COUNT, "n", "counted"),
-            Measure.of(What.SUM, "l", "sum"),
-            Measure.of(What.SUM, "n", "sum of decimals"),
-            Measure.of(What.LEAST, "at", "least"),
-            Measure.of(What.MOST, "t", "most"),
-            Measure.of(What.MEAN, "i", "mean"),
-            Measure.of(What.DISTINCT, "n", "distinct"),
-            Measure.quantile("d", 0.5, "median"));
+    private static final List<Aggregate> MEASURES = List.of(
+            Aggregate.count("rows"),
+            Aggregate.of(What.COUNT, "n", "counted"),
+            Aggregate.of(What.SUM, "l", "sum"),
+            Aggregate.of(What.SUM, "n", "sum of decimals"),
+            Aggregate.of(What.LEAST, "at", "least"),
+            Aggregate.of(What.MOST, "t", "most"),
+            Aggregate.of(What.MEAN, "i", "mean"),
+            Aggregate.of(What.DISTINCT, "n", "distinct"),
+            Aggregate.quantile("d", 0.5, "median"));
 
     private static List<Value> present(List<Line> lines, String column) {
         return lines.stream()
@@ -83,7 +83,7 @@
     }
 
     private static long micros(String text) {
-        return ((Cell.Time) Times.read(text)).micros();
+        return ((ColumnValue.TimestampValue) TimestampParser.read(text)).micros();
     }
 
     private static Object read(int measure, String text) {
@@ -104,12 +104,12 @@
             @ForAll long seed, @ForAll @IntRange(min = 1, max = 4) int parts, @ForAll boolean distinct) {
         Sample sample = new Sample(seed, parts, 20).arranged(false);
         Duplicates duplicates = distinct ? sample.duplicates(false) : null;
-        var merging = new Merging(
-                List.of(Key.descending("b")), false, duplicates, new Grouping(List.of("b"), MEASURES), Limit.NONE);
-        Play play = new Play(seed, Plan.of(merging), Sample.COLUMNS, Play.texts(sample));
+        var merging = new MergeSpec(
+                List.of(SortKey.descending("b")), false, duplicates, new Grouping(List.of("b"), MEASURES), Limit.NONE);
+        Play play = new Play(seed, GatherPlan.of(merging), Sample.COLUMNS, Play.texts(sample));
         List<Line> lines = distinct ? sample.distinct(duplicates, part -> play.positions[part]) : sample.all();
         play.ways.set(0, Play.Way.BREAKS_ONCE); // and nothing counts twice
-        assertEquals(Verdict.Outcome.COMPLETE, play.run().outcome());
+        assertEquals(GatherResult.Outcome.COMPLETE, play.run().outcome());
         var expected = new ArrayList<List<Object>>();
         for (Boolean flag : new Boolean[] {null, true, false}) {
             List<Line> group =
@@ -132,13 +132,13 @@
         assertEquals(expected, seen);
     }
 
-    private static Row row(Layout layout, String... values) {
-        return layout.reading().row(new Part("p", 0), 1, Rows.message(Arrays.asList(values)));
+    private static Row row(ColumnLayout layout, String... values) {
+        return layout.reading().row(new GatherPart("p", 0), 1, RowSet.message(Arrays.asList(values)));
     }
 
     /** Splits the rows at random, adds and joins them in a random tree. */
-    private static Tally tree(Figure figure, List<Row> rows, Random random) {
-        List<Tally> tallies = new ArrayList<>();
+    private static Aggregator tree(AggregateColumn figure, List<Row> rows, Random random) {
+        List<Aggregator> tallies = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
             tallies.add(figure.tally());
         }
@@ -146,7 +146,7 @@
         Collections.shuffle(shuffled, random);
         shuffled.forEach(row -> tallies.get(random.nextInt(5)).add(row, figure));
         while (tallies.size() > 1) {
-            Tally one = tallies.remove(random.nextInt(tallies.size()));
+            Aggregator one = tallies.remove(random.nextInt(tallies.size()));
             tallies.get(random.nextInt(tallies.size())).join(one);
         }
         return tallies.get(0);
@@ -166,13 +166,13 @@
         var grouping = new Grouping(
                 List.of(),
                 List.of(
-                        Measure.of(What.SUM, "x", "sum"),
-                        Measure.of(What.MEAN, "x", "mean"),
-                        Measure.of(What.DISTINCT, "x", "distinct"),
-                        Measure.quantile("x", 0.9, "quantile"),
-                        Measure.of(What.MEAN, "n", "mean of n"),
-                        Measure.of(What.LEAST, "n", "least")));
-        Layout layout = new Layout(Merging.by().grouped(grouping), columns, part -> 0);
+                        Aggregate.of(What.SUM, "x", "sum"),
+                        Aggregate.of(What.MEAN, "x", "mean"),
+                        Aggregate.of(What.DISTINCT, "x", "distinct"),
+                        Aggregate.quantile("x", 0.9, "quantile"),
+                        Aggregate.of(What.MEAN, "n", "mean of n"),
+                        Aggregate.of(What.LEAST, "n", "least")));
+        ColumnLayout layout = new ColumnLayout(MergeSpec.by().grouped(grouping), columns, part -> 0);
         var rows = new ArrayList<Row>();
         double[] values = random.doubles(count)
                 .map(x -> (x - 0.3) * Math.pow(10, random.nextInt(spread + 1) - spread / 2))
@@ -181,20 +181,20 @@
             rows.add(row(
                     layout, Double.toString(value), List.of("1.0", "1.00", "1").get(random.nextInt(3))));
         }
-        for (Figure figure : layout.figures()) {
-            Tally one = tree(figure, rows, random);
+        for (AggregateColumn figure : layout.figures()) {
+            Aggregator one = tree(figure, rows, random);
             assertArrayEquals(
                     one.text(),
                     tree(figure, rows, random).text(),
                     figure.measure().name());
         }
         Arrays.sort(values);
-        Tally quantile = tree(layout.figures().get(3), rows, random);
-        double exact = values[(int) Quantile.rank(0.9, count)];
+        Aggregator quantile = tree(layout.figures().get(3), rows, random);
+        double exact = values[(int) QuantileAggregator.rank(0.9, count)];
         double off = Math.abs(Double.parseDouble(new String(quantile.text())) - exact);
         assertTrue(off <= quantile.error() * Math.abs(exact) * (1 + 1e-9) + 1e-300, off + " of " + exact);
-        assertEquals(count <= Quantile.EXACT, quantile.error() == 0);
-        Tally distinct = tree(layout.figures().get(2), rows, random);
+        assertEquals(count <= QuantileAggregator.EXACT, quantile.error() == 0);
+        Aggregator distinct = tree(layout.figures().get(2), rows, random);
         assertTrue(Math.abs(Double.parseDouble(new String(distinct.text())) - count) <= 6 * distinct.error() * count);
         BigDecimal sum = Arrays.stream(values).mapToObj(BigDecimal::new).reduce(BigDecimal.ZERO, BigDecimal::add);
         assertEquals(
@@ -231,19 +231,19 @@
                 "SUM, 700, 0.5 0.25, 0.75"
             })
     void figuresLookAsPostgresWritesThem(What what, int type, String values, String expected) {
-        var grouping = new Grouping(List.of(), List.of(Measure.of(what, "x", "y")));
-        var table = Rows.table(
+        var grouping = new Grouping(List.of(), List.of(Aggregate.of(what, "x", "y")));
+        var table = RowSet.table(
                 List.of(Column.of("x", type)),
                 (values == null ? List.of("null") : List.of(values.split(" ")))
                         .stream()
                                 .map(value -> Collections.singletonList(value.equals("null") ? null : value))
                                 .toList());
-        Rows.Answer answer = Rows.gather(
-                Plan.of(Merging.by().grouped(grouping)),
-                List.of(new Rows.Held(new Part("p", 0), table, "", 1)),
-                Allowance.of(1 << 20));
+        RowSet.Answer answer = RowSet.gather(
+                GatherPlan.of(MergeSpec.by().grouped(grouping)),
+                List.of(new RowSet.Held(new GatherPart("p", 0), table, "", 1)),
+                MemoryPool.of(1 << 20));
         assertEquals(
-                Collections.singletonList(expected), Rows.values(answer.rows().get(0)));
+                Collections.singletonList(expected), RowSet.values(answer.rows().get(0)));
     }
 
     /**
@@ -257,32 +257,32 @@
                 new ArrayList<List<String>>(List.of(List.of("10", "4", "3e38", "a"), List.of("2", "4", "3e38", "b")));
         assertEquals(
                 List.of("1.5000000000000000"),
-                Rows.values(answer(Measure.mean("s", "c", "m"), columns.get(), rows)
+                RowSet.values(answer(Aggregate.mean("s", "c", "m"), columns.get(), rows)
                         .rows()
                         .get(0)));
-        Rows.Answer beyond = answer(Measure.of(What.SUM, "x", "sum"), columns.get(), rows);
-        assertEquals(Fault.Kind.OVERFLOW, beyond.verdict().fault().kind());
-        assertEquals(Verdict.Outcome.FAILED, beyond.verdict().outcome());
+        RowSet.Answer beyond = answer(Aggregate.of(What.SUM, "x", "sum"), columns.get(), rows);
+        assertEquals(GatherFault.Kind.OVERFLOW, beyond.verdict().fault().kind());
+        assertEquals(GatherResult.Outcome.FAILED, beyond.verdict().outcome());
         assertTrue(beyond.rows().isEmpty());
-        for (int i = 0; i < Quantile.EXACT; i++) {
+        for (int i = 0; i < QuantileAggregator.EXACT; i++) {
             rows.add(List.of("1", "1", "1", "t" + i));
         }
         assertEquals(
-                Fault.Kind.FULL,
-                answer(Measure.quantile("t", 0.5, "q"), columns.get(), rows)
+                GatherFault.Kind.FULL,
+                answer(Aggregate.quantile("t", 0.5, "q"), columns.get(), rows)
                         .verdict()
                         .fault()
                         .kind());
-        Verdict sketched =
-                answer(Measure.of(What.DISTINCT, "t", "d"), columns.get(), rows).verdict();
+        GatherResult sketched =
+                answer(Aggregate.of(What.DISTINCT, "t", "d"), columns.get(), rows).verdict();
         assertNull(sketched.fault());
-        assertEquals(Distinct.ERROR, Objects.requireNonNull(sketched.errors().get("d")));
+        assertEquals(DistinctAggregator.ERROR, Objects.requireNonNull(sketched.errors().get("d")));
     }
 
-    private static Rows.Answer answer(Measure measure, List<Column> columns, List<List<String>> rows) {
-        return Rows.gather(
-                Plan.of(Merging.by().grouped(new Grouping(List.of(), List.of(measure)))),
-                List.of(new Rows.Held(new Part("p", 0), Rows.table(columns, rows), "", 1)),
-                Allowance.of(1 << 20));
+    private static RowSet.Answer answer(Aggregate measure, List<Column> columns, List<List<String>> rows) {
+        return RowSet.gather(
+                GatherPlan.of(MergeSpec.by().grouped(new Grouping(List.of(), List.of(measure)))),
+                List.of(new RowSet.Held(new GatherPart("p", 0), RowSet.table(columns, rows), "", 1)),
+                MemoryPool.of(1 << 20));
     }
 }
--- a/gather/src/test/java/clayhook/gather/MergePropertiesTest.java
+++ b/gather/src/test/java/clayhook/gather/MergePropertiesTest.java
@@ -1,13 +1,13 @@
 package clayhook.gather;
 
-import static clayhook.gather.Verdict.Outcome.COMPLETE;
+import static clayhook.gather.GatherResult.Outcome.COMPLETE;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import clayhook.gather.Sample.Line;
-import clayhook.gather.Verdict.Standing;
+import clayhook.gather.GatherResult.PartStatus;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -18,7 +18,7 @@
 /** Whatever comes in whatever order: the answer is that of the plain way, and what is claimed of it is true. */
 class MergePropertiesTest {
     /** Tight, so that credit and the bound of memory matter. */
-    private static final Bounds TIGHT = new Bounds(3, 1000, 200, 1000, 500, 1 << 20);
+    private static final BufferLimits TIGHT = new BufferLimits(3, 1000, 200, 1000, 500, 1 << 20);
 
     private static List<List<String>> texts(List<Line> lines) {
         return lines.stream().map(Line::texts).toList();
@@ -39,11 +39,11 @@
         Sample sample = new Sample(seed, parts, rows).arranged(sorted);
         Duplicates duplicates = copies == 0 ? null : sample.duplicates(copies == 1);
         Limit limit = cut ? Limit.rows(sample.random.nextInt(12)) : Limit.NONE;
-        var merging = new Merging(sample.keys, sorted, duplicates, null, limit);
-        Play play = new Play(seed, Plan.of(merging).within(TIGHT), Sample.COLUMNS, Play.texts(sample));
+        var merging = new MergeSpec(sample.keys, sorted, duplicates, null, limit);
+        Play play = new Play(seed, GatherPlan.of(merging).within(TIGHT), Sample.COLUMNS, Play.texts(sample));
         List<Line> lines =
                 duplicates == null ? sample.all() : sample.distinct(duplicates, part -> play.positions[part]);
-        Verdict verdict = play.run();
+        GatherResult verdict = play.run();
         assertEquals(texts(first(limit.rows(), sample.sorted(lines))), play.rows);
         assertEquals(COMPLETE, verdict.outcome());
         assertTrue(verdict.cut().exact() && verdict.enough());
@@ -56,17 +56,17 @@
         Sample sample = new Sample(seed, 3, 10).arranged(true);
         Limit limit = new Limit(Long.MAX_VALUE, bytes, Long.MAX_VALUE);
         Play play = new Play(
-                seed, Plan.of(new Merging(sample.keys, true, null, null, limit)), Sample.COLUMNS, Play.texts(sample));
-        Verdict verdict = play.run();
+                seed, GatherPlan.of(new MergeSpec(sample.keys, true, null, null, limit)), Sample.COLUMNS, Play.texts(sample));
+        GatherResult verdict = play.run();
         List<List<String>> whole = texts(sample.sorted(sample.all()));
         long sum = 0;
         int fit = 0;
-        while (fit < whole.size() && (sum += Rows.message(whole.get(fit)).length) <= bytes) {
+        while (fit < whole.size() && (sum += RowSet.message(whole.get(fit)).length) <= bytes) {
             fit++;
         }
         assertEquals(first(fit, whole), play.rows);
         assertEquals(
-                fit < whole.size() ? Verdict.Cut.Where.BYTES : Verdict.Cut.Where.NONE,
+                fit < whole.size() ? GatherResult.Truncation.Where.BYTES : GatherResult.Truncation.Where.NONE,
                 verdict.cut().where());
     }
 
@@ -89,17 +89,17 @@
         for (List<Line> lines : sample.parts) {
             given.add(texts(limited ? first(depth, lines) : lines));
         }
-        var merging = new Merging(sample.keys, true, duplicates, null, limit);
-        Play play = new Play(seed, Plan.of(merging).within(TIGHT), Sample.COLUMNS, given);
-        Verdict verdict = play.run();
+        var merging = new MergeSpec(sample.keys, true, duplicates, null, limit);
+        Play play = new Play(seed, GatherPlan.of(merging).within(TIGHT), Sample.COLUMNS, given);
+        GatherResult verdict = play.run();
         if (verdict.cut().exact()) {
             List<Line> whole =
                     duplicates == null ? sample.all() : sample.distinct(duplicates, part -> play.positions[part]);
             assertEquals(texts(first(most, sample.sorted(whole))), play.rows);
         }
         assertEquals(verdict.cut().exact(), verdict.cut().deeper().isEmpty());
-        assertEquals(verdict.cut().deeper(), verdict.parts(Standing.CUT));
-        for (Part part : duplicates == null ? play.parts : List.<Part>of()) {
+        assertEquals(verdict.cut().deeper(), verdict.parts(PartStatus.CUT));
+        for (GatherPart part : duplicates == null ? play.parts : List.<GatherPart>of()) {
             assertEquals(
                     verdict.cut().deeper().contains(part),
                     oneMoreShows(sample, part.number(), depth, most),
@@ -132,10 +132,10 @@
         var random = new Random(seed);
         int quorum = 1 + random.nextInt(parts);
         Limit limit = cut ? Limit.rows(random.nextInt(9)) : Limit.NONE;
-        Plan plan = Plan.of(new Merging(sample.keys, streams, null, null, limit))
+        GatherPlan plan = GatherPlan.of(new MergeSpec(sample.keys, streams, null, null, limit))
                 .within(TIGHT)
                 .patience(1 + random.nextInt(9))
-                .enough(enough == 0 ? new Enough.All() : enough == 1 ? new Enough.Quorum(quorum) : new Enough.Best())
+                .enough(enough == 0 ? new CompletionPolicy.All() : enough == 1 ? new CompletionPolicy.Quorum(quorum) : new CompletionPolicy.Best())
                 .notOlder(random.nextBoolean() ? 1 : Double.NEGATIVE_INFINITY);
         Play play = new Play(seed, marked ? plan : plan.wholeOrError(), Sample.COLUMNS, Play.texts(sample));
         var plays = new ArrayList<Play.Way>();
@@ -143,9 +143,9 @@
             play.ways.set(i, Play.Way.values()[random.nextBoolean() ? 0 : random.nextInt(4)]);
             plays.add(play.ways.get(i));
         }
-        Verdict verdict = play.run();
+        GatherResult verdict = play.run();
         assertEquals(parts, verdict.notes().size());
-        List<Part> whole = verdict.parts(Standing.WHOLE);
+        List<GatherPart> whole = verdict.parts(PartStatus.WHOLE);
         int needed = enough == 1 ? quorum : parts;
         if (verdict.outcome() == COMPLETE) {
             assertTrue(whole.size() >= needed && verdict.enough());
@@ -156,7 +156,7 @@
             assertFalse(verdict.position() < plan.oldest());
         } else {
             assertTrue(
-                    whole.size() < needed || verdict.cut().where() == Verdict.Cut.Where.DEADLINE, verdict.toString());
+                    whole.size() < needed || verdict.cut().where() == GatherResult.Truncation.Where.DEADLINE, verdict.toString());
         }
         if (!plays.contains(Play.Way.BREAKS_ONCE)) {
             assertEquals(parts, play.asks, "asked again without being told so");
@@ -169,10 +169,10 @@
             }
             assertNotEquals(plain.size(), at++, "a row that does not follow");
         }
-        for (Part part : play.parts) {
-            Standing standing = verdict.notes().get(part.number()).standing();
+        for (GatherPart part : play.parts) {
+            PartStatus standing = verdict.notes().get(part.number()).standing();
             if (plays.get(part.number()) == Play.Way.WHOLE && play.positions[part.number()] < plan.oldest()) {
-                assertNotEquals(Standing.WHOLE, standing);
+                assertNotEquals(PartStatus.WHOLE, standing);
             }
         }
     }
--- a/gather/src/test/java/clayhook/gather/Play.java
+++ b/gather/src/test/java/clayhook/gather/Play.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 
 /** Plays parts to a gather in an order of events drawn from a seed, and watches what it may never do. */
-final class Play implements Acts {
+final class Play implements GatherActions {
     /** What a part does: to its end, never beyond some row, broken off there for good or until asked again. */
     enum Way {
         WHOLE,
@@ -24,16 +24,16 @@
     static final double DEADLINE = 10;
     private static final long ALLOWANCE = 64 << 20;
 
-    final List<Part> parts = new ArrayList<>();
+    final List<GatherPart> parts = new ArrayList<>();
     final List<List<byte[]>> data;
     final List<Way> ways = new ArrayList<>();
     final double[] positions;
     final List<List<String>> rows = new ArrayList<>();
-    final Set<Part> running = new HashSet<>();
+    final Set<GatherPart> running = new HashSet<>();
     final Random random;
     final Gather gather;
     List<Column> columns;
-    Verdict verdict;
+    GatherResult verdict;
     int asks;
     private final int[] credit;
     private final int[] given;
@@ -43,18 +43,18 @@
     private int room;
     private final long most;
 
-    Play(long seed, Plan plan, List<Column> source, List<List<List<String>>> data) {
+    Play(long seed, GatherPlan plan, List<Column> source, List<List<List<String>>> data) {
         random = new Random(seed);
         this.source = source;
         this.data = data.stream()
-                .map(lines -> lines.stream().map(Rows::message).toList())
+                .map(lines -> lines.stream().map(RowSet::message).toList())
                 .toList();
         positions = random.doubles(data.size(), 0, 3).map(Math::floor).toArray();
         credit = new int[data.size()];
         given = new int[data.size()];
         described = new boolean[data.size()];
         for (int i = 0; i < data.size(); i++) {
-            parts.add(new Part("p" + i, i));
+            parts.add(new GatherPart("p" + i, i));
             ways.add(Way.WHOLE);
         }
         most = plan.bounds().heldBytes()
@@ -63,7 +63,7 @@
         gather = new Gather(
                 plan,
                 parts,
-                new Allowance() {
+                new MemoryPool() {
                     @Override
                     public boolean take(long bytes) {
                         left -= bytes;
@@ -86,7 +86,7 @@
     }
 
     /** To the end, with time going on; returns the verdict. */
-    Verdict run() {
+    GatherResult run() {
         gather.begin(0, DEADLINE);
         double now = 0;
         while (verdict == null && now <= DEADLINE) {
@@ -115,7 +115,7 @@
         if (able.isEmpty()) {
             return false;
         }
-        Part part = able.get(random.nextInt(able.size()));
+        GatherPart part = able.get(random.nextInt(able.size()));
         int i = part.number();
         if (!described[i]) {
             described[i] = true;
@@ -154,7 +154,7 @@
     }
 
     @Override
-    public void ask(Part part) {
+    public void ask(GatherPart part) {
         asks++;
         running.add(part);
         credit[part.number()] = 0;
@@ -163,12 +163,12 @@
     }
 
     @Override
-    public void recall(Part part) {
+    public void recall(GatherPart part) {
         assertTrue(running.remove(part), "recalled what does not run: " + part);
     }
 
     @Override
-    public void credit(Part part, int more) {
+    public void credit(GatherPart part, int more) {
         assertTrue(more > 0 && running.contains(part));
         credit[part.number()] += more;
     }
@@ -182,11 +182,11 @@
     @Override
     public void emit(byte[] row) {
         assertFalse(columns == null || verdict != null || rows.size() >= room, "a row out of turn");
-        rows.add(Rows.values(row));
+        rows.add(RowSet.values(row));
     }
 
     @Override
-    public void finish(Verdict end) {
+    public void finish(GatherResult end) {
         assertNull(verdict, "two final answers");
         verdict = end;
     }
--- a/gather/src/test/java/clayhook/gather/Sample.java
+++ b/gather/src/test/java/clayhook/gather/Sample.java
@@ -42,7 +42,7 @@
 
     final Random random;
     final List<List<Line>> parts = new ArrayList<>();
-    final List<Key> keys = new ArrayList<>();
+    final List<SortKey> keys = new ArrayList<>();
 
     Sample(long seed, int parts, int rows) {
         random = new Random(seed);
@@ -50,7 +50,7 @@
                 COLUMNS.subList(0, OPAQUE).stream().map(Column::name).toList());
         Collections.shuffle(names, random);
         for (String name : names.subList(0, 1 + random.nextInt(3))) {
-            keys.add(new Key(name, random.nextBoolean(), random.nextBoolean()));
+            keys.add(new SortKey(name, random.nextBoolean(), random.nextBoolean()));
         }
         for (int part = 0; part < parts; part++) {
             var lines = new ArrayList<Line>();
@@ -147,7 +147,7 @@
     /** By the keys alone. */
     Comparator<Line> byKeys() {
         return (a, b) -> {
-            for (Key key : keys) {
+            for (SortKey key : keys) {
                 Value left = a.values.get(column(key.column()));
                 Value right = b.values.get(column(key.column()));
                 int one = left.meant == null || right.meant == null
@@ -263,7 +263,7 @@
     Duplicates duplicates(boolean adjacent) {
         List<String> key = adjacent
                 ? keys.subList(0, 1 + random.nextInt(keys.size())).stream()
-                        .map(Key::column)
+                        .map(SortKey::column)
                         .toList()
                 : List.of("i", "b");
         var rules = new ArrayList<Duplicates.Rule>();
--- a/gather/src/test/java/clayhook/gather/ValuesTest.java
+++ b/gather/src/test/java/clayhook/gather/ValuesTest.java
@@ -17,9 +17,9 @@
 
 /** Texts of nodes as values. */
 class ValuesTest {
-    private static Cell read(int type, String text) {
+    private static ColumnValue read(int type, String text) {
         byte[] bytes = ("xx" + text + "9").getBytes(UTF_8); // something before and behind, which is not to be read
-        return Type.of(type).read(bytes, 2, bytes.length - 3);
+        return ColumnType.of(type).read(bytes, 2, bytes.length - 3);
     }
 
     /** Each list in PostgreSQL's order, equal ones joined by an equals sign. */
@@ -45,8 +45,8 @@
             for (int j = 0; j < ranks.length; j++) {
                 for (String one : ranks[i].split("=")) {
                     for (String other : ranks[j].split("=")) {
-                        Cell a = read(type, one.replace('_', ' '));
-                        Cell b = read(type, other.replace('_', ' '));
+                        ColumnValue a = read(type, one.replace('_', ' '));
+                        ColumnValue b = read(type, other.replace('_', ' '));
                         assertNotNull(a, one);
                         assertEquals(Integer.signum(i - j), Integer.signum(a.compareTo(b)), one + " and " + other);
                         assertEquals(i == j, a.equals(b));
@@ -99,15 +99,15 @@
     @Property(tries = 2000, seed = "42")
     void garbledMessagesAreNoRows(@ForAll long seed) {
         var random = new Random(seed);
-        byte[] message = Rows.message(Arrays.asList("abc", null, "", "x".repeat(random.nextInt(300))));
+        byte[] message = RowSet.message(Arrays.asList("abc", null, "", "x".repeat(random.nextInt(300))));
         assertEquals(4, Row.width(message));
-        assertEquals(Arrays.asList("abc", null, ""), Rows.values(message).subList(0, 3));
+        assertEquals(Arrays.asList("abc", null, ""), RowSet.values(message).subList(0, 3));
         message[random.nextInt(message.length)] ^= (byte) (1 << random.nextInt(8));
         if (random.nextBoolean()) {
             message = Arrays.copyOf(message, random.nextInt(message.length + 3));
         }
         if (Row.width(message) >= 0) {
-            assertArrayEquals(message, Row.message(new Row(null, 0, message, null, new Cell[0]).fields()));
+            assertArrayEquals(message, Row.message(new Row(null, 0, message, null, new ColumnValue[0]).fields()));
         }
         byte[] columns = Column.write(Sample.COLUMNS);
         assertEquals(Sample.COLUMNS, Column.read(columns));
