--- a/trials/src/main/java/clayhook/trials/ClusterNode.java
+++ b/trials/src/main/java/clayhook/trials/ClusterNode.java
@@ -42,7 +42,7 @@
     private static final double WORK = 0.001, CAPACITY = 2;
 
     final Node node;
-    private final Cluster cluster;
+    private final TestReplicaSet cluster;
     private final Channel listening;
     private final Set<Channel> connections = ConcurrentHashMap.newKeySet();
     private volatile Mood mood = Mood.WELL;
@@ -51,7 +51,7 @@
     /** Where its log stands still; 0 while it goes on. */
     private volatile double stalledAt;
 
-    ClusterNode(Cluster cluster, Node node, Transport transport) throws InterruptedException {
+    ClusterNode(TestReplicaSet cluster, Node node, Transport transport) throws InterruptedException {
         this.cluster = cluster;
         this.node = node;
         listening = transport.listen(transport.ephemeralAddress(0), () ->
@@ -89,7 +89,7 @@
 
     /** Comes back cold after its death. */
     public void restart() {
-        startedAt = Witness.now();
+        startedAt = HistoryRecorder.now();
         mood = Mood.WELL;
         cluster.listChanged();
     }
@@ -105,11 +105,11 @@
 
     private double position() {
         double stalled = stalledAt;
-        return leads() ? Witness.now() : stalled > 0 ? stalled : Witness.now() - Cluster.LAG;
+        return leads() ? HistoryRecorder.now() : stalled > 0 ? stalled : HistoryRecorder.now() - TestReplicaSet.LAG;
     }
 
     private void reckonCold() {
-        double age = Witness.now() - startedAt;
+        double age = HistoryRecorder.now() - startedAt;
         double cold = cluster.settings.initialCapacityFraction();
         if (startedAt > 0 && age < cluster.settings.slowStartSeconds()) {
             cluster.witness.worked(node, WORK, CAPACITY * (cold + (1 - cold) * age / cluster.settings.slowStartSeconds()));
--- a/trials/src/main/java/clayhook/trials/Relay.java
+++ b/trials/src/main/java/clayhook/trials/DatagramRelay.java
@@ -27,7 +27,7 @@
  * knows the sender, and with it the directed link; what comes through leaves from the sender's own socket here, so that
  * the receiver sees the address that it may answer to, and no datagram finds a way around.
  */
-public final class Relay {
+public final class DatagramRelay {
     private static final int LONGEST = 1 << 16;
     /**
      * Datagrams held back at most, over all links; what comes beyond is lost. A second of a fleet far busier than any
@@ -38,7 +38,7 @@
     private final List<Channel> sockets = new ArrayList<>();
     private final List<InetSocketAddress> routers;
     private final Map<InetSocketAddress, Integer> byAddress = new HashMap<>();
-    private final Link[][] links;
+    private final NetworkLink[][] links;
     private final AtomicLong strangers = new AtomicLong();
     /** Of the loop's thread alone. */
     private int held;
@@ -47,14 +47,14 @@
      * {@code routers} are the addresses at which they really listen and from which they send; it ends with the
      * transport.
      */
-    public Relay(Transport transport, List<InetSocketAddress> routers, long seed) throws InterruptedException {
+    public DatagramRelay(Transport transport, List<InetSocketAddress> routers, long seed) throws InterruptedException {
         this.routers = List.copyOf(routers);
-        links = new Link[routers.size()][routers.size()];
+        links = new NetworkLink[routers.size()][routers.size()];
         var random = new SplittableRandom(seed);
         for (int i = 0; i < routers.size(); i++) {
             byAddress.put(routers.get(i), i);
             for (int j = 0; j < routers.size(); j++) {
-                links[i][j] = new Link(random.split());
+                links[i][j] = new NetworkLink(random.split());
             }
         }
         for (int i = 0; i < routers.size(); i++) {
@@ -79,12 +79,12 @@
         return routers.get(router);
     }
 
-    public Link link(int from, int to) {
+    public NetworkLink link(int from, int to) {
         return links[from][to];
     }
 
     /** Of the datagrams on all links. */
-    public long count(Link.Fate fate) {
+    public long count(NetworkLink.Delivery fate) {
         return Stream.of(links)
                 .flatMap(Stream::of)
                 .mapToLong(link -> link.count(fate))
@@ -112,7 +112,7 @@
                 return;
             }
             double now = System.nanoTime() / 1e9;
-            for (Link.Departure departure : links[from][to].take(ByteBufUtil.getBytes(packet.content()), now)) {
+            for (NetworkLink.Departure departure : links[from][to].take(ByteBufUtil.getBytes(packet.content()), now)) {
                 if (departure.at() <= now) {
                     send(from, departure.bytes());
                 } else if (held < MOST_HELD) {
--- a/trials/src/main/java/clayhook/trials/Directory.java
+++ b/trials/src/main/java/clayhook/trials/DiscoveryServer.java
@@ -10,8 +10,8 @@
 import java.util.function.Predicate;
 
 /** Discovery: tells routers each change of the list; or has fallen silent, or speaks to a few only. */
-public final class Directory {
-    private final Cluster cluster;
+public final class DiscoveryServer {
+    private final TestReplicaSet cluster;
     private final IntSupplier routers;
     private final StubDiscovery service;
     /**
@@ -24,7 +24,7 @@
     private int answered;
 
     /** {@code routers} says how many are there to be told. */
-    Directory(Transport transport, Cluster cluster, IntSupplier routers) throws InterruptedException {
+    DiscoveryServer(Transport transport, TestReplicaSet cluster, IntSupplier routers) throws InterruptedException {
         this.cluster = cluster;
         this.routers = routers;
         service = new StubDiscovery(transport, transport.ephemeralAddress(0), this::called);
--- a/trials/src/main/java/clayhook/trials/Witness.java
+++ b/trials/src/main/java/clayhook/trials/HistoryRecorder.java
@@ -13,7 +13,7 @@
  * Hears all that clients and nodes of a trial see, and judges by it. Times are seconds since 1970 on one clock, of this
  * process. Commands live as long as the trial.
  */
-public final class Witness {
+public final class HistoryRecorder {
     /** What a machine that is shared with other work may hold up a process; no rule is held to less. */
     static final double MACHINE = 1;
     /** Seconds in which a router may still send to what drains. */
@@ -42,7 +42,7 @@
     private final Map<String, Integer> answered = new HashMap<>();
     private String missing;
 
-    Witness(RoutingSettings settings) {
+    HistoryRecorder(RoutingSettings settings) {
         audit = new Audit(GRACE + MACHINE, settings.overloadFactor(), settings.overloadWindowSeconds());
     }
 
--- a/trials/src/main/java/clayhook/trials/Trouble.java
+++ b/trials/src/main/java/clayhook/trials/LinkFault.java
@@ -11,7 +11,7 @@
  * @param delay of each
  * @param rate bytes a second; 0 for any
  */
-public record Trouble(boolean cut, double loss, double twice, double late, double garbled, double delay, double rate) {
-    public static final Trouble NONE = new Trouble(false, 0, 0, 0, 0, 0, 0);
-    public static final Trouble CUT = new Trouble(true, 0, 0, 0, 0, 0, 0);
+public record LinkFault(boolean cut, double loss, double twice, double late, double garbled, double delay, double rate) {
+    public static final LinkFault NONE = new LinkFault(false, 0, 0, 0, 0, 0, 0);
+    public static final LinkFault CUT = new LinkFault(true, 0, 0, 0, 0, 0, 0);
 }
--- a/trials/src/main/java/clayhook/trials/Caller.java
+++ b/trials/src/main/java/clayhook/trials/LoadClient.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /** A session of one client, which may roam: one command at a time, at whichever router it is told. For one thread. */
-public final class Caller {
+public final class LoadClient {
     private static final AtomicLong IDS = new AtomicLong();
     /** The code of an answer that says so. */
     private static final String THROTTLED = "53300";
@@ -21,7 +21,7 @@
     private static final long AGAIN_MS = 20;
 
     private final Transport transport;
-    private final Witness witness;
+    private final HistoryRecorder witness;
     /** Connections that stand, by router. */
     private final Map<RouterProcess, StubClient> connections = new HashMap<>();
 
@@ -32,7 +32,7 @@
     private String last;
 
     /** {@code carries}: its reads tell when it last wrote. */
-    Caller(Transport transport, Witness witness, boolean carries) {
+    LoadClient(Transport transport, HistoryRecorder witness, boolean carries) {
         this.transport = transport;
         this.witness = witness;
         this.carries = carries;
@@ -56,7 +56,7 @@
     public Answer ask(RouterProcess router, RequestClass group, String id) throws InterruptedException {
         boolean writes = group.consistency() == ConsistencyLevel.WRITE;
         boolean own = group.consistency() == ConsistencyLevel.SESSION && wroteAt > 0;
-        double patience = group.clientTimeoutSeconds() + Witness.MACHINE;
+        double patience = group.clientTimeoutSeconds() + HistoryRecorder.MACHINE;
         witness.asked(id, group, own ? wroteAt : 0, router.name(), patience);
         ByteBuf statement = StubClient.statement(
                 writes,
--- a/trials/src/main/java/clayhook/trials/Link.java
+++ b/trials/src/main/java/clayhook/trials/NetworkLink.java
@@ -9,7 +9,7 @@
  * One direction between two routers: says of each datagram when it leaves, how often and with which bytes. For one
  * thread.
  */
-public final class Link {
+public final class NetworkLink {
     /** A datagram held back is overtaken by what follows within this many seconds. */
     static final double HELD = 0.05;
     /** Seconds of datagrams that wait on a slow link; what comes beyond is lost, as at any bottleneck. */
@@ -21,7 +21,7 @@
     record Departure(double at, byte[] bytes) {}
 
     /** What became of datagrams so far. */
-    public enum Fate {
+    public enum Delivery {
         CAME,
         LOST,
         TWICE,
@@ -30,11 +30,11 @@
     }
 
     private final SplittableRandom random;
-    private final AtomicLong[] counts = new AtomicLong[Fate.values().length];
-    private volatile Trouble trouble = Trouble.NONE;
+    private final AtomicLong[] counts = new AtomicLong[Delivery.values().length];
+    private volatile LinkFault trouble = LinkFault.NONE;
     private double freeAt;
 
-    Link(SplittableRandom random) {
+    NetworkLink(SplittableRandom random) {
         this.random = random;
         for (int i = 0; i < counts.length; i++) {
             counts[i] = new AtomicLong();
@@ -42,16 +42,16 @@
     }
 
     /** From now on; by any thread. */
-    public void trouble(Trouble next) {
+    public void trouble(LinkFault next) {
         trouble = next;
     }
 
-    /** Of all datagrams that came this way; {@link Fate#CAME} counts each. By any thread. */
-    public long count(Fate fate) {
+    /** Of all datagrams that came this way; {@link Delivery#CAME} counts each. By any thread. */
+    public long count(Delivery fate) {
         return counts[fate.ordinal()].get();
     }
 
-    private boolean befalls(double share, Fate fate) {
+    private boolean befalls(double share, Delivery fate) {
         boolean hit = share > 0 && random.nextDouble() < share;
         if (hit) {
             counts[fate.ordinal()].incrementAndGet();
@@ -61,18 +61,18 @@
 
     /** A datagram came; none, one or two leave for it. */
     List<Departure> take(byte[] bytes, double now) {
-        Trouble ruling = trouble;
-        counts[Fate.CAME.ordinal()].incrementAndGet();
+        LinkFault ruling = trouble;
+        counts[Delivery.CAME.ordinal()].incrementAndGet();
         double leaves = ruling.rate() > 0 ? Math.max(now, freeAt) + bytes.length / ruling.rate() : now;
         boolean full = leaves > now + BACKLOG;
-        if (befalls(ruling.cut() || full ? 1 : ruling.loss(), Fate.LOST)) {
+        if (befalls(ruling.cut() || full ? 1 : ruling.loss(), Delivery.LOST)) {
             return List.of();
         }
         freeAt = leaves;
-        double at = leaves + ruling.delay() + (befalls(ruling.late(), Fate.LATE) ? HELD : 0);
+        double at = leaves + ruling.delay() + (befalls(ruling.late(), Delivery.LATE) ? HELD : 0);
         var out = new ArrayList<Departure>();
-        out.add(new Departure(at, befalls(ruling.garbled(), Fate.GARBLED) ? garbled(bytes) : bytes));
-        if (befalls(ruling.twice(), Fate.TWICE)) {
+        out.add(new Departure(at, befalls(ruling.garbled(), Delivery.GARBLED) ? garbled(bytes) : bytes));
+        if (befalls(ruling.twice(), Delivery.TWICE)) {
             out.add(new Departure(at + random.nextDouble(HELD), bytes));
         }
         return out;
--- a/trials/src/main/java/clayhook/trials/Trial.java
+++ b/trials/src/main/java/clayhook/trials/TestCluster.java
@@ -28,7 +28,7 @@
 /**
  * A fleet of router processes with nodes, discovery, clients and the relay between routers: begun, troubled, judged.
  */
-public final class Trial implements AutoCloseable {
+public final class TestCluster implements AutoCloseable {
     /**
      * As the platform's file says it; times far beyond what a busy machine takes, so that no verdict hangs on its
      * speed.
@@ -69,11 +69,11 @@
     private final Path folder = Files.createTempDirectory("trial");
     private final Transport nodesLoop = Transport.tcp();
     private final Transport clientsLoop = Transport.tcp();
-    private final Witness witness = new Witness(READ);
-    private final Cluster cluster;
+    private final HistoryRecorder witness = new HistoryRecorder(READ);
+    private final TestReplicaSet cluster;
     private final List<RouterProcess> routers = new ArrayList<>();
-    private final Directory directory;
-    private final Relay relay;
+    private final DiscoveryServer directory;
+    private final DatagramRelay relay;
     private final long seed;
     private final boolean carried;
     private final Thread atExit = new Thread(() -> routers.forEach(RouterProcess::kill));
@@ -101,16 +101,16 @@
      * @param carried sessions tell when they last wrote; otherwise routers remember it
      * @param seed of the relay, the load and the routers
      */
-    public Trial(Path jar, int count, String sharing, boolean carried, long seed)
+    public TestCluster(Path jar, int count, String sharing, boolean carried, long seed)
             throws IOException, InterruptedException {
         this.seed = seed;
         this.carried = carried;
         Runtime.getRuntime().addShutdownHook(atExit);
-        cluster = new Cluster(nodesLoop, 3, ZONES, READ, witness);
+        cluster = new TestReplicaSet(nodesLoop, 3, ZONES, READ, witness);
         List<InetSocketAddress> addresses =
                 IntStream.range(0, count).mapToObj(i -> spare()).toList();
-        relay = new Relay(clientsLoop, addresses, seed);
-        directory = new Directory(nodesLoop, cluster, () -> up().size());
+        relay = new DatagramRelay(clientsLoop, addresses, seed);
+        directory = new DiscoveryServer(nodesLoop, cluster, () -> up().size());
         for (int i = 0; i < count; i++) {
             var router = new RouterProcess("r" + i, addresses.get(i), jar, folder.resolve("r" + i));
             router.configure(platform(router, i), operator(i, count, sharing));
@@ -162,9 +162,9 @@
 
     /** Waits until it takes commands. */
     private void greet(RouterProcess router) throws InterruptedException {
-        double until = Witness.now() + PATIENCE;
-        while (!Caller.greeted(clientsLoop, router.address(), PATIENCE)) {
-            if (!router.runs() || Witness.now() > until) {
+        double until = HistoryRecorder.now() + PATIENCE;
+        while (!LoadClient.greeted(clientsLoop, router.address(), PATIENCE)) {
+            if (!router.runs() || HistoryRecorder.now() > until) {
                 throw new IllegalStateException(router.name() + " does not take commands: " + router.since(0));
             }
             Thread.sleep(LOOK_MS);
@@ -177,34 +177,34 @@
         return routers;
     }
 
-    public Relay relay() {
+    public DatagramRelay relay() {
         return relay;
     }
 
-    public Cluster cluster() {
+    public TestReplicaSet cluster() {
         return cluster;
     }
 
-    public Directory directory() {
+    public DiscoveryServer directory() {
         return directory;
     }
 
-    public Witness witness() {
+    public HistoryRecorder witness() {
         return witness;
     }
 
     /** A new session. */
-    public Caller caller() {
-        return new Caller(clientsLoop, witness, carried);
+    public LoadClient caller() {
+        return new LoadClient(clientsLoop, witness, carried);
     }
 
     // ---- faults ----
 
-    public void inflict(Fault fault) throws IOException, InterruptedException {
-        if (fault instanceof Fault.Stopped stopped) {
+    public void inflict(ClusterFault fault) throws IOException, InterruptedException {
+        if (fault instanceof ClusterFault.Stopped stopped) {
             witness.down(routers.get(stopped.router()).name());
             routers.get(stopped.router()).signal("STOP");
-        } else if (fault instanceof Fault.Killed killed) {
+        } else if (fault instanceof ClusterFault.Killed killed) {
             killed.routers().forEach(i -> witness.down(routers.get(i).name()));
             killed.routers().forEach(i -> routers.get(i).kill());
             for (int router : killed.routers()) {
@@ -216,11 +216,11 @@
     }
 
     /** Ends it; returns when those that had gone take commands again. */
-    public void heal(Fault fault) throws IOException, InterruptedException {
-        if (fault instanceof Fault.Stopped stopped) {
+    public void heal(ClusterFault fault) throws IOException, InterruptedException {
+        if (fault instanceof ClusterFault.Stopped stopped) {
             routers.get(stopped.router()).signal("CONT");
             witness.up(routers.get(stopped.router()).name());
-        } else if (fault instanceof Fault.Killed killed) {
+        } else if (fault instanceof ClusterFault.Killed killed) {
             for (int router : killed.routers()) {
                 routers.get(router).start();
             }
@@ -233,25 +233,25 @@
         }
     }
 
-    private void links(Fault fault, boolean begins) {
+    private void links(ClusterFault fault, boolean begins) {
         for (int from = 0; from < routers.size(); from++) {
             for (int to = 0; to < routers.size(); to++) {
-                Trouble trouble = trouble(fault, from, to);
+                LinkFault trouble = trouble(fault, from, to);
                 if (trouble != null) {
-                    relay.link(from, to).trouble(begins ? trouble : Trouble.NONE);
+                    relay.link(from, to).trouble(begins ? trouble : LinkFault.NONE);
                 }
             }
         }
     }
 
     /** What it does to that link; null for nothing. */
-    private static Trouble trouble(Fault fault, int from, int to) {
-        if (fault instanceof Fault.Everywhere everywhere) {
+    private static LinkFault trouble(ClusterFault fault, int from, int to) {
+        if (fault instanceof ClusterFault.Everywhere everywhere) {
             return everywhere.trouble();
-        } else if (fault instanceof Fault.Split split) {
-            return split.side().contains(from) != split.side().contains(to) ? Trouble.CUT : null;
-        } else if (fault instanceof Fault.OneWay way) {
-            return way.from() == from && way.to() == to ? Trouble.CUT : null;
+        } else if (fault instanceof ClusterFault.Split split) {
+            return split.side().contains(from) != split.side().contains(to) ? LinkFault.CUT : null;
+        } else if (fault instanceof ClusterFault.OneWay way) {
+            return way.from() == from && way.to() == to ? LinkFault.CUT : null;
         }
         return null;
     }
@@ -272,7 +272,7 @@
     }
 
     /** {@code home}: the number of its router; one beyond them all roams. */
-    private void work(Caller caller, int home, Random random) {
+    private void work(LoadClient caller, int home, Random random) {
         try {
             RouterProcess router = routers.get(home % routers.size());
             while (loaded) {
@@ -306,9 +306,9 @@
 
     /** Waits until that holds; false where it did not within {@link #PATIENCE}. */
     public boolean await(BooleanSupplier condition) throws InterruptedException {
-        double until = Witness.now() + PATIENCE;
+        double until = HistoryRecorder.now() + PATIENCE;
         while (!condition.getAsBoolean()) {
-            if (Witness.now() > until) {
+            if (HistoryRecorder.now() > until) {
                 return false;
             }
             Thread.sleep(LOOK_MS);
@@ -338,14 +338,14 @@
     }
 
     /** Waits until routers, or datagrams, have felt it; for trials with sharing. */
-    public boolean felt(Fault fault) throws InterruptedException {
-        boolean parts = !(fault instanceof Fault.Everywhere || fault instanceof Fault.OneWay);
-        long came = relay.count(Link.Fate.CAME) + ENOUGH;
+    public boolean felt(ClusterFault fault) throws InterruptedException {
+        boolean parts = !(fault instanceof ClusterFault.Everywhere || fault instanceof ClusterFault.OneWay);
+        long came = relay.count(NetworkLink.Delivery.CAME) + ENOUGH;
         String whole = "alive " + routers.size() + ",";
         return await(() -> parts
                 ? up().isEmpty()
                         || up().stream().anyMatch(router -> !figures(router, 0).contains(whole))
-                : relay.count(Link.Fate.CAME) > came);
+                : relay.count(NetworkLink.Delivery.CAME) > came);
     }
 
     /** Waits until all routers see each other and have equal copies of all that they share. */
--- a/trials/src/main/java/clayhook/trials/Cluster.java
+++ b/trials/src/main/java/clayhook/trials/TestReplicaSet.java
@@ -15,11 +15,11 @@
 /**
  * One group of nodes that hold the same data: who is primary, what was written, and what the list of nodes says of it.
  */
-public final class Cluster {
+public final class TestReplicaSet {
     /** From a commit until replicas hold it, in seconds. */
     static final double LAG = 0.02;
 
-    final Witness witness;
+    final HistoryRecorder witness;
     private final List<ClusterNode> nodes = new ArrayList<>();
     final RoutingSettings settings;
     private final Map<String, RequestClass> groups;
@@ -32,7 +32,7 @@
     private int version = 1;
 
     /** The first node is primary. All listen on one loop. */
-    Cluster(Transport transport, int size, List<String> zones, RoutingSettings settings, Witness witness)
+    TestReplicaSet(Transport transport, int size, List<String> zones, RoutingSettings settings, HistoryRecorder witness)
             throws InterruptedException {
         this.witness = witness;
         this.settings = settings;
@@ -68,7 +68,7 @@
     synchronized double write(RequestClass group, String key) {
         Double before = group.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY ? written.get(key) : null;
         if (before == null) {
-            head = Math.max(Math.nextUp(head), Witness.now());
+            head = Math.max(Math.nextUp(head), HistoryRecorder.now());
             written.put(key, head);
             return head;
         }
--- a/trials/src/test/java/clayhook/trials/TrialTest.java
+++ b/trials/src/test/java/clayhook/trials/ClusterTest.java
@@ -13,13 +13,13 @@
 
 /** Five processes of the jar. */
 @Tag("processes")
-class TrialTest {
+class ClusterTest {
     static final Path JAR = Path.of(System.getProperty("clayhook.jar"));
     static final int ROUTERS = 5;
     /** Commands with an answer that each router must give before the next thing happens. */
     static final int SOME = 20;
 
-    static void verdict(Trial trial) throws InterruptedException {
+    static void verdict(TestCluster trial) throws InterruptedException {
         trial.calm();
         assertEquals(Map.of(), trial.witness().broken(), () -> trial.witness().firstBroken() + "\n" + trial.said());
     }
@@ -27,8 +27,8 @@
     /**
      * Nothing new comes to what drains once routers know; and what is dead, deposed, behind or in doubt breaks no rule.
      */
-    private static void troubleNodes(Trial trial) throws InterruptedException {
-        Cluster cluster = trial.cluster();
+    private static void troubleNodes(TestCluster trial) throws InterruptedException {
+        TestReplicaSet cluster = trial.cluster();
         ClusterNode old = cluster.nodes().get(0);
         ClusterNode replica = cluster.nodes().get(1);
         replica.state(Endpoint.State.DRAINING);
@@ -56,11 +56,11 @@
     @ParameterizedTest
     @ValueSource(longs = 1)
     void withoutSharingRoutersServeOnWhileOthersAreStoppedAndKilledAndTheRulesAreKept(long seed) throws Exception {
-        try (var trial = new Trial(JAR, ROUTERS, null, true, seed)) {
+        try (var trial = new TestCluster(JAR, ROUTERS, null, true, seed)) {
             trial.load();
             assertTrue(trial.serve(trial.up(), SOME), trial::said);
-            for (Fault fault : Plan.of(seed, ROUTERS)) {
-                if (fault instanceof Fault.Stopped || fault instanceof Fault.Killed) {
+            for (ClusterFault fault : FaultSchedule.of(seed, ROUTERS)) {
+                if (fault instanceof ClusterFault.Stopped || fault instanceof ClusterFault.Killed) {
                     trial.inflict(fault);
                     assertTrue(trial.serve(trial.up(), SOME), trial::said);
                     trial.heal(fault);
--- a/trials/src/test/java/clayhook/trials/RelayTest.java
+++ b/trials/src/test/java/clayhook/trials/DatagramRelayTest.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class RelayTest {
+class DatagramRelayTest {
     private static DatagramSocket socket() throws IOException {
         var socket = new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         socket.setSoTimeout(20_000);
@@ -42,28 +42,28 @@
         try (DatagramSocket a = socket();
                 DatagramSocket b = socket();
                 DatagramSocket stranger = socket()) {
-            var relay = new Relay(transport, List.of(at(a), at(b)), 1);
+            var relay = new DatagramRelay(transport, List.of(at(a), at(b)), 1);
             send(a, 1, relay.address(1));
             InetSocketAddress seen = receive(b, 1);
             assertEquals(relay.address(0), seen);
             send(b, 2, seen);
             assertEquals(relay.address(1), receive(a, 2));
 
-            relay.link(0, 1).trouble(Trouble.CUT);
+            relay.link(0, 1).trouble(LinkFault.CUT);
             send(a, 3, relay.address(1));
             send(stranger, 4, relay.address(1));
             send(b, 5, relay.address(0));
             receive(a, 5);
             assertTimeoutPreemptively(Duration.ofSeconds(20), () -> {
-                while (relay.link(0, 1).count(Link.Fate.LOST) + relay.strangers() < 2) {
+                while (relay.link(0, 1).count(NetworkLink.Delivery.LOST) + relay.strangers() < 2) {
                     Thread.sleep(1);
                 }
             });
-            relay.link(0, 1).trouble(Trouble.NONE);
+            relay.link(0, 1).trouble(LinkFault.NONE);
             send(a, 6, relay.address(1));
             receive(b, 6); // neither the one that was cut off nor the stranger's
-            assertEquals(1, relay.link(0, 1).count(Link.Fate.LOST));
-            assertEquals(0, relay.link(1, 0).count(Link.Fate.LOST));
+            assertEquals(1, relay.link(0, 1).count(NetworkLink.Delivery.LOST));
+            assertEquals(0, relay.link(1, 0).count(NetworkLink.Delivery.LOST));
             assertEquals(1, relay.strangers());
         } finally {
             transport.close();
--- a/trials/src/test/java/clayhook/trials/WitnessTest.java
+++ b/trials/src/test/java/clayhook/trials/HistoryRecorderTest.java
@@ -8,11 +8,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Each rule broken once is told, and what nobody could help is not. */
-class WitnessTest {
+class HistoryRecorderTest {
     private static final Node FIRST = new Node("n0", "a", 1), SECOND = new Node("n1", "a", 1);
 
-    private static void ask(Witness witness, RequestClass group) {
-        witness.asked("id", group, Witness.now(), "r0", 1);
+    private static void ask(HistoryRecorder witness, RequestClass group) {
+        witness.asked("id", group, HistoryRecorder.now(), "r0", 1);
     }
 
     @ParameterizedTest
@@ -33,7 +33,7 @@
         "within the bound, ''"
     })
     void theVerdictIsThat(String what, String rule) {
-        var witness = new Witness(Trial.settings());
+        var witness = new HistoryRecorder(TestCluster.settings());
         boolean writes = what.contains("charge") || what.contains("keyed");
         if (what.startsWith("stopped")) {
             witness.down("r0");
@@ -44,14 +44,14 @@
         ask(
                 witness,
                 what.contains("keyed")
-                        ? Trial.WRITE
-                        : writes ? Trial.CHARGE : what.contains("session") ? Trial.SESSION : Trial.BOUNDED);
+                        ? TestCluster.WRITE
+                        : writes ? TestCluster.CHARGE : what.contains("session") ? TestCluster.SESSION : TestCluster.BOUNDED);
         if (what.endsWith("router") || what.equals("killed")) {
             witness.down("r0");
             witness.up("r0");
         }
         double age = what.startsWith("older") ? 1.1 : what.startsWith("within") ? 0.9 : 0;
-        witness.ran("id", FIRST, writes ? 0 : Witness.now() - age);
+        witness.ran("id", FIRST, writes ? 0 : HistoryRecorder.now() - age);
         if (what.contains("twice")) {
             witness.ran("id", SECOND, 0);
         }
--- a/trials/src/test/java/clayhook/trials/LinkTest.java
+++ b/trials/src/test/java/clayhook/trials/NetworkLinkTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clayhook.trials.Link.Departure;
-import clayhook.trials.Link.Fate;
+import clayhook.trials.NetworkLink.Departure;
+import clayhook.trials.NetworkLink.Delivery;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -16,10 +16,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** A hundred bytes a millisecond for a second, each datagram with its number. */
-class LinkTest {
+class NetworkLinkTest {
     private static final int SENT = 1000, BYTES = 100;
 
-    private static List<Departure> sent(Link link) {
+    private static List<Departure> sent(NetworkLink link) {
         var out = new ArrayList<Departure>();
         for (int i = 0; i < SENT; i++) {
             out.addAll(link.take(ByteBuffer.allocate(BYTES).putInt(i).putInt(i).array(), i / 1000.0));
@@ -28,8 +28,8 @@
         return out;
     }
 
-    private static Link link(Trouble trouble) {
-        var link = new Link(new SplittableRandom(1));
+    private static NetworkLink link(LinkFault trouble) {
+        var link = new NetworkLink(new SplittableRandom(1));
         link.trouble(trouble);
         return link;
     }
@@ -52,17 +52,17 @@
         "0.2, 0.2, 0.2, 0.2, 0.1"
     })
     void eachShareOfTroubleIsThereAndNoOther(double loss, double twice, double late, double garbled, double delay) {
-        Link link = link(new Trouble(false, loss, twice, late, garbled, delay, 0));
+        NetworkLink link = link(new LinkFault(false, loss, twice, late, garbled, delay, 0));
         List<Departure> left = sent(link);
-        double came = SENT - link.count(Fate.LOST);
+        double came = SENT - link.count(Delivery.LOST);
         assertEquals(loss, 1 - came / SENT, 0.05);
-        assertEquals(twice, link.count(Fate.TWICE) / came, 0.05);
-        assertEquals(late, link.count(Fate.LATE) / came, 0.05);
-        assertEquals(garbled, link.count(Fate.GARBLED) / came, 0.05);
-        assertEquals(came + link.count(Fate.TWICE), left.size());
+        assertEquals(twice, link.count(Delivery.TWICE) / came, 0.05);
+        assertEquals(late, link.count(Delivery.LATE) / came, 0.05);
+        assertEquals(garbled, link.count(Delivery.GARBLED) / came, 0.05);
+        assertEquals(came + link.count(Delivery.TWICE), left.size());
         List<byte[]> whole =
-                left.stream().map(Departure::bytes).filter(LinkTest::whole).toList();
-        assertEquals(link.count(Fate.GARBLED), left.size() - whole.size());
+                left.stream().map(Departure::bytes).filter(NetworkLinkTest::whole).toList();
+        assertEquals(link.count(Delivery.GARBLED), left.size() - whole.size());
         int overtaken = 0;
         for (int i = 1; i < whole.size(); i++) {
             overtaken += ByteBuffer.wrap(whole.get(i)).getInt()
@@ -71,18 +71,18 @@
                     : 0;
         }
         assertEquals(late + twice > 0, overtaken > 0);
-        assertEquals(delay, left.get(0).at(), late + twice > 0 ? Link.HELD : 1e-9);
+        assertEquals(delay, left.get(0).at(), late + twice > 0 ? NetworkLink.HELD : 1e-9);
     }
 
     @ParameterizedTest
     @CsvSource({"true, 0, 0, 0", "false, 20000, 390, 2"})
     void aCutLinkLetsNothingThroughAndASlowOneItsRateWithABoundedQueue(
             boolean cut, double rate, int least, double end) {
-        Link link = link(new Trouble(cut, 0, 0, 0, 0, 0, rate));
+        NetworkLink link = link(new LinkFault(cut, 0, 0, 0, 0, 0, rate));
         List<Departure> left = sent(link);
-        assertTrue(left.size() >= least && left.size() <= rate / BYTES * (1 + Link.BACKLOG), left.size() + " left");
+        assertTrue(left.size() >= least && left.size() <= rate / BYTES * (1 + NetworkLink.BACKLOG), left.size() + " left");
         assertTrue(left.stream().allMatch(departure -> departure.at() <= end + 0.001));
-        link.trouble(Trouble.NONE);
+        link.trouble(LinkFault.NONE);
         assertArrayEquals(new byte[] {1}, link.take(new byte[] {1}, 5).get(0).bytes());
     }
 }
--- a/trials/src/test/java/clayhook/trials/SharedTrialTest.java
+++ b/trials/src/test/java/clayhook/trials/SharingClusterTest.java
@@ -1,9 +1,9 @@
 package clayhook.trials;
 
-import static clayhook.trials.TrialTest.JAR;
-import static clayhook.trials.TrialTest.ROUTERS;
-import static clayhook.trials.TrialTest.SOME;
-import static clayhook.trials.TrialTest.verdict;
+import static clayhook.trials.ClusterTest.JAR;
+import static clayhook.trials.ClusterTest.ROUTERS;
+import static clayhook.trials.ClusterTest.SOME;
+import static clayhook.trials.ClusterTest.verdict;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -11,7 +11,7 @@
 
 import clayhook.Endpoint;
 import clayhook.lab.model.Audit.RuleKept;
-import clayhook.trials.Caller.Answer;
+import clayhook.trials.LoadClient.Answer;
 import clayhook.trials.ClusterNode.Mood;
 import java.util.List;
 import java.util.Set;
@@ -23,7 +23,7 @@
 
 /** Five processes that share what they know, all datagrams between them through the relay. */
 @Tag("processes")
-class SharedTrialTest {
+class SharingClusterTest {
     private static final String SHARING = "report = 0.2\n";
     private static final Pattern GONE = Pattern.compile("sharing: .* is gone");
     private static final Pattern FATES = Pattern.compile("fates \\{[^}]*}");
@@ -32,15 +32,15 @@
     @ParameterizedTest
     @ValueSource(longs = 2)
     void withSharingCopiesAreEqualAfterEveryHealAndTheRulesAreKept(long seed) throws Exception {
-        try (var trial = new Trial(JAR, ROUTERS, SHARING, false, seed)) {
-            for (Fault fault : Plan.of(seed, ROUTERS)) {
+        try (var trial = new TestCluster(JAR, ROUTERS, SHARING, false, seed)) {
+            for (ClusterFault fault : FaultSchedule.of(seed, ROUTERS)) {
                 List<Integer> marks =
                         trial.routers().stream().map(RouterProcess::mark).toList();
                 trial.load();
                 trial.inflict(fault);
                 assertTrue(trial.felt(fault), () -> fault + "\n" + trial.said());
                 assertTrue(trial.serve(trial.up(), SOME), () -> fault + "\n" + trial.said());
-                if (fault instanceof Fault.OneWay) {
+                if (fault instanceof ClusterFault.OneWay) {
                     for (int i = 0; i < ROUTERS; i++) {
                         assertNull(trial.routers().get(i).last(marks.get(i), GONE)); // others vouch for it
                     }
@@ -51,7 +51,7 @@
                 assertTrue(trial.agree(), () -> fault + "\n" + trial.said());
             }
             assertTrue(
-                    trial.relay().count(Link.Fate.GARBLED) > 0 && trial.relay().strangers() == 0);
+                    trial.relay().count(NetworkLink.Delivery.GARBLED) > 0 && trial.relay().strangers() == 0);
             verdict(trial);
         }
     }
@@ -59,7 +59,7 @@
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void oneRouterIsToldOfADrainAndWithSharingAllObeyIt(boolean shares) throws Exception {
-        try (var trial = new Trial(JAR, ROUTERS, shares ? SHARING : null, true, 3)) {
+        try (var trial = new TestCluster(JAR, ROUTERS, shares ? SHARING : null, true, 3)) {
             assertTrue(!shares || trial.agree(), trial::said);
             ClusterNode replica = trial.cluster().nodes().get(1);
             trial.directory().answers(0);
@@ -81,9 +81,9 @@
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void aSessionThatRoamsReadsItsOwnWriteWithSharingInAndAfterASplit(boolean shares) throws Exception {
-        try (var trial = new Trial(JAR, ROUTERS, shares ? SHARING : null, false, 4)) {
+        try (var trial = new TestCluster(JAR, ROUTERS, shares ? SHARING : null, false, 4)) {
             assertTrue(!shares || trial.agree(), trial::said);
-            var split = new Fault.Split(Set.of(0, 1));
+            var split = new ClusterFault.Split(Set.of(0, 1));
             trial.load();
             assertTrue(trial.serve(trial.up(), SOME), trial::said);
             trial.calm();
@@ -91,10 +91,10 @@
                 for (int turn = 0; turn < 3; turn++) {
                     var session = trial.caller();
                     trial.cluster().nodes().subList(1, 3).forEach(node -> node.stall(true));
-                    assertEquals(Answer.WELL, session.ask(trial.routers().get(0), Trial.WRITE));
-                    Thread.sleep(Trial.ROAM_MS); // the session's own way to another router
+                    assertEquals(Answer.WELL, session.ask(trial.routers().get(0), TestCluster.WRITE));
+                    Thread.sleep(TestCluster.ROAM_MS); // the session's own way to another router
                     for (RouterProcess router : trial.routers()) {
-                        assertNotEquals(Answer.NONE, session.ask(router, Trial.SESSION), when);
+                        assertNotEquals(Answer.NONE, session.ask(router, TestCluster.SESSION), when);
                     }
                     trial.cluster().nodes().forEach(node -> node.stall(false));
                 }
@@ -115,21 +115,21 @@
 
     @Test
     void aChargeInDoubtAtOneRouterAndSettledAtAnotherIsOneRowEverywhere() throws Exception {
-        try (var trial = new Trial(JAR, ROUTERS, SHARING, true, 5)) {
+        try (var trial = new TestCluster(JAR, ROUTERS, SHARING, true, 5)) {
             assertTrue(trial.agree(), trial::said);
             ClusterNode primary = trial.cluster().primary();
             var session = trial.caller();
             primary.mood(Mood.SPEECHLESS);
-            assertEquals(Answer.FAILED, session.ask(trial.routers().get(0), Trial.WRITE, "charge"));
+            assertEquals(Answer.FAILED, session.ask(trial.routers().get(0), TestCluster.WRITE, "charge"));
             assertTrue(trial.await(() -> fates(trial, "UNKNOWN=1, RAN=0")), trial::said);
             primary.mood(Mood.WELL);
-            assertEquals(Answer.WELL, session.ask(trial.routers().get(3), Trial.WRITE, "charge"));
+            assertEquals(Answer.WELL, session.ask(trial.routers().get(3), TestCluster.WRITE, "charge"));
             assertTrue(trial.await(() -> fates(trial, "UNKNOWN=0, RAN=1")), trial::said);
             verdict(trial);
         }
     }
 
-    private static boolean fates(Trial trial, String counts) {
+    private static boolean fates(TestCluster trial, String counts) {
         return trial.routers().stream()
                 .allMatch(router -> String.valueOf(router.last(0, FATES)).startsWith("fates {" + counts));
     }
