--- a/cli/src/main/java/clayhook/cli/LabCommand.java
+++ b/cli/src/main/java/clayhook/cli/LabCommand.java
@@ -8,7 +8,7 @@
 import clayhook.lab.Experiment;
 import clayhook.lab.Report;
 import clayhook.lab.SharingPlays;
-import clayhook.lab.model.Tally;
+import clayhook.lab.model.RunMetrics;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
@@ -184,14 +184,14 @@
                                 .orElse(0),
                         one.runs().stream()
                                 .filter(run -> run.firstBroken() != null)
-                                .map(Tally::firstBroken)
+                                .map(RunMetrics::firstBroken)
                                 .findFirst()
                                 .orElse("kept"));
             }
         }
 
         private interface Figure {
-            double of(Tally.Of counts);
+            double of(RunMetrics.Totals counts);
         }
 
         private static double mean(Played one, RequestClass group, Figure figure) {
@@ -203,7 +203,7 @@
                     .orElse(0);
         }
 
-        private static String json(String variant, int seed, Tally run) throws IOException {
+        private static String json(String variant, int seed, RunMetrics run) throws IOException {
             var text = new StringWriter();
             try (JsonGenerator out = new JsonFactory().createGenerator(text)) {
                 out.writeStartObject();
@@ -213,7 +213,7 @@
                 out.writeNumberField("events", run.events());
                 out.writeObjectFieldStart("groups");
                 for (var entry : run.groups().entrySet()) {
-                    Tally.Of of = entry.getValue();
+                    RunMetrics.Totals of = entry.getValue();
                     out.writeObjectFieldStart(entry.getKey().name());
                     out.writeNumberField("asked", of.asked);
                     out.writeNumberField("in_time", of.inTime);
--- a/cli/src/main/java/clayhook/cli/TryCommand.java
+++ b/cli/src/main/java/clayhook/cli/TryCommand.java
@@ -2,8 +2,8 @@
 
 import clayhook.config.ConfigurationException;
 import clayhook.lab.Experiment;
-import clayhook.lab.model.Loopback;
-import clayhook.lab.model.Tally;
+import clayhook.lab.model.LoopbackFleet;
+import clayhook.lab.model.RunMetrics;
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.file.Files;
@@ -40,7 +40,7 @@
                         + " dies; it is back, cold, after 5 s more.");
         System.out.printf("%6s %9s %9s %9s %9s %9s%n", "second", "asked", "answered", "throttled", "failed", "before");
         var before = new long[4];
-        Tally tally = new Loopback(experiment.variants().get(0).fleet(), seed)
+        RunMetrics tally = new LoopbackFleet(experiment.variants().get(0).fleet(), seed)
                 .run(experiment.failures(), experiment.seconds(), so -> show(so, before));
         if (tally == null) {
             System.err.println("clayhook: no verdict: this machine played late");
@@ -55,9 +55,9 @@
     }
 
     /** What came in the last second. */
-    private static void show(Tally so, long[] before) {
+    private static void show(RunMetrics so, long[] before) {
         long[] now = new long[4];
-        for (Tally.Of of : so.groups().values()) {
+        for (RunMetrics.Totals of : so.groups().values()) {
             now[0] += of.asked;
             now[1] += of.answered;
             now[2] += of.throttled;
--- a/lab/src/main/java/clayhook/lab/Comparison.java
+++ b/lab/src/main/java/clayhook/lab/Comparison.java
@@ -1,10 +1,10 @@
 package clayhook.lab;
 
-import clayhook.lab.model.Fleet;
+import clayhook.lab.model.SimulatedFleet;
 import clayhook.lab.model.FleetSpec;
-import clayhook.lab.model.Loopback;
-import clayhook.lab.model.Sharing;
-import clayhook.lab.model.Tally;
+import clayhook.lab.model.LoopbackFleet;
+import clayhook.lab.model.PeerLinkFactory;
+import clayhook.lab.model.RunMetrics;
 import clayhook.lab.sharing.PeeredFleet;
 import java.util.ArrayList;
 import java.util.List;
@@ -16,10 +16,10 @@
     private static final double CONFIDENCE = 0.95;
 
     /** What one variant came to. */
-    public record Played(Experiment.Variant variant, List<Tally> runs) {
+    public record Played(Experiment.Variant variant, List<RunMetrics> runs) {
         /** Mean share of the benefit. */
         public double service() {
-            return runs.stream().mapToDouble(Tally::service).average().orElse(0);
+            return runs.stream().mapToDouble(RunMetrics::service).average().orElse(0);
         }
     }
 
@@ -49,19 +49,19 @@
     public static List<Played> play(Experiment experiment, BiConsumer<String, Integer> progress) {
         var played = new ArrayList<Played>();
         for (Experiment.Variant variant : experiment.variants()) {
-            var runs = new ArrayList<Tally>();
+            var runs = new ArrayList<RunMetrics>();
             for (int seed : experiment.seeds()) {
                 progress.accept(variant.name(), seed);
-                Sharing sharing = sharing(variant.fleet().contact(), experiment.peers());
-                runs.add(new Fleet(variant.fleet(), experiment.failures(), seed, sharing).run(experiment.seconds()));
+                PeerLinkFactory sharing = sharing(variant.fleet().contact(), experiment.peers());
+                runs.add(new SimulatedFleet(variant.fleet(), experiment.failures(), seed, sharing).run(experiment.seconds()));
             }
             played.add(new Played(variant, runs));
         }
         return played;
     }
 
-    private static Sharing sharing(FleetSpec.Contact contact, Experiment.Peers peers) {
-        return contact.shares() ? new PeeredFleet(contact, peers.way(), peers.loss(), peers.faults()) : Sharing.NONE;
+    private static PeerLinkFactory sharing(FleetSpec.Contact contact, Experiment.Peers peers) {
+        return contact.shares() ? new PeeredFleet(contact, peers.way(), peers.loss(), peers.faults()) : PeerLinkFactory.NONE;
     }
 
     /** The same on loopback sockets, one run after the other; a run without a verdict has null for it. */
@@ -69,10 +69,10 @@
             throws InterruptedException {
         var played = new ArrayList<Played>();
         for (Experiment.Variant variant : experiment.variants()) {
-            var runs = new ArrayList<Tally>();
+            var runs = new ArrayList<RunMetrics>();
             for (int seed : experiment.seeds()) {
                 progress.accept(variant.name(), seed);
-                runs.add(new Loopback(variant.fleet(), seed).run(experiment.failures(), experiment.seconds()));
+                runs.add(new LoopbackFleet(variant.fleet(), seed).run(experiment.failures(), experiment.seconds()));
             }
             played.add(new Played(variant, runs));
         }
--- a/lab/src/main/java/clayhook/lab/Experiment.java
+++ b/lab/src/main/java/clayhook/lab/Experiment.java
@@ -8,8 +8,8 @@
 import clayhook.config.TomlSection;
 import clayhook.lab.model.Failure;
 import clayhook.lab.model.FleetSpec;
-import clayhook.lab.model.Machine;
-import clayhook.lab.sharing.Fault;
+import clayhook.lab.model.MachineSpec;
+import clayhook.lab.sharing.SharingFault;
 import clayhook.lab.sharing.FaultPlan;
 import clayhook.lab.sharing.SharingPlay;
 import java.nio.file.Path;
@@ -107,7 +107,7 @@
                 fleet.getInt("replicas", 2, 0, 100),
                 fleet.getInt("routers", 2, 1, 10_000),
                 zones.isEmpty() ? List.of("a") : List.copyOf(zones),
-                new Machine(
+                new MachineSpec(
                         machine.getInt("cores", 2, 1, 1024),
                         machine.getInt("queue", 100, 0, 1_000_000),
                         machine.getNumber("shipping", 0.02, 0, HOUR),
@@ -133,15 +133,15 @@
 
     private static Peers peers(TomlSection toml) throws ConfigurationException {
         TomlSection peers = toml.getTable("peers");
-        var faults = new ArrayList<Fault>();
+        var faults = new ArrayList<SharingFault>();
         for (TomlSection fault : toml.getTables("fault")) {
             fault.getRequiredString("kind");
-            Fault.Kind kind = one(fault, "kind", Fault.Kind.class, null);
+            SharingFault.Kind kind = one(fault, "kind", SharingFault.Kind.class, null);
             List<Integer> whom = fault.getIntList("whom");
-            if (kind == Fault.Kind.CUT && whom.size() != 2) {
+            if (kind == SharingFault.Kind.CUT && whom.size() != 2) {
                 throw fault.invalid("whom", "is no pair: from whom to whom nothing comes");
             }
-            faults.add(new Fault(
+            faults.add(new SharingFault(
                     fault.getNumber("at", 0, 0, HOUR),
                     kind,
                     whom,
@@ -208,8 +208,8 @@
     }
 
     private static FleetSpec varied(FleetSpec base, TomlSection variant) throws ConfigurationException {
-        Machine was = base.machine();
-        var machine = new Machine(
+        MachineSpec was = base.machine();
+        var machine = new MachineSpec(
                 variant.getInt("cores", was.cores(), 1, 1024),
                 variant.getInt("queue", was.queue(), 0, 1_000_000),
                 was.shipping(),
--- a/lab/src/main/java/clayhook/lab/Report.java
+++ b/lab/src/main/java/clayhook/lab/Report.java
@@ -4,7 +4,7 @@
 import clayhook.lab.Comparison.Interval;
 import clayhook.lab.Comparison.Played;
 import clayhook.lab.model.Failure;
-import clayhook.lab.model.Tally;
+import clayhook.lab.model.RunMetrics;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Base64;
@@ -62,7 +62,7 @@
         for (Played one : played) {
             Interval gain = Comparison.gain(played.get(0), one);
             String broken = one.runs().stream()
-                    .map(Tally::firstBroken)
+                    .map(RunMetrics::firstBroken)
                     .filter(first -> first != null)
                     .findFirst()
                     .orElse("kept");
@@ -110,7 +110,7 @@
         return chart;
     }
 
-    private static double mean(Played one, ToDoubleFunction<Tally> figure) {
+    private static double mean(Played one, ToDoubleFunction<RunMetrics> figure) {
         return one.runs().stream().mapToDouble(figure).average().orElse(0);
     }
 
--- a/lab/src/main/java/clayhook/lab/SharingPlays.java
+++ b/lab/src/main/java/clayhook/lab/SharingPlays.java
@@ -1,11 +1,11 @@
 package clayhook.lab;
 
 import clayhook.lab.model.FleetSpec;
-import clayhook.lab.sharing.Company;
-import clayhook.lab.sharing.SharingFigures;
+import clayhook.lab.sharing.SimulatedPeerGroup;
+import clayhook.lab.sharing.SharingMetrics;
 import clayhook.lab.sharing.SharingPlay;
 import clayhook.lab.sharing.SharingSweep;
-import clayhook.lab.sharing.Trial;
+import clayhook.lab.sharing.SharingTrial;
 import java.io.PrintStream;
 
 /** Plays what a file asks of routers that share, beside service. */
@@ -17,16 +17,16 @@
         Experiment.Peers peers = experiment.peers();
         SharingPlay play = peers.play();
         FleetSpec fleet = experiment.variants().get(0).fleet();
-        var company = new Company.Spec(fleet.routers(), peers.way(), peers.loss());
-        var figures = new SharingFigures(company, experiment.seeds().get(0), out::println);
+        var company = new SimulatedPeerGroup.Spec(fleet.routers(), peers.way(), peers.loss());
+        var figures = new SharingMetrics(company, experiment.seeds().get(0), out::println);
         switch (play.what()) {
             case NEWS -> figures.news();
             case TRAFFIC -> figures.traffic();
             case CATCH_UP -> figures.catchUp(play.entries());
             default -> {
-                var spec = new Trial.Spec(company, experiment.seconds(), play.settle(), fleet.rate());
+                var spec = new SharingTrial.Spec(company, experiment.seconds(), play.settle(), fleet.rate());
                 SharingSweep.Result result =
-                        new SharingSweep(spec, Trial.KINDS, peers.faults(), play.faults()).play(experiment.seeds());
+                        new SharingSweep(spec, SharingTrial.KINDS, peers.faults(), play.faults()).play(experiment.seeds());
                 result.found().forEach(out::println);
                 out.println(result);
                 return result.failed() == 0;
--- a/lab/src/main/java/clayhook/lab/model/Arrivals.java
+++ b/lab/src/main/java/clayhook/lab/model/Arrivals.java
@@ -13,7 +13,7 @@
     private final ZigguratSampler.Exponential exponential;
 
     /** One command; {@code session} is below 0 for none, {@code work} seconds of a core. */
-    record Ask(FleetSpec.Kind kind, int group, int session, double work) {}
+    record RequestArrival(FleetSpec.Kind kind, int group, int session, double work) {}
 
     Arrivals(FleetSpec spec, long seed) {
         this.spec = spec;
@@ -28,7 +28,7 @@
         return exponential.sample() / Math.max(spec.rateAt(since), 1e-9);
     }
 
-    Ask next() {
+    RequestArrival next() {
         double dice = random.nextDouble() * shares;
         FleetSpec.Kind kind = spec.commands().get(spec.commands().size() - 1);
         for (FleetSpec.Kind one : spec.commands()) {
@@ -44,6 +44,6 @@
         double work = kind.spread() == 0
                 ? kind.work()
                 : kind.work() * Math.exp(kind.spread() * normal.sample() - kind.spread() * kind.spread() / 2);
-        return new Ask(kind, group, session, work);
+        return new RequestArrival(kind, group, session, work);
     }
 }
--- a/lab/src/main/java/clayhook/lab/model/Cores.java
+++ b/lab/src/main/java/clayhook/lab/model/CpuModel.java
@@ -5,26 +5,26 @@
 import java.util.List;
 
 /** The cores of a machine and the queue before them, served in order. Work is conserved whatever the speed does. */
-final class Cores {
-    private final Time timeline;
+final class CpuModel {
+    private final Scheduler timeline;
     private final int cores;
     private final int limit;
     /** Bounded by the limit of the queue. */
-    private final ArrayDeque<Job> queue = new ArrayDeque<>();
+    private final ArrayDeque<NodeJob> queue = new ArrayDeque<>();
 
-    private final List<Job> running = new ArrayList<>();
+    private final List<NodeJob> running = new ArrayList<>();
     private double speed = 1;
     /** Seconds of a core that were worked, and when that was reckoned. */
     private double worked;
 
-    Cores(Time timeline, int cores, int limit) {
+    CpuModel(Scheduler timeline, int cores, int limit) {
         this.timeline = timeline;
         this.cores = cores;
         this.limit = limit;
     }
 
     /** False if the queue is full. */
-    boolean offer(Job job) {
+    boolean offer(NodeJob job) {
         if (running.size() < cores) {
             begin(job);
             return true;
@@ -32,7 +32,7 @@
         return queue.size() < limit && queue.add(job);
     }
 
-    private void begin(Job job) {
+    private void begin(NodeJob job) {
         job.running = true;
         running.add(job);
         job.reckonedAt = timeline.now();
@@ -40,7 +40,7 @@
     }
 
     /** Where the machine stands still, the end is planned once it moves again. */
-    private void plan(Job job) {
+    private void plan(NodeJob job) {
         int plan = ++job.plan;
         if (speed > 0) {
             timeline.in(job.work / speed, () -> {
@@ -51,7 +51,7 @@
         }
     }
 
-    private void end(Job job) {
+    private void end(NodeJob job) {
         reckon(job);
         job.running = false;
         running.remove(job);
@@ -65,7 +65,7 @@
         }
     }
 
-    private void reckon(Job job) {
+    private void reckon(NodeJob job) {
         double done = Math.min(job.work, Math.max(0, timeline.now() - job.reckonedAt) * speed);
         worked += done;
         job.work -= done;
@@ -80,7 +80,7 @@
     }
 
     /** Its client has gone: what waits is dropped, what runs goes on. */
-    void cancel(Job job) {
+    void cancel(NodeJob job) {
         queue.remove(job);
     }
 
--- a/lab/src/main/java/clayhook/lab/model/FleetSpec.java
+++ b/lab/src/main/java/clayhook/lab/model/FleetSpec.java
@@ -23,7 +23,7 @@
         int replicas,
         int routers,
         List<String> zones,
-        Machine machine,
+        MachineSpec machine,
         double way,
         double election,
         double listDelay,
@@ -54,7 +54,7 @@
             int replicas,
             int routers,
             List<String> zones,
-            Machine machine,
+            MachineSpec machine,
             double way,
             double election,
             double listDelay,
@@ -114,7 +114,7 @@
                 contact);
     }
 
-    public FleetSpec with(Machine other) {
+    public FleetSpec with(MachineSpec other) {
         return new FleetSpec(
                 groups,
                 replicas,
--- a/lab/src/main/java/clayhook/lab/model/GroupModel.java
+++ b/lab/src/main/java/clayhook/lab/model/GroupModel.java
@@ -9,13 +9,13 @@
 final class GroupModel {
     final int id;
     final List<NodeModel> nodes = new ArrayList<>();
-    private final Time timeline;
+    private final Scheduler timeline;
     /** Seconds without a primary before a successor takes over. */
     private final double election;
     /** The newest commit that was answered. */
     private double head;
 
-    GroupModel(Time timeline, int id, double election) {
+    GroupModel(Scheduler timeline, int id, double election) {
         this.timeline = timeline;
         this.id = id;
         this.election = election;
--- a/lab/src/main/java/clayhook/lab/model/Loopback.java
+++ b/lab/src/main/java/clayhook/lab/model/LoopbackFleet.java
@@ -38,7 +38,7 @@
  * platform's protocol and take the time that the model says. Nodes and clients share a loop; each router has its own.
  * Routers ask for the list again after ten seconds at the latest, so that changes reach them by then.
  */
-public final class Loopback {
+public final class LoopbackFleet {
     /** Where a run's own loop was late by more, its figures are those of the machine, and no verdict is given. */
     private static final double MOST_LATE = 0.01;
     /** Far below what a process may open; a command for which no connection is left fails. */
@@ -51,27 +51,27 @@
 
     private final FleetSpec spec;
     private final Transport transport = Transport.tcp();
-    private final WallTime time = new WallTime(transport.eventLoop());
+    private final WallClockScheduler time = new WallClockScheduler(transport.eventLoop());
     private final Arrivals arrivals;
-    private final Audit audit = new Audit(GRACE, OVERLOAD, OVERLOAD_FOR);
+    private final RuleAudit audit = new RuleAudit(GRACE, OVERLOAD, OVERLOAD_FOR);
     private final Map<String, Asked> open = new HashMap<>();
     private final List<SocketNode> sockets = new ArrayList<>();
     private final List<Server> servers = new ArrayList<>();
     private final List<Clients> clients = new ArrayList<>();
     private final double[] wrote;
-    private World world;
-    private Tally tally;
+    private SimulatedNodes world;
+    private RunMetrics tally;
     private double start;
     private long nextId;
     private int listVersion = 2;
 
     private static final class Asked {
-        final Arrivals.Ask ask;
+        final Arrivals.RequestArrival ask;
         final String id;
         final double arrived;
         final double wroteAt;
 
-        Asked(Arrivals.Ask ask, String id, double arrived, double wroteAt) {
+        Asked(Arrivals.RequestArrival ask, String id, double arrived, double wroteAt) {
             this.ask = ask;
             this.id = id;
             this.arrived = arrived;
@@ -79,26 +79,26 @@
         }
     }
 
-    public Loopback(FleetSpec spec, long seed) {
+    public LoopbackFleet(FleetSpec spec, long seed) {
         this.spec = spec;
         arrivals = new Arrivals(spec, seed);
         wrote = new double[spec.sessions()];
     }
 
     /** Plays so many seconds; null if the loop ran too late for a verdict. */
-    public Tally run(List<Failure> failures, double seconds) throws InterruptedException {
+    public RunMetrics run(List<Failure> failures, double seconds) throws InterruptedException {
         return run(failures, seconds, so -> {});
     }
 
     /** The same; {@code watcher} is shown the figures so far each second, on the run's own loop. */
-    public Tally run(List<Failure> failures, double seconds, Consumer<Tally> watcher) throws InterruptedException {
+    public RunMetrics run(List<Failure> failures, double seconds, Consumer<RunMetrics> watcher) throws InterruptedException {
         try {
             begin();
             var ended = new CountDownLatch(1);
             transport.eventLoop().execute(() -> {
                 start = time.now() + WARMING;
                 time.at(start, time::warm);
-                tally = new Tally(start);
+                tally = new RunMetrics(start);
                 world.befall(failures, start);
                 time.at(start, () -> arrive(start + seconds));
                 for (int second = 1; second <= seconds; second++) {
@@ -133,7 +133,7 @@
     }
 
     private void begin() throws InterruptedException {
-        world = new World(spec, time, this::died, node -> listVersion++);
+        world = new SimulatedNodes(spec, time, this::died, node -> listVersion++);
         for (NodeModel node : world.nodes()) {
             sockets.add(new SocketNode(node));
         }
@@ -208,7 +208,7 @@
     private void arrive(double until) {
         time.in(arrivals.gap(time.now() - start), () -> {
             if (time.now() < until) {
-                Arrivals.Ask ask = arrivals.next();
+                Arrivals.RequestArrival ask = arrivals.next();
                 RequestClass group = ask.kind().group();
                 boolean own = group.consistency() == ConsistencyLevel.SESSION && ask.session() >= 0;
                 var asked = new Asked(ask, Long.toString(nextId++), time.now(), own ? wrote[ask.session()] : 0);
@@ -358,7 +358,7 @@
 
     private final class NodeHandler extends ChannelInboundHandlerAdapter {
         private final SocketNode socket;
-        private Job job;
+        private NodeJob job;
 
         NodeHandler(SocketNode socket) {
             this.socket = socket;
@@ -405,7 +405,7 @@
             if (node.warmth() < 1) {
                 audit.worked(node.node, asked.ask.work(), spec.machine().cores() * node.warmth(), time.now());
             }
-            job = new Job(asked.ask.work(), time.now(), done -> {
+            job = new NodeJob(asked.ask.work(), time.now(), done -> {
                 double position =
                         statement.isWrite ? world.group(node.node.replicaSetId()).commit() : node.position();
                 audit.ran(asked.id, node.node, position, needed, time.now());
--- a/lab/src/main/java/clayhook/lab/model/Machine.java
+++ b/lab/src/main/java/clayhook/lab/model/MachineSpec.java
@@ -11,5 +11,5 @@
  * @param coldShare the part of its speed that a node has when it starts
  * @param warmAfter it has its full speed this long after
  */
-public record Machine(
+public record MachineSpec(
         int cores, int queue, double shipping, double apply, double connecting, double coldShare, double warmAfter) {}
--- a/lab/src/main/java/clayhook/lab/model/NodeModel.java
+++ b/lab/src/main/java/clayhook/lab/model/NodeModel.java
@@ -9,10 +9,10 @@
     private static final double WARMING_STEP = 0.25;
 
     final Node node;
-    final Cores cores;
+    final CpuModel cores;
     final ReplicaLog log;
-    private final Machine machine;
-    private final Time timeline;
+    private final MachineSpec machine;
+    private final Scheduler timeline;
     private boolean up = true;
     private boolean hung;
     boolean draining;
@@ -25,12 +25,12 @@
     /** It was turned off and on so often: what was sent to an earlier life is lost. */
     int life;
 
-    NodeModel(Time timeline, Node node, Machine machine, Role role) {
+    NodeModel(Scheduler timeline, Node node, MachineSpec machine, Role role) {
         this.timeline = timeline;
         this.node = node;
         this.machine = machine;
         this.role = role;
-        cores = new Cores(timeline, machine.cores(), machine.queue());
+        cores = new CpuModel(timeline, machine.cores(), machine.queue());
         log = new ReplicaLog(machine.shipping(), machine.apply());
     }
 
--- a/lab/src/main/java/clayhook/lab/model/Peers.java
+++ b/lab/src/main/java/clayhook/lab/model/PeerLink.java
@@ -9,9 +9,9 @@
 /**
  * What a router tells its peers of what it learns, and what it has from them. Times and positions are the timeline's.
  */
-public interface Peers {
+public interface PeerLink {
     /** Of a router that shares nothing. */
-    Peers NONE = new Peers() {
+    PeerLink NONE = new PeerLink() {
         @Override
         public void listed(List<Endpoint> entries, boolean whole, long revision) {}
 
--- a/lab/src/main/java/clayhook/lab/model/Sharing.java
+++ b/lab/src/main/java/clayhook/lab/model/PeerLinkFactory.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /** Makes routers peers. */
-public interface Sharing {
+public interface PeerLinkFactory {
     /** Each of them alone. */
-    Sharing NONE =
-            (time, routers, seed) -> routers.stream().map(router -> Peers.NONE).toList();
+    PeerLinkFactory NONE =
+            (time, routers, seed) -> routers.stream().map(router -> PeerLink.NONE).toList();
 
     /** One end for each router, in their order. */
-    List<Peers> among(Time time, List<? extends Hearing> routers, long seed);
+    List<PeerLink> among(Scheduler time, List<? extends PeerObservationListener> routers, long seed);
 }
--- a/lab/src/main/java/clayhook/lab/model/Hearing.java
+++ b/lab/src/main/java/clayhook/lab/model/PeerObservationListener.java
@@ -4,7 +4,7 @@
 import clayhook.PeerObservation;
 
 /** A router that can be told what its peers know. */
-public interface Hearing {
+public interface PeerObservationListener {
     /** What the list told a peer in that revision. */
     void told(Endpoint entry, long revision);
 
--- a/lab/src/main/java/clayhook/lab/model/RouterModel.java
+++ b/lab/src/main/java/clayhook/lab/model/RouterModel.java
@@ -25,9 +25,9 @@
 import java.util.function.BiConsumer;
 
 /** One router in virtual time: the real module and hand; connections and the way to nodes are modelled. */
-final class RouterModel implements Hearing {
-    private final Timeline timeline;
-    private final Fleet fleet;
+final class RouterModel implements PeerObservationListener {
+    private final VirtualScheduler timeline;
+    private final SimulatedFleet fleet;
     private final RoutingPolicy decide;
     private final InFlightRequests hand;
     private final RoutingSettings settings;
@@ -46,7 +46,7 @@
     /** The last write of each session that this router answered; a row a session. */
     private final Map<String, Double> wrote = new HashMap<>();
 
-    private Peers peers = Peers.NONE;
+    private PeerLink peers = PeerLink.NONE;
     /** The newest revision of the list that this router heard itself. */
     private long revision = -1;
 
@@ -55,11 +55,11 @@
     private boolean turning;
 
     private static final class SimulatedAttempt {
-        Job job;
+        NodeJob job;
         NodeModel at;
     }
 
-    RouterModel(Timeline timeline, Fleet fleet, RoutingSettings settings, long seed, BiConsumer<Request, RoutingAction> answered) {
+    RouterModel(VirtualScheduler timeline, SimulatedFleet fleet, RoutingSettings settings, long seed, BiConsumer<Request, RoutingAction> answered) {
         this.timeline = timeline;
         this.fleet = fleet;
         this.settings = settings;
@@ -70,7 +70,7 @@
         });
     }
 
-    void join(Peers others) {
+    void join(PeerLink others) {
         peers = others;
     }
 
@@ -223,7 +223,7 @@
         int life = at.life;
         double work = fleet.work(dispatch.request);
         attempt.at = at;
-        attempt.job = new Job(work, timeline.now(), done -> {
+        attempt.job = new NodeJob(work, timeline.now(), done -> {
             double position = writes ? fleet.group(at.node.replicaSetId()).commit() : at.position();
             fleet.audit().ran(dispatch.request, at.node, position, needed, timeline.now());
             back(dispatch, attempt, life, tell(at, AttemptOutcome.ANSWERED));
--- a/lab/src/main/java/clayhook/lab/model/Audit.java
+++ b/lab/src/main/java/clayhook/lab/model/RuleAudit.java
@@ -13,7 +13,7 @@
  * The five rules, from the record of clients and nodes alone. It keeps what is open and, of what has ended, only as
  * long as another run could still break a rule: twice the client timeout or repeat window.
  */
-public final class Audit {
+public final class RuleAudit {
     /** What a router must keep, as the platform's pages number it. */
     public enum RuleKept {
         ONE_ANSWER,
@@ -59,7 +59,7 @@
     private double sweptAt;
 
     /** {@code grace}: seconds after being told of a drain in which a node may still be sent something. */
-    public Audit(double grace, double overloadFactor, double overloadFor) {
+    public RuleAudit(double grace, double overloadFactor, double overloadFor) {
         this.grace = grace;
         this.overloadFactor = overloadFactor;
         this.overloadFor = overloadFor;
--- a/lab/src/main/java/clayhook/lab/model/Tally.java
+++ b/lab/src/main/java/clayhook/lab/model/RunMetrics.java
@@ -8,12 +8,12 @@
 import org.HdrHistogram.Histogram;
 
 /** What a run came to: by command group, by second, by node. */
-public final class Tally {
+public final class RunMetrics {
     /** Microseconds; no client waits for longer. */
     private static final long LONGEST = 3_600_000_000L;
 
     /** One command group's counts. */
-    public static final class Of {
+    public static final class Totals {
         public long asked;
         public long answered;
         public long inTime;
@@ -26,21 +26,21 @@
     }
 
     private final double start;
-    private final Map<RequestClass, Of> groups = new LinkedHashMap<>();
+    private final Map<RequestClass, Totals> groups = new LinkedHashMap<>();
     /** Benefit earned and possible by second of arrival. */
     private final TreeMap<Integer, double[]> seconds = new TreeMap<>();
 
     private final Map<String, Double> busy = new LinkedHashMap<>();
-    private Map<Audit.RuleKept, Integer> broken = Map.of();
+    private Map<RuleAudit.RuleKept, Integer> broken = Map.of();
     private String firstBroken;
     private long events;
 
-    Tally(double start) {
+    RunMetrics(double start) {
         this.start = start;
     }
 
-    private Of of(RequestClass group) {
-        return groups.computeIfAbsent(group, any -> new Of());
+    private Totals of(RequestClass group) {
+        return groups.computeIfAbsent(group, any -> new Totals());
     }
 
     private double[] second(double arrived) {
@@ -48,14 +48,14 @@
     }
 
     void asked(RequestClass group, double now) {
-        Of of = of(group);
+        Totals of = of(group);
         of.asked++;
         of.possible += group.priorityWeight();
         second(now)[1] += group.priorityWeight();
     }
 
     void answered(RequestClass group, RoutingAction verdict, double took, double arrived) {
-        Of of = of(group);
+        Totals of = of(group);
         if (verdict == RoutingAction.REJECT) {
             of.throttled++;
         } else if (verdict == RoutingAction.FAIL) {
@@ -75,13 +75,13 @@
         busy.put(node, part);
     }
 
-    void ended(Map<Audit.RuleKept, Integer> rules, String first, long made) {
+    void ended(Map<RuleAudit.RuleKept, Integer> rules, String first, long made) {
         broken = rules;
         firstBroken = first;
         events = made;
     }
 
-    public Map<RequestClass, Of> groups() {
+    public Map<RequestClass, Totals> groups() {
         return groups;
     }
 
@@ -106,7 +106,7 @@
         return busy;
     }
 
-    public Map<Audit.RuleKept, Integer> broken() {
+    public Map<RuleAudit.RuleKept, Integer> broken() {
         return broken;
     }
 
--- a/lab/src/main/java/clayhook/lab/model/Time.java
+++ b/lab/src/main/java/clayhook/lab/model/Scheduler.java
@@ -1,7 +1,7 @@
 package clayhook.lab.model;
 
 /** What tells the time, in seconds, and lets things happen at one: virtual, or a loop on the machine's own clock. */
-public interface Time {
+public interface Scheduler {
     double now();
 
     /** Never before now. */
--- a/lab/src/main/java/clayhook/lab/model/Fleet.java
+++ b/lab/src/main/java/clayhook/lab/model/SimulatedFleet.java
@@ -16,7 +16,7 @@
 /**
  * A whole deployment in virtual time: nodes, routers, clients and what befalls them. The same seed gives the same run.
  */
-public final class Fleet {
+public final class SimulatedFleet {
     /** Any time that a clock would tell; far from zero, which stands for never. */
     private static final double START = 1_000_000;
     /** A connection or probe that does not come about within this has failed; far above the way to any node. */
@@ -27,11 +27,11 @@
     private static final double OVERLOAD = 3, OVERLOAD_FOR = 3;
 
     private final FleetSpec spec;
-    private final Timeline timeline = new Timeline(START);
-    private final World world;
+    private final VirtualScheduler timeline = new VirtualScheduler(START);
+    private final SimulatedNodes world;
     private final List<RouterModel> routers = new ArrayList<>();
-    private final Audit audit = new Audit(GRACE, OVERLOAD, OVERLOAD_FOR);
-    private final Tally tally;
+    private final RuleAudit audit = new RuleAudit(GRACE, OVERLOAD, OVERLOAD_FOR);
+    private final RunMetrics tally;
     private final Arrivals arrivals;
     /** The position of the last write of each session. */
     private final double[] wrote;
@@ -50,13 +50,13 @@
     private record News(Endpoint entry, long revision) {}
 
     private static final class Asked extends Request {
-        final Arrivals.Ask ask;
+        final Arrivals.RequestArrival ask;
         /** The position of what its session had written when it was asked; 0 where it need not see that. */
         final double written;
 
         final String mark;
 
-        Asked(Arrivals.Ask ask, double written, double wroteAt, double now, long number) {
+        Asked(Arrivals.RequestArrival ask, double written, double wroteAt, double now, long number) {
             super(
                     ask.kind().group(),
                     ask.group(),
@@ -69,24 +69,24 @@
             this.mark = "c" + number;
         }
 
-        static String session(Arrivals.Ask ask) {
+        static String session(Arrivals.RequestArrival ask) {
             return ask.session() < 0 ? null : "s" + ask.session();
         }
     }
 
-    public Fleet(FleetSpec spec, List<Failure> failures, long seed) {
-        this(spec, failures, seed, Sharing.NONE);
+    public SimulatedFleet(FleetSpec spec, List<Failure> failures, long seed) {
+        this(spec, failures, seed, PeerLinkFactory.NONE);
     }
 
-    public Fleet(FleetSpec spec, List<Failure> failures, long seed, Sharing sharing) {
+    public SimulatedFleet(FleetSpec spec, List<Failure> failures, long seed, PeerLinkFactory sharing) {
         this.spec = spec;
         spread = new SplittableRandom(seed);
         arrivals = new Arrivals(spec, seed);
-        tally = new Tally(START);
+        tally = new RunMetrics(START);
         wrote = new double[spec.sessions()];
         wroteWhen = new double[spec.sessions()];
         wroteBy = new RouterModel[spec.sessions()];
-        world = new World(spec, timeline, this::died, this::listChanged);
+        world = new SimulatedNodes(spec, timeline, this::died, this::listChanged);
         List<RequestClass> asked =
                 spec.commands().stream().map(FleetSpec.Kind::group).toList();
         for (int r = 0; r < spec.routers(); r++) {
@@ -112,7 +112,7 @@
                     15);
             routers.add(new RouterModel(timeline, this, settings, seed * 31 + r, this::answered));
         }
-        List<Peers> peers = sharing.among(timeline, routers, seed);
+        List<PeerLink> peers = sharing.among(timeline, routers, seed);
         List<Endpoint> all = world.listings();
         for (int r = 0; r < routers.size(); r++) {
             routers.get(r).join(peers.get(r));
@@ -128,7 +128,7 @@
     }
 
     /** Plays so many seconds from the start, then until all that was asked has its answer. */
-    public Tally run(double seconds) {
+    public RunMetrics run(double seconds) {
         stopAt = START + seconds;
         timeline.run(stopAt);
         double longest = spec.commands().stream()
@@ -158,7 +158,7 @@
         });
     }
 
-    private void ask(Arrivals.Ask ask) {
+    private void ask(Arrivals.RequestArrival ask) {
         RequestClass group = ask.kind().group();
         boolean own = group.consistency() == ConsistencyLevel.SESSION && ask.session() >= 0;
         RouterModel router = routerFor(ask.session());
@@ -190,7 +190,7 @@
 
     // ---- what routers ask of the world ----
 
-    Audit audit() {
+    RuleAudit audit() {
         return audit;
     }
 
--- a/lab/src/main/java/clayhook/lab/model/World.java
+++ b/lab/src/main/java/clayhook/lab/model/SimulatedNodes.java
@@ -10,8 +10,8 @@
 import java.util.function.Consumer;
 
 /** The nodes of a fleet and what befalls them; the same whether time is virtual or the machine's. */
-final class World {
-    private final Time timeline;
+final class SimulatedNodes {
+    private final Scheduler timeline;
     private final Map<Node, NodeModel> nodes = new HashMap<>();
     private final List<NodeModel> inOrder = new ArrayList<>();
     private final List<GroupModel> groups = new ArrayList<>();
@@ -22,7 +22,7 @@
      * {@code died} hears of nodes that crashed, {@code listChanged} of those of which the list has to tell something
      * new.
      */
-    World(FleetSpec spec, Time timeline, Consumer<NodeModel> died, Consumer<NodeModel> listChanged) {
+    SimulatedNodes(FleetSpec spec, Scheduler timeline, Consumer<NodeModel> died, Consumer<NodeModel> listChanged) {
         this.timeline = timeline;
         this.died = died;
         this.listChanged = listChanged;
--- a/lab/src/main/java/clayhook/lab/model/Timeline.java
+++ b/lab/src/main/java/clayhook/lab/model/VirtualScheduler.java
@@ -3,7 +3,7 @@
 import java.util.PriorityQueue;
 
 /** Virtual time: what is due, in order of time and then of its making. What has happened leaves. */
-public final class Timeline implements Time {
+public final class VirtualScheduler implements Scheduler {
     private record Event(double time, long number, Runnable what) implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
@@ -16,7 +16,7 @@
     private long made;
 
     /** {@code start}: a time in seconds, as a clock would tell it. */
-    public Timeline(double start) {
+    public VirtualScheduler(double start) {
         now = start;
     }
 
--- a/lab/src/main/java/clayhook/lab/model/WallTime.java
+++ b/lab/src/main/java/clayhook/lab/model/WallClockScheduler.java
@@ -5,7 +5,7 @@
 import org.HdrHistogram.Histogram;
 
 /** The machine's own clock, in seconds since 1970; all happens on one loop. It keeps count of how late that ran. */
-final class WallTime implements Time {
+final class WallClockScheduler implements Scheduler {
     /** Microseconds. */
     private static final long LONGEST = 60_000_000;
 
@@ -15,7 +15,7 @@
     private double due;
     private final Histogram late = new Histogram(LONGEST, 3);
 
-    WallTime(EventLoop loop) {
+    WallClockScheduler(EventLoop loop) {
         this.loop = loop;
     }
 
--- a/lab/src/main/java/clayhook/lab/plan/Planner.java
+++ b/lab/src/main/java/clayhook/lab/plan/Planner.java
@@ -2,10 +2,10 @@
 
 import clayhook.lab.Experiment;
 import clayhook.lab.model.Failure;
-import clayhook.lab.model.Fleet;
+import clayhook.lab.model.SimulatedFleet;
 import clayhook.lab.model.FleetSpec;
-import clayhook.lab.model.Machine;
-import clayhook.lab.model.Tally;
+import clayhook.lab.model.MachineSpec;
+import clayhook.lab.model.RunMetrics;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -37,7 +37,7 @@
      * @param met seeds with which it met the goal
      * @param broken the first rule that was broken, or null
      */
-    public record Trial(
+    public record Evaluation(
             int met,
             int seeds,
             double service,
@@ -61,7 +61,7 @@
      * @param firstBad the least at which none did; infinite if that was not found
      * @param causes what relieves it, the greatest help first
      */
-    public record Breaks(double lastGood, double firstBad, Trial at, Estimate estimate, List<Cause> causes) {}
+    public record Breaks(double lastGood, double firstBad, Evaluation at, Estimate estimate, List<Cause> causes) {}
 
     /** A resource, and how much more of the benefit is earned with twice as much of it. */
     public record Cause(String resource, double gain) {}
@@ -85,31 +85,31 @@
         this.progress = progress;
     }
 
-    private Trial trial(FleetSpec spec, List<Failure> failures) {
-        List<Tally> runs = experiment.seeds().parallelStream()
-                .map(seed -> new Fleet(spec, failures, seed).run(experiment.seconds()))
+    private Evaluation trial(FleetSpec spec, List<Failure> failures) {
+        List<RunMetrics> runs = experiment.seeds().parallelStream()
+                .map(seed -> new SimulatedFleet(spec, failures, seed).run(experiment.seconds()))
                 .toList();
-        return new Trial(
+        return new Evaluation(
                 (int) runs.stream().filter(this::meets).count(),
                 runs.size(),
-                runs.stream().mapToDouble(Tally::service).average().orElse(0),
+                runs.stream().mapToDouble(RunMetrics::service).average().orElse(0),
                 runs.stream().mapToDouble(Planner::worstInTime).average().orElse(0),
                 busiest(runs, true),
                 busiest(runs, false),
                 runs.stream()
-                        .map(Tally::firstBroken)
+                        .map(RunMetrics::firstBroken)
                         .filter(first -> first != null)
                         .findFirst()
                         .orElse(null));
     }
 
-    private boolean meets(Tally run) {
+    private boolean meets(RunMetrics run) {
         return run.broken().isEmpty()
                 && run.service() >= experiment.goal().service()
                 && worstInTime(run) >= experiment.goal().inTime();
     }
 
-    private static double worstInTime(Tally run) {
+    private static double worstInTime(RunMetrics run) {
         return run.groups().values().stream()
                 .filter(of -> of.asked > 0)
                 .mapToDouble(of -> (double) of.inTime / of.asked)
@@ -117,7 +117,7 @@
                 .orElse(1);
     }
 
-    private static double busiest(List<Tally> runs, boolean primaries) {
+    private static double busiest(List<RunMetrics> runs, boolean primaries) {
         return runs.stream()
                 .flatMap(run -> run.busy().entrySet().stream())
                 .filter(node -> node.getKey().endsWith("p") == primaries)
@@ -130,12 +130,12 @@
     public Breaks breaks() {
         double good = 0;
         double bad = Double.POSITIVE_INFINITY;
-        Trial atBad = null;
+        Evaluation atBad = null;
         double factor = 1;
         while (factor <= MOST_GROWTH
                 && factor >= 1 / MOST_GROWTH
                 && (good == 0 || bad == Double.POSITIVE_INFINITY || bad / good > CLOSE)) {
-            Trial trial = trial(fleet.loaded(factor), experiment.failures());
+            Evaluation trial = trial(fleet.loaded(factor), experiment.failures());
             progress.accept(
                     String.format(java.util.Locale.ROOT, "load times %.2f: service %.4f", factor, trial.service()));
             if (trial.good()) {
@@ -147,7 +147,7 @@
             double upper = trial.good() || trial.bad() ? bad : Math.min(bad, factor * CLOSE);
             if (!trial.good() && !trial.bad()) {
                 // Between the two: seeds differ. The interval is what is told, it need not get closer.
-                Trial above = trial(fleet.loaded(upper), experiment.failures());
+                Evaluation above = trial(fleet.loaded(upper), experiment.failures());
                 if (above.bad() && upper < bad) {
                     bad = upper;
                     atBad = above;
@@ -169,11 +169,11 @@
     /** Each resource doubled by itself: what helps most was what broke. */
     private List<Cause> causes(FleetSpec over, List<Failure> failures) {
         double without = trial(over, failures).service();
-        Machine m = over.machine();
+        MachineSpec m = over.machine();
         var causes = new ArrayList<Cause>();
         causes.add(cause(
                 "cores of every node",
-                over.with(new Machine(
+                over.with(new MachineSpec(
                         m.cores() * RELIEF,
                         m.queue(),
                         m.shipping(),
@@ -185,7 +185,7 @@
                 without));
         causes.add(cause(
                 "speed of applying the log",
-                over.with(new Machine(
+                over.with(new MachineSpec(
                         m.cores(),
                         m.queue(),
                         m.shipping(),
@@ -197,7 +197,7 @@
                 without));
         causes.add(cause(
                 "length of the nodes' queues",
-                over.with(new Machine(
+                over.with(new MachineSpec(
                         m.cores(),
                         m.queue() * RELIEF,
                         m.shipping(),
@@ -209,7 +209,7 @@
                 without));
         causes.add(cause(
                 "speed of opening connections",
-                over.with(new Machine(
+                over.with(new MachineSpec(
                         m.cores(),
                         m.queue(),
                         m.shipping(),
@@ -241,7 +241,7 @@
             // Arithmetic goes first: work that no core is left for is not done, whatever the routers do.
             boolean hopeless = Estimate.of(spec).hopeless(experiment.goal().service())
                     && fleet.phases().isEmpty();
-            Trial trial = hopeless ? null : trial(spec, failures);
+            Evaluation trial = hopeless ? null : trial(spec, failures);
             if (trial != null) {
                 progress.accept(
                         String.format(java.util.Locale.ROOT, "%d replicas: service %.4f", count, trial.service()));
@@ -263,8 +263,8 @@
         for (String site : fleet.zones()) {
             var failures = new ArrayList<>(experiment.failures());
             failures.add(new Failure(Failure.Kind.ZONE_LOSS, site, from, lasts, 0));
-            List<Tally> runs = experiment.seeds().parallelStream()
-                    .map(seed -> new Fleet(fleet, failures, seed).run(experiment.seconds()))
+            List<RunMetrics> runs = experiment.seeds().parallelStream()
+                    .map(seed -> new SimulatedFleet(fleet, failures, seed).run(experiment.seconds()))
                     .toList();
             progress.accept("without " + site);
             losses.add(new Loss(
@@ -278,7 +278,7 @@
                             .min()
                             .orElse(0),
                     runs.stream()
-                            .map(Tally::firstBroken)
+                            .map(RunMetrics::firstBroken)
                             .filter(first -> first != null)
                             .findFirst()
                             .orElse(null),
@@ -287,7 +287,7 @@
         return losses;
     }
 
-    private static double share(List<Tally> runs, double from, double to) {
+    private static double share(List<RunMetrics> runs, double from, double to) {
         return runs.stream()
                 .flatMap(run -> run.serviceBySecond().entrySet().stream())
                 .filter(second -> second.getKey() >= from && second.getKey() + 1 <= to)
--- a/lab/src/main/java/clayhook/lab/sharing/Clock.java
+++ b/lab/src/main/java/clayhook/lab/sharing/DriftingClock.java
@@ -1,13 +1,13 @@
 package clayhook.lab.sharing;
 
 /** A router's own clock: off by something from its start on, and fast or slow. Within one life it never jumps. */
-final class Clock {
+final class DriftingClock {
     private double since;
     private double told;
     private double gains;
 
     /** Right at first; {@code now} is the true time, as it is everywhere here. */
-    Clock(double now) {
+    DriftingClock(double now) {
         set(now, 0);
     }
 
--- a/lab/src/main/java/clayhook/lab/sharing/FaultPlan.java
+++ b/lab/src/main/java/clayhook/lab/sharing/FaultPlan.java
@@ -1,6 +1,6 @@
 package clayhook.lab.sharing;
 
-import clayhook.lab.sharing.Fault.Kind;
+import clayhook.lab.sharing.SharingFault.Kind;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.Comparator;
@@ -12,7 +12,7 @@
 import java.util.stream.IntStream;
 
 /** Faults in order of time. It can be printed, put into an experiment's file and played again. */
-public record FaultPlan(List<Fault> faults) {
+public record FaultPlan(List<SharingFault> faults) {
     public static final FaultPlan NONE = new FaultPlan(List.of());
 
     /** How often each kind is drawn, beside the others: all of them, those more that rosters and copies differ by. */
@@ -35,7 +35,7 @@
     private static final double LEAST = 0.05;
 
     public FaultPlan {
-        faults = faults.stream().sorted(Comparator.comparingDouble(Fault::at)).toList();
+        faults = faults.stream().sorted(Comparator.comparingDouble(SharingFault::at)).toList();
     }
 
     /** So many faults among so many routers, all of them over by then. */
@@ -45,13 +45,13 @@
                 .sorted(Map.Entry.comparingByKey())
                 .flatMap(entry -> Collections.nCopies(entry.getValue(), entry.getKey()).stream())
                 .toList();
-        var faults = new ArrayList<Fault>();
+        var faults = new ArrayList<SharingFault>();
         for (int i = 0; i < count; i++) {
             Kind kind = kinds.get(random.nextInt(kinds.size()));
             double at = random.nextDouble() * until;
             // Most are short, a few last for minutes: even by the logarithm.
             double lasts = SHORTEST * Math.pow(LONGEST / SHORTEST, random.nextDouble());
-            faults.add(new Fault(
+            faults.add(new SharingFault(
                     at, kind, whom(kind, routers, random), Math.min(lasts, until - at), amount(kind, random)));
         }
         return new FaultPlan(faults);
@@ -91,7 +91,7 @@
 
     /** When the last one is over, in seconds from the start; 0 without any. */
     public double over() {
-        return faults.stream().mapToDouble(Fault::end).max().orElse(0);
+        return faults.stream().mapToDouble(SharingFault::end).max().orElse(0);
     }
 
     /**
@@ -115,14 +115,14 @@
             FaultPlan shorter = plan;
             do {
                 plan = shorter;
-                Fault fault = plan.faults.get(i);
+                SharingFault fault = plan.faults.get(i);
                 shorter = plan.with(i, fault.shorter(fault.lasts() / 2));
             } while (shorter.faults.get(i).lasts() > LEAST && fails.test(shorter));
         }
         return plan;
     }
 
-    private FaultPlan with(int place, Fault fault) {
+    private FaultPlan with(int place, SharingFault fault) {
         var other = new ArrayList<>(faults);
         if (fault == null) {
             other.remove(place);
@@ -135,6 +135,6 @@
     /** As an experiment's file has it. */
     @Override
     public String toString() {
-        return faults.stream().map(Fault::toString).collect(Collectors.joining(",\n    ", "fault = [\n    ", ",\n]"));
+        return faults.stream().map(SharingFault::toString).collect(Collectors.joining(",\n    ", "fault = [\n    ", ",\n]"));
     }
 }
--- a/lab/src/main/java/clayhook/lab/sharing/Learning.java
+++ b/lab/src/main/java/clayhook/lab/sharing/GeneratedValues.java
@@ -14,7 +14,7 @@
  * What routers come to know in a trial: of each kind some values under few keys, so that copies meet. What is so in the
  * world follows from time and the trial's seed; what a router says of it is its own, at its own clock.
  */
-final class Learning {
+final class GeneratedValues {
     /** Few enough that several routers speak of each. */
     private static final int NODES = 10, SESSIONS = 100, COMMANDS = 60;
     /** Seconds between two starts of a node, and between two revisions of the list. */
@@ -27,7 +27,7 @@
     private final List<ReplicatedType<?>> kinds;
 
     /** {@code kinds} as the routers' copies have them, in order of their numbers; their values are the usual ones. */
-    Learning(List<ReplicatedType<?>> kinds, long seed) {
+    GeneratedValues(List<ReplicatedType<?>> kinds, long seed) {
         this.kinds = kinds;
         random = new SplittableRandom(seed);
     }
--- a/lab/src/main/java/clayhook/lab/sharing/ModelPeer.java
+++ b/lab/src/main/java/clayhook/lab/sharing/ModelPeer.java
@@ -13,9 +13,9 @@
 import clayhook.fleet.members.Membership;
 import clayhook.fleet.state.ReplicatedState;
 import clayhook.fleet.state.StateSettings;
-import clayhook.lab.model.Hearing;
-import clayhook.lab.model.Peers;
-import clayhook.lab.model.Time;
+import clayhook.lab.model.PeerObservationListener;
+import clayhook.lab.model.PeerLink;
+import clayhook.lab.model.Scheduler;
 import clayhook.peers.StateBridge;
 import clayhook.peers.LocalEvent;
 import clayhook.serve.PeerSharing;
@@ -31,14 +31,14 @@
  * as on sockets. While its peering is dead or stands still it tells nothing and hears nothing; the router itself serves
  * on.
  */
-final class ModelPeer implements Peers, PeerSharing.PeerListener, Life.Birth {
+final class ModelPeer implements PeerLink, PeerSharing.PeerListener, RouterIncarnation.Factory {
     /** All routers of the model hear one discovery. */
     private static final String SOURCE = "10.0.0.1:1";
     /** Of every node: nothing is sent to addresses here. */
     private static final InetSocketAddress ADDRESS = EndpointList.parseAddress("10.0.0.2:1");
 
-    private final Time time;
-    private final Hearing router;
+    private final Scheduler time;
+    private final PeerObservationListener router;
     private final int routers;
     private final boolean marks;
     private final double roam;
@@ -50,7 +50,7 @@
     private StateBridge exchange;
 
     /** {@code marks}: clients carry none, so that routers must share them. */
-    ModelPeer(Time time, Hearing router, int routers, boolean marks, double roam) {
+    ModelPeer(Scheduler time, PeerObservationListener router, int routers, boolean marks, double roam) {
         this.time = time;
         this.router = router;
         this.routers = routers;
@@ -63,7 +63,7 @@
     }
 
     @Override
-    public Life begin(Peer self, List<Address> seeds, long seed, double now) {
+    public RouterIncarnation begin(Peer self, List<Address> seeds, long seed, double now) {
         var chance = new SplittableRandom(seed);
         var members =
                 new Membership(MembershipSettings.DEFAULT, self, seeds, chance.nextLong(), now, new Membership.MembershipListener() {});
@@ -74,7 +74,7 @@
         if (!listed.isEmpty()) {
             exchange.accept(new LocalEvent.EndpointListReceived(SOURCE, new EndpointList(revision, true, List.copyOf(listed.values()))), now);
         }
-        return new Life(members, state, List.of(members, exchange, state));
+        return new RouterIncarnation(members, state, List.of(members, exchange, state));
     }
 
     private void tell(LocalEvent news) {
--- a/lab/src/main/java/clayhook/lab/sharing/PeeredFleet.java
+++ b/lab/src/main/java/clayhook/lab/sharing/PeeredFleet.java
@@ -1,19 +1,19 @@
 package clayhook.lab.sharing;
 
 import clayhook.lab.model.FleetSpec;
-import clayhook.lab.model.Hearing;
-import clayhook.lab.model.Peers;
-import clayhook.lab.model.Sharing;
-import clayhook.lab.model.Time;
+import clayhook.lab.model.PeerObservationListener;
+import clayhook.lab.model.PeerLink;
+import clayhook.lab.model.PeerLinkFactory;
+import clayhook.lab.model.Scheduler;
 import java.util.List;
 
 /** Makes the routers of a modelled fleet peers of one another, on a network with faults. */
-public final class PeeredFleet implements Sharing {
+public final class PeeredFleet implements PeerLinkFactory {
     private final FleetSpec.Contact contact;
     private final double way;
     private final double loss;
     private final FaultPlan plan;
-    private Company company;
+    private SimulatedPeerGroup company;
 
     /**
      * @param way seconds that a packet takes, the median
@@ -27,17 +27,17 @@
     }
 
     @Override
-    public List<Peers> among(Time time, List<? extends Hearing> routers, long seed) {
+    public List<PeerLink> among(Scheduler time, List<? extends PeerObservationListener> routers, long seed) {
         List<ModelPeer> peers = routers.stream()
                 .map(router -> new ModelPeer(time, router, routers.size(), !contact.marksCarried(), contact.roam()))
                 .toList();
-        company = new Company(time, new Company.Spec(routers.size(), way, loss), plan, peers::get, seed);
+        company = new SimulatedPeerGroup(time, new SimulatedPeerGroup.Spec(routers.size(), way, loss), plan, peers::get, seed);
         company.routers().forEach(place -> peers.get(place.number()).at(place));
         return List.copyOf(peers);
     }
 
     /** The routers' ends, once the fleet was made. */
-    public Company company() {
+    public SimulatedPeerGroup company() {
         return company;
     }
 }
--- a/lab/src/main/java/clayhook/lab/sharing/PeeredRouter.java
+++ b/lab/src/main/java/clayhook/lab/sharing/PeeredRouter.java
@@ -7,7 +7,7 @@
 import clayhook.fleet.Peer;
 import clayhook.fleet.MembershipView;
 import clayhook.fleet.ReplicatedStore;
-import clayhook.lab.model.Time;
+import clayhook.lab.model.Scheduler;
 import java.util.ArrayDeque;
 import java.util.List;
 import java.util.Queue;
@@ -25,20 +25,20 @@
     /** Guards against a machine that wants its next turn at once, for ever. */
     private static final double LEAST_PAUSE = 1e-4;
 
-    private record Letter(Address from, byte[] bytes) {}
+    private record QueuedDatagram(Address from, byte[] bytes) {}
 
     private final int number;
     private final Address address;
-    private final Time time;
-    private final Network network;
-    private final Life.Birth birth;
+    private final Scheduler time;
+    private final SimulatedNetwork network;
+    private final RouterIncarnation.Factory birth;
     private final List<Address> seeds;
     private final long seed;
-    private final Clock clock;
+    private final DriftingClock clock;
     /** Emptied when it goes on. */
-    private final Queue<Letter> waiting = new ArrayDeque<>();
+    private final Queue<QueuedDatagram> waiting = new ArrayDeque<>();
 
-    private Life life;
+    private RouterIncarnation life;
     private MessageDispatcher fleet;
     private int lives;
     private long boot;
@@ -49,7 +49,7 @@
     private int deaths;
     private double wakeAt = Double.POSITIVE_INFINITY;
 
-    PeeredRouter(int number, Time time, Network network, Life.Birth birth, List<Address> seeds, long seed) {
+    PeeredRouter(int number, Scheduler time, SimulatedNetwork network, RouterIncarnation.Factory birth, List<Address> seeds, long seed) {
         this.number = number;
         this.time = time;
         this.network = network;
@@ -57,7 +57,7 @@
         this.seeds = seeds;
         this.seed = seed;
         address = address(number);
-        clock = new Clock(time.now());
+        clock = new DriftingClock(time.now());
         network.place(address, number, this::heard);
         live();
     }
@@ -114,7 +114,7 @@
     void goOn() {
         if (--stands == 0) {
             while (awake() && !waiting.isEmpty()) {
-                Letter letter = waiting.poll();
+                QueuedDatagram letter = waiting.poll();
                 fleet.onDatagram(letter.from(), letter.bytes(), now());
             }
             wake(time.now());
@@ -128,7 +128,7 @@
             fleet.onDatagram(from, bytes, now());
             wake(time.now() + SOON);
         } else if (life != null && waiting.size() < WAITING) {
-            waiting.add(new Letter(from, bytes));
+            waiting.add(new QueuedDatagram(from, bytes));
         }
     }
 
--- a/lab/src/main/java/clayhook/lab/sharing/Life.java
+++ b/lab/src/main/java/clayhook/lab/sharing/RouterIncarnation.java
@@ -17,19 +17,19 @@
  *
  * @param machines in the order of their turns
  */
-public record Life(MembershipView roster, ReplicatedStore shared, List<? extends ProtocolHandler> machines) {
+public record RouterIncarnation(MembershipView roster, ReplicatedStore shared, List<? extends ProtocolHandler> machines) {
 
     /** Begins one; {@code now} is told by the router's own clock. */
-    public interface Birth {
-        Life begin(Peer self, List<Address> seeds, long seed, double now);
+    public interface Factory {
+        RouterIncarnation begin(Peer self, List<Address> seeds, long seed, double now);
     }
 
     /** The roster and the copy as routers run them, with nothing beside. */
-    public static Birth sharing(List<ReplicatedType<?>> kinds) {
+    public static Factory sharing(List<ReplicatedType<?>> kinds) {
         return (self, seeds, seed, now) -> {
             var members = new Membership(MembershipSettings.DEFAULT, self, seeds, seed, now, new Membership.MembershipListener() {});
             var state = new ReplicatedState(members, kinds, StateSettings.DEFAULT, seed + 1, now);
-            return new Life(members, state, List.of(members, state));
+            return new RouterIncarnation(members, state, List.of(members, state));
         };
     }
 }
--- a/lab/src/main/java/clayhook/lab/sharing/Fault.java
+++ b/lab/src/main/java/clayhook/lab/sharing/SharingFault.java
@@ -12,7 +12,7 @@
  * @param lasts seconds until it is over
  * @param amount as the kind says; 0 where it says nothing
  */
-public record Fault(double at, Kind kind, List<Integer> whom, double lasts, double amount) {
+public record SharingFault(double at, Kind kind, List<Integer> whom, double lasts, double amount) {
     /** What befalls them. */
     public enum Kind {
         /** Of the packets that they send, that part is lost. */
@@ -48,7 +48,7 @@
         }
     }
 
-    public Fault {
+    public SharingFault {
         whom = List.copyOf(whom);
     }
 
@@ -70,8 +70,8 @@
         };
     }
 
-    Fault shorter(double seconds) {
-        return new Fault(at, kind, whom, seconds, amount);
+    SharingFault shorter(double seconds) {
+        return new SharingFault(at, kind, whom, seconds, amount);
     }
 
     /** As an experiment's file has it. */
--- a/lab/src/main/java/clayhook/lab/sharing/SharingFigures.java
+++ b/lab/src/main/java/clayhook/lab/sharing/SharingMetrics.java
@@ -3,7 +3,7 @@
 import clayhook.fleet.ReplicatedType;
 import clayhook.fleet.kinds.ListedEndpoint;
 import clayhook.fleet.kinds.SessionWrite;
-import clayhook.lab.model.Timeline;
+import clayhook.lab.model.VirtualScheduler;
 import java.lang.management.ManagementFactory;
 import java.util.Arrays;
 import java.util.List;
@@ -12,7 +12,7 @@
 import java.util.function.Consumer;
 
 /** How fast news is, what it costs, and how long a router that was away is brought up; each a line of figures. */
-public final class SharingFigures {
+public final class SharingMetrics {
     private static final double START = 1_000_000;
     /** Seconds until all have found each other, as many as a thousand. */
     private static final double SETTLED = 30;
@@ -30,12 +30,12 @@
 
     private static final double LOOK = 0.01;
 
-    private final Company.Spec spec;
+    private final SimulatedPeerGroup.Spec spec;
     private final long seed;
     private final Consumer<String> lines;
 
     /** @param lines takes each line of figures as it is known */
-    public SharingFigures(Company.Spec spec, long seed, Consumer<String> lines) {
+    public SharingMetrics(SimulatedPeerGroup.Spec spec, long seed, Consumer<String> lines) {
         this.spec = spec;
         this.seed = seed;
         this.lines = lines;
@@ -45,8 +45,8 @@
         lines.accept(String.format(Locale.ROOT, format, figures));
     }
 
-    private static Company company(Timeline time, Company.Spec spec, FaultPlan plan, long seed) {
-        return new Company(time, spec, plan, number -> Life.sharing(Trial.KINDS), seed);
+    private static SimulatedPeerGroup company(VirtualScheduler time, SimulatedPeerGroup.Spec spec, FaultPlan plan, long seed) {
+        return new SimulatedPeerGroup(time, spec, plan, number -> RouterIncarnation.sharing(SharingTrial.KINDS), seed);
     }
 
     // ---- news ----
@@ -54,7 +54,7 @@
     /** Seconds until news is at 99 of a hundred routers, with nothing lost and with a fifth of all packets lost. */
     public void news() {
         for (double loss : new double[] {0, 0.2}) {
-            var lossy = new Company.Spec(spec.routers(), spec.way(), loss);
+            var lossy = new SimulatedPeerGroup.Spec(spec.routers(), spec.way(), loss);
             news(
                     "urgent",
                     lossy,
@@ -68,9 +68,9 @@
         V of(int number);
     }
 
-    private <V> void news(String name, Company.Spec lossy, ReplicatedType<V> kind, Piece<V> piece) {
-        var time = new Timeline(START);
-        Company company = company(time, lossy, FaultPlan.NONE, seed);
+    private <V> void news(String name, SimulatedPeerGroup.Spec lossy, ReplicatedType<V> kind, Piece<V> piece) {
+        var time = new VirtualScheduler(START);
+        SimulatedPeerGroup company = company(time, lossy, FaultPlan.NONE, seed);
         var random = new SplittableRandom(seed);
         double[][] came = new double[NEWS][lossy.routers()];
         company.routers().forEach(router -> router.shared()
@@ -104,11 +104,11 @@
     /** Bytes, packets and processor time a router a second, by the number of routers, without news and with some. */
     public void traffic() {
         for (int size : SIZES) {
-            var time = new Timeline(START);
-            Company company = company(time, new Company.Spec(size, spec.way(), spec.loss()), FaultPlan.NONE, seed);
+            var time = new VirtualScheduler(START);
+            SimulatedPeerGroup company = company(time, new SimulatedPeerGroup.Spec(size, spec.way(), spec.loss()), FaultPlan.NONE, seed);
             time.run(START + SETTLED);
             traffic("no news", company, time);
-            var learning = new Learning(Trial.KINDS, seed);
+            var learning = new GeneratedValues(SharingTrial.KINDS, seed);
             var random = new SplittableRandom(seed);
             for (double at = 0; at < COUNTED; at += random.nextExponential() / RATE) {
                 time.in(at, () -> put(learning.next(company.routers().get(random.nextInt(size)), time.now())));
@@ -117,17 +117,17 @@
         }
     }
 
-    private static <V> void put(Learning.Said<V> said) {
+    private static <V> void put(GeneratedValues.Said<V> said) {
         said.by().put(said.kind(), said.key(), said.value());
     }
 
-    private void traffic(String what, Company company, Timeline time) {
+    private void traffic(String what, SimulatedPeerGroup company, VirtualScheduler time) {
         int size = company.routers().size();
         int from = (int) (time.now() - START);
         long before = processor();
         time.run(time.now() + COUNTED);
         double spent = (processor() - before) / 1e9;
-        Traffic traffic = company.network().traffic();
+        TrafficMeter traffic = company.network().traffic();
         line(
                 "%d routers, %s: %.0f bytes and %.1f packets sent a router a second, %d bytes the most of one in any second, "
                         + "%.3f%% of a core a router, network and all",
@@ -147,15 +147,15 @@
 
     /** Seconds from the return of a router after a minute until it has as many marks as all have written meanwhile. */
     public void catchUp(int marks) {
-        catchUp("cut off", Fault.Kind.SPLIT, marks);
-        catchUp("frozen", Fault.Kind.FREEZE, marks);
-        catchUp("killed", Fault.Kind.KILL, marks);
+        catchUp("cut off", SharingFault.Kind.SPLIT, marks);
+        catchUp("frozen", SharingFault.Kind.FREEZE, marks);
+        catchUp("killed", SharingFault.Kind.KILL, marks);
     }
 
-    private void catchUp(String what, Fault.Kind kind, int marks) {
-        var time = new Timeline(START);
-        var plan = new FaultPlan(List.of(new Fault(SETTLED, kind, List.of(0), AWAY, 0)));
-        Company company = company(time, spec, plan, seed);
+    private void catchUp(String what, SharingFault.Kind kind, int marks) {
+        var time = new VirtualScheduler(START);
+        var plan = new FaultPlan(List.of(new SharingFault(SETTLED, kind, List.of(0), AWAY, 0)));
+        SimulatedPeerGroup company = company(time, spec, plan, seed);
         for (int i = 0; i < marks; i++) {
             int number = i;
             double at = START + SETTLED + (AWAY - 1) * i / marks;
@@ -176,7 +176,7 @@
                     : Double.NaN;
         }
         int from = (int) (back - START);
-        Traffic traffic = company.network().traffic();
+        TrafficMeter traffic = company.network().traffic();
         line(
                 "%d routers, one %s for %.0f s: all %d marks after %.2f s, certain of them after %.2f s; %d bytes the most that any "
                         + "sent in a second meanwhile",
--- a/lab/src/main/java/clayhook/lab/sharing/SharingSweep.java
+++ b/lab/src/main/java/clayhook/lab/sharing/SharingSweep.java
@@ -50,13 +50,13 @@
         }
     }
 
-    private final Trial.Spec spec;
+    private final SharingTrial.Spec spec;
     private final List<ReplicatedType<?>> kinds;
     private final FaultPlan given;
     private final int faults;
 
     /** @param given faults of all trials; where there are none, {@code faults} are drawn for each */
-    public SharingSweep(Trial.Spec spec, List<ReplicatedType<?>> kinds, FaultPlan given, int faults) {
+    public SharingSweep(SharingTrial.Spec spec, List<ReplicatedType<?>> kinds, FaultPlan given, int faults) {
         this.spec = spec;
         this.kinds = kinds;
         this.given = given;
@@ -71,10 +71,10 @@
 
     /** Plays them all, on all cores; the same seeds give the same result. */
     public Result play(List<Integer> seeds) {
-        Trial.Verdict[] verdicts = new Trial.Verdict[seeds.size()];
+        SharingTrial.Verdict[] verdicts = new SharingTrial.Verdict[seeds.size()];
         IntStream.range(0, seeds.size())
                 .parallel()
-                .forEach(i -> verdicts[i] = Trial.play(spec, kinds, plan(seeds.get(i)), seeds.get(i)));
+                .forEach(i -> verdicts[i] = SharingTrial.play(spec, kinds, plan(seeds.get(i)), seeds.get(i)));
         int[] failed = IntStream.range(0, verdicts.length)
                 .filter(i -> verdicts[i].broken() != null)
                 .toArray();
@@ -84,7 +84,7 @@
                 .toList();
         double[] healed = Arrays.stream(verdicts)
                 .filter(verdict -> verdict.broken() == null)
-                .mapToDouble(Trial.Verdict::healed)
+                .mapToDouble(SharingTrial.Verdict::healed)
                 .sorted()
                 .toArray();
         return new Result(seeds.size(), failed.length, found, healed);
@@ -92,7 +92,7 @@
 
     private Found shrunk(int seed) {
         FaultPlan least =
-                plan(seed).shrunk(plan -> Trial.play(spec, kinds, plan, seed).broken() != null);
-        return new Found(seed, least, Trial.play(spec, kinds, least, seed).broken());
+                plan(seed).shrunk(plan -> SharingTrial.play(spec, kinds, plan, seed).broken() != null);
+        return new Found(seed, least, SharingTrial.play(spec, kinds, least, seed).broken());
     }
 }
--- a/lab/src/main/java/clayhook/lab/sharing/Trial.java
+++ b/lab/src/main/java/clayhook/lab/sharing/SharingTrial.java
@@ -9,8 +9,8 @@
 import clayhook.fleet.kinds.SessionWrite;
 import clayhook.fleet.kinds.SessionConsistency;
 import clayhook.fleet.kinds.QuotaUsage;
-import clayhook.lab.model.Timeline;
-import clayhook.lab.sharing.Learning.Said;
+import clayhook.lab.model.VirtualScheduler;
+import clayhook.lab.sharing.GeneratedValues.Said;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -23,7 +23,7 @@
  * rosters and copies become equal; nothing is in them that nobody put in, and all that was put in by lives that go on;
  * a session that comes to another router no sooner than is asked of it sees its own write there.
  */
-public final class Trial {
+public final class SharingTrial {
     /** Any time that a clock would tell; far from zero, which stands for never. */
     private static final double START = 1_000_000;
     /**
@@ -50,7 +50,7 @@
      * @param settle seconds after that in which all must agree
      * @param rate pieces of news a second, over all routers
      */
-    public record Spec(Company.Spec company, double seconds, double settle, double rate) {}
+    public record Spec(SimulatedPeerGroup.Spec company, double seconds, double settle, double rate) {}
 
     /**
      * What came of it.
@@ -60,11 +60,11 @@
      */
     public record Verdict(String broken, double healed) {}
 
-    private final Timeline time = new Timeline(START);
+    private final VirtualScheduler time = new VirtualScheduler(START);
     private final Spec spec;
     private final List<ReplicatedType<?>> kinds;
-    private final Company company;
-    private final Learning learning;
+    private final SimulatedPeerGroup company;
+    private final GeneratedValues learning;
     private final SplittableRandom random;
     /** All that was put in. */
     private final List<Said<?>> said = new ArrayList<>();
@@ -74,19 +74,19 @@
     private String broken;
 
     /** {@code kinds} are {@link #KINDS}, or some of them broken on purpose. */
-    private Trial(Spec spec, List<ReplicatedType<?>> kinds, FaultPlan plan, long seed) {
+    private SharingTrial(Spec spec, List<ReplicatedType<?>> kinds, FaultPlan plan, long seed) {
         this.spec = spec;
         this.kinds = kinds;
         random = new SplittableRandom(seed);
-        learning = new Learning(kinds, random.nextLong());
-        company = new Company(time, spec.company(), plan, number -> Life.sharing(kinds), random.nextLong());
+        learning = new GeneratedValues(kinds, random.nextLong());
+        company = new SimulatedPeerGroup(time, spec.company(), plan, number -> RouterIncarnation.sharing(kinds), random.nextLong());
         end = START + Math.max(spec.seconds(), plan.over());
         news();
     }
 
     /** The same seed and plan give the same verdict. */
     public static Verdict play(Spec spec, List<ReplicatedType<?>> kinds, FaultPlan plan, long seed) {
-        return new Trial(spec, kinds, plan, seed).play();
+        return new SharingTrial(spec, kinds, plan, seed).play();
     }
 
     private Verdict play() {
--- a/lab/src/main/java/clayhook/lab/sharing/Network.java
+++ b/lab/src/main/java/clayhook/lab/sharing/SimulatedNetwork.java
@@ -1,7 +1,7 @@
 package clayhook.lab.sharing;
 
 import clayhook.fleet.Address;
-import clayhook.lab.model.Time;
+import clayhook.lab.model.Scheduler;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -12,7 +12,7 @@
  * Datagrams between routers: they get lost, late, doubled, out of order and spoilt, and do not pass where a link is
  * cut. Several faults at once add up.
  */
-public final class Network {
+public final class SimulatedNetwork {
     /** The ways' spread: the sigma of their logarithm, as within one site. */
     private static final double SPREAD = 0.4;
     /** Seconds by which a packet is held back at the most, so that others overtake it. */
@@ -27,44 +27,44 @@
 
     private record Place(int router, Receiver receiver) {}
 
-    private final Time time;
+    private final Scheduler time;
     private final double way;
     private final double loss;
     private final SplittableRandom random;
     private final Map<Address, Place> places = new HashMap<>();
     /** Each leaves when it is over. */
-    private final List<Fault> faults = new ArrayList<>();
+    private final List<SharingFault> faults = new ArrayList<>();
     /** When the slow link of each router is free again. */
     private final double[] freeAt;
 
-    private final Traffic traffic;
+    private final TrafficMeter traffic;
 
     /**
      * @param way seconds that a packet takes, the median
      * @param loss the part of all packets that is lost at the best of times
      */
-    Network(Time time, int routers, double way, double loss, long seed) {
+    SimulatedNetwork(Scheduler time, int routers, double way, double loss, long seed) {
         this.time = time;
         this.way = way;
         this.loss = loss;
         random = new SplittableRandom(seed);
         freeAt = new double[routers];
-        traffic = new Traffic(routers, time.now());
+        traffic = new TrafficMeter(routers, time.now());
     }
 
     void place(Address address, int router, Receiver receiver) {
         places.put(address, new Place(router, receiver));
     }
 
-    void begin(Fault fault) {
+    void begin(SharingFault fault) {
         faults.add(fault);
     }
 
-    void end(Fault fault) {
+    void end(SharingFault fault) {
         faults.remove(fault);
     }
 
-    public Traffic traffic() {
+    public TrafficMeter traffic() {
         return traffic;
     }
 
@@ -79,7 +79,7 @@
         double late = 0;
         boolean twice = false;
         byte[] carried = bytes;
-        for (Fault fault : faults) {
+        for (SharingFault fault : faults) {
             if (fault.parts(sender, place.router())) {
                 return;
             }
--- a/lab/src/main/java/clayhook/lab/sharing/Company.java
+++ b/lab/src/main/java/clayhook/lab/sharing/SimulatedPeerGroup.java
@@ -4,7 +4,7 @@
 import clayhook.fleet.ReplicatedType;
 import clayhook.fleet.Member;
 import clayhook.fleet.Peer;
-import clayhook.lab.model.Time;
+import clayhook.lab.model.Scheduler;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -14,7 +14,7 @@
 import java.util.stream.IntStream;
 
 /** All routers that share, the network between them, and what befalls them. */
-public final class Company {
+public final class SimulatedPeerGroup {
     /** Routers that the operator's file names for the others to find the rest by. */
     private static final int SEEDS = 3;
 
@@ -26,15 +26,15 @@
      */
     public record Spec(int routers, double way, double loss) {}
 
-    private final Network network;
+    private final SimulatedNetwork network;
     private final List<PeeredRouter> routers = new ArrayList<>();
 
     /**
      * They start at once, now; the plan's times count from then. {@code births} tells how each number of them lives.
      */
-    public Company(Time time, Spec spec, FaultPlan plan, IntFunction<Life.Birth> births, long seed) {
+    public SimulatedPeerGroup(Scheduler time, Spec spec, FaultPlan plan, IntFunction<RouterIncarnation.Factory> births, long seed) {
         double start = time.now();
-        network = new Network(time, spec.routers(), spec.way(), spec.loss(), seed);
+        network = new SimulatedNetwork(time, spec.routers(), spec.way(), spec.loss(), seed);
         List<Address> seeds = IntStream.range(0, Math.min(SEEDS, spec.routers()))
                 .mapToObj(PeeredRouter::address)
                 .toList();
@@ -51,15 +51,15 @@
         return routers;
     }
 
-    public Network network() {
+    public SimulatedNetwork network() {
         return network;
     }
 
-    private void struck(Fault fault, Consumer<PeeredRouter> by) {
+    private void struck(SharingFault fault, Consumer<PeeredRouter> by) {
         routers.stream().filter(router -> fault.strikes(router.number())).forEach(by);
     }
 
-    private void begin(Fault fault) {
+    private void begin(SharingFault fault) {
         switch (fault.kind()) {
             case FREEZE -> struck(fault, PeeredRouter::stand);
             case KILL -> struck(fault, PeeredRouter::die);
@@ -69,7 +69,7 @@
         }
     }
 
-    private void end(Fault fault) {
+    private void end(SharingFault fault) {
         switch (fault.kind()) {
             case FREEZE -> struck(fault, PeeredRouter::goOn);
             case KILL -> struck(fault, PeeredRouter::comeBack);
--- a/lab/src/main/java/clayhook/lab/sharing/Traffic.java
+++ b/lab/src/main/java/clayhook/lab/sharing/TrafficMeter.java
@@ -5,7 +5,7 @@
 import java.util.stream.IntStream;
 
 /** What each router sent in each second; grows with the run. */
-public final class Traffic {
+public final class TrafficMeter {
     private static final class Second {
         final long[] bytes;
         final long[] packets;
@@ -20,7 +20,7 @@
     private final double start;
     private final List<Second> seconds = new ArrayList<>();
 
-    Traffic(int routers, double start) {
+    TrafficMeter(int routers, double start) {
         this.routers = routers;
         this.start = start;
     }
--- a/lab/src/test/java/clayhook/lab/model/LawsTest.java
+++ b/lab/src/test/java/clayhook/lab/model/LawsTest.java
@@ -24,8 +24,8 @@
 
     /** Poisson arrivals, exponential work. */
     private static Measured play(int cores, int queue, double rate, double work, int count, double[] speeds) {
-        var timeline = new Timeline(0);
-        var machine = new Cores(timeline, cores, queue);
+        var timeline = new VirtualScheduler(0);
+        var machine = new CpuModel(timeline, cores, queue);
         var random = RandomSource.XO_RO_SHI_RO_128_PP.create(9L);
         var exponential = ZigguratSampler.Exponential.of(random);
         var measured = new Measured();
@@ -37,7 +37,7 @@
             timeline.at(arrived, () -> {
                 measured.inside += machine.inside() * (timeline.now() - measured.last);
                 measured.last = timeline.now();
-                boolean taken = machine.offer(new Job(asked, arrived, job -> {
+                boolean taken = machine.offer(new NodeJob(asked, arrived, job -> {
                     measured.inside += (machine.inside() + 1) * (timeline.now() - measured.last);
                     measured.last = timeline.now();
                     measured.spent += timeline.now() - arrived;
--- a/lab/src/test/java/clayhook/lab/model/LoopbackTest.java
+++ b/lab/src/test/java/clayhook/lab/model/LoopbackTest.java
@@ -30,7 +30,7 @@
                 2,
                 2,
                 List.of("a", "b"),
-                new Machine(2, 50, 0.02, 0.001, 0.002, 0.5, 1),
+                new MachineSpec(2, 50, 0.02, 0.001, 0.002, 0.5, 1),
                 0.0005,
                 0.5,
                 0.1,
@@ -42,14 +42,14 @@
                 100,
                 List.of(),
                 10);
-        var loopback = new Loopback(spec, 1);
-        Tally tally = loopback.run(List.of(new Failure(kind, "1r1", 0.5, 1, 0.5)), 3);
+        var loopback = new LoopbackFleet(spec, 1);
+        RunMetrics tally = loopback.run(List.of(new Failure(kind, "1r1", 0.5, 1, 0.5)), 3);
         if (tally == null) {
             assertTrue(loopback.late() > 0.01); // it says so instead of a verdict
             return;
         }
         assertEquals(Map.of(), tally.broken(), tally::firstBroken);
-        for (Tally.Of of : tally.groups().values()) {
+        for (RunMetrics.Totals of : tally.groups().values()) {
             assertEquals(of.asked, of.answered + of.throttled + of.failed);
             assertTrue(of.answered > 0.8 * of.asked, of.answered + " of " + of.asked);
         }
--- a/lab/src/test/java/clayhook/lab/model/FleetTest.java
+++ b/lab/src/test/java/clayhook/lab/model/SimulatedFleetTest.java
@@ -9,7 +9,7 @@
 import clayhook.RequestClass.ConsistencyLevel;
 import clayhook.RequestClass.DeduplicationScope;
 import clayhook.Node;
-import clayhook.lab.model.Audit.RuleKept;
+import clayhook.lab.model.RuleAudit.RuleKept;
 import clayhook.lab.model.Failure.Kind;
 import java.util.List;
 import java.util.Map;
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-class FleetTest {
+class SimulatedFleetTest {
     private static final RequestClass BOUNDED = group("bounded", Idempotency.IDEMPOTENT, ConsistencyLevel.BOUNDED_STALENESS);
     private static final RequestClass SESSION = group("session", Idempotency.IDEMPOTENT, ConsistencyLevel.SESSION);
     private static final RequestClass ANY = group("any", Idempotency.IDEMPOTENT, ConsistencyLevel.EVENTUAL);
@@ -36,7 +36,7 @@
                 2,
                 2,
                 List.of("a", "b", "c"),
-                new Machine(2, 50, 0.02, 0.001, 0.005, 0.3, 5),
+                new MachineSpec(2, 50, 0.02, 0.001, 0.005, 0.3, 5),
                 0.0005,
                 2,
                 0.5,
@@ -53,7 +53,7 @@
                 100);
     }
 
-    private static String told(Tally tally) {
+    private static String told(RunMetrics tally) {
         var counts = new TreeMap<String, String>();
         tally.groups()
                 .forEach((group, of) -> counts.put(
@@ -66,14 +66,14 @@
     @Test
     void theSameSeedGivesTheSameRunAndAnotherSeedAnother() {
         var failures = List.of(new Failure(Kind.CRASH, "1p", 3, 5, 0), new Failure(Kind.NEIGHBOUR, "2r1", 2, 5, 0.5));
-        String one = told(new Fleet(fleet(300), failures, 1).run(12));
-        assertEquals(one, told(new Fleet(fleet(300), failures, 1).run(12)));
-        assertNotEquals(one, told(new Fleet(fleet(300), failures, 2).run(12)));
+        String one = told(new SimulatedFleet(fleet(300), failures, 1).run(12));
+        assertEquals(one, told(new SimulatedFleet(fleet(300), failures, 1).run(12)));
+        assertNotEquals(one, told(new SimulatedFleet(fleet(300), failures, 2).run(12)));
     }
 
     @Test
     void aCalmFleetServesAllKeepsTheRulesAndWorksWhatWasAsked() {
-        Tally tally = new Fleet(fleet(300), List.of(), 1).run(30);
+        RunMetrics tally = new SimulatedFleet(fleet(300), List.of(), 1).run(30);
         assertEquals(Map.of(), tally.broken(), tally::firstBroken);
         assertTrue(tally.service() > 0.99, "" + tally.service());
         // Work asked for in a second over the cores there are.
@@ -90,7 +90,7 @@
     void whateverFailsTheRulesAreKeptAndServiceComesBack(Kind kind) {
         String target = kind == Kind.ZONE_LOSS ? "b" : kind == Kind.SLOW_LOG || kind == Kind.STALL_LOG ? "1r1" : "1p";
         var failure = new Failure(kind, target, 5, 6, kind == Kind.NEIGHBOUR ? 0.8 : 50);
-        Tally tally = new Fleet(fleet(300), List.of(failure), 1).run(30);
+        RunMetrics tally = new SimulatedFleet(fleet(300), List.of(failure), 1).run(30);
         assertEquals(Map.of(), tally.broken(), tally::firstBroken);
         Map<Integer, Double> seconds = tally.serviceBySecond();
         double late = seconds.entrySet().stream()
@@ -105,10 +105,10 @@
     @CsvSource({"CRASH, 1p, 0", "HANG, 1p, 0", "PAUSE, 1p, 0", "NEIGHBOUR, 1r1, 0.95"})
     void aFailureIsFelt(Kind kind, String target, double amount) {
         var failure = new Failure(kind, target, 5, 6, amount);
-        String with = told(new Fleet(fleet(300), List.of(failure), 1).run(15));
-        String without = told(new Fleet(fleet(300), List.of(), 1).run(15));
+        String with = told(new SimulatedFleet(fleet(300), List.of(failure), 1).run(15));
+        String without = told(new SimulatedFleet(fleet(300), List.of(), 1).run(15));
         assertNotEquals(without, with);
-        Tally felt = new Fleet(fleet(300), List.of(failure), 1).run(15);
+        RunMetrics felt = new SimulatedFleet(fleet(300), List.of(failure), 1).run(15);
         double worst = felt.serviceBySecond().entrySet().stream()
                 .filter(s -> s.getKey() >= 5 && s.getKey() < 11)
                 .mapToDouble(Map.Entry::getValue)
@@ -119,7 +119,7 @@
 
     @Test
     void tooMuchIsTurnedAwayNotServedLate() {
-        Tally tally = new Fleet(fleet(6000), List.of(), 1).run(10);
+        RunMetrics tally = new SimulatedFleet(fleet(6000), List.of(), 1).run(10);
         assertEquals(Map.of(), tally.broken(), tally::firstBroken);
         assertTrue(tally.service() < 0.9 && tally.service() > 0.3, "" + tally.service());
         assertTrue(tally.groups().get(ANY).throttled > 1000);
@@ -127,7 +127,7 @@
 
     // ---- the audit catches what is broken on purpose ----
 
-    private final Audit audit = new Audit(0.25, 3, 3);
+    private final RuleAudit audit = new RuleAudit(0.25, 3, 3);
     private final Node one = new Node("1p", "a", 1);
     private final Node other = new Node("2p", "b", 2);
 
--- a/lab/src/test/java/clayhook/lab/sharing/SharingTest.java
+++ b/lab/src/test/java/clayhook/lab/sharing/SharingTrialTest.java
@@ -10,15 +10,15 @@
 import clayhook.RequestClass.DeduplicationScope;
 import clayhook.fleet.FieldReader;
 import clayhook.fleet.FieldWriter;
-import clayhook.lab.model.Audit.RuleKept;
+import clayhook.lab.model.RuleAudit.RuleKept;
 import clayhook.lab.model.Failure;
-import clayhook.lab.model.Fleet;
+import clayhook.lab.model.SimulatedFleet;
 import clayhook.lab.model.FleetSpec;
-import clayhook.lab.model.Machine;
-import clayhook.lab.model.Sharing;
-import clayhook.lab.model.Tally;
-import clayhook.lab.model.Timeline;
-import clayhook.lab.sharing.Fault.Kind;
+import clayhook.lab.model.MachineSpec;
+import clayhook.lab.model.PeerLinkFactory;
+import clayhook.lab.model.RunMetrics;
+import clayhook.lab.model.VirtualScheduler;
+import clayhook.lab.sharing.SharingFault.Kind;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -28,8 +28,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class SharingTest {
-    private static final Trial.Spec SPEC = new Trial.Spec(new Company.Spec(12, 0.0005, 0), 45, 30, 10);
+class SharingTrialTest {
+    private static final SharingTrial.Spec SPEC = new SharingTrial.Spec(new SimulatedPeerGroup.Spec(12, 0.0005, 0), 45, 30, 10);
     private static final int FAULTS = 8;
     /** CI plays so many; a command of {@code lab run} as many as wanted. */
     private static final int SEEDS = 200;
@@ -40,7 +40,7 @@
 
     @Test
     void whateverBefallsAllAgreeInTheEnd() {
-        SharingSweep.Result result = new SharingSweep(SPEC, Trial.KINDS, FaultPlan.NONE, FAULTS).play(seeds(SEEDS));
+        SharingSweep.Result result = new SharingSweep(SPEC, SharingTrial.KINDS, FaultPlan.NONE, FAULTS).play(seeds(SEEDS));
         assertEquals(List.of(), result.found(), result::toString);
         assertEquals(0, result.failed());
     }
@@ -107,7 +107,7 @@
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3, 4})
     void aBrokenJoinIsFoundAndToldBySeedAndStep(int which) {
-        var kinds = new ArrayList<>(Trial.KINDS);
+        var kinds = new ArrayList<>(SharingTrial.KINDS);
         kinds.set(which, new Broken<>(kinds.get(which)));
         SharingSweep.Result result = new SharingSweep(SPEC, kinds, FaultPlan.NONE, FAULTS).play(seeds(2));
         assertTrue(result.failed() > 0, result::toString);
@@ -118,7 +118,7 @@
                 found::toString);
         assertEquals(
                 found.broken(),
-                Trial.play(SPEC, kinds, found.plan(), found.seed()).broken());
+                SharingTrial.play(SPEC, kinds, found.plan(), found.seed()).broken());
     }
 
     @Test
@@ -151,8 +151,8 @@
         "FREEZE, 2, 0, 1000, 0, 0.004"
     })
     void theNetworkDoesWhatTheFaultSays(Kind kind, String whom, double amount, int come, int spoilt, double latest) {
-        var time = new Timeline(100);
-        var network = new Network(time, 3, 0.0005, 0, 7);
+        var time = new VirtualScheduler(100);
+        var network = new SimulatedNetwork(time, 3, 0.0005, 0, 7);
         int[] counts = new int[2];
         double[] last = new double[1];
         for (int i = 0; i < 3; i++) {
@@ -165,7 +165,7 @@
         List<Integer> routers = whom.isEmpty()
                 ? List.of()
                 : java.util.Arrays.stream(whom.split(" ")).map(Integer::valueOf).toList();
-        network.begin(new Fault(0, kind, routers, 10, amount));
+        network.begin(new SharingFault(0, kind, routers, 10, amount));
         for (int i = 0; i < 1000; i++) {
             network.send(PeeredRouter.address(0), PeeredRouter.address(1), new byte[] {1, 1, 1, 1, 1, 1, 1, 1, 1, 1});
         }
@@ -188,7 +188,7 @@
                 2,
                 6,
                 List.of("a", "b", "c"),
-                new Machine(2, 50, 0.02, 0.02, 0.005, 0.3, 5),
+                new MachineSpec(2, 50, 0.02, 0.02, 0.005, 0.3, 5),
                 0.0005,
                 2,
                 0.5,
@@ -212,15 +212,15 @@
                 new Failure(Failure.Kind.DRAIN, "1r2", 10, 4, 0),
                 new Failure(Failure.Kind.CRASH, "2p", 18, 4, 0));
         var plan = new FaultPlan(List.of(
-                new Fault(8, Kind.SPLIT, List.of(0, 1, 2), 6, 0),
-                new Fault(16, Kind.LOSS, List.of(), 6, 0.3),
-                new Fault(17, Kind.KILL, List.of(1), 2, 0),
-                new Fault(19, Kind.FREEZE, List.of(4), 3, 0)));
-        Tally alone = new Fleet(fleet(false), failures, 1, Sharing.NONE).run(30);
+                new SharingFault(8, Kind.SPLIT, List.of(0, 1, 2), 6, 0),
+                new SharingFault(16, Kind.LOSS, List.of(), 6, 0.3),
+                new SharingFault(17, Kind.KILL, List.of(1), 2, 0),
+                new SharingFault(19, Kind.FREEZE, List.of(4), 3, 0)));
+        RunMetrics alone = new SimulatedFleet(fleet(false), failures, 1, PeerLinkFactory.NONE).run(30);
         assertTrue(alone.broken().getOrDefault(RuleKept.NO_STALE_READ, 0) > 10, alone::firstBroken);
         FleetSpec spec = fleet(true);
         var sharing = new PeeredFleet(spec.contact(), 0.0005, 0, plan);
-        Tally shared = new Fleet(spec, failures, 1, sharing).run(30);
+        RunMetrics shared = new SimulatedFleet(spec, failures, 1, sharing).run(30);
         assertEquals(Map.of(), shared.broken(), shared::firstBroken);
         assertNotNull(sharing.company());
         assertEquals(null, sharing.company().disagreement(List.of()));
--- a/trials/src/main/java/clayhook/trials/HistoryRecorder.java
+++ b/trials/src/main/java/clayhook/trials/HistoryRecorder.java
@@ -4,7 +4,7 @@
 import clayhook.RequestClass.ConsistencyLevel;
 import clayhook.Node;
 import clayhook.RoutingSettings;
-import clayhook.lab.model.Audit;
+import clayhook.lab.model.RuleAudit;
 import java.time.Instant;
 import java.util.HashMap;
 import java.util.Map;
@@ -32,7 +32,7 @@
 
     private static final double WALL = System.currentTimeMillis() / 1000.0 - System.nanoTime() / 1e9;
 
-    private final Audit audit;
+    private final RuleAudit audit;
     private final Map<String, Asked> commands = new HashMap<>();
     private final Map<String, Up> routers = new HashMap<>();
     /** Since when routers know that a node drains; one that was down since it is up. */
@@ -43,7 +43,7 @@
     private String missing;
 
     HistoryRecorder(RoutingSettings settings) {
-        audit = new Audit(GRACE + MACHINE, settings.overloadFactor(), settings.overloadWindowSeconds());
+        audit = new RuleAudit(GRACE + MACHINE, settings.overloadFactor(), settings.overloadWindowSeconds());
     }
 
     /** Seconds since 1970; never goes back. */
@@ -158,7 +158,7 @@
     }
 
     /** How often each rule was broken; empty where all are kept. For the end: all that was asked counts as over. */
-    public synchronized Map<Audit.RuleKept, Integer> broken() {
+    public synchronized Map<RuleAudit.RuleKept, Integer> broken() {
         audit.end(Double.POSITIVE_INFINITY);
         return audit.broken();
     }
--- a/trials/src/test/java/clayhook/trials/SharingClusterTest.java
+++ b/trials/src/test/java/clayhook/trials/SharingClusterTest.java
@@ -10,7 +10,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import clayhook.Endpoint;
-import clayhook.lab.model.Audit.RuleKept;
+import clayhook.lab.model.RuleAudit.RuleKept;
 import clayhook.trials.LoadClient.Answer;
 import clayhook.trials.ClusterNode.Mood;
 import java.util.List;
