--- a/benchmarks/src/main/java/clayhook/benchmarks/Classifying.java
+++ b/benchmarks/src/main/java/clayhook/benchmarks/Classifying.java
@@ -2,9 +2,9 @@
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import clayhook.statements.Classed;
+import clayhook.statements.Classification;
 import clayhook.statements.Classifier;
-import clayhook.statements.Client;
+import clayhook.statements.ClientIdentity;
 import clayhook.statements.StatementRules;
 import java.util.concurrent.TimeUnit;
 import org.openjdk.jmh.annotations.Benchmark;
@@ -80,24 +80,24 @@
         hits = 0;
     }
 
-    private Classed ask(byte[] text) {
+    private Classification ask(byte[] text) {
         classifier.turn();
-        return classifier.classify(text, Client.UNKNOWN);
+        return classifier.classify(text, ClientIdentity.UNKNOWN);
     }
 
-    private Classed askOnce() {
+    private Classification askOnce() {
         return ask(once[nextOnce++ % MANY]);
     }
 
     @Benchmark
     @BenchmarkMode(Mode.AverageTime)
-    public Classed known() {
+    public Classification known() {
         return ask(known[next++ & 1023]);
     }
 
     @Benchmark
     @BenchmarkMode(Mode.SampleTime)
-    public Classed read() {
+    public Classification read() {
         return askOnce();
     }
 
@@ -140,7 +140,7 @@
 
     @Benchmark
     @BenchmarkMode(Mode.SampleTime)
-    public Classed inFlood(Flood flood) {
+    public Classification inFlood(Flood flood) {
         return flood.all.known();
     }
 }
--- a/benchmarks/src/main/java/clayhook/benchmarks/Weighing.java
+++ b/benchmarks/src/main/java/clayhook/benchmarks/Weighing.java
@@ -3,7 +3,7 @@
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 import clayhook.statements.Classifier;
-import clayhook.statements.Client;
+import clayhook.statements.ClientIdentity;
 import clayhook.statements.StatementRules;
 
 /** The heap of a classifier at the bound of its shapes, parser and all, beside its own reckoning. */
@@ -25,7 +25,7 @@
             String table = i % 20 == 0 ? "hot" + i / 20 % HOT : "once" + i;
             String text = "select t.id, t.name, count(*) from " + table + " t join accounts a on a.id = t.account where"
                     + " a.region in (1, 2, 3) and t.seen > now() - interval '1 day' group by t.id, t.name order by 3 desc limit 20";
-            classifier.took(classifier.classify(text.getBytes(UTF_8), Client.UNKNOWN), 0.001);
+            classifier.took(classifier.classify(text.getBytes(UTF_8), ClientIdentity.UNKNOWN), 0.001);
         }
         return classifier;
     }
--- a/cli/src/main/java/clayhook/cli/ClassifyCommand.java
+++ b/cli/src/main/java/clayhook/cli/ClassifyCommand.java
@@ -2,11 +2,11 @@
 
 import clayhook.config.ConfigurationException;
 import clayhook.config.OperatorConfigurationReader;
-import clayhook.statements.Classed;
+import clayhook.statements.Classification;
 import clayhook.statements.Classifier;
-import clayhook.statements.Client;
+import clayhook.statements.ClientIdentity;
 import clayhook.statements.StatementRules;
-import clayhook.statements.Verdict;
+import clayhook.statements.StatementEffect;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.BufferedInputStream;
@@ -68,7 +68,7 @@
             return Main.wrong(e);
         }
         var classifier = new Classifier(rules, 1);
-        var client = new Client(user, database, application);
+        var client = new ClientIdentity(user, database, application);
         try (InputStream in = new BufferedInputStream(file == null ? System.in : Files.newInputStream(file), 1 << 16);
                 var out =
                         new PrintStream(new BufferedOutputStream(System.out, 1 << 16), false, StandardCharsets.UTF_8)) {
@@ -83,7 +83,7 @@
                 statement.reset();
                 if (!new String(text, StandardCharsets.UTF_8).isBlank()) {
                     classifier.turn();
-                    Classed classed = classifier.classify(text, client);
+                    Classification classed = classifier.classify(text, client);
                     out.println(json ? json(classed) : line(classed, classifier.shape(text)));
                 }
             }
@@ -94,12 +94,12 @@
         }
     }
 
-    private static String verdict(Classed classed) {
+    private static String verdict(Classification classed) {
         return classed.verdict().name().toLowerCase(Locale.ROOT);
     }
 
-    private static String line(Classed classed, String shape) {
-        boolean refused = classed.verdict() == Verdict.REFUSED;
+    private static String line(Classification classed, String shape) {
+        boolean refused = classed.verdict() == StatementEffect.REFUSED;
         String shown = shape.length() > SHOWN ? shape.substring(0, SHOWN) + " ..." : shape;
         return String.format(
                 Locale.ROOT,
@@ -119,7 +119,7 @@
 
     private static final JsonFactory JSON = new JsonFactory();
 
-    private static String json(Classed classed) throws IOException {
+    private static String json(Classification classed) throws IOException {
         var text = new StringWriter();
         try (JsonGenerator out = JSON.createGenerator(text)) {
             out.writeStartObject();
--- a/daemon/src/main/java/clayhook/config/OperatorConfigurationReader.java
+++ b/daemon/src/main/java/clayhook/config/OperatorConfigurationReader.java
@@ -4,7 +4,7 @@
 import clayhook.statements.Rule;
 import clayhook.statements.Rule.Placement;
 import clayhook.statements.StatementRules;
-import clayhook.statements.Verdict;
+import clayhook.statements.StatementEffect;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
@@ -93,7 +93,7 @@
         double to = rule.getNumber("cost_to", Double.MAX_VALUE, from, Double.MAX_VALUE);
         return new Rule(
                 rule.getString("name", "rule " + number),
-                writes ? Verdict.WRITE : Verdict.READ,
+                writes ? StatementEffect.WRITE : StatementEffect.READ,
                 rule.getStringSet("kinds"),
                 rule.getStringSet("relations"),
                 rule.getStringSet("only"),
--- a/daemon/src/main/java/clayhook/front/ClientRequest.java
+++ b/daemon/src/main/java/clayhook/front/ClientRequest.java
@@ -4,7 +4,7 @@
 import clayhook.RequestClass;
 import clayhook.protocol.OutboundStatement;
 import clayhook.protocol.KeyValueStatement;
-import clayhook.statements.Classed;
+import clayhook.statements.Classification;
 import java.util.List;
 
 /** A command that a client session waits for. */
@@ -14,7 +14,7 @@
     /** Its id among all open commands, or null where the router needs none. */
     public final String requestId;
     /** What the statement was taken for; null where its comment says that. */
-    public final Classed classification;
+    public final Classification classification;
     /** By which anyone asks whether it has run; null where it has none. */
     public final String outcomeKey;
     /** The error that a node answered last, for the client where that is all that is known; or null. */
@@ -41,7 +41,7 @@
             RequestClass group,
             int nodes,
             OutboundStatement outgoing,
-            Classed classed,
+            Classification classed,
             ClientSession session,
             double wroteAt,
             double now,
--- a/daemon/src/main/java/clayhook/sql/SqlAdmission.java
+++ b/daemon/src/main/java/clayhook/sql/SqlAdmission.java
@@ -6,11 +6,11 @@
 import clayhook.config.OperatorConfiguration;
 import clayhook.protocol.RoutingComment;
 import clayhook.protocol.SqlStatement;
-import clayhook.statements.Classed;
+import clayhook.statements.Classification;
 import clayhook.statements.Classifier;
-import clayhook.statements.Client;
+import clayhook.statements.ClientIdentity;
 import clayhook.statements.SessionSettings;
-import clayhook.statements.Verdict;
+import clayhook.statements.StatementEffect;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -30,7 +30,7 @@
          * @param after position in seconds that the client's comment asks a read to cover; 0 for none
          */
         record Admitted(
-                RequestClass requestClass, int replicaSetId, double timeoutSeconds, double requiredPosition, SqlStatement statement, Classed classification)
+                RequestClass requestClass, int replicaSetId, double timeoutSeconds, double requiredPosition, SqlStatement statement, Classification classification)
                 implements AdmissionResult {}
 
         /** None; nothing of it goes to any node. */
@@ -53,9 +53,9 @@
         return new SessionSettings(operator.rules().conforming());
     }
 
-    public AdmissionResult admit(byte[] text, Client client, double clientTimeout, Map<String, String> settings) {
-        Classed classed = classifier.classify(text, client);
-        if (classed.verdict() == Verdict.REFUSED) {
+    public AdmissionResult admit(byte[] text, ClientIdentity client, double clientTimeout, Map<String, String> settings) {
+        Classification classed = classifier.classify(text, client);
+        if (classed.verdict() == StatementEffect.REFUSED) {
             return new AdmissionResult.Rejected("0A000", classed.why());
         }
         RequestClass group = requestClasses.get(classed.group());
@@ -83,24 +83,24 @@
 
     /** The same once a node has refused to run as a read what was taken for one: it never ran, and is a write. */
     public AdmissionResult readmitAsWrite(
-            Classed refused, byte[] text, Client client, double clientTimeout, Map<String, String> settings) {
+            Classification refused, byte[] text, ClientIdentity client, double clientTimeout, Map<String, String> settings) {
         classifier.wrote(refused);
         AdmissionResult order = admit(text, client, clientTimeout, settings);
-        return order instanceof AdmissionResult.Admitted taken && taken.classification().verdict() == Verdict.WRITE
+        return order instanceof AdmissionResult.Admitted taken && taken.classification().verdict() == StatementEffect.WRITE
                 ? order
                 : new AdmissionResult.Rejected("25006", "the statement writes, which its text does not show");
     }
 
     /** A comment may make a write of a read; what may write stays one, and is keyed only with a key. */
-    private static boolean mayReplaceClass(RequestClass named, Classed classed, RoutingComment comment) {
+    private static boolean mayReplaceClass(RequestClass named, Classification classed, RoutingComment comment) {
         return named != null
                 && (named.consistency() == ConsistencyLevel.WRITE
                         ? named.idempotency() == Idempotency.NON_IDEMPOTENT || named.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY && comment.hasIdempotencyKey()
-                        : classed.verdict() == Verdict.READ);
+                        : classed.verdict() == StatementEffect.READ);
     }
 
     /** A statement was answered after so many seconds. */
-    public void recordServiceTime(Classed classed, double seconds) {
+    public void recordServiceTime(Classification classed, double seconds) {
         classifier.took(classed, seconds);
     }
 
--- a/statements/src/main/java/clayhook/statements/Classed.java
+++ b/statements/src/main/java/clayhook/statements/Classification.java
@@ -14,8 +14,8 @@
  * @param mark the literal by which nodes drop its repeats, or null
  * @param opaque it may leave something behind in the session of the node that ran it
  */
-public record Classed(
-        Verdict verdict,
+public record Classification(
+        StatementEffect verdict,
         Shape shape,
         String group,
         int nodes,
@@ -32,11 +32,11 @@
         return shape == null ? "" : shape.fingerprint();
     }
 
-    Classed refused(String reason) {
-        return new Classed(Verdict.REFUSED, shape, "", 0, cost, high, rule, reason, 0, null, false);
+    Classification refused(String reason) {
+        return new Classification(StatementEffect.REFUSED, shape, "", 0, cost, high, rule, reason, 0, null, false);
     }
 
-    Classed at(int group) {
-        return new Classed(verdict, shape, this.group, group, cost, high, rule, why, timeout, mark, opaque);
+    Classification at(int group) {
+        return new Classification(verdict, shape, this.group, group, cost, high, rule, why, timeout, mark, opaque);
     }
 }
--- a/statements/src/main/java/clayhook/statements/Classifier.java
+++ b/statements/src/main/java/clayhook/statements/Classifier.java
@@ -1,8 +1,8 @@
 package clayhook.statements;
 
-import clayhook.statements.Facts.Place;
+import clayhook.statements.ShapeFacts.Place;
 import clayhook.statements.Rule.Placement;
-import clayhook.statements.Tokens.Kind;
+import clayhook.statements.TokenBuffer.Kind;
 import com.dynatrace.hash4j.hashing.Hasher128;
 import com.dynatrace.hash4j.hashing.Hashing;
 import java.nio.charset.StandardCharsets;
@@ -19,10 +19,10 @@
 
     private final StatementRules rules;
     private final Lexer lexer;
-    private final Tokens tokens = new Tokens();
-    private final Shaper shaper = new Shaper();
-    private final Reader reader;
-    private final Shapes shapes;
+    private final TokenBuffer tokens = new TokenBuffer();
+    private final ShapeBuilder shaper = new ShapeBuilder();
+    private final ShapeAnalyzer reader;
+    private final ShapeCache shapes;
     private double unit = FIRST_UNIT;
     private int budget;
     private long hits;
@@ -36,8 +36,8 @@
     public Classifier(StatementRules rules, long seed) {
         this.rules = rules;
         lexer = new Lexer(rules.conforming());
-        reader = new Reader(new Known(rules));
-        shapes = Shapes.seeded(rules.cacheBytes(), Long.hashCode(seed));
+        reader = new ShapeAnalyzer(new HarmlessNames(rules));
+        shapes = ShapeCache.seeded(rules.cacheBytes(), Long.hashCode(seed));
         turn();
     }
 
@@ -68,10 +68,10 @@
         return reader.states();
     }
 
-    public Classed classify(byte[] text, Client client) {
+    public Classification classify(byte[] text, ClientIdentity client) {
         lexer.lex(text, tokens);
         if (tokens.fault != null) {
-            return ruled(Facts.unread(Verdict.WRITE, tokens.fault, "", true), null, unit, unit, client);
+            return ruled(ShapeFacts.unread(StatementEffect.WRITE, tokens.fault, "", true), null, unit, unit, client);
         }
         shaper.shape(tokens);
         Shape shape = shapes.get(shaper);
@@ -79,12 +79,12 @@
             hits++;
             return ruled(shape, client);
         }
-        int size = Math.min(shaper.tokens.size, Reader.LONGEST);
+        int size = Math.min(shaper.tokens.size, ShapeAnalyzer.LONGEST);
         // A whole budget always suffices for one: a shape is never too long to be read at all.
         if (size > budget && budget < rules.parseBudget()) {
             unread++;
-            Facts facts = Facts.unread(
-                    rules.refusePast() ? Verdict.REFUSED : Verdict.WRITE,
+            ShapeFacts facts = ShapeFacts.unread(
+                    rules.refusePast() ? StatementEffect.REFUSED : StatementEffect.WRITE,
                     "more new shapes in a turn than are read",
                     "",
                     true);
@@ -114,7 +114,7 @@
     }
 
     /** A statement was answered after so many seconds. */
-    public void took(Classed classed, double seconds) {
+    public void took(Classification classed, double seconds) {
         Shape shape = classed.shape();
         if (shape != null && seconds > 0) {
             unit += LEARN * (seconds / shape.facts.work() - unit);
@@ -125,7 +125,7 @@
     }
 
     /** A node refused as a write what was classed as a read: its shape is one from now on. */
-    public void wrote(Classed classed) {
+    public void wrote(Classification classed) {
         if (classed.shape() != null) {
             classed.shape().facts = classed.shape().facts.butWrites("a node would not run it as a read");
             shapes.put(classed.shape());
@@ -134,16 +134,16 @@
 
     // ---- the operator's rules ----
 
-    private Classed ruled(Shape shape, Client client) {
+    private Classification ruled(Shape shape, ClientIdentity client) {
         double guess = shape.facts.work() * unit;
         double cost = shape.measure == null ? guess : shape.measure.mean(guess);
         double high = shape.measure == null ? guess : shape.measure.high();
         return ruled(shape.facts, shape, cost, high, client);
     }
 
-    private Classed ruled(Facts facts, Shape shape, double cost, double high, Client client) {
-        if (facts.verdict() == Verdict.REFUSED) {
-            return new Classed(Verdict.REFUSED, shape, "", 0, cost, high, "", facts.why(), 0, null, false);
+    private Classification ruled(ShapeFacts facts, Shape shape, double cost, double high, ClientIdentity client) {
+        if (facts.verdict() == StatementEffect.REFUSED) {
+            return new Classification(StatementEffect.REFUSED, shape, "", 0, cost, high, "", facts.why(), 0, null, false);
         }
         String fingerprint = shape == null ? "" : shape.fingerprint;
         for (Rule rule : rules.rules()) {
@@ -152,7 +152,7 @@
                 if (rule.mark() == null || mark != null) {
                     return placed(
                             facts,
-                            new Classed(
+                            new Classification(
                                     facts.verdict(),
                                     shape,
                                     rule.group(),
@@ -168,8 +168,8 @@
                 }
             }
         }
-        String group = facts.verdict() == Verdict.READ ? rules.readGroup() : rules.writeGroup();
-        return new Classed(
+        String group = facts.verdict() == StatementEffect.READ ? rules.readGroup() : rules.writeGroup();
+        return new Classification(
                 facts.verdict(),
                 shape,
                 group,
@@ -184,12 +184,12 @@
     }
 
     /** The mark, if there is exactly one. */
-    private String mark(Facts facts, String column) {
+    private String mark(ShapeFacts facts, String column) {
         Place place = facts.keys().get(column);
         return place == null || shaper.rows(place.token()) > 1 ? null : literal(facts, place, 0);
     }
 
-    private Classed placed(Facts facts, Classed classed, Placement nodes) {
+    private Classification placed(ShapeFacts facts, Classification classed, Placement nodes) {
         if (nodes == null) {
             return classed;
         } else if (nodes.column() == null) {
@@ -218,7 +218,7 @@
     }
 
     /** The literal of this statement in that place: digits, or the text of a string; null if it is neither. */
-    private String literal(Facts facts, Place place, int row) {
+    private String literal(ShapeFacts facts, Place place, int row) {
         if (facts.inserts() && shaper.width(tokens, place.token()) != place.width()) {
             return null;
         }
--- a/statements/src/main/java/clayhook/statements/Client.java
+++ /dev/null
@@ -1,6 +0,0 @@
-package clayhook.statements;
-
-/** Who sends a statement, as it told at its start; empty where it told nothing. */
-public record Client(String user, String database, String application) {
-    public static final Client UNKNOWN = new Client("", "", "");
-}
--- a/statements/src/main/java/clayhook/statements/Known.java
+++ b/statements/src/main/java/clayhook/statements/HarmlessNames.java
@@ -14,7 +14,7 @@
  * Names that are known to change nothing: PostgreSQL's own, from its public documentation, and what the operator adds.
  * A name that is in no list is one that may do anything.
  */
-final class Known {
+final class HarmlessNames {
     private static final String CATALOG = "pg_catalog.";
     private static final Set<String> FUNCTIONS = lines("functions.txt");
     private static final Set<String> TYPES = lines("types.txt");
@@ -65,7 +65,7 @@
     private final Set<String> types;
     private final StatementRules rules;
 
-    Known(StatementRules rules) {
+    HarmlessNames(StatementRules rules) {
         functions = new HashSet<>(FUNCTIONS);
         functions.addAll(rules.reads());
         types = new HashSet<>(TYPES);
@@ -104,7 +104,7 @@
 
     private static Set<String> lines(String resource) {
         try (var in = new BufferedReader(
-                new InputStreamReader(Known.class.getResourceAsStream(resource), StandardCharsets.UTF_8))) {
+                new InputStreamReader(HarmlessNames.class.getResourceAsStream(resource), StandardCharsets.UTF_8))) {
             return in.lines()
                     .filter(line -> !line.startsWith("#"))
                     .flatMap(line -> Arrays.stream(line.split(" ")))
--- a/statements/src/main/java/clayhook/statements/Names.java
+++ b/statements/src/main/java/clayhook/statements/IdentifierRules.java
@@ -6,16 +6,16 @@
 import java.util.stream.Collectors;
 
 /** Names as the server knows them: folded to lower case unless quoted, cut at 63 bytes. */
-final class Names {
+final class IdentifierRules {
     /** One less than NAMEDATALEN of the documentation. */
     private static final int LONGEST = 63;
 
-    private Names() {}
+    private IdentifierRules() {}
 
     /** Parts joined by dots; a part that holds a dot itself is quoted, so that it is no two parts. */
     static String of(QnameContext name) {
         return name.name().stream()
-                .map(Names::of)
+                .map(IdentifierRules::of)
                 .map(part -> part.indexOf('.') < 0 ? part : '"' + part + '"')
                 .collect(Collectors.joining("."));
     }
--- a/statements/src/main/java/clayhook/statements/Lexer.java
+++ b/statements/src/main/java/clayhook/statements/Lexer.java
@@ -1,6 +1,6 @@
 package clayhook.statements;
 
-import clayhook.statements.Tokens.Kind;
+import clayhook.statements.TokenBuffer.Kind;
 
 /**
  * Cuts a statement into tokens by the lexical rules of PostgreSQL's documentation (chapter "Lexical Structure"). Text
@@ -27,7 +27,7 @@
     }
 
     private final boolean conforming;
-    private Tokens tokens;
+    private TokenBuffer tokens;
     private byte[] text;
     private int at;
 
@@ -36,7 +36,7 @@
         this.conforming = conforming;
     }
 
-    void lex(byte[] statement, Tokens into) {
+    void lex(byte[] statement, TokenBuffer into) {
         into.clear(statement);
         tokens = into;
         text = statement;
--- a/statements/src/main/java/clayhook/statements/Rule.java
+++ b/statements/src/main/java/clayhook/statements/Rule.java
@@ -23,7 +23,7 @@
  */
 public record Rule(
         String name,
-        Verdict verdict,
+        StatementEffect verdict,
         Set<String> kinds,
         Set<String> relations,
         Set<String> only,
@@ -52,7 +52,7 @@
         return Pattern.compile(Pattern.quote(text).replace("*", "\\E.*\\Q"), Pattern.DOTALL);
     }
 
-    boolean matches(Facts facts, String fingerprint, double cost, Client client) {
+    boolean matches(ShapeFacts facts, String fingerprint, double cost, ClientIdentity client) {
         return facts.verdict() == verdict
                 && (kinds.isEmpty() || kinds.contains(facts.kind()))
                 && (relations.isEmpty() || facts.relations().stream().anyMatch(name -> names(relations, name)))
--- a/statements/src/main/java/clayhook/statements/Measure.java
+++ b/statements/src/main/java/clayhook/statements/ServiceTimes.java
@@ -3,7 +3,7 @@
 import org.HdrHistogram.ShortCountsHistogram;
 
 /** How long statements of one shape took lately: two histograms take turns, so that what is old leaves with one. */
-final class Measure {
+final class ServiceTimes {
     /** Bytes that both histograms take with what is around them; measured with the figures above them. */
     static final int WEIGHT = 2200;
     /** Microseconds; a shorter time than the first, or a longer than the second, is taken for it. */
--- a/statements/src/main/java/clayhook/statements/SessionSettings.java
+++ b/statements/src/main/java/clayhook/statements/SessionSettings.java
@@ -1,6 +1,6 @@
 package clayhook.statements;
 
-import clayhook.statements.Tokens.Kind;
+import clayhook.statements.TokenBuffer.Kind;
 import java.nio.charset.StandardCharsets;
 import java.util.Collections;
 import java.util.Map;
@@ -40,12 +40,12 @@
 
     private final Lexer lexer;
     private final boolean conforming;
-    private final Tokens tokens = new Tokens();
+    private final TokenBuffer tokens = new TokenBuffer();
     /** Values as text of SQL; bounded by the names above. */
     private Map<String, String> values = Map.of();
 
     private double timeout;
-    private Client client = Client.UNKNOWN;
+    private ClientIdentity client = ClientIdentity.UNKNOWN;
 
     public SessionSettings(boolean conforming) {
         this.conforming = conforming;
@@ -58,18 +58,18 @@
     }
 
     /** Who the client said that it is. */
-    public Client client() {
+    public ClientIdentity client() {
         return client;
     }
 
     /** Takes what a client tells when its session starts; why that cannot be, or null. */
     public String introduced(Map<String, String> parameters) {
-        client = new Client(
+        client = new ClientIdentity(
                 parameters.getOrDefault("user", ""),
                 parameters.getOrDefault("database", parameters.getOrDefault("user", "")),
                 "");
         for (var parameter : parameters.entrySet()) {
-            String name = Names.fold(parameter.getKey());
+            String name = IdentifierRules.fold(parameter.getKey());
             String value = parameter.getValue();
             boolean passed = name.equals("user")
                     || name.equals("database")
@@ -93,7 +93,7 @@
     private Reply started(String name, String value) {
         boolean plain = value.indexOf('\\') < 0;
         return plain
-                ? set(Names.fold(name), "'" + value.replace("'", "''") + "'", value)
+                ? set(IdentifierRules.fold(name), "'" + value.replace("'", "''") + "'", value)
                 : new Reply.Refused("setting " + name + " has a value that cannot be passed on");
     }
 
@@ -195,13 +195,13 @@
     private Reply set(String name, String sql, String plain) {
         switch (name) {
             case "client_encoding" -> {
-                String encoding = Names.fold(plain).replace("-", "").replace("_", "");
+                String encoding = IdentifierRules.fold(plain).replace("-", "").replace("_", "");
                 return encoding.equals("utf8") || encoding.equals("unicode")
                         ? new Reply.Done("SET", null, null)
                         : new Reply.Refused("client_encoding can only be UTF8 through the router");
             }
             case "standard_conforming_strings" -> {
-                boolean on = Set.of("on", "true", "yes", "1").contains(Names.fold(plain));
+                boolean on = Set.of("on", "true", "yes", "1").contains(IdentifierRules.fold(plain));
                 return on == conforming ? new Reply.Done("SET", null, null) : refused(name);
             }
             case TIMEOUT -> {
@@ -218,7 +218,7 @@
                 var more = new TreeMap<>(values);
                 more.put(name, sql);
                 values = Collections.unmodifiableMap(more);
-                client = name.equals("application_name") ? new Client(client.user(), client.database(), plain) : client;
+                client = name.equals("application_name") ? new ClientIdentity(client.user(), client.database(), plain) : client;
                 return new Reply.Done("SET", name, plain);
             }
         }
@@ -250,7 +250,7 @@
 
     private String name(int i) {
         String text = text(i, i + 1);
-        return tokens.kinds[i] == Kind.QUOTED ? Names.fold(Names.unquote(text)) : Names.fold(text);
+        return tokens.kinds[i] == Kind.QUOTED ? IdentifierRules.fold(IdentifierRules.unquote(text)) : IdentifierRules.fold(text);
     }
 
     private String text(int from, int to) {
--- a/statements/src/main/java/clayhook/statements/Shape.java
+++ b/statements/src/main/java/clayhook/statements/Shape.java
@@ -10,13 +10,13 @@
     final byte[] text;
     final String fingerprint;
     /** Changes once at the most: where a node shows that the shape writes. */
-    Facts facts;
+    ShapeFacts facts;
     /** Null until a second answer: most shapes of a flood are seen once. */
-    Measure measure;
+    ServiceTimes measure;
     /** Seconds of the first answer; 0 before it. */
     private double first;
 
-    Shape(byte[] text, String fingerprint, Facts facts) {
+    Shape(byte[] text, String fingerprint, ShapeFacts facts) {
         this.text = text;
         this.fingerprint = fingerprint;
         this.facts = facts;
@@ -31,7 +31,7 @@
     boolean took(double seconds) {
         boolean second = first > 0 && measure == null;
         if (second) {
-            measure = new Measure();
+            measure = new ServiceTimes();
             measure.add(first);
         }
         if (measure != null) {
@@ -42,7 +42,7 @@
     }
 
     int weight() {
-        return ENTRY + text.length + facts.weight() + (measure == null ? 0 : Measure.WEIGHT);
+        return ENTRY + text.length + facts.weight() + (measure == null ? 0 : ServiceTimes.WEIGHT);
     }
 
     @Override
--- a/statements/src/main/java/clayhook/statements/Reader.java
+++ b/statements/src/main/java/clayhook/statements/ShapeAnalyzer.java
@@ -1,6 +1,6 @@
 package clayhook.statements;
 
-import clayhook.statements.Tokens.Kind;
+import clayhook.statements.TokenBuffer.Kind;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -20,7 +20,7 @@
 import org.antlr.v4.runtime.tree.ParseTreeWalker;
 
 /** Reads a shape: what every statement of it may do. A shape that it cannot understand may do anything. */
-final class Reader {
+final class ShapeAnalyzer {
     /**
      * Brackets and CASE within one another. The parser takes some thirty frames a level; no one writes more by hand.
      */
@@ -56,11 +56,11 @@
     /** After these the session of the node may be another. */
     private static final Set<String> OPAQUE = Set.of("do", "call");
 
-    private final Known known;
+    private final HarmlessNames known;
     private final Sql parser;
     private int states;
 
-    Reader(Known known) {
+    ShapeAnalyzer(HarmlessNames known) {
         this.known = known;
         parser = new Sql(new CommonTokenStream(new ListTokenSource(List.of())));
         parser.removeErrorListeners();
@@ -72,7 +72,7 @@
         Map<String, Integer> words = new HashMap<>();
         for (int type = Sql.ALL; type <= Sql.VOCABULARY.getMaxTokenType(); type++) {
             String name = Sql.VOCABULARY.getSymbolicName(type);
-            words.put(Names.fold(name.endsWith("_") ? name.substring(0, name.length() - 1) : name), type);
+            words.put(IdentifierRules.fold(name.endsWith("_") ? name.substring(0, name.length() - 1) : name), type);
         }
         return words;
     }
@@ -94,27 +94,27 @@
         return states;
     }
 
-    Facts read(Tokens shape) {
+    ShapeFacts read(TokenBuffer shape) {
         if (shape.size == 0) {
-            return Facts.unread(Verdict.READ, "nothing to do", "", false);
+            return ShapeFacts.unread(StatementEffect.READ, "nothing to do", "", false);
         }
-        Facts refusal = refusal(shape);
+        ShapeFacts refusal = refusal(shape);
         if (refusal != null) {
             return refusal;
         }
         String kind = word(shape, first(shape));
         if (shape.size > LONGEST) {
-            return Facts.unread(Verdict.WRITE, "longer than is read", kind, true);
+            return ShapeFacts.unread(StatementEffect.WRITE, "longer than is read", kind, true);
         } else if (depth(shape) > DEEPEST) {
-            return Facts.unread(Verdict.WRITE, "nested deeper than is read", kind, true);
+            return ShapeFacts.unread(StatementEffect.WRITE, "nested deeper than is read", kind, true);
         }
-        Facts facts = parse(shape, kind);
-        String changing = facts.verdict() == Verdict.READ ? changing(shape) : null;
+        ShapeFacts facts = parse(shape, kind);
+        String changing = facts.verdict() == StatementEffect.READ ? changing(shape) : null;
         // Two proofs: the grammar's, and that no word of a change stands anywhere outside quotes.
-        return changing == null ? facts : Facts.unread(Verdict.WRITE, "the word " + changing, kind, true);
+        return changing == null ? facts : ShapeFacts.unread(StatementEffect.WRITE, "the word " + changing, kind, true);
     }
 
-    private Facts parse(Tokens shape, String kind) {
+    private ShapeFacts parse(TokenBuffer shape, String kind) {
         var tokens = new ArrayList<Token>(shape.size);
         for (int i = 0; i < shape.size; i++) {
             String text = text(shape, i);
@@ -124,11 +124,11 @@
         }
         try {
             parser.setTokenStream(new CommonTokenStream(new ListTokenSource(tokens)));
-            var reading = new Reading(known);
+            var reading = new StatementAnalysis(known);
             ParseTreeWalker.DEFAULT.walk(reading, parser.entry());
             return reading.facts(kind);
         } catch (ParseCancellationException e) {
-            return Facts.unread(Verdict.WRITE, "not understood", kind, true);
+            return ShapeFacts.unread(StatementEffect.WRITE, "not understood", kind, true);
         } finally {
             states = 0;
             for (DFA decision : parser.getInterpreter().decisionToDFA) {
@@ -162,17 +162,17 @@
         };
     }
 
-    private static String text(Tokens shape, int i) {
+    private static String text(TokenBuffer shape, int i) {
         return new String(shape.text, shape.from[i], shape.to[i] - shape.from[i], StandardCharsets.UTF_8);
     }
 
     /** A word that is not quoted, or an empty text. */
-    private static String word(Tokens shape, int i) {
+    private static String word(TokenBuffer shape, int i) {
         return i < shape.size && shape.kinds[i] == Kind.WORD ? text(shape, i) : "";
     }
 
     /** Queries may stand in brackets. */
-    private static int first(Tokens shape) {
+    private static int first(TokenBuffer shape) {
         int i = 0;
         while (i < shape.size && shape.kinds[i] == Kind.LP) {
             i++;
@@ -180,7 +180,7 @@
         return i;
     }
 
-    private static int depth(Tokens shape) {
+    private static int depth(TokenBuffer shape) {
         int depth = 0;
         int deepest = 0;
         for (int i = 0; i < shape.size; i++) {
@@ -193,7 +193,7 @@
         return deepest;
     }
 
-    private static String changing(Tokens shape) {
+    private static String changing(TokenBuffer shape) {
         for (int i = 0; i < shape.size; i++) {
             String word = word(shape, i);
             if (CHANGING.contains(word)) {
@@ -206,7 +206,7 @@
     // ---- what no shared connection can run ----
 
     /** The refusal of what binds a session to a connection, opens a transaction, or does so in one of several. */
-    private static Facts refusal(Tokens shape) {
+    private static ShapeFacts refusal(TokenBuffer shape) {
         int statements = 1;
         int start = 0;
         for (int i = 0; i <= shape.size; i++) {
@@ -220,9 +220,9 @@
             String first = word(shape, start);
             if (BLOCKS.contains(first)
                     || first.equals("prepare") && word(shape, start + 1).equals("transaction")) {
-                return Facts.unread(Verdict.REFUSED, "transaction blocks are not taken yet: " + first, first, false);
+                return ShapeFacts.unread(StatementEffect.REFUSED, "transaction blocks are not taken yet: " + first, first, false);
             } else if (BINDING.contains(first)) {
-                return Facts.unread(Verdict.REFUSED, "binds the session to a connection: " + first, first, false);
+                return ShapeFacts.unread(StatementEffect.REFUSED, "binds the session to a connection: " + first, first, false);
             }
             statements += start > 0 ? 1 : 0;
             start = i + 1;
@@ -232,8 +232,8 @@
                     && (shape.is(i, "temp") || shape.is(i, "temporary"))
                     && (i <= MODIFIERS || word(shape, i - 1).equals("into"))
                     && (word(shape, 0).equals("create") || word(shape, i - 1).equals("into"))) {
-                return Facts.unread(
-                        Verdict.REFUSED,
+                return ShapeFacts.unread(
+                        StatementEffect.REFUSED,
                         "binds the session to a connection: a temporary object",
                         word(shape, 0),
                         false);
@@ -242,10 +242,10 @@
                     ? ""
                     : shape.kinds[i] == Kind.WORD
                             ? text(shape, i)
-                            : shape.kinds[i] == Kind.QUOTED ? Names.unquote(text(shape, i)) : "";
-            if (Known.BINDING.contains(name)) {
-                return Facts.unread(
-                        Verdict.REFUSED,
+                            : shape.kinds[i] == Kind.QUOTED ? IdentifierRules.unquote(text(shape, i)) : "";
+            if (HarmlessNames.BINDING.contains(name)) {
+                return ShapeFacts.unread(
+                        StatementEffect.REFUSED,
                         "binds the session to a connection: " + name,
                         word(shape, first(shape)),
                         false);
@@ -253,8 +253,8 @@
         }
         String kind = word(shape, first(shape));
         return statements > 1
-                ? Facts.unread(Verdict.WRITE, "several statements in one", kind, true)
-                : OPAQUE.contains(kind) ? Facts.unread(Verdict.WRITE, kind + " may run anything", kind, true) : null;
+                ? ShapeFacts.unread(StatementEffect.WRITE, "several statements in one", kind, true)
+                : OPAQUE.contains(kind) ? ShapeFacts.unread(StatementEffect.WRITE, kind + " may run anything", kind, true) : null;
     }
 
     /** CREATE, OR, REPLACE, LOCAL or GLOBAL may stand before TEMPORARY. */
--- a/statements/src/main/java/clayhook/statements/Shaper.java
+++ b/statements/src/main/java/clayhook/statements/ShapeBuilder.java
@@ -1,6 +1,6 @@
 package clayhook.statements;
 
-import clayhook.statements.Tokens.Kind;
+import clayhook.statements.TokenBuffer.Kind;
 import java.util.Arrays;
 
 /**
@@ -8,7 +8,7 @@
  * of them, one space between tokens. Two statements of one shape differ in nothing else, so whatever is read off a
  * shape holds for both. Reused from statement to statement.
  */
-final class Shaper {
+final class ShapeBuilder {
     /** What stands for literals: a dollar sign alone is no token of a statement. */
     static final byte PLACE = '$';
     /** A grown buffer of a long statement is given up after it. */
@@ -17,13 +17,13 @@
     byte[] bytes = new byte[512];
     int length;
     /** Tokens of the shape: kind, and the token of the statement that it comes from. */
-    final Tokens tokens = new Tokens();
+    final TokenBuffer tokens = new TokenBuffer();
 
     private int[] source = new int[64];
     private int[] rows = new int[64];
-    private Tokens from;
+    private TokenBuffer from;
 
-    void shape(Tokens statement) {
+    void shape(TokenBuffer statement) {
         from = statement;
         bytes = bytes.length > KEPT ? new byte[512] : bytes;
         length = 0;
@@ -131,7 +131,7 @@
     }
 
     /** Token of {@code statement} that is element {@code element} of row {@code row} in that place; -1 for none. */
-    int element(Tokens statement, int place, int row, int element) {
+    int element(TokenBuffer statement, int place, int row, int element) {
         int i = source[place];
         if (rows[place] == 0) {
             return row == 0 && element == 0 ? i : -1;
@@ -152,7 +152,7 @@
     }
 
     /** How many elements the lists of that place have, all alike; -1 if they differ. */
-    int width(Tokens statement, int place) {
+    int width(TokenBuffer statement, int place) {
         if (rows[place] == 0) {
             return 1;
         }
--- a/statements/src/main/java/clayhook/statements/Shapes.java
+++ b/statements/src/main/java/clayhook/statements/ShapeCache.java
@@ -11,7 +11,7 @@
  * that it would push out, so a flood of shapes that come once leaves those that repeat. A hit compares the whole shape:
  * a collision of hashes, chosen or not, finds nothing.
  */
-final class Shapes {
+final class ShapeCache {
     /** Of the bound: a longer shape is never kept. */
     private static final int LARGEST_PART = 16;
 
@@ -40,9 +40,9 @@
     private final long bound;
 
     /** {@code seed}: unknown to clients, so that they cannot choose shapes whose hashes are alike. */
-    static Shapes seeded(long bytes, int seed) {
+    static ShapeCache seeded(long bytes, int seed) {
         Hasher128 hasher = Hashing.murmur3_128(seed);
-        return new Shapes(bytes, (shape, length) -> hasher.hashBytesTo128Bits(shape, 0, length)
+        return new ShapeCache(bytes, (shape, length) -> hasher.hashBytesTo128Bits(shape, 0, length)
                 .getAsLong());
     }
 
@@ -51,7 +51,7 @@
         long of(byte[] shape, int length);
     }
 
-    Shapes(long bytes, Hash hash) {
+    ShapeCache(long bytes, Hash hash) {
         bound = bytes;
         this.hash = hash;
         shapes = Caffeine.newBuilder()
@@ -62,7 +62,7 @@
     }
 
     /** Null if it is not kept. */
-    Shape get(Shaper shape) {
+    Shape get(ShapeBuilder shape) {
         return shapes.getIfPresent(key(shape.bytes, shape.length));
     }
 
--- a/statements/src/main/java/clayhook/statements/Facts.java
+++ b/statements/src/main/java/clayhook/statements/ShapeFacts.java
@@ -17,8 +17,8 @@
  * @param work how much more it asks of a node than reading one row; without unit
  * @param opaque it may leave something behind in the session of the node that ran it
  */
-record Facts(
-        Verdict verdict,
+record ShapeFacts(
+        StatementEffect verdict,
         String why,
         String kind,
         List<String> relations,
@@ -31,13 +31,13 @@
     /** An element of the literal, or list of them, that a token of the shape stands for. */
     record Place(int token, int element, int width) {}
 
-    static Facts unread(Verdict verdict, String why, String kind, boolean opaque) {
-        return new Facts(verdict, why, kind, List.of(), List.of(), Map.of(), false, 1, opaque);
+    static ShapeFacts unread(StatementEffect verdict, String why, String kind, boolean opaque) {
+        return new ShapeFacts(verdict, why, kind, List.of(), List.of(), Map.of(), false, 1, opaque);
     }
 
     /** The same of what turned out to write, in a way that is not known. */
-    Facts butWrites(String reason) {
-        return new Facts(Verdict.WRITE, reason, kind, relations, functions, keys, inserts, work, true);
+    ShapeFacts butWrites(String reason) {
+        return new ShapeFacts(StatementEffect.WRITE, reason, kind, relations, functions, keys, inserts, work, true);
     }
 
     /** Bytes that it takes, roughly: for the bound of the cache. */
--- a/statements/src/main/java/clayhook/statements/Reading.java
+++ b/statements/src/main/java/clayhook/statements/StatementAnalysis.java
@@ -1,6 +1,6 @@
 package clayhook.statements;
 
-import clayhook.statements.Facts.Place;
+import clayhook.statements.ShapeFacts.Place;
 import clayhook.statements.Sql.*;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -14,8 +14,8 @@
 import org.antlr.v4.runtime.tree.TerminalNode;
 
 /** Gathers what the parsed shape says. Anything met that is not known to be harmless is a reason for a write. */
-final class Reading extends SqlBaseListener {
-    private final Known known;
+final class StatementAnalysis extends SqlBaseListener {
+    private final HarmlessNames known;
     /** The first reason found why this may change something, or null. */
     private String why;
 
@@ -36,13 +36,13 @@
     private boolean limited;
     private boolean filtered;
 
-    Reading(Known known) {
+    StatementAnalysis(HarmlessNames known) {
         this.known = known;
     }
 
-    Facts facts(String kind) {
-        return new Facts(
-                why == null ? Verdict.READ : Verdict.WRITE,
+    ShapeFacts facts(String kind) {
+        return new ShapeFacts(
+                why == null ? StatementEffect.READ : StatementEffect.WRITE,
                 why == null ? "proven to change nothing" : why,
                 kind,
                 List.copyOf(relations),
@@ -69,7 +69,7 @@
 
     @Override
     public void exitCte(CteContext ctx) {
-        given.add(Names.of(ctx.name()));
+        given.add(IdentifierRules.of(ctx.name()));
     }
 
     @Override
@@ -118,12 +118,12 @@
 
     @Override
     public void enterTarget_(Target_Context ctx) {
-        relations.add(Names.of(ctx.qname()));
+        relations.add(IdentifierRules.of(ctx.qname()));
     }
 
     @Override
     public void enterRelation(RelationContext ctx) {
-        String name = Names.of(ctx.qname());
+        String name = IdentifierRules.of(ctx.qname());
         if (!given.contains(name)) {
             relations.add(name);
         }
@@ -150,7 +150,7 @@
 
     @Override
     public void enterSampling(SamplingContext ctx) {
-        String name = Names.of(ctx.name());
+        String name = IdentifierRules.of(ctx.name());
         if (!name.equals("bernoulli") && !name.equals("system")) {
             writes("unknown sampling method " + name);
         }
@@ -161,10 +161,10 @@
     @Override
     public void enterCall(CallContext ctx) {
         String name = ctx.function().qname() == null
-                ? Names.fold(ctx.function().getText())
-                : Names.of(ctx.function().qname());
+                ? IdentifierRules.fold(ctx.function().getText())
+                : IdentifierRules.of(ctx.function().qname());
         called(name);
-        if (Known.AGGREGATES.contains(name)) {
+        if (HarmlessNames.AGGREGATES.contains(name)) {
             aggregates++;
         }
     }
@@ -185,7 +185,7 @@
                         ? ctx.SUBSTRING()
                         : ctx.POSITION() != null ? ctx.POSITION() : ctx.OVERLAY() != null ? ctx.OVERLAY() : ctx.TRIM();
         if (special != null) {
-            called(Names.fold(special.getText()));
+            called(IdentifierRules.fold(special.getText()));
         }
         if (ctx.qname() != null) {
             column(ctx.qname());
@@ -194,7 +194,7 @@
 
     /** Guards against a function in the notation of a column: {@code row.f} is {@code f(row)}. */
     private void column(QnameContext name) {
-        mayCall(Names.of(name.name(name.name().size() - 1)));
+        mayCall(IdentifierRules.of(name.name(name.name().size() - 1)));
     }
 
     private void mayCall(String last) {
@@ -207,13 +207,13 @@
     @Override
     public void enterPostfix(PostfixContext ctx) {
         if (ctx.DOT() != null && ctx.name() != null) {
-            mayCall(Names.of(ctx.name()));
+            mayCall(IdentifierRules.of(ctx.name()));
         }
     }
 
     @Override
     public void enterOperator(OperatorContext ctx) {
-        String schema = ctx.name().isEmpty() ? "" : Names.of(ctx.name(0));
+        String schema = ctx.name().isEmpty() ? "" : IdentifierRules.of(ctx.name(0));
         ParseTree sign = ctx.OPERATOR() == null ? ctx.getChild(0) : ctx.getChild(ctx.getChildCount() - 2);
         if (!known.operator(sign.getText())
                 || ctx.name().size() > 1
@@ -233,7 +233,7 @@
 
     @Override
     public void enterTypeName(TypeNameContext ctx) {
-        String name = ctx.qname() == null ? "" : Names.of(ctx.qname());
+        String name = ctx.qname() == null ? "" : IdentifierRules.of(ctx.qname());
         if (!name.isEmpty() && !known.type(name)) {
             writes("type " + name + " is not known to change nothing");
         }
@@ -287,7 +287,7 @@
         if (name != null && name.qname() != null && value != null && value.literal() != null) {
             QnameContext qname = name.qname();
             keys.putIfAbsent(
-                    Names.of(qname.name(qname.name().size() - 1)),
+                    IdentifierRules.of(qname.name(qname.name().size() - 1)),
                     new Place(value.literal().LITERAL().getSymbol().getTokenIndex(), 0, 1));
         }
     }
@@ -311,7 +311,7 @@
                             : null;
             if (plain != null && plain.literal() != null && columns.get(i).getChildCount() == 1) {
                 keys.putIfAbsent(
-                        Names.of(columns.get(i).name(0)),
+                        IdentifierRules.of(columns.get(i).name(0)),
                         new Place(
                                 plain.literal().LITERAL().getSymbol().getTokenIndex(),
                                 listed ? i : 0,
--- a/statements/src/main/java/clayhook/statements/Tokens.java
+++ b/statements/src/main/java/clayhook/statements/TokenBuffer.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 
 /** The tokens of one statement: kinds and where each stands in the text. Reused from statement to statement. */
-final class Tokens {
+final class TokenBuffer {
     /** What the lexer tells apart; words are told apart from keywords only when a shape is parsed. */
     enum Kind {
         WORD,
--- a/statements/src/test/java/clayhook/statements/ClassifierTest.java
+++ b/statements/src/test/java/clayhook/statements/ClassifierTest.java
@@ -38,7 +38,7 @@
     }
 
     private static Rule rule(
-            Verdict verdict, Set<String> relations, String application, double costFrom, String mark, Placement nodes) {
+            StatementEffect verdict, Set<String> relations, String application, double costFrom, String mark, Placement nodes) {
         return new Rule(
                 "r",
                 verdict,
@@ -58,12 +58,12 @@
                 nodes);
     }
 
-    private static Classed classed(Classifier classifier, String text) {
+    private static Classification classed(Classifier classifier, String text) {
         classifier.turn();
-        return classifier.classify(text.getBytes(UTF_8), Client.UNKNOWN);
+        return classifier.classify(text.getBytes(UTF_8), ClientIdentity.UNKNOWN);
     }
 
-    private static Classed classed(StatementRules rules, String text) {
+    private static Classification classed(StatementRules rules, String text) {
         return classed(new Classifier(rules, 1), text);
     }
 
@@ -83,7 +83,7 @@
                 "WRITE|select 1 from public.v_next",
                 "WRITE|with v_next as (select 1) select * from v_next"
             })
-    void theOperatorSaysWhatTheDatabaseDefines(Verdict verdict, String text) {
+    void theOperatorSaysWhatTheDatabaseDefines(StatementEffect verdict, String text) {
         assertEquals(verdict, classed(rules(1 << 20, 2000, false), text).verdict());
     }
 
@@ -108,14 +108,14 @@
     @CsvSource(
             delimiter = '|',
             value = {"READ|select '\\'", "WRITE|select '\\' , nextval(1) --'"})
-    void backslashesEndNoStringWhereStringsConform(Verdict verdict, String text) {
+    void backslashesEndNoStringWhereStringsConform(StatementEffect verdict, String text) {
         assertEquals(verdict, classed(NONE, text).verdict());
         var other = new StatementRules(
                 false, Set.of(), Set.of(), Set.of(), Set.of(), Set.of(), 1 << 20, 2000, false, List.of(), "read",
                 "write", 1);
         // There the quote after the backslash is part of the string.
         assertEquals(
-                verdict == Verdict.READ ? Verdict.WRITE : Verdict.READ,
+                verdict == StatementEffect.READ ? StatementEffect.WRITE : StatementEffect.READ,
                 classed(other, text).verdict());
     }
 
@@ -156,12 +156,12 @@
                                     String text = "select " + "(select a from t where exists (".repeat(depth)
                                             + "select 1" + "))".repeat(depth);
                                     assertEquals(
-                                            depth <= 20 ? Verdict.READ : Verdict.WRITE,
+                                            depth <= 20 ? StatementEffect.READ : StatementEffect.WRITE,
                                             classed(classifier, text).verdict(),
                                             text);
                                 }
                                 assertEquals(
-                                        Verdict.READ,
+                                        StatementEffect.READ,
                                         classed(classifier, "select 1 where 1 in (0" + ", 1".repeat(1 << 18) + ")")
                                                 .verdict());
                                 done.complete(null);
@@ -199,9 +199,9 @@
 
     @Test
     void shapesOfOneHashAreNotTakenForOneAnother() {
-        var shapes = new Shapes(1 << 20, (shape, length) -> 42);
-        var shaper = new Shaper();
-        var tokens = new Tokens();
+        var shapes = new ShapeCache(1 << 20, (shape, length) -> 42);
+        var shaper = new ShapeBuilder();
+        var tokens = new TokenBuffer();
         for (int round = 0; round < 2; round++) {
             for (int i = 0; i < 200; i++) {
                 new Lexer(true).lex(("select a" + i).getBytes(UTF_8), tokens);
@@ -210,7 +210,7 @@
                 assertEquals(round == 0 ? null : "select a" + i, found == null ? null : found.toString());
                 if (round == 0) {
                     shapes.put(
-                            new Shape(("select a" + i).getBytes(UTF_8), "", Facts.unread(Verdict.READ, "", "", false)));
+                            new Shape(("select a" + i).getBytes(UTF_8), "", ShapeFacts.unread(StatementEffect.READ, "", "", false)));
                 }
             }
         }
@@ -246,7 +246,7 @@
             classed(classifier, text.toString());
             most = Math.max(most, classifier.states());
         }
-        assertTrue(most > 100 && most <= Reader.MOST_STATES, "" + most);
+        assertTrue(most > 100 && most <= ShapeAnalyzer.MOST_STATES, "" + most);
     }
 
     @ParameterizedTest
@@ -254,18 +254,18 @@
     void pastTheBudgetOfATurnNewShapesAreNotRead(boolean refuse) {
         var classifier = new Classifier(rules(1 << 20, 10, refuse), 1);
         assertEquals(
-                Verdict.READ,
+                StatementEffect.READ,
                 classed(classifier, "select a from t where b = c and d = e and f = g")
                         .verdict());
         assertEquals(
-                refuse ? Verdict.REFUSED : Verdict.WRITE,
-                classifier.classify("select 1".getBytes(UTF_8), Client.UNKNOWN).verdict());
+                refuse ? StatementEffect.REFUSED : StatementEffect.WRITE,
+                classifier.classify("select 1".getBytes(UTF_8), ClientIdentity.UNKNOWN).verdict());
         assertEquals(
-                Verdict.READ,
+                StatementEffect.READ,
                 classifier
-                        .classify("select a from t where b = c and d = e and f = g".getBytes(UTF_8), Client.UNKNOWN)
+                        .classify("select a from t where b = c and d = e and f = g".getBytes(UTF_8), ClientIdentity.UNKNOWN)
                         .verdict());
-        assertEquals(Verdict.READ, classed(classifier, "select 1").verdict());
+        assertEquals(StatementEffect.READ, classed(classifier, "select 1").verdict());
         assertEquals(1, classifier.counts().unread());
     }
 
@@ -279,7 +279,7 @@
         for (int i = 0; i < 2000; i++) {
             classifier.took(classed(classifier, text), i < 1000 ? 0.5 : i % 10 == 0 ? 0.08 : 0.01);
         }
-        Classed measured = classed(classifier, "select a from t where b = 2");
+        Classification measured = classed(classifier, "select a from t where b = 2");
         assertTrue(guess < 0.01);
         assertEquals(0.017, measured.cost(), 0.002);
         assertEquals(0.08, measured.high(), 0.01);
@@ -292,14 +292,14 @@
                 1 << 20,
                 2000,
                 false,
-                rule(Verdict.READ, Set.of("s.exact"), null, 0, null, null),
-                rule(Verdict.READ, Set.of("plain"), "re*t", 0, null, new Placement(null, List.of(7))),
-                rule(Verdict.READ, Set.of(), null, 0.02, null, new Placement(null, List.of(9))));
+                rule(StatementEffect.READ, Set.of("s.exact"), null, 0, null, null),
+                rule(StatementEffect.READ, Set.of("plain"), "re*t", 0, null, new Placement(null, List.of(7))),
+                rule(StatementEffect.READ, Set.of(), null, 0.02, null, new Placement(null, List.of(9))));
         var classifier = new Classifier(rules, 1);
         assertEquals("read default 1", told(classed(classifier, "select 1 from exact where a = 1")));
         assertEquals("special r 1", told(classed(classifier, "select 1 from s.exact where a = 1")));
         assertEquals("read default 1", told(classed(classifier, "select 1 from two.plain where a = 1")));
-        var client = new Client("u", "d", "report");
+        var client = new ClientIdentity("u", "d", "report");
         assertEquals(
                 "special r 7",
                 told(classifier.classify("select 1 from two.plain where a = 1".getBytes(UTF_8), client)));
@@ -307,7 +307,7 @@
         assertEquals("write default 1", told(classed(classifier, "delete from plain")));
     }
 
-    private static String told(Classed classed) {
+    private static String told(Classification classed) {
         return classed.group() + " " + classed.rule() + " " + classed.nodes();
     }
 
@@ -329,8 +329,8 @@
                 "a'b|insert into posts (b, mark) values (-1, 'a''b') on conflict do nothing"
             })
     void aWriteIsKeyedOnlyByOneMark(String mark, String text) {
-        Classed classed =
-                classed(rules(1 << 20, 2000, false, rule(Verdict.WRITE, Set.of("posts"), null, 0, "mark", null)), text);
+        Classification classed =
+                classed(rules(1 << 20, 2000, false, rule(StatementEffect.WRITE, Set.of("posts"), null, 0, "mark", null)), text);
         assertEquals(mark, classed.mark());
         assertEquals(mark == null ? "write" : "special", classed.group());
     }
@@ -346,7 +346,7 @@
             })
     void aKeyGoesToOneGroupOfNodesHoweverItIsWritten(String one, String other) {
         StatementRules rules = placed();
-        assertEquals(Verdict.REFUSED, classed(rules, "select 1 from t").verdict());
+        assertEquals(StatementEffect.REFUSED, classed(rules, "select 1 from t").verdict());
         assertEquals(classed(rules, one).nodes(), classed(rules, other).nodes());
         assertTrue(classed(rules, one).nodes() > 10);
     }
@@ -357,8 +357,8 @@
                 1 << 20,
                 2000,
                 false,
-                rule(Verdict.READ, Set.of("t"), null, 0, null, nodes),
-                rule(Verdict.WRITE, Set.of("t"), null, 0, null, nodes));
+                rule(StatementEffect.READ, Set.of("t"), null, 0, null, nodes),
+                rule(StatementEffect.WRITE, Set.of("t"), null, 0, null, nodes));
     }
 
     @ParameterizedTest
@@ -377,7 +377,7 @@
                 "insert into t values (5)"
             })
     void aStatementWhoseKeyIsNotCertainIsRefused(String text) {
-        assertEquals(Verdict.REFUSED, classed(placed(), text).verdict());
+        assertEquals(StatementEffect.REFUSED, classed(placed(), text).verdict());
     }
 
     @Test
--- a/statements/src/test/java/clayhook/statements/CorpusTest.java
+++ b/statements/src/test/java/clayhook/statements/CorpusTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class CorpusTest {
-    record Case(Verdict verdict, String text) {
+    record Case(StatementEffect verdict, String text) {
         byte[] bytes() {
             return text.getBytes(UTF_8);
         }
@@ -32,7 +32,7 @@
                     .map(line -> {
                         String[] parts = (line + " ").split(" ", 2);
                         return new Case(
-                                Verdict.valueOf(parts[0].toUpperCase(Locale.ROOT)),
+                                StatementEffect.valueOf(parts[0].toUpperCase(Locale.ROOT)),
                                 parts[1].replace("\\n", "\n").strip());
                     })
                     .toList();
@@ -41,9 +41,9 @@
 
     private static final Classifier CLASSIFIER = new Classifier(StatementRules.DEFAULT, 1);
 
-    static Classed classed(String text) {
+    static Classification classed(String text) {
         CLASSIFIER.turn();
-        return CLASSIFIER.classify(text.getBytes(UTF_8), Client.UNKNOWN);
+        return CLASSIFIER.classify(text.getBytes(UTF_8), ClientIdentity.UNKNOWN);
     }
 
     @ParameterizedTest
@@ -61,7 +61,7 @@
                 classifier.turn();
                 assertEquals(
                         given.verdict(),
-                        classifier.classify(given.bytes(), Client.UNKNOWN).verdict(),
+                        classifier.classify(given.bytes(), ClientIdentity.UNKNOWN).verdict(),
                         given::text);
             }
         }
@@ -96,16 +96,16 @@
             })
     void noWriteIsAReadAfterWrapping(String wrapping) throws IOException {
         for (Case given : corpus()) {
-            if (given.verdict() == Verdict.WRITE && closed(given.text())) {
+            if (given.verdict() == StatementEffect.WRITE && closed(given.text())) {
                 String wrapped = wrapping.replace("%s", given.text());
-                assertTrue(classed(wrapped).verdict() != Verdict.READ, wrapped);
+                assertTrue(classed(wrapped).verdict() != StatementEffect.READ, wrapped);
             }
         }
     }
 
     /** It swallows nothing that follows, and is no single word, which would be a name in brackets. */
     private static boolean closed(String text) {
-        var tokens = new Tokens();
+        var tokens = new TokenBuffer();
         new Lexer(true).lex(text.getBytes(UTF_8), tokens);
         return tokens.fault == null && tokens.size > 1 && !text.contains("--");
     }
--- a/statements/src/test/java/clayhook/statements/ShapePropertiesTest.java
+++ b/statements/src/test/java/clayhook/statements/ShapePropertiesTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
-import clayhook.statements.Tokens.Kind;
+import clayhook.statements.TokenBuffer.Kind;
 import java.io.IOException;
 import java.util.List;
 import java.util.Random;
@@ -19,7 +19,7 @@
     private static final List<CorpusTest.Case> CORPUS = corpus();
     private final Classifier classifier = new Classifier(StatementRules.DEFAULT, 7);
     private final Lexer lexer = new Lexer(true);
-    private final Tokens tokens = new Tokens();
+    private final TokenBuffer tokens = new TokenBuffer();
 
     private static List<CorpusTest.Case> corpus() {
         try {
@@ -34,9 +34,9 @@
         return Arbitraries.of(CORPUS);
     }
 
-    private Classed classed(String text) {
+    private Classification classed(String text) {
         classifier.turn();
-        return classifier.classify(text.getBytes(UTF_8), Client.UNKNOWN);
+        return classifier.classify(text.getBytes(UTF_8), ClientIdentity.UNKNOWN);
     }
 
     private static final String[] LITERALS = {
@@ -84,8 +84,8 @@
                                     : token);
             text.append(SPACES[random.nextInt(SPACES.length)]);
         }
-        Classed one = classed(given.text());
-        Classed other = classed(text.toString());
+        Classification one = classed(given.text());
+        Classification other = classed(text.toString());
         assertEquals(one.verdict(), other.verdict(), text::toString);
         assertEquals(one.fingerprint(), other.fingerprint(), text::toString);
     }
@@ -130,7 +130,7 @@
     @Property(tries = 2000, seed = "42")
     void bytesOfAnyKindNeitherThrowNorHang(@ForAll byte[] bytes) {
         classifier.turn();
-        classifier.classify(bytes, Client.UNKNOWN);
+        classifier.classify(bytes, ClientIdentity.UNKNOWN);
     }
 
     /** Where a string ends decides what is code: each piece is cut as it was made, whatever it holds. */
