--- a/benchmarks/src/main/java/clayhook/benchmarks/Classifying.java
+++ b/benchmarks/src/main/java/clayhook/benchmarks/ClassifierBenchmark.java
@@ -31,7 +31,7 @@
 @Warmup(iterations = 3, time = 1)
 @Measurement(iterations = 5, time = 1)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
-public class Classifying {
+public class ClassifierBenchmark {
     private static final String[] FORMS = {
         "SELECT val FROM state%t WHERE uid = 'k%d'",
         "INSERT INTO posts%t (id, account, amount) VALUES (%d, 'acct-kd6b5sum7ecwe', 12.50) ON CONFLICT (id) DO NOTHING",
@@ -104,7 +104,7 @@
     /** A classifier of its own under a flood: 19 statements that come once before each one that repeats, not timed. */
     @State(Scope.Thread)
     public static class Flood {
-        private final Classifying all = new Classifying();
+        private final ClassifierBenchmark all = new ClassifierBenchmark();
 
         @Setup
         public void make() {
--- a/benchmarks/src/main/java/clayhook/benchmarks/Weighing.java
+++ b/benchmarks/src/main/java/clayhook/benchmarks/ClassifierMemory.java
@@ -7,11 +7,11 @@
 import clayhook.statements.StatementRules;
 
 /** The heap of a classifier at the bound of its shapes, parser and all, beside its own reckoning. */
-public final class Weighing {
+public final class ClassifierMemory {
     /** Enough to fill the bound several times over; one in twenty repeats. */
     private static final int STATEMENTS = 60_000, HOT = 200;
 
-    private Weighing() {}
+    private ClassifierMemory() {}
 
     private static long used() {
         System.gc();
--- a/benchmarks/src/main/java/clayhook/benchmarks/Gathering.java
+++ b/benchmarks/src/main/java/clayhook/benchmarks/GatherBenchmark.java
@@ -44,7 +44,7 @@
 @Measurement(iterations = 5, time = 1)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MILLISECONDS)
-public class Gathering {
+public class GatherBenchmark {
     static final int PARTS = 10, ROWS = 10_000;
     private static final List<Column> COLUMNS =
             List.of(Column.of("amount", 20), Column.of("plate", 25), Column.of("rest", 25));
--- a/benchmarks/src/main/java/clayhook/benchmarks/GatherWeighing.java
+++ b/benchmarks/src/main/java/clayhook/benchmarks/GatherMemory.java
@@ -11,7 +11,7 @@
  * A gather of ten parts beside the naive way, in turns: the most live heap, rows being made as they are read, and the
  * processor time, which unlike the time on the clock hardly depends on what else runs.
  */
-public final class GatherWeighing {
+public final class GatherMemory {
     /** Every so many looks one is taken: each is a whole collection. */
     private static final int EVERY = 3;
 
@@ -22,7 +22,7 @@
     private static long rows;
     private static int looks;
 
-    private GatherWeighing() {}
+    private GatherMemory() {}
 
     private static long used() {
         System.gc();
@@ -32,14 +32,14 @@
     public static void main(String[] args) {
         List<IntFunction<byte[]>> made = new ArrayList<>();
         List<IntFunction<byte[]>> held = new ArrayList<>();
-        for (int part = 0; part < Gathering.PARTS; part++) {
+        for (int part = 0; part < GatherBenchmark.PARTS; part++) {
             int number = part;
-            byte[][] all = new byte[Gathering.ROWS][];
-            Arrays.setAll(all, i -> Gathering.row(number, i));
-            made.add(i -> Gathering.row(number, i));
+            byte[][] all = new byte[GatherBenchmark.ROWS][];
+            Arrays.setAll(all, i -> GatherBenchmark.row(number, i));
+            made.add(i -> GatherBenchmark.row(number, i));
             held.add(i -> all[i]);
         }
-        for (int limit : new int[] {100, 1000, Gathering.PARTS * Gathering.ROWS}) {
+        for (int limit : new int[] {100, 1000, GatherBenchmark.PARTS * GatherBenchmark.ROWS}) {
             weigh(made, limit); // loads classes
             weigh(made, limit);
             time(held, limit);
@@ -50,7 +50,7 @@
         long before = used();
         most = 0;
         looks = 0;
-        Gathering.gather(sources, limit, row -> rows++, gather -> {
+        GatherBenchmark.gather(sources, limit, row -> rows++, gather -> {
             peak = gather.peak();
             if (looks++ % EVERY == 0 && !gather.over()) {
                 most = Math.max(most, used() - before);
@@ -58,7 +58,7 @@
         });
         long gathered = most;
         long base = used();
-        Gathering.naive(sources, limit, row -> rows++, () -> most = used() - base);
+        GatherBenchmark.naive(sources, limit, row -> rows++, () -> most = used() - base);
         System.out.println("to " + limit + " rows: live heap of a gather " + gathered / 1024
                 + " KiB (taken of its allowance " + peak / 1024 + "), naive " + most / 1024 + " KiB");
     }
@@ -73,8 +73,8 @@
         long[] gathered = new long[ROUNDS];
         long[] naive = new long[ROUNDS];
         for (int round = -WARMUP; round < ROUNDS; round++) {
-            long one = cpu(() -> Gathering.gather(sources, limit, row -> rows++, any -> {}));
-            long other = cpu(() -> Gathering.naive(sources, limit, row -> rows++, () -> {}));
+            long one = cpu(() -> GatherBenchmark.gather(sources, limit, row -> rows++, any -> {}));
+            long other = cpu(() -> GatherBenchmark.naive(sources, limit, row -> rows++, () -> {}));
             if (round >= 0) {
                 gathered[round] = one;
                 naive[round] = other;
--- a/benchmarks/src/main/java/clayhook/benchmarks/Routing.java
+++ b/benchmarks/src/main/java/clayhook/benchmarks/RoutingBenchmark.java
@@ -41,7 +41,7 @@
 @Measurement(iterations = 5, time = 2)
 @BenchmarkMode(Mode.SampleTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
-public class Routing {
+public class RoutingBenchmark {
     @Param({"false", "true"})
     public boolean statements;
 
