--- a/benchmarks/src/main/java/clayhook/benchmarks/GatherBenchmark.java
+++ b/benchmarks/src/main/java/clayhook/benchmarks/GatherBenchmark.java
@@ -2,17 +2,17 @@
 
 import static java.nio.charset.StandardCharsets.ISO_8859_1;
 
-import clayhook.gather.GatherActions;
-import clayhook.gather.MemoryPool;
-import clayhook.gather.Column;
-import clayhook.gather.Gather;
-import clayhook.gather.SortKey;
-import clayhook.gather.Limit;
-import clayhook.gather.MergeSpec;
-import clayhook.gather.GatherPart;
-import clayhook.gather.GatherPlan;
-import clayhook.gather.RowSet;
-import clayhook.gather.GatherResult;
+import clayhook.scattergather.Column;
+import clayhook.scattergather.Gather;
+import clayhook.scattergather.GatherActions;
+import clayhook.scattergather.GatherPart;
+import clayhook.scattergather.GatherPlan;
+import clayhook.scattergather.GatherResult;
+import clayhook.scattergather.Limit;
+import clayhook.scattergather.MemoryPool;
+import clayhook.scattergather.MergeSpec;
+import clayhook.scattergather.RowSet;
+import clayhook.scattergather.SortKey;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -73,14 +73,15 @@
     }
 
     /** Feeds parts as far as they have credit, in turns, as connections that are all ready would. */
-    static GatherResult gather(List<IntFunction<byte[]>> sources, int limit, Consumer<byte[]> out, Consumer<Gather> look) {
+    static GatherResult gather(
+            List<IntFunction<byte[]>> sources, int limit, Consumer<byte[]> out, Consumer<Gather> look) {
         var feed = new Feed(out);
         List<GatherPart> parts = new ArrayList<>();
         for (int i = 0; i < PARTS; i++) {
             parts.add(new GatherPart("p" + i, i));
         }
-        GatherPlan plan = GatherPlan.of(
-                MergeSpec.by(SortKey.ascending("amount"), SortKey.ascending("plate")).cut(Limit.rows(limit)));
+        GatherPlan plan = GatherPlan.of(MergeSpec.by(SortKey.ascending("amount"), SortKey.ascending("plate"))
+                .cut(Limit.rows(limit)));
         var gather = new Gather(plan, parts, MemoryPool.of(64 << 20), feed);
         gather.begin(0, 1);
         gather.room(Integer.MAX_VALUE);
--- a/benchmarks/src/main/java/clayhook/benchmarks/RoutingBenchmark.java
+++ b/benchmarks/src/main/java/clayhook/benchmarks/RoutingBenchmark.java
@@ -1,19 +1,19 @@
 package clayhook.benchmarks;
 
 import clayhook.RequestClass;
-import clayhook.RequestClass.Idempotency;
 import clayhook.RequestClass.ConsistencyLevel;
+import clayhook.RequestClass.Idempotency;
 import clayhook.RoutingSettings;
-import clayhook.config.RouterConfiguration;
 import clayhook.config.OperatorConfiguration;
+import clayhook.config.RouterConfiguration;
 import clayhook.discovery.EndpointList;
-import clayhook.rehearsal.StubClient;
-import clayhook.rehearsal.StubDiscovery;
-import clayhook.rehearsal.StubNode;
-import clayhook.rehearsal.StubNode.StubResponse;
 import clayhook.serve.Server;
 import clayhook.statements.StatementRules;
 import clayhook.transport.Transport;
+import clayhook.warmup.StubClient;
+import clayhook.warmup.StubDiscovery;
+import clayhook.warmup.StubNode;
+import clayhook.warmup.StubNode.StubResponse;
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
@@ -55,11 +55,14 @@
     public void start() throws Exception {
         transport = Transport.tcp();
         own = Transport.tcp();
-        var node = new StubNode(transport, transport.ephemeralAddress(0), "replica", any -> StubResponse.answer("value"));
-        var primary = new StubNode(transport, transport.ephemeralAddress(0), "primary", any -> StubResponse.answer("value"));
+        var node =
+                new StubNode(transport, transport.ephemeralAddress(0), "replica", any -> StubResponse.answer("value"));
+        var primary =
+                new StubNode(transport, transport.ephemeralAddress(0), "primary", any -> StubResponse.answer("value"));
         var discovery = new StubDiscovery(transport, transport.ephemeralAddress(0), call -> null);
         var groups = List.of(
-                group("read", Idempotency.IDEMPOTENT, ConsistencyLevel.EVENTUAL), group("write", Idempotency.NON_IDEMPOTENT, ConsistencyLevel.WRITE));
+                group("read", Idempotency.IDEMPOTENT, ConsistencyLevel.EVENTUAL),
+                group("write", Idempotency.NON_IDEMPOTENT, ConsistencyLevel.WRITE));
         var settings = new RoutingSettings(
                 1, "a", groups, true, true, false, true, true, true, true, true, 1, 9, 0.2, 10, 3, 3, 1, 15);
         String list = "{\"rev\":2,\"all\":true,\"targets\":[" + entry("p", primary, "primary") + ","
--- a/cli/src/main/java/clayhook/cli/AdapterCommand.java
+++ b/cli/src/main/java/clayhook/cli/AdapterCommand.java
@@ -1,7 +1,7 @@
 package clayhook.cli;
 
-import clayhook.sim.SimulatorAdapter;
-import clayhook.sim.SimulatorProtocolException;
+import clayhook.simulator.SimulatorAdapter;
+import clayhook.simulator.SimulatorProtocolException;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
--- a/cli/src/main/java/clayhook/cli/RehearseCommand.java
+++ b/cli/src/main/java/clayhook/cli/RehearseCommand.java
@@ -1,11 +1,11 @@
 package clayhook.cli;
 
 import clayhook.RoutingSettings;
-import clayhook.config.RouterConfiguration;
 import clayhook.config.Json;
-import clayhook.rehearsal.WarmUp;
+import clayhook.config.RouterConfiguration;
 import clayhook.serve.ReloadSignal;
 import clayhook.transport.Transport;
+import clayhook.warmup.WarmUp;
 import java.util.Map;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
@@ -39,8 +39,8 @@
     static int run() {
         try {
             ReloadSignal.install(() -> {});
-            RoutingSettings settings =
-                    RouterConfiguration.fromJson(Json.parse(REHEARSED), Map.of()).settings();
+            RoutingSettings settings = RouterConfiguration.fromJson(Json.parse(REHEARSED), Map.of())
+                    .settings();
             WarmUp.run(settings, Transport.unixSockets(), false);
             WarmUp.run(settings, Transport.tcp(), false);
             WarmUp.run(settings, Transport.inProcess(), false);
--- a/cli/src/main/java/clayhook/cli/ServeCommand.java
+++ b/cli/src/main/java/clayhook/cli/ServeCommand.java
@@ -1,15 +1,15 @@
 package clayhook.cli;
 
 import clayhook.config.ConfigurationException;
-import clayhook.config.RouterConfiguration;
 import clayhook.config.OperatorConfiguration;
 import clayhook.config.OperatorConfigurationReader;
+import clayhook.config.RouterConfiguration;
 import clayhook.log.Log;
-import clayhook.rehearsal.WarmUp;
 import clayhook.serve.ReloadSignal;
-import clayhook.serve.ServerLifecycle;
 import clayhook.serve.Server;
+import clayhook.serve.ServerLifecycle;
 import clayhook.transport.Transport;
+import clayhook.warmup.WarmUp;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
@@ -71,10 +71,12 @@
         }
     }
 
-    private static OperatorConfiguration readOperatorConfiguration(Path config, RouterConfiguration configuration) throws ConfigurationException {
+    private static OperatorConfiguration readOperatorConfiguration(Path config, RouterConfiguration configuration)
+            throws ConfigurationException {
         return config == null
                 ? OperatorConfiguration.DEFAULTS
-                : OperatorConfigurationReader.read(config, configuration.settings().requestClasses());
+                : OperatorConfigurationReader.read(
+                        config, configuration.settings().requestClasses());
     }
 
     /** A router that cannot rehearse is only slow at first. */
--- a/cli/src/test/java/clayhook/cli/ServeProcessTest.java
+++ b/cli/src/test/java/clayhook/cli/ServeProcessTest.java
@@ -4,11 +4,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clayhook.rehearsal.StubClient;
-import clayhook.rehearsal.StubDiscovery;
-import clayhook.rehearsal.StubNode;
-import clayhook.rehearsal.StubNode.StubResponse;
 import clayhook.transport.Transport;
+import clayhook.warmup.StubClient;
+import clayhook.warmup.StubDiscovery;
+import clayhook.warmup.StubNode;
+import clayhook.warmup.StubNode.StubResponse;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import java.io.File;
@@ -216,8 +216,8 @@
     void idleClientsBeyondTheDescriptorLimitBlockNeitherRequestsNorTheEndpointList() throws Exception {
         int most = 128;
         var lists = new LinkedBlockingQueue<String>();
-        InetSocketAddress discovery =
-                discovery(call -> lists.isEmpty() ? SERVICE_UNAVAILABLE : call.contains("after=3&") ? null : lists.peek());
+        InetSocketAddress discovery = discovery(
+                call -> lists.isEmpty() ? SERVICE_UNAVAILABLE : call.contains("after=3&") ? null : lists.peek());
         start(discovery, list(2, node(StubResponse.answer("old"))), most, most);
         assertEquals("ready", asked(emptyQuery()));
         int held = 0;
@@ -243,8 +243,8 @@
     @Test
     void acceptsAndConnectsAgainAfterTheProcessRanOutOfDescriptors() throws Exception {
         var lists = new LinkedBlockingQueue<String>();
-        InetSocketAddress discovery =
-                discovery(call -> lists.isEmpty() ? SERVICE_UNAVAILABLE : call.contains("after=3&") ? null : lists.peek());
+        InetSocketAddress discovery = discovery(
+                call -> lists.isEmpty() ? SERVICE_UNAVAILABLE : call.contains("after=3&") ? null : lists.peek());
         start(discovery, list(2, node(StubResponse.answer("old"))), 64, 1024);
         assertEquals("ready", asked(emptyQuery()));
         for (int i = 0; i < 100; i++) {
--- a/cli/src/test/java/clayhook/cli/SharingDisabledTest.java
+++ b/cli/src/test/java/clayhook/cli/SharingDisabledTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clayhook.rehearsal.StubClient;
 import clayhook.transport.Transport;
+import clayhook.warmup.StubClient;
 import java.net.DatagramSocket;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -53,7 +53,12 @@
         boolean thread = threads(process).contains("clayhook-peers");
         boolean socket =
                 Files.readString(Path.of("/proc/" + process.pid() + "/net/udp")).contains(":%04X ".formatted(port));
-        return List.of(SHARING_PACKAGES.stream().filter(name -> loaded.contains("] " + name)).toList(), thread, socket);
+        return List.of(
+                SHARING_PACKAGES.stream()
+                        .filter(name -> loaded.contains("] " + name))
+                        .toList(),
+                thread,
+                socket);
     }
 
     private static List<String> threads(Process process) throws Exception {
--- a/trials/src/main/java/clayhook/trials/ClusterNode.java
+++ b/clustertests/src/main/java/clayhook/clustertests/ClusterNode.java
@@ -1,16 +1,16 @@
-package clayhook.trials;
+package clayhook.clustertests;
 
-import clayhook.RequestClass;
-import clayhook.RequestClass.ConsistencyLevel;
 import clayhook.Endpoint;
 import clayhook.Node;
-import clayhook.protocol.MemoryBudget;
-import clayhook.protocol.ClientMessageDecoder;
+import clayhook.RequestClass;
+import clayhook.RequestClass.ConsistencyLevel;
 import clayhook.protocol.ClientMessage;
-import clayhook.protocol.MessageEncoder;
+import clayhook.protocol.ClientMessageDecoder;
 import clayhook.protocol.KeyValueStatement;
-import clayhook.rehearsal.StubNode;
+import clayhook.protocol.MemoryBudget;
+import clayhook.protocol.MessageEncoder;
 import clayhook.transport.Transport;
+import clayhook.warmup.StubNode;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandler;
@@ -54,8 +54,10 @@
     ClusterNode(TestReplicaSet cluster, Node node, Transport transport) throws InterruptedException {
         this.cluster = cluster;
         this.node = node;
-        listening = transport.listen(transport.ephemeralAddress(0), () ->
-                new ChannelHandler[] {new ClientMessageDecoder(new MemoryBudget(Long.MAX_VALUE), true), new Connection()});
+        listening =
+                transport.listen(transport.ephemeralAddress(0), () -> new ChannelHandler[] {
+                    new ClientMessageDecoder(new MemoryBudget(Long.MAX_VALUE), true), new Connection()
+                });
     }
 
     public Node node() {
@@ -112,7 +114,8 @@
         double age = HistoryRecorder.now() - startedAt;
         double cold = cluster.settings.initialCapacityFraction();
         if (startedAt > 0 && age < cluster.settings.slowStartSeconds()) {
-            cluster.witness.worked(node, WORK, CAPACITY * (cold + (1 - cold) * age / cluster.settings.slowStartSeconds()));
+            cluster.witness.worked(
+                    node, WORK, CAPACITY * (cold + (1 - cold) * age / cluster.settings.slowStartSeconds()));
         }
     }
 
--- a/trials/src/main/java/clayhook/trials/DatagramRelay.java
+++ b/clustertests/src/main/java/clayhook/clustertests/DatagramRelay.java
@@ -1,4 +1,4 @@
-package clayhook.trials;
+package clayhook.clustertests;
 
 import clayhook.transport.Transport;
 import io.netty.bootstrap.Bootstrap;
--- a/trials/src/main/java/clayhook/trials/DiscoveryServer.java
+++ b/clustertests/src/main/java/clayhook/clustertests/DiscoveryServer.java
@@ -1,8 +1,8 @@
-package clayhook.trials;
+package clayhook.clustertests;
 
 import clayhook.Endpoint;
-import clayhook.rehearsal.StubDiscovery;
 import clayhook.transport.Transport;
+import clayhook.warmup.StubDiscovery;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
--- a/trials/src/main/java/clayhook/trials/HistoryRecorder.java
+++ b/clustertests/src/main/java/clayhook/clustertests/HistoryRecorder.java
@@ -1,8 +1,8 @@
-package clayhook.trials;
+package clayhook.clustertests;
 
+import clayhook.Node;
 import clayhook.RequestClass;
 import clayhook.RequestClass.ConsistencyLevel;
-import clayhook.Node;
 import clayhook.RoutingSettings;
 import clayhook.lab.model.RuleAudit;
 import java.time.Instant;
--- a/trials/src/main/java/clayhook/trials/LinkFault.java
+++ b/clustertests/src/main/java/clayhook/clustertests/LinkFault.java
@@ -1,4 +1,4 @@
-package clayhook.trials;
+package clayhook.clustertests;
 
 /**
  * What a link does to datagrams. Shares lie between 0 and 1, times are seconds.
@@ -11,7 +11,8 @@
  * @param delay of each
  * @param rate bytes a second; 0 for any
  */
-public record LinkFault(boolean cut, double loss, double twice, double late, double garbled, double delay, double rate) {
+public record LinkFault(
+        boolean cut, double loss, double twice, double late, double garbled, double delay, double rate) {
     public static final LinkFault NONE = new LinkFault(false, 0, 0, 0, 0, 0, 0);
     public static final LinkFault CUT = new LinkFault(true, 0, 0, 0, 0, 0, 0);
 }
--- a/trials/src/main/java/clayhook/trials/LoadClient.java
+++ b/clustertests/src/main/java/clayhook/clustertests/LoadClient.java
@@ -1,11 +1,11 @@
-package clayhook.trials;
+package clayhook.clustertests;
 
 import clayhook.RequestClass;
-import clayhook.RequestClass.Idempotency;
 import clayhook.RequestClass.ConsistencyLevel;
+import clayhook.RequestClass.Idempotency;
 import clayhook.protocol.MessageEncoder;
-import clayhook.rehearsal.StubClient;
 import clayhook.transport.Transport;
+import clayhook.warmup.StubClient;
 import io.netty.buffer.ByteBuf;
 import java.net.InetSocketAddress;
 import java.util.HashMap;
@@ -62,7 +62,8 @@
                 writes,
                 name,
                 "id=" + id + ",c=" + group.name() + ",cluster=1,d="
-                        + Math.round(group.clientTimeoutSeconds() * 1000) + (group.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY ? ",k=" + id : "")
+                        + Math.round(group.clientTimeoutSeconds() * 1000)
+                        + (group.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY ? ",k=" + id : "")
                         + (own && carries ? ",after=" + (long) Math.ceil(wroteAt * 1000) : ""));
         String word = word(router, statement, patience);
         boolean value = word != null && word.indexOf('.') > 0;
--- a/trials/src/main/java/clayhook/trials/RouterProcess.java
+++ b/clustertests/src/main/java/clayhook/clustertests/RouterProcess.java
@@ -1,4 +1,4 @@
-package clayhook.trials;
+package clayhook.clustertests;
 
 import java.io.BufferedReader;
 import java.io.IOException;
--- a/trials/src/main/java/clayhook/trials/TestCluster.java
+++ b/clustertests/src/main/java/clayhook/clustertests/TestCluster.java
@@ -1,10 +1,10 @@
-package clayhook.trials;
+package clayhook.clustertests;
 
 import clayhook.RequestClass;
 import clayhook.RoutingSettings;
 import clayhook.config.ConfigurationException;
-import clayhook.config.RouterConfiguration;
 import clayhook.config.Json;
+import clayhook.config.RouterConfiguration;
 import clayhook.transport.Transport;
 import java.io.IOException;
 import java.net.DatagramSocket;
@@ -282,7 +282,8 @@
                 } else {
                     caller.ask(
                             router,
-                            READ.requestClasses().get(random.nextInt(READ.requestClasses().size())));
+                            READ.requestClasses()
+                                    .get(random.nextInt(READ.requestClasses().size())));
                     Thread.sleep(1 + random.nextInt(5)); // a client's own work, which leaves the machine to others
                 }
             }
--- a/trials/src/main/java/clayhook/trials/TestReplicaSet.java
+++ b/clustertests/src/main/java/clayhook/clustertests/TestReplicaSet.java
@@ -1,9 +1,9 @@
-package clayhook.trials;
+package clayhook.clustertests;
 
-import clayhook.RequestClass;
-import clayhook.RequestClass.Idempotency;
 import clayhook.Endpoint;
 import clayhook.Node;
+import clayhook.RequestClass;
+import clayhook.RequestClass.Idempotency;
 import clayhook.RoutingSettings;
 import clayhook.transport.Transport;
 import java.util.ArrayList;
--- a/trials/src/test/java/clayhook/trials/ClusterTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/ClusterTest.java
@@ -1,10 +1,10 @@
-package clayhook.trials;
+package clayhook.clustertests;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import clayhook.Endpoint;
-import clayhook.trials.ClusterNode.Mood;
+import clayhook.clustertests.ClusterNode.Mood;
 import java.nio.file.Path;
 import java.util.Map;
 import org.junit.jupiter.api.Tag;
--- a/trials/src/test/java/clayhook/trials/DatagramRelayTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/DatagramRelayTest.java
@@ -1,4 +1,4 @@
-package clayhook.trials;
+package clayhook.clustertests;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTimeoutPreemptively;
--- a/trials/src/test/java/clayhook/trials/HistoryRecorderTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/HistoryRecorderTest.java
@@ -1,9 +1,9 @@
-package clayhook.trials;
+package clayhook.clustertests;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import clayhook.RequestClass;
 import clayhook.Node;
+import clayhook.RequestClass;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
@@ -45,7 +45,9 @@
                 witness,
                 what.contains("keyed")
                         ? TestCluster.WRITE
-                        : writes ? TestCluster.CHARGE : what.contains("session") ? TestCluster.SESSION : TestCluster.BOUNDED);
+                        : writes
+                                ? TestCluster.CHARGE
+                                : what.contains("session") ? TestCluster.SESSION : TestCluster.BOUNDED);
         if (what.endsWith("router") || what.equals("killed")) {
             witness.down("r0");
             witness.up("r0");
--- a/trials/src/test/java/clayhook/trials/NetworkLinkTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/NetworkLinkTest.java
@@ -1,11 +1,11 @@
-package clayhook.trials;
+package clayhook.clustertests;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clayhook.trials.NetworkLink.Departure;
-import clayhook.trials.NetworkLink.Delivery;
+import clayhook.clustertests.NetworkLink.Delivery;
+import clayhook.clustertests.NetworkLink.Departure;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -60,8 +60,10 @@
         assertEquals(late, link.count(Delivery.LATE) / came, 0.05);
         assertEquals(garbled, link.count(Delivery.GARBLED) / came, 0.05);
         assertEquals(came + link.count(Delivery.TWICE), left.size());
-        List<byte[]> whole =
-                left.stream().map(Departure::bytes).filter(NetworkLinkTest::whole).toList();
+        List<byte[]> whole = left.stream()
+                .map(Departure::bytes)
+                .filter(NetworkLinkTest::whole)
+                .toList();
         assertEquals(link.count(Delivery.GARBLED), left.size() - whole.size());
         int overtaken = 0;
         for (int i = 1; i < whole.size(); i++) {
@@ -80,7 +82,8 @@
             boolean cut, double rate, int least, double end) {
         NetworkLink link = link(new LinkFault(cut, 0, 0, 0, 0, 0, rate));
         List<Departure> left = sent(link);
-        assertTrue(left.size() >= least && left.size() <= rate / BYTES * (1 + NetworkLink.BACKLOG), left.size() + " left");
+        assertTrue(
+                left.size() >= least && left.size() <= rate / BYTES * (1 + NetworkLink.BACKLOG), left.size() + " left");
         assertTrue(left.stream().allMatch(departure -> departure.at() <= end + 0.001));
         link.trouble(LinkFault.NONE);
         assertArrayEquals(new byte[] {1}, link.take(new byte[] {1}, 5).get(0).bytes());
--- a/trials/src/test/java/clayhook/trials/SharingClusterTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/SharingClusterTest.java
@@ -1,18 +1,18 @@
-package clayhook.trials;
+package clayhook.clustertests;
 
-import static clayhook.trials.ClusterTest.JAR;
-import static clayhook.trials.ClusterTest.ROUTERS;
-import static clayhook.trials.ClusterTest.SOME;
-import static clayhook.trials.ClusterTest.verdict;
+import static clayhook.clustertests.ClusterTest.JAR;
+import static clayhook.clustertests.ClusterTest.ROUTERS;
+import static clayhook.clustertests.ClusterTest.SOME;
+import static clayhook.clustertests.ClusterTest.verdict;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import clayhook.Endpoint;
+import clayhook.clustertests.ClusterNode.Mood;
+import clayhook.clustertests.LoadClient.Answer;
 import clayhook.lab.model.RuleAudit.RuleKept;
-import clayhook.trials.LoadClient.Answer;
-import clayhook.trials.ClusterNode.Mood;
 import java.util.List;
 import java.util.Set;
 import java.util.regex.Pattern;
@@ -50,8 +50,8 @@
                 trial.calm();
                 assertTrue(trial.agree(), () -> fault + "\n" + trial.said());
             }
-            assertTrue(
-                    trial.relay().count(NetworkLink.Delivery.GARBLED) > 0 && trial.relay().strangers() == 0);
+            assertTrue(trial.relay().count(NetworkLink.Delivery.GARBLED) > 0
+                    && trial.relay().strangers() == 0);
             verdict(trial);
         }
     }
--- a/core/src/main/java/clayhook/Decision.java
+++ b/core/src/main/java/clayhook/Decision.java
@@ -9,7 +9,8 @@
  * @param advice how long the client had best stay away, with {@link RoutingAction#REJECT}; 0 for no advice
  * @param recall dispatches of the command that are wanted no longer
  */
-public record Decision(RoutingAction action, Attempt attempt, double retryAfterSeconds, List<Attempt> attemptsToCancel) {
+public record Decision(
+        RoutingAction action, Attempt attempt, double retryAfterSeconds, List<Attempt> attemptsToCancel) {
 
     /** NOT_YET leaves the command in hand until this router is asked again; DONE says it has its final answer. */
     public enum RoutingAction {
--- a/core/src/main/java/clayhook/RoutingPolicy.java
+++ b/core/src/main/java/clayhook/RoutingPolicy.java
@@ -1,9 +1,9 @@
 package clayhook;
 
 import clayhook.Decision.RoutingAction;
-import clayhook.RequestClass.Idempotency;
 import clayhook.RequestClass.ConsistencyLevel;
 import clayhook.RequestClass.DeduplicationScope;
+import clayhook.RequestClass.Idempotency;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -13,9 +13,9 @@
 import java.util.Random;
 
 /**
- * All decisions of one router. A front asks {@link #route} for each command taken, {@link #onAttemptFinished} for each outcome and
- * {@link #tick} once it has told all it heard; after the pause it asks {@link #route} for every command in hand. News
- * comes by {@link #onEndpointList}, {@link #onEndpointListFailed} and {@link #onHealthCheck}.
+ * All decisions of one router. A front asks {@link #route} for each command taken, {@link #onAttemptFinished} for each
+ * outcome and {@link #tick} once it has told all it heard; after the pause it asks {@link #route} for every command in
+ * hand. News comes by {@link #onEndpointList}, {@link #onEndpointListFailed} and {@link #onHealthCheck}.
  */
 public final class RoutingPolicy {
     private static final double NEVER = Double.NEGATIVE_INFINITY;
@@ -178,7 +178,9 @@
                 .mapToDouble(g -> g.maxStalenessSeconds() * LAG_GATE_FRACTION)
                 .min()
                 .orElse(TIME_GATE);
-        settings.requestClasses().forEach(group -> expectedServiceTimes.put(group, group.latencyObjectiveSeconds() / 4)); // until told better
+        settings.requestClasses()
+                .forEach(group ->
+                        expectedServiceTimes.put(group, group.latencyObjectiveSeconds() / 4)); // until told better
     }
 
     // ---- where to send a command ----
@@ -189,7 +191,9 @@
         lastStallEndedAt = now > nextTickAt + STALL_THRESHOLD ? now : lastStallEndedAt;
         boolean sent = !cmd.outstandingAttempts().isEmpty();
         boolean first = now == cmd.arrivedAt && cmd.attempts.isEmpty();
-        healthCheckBudget = first ? Math.min(HEALTH_CHECK_BUDGET_CAP, healthCheckBudget + HEALTH_CHECKS_PER_REQUEST) : healthCheckBudget;
+        healthCheckBudget = first
+                ? Math.min(HEALTH_CHECK_BUDGET_CAP, healthCheckBudget + HEALTH_CHECKS_PER_REQUEST)
+                : healthCheckBudget;
         requestCounts.merge(cmd.requestClass, first ? 1L : 0, Long::sum);
         // Guards against work for answers that earn nothing: what can earn nothing is given up at once.
         if (cannotFinishInTime(cmd, now, sent) || first && shouldShed(cmd, now)) {
@@ -202,11 +206,14 @@
             return sent ? keepWaiting(false) : rejectOrFail(cmd);
         }
         awaitingHealthCheck = false;
-        NodeState row = cmd.requestClass.requiresPrimary() ? choosePrimary(cmd, now) : chooseReader(cmd, replicaSet(cmd.replicaSetId), now);
+        NodeState row = cmd.requestClass.requiresPrimary()
+                ? choosePrimary(cmd, now)
+                : chooseReader(cmd, replicaSet(cmd.replicaSetId), now);
         if (row == null) {
             return sent || awaitingHealthCheck || !exceedsHoldTime(cmd, now) ? keepWaiting(!sent) : rejectOrFail(cmd);
         }
-        retryBudget = Math.min(retryBudgetCap, retryBudget + (extra ? -1 : cmd.attempts.isEmpty() ? RETRY_BUDGET_RATIO : 0));
+        retryBudget =
+                Math.min(retryBudgetCap, retryBudget + (extra ? -1 : cmd.attempts.isEmpty() ? RETRY_BUDGET_RATIO : 0));
         return send(cmd, row, now);
     }
 
@@ -218,7 +225,10 @@
 
     /** Guards against probing by routers times nodes: members are looked at when a command needs it. */
     private boolean requestHealthCheck(NodeState row, double now) {
-        if (!settings.healthChecksAllowed() || row.isDrainingOrGone() || healthCheckBudget < 1 || now < row.healthCheckSentAt + HEALTH_CHECK_INTERVAL) {
+        if (!settings.healthChecksAllowed()
+                || row.isDrainingOrGone()
+                || healthCheckBudget < 1
+                || now < row.healthCheckSentAt + HEALTH_CHECK_INTERVAL) {
             return false;
         }
         healthCheckBudget--;
@@ -259,7 +269,9 @@
     private Decision send(Request cmd, NodeState row, double now) {
         row.slowStartBudget -= expectedServiceTimes.get(cmd.requestClass);
         boolean connects = needsConnection(row, now);
-        row.expectedConnections = connects ? row.outstandingAttempts.size() / settings.connectionConcurrency() + 1 : row.expectedConnections;
+        row.expectedConnections = connects
+                ? row.outstandingAttempts.size() / settings.connectionConcurrency() + 1
+                : row.expectedConnections;
         row.lastUsedAt = now;
         Attempt dispatch = new Attempt(cmd, row.node, connects, now, latestUsefulTime(cmd));
         row.outstandingAttempts.add(dispatch);
@@ -269,7 +281,8 @@
 
     /** Guards against queues that no window holds down, since each of many routers has but a dispatch out. */
     private boolean shouldShed(Request cmd, double now) {
-        double part = (replicaSet(cmd.replicaSetId).readLoad(cmd.requestClass).value(now) - SHEDDING_STARTS_AT) / (SHEDDING_FULL_AT - SHEDDING_STARTS_AT);
+        double part = (replicaSet(cmd.replicaSetId).readLoad(cmd.requestClass).value(now) - SHEDDING_STARTS_AT)
+                / (SHEDDING_FULL_AT - SHEDDING_STARTS_AT);
         return !cmd.requestClass.requiresPrimary() && random.nextDouble() < Math.min(MAX_SHED_PROBABILITY, part);
     }
 
@@ -278,9 +291,12 @@
 
     /** Guards against turning away clients that wait for less than a usual answer takes: half come sooner. */
     private boolean cannotFinishInTime(Request cmd, double now, boolean sent) {
-        double pressure = replicaSet(cmd.replicaSetId).readLoad(cmd.requestClass).value(now);
+        double pressure =
+                replicaSet(cmd.replicaSetId).readLoad(cmd.requestClass).value(now);
         double part = Math.max(MIN_SERVICE_TIME_FRACTION, Math.min(1, pressure / SHEDDING_STARTS_AT));
-        double least = Math.min(expectedServiceTimes.get(cmd.requestClass), cmd.requestClass.latencyObjectiveSeconds() / 2) * part;
+        double least =
+                Math.min(expectedServiceTimes.get(cmd.requestClass), cmd.requestClass.latencyObjectiveSeconds() / 2)
+                        * part;
         return now + (sent ? 0 : least) >= latestUsefulTime(cmd);
     }
 
@@ -292,8 +308,11 @@
         boolean write = cmd.requestClass.requiresPrimary();
         double target = Math.min(cmd.requestClass.latencyObjectiveSeconds(), cmd.deadline - cmd.arrivedAt);
         boolean election = write && !isPrimaryHealthy(cmd.replicaSetId, now);
-        double hold = election ? ELECTION_HOLD_FRACTION * (cmd.deadline - cmd.arrivedAt) : (write ? WRITE_HOLD_FRACTION : READ_HOLD_FRACTION) * target;
-        return (election ? cmd.firstPossiblyExecutedAttempt() == null : cmd.attempts.isEmpty()) && now > cmd.arrivedAt + hold;
+        double hold = election
+                ? ELECTION_HOLD_FRACTION * (cmd.deadline - cmd.arrivedAt)
+                : (write ? WRITE_HOLD_FRACTION : READ_HOLD_FRACTION) * target;
+        return (election ? cmd.firstPossiblyExecutedAttempt() == null : cmd.attempts.isEmpty())
+                && now > cmd.arrivedAt + hold;
     }
 
     /** A few looks for room: a client that is asked back at once does better than one that is held. */
@@ -302,8 +321,11 @@
     private static final double WRITE_HOLD_FRACTION = 0.5, ELECTION_HOLD_FRACTION = 0.45;
 
     private static double latestUsefulTime(Request cmd) {
-        double last = cmd.deadline - Math.min(MAX_DEADLINE_MARGIN, DEADLINE_MARGIN_FRACTION * (cmd.deadline - cmd.arrivedAt));
-        return cmd.requestClass.lateWeightFraction() > 0 ? last : Math.min(last, cmd.arrivedAt + cmd.requestClass.latencyObjectiveSeconds());
+        double last =
+                cmd.deadline - Math.min(MAX_DEADLINE_MARGIN, DEADLINE_MARGIN_FRACTION * (cmd.deadline - cmd.arrivedAt));
+        return cmd.requestClass.lateWeightFraction() > 0
+                ? last
+                : Math.min(last, cmd.arrivedAt + cmd.requestClass.latencyObjectiveSeconds());
     }
 
     /** Guards against a last answer too late where this router stood still: a few of its usual pauses. */
@@ -313,24 +335,33 @@
     public Decision rejectOrFail(Request cmd) {
         boolean harmless = cmd.requestClass.idempotency() == Idempotency.IDEMPOTENT
                 || cmd.firstPossiblyExecutedAttempt() == null
-                || cmd.requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY && cmd.requestClass.deduplicationScope() == DeduplicationScope.ALL;
+                || cmd.requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                        && cmd.requestClass.deduplicationScope() == DeduplicationScope.ALL;
         // Soon enough for an answer within the target, spread so that clients don't return together.
-        double advice =
-                Math.min(settings.maxRetryAfterSeconds(), cmd.requestClass.latencyObjectiveSeconds() * (0.1 + 0.2 * random.nextDouble()));
+        double advice = Math.min(
+                settings.maxRetryAfterSeconds(),
+                cmd.requestClass.latencyObjectiveSeconds() * (0.1 + 0.2 * random.nextDouble()));
         return new Decision(
-                harmless ? RoutingAction.REJECT : RoutingAction.FAIL, null, advice, settings.cancellationAllowed() ? cmd.outstandingAttempts() : List.of());
+                harmless ? RoutingAction.REJECT : RoutingAction.FAIL,
+                null,
+                advice,
+                settings.cancellationAllowed() ? cmd.outstandingAttempts() : List.of());
     }
 
     /** Rule 2: a command that may have run goes out again only as its effect allows. */
     private boolean mayRetry(Request cmd, double now) {
         return cmd.requestClass.idempotency() == Idempotency.IDEMPOTENT
                 || cmd.requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
-                        && now < cmd.firstPossiblyExecutedAttempt().sentAt + cmd.requestClass.deduplicationWindowSeconds();
+                        && now
+                                < cmd.firstPossiblyExecutedAttempt().sentAt
+                                        + cmd.requestClass.deduplicationWindowSeconds();
     }
 
     /** Rule 2: repeats of a keyed command stay among the nodes that drop them; all here are of its group. */
     private static boolean deduplicatesRetry(Request cmd, NodeState row) {
-        Attempt first = cmd.requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY ? cmd.firstPossiblyExecutedAttempt() : null;
+        Attempt first = cmd.requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                ? cmd.firstPossiblyExecutedAttempt()
+                : null;
         return first == null
                 || cmd.requestClass.deduplicationScope() != DeduplicationScope.ZONE
                 || first.node.zone().equals(row.node.zone());
@@ -339,7 +370,9 @@
     /** For a silent node or a replaced primary only: copies for lateness cost more work than they saved. */
     private boolean isHedgeDue(Request cmd, double now) {
         Attempt last = cmd.attempts.get(cmd.attempts.size() - 1);
-        if (!settings.hedgingAllowed() || cmd.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT || last.outcome != null) {
+        if (!settings.hedgingAllowed()
+                || cmd.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT
+                || last.outcome != null) {
             return false;
         }
         NodeState row = nodeStates.get(last.node);
@@ -356,7 +389,8 @@
     public boolean mayStillSend(Attempt dispatch, double now) {
         Request cmd = dispatch.request;
         NodeState row = nodeStates.get(dispatch.node);
-        boolean checked = settings.replicasRejectStaleReads() || cmd.requestClass.requiresPrimary() || row.claimsPrimary();
+        boolean checked =
+                settings.replicasRejectStaleReads() || cmd.requestClass.requiresPrimary() || row.claimsPrimary();
         return !cmd.completed
                 && now < dispatch.timeoutAt
                 && !row.isDrainingOrGone()
@@ -384,12 +418,17 @@
     /** Guards against throwing writes at a dead or hung primary while its successor is elected. */
     private boolean isPrimaryHealthy(int group, double now) {
         NodeState row = primaryOf(group);
-        return row != null && !row.isDrainingOrGone() && row.consecutiveFailures < EJECTION_THRESHOLD && !isOverdue(row, now);
+        return row != null
+                && !row.isDrainingOrGone()
+                && row.consecutiveFailures < EJECTION_THRESHOLD
+                && !isOverdue(row, now);
     }
 
     private NodeState chooseReader(Request cmd, ReplicaSet team, double now) {
         NodeState primary = primaryOf(cmd.replicaSetId);
-        if (cmd.requestClass.consistency() == ConsistencyLevel.EVENTUAL && expectedServiceTimes.get(cmd.requestClass) > tightestLagGate && isRare(cmd.requestClass, team)) {
+        if (cmd.requestClass.consistency() == ConsistencyLevel.EVENTUAL
+                && expectedServiceTimes.get(cmd.requestClass) > tightestLagGate
+                && isRare(cmd.requestClass, team)) {
             NodeState keeper = longReadReplica(team, primary, cmd, now);
             if (keeper != null) {
                 return !mustAwaitHealthCheck(keeper, now) && isUsableFor(cmd, keeper, now) ? keeper : null;
@@ -408,11 +447,15 @@
             }
             if (row.consecutiveFailures >= EJECTION_THRESHOLD) {
                 sampleHealthCheck(row, now);
-            } else if (settings.healthChecksAllowed() && isStale(row, now) && healthCheckBudget > HEALTH_CHECK_BUDGET_CAP / 2
+            } else if (settings.healthChecksAllowed()
+                            && isStale(row, now)
+                            && healthCheckBudget > HEALTH_CHECK_BUDGET_CAP / 2
                     || !satisfiesRead(row, team, cmd, now) && !likelySatisfiesRead(row, cmd, now)) {
                 awaitingHealthCheck |= isHealthCheckPending(row, now);
                 boolean better = unseen == null || isInOwnZone(row) && !isInOwnZone(unseen);
-                unseen = better && !row.isDrainingOrGone() && now >= row.healthCheckSentAt + HEALTH_CHECK_INTERVAL ? row : unseen;
+                unseen = better && !row.isDrainingOrGone() && now >= row.healthCheckSentAt + HEALTH_CHECK_INTERVAL
+                        ? row
+                        : unseen;
             } else if (isEligible(row, cmd, now) && acceptsTurn(row, now)) {
                 team.roundRobinIndex = at;
                 awaitingHealthCheck = false;
@@ -435,7 +478,8 @@
             return ahead;
         }
         // The primary keeps half its room for what it alone can take, and all of it once it is slow.
-        boolean spare = primary != null && primary.consecutiveFailures == 0 && team.primaryLoad.value(now) < LOW_LATENCY_RATIO;
+        boolean spare =
+                primary != null && primary.consecutiveFailures == 0 && team.primaryLoad.value(now) < LOW_LATENCY_RATIO;
         return spare && hasCapacity(primary, 0.5, now) && isUsableFor(cmd, primary, now) ? primary : null;
     }
 
@@ -466,10 +510,13 @@
 
     /** Guards against long reads that stop the log on all replicas in turn: they keep to one everywhere. */
     private NodeState longReadReplica(ReplicaSet team, NodeState primary, Request cmd, double now) {
-        boolean waits = now + 2 * expectedServiceTimes.get(cmd.requestClass) < cmd.arrivedAt + cmd.requestClass.latencyObjectiveSeconds();
+        boolean waits = now + 2 * expectedServiceTimes.get(cmd.requestClass)
+                < cmd.arrivedAt + cmd.requestClass.latencyObjectiveSeconds();
         return team.members.stream()
                 .filter(row -> row != primary
-                        && (!waits ? isUsableFor(cmd, row, now) : row.consecutiveFailures == 0 && !row.isDrainingOrGone() && !isSilent(row, now)))
+                        && (!waits
+                                ? isUsableFor(cmd, row, now)
+                                : row.consecutiveFailures == 0 && !row.isDrainingOrGone() && !isSilent(row, now)))
                 .min(Comparator.comparing(row -> row.node.id()))
                 .orElse(null);
     }
@@ -478,14 +525,16 @@
     private boolean isEligible(NodeState row, Request cmd, double now) {
         return !isEjectedForStaleness(row, cmd, now)
                 && isUsableFor(cmd, row, now)
-                && (cmd.requestClass.consistency() != ConsistencyLevel.BOUNDED_STALENESS || row.lagSeconds <= cmd.requestClass.maxStalenessSeconds() * LAG_GATE_FRACTION);
+                && (cmd.requestClass.consistency() != ConsistencyLevel.BOUNDED_STALENESS
+                        || row.lagSeconds <= cmd.requestClass.maxStalenessSeconds() * LAG_GATE_FRACTION);
     }
 
     /** Guards against one blip costing ten seconds: a position told since, within the gate, ends it. */
     private boolean isEjectedForStaleness(NodeState row, Request cmd, double now) {
         return now < row.readRejectedAt + READ_REJECTION_EJECTION_TIME
                 && cmd.requestClass.consistency() != ConsistencyLevel.EVENTUAL
-                && row.appliedPosition < row.readRejectedAt - cmd.requestClass.maxStalenessSeconds() * LAG_GATE_FRACTION;
+                && row.appliedPosition
+                        < row.readRejectedAt - cmd.requestClass.maxStalenessSeconds() * LAG_GATE_FRACTION;
     }
 
     private boolean isInOwnZone(NodeState row) {
@@ -512,7 +561,8 @@
     private double requiredSessionPosition(Request cmd, ReplicaSet team) {
         // The mark is told to a part of a millisecond, by the client or by other routers.
         double carried = cmd.lastWritePosition > 0 ? cmd.lastWritePosition + 0.001 : 0;
-        LastWrite last = cmd.sessionId == null || settings.requestsCarryLastWrite() ? null : lastWrites.get(cmd.sessionId);
+        LastWrite last =
+                cmd.sessionId == null || settings.requestsCarryLastWrite() ? null : lastWrites.get(cmd.sessionId);
         return Math.max(carried, Math.max(team.forgottenWritePosition, last == null ? 0 : last.position));
     }
 
@@ -545,13 +595,16 @@
 
     /** Guards against second copies of what is merely slow: one dispatch overdue is no silence by itself. */
     private boolean isSilent(NodeState row, double now) {
-        return isOverdue(row, now) && (row.outstandingAttempts.size() > 1 || row.healthCheckPending && now > row.healthCheckSentAt + HEALTH_CHECK_TIMEOUT);
+        return isOverdue(row, now)
+                && (row.outstandingAttempts.size() > 1
+                        || row.healthCheckPending && now > row.healthCheckSentAt + HEALTH_CHECK_TIMEOUT);
     }
 
     private boolean isOverdue(NodeState row, double now) {
         Attempt oldest = row.outstandingAttempts.peek();
         return oldest != null
-                && now - Math.max(lastStallEndedAt, Math.max(row.lastAttemptResponseAt, oldest.sentAt)) > silenceTimeout(oldest.request.requestClass);
+                && now - Math.max(lastStallEndedAt, Math.max(row.lastAttemptResponseAt, oldest.sentAt))
+                        > silenceTimeout(oldest.request.requestClass);
     }
 
     private double silenceTimeout(RequestClass group) {
@@ -649,8 +702,11 @@
         outstandingAttemptCount--;
         if (dispatch.opensConnection && reply.elapsedSeconds() > 0) {
             double extra = reply.elapsedSeconds() - expectedServiceTimes.get(cmd.requestClass);
-            boolean told = reply.outcome() == AttemptOutcome.ANSWERED || reply.outcome() == AttemptOutcome.CONNECT_FAILED;
-            connectTimeEstimate = told ? Math.max(MIN_CONNECT_TIME, connectTimeEstimate + 0.1 * (extra - connectTimeEstimate)) : connectTimeEstimate;
+            boolean told =
+                    reply.outcome() == AttemptOutcome.ANSWERED || reply.outcome() == AttemptOutcome.CONNECT_FAILED;
+            connectTimeEstimate = told
+                    ? Math.max(MIN_CONNECT_TIME, connectTimeEstimate + 0.1 * (extra - connectTimeEstimate))
+                    : connectTimeEstimate;
         }
         if (reply.outcome() == AttemptOutcome.TIMED_OUT || reply.outcome() == AttemptOutcome.CANCELLED) {
             row.abandonedAttempts.add(dispatch);
@@ -673,7 +729,8 @@
         if (reply.outcome() == AttemptOutcome.ANSWERED || reply.role() != Role.UNKNOWN) {
             row.lastSeenAt = now;
         }
-        row.appliedPosition = Math.max(row.appliedPosition, Math.max(reply.appliedPosition(), reply.reportedPosition()));
+        row.appliedPosition =
+                Math.max(row.appliedPosition, Math.max(reply.appliedPosition(), reply.reportedPosition()));
         if (reply.role() == Role.PRIMARY) {
             row.primaryClaimedAt = Math.max(row.primaryClaimedAt, now - reply.elapsedSeconds() / 2);
         } else if (reply.role() == Role.REPLICA) {
@@ -684,15 +741,19 @@
         if (reply.reportedRole() == Role.PRIMARY) {
             row.primaryClaimedAt = Math.max(row.primaryClaimedAt, reply.reportedPosition());
         } else if (reply.reportedRole() == Role.REPLICA) {
-            row.replicaClaimedAt = Math.max(row.replicaClaimedAt, Math.max(reply.reportedPosition(), now - MAX_REPORT_AGE));
+            row.replicaClaimedAt =
+                    Math.max(row.replicaClaimedAt, Math.max(reply.reportedPosition(), now - MAX_REPORT_AGE));
         }
         row.reportedLoad = reply.reportedLoad() >= 0 ? reply.reportedLoad() : row.reportedLoad;
         ReplicaSet team = replicaSet(row.node.replicaSetId());
-        team.newestPrimaryPosition = row.claimsPrimary() ? Math.max(team.newestPrimaryPosition, row.appliedPosition) : team.newestPrimaryPosition;
+        team.newestPrimaryPosition = row.claimsPrimary()
+                ? Math.max(team.newestPrimaryPosition, row.appliedPosition)
+                : team.newestPrimaryPosition;
         // Measured when told: a replica that was not asked for a while has not fallen behind by that.
         boolean told = reply.appliedPosition() > 0 || reply.reportedPosition() > 0;
         // Guards against measuring by a primary that was itself heard long ago: its log has gone on since.
-        double newest = Math.max(team.newestPrimaryPosition, reply.appliedPosition() > 0 ? now : now - TYPICAL_REPORT_AGE);
+        double newest =
+                Math.max(team.newestPrimaryPosition, reply.appliedPosition() > 0 ? now : now - TYPICAL_REPORT_AGE);
         row.lagSeconds = told ? newest - row.appliedPosition : row.lagSeconds;
         row.lagMeasuredAt = told ? now : row.lagMeasuredAt;
     }
@@ -712,12 +773,16 @@
                 row.abandonedAttempts.removeIf(d -> d.sentAt <= dispatch.sentAt);
                 row.consecutiveFailures = row.backoffCount = 0;
                 // Guards against a cold budget swollen by sends that full or hung nodes never worked on.
-                completedWorkRate = completedWorkRate(now) + expectedServiceTimes.get(group) / WORK_RATE_DECAY_SECONDS / Math.max(1, servingNodeCount(now));
+                completedWorkRate = completedWorkRate(now)
+                        + expectedServiceTimes.get(group)
+                                / WORK_RATE_DECAY_SECONDS
+                                / Math.max(1, servingNodeCount(now));
                 completedWorkRateAt = now;
                 expectedServiceTimes.merge(group, reply.elapsedSeconds(), (old, took) -> old + 0.02 * (took - old));
                 pressure.addSample(slowness, now);
                 lowerLimitIfSlow(row, slowness);
-                if (row.latencyRatio < LOW_LATENCY_RATIO && row.outstandingAttempts.size() + 1 >= row.concurrencyLimit * 0.7) {
+                if (row.latencyRatio < LOW_LATENCY_RATIO
+                        && row.outstandingAttempts.size() + 1 >= row.concurrencyLimit * 0.7) {
                     row.concurrencyLimit += 0.5 / row.concurrencyLimit;
                 }
             }
@@ -757,7 +822,9 @@
     /** Guards against asking full, failing, hung or dead nodes over and over: each time doubles the rest. */
     private void backOff(NodeState row, int strikes, double now) {
         // Where nothing may be probed only another dispatch can tell that it is back.
-        row.consecutiveFailures = Math.min(row.consecutiveFailures + strikes, settings.healthChecksAllowed() ? Integer.MAX_VALUE : EJECTION_THRESHOLD - 1);
+        row.consecutiveFailures = Math.min(
+                row.consecutiveFailures + strikes,
+                settings.healthChecksAllowed() ? Integer.MAX_VALUE : EJECTION_THRESHOLD - 1);
         row.backoffUntil = now + Math.min(1, 0.05 * Math.pow(2, row.backoffCount++));
     }
 
@@ -773,12 +840,14 @@
     }
 
     private void rememberWrite(Request cmd, AttemptResult reply, double now) {
-        LastWrite told = new LastWrite(replicaSet(cmd.replicaSetId), reply.appliedPosition() > 0 ? reply.appliedPosition() : now);
+        LastWrite told = new LastWrite(
+                replicaSet(cmd.replicaSetId), reply.appliedPosition() > 0 ? reply.appliedPosition() : now);
         lastWrites.merge(cmd.sessionId, told, (a, b) -> a.position > b.position ? a : b);
         // Forgetting never allows a stale read: later session reads of the group must cover what is dropped.
         if (lastWrites.size() > MAX_REMEMBERED_SESSIONS) {
             LastWrite oldest = lastWrites.remove(lastWrites.keySet().iterator().next());
-            oldest.replicaSet.forgottenWritePosition = Math.max(oldest.replicaSet.forgottenWritePosition, oldest.position);
+            oldest.replicaSet.forgottenWritePosition =
+                    Math.max(oldest.replicaSet.forgottenWritePosition, oldest.position);
         }
     }
 
@@ -793,7 +862,9 @@
         // Neither list nor failure within five seconds: the call is lost.
         nextPollAt = watch ? now + 5 : nextPollAt;
         double idle = Math.max(BUSY_TICK, Math.min(IDLE_TICK, nextPollAt - now));
-        double seconds = !healthChecksToSend.isEmpty() ? HEALTH_CHECK_TICK : requestsWaiting || outstandingAttemptCount > 0 ? BUSY_TICK : idle;
+        double seconds = !healthChecksToSend.isEmpty()
+                ? HEALTH_CHECK_TICK
+                : requestsWaiting || outstandingAttemptCount > 0 ? BUSY_TICK : idle;
         nextTickAt = now + seconds;
         var pause = new TickResult(seconds, List.copyOf(healthChecksToSend), watch);
         healthChecksToSend.clear();
@@ -811,13 +882,15 @@
         nodeStates.values().forEach(row -> row.endpoint = whole ? endpointAfterRemoval(row) : row.endpoint);
         for (Endpoint entry : entries) {
             NodeState row = nodeStates.computeIfAbsent(entry.node(), node -> {
-                NodeState made = new NodeState(node, Math.max(minConcurrencyLimit, INITIAL_FLEET_CONCURRENCY / settings.routerCount()));
+                NodeState made = new NodeState(
+                        node, Math.max(minConcurrencyLimit, INITIAL_FLEET_CONCURRENCY / settings.routerCount()));
                 replicaSet(node.replicaSetId()).members.add(made);
                 return made;
             });
             row.endpoint = entry.state() == Endpoint.State.GONE ? endpointAfterRemoval(row) : entry;
         }
-        nodeStates.values()
+        nodeStates
+                .values()
                 .removeIf(row -> row.endpoint == null
                         && row.outstandingAttempts.isEmpty()
                         && replicaSet(row.node.replicaSetId()).members.remove(row));
@@ -874,7 +947,8 @@
 
     /** A call to the node list failed, or its watch broke; it is asked again, not all routers at once. */
     public void onEndpointListFailed(double now) {
-        nextPollAt = settings.endpointListMustBePolled() ? now + MIN_POLL_RETRY_DELAY + random.nextDouble() : nextPollAt;
+        nextPollAt =
+                settings.endpointListMustBePolled() ? now + MIN_POLL_RETRY_DELAY + random.nextDouble() : nextPollAt;
     }
 
     /** Two calls with their turns, and this before each, fit into the time after which news counts. */
@@ -908,11 +982,14 @@
         row.reportedLoad = said.lastSeenAt() > row.lastSeenAt && said.loadWeight() > 0 ? said.load() : row.reportedLoad;
         // Guards against one router's broken way to a node: what failed others makes doubt, no sentence.
         double heard = Math.max(row.lastSeenAt, said.lastSeenAt());
-        boolean failed = said.failedRouterCount() > 0 && said.lastFailureAt() > heard && now < said.lastFailureAt() + TIME_GATE;
+        boolean failed =
+                said.failedRouterCount() > 0 && said.lastFailureAt() > heard && now < said.lastFailureAt() + TIME_GATE;
         row.consecutiveFailures = failed ? Math.max(1, row.consecutiveFailures) : row.consecutiveFailures;
         row.lastSeenAt = heard;
         ReplicaSet team = replicaSet(node.replicaSetId());
-        team.newestPrimaryPosition = row.claimsPrimary() ? Math.max(team.newestPrimaryPosition, row.appliedPosition) : team.newestPrimaryPosition;
+        team.newestPrimaryPosition = row.claimsPrimary()
+                ? Math.max(team.newestPrimaryPosition, row.appliedPosition)
+                : team.newestPrimaryPosition;
     }
 
     /** A probe came back. */
--- a/core/src/main/java/clayhook/hand/InFlightRequests.java
+++ b/core/src/main/java/clayhook/inflight/InFlightRequests.java
@@ -1,12 +1,12 @@
-package clayhook.hand;
+package clayhook.inflight;
 
+import clayhook.Attempt;
+import clayhook.AttemptResult;
 import clayhook.Decision;
 import clayhook.Decision.RoutingAction;
 import clayhook.Request;
 import clayhook.RoutingPolicy;
-import clayhook.Attempt;
 import clayhook.TickResult;
-import clayhook.AttemptResult;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
--- a/core/src/test/java/clayhook/RoutingFixture.java
+++ b/core/src/test/java/clayhook/RoutingFixture.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import clayhook.Decision.RoutingAction;
-import clayhook.RequestClass.Idempotency;
 import clayhook.RequestClass.ConsistencyLevel;
 import clayhook.RequestClass.DeduplicationScope;
+import clayhook.RequestClass.Idempotency;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -17,13 +17,16 @@
     final Node primary = new Node("c", "north", 1);
     final Node replica = new Node("b", "north", 1);
     final Node otherReplica = new Node("a", "south", 1);
-    final RequestClass bounded = requestClass("bounded", Idempotency.IDEMPOTENT, ConsistencyLevel.BOUNDED_STALENESS, 0.4, 0);
+    final RequestClass bounded =
+            requestClass("bounded", Idempotency.IDEMPOTENT, ConsistencyLevel.BOUNDED_STALENESS, 0.4, 0);
     final RequestClass session = requestClass("session", Idempotency.IDEMPOTENT, ConsistencyLevel.SESSION, 0.4, 0);
     final RequestClass eventual = requestClass("any", Idempotency.IDEMPOTENT, ConsistencyLevel.EVENTUAL, 0.4, 0);
     final RequestClass report = requestClass("report", Idempotency.IDEMPOTENT, ConsistencyLevel.EVENTUAL, 4, 0);
     final RequestClass write = requestClass("write", Idempotency.IDEMPOTENT_WITH_KEY, ConsistencyLevel.WRITE, 0.4, 0.5);
-    private final RequestClass nonIdempotentWrite = requestClass("mutating", Idempotency.NON_IDEMPOTENT, ConsistencyLevel.WRITE, 0.4, 0.5);
-    private final RequestClass strong = requestClass("fresh", Idempotency.IDEMPOTENT, ConsistencyLevel.STRONG, 0.4, 0.5);
+    private final RequestClass nonIdempotentWrite =
+            requestClass("mutating", Idempotency.NON_IDEMPOTENT, ConsistencyLevel.WRITE, 0.4, 0.5);
+    private final RequestClass strong =
+            requestClass("fresh", Idempotency.IDEMPOTENT, ConsistencyLevel.STRONG, 0.4, 0.5);
     final RoutingPolicy policy;
     double now = 1000;
     /** What each node answers when it is probed: the last that it told. */
@@ -41,7 +44,8 @@
         this(3, marksCarried, replicasCheck, listMustBeAsked, true);
     }
 
-    RoutingFixture(int routers, boolean marksCarried, boolean replicasCheck, boolean listMustBeAsked, boolean goneBinds) {
+    RoutingFixture(
+            int routers, boolean marksCarried, boolean replicasCheck, boolean listMustBeAsked, boolean goneBinds) {
         this(routers, marksCarried, replicasCheck, listMustBeAsked, goneBinds, true);
     }
 
@@ -84,8 +88,10 @@
         reportAll(now);
     }
 
-    private static RequestClass requestClass(String name, Idempotency effect, ConsistencyLevel level, double target, double late) {
-        return new RequestClass(name, effect, level, target, 10 * target, 1, late, DeduplicationScope.REPLICA_SET, 1.2, 0.3);
+    private static RequestClass requestClass(
+            String name, Idempotency effect, ConsistencyLevel level, double target, double late) {
+        return new RequestClass(
+                name, effect, level, target, 10 * target, 1, late, DeduplicationScope.REPLICA_SET, 1.2, 0.3);
     }
 
     RequestClass primaryClass(Idempotency effect) {
@@ -101,7 +107,8 @@
     }
 
     void report(Node node, Role role, double position) {
-        healthCheckResults.put(node, new AttemptResult(AttemptOutcome.ANSWERED, 0.001, Role.UNKNOWN, 0, role, position, -1));
+        healthCheckResults.put(
+                node, new AttemptResult(AttemptOutcome.ANSWERED, 0.001, Role.UNKNOWN, 0, role, position, -1));
         policy.onHealthCheck(node, healthCheckResults.get(node), now);
     }
 
@@ -119,7 +126,9 @@
     Decision route(Request command) {
         Decision choice = policy.route(command, now);
         for (int i = 0; i < 9 && choice.action() == RoutingAction.WAIT; i++) {
-            policy.tick(now).healthChecks().forEach(node -> policy.onHealthCheck(node, healthCheckResults.get(node), now));
+            policy.tick(now)
+                    .healthChecks()
+                    .forEach(node -> policy.onHealthCheck(node, healthCheckResults.get(node), now));
             choice = policy.route(command, now);
         }
         return choice;
@@ -157,7 +166,10 @@
         int count = 0;
         for (int i = 0; i < commands; i++) {
             Decision choice = policy.route(request(group, 0), now);
-            count += choice.action() == RoutingAction.SEND && choice.attempt().node.equals(node) ? 1 : 0;
+            count += choice.action() == RoutingAction.SEND
+                            && choice.attempt().node.equals(node)
+                    ? 1
+                    : 0;
         }
         return count;
     }
--- a/core/src/test/java/clayhook/RoutingPolicyTest.java
+++ b/core/src/test/java/clayhook/RoutingPolicyTest.java
@@ -6,8 +6,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import clayhook.Decision.RoutingAction;
-import clayhook.RequestClass.Idempotency;
 import clayhook.Endpoint.State;
+import clayhook.RequestClass.Idempotency;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
@@ -88,8 +88,10 @@
         fixture.report(fixture.otherReplica, Role.PRIMARY, fixture.now);
         fixture.now += 1.1;
         Request write = fixture.request(fixture.write, 0);
-        assertEquals(RoutingAction.WAIT, fixture.policy.route(write, fixture.now).action());
-        assertEquals(List.of(fixture.otherReplica), fixture.policy.tick(fixture.now).healthChecks());
+        assertEquals(
+                RoutingAction.WAIT, fixture.policy.route(write, fixture.now).action());
+        assertEquals(
+                List.of(fixture.otherReplica), fixture.policy.tick(fixture.now).healthChecks());
     }
 
     @ParameterizedTest
@@ -158,7 +160,8 @@
         for (int i = 0; i < 6; i++) {
             fixture.now += 2;
             fixture.policy.route(fixture.request(fixture.session, 0), fixture.now);
-            assertEquals(List.of(fixture.replica), fixture.policy.tick(fixture.now).healthChecks());
+            assertEquals(
+                    List.of(fixture.replica), fixture.policy.tick(fixture.now).healthChecks());
             fixture.report(fixture.replica, Role.REPLICA, fixture.now);
         }
     }
@@ -170,7 +173,8 @@
         fixture.updateEndpoint(far, State.READY, 0);
         fixture.report(far, Role.REPLICA, fixture.now);
         for (int i = 0; i < 3; i++) {
-            Decision calm = fixture.policy.route(new Request(fixture.eventual, 2, null, 0, fixture.now, fixture.now + 4), fixture.now);
+            Decision calm = fixture.policy.route(
+                    new Request(fixture.eventual, 2, null, 0, fixture.now, fixture.now + 4), fixture.now);
             fixture.policy.onAttemptFinished(
                     calm.attempt(),
                     new AttemptResult(AttemptOutcome.ANSWERED, 0.04, Role.REPLICA, fixture.now, Role.UNKNOWN, 0, -1),
@@ -182,7 +186,8 @@
             if (crowded.action() == RoutingAction.SEND) {
                 fixture.policy.onAttemptFinished(
                         crowded.attempt(),
-                        new AttemptResult(AttemptOutcome.ANSWERED, 0.36, Role.REPLICA, fixture.now, Role.UNKNOWN, 0, -1),
+                        new AttemptResult(
+                                AttemptOutcome.ANSWERED, 0.36, Role.REPLICA, fixture.now, Role.UNKNOWN, 0, -1),
                         true,
                         fixture.now);
             }
@@ -214,7 +219,8 @@
     void unsentHealthChecksAndAttemptsDoNotChangeNodeState() {
         for (int i = 0; i < 3; i++) {
             for (Node node : List.of(fixture.primary, fixture.replica, fixture.otherReplica)) {
-                fixture.policy.onHealthCheck(node, AttemptResult.withoutReport(AttemptOutcome.NOT_SENT, 0), fixture.now);
+                fixture.policy.onHealthCheck(
+                        node, AttemptResult.withoutReport(AttemptOutcome.NOT_SENT, 0), fixture.now);
             }
             fixture.finish(fixture.send(fixture.eventual), AttemptOutcome.NOT_SENT, Role.UNKNOWN, 0);
         }
@@ -224,7 +230,8 @@
     /** The lag as last told counts, not who was heard last: a router of a hundred hears of each every few seconds. */
     @ParameterizedTest
     @CsvSource({"5, 4, 0, 5", "3, 0.01, 2, 1"})
-    void leastLaggingReplicaIsTriedFirstWhenReplicasRejectStaleReads(double idle, double lag, double apart, double far) {
+    void leastLaggingReplicaIsTriedFirstWhenReplicasRejectStaleReads(
+            double idle, double lag, double apart, double far) {
         RoutingFixture checking = new RoutingFixture(true, true);
         checking.now += idle;
         checking.report(checking.replica, Role.REPLICA, checking.now - lag);
@@ -276,7 +283,10 @@
         int sent = 0;
         for (int i = 0; i < 100; i++) {
             Decision choice = fixture.policy.route(fixture.request(fixture.eventual, 0), fixture.now);
-            sent += choice.action() == RoutingAction.SEND && choice.attempt().node.equals(fixture.replica) ? 1 : 0;
+            sent += choice.action() == RoutingAction.SEND
+                            && choice.attempt().node.equals(fixture.replica)
+                    ? 1
+                    : 0;
         }
         assertTrue(sent <= 1, "sent " + sent);
     }
@@ -340,7 +350,12 @@
         answerReadsWithLatencyRatio(slowness, answers);
         int kept = 0;
         for (int i = 0; i < 20; i++) {
-            kept += fixture.policy.route(fixture.request(fixture.eventual, 0), fixture.now).action() == verdict ? 1 : 0;
+            kept += fixture.policy
+                                    .route(fixture.request(fixture.eventual, 0), fixture.now)
+                                    .action()
+                            == verdict
+                    ? 1
+                    : 0;
         }
         assertTrue(kept >= 10, "only " + kept);
     }
@@ -353,7 +368,14 @@
             if (choice.action() == RoutingAction.SEND) {
                 fixture.policy.onAttemptFinished(
                         choice.attempt(),
-                        new AttemptResult(AttemptOutcome.ANSWERED, 0.4 * slowness, Role.REPLICA, fixture.now, Role.UNKNOWN, 0, -1),
+                        new AttemptResult(
+                                AttemptOutcome.ANSWERED,
+                                0.4 * slowness,
+                                Role.REPLICA,
+                                fixture.now,
+                                Role.UNKNOWN,
+                                0,
+                                -1),
                         true,
                         fixture.now);
             }
@@ -413,7 +435,8 @@
         "NON_IDEMPOTENT, OVERLOADED, 0.1, WAIT",
         "NON_IDEMPOTENT, ERROR, 0.1, FAIL"
     })
-    void possiblyExecutedRequestIsRetriedOnlyAsItsIdempotencyAllows(Idempotency effect, AttemptOutcome outcome, double later, RoutingAction verdict) {
+    void possiblyExecutedRequestIsRetriedOnlyAsItsIdempotencyAllows(
+            Idempotency effect, AttemptOutcome outcome, double later, RoutingAction verdict) {
         Attempt first = fixture.send(fixture.primaryClass(effect));
         fixture.now += later;
         fixture.reportAll(fixture.now);
@@ -433,7 +456,8 @@
         fixture.now += 3;
         fixture.reportAll(fixture.now);
         assertEquals(
-                RoutingAction.WAIT, fixture.policy.route(write.request, fixture.now).action());
+                RoutingAction.WAIT,
+                fixture.policy.route(write.request, fixture.now).action());
     }
 
     @ParameterizedTest
@@ -507,7 +531,9 @@
         fixture.now += 0.5;
         assertEquals(
                 RoutingAction.WAIT,
-                fixture.policy.route(fixture.request(fixture.write, 0), fixture.now).action());
+                fixture.policy
+                        .route(fixture.request(fixture.write, 0), fixture.now)
+                        .action());
         assertEquals(3, fixture.policy.tick(fixture.now).healthChecks().size());
     }
 
@@ -538,12 +564,15 @@
         fixture.report(fixture.primary, Role.REPLICA, fixture.now - later - 0.5);
         assertEquals(
                 verdict,
-                fixture.policy.route(fixture.request(fixture.write, 0), fixture.now).action());
+                fixture.policy
+                        .route(fixture.request(fixture.write, 0), fixture.now)
+                        .action());
     }
 
     @Test
     void writeRejectedByAFormerPrimaryWaitsForItsSuccessor() {
-        Decision choice = fixture.finish(fixture.send(fixture.write), AttemptOutcome.REJECTED, Role.REPLICA, fixture.now);
+        Decision choice =
+                fixture.finish(fixture.send(fixture.write), AttemptOutcome.REJECTED, Role.REPLICA, fixture.now);
         assertEquals(RoutingAction.WAIT, choice.action());
         fixture.now += 0.1;
         fixture.report(fixture.otherReplica, Role.PRIMARY, fixture.now);
@@ -560,7 +589,10 @@
             fixture.policy.tick(fixture.now);
         }
         fixture.now += 0.05;
-        fixture.report(read.node.equals(fixture.otherReplica) ? fixture.replica : fixture.otherReplica, Role.REPLICA, fixture.now);
+        fixture.report(
+                read.node.equals(fixture.otherReplica) ? fixture.replica : fixture.otherReplica,
+                Role.REPLICA,
+                fixture.now);
         Decision copy = fixture.policy.route(read.request, fixture.now);
         assertEquals(RoutingAction.SEND, copy.action());
         assertNotEquals(read.node, copy.attempt().node);
@@ -574,7 +606,8 @@
         assertEquals(List.of(read.node), fixture.policy.tick(fixture.now).healthChecks());
         fixture.reportAll(fixture.now);
         assertEquals(
-                RoutingAction.WAIT, fixture.policy.route(read.request, fixture.now).action());
+                RoutingAction.WAIT,
+                fixture.policy.route(read.request, fixture.now).action());
     }
 
     @Test
@@ -614,7 +647,10 @@
         }
         assertEquals(
                 serves,
-                fixture.policy.route(fixture.request(fixture.write, 0), fixture.now).action() == RoutingAction.SEND);
+                fixture.policy
+                                .route(fixture.request(fixture.write, 0), fixture.now)
+                                .action()
+                        == RoutingAction.SEND);
     }
 
     @Test
@@ -648,7 +684,10 @@
             Attempt read = fixture.send(fixture.eventual);
             AttemptOutcome outcome = read.node.equals(fixture.replica) ? AttemptOutcome.ERROR : AttemptOutcome.ANSWERED;
             fixture.policy.onAttemptFinished(
-                    read, new AttemptResult(outcome, 0.01, Role.REPLICA, fixture.now, Role.UNKNOWN, 0, -1), true, fixture.now);
+                    read,
+                    new AttemptResult(outcome, 0.01, Role.REPLICA, fixture.now, Role.UNKNOWN, 0, -1),
+                    true,
+                    fixture.now);
         }
         assertEquals(Set.of(fixture.otherReplica), fixture.nodesChosenFor(fixture.eventual, 4));
     }
@@ -663,11 +702,15 @@
         fixture.finish(first, AttemptOutcome.CANCELLED, Role.UNKNOWN, 0);
         assertEquals(
                 RoutingAction.WAIT,
-                fixture.policy.route(fixture.request(fixture.eventual, 0), fixture.now).action());
+                fixture.policy
+                        .route(fixture.request(fixture.eventual, 0), fixture.now)
+                        .action());
         fixture.finish(last, AttemptOutcome.ANSWERED, Role.REPLICA, fixture.now);
         assertEquals(
                 RoutingAction.SEND,
-                fixture.policy.route(fixture.request(fixture.eventual, 0), fixture.now).action());
+                fixture.policy
+                        .route(fixture.request(fixture.eventual, 0), fixture.now)
+                        .action());
     }
 
     @Test
@@ -743,7 +786,8 @@
     void peerObservationsOfAnEarlierIncarnationAreIgnored(double life, int goes) {
         fixture.now += 30;
         fixture.updateEndpoint(fixture.replica, State.READY, 1010);
-        fixture.policy.onPeerObservation(fixture.replica, peerObservation(life, fixture.now, 0.1, Double.POSITIVE_INFINITY), fixture.now);
+        fixture.policy.onPeerObservation(
+                fixture.replica, peerObservation(life, fixture.now, 0.1, Double.POSITIVE_INFINITY), fixture.now);
         assertEquals(goes, fixture.countSentTo(fixture.replica, fixture.bounded, 2));
     }
 
@@ -790,7 +834,8 @@
     void writeWithoutAPrimaryIsRejectedBeforeHalfItsTimeout(double share, RoutingAction verdict) {
         fixture.updateEndpoint(fixture.primary, State.DRAINING, 0);
         Request write = fixture.request(fixture.write, 0);
-        assertEquals(RoutingAction.WAIT, fixture.policy.route(write, fixture.now).action());
+        assertEquals(
+                RoutingAction.WAIT, fixture.policy.route(write, fixture.now).action());
         fixture.now += share * fixture.write.clientTimeoutSeconds();
         assertEquals(verdict, fixture.policy.route(write, fixture.now).action());
     }
--- a/core/src/test/java/clayhook/SlowStartSimulation.java
+++ b/core/src/test/java/clayhook/SlowStartSimulation.java
@@ -1,9 +1,9 @@
 package clayhook;
 
 import clayhook.Decision.RoutingAction;
-import clayhook.RequestClass.Idempotency;
 import clayhook.RequestClass.ConsistencyLevel;
 import clayhook.RequestClass.DeduplicationScope;
+import clayhook.RequestClass.Idempotency;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -14,13 +14,16 @@
 import java.util.Random;
 
 /**
- * A plain fleet in virtual time: real {@link RoutingPolicy} instances with unequal traffic, nodes that serve one command after
- * another, some of them cold. It adds up what all routers together send to each cold node. Times are seconds.
+ * A plain fleet in virtual time: real {@link RoutingPolicy} instances with unequal traffic, nodes that serve one
+ * command after another, some of them cold. It adds up what all routers together send to each cold node. Times are
+ * seconds.
  */
 final class SlowStartSimulation {
     private static final double SLOW_START_SECONDS = 18, INITIAL_CAPACITY_FRACTION = 0.29, OVERLOAD_WINDOW_SECONDS = 3;
     /** Writes take more work than reads; the last is that of all commands. */
-    private static final double WRITE_FRACTION = 0.08, WRITE_WORK = 1.6, MEAN_WORK = 1 + WRITE_FRACTION * (WRITE_WORK - 1);
+    private static final double WRITE_FRACTION = 0.08,
+            WRITE_WORK = 1.6,
+            MEAN_WORK = 1 + WRITE_FRACTION * (WRITE_WORK - 1);
     /** What a new connection and a probe cost a node, in reads. */
     private static final double CONNECT_WORK = 0.1, HEALTH_CHECK_WORK = 0.01;
 
@@ -85,7 +88,8 @@
 
         void receive(double work, SlowStartRouter from) {
             if (capacityFraction(now) < 1) {
-                workInSlowStart.add(new ReceivedWork(now, work / MEAN_WORK, from.knownIncarnations.getOrDefault(this, -1.0) == startedAt));
+                workInSlowStart.add(new ReceivedWork(
+                        now, work / MEAN_WORK, from.knownIncarnations.getOrDefault(this, -1.0) == startedAt));
             }
         }
 
@@ -109,7 +113,10 @@
                     sum -= old.amount;
                     told -= old.senderKnewIncarnation ? old.amount : 0;
                 }
-                double bears = overloadFactor * OVERLOAD_WINDOW_SECONDS * capacity * capacityFraction(Math.max(startedAt, work.at - OVERLOAD_WINDOW_SECONDS));
+                double bears = overloadFactor
+                        * OVERLOAD_WINDOW_SECONDS
+                        * capacity
+                        * capacityFraction(Math.max(startedAt, work.at - OVERLOAD_WINDOW_SECONDS));
                 double part = sum / (bears + 2 * Math.sqrt(bears) + 2);
                 boolean breaks = told > sum * 2 / 3;
                 worstOverloadRatio = breaks ? Math.max(worstOverloadRatio, part) : worstOverloadRatio;
@@ -120,8 +127,10 @@
                 }
             }
             double from = startedAt;
-            slowStartWork += workInSlowStart.stream().mapToDouble(ReceivedWork::amount).sum();
-            slowStartCapacity += startedAt == 0 ? 0 : capacity * (END - from) * (capacityFraction(from) + capacityFraction(END)) / 2;
+            slowStartWork +=
+                    workInSlowStart.stream().mapToDouble(ReceivedWork::amount).sum();
+            slowStartCapacity +=
+                    startedAt == 0 ? 0 : capacity * (END - from) * (capacityFraction(from) + capacityFraction(END)) / 2;
         }
     }
 
@@ -186,7 +195,8 @@
             boolean late = now + took > dispatch.timeoutAt;
             schedule(
                     late ? dispatch.timeoutAt - now : took,
-                    () -> onAttemptFinished(dispatch, sentBy, late ? AttemptOutcome.TIMED_OUT : AttemptOutcome.ANSWERED, m));
+                    () -> onAttemptFinished(
+                            dispatch, sentBy, late ? AttemptOutcome.TIMED_OUT : AttemptOutcome.ANSWERED, m));
         }
 
         private void onAttemptFinished(Attempt dispatch, int sentBy, AttemptOutcome outcome, SlowStartNode m) {
@@ -198,7 +208,8 @@
             boolean spoke = (outcome == AttemptOutcome.ANSWERED || outcome == AttemptOutcome.OVERLOADED) && !m.dead;
             AttemptResult reply = spoke
                     ? m.result(outcome, took)
-                    : AttemptResult.withoutReport(outcome == AttemptOutcome.ANSWERED ? AttemptOutcome.RESET : outcome, took);
+                    : AttemptResult.withoutReport(
+                            outcome == AttemptOutcome.ANSWERED ? AttemptOutcome.RESET : outcome, took);
             boolean done = reply.outcome() == AttemptOutcome.ANSWERED && !cmd.completed;
             servedInTime += done && now <= cmd.arrivedAt + cmd.requestClass.latencyObjectiveSeconds() ? 1 : 0;
             cmd.completed |= done;
@@ -224,7 +235,9 @@
                     if (asked == incarnation) {
                         policy.onHealthCheck(
                                 node,
-                                dead ? AttemptResult.withoutReport(AttemptOutcome.CONNECT_FAILED, 0.25) : m.result(AttemptOutcome.ANSWERED, 0.002),
+                                dead
+                                        ? AttemptResult.withoutReport(AttemptOutcome.CONNECT_FAILED, 0.25)
+                                        : m.result(AttemptOutcome.ANSWERED, 0.002),
                                 now);
                     }
                 });
@@ -244,8 +257,8 @@
     private final Random random;
     private final RoutingSettings settings;
     private final double capacity, overloadFactor, endpointListSpreadSeconds;
-    private final PriorityQueue<SimulationEvent> events =
-            new PriorityQueue<>(Comparator.comparingDouble(SimulationEvent::at).thenComparingLong(SimulationEvent::order));
+    private final PriorityQueue<SimulationEvent> events = new PriorityQueue<>(
+            Comparator.comparingDouble(SimulationEvent::at).thenComparingLong(SimulationEvent::order));
     private final List<SlowStartNode> nodes = new ArrayList<>();
     private final Map<Node, SlowStartNode> nodesByIdentity = new HashMap<>();
     private final List<SlowStartRouter> routers = new ArrayList<>();
@@ -273,7 +286,8 @@
      * @param factor the multiple of its capacity that a cold node bears
      * @param spread routers are told of each change at some time within so many seconds
      */
-    SlowStartSimulation(int size, double capacity, double load, double factor, double spread, Scenario trouble, long seed) {
+    SlowStartSimulation(
+            int size, double capacity, double load, double factor, double spread, Scenario trouble, long seed) {
         this.capacity = capacity;
         this.overloadFactor = factor;
         this.endpointListSpreadSeconds = spread;
@@ -281,11 +295,39 @@
         // Long beside the work: little is shed, so that as much as may be comes to the cold.
         double target = 20 / capacity;
         requestClasses = List.of(
-                new RequestClass("any", Idempotency.IDEMPOTENT, ConsistencyLevel.EVENTUAL, target, 2 * target, 2, 0, DeduplicationScope.REPLICA_SET, 5, 0),
                 new RequestClass(
-                        "bounded", Idempotency.IDEMPOTENT, ConsistencyLevel.BOUNDED_STALENESS, target, 2 * target, 1, 0, DeduplicationScope.REPLICA_SET, 5, 0.2),
+                        "any",
+                        Idempotency.IDEMPOTENT,
+                        ConsistencyLevel.EVENTUAL,
+                        target,
+                        2 * target,
+                        2,
+                        0,
+                        DeduplicationScope.REPLICA_SET,
+                        5,
+                        0),
+                new RequestClass(
+                        "bounded",
+                        Idempotency.IDEMPOTENT,
+                        ConsistencyLevel.BOUNDED_STALENESS,
+                        target,
+                        2 * target,
+                        1,
+                        0,
+                        DeduplicationScope.REPLICA_SET,
+                        5,
+                        0.2),
                 new RequestClass(
-                        "write", Idempotency.IDEMPOTENT_WITH_KEY, ConsistencyLevel.WRITE, target, 5 * target, 3, 0.5, DeduplicationScope.REPLICA_SET, 5, 0));
+                        "write",
+                        Idempotency.IDEMPOTENT_WITH_KEY,
+                        ConsistencyLevel.WRITE,
+                        target,
+                        5 * target,
+                        3,
+                        0.5,
+                        DeduplicationScope.REPLICA_SET,
+                        5,
+                        0));
         settings = new RoutingSettings(
                 size,
                 "north",
@@ -311,7 +353,8 @@
         }
         cumulativeTraffic = new double[size];
         for (int i = 0; i < size; i++) {
-            cumulativeTraffic[i] = (i == 0 ? 0 : cumulativeTraffic[i - 1]) + (i % 10 == 0 ? 5 : 0.2 + 1.6 * random.nextDouble());
+            cumulativeTraffic[i] =
+                    (i == 0 ? 0 : cumulativeTraffic[i - 1]) + (i % 10 == 0 ? 5 : 0.2 + 1.6 * random.nextDouble());
             routers.add(new SlowStartRouter());
         }
         routers.forEach(SlowStartRouter::start);
@@ -341,7 +384,10 @@
             offeredRequests++;
             double any = random.nextDouble();
             double team = random.nextDouble() * (REPLICA_SETS - 1 + firstSetTrafficFactor);
-            arrive(requestClasses.get(any < WRITE_FRACTION ? 2 : any < 0.5 ? 1 : 0), (int) Math.max(0, team - firstSetTrafficFactor + 1), 0);
+            arrive(
+                    requestClasses.get(any < WRITE_FRACTION ? 2 : any < 0.5 ? 1 : 0),
+                    (int) Math.max(0, team - firstSetTrafficFactor + 1),
+                    0);
             scheduleNextArrival();
         });
     }
@@ -398,7 +444,8 @@
                     m.draining = true;
                     publishEndpoint(m);
                 }));
-            case CRASH -> schedule(then, () -> old.stream().filter(m -> !m.primary).forEach(m -> m.dead = true));
+            case CRASH ->
+                schedule(then, () -> old.stream().filter(m -> !m.primary).forEach(m -> m.dead = true));
             case PRIMARY_FAILOVER -> {
                 schedule(then, () -> old.stream().filter(m -> m.primary).forEach(m -> {
                     m.dead = true;
@@ -410,10 +457,12 @@
         }
         if (trouble == Scenario.DRAIN_ONE_SET_IN_BURST) {
             schedule(then, () -> {
-                old.stream().filter(m -> !m.primary && m.node.replicaSetId() == 0).forEach(m -> {
-                    m.draining = true;
-                    publishEndpoint(m);
-                });
+                old.stream()
+                        .filter(m -> !m.primary && m.node.replicaSetId() == 0)
+                        .forEach(m -> {
+                            m.draining = true;
+                            publishEndpoint(m);
+                        });
                 requestRate *= (REPLICA_SETS + 2.0) / REPLICA_SETS;
                 firstSetTrafficFactor = 3;
             });
--- a/core/src/test/java/clayhook/hand/InFlightRequestsTest.java
+++ b/core/src/test/java/clayhook/inflight/InFlightRequestsTest.java
@@ -1,30 +1,39 @@
-package clayhook.hand;
+package clayhook.inflight;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertSame;
 
+import clayhook.Attempt;
+import clayhook.AttemptOutcome;
+import clayhook.AttemptResult;
 import clayhook.Decision.RoutingAction;
+import clayhook.Endpoint;
+import clayhook.Endpoint.State;
+import clayhook.Node;
 import clayhook.Request;
 import clayhook.RequestClass;
-import clayhook.RequestClass.Idempotency;
 import clayhook.RequestClass.ConsistencyLevel;
 import clayhook.RequestClass.DeduplicationScope;
-import clayhook.RoutingPolicy;
-import clayhook.Attempt;
-import clayhook.Endpoint;
-import clayhook.Endpoint.State;
-import clayhook.Node;
-import clayhook.AttemptOutcome;
-import clayhook.AttemptResult;
+import clayhook.RequestClass.Idempotency;
 import clayhook.Role;
+import clayhook.RoutingPolicy;
 import clayhook.RoutingSettings;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 class InFlightRequestsTest {
-    private static final RequestClass REQUEST_CLASS =
-            new RequestClass("post", Idempotency.IDEMPOTENT_WITH_KEY, ConsistencyLevel.WRITE, 0.5, 2, 1, 0.5, DeduplicationScope.REPLICA_SET, 5, 0);
+    private static final RequestClass REQUEST_CLASS = new RequestClass(
+            "post",
+            Idempotency.IDEMPOTENT_WITH_KEY,
+            ConsistencyLevel.WRITE,
+            0.5,
+            2,
+            1,
+            0.5,
+            DeduplicationScope.REPLICA_SET,
+            5,
+            0);
     private final Node node = new Node("p", "a", 1);
     private final List<RuntimeException> faults = new ArrayList<>();
     private final InFlightRequests inFlight;
@@ -64,11 +73,14 @@
     @Test
     void attemptIsTimedOutFromItsTimeoutUntilItsResult() {
         inFlight.admit(request, 1000);
-        Attempt dispatch = inFlight.tick(1000).routedRequests().get(0).decision().attempt();
+        Attempt dispatch =
+                inFlight.tick(1000).routedRequests().get(0).decision().attempt();
         assertEquals(List.of(), inFlight.timedOutAttempts(1001.9));
         assertEquals(List.of(dispatch), inFlight.timedOutAttempts(1001.98));
         inFlight.onAttemptFinished(dispatch, result(AttemptOutcome.TIMED_OUT), false, 1001.98);
-        assertEquals(RoutingAction.FAIL, inFlight.tick(1001.98).routedRequests().get(0).decision().action());
+        assertEquals(
+                RoutingAction.FAIL,
+                inFlight.tick(1001.98).routedRequests().get(0).decision().action());
         assertEquals(List.of(), inFlight.timedOutAttempts(1003));
         assertEquals(0, inFlight.size());
     }
@@ -76,7 +88,8 @@
     @Test
     void requestOfGoneClientStaysUntilItsAttemptFinishes() {
         inFlight.admit(request, 1000);
-        Attempt dispatch = inFlight.tick(1000).routedRequests().get(0).decision().attempt();
+        Attempt dispatch =
+                inFlight.tick(1000).routedRequests().get(0).decision().attempt();
         inFlight.onClientGone(request);
         assertEquals(1, inFlight.size());
         inFlight.onAttemptFinished(dispatch, result(AttemptOutcome.ANSWERED), false, 1000.1);
@@ -100,7 +113,8 @@
                 false,
                 1000);
         assertEquals(1, faults.size());
-        InFlightRequests.RoutedRequest order = inFlight.tick(1000).routedRequests().get(0);
+        InFlightRequests.RoutedRequest order =
+                inFlight.tick(1000).routedRequests().get(0);
         assertSame(request, order.request());
         assertEquals(RoutingAction.FAIL, order.decision().action());
     }
--- a/daemon/src/main/java/clayhook/nodes/AttemptCompletion.java
+++ b/daemon/src/main/java/clayhook/backend/AttemptCompletion.java
@@ -1,4 +1,4 @@
-package clayhook.nodes;
+package clayhook.backend;
 
 import clayhook.AttemptOutcome;
 import java.util.List;
--- a/daemon/src/main/java/clayhook/nodes/AttemptPhase.java
+++ b/daemon/src/main/java/clayhook/backend/AttemptPhase.java
@@ -1,4 +1,4 @@
-package clayhook.nodes;
+package clayhook.backend;
 
 /** How far an attempt had come. */
 enum AttemptPhase {
--- a/daemon/src/main/java/clayhook/nodes/BackendClient.java
+++ b/daemon/src/main/java/clayhook/backend/BackendClient.java
@@ -1,16 +1,16 @@
-package clayhook.nodes;
+package clayhook.backend;
 
 import clayhook.Attempt;
-import clayhook.Node;
 import clayhook.AttemptResult;
+import clayhook.Node;
 import clayhook.config.OperatorConfiguration;
 import clayhook.log.Log;
 import clayhook.protocol.MemoryBudget;
 import clayhook.protocol.MessageEncoder;
 import clayhook.protocol.NodeMessage;
 import clayhook.protocol.OutboundStatement;
-import clayhook.transport.SlewedClock;
 import clayhook.transport.DescriptorBudget;
+import clayhook.transport.SlewedClock;
 import clayhook.transport.Transport;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandler;
@@ -83,7 +83,8 @@
 
     /** The node of that id, at that address. */
     public Node registerNode(String id, String zone, int group, InetSocketAddress address) {
-        ConnectionPool pool = pools.computeIfAbsent(id, any -> new ConnectionPool(this, new Node(id, zone, group), address));
+        ConnectionPool pool =
+                pools.computeIfAbsent(id, any -> new ConnectionPool(this, new Node(id, zone, group), address));
         pool.updateAddress(address);
         return pool.node;
     }
@@ -167,7 +168,9 @@
 
     /** What to write for an attempt now. */
     byte[] queryText(BackendRequest attempt) {
-        return attempt.attempt == null ? HEALTH_CHECK_QUERY : attempt.statement.textWithTimeout(attempt.attempt.timeoutAt - clock.now());
+        return attempt.attempt == null
+                ? HEALTH_CHECK_QUERY
+                : attempt.statement.textWithTimeout(attempt.attempt.timeoutAt - clock.now());
     }
 
     /** Gives the longest idle connection of any node back, if there is one. */
@@ -246,12 +249,15 @@
 
     void complete(BackendRequest attempt, AttemptCompletion ending, NodeConnection by) {
         double took = clock.now() - (attempt.attempt == null ? attempt.startedAt : attempt.attempt.sentAt);
-        AttemptResult reply = by == null ? AttemptResult.withoutReport(ending.outcome(), took) : by.result(ending, took);
+        AttemptResult reply =
+                by == null ? AttemptResult.withoutReport(ending.outcome(), took) : by.result(ending, took);
         if (attempt.attempt == null) {
             listener.onHealthCheck(attempt.node, reply);
         } else {
             requests.remove(attempt.attempt);
-            boolean refused = ending instanceof AttemptCompletion.NodeError && by != null && attempt.statement.hasFreeFormResult();
+            boolean refused = ending instanceof AttemptCompletion.NodeError
+                    && by != null
+                    && attempt.statement.hasFreeFormResult();
             List<byte[]> answer = ending instanceof AttemptCompletion.LocalAnswer concluded
                     ? concluded.messages()
                     : refused || ending instanceof AttemptCompletion.Answered ? by.answerMessages() : null;
--- a/daemon/src/main/java/clayhook/nodes/ConnectionPool.java
+++ b/daemon/src/main/java/clayhook/backend/ConnectionPool.java
@@ -1,4 +1,4 @@
-package clayhook.nodes;
+package clayhook.backend;
 
 import clayhook.Node;
 import clayhook.protocol.NodeMessage;
@@ -136,7 +136,8 @@
     }
 
     /** A connection was given other settings, or its node refused them: then so is a statement that asks for them. */
-    void onSettingsChanged(NodeConnection connection, AttemptCompletion.LocalAnswer refusal, Map<String, String> asked) {
+    void onSettingsChanged(
+            NodeConnection connection, AttemptCompletion.LocalAnswer refusal, Map<String, String> asked) {
         BackendRequest refused = refusal == null
                 ? null
                 : waiting.stream()
--- a/daemon/src/main/java/clayhook/nodes/NodeConnection.java
+++ b/daemon/src/main/java/clayhook/backend/NodeConnection.java
@@ -1,12 +1,12 @@
-package clayhook.nodes;
+package clayhook.backend;
 
 import clayhook.AttemptResult;
 import clayhook.Role;
 import clayhook.config.LoadReport;
 import clayhook.protocol.MemoryBudget;
 import clayhook.protocol.MessageEncoder;
-import clayhook.protocol.NodeMessageDecoder;
 import clayhook.protocol.NodeMessage;
+import clayhook.protocol.NodeMessageDecoder;
 import clayhook.statements.SessionSettings;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
@@ -105,7 +105,8 @@
         requestedSettings = to;
         sqlState = null;
         expected = Expected.SETTINGS;
-        context.writeAndFlush(MessageEncoder.query(SessionSettings.change(settings, to).getBytes(StandardCharsets.UTF_8)));
+        context.writeAndFlush(
+                MessageEncoder.query(SessionSettings.change(settings, to).getBytes(StandardCharsets.UTF_8)));
     }
 
     /** Writes the request of an attempt; the connection must be idle. */
@@ -203,7 +204,8 @@
             expected = Expected.NOTHING;
             Map<String, String> asked = requestedSettings;
             settings = sqlState == null ? asked : settings;
-            AttemptCompletion.LocalAnswer refused = sqlState == null ? null : new AttemptCompletion.LocalAnswer(answerMessages);
+            AttemptCompletion.LocalAnswer refused =
+                    sqlState == null ? null : new AttemptCompletion.LocalAnswer(answerMessages);
             onReadComplete = () -> pool.onSettingsChanged(this, refused, asked);
         } else if (!(message instanceof NodeMessage.Part part && part.type() == 'C'
                 || message instanceof NodeMessage.Notice
@@ -218,7 +220,9 @@
         if (message instanceof NodeMessage.ParameterStatus status) {
             onParameterStatus(status.name(), status.value());
         } else if (message instanceof NodeMessage.Part part
-                && (part.type() == 'D' ? part.columnCount() == columnCount : part.type() == 'C' || columnCount == NO_ROW_DESCRIPTION)) {
+                && (part.type() == 'D'
+                        ? part.columnCount() == columnCount
+                        : part.type() == 'C' || columnCount == NO_ROW_DESCRIPTION)) {
             columnCount = part.type() == 'T' || part.type() == 'D' ? part.columnCount() : NO_ROW_DESCRIPTION;
             resultComplete |= columnCount == NO_ROW_DESCRIPTION;
             appendToAnswer(part.message());
@@ -229,7 +233,9 @@
             sqlState = error.sqlState();
             appendToAnswer(error.message());
             pool.onErrorResponse(error);
-        } else if (message instanceof NodeMessage.ReadyForQuery && resultComplete && columnCount == NO_ROW_DESCRIPTION) {
+        } else if (message instanceof NodeMessage.ReadyForQuery
+                && resultComplete
+                && columnCount == NO_ROW_DESCRIPTION) {
             onReadyForQuery();
         } else if (!(message instanceof NodeMessage.Notification)) {
             failProtocol("an answer out of order");
@@ -247,8 +253,8 @@
             String why = fits
                     ? "no memory is left for its answer"
                     : "its answer is longer than " + pool.maxAnswerBytes() + " bytes";
-            completeRequest(new AttemptCompletion.LocalAnswer(
-                    List.of(MessageEncoder.errorMessage(fits ? "53200" : "54000", "the statement has run, but " + why))));
+            completeRequest(new AttemptCompletion.LocalAnswer(List.of(
+                    MessageEncoder.errorMessage(fits ? "53200" : "54000", "the statement has run, but " + why))));
             close();
         }
     }
@@ -377,7 +383,14 @@
     AttemptResult result(AttemptCompletion ending, double took) {
         boolean told = ending instanceof AttemptCompletion.Answered || ending instanceof AttemptCompletion.NodeError;
         return told
-                ? new AttemptResult(ending.outcome(), took, role, position, loadReport.role(), loadReport.position(), loadReport.load())
+                ? new AttemptResult(
+                        ending.outcome(),
+                        took,
+                        role,
+                        position,
+                        loadReport.role(),
+                        loadReport.position(),
+                        loadReport.load())
                 : AttemptResult.withoutReport(ending.outcome(), took);
     }
 
@@ -414,7 +427,10 @@
         closed = true;
         if (request != null) {
             // A fatal error ends the connection with no readiness after it.
-            completeRequest(sqlState != null ? new AttemptCompletion.NodeError(sqlState) : new AttemptCompletion.ConnectionLost(request.phase));
+            completeRequest(
+                    sqlState != null
+                            ? new AttemptCompletion.NodeError(sqlState)
+                            : new AttemptCompletion.ConnectionLost(request.phase));
         }
         if (context != null) {
             context.close();
--- a/daemon/src/main/java/clayhook/config/OperatorConfiguration.java
+++ b/daemon/src/main/java/clayhook/config/OperatorConfiguration.java
@@ -12,7 +12,8 @@
  * @param database that it connects to
  * @param sharing null where it shares nothing with other routers
  */
-public record OperatorConfiguration(StatementSettings statements, String user, String database, SharingSettings sharing) {
+public record OperatorConfiguration(
+        StatementSettings statements, String user, String database, SharingSettings sharing) {
     /** Without a file. */
     public static final OperatorConfiguration DEFAULTS = new OperatorConfiguration(null, "clayhook", "core", null);
 
@@ -43,13 +44,15 @@
                         } else if (writes != (group.consistency() == RequestClass.ConsistencyLevel.WRITE)) {
                             throw toml.invalid(
                                     key, "command group '" + name + "' is for " + (writes ? "reads" : "writes"));
-                        } else if (writes && marked != (group.idempotency() == RequestClass.Idempotency.IDEMPOTENT_WITH_KEY)) {
+                        } else if (writes
+                                && marked != (group.idempotency() == RequestClass.Idempotency.IDEMPOTENT_WITH_KEY)) {
                             throw toml.invalid(
                                     key,
                                     "command group '" + name + "' is "
                                             + (marked
                                                     ? "not keyed, but the rule names a mark"
-                                                    : group.idempotency() == RequestClass.Idempotency.IDEMPOTENT_WITH_KEY
+                                                    : group.idempotency()
+                                                                    == RequestClass.Idempotency.IDEMPOTENT_WITH_KEY
                                                             ? "keyed, which needs a rule with a mark"
                                                             : "fit"));
                         } else if (writes && group.idempotency() == RequestClass.Idempotency.IDEMPOTENT) {
--- a/daemon/src/main/java/clayhook/config/OperatorConfigurationReader.java
+++ b/daemon/src/main/java/clayhook/config/OperatorConfigurationReader.java
@@ -3,8 +3,8 @@
 import clayhook.RequestClass;
 import clayhook.statements.Rule;
 import clayhook.statements.Rule.Placement;
-import clayhook.statements.StatementRules;
 import clayhook.statements.StatementEffect;
+import clayhook.statements.StatementRules;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
@@ -34,7 +34,8 @@
         return readStatements(toml.getTable("statements"), null);
     }
 
-    private static OperatorConfiguration read(TomlSection toml, List<RequestClass> groups) throws ConfigurationException {
+    private static OperatorConfiguration read(TomlSection toml, List<RequestClass> groups)
+            throws ConfigurationException {
         TomlSection nodes = toml.getTable("nodes");
         String user = nodes.getString("user", OperatorConfiguration.DEFAULTS.user());
         String database = nodes.getString("database", OperatorConfiguration.DEFAULTS.database());
@@ -48,13 +49,16 @@
         return new OperatorConfiguration(on ? statements : null, user, database, shares ? shared : null);
     }
 
-    private static OperatorConfiguration.StatementSettings readStatements(TomlSection table, List<RequestClass> groups) throws ConfigurationException {
+    private static OperatorConfiguration.StatementSettings readStatements(TomlSection table, List<RequestClass> groups)
+            throws ConfigurationException {
         StatementRules defaults = StatementRules.DEFAULT;
         TomlSection database = table.getTable("database");
         String readGroup = table.getString("read_group", defaults.readGroup());
         String writeGroup = table.getString("write_group", defaults.writeGroup());
-        OperatorConfiguration.RequestClassValidator.forClasses(groups, table).validate("read_group", false, false, readGroup);
-        OperatorConfiguration.RequestClassValidator.forClasses(groups, table).validate("write_group", true, false, writeGroup);
+        OperatorConfiguration.RequestClassValidator.forClasses(groups, table)
+                .validate("read_group", false, false, readGroup);
+        OperatorConfiguration.RequestClassValidator.forClasses(groups, table)
+                .validate("write_group", true, false, writeGroup);
         var rules = new ArrayList<Rule>();
         for (TomlSection rule : table.getTables("rule")) {
             rules.add(readRule(rule, groups, rules.size() + 1));
@@ -68,7 +72,8 @@
                 database.getStringSet("relations_that_write"),
                 table.getInt("cache_bytes", (int) defaults.cacheBytes(), 1 << 16, 1 << 30),
                 table.getInt("parse_budget", defaults.parseBudget(), 100, 1_000_000),
-                table.getChoice("past_budget", "write", Set.of("write", "refuse")).equals("refuse"),
+                table.getChoice("past_budget", "write", Set.of("write", "refuse"))
+                        .equals("refuse"),
                 List.copyOf(rules),
                 readGroup,
                 writeGroup,
@@ -80,7 +85,8 @@
                 table.getInt("answer_bytes", DEFAULT_MAX_ANSWER_BYTES, 1024, 1 << 28));
     }
 
-    private static Rule readRule(TomlSection rule, List<RequestClass> groups, int number) throws ConfigurationException {
+    private static Rule readRule(TomlSection rule, List<RequestClass> groups, int number)
+            throws ConfigurationException {
         rule.getRequiredString("class");
         boolean writes = rule.getChoice("class", null, Set.of("read", "write")).equals("write");
         String mark = rule.getString("mark", null);
@@ -88,7 +94,8 @@
             throw rule.invalid("mark", "is for rules on writes");
         }
         String group = rule.getRequiredString("group");
-        OperatorConfiguration.RequestClassValidator.forClasses(groups, rule).validate("group", writes, mark != null, group);
+        OperatorConfiguration.RequestClassValidator.forClasses(groups, rule)
+                .validate("group", writes, mark != null, group);
         double from = rule.getNumber("cost_from", 0, 0, SECONDS_PER_DAY);
         double to = rule.getNumber("cost_to", Double.MAX_VALUE, from, Double.MAX_VALUE);
         return new Rule(
--- a/daemon/src/main/java/clayhook/config/RouterConfiguration.java
+++ b/daemon/src/main/java/clayhook/config/RouterConfiguration.java
@@ -52,7 +52,8 @@
     }
 
     /** The same of a file's content. */
-    public static RouterConfiguration fromJson(Object json, Map<String, String> environment) throws ConfigurationException {
+    public static RouterConfiguration fromJson(Object json, Map<String, String> environment)
+            throws ConfigurationException {
         if (!(json instanceof Map<?, ?> map)) {
             throw new ConfigurationException("LB_CONFIG: the file holds no object");
         }
@@ -116,7 +117,9 @@
         } else if (json instanceof List<?> list) {
             values.put(
                     path,
-                    String.join(",", list.stream().map(RouterConfiguration::scalarText).toList()));
+                    String.join(
+                            ",",
+                            list.stream().map(RouterConfiguration::scalarText).toList()));
         } else if (json != null) {
             values.put(path, scalarText(json));
         }
--- a/daemon/src/main/java/clayhook/config/SettingsReader.java
+++ b/daemon/src/main/java/clayhook/config/SettingsReader.java
@@ -1,9 +1,9 @@
 package clayhook.config;
 
 import clayhook.RequestClass;
-import clayhook.RequestClass.Idempotency;
 import clayhook.RequestClass.ConsistencyLevel;
 import clayhook.RequestClass.DeduplicationScope;
+import clayhook.RequestClass.Idempotency;
 import clayhook.RoutingSettings;
 import java.util.ArrayList;
 import java.util.List;
@@ -70,7 +70,9 @@
                     number(path + "late_worth", 0),
                     readScope(path + "group"),
                     seconds(path + "repeat_window"),
-                    i < bounds.length && !bounds[i].isEmpty() ? parseFinite("domain.max_age", bounds[i]) / NANOS_PER_SECOND : 0));
+                    i < bounds.length && !bounds[i].isEmpty()
+                            ? parseFinite("domain.max_age", bounds[i]) / NANOS_PER_SECOND
+                            : 0));
         }
         return groups;
     }
--- a/daemon/src/main/java/clayhook/discovery/DiscoveryClient.java
+++ b/daemon/src/main/java/clayhook/discovery/DiscoveryClient.java
@@ -253,7 +253,10 @@
         if (line == checkConnection) {
             checkConnection = null;
             if (line.pendingPoll != null) { // else it was closed between two checks
-                scheduleCheck(status == SERVICE_UNAVAILABLE ? livenessCheck.nextIntervalSeconds() : livenessCheck.nextRetrySeconds());
+                scheduleCheck(
+                        status == SERVICE_UNAVAILABLE
+                                ? livenessCheck.nextIntervalSeconds()
+                                : livenessCheck.nextRetrySeconds());
             }
         } else if (line == lateConnection) {
             lateConnection = null;
--- a/daemon/src/main/java/clayhook/discovery/EndpointWatcher.java
+++ b/daemon/src/main/java/clayhook/discovery/EndpointWatcher.java
@@ -13,7 +13,9 @@
         /** A call failed; the next one is made when {@link #ensureWatching} is called. */
         void onEndpointListFailed();
 
-        /** The answer to a call is late: its watch may have fallen silent. {@link #ensureWatching} asks anew beside it. */
+        /**
+         * The answer to a call is late: its watch may have fallen silent. {@link #ensureWatching} asks anew beside it.
+         */
         void onEndpointListLate();
     }
 
@@ -47,7 +49,8 @@
         private boolean hasAnswered;
 
         private ServiceWatch(InetSocketAddress address, long version) {
-            client = new DiscoveryClient(transport, address, version, longPollSeconds, new WatchLivenessCheck(random), this);
+            client = new DiscoveryClient(
+                    transport, address, version, longPollSeconds, new WatchLivenessCheck(random), this);
         }
 
         @Override
--- a/daemon/src/main/java/clayhook/discovery/WatchLivenessCheck.java
+++ b/daemon/src/main/java/clayhook/discovery/WatchLivenessCheck.java
@@ -49,8 +49,11 @@
     void onAnswered(double took) {
         retrySeconds = MIN_RETRY_SECONDS;
         bestAnswerSeconds = Math.min(bestAnswerSeconds, took);
-        double factor = took <= FAST_ANSWER_MULTIPLE * bestAnswerSeconds ? FAST_ANSWER_FACTOR : took > SLOW_ANSWER_SECONDS ? SLOW_ANSWER_FACTOR : 1;
-        intervalSeconds = Math.max(MIN_INTERVAL_SECONDS + took, Math.min(MAX_INTERVAL_SECONDS, intervalSeconds * factor));
+        double factor = took <= FAST_ANSWER_MULTIPLE * bestAnswerSeconds
+                ? FAST_ANSWER_FACTOR
+                : took > SLOW_ANSWER_SECONDS ? SLOW_ANSWER_FACTOR : 1;
+        intervalSeconds =
+                Math.max(MIN_INTERVAL_SECONDS + took, Math.min(MAX_INTERVAL_SECONDS, intervalSeconds * factor));
     }
 
     /** The service turned a call away. */
--- a/daemon/src/main/java/clayhook/front/CancelKeyRegistry.java
+++ b/daemon/src/main/java/clayhook/frontend/CancelKeyRegistry.java
@@ -1,4 +1,4 @@
-package clayhook.front;
+package clayhook.frontend;
 
 import clayhook.protocol.ClientMessageDecoder;
 import java.security.SecureRandom;
--- a/daemon/src/main/java/clayhook/front/ClientListener.java
+++ b/daemon/src/main/java/clayhook/frontend/ClientListener.java
@@ -1,8 +1,8 @@
-package clayhook.front;
+package clayhook.frontend;
 
 import clayhook.log.Log;
-import clayhook.protocol.MemoryBudget;
 import clayhook.protocol.ClientMessageDecoder;
+import clayhook.protocol.MemoryBudget;
 import clayhook.protocol.MessageEncoder;
 import clayhook.statements.SessionSettings;
 import clayhook.transport.DescriptorBudget;
@@ -69,8 +69,13 @@
                 return new ChannelHandler[] {new RejectionHandler()};
             }
             var decoder = new ClientMessageDecoder(allowance, settings != null);
-            var session =
-                    new ClientSession(listener, decoder, settings == null ? null : settings.get(), cancelKeys, clock, this::onSessionClosed);
+            var session = new ClientSession(
+                    listener,
+                    decoder,
+                    settings == null ? null : settings.get(),
+                    cancelKeys,
+                    clock,
+                    this::onSessionClosed);
             sessions.add(session);
             if (draining) {
                 drain(session);
--- a/daemon/src/main/java/clayhook/front/ClientRequest.java
+++ b/daemon/src/main/java/clayhook/frontend/ClientRequest.java
@@ -1,9 +1,9 @@
-package clayhook.front;
+package clayhook.frontend;
 
 import clayhook.Request;
 import clayhook.RequestClass;
-import clayhook.protocol.OutboundStatement;
 import clayhook.protocol.KeyValueStatement;
+import clayhook.protocol.OutboundStatement;
 import clayhook.statements.Classification;
 import java.util.List;
 
@@ -21,7 +21,8 @@
     public List<byte[]> lastNodeError;
 
     /** {@code wroteAt}: the position that a read of its session must cover, as far as others told it; 0 for none. */
-    public ClientRequest(RequestClass group, KeyValueStatement statement, ClientSession session, double wroteAt, double now) {
+    public ClientRequest(
+            RequestClass group, KeyValueStatement statement, ClientSession session, double wroteAt, double now) {
         super(
                 group,
                 statement.replicaSetId,
--- a/daemon/src/main/java/clayhook/front/ClientSession.java
+++ b/daemon/src/main/java/clayhook/frontend/ClientSession.java
@@ -1,10 +1,10 @@
-package clayhook.front;
+package clayhook.frontend;
 
 import clayhook.log.Log;
-import clayhook.protocol.ClientMessageDecoder;
 import clayhook.protocol.ClientMessage;
-import clayhook.protocol.MessageEncoder;
+import clayhook.protocol.ClientMessageDecoder;
 import clayhook.protocol.KeyValueStatement;
+import clayhook.protocol.MessageEncoder;
 import clayhook.statements.SessionSettings;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -57,7 +57,8 @@
         void onClientGone(ClientSession session);
 
         /**
-         * The client wants its command stopped; that gets {@link #respondCancelled(boolean)} unless its answer is on its way.
+         * The client wants its command stopped; that gets {@link #respondCancelled(boolean)} unless its answer is on
+         * its way.
          */
         void onCancelRequest(ClientSession session);
     }
@@ -146,12 +147,16 @@
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        partialMessageSince = !decoder.hasPartialMessage() ? 0 : partialMessageSince > 0 ? partialMessageSince : clock.getAsDouble();
+        partialMessageSince =
+                !decoder.hasPartialMessage() ? 0 : partialMessageSince > 0 ? partialMessageSince : clock.getAsDouble();
         closeIfDrained();
     }
 
     private void processPendingMessages() {
-        while (!awaitingResponse && !closing && !pendingMessages.isEmpty() && context.channel().isWritable()) {
+        while (!awaitingResponse
+                && !closing
+                && !pendingMessages.isEmpty()
+                && context.channel().isWritable()) {
             Object message = pendingMessages.poll();
             if (startupDone) {
                 handleMessage(message);
@@ -238,7 +243,8 @@
     }
 
     /** Settings whose values servers tell, as they write them. */
-    private static final List<String> REPORTED_PARAMETERS = List.of("application_name", "DateStyle", "IntervalStyle", "TimeZone");
+    private static final List<String> REPORTED_PARAMETERS =
+            List.of("application_name", "DateStyle", "IntervalStyle", "TimeZone");
 
     private void handleSql(byte[] text) {
         SessionSettings.Reply reply = settings.asked(text);
@@ -423,7 +429,9 @@
                 ? null
                 : partialMessageSince > 0 && now > partialMessageSince + IDLE_TIMEOUT_SECONDS
                         ? "half a message"
-                        : !hasSentRequest && now > quietSince + IDLE_TIMEOUT_SECONDS ? "a client that says nothing" : null;
+                        : !hasSentRequest && now > quietSince + IDLE_TIMEOUT_SECONDS
+                                ? "a client that says nothing"
+                                : null;
     }
 
     /** Answers what it has taken and what has come by now, then ends. */
--- a/daemon/src/main/java/clayhook/front/LingeringClose.java
+++ b/daemon/src/main/java/clayhook/frontend/LingeringClose.java
@@ -1,4 +1,4 @@
-package clayhook.front;
+package clayhook.frontend;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
--- a/daemon/src/main/java/clayhook/peers/DatagramEndpoint.java
+++ b/daemon/src/main/java/clayhook/peers/DatagramEndpoint.java
@@ -98,7 +98,8 @@
     }
 
     /**
-     * Waits until something comes, {@link #wakeUp} is called or the time is over; deaf, it leaves what comes where it is.
+     * Waits until something comes, {@link #wakeUp} is called or the time is over; deaf, it leaves what comes where it
+     * is.
      */
     void await(double seconds, boolean deaf) throws IOException {
         selectionKey.interestOps(deaf ? 0 : SelectionKey.OP_READ);
--- a/daemon/src/main/java/clayhook/peers/EventQueue.java
+++ b/daemon/src/main/java/clayhook/peers/EventQueue.java
@@ -22,7 +22,8 @@
     private static final int MAX_BATCH = 1 << 12;
 
     private final Queue<LocalEvent> replaceable = new MpscArrayQueue<>(REPLACEABLE_CAPACITY);
-    private final Queue<LocalEvent> essential = new MpscChunkedArrayQueue<>(ESSENTIAL_INITIAL_CAPACITY, ESSENTIAL_CAPACITY);
+    private final Queue<LocalEvent> essential =
+            new MpscChunkedArrayQueue<>(ESSENTIAL_INITIAL_CAPACITY, ESSENTIAL_CAPACITY);
     private final LongAdder droppedReplaceable = new LongAdder();
     private final LongAdder droppedEssential = new LongAdder();
     private final Runnable wakeUp;
--- a/daemon/src/main/java/clayhook/peers/GossipTransport.java
+++ b/daemon/src/main/java/clayhook/peers/GossipTransport.java
@@ -1,24 +1,24 @@
 package clayhook.peers;
 
-import clayhook.Node;
 import clayhook.AttemptResult;
+import clayhook.Node;
 import clayhook.config.RouterConfiguration;
 import clayhook.config.SharingSettings;
 import clayhook.discovery.EndpointList;
 import clayhook.fleet.Address;
-import clayhook.fleet.MessageDispatcher;
-import clayhook.fleet.ProtocolHandler;
+import clayhook.fleet.FieldReader;
 import clayhook.fleet.Member;
-import clayhook.fleet.Outbox;
 import clayhook.fleet.Message;
+import clayhook.fleet.MessageDispatcher;
+import clayhook.fleet.Outbox;
 import clayhook.fleet.Peer;
-import clayhook.fleet.FieldReader;
-import clayhook.fleet.kinds.WriteOutcome;
-import clayhook.fleet.members.MembershipSettings;
+import clayhook.fleet.ProtocolHandler;
 import clayhook.fleet.members.Membership;
+import clayhook.fleet.members.MembershipSettings;
 import clayhook.fleet.state.ReplicatedState;
 import clayhook.fleet.state.StateSettings;
-import clayhook.front.ClientRequest;
+import clayhook.fleet.types.WriteOutcome;
+import clayhook.frontend.ClientRequest;
 import clayhook.log.Log;
 import clayhook.serve.PeerSharing;
 import clayhook.transport.SlewedClock;
@@ -85,7 +85,8 @@
     }
 
     /** {@code usual}: what the operator's settings do not say. */
-    static GossipTransport open(SharingSettings settings, RouterConfiguration configuration, StateSettings usual) throws IOException {
+    static GossipTransport open(SharingSettings settings, RouterConfiguration configuration, StateSettings usual)
+            throws IOException {
         var datagrams = DatagramEndpoint.bind(settings.listen());
         Address address = settings.advertise() != null
                 ? address(settings.advertise())
@@ -113,8 +114,10 @@
         var self = new Peer(new Member(name, (long) (now * 1000)), advertisedAddress);
         // Another life counts and asks by other numbers, whatever the seed.
         var chance = new SplittableRandom(configuration.seed() ^ self.member().incarnation());
-        members = new Membership(memberSettings(), self, seedAddresses(settings), chance.nextLong(), now, new MembershipLogger());
-        boolean marks = settings.shareSessionWrites() && !configuration.settings().requestsCarryLastWrite();
+        members = new Membership(
+                memberSettings(), self, seedAddresses(settings), chance.nextLong(), now, new MembershipLogger());
+        boolean marks =
+                settings.shareSessionWrites() && !configuration.settings().requestsCarryLastWrite();
         var kinds = new StateBridge.EnabledTypes(
                 settings.shareObservations(),
                 settings.shareEndpointLists(),
@@ -134,7 +137,8 @@
                 listener);
         bridge.updateKnownNodes(configuration.knownEndpoints());
         // The state last: what the exchange puts in goes out in the same turn.
-        dispatcher = new MessageDispatcher(self.member(), List.of(members, new LeaveAnnouncer(), bridge, state), endpoint::send);
+        dispatcher = new MessageDispatcher(
+                self.member(), List.of(members, new LeaveAnnouncer(), bridge, state), endpoint::send);
         nextReportAt = now + settings.logInterval();
     }
 
@@ -210,14 +214,16 @@
     private void runIteration() throws IOException {
         double now = clock.now();
         int news = eventQueue.drain(each -> runGuarded(() -> handle(each, now)));
-        boolean more = endpoint.receive((from, bytes) -> runGuarded(() -> dispatcher.onDatagram(from, bytes, clock.now())));
+        boolean more =
+                endpoint.receive((from, bytes) -> runGuarded(() -> dispatcher.onDatagram(from, bytes, clock.now())));
         double next = tick(now);
         if (now >= nextReportAt) {
             nextReportAt = now + settings.logInterval();
             runGuarded(() -> logSummary(now));
         }
         boolean dozes = news == 0 && eventQueue.beginWait();
-        double wait = more || leaving ? SHORT_WAIT : news > 0 ? Math.min(SHORT_WAIT, next - now) : dozes ? next - now : 0;
+        double wait =
+                more || leaving ? SHORT_WAIT : news > 0 ? Math.min(SHORT_WAIT, next - now) : dozes ? next - now : 0;
         endpoint.await(wait, more);
         eventQueue.endWait();
     }
@@ -254,9 +260,12 @@
         MessageDispatcher.TrafficCounters counts = dispatcher.counters();
         Log.info("sharing: members " + (1 + members.possiblyServing(now).size()) + " alive "
                 + (1 + members.livePeers().size()) + ", "
-                + bridge.summary(now) + ", packets in " + counts.receivedPackets + " out " + counts.sentPackets + ", bytes out "
-                + counts.sentBytes + ", dropped " + counts.droppedByReason + ", too long " + endpoint.oversizedDatagrams() + ", unsent "
-                + endpoint.unsentPackets() + ", parts unknown " + counts.skippedMessages + ", names refused " + members.rejectedNames()
+                + bridge.summary(now) + ", packets in " + counts.receivedPackets + " out " + counts.sentPackets
+                + ", bytes out "
+                + counts.sentBytes + ", dropped " + counts.droppedByReason + ", too long "
+                + endpoint.oversizedDatagrams() + ", unsent "
+                + endpoint.unsentPackets() + ", parts unknown " + counts.skippedMessages + ", names refused "
+                + members.rejectedNames()
                 + ", news put off " + eventQueue.droppedReplaceable() + " lost " + eventQueue.droppedEssential()
                 + (faults > 0 ? ", faults " + faults : "")
                 + (members.recentlyStalled(now) ? ", stood still" : "") + (members.isSuperseded() ? ", replaced" : ""));
--- a/daemon/src/main/java/clayhook/peers/InDoubtWrites.java
+++ b/daemon/src/main/java/clayhook/peers/InDoubtWrites.java
@@ -1,8 +1,8 @@
 package clayhook.peers;
 
-import clayhook.fleet.ReplicatedType;
 import clayhook.fleet.ReplicatedStore;
-import clayhook.fleet.kinds.WriteOutcome;
+import clayhook.fleet.ReplicatedType;
+import clayhook.fleet.types.WriteOutcome;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.Map;
--- a/daemon/src/main/java/clayhook/peers/LocalEvent.java
+++ b/daemon/src/main/java/clayhook/peers/LocalEvent.java
@@ -1,7 +1,7 @@
 package clayhook.peers;
 
-import clayhook.Node;
 import clayhook.AttemptResult;
+import clayhook.Node;
 import clayhook.discovery.EndpointList;
 import clayhook.fleet.Address;
 import clayhook.serve.PeerSharing;
@@ -20,7 +20,14 @@
     record SessionWriteCommitted(String session, int replicaSet, double position) implements LocalEvent {}
 
     /** A write has run at that node, or for all that is known it may have. */
-    record WriteFinished(String writeKey, double sentAt, int replicaSet, String requestClass, boolean executed, String nodeId, double finishedAt)
+    record WriteFinished(
+            String writeKey,
+            double sentAt,
+            int replicaSet,
+            String requestClass,
+            boolean executed,
+            String nodeId,
+            double finishedAt)
             implements LocalEvent {}
 
     record QuotaUsed(PeerSharing.SharedQuota limit, double units) implements LocalEvent {}
--- a/daemon/src/main/java/clayhook/peers/NodeObservations.java
+++ b/daemon/src/main/java/clayhook/peers/NodeObservations.java
@@ -5,8 +5,8 @@
 import clayhook.Role;
 import clayhook.fleet.MembershipView;
 import clayhook.fleet.ReplicatedStore;
-import clayhook.fleet.kinds.NodeObservation;
-import clayhook.fleet.kinds.ObservationSource;
+import clayhook.fleet.types.NodeObservation;
+import clayhook.fleet.types.ObservationSource;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Set;
@@ -35,7 +35,12 @@
 
     /** Of one node since it was last told; times are those of what was seen. */
     private static final class PendingObservation {
-        double heardAt = NEVER, positionAt = NEVER, primaryAt = NEVER, replicaAt = NEVER, loadAt = NEVER, failedAt = NEVER;
+        double heardAt = NEVER,
+                positionAt = NEVER,
+                primaryAt = NEVER,
+                replicaAt = NEVER,
+                loadAt = NEVER,
+                failedAt = NEVER;
         double position, lag, load;
         int consecutiveFailures;
         boolean unpublished;
@@ -64,7 +69,8 @@
         if (outcome == AttemptOutcome.ANSWERED || outcome == AttemptOutcome.REJECTED || reply.role() != Role.UNKNOWN) {
             look.heardAt = Math.max(look.heardAt, then);
             look.consecutiveFailures = 0;
-        } else if (outcome == AttemptOutcome.CONNECT_FAILED || outcome == AttemptOutcome.TIMED_OUT && reply.elapsedSeconds() >= MIN_SIGNIFICANT_TIMEOUT) {
+        } else if (outcome == AttemptOutcome.CONNECT_FAILED
+                || outcome == AttemptOutcome.TIMED_OUT && reply.elapsedSeconds() >= MIN_SIGNIFICANT_TIMEOUT) {
             look.consecutiveFailures++;
             look.failedAt = now;
         }
@@ -139,8 +145,8 @@
         boolean role = primary != timeOf(known.primaryClaim()) > timeOf(known.replicaClaim())
                 && roleAt > Math.max(timeOf(known.primaryClaim()), timeOf(known.replicaClaim()));
         boolean said = known.failureStreaks().stream()
-                .anyMatch(strike ->
-                        strike.count() >= look.consecutiveFailures && strike.source().router().equals(selfName));
+                .anyMatch(strike -> strike.count() >= look.consecutiveFailures
+                        && strike.source().router().equals(selfName));
         return role
                 || look.consecutiveFailures > 0
                         && look.failedAt > timeOf(known.lastSeen())
@@ -165,7 +171,9 @@
         if (look.heardAt > NEVER) {
             evidence = evidence.withResponse(sourceAt(look.heardAt));
         }
-        return look.consecutiveFailures == 0 ? evidence : evidence.withFailures(look.consecutiveFailures, sourceAt(look.failedAt));
+        return look.consecutiveFailures == 0
+                ? evidence
+                : evidence.withFailures(look.consecutiveFailures, sourceAt(look.failedAt));
     }
 
     private ObservationSource sourceAt(double at) {
--- a/daemon/src/main/java/clayhook/peers/StateBridge.java
+++ b/daemon/src/main/java/clayhook/peers/StateBridge.java
@@ -3,24 +3,24 @@
 import clayhook.Endpoint;
 import clayhook.PeerObservation;
 import clayhook.discovery.EndpointList;
-import clayhook.fleet.ReplicatedType;
-import clayhook.fleet.ProtocolHandler;
-import clayhook.fleet.Outbox;
-import clayhook.fleet.Message;
-import clayhook.fleet.Peer;
 import clayhook.fleet.FieldReader;
 import clayhook.fleet.MembershipView;
+import clayhook.fleet.Message;
+import clayhook.fleet.Outbox;
+import clayhook.fleet.Peer;
+import clayhook.fleet.ProtocolHandler;
 import clayhook.fleet.ReplicatedStore;
-import clayhook.fleet.kinds.NodeObservation;
-import clayhook.fleet.kinds.WriteOutcome;
-import clayhook.fleet.kinds.WriteOutcomes;
-import clayhook.fleet.kinds.PeerObservations;
-import clayhook.fleet.kinds.EndpointListMerge;
-import clayhook.fleet.kinds.ListedEndpoint;
-import clayhook.fleet.kinds.SessionWrite;
-import clayhook.fleet.kinds.SessionConsistency;
-import clayhook.fleet.kinds.FleetQuota;
-import clayhook.fleet.kinds.QuotaUsage;
+import clayhook.fleet.ReplicatedType;
+import clayhook.fleet.types.EndpointListMerge;
+import clayhook.fleet.types.FleetQuota;
+import clayhook.fleet.types.ListedEndpoint;
+import clayhook.fleet.types.NodeObservation;
+import clayhook.fleet.types.PeerObservations;
+import clayhook.fleet.types.QuotaUsage;
+import clayhook.fleet.types.SessionConsistency;
+import clayhook.fleet.types.SessionWrite;
+import clayhook.fleet.types.WriteOutcome;
+import clayhook.fleet.types.WriteOutcomes;
 import clayhook.log.Log;
 import clayhook.serve.PeerSharing;
 import java.net.InetSocketAddress;
@@ -56,7 +56,12 @@
     private static final double FLEET_RETRIES = 90, HEALTH_CHECKS_PER_ROUTER = 15, QUOTA_WINDOW = 10;
 
     /** What this router's copy holds; each is null where the operator has turned it off. */
-    public record EnabledTypes(boolean observations, boolean endpointLists, boolean sessionWrites, ReplicatedType<WriteOutcome> writeOutcomes, boolean quotas) {
+    public record EnabledTypes(
+            boolean observations,
+            boolean endpointLists,
+            boolean sessionWrites,
+            ReplicatedType<WriteOutcome> writeOutcomes,
+            boolean quotas) {
         public List<ReplicatedType<?>> types() {
             var kinds = new ArrayList<ReplicatedType<?>>();
             if (observations) {
@@ -141,8 +146,12 @@
         }
         if (kinds.quotas()) {
             fleetQuota = new FleetQuota(shared, roster, routers);
-            quotas.put(PeerSharing.SharedQuota.FURTHER_ATTEMPTS, new FleetQuota.Quota(QuotaUsage.RETRIES, FLEET_RETRIES, QUOTA_WINDOW));
-            quotas.put(PeerSharing.SharedQuota.HEALTH_CHECKS, new FleetQuota.Quota(QuotaUsage.HEALTH_CHECKS, HEALTH_CHECKS_PER_ROUTER * routers, QUOTA_WINDOW));
+            quotas.put(
+                    PeerSharing.SharedQuota.FURTHER_ATTEMPTS,
+                    new FleetQuota.Quota(QuotaUsage.RETRIES, FLEET_RETRIES, QUOTA_WINDOW));
+            quotas.put(
+                    PeerSharing.SharedQuota.HEALTH_CHECKS,
+                    new FleetQuota.Quota(QuotaUsage.HEALTH_CHECKS, HEALTH_CHECKS_PER_ROUTER * routers, QUOTA_WINDOW));
         }
     }
 
@@ -160,7 +169,8 @@
     private void apply(LocalEvent news, double now) {
         if (news instanceof LocalEvent.AttemptFinished looked) {
             if (ownObservations != null) {
-                ownObservations.recordResult(NodeObservation.key(looked.node().id()), looked.result(), looked.finishedAt());
+                ownObservations.recordResult(
+                        NodeObservation.key(looked.node().id()), looked.result(), looked.finishedAt());
             }
         } else if (news instanceof LocalEvent.EndpointListReceived listed) {
             onEndpointList(listed.source(), listed.list(), now);
@@ -170,7 +180,10 @@
             }
         } else if (news instanceof LocalEvent.SessionWriteCommitted wrote) {
             if (sessionNeeds != null) {
-                pendingSessionWrites.merge(SessionWrite.key(wrote.session()), new SessionWrite(wrote.position(), wrote.replicaSet()), SessionWrite.TYPE::merge);
+                pendingSessionWrites.merge(
+                        SessionWrite.key(wrote.session()),
+                        new SessionWrite(wrote.position(), wrote.replicaSet()),
+                        SessionWrite.TYPE::merge);
             }
         } else if (news instanceof LocalEvent.WriteFinished written) {
             if (inDoubtWrites != null) {
@@ -186,7 +199,8 @@
         return written.executed()
                 ? WriteOutcome.ran(
                         first,
-                        WriteOutcome.OutcomeWitness.of(written.finishedAt(), membership.self().member().name(), written.nodeId()))
+                        WriteOutcome.OutcomeWitness.of(
+                                written.finishedAt(), membership.self().member().name(), written.nodeId()))
                 : WriteOutcome.unknown(first);
     }
 
@@ -225,15 +239,17 @@
         }
         // Guards against calling a node gone that only could not be told: what is left out of a whole list is gone.
         listMerge.onDiscoveryUpdate(source, list.version(), list.complete() && fits, entries, now);
-        Set<String> heard = entries.stream().map(EndpointListMerge.EndpointUpdate::id).collect(Collectors.toSet());
+        Set<String> heard =
+                entries.stream().map(EndpointListMerge.EndpointUpdate::id).collect(Collectors.toSet());
         // The loop has heard the same from discovery itself.
         listMerge.takeChanges().stream()
-                .filter(change ->
-                        change.endpoint().revision() != list.version() || !(list.complete() || heard.contains(change.id())))
+                .filter(change -> change.endpoint().revision() != list.version()
+                        || !(list.complete() || heard.contains(change.id())))
                 .forEach(this::deliver);
     }
 
-    private static EndpointListMerge.EndpointUpdate toListEntry(EndpointList.DiscoveredEndpoint entry, long revision, double now) {
+    private static EndpointListMerge.EndpointUpdate toListEntry(
+            EndpointList.DiscoveredEndpoint entry, long revision, double now) {
         if (entry.id().length() > MAX_ID_LENGTH) {
             throw new IllegalArgumentException("a long id");
         }
@@ -259,13 +275,16 @@
         if (ownObservations != null) {
             publishing = true;
             next = ownObservations.publish(
-                    store, key -> knownNodes.containsKey(key) ? knownNodes.get(key).startedAt() : 0, now);
+                    store,
+                    key -> knownNodes.containsKey(key) ? knownNodes.get(key).startedAt() : 0,
+                    now);
             publishing = false;
             deliver(now);
         }
         if (inDoubtWrites != null) {
             inDoubtWrites.publishResolved(now);
-            writeOutcomes.takeNewConflicts()
+            writeOutcomes
+                    .takeNewConflicts()
                     .forEach(row -> Log.warn(
                             "sharing conflict",
                             "sharing: command " + row.key() + " has run, says "
@@ -308,7 +327,8 @@
     private void deliver(double now) {
         for (String key : changedNodeKeys) {
             KnownNode node = knownNodes.get(key);
-            PeerObservations.NodeSummary word = node == null ? null : peerObservations.summarize(node.id(), node.startedAt(), now);
+            PeerObservations.NodeSummary word =
+                    node == null ? null : peerObservations.summarize(node.id(), node.startedAt(), now);
             if (word != null) {
                 observationQueue.put(
                         node.id(),
@@ -356,7 +376,9 @@
 
     /** The position that a read of that session must cover; 0 for none. For any thread. */
     public double requiredPosition(String session, double now) {
-        return sessionNeeds == null || session == null ? 0 : Math.max(0, sessionNeeds.requiredPosition(SessionWrite.key(session), now));
+        return sessionNeeds == null || session == null
+                ? 0
+                : Math.max(0, sessionNeeds.requiredPosition(SessionWrite.key(session), now));
     }
 
     /** For any thread. */
--- a/daemon/src/main/java/clayhook/protocol/KeyValueStatement.java
+++ b/daemon/src/main/java/clayhook/protocol/KeyValueStatement.java
@@ -10,9 +10,10 @@
 public final class KeyValueStatement implements OutboundStatement {
     private static final String KEY_PATTERN = "[^'\\\\\\p{Cntrl}]{1,256}";
     /** The two forms that nodes take; a character is a byte here. */
-    private static final Pattern STATEMENT_PATTERN = Pattern.compile("(?:SELECT val FROM state WHERE uid = '(?<read>" + KEY_PATTERN
-            + ")'|INSERT INTO state \\(uid, val\\) VALUES \\('(?<written>" + KEY_PATTERN
-            + ")', '\\\\x(?:[0-9a-fA-F]{2})*+'\\) RETURNING val)\\s*/\\*(?<comment>[^*]*+)\\*/\\s*;?\\s*");
+    private static final Pattern STATEMENT_PATTERN =
+            Pattern.compile("(?:SELECT val FROM state WHERE uid = '(?<read>" + KEY_PATTERN
+                    + ")'|INSERT INTO state \\(uid, val\\) VALUES \\('(?<written>" + KEY_PATTERN
+                    + ")', '\\\\x(?:[0-9a-fA-F]{2})*+'\\) RETURNING val)\\s*/\\*(?<comment>[^*]*+)\\*/\\s*;?\\s*");
 
     private final byte[] text;
     /** Where the value of {@code d} stands in the text. */
--- a/daemon/src/main/java/clayhook/protocol/NodeMessageDecoder.java
+++ b/daemon/src/main/java/clayhook/protocol/NodeMessageDecoder.java
@@ -52,7 +52,8 @@
                         checkResultMessage(type, body);
                         yield new NodeMessage.Part(type, whole);
                     }
-                    case 'I' -> freeFormResult ? new NodeMessage.Part(type, whole) : malformed("an answer to an empty query");
+                    case 'I' ->
+                        freeFormResult ? new NodeMessage.Part(type, whole) : malformed("an answer to an empty query");
                     case 'E' -> decodeError(body, whole);
                     case 'N' -> {
                         decodeError(body, whole);
--- a/daemon/src/main/java/clayhook/serve/PeerSharing.java
+++ b/daemon/src/main/java/clayhook/serve/PeerSharing.java
@@ -1,11 +1,11 @@
 package clayhook.serve;
 
-import clayhook.Node;
 import clayhook.AttemptResult;
+import clayhook.Node;
 import clayhook.PeerObservation;
 import clayhook.config.SharingSettings;
 import clayhook.discovery.EndpointList;
-import clayhook.front.ClientRequest;
+import clayhook.frontend.ClientRequest;
 import java.net.InetSocketAddress;
 import java.util.Collection;
 import java.util.Map;
--- a/daemon/src/main/java/clayhook/serve/Router.java
+++ b/daemon/src/main/java/clayhook/serve/Router.java
@@ -1,33 +1,33 @@
 package clayhook.serve;
 
+import clayhook.Attempt;
+import clayhook.AttemptOutcome;
+import clayhook.AttemptResult;
 import clayhook.Decision;
 import clayhook.Decision.RoutingAction;
+import clayhook.Endpoint;
+import clayhook.Node;
+import clayhook.PeerObservation;
 import clayhook.Request;
 import clayhook.RequestClass;
-import clayhook.RequestClass.Idempotency;
 import clayhook.RequestClass.ConsistencyLevel;
+import clayhook.RequestClass.Idempotency;
 import clayhook.RoutingPolicy;
-import clayhook.Attempt;
-import clayhook.Endpoint;
-import clayhook.Node;
-import clayhook.AttemptOutcome;
-import clayhook.AttemptResult;
 import clayhook.RoutingSettings;
-import clayhook.PeerObservation;
-import clayhook.config.RouterConfiguration;
+import clayhook.backend.BackendClient;
 import clayhook.config.OperatorConfiguration;
-import clayhook.discovery.EndpointWatcher;
+import clayhook.config.RouterConfiguration;
 import clayhook.discovery.EndpointList;
-import clayhook.front.ClientRequest;
-import clayhook.front.ClientListener;
-import clayhook.front.ClientSession;
-import clayhook.hand.InFlightRequests;
+import clayhook.discovery.EndpointWatcher;
+import clayhook.frontend.ClientListener;
+import clayhook.frontend.ClientRequest;
+import clayhook.frontend.ClientSession;
+import clayhook.inflight.InFlightRequests;
 import clayhook.log.Log;
-import clayhook.nodes.BackendClient;
 import clayhook.protocol.KeyValueStatement;
 import clayhook.sql.SqlAdmission;
-import clayhook.transport.SlewedClock;
 import clayhook.transport.DescriptorBudget;
+import clayhook.transport.SlewedClock;
 import clayhook.transport.Transport;
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.ScheduledFuture;
@@ -44,7 +44,11 @@
 import java.util.function.DoubleConsumer;
 
 /** The loop: gathers what is ready, hands it to the module in one go, carries out what came back. */
-public final class Router implements ClientSession.RequestHandler, BackendClient.Listener, EndpointWatcher.Listener, PeerSharing.PeerListener {
+public final class Router
+        implements ClientSession.RequestHandler,
+                BackendClient.Listener,
+                EndpointWatcher.Listener,
+                PeerSharing.PeerListener {
     /** Time between summaries in the log. */
     private static final double SUMMARY = 10;
     /** Time between looks at connections that open or stand idle; short beside a connection's time limit. */
@@ -104,7 +108,8 @@
     private double summaryAt = clock.now() + SUMMARY;
 
     /** {@code sharing}: null where nothing is shared with other routers. */
-    public Router(Transport transport, RouterConfiguration configuration, OperatorConfiguration operator, PeerSharing sharing)
+    public Router(
+            Transport transport, RouterConfiguration configuration, OperatorConfiguration operator, PeerSharing sharing)
             throws InterruptedException {
         started = configuration;
         this.operator = operator;
@@ -180,7 +185,9 @@
 
     /** The position that others know a session's read to need; 0 for none. */
     private double need(RequestClass group, String session, double now) {
-        return sharing == null || group.consistency() != ConsistencyLevel.SESSION ? 0 : sharing.requiredPosition(session, now);
+        return sharing == null || group.consistency() != ConsistencyLevel.SESSION
+                ? 0
+                : sharing.requiredPosition(session, now);
     }
 
     private void take(ClientRequest command, double now) {
@@ -206,14 +213,16 @@
                 session.settings().timeout(),
                 session.settings().values());
         if (order instanceof SqlAdmission.AdmissionResult.Admitted taken && nodes.hasReplicaSet(taken.replicaSetId())) {
-            Log.count(taken.classification().verdict() + " " + taken.classification().rule());
+            Log.count(taken.classification().verdict() + " "
+                    + taken.classification().rule());
             tell(rest, now -> take(command(taken, session, now, taken.timeoutSeconds()), now));
             return;
         }
         refuse(session, order);
     }
 
-    private static ClientRequest command(SqlAdmission.AdmissionResult.Admitted taken, ClientSession session, double now, double wait) {
+    private static ClientRequest command(
+            SqlAdmission.AdmissionResult.Admitted taken, ClientSession session, double now, double wait) {
         return new ClientRequest(
                 taken.requestClass(),
                 taken.replicaSetId(),
@@ -285,7 +294,8 @@
     }
 
     private static boolean mayHaveRun(Request command) {
-        return command.attempts.stream().anyMatch(dispatch -> dispatch.outcome == null || !dispatch.outcome.notExecuted);
+        return command.attempts.stream()
+                .anyMatch(dispatch -> dispatch.outcome == null || !dispatch.outcome.notExecuted);
     }
 
     @Override
@@ -325,7 +335,9 @@
                 && answer.stream().noneMatch(message -> message[0] == ERROR)) {
             if (command.classification == null) {
                 sharing.recordSessionWrite(
-                        dispatch.request.sessionId, command.replicaSetId, reply.appliedPosition() > 0 ? reply.appliedPosition() : now);
+                        dispatch.request.sessionId,
+                        command.replicaSetId,
+                        reply.appliedPosition() > 0 ? reply.appliedPosition() : now);
             }
             if (command.requestClass.idempotency() != Idempotency.IDEMPOTENT) {
                 sharing.recordWriteOutcome(command, dispatch.node, now);
@@ -393,7 +405,8 @@
 
     @Override
     public boolean mayStillSend(Attempt dispatch) {
-        return !((ClientRequest) dispatch.request).clientSession.isClientGone() && decide.mayStillSend(dispatch, clock.now());
+        return !((ClientRequest) dispatch.request).clientSession.isClientGone()
+                && decide.mayStillSend(dispatch, clock.now());
     }
 
     @Override
@@ -489,7 +502,9 @@
         turn.routedRequests().forEach(order -> guarded(() -> carryOut(order.request(), order.decision())));
         turn.tickResult().healthChecks().forEach(nodes::startHealthCheck);
         if (sharing != null && !turn.tickResult().healthChecks().isEmpty()) {
-            sharing.recordQuotaUse(PeerSharing.SharedQuota.HEALTH_CHECKS, turn.tickResult().healthChecks().size());
+            sharing.recordQuotaUse(
+                    PeerSharing.SharedQuota.HEALTH_CHECKS,
+                    turn.tickResult().healthChecks().size());
         }
         if (turn.tickResult().pollEndpoints()) {
             discovery.ensureWatching();
--- a/daemon/src/main/java/clayhook/serve/Server.java
+++ b/daemon/src/main/java/clayhook/serve/Server.java
@@ -1,8 +1,8 @@
 package clayhook.serve;
 
 import clayhook.RequestClass;
-import clayhook.config.RouterConfiguration;
 import clayhook.config.OperatorConfiguration;
+import clayhook.config.RouterConfiguration;
 import clayhook.log.Log;
 import clayhook.peers.GossipTransport;
 import clayhook.transport.Transport;
@@ -38,14 +38,17 @@
                 operator.sharing() == null ? null : GossipTransport.open(operator.sharing(), configuration));
     }
 
-    private Server(Transport transport, RouterConfiguration configuration, OperatorConfiguration operator, PeerSharing sharing)
+    private Server(
+            Transport transport, RouterConfiguration configuration, OperatorConfiguration operator, PeerSharing sharing)
             throws InterruptedException {
         this.transport = transport;
         this.sharing = sharing;
         router = new Router(transport, configuration, operator, sharing);
         List<RequestClass> groups = configuration.settings().requestClasses();
-        double longest =
-                groups.stream().mapToDouble(RequestClass::clientTimeoutSeconds).max().orElse(Double.POSITIVE_INFINITY);
+        double longest = groups.stream()
+                .mapToDouble(RequestClass::clientTimeoutSeconds)
+                .max()
+                .orElse(Double.POSITIVE_INFINITY);
         shutdownSchedule = ShutdownSchedule.of(longest);
     }
 
--- a/daemon/src/main/java/clayhook/sim/InputLine.java
+++ b/daemon/src/main/java/clayhook/simulator/InputLine.java
@@ -1,4 +1,4 @@
-package clayhook.sim;
+package clayhook.simulator;
 
 /** One line of the wire, read part by part. */
 final class InputLine {
--- a/daemon/src/main/java/clayhook/sim/SimulatedEndpoint.java
+++ b/daemon/src/main/java/clayhook/simulator/SimulatedEndpoint.java
@@ -1,9 +1,10 @@
-package clayhook.sim;
+package clayhook.simulator;
 
 import clayhook.Endpoint.State;
 
 /** One entry of a numbered list as it came on the wire. */
-record SimulatedEndpoint(String nodeId, String zone, boolean primary, int replicaSetId, State state, long startedAtNanos) {
+record SimulatedEndpoint(
+        String nodeId, String zone, boolean primary, int replicaSetId, State state, long startedAtNanos) {
 
     static SimulatedEndpoint parse(InputLine line) throws SimulatorProtocolException {
         String node = line.nextText("node");
@@ -16,6 +17,7 @@
             throw line.error("has an unknown stage_state " + number);
         }
         line.nextOrNull("rating");
-        return new SimulatedEndpoint(node, zone, primary, group, State.values()[(int) number], line.nextLong("since", 0));
+        return new SimulatedEndpoint(
+                node, zone, primary, group, State.values()[(int) number], line.nextLong("since", 0));
     }
 }
--- a/daemon/src/main/java/clayhook/sim/SimulatedRouter.java
+++ b/daemon/src/main/java/clayhook/simulator/SimulatedRouter.java
@@ -1,19 +1,19 @@
-package clayhook.sim;
+package clayhook.simulator;
 
+import clayhook.Attempt;
+import clayhook.AttemptOutcome;
+import clayhook.AttemptResult;
 import clayhook.Decision;
 import clayhook.Decision.RoutingAction;
-import clayhook.Request;
-import clayhook.RequestClass;
-import clayhook.RoutingPolicy;
-import clayhook.Attempt;
 import clayhook.Endpoint;
 import clayhook.Node;
-import clayhook.AttemptOutcome;
-import clayhook.AttemptResult;
+import clayhook.Request;
+import clayhook.RequestClass;
 import clayhook.Role;
+import clayhook.RoutingPolicy;
 import clayhook.RoutingSettings;
 import clayhook.config.LoadReport;
-import clayhook.hand.InFlightRequests;
+import clayhook.inflight.InFlightRequests;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -165,7 +165,10 @@
             out.append("REJECT ")
                     .append(command.id)
                     .append(' ')
-                    .append(settings.clientsHonorRetryAfter() ? Math.round(choice.retryAfterSeconds() * NANOS_PER_SECOND) : 0)
+                    .append(
+                            settings.clientsHonorRetryAfter()
+                                    ? Math.round(choice.retryAfterSeconds() * NANOS_PER_SECOND)
+                                    : 0)
                     .append('\n');
         } else if (choice.action() == RoutingAction.FAIL) {
             out.append("REPORT_FAILURE ").append(command.id).append('\n');
@@ -195,7 +198,8 @@
         };
     }
 
-    private AttemptResult parseResult(InputLine line, AttemptOutcome outcome, double took, long stand) throws SimulatorProtocolException {
+    private AttemptResult parseResult(InputLine line, AttemptOutcome outcome, double took, long stand)
+            throws SimulatorProtocolException {
         Role role =
                 switch ((int) (stand % 4)) {
                     case 1 -> Role.PRIMARY;
--- a/daemon/src/main/java/clayhook/sim/SimulatorAdapter.java
+++ b/daemon/src/main/java/clayhook/simulator/SimulatorAdapter.java
@@ -1,4 +1,4 @@
-package clayhook.sim;
+package clayhook.simulator;
 
 import java.io.BufferedReader;
 import java.io.IOException;
--- a/daemon/src/main/java/clayhook/sim/SimulatorProtocolException.java
+++ b/daemon/src/main/java/clayhook/simulator/SimulatorProtocolException.java
@@ -1,4 +1,4 @@
-package clayhook.sim;
+package clayhook.simulator;
 
 /** A line of the wire that cannot be understood; the message names it. */
 public final class SimulatorProtocolException extends Exception {
--- a/daemon/src/main/java/clayhook/sim/SimulatorSettings.java
+++ b/daemon/src/main/java/clayhook/simulator/SimulatorSettings.java
@@ -1,4 +1,4 @@
-package clayhook.sim;
+package clayhook.simulator;
 
 import clayhook.RoutingSettings;
 import clayhook.config.ConfigurationException;
--- a/daemon/src/main/java/clayhook/sql/SqlAdmission.java
+++ b/daemon/src/main/java/clayhook/sql/SqlAdmission.java
@@ -1,8 +1,8 @@
 package clayhook.sql;
 
 import clayhook.RequestClass;
-import clayhook.RequestClass.Idempotency;
 import clayhook.RequestClass.ConsistencyLevel;
+import clayhook.RequestClass.Idempotency;
 import clayhook.config.OperatorConfiguration;
 import clayhook.protocol.RoutingComment;
 import clayhook.protocol.SqlStatement;
@@ -30,7 +30,12 @@
          * @param after position in seconds that the client's comment asks a read to cover; 0 for none
          */
         record Admitted(
-                RequestClass requestClass, int replicaSetId, double timeoutSeconds, double requiredPosition, SqlStatement statement, Classification classification)
+                RequestClass requestClass,
+                int replicaSetId,
+                double timeoutSeconds,
+                double requiredPosition,
+                SqlStatement statement,
+                Classification classification)
                 implements AdmissionResult {}
 
         /** None; nothing of it goes to any node. */
@@ -53,7 +58,8 @@
         return new SessionSettings(operator.rules().conforming());
     }
 
-    public AdmissionResult admit(byte[] text, ClientIdentity client, double clientTimeout, Map<String, String> settings) {
+    public AdmissionResult admit(
+            byte[] text, ClientIdentity client, double clientTimeout, Map<String, String> settings) {
         Classification classed = classifier.classify(text, client);
         if (classed.verdict() == StatementEffect.REFUSED) {
             return new AdmissionResult.Rejected("0A000", classed.why());
@@ -78,15 +84,21 @@
                 return new AdmissionResult.Rejected("42601", e.getMessage());
             }
         }
-        return new AdmissionResult.Admitted(group, nodes, wait, after, new SqlStatement(text, settings, classed.opaque()), classed);
+        return new AdmissionResult.Admitted(
+                group, nodes, wait, after, new SqlStatement(text, settings, classed.opaque()), classed);
     }
 
     /** The same once a node has refused to run as a read what was taken for one: it never ran, and is a write. */
     public AdmissionResult readmitAsWrite(
-            Classification refused, byte[] text, ClientIdentity client, double clientTimeout, Map<String, String> settings) {
+            Classification refused,
+            byte[] text,
+            ClientIdentity client,
+            double clientTimeout,
+            Map<String, String> settings) {
         classifier.wrote(refused);
         AdmissionResult order = admit(text, client, clientTimeout, settings);
-        return order instanceof AdmissionResult.Admitted taken && taken.classification().verdict() == StatementEffect.WRITE
+        return order instanceof AdmissionResult.Admitted taken
+                        && taken.classification().verdict() == StatementEffect.WRITE
                 ? order
                 : new AdmissionResult.Rejected("25006", "the statement writes, which its text does not show");
     }
@@ -95,7 +107,8 @@
     private static boolean mayReplaceClass(RequestClass named, Classification classed, RoutingComment comment) {
         return named != null
                 && (named.consistency() == ConsistencyLevel.WRITE
-                        ? named.idempotency() == Idempotency.NON_IDEMPOTENT || named.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY && comment.hasIdempotencyKey()
+                        ? named.idempotency() == Idempotency.NON_IDEMPOTENT
+                                || named.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY && comment.hasIdempotencyKey()
                         : classed.verdict() == StatementEffect.READ);
     }
 
--- a/daemon/src/main/java/clayhook/transport/Transport.java
+++ b/daemon/src/main/java/clayhook/transport/Transport.java
@@ -1,7 +1,7 @@
 package clayhook.transport;
 
-import clayhook.log.NettyLogHandler;
 import clayhook.log.Log;
+import clayhook.log.NettyLogHandler;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.AdaptiveRecvByteBufAllocator;
@@ -118,7 +118,8 @@
                 .group(group)
                 .childHandler(initializer(handlers))
                 .childOption(
-                        ChannelOption.RECVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator().maxMessagesPerRead(MAX_READS_PER_TICK));
+                        ChannelOption.RECVBUF_ALLOCATOR,
+                        new AdaptiveRecvByteBufAllocator().maxMessagesPerRead(MAX_READS_PER_TICK));
         switch (kind) {
             case TCP ->
                 bootstrap
@@ -154,7 +155,11 @@
     /** Listens no more. A listening socket resets what waits to be accepted as it closes: that is accepted first. */
     public void stopListening(Channel listening) {
         if (listening instanceof BacklogDrainingServerChannel own && own.isOpen() && own.acceptBacklog()) {
-            eventLoop().schedule(() -> stopListening(listening), 1, TimeUnit.MILLISECONDS); // once descriptors are free again
+            eventLoop()
+                    .schedule(
+                            () -> stopListening(listening),
+                            1,
+                            TimeUnit.MILLISECONDS); // once descriptors are free again
         } else {
             listening.close();
         }
@@ -214,7 +219,8 @@
      */
     public void close() {
         if (!closed.getAndSet(true)) {
-            eventLoop().execute(() -> group.shutdownGracefully(SHUTDOWN_QUIET_PERIOD_MS, SHUTDOWN_TIMEOUT_MS, TimeUnit.MILLISECONDS)
+            eventLoop().execute(() -> group.shutdownGracefully(
+                            SHUTDOWN_QUIET_PERIOD_MS, SHUTDOWN_TIMEOUT_MS, TimeUnit.MILLISECONDS)
                     .addListener(done -> deleteSocketDirectory()));
         }
     }
--- a/daemon/src/main/java/clayhook/rehearsal/StubClient.java
+++ b/daemon/src/main/java/clayhook/warmup/StubClient.java
@@ -1,11 +1,11 @@
-package clayhook.rehearsal;
+package clayhook.warmup;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 import clayhook.protocol.MemoryBudget;
 import clayhook.protocol.MessageEncoder;
-import clayhook.protocol.NodeMessageDecoder;
 import clayhook.protocol.NodeMessage;
+import clayhook.protocol.NodeMessageDecoder;
 import clayhook.transport.Transport;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -35,7 +35,9 @@
         channel = transport.connect(
                 router,
                 TIMEOUT_SECONDS,
-                () -> new ChannelHandler[] {new NodeMessageDecoder(new MemoryBudget(Long.MAX_VALUE)), new StubClientHandler()},
+                () -> new ChannelHandler[] {
+                    new NodeMessageDecoder(new MemoryBudget(Long.MAX_VALUE)), new StubClientHandler()
+                },
                 () -> answers.add(NO_CONNECTION));
     }
 
--- a/daemon/src/main/java/clayhook/rehearsal/StubDiscovery.java
+++ b/daemon/src/main/java/clayhook/warmup/StubDiscovery.java
@@ -1,4 +1,4 @@
-package clayhook.rehearsal;
+package clayhook.warmup;
 
 import static java.nio.charset.StandardCharsets.US_ASCII;
 
--- a/daemon/src/main/java/clayhook/rehearsal/StubNode.java
+++ b/daemon/src/main/java/clayhook/warmup/StubNode.java
@@ -1,12 +1,12 @@
-package clayhook.rehearsal;
+package clayhook.warmup;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import clayhook.protocol.MemoryBudget;
-import clayhook.protocol.ClientMessageDecoder;
 import clayhook.protocol.ClientMessage;
-import clayhook.protocol.MessageEncoder;
+import clayhook.protocol.ClientMessageDecoder;
 import clayhook.protocol.KeyValueStatement;
+import clayhook.protocol.MemoryBudget;
+import clayhook.protocol.MessageEncoder;
 import clayhook.transport.Transport;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -49,10 +49,15 @@
     /** The role of a node that leaves probes unanswered. */
     public static final String UNRESPONSIVE = "mute";
 
-    public StubNode(Transport transport, InetSocketAddress address, String role, Function<KeyValueStatement, StubResponse> deeds)
+    public StubNode(
+            Transport transport,
+            InetSocketAddress address,
+            String role,
+            Function<KeyValueStatement, StubResponse> deeds)
             throws InterruptedException {
-        super(transport, address, () ->
-                new ChannelHandler[] {new ClientMessageDecoder(new MemoryBudget(Long.MAX_VALUE)), new StubNodeHandler(role, deeds)});
+        super(transport, address, () -> new ChannelHandler[] {
+            new ClientMessageDecoder(new MemoryBudget(Long.MAX_VALUE)), new StubNodeHandler(role, deeds)
+        });
     }
 
     /** An answer of one row, and what a node tells with it; {@code applied} is its position in milliseconds. */
--- a/daemon/src/main/java/clayhook/rehearsal/StubServer.java
+++ b/daemon/src/main/java/clayhook/warmup/StubServer.java
@@ -1,4 +1,4 @@
-package clayhook.rehearsal;
+package clayhook.warmup;
 
 import clayhook.transport.Transport;
 import io.netty.channel.Channel;
--- a/daemon/src/main/java/clayhook/rehearsal/WarmUp.java
+++ b/daemon/src/main/java/clayhook/warmup/WarmUp.java
@@ -1,4 +1,4 @@
-package clayhook.rehearsal;
+package clayhook.warmup;
 
 import clayhook.RequestClass;
 import clayhook.RequestClass.ConsistencyLevel;
@@ -41,7 +41,8 @@
     private WarmUp() {}
 
     /** Closes the transport in the end; false where that carries nothing, so that nothing was rehearsed. */
-    public static boolean run(RoutingSettings settings, Transport transport, boolean awaited) throws InterruptedException {
+    public static boolean run(RoutingSettings settings, Transport transport, boolean awaited)
+            throws InterruptedException {
         return run(settings, transport, transport, awaited);
     }
 
@@ -70,15 +71,18 @@
         }
     }
 
-    private static boolean serveStubClients(RoutingSettings settings, Transport transport, Transport outside, double until)
+    private static boolean serveStubClients(
+            RoutingSettings settings, Transport transport, Transport outside, double until)
             throws InterruptedException {
-        var primary = new StubNode(transport, transport.ephemeralAddress(1), "primary", any -> StubNode.StubResponse.answer("p"));
-        var replica = new StubNode(transport, transport.ephemeralAddress(2), "replica", any -> StubNode.StubResponse.answer("r"));
+        var primary = new StubNode(
+                transport, transport.ephemeralAddress(1), "primary", any -> StubNode.StubResponse.answer("p"));
+        var replica = new StubNode(
+                transport, transport.ephemeralAddress(2), "replica", any -> StubNode.StubResponse.answer("r"));
         var other = new StubNode(transport, transport.ephemeralAddress(3), "replica", varyingResponses());
-        String list = "{\"rev\":2,\"all\":true,\"targets\":[" + endpointJson("p", primary) + "," + endpointJson("r", replica) + ","
-                + endpointJson("o", other) + "]}";
-        var discovery =
-                new StubDiscovery(transport, transport.ephemeralAddress(4), call -> call.contains("after=2") ? null : list);
+        String list = "{\"rev\":2,\"all\":true,\"targets\":[" + endpointJson("p", primary) + ","
+                + endpointJson("r", replica) + "," + endpointJson("o", other) + "]}";
+        var discovery = new StubDiscovery(
+                transport, transport.ephemeralAddress(4), call -> call.contains("after=2") ? null : list);
         var server = new Server(
                 transport,
                 new RouterConfiguration(
@@ -95,9 +99,11 @@
         boolean carried = true;
         for (int i = 0; carried && i < REQUESTS_PER_CLIENT && System.nanoTime() / 1e9 < until; i++) {
             for (int j = 0; j < CONCURRENT_CLIENTS; j++) {
-                RequestClass group = settings.requestClasses().get(j % settings.requestClasses().size());
+                RequestClass group = settings.requestClasses()
+                        .get(j % settings.requestClasses().size());
                 ByteBuf statement = StubClient.statement(
-                        group.consistency() == ConsistencyLevel.WRITE, "id=" + j + ",c=" + group.name() + ",d=400,k=2,cluster=1");
+                        group.consistency() == ConsistencyLevel.WRITE,
+                        "id=" + j + ",c=" + group.name() + ",d=400,k=2,cluster=1");
                 if (i % REQUESTS_PER_CONNECTION == 0) {
                     clients.add(new StubClient(outside, server.address()));
                     clients.get(j).send(StubClient.startupAndFirst(statement));
@@ -107,7 +113,9 @@
             }
             for (StubClient client : clients) {
                 // Guards against a start that waits for sockets which the platform has not got.
-                carried = carried && (i % REQUESTS_PER_CONNECTION != 0 || receivedAnswer(client, until)) && receivedAnswer(client, until);
+                carried = carried
+                        && (i % REQUESTS_PER_CONNECTION != 0 || receivedAnswer(client, until))
+                        && receivedAnswer(client, until);
             }
             if (i % REQUESTS_PER_CONNECTION == REQUESTS_PER_CONNECTION - 1) {
                 clients.forEach(StubClient::close);
--- a/daemon/src/test/java/clayhook/nodes/AttemptCompletionTest.java
+++ b/daemon/src/test/java/clayhook/backend/AttemptCompletionTest.java
@@ -1,4 +1,4 @@
-package clayhook.nodes;
+package clayhook.backend;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -14,7 +14,8 @@
         "WRITTEN, RESET, TIMED_OUT, CANCELLED",
         "ANSWERING, RESET, TIMED_OUT, CANCELLED"
     })
-    void phaseDecidesWhetherTheRequestMayHaveRun(AttemptPhase stage, AttemptOutcome broken, AttemptOutcome silent, AttemptOutcome calledOff) {
+    void phaseDecidesWhetherTheRequestMayHaveRun(
+            AttemptPhase stage, AttemptOutcome broken, AttemptOutcome silent, AttemptOutcome calledOff) {
         assertEquals(broken, new AttemptCompletion.ConnectionLost(stage).outcome());
         assertEquals(silent, new AttemptCompletion.TimedOut(stage).outcome());
         assertEquals(calledOff, new AttemptCompletion.Cancelled(stage).outcome());
--- a/daemon/src/test/java/clayhook/nodes/BackendClientTest.java
+++ b/daemon/src/test/java/clayhook/backend/BackendClientTest.java
@@ -1,21 +1,21 @@
-package clayhook.nodes;
+package clayhook.backend;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clayhook.Request;
 import clayhook.Attempt;
-import clayhook.Node;
 import clayhook.AttemptOutcome;
 import clayhook.AttemptResult;
+import clayhook.Node;
+import clayhook.Request;
 import clayhook.Role;
 import clayhook.config.OperatorConfiguration;
 import clayhook.protocol.KeyValueStatement;
-import clayhook.rehearsal.StubNode;
-import clayhook.rehearsal.StubNode.StubResponse;
-import clayhook.transport.SlewedClock;
 import clayhook.transport.DescriptorBudget;
+import clayhook.transport.SlewedClock;
 import clayhook.transport.Transport;
+import clayhook.warmup.StubNode;
+import clayhook.warmup.StubNode.StubResponse;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import java.net.InetAddress;
@@ -74,12 +74,22 @@
 
     private BackendClient newClient(double connectTimeout, double idle) {
         return new BackendClient(
-                transport, clock, new DescriptorBudget(descriptorLimit), 1 << 24, connectTimeout, idle, OperatorConfiguration.DEFAULTS, this);
+                transport,
+                clock,
+                new DescriptorBudget(descriptorLimit),
+                1 << 24,
+                connectTimeout,
+                idle,
+                OperatorConfiguration.DEFAULTS,
+                this);
     }
 
     private Node stubNode(BackendClient nodes, String role, StubResponse first, StubResponse then) throws Exception {
         var there = new StubNode(
-                transport, transport.ephemeralAddress(0), role, any -> receivedStatements.incrementAndGet() == 1 ? first : then);
+                transport,
+                transport.ephemeralAddress(0),
+                role,
+                any -> receivedStatements.incrementAndGet() == 1 ? first : then);
         return transport
                 .eventLoop()
                 .submit(() -> nodes.registerNode("n", "a", 1, there.address()))
@@ -124,7 +134,8 @@
 
     @ParameterizedTest
     @CsvSource({"true, ANSWERED, 1", "false, NOT_SENT, 0"})
-    void attemptThatMayNoLongerBeSentIsNeverWritten(boolean allowed, AttemptOutcome outcome, int written) throws Exception {
+    void attemptThatMayNoLongerBeSentIsNeverWritten(boolean allowed, AttemptOutcome outcome, int written)
+            throws Exception {
         mayStillSend = allowed;
         BackendClient nodes = newClient(60, 60);
         send(nodes, stubNode(nodes, "replica", StubResponse.answer("a"), StubResponse.answer("a")));
@@ -177,7 +188,8 @@
                     ? stubNode(nodes, "replica", StubResponse.answer("a"), null)
                     : transport
                             .eventLoop()
-                            .submit(() -> nodes.registerNode("n", "a", 1, (InetSocketAddress) silent.getLocalSocketAddress()))
+                            .submit(() ->
+                                    nodes.registerNode("n", "a", 1, (InetSocketAddress) silent.getLocalSocketAddress()))
                             .get();
             Attempt dispatch = send(nodes, node);
             while (written && receivedStatements.get() == 0) {
@@ -198,7 +210,8 @@
         awaitIdle(nodes);
         send(nodes, node);
         assertEquals(AttemptOutcome.ANSWERED, nextOutcome(nodes));
-        assertEquals(1, transport.eventLoop().submit(() -> nodes.connectionCount()).get());
+        assertEquals(
+                1, transport.eventLoop().submit(() -> nodes.connectionCount()).get());
     }
 
     @ParameterizedTest
@@ -209,7 +222,9 @@
         assertEquals(AttemptOutcome.ANSWERED, outcomes.take());
         awaitIdle(nodes);
         transport.eventLoop().submit(nodes::sweep).get();
-        assertEquals(left, transport.eventLoop().submit(() -> nodes.connectionCount()).get());
+        assertEquals(
+                left,
+                transport.eventLoop().submit(() -> nodes.connectionCount()).get());
     }
 
     /** T, D, C, S, E and Z are good messages; a small letter is one whose inside does not fit. */
@@ -261,10 +276,14 @@
         ByteBuf bytes = messages(letters);
         for (int cut : new int[] {0, 1, 5}) {
             receivedStatements.set(0);
-            Node node =
-                    stubNode(nodes, "replica", StubResponse.bytes(bytes.slice(0, bytes.readableBytes() - cut)), StubResponse.answer("new"));
+            Node node = stubNode(
+                    nodes,
+                    "replica",
+                    StubResponse.bytes(bytes.slice(0, bytes.readableBytes() - cut)),
+                    StubResponse.answer("new"));
             send(nodes, node);
-            assertEquals(letters.startsWith("E") ? AttemptOutcome.OVERLOADED : AttemptOutcome.ANSWERED, nextOutcome(nodes));
+            assertEquals(
+                    letters.startsWith("E") ? AttemptOutcome.OVERLOADED : AttemptOutcome.ANSWERED, nextOutcome(nodes));
             send(nodes, node);
             assertEquals(AttemptOutcome.ANSWERED, nextOutcome(nodes));
             assertTrue(answer.contains("new"), answer);
@@ -277,20 +296,23 @@
         BackendClient nodes = newClient(60, 60);
         send(nodes, stubNode(nodes, "replica", StubResponse.bytes(messages(letters)), null));
         assertEquals(AttemptOutcome.ANSWERED, nextOutcome(nodes));
-        assertEquals(new AttemptResult(AttemptOutcome.ANSWERED, result.elapsedSeconds(), Role.UNKNOWN, position, Role.UNKNOWN, 0, -1), result);
+        assertEquals(
+                new AttemptResult(
+                        AttemptOutcome.ANSWERED, result.elapsedSeconds(), Role.UNKNOWN, position, Role.UNKNOWN, 0, -1),
+                result);
     }
 
     @ParameterizedTest
     @CsvSource({"true, 0, true", "false, 60, true", "false, 0, false"})
-    void nodeIsForgottenOnceUnknownAndWithoutConnections(boolean known, double idle, boolean left)
-            throws Exception {
+    void nodeIsForgottenOnceUnknownAndWithoutConnections(boolean known, double idle, boolean left) throws Exception {
         BackendClient nodes = newClient(60, idle);
         send(nodes, stubNode(nodes, "replica", StubResponse.answer("a"), null));
         assertEquals(AttemptOutcome.ANSWERED, nextOutcome(nodes));
         awaitIdle(nodes);
         nodesKnown = known;
         transport.eventLoop().submit(nodes::sweep).get();
-        assertEquals(left, transport.eventLoop().submit(() -> nodes.hasReplicaSet(1)).get());
+        assertEquals(
+                left, transport.eventLoop().submit(() -> nodes.hasReplicaSet(1)).get());
     }
 
     @ParameterizedTest
--- a/daemon/src/test/java/clayhook/nodes/ConnectionRaceTest.java
+++ b/daemon/src/test/java/clayhook/backend/ConnectionRaceTest.java
@@ -1,4 +1,4 @@
-package clayhook.nodes;
+package clayhook.backend;
 
 import static java.nio.charset.StandardCharsets.ISO_8859_1;
 import static java.nio.charset.StandardCharsets.UTF_8;
@@ -6,15 +6,15 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clayhook.Request;
 import clayhook.Attempt;
-import clayhook.Node;
 import clayhook.AttemptOutcome;
 import clayhook.AttemptResult;
+import clayhook.Node;
+import clayhook.Request;
 import clayhook.config.OperatorConfiguration;
 import clayhook.protocol.OutboundStatement;
-import clayhook.transport.SlewedClock;
 import clayhook.transport.DescriptorBudget;
+import clayhook.transport.SlewedClock;
 import clayhook.transport.Transport;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -83,7 +83,15 @@
     }
 
     private BackendClient newClient(double connectTimeout, double idle) {
-        return new BackendClient(transport, clock, new DescriptorBudget(1024), 1 << 24, connectTimeout, idle, OperatorConfiguration.DEFAULTS, this);
+        return new BackendClient(
+                transport,
+                clock,
+                new DescriptorBudget(1024),
+                1 << 24,
+                connectTimeout,
+                idle,
+                OperatorConfiguration.DEFAULTS,
+                this);
     }
 
     private <T> T onLoop(Callable<T> step) throws Exception {
@@ -258,7 +266,8 @@
                 ScriptedNode.message('E', "C57P03\0\0"),
                 ScriptedNode.STARTUP_ANSWER,
                 ScriptedNode.STARTUP_ANSWER + ScriptedNode.answer("a").substring(0, 30),
-                ScriptedNode.STARTUP_ANSWER + ScriptedNode.message('N', "CI\0\0").repeat(1000));
+                ScriptedNode.STARTUP_ANSWER
+                        + ScriptedNode.message('N', "CI\0\0").repeat(1000));
     }
 
     @Test
--- a/daemon/src/test/java/clayhook/nodes/ScriptedNode.java
+++ b/daemon/src/test/java/clayhook/backend/ScriptedNode.java
@@ -1,4 +1,4 @@
-package clayhook.nodes;
+package clayhook.backend;
 
 import static java.nio.charset.StandardCharsets.ISO_8859_1;
 
--- a/daemon/src/test/java/clayhook/config/OperatorConfigurationReaderTest.java
+++ b/daemon/src/test/java/clayhook/config/OperatorConfigurationReaderTest.java
@@ -6,9 +6,9 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import clayhook.RequestClass;
-import clayhook.RequestClass.Idempotency;
 import clayhook.RequestClass.ConsistencyLevel;
 import clayhook.RequestClass.DeduplicationScope;
+import clayhook.RequestClass.Idempotency;
 import clayhook.statements.StatementRules;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/daemon/src/test/java/clayhook/config/RouterConfigurationTest.java
+++ b/daemon/src/test/java/clayhook/config/RouterConfigurationTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import clayhook.RequestClass;
-import clayhook.RequestClass.Idempotency;
 import clayhook.RequestClass.ConsistencyLevel;
 import clayhook.RequestClass.DeduplicationScope;
+import clayhook.RequestClass.Idempotency;
 import clayhook.Role;
 import java.util.Arrays;
 import java.util.List;
@@ -38,8 +38,27 @@
         assertEquals(
                 List.of(
                         new RequestClass(
-                                "check", Idempotency.IDEMPOTENT, ConsistencyLevel.BOUNDED_STALENESS, 0.25, 0.6, 1, 0, DeduplicationScope.ALL, 0, 0.2),
-                        new RequestClass("post", Idempotency.IDEMPOTENT_WITH_KEY, ConsistencyLevel.WRITE, 0.6, 5, 1, 0.5, DeduplicationScope.REPLICA_SET, 5, 0)),
+                                "check",
+                                Idempotency.IDEMPOTENT,
+                                ConsistencyLevel.BOUNDED_STALENESS,
+                                0.25,
+                                0.6,
+                                1,
+                                0,
+                                DeduplicationScope.ALL,
+                                0,
+                                0.2),
+                        new RequestClass(
+                                "post",
+                                Idempotency.IDEMPOTENT_WITH_KEY,
+                                ConsistencyLevel.WRITE,
+                                0.6,
+                                5,
+                                1,
+                                0.5,
+                                DeduplicationScope.REPLICA_SET,
+                                5,
+                                0)),
                 read.settings().requestClasses());
         assertEquals(0x8c1f30d27a5be964L, read.seed());
         assertEquals(
@@ -61,7 +80,9 @@
                 .replace("\"balancers\":3", "\"balancers\":2000"));
         assertEquals(
                 List.of(2000, 2000),
-                List.of(read.knownEndpoints().endpoints().size(), read.settings().routerCount()));
+                List.of(
+                        read.knownEndpoints().endpoints().size(),
+                        read.settings().routerCount()));
     }
 
     @ParameterizedTest
@@ -120,7 +141,8 @@
     @ParameterizedTest
     @ValueSource(strings = {"", "/nowhere/config.json"})
     void aMissingFileIsReported(String file) {
-        ConfigurationException bad = assertThrows(ConfigurationException.class, () -> RouterConfiguration.fromEnvironment(Map.of("LB_CONFIG", file)));
+        ConfigurationException bad = assertThrows(
+                ConfigurationException.class, () -> RouterConfiguration.fromEnvironment(Map.of("LB_CONFIG", file)));
         assertTrue(bad.getMessage().startsWith("LB_CONFIG:"), bad.getMessage());
     }
 
--- a/daemon/src/test/java/clayhook/discovery/DiscoveryDecodingTest.java
+++ b/daemon/src/test/java/clayhook/discovery/DiscoveryDecodingTest.java
@@ -67,7 +67,8 @@
         String indented = "{\r\n\t\"rev\" : 43,\n  \"all\" : false,\n  \"targets\" : [\n    "
                 + ENTRY.replace(",", " ,\n      ").replace(":\"", " : \"") + "\n  ]\n}\n";
         assertEquals(
-                EndpointList.parse("{\"rev\":43,\"all\":false,\"targets\":[" + ENTRY + "]}"), EndpointList.parse(indented));
+                EndpointList.parse("{\"rev\":43,\"all\":false,\"targets\":[" + ENTRY + "]}"),
+                EndpointList.parse(indented));
     }
 
     @ParameterizedTest
@@ -92,7 +93,8 @@
         assertEquals(2000, list.endpoints().size());
         EndpointList.DiscoveredEndpoint entry = list.endpoints().get(1999);
         assertEquals(43, list.version());
-        assertEquals(new EndpointList.DiscoveredEndpoint("s", entry.address(), "a", 3, State.DRAINING, true, 1.5), entry);
+        assertEquals(
+                new EndpointList.DiscoveredEndpoint("s", entry.address(), "a", 3, State.DRAINING, true, 1.5), entry);
         assertEquals(6543, entry.address().getPort());
     }
 
--- a/daemon/src/test/java/clayhook/discovery/EndpointWatcherTest.java
+++ b/daemon/src/test/java/clayhook/discovery/EndpointWatcherTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clayhook.rehearsal.StubDiscovery;
 import clayhook.transport.Transport;
+import clayhook.warmup.StubDiscovery;
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.Random;
@@ -29,11 +29,13 @@
     private EndpointWatcher watcher;
 
     private void start(String... answers) throws InterruptedException {
-        watcher = new EndpointWatcher(transport, startService(calls, answers).address(), 41, LONG_POLL_SECONDS, new Random(1), this);
+        watcher = new EndpointWatcher(
+                transport, startService(calls, answers).address(), 41, LONG_POLL_SECONDS, new Random(1), this);
         ensureWatching();
     }
 
-    private StubDiscovery startService(LinkedBlockingQueue<String> calls, String... answers) throws InterruptedException {
+    private StubDiscovery startService(LinkedBlockingQueue<String> calls, String... answers)
+            throws InterruptedException {
         var left = new LinkedBlockingQueue<>(List.of(answers));
         return new StubDiscovery(transport, transport.ephemeralAddress(0), call -> {
             calls.add(call);
@@ -186,8 +188,8 @@
     /** A watch that was answered once, at a service that answers when the test says so. */
     private LinkedBlockingQueue<HeldCall> startWithHeldCalls() throws Exception {
         var held = new LinkedBlockingQueue<HeldCall>();
-        var service =
-                new StubDiscovery(transport, transport.ephemeralAddress(0), (call, answer) -> held.add(new HeldCall(call, answer)));
+        var service = new StubDiscovery(
+                transport, transport.ephemeralAddress(0), (call, answer) -> held.add(new HeldCall(call, answer)));
         watcher = new EndpointWatcher(transport, service.address(), 41, LONG_POLL_SECONDS, new Random(1), this);
         ensureWatching();
         answer(held.take(), list(42, false));
--- a/daemon/src/test/java/clayhook/discovery/WatchLivenessCheckTest.java
+++ b/daemon/src/test/java/clayhook/discovery/WatchLivenessCheckTest.java
@@ -110,7 +110,8 @@
             if (check || now > silentAt) {
                 scheduleCheck(router, at, router.livenessCheck.nextIntervalSeconds());
             } else {
-                scheduleCheck(router, now + (router.watched ? 0 : at - now), router.livenessCheck.nextIntervalSeconds());
+                scheduleCheck(
+                        router, now + (router.watched ? 0 : at - now), router.livenessCheck.nextIntervalSeconds());
             }
             router.watched = true;
         }
--- a/daemon/src/test/java/clayhook/front/ClientListenerTest.java
+++ b/daemon/src/test/java/clayhook/frontend/ClientListenerTest.java
@@ -1,13 +1,13 @@
-package clayhook.front;
+package clayhook.frontend;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clayhook.protocol.MessageEncoder;
 import clayhook.protocol.KeyValueStatement;
-import clayhook.rehearsal.StubClient;
+import clayhook.protocol.MessageEncoder;
 import clayhook.transport.DescriptorBudget;
 import clayhook.transport.Transport;
+import clayhook.warmup.StubClient;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import java.util.List;
@@ -46,7 +46,14 @@
     }
 
     private void start(int descriptors) throws InterruptedException {
-        listener = new ClientListener(transport, transport.ephemeralAddress(0), new DescriptorBudget(descriptors), 1 << 24, null, () -> now, this);
+        listener = new ClientListener(
+                transport,
+                transport.ephemeralAddress(0),
+                new DescriptorBudget(descriptors),
+                1 << 24,
+                null,
+                () -> now,
+                this);
     }
 
     private StubClient client(ByteBuf first) throws InterruptedException {
@@ -97,7 +104,8 @@
         assertEquals("ready", client.nextAnswer());
         assertEquals("40003", client.nextAnswer());
         if (half) {
-            client.send(Unpooled.wrappedBuffer(MessageEncoder.query(new byte[0]), readRequest().slice(0, 9)));
+            client.send(Unpooled.wrappedBuffer(
+                    MessageEncoder.query(new byte[0]), readRequest().slice(0, 9)));
             assertEquals("ready", client.nextAnswer());
         }
         closeIdleSessionsAfter(0);
@@ -131,7 +139,8 @@
         for (int i = 0; i < 5; i++) {
             now += 0.1;
             assertEquals(
-                    "ready", client(StubClient.startupAndFirst(Unpooled.EMPTY_BUFFER)).nextAnswer());
+                    "ready",
+                    client(StubClient.startupAndFirst(Unpooled.EMPTY_BUFFER)).nextAnswer());
         }
         usual.send(readRequest());
         respondToNextRequest();
@@ -147,7 +156,9 @@
         now += 3;
         var fresh = client(StubClient.startupAndFirst(Unpooled.EMPTY_BUFFER));
         assertEquals("ready", fresh.nextAnswer());
-        assertEquals("ready", client(StubClient.startupAndFirst(Unpooled.EMPTY_BUFFER)).nextAnswer());
+        assertEquals(
+                "ready",
+                client(StubClient.startupAndFirst(Unpooled.EMPTY_BUFFER)).nextAnswer());
         assertEquals("closed", once.nextAnswer());
         fresh.send(readRequest());
         respondToNextRequest();
@@ -172,6 +183,7 @@
         start(48 + 2);
         client(StubClient.startupAndFirst(readRequest()));
         receivedRequests.take();
-        assertTrue(client(StubClient.startupAndFirst(readRequest())).nextAnswer().endsWith("closed"));
+        assertTrue(
+                client(StubClient.startupAndFirst(readRequest())).nextAnswer().endsWith("closed"));
     }
 }
--- a/daemon/src/test/java/clayhook/front/ClientSessionRaceTest.java
+++ b/daemon/src/test/java/clayhook/frontend/ClientSessionRaceTest.java
@@ -1,15 +1,15 @@
-package clayhook.front;
+package clayhook.frontend;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
-import clayhook.protocol.MessageEncoder;
 import clayhook.protocol.KeyValueStatement;
-import clayhook.rehearsal.StubClient;
+import clayhook.protocol.MessageEncoder;
 import clayhook.transport.DescriptorBudget;
 import clayhook.transport.Transport;
+import clayhook.warmup.StubClient;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import java.util.List;
@@ -64,7 +64,13 @@
 
     private void start(int clients) throws InterruptedException {
         listener = new ClientListener(
-                transport, transport.ephemeralAddress(0), new DescriptorBudget(48 + 2 * clients), 1 << 28, null, () -> now, this);
+                transport,
+                transport.ephemeralAddress(0),
+                new DescriptorBudget(48 + 2 * clients),
+                1 << 28,
+                null,
+                () -> now,
+                this);
     }
 
     private SocketClient client() throws Exception {
@@ -258,7 +264,9 @@
     void answersRequestReceivedBeforeCloseAndDropsLaterOnes(String way) throws Exception {
         start(way.equals("end") ? 9 : 1);
         SocketClient client = clientWithFirstResponse();
-        duringLoopStall(() -> client.send(request()), way.equals("end") ? listener::drain : () -> listener.closeIdleSessions(now));
+        duringLoopStall(
+                () -> client.send(request()),
+                way.equals("end") ? listener::drain : () -> listener.closeIdleSessions(now));
         respondToNextRequest();
         assertEquals("40003", client.readResponse());
         assertEquals("closed", client.readResponse());
@@ -365,7 +373,8 @@
         assertNotEquals(client.cancelKey, other.cancelKey);
         assertNotEquals(client.cancelKey >>> 32, other.cancelKey >>> 32);
         assertNotEquals((int) client.cancelKey, (int) other.cancelKey);
-        for (long wrong : new long[] {0, client.cancelKey + 1, client.cancelKey & 0xffffffffL, client.cancelKey & ~0xffffffffL}) {
+        for (long wrong :
+                new long[] {0, client.cancelKey + 1, client.cancelKey & 0xffffffffL, client.cancelKey & ~0xffffffffL}) {
             sendCancelRequest(wrong);
         }
         assertNull(cancelRequests.poll());
@@ -406,7 +415,8 @@
         }
         take(receivedRequests);
         assertEquals(
-                "closed", cancelling.send(SocketClient.cancelRequest(client.cancelKey)).readResponse());
+                "closed",
+                cancelling.send(SocketClient.cancelRequest(client.cancelKey)).readResponse());
         assertNull(cancelRequests.poll());
     }
 }
--- a/daemon/src/test/java/clayhook/front/SocketClient.java
+++ b/daemon/src/test/java/clayhook/frontend/SocketClient.java
@@ -1,4 +1,4 @@
-package clayhook.front;
+package clayhook.frontend;
 
 import clayhook.protocol.MessageEncoder;
 import io.netty.buffer.ByteBuf;
--- a/daemon/src/test/java/clayhook/peers/GossipTransportTest.java
+++ b/daemon/src/test/java/clayhook/peers/GossipTransportTest.java
@@ -4,12 +4,12 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clayhook.Node;
 import clayhook.AttemptOutcome;
 import clayhook.AttemptResult;
+import clayhook.Node;
+import clayhook.PeerObservation;
 import clayhook.Role;
 import clayhook.RoutingSettings;
-import clayhook.PeerObservation;
 import clayhook.config.RouterConfiguration;
 import clayhook.config.SharingSettings;
 import clayhook.discovery.EndpointList;
@@ -43,7 +43,8 @@
     private static final double ALONE_AFTER = 0.5;
 
     private static final InetSocketAddress DISCOVERY = new InetSocketAddress("127.0.0.1", 1);
-    private static final AttemptResult ANSWER = new AttemptResult(AttemptOutcome.ANSWERED, 0.001, Role.PRIMARY, 1e9, Role.UNKNOWN, 0, 3);
+    private static final AttemptResult ANSWER =
+            new AttemptResult(AttemptOutcome.ANSWERED, 0.001, Role.PRIMARY, 1e9, Role.UNKNOWN, 0, 3);
     private final List<PeerSharing> openTransports = new ArrayList<>();
     private final Map<String, PeerObservation> observations = new ConcurrentHashMap<>();
     private final Map<String, EndpointList.DiscoveredEndpoint> endpoints = new ConcurrentHashMap<>();
@@ -78,7 +79,9 @@
                 2, "a", List.of(), true, true, false, false, true, true, true, true, 1, 3, 0.2, 10, 3, 3, 1, 15);
         StateSettings usual = StateSettings.DEFAULT;
         var peers = GossipTransport.open(
-                settings(port, Arrays.stream(seeds).mapToObj(GossipTransportTest::at).toList()),
+                settings(
+                        port,
+                        Arrays.stream(seeds).mapToObj(GossipTransportTest::at).toList()),
                 new RouterConfiguration(
                         name, at(0), DISCOVERY, 1, 1 << 24, 100, new EndpointList(0, true, List.of()), settings, 1),
                 new StateSettings(
@@ -126,7 +129,8 @@
                         + "\"pod_group\":1,\"state\":\"up\",\"role\":\"primary\",\"boot_ms\":0}]}");
     }
 
-    private static void assertReceivesWritesOf(GossipTransport first, GossipTransport second) throws InterruptedException {
+    private static void assertReceivesWritesOf(GossipTransport first, GossipTransport second)
+            throws InterruptedException {
         double position = now() - 10;
         first.recordSessionWrite("s", 1, position);
         await(() -> second.requiredPosition("s", now()) == position);
@@ -157,7 +161,9 @@
             });
             assertEquals(
                     List.of(1e9, 3.0),
-                    List.of(observations.get(node).appliedPosition(), observations.get(node).load()));
+                    List.of(
+                            observations.get(node).appliedPosition(),
+                            observations.get(node).load()));
         }
         // Killed, and back at once with nothing, at the same place, though nobody there was told that.
         others.get(0).close();
--- a/daemon/src/test/java/clayhook/peers/ObservationPublishingTest.java
+++ b/daemon/src/test/java/clayhook/peers/ObservationPublishingTest.java
@@ -9,13 +9,13 @@
 import clayhook.fleet.Address;
 import clayhook.fleet.Member;
 import clayhook.fleet.Peer;
-import clayhook.fleet.kinds.NodeObservation;
-import clayhook.fleet.kinds.WriteOutcome;
-import clayhook.fleet.kinds.WriteOutcome.OutcomeStatus;
-import clayhook.fleet.members.MembershipSettings;
 import clayhook.fleet.members.Membership;
+import clayhook.fleet.members.MembershipSettings;
 import clayhook.fleet.state.ReplicatedState;
 import clayhook.fleet.state.StateSettings;
+import clayhook.fleet.types.NodeObservation;
+import clayhook.fleet.types.WriteOutcome;
+import clayhook.fleet.types.WriteOutcome.OutcomeStatus;
 import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
@@ -32,7 +32,8 @@
             1,
             START,
             new Membership.MembershipListener() {});
-    private final ReplicatedState state = new ReplicatedState(members, List.of(NodeObservation.TYPE, WriteOutcome.TYPE), StateSettings.DEFAULT, 1, START);
+    private final ReplicatedState state = new ReplicatedState(
+            members, List.of(NodeObservation.TYPE, WriteOutcome.TYPE), StateSettings.DEFAULT, 1, START);
     private final NodeObservations observations = new NodeObservations(members, new SplittableRandom(1));
     private final InDoubtWrites inDoubtWrites = new InDoubtWrites(state, WriteOutcome.TYPE);
 
@@ -60,23 +61,39 @@
                 List.of(first.appliedPosition().value(), first.lastSeen().observedAt()));
         assertEquals(1, first.lag().value(), 0.01);
         assertEquals(first, publishedAfter(AttemptOutcome.ANSWERED, Role.REPLICA, NodeObservations.FRESHNESS - 0.01));
-        NodeObservation second = publishedAfter(AttemptOutcome.ANSWERED, Role.REPLICA, NodeObservations.FRESHNESS + NodeObservations.PUBLISH_INTERVAL);
+        NodeObservation second = publishedAfter(
+                AttemptOutcome.ANSWERED, Role.REPLICA, NodeObservations.FRESHNESS + NodeObservations.PUBLISH_INTERVAL);
         assertTrue(second.lastSeen().observedAt() > first.lastSeen().observedAt());
-        NodeObservation primary = publishedAfter(AttemptOutcome.ANSWERED, Role.PRIMARY, NodeObservations.FRESHNESS + 2.5 * NodeObservations.PUBLISH_INTERVAL);
+        NodeObservation primary = publishedAfter(
+                AttemptOutcome.ANSWERED,
+                Role.PRIMARY,
+                NodeObservations.FRESHNESS + 2.5 * NodeObservations.PUBLISH_INTERVAL);
         assertTrue(primary.primaryClaim().observedAt() > primary.replicaClaim().observedAt());
-        NodeObservation failed = publishedAfter(AttemptOutcome.TIMED_OUT, Role.UNKNOWN, NodeObservations.FRESHNESS + 4 * NodeObservations.PUBLISH_INTERVAL);
+        NodeObservation failed = publishedAfter(
+                AttemptOutcome.TIMED_OUT,
+                Role.UNKNOWN,
+                NodeObservations.FRESHNESS + 4 * NodeObservations.PUBLISH_INTERVAL);
         assertEquals(
                 List.of(1, "r"),
                 List.of(
                         failed.failureStreaks().get(0).count(),
                         failed.failureStreaks().get(0).source().router()));
-        assertEquals(failed, publishedAfter(AttemptOutcome.CANCELLED, Role.UNKNOWN, NodeObservations.FRESHNESS + 6 * NodeObservations.PUBLISH_INTERVAL));
+        assertEquals(
+                failed,
+                publishedAfter(
+                        AttemptOutcome.CANCELLED,
+                        Role.UNKNOWN,
+                        NodeObservations.FRESHNESS + 6 * NodeObservations.PUBLISH_INTERVAL));
     }
 
     private void recordOutcome(String key, boolean ran, double now) {
         var sent = WriteOutcome.SentWrite.of(START, 1, "post", null);
         inDoubtWrites.recordOutcome(
-                key, ran ? WriteOutcome.ran(sent, WriteOutcome.OutcomeWitness.of(START + now, "r", "n")) : WriteOutcome.unknown(sent), START + now);
+                key,
+                ran
+                        ? WriteOutcome.ran(sent, WriteOutcome.OutcomeWitness.of(START + now, "r", "n"))
+                        : WriteOutcome.unknown(sent),
+                START + now);
         inDoubtWrites.publishResolved(START + now);
     }
 
@@ -95,6 +112,7 @@
                 later == 0 ? OutcomeStatus.RAN : OutcomeStatus.UNKNOWN,
                 state.get(WriteOutcome.TYPE, "a").status());
         assertEquals(
-                List.of(OutcomeStatus.RAN, 2), List.of(state.get(WriteOutcome.TYPE, "b").status(), state.size(WriteOutcome.TYPE)));
+                List.of(OutcomeStatus.RAN, 2),
+                List.of(state.get(WriteOutcome.TYPE, "b").status(), state.size(WriteOutcome.TYPE)));
     }
 }
--- a/daemon/src/test/java/clayhook/peers/RecordedDatagramsTest.java
+++ b/daemon/src/test/java/clayhook/peers/RecordedDatagramsTest.java
@@ -3,27 +3,27 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clayhook.Endpoint;
-import clayhook.Node;
 import clayhook.AttemptOutcome;
 import clayhook.AttemptResult;
-import clayhook.Role;
+import clayhook.Endpoint;
+import clayhook.Node;
 import clayhook.PeerObservation;
+import clayhook.Role;
 import clayhook.discovery.EndpointList;
 import clayhook.fleet.Address;
-import clayhook.fleet.MessageDispatcher;
-import clayhook.fleet.ReplicatedType;
-import clayhook.fleet.ProtocolHandler;
+import clayhook.fleet.FieldReader;
 import clayhook.fleet.Member;
-import clayhook.fleet.Outbox;
 import clayhook.fleet.Message;
+import clayhook.fleet.MessageDispatcher;
+import clayhook.fleet.Outbox;
 import clayhook.fleet.Peer;
-import clayhook.fleet.FieldReader;
-import clayhook.fleet.kinds.WriteOutcome;
-import clayhook.fleet.members.MembershipSettings;
+import clayhook.fleet.ProtocolHandler;
+import clayhook.fleet.ReplicatedType;
 import clayhook.fleet.members.Membership;
+import clayhook.fleet.members.MembershipSettings;
 import clayhook.fleet.state.ReplicatedState;
 import clayhook.fleet.state.StateSettings;
+import clayhook.fleet.types.WriteOutcome;
 import clayhook.serve.PeerSharing;
 import java.io.IOException;
 import java.io.InputStream;
@@ -43,8 +43,8 @@
 /**
  * Plays a fixed conversation of two routers in virtual time and compares every datagram, in both directions, with the
  * recorded bytes. Each router receives the recorded bytes and never the ones just encoded, so that the decoder is held
- * to the record as well as the encoder. All that {@link StateBridge} sends is in it: each local event once at least, and
- * the farewell.
+ * to the record as well as the encoder. All that {@link StateBridge} sends is in it: each local event once at least,
+ * and the farewell.
  */
 class RecordedDatagramsTest {
     /** Every datagram in order: the sender's name, then the bytes in hex. */
@@ -101,7 +101,12 @@
             self = new Peer(new Member(name, (long) (START * 1000) + port), new Address("10.0.0.1", port));
             var random = new SplittableRandom(seed);
             members = new Membership(
-                    MembershipSettings.DEFAULT, self, seeds, random.nextLong(), START, new Membership.MembershipListener() {});
+                    MembershipSettings.DEFAULT,
+                    self,
+                    seeds,
+                    random.nextLong(),
+                    START,
+                    new Membership.MembershipListener() {});
             var kinds = new StateBridge.EnabledTypes(true, true, true, FATES, true);
             state = new ReplicatedState(
                     members, kinds.types(), StateSettings.DEFAULT.withBootstrapTimeout(0.2), random.nextLong(), START);
@@ -187,7 +192,10 @@
 
         sender.exchange.accept(new LocalEvent.EndpointListReceived(DISCOVERY, FIRST_LIST), now);
         sender.exchange.accept(new LocalEvent.AttemptFinished(PRIMARY, answer(Role.PRIMARY, now - 0.01, 3), now), now);
-        sender.exchange.accept(new LocalEvent.AttemptFinished(REPLICA, AttemptResult.withoutReport(AttemptOutcome.TIMED_OUT, 0.5), now), now);
+        sender.exchange.accept(
+                new LocalEvent.AttemptFinished(
+                        REPLICA, AttemptResult.withoutReport(AttemptOutcome.TIMED_OUT, 0.5), now),
+                now);
         sender.exchange.accept(new LocalEvent.SessionWriteCommitted("session", 1, POSITION), now);
         sender.exchange.accept(written("in doubt", false, now), now);
         sender.exchange.accept(written("resolved", false, now), now);
@@ -204,7 +212,8 @@
         playUntil(2.5, sender, receiver);
 
         sender.exchange.accept(new LocalEvent.DiscoveryMoved("10.0.0.9:8080"), now);
-        sender.exchange.accept(new LocalEvent.EndpointListReceived("10.0.0.9:8080", list(3, true, "up", "removed")), now);
+        sender.exchange.accept(
+                new LocalEvent.EndpointListReceived("10.0.0.9:8080", list(3, true, "up", "removed")), now);
         playUntil(END - 0.2, sender, receiver);
         sender.leaving = true;
         playUntil(END, sender, receiver);
@@ -212,7 +221,8 @@
         assertEquals(recorded, sent);
         PeerObservation primary = receiver.told.get("n1");
         assertEquals(
-                List.of(START + 0.99, 3.0, 1.6e9), List.of(primary.appliedPosition(), primary.load(), primary.incarnationStartedAt()));
+                List.of(START + 0.99, 3.0, 1.6e9),
+                List.of(primary.appliedPosition(), primary.load(), primary.incarnationStartedAt()));
         assertTrue(primary.primaryClaimedAt() > primary.replicaClaimedAt());
         PeerObservation replica = receiver.told.get("n2");
         assertEquals(List.of(START + 1, 1.6e9), List.of(replica.appliedPosition(), replica.incarnationStartedAt()));
