--- a/daemon/src/test/java/clayhook/protocol/MessageDecodersTest.java
+++ b/daemon/src/test/java/clayhook/protocol/MessageDecodersTest.java
@@ -69,8 +69,8 @@
     @ParameterizedTest
     @CsvSource({"Q, 3", "Q, -1", "Q, 2147483647", "Q, 200000", "j, 4", "Q, 4"})
     void ignoresInputAfterMalformedClientMessage(char type, int length) {
-        ByteBuf bytes =
-                Unpooled.wrappedBuffer(MessageEncoder.startupMessage("client", "core"), message(type, length), message('S', 4));
+        ByteBuf bytes = Unpooled.wrappedBuffer(
+                MessageEncoder.startupMessage("client", "core"), message(type, length), message('S', 4));
         List<String> kinds = decodedTypes(new ClientMessageDecoder(new MemoryBudget(1 << 20)), bytes, 1000);
         assertEquals("Malformed", kinds.get(1));
         assertTrue(kinds.size() == 2 || type == 'j' || length == 4, kinds.toString());
@@ -121,7 +121,10 @@
     void rejectsNodeThatRequestsPassword() {
         assertEquals(
                 List.of("Malformed"),
-                decodedTypes(new NodeMessageDecoder(new MemoryBudget(1 << 20)), message('R', 8).writeInt(3), 9));
+                decodedTypes(
+                        new NodeMessageDecoder(new MemoryBudget(1 << 20)),
+                        message('R', 8).writeInt(3),
+                        9));
     }
 
     @Test
@@ -129,7 +132,12 @@
         KeyValueStatement read = KeyValueStatement.parse(READ.getBytes(UTF_8));
         assertEquals(
                 List.of("basket", 2, 0.48, 1767225600.123, "7f3a"),
-                List.of(read.requestClassName, read.replicaSetId, read.timeoutSeconds, read.requiredPosition, read.key));
+                List.of(
+                        read.requestClassName,
+                        read.replicaSetId,
+                        read.timeoutSeconds,
+                        read.requiredPosition,
+                        read.key));
         assertArrayEquals(READ.replace("d=480", "d=57").getBytes(UTF_8), read.textWithTimeout(0.0579));
     }
 
@@ -180,7 +188,9 @@
         String text = "INSERT INTO state (uid, val) VALUES ('a', '\\x" + "9f".repeat(1 << 16) + "') RETURNING val "
                 + "/* id=1,c=a,d=5,k=7,cluster=1 */";
         KeyValueStatement write = KeyValueStatement.parse(text.getBytes(UTF_8));
-        assertEquals(List.of(true, true, "a", 0.005), List.of(write.isWrite, write.hasIdempotencyKey, write.key, write.timeoutSeconds));
+        assertEquals(
+                List.of(true, true, "a", 0.005),
+                List.of(write.isWrite, write.hasIdempotencyKey, write.key, write.timeoutSeconds));
     }
 
     @Test
@@ -193,7 +203,8 @@
         var first = new EmbeddedChannel(new ClientMessageDecoder(allowance));
         first.writeInbound(most.retainedDuplicate());
         assertEquals(
-                List.of("Startup", "Malformed"), decodedTypes(new ClientMessageDecoder(allowance), most.retainedDuplicate(), 99));
+                List.of("Startup", "Malformed"),
+                decodedTypes(new ClientMessageDecoder(allowance), most.retainedDuplicate(), 99));
         first.finishAndReleaseAll();
         assertEquals(List.of("Startup"), decodedTypes(new ClientMessageDecoder(allowance), most, 99));
     }
--- a/daemon/src/test/java/clayhook/serve/ClientDisconnectTest.java
+++ b/daemon/src/test/java/clayhook/serve/ClientDisconnectTest.java
@@ -3,20 +3,20 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import clayhook.RequestClass;
-import clayhook.RequestClass.Idempotency;
 import clayhook.RequestClass.ConsistencyLevel;
 import clayhook.RequestClass.DeduplicationScope;
+import clayhook.RequestClass.Idempotency;
 import clayhook.RoutingSettings;
 import clayhook.config.RouterConfiguration;
 import clayhook.discovery.EndpointList;
-import clayhook.front.SocketClient;
-import clayhook.protocol.MessageEncoder;
+import clayhook.frontend.SocketClient;
 import clayhook.protocol.KeyValueStatement;
-import clayhook.rehearsal.StubClient;
-import clayhook.rehearsal.StubDiscovery;
-import clayhook.rehearsal.StubNode;
-import clayhook.rehearsal.StubNode.StubResponse;
+import clayhook.protocol.MessageEncoder;
 import clayhook.transport.Transport;
+import clayhook.warmup.StubClient;
+import clayhook.warmup.StubDiscovery;
+import clayhook.warmup.StubNode;
+import clayhook.warmup.StubNode.StubResponse;
 import io.netty.buffer.ByteBuf;
 import java.io.DataInputStream;
 import java.io.IOException;
@@ -299,7 +299,8 @@
             assertEquals("1", sent.take().requestId);
         }
         assertEquals(
-                "closed", client().send(SocketClient.cancelRequest(client.cancelKey)).readResponse());
+                "closed",
+                client().send(SocketClient.cancelRequest(client.cancelKey)).readResponse());
         assertEquals("57014", client.readResponse());
         assertEquals("cancelled; " + text, client.lastErrorMessage);
         if (waits) {
--- a/daemon/src/test/java/clayhook/serve/EndpointListDelayTest.java
+++ b/daemon/src/test/java/clayhook/serve/EndpointListDelayTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import clayhook.RequestClass;
-import clayhook.RequestClass.Idempotency;
 import clayhook.RequestClass.ConsistencyLevel;
 import clayhook.RequestClass.DeduplicationScope;
+import clayhook.RequestClass.Idempotency;
 import clayhook.RoutingSettings;
 import clayhook.config.RouterConfiguration;
 import clayhook.discovery.EndpointList;
@@ -162,7 +162,17 @@
     }
 
     private void start(FaultyDiscovery service, long seed) throws InterruptedException {
-        var any = new RequestClass("any", Idempotency.IDEMPOTENT, ConsistencyLevel.EVENTUAL, 20, 60, 1, 0, DeduplicationScope.REPLICA_SET, 60, 0);
+        var any = new RequestClass(
+                "any",
+                Idempotency.IDEMPOTENT,
+                ConsistencyLevel.EVENTUAL,
+                20,
+                60,
+                1,
+                0,
+                DeduplicationScope.REPLICA_SET,
+                60,
+                0);
         var settings = new RoutingSettings(
                 1, "a", List.of(any), true, true, false, true, true, true, true, true, 1, 3, 0.2, 10, 3, 3, 1, 15);
         var known = EndpointList.parse("{\"rev\":2,\"all\":true,\"targets\":[]}");
--- a/daemon/src/test/java/clayhook/serve/PeerSharingTest.java
+++ b/daemon/src/test/java/clayhook/serve/PeerSharingTest.java
@@ -3,18 +3,18 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import clayhook.RequestClass;
-import clayhook.RequestClass.Idempotency;
 import clayhook.RequestClass.ConsistencyLevel;
 import clayhook.RequestClass.DeduplicationScope;
+import clayhook.RequestClass.Idempotency;
 import clayhook.RoutingSettings;
-import clayhook.config.RouterConfiguration;
 import clayhook.config.OperatorConfiguration;
+import clayhook.config.RouterConfiguration;
 import clayhook.config.SharingSettings;
 import clayhook.discovery.EndpointList;
-import clayhook.rehearsal.StubClient;
-import clayhook.rehearsal.StubDiscovery;
-import clayhook.rehearsal.StubNode;
 import clayhook.transport.Transport;
+import clayhook.warmup.StubClient;
+import clayhook.warmup.StubDiscovery;
+import clayhook.warmup.StubNode;
 import io.netty.buffer.ByteBuf;
 import java.net.DatagramSocket;
 import java.net.InetAddress;
@@ -55,7 +55,17 @@
     }
 
     private Server start(int number) throws Exception {
-        var group = new RequestClass("any", Idempotency.IDEMPOTENT, ConsistencyLevel.EVENTUAL, 20, 60, 1, 0, DeduplicationScope.REPLICA_SET, 60, 0);
+        var group = new RequestClass(
+                "any",
+                Idempotency.IDEMPOTENT,
+                ConsistencyLevel.EVENTUAL,
+                20,
+                60,
+                1,
+                0,
+                DeduplicationScope.REPLICA_SET,
+                60,
+                0);
         var settings = new RoutingSettings(
                 ROUTERS,
                 "a",
@@ -110,10 +120,10 @@
 
     @Test
     void aDrainLearnedByOneRouterStopsTrafficAtAllIncludingOneThatRestarted() throws Exception {
-        var primary =
-                new StubNode(transport, transport.ephemeralAddress(0), "primary", any -> StubNode.StubResponse.answer("primary"));
-        var replica =
-                new StubNode(transport, transport.ephemeralAddress(0), "replica", any -> StubNode.StubResponse.answer("replica"));
+        var primary = new StubNode(
+                transport, transport.ephemeralAddress(0), "primary", any -> StubNode.StubResponse.answer("primary"));
+        var replica = new StubNode(
+                transport, transport.ephemeralAddress(0), "replica", any -> StubNode.StubResponse.answer("replica"));
         endpointListJson = "{\"rev\":2,\"all\":true,\"targets\":[" + entry("primary", "up", primary) + ","
                 + entry("replica", "up", replica) + "]}";
         String drain = "{\"rev\":3,\"all\":false,\"targets\":[" + entry("replica", "draining", replica) + "]}";
--- a/daemon/src/test/java/clayhook/serve/ServerLifecycleTest.java
+++ b/daemon/src/test/java/clayhook/serve/ServerLifecycleTest.java
@@ -4,15 +4,15 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 
 import clayhook.RequestClass;
-import clayhook.RequestClass.Idempotency;
 import clayhook.RequestClass.ConsistencyLevel;
 import clayhook.RequestClass.DeduplicationScope;
+import clayhook.RequestClass.Idempotency;
 import clayhook.RoutingSettings;
 import clayhook.config.RouterConfiguration;
 import clayhook.discovery.EndpointList;
-import clayhook.rehearsal.StubClient;
-import clayhook.rehearsal.StubDiscovery;
 import clayhook.transport.Transport;
+import clayhook.warmup.StubClient;
+import clayhook.warmup.StubDiscovery;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
@@ -82,7 +82,17 @@
         var settings = new RoutingSettings(
                 1,
                 "a",
-                List.of(new RequestClass("any", Idempotency.IDEMPOTENT, ConsistencyLevel.EVENTUAL, 0.5, 0.5, 1, 0, DeduplicationScope.REPLICA_SET, 60, 0)),
+                List.of(new RequestClass(
+                        "any",
+                        Idempotency.IDEMPOTENT,
+                        ConsistencyLevel.EVENTUAL,
+                        0.5,
+                        0.5,
+                        1,
+                        0,
+                        DeduplicationScope.REPLICA_SET,
+                        60,
+                        0)),
                 true,
                 true,
                 false,
--- a/daemon/src/test/java/clayhook/serve/ServerTest.java
+++ b/daemon/src/test/java/clayhook/serve/ServerTest.java
@@ -4,19 +4,19 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import clayhook.RequestClass;
-import clayhook.RequestClass.Idempotency;
 import clayhook.RequestClass.ConsistencyLevel;
 import clayhook.RequestClass.DeduplicationScope;
+import clayhook.RequestClass.Idempotency;
 import clayhook.RoutingSettings;
 import clayhook.config.RouterConfiguration;
 import clayhook.discovery.EndpointList;
-import clayhook.protocol.MessageEncoder;
 import clayhook.protocol.KeyValueStatement;
-import clayhook.rehearsal.StubClient;
-import clayhook.rehearsal.StubDiscovery;
-import clayhook.rehearsal.StubNode;
-import clayhook.rehearsal.StubNode.StubResponse;
+import clayhook.protocol.MessageEncoder;
 import clayhook.transport.Transport;
+import clayhook.warmup.StubClient;
+import clayhook.warmup.StubDiscovery;
+import clayhook.warmup.StubNode;
+import clayhook.warmup.StubNode.StubResponse;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import java.net.InetSocketAddress;
@@ -45,7 +45,10 @@
     }
 
     /** A router that knows a primary and a replica which do this to statements, and a client of it. */
-    private void start(Function<KeyValueStatement, StubResponse> primary, Function<KeyValueStatement, StubResponse> replica, int sockets)
+    private void start(
+            Function<KeyValueStatement, StubResponse> primary,
+            Function<KeyValueStatement, StubResponse> replica,
+            int sockets)
             throws InterruptedException {
         start(node("primary", primary).address(), node("replica", replica).address(), sockets);
     }
@@ -141,7 +144,10 @@
     @ParameterizedTest
     @CsvSource({NON_IDEMPOTENT_CSV + ", 1, 40003", WRITE_CSV + ", 2, ok", READ_CSV + ", 1, ok"})
     void aResetAfterTheSendIsRetriedOnlyWhereTheEffectAllows(String fields, int sends, String word) throws Exception {
-        start(statement -> sent.size() < 2 ? StubResponse.closeConnection() : StubResponse.answer("ok"), always(StubResponse.answer("ok")), 1024);
+        start(
+                statement -> sent.size() < 2 ? StubResponse.closeConnection() : StubResponse.answer("ok"),
+                always(StubResponse.answer("ok")),
+                1024);
         greet(fields);
         assertEquals(word, client.nextAnswer());
         assertEquals(sends, sent.size());
@@ -157,7 +163,10 @@
 
     @Test
     void aSilentNodeTimesOutAndItsConnectionIsNeverReused() throws Exception {
-        start(statement -> sent.size() == 1 ? StubResponse.silence() : StubResponse.answer("late"), always(StubResponse.answer("r")), 1024);
+        start(
+                statement -> sent.size() == 1 ? StubResponse.silence() : StubResponse.answer("late"),
+                always(StubResponse.answer("r")),
+                1024);
         greet("id=1,c=brief,d=1500,cluster=1");
         assertEquals("40003", client.nextAnswer());
         client.send(statement(READ));
@@ -168,7 +177,10 @@
     void aRequestGoesToAnotherNodeWhenOneRefusesConnections() throws Exception {
         StubNode gone = node("replica", always(StubResponse.answer("x")));
         gone.close();
-        start(gone.address(), node("replica", always(StubResponse.answer("here"))).address(), 1024);
+        start(
+                gone.address(),
+                node("replica", always(StubResponse.answer("here"))).address(),
+                1024);
         greet(READ);
         assertEquals("here", client.nextAnswer());
         for (int i = 0; i < 4; i++) {
@@ -187,7 +199,8 @@
         "false, 'id=1,c=mutating,d=30000,cluster=1'",
         "true, 'id=1,c=write,d=30000,cluster=1'"
     })
-    void anInvalidRequestGetsAnErrorReachesNoNodeAndLeavesTheSessionOpen(boolean writes, String fields) throws Exception {
+    void anInvalidRequestGetsAnErrorReachesNoNodeAndLeavesTheSessionOpen(boolean writes, String fields)
+            throws Exception {
         start(always(StubResponse.answer("p")), always(StubResponse.answer("r")), 1024);
         client.send(StubClient.startupAndFirst(StubClient.statement(writes, fields)));
         assertEquals("ready", client.nextAnswer());
@@ -272,7 +285,10 @@
     @ParameterizedTest
     @CsvSource({NON_IDEMPOTENT_CSV + ", 40003", READ_CSV + ", 53300"})
     void requestsAdmittedBeforeAndDuringShutdownAreAnsweredBeforeItEnds(String fields, String word) throws Exception {
-        start(always(StubResponse.silence()), statement -> sent.size() < 3 ? StubResponse.answer("r") : StubResponse.silence(), 1024);
+        start(
+                always(StubResponse.silence()),
+                statement -> sent.size() < 3 ? StubResponse.answer("r") : StubResponse.silence(),
+                1024);
         greet(READ);
         assertEquals("r", client.nextAnswer());
         Thread ending = shutDownInBackground();
--- a/daemon/src/test/java/clayhook/serve/ShutdownScheduleTest.java
+++ b/daemon/src/test/java/clayhook/serve/ShutdownScheduleTest.java
@@ -14,8 +14,13 @@
     void everyStepLeavesTimeForTheNextHoweverShortClientTimeoutsAre(double longest) {
         ShutdownSchedule grace = ShutdownSchedule.of(longest);
         assertTrue(grace.acceptUntil() >= 0.5, "connections come for 0.4 s");
-        assertTrue(grace.failPendingAt() >= grace.acceptUntil() + STEP_MARGIN_SECONDS, "what was taken last is given up at once: " + grace);
-        assertTrue(grace.exitAt() >= grace.failPendingAt() + STEP_MARGIN_SECONDS, "last answers are not written: " + grace);
-        assertTrue(grace.exitAt() <= Math.min(longest, 3) + 0.7 - STEP_MARGIN_SECONDS, "killed before it ends: " + grace);
+        assertTrue(
+                grace.failPendingAt() >= grace.acceptUntil() + STEP_MARGIN_SECONDS,
+                "what was taken last is given up at once: " + grace);
+        assertTrue(
+                grace.exitAt() >= grace.failPendingAt() + STEP_MARGIN_SECONDS,
+                "last answers are not written: " + grace);
+        assertTrue(
+                grace.exitAt() <= Math.min(longest, 3) + 0.7 - STEP_MARGIN_SECONDS, "killed before it ends: " + grace);
     }
 }
--- a/daemon/src/test/java/clayhook/serve/ShutdownTest.java
+++ b/daemon/src/test/java/clayhook/serve/ShutdownTest.java
@@ -5,18 +5,18 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import clayhook.RequestClass;
-import clayhook.RequestClass.Idempotency;
 import clayhook.RequestClass.ConsistencyLevel;
 import clayhook.RequestClass.DeduplicationScope;
+import clayhook.RequestClass.Idempotency;
 import clayhook.RoutingSettings;
-import clayhook.config.RouterConfiguration;
 import clayhook.config.OperatorConfiguration;
+import clayhook.config.RouterConfiguration;
 import clayhook.discovery.EndpointList;
 import clayhook.protocol.KeyValueStatement;
-import clayhook.rehearsal.StubClient;
-import clayhook.rehearsal.StubDiscovery;
-import clayhook.rehearsal.StubNode;
 import clayhook.transport.Transport;
+import clayhook.warmup.StubClient;
+import clayhook.warmup.StubDiscovery;
+import clayhook.warmup.StubNode;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import java.net.Socket;
@@ -45,9 +45,28 @@
                 1,
                 "a",
                 List.of(
-                        new RequestClass("any", Idempotency.IDEMPOTENT, ConsistencyLevel.EVENTUAL, 20, 60, 1, 0, DeduplicationScope.REPLICA_SET, 60, 0),
                         new RequestClass(
-                                "mutating", Idempotency.NON_IDEMPOTENT, ConsistencyLevel.WRITE, 20, 60, 1, 0, DeduplicationScope.REPLICA_SET, 60, 0)),
+                                "any",
+                                Idempotency.IDEMPOTENT,
+                                ConsistencyLevel.EVENTUAL,
+                                20,
+                                60,
+                                1,
+                                0,
+                                DeduplicationScope.REPLICA_SET,
+                                60,
+                                0),
+                        new RequestClass(
+                                "mutating",
+                                Idempotency.NON_IDEMPOTENT,
+                                ConsistencyLevel.WRITE,
+                                20,
+                                60,
+                                1,
+                                0,
+                                DeduplicationScope.REPLICA_SET,
+                                60,
+                                0)),
                 true,
                 true,
                 false,
--- a/daemon/src/test/java/clayhook/sim/SimulatorAdapterTest.java
+++ b/daemon/src/test/java/clayhook/simulator/SimulatorAdapterTest.java
@@ -1,4 +1,4 @@
-package clayhook.sim;
+package clayhook.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/daemon/src/test/java/clayhook/sql/ScriptedSqlNode.java
+++ b/daemon/src/test/java/clayhook/sql/ScriptedSqlNode.java
@@ -2,9 +2,9 @@
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import clayhook.protocol.MemoryBudget;
-import clayhook.protocol.ClientMessageDecoder;
 import clayhook.protocol.ClientMessage;
+import clayhook.protocol.ClientMessageDecoder;
+import clayhook.protocol.MemoryBudget;
 import clayhook.protocol.MessageEncoder;
 import clayhook.transport.Transport;
 import io.netty.buffer.ByteBuf;
@@ -86,8 +86,10 @@
     ScriptedSqlNode(Transport transport, String role, Function<String, Reaction> deeds) throws InterruptedException {
         this.role = role;
         this.script = deeds;
-        serverChannel = transport.listen(transport.ephemeralAddress(0), () ->
-                new ChannelHandler[] {new ClientMessageDecoder(new MemoryBudget(Long.MAX_VALUE), true), new Connection()});
+        serverChannel =
+                transport.listen(transport.ephemeralAddress(0), () -> new ChannelHandler[] {
+                    new ClientMessageDecoder(new MemoryBudget(Long.MAX_VALUE), true), new Connection()
+                });
     }
 
     InetSocketAddress address() {
--- a/daemon/src/test/java/clayhook/sql/SqlRoutingTest.java
+++ b/daemon/src/test/java/clayhook/sql/SqlRoutingTest.java
@@ -5,18 +5,18 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import clayhook.RequestClass;
-import clayhook.RequestClass.Idempotency;
 import clayhook.RequestClass.ConsistencyLevel;
 import clayhook.RequestClass.DeduplicationScope;
+import clayhook.RequestClass.Idempotency;
 import clayhook.RoutingSettings;
-import clayhook.config.RouterConfiguration;
 import clayhook.config.OperatorConfigurationReader;
+import clayhook.config.RouterConfiguration;
 import clayhook.discovery.EndpointList;
 import clayhook.protocol.MessageEncoder;
-import clayhook.rehearsal.StubDiscovery;
 import clayhook.serve.Server;
 import clayhook.sql.ScriptedSqlNode.Reaction;
 import clayhook.transport.Transport;
+import clayhook.warmup.StubDiscovery;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -81,7 +81,8 @@
         start(RULES, primary, replica);
     }
 
-    private void start(String rules, Function<String, Reaction> primary, Function<String, Reaction> replica) throws Exception {
+    private void start(String rules, Function<String, Reaction> primary, Function<String, Reaction> replica)
+            throws Exception {
         nodes.add(new ScriptedSqlNode(transport, "primary", primary));
         nodes.add(new ScriptedSqlNode(transport, "replica", replica));
         nodes.add(new ScriptedSqlNode(transport, "replica", replica));
@@ -193,10 +194,11 @@
         "XX000, E(XX000), 1",
         "53300, C(OK), 2"
     })
-    void forwardsNodeErrorAndDoesNotRetryWriteInDoubt(String code, String answer, int sends)
-            throws Exception {
+    void forwardsNodeErrorAndDoesNotRetryWriteInDoubt(String code, String answer, int sends) throws Exception {
         var sent = new AtomicInteger();
-        start(text -> sent.incrementAndGet() == 1 ? Reaction.error(code) : Reaction.tag("OK"), always(Reaction.tag("R")));
+        start(
+                text -> sent.incrementAndGet() == 1 ? Reaction.error(code) : Reaction.tag("OK"),
+                always(Reaction.tag("R")));
         try (SqlClient client = client()) {
             assertEquals(answer, client.query("delete from t"));
             assertEquals(sends, sent.get());
@@ -207,7 +209,9 @@
     @Test
     void reportsProcedureRejectedByNodeAsInDoubt() throws Exception {
         var sent = new AtomicInteger();
-        start(text -> sent.incrementAndGet() == 1 ? Reaction.error("53300") : Reaction.tag("OK"), always(Reaction.tag("R")));
+        start(
+                text -> sent.incrementAndGet() == 1 ? Reaction.error("53300") : Reaction.tag("OK"),
+                always(Reaction.tag("R")));
         try (SqlClient client = client()) {
             assertEquals("E(40003)", client.query("call p()"));
             assertEquals(1, sent.get());
@@ -332,7 +336,9 @@
     @MethodSource("spoilt")
     void retriesReadElsewhereAfterMalformedResponse(ByteBuf spoilt) throws Exception {
         var sent = new AtomicInteger();
-        start(always(Reaction.bytes(spoilt)), any -> sent.incrementAndGet() == 1 ? Reaction.bytes(spoilt) : Reaction.tag("R"));
+        start(
+                always(Reaction.bytes(spoilt)),
+                any -> sent.incrementAndGet() == 1 ? Reaction.bytes(spoilt) : Reaction.tag("R"));
         try (SqlClient client = client()) {
             assertEquals("C(R)", client.query("select 1"));
             assertEquals("E(40003)", client.query("delete from t"));
@@ -430,7 +436,9 @@
             node.executedStatements.forEach(text -> ran.merge(text, 1, Integer::sum));
             boolean replica = node != nodes.get(0);
             assertTrue(!replica || node.executedStatements.stream().noneMatch(SqlRoutingTest::isWrite));
-            reads.add(node.executedStatements.stream().filter(text -> !isWrite(text)).count());
+            reads.add(node.executedStatements.stream()
+                    .filter(text -> !isWrite(text))
+                    .count());
         }
         // Reads take turns over the replicas; the primary gets those that both could not take.
         assertTrue(
--- a/daemon/src/test/java/clayhook/rehearsal/WarmUpTest.java
+++ b/daemon/src/test/java/clayhook/warmup/WarmUpTest.java
@@ -1,4 +1,4 @@
-package clayhook.rehearsal;
+package clayhook.warmup;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -28,7 +28,16 @@
         Transport transport = process ? Transport.inProcess() : Transport.unixSockets();
         Transport outside = carried ? transport : Transport.unixSockets();
         var any = new RequestClass(
-                "any", RequestClass.Idempotency.IDEMPOTENT, RequestClass.ConsistencyLevel.EVENTUAL, 1, 2, 1, 0, null, 0, 0);
+                "any",
+                RequestClass.Idempotency.IDEMPOTENT,
+                RequestClass.ConsistencyLevel.EVENTUAL,
+                1,
+                2,
+                1,
+                0,
+                null,
+                0,
+                0);
         var settings = new RoutingSettings(
                 1, "a", List.of(any), true, true, true, true, true, true, true, true, 1, 3, 1, 0, 1, 0, 1, 15);
         double from = System.nanoTime() / 1e9;
@@ -69,7 +78,16 @@
 
     private static boolean run(Transport transport) {
         var any = new RequestClass(
-                "any", RequestClass.Idempotency.IDEMPOTENT, RequestClass.ConsistencyLevel.EVENTUAL, 1, 2, 1, 0, null, 0, 0);
+                "any",
+                RequestClass.Idempotency.IDEMPOTENT,
+                RequestClass.ConsistencyLevel.EVENTUAL,
+                1,
+                2,
+                1,
+                0,
+                null,
+                0,
+                0);
         try {
             return WarmUp.run(
                     new RoutingSettings(
@@ -104,7 +122,16 @@
     void everySocketIsClosedAfterWarmUp() throws Exception {
         Transport transport = Transport.unixSockets();
         var any = new RequestClass(
-                "any", RequestClass.Idempotency.IDEMPOTENT, RequestClass.ConsistencyLevel.EVENTUAL, 1, 2, 1, 0, null, 0, 0);
+                "any",
+                RequestClass.Idempotency.IDEMPOTENT,
+                RequestClass.ConsistencyLevel.EVENTUAL,
+                1,
+                2,
+                1,
+                0,
+                null,
+                0,
+                0);
         WarmUp.run(
                 new RoutingSettings(
                         1, "a", List.of(any), true, true, true, true, true, true, true, true, 1, 3, 1, 0, 1, 0, 1, 15),
@@ -117,10 +144,20 @@
     @Test
     void everyAnswerCountsOverInProcessChannels() throws Exception {
         Transport transport = Transport.inProcess();
-        var node = new StubNode(transport, transport.ephemeralAddress(1), "primary", any -> StubNode.StubResponse.answer("p"));
+        var node = new StubNode(
+                transport, transport.ephemeralAddress(1), "primary", any -> StubNode.StubResponse.answer("p"));
         var discovery = new StubDiscovery(transport, transport.ephemeralAddress(2), call -> null);
         var posts = new RequestClass(
-                "posts", RequestClass.Idempotency.NON_IDEMPOTENT, RequestClass.ConsistencyLevel.WRITE, 20, 60, 1, 0, null, 0, 0);
+                "posts",
+                RequestClass.Idempotency.NON_IDEMPOTENT,
+                RequestClass.ConsistencyLevel.WRITE,
+                20,
+                60,
+                1,
+                0,
+                null,
+                0,
+                0);
         var settings = new RoutingSettings(
                 1, "a", List.of(posts), true, true, true, true, true, true, true, true, 1, 3, 1, 0, 1, 0, 1, 15);
         String list = "{\"rev\":2,\"all\":true,\"targets\":[{\"uid\":\"p\",\"endpoint\":\"127.0.0.1:"
@@ -140,7 +177,8 @@
                         1));
         for (int i = 0; i < 20; i++) {
             var client = new StubClient(transport, server.address());
-            client.send(StubClient.startupAndFirst(StubClient.statement(true, "id=" + i + ",c=posts,d=30000,cluster=1")));
+            client.send(
+                    StubClient.startupAndFirst(StubClient.statement(true, "id=" + i + ",c=posts,d=30000,cluster=1")));
             assertEquals("ready", client.nextAnswer());
             assertEquals("p", client.nextAnswer());
             client.close();
--- a/fleet/src/main/java/clayhook/fleet/FieldReader.java
+++ b/fleet/src/main/java/clayhook/fleet/FieldReader.java
@@ -8,8 +8,8 @@
 import java.util.function.Function;
 
 /**
- * Reads a list of fields as {@link FieldWriter} wrote it. Whatever does not fit throws IllegalArgumentException, which stops
- * where packets are taken apart. Fields that a later release has added are left unread.
+ * Reads a list of fields as {@link FieldWriter} wrote it. Whatever does not fit throws IllegalArgumentException, which
+ * stops where packets are taken apart. Fields that a later release has added are left unread.
  */
 public final class FieldReader {
     /** Of one text; names and keys are far shorter. */
--- a/fleet/src/main/java/clayhook/fleet/MessageDispatcher.java
+++ b/fleet/src/main/java/clayhook/fleet/MessageDispatcher.java
@@ -13,7 +13,8 @@
     public static final class TrafficCounters {
         public long receivedPackets;
         public long skippedMessages;
-        public final Map<Packet.DecodeResult.DropReason, Long> droppedByReason = new EnumMap<>(Packet.DecodeResult.DropReason.class);
+        public final Map<Packet.DecodeResult.DropReason, Long> droppedByReason =
+                new EnumMap<>(Packet.DecodeResult.DropReason.class);
         /** What went out. */
         public long sentPackets;
 
@@ -53,7 +54,8 @@
             counters.receivedPackets++;
             counters.skippedMessages += whole.skippedMessages();
             var peer = new Peer(whole.from(), from);
-            whole.messages().forEach(part -> handlersByType.get(part.typeNumber()).onMessage(peer, part, now, packetAssembler));
+            whole.messages()
+                    .forEach(part -> handlersByType.get(part.typeNumber()).onMessage(peer, part, now, packetAssembler));
         }
         packetAssembler.flush();
     }
--- a/fleet/src/main/java/clayhook/fleet/Packet.java
+++ b/fleet/src/main/java/clayhook/fleet/Packet.java
@@ -62,8 +62,11 @@
     }
 
     static byte[] encode(Member from, List<Integer> numbers, List<byte[]> parts) {
-        var out =
-                new FieldWriter().writeLong(VERSION).writeNullableString(from.name()).writeLong(from.incarnation()).beginList();
+        var out = new FieldWriter()
+                .writeLong(VERSION)
+                .writeNullableString(from.name())
+                .writeLong(from.incarnation())
+                .beginList();
         for (int i = 0; i < parts.size(); i++) {
             out.beginList().writeLong(numbers.get(i)).writeBytes(parts.get(i)).endList();
         }
--- a/fleet/src/main/java/clayhook/fleet/PacketAssembler.java
+++ b/fleet/src/main/java/clayhook/fleet/PacketAssembler.java
@@ -32,7 +32,9 @@
                     "a part of " + bytes.length + " bytes: " + part.getClass().getSimpleName());
         }
         PendingPacket bundle = pendingByAddress.computeIfAbsent(to, any -> new PendingPacket());
-        if (!bundle.encodedMessages.isEmpty() && Packet.maxHeaderBytes(sender) + bundle.reservedBytes + Packet.maxFramedBytes(bytes) > Packet.MAX_BYTES) {
+        if (!bundle.encodedMessages.isEmpty()
+                && Packet.maxHeaderBytes(sender) + bundle.reservedBytes + Packet.maxFramedBytes(bytes)
+                        > Packet.MAX_BYTES) {
             send(to, bundle);
         }
         bundle.typeNumbers.add(part.typeNumber());
--- a/fleet/src/main/java/clayhook/fleet/members/BroadcastQueue.java
+++ b/fleet/src/main/java/clayhook/fleet/members/BroadcastQueue.java
@@ -64,7 +64,8 @@
         for (int told = 0; told < queuesByTransmissions.size() && room > 0; told++) {
             room = select(queuesByTransmissions.get(told), room, picked, now);
         }
-        int most = MIN_TRANSMISSIONS + (int) Math.ceil(TRANSMISSIONS_PER_DOUBLING * Math.log(members + 1.0) / Math.log(2));
+        int most =
+                MIN_TRANSMISSIONS + (int) Math.ceil(TRANSMISSIONS_PER_DOUBLING * Math.log(members + 1.0) / Math.log(2));
         for (PendingBroadcast rumour : picked) {
             if (++rumour.transmissions < most) {
                 queueFor(rumour.transmissions).addFirst(rumour);
--- a/fleet/src/main/java/clayhook/fleet/members/FailureDetector.java
+++ b/fleet/src/main/java/clayhook/fleet/members/FailureDetector.java
@@ -81,7 +81,10 @@
     private final LocalHealth localHealth;
     private final SplittableRandom random;
     private final ObjDoubleConsumer<MemberClaim> onSuspect;
-    /** Emptied a period after they began; one by the rounds, or two where patience has changed, and {@link #MAX_CONCURRENT_CONFIRMATIONS}. */
+    /**
+     * Emptied a period after they began; one by the rounds, or two where patience has changed, and
+     * {@link #MAX_CONCURRENT_CONFIRMATIONS}.
+     */
     private final List<MemberProbe> probes = new ArrayList<>();
     /** Emptied two periods after they began. */
     private final List<RelayedPing> relayedPings = new ArrayList<>();
@@ -104,7 +107,8 @@
         this.localHealth = health;
         this.random = chance;
         this.onSuspect = accuse;
-        nextProbeAt = now + settings.probeInterval() * chance.nextDouble(); // so that routers started at once do not ask at once
+        nextProbeAt = now
+                + settings.probeInterval() * chance.nextDouble(); // so that routers started at once do not ask at once
     }
 
     /** Another router has accused that one: now and then this one looks as well. */
@@ -116,7 +120,8 @@
 
     /** Probes that one out of turn, where there is room for it. */
     void probeNow(MemberRecord target, double now) {
-        if (probes.size() < MAX_CONCURRENT_CONFIRMATIONS && probes.stream().noneMatch(probe -> probe.target == target)) {
+        if (probes.size() < MAX_CONCURRENT_CONFIRMATIONS
+                && probes.stream().noneMatch(probe -> probe.target == target)) {
             startProbe(target, now);
         }
     }
@@ -151,7 +156,11 @@
     void onPingRequest(Address asker, MembershipMessage.PingRequest errand, double now, Outbox out) {
         if (relayedPings.size() < MAX_RELAYED_PINGS) {
             var run = new RelayedPing(
-                    asker, errand, sender.nextSequence(), now + NEGATIVE_RESULT_FRACTION * settings.probeRetryDelay(), now + 2 * settings.probeInterval());
+                    asker,
+                    errand,
+                    sender.nextSequence(),
+                    now + NEGATIVE_RESULT_FRACTION * settings.probeRetryDelay(),
+                    now + 2 * settings.probeInterval());
             relayedPings.add(run);
             sender.sendPing(
                     errand.target().address(), table.find(errand.target().member()), run.sequence, now, out);
--- a/fleet/src/main/java/clayhook/fleet/members/MemberClaim.java
+++ b/fleet/src/main/java/clayhook/fleet/members/MemberClaim.java
@@ -1,11 +1,11 @@
 package clayhook.fleet.members;
 
 import clayhook.fleet.Address;
+import clayhook.fleet.FieldReader;
+import clayhook.fleet.FieldWriter;
 import clayhook.fleet.Member;
 import clayhook.fleet.Packet;
 import clayhook.fleet.Peer;
-import clayhook.fleet.FieldReader;
-import clayhook.fleet.FieldWriter;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
@@ -95,7 +95,15 @@
 
     /** Bytes that it takes on the wire, at most. */
     int maxEncodedBytes() {
-        return 2 + maxEncodedBytes(name()) + 9 + maxEncodedBytes(peer.address().host()) + 5 + 1 + 9 + 1 + 9 * accusers.size();
+        return 2
+                + maxEncodedBytes(name())
+                + 9
+                + maxEncodedBytes(peer.address().host())
+                + 5
+                + 1
+                + 9
+                + 1
+                + 9 * accusers.size();
     }
 
     private static int maxEncodedBytes(String text) {
--- a/fleet/src/main/java/clayhook/fleet/members/Membership.java
+++ b/fleet/src/main/java/clayhook/fleet/members/Membership.java
@@ -1,13 +1,13 @@
 package clayhook.fleet.members;
 
 import clayhook.fleet.Address;
-import clayhook.fleet.ProtocolHandler;
+import clayhook.fleet.FieldReader;
 import clayhook.fleet.Member;
-import clayhook.fleet.Outbox;
+import clayhook.fleet.MembershipView;
 import clayhook.fleet.Message;
+import clayhook.fleet.Outbox;
 import clayhook.fleet.Peer;
-import clayhook.fleet.FieldReader;
-import clayhook.fleet.MembershipView;
+import clayhook.fleet.ProtocolHandler;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
@@ -83,7 +83,13 @@
      *     them
      * @param seed of all chance in it
      */
-    public Membership(MembershipSettings settings, Peer self, List<Address> seeds, long seed, double now, MembershipListener listener) {
+    public Membership(
+            MembershipSettings settings,
+            Peer self,
+            List<Address> seeds,
+            long seed,
+            double now,
+            MembershipListener listener) {
         this.settings = settings;
         this.self = self;
         this.listener = listener;
@@ -92,8 +98,15 @@
         localHealth = new LocalHealth(settings);
         sender = new MessageSender(self, settings, table, broadcasts, chance.split());
         failureDetector = new FailureDetector(
-                settings, table, sender, localHealth, chance.split(), now, (claim, at) -> mergeClaim(claim, at, true, at));
-        suspicionTimers = new SuspicionTimers(settings, table, localHealth, (claim, at) -> mergeClaim(claim, at, true, at));
+                settings,
+                table,
+                sender,
+                localHealth,
+                chance.split(),
+                now,
+                (claim, at) -> mergeClaim(claim, at, true, at));
+        suspicionTimers =
+                new SuspicionTimers(settings, table, localHealth, (claim, at) -> mergeClaim(claim, at, true, at));
         seedReconnector = new SeedReconnector(settings, seeds, table, sender, chance.split());
         sync = new MembershipSync(table, now);
         startedAt = now;
@@ -199,7 +212,8 @@
             if (now - startedAt > DUPLICATE_NAME_GRACE_SECONDS) {
                 reportOwnDuplicate(self, speaker, now);
             }
-        } else if (known != null && !(known.isIncarnation(speaker.member()) && known.claim.status() == MemberStatus.ALIVE)) {
+        } else if (known != null
+                && !(known.isIncarnation(speaker.member()) && known.claim.status() == MemberStatus.ALIVE)) {
             sender.sendClaim(from.address(), known.claim, out);
             if (MemberClaim.INCARNATION_ORDER.compare(known.peer(), speaker) > 0
                     && now - known.knownSince > DUPLICATE_NAME_GRACE_SECONDS
@@ -288,7 +302,9 @@
     private void scheduleFollowUp(MemberRecord known, MemberClaim held, double now) {
         MemberStatus standing = known.claim.status();
         if (standing == MemberStatus.SUSPECT
-                && !known.claim.accusers().contains(MemberClaim.accuserHash(self.member().name()))) {
+                && !known.claim
+                        .accusers()
+                        .contains(MemberClaim.accuserHash(self.member().name()))) {
             failureDetector.maybeConfirm(known, now);
         } else if (standing == MemberStatus.DEAD) {
             seedReconnector.onMemberDead(now);
@@ -308,7 +324,8 @@
         boolean lived = held != null && held.isLive();
         if (is.isLive() && was == null) {
             listener.onJoined(peer, now);
-        } else if (is.isLive() && (was == MemberStatus.DEAD || was == MemberStatus.SUSPECT && is == MemberStatus.ALIVE)) {
+        } else if (is.isLive()
+                && (was == MemberStatus.DEAD || was == MemberStatus.SUSPECT && is == MemberStatus.ALIVE)) {
             listener.onAlive(peer, now);
         }
         if (is == MemberStatus.SUSPECT) {
--- a/fleet/src/main/java/clayhook/fleet/members/MembershipMessage.java
+++ b/fleet/src/main/java/clayhook/fleet/members/MembershipMessage.java
@@ -1,12 +1,12 @@
 package clayhook.fleet.members;
 
 import clayhook.fleet.Address;
+import clayhook.fleet.FieldReader;
+import clayhook.fleet.FieldWriter;
 import clayhook.fleet.Member;
-import clayhook.fleet.Packet;
 import clayhook.fleet.Message;
+import clayhook.fleet.Packet;
 import clayhook.fleet.Peer;
-import clayhook.fleet.FieldReader;
-import clayhook.fleet.FieldWriter;
 import java.nio.ByteBuffer;
 import java.util.List;
 import java.util.Map;
@@ -15,7 +15,20 @@
 /** What members say to each other. Times are seconds since 1970 on the clock of whoever wrote them. */
 sealed interface MembershipMessage extends Message {
     Map<Integer, Function<FieldReader, ? extends Message>> READERS = Map.of(
-            1, Ping::read, 2, Ack::read, 3, PingRequest::read, 4, PingRequestResult::read, 5, ClaimBroadcast::read, 6, SyncRequest::read, 7, SyncPage::read);
+            1,
+            Ping::read,
+            2,
+            Ack::read,
+            3,
+            PingRequest::read,
+            4,
+            PingRequestResult::read,
+            5,
+            ClaimBroadcast::read,
+            6,
+            SyncRequest::read,
+            7,
+            SyncPage::read);
     /** More claims than fit. */
     int MAX_CLAIMS = Packet.MAX_MESSAGE_BYTES;
 
@@ -25,7 +38,8 @@
      * @param sentAt comes back in the answer
      * @param digest of the asker's roster
      */
-    record Ping(long sequence, double sentAt, long digest, Address address, long refutationCount) implements MembershipMessage {
+    record Ping(long sequence, double sentAt, long digest, Address address, long refutationCount)
+            implements MembershipMessage {
         @Override
         public int typeNumber() {
             return 1;
@@ -42,7 +56,12 @@
         }
 
         static Ping read(FieldReader in) {
-            return new Ping(in.readLong(), in.readDouble(), in.readLong(), MemberClaim.readAddress(in), MemberClaim.readRefutationCount(in));
+            return new Ping(
+                    in.readLong(),
+                    in.readDouble(),
+                    in.readLong(),
+                    MemberClaim.readAddress(in),
+                    MemberClaim.readRefutationCount(in));
         }
     }
 
@@ -52,7 +71,8 @@
      * @param sentAt as the probe had it, on the asker's clock
      * @param gotAt when the probe came, on the clock of whoever answers; the answer leaves at once
      */
-    record Ack(long sequence, double sentAt, double receivedAt, long digest, Address address, long refutationCount) implements MembershipMessage {
+    record Ack(long sequence, double sentAt, double receivedAt, long digest, Address address, long refutationCount)
+            implements MembershipMessage {
         @Override
         public int typeNumber() {
             return 2;
@@ -65,7 +85,13 @@
         }
 
         static Ack read(FieldReader in) {
-            return new Ack(in.readLong(), in.readDouble(), in.readDouble(), in.readLong(), MemberClaim.readAddress(in), MemberClaim.readRefutationCount(in));
+            return new Ack(
+                    in.readLong(),
+                    in.readDouble(),
+                    in.readDouble(),
+                    in.readLong(),
+                    MemberClaim.readAddress(in),
+                    MemberClaim.readRefutationCount(in));
         }
     }
 
@@ -81,11 +107,14 @@
             out.writeLong(sequence)
                     .writeNullableString(target.member().name())
                     .writeLong(target.member().incarnation());
-            out.writeNullableString(target.address().host()).writeLong(target.address().port());
+            out.writeNullableString(target.address().host())
+                    .writeLong(target.address().port());
         }
 
         static PingRequest read(FieldReader in) {
-            return new PingRequest(in.readLong(), new Peer(new Member(in.readNonEmptyString(), in.readLong()), MemberClaim.readAddress(in)));
+            return new PingRequest(
+                    in.readLong(),
+                    new Peer(new Member(in.readNonEmptyString(), in.readLong()), MemberClaim.readAddress(in)));
         }
     }
 
--- a/fleet/src/main/java/clayhook/fleet/members/MembershipSettings.java
+++ b/fleet/src/main/java/clayhook/fleet/members/MembershipSettings.java
@@ -48,7 +48,17 @@
     private static final double MIN_RETENTION_INTERVALS = 60;
 
     public MembershipSettings {
-        double[] times = {probeInterval, probeRetryDelay, gossipInterval, suspicionMultiplier, reconnectInterval, deadMemberRetention, servingGracePeriod, maxClockSkew, stallThreshold};
+        double[] times = {
+            probeInterval,
+            probeRetryDelay,
+            gossipInterval,
+            suspicionMultiplier,
+            reconnectInterval,
+            deadMemberRetention,
+            servingGracePeriod,
+            maxClockSkew,
+            stallThreshold
+        };
         for (double time : times) {
             if (!(time > 0 && time < Double.POSITIVE_INFINITY)) {
                 throw new IllegalArgumentException("a period or bound of members that is not above 0: " + time);
--- a/fleet/src/main/java/clayhook/fleet/members/MembershipSync.java
+++ b/fleet/src/main/java/clayhook/fleet/members/MembershipSync.java
@@ -76,7 +76,9 @@
         refilledAt = now;
         List<MembershipMessage.SyncPage.AgedClaim> differing = table.claimsInDifferingBuckets(ask.bucketDigests(), now);
         int from = 0;
-        for (int left = MAX_PAGES_PER_RESPONSE; left > 0 && availablePages >= 1 && from < differing.size(); left--, availablePages--) {
+        for (int left = MAX_PAGES_PER_RESPONSE;
+                left > 0 && availablePages >= 1 && from < differing.size();
+                left--, availablePages--) {
             var claims = new ArrayList<MembershipMessage.SyncPage.AgedClaim>();
             int room = Packet.MAX_MESSAGE_BYTES - PAGE_OVERHEAD_BYTES;
             for (;
--- a/fleet/src/main/java/clayhook/fleet/members/MembershipTable.java
+++ b/fleet/src/main/java/clayhook/fleet/members/MembershipTable.java
@@ -119,7 +119,9 @@
         known.listIndex = list.size();
         list.add(known);
         if (list == live) {
-            ring.put(known.ringPosition, known); // of two names with one hash one has no place, and is found by the rounds
+            ring.put(
+                    known.ringPosition,
+                    known); // of two names with one hash one has no place, and is found by the rounds
         }
         if (list == live && probedCount < live.size()) {
             swap(known.listIndex, random.nextInt(probedCount, live.size()));
--- a/fleet/src/main/java/clayhook/fleet/members/MessageSender.java
+++ b/fleet/src/main/java/clayhook/fleet/members/MessageSender.java
@@ -21,7 +21,12 @@
     private long nextSequence;
     private double nextGossipAt = Double.NEGATIVE_INFINITY;
 
-    MessageSender(Peer self, MembershipSettings settings, MembershipTable register, BroadcastQueue rumours, SplittableRandom chance) {
+    MessageSender(
+            Peer self,
+            MembershipSettings settings,
+            MembershipTable register,
+            BroadcastQueue rumours,
+            SplittableRandom chance) {
         this.settings = settings;
         this.table = register;
         this.broadcasts = rumours;
@@ -70,7 +75,10 @@
 
     /** @param known what is held against the one asked, so that it can contradict; null where nothing is known */
     void sendPing(Address to, MemberRecord known, long sequence, double now, Outbox out) {
-        out.add(to, new MembershipMessage.Ping(sequence, now, table.digest(), ownClaim.peer().address(), ownClaim.refutationCount()));
+        out.add(
+                to,
+                new MembershipMessage.Ping(
+                        sequence, now, table.digest(), ownClaim.peer().address(), ownClaim.refutationCount()));
         if (known != null && known.claim.status() != MemberStatus.ALIVE) {
             out.add(to, new MembershipMessage.ClaimBroadcast(List.of(known.claim)));
         }
--- a/fleet/src/main/java/clayhook/fleet/members/SeedReconnector.java
+++ b/fleet/src/main/java/clayhook/fleet/members/SeedReconnector.java
@@ -40,7 +40,12 @@
     private double retryInterval;
     private double nextRoundAt = Double.NEGATIVE_INFINITY;
 
-    SeedReconnector(MembershipSettings settings, List<Address> seeds, MembershipTable register, MessageSender voice, SplittableRandom chance) {
+    SeedReconnector(
+            MembershipSettings settings,
+            List<Address> seeds,
+            MembershipTable register,
+            MessageSender voice,
+            SplittableRandom chance) {
         this.settings = settings;
         this.table = register;
         this.sender = voice;
--- a/fleet/src/main/java/clayhook/fleet/members/SuspicionTimers.java
+++ b/fleet/src/main/java/clayhook/fleet/members/SuspicionTimers.java
@@ -14,7 +14,11 @@
     /** Since when each is suspected here; emptied as they stand otherwise. At most the members. */
     private final Map<MemberRecord, Double> suspectedSince = new LinkedHashMap<>();
 
-    SuspicionTimers(MembershipSettings settings, MembershipTable register, LocalHealth health, ObjDoubleConsumer<MemberClaim> judge) {
+    SuspicionTimers(
+            MembershipSettings settings,
+            MembershipTable register,
+            LocalHealth health,
+            ObjDoubleConsumer<MemberClaim> judge) {
         this.settings = settings;
         this.table = register;
         this.localHealth = health;
@@ -25,7 +29,9 @@
     void onClaimChanged(MemberRecord known, MemberClaim before, double now) {
         if (known.claim.status() != MemberStatus.SUSPECT) {
             suspectedSince.remove(known);
-        } else if (before == null || !before.peer().equals(known.peer()) || before.refutationCount() != known.claim.refutationCount()) {
+        } else if (before == null
+                || !before.peer().equals(known.peer())
+                || before.refutationCount() != known.claim.refutationCount()) {
             suspectedSince.put(known, now);
         } else {
             suspectedSince.putIfAbsent(known, now);
@@ -43,7 +49,8 @@
         }
         double next = Double.POSITIVE_INFINITY;
         for (MemberRecord suspect : List.copyOf(suspectedSince.keySet())) {
-            double until = suspectedSince.get(suspect) + timeoutSeconds(suspect.claim.accusers().size());
+            double until = suspectedSince.get(suspect)
+                    + timeoutSeconds(suspect.claim.accusers().size());
             if (now >= until) {
                 onTimeout.accept(suspect.claim.withStatus(MemberStatus.DEAD, List.of()), now);
             } else {
@@ -56,8 +63,10 @@
     /** Seconds. After Lifeguard: from the longest to the shortest by the logarithm of those that agree. */
     private double timeoutSeconds(int accusers) {
         int members = table.liveCount() + 1;
-        double shortest = settings.probeInterval() * Math.max(2, settings.suspicionMultiplier() * Math.log(members + 1.0) / Math.log(2));
-        int expected = Math.min(MemberClaim.MAX_ACCUSERS, members - 1) - 1; // without the suspect, and the one that began
+        double shortest = settings.probeInterval()
+                * Math.max(2, settings.suspicionMultiplier() * Math.log(members + 1.0) / Math.log(2));
+        int expected =
+                Math.min(MemberClaim.MAX_ACCUSERS, members - 1) - 1; // without the suspect, and the one that began
         if (expected < 1) {
             return shortest;
         }
--- a/fleet/src/main/java/clayhook/fleet/state/AntiEntropyResponder.java
+++ b/fleet/src/main/java/clayhook/fleet/state/AntiEntropyResponder.java
@@ -27,7 +27,8 @@
     private final TokenBucket byteBudget;
     private final ArrayDeque<QueuedRequest> queuedRequests = new ArrayDeque<>();
 
-    AntiEntropyResponder(Replica copy, VersionVector origins, StateSettings settings, StateCounters counts, double now) {
+    AntiEntropyResponder(
+            Replica copy, VersionVector origins, StateSettings settings, StateCounters counts, double now) {
         this.replica = copy;
         this.versionVector = origins;
         this.settings = settings;
@@ -59,7 +60,11 @@
     private void respond(Peer from, StateMessage word, BooleanSupplier whole, double now, Outbox out) {
         if (word instanceof StateMessage.VersionVectorRequest ask) {
             List<StateMessage.OriginVersion> pairs = versionVector.knownVersions(ask.originIds(), now);
-            send(from, new StateMessage.VersionVectorUpdate(ask.sessionId(), ask.requestId(), now, pairs), StateMessage.HEADER_BYTES + StateMessage.NUMBER_PAIR_BYTES * pairs.size(), out);
+            send(
+                    from,
+                    new StateMessage.VersionVectorUpdate(ask.sessionId(), ask.requestId(), now, pairs),
+                    StateMessage.HEADER_BYTES + StateMessage.NUMBER_PAIR_BYTES * pairs.size(),
+                    out);
         } else if (word instanceof StateMessage.RootDigestsRequest ask) {
             List<StateMessage.RootDigest> roots = rootDigests(from, ask, now);
             send(
@@ -68,7 +73,11 @@
                     StateMessage.HEADER_BYTES + StateMessage.ROOT_DIGEST_BYTES * roots.size(),
                     out);
         } else if (word instanceof StateMessage.TreeNodeRequest ask && replica.table(ask.replicatedType()) != null) {
-            send(from, treeNode(ask, replica.table(ask.replicatedType()), now), StateMessage.HEADER_BYTES + 2 * StateMessage.NUMBER_PAIR_BYTES / 3 * HashTree.FANOUT, out);
+            send(
+                    from,
+                    treeNode(ask, replica.table(ask.replicatedType()), now),
+                    StateMessage.HEADER_BYTES + 2 * StateMessage.NUMBER_PAIR_BYTES / 3 * HashTree.FANOUT,
+                    out);
         } else if (word instanceof StateMessage.RangeRequest ask && replica.table(ask.replicatedType()) != null) {
             StateMessage.RangeEntries entries = rangeEntries(ask, replica.table(ask.replicatedType()));
             send(
@@ -110,7 +119,8 @@
             sums[i] = table.hashTree.hashSum(level, ask.index() * HashTree.FANOUT + i);
             sizes[i] = table.hashTree.entryCount(level, ask.index() * HashTree.FANOUT + i);
         }
-        return new StateMessage.TreeNodeResponse(ask.sessionId(), ask.requestId(), table.digestCutoff(), table.evictionFloor(), sums, sizes);
+        return new StateMessage.TreeNodeResponse(
+                ask.sessionId(), ask.requestId(), table.digestCutoff(), table.evictionFloor(), sums, sizes);
     }
 
     /** All that the other lacks in the range, as far as it fits. */
@@ -126,7 +136,8 @@
             if (!table.isDigested(slot)) {
                 continue;
             }
-            int at = indexOfFingerprint(ask.fingerprints(), StableHash.fingerprint(table.entryHash(slot), ask.sessionId()));
+            int at = indexOfFingerprint(
+                    ask.fingerprints(), StableHash.fingerprint(table.entryHash(slot), ask.sessionId()));
             if (at >= 0) {
                 had |= 1L << at;
             } else if (!full) {
@@ -140,7 +151,8 @@
                 }
             }
         }
-        return new StateMessage.RangeEntries(ask.sessionId(), ask.requestId(), ask.replicatedType(), table.evictionFloor(), upTo, had, entries);
+        return new StateMessage.RangeEntries(
+                ask.sessionId(), ask.requestId(), ask.replicatedType(), table.evictionFloor(), upTo, had, entries);
     }
 
     private static int indexOfFingerprint(long[] briefs, int brief) {
--- a/fleet/src/main/java/clayhook/fleet/state/AntiEntropyScheduler.java
+++ b/fleet/src/main/java/clayhook/fleet/state/AntiEntropyScheduler.java
@@ -1,9 +1,9 @@
 package clayhook.fleet.state;
 
 import clayhook.fleet.Member;
+import clayhook.fleet.MembershipView;
 import clayhook.fleet.Outbox;
 import clayhook.fleet.Peer;
-import clayhook.fleet.MembershipView;
 import java.util.List;
 import java.util.Optional;
 import java.util.SplittableRandom;
@@ -104,7 +104,8 @@
         counters.sessionsStarted++;
         List<Member> lacking = versionVector.membersWithGaps(!bootstrappedFromPeer, DELTA_GRACE_SECONDS, now);
         long id = random.nextLong() | 1; // never 0, which stands for none
-        session = new AntiEntropySession(choosePeer(others, lacking), id, lacking, replica, settings, counters, byteBudget, now);
+        session = new AntiEntropySession(
+                choosePeer(others, lacking), id, lacking, replica, settings, counters, byteBudget, now);
     }
 
     /** Anyone, or now and then one of whom something is missing: it has that for sure. */
@@ -118,7 +119,9 @@
             }
         }
         Peer peer = others.get(random.nextInt(others.size()));
-        for (int i = 0; i < 3 && (peer.member().equals(avoidedMember) || !roster.clockWithinBound(peer.member())); i++) {
+        for (int i = 0;
+                i < 3 && (peer.member().equals(avoidedMember) || !roster.clockWithinBound(peer.member()));
+                i++) {
             peer = others.get(random.nextInt(others.size()));
         }
         return peer;
@@ -143,8 +146,12 @@
         }
         double paid = session.transferredBytes() / settings.antiEntropyBytesPerSecond();
         double rest = isBootstrapped(now)
-                ? Math.min(MAX_PAUSE_INTERVALS * settings.antiEntropyInterval(), Math.max(settings.antiEntropyInterval(), paid))
-                : Math.min(settings.antiEntropyInterval(), Math.max(BOOTSTRAP_INTERVAL_SECONDS, paid / MAX_PAUSE_INTERVALS));
+                ? Math.min(
+                        MAX_PAUSE_INTERVALS * settings.antiEntropyInterval(),
+                        Math.max(settings.antiEntropyInterval(), paid))
+                : Math.min(
+                        settings.antiEntropyInterval(),
+                        Math.max(BOOTSTRAP_INTERVAL_SECONDS, paid / MAX_PAUSE_INTERVALS));
         // Uneven, so that routers that started together do not all compare together.
         nextSessionAt = now + rest * (0.75 + random.nextDouble() / 2);
         session = null;
--- a/fleet/src/main/java/clayhook/fleet/state/AntiEntropySession.java
+++ b/fleet/src/main/java/clayhook/fleet/state/AntiEntropySession.java
@@ -94,7 +94,8 @@
         lastResponseAt = now;
         for (int i = 0; i < lacking.size(); i += StateMessage.MAX_REQUESTED_ORIGINS) {
             List<Member> some = lacking.subList(i, Math.min(lacking.size(), i + StateMessage.MAX_REQUESTED_ORIGINS));
-            pendingSteps.push(new SyncStep.FetchVersions(some.stream().mapToLong(StableHash::ofMember).toArray()));
+            pendingSteps.push(new SyncStep.FetchVersions(
+                    some.stream().mapToLong(StableHash::ofMember).toArray()));
         }
     }
 
@@ -153,19 +154,32 @@
         OutstandingRequest question;
         if (step instanceof SyncStep.FetchVersions numbers) {
             question = new OutstandingRequest(
-                    step, new StateMessage.VersionVectorRequest(sessionId, lastRequestId, numbers.originIds), List.of(), StateMessage.HEADER_BYTES + 9 * numbers.originIds.length);
+                    step,
+                    new StateMessage.VersionVectorRequest(sessionId, lastRequestId, numbers.originIds),
+                    List.of(),
+                    StateMessage.HEADER_BYTES + 9 * numbers.originIds.length);
         } else if (step instanceof SyncStep.CompareTreeNode node) {
             question = new OutstandingRequest(
                     step,
-                    new StateMessage.TreeNodeRequest(sessionId, lastRequestId, node.table.type.typeNumber(), node.table.digestCutoff(), node.level, node.index),
+                    new StateMessage.TreeNodeRequest(
+                            sessionId,
+                            lastRequestId,
+                            node.table.type.typeNumber(),
+                            node.table.digestCutoff(),
+                            node.level,
+                            node.index),
                     List.of(),
                     StateMessage.HEADER_BYTES);
         } else if (step instanceof SyncStep.FetchRange range) {
             question = rangeRequest(range);
         } else {
-            List<StateMessage.RootDigest> roots = replica.tables().stream().map(Replica::rootDigest).toList();
+            List<StateMessage.RootDigest> roots =
+                    replica.tables().stream().map(Replica::rootDigest).toList();
             question = new OutstandingRequest(
-                    step, new StateMessage.RootDigestsRequest(sessionId, lastRequestId, roots), List.of(), StateMessage.HEADER_BYTES + StateMessage.ROOT_DIGEST_BYTES * roots.size());
+                    step,
+                    new StateMessage.RootDigestsRequest(sessionId, lastRequestId, roots),
+                    List.of(),
+                    StateMessage.HEADER_BYTES + StateMessage.ROOT_DIGEST_BYTES * roots.size());
         }
         // A pause for want of allowance is no silence of the other.
         lastResponseAt = outstanding.isEmpty() ? now : lastResponseAt;
@@ -195,7 +209,13 @@
         }
         return new OutstandingRequest(
                 new SyncStep.FetchRange(table, range.firstHash, to),
-                new StateMessage.RangeRequest(sessionId, lastRequestId, table.type.typeNumber(), range.firstHash, to, Arrays.copyOf(briefs, keys.size())),
+                new StateMessage.RangeRequest(
+                        sessionId,
+                        lastRequestId,
+                        table.type.typeNumber(),
+                        range.firstHash,
+                        to,
+                        Arrays.copyOf(briefs, keys.size())),
                 keys,
                 StateMessage.HEADER_BYTES + 5 * keys.size());
     }
@@ -214,7 +234,8 @@
 
     /** The question that this answers; null for none of this walk that is still open. */
     private OutstandingRequest takeOutstanding(Peer from, long walk, int ask, int size, double now) {
-        OutstandingRequest question = walk == sessionId && from.member().equals(peer.member()) ? outstanding.remove(ask) : null;
+        OutstandingRequest question =
+                walk == sessionId && from.member().equals(peer.member()) ? outstanding.remove(ask) : null;
         if (question != null) {
             lastResponseAt = now;
             window = Math.min(settings.maxOutstandingRequests(), window + 1);
@@ -228,7 +249,9 @@
                         from,
                         answer.sessionId(),
                         answer.requestId(),
-                        StateMessage.HEADER_BYTES + StateMessage.NUMBER_PAIR_BYTES * answer.versions().size(),
+                        StateMessage.HEADER_BYTES
+                                + StateMessage.NUMBER_PAIR_BYTES
+                                        * answer.versions().size(),
                         now)
                 != null) {
             peerVersions.addAll(answer.versions());
@@ -240,7 +263,9 @@
                         from,
                         answer.sessionId(),
                         answer.requestId(),
-                        StateMessage.HEADER_BYTES + StateMessage.ROOT_DIGEST_BYTES * answer.roots().size(),
+                        StateMessage.HEADER_BYTES
+                                + StateMessage.ROOT_DIGEST_BYTES
+                                        * answer.roots().size(),
                         now)
                 == null) {
             return;
@@ -261,7 +286,8 @@
     }
 
     void onResponse(Peer from, StateMessage.TreeNodeResponse answer, double now) {
-        OutstandingRequest question = takeOutstanding(from, answer.sessionId(), answer.requestId(), StateMessage.HEADER_BYTES + 12 * HashTree.FANOUT, now);
+        OutstandingRequest question = takeOutstanding(
+                from, answer.sessionId(), answer.requestId(), StateMessage.HEADER_BYTES + 12 * HashTree.FANOUT, now);
         if (question == null || !(question.step instanceof SyncStep.CompareTreeNode node)) {
             return;
         }
@@ -271,10 +297,12 @@
             int index = node.index * HashTree.FANOUT + i;
             int here = node.table.hashTree.entryCount(level, index);
             if (node.table.hashTree.hashSum(level, index) != answer.hashSums()[i] || here != answer.entryCounts()[i]) {
-                boolean few = level == HashTree.LEAF_LEVEL || here <= SMALL_RANGE_ENTRIES && answer.entryCounts()[i] <= SMALL_RANGE_ENTRIES;
+                boolean few = level == HashTree.LEAF_LEVEL
+                        || here <= SMALL_RANGE_ENTRIES && answer.entryCounts()[i] <= SMALL_RANGE_ENTRIES;
                 pendingSteps.push(
                         few
-                                ? new SyncStep.FetchRange(node.table, HashTree.firstHash(level, index), HashTree.lastHash(level, index))
+                                ? new SyncStep.FetchRange(
+                                        node.table, HashTree.firstHash(level, index), HashTree.lastHash(level, index))
                                 : new SyncStep.CompareTreeNode(node.table, level, index));
             }
         }
@@ -283,7 +311,9 @@
     /** @param settled whether all that came with it is here now or rightly not */
     void onResponse(Peer from, StateMessage.RangeEntries answer, boolean settled, double now, Outbox out) {
         int size = StateMessage.HEADER_BYTES
-                + answer.entries().stream().mapToInt(StateMessage.RangeEntry::maxEncodedBytes).sum();
+                + answer.entries().stream()
+                        .mapToInt(StateMessage.RangeEntry::maxEncodedBytes)
+                        .sum();
         OutstandingRequest question = takeOutstanding(from, answer.sessionId(), answer.requestId(), size, now);
         if (question == null || !(question.step instanceof SyncStep.FetchRange range)) {
             return;
@@ -318,13 +348,17 @@
 
     private void pushEntries(EntryTable<?> table, List<StateMessage.RangeEntry> entries, Outbox out) {
         if (!entries.isEmpty()) {
-            int size = StateMessage.HEADER_BYTES + entries.stream().mapToInt(StateMessage.RangeEntry::maxEncodedBytes).sum();
+            int size = StateMessage.HEADER_BYTES
+                    + entries.stream()
+                            .mapToInt(StateMessage.RangeEntry::maxEncodedBytes)
+                            .sum();
             pushedBytes += size;
             chargeBytes(size);
             counters.antiEntropyBytes += size;
             out.add(
                     peer.address(),
-                    new StateMessage.RangeEntries(0, 0, table.type.typeNumber(), table.evictionFloor(), 0, 0, List.copyOf(entries)));
+                    new StateMessage.RangeEntries(
+                            0, 0, table.type.typeNumber(), table.evictionFloor(), 0, 0, List.copyOf(entries)));
         }
     }
 }
--- a/fleet/src/main/java/clayhook/fleet/state/DeltaBroadcastQueue.java
+++ b/fleet/src/main/java/clayhook/fleet/state/DeltaBroadcastQueue.java
@@ -181,7 +181,8 @@
         for (PendingDelta ring : ringsByRounds) {
             for (PendingDelta rumour = ring.next; rumour != ring; rumour = rumour.next) {
                 byte[] value = rumour.table.encodedValue(rumour.key, rumour.hash);
-                var told = new StateMessage.DeltaEntry(rumour.table.type.typeNumber(), rumour.key, value, rumour.updateIds());
+                var told = new StateMessage.DeltaEntry(
+                        rumour.table.type.typeNumber(), rumour.key, value, rumour.updateIds());
                 if (told.maxEncodedBytes() > room) {
                     if (out.size() == parts) {
                         break all;
--- a/fleet/src/main/java/clayhook/fleet/state/EntryTable.java
+++ b/fleet/src/main/java/clayhook/fleet/state/EntryTable.java
@@ -1,8 +1,8 @@
 package clayhook.fleet.state;
 
-import clayhook.fleet.ReplicatedType;
-import clayhook.fleet.ReplicatedStore;
 import clayhook.fleet.FieldWriter;
+import clayhook.fleet.ReplicatedStore;
+import clayhook.fleet.ReplicatedType;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -10,8 +10,8 @@
 
 /**
  * The entries of one kind, kept by the hash of their keys so that ranges of hashes come in order. Holds at most
- * {@link ReplicatedType#maxEntries()} entries; they go when they are past their time or at the bound. An entry out of its time is never
- * taken, so that nothing that was dropped comes back and nothing has to be remembered of it.
+ * {@link ReplicatedType#maxEntries()} entries; they go when they are past their time or at the bound. An entry out of
+ * its time is never taken, so that nothing that was dropped comes back and nothing has to be remembered of it.
  *
  * <p>An entry takes some 56 bytes beside its key and value, measured with 100,000; just after the arrays grew half as
  * much again. Arrays do not shrink.
@@ -216,7 +216,9 @@
 
     /** Floors join by the higher one. */
     void raiseFloor(double theirs, double now, int most) {
-        if (theirs > evictionFloor && (!type.clockDependent() || theirs <= now + maxClockSkew) && theirs < Double.POSITIVE_INFINITY) {
+        if (theirs > evictionFloor
+                && (!type.clockDependent() || theirs <= now + maxClockSkew)
+                && theirs < Double.POSITIVE_INFINITY) {
             evictionFloor = theirs;
             evictUpTo(evictionFloor, most);
         }
@@ -245,7 +247,9 @@
 
     private int evictUpTo(double limit, int most) {
         int left = most;
-        for (int slot = heapWithOldest().oldest(); slot >= 0 && timestamps.timestamp(slot) <= limit && left > 0; slot = heapWithOldest().oldest()) {
+        for (int slot = heapWithOldest().oldest();
+                slot >= 0 && timestamps.timestamp(slot) <= limit && left > 0;
+                slot = heapWithOldest().oldest()) {
             removeSlot(slot);
             left--;
         }
--- a/fleet/src/main/java/clayhook/fleet/state/OriginProgress.java
+++ b/fleet/src/main/java/clayhook/fleet/state/OriginProgress.java
@@ -57,10 +57,14 @@
 
     /** What it put in under that number is here. Returns whether that is new. */
     boolean markReceived(long number) {
-        if (number <= contiguousSequence || number > contiguousSequence + OUT_OF_ORDER_WINDOW || outOfOrder != null && isReceivedOutOfOrder(number)) {
+        if (number <= contiguousSequence
+                || number > contiguousSequence + OUT_OF_ORDER_WINDOW
+                || outOfOrder != null && isReceivedOutOfOrder(number)) {
             return false;
         }
-        outOfOrder = outOfOrder == null && number > contiguousSequence + 1 ? new long[OUT_OF_ORDER_WINDOW / Long.SIZE] : outOfOrder;
+        outOfOrder = outOfOrder == null && number > contiguousSequence + 1
+                ? new long[OUT_OF_ORDER_WINDOW / Long.SIZE]
+                : outOfOrder;
         if (number > contiguousSequence + 1) {
             outOfOrder[wordIndex(number)] |= 1L << number;
         } else {
@@ -103,7 +107,9 @@
     /** All of them are here, since this copy has all that another one had that had them. */
     void markComplete(long count, double asOf) {
         if (count > contiguousSequence) {
-            for (long number = contiguousSequence + 1; outOfOrder != null && number <= Math.min(count, contiguousSequence + OUT_OF_ORDER_WINDOW); number++) {
+            for (long number = contiguousSequence + 1;
+                    outOfOrder != null && number <= Math.min(count, contiguousSequence + OUT_OF_ORDER_WINDOW);
+                    number++) {
                 outOfOrder[wordIndex(number)] &= ~(1L << number);
             }
             contiguousSequence = count;
--- a/fleet/src/main/java/clayhook/fleet/state/Replica.java
+++ b/fleet/src/main/java/clayhook/fleet/state/Replica.java
@@ -1,9 +1,9 @@
 package clayhook.fleet.state;
 
-import clayhook.fleet.ReplicatedType;
-import clayhook.fleet.Member;
 import clayhook.fleet.FieldReader;
+import clayhook.fleet.Member;
 import clayhook.fleet.MembershipView;
+import clayhook.fleet.ReplicatedType;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
@@ -26,7 +26,9 @@
         this.settings = settings;
         this.counters = counts;
         for (ReplicatedType<?> kind : kinds) {
-            boolean fits = kind.typeNumber() >= 0 && kind.typeNumber() < StateMessage.REPLICATED_TYPE_LIMIT && tables.size() < MAX_TYPES;
+            boolean fits = kind.typeNumber() >= 0
+                    && kind.typeNumber() < StateMessage.REPLICATED_TYPE_LIMIT
+                    && tables.size() < MAX_TYPES;
             if (!fits || tables.put(kind.typeNumber(), new EntryTable<>(kind, settings)) != null) {
                 throw new IllegalArgumentException(
                         "no room for the kind " + kind.name() + " with number " + kind.typeNumber());
@@ -67,7 +69,9 @@
     <V> ApplyResult applyRemote(Member from, EntryTable<V> table, String key, long hash, byte[] value, double now) {
         ApplyResult fate = !accepts(from, table)
                 ? ApplyResult.CLOCK_SKEWED
-                : table.containsValue(key, hash, value) ? ApplyResult.UNCHANGED : decodeAndMerge(table, key, hash, value, now);
+                : table.containsValue(key, hash, value)
+                        ? ApplyResult.UNCHANGED
+                        : decodeAndMerge(table, key, hash, value, now);
         return countRejection(fate);
     }
 
@@ -101,6 +105,7 @@
     }
 
     static StateMessage.RootDigest rootDigest(EntryTable<?> table) {
-        return new StateMessage.RootDigest(table.type.typeNumber(), table.digestCutoff(), table.evictionFloor(), table.hashTree.hashSum(0, 0));
+        return new StateMessage.RootDigest(
+                table.type.typeNumber(), table.digestCutoff(), table.evictionFloor(), table.hashTree.hashSum(0, 0));
     }
 }
--- a/fleet/src/main/java/clayhook/fleet/state/ReplicatedState.java
+++ b/fleet/src/main/java/clayhook/fleet/state/ReplicatedState.java
@@ -1,14 +1,14 @@
 package clayhook.fleet.state;
 
-import clayhook.fleet.ReplicatedType;
-import clayhook.fleet.ProtocolHandler;
+import clayhook.fleet.FieldReader;
+import clayhook.fleet.MembershipView;
+import clayhook.fleet.Message;
 import clayhook.fleet.Outbox;
 import clayhook.fleet.Packet;
-import clayhook.fleet.Message;
 import clayhook.fleet.Peer;
-import clayhook.fleet.FieldReader;
-import clayhook.fleet.MembershipView;
+import clayhook.fleet.ProtocolHandler;
 import clayhook.fleet.ReplicatedStore;
+import clayhook.fleet.ReplicatedType;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -31,9 +31,9 @@
  * came as news, or the copy was compared, whole, with one that had them. What it does not promise: anything on members
  * that the roster does not know or holds for dead, though they may live beyond a cut; on values still in a queue before
  * {@link #put}; on what members put in before they restarted if all who had it went with them; on a router that started
- * cut off from all others and found nobody for {@link StateSettings#bootstrapTimeout}, which holds itself for the only one.
- * It is negative infinity on the safe side: until someone brought this copy up, while this router doubts itself, and
- * while a member may serve whose clock is off.
+ * cut off from all others and found nobody for {@link StateSettings#bootstrapTimeout}, which holds itself for the only
+ * one. It is negative infinity on the safe side: until someone brought this copy up, while this router doubts itself,
+ * and while a member may serve whose clock is off.
  *
  * <p>For one thread. Take a turn at once after putting in a value of an urgent kind.
  */
@@ -61,7 +61,8 @@
     private double nextCleanupAt;
 
     /** @param kinds at most 32, numbers below 256 */
-    public ReplicatedState(MembershipView roster, List<ReplicatedType<?>> kinds, StateSettings settings, long seed, double now) {
+    public ReplicatedState(
+            MembershipView roster, List<ReplicatedType<?>> kinds, StateSettings settings, long seed, double now) {
         this.roster = roster;
         this.settings = settings;
         random = new SplittableRandom(seed);
@@ -141,7 +142,9 @@
 
     @Override
     public double completeUpTo(double now) {
-        return roster.recentlyStalled(now) || !antiEntropy.isBootstrapped(now) ? Double.NEGATIVE_INFINITY : versionVector.completeUpTo(now);
+        return roster.recentlyStalled(now) || !antiEntropy.isBootstrapped(now)
+                ? Double.NEGATIVE_INFINITY
+                : versionVector.completeUpTo(now);
     }
 
     @Override
@@ -175,7 +178,8 @@
 
     private void applyBroadcast(Peer from, StateMessage.DeltaBroadcast news, double now) {
         news.entries().forEach(told -> applyDelta(from, told, now));
-        versionVector.observe(new StateMessage.OriginVersion(StableHash.ofMember(from.member()), news.sequence(), news.asOf()), now);
+        versionVector.observe(
+                new StateMessage.OriginVersion(StableHash.ofMember(from.member()), news.sequence(), news.asOf()), now);
     }
 
     private void applyDelta(Peer from, StateMessage.DeltaEntry told, double now) {
@@ -278,21 +282,30 @@
         if (rumours.isEmpty() || roster.livePeers().isEmpty() || !broadcastBudget.hasTokens(now)) {
             return;
         }
-        List<List<StateMessage.DeltaEntry>> parts = rumours.nextBatches(settings.maxMessagesPerRound(), Packet.MAX_MESSAGE_BYTES - StateMessage.HEADER_BYTES, broadcastRounds());
+        List<List<StateMessage.DeltaEntry>> parts = rumours.nextBatches(
+                settings.maxMessagesPerRound(),
+                Packet.MAX_MESSAGE_BYTES - StateMessage.HEADER_BYTES,
+                broadcastRounds());
         for (Peer peer : randomPeers()) {
             for (List<StateMessage.DeltaEntry> part : parts) {
-                int bytes = StateMessage.HEADER_BYTES + part.stream().mapToInt(StateMessage.DeltaEntry::maxEncodedBytes).sum();
+                int bytes = StateMessage.HEADER_BYTES
+                        + part.stream()
+                                .mapToInt(StateMessage.DeltaEntry::maxEncodedBytes)
+                                .sum();
                 broadcastBudget.consume(bytes);
                 counters.deltaBytes += bytes;
                 counters.deltasSent += part.size();
-                out.add(peer.address(), new StateMessage.DeltaBroadcast(versionVector.lastSequence(), versionVector.asOf(now), part));
+                out.add(
+                        peer.address(),
+                        new StateMessage.DeltaBroadcast(versionVector.lastSequence(), versionVector.asOf(now), part));
             }
         }
     }
 
     /** In how many rounds a rumour is told. */
     private int broadcastRounds() {
-        return (int) Math.ceil(Math.log(roster.livePeers().size() + 1) / Math.log(settings.fanout() + 1)) + EXTRA_ROUNDS;
+        return (int) Math.ceil(Math.log(roster.livePeers().size() + 1) / Math.log(settings.fanout() + 1))
+                + EXTRA_ROUNDS;
     }
 
     private List<Peer> randomPeers() {
@@ -317,8 +330,11 @@
             return;
         }
         nextVersionGossipAt = now + settings.versionGossipInterval();
-        List<StateMessage.OriginVersion> piece = versionVector.nextGossipSlice(Packet.MAX_MESSAGE_BYTES - StateMessage.HEADER_BYTES, now);
+        List<StateMessage.OriginVersion> piece =
+                versionVector.nextGossipSlice(Packet.MAX_MESSAGE_BYTES - StateMessage.HEADER_BYTES, now);
         counters.versionGossipBytes += StateMessage.HEADER_BYTES + (long) StateMessage.NUMBER_PAIR_BYTES * piece.size();
-        out.add(others.get(random.nextInt(others.size())).address(), new StateMessage.VersionVectorUpdate(0, 0, now, piece));
+        out.add(
+                others.get(random.nextInt(others.size())).address(),
+                new StateMessage.VersionVectorUpdate(0, 0, now, piece));
     }
 }
--- a/fleet/src/main/java/clayhook/fleet/state/StateMessage.java
+++ b/fleet/src/main/java/clayhook/fleet/state/StateMessage.java
@@ -1,8 +1,8 @@
 package clayhook.fleet.state;
 
-import clayhook.fleet.Message;
 import clayhook.fleet.FieldReader;
 import clayhook.fleet.FieldWriter;
+import clayhook.fleet.Message;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Function;
@@ -34,7 +34,10 @@
     /** @param tags for each member whose putting-in this value holds: its id, and its number of that */
     record DeltaEntry(int replicatedType, String key, byte[] value, long[] updateIds) {
         int maxEncodedBytes() {
-            return ENTRY_OVERHEAD_BYTES + StableHash.utf8Length(key) + value.length + NUMBER_PAIR_BYTES / 2 * updateIds.length;
+            return ENTRY_OVERHEAD_BYTES
+                    + StableHash.utf8Length(key)
+                    + value.length
+                    + NUMBER_PAIR_BYTES / 2 * updateIds.length;
         }
 
         private void write(FieldWriter out) {
@@ -44,7 +47,11 @@
         }
 
         private static DeltaEntry read(FieldReader in) {
-            return new DeltaEntry(in.readIntBelow(REPLICATED_TYPE_LIMIT), in.readNonEmptyString(), in.readBytes(), in.readLongs(2 * MAX_UPDATES_PER_DELTA));
+            return new DeltaEntry(
+                    in.readIntBelow(REPLICATED_TYPE_LIMIT),
+                    in.readNonEmptyString(),
+                    in.readBytes(),
+                    in.readLongs(2 * MAX_UPDATES_PER_DELTA));
         }
     }
 
@@ -88,7 +95,8 @@
     }
 
     /** How far the sender has all that each of those members put in. Walk 0: unasked. */
-    record VersionVectorUpdate(long sessionId, int requestId, double now, List<OriginVersion> versions) implements StateMessage {
+    record VersionVectorUpdate(long sessionId, int requestId, double now, List<OriginVersion> versions)
+            implements StateMessage {
         static final int TYPE_NUMBER = 21;
         private static final double MILLIS_PER_SECOND = 1000;
 
@@ -102,7 +110,11 @@
         public void write(FieldWriter out) {
             out.writeLong(sessionId).writeLong(requestId).writeDouble(now).beginList();
             for (OriginVersion pair : versions) {
-                out.beginList().writeLong(pair.originId).writeLong(pair.sequence).writeLong(ageMillis(pair)).endList();
+                out.beginList()
+                        .writeLong(pair.originId)
+                        .writeLong(pair.sequence)
+                        .writeLong(ageMillis(pair))
+                        .endList();
             }
             out.endList();
         }
@@ -119,7 +131,10 @@
                     walk,
                     ask,
                     now,
-                    in.readLists(MAX_ENTRIES, each -> new OriginVersion(each.readLong(), each.readLong(), now - each.readLong() / MILLIS_PER_SECOND)));
+                    in.readLists(
+                            MAX_ENTRIES,
+                            each -> new OriginVersion(
+                                    each.readLong(), each.readLong(), now - each.readLong() / MILLIS_PER_SECOND)));
         }
     }
 
@@ -139,7 +154,8 @@
         }
 
         private static VersionVectorRequest read(FieldReader in) {
-            return new VersionVectorRequest(in.readLong(), in.readIntBelow(Integer.MAX_VALUE), in.readLongs(MAX_REQUESTED_ORIGINS));
+            return new VersionVectorRequest(
+                    in.readLong(), in.readIntBelow(Integer.MAX_VALUE), in.readLongs(MAX_REQUESTED_ORIGINS));
         }
     }
 
@@ -159,12 +175,16 @@
         }
 
         private static RootDigestsRequest read(FieldReader in) {
-            return new RootDigestsRequest(in.readLong(), in.readIntBelow(Integer.MAX_VALUE), in.readLists(REPLICATED_TYPE_LIMIT, StateMessage::readRootDigest));
+            return new RootDigestsRequest(
+                    in.readLong(),
+                    in.readIntBelow(Integer.MAX_VALUE),
+                    in.readLists(REPLICATED_TYPE_LIMIT, StateMessage::readRootDigest));
         }
     }
 
     /** @param whole the sender was brought up itself */
-    record RootDigestsResponse(long sessionId, int requestId, boolean bootstrapped, List<RootDigest> roots) implements StateMessage {
+    record RootDigestsResponse(long sessionId, int requestId, boolean bootstrapped, List<RootDigest> roots)
+            implements StateMessage {
         static final int TYPE_NUMBER = 24;
 
         @Override
@@ -179,12 +199,17 @@
         }
 
         private static RootDigestsResponse read(FieldReader in) {
-            return new RootDigestsResponse(in.readLong(), in.readIntBelow(Integer.MAX_VALUE), in.readBoolean(), in.readLists(REPLICATED_TYPE_LIMIT, StateMessage::readRootDigest));
+            return new RootDigestsResponse(
+                    in.readLong(),
+                    in.readIntBelow(Integer.MAX_VALUE),
+                    in.readBoolean(),
+                    in.readLists(REPLICATED_TYPE_LIMIT, StateMessage::readRootDigest));
         }
     }
 
     /** What are the ranges within that range? */
-    record TreeNodeRequest(long sessionId, int requestId, int replicatedType, double cutoff, int level, int index) implements StateMessage {
+    record TreeNodeRequest(long sessionId, int requestId, int replicatedType, double cutoff, int level, int index)
+            implements StateMessage {
         static final int TYPE_NUMBER = 25;
 
         @Override
@@ -194,7 +219,12 @@
 
         @Override
         public void write(FieldWriter out) {
-            out.writeLong(sessionId).writeLong(requestId).writeLong(replicatedType).writeDouble(cutoff).writeLong(level).writeLong(index);
+            out.writeLong(sessionId)
+                    .writeLong(requestId)
+                    .writeLong(replicatedType)
+                    .writeDouble(cutoff)
+                    .writeLong(level)
+                    .writeLong(index);
         }
 
         private static TreeNodeRequest read(FieldReader in) {
@@ -208,7 +238,9 @@
     }
 
     /** @param floor as of now: what is not among the entries any more is at or below it */
-    record TreeNodeResponse(long sessionId, int requestId, double cutoff, double evictionFloor, long[] hashSums, long[] entryCounts) implements StateMessage {
+    record TreeNodeResponse(
+            long sessionId, int requestId, double cutoff, double evictionFloor, long[] hashSums, long[] entryCounts)
+            implements StateMessage {
         static final int TYPE_NUMBER = 26;
 
         @Override
@@ -239,7 +271,9 @@
     }
 
     /** What is there from hash to hash, but for what I have? */
-    record RangeRequest(long sessionId, int requestId, int replicatedType, long firstHash, long lastHash, long[] fingerprints) implements StateMessage {
+    record RangeRequest(
+            long sessionId, int requestId, int replicatedType, long firstHash, long lastHash, long[] fingerprints)
+            implements StateMessage {
         static final int TYPE_NUMBER = 27;
 
         @Override
@@ -249,7 +283,11 @@
 
         @Override
         public void write(FieldWriter out) {
-            out.writeLong(sessionId).writeLong(requestId).writeLong(replicatedType).writeLong(firstHash).writeLong(lastHash);
+            out.writeLong(sessionId)
+                    .writeLong(requestId)
+                    .writeLong(replicatedType)
+                    .writeLong(firstHash)
+                    .writeLong(lastHash);
             writeLongs(fingerprints, out);
         }
 
@@ -271,7 +309,14 @@
      * @param upTo hash up to which these are all that were asked for
      * @param had a bit for each entry told in brief that is here too
      */
-    record RangeEntries(long sessionId, int requestId, int replicatedType, double evictionFloor, long coveredTo, long presentMask, List<RangeEntry> entries)
+    record RangeEntries(
+            long sessionId,
+            int requestId,
+            int replicatedType,
+            double evictionFloor,
+            long coveredTo,
+            long presentMask,
+            List<RangeEntry> entries)
             implements StateMessage {
         static final int TYPE_NUMBER = 28;
 
@@ -289,8 +334,10 @@
                     .writeLong(coveredTo)
                     .writeLong(presentMask)
                     .beginList();
-            entries.forEach(
-                    entry -> out.beginList().writeNullableString(entry.key).writeBytes(entry.value).endList());
+            entries.forEach(entry -> out.beginList()
+                    .writeNullableString(entry.key)
+                    .writeBytes(entry.value)
+                    .endList());
             out.endList();
         }
 
--- a/fleet/src/main/java/clayhook/fleet/state/VersionVector.java
+++ b/fleet/src/main/java/clayhook/fleet/state/VersionVector.java
@@ -125,7 +125,11 @@
     }
 
     private static int encodedBytes(StateMessage.OriginVersion pair, double now) {
-        return 2 + Long.BYTES + 1 + encodedBytes(pair.sequence()) + encodedBytes((long) ((now - pair.asOf()) * MILLIS_PER_SECOND) + 1);
+        return 2
+                + Long.BYTES
+                + 1
+                + encodedBytes(pair.sequence())
+                + encodedBytes((long) ((now - pair.asOf()) * MILLIS_PER_SECOND) + 1);
     }
 
     /** Bytes of a number on the wire. */
@@ -165,7 +169,9 @@
                 return Double.NEGATIVE_INFINITY;
             }
             double ahead = roster.clockOffset(member);
-            least = Math.min(least, progressOf(member, now).confirmedAsOf() - (Double.isNaN(ahead) ? settings.maxClockSkew() : ahead));
+            least = Math.min(
+                    least,
+                    progressOf(member, now).confirmedAsOf() - (Double.isNaN(ahead) ? settings.maxClockSkew() : ahead));
         }
         return least;
     }
--- a/fleet/src/main/java/clayhook/fleet/kinds/EndpointListMerge.java
+++ b/fleet/src/main/java/clayhook/fleet/types/EndpointListMerge.java
@@ -1,4 +1,4 @@
-package clayhook.fleet.kinds;
+package clayhook.fleet.types;
 
 import clayhook.fleet.ReplicatedStore;
 import java.util.ArrayList;
@@ -125,7 +125,11 @@
         ListedEndpoint said = sources.get(currentSource).endpoints.get(id);
         var made = new HeldDrain(word, said == null ? -1 : said.revision());
         heldDrains.merge(
-                id, made, (a, b) -> new HeldDrain(b.endpoint.state().compareTo(a.endpoint.state()) > 0 ? b.endpoint : a.endpoint, b.heldAtRevision));
+                id,
+                made,
+                (a, b) -> new HeldDrain(
+                        b.endpoint.state().compareTo(a.endpoint.state()) > 0 ? b.endpoint : a.endpoint,
+                        b.heldAtRevision));
     }
 
     private void resolve(String id) {
--- a/fleet/src/main/java/clayhook/fleet/kinds/FieldValidation.java
+++ b/fleet/src/main/java/clayhook/fleet/types/FieldValidation.java
@@ -1,4 +1,4 @@
-package clayhook.fleet.kinds;
+package clayhook.fleet.types;
 
 /**
  * What may stand in a value. All that comes from outside goes through here; what cannot be throws
--- a/fleet/src/main/java/clayhook/fleet/kinds/FleetQuota.java
+++ b/fleet/src/main/java/clayhook/fleet/types/FleetQuota.java
@@ -1,8 +1,8 @@
-package clayhook.fleet.kinds;
+package clayhook.fleet.types;
 
 import clayhook.fleet.Member;
-import clayhook.fleet.Peer;
 import clayhook.fleet.MembershipView;
+import clayhook.fleet.Peer;
 import clayhook.fleet.ReplicatedStore;
 import java.util.HashMap;
 import java.util.Map;
@@ -25,7 +25,9 @@
     public record Quota(String name, double amount, double windowSeconds) {
         public Quota {
             FieldValidation.requireText(name, QuotaUsage.MAX_QUOTA_NAME_BYTES, "name of a limit");
-            FieldValidation.require(amount >= 0 && windowSeconds > 0 && 2 * windowSeconds <= QuotaUsage.TYPE.retentionSeconds(), "limit " + name);
+            FieldValidation.require(
+                    amount >= 0 && windowSeconds > 0 && 2 * windowSeconds <= QuotaUsage.TYPE.retentionSeconds(),
+                    "limit " + name);
         }
     }
 
@@ -135,10 +137,16 @@
     /** The others that may use of the limit, those included that only fell silent: the boot of each by its name. */
     private Map<String, Long> servingIncarnations(double now) {
         var boots = new HashMap<String, Long>();
-        membership.possiblyServing(now).forEach(member -> boots.merge(ReplicatedKeys.truncateName(member.name()), member.incarnation(), Math::max));
-        membership.livePeers()
+        membership
+                .possiblyServing(now)
+                .forEach(member ->
+                        boots.merge(ReplicatedKeys.truncateName(member.name()), member.incarnation(), Math::max));
+        membership
+                .livePeers()
                 .forEach(peer -> boots.merge(
-                        ReplicatedKeys.truncateName(peer.member().name()), peer.member().incarnation(), Math::max));
+                        ReplicatedKeys.truncateName(peer.member().name()),
+                        peer.member().incarnation(),
+                        Math::max));
         boots.remove(self.name());
         return boots;
     }
@@ -191,10 +199,14 @@
                 used.publishedUnits = used.totalUnits;
                 used.publishedAt = now;
                 store.merge(
-                        QuotaUsage.TYPE, QuotaUsage.key(limit, self), new QuotaUsage(used.totalUnits, used.usedInWindow(now) / used.windowSeconds, now), now);
+                        QuotaUsage.TYPE,
+                        QuotaUsage.key(limit, self),
+                        new QuotaUsage(used.totalUnits, used.usedInWindow(now) / used.windowSeconds, now),
+                        now);
             }
         });
-        remoteUsage.values().forEach(uses -> uses.values().removeIf(use -> use.reportedAt() < now - QuotaUsage.TYPE.retentionSeconds()));
+        remoteUsage.values().forEach(uses -> uses.values()
+                .removeIf(use -> use.reportedAt() < now - QuotaUsage.TYPE.retentionSeconds()));
         remoteUsage.values().removeIf(Map::isEmpty);
     }
 }
--- a/fleet/src/main/java/clayhook/fleet/kinds/ListedEndpoint.java
+++ b/fleet/src/main/java/clayhook/fleet/types/ListedEndpoint.java
@@ -1,8 +1,8 @@
-package clayhook.fleet.kinds;
+package clayhook.fleet.types;
 
-import clayhook.fleet.ReplicatedType;
 import clayhook.fleet.FieldReader;
 import clayhook.fleet.FieldWriter;
+import clayhook.fleet.ReplicatedType;
 import java.util.Comparator;
 import java.util.List;
 
@@ -132,7 +132,9 @@
         FieldValidation.require(revision >= 0 && state != null, "revision or state");
         incarnationStartedAt = FieldValidation.requireTime(incarnationStartedAt);
         FieldValidation.requireText(zone, ReplicatedKeys.MAX_NAME_BYTES, "zone");
-        FieldValidation.require(replicaSet >= 0 && replicaSet < FieldValidation.MAX_REPLICA_SETS && port >= 0 && port < 1 << 16, "group or port");
+        FieldValidation.require(
+                replicaSet >= 0 && replicaSet < FieldValidation.MAX_REPLICA_SETS && port >= 0 && port < 1 << 16,
+                "group or port");
         FieldValidation.requireText(host, MAX_HOST_BYTES, "host");
         lastHeardAt = FieldValidation.requireTime(lastHeardAt);
     }
@@ -144,7 +146,8 @@
 
     /** Of a node, or with an empty id of the revision. */
     static String key(String source, String id) {
-        return ReplicatedKeys.join(ReplicatedKeys.truncate(source, MAX_SOURCE_BYTES), ReplicatedKeys.truncateKeyText(id));
+        return ReplicatedKeys.join(
+                ReplicatedKeys.truncate(source, MAX_SOURCE_BYTES), ReplicatedKeys.truncateKeyText(id));
     }
 
     /** The source and the id, or any other number of texts where another release made the key. */
@@ -158,7 +161,8 @@
 
     /** The list of that revision does not have it any more. */
     ListedEndpoint asRemoved(long later, double now) {
-        return new ListedEndpoint(later, EndpointState.GONE, incarnationStartedAt, false, zone, replicaSet, host, port, now);
+        return new ListedEndpoint(
+                later, EndpointState.GONE, incarnationStartedAt, false, zone, replicaSet, host, port, now);
     }
 
     /** It gets nothing new. */
--- a/fleet/src/main/java/clayhook/fleet/kinds/NodeObservation.java
+++ b/fleet/src/main/java/clayhook/fleet/types/NodeObservation.java
@@ -1,8 +1,8 @@
-package clayhook.fleet.kinds;
+package clayhook.fleet.types;
 
-import clayhook.fleet.ReplicatedType;
 import clayhook.fleet.FieldReader;
 import clayhook.fleet.FieldWriter;
+import clayhook.fleet.ReplicatedType;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashSet;
@@ -111,15 +111,21 @@
         requireAtMost(latencyRatio, MAX_LATENCY_RATIO, "slowness");
         requireAtMost(reportedLoad, MAX_LOAD, "load");
         FieldValidation.require(
-                appliedPosition == null || appliedPosition.value() <= appliedPosition.source().observedAt() + FieldValidation.MAX_CLOCK_DIFFERENCE, "position of the future");
+                appliedPosition == null
+                        || appliedPosition.value()
+                                <= appliedPosition.source().observedAt() + FieldValidation.MAX_CLOCK_DIFFERENCE,
+                "position of the future");
         failureStreaks = streaksSince(lastSeen, failureStreaks);
         newestAt = Math.max(
                 newestAt,
-                Stream.concat(sourcesOf(appliedPosition, lag, latencyRatio, reportedLoad), sourcesOfClaims(primaryClaim, replicaClaim, lastSeen, failureStreaks))
+                Stream.concat(
+                                sourcesOf(appliedPosition, lag, latencyRatio, reportedLoad),
+                                sourcesOfClaims(primaryClaim, replicaClaim, lastSeen, failureStreaks))
                         .mapToDouble(ObservationSource::observedAt)
                         .max()
                         .orElse(0));
-        FieldValidation.require(incarnationStartedAt <= newestAt + FieldValidation.MAX_CLOCK_DIFFERENCE, "start in the future");
+        FieldValidation.require(
+                incarnationStartedAt <= newestAt + FieldValidation.MAX_CLOCK_DIFFERENCE, "start in the future");
     }
 
     private static void requireAtMost(TimedValue seen, double most, String what) {
@@ -131,7 +137,8 @@
         var routers = new HashSet<String>();
         return strikes.stream()
                 .sorted(FailureStreak.NEWEST_FIRST)
-                .filter(strike -> (heard == null || strike.source.observedAt() > heard.observedAt()) && routers.add(strike.source.router()))
+                .filter(strike -> (heard == null || strike.source.observedAt() > heard.observedAt())
+                        && routers.add(strike.source.router()))
                 .limit(MAX_FAILURE_STREAKS)
                 .toList();
     }
@@ -143,14 +150,18 @@
 
     /** It told its position; both in seconds. A position of the future or a senseless lag costs only itself. */
     public NodeObservation withPosition(double told, double behind, ObservationSource sight) {
-        TimedValue at = isWithin(told, sight.observedAt() + FieldValidation.MAX_CLOCK_DIFFERENCE) && told > 0 ? new TimedValue(told, sight) : null;
-        TimedValue by = isWithin(Math.max(0, behind), MAX_LAG_SECONDS) ? new TimedValue(Math.max(0, behind), sight) : null;
+        TimedValue at = isWithin(told, sight.observedAt() + FieldValidation.MAX_CLOCK_DIFFERENCE) && told > 0
+                ? new TimedValue(told, sight)
+                : null;
+        TimedValue by =
+                isWithin(Math.max(0, behind), MAX_LAG_SECONDS) ? new TimedValue(Math.max(0, behind), sight) : null;
         return merge(withFields(at, at == null ? null : by, null, null, null, null, null, List.of()));
     }
 
     /** It said whether it is primary. The sight's time is when it was so: a report may be older than its arrival. */
     public NodeObservation withRole(boolean isPrimary, ObservationSource sight) {
-        return merge(withFields(null, null, null, null, isPrimary ? sight : null, isPrimary ? null : sight, null, List.of()));
+        return merge(withFields(
+                null, null, null, null, isPrimary ? sight : null, isPrimary ? null : sight, null, List.of()));
     }
 
     /** It answered. */
@@ -191,7 +202,8 @@
             ObservationSource replica,
             ObservationSource heard,
             List<FailureStreak> strikes) {
-        return new NodeObservation(incarnationStartedAt, newestAt, position, lag, slowness, load, primary, replica, heard, strikes);
+        return new NodeObservation(
+                incarnationStartedAt, newestAt, position, lag, slowness, load, primary, replica, heard, strikes);
     }
 
     private NodeObservation merge(NodeObservation other) {
@@ -219,14 +231,19 @@
                 ObservationSource.later(primaryClaim, other.primaryClaim),
                 ObservationSource.later(replicaClaim, other.replicaClaim),
                 ObservationSource.later(lastSeen, other.lastSeen),
-                Stream.concat(failureStreaks.stream(), other.failureStreaks.stream()).toList());
+                Stream.concat(failureStreaks.stream(), other.failureStreaks.stream())
+                        .toList());
     }
 
     private static Stream<ObservationSource> sourcesOf(TimedValue... figures) {
         return Stream.of(figures).filter(Objects::nonNull).map(TimedValue::source);
     }
 
-    private static Stream<ObservationSource> sourcesOfClaims(ObservationSource primary, ObservationSource replica, ObservationSource heard, List<FailureStreak> strikes) {
+    private static Stream<ObservationSource> sourcesOfClaims(
+            ObservationSource primary,
+            ObservationSource replica,
+            ObservationSource heard,
+            List<FailureStreak> strikes) {
         return Stream.concat(
                 Stream.of(primary, replica, heard).filter(Objects::nonNull),
                 strikes.stream().map(FailureStreak::source));
@@ -234,11 +251,15 @@
 
     /** One answer tells most fields at once: each sight stands once, fields name its place. */
     private void write(FieldWriter out) {
-        var sights = new ArrayList<>(new LinkedHashSet<>(
-                Stream.concat(sourcesOf(appliedPosition, lag, latencyRatio, reportedLoad), sourcesOfClaims(primaryClaim, replicaClaim, lastSeen, failureStreaks))
-                        .toList()));
+        var sights = new ArrayList<>(new LinkedHashSet<>(Stream.concat(
+                        sourcesOf(appliedPosition, lag, latencyRatio, reportedLoad),
+                        sourcesOfClaims(primaryClaim, replicaClaim, lastSeen, failureStreaks))
+                .toList()));
         out.writeDouble(incarnationStartedAt).writeDouble(newestAt).beginList();
-        sights.forEach(sight -> out.beginList().writeDouble(sight.observedAt()).writeNullableString(sight.router()).endList());
+        sights.forEach(sight -> out.beginList()
+                .writeDouble(sight.observedAt())
+                .writeNullableString(sight.router())
+                .endList());
         out.endList();
         for (TimedValue figure : new TimedValue[] {appliedPosition, lag, latencyRatio, reportedLoad}) {
             out.writeLong(figure == null ? 0 : 1 + sights.indexOf(figure.source()))
@@ -258,7 +279,8 @@
     private static NodeObservation read(FieldReader in) {
         double nodeStart = in.readDouble();
         double newest = in.readDouble();
-        List<ObservationSource> sights = in.readLists(MAX_SOURCES, each -> new ObservationSource(each.readDouble(), each.readNonEmptyString()));
+        List<ObservationSource> sights =
+                in.readLists(MAX_SOURCES, each -> new ObservationSource(each.readDouble(), each.readNonEmptyString()));
         return new NodeObservation(
                 nodeStart,
                 newest,
--- a/fleet/src/main/java/clayhook/fleet/kinds/PeerObservations.java
+++ b/fleet/src/main/java/clayhook/fleet/types/PeerObservations.java
@@ -1,8 +1,8 @@
-package clayhook.fleet.kinds;
+package clayhook.fleet.types;
 
 import clayhook.fleet.Member;
-import clayhook.fleet.Peer;
 import clayhook.fleet.MembershipView;
+import clayhook.fleet.Peer;
 import clayhook.fleet.ReplicatedStore;
 import java.util.HashMap;
 import java.util.List;
@@ -49,7 +49,8 @@
     private final MembershipView membership;
     private final String selfName;
     /**
-     * Those of {@link #cachedPeers}, by their names as sights have them; made anew when the roster's list is another one.
+     * Those of {@link #cachedPeers}, by their names as sights have them; made anew when the roster's list is another
+     * one.
      */
     private final Map<String, Member> membersByName = new HashMap<>();
 
@@ -74,7 +75,9 @@
                 .toList();
         return new NodeSummary(
                 told.incarnationStartedAt(),
-                localTime(told.appliedPosition(), now) == NEVER ? 0 : told.appliedPosition().value(),
+                localTime(told.appliedPosition(), now) == NEVER
+                        ? 0
+                        : told.appliedPosition().value(),
                 localTime(told.appliedPosition(), now),
                 valueOrZero(told.lag()),
                 localTime(told.lag(), now),
@@ -96,7 +99,8 @@
         if (cachedPeers != membership.livePeers()) {
             cachedPeers = membership.livePeers();
             membersByName.clear();
-            cachedPeers.forEach(peer -> membersByName.put(ReplicatedKeys.truncateName(peer.member().name()), peer.member()));
+            cachedPeers.forEach(peer ->
+                    membersByName.put(ReplicatedKeys.truncateName(peer.member().name()), peer.member()));
         }
     }
 
@@ -116,13 +120,16 @@
         Member member = membersByName.get(sight.router());
         double ahead = member == null ? 0 : membership.clockOffset(member);
         double at = sight.observedAt() - (Double.isNaN(ahead) ? 0 : ahead);
-        boolean heard = (member == null || membership.clockWithinBound(member)) && at <= now + FieldValidation.MAX_CLOCK_DIFFERENCE;
+        boolean heard = (member == null || membership.clockWithinBound(member))
+                && at <= now + FieldValidation.MAX_CLOCK_DIFFERENCE;
         return heard ? Math.min(at, now) : NEVER;
     }
 
     private double weight(TimedValue seen, double now) {
         double at = localTime(seen, now);
-        double source = at == NEVER ? 0 : membersByName.containsKey(seen.source().router()) ? LIVE_MEMBER_WEIGHT : DEPARTED_MEMBER_WEIGHT;
+        double source = at == NEVER
+                ? 0
+                : membersByName.containsKey(seen.source().router()) ? LIVE_MEMBER_WEIGHT : DEPARTED_MEMBER_WEIGHT;
         return source * Math.max(0, 1 - (now - at) / MAX_AGE_SECONDS);
     }
 }
--- a/fleet/src/main/java/clayhook/fleet/kinds/QuotaUsage.java
+++ b/fleet/src/main/java/clayhook/fleet/types/QuotaUsage.java
@@ -1,9 +1,9 @@
-package clayhook.fleet.kinds;
+package clayhook.fleet.types;
 
-import clayhook.fleet.ReplicatedType;
-import clayhook.fleet.Member;
 import clayhook.fleet.FieldReader;
 import clayhook.fleet.FieldWriter;
+import clayhook.fleet.Member;
+import clayhook.fleet.ReplicatedType;
 import java.util.List;
 
 /**
@@ -37,7 +37,9 @@
 
         @Override
         public QuotaUsage merge(QuotaUsage a, QuotaUsage b) {
-            int later = a.reportedAt != b.reportedAt ? Double.compare(a.reportedAt, b.reportedAt) : Double.compare(a.unitsPerSecond, b.unitsPerSecond);
+            int later = a.reportedAt != b.reportedAt
+                    ? Double.compare(a.reportedAt, b.reportedAt)
+                    : Double.compare(a.unitsPerSecond, b.unitsPerSecond);
             QuotaUsage rate = later >= 0 ? a : b;
             return new QuotaUsage(Math.max(a.totalUnits, b.totalUnits), rate.unitsPerSecond, rate.reportedAt);
         }
@@ -88,7 +90,8 @@
 
     /** {@code limit}: the name of a {@link FleetQuota.Quota}. */
     static String key(String limit, Member member) {
-        return ReplicatedKeys.join(limit, ReplicatedKeys.truncateName(member.name()), Long.toString(member.incarnation()));
+        return ReplicatedKeys.join(
+                limit, ReplicatedKeys.truncateName(member.name()), Long.toString(member.incarnation()));
     }
 
     /** The limit within a key, and whose use it is; null where another release made the key. */
--- a/fleet/src/main/java/clayhook/fleet/kinds/ReplicatedKeys.java
+++ b/fleet/src/main/java/clayhook/fleet/types/ReplicatedKeys.java
@@ -1,4 +1,4 @@
-package clayhook.fleet.kinds;
+package clayhook.fleet.types;
 
 import com.dynatrace.hash4j.hashing.Hashing;
 import java.util.List;
--- a/fleet/src/main/java/clayhook/fleet/kinds/SessionWrite.java
+++ b/fleet/src/main/java/clayhook/fleet/types/SessionWrite.java
@@ -1,8 +1,8 @@
-package clayhook.fleet.kinds;
+package clayhook.fleet.types;
 
-import clayhook.fleet.ReplicatedType;
 import clayhook.fleet.FieldReader;
 import clayhook.fleet.FieldWriter;
+import clayhook.fleet.ReplicatedType;
 import java.util.Comparator;
 
 /**
--- a/fleet/src/main/java/clayhook/fleet/kinds/TimedValue.java
+++ b/fleet/src/main/java/clayhook/fleet/types/TimedValue.java
@@ -1,4 +1,4 @@
-package clayhook.fleet.kinds;
+package clayhook.fleet.types;
 
 import java.util.Comparator;
 
--- a/fleet/src/main/java/clayhook/fleet/kinds/WriteOutcome.java
+++ b/fleet/src/main/java/clayhook/fleet/types/WriteOutcome.java
@@ -1,8 +1,8 @@
-package clayhook.fleet.kinds;
+package clayhook.fleet.types;
 
-import clayhook.fleet.ReplicatedType;
 import clayhook.fleet.FieldReader;
 import clayhook.fleet.FieldWriter;
+import clayhook.fleet.ReplicatedType;
 import java.util.Comparator;
 
 /**
@@ -40,7 +40,8 @@
      * @param commandGroup name of the command group
      * @param label a short text for people; null for none
      */
-    public record SentWrite(double sentAt, int replicaSet, String requestClass, String label) implements Comparable<SentWrite> {
+    public record SentWrite(double sentAt, int replicaSet, String requestClass, String label)
+            implements Comparable<SentWrite> {
         private static final Comparator<SentWrite> ORDER = Comparator.comparingDouble(SentWrite::sentAt)
                 .thenComparingInt(SentWrite::replicaSet)
                 .thenComparing(SentWrite::requestClass)
@@ -51,14 +52,19 @@
             FieldValidation.require(replicaSet >= 0 && replicaSet < FieldValidation.MAX_REPLICA_SETS, "group");
             FieldValidation.requireText(requestClass, ReplicatedKeys.MAX_NAME_BYTES, "command group");
             FieldValidation.require(
-                    label == null || label.length() <= MAX_LABEL_LENGTH && FieldValidation.utf8Length(label) <= MAX_LABEL_BYTES,
+                    label == null
+                            || label.length() <= MAX_LABEL_LENGTH
+                                    && FieldValidation.utf8Length(label) <= MAX_LABEL_BYTES,
                     "label");
         }
 
         /** Of texts of any length, which are cut. */
         public static SentWrite of(double at, int nodeGroup, String commandGroup, String label) {
             return new SentWrite(
-                    at, nodeGroup, ReplicatedKeys.truncateName(commandGroup), label == null ? null : ReplicatedKeys.truncate(label, MAX_LABEL_LENGTH));
+                    at,
+                    nodeGroup,
+                    ReplicatedKeys.truncateName(commandGroup),
+                    label == null ? null : ReplicatedKeys.truncate(label, MAX_LABEL_LENGTH));
         }
 
         @Override
@@ -152,26 +158,37 @@
         private static void write(OutcomeWitness witness, FieldWriter out) {
             out.writeBoolean(witness != null);
             if (witness != null) {
-                out.writeDouble(witness.source.observedAt()).writeNullableString(witness.source.router()).writeNullableString(witness.nodeId);
+                out.writeDouble(witness.source.observedAt())
+                        .writeNullableString(witness.source.router())
+                        .writeNullableString(witness.nodeId);
             }
         }
 
         @Override
         public WriteOutcome read(FieldReader in) {
-            var first = new SentWrite(in.readDouble(), in.readIntBelow(FieldValidation.MAX_REPLICA_SETS), in.readNullableString(), in.readNullableString());
+            var first = new SentWrite(
+                    in.readDouble(),
+                    in.readIntBelow(FieldValidation.MAX_REPLICA_SETS),
+                    in.readNullableString(),
+                    in.readNullableString());
             double newest = in.readDouble();
             return new WriteOutcome(first, readWitness(in), readWitness(in), newest);
         }
 
         private static OutcomeWitness readWitness(FieldReader in) {
-            return in.readBoolean() ? new OutcomeWitness(new ObservationSource(in.readDouble(), in.readNonEmptyString()), in.readNullableString()) : null;
+            return in.readBoolean()
+                    ? new OutcomeWitness(
+                            new ObservationSource(in.readDouble(), in.readNonEmptyString()), in.readNullableString())
+                    : null;
         }
     }
 
     public static final ReplicatedType<WriteOutcome> TYPE = typeWithRetention(DEFAULT_RETENTION_SECONDS);
 
     public WriteOutcome {
-        newestAt = Math.max(FieldValidation.requireTime(newestAt), Math.max(firstSent.sentAt, Math.max(timeOf(ran), timeOf(notRun))));
+        newestAt = Math.max(
+                FieldValidation.requireTime(newestAt),
+                Math.max(firstSent.sentAt, Math.max(timeOf(ran), timeOf(notRun))));
     }
 
     private static double timeOf(OutcomeWitness witness) {
--- a/fleet/src/main/java/clayhook/fleet/kinds/WriteOutcomes.java
+++ b/fleet/src/main/java/clayhook/fleet/types/WriteOutcomes.java
@@ -1,7 +1,7 @@
-package clayhook.fleet.kinds;
+package clayhook.fleet.types;
 
-import clayhook.fleet.ReplicatedType;
 import clayhook.fleet.ReplicatedStore;
+import clayhook.fleet.ReplicatedType;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.EnumMap;
@@ -14,8 +14,9 @@
 public final class WriteOutcomes {
     /** Of one command. */
     public record WriteOutcomeEntry(String key, WriteOutcome outcome) {
-        static final Comparator<WriteOutcomeEntry> ORDER =
-                Comparator.comparing((WriteOutcomeEntry row) -> row.outcome.firstSent()).thenComparing(WriteOutcomeEntry::key);
+        static final Comparator<WriteOutcomeEntry> ORDER = Comparator.comparing(
+                        (WriteOutcomeEntry row) -> row.outcome.firstSent())
+                .thenComparing(WriteOutcomeEntry::key);
     }
 
     /** More conflicts than anyone reads; one beyond is counted and shown, but perhaps told twice. */
@@ -28,7 +29,9 @@
     /** Those not taken yet; emptied by taking them, and never more than told. */
     private final Set<String> newConflictKeys = new LinkedHashSet<>();
 
-    /** {@code kind} as this router keeps it: {@link WriteOutcome#TYPE} or one {@link WriteOutcome#typeWithRetention}. */
+    /**
+     * {@code kind} as this router keeps it: {@link WriteOutcome#TYPE} or one {@link WriteOutcome#typeWithRetention}.
+     */
     public WriteOutcomes(ReplicatedStore shared, ReplicatedType<WriteOutcome> kind) {
         this.store = shared;
         this.type = kind;
--- a/fleet/src/main/java/clayhook/rollout/CounterBatch.java
+++ b/fleet/src/main/java/clayhook/rollout/CounterBatch.java
@@ -40,7 +40,8 @@
 
         private void add(
                 long session, boolean failed, boolean late, boolean throttled, double seconds, double slowFrom) {
-            int at = (int) Long.remainderUnsigned(TrafficSplit.mixHash(session + BUCKET_SALT), SESSION_BUCKETS) * COUNTERS_PER_BUCKET;
+            int at = (int) Long.remainderUnsigned(TrafficSplit.mixHash(session + BUCKET_SALT), SESSION_BUCKETS)
+                    * COUNTERS_PER_BUCKET;
             counts[at + TOTAL]++;
             counts[at + FAILED] += failed ? 1 : 0;
             counts[at + LATE] += late ? 1 : 0;
--- a/fleet/src/main/java/clayhook/rollout/Guard.java
+++ b/fleet/src/main/java/clayhook/rollout/Guard.java
@@ -12,8 +12,8 @@
  * @param group the command group, or {@link #ALL_CLASSES} for all taken together
  * @param most absolute: share of commands, or seconds at the 99th percentile for {@link GuardMetric#SLOW}; infinite for
  *     none
- * @param worse against the old version: share of commands more, or for {@link GuardMetric#SLOW} the part by which the 99th
- *     percentile is longer, 0.2 for a fifth; infinite for none
+ * @param worse against the old version: share of commands more, or for {@link GuardMetric#SLOW} the part by which the
+ *     99th percentile is longer, 0.2 for a fifth; infinite for none
  */
 public record Guard(String requestClass, GuardMetric metric, double absoluteLimit, double regressionLimit) {
     /** All command groups together. */
@@ -27,11 +27,12 @@
         }
         double end = metric == GuardMetric.SLOW ? Double.POSITIVE_INFINITY : 1;
         if (!(absoluteLimit > 0) || absoluteLimit != Double.POSITIVE_INFINITY && absoluteLimit > end) {
-            faults.add(new RolloutProblem(key + ".most", "must be above 0" + (metric == GuardMetric.SLOW ? "" : " and at most 1")));
+            faults.add(new RolloutProblem(
+                    key + ".most", "must be above 0" + (metric == GuardMetric.SLOW ? "" : " and at most 1")));
         }
         if (!(regressionLimit >= 0) || regressionLimit != Double.POSITIVE_INFINITY && regressionLimit > end) {
-            faults.add(
-                    new RolloutProblem(key + ".worse", "must not be below 0" + (metric == GuardMetric.SLOW ? "" : " nor above 1")));
+            faults.add(new RolloutProblem(
+                    key + ".worse", "must not be below 0" + (metric == GuardMetric.SLOW ? "" : " nor above 1")));
         }
         if (absoluteLimit == Double.POSITIVE_INFINITY && regressionLimit == Double.POSITIVE_INFINITY) {
             faults.add(new RolloutProblem(key, "needs most or worse"));
@@ -48,6 +49,10 @@
     }
 
     static Guard read(FieldReader in) {
-        return new Guard(in.readNonEmptyString(), GuardMetric.values()[in.readIntBelow(GuardMetric.values().length)], in.readDouble(), in.readDouble());
+        return new Guard(
+                in.readNonEmptyString(),
+                GuardMetric.values()[in.readIntBelow(GuardMetric.values().length)],
+                in.readDouble(),
+                in.readDouble());
     }
 }
--- a/fleet/src/main/java/clayhook/rollout/GuardEvaluator.java
+++ b/fleet/src/main/java/clayhook/rollout/GuardEvaluator.java
@@ -47,7 +47,9 @@
                         stage.minSamples(),
                         group.requests(0));
             }
-            if (exceedsAbsoluteLimit(guard, group) || exceedsRegressionLimit(guard, group) && group.logEvidence(guard.metric()) >= INCONCLUSIVE_LOG_EVIDENCE) {
+            if (exceedsAbsoluteLimit(guard, group)
+                    || exceedsRegressionLimit(guard, group)
+                            && group.logEvidence(guard.metric()) >= INCONCLUSIVE_LOG_EVIDENCE) {
                 return "in doubt, " + describe(guard, group);
             }
         }
--- a/fleet/src/main/java/clayhook/rollout/LeaseResponse.java
+++ b/fleet/src/main/java/clayhook/rollout/LeaseResponse.java
@@ -1,8 +1,8 @@
 package clayhook.rollout;
 
-import clayhook.fleet.Message;
 import clayhook.fleet.FieldReader;
 import clayhook.fleet.FieldWriter;
+import clayhook.fleet.Message;
 
 /**
  * To an {@link LeaseRequest}.
--- a/fleet/src/main/java/clayhook/rollout/LocalCounters.java
+++ b/fleet/src/main/java/clayhook/rollout/LocalCounters.java
@@ -18,9 +18,13 @@
 
     private static final class ClassCounters {
         /** What came since the slice began. */
-        CounterBatch.OutcomeCounters[] interval = {new CounterBatch.OutcomeCounters(), new CounterBatch.OutcomeCounters()};
+        CounterBatch.OutcomeCounters[] interval = {
+            new CounterBatch.OutcomeCounters(), new CounterBatch.OutcomeCounters()
+        };
         /** All before: the old version's, the candidate's. */
-        final CounterBatch.OutcomeCounters[] completed = {new CounterBatch.OutcomeCounters(), new CounterBatch.OutcomeCounters()};
+        final CounterBatch.OutcomeCounters[] completed = {
+            new CounterBatch.OutcomeCounters(), new CounterBatch.OutcomeCounters()
+        };
 
         final double[] evidenceSums = new double[MemberCounters.EvidenceSums.SIZE];
         double slowThreshold = Double.NaN;
@@ -101,14 +105,18 @@
         for (int i = 0; i < 2; i++) {
             group.completed[i].add(group.interval[i]);
         }
-        group.interval = new CounterBatch.OutcomeCounters[] {new CounterBatch.OutcomeCounters(), new CounterBatch.OutcomeCounters()};
+        group.interval = new CounterBatch.OutcomeCounters[] {
+            new CounterBatch.OutcomeCounters(), new CounterBatch.OutcomeCounters()
+        };
         group.intervalHasOutcomes = false;
         group.unpublished = true;
     }
 
     /** Where in a bucket the commands stand that a measure is a share of. */
     static int comparedOffset(GuardMetric measure) {
-        return measure == GuardMetric.SLOW ? CounterBatch.OutcomeCounters.LATENCY_COMPARED : CounterBatch.OutcomeCounters.TOTAL;
+        return measure == GuardMetric.SLOW
+                ? CounterBatch.OutcomeCounters.LATENCY_COMPARED
+                : CounterBatch.OutcomeCounters.TOTAL;
     }
 
     /** Where in a bucket those stand that a measure counts. */
@@ -155,7 +163,11 @@
             boolean sign = of == stage;
             for (Map.Entry<String, ClassCounters> entry : new TreeMap<>(groups).entrySet()) {
                 if (entry.getValue().unpublished || sign) {
-                    publish(shared, new MemberCounters.CounterKey(rolloutId, of, self, entry.getKey()).encode(), entry.getValue(), now);
+                    publish(
+                            shared,
+                            new MemberCounters.CounterKey(rolloutId, of, self, entry.getKey()).encode(),
+                            entry.getValue(),
+                            now);
                     sign = false;
                 }
             }
@@ -168,12 +180,30 @@
         for (int i = 0; i < MemberCounters.EvidenceSums.SIZE; i++) {
             counts[i] = SequentialTest.toFixedPoint(group.evidenceSums[i]);
         }
-        System.arraycopy(group.completed[0].counts, 0, counts, MemberCounters.EvidenceSums.SIZE, CounterBatch.OutcomeCounters.SIZE);
-        System.arraycopy(group.completed[1].counts, 0, counts, MemberCounters.EvidenceSums.SIZE + CounterBatch.OutcomeCounters.SIZE, CounterBatch.OutcomeCounters.SIZE);
+        System.arraycopy(
+                group.completed[0].counts,
+                0,
+                counts,
+                MemberCounters.EvidenceSums.SIZE,
+                CounterBatch.OutcomeCounters.SIZE);
+        System.arraycopy(
+                group.completed[1].counts,
+                0,
+                counts,
+                MemberCounters.EvidenceSums.SIZE + CounterBatch.OutcomeCounters.SIZE,
+                CounterBatch.OutcomeCounters.SIZE);
         shared.merge(MemberCounters.OUTCOME_COUNTS, key, new MemberCounters(number, now, counts), now);
         if (group.unpublished) {
-            shared.merge(MemberCounters.BASELINE_LATENCIES, key, new MemberCounters(number, now, group.completed[0].latencies.clone()), now);
-            shared.merge(MemberCounters.CANDIDATE_LATENCIES, key, new MemberCounters(number, now, group.completed[1].latencies.clone()), now);
+            shared.merge(
+                    MemberCounters.BASELINE_LATENCIES,
+                    key,
+                    new MemberCounters(number, now, group.completed[0].latencies.clone()),
+                    now);
+            shared.merge(
+                    MemberCounters.CANDIDATE_LATENCIES,
+                    key,
+                    new MemberCounters(number, now, group.completed[1].latencies.clone()),
+                    now);
         }
         group.unpublished = false;
     }
--- a/fleet/src/main/java/clayhook/rollout/LocalRollout.java
+++ b/fleet/src/main/java/clayhook/rollout/LocalRollout.java
@@ -117,6 +117,7 @@
 
     /** For the log. */
     String displayName() {
-        return proposal.rulesHash().substring(0, 8) + " of " + proposal.proposer().name();
+        return proposal.rulesHash().substring(0, 8) + " of "
+                + proposal.proposer().name();
     }
 }
--- a/fleet/src/main/java/clayhook/rollout/MemberCounters.java
+++ b/fleet/src/main/java/clayhook/rollout/MemberCounters.java
@@ -1,9 +1,9 @@
 package clayhook.rollout;
 
-import clayhook.fleet.ReplicatedType;
-import clayhook.fleet.Member;
 import clayhook.fleet.FieldReader;
 import clayhook.fleet.FieldWriter;
+import clayhook.fleet.Member;
+import clayhook.fleet.ReplicatedType;
 import java.util.Arrays;
 
 /**
@@ -21,11 +21,14 @@
     private static final int MAX_ENTRIES = 32_768;
 
     /** Sums of the sequential test and counts by session's bucket: the old version's, then the candidate's. */
-    static final ReplicatedType<MemberCounters> OUTCOME_COUNTS = replicatedType(13, "rollout counts", EvidenceSums.SIZE + 2 * CounterBatch.OutcomeCounters.SIZE);
+    static final ReplicatedType<MemberCounters> OUTCOME_COUNTS =
+            replicatedType(13, "rollout counts", EvidenceSums.SIZE + 2 * CounterBatch.OutcomeCounters.SIZE);
     /** Times of the old version. */
-    static final ReplicatedType<MemberCounters> BASELINE_LATENCIES = replicatedType(14, "rollout times, old version", LatencyHistogram.SIZE);
+    static final ReplicatedType<MemberCounters> BASELINE_LATENCIES =
+            replicatedType(14, "rollout times, old version", LatencyHistogram.SIZE);
     /** Times of the candidate. */
-    static final ReplicatedType<MemberCounters> CANDIDATE_LATENCIES = replicatedType(15, "rollout times, candidate", LatencyHistogram.SIZE);
+    static final ReplicatedType<MemberCounters> CANDIDATE_LATENCIES =
+            replicatedType(15, "rollout times, candidate", LatencyHistogram.SIZE);
 
     /** Sums of the test, within the counts: a row for each measure. */
     static final class EvidenceSums {
--- a/fleet/src/main/java/clayhook/rollout/MergedCounters.java
+++ b/fleet/src/main/java/clayhook/rollout/MergedCounters.java
@@ -39,16 +39,25 @@
         }
 
         private static double comparedRequests(long[] counts, GuardMetric measure, int version) {
-            return SequentialTest.sumBuckets(counts, MemberCounters.EvidenceSums.SIZE + version * CounterBatch.OutcomeCounters.SIZE, LocalCounters.comparedOffset(measure));
+            return SequentialTest.sumBuckets(
+                    counts,
+                    MemberCounters.EvidenceSums.SIZE + version * CounterBatch.OutcomeCounters.SIZE,
+                    LocalCounters.comparedOffset(measure));
         }
 
         private static double badRequests(long[] counts, GuardMetric measure, int version) {
-            return SequentialTest.sumBuckets(counts, MemberCounters.EvidenceSums.SIZE + version * CounterBatch.OutcomeCounters.SIZE, LocalCounters.badOffset(measure));
+            return SequentialTest.sumBuckets(
+                    counts,
+                    MemberCounters.EvidenceSums.SIZE + version * CounterBatch.OutcomeCounters.SIZE,
+                    LocalCounters.badOffset(measure));
         }
 
         /** Commands of a version: 0 the old one, 1 the candidate. */
         long requests(int version) {
-            return SequentialTest.sumBuckets(counts, MemberCounters.EvidenceSums.SIZE + version * CounterBatch.OutcomeCounters.SIZE, CounterBatch.OutcomeCounters.TOTAL);
+            return SequentialTest.sumBuckets(
+                    counts,
+                    MemberCounters.EvidenceSums.SIZE + version * CounterBatch.OutcomeCounters.SIZE,
+                    CounterBatch.OutcomeCounters.TOTAL);
         }
 
         /**
@@ -71,7 +80,11 @@
         /** Logarithm of the evidence that the candidate is worse. */
         double logEvidence(GuardMetric measure) {
             return SequentialTest.logEvidence(counts, measure.ordinal() * MemberCounters.EvidenceSums.SUMS_PER_METRIC)
-                    / SequentialTest.dispersion(counts, MemberCounters.EvidenceSums.SIZE, LocalCounters.comparedOffset(measure), LocalCounters.badOffset(measure));
+                    / SequentialTest.dispersion(
+                            counts,
+                            MemberCounters.EvidenceSums.SIZE,
+                            LocalCounters.comparedOffset(measure),
+                            LocalCounters.badOffset(measure));
         }
     }
 
@@ -88,15 +101,21 @@
                 figures.lastRecordedAt.merge(key.member(), figure.recordedAt(), Math::max);
             }
         });
-        shared.forEach(MemberCounters.BASELINE_LATENCIES, (text, figure) -> figures.addLatencies(text, round, stage, figure, 0));
-        shared.forEach(MemberCounters.CANDIDATE_LATENCIES, (text, figure) -> figures.addLatencies(text, round, stage, figure, 1));
+        shared.forEach(
+                MemberCounters.BASELINE_LATENCIES,
+                (text, figure) -> figures.addLatencies(text, round, stage, figure, 0));
+        shared.forEach(
+                MemberCounters.CANDIDATE_LATENCIES,
+                (text, figure) -> figures.addLatencies(text, round, stage, figure, 1));
         return figures;
     }
 
     private void addLatencies(String text, String round, int stage, MemberCounters figure, int version) {
         MemberCounters.CounterKey key = MemberCounters.CounterKey.decode(text);
         if (key != null && key.rolloutId().equals(round) && key.stage() == stage) {
-            long[] times = version == 0 ? forRequestClass(key.requestClass()).baselineLatencies : forRequestClass(key.requestClass()).candidateLatencies;
+            long[] times = version == 0
+                    ? forRequestClass(key.requestClass()).baselineLatencies
+                    : forRequestClass(key.requestClass()).candidateLatencies;
             for (int i = 0; i < LatencyHistogram.SIZE; i++) {
                 times[i] += figure.counts()[i];
             }
--- a/fleet/src/main/java/clayhook/rollout/Proposal.java
+++ b/fleet/src/main/java/clayhook/rollout/Proposal.java
@@ -1,8 +1,8 @@
 package clayhook.rollout;
 
-import clayhook.fleet.Member;
 import clayhook.fleet.FieldReader;
 import clayhook.fleet.FieldWriter;
+import clayhook.fleet.Member;
 import com.dynatrace.hash4j.hashing.Hashing;
 import java.util.Comparator;
 
@@ -44,7 +44,18 @@
 
     /** The key under which routers share whatever belongs to this rollout. */
     String id() {
-        var text = proposer.name() + '\n' + proposer.incarnation() + '\n' + proposedAt + '\n' + rulesHash + '\n' + termsHash + '\n' + baseRulesHash + '\n'
+        var text = proposer.name()
+                + '\n'
+                + proposer.incarnation()
+                + '\n'
+                + proposedAt
+                + '\n'
+                + rulesHash
+                + '\n'
+                + termsHash
+                + '\n'
+                + baseRulesHash
+                + '\n'
                 + attempt;
         return String.format("%016x", Hashing.komihash5_0().hashCharsToLong(text));
     }
--- a/fleet/src/main/java/clayhook/rollout/RolloutController.java
+++ b/fleet/src/main/java/clayhook/rollout/RolloutController.java
@@ -1,14 +1,14 @@
 package clayhook.rollout;
 
-import clayhook.fleet.ReplicatedType;
-import clayhook.fleet.ProtocolHandler;
+import clayhook.fleet.FieldReader;
 import clayhook.fleet.Member;
-import clayhook.fleet.Outbox;
+import clayhook.fleet.MembershipView;
 import clayhook.fleet.Message;
+import clayhook.fleet.Outbox;
 import clayhook.fleet.Peer;
-import clayhook.fleet.FieldReader;
-import clayhook.fleet.MembershipView;
+import clayhook.fleet.ProtocolHandler;
 import clayhook.fleet.ReplicatedStore;
+import clayhook.fleet.ReplicatedType;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -112,7 +112,13 @@
 
     /** The kinds of values that it shares. */
     public static List<ReplicatedType<?>> replicatedTypes() {
-        return List.of(RolloutProgress.TYPE, TextChunk.TYPE, StageVote.TYPE, MemberCounters.OUTCOME_COUNTS, MemberCounters.BASELINE_LATENCIES, MemberCounters.CANDIDATE_LATENCIES);
+        return List.of(
+                RolloutProgress.TYPE,
+                TextChunk.TYPE,
+                StageVote.TYPE,
+                MemberCounters.OUTCOME_COUNTS,
+                MemberCounters.BASELINE_LATENCIES,
+                MemberCounters.CANDIDATE_LATENCIES);
     }
 
     /** Which sessions get which version now; one volatile read. */
@@ -180,8 +186,10 @@
         LocalRollout last = registry.all().stream()
                 .filter(live -> !live.isEnded() && !live.isPastStartDeadline(now, settings.startTimeoutSeconds()))
                 .filter(live -> !live.proposal.rulesHash().equals(registry.configuredRulesHash()))
-                .filter(live -> requestedRulesHash == null || live.proposal.rulesHash().equals(requestedRulesHash))
-                .min(Comparator.comparing((LocalRollout live) -> live.isCompleted()).thenComparing(live -> live.proposal))
+                .filter(live ->
+                        requestedRulesHash == null || live.proposal.rulesHash().equals(requestedRulesHash))
+                .min(Comparator.comparing((LocalRollout live) -> live.isCompleted())
+                        .thenComparing(live -> live.proposal))
                 .orElse(null);
         if (last != null) {
             registry.end(last, RolloutEnd.EndCause.WITHDRAWN, "by its operator", now);
@@ -203,7 +211,8 @@
         if (last == null) {
             return new RolloutProblem("", "no rollout that has ended is known here");
         }
-        List<RolloutProblem> faults = propose(last.terms.plan().withAttempt(last.proposal.attempt() + 1), last.rules.text(), now);
+        List<RolloutProblem> faults =
+                propose(last.terms.plan().withAttempt(last.proposal.attempt() + 1), last.rules.text(), now);
         return faults.isEmpty() ? null : faults.get(0);
     }
 
@@ -214,7 +223,10 @@
     public void onConfiguredRules(String hash, double now) {
         registry.refresh(now);
         LocalRollout live = registry.activeRollout(now);
-        if (!hash.equals(registry.configuredRulesHash()) && live != null && live.votes(self) && !hash.equals(live.proposal.baseRulesHash())) {
+        if (!hash.equals(registry.configuredRulesHash())
+                && live != null
+                && live.votes(self)
+                && !hash.equals(live.proposal.baseRulesHash())) {
             registry.end(live, RolloutEnd.EndCause.HALTED, self.name() + " was given other rules to stand on", now);
         }
         registry.configuredRulesHash(hash);
@@ -370,7 +382,9 @@
             return;
         }
         vote(live, 0, now);
-        if (now - live.firstSeenAt >= settings.settleSeconds() && !membership.recentlyStalled(now) && live.firstUnreadyMember(store, membership) == null) {
+        if (now - live.firstSeenAt >= settings.settleSeconds()
+                && !membership.recentlyStalled(now)
+                && live.firstUnreadyMember(store, membership) == null) {
             vote(live, 1, now);
         }
     }
@@ -477,7 +491,10 @@
             if (runs) {
                 registry.emit(RolloutEvent.EventType.CANDIDATE_RUNNING, live, "stage " + live.stage());
             } else if (!live.isEnded() && !live.isCompleted()) {
-                registry.emit(RolloutEvent.EventType.LEASE_EXPIRED, live, "no contact with a majority; back to the old version");
+                registry.emit(
+                        RolloutEvent.EventType.LEASE_EXPIRED,
+                        live,
+                        "no contact with a majority; back to the old version");
             }
         }
     }
--- a/fleet/src/main/java/clayhook/rollout/RolloutEnd.java
+++ b/fleet/src/main/java/clayhook/rollout/RolloutEnd.java
@@ -41,12 +41,21 @@
     }
 
     void write(FieldWriter out) {
-        out.beginList().writeLong(cause.ordinal()).writeNullableString(reason).writeNullableString(endedBy).writeDouble(endedAt).endList();
+        out.beginList()
+                .writeLong(cause.ordinal())
+                .writeNullableString(reason)
+                .writeNullableString(endedBy)
+                .writeDouble(endedAt)
+                .endList();
     }
 
     static RolloutEnd read(FieldReader in) {
         in.beginList();
-        var end = new RolloutEnd(EndCause.values()[in.readIntBelow(EndCause.values().length)], in.readNullableString(), in.readNonEmptyString(), in.readDouble());
+        var end = new RolloutEnd(
+                EndCause.values()[in.readIntBelow(EndCause.values().length)],
+                in.readNullableString(),
+                in.readNonEmptyString(),
+                in.readDouble());
         in.endList();
         return end;
     }
--- a/fleet/src/main/java/clayhook/rollout/RolloutProgress.java
+++ b/fleet/src/main/java/clayhook/rollout/RolloutProgress.java
@@ -1,8 +1,8 @@
 package clayhook.rollout;
 
-import clayhook.fleet.ReplicatedType;
 import clayhook.fleet.FieldReader;
 import clayhook.fleet.FieldWriter;
+import clayhook.fleet.ReplicatedType;
 
 /**
  * How far a rollout has come, as far as is known here. An end wins over every stage.
@@ -33,7 +33,11 @@
         @Override
         public RolloutProgress merge(RolloutProgress a, RolloutProgress b) {
             Proposal proposal = a.proposal.compareTo(b.proposal) <= 0 ? a.proposal : b.proposal;
-            return new RolloutProgress(proposal, Math.max(a.stage, b.stage), RolloutEnd.merge(a.end, b.end), Math.max(a.retainedFrom, b.retainedFrom));
+            return new RolloutProgress(
+                    proposal,
+                    Math.max(a.stage, b.stage),
+                    RolloutEnd.merge(a.end, b.end),
+                    Math.max(a.retainedFrom, b.retainedFrom));
         }
 
         @Override
--- a/fleet/src/main/java/clayhook/rollout/RolloutRegistry.java
+++ b/fleet/src/main/java/clayhook/rollout/RolloutRegistry.java
@@ -81,7 +81,10 @@
             if (live.isEnded()) {
                 emitEnd(live);
             } else {
-                emit(RolloutEvent.EventType.PROPOSED, live, "attempt " + round.proposal().attempt());
+                emit(
+                        RolloutEvent.EventType.PROPOSED,
+                        live,
+                        "attempt " + round.proposal().attempt());
             }
         } else if (!live.progress.equals(round)) {
             int stage = live.stage();
@@ -177,7 +180,8 @@
             live.problem = live.proposal.leaseSeconds() > settings.leaseSeconds()
                     ? "its lease is longer than the one set here"
                     : live.terms.fleetSize() != settings.fleetSize()
-                            ? "it counts with " + live.terms.fleetSize() + " routers, here are " + settings.fleetSize() + " set"
+                            ? "it counts with " + live.terms.fleetSize() + " routers, here are " + settings.fleetSize()
+                                    + " set"
                             : validator.validate(live.rules.hash(), live.rules.text());
             live.counters = new LocalCounters(live.id, self, live.terms.plan().requestClasses());
             live.lease = leaseFactory.get();
@@ -186,7 +190,11 @@
             }
             if (live.problem != null && !live.isCompleted()) {
                 // Before it begins a veto, after that a halt: a session must not get another version here.
-                end(live, live.stage() == 0 ? RolloutEnd.EndCause.VETOED : RolloutEnd.EndCause.HALTED, live.problem, now);
+                end(
+                        live,
+                        live.stage() == 0 ? RolloutEnd.EndCause.VETOED : RolloutEnd.EndCause.HALTED,
+                        live.problem,
+                        now);
             }
         }
         if (live.isLoaded() && !live.isCompleted() && !isOnBaseRules(live)) {
@@ -204,7 +212,10 @@
         if (live.stage() == 0 && live.votes(self) && now - live.firstSeenAt > settings.startTimeoutSeconds() / 2) {
             end(live, RolloutEnd.EndCause.VETOED, self.name() + " stands on other rules", now);
         } else if (live.stage() > 0 && live.announced.add("sits out")) {
-            emit(RolloutEvent.EventType.NOT_PARTICIPATING, live, "this router stands on other rules than those that the rollout began with");
+            emit(
+                    RolloutEvent.EventType.NOT_PARTICIPATING,
+                    live,
+                    "this router stands on other rules than those that the rollout began with");
         }
     }
 
@@ -262,12 +273,16 @@
 
     private Stream<LocalRollout> openRollouts(double now) {
         return rollouts.values().stream()
-                .filter(live -> !live.isEnded() && !live.isCompleted() && !live.isPastStartDeadline(now, settings.startTimeoutSeconds()));
+                .filter(live -> !live.isEnded()
+                        && !live.isCompleted()
+                        && !live.isPastStartDeadline(now, settings.startTimeoutSeconds()));
     }
 
     /** Of those that go on, the one that wins everywhere. */
     LocalRollout activeRollout(double now) {
-        return openRollouts(now).min(Comparator.comparing(live -> live.proposal)).orElse(null);
+        return openRollouts(now)
+                .min(Comparator.comparing(live -> live.proposal))
+                .orElse(null);
     }
 
     void resolveConflicts(double now) {
@@ -278,7 +293,10 @@
             }
         }
         for (LocalRollout live : new ArrayList<>(rollouts.values())) {
-            if (!live.isEnded() && live.isPastStartDeadline(now, settings.startTimeoutSeconds()) && live.votes(self) && canNeverStart(live, now)) {
+            if (!live.isEnded()
+                    && live.isPastStartDeadline(now, settings.startTimeoutSeconds())
+                    && live.votes(self)
+                    && canNeverStart(live, now)) {
                 Member unread = live.firstUnreadyMember(store, membership);
                 end(
                         live,
@@ -296,7 +314,8 @@
         long lives = live.terms.roster().stream()
                 .filter(member -> member.equals(self) || membership.isLive(member))
                 .count();
-        return lives >= majoritySize(live) && store.completeUpTo(now) > live.firstSeenAt + 2 * settings.startTimeoutSeconds();
+        return lives >= majoritySize(live)
+                && store.completeUpTo(now) > live.firstSeenAt + 2 * settings.startTimeoutSeconds();
     }
 
     /** How many of its frozen roster must say the same. */
--- a/fleet/src/main/java/clayhook/rollout/RolloutSettings.java
+++ b/fleet/src/main/java/clayhook/rollout/RolloutSettings.java
@@ -11,7 +11,13 @@
  * @param patience seconds within which a proposal must begin
  * @param every seconds between figures that are shared, at least
  */
-public record RolloutSettings(String configuredRulesHash, int fleetSize, double leaseSeconds, double settleSeconds, double startTimeoutSeconds, double shareIntervalSeconds) {
+public record RolloutSettings(
+        String configuredRulesHash,
+        int fleetSize,
+        double leaseSeconds,
+        double settleSeconds,
+        double startTimeoutSeconds,
+        double shareIntervalSeconds) {
     /** Fails on what no settings reader should let through. */
     public RolloutSettings {
         if (fleetSize < 1
--- a/fleet/src/main/java/clayhook/rollout/RolloutStage.java
+++ b/fleet/src/main/java/clayhook/rollout/RolloutStage.java
@@ -46,13 +46,18 @@
         for (int i = 0; i < guards.size(); i++) {
             guards.get(i).validate(key + ".guard[" + i + "]", faults);
             if (!seen.add(List.of(guards.get(i).requestClass(), guards.get(i).metric()))) {
-                faults.add(new RolloutProblem(key + ".guard[" + i + "]", "watches what another guard of the stage watches"));
+                faults.add(new RolloutProblem(
+                        key + ".guard[" + i + "]", "watches what another guard of the stage watches"));
             }
         }
     }
 
     void write(FieldWriter out) {
-        out.beginList().writeDouble(share).writeDouble(minSeconds).writeLong(minSamples).beginList();
+        out.beginList()
+                .writeDouble(share)
+                .writeDouble(minSeconds)
+                .writeLong(minSamples)
+                .beginList();
         guards.forEach(guard -> guard.write(out));
         out.endList().endList();
     }
--- a/fleet/src/main/java/clayhook/rollout/RolloutStatus.java
+++ b/fleet/src/main/java/clayhook/rollout/RolloutStatus.java
@@ -29,5 +29,11 @@
      * @param candidate share of commands; seconds at the 99th percentile for {@link GuardMetric#SLOW}
      * @param evidence natural logarithm of the evidence that the candidate is worse
      */
-    public record MetricComparison(String requestClass, GuardMetric metric, long requests, double candidate, double baseline, double logEvidence) {}
+    public record MetricComparison(
+            String requestClass,
+            GuardMetric metric,
+            long requests,
+            double candidate,
+            double baseline,
+            double logEvidence) {}
 }
--- a/fleet/src/main/java/clayhook/rollout/RolloutTerms.java
+++ b/fleet/src/main/java/clayhook/rollout/RolloutTerms.java
@@ -1,8 +1,8 @@
 package clayhook.rollout;
 
-import clayhook.fleet.Member;
 import clayhook.fleet.FieldReader;
 import clayhook.fleet.FieldWriter;
+import clayhook.fleet.Member;
 import java.util.List;
 
 /**
@@ -25,8 +25,10 @@
         var out = new FieldWriter();
         plan.write(out);
         out.writeLong(fleetSize).beginList();
-        roster.forEach(
-                member -> out.beginList().writeNullableString(member.name()).writeLong(member.incarnation()).endList());
+        roster.forEach(member -> out.beginList()
+                .writeNullableString(member.name())
+                .writeLong(member.incarnation())
+                .endList());
         return out.endList().toByteArray();
     }
 
--- a/fleet/src/main/java/clayhook/rollout/RuleSet.java
+++ b/fleet/src/main/java/clayhook/rollout/RuleSet.java
@@ -53,7 +53,8 @@
      * @param faults gets whatever cannot be staged, with its key
      * @return null where there are faults
      */
-    public static RuleSet of(Map<String, ?> defaults, List<? extends Map<String, ?>> rules, List<RolloutProblem> faults) {
+    public static RuleSet of(
+            Map<String, ?> defaults, List<? extends Map<String, ?>> rules, List<RolloutProblem> faults) {
         int before = faults.size();
         var out = new StringBuilder("[statements]\n");
         appendTable(defaults, DEFAULT_KEYS, "", out, faults);
@@ -75,7 +76,8 @@
             if (!known.contains(key)) {
                 faults.add(new RolloutProblem(prefix + key, "can't be staged"));
             } else if (text == null) {
-                faults.add(new RolloutProblem(prefix + key, "must be a text, a number, true, false, or a list of these"));
+                faults.add(
+                        new RolloutProblem(prefix + key, "must be a text, a number, true, false, or a list of these"));
             } else {
                 out.append(key).append(" = ").append(text).append('\n');
             }
--- a/fleet/src/main/java/clayhook/rollout/SequentialTest.java
+++ b/fleet/src/main/java/clayhook/rollout/SequentialTest.java
@@ -69,7 +69,10 @@
      */
     static double dispersion(long[] counts, int from, int all, int bad) {
         return Math.max(
-                1, Math.max(versionDispersion(counts, from, all, bad), versionDispersion(counts, from + CounterBatch.OutcomeCounters.SIZE, all, bad)));
+                1,
+                Math.max(
+                        versionDispersion(counts, from, all, bad),
+                        versionDispersion(counts, from + CounterBatch.OutcomeCounters.SIZE, all, bad)));
     }
 
     private static double versionDispersion(long[] counts, int start, int all, int bad) {
@@ -78,7 +81,9 @@
         int buckets = 0;
         double sum = 0;
         double squares = 0;
-        for (int at = start; at < start + CounterBatch.OutcomeCounters.SIZE; at += CounterBatch.OutcomeCounters.COUNTERS_PER_BUCKET) {
+        for (int at = start;
+                at < start + CounterBatch.OutcomeCounters.SIZE;
+                at += CounterBatch.OutcomeCounters.COUNTERS_PER_BUCKET) {
             if (counts[at + all] > 0) {
                 double off = (share * commands - counts[at + bad]) / (commands - counts[at + all]) - share;
                 buckets++;
@@ -96,7 +101,9 @@
     /** Of a version's buckets. */
     static long sumBuckets(long[] counts, int start, int which) {
         long total = 0;
-        for (int at = start; at < start + CounterBatch.OutcomeCounters.SIZE; at += CounterBatch.OutcomeCounters.COUNTERS_PER_BUCKET) {
+        for (int at = start;
+                at < start + CounterBatch.OutcomeCounters.SIZE;
+                at += CounterBatch.OutcomeCounters.COUNTERS_PER_BUCKET) {
             total += counts[at + which];
         }
         return total;
--- a/fleet/src/main/java/clayhook/rollout/StageEvaluation.java
+++ b/fleet/src/main/java/clayhook/rollout/StageEvaluation.java
@@ -44,7 +44,8 @@
         figures.lastRecordedAt().forEach((member, at) -> {
             boolean lives = member.equals(self) || membership.isLive(member);
             double ahead = member.equals(self) ? 0 : membership.clockOffset(member);
-            live.freshMembers += lives && live.votes(member) && at - (Double.isNaN(ahead) ? 0 : ahead) >= now - stale ? 1 : 0;
+            live.freshMembers +=
+                    lives && live.votes(member) && at - (Double.isNaN(ahead) ? 0 : ahead) >= now - stale ? 1 : 0;
             live.departedMembers += lives ? 0 : 1;
             if (!lives && live.announced.add("dead " + member)) {
                 registry.emit(
--- a/fleet/src/main/java/clayhook/rollout/StageVote.java
+++ b/fleet/src/main/java/clayhook/rollout/StageVote.java
@@ -1,9 +1,9 @@
 package clayhook.rollout;
 
-import clayhook.fleet.ReplicatedType;
-import clayhook.fleet.Member;
 import clayhook.fleet.FieldReader;
 import clayhook.fleet.FieldWriter;
+import clayhook.fleet.Member;
+import clayhook.fleet.ReplicatedType;
 
 /**
  * What one router of the frozen roster has said to a rollout. It never takes a word back.
--- a/fleet/src/main/java/clayhook/rollout/TextChunk.java
+++ b/fleet/src/main/java/clayhook/rollout/TextChunk.java
@@ -1,9 +1,9 @@
 package clayhook.rollout;
 
-import clayhook.fleet.ReplicatedType;
 import clayhook.fleet.FieldReader;
-import clayhook.fleet.ReplicatedStore;
 import clayhook.fleet.FieldWriter;
+import clayhook.fleet.ReplicatedStore;
+import clayhook.fleet.ReplicatedType;
 import com.dynatrace.hash4j.hashing.HashValue128;
 import com.dynatrace.hash4j.hashing.Hashing;
 import java.util.Arrays;
@@ -27,7 +27,9 @@
 
         @Override
         public TextChunk merge(TextChunk a, TextChunk b) {
-            return new TextChunk(Arrays.compare(a.bytes, b.bytes) <= 0 ? a.bytes : b.bytes, Math.max(a.retainedFrom, b.retainedFrom));
+            return new TextChunk(
+                    Arrays.compare(a.bytes, b.bytes) <= 0 ? a.bytes : b.bytes,
+                    Math.max(a.retainedFrom, b.retainedFrom));
         }
 
         @Override
@@ -95,7 +97,9 @@
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof TextChunk piece && retainedFrom == piece.retainedFrom && Arrays.equals(bytes, piece.bytes);
+        return other instanceof TextChunk piece
+                && retainedFrom == piece.retainedFrom
+                && Arrays.equals(bytes, piece.bytes);
     }
 
     @Override
--- a/fleet/src/main/java/clayhook/rollout/TrafficSplit.java
+++ b/fleet/src/main/java/clayhook/rollout/TrafficSplit.java
@@ -17,7 +17,8 @@
     private final long salt;
     private final double validUntil;
 
-    private TrafficSplit(RuleSetVersion plain, RuleSetVersion old, RuleSetVersion candidate, double share, long salt, double until) {
+    private TrafficSplit(
+            RuleSetVersion plain, RuleSetVersion old, RuleSetVersion candidate, double share, long salt, double until) {
         this.currentVersion = plain;
         this.baseline = old;
         this.candidate = candidate;
@@ -36,7 +37,8 @@
      * Two versions until then, seconds since 1970; after that the one that the fleet stands on, whoever forgets to say
      * so.
      */
-    static TrafficSplit between(RuleSetVersion plain, RuleSetVersion old, RuleSetVersion candidate, double share, double until) {
+    static TrafficSplit between(
+            RuleSetVersion plain, RuleSetVersion old, RuleSetVersion candidate, double share, double until) {
         // By the set alone: a rollout that is tried again begins with the same sessions.
         return new TrafficSplit(
                 plain,
@@ -48,7 +50,10 @@
     }
 
     boolean matches(RuleSetVersion plain, RuleSetVersion old, RuleSetVersion candidate, double until) {
-        return this.currentVersion == plain && this.baseline == old && this.candidate == candidate && this.validUntil == until;
+        return this.currentVersion == plain
+                && this.baseline == old
+                && this.candidate == candidate
+                && this.validUntil == until;
     }
 
     /**
--- a/fleet/src/test/java/clayhook/fleet/RecordedPacketsTest.java
+++ b/fleet/src/test/java/clayhook/fleet/RecordedPacketsTest.java
@@ -280,7 +280,8 @@
     void packsMessagesIntoPacketsAsRecorded() throws IOException {
         var sent = new ArrayList<String>();
         var handler = new SampleHandler(NUMBERS, RecordedPacketsTest::messagesToSend);
-        new MessageDispatcher(SENDER, List.of(handler), (to, bytes) -> sent.add(to + " " + HEX.formatHex(bytes))).tick(0);
+        new MessageDispatcher(SENDER, List.of(handler), (to, bytes) -> sent.add(to + " " + HEX.formatHex(bytes)))
+                .tick(0);
         assertEquals(recorded(), sent);
     }
 
@@ -297,7 +298,10 @@
             fleet.onDatagram(from, packet(line), 0);
             assertEquals(
                     List.of(1L, 0L, Map.of()),
-                    List.of(fleet.counters().receivedPackets, fleet.counters().skippedMessages, fleet.counters().droppedByReason));
+                    List.of(
+                            fleet.counters().receivedPackets,
+                            fleet.counters().skippedMessages,
+                            fleet.counters().droppedByReason));
             Address to = address(line);
             handler.received.forEach(received -> {
                 assertEquals(new Peer(SENDER, from), received.from());
@@ -330,9 +334,14 @@
             byte[] changed = bytes.clone();
             changed[i] ^= 1;
             assertEquals(
-                    new Packet.DecodeResult.Dropped(Packet.DecodeResult.DropReason.CORRUPTED), Packet.decode(changed, Map.of()), "byte " + i);
+                    new Packet.DecodeResult.Dropped(Packet.DecodeResult.DropReason.CORRUPTED),
+                    Packet.decode(changed, Map.of()),
+                    "byte " + i);
             byte[] cut = Arrays.copyOf(bytes, i);
-            assertEquals(new Packet.DecodeResult.Dropped(Packet.DecodeResult.DropReason.CORRUPTED), Packet.decode(cut, Map.of()), "cut at " + i);
+            assertEquals(
+                    new Packet.DecodeResult.Dropped(Packet.DecodeResult.DropReason.CORRUPTED),
+                    Packet.decode(cut, Map.of()),
+                    "cut at " + i);
         }
     }
 
@@ -355,19 +364,22 @@
 
     @Test
     void decodesPacketWithoutMessagesAsRecorded() {
-        assertEquals(new Packet.DecodeResult.Decoded(SENDER, List.of(), 0), Packet.decode(HEX.parseHex(EMPTY), Map.of()));
+        assertEquals(
+                new Packet.DecodeResult.Decoded(SENDER, List.of(), 0), Packet.decode(HEX.parseHex(EMPTY), Map.of()));
     }
 
     @Test
     void dropsRecordedPacketOfAnotherVersion() {
         assertEquals(
-                new Packet.DecodeResult.Dropped(Packet.DecodeResult.DropReason.UNSUPPORTED_VERSION), Packet.decode(HEX.parseHex(VERSION_2), Map.of()));
+                new Packet.DecodeResult.Dropped(Packet.DecodeResult.DropReason.UNSUPPORTED_VERSION),
+                Packet.decode(HEX.parseHex(VERSION_2), Map.of()));
     }
 
     @Test
     void dropsRecordedPacketWithTooLongName() {
         assertEquals(
-                new Packet.DecodeResult.Dropped(Packet.DecodeResult.DropReason.MALFORMED), Packet.decode(HEX.parseHex(LONG_NAME), Map.of()));
+                new Packet.DecodeResult.Dropped(Packet.DecodeResult.DropReason.MALFORMED),
+                Packet.decode(HEX.parseHex(LONG_NAME), Map.of()));
     }
 
     @Test
--- a/fleet/src/test/java/clayhook/fleet/VirtualNetwork.java
+++ b/fleet/src/test/java/clayhook/fleet/VirtualNetwork.java
@@ -58,7 +58,9 @@
             }
             for (int copies = random.nextDouble() < duplicationProbability ? 2 : 1; copies > 0; copies--) {
                 if (random.nextDouble() >= lossProbability) {
-                    schedule(now + minDelay + random.nextDouble() * (maxDelay - minDelay), () -> host.receive(address, bytes));
+                    schedule(
+                            now + minDelay + random.nextDouble() * (maxDelay - minDelay),
+                            () -> host.receive(address, bytes));
                 }
             }
         }
--- a/fleet/src/test/java/clayhook/fleet/members/MemberClaimPropertiesTest.java
+++ b/fleet/src/test/java/clayhook/fleet/members/MemberClaimPropertiesTest.java
@@ -4,11 +4,11 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import clayhook.fleet.Address;
+import clayhook.fleet.FieldReader;
+import clayhook.fleet.FieldWriter;
 import clayhook.fleet.Member;
 import clayhook.fleet.Packet;
 import clayhook.fleet.Peer;
-import clayhook.fleet.FieldReader;
-import clayhook.fleet.FieldWriter;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
@@ -48,12 +48,15 @@
     }
 
     @Property(tries = 3000, seed = "1")
-    void mergeIsCommutativeAssociativeAndIdempotent(@ForAll("claims") MemberClaim a, @ForAll("claims") MemberClaim b, @ForAll("claims") MemberClaim c) {
+    void mergeIsCommutativeAssociativeAndIdempotent(
+            @ForAll("claims") MemberClaim a, @ForAll("claims") MemberClaim b, @ForAll("claims") MemberClaim c) {
         assertEquals(a.merge(b), b.merge(a));
         assertEquals(a.merge(b).merge(c), a.merge(b.merge(c)));
         assertEquals(a, a.merge(a));
         assertEquals(a.merge(b), a.merge(b).merge(b));
-        assertTrue(a.peer().member().incarnation() <= b.peer().member().incarnation() || a.merge(b) == a, "the younger life counts");
+        assertTrue(
+                a.peer().member().incarnation() <= b.peer().member().incarnation() || a.merge(b) == a,
+                "the younger life counts");
         assertTrue(
                 !a.peer().equals(b.peer())
                         || a.status() != MemberStatus.LEFT
@@ -98,7 +101,12 @@
         new MembershipMessage.SyncPage(List.of(new MembershipMessage.SyncPage.AgedClaim(wide, 1e9))).write(out);
         byte[] bytes = out.toByteArray();
         assertTrue(bytes.length <= Packet.MAX_MESSAGE_BYTES);
-        assertEquals(wide, MembershipMessage.SyncPage.read(new FieldReader(bytes)).claims().get(0).claim());
+        assertEquals(
+                wide,
+                MembershipMessage.SyncPage.read(new FieldReader(bytes))
+                        .claims()
+                        .get(0)
+                        .claim());
         var alone = new FieldWriter();
         wide.write(alone);
         assertTrue(alone.toByteArray().length <= wide.maxEncodedBytes());
--- a/fleet/src/test/java/clayhook/fleet/members/MembershipTest.java
+++ b/fleet/src/test/java/clayhook/fleet/members/MembershipTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import clayhook.fleet.Address;
-import clayhook.fleet.MessageDispatcher;
 import clayhook.fleet.Member;
+import clayhook.fleet.MessageDispatcher;
 import clayhook.fleet.Peer;
 import clayhook.fleet.VirtualNetwork;
 import clayhook.fleet.VirtualNetwork.Host;
@@ -59,7 +59,8 @@
 
         @Override
         public void onDuplicateName(Peer counts, Peer other, double now) {
-            events.add("twins " + counts.member().incarnation() + " " + other.member().incarnation());
+            events.add("twins " + counts.member().incarnation() + " "
+                    + other.member().incarnation());
         }
 
         @Override
@@ -132,7 +133,8 @@
 
         private void introduceAll() {
             var page = new MembershipMessage.SyncPage(all().stream()
-                    .map(router -> new MembershipMessage.SyncPage.AgedClaim(MemberClaim.alive(router.membership.self(), 0), 0))
+                    .map(router ->
+                            new MembershipMessage.SyncPage.AgedClaim(MemberClaim.alive(router.membership.self(), 0), 0))
                     .toList());
             all().forEach(router -> router.membership.onMessage(
                     new Peer(new Member("teller", 0), address(0)), page, network.now, (to, part) -> {}));
@@ -188,7 +190,8 @@
         TestMember killed = null;
         for (int i = 10; i < 20; i++) {
             TestMember last = site.kill(i);
-            assertTrue(site.network.runUntil(() -> site.all(router -> !router.membership.isLive(last.member())), within));
+            assertTrue(
+                    site.network.runUntil(() -> site.all(router -> !router.membership.isLive(last.member())), within));
             killed = last;
         }
         assertEquals(90 * 10, site.countEvents("gone"));
@@ -205,7 +208,8 @@
         TestMember leaver = site.members.remove("router-5");
         leaver.membership.leave(site.network.now, (to, part) -> {});
         assertTrue(site.network.runUntil(() -> site.all(router -> !router.membership.isLive(leaver.member())), 1));
-        assertTrue(site.all(router -> !router.membership.possiblyServing(site.network.now).contains(leaver.member())));
+        assertTrue(site.all(
+                router -> !router.membership.possiblyServing(site.network.now).contains(leaver.member())));
         site.network.run(10); // it drains, and still answers
         assertEquals(99, site.countEvents("left"));
         assertEquals(0, site.countEvents("gone") + site.countEvents("alive"));
@@ -303,13 +307,15 @@
         TestMember younger = site.start("router-7", new Address("10.9.9.9", 7100), 0);
         assertTrue(site.network.runUntil(() -> older.membership.isSuperseded() && site.isConverged(), 5));
         site.network.run(20);
-        String line = "twins " + younger.member().incarnation() + " " + older.member().incarnation();
+        String line =
+                "twins " + younger.member().incarnation() + " " + older.member().incarnation();
         assertEquals(
                 List.of(line),
                 older.listener.events.stream()
                         .filter(told -> told.startsWith("twins"))
                         .toList());
-        assertTrue(site.all(router -> router.membership.livePeers().contains(younger.membership.self()) != (router == younger)));
+        assertTrue(site.all(
+                router -> router.membership.livePeers().contains(younger.membership.self()) != (router == younger)));
         assertTrue(site.countEvents(line) > 10, "the others are told once each that hears both");
         assertTrue(site.all(
                 router -> router.listener.events.stream().filter(line::equals).count() <= 1));
@@ -344,7 +350,11 @@
         Membership one = site.get(0).membership;
         for (int i = 0; i < 17_000; i++) {
             MemberClaim claim = MemberClaim.alive(new Peer(new Member("name-" + i, 1), TestFleet.address(i)), 0);
-            one.onMessage(site.get(1).membership.self(), new MembershipMessage.ClaimBroadcast(List.of(claim)), site.network.now, (to, part) -> {});
+            one.onMessage(
+                    site.get(1).membership.self(),
+                    new MembershipMessage.ClaimBroadcast(List.of(claim)),
+                    site.network.now,
+                    (to, part) -> {});
         }
         assertEquals(MembershipSettings.DEFAULT.maxNames(), one.livePeers().size());
         assertEquals(17_001 - MembershipSettings.DEFAULT.maxNames(), one.rejectedNames());
--- a/fleet/src/test/java/clayhook/fleet/members/RecordedMessagesTest.java
+++ b/fleet/src/test/java/clayhook/fleet/members/RecordedMessagesTest.java
@@ -4,12 +4,12 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import clayhook.fleet.Address;
+import clayhook.fleet.FieldReader;
+import clayhook.fleet.FieldWriter;
 import clayhook.fleet.Member;
 import clayhook.fleet.Message;
 import clayhook.fleet.Peer;
-import clayhook.fleet.FieldReader;
 import clayhook.fleet.RecordedBytes;
-import clayhook.fleet.FieldWriter;
 import java.util.Arrays;
 import java.util.EnumSet;
 import java.util.HashSet;
@@ -53,15 +53,26 @@
         messages.put("done-unanswered", new MembershipMessage.PingRequestResult(70_000, false));
         messages.put("news-empty", new MembershipMessage.ClaimBroadcast(List.of()));
         messages.put("news-alive", new MembershipMessage.ClaimBroadcast(List.of(MemberClaim.alive(PEER, 0))));
-        messages.put("news-suspected", new MembershipMessage.ClaimBroadcast(List.of(suspected(-1L, 2L, Long.MAX_VALUE, Long.MIN_VALUE))));
-        messages.put("news-suspected-by-one", new MembershipMessage.ClaimBroadcast(List.of(suspected(0x1234_5678_9abc_def0L))));
+        messages.put(
+                "news-suspected",
+                new MembershipMessage.ClaimBroadcast(List.of(suspected(-1L, 2L, Long.MAX_VALUE, Long.MIN_VALUE))));
+        messages.put(
+                "news-suspected-by-one",
+                new MembershipMessage.ClaimBroadcast(List.of(suspected(0x1234_5678_9abc_def0L))));
         messages.put("news-suspected-by-none", new MembershipMessage.ClaimBroadcast(List.of(suspected())));
-        messages.put("news-gone", new MembershipMessage.ClaimBroadcast(List.of(new MemberClaim(PEER, MemberStatus.DEAD, 23, List.of()))));
-        messages.put("news-left", new MembershipMessage.ClaimBroadcast(List.of(new MemberClaim(OTHER_PEER, MemberStatus.LEFT, 1L << 49, List.of()))));
+        messages.put(
+                "news-gone",
+                new MembershipMessage.ClaimBroadcast(List.of(new MemberClaim(PEER, MemberStatus.DEAD, 23, List.of()))));
+        messages.put(
+                "news-left",
+                new MembershipMessage.ClaimBroadcast(
+                        List.of(new MemberClaim(OTHER_PEER, MemberStatus.LEFT, 1L << 49, List.of()))));
         messages.put(
                 "news-several",
                 new MembershipMessage.ClaimBroadcast(List.of(
-                        MemberClaim.alive(OTHER_PEER, 1), suspected(3L, 4L), new MemberClaim(PEER, MemberStatus.LEFT, 2, List.of()))));
+                        MemberClaim.alive(OTHER_PEER, 1),
+                        suspected(3L, 4L),
+                        new MemberClaim(PEER, MemberStatus.LEFT, 2, List.of()))));
         messages.put(
                 "ask",
                 new MembershipMessage.SyncRequest(IntStream.range(0, MembershipTable.BUCKETS)
@@ -74,8 +85,10 @@
                 new MembershipMessage.SyncPage(List.of(
                         new MembershipMessage.SyncPage.AgedClaim(MemberClaim.alive(PEER, 5), 0),
                         new MembershipMessage.SyncPage.AgedClaim(suspected(7L, 8L, 9L), 1),
-                        new MembershipMessage.SyncPage.AgedClaim(new MemberClaim(OTHER_PEER, MemberStatus.DEAD, 6, List.of()), 3600),
-                        new MembershipMessage.SyncPage.AgedClaim(new MemberClaim(PEER, MemberStatus.LEFT, 0, List.of()), 1e9))));
+                        new MembershipMessage.SyncPage.AgedClaim(
+                                new MemberClaim(OTHER_PEER, MemberStatus.DEAD, 6, List.of()), 3600),
+                        new MembershipMessage.SyncPage.AgedClaim(
+                                new MemberClaim(PEER, MemberStatus.LEFT, 0, List.of()), 1e9))));
         return messages;
     }
 
@@ -124,7 +137,9 @@
         return MESSAGES.entrySet().stream()
                 .map(each -> DynamicTest.dynamicTest(each.getKey(), () -> {
                     MembershipMessage message = each.getValue();
-                    Message read = MembershipMessage.READERS.get(number(message)).apply(new FieldReader(RECORDED.get(each.getKey())));
+                    Message read = MembershipMessage.READERS
+                            .get(number(message))
+                            .apply(new FieldReader(RECORDED.get(each.getKey())));
                     if (message instanceof MembershipMessage.SyncRequest ask) {
                         assertArrayEquals(ask.bucketDigests(), ((MembershipMessage.SyncRequest) read).bucketDigests());
                     } else {
@@ -154,7 +169,8 @@
         var aged = new MembershipMessage.SyncPage(List.of(
                 new MembershipMessage.SyncPage.AgedClaim(MemberClaim.alive(PEER, 5), 0.9),
                 new MembershipMessage.SyncPage.AgedClaim(suspected(9L, 7L, 8L, 7L), 1.99),
-                new MembershipMessage.SyncPage.AgedClaim(new MemberClaim(OTHER_PEER, MemberStatus.DEAD, 6, List.of(1L)), 3600.5),
+                new MembershipMessage.SyncPage.AgedClaim(
+                        new MemberClaim(OTHER_PEER, MemberStatus.DEAD, 6, List.of(1L)), 3600.5),
                 new MembershipMessage.SyncPage.AgedClaim(new MemberClaim(PEER, MemberStatus.LEFT, 0, List.of()), 1e9)));
         assertArrayEquals(RECORDED.get("page"), encode(aged));
     }
--- a/fleet/src/test/java/clayhook/fleet/state/FaultScenario.java
+++ b/fleet/src/test/java/clayhook/fleet/state/FaultScenario.java
@@ -75,8 +75,8 @@
         guaranteedWrites.clear();
         network.nodes.stream()
                 .filter(other -> other != node)
-                .forEach(other -> types.forEach(kind ->
-                        other.state.forEach(kind, (key, value) -> guaranteedWrites.merge(new TypedKey(kind, key), value, kind::merge))));
+                .forEach(other -> types.forEach(kind -> other.state.forEach(
+                        kind, (key, value) -> guaranteedWrites.merge(new TypedKey(kind, key), value, kind::merge))));
         node.start();
     }
 
@@ -91,7 +91,10 @@
     }
 
     private void expect(StateTestNetwork.SimulatedMember node, TypedKey key, TimestampedNumber value, String why) {
-        double ends = value.at() + key.type.retentionSeconds() - StateSettings.DEFAULT.digestExclusionMargin() - TIMING_SLACK_SECONDS;
+        double ends = value.at()
+                + key.type.retentionSeconds()
+                - StateSettings.DEFAULT.digestExclusionMargin()
+                - TIMING_SLACK_SECONDS;
         if (ends > network.now && value.at() > node.state.evictionFloor(key.type)) {
             TimestampedNumber here = node.state.get(key.type, key.key);
             if (here == null || !key.type.merge(here, value).equals(here)) {
@@ -118,8 +121,8 @@
                 }
             }));
         }
-        double sure = network.runUntil(
-                20, () -> network.nodes.stream().allMatch(node -> node.state.completeUpTo(node.clock()) > network.now - 4));
+        double sure = network.runUntil(20, () -> network.nodes.stream()
+                .allMatch(node -> node.state.completeUpTo(node.clock()) > network.now - 4));
         if (sure > 20) {
             throw new AssertionError("not certain after 20 s");
         }
--- a/fleet/src/test/java/clayhook/fleet/state/RecordedStateMessagesTest.java
+++ b/fleet/src/test/java/clayhook/fleet/state/RecordedStateMessagesTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import clayhook.fleet.Member;
-import clayhook.fleet.Message;
 import clayhook.fleet.FieldReader;
 import clayhook.fleet.FieldWriter;
+import clayhook.fleet.Member;
+import clayhook.fleet.Message;
 import java.lang.reflect.Array;
 import java.lang.reflect.RecordComponent;
 import java.util.ArrayList;
@@ -48,7 +48,10 @@
     static Stream<Recording> recordings() {
         return Stream.of(
                 new Recording(
-                        "news without entries", 20, new StateMessage.DeltaBroadcast(0, 0, List.of()), "9f00fb00000000000000009fffff"),
+                        "news without entries",
+                        20,
+                        new StateMessage.DeltaBroadcast(0, 0, List.of()),
+                        "9f00fb00000000000000009fffff"),
                 new Recording(
                         "news",
                         20,
@@ -72,7 +75,10 @@
                         "9f381a181cfb41d954fc402000009f9f000000ff9f200118faff9f3b7fffffffffffffff18ff3901f3ff9f1b"
                                 + "7fffffffffffffff1b00000100000000001a05265c00ffffff"),
                 new Recording(
-                        "question for pairs without members", 22, new StateMessage.VersionVectorRequest(1, 0, new long[0]), "9f01009fffff"),
+                        "question for pairs without members",
+                        22,
+                        new StateMessage.VersionVectorRequest(1, 0, new long[0]),
+                        "9f01009fffff"),
                 new Recording(
                         "question for pairs",
                         22,
@@ -85,11 +91,17 @@
                         "question for pairs of the most members",
                         22,
                         new StateMessage.VersionVectorRequest(
-                                3, 4, LongStream.range(0, StateMessage.MAX_REQUESTED_ORIGINS).toArray()),
+                                3,
+                                4,
+                                LongStream.range(0, StateMessage.MAX_REQUESTED_ORIGINS)
+                                        .toArray()),
                         "9f03049f000102030405060708090a0b0c0d0e0f101112131415161718181819181a181b181c181d181e181f"
                                 + "18201821182218231824182518261827ffff"),
                 new Recording(
-                        "question for roots without kinds", 23, new StateMessage.RootDigestsRequest(5, 6, List.of()), "9f05069fffff"),
+                        "question for roots without kinds",
+                        23,
+                        new StateMessage.RootDigestsRequest(5, 6, List.of()),
+                        "9f05069fffff"),
                 new Recording(
                         "question for roots",
                         23,
@@ -97,7 +109,11 @@
                         "9f1b7fffffffffffffff079f9f00fbfff0000000000000fbfff000000000000000ff9f01fb41d954fc3c2000"
                                 + "00fb41d954fc3b20000020ff9f18fffb0000000000000000fbbfe00000000000003b7fffffffffffffffffff"
                                 + "ff"),
-                new Recording("roots without kinds", 24, new StateMessage.RootDigestsResponse(8, 9, false, List.of()), "9f0809f49fffff"),
+                new Recording(
+                        "roots without kinds",
+                        24,
+                        new StateMessage.RootDigestsResponse(8, 9, false, List.of()),
+                        "9f0809f49fffff"),
                 new Recording(
                         "roots",
                         24,
@@ -145,7 +161,8 @@
                                 2,
                                 -2,
                                 -1,
-                                LongStream.range(0, StateMessage.MAX_FINGERPRINTS).toArray()),
+                                LongStream.range(0, StateMessage.MAX_FINGERPRINTS)
+                                        .toArray()),
                         "9f15160221209f000102030405060708090a0b0c0d0e0f101112131415161718181819181a181b181c181d18"
                                 + "1e181f1820182118221823182418251826182718281829182a182b182c182d182e182f183018311832183318"
                                 + "3418351836183718381839183a183b183c183dffff"),
@@ -157,7 +174,8 @@
                 new Recording(
                         "entries",
                         28,
-                        new StateMessage.RangeEntries(-25, 26, 255, NOW - 3600, 0x7fffL << 48, 0x3fff_ffff_ffff_ffffL, entries()),
+                        new StateMessage.RangeEntries(
+                                -25, 26, 255, NOW - 3600, 0x7fffL << 48, 0x3fff_ffff_ffff_ffffL, entries()),
                         "9f3818181a18fffb41d954f8bc2000001b7fff0000000000001b3fffffffffffffff9f9f616b40ff9f6f72c3"
                                 + "bc74657220e282ac20f09f988044007f80ffff9f790100"
                                 + "6b".repeat(256)
@@ -167,7 +185,8 @@
                 new Recording(
                         "unasked entries",
                         28,
-                        new StateMessage.RangeEntries(0, 0, 4, -FOREVER, 0, 0, entries().subList(0, 1)),
+                        new StateMessage.RangeEntries(
+                                0, 0, 4, -FOREVER, 0, 0, entries().subList(0, 1)),
                         "9f000004fbfff000000000000000009f9f616b40ffffff"));
     }
 
@@ -228,7 +247,9 @@
     }
 
     private static long[] counts() {
-        return IntStream.range(0, HashTree.FANOUT).mapToLong(i -> (1L << 2 * i) - 1).toArray();
+        return IntStream.range(0, HashTree.FANOUT)
+                .mapToLong(i -> (1L << 2 * i) - 1)
+                .toArray();
     }
 
     private static List<StateMessage.RangeEntry> entries() {
@@ -327,8 +348,10 @@
     /** An age is rounded up, so that a receiver never takes a member's numbers for newer than they were. */
     @Test
     void encodesAgesInMillisecondsRoundedUp() {
-        var exact = new StateMessage.VersionVectorUpdate(0, 0, NOW, List.of(new StateMessage.OriginVersion(1, 2, NOW - 0.25)));
-        var rounded = new StateMessage.VersionVectorUpdate(0, 0, NOW, List.of(new StateMessage.OriginVersion(1, 2, NOW - 0.249_5)));
+        var exact = new StateMessage.VersionVectorUpdate(
+                0, 0, NOW, List.of(new StateMessage.OriginVersion(1, 2, NOW - 0.25)));
+        var rounded = new StateMessage.VersionVectorUpdate(
+                0, 0, NOW, List.of(new StateMessage.OriginVersion(1, 2, NOW - 0.249_5)));
         assertEquals(encode(exact), encode(rounded));
     }
 
@@ -476,16 +499,44 @@
                 new Bound(
                         "sums of a node, fewer",
                         26,
-                        longs(longs(out[18].writeLong(1).writeLong(2).writeDouble(3).writeDouble(4), 16), 16)
+                        longs(
+                                        longs(
+                                                out[18].writeLong(1)
+                                                        .writeLong(2)
+                                                        .writeDouble(3)
+                                                        .writeDouble(4),
+                                                16),
+                                        16)
                                 .toByteArray(),
-                        longs(longs(out[19].writeLong(1).writeLong(2).writeDouble(3).writeDouble(4), 15), 16)
+                        longs(
+                                        longs(
+                                                out[19].writeLong(1)
+                                                        .writeLong(2)
+                                                        .writeDouble(3)
+                                                        .writeDouble(4),
+                                                15),
+                                        16)
                                 .toByteArray()),
                 new Bound(
                         "counts of a node, more",
                         26,
-                        longs(longs(out[20].writeLong(1).writeLong(2).writeDouble(3).writeDouble(4), 16), 16)
+                        longs(
+                                        longs(
+                                                out[20].writeLong(1)
+                                                        .writeLong(2)
+                                                        .writeDouble(3)
+                                                        .writeDouble(4),
+                                                16),
+                                        16)
                                 .toByteArray(),
-                        longs(longs(out[21].writeLong(1).writeLong(2).writeDouble(3).writeDouble(4), 16), 17)
+                        longs(
+                                        longs(
+                                                out[21].writeLong(1)
+                                                        .writeLong(2)
+                                                        .writeDouble(3)
+                                                        .writeDouble(4),
+                                                16),
+                                        17)
                                 .toByteArray()),
                 new Bound(
                         "entries told in brief",
@@ -595,10 +646,14 @@
             tree.entryCount(3, 0x012)
         });
         assertArrayEquals(
-                new long[] {0, 0xf000_0000_0000_0000L, 0xfe00_0000_0000_0000L, 0x0120_0000_0000_0000L},
-                new long[] {HashTree.firstHash(0, 0), HashTree.firstHash(1, 15), HashTree.firstHash(2, 0xfe), HashTree.firstHash(3, 0x012)});
-        assertArrayEquals(
-                new long[] {-1, -1, 0xfeff_ffff_ffff_ffffL, 0x012f_ffff_ffff_ffffL},
-                new long[] {HashTree.lastHash(0, 0), HashTree.lastHash(1, 15), HashTree.lastHash(2, 0xfe), HashTree.lastHash(3, 0x012)});
+                new long[] {0, 0xf000_0000_0000_0000L, 0xfe00_0000_0000_0000L, 0x0120_0000_0000_0000L}, new long[] {
+                    HashTree.firstHash(0, 0),
+                    HashTree.firstHash(1, 15),
+                    HashTree.firstHash(2, 0xfe),
+                    HashTree.firstHash(3, 0x012)
+                });
+        assertArrayEquals(new long[] {-1, -1, 0xfeff_ffff_ffff_ffffL, 0x012f_ffff_ffff_ffffL}, new long[] {
+            HashTree.lastHash(0, 0), HashTree.lastHash(1, 15), HashTree.lastHash(2, 0xfe), HashTree.lastHash(3, 0x012)
+        });
     }
 }
--- a/fleet/src/test/java/clayhook/fleet/state/ReplicatedStateTest.java
+++ b/fleet/src/test/java/clayhook/fleet/state/ReplicatedStateTest.java
@@ -6,8 +6,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import clayhook.fleet.ReplicatedType;
-import clayhook.fleet.state.TimestampedNumberType.TimestampedNumber;
 import clayhook.fleet.state.FaultScenario.Action;
+import clayhook.fleet.state.TimestampedNumberType.TimestampedNumber;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -30,9 +30,12 @@
 
 class ReplicatedStateTest {
     private static final double FOREVER = Double.POSITIVE_INFINITY;
-    private static final TimestampedNumberType REGISTERS = new TimestampedNumberType(1, 20, 1000, false, TimestampedNumberType.LATEST);
-    private static final TimestampedNumberType SETS = new TimestampedNumberType(2, FOREVER, 1000, true, TimestampedNumberType.UNION);
-    private static final TimestampedNumberType BOUNDED_REGISTERS = new TimestampedNumberType(3, FOREVER, 8, false, TimestampedNumberType.LATEST);
+    private static final TimestampedNumberType REGISTERS =
+            new TimestampedNumberType(1, 20, 1000, false, TimestampedNumberType.LATEST);
+    private static final TimestampedNumberType SETS =
+            new TimestampedNumberType(2, FOREVER, 1000, true, TimestampedNumberType.UNION);
+    private static final TimestampedNumberType BOUNDED_REGISTERS =
+            new TimestampedNumberType(3, FOREVER, 8, false, TimestampedNumberType.LATEST);
 
     @Provide
     Arbitrary<List<Action>> acts() {
@@ -58,14 +61,16 @@
     @ParameterizedTest
     @CsvSource({"true", "false"})
     void anOrderDependentMergeIsDetected(boolean right) {
-        BinaryOperator<TimestampedNumber> rule = right ? TimestampedNumberType.LATEST : TimestampedNumberType.LAST_HEARD;
+        BinaryOperator<TimestampedNumber> rule =
+                right ? TimestampedNumberType.LATEST : TimestampedNumberType.LAST_HEARD;
         int caught = 0;
         for (int seed = 0; seed < 8; seed++) {
             var random = new SplittableRandom(seed);
             var story = new FaultScenario(seed, 6, List.of(new TimestampedNumberType(1, FOREVER, 1000, false, rule)));
             try {
                 for (int i = 0; i < 40; i++) {
-                    story.perform(new Action(random.nextInt(8), random.nextInt(6), random.nextInt(15), random.nextInt(1000)));
+                    story.perform(
+                            new Action(random.nextInt(8), random.nextInt(6), random.nextInt(15), random.nextInt(1000)));
                 }
                 story.healAndCheck();
             } catch (AssertionError e) {
@@ -79,7 +84,8 @@
         return new StateTestNetwork(1, size, List.<ReplicatedType<?>>of(kinds), StateSettings.DEFAULT).startAll();
     }
 
-    private static TimestampedNumber put(StateTestNetwork.SimulatedMember node, TimestampedNumberType kind, String key, double age) {
+    private static TimestampedNumber put(
+            StateTestNetwork.SimulatedMember node, TimestampedNumberType kind, String key, double age) {
         return node.state.merge(kind, key, new TimestampedNumber(7, node.clock() - age), node.clock());
     }
 
@@ -111,13 +117,15 @@
         StateTestNetwork.SimulatedMember node = net.nodes.get(0);
         double start = node.clock();
         for (int i = 0; i < 20; i++) {
-            assertNotNull(node.state.merge(BOUNDED_REGISTERS, "k" + i, new TimestampedNumber(i, start + i * 0.01), node.clock()));
+            assertNotNull(node.state.merge(
+                    BOUNDED_REGISTERS, "k" + i, new TimestampedNumber(i, start + i * 0.01), node.clock()));
         }
         net.run(3);
         for (StateTestNetwork.SimulatedMember each : net.nodes) {
             assertEquals(8, each.state.size(BOUNDED_REGISTERS));
             assertEquals(start + 0.11, each.state.evictionFloor(BOUNDED_REGISTERS), 1e-9);
-            assertNull(each.state.merge(BOUNDED_REGISTERS, "old", new TimestampedNumber(1, start + 0.11), each.clock()));
+            assertNull(
+                    each.state.merge(BOUNDED_REGISTERS, "old", new TimestampedNumber(1, start + 0.11), each.clock()));
             assertNotNull(each.state.get(BOUNDED_REGISTERS, "k12"));
         }
     }
@@ -166,7 +174,11 @@
         assertTrue(net.nodes.get(0).state.size(REGISTERS) < 10);
         bytes += sum(net, counts -> counts.antiEntropyBytes);
         walks += sum(net, counts -> counts.sessionsStarted);
-        assertEquals(2 * (StateMessage.HEADER_BYTES + StateMessage.ROOT_DIGEST_BYTES), bytes / walks, 20, "the roots and no more");
+        assertEquals(
+                2 * (StateMessage.HEADER_BYTES + StateMessage.ROOT_DIGEST_BYTES),
+                bytes / walks,
+                20,
+                "the roots and no more");
     }
 
     private static long sum(StateTestNetwork net, ToLongFunction<StateCounters> of) {
--- a/fleet/src/test/java/clayhook/fleet/state/StatePerformanceTest.java
+++ b/fleet/src/test/java/clayhook/fleet/state/StatePerformanceTest.java
@@ -18,10 +18,12 @@
     /** Counts what this thread uses, whatever else the machine does. */
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
-    private static final TimestampedNumberType REGISTERS = new TimestampedNumberType(1, 3600, 200_000, false, TimestampedNumberType.LATEST);
+    private static final TimestampedNumberType REGISTERS =
+            new TimestampedNumberType(1, 3600, 200_000, false, TimestampedNumberType.LATEST);
 
     private static StateTestNetwork startedNetwork(int size, TimestampedNumberType kind) {
-        StateTestNetwork net = new StateTestNetwork(27, size, List.of(kind), StateSettings.DEFAULT.withBootstrapTimeout(2)).startAll();
+        StateTestNetwork net =
+                new StateTestNetwork(27, size, List.of(kind), StateSettings.DEFAULT.withBootstrapTimeout(2)).startAll();
         net.jitter = 0.002;
         net.run(5);
         return net;
--- a/fleet/src/test/java/clayhook/fleet/state/StateTestNetwork.java
+++ b/fleet/src/test/java/clayhook/fleet/state/StateTestNetwork.java
@@ -1,11 +1,11 @@
 package clayhook.fleet.state;
 
 import clayhook.fleet.Address;
-import clayhook.fleet.MessageDispatcher;
-import clayhook.fleet.ReplicatedType;
 import clayhook.fleet.Member;
-import clayhook.fleet.Peer;
 import clayhook.fleet.MembershipView;
+import clayhook.fleet.MessageDispatcher;
+import clayhook.fleet.Peer;
+import clayhook.fleet.ReplicatedType;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.IdentityHashMap;
--- a/fleet/src/test/java/clayhook/fleet/state/TimestampedNumberType.java
+++ b/fleet/src/test/java/clayhook/fleet/state/TimestampedNumberType.java
@@ -1,19 +1,26 @@
 package clayhook.fleet.state;
 
-import clayhook.fleet.ReplicatedType;
 import clayhook.fleet.FieldReader;
 import clayhook.fleet.FieldWriter;
+import clayhook.fleet.ReplicatedType;
 import java.util.function.BinaryOperator;
 
 /** A kind for tests: numbers with a time, and a join of choice. */
-record TimestampedNumberType(int typeNumber, double retentionSeconds, int maxEntries, boolean urgent, BinaryOperator<TimestampedNumberType.TimestampedNumber> mergeRule)
+record TimestampedNumberType(
+        int typeNumber,
+        double retentionSeconds,
+        int maxEntries,
+        boolean urgent,
+        BinaryOperator<TimestampedNumberType.TimestampedNumber> mergeRule)
         implements ReplicatedType<TimestampedNumberType.TimestampedNumber> {
     record TimestampedNumber(long value, double at) {}
 
     /** The later one, of two of one time the greater one. */
-    static final BinaryOperator<TimestampedNumber> LATEST = (a, b) -> a.at > b.at || a.at == b.at && a.value >= b.value ? a : b;
+    static final BinaryOperator<TimestampedNumber> LATEST =
+            (a, b) -> a.at > b.at || a.at == b.at && a.value >= b.value ? a : b;
     /** A set of small numbers that only grows. */
-    static final BinaryOperator<TimestampedNumber> UNION = (a, b) -> new TimestampedNumber(a.value | b.value, Math.max(a.at, b.at));
+    static final BinaryOperator<TimestampedNumber> UNION =
+            (a, b) -> new TimestampedNumber(a.value | b.value, Math.max(a.at, b.at));
     /** The defect that tests must find: whoever is heard last wins. */
     static final BinaryOperator<TimestampedNumber> LAST_HEARD = (a, b) -> b;
 
--- a/fleet/src/test/java/clayhook/fleet/kinds/EndpointListMergeTest.java
+++ b/fleet/src/test/java/clayhook/fleet/types/EndpointListMergeTest.java
@@ -1,9 +1,9 @@
-package clayhook.fleet.kinds;
+package clayhook.fleet.types;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 
-import clayhook.fleet.kinds.ListedEndpoint.EndpointState;
+import clayhook.fleet.types.ListedEndpoint.EndpointState;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.HashMap;
@@ -32,7 +32,8 @@
 
     private String takeChanges() {
         var out = new TreeMap<String, EndpointState>();
-        merge.takeChanges().forEach(entry -> out.put(entry.id(), entry.endpoint().state()));
+        merge.takeChanges()
+                .forEach(entry -> out.put(entry.id(), entry.endpoint().state()));
         published.putAll(out);
         return out.toString();
     }
@@ -79,14 +80,22 @@
                 merge.onDiscoveryUpdate("old:1", each.revision, each.whole, updates(each.revision, each.states), 100);
             }
             takeChanges();
-            expected.forEach(
-                    (id, state) -> assertEquals(state, published.getOrDefault(id, EndpointState.GONE), id + " after " + each));
+            expected.forEach((id, state) ->
+                    assertEquals(state, published.getOrDefault(id, EndpointState.GONE), id + " after " + each));
         }
     }
 
     @Example
     void afterASourceChangeOnlyDrainsOfOtherSourcesHoldUntilTheNewSourceUpdates() {
-        var states = Map.of("a", EndpointState.READY, "b", EndpointState.DRAINING, "c", EndpointState.READY, "d", EndpointState.READY);
+        var states = Map.of(
+                "a",
+                EndpointState.READY,
+                "b",
+                EndpointState.DRAINING,
+                "c",
+                EndpointState.READY,
+                "d",
+                EndpointState.READY);
         merge.onDiscoveryUpdate("old:1", 50, true, updates(50, states), 100);
         assertEquals("{a=READY, b=DRAINING, c=READY, d=READY}", takeChanges());
         putAsPeer("new:1", "a", endpoint(3, EndpointState.DRAINING));
@@ -100,14 +109,22 @@
         merge.onDiscoveryUpdate("new:1", 4, false, updates(4, Map.of("c", EndpointState.READY)), 100);
         putAsPeer("old:1", "c", endpoint(60, EndpointState.DRAINING));
         assertEquals("{c=READY}", takeChanges());
-        merge.onDiscoveryUpdate("new:1", 5, true, updates(5, Map.of("a", EndpointState.DRAINING, "b", EndpointState.READY, "c", EndpointState.READY)), 100);
+        merge.onDiscoveryUpdate(
+                "new:1",
+                5,
+                true,
+                updates(5, Map.of("a", EndpointState.DRAINING, "b", EndpointState.READY, "c", EndpointState.READY)),
+                100);
         assertEquals("{b=READY}", takeChanges());
         assertEquals(
                 EndpointState.GONE,
                 store.get(ListedEndpoint.TYPE, ListedEndpoint.key("new:1", "d")).state(),
                 "peers are told what it leaves out");
         merge.onSourceChanged("old:1");
-        assertEquals("{c=DRAINING}", takeChanges(), "a drains on: what the old source said before the move is an older word");
+        assertEquals(
+                "{c=DRAINING}",
+                takeChanges(),
+                "a drains on: what the old source said before the move is an older word");
         merge.onDiscoveryUpdate("old:1", 50, true, updates(50, Map.of("a", EndpointState.READY)), 100);
         assertEquals("{a=READY}", takeChanges(), "but what it says now counts, though it be nothing new");
     }
@@ -119,7 +136,9 @@
         store.merge(ListedEndpoint.TYPE, "a key of another release", endpoint(1, EndpointState.DRAINING), 100);
         assertEquals(3, merge.revisionsBehind());
         merge.renew(100 + ListedEndpoint.TYPE.retentionSeconds() / 4);
-        assertEquals(100, store.get(ListedEndpoint.TYPE, ListedEndpoint.key("old:1", "a")).lastHeardAt());
+        assertEquals(
+                100,
+                store.get(ListedEndpoint.TYPE, ListedEndpoint.key("old:1", "a")).lastHeardAt());
         merge.renew(101 + ListedEndpoint.TYPE.retentionSeconds() / 2);
         assertEquals(
                 101 + ListedEndpoint.TYPE.retentionSeconds() / 2,
--- a/fleet/src/test/java/clayhook/fleet/kinds/FixedMembershipView.java
+++ b/fleet/src/test/java/clayhook/fleet/types/FixedMembershipView.java
@@ -1,9 +1,9 @@
-package clayhook.fleet.kinds;
+package clayhook.fleet.types;
 
 import clayhook.fleet.Address;
 import clayhook.fleet.Member;
-import clayhook.fleet.Peer;
 import clayhook.fleet.MembershipView;
+import clayhook.fleet.Peer;
 import java.util.Collection;
 import java.util.List;
 import java.util.Set;
