--- a/fleet/src/test/java/clayhook/fleet/kinds/RecordedValuesTest.java
+++ b/fleet/src/test/java/clayhook/fleet/types/RecordedValuesTest.java
@@ -1,12 +1,12 @@
-package clayhook.fleet.kinds;
+package clayhook.fleet.types;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import clayhook.fleet.ReplicatedType;
-import clayhook.fleet.Member;
 import clayhook.fleet.FieldReader;
-import clayhook.fleet.RecordedBytes;
 import clayhook.fleet.FieldWriter;
+import clayhook.fleet.Member;
+import clayhook.fleet.RecordedBytes;
+import clayhook.fleet.ReplicatedType;
 import java.util.EnumSet;
 import java.util.HashSet;
 import java.util.HexFormat;
@@ -82,7 +82,11 @@
         evidence.put("load", none.withLoad(300, two));
         evidence.put(
                 "one-sight",
-                none.withPosition(NOW, 0, one).withRole(true, one).withResponse(one).withLoad(1e6, one).withLatencyRatio(1000, one));
+                none.withPosition(NOW, 0, one)
+                        .withRole(true, one)
+                        .withResponse(one)
+                        .withLoad(1e6, one)
+                        .withLatencyRatio(1000, one));
         evidence.put(
                 "all",
                 none.withPosition(NOW - 3, 1e6, one)
@@ -93,13 +97,18 @@
                         .withLoad(7, ObservationSource.of(NOW - 7, "router-6"))
                         .withFailures(8, ObservationSource.of(NOW - 4, "router-7"))
                         .withFailures(9, two));
-        evidence.put("of-a-later-sight", NodeObservation.TYPE.merge(none.withResponse(one), NodeObservation.empty(NOW - 50)));
+        evidence.put(
+                "of-a-later-sight",
+                NodeObservation.TYPE.merge(none.withResponse(one), NodeObservation.empty(NOW - 50)));
         return evidence;
     }
 
     private static Map<String, ListedEndpoint> listed() {
         var listed = new LinkedHashMap<String, ListedEndpoint>();
-        listed.put("ready", new ListedEndpoint(7, ListedEndpoint.EndpointState.READY, NOW - 10, true, "zone-a", 1, "10.0.0.1", 5432, NOW));
+        listed.put(
+                "ready",
+                new ListedEndpoint(
+                        7, ListedEndpoint.EndpointState.READY, NOW - 10, true, "zone-a", 1, "10.0.0.1", 5432, NOW));
         listed.put(
                 "draining",
                 new ListedEndpoint(
@@ -128,7 +137,9 @@
         fates.put("unknown-of-long-names", WriteOutcome.unknown(WriteOutcome.SentWrite.of(0, 0, LONG_NAME, LONG_NAME)));
         fates.put("ran", WriteOutcome.ran(unlabelled, witness));
         fates.put("not-run", WriteOutcome.notRun(labelled, other));
-        fates.put("conflict", WriteOutcome.TYPE.merge(WriteOutcome.ran(unlabelled, other), WriteOutcome.notRun(labelled, witness)));
+        fates.put(
+                "conflict",
+                WriteOutcome.TYPE.merge(WriteOutcome.ran(unlabelled, other), WriteOutcome.notRun(labelled, witness)));
         return fates;
     }
 
@@ -146,8 +157,12 @@
             keys.put("listed-source-" + each.getKey(), ListedEndpoint.key(name, ""));
             keys.put("mark-" + each.getKey(), SessionWrite.key(name));
             keys.put("fate-" + each.getKey(), WriteOutcome.key(name));
-            keys.put("use-" + each.getKey(), QuotaUsage.key(QuotaUsage.HEALTH_CHECKS, new Member(name, 1_700_000_000_123L)));
-            keys.put("use-cold-" + each.getKey(), QuotaUsage.key(QuotaUsage.slowStart(name, NOW), new Member("router-1", -1)));
+            keys.put(
+                    "use-" + each.getKey(),
+                    QuotaUsage.key(QuotaUsage.HEALTH_CHECKS, new Member(name, 1_700_000_000_123L)));
+            keys.put(
+                    "use-cold-" + each.getKey(),
+                    QuotaUsage.key(QuotaUsage.slowStart(name, NOW), new Member("router-1", -1)));
             keys.put("sight-" + each.getKey(), ObservationSource.of(NOW, name).router());
         }
         keys.put("use-repeats", QuotaUsage.key(QuotaUsage.RETRIES, new Member("router-1", 0)));
@@ -196,8 +211,11 @@
         assertEquals(List.of("10.0.0.9:7000", WIDE_NAME), ListedEndpoint.parseKey(recordedKey("listed-wide")));
         assertEquals(List.of("node-1", ""), ListedEndpoint.parseKey(recordedKey("listed-source-plain")));
         assertEquals(
-                new QuotaUsage.UsageKey("probes", new Member("node-1", 1_700_000_000_123L)), QuotaUsage.parseKey(recordedKey("use-plain")));
-        assertEquals(new QuotaUsage.UsageKey("repeats", new Member("router-1", 0)), QuotaUsage.parseKey(recordedKey("use-repeats")));
+                new QuotaUsage.UsageKey("probes", new Member("node-1", 1_700_000_000_123L)),
+                QuotaUsage.parseKey(recordedKey("use-plain")));
+        assertEquals(
+                new QuotaUsage.UsageKey("repeats", new Member("router-1", 0)),
+                QuotaUsage.parseKey(recordedKey("use-repeats")));
         assertEquals(
                 new QuotaUsage.UsageKey("cold node-1 1.70000000025E9", new Member("router-1", -1)),
                 QuotaUsage.parseKey(recordedKey("use-cold-plain")));
@@ -212,7 +230,12 @@
         assertEquals(VALUES.keySet(), VALUE_BYTES.keySet());
         assertEquals(KEYS.keySet(), KEY_BYTES.keySet());
         assertEquals(
-                Set.of(NodeObservation.TYPE, ListedEndpoint.TYPE, SessionWrite.TYPE, WriteOutcome.TYPE, QuotaUsage.TYPE),
+                Set.of(
+                        NodeObservation.TYPE,
+                        ListedEndpoint.TYPE,
+                        SessionWrite.TYPE,
+                        WriteOutcome.TYPE,
+                        QuotaUsage.TYPE),
                 VALUES.values().stream().map(Case::kind).collect(Collectors.toSet()));
         var states = new HashSet<ListedEndpoint.EndpointState>();
         var knowledge = new HashSet<WriteOutcome.OutcomeStatus>();
@@ -229,13 +252,15 @@
 
     @Test
     void kindKeepsItsNumberAndName() {
-        assertEquals(List.of(1, 2, 3, 4, 5), kinds().map(ReplicatedType::typeNumber).toList());
+        assertEquals(
+                List.of(1, 2, 3, 4, 5), kinds().map(ReplicatedType::typeNumber).toList());
         assertEquals(
                 List.of("evidence", "listed", "marks", "fates", "use"),
                 kinds().map(ReplicatedType::name).toList());
     }
 
     private static Stream<ReplicatedType<?>> kinds() {
-        return Stream.of(NodeObservation.TYPE, ListedEndpoint.TYPE, SessionWrite.TYPE, WriteOutcome.TYPE, QuotaUsage.TYPE);
+        return Stream.of(
+                NodeObservation.TYPE, ListedEndpoint.TYPE, SessionWrite.TYPE, WriteOutcome.TYPE, QuotaUsage.TYPE);
     }
 }
--- a/fleet/src/test/java/clayhook/fleet/kinds/ReplicatedReadersTest.java
+++ b/fleet/src/test/java/clayhook/fleet/types/ReplicatedReadersTest.java
@@ -1,4 +1,4 @@
-package clayhook.fleet.kinds;
+package clayhook.fleet.types;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -57,7 +57,8 @@
             evidence = switch (random.nextInt(3)) {
                 case 0 -> evidence.withLatencyRatio(random.nextDouble(), sight).withResponse(sight);
                 case 1 -> evidence.withFailures(1, sight);
-                default -> evidence.withLoad(2, sight).withPosition(99, 1, sight).withRole(random.nextBoolean(), sight);
+                default ->
+                    evidence.withLoad(2, sight).withPosition(99, 1, sight).withRole(random.nextBoolean(), sight);
             };
         }
         shared.merge(NodeObservation.TYPE, "n", evidence, 100);
@@ -105,7 +106,8 @@
         }
         int rest = 1 + random.nextInt(fleet);
         double granted = seen.subList(0, rest).stream()
-                .mapToDouble(i -> new FleetQuota(shared, FixedMembershipView.of(i, seen.subList(0, rest)), fleet).allocation(limit, 120))
+                .mapToDouble(i -> new FleetQuota(shared, FixedMembershipView.of(i, seen.subList(0, rest)), fleet)
+                        .allocation(limit, 120))
                 .sum();
         assertTrue(granted <= limit.amount() * (1 + 1e-9), "granted " + granted);
         assertTrue(
@@ -119,7 +121,9 @@
         var shared = new SharedMemoryStore();
         var before = new FleetQuota(
                 shared,
-                new FixedMembershipView(new Member("r9", 1), FixedMembershipView.of(9, List.of(1, 2)).livePeers()),
+                new FixedMembershipView(
+                        new Member("r9", 1),
+                        FixedMembershipView.of(9, List.of(1, 2)).livePeers()),
                 3);
         assertEquals(30, before.remaining(limit, 100), 1e-9);
         before.recordUse(limit, 30, 100);
@@ -129,7 +133,8 @@
         before.publish(100.5); // too soon to be told
         assertEquals(
                 3,
-                shared.get(QuotaUsage.TYPE, QuotaUsage.key(QuotaUsage.RETRIES, new Member("r9", 1))).unitsPerSecond(),
+                shared.get(QuotaUsage.TYPE, QuotaUsage.key(QuotaUsage.RETRIES, new Member("r9", 1)))
+                        .unitsPerSecond(),
                 1e-9);
         assertEquals(30, before.remaining(limit, 120), 1e-9, "its window is over");
         var alone = new FleetQuota(shared, FixedMembershipView.of(1, List.of(2)), 3);
@@ -138,11 +143,18 @@
                 .forEach(i -> assertEquals(left[i], alone.allocation(limit, 100 + ages[i]), 1e-9, "after " + ages[i]));
         var again = new FleetQuota(
                 shared,
-                new FixedMembershipView(new Member("r9", 2), FixedMembershipView.of(9, List.of(1, 2)).livePeers()),
+                new FixedMembershipView(
+                        new Member("r9", 2),
+                        FixedMembershipView.of(9, List.of(1, 2)).livePeers()),
                 3);
         assertEquals(20, again.remaining(limit, 105), 1e-9, "use before its own restart counts");
-        var peers = new FleetQuota(shared, new FixedMembershipView(FixedMembershipView.member(1), List.of(FixedMembershipView.peer(new Member("r9", 2)))), 2);
-        assertEquals(20, peers.allocation(new FleetQuota.Quota(QuotaUsage.RETRIES, 70, 10), 105), 1e-9, "and at others");
+        var peers = new FleetQuota(
+                shared,
+                new FixedMembershipView(
+                        FixedMembershipView.member(1), List.of(FixedMembershipView.peer(new Member("r9", 2)))),
+                2);
+        assertEquals(
+                20, peers.allocation(new FleetQuota.Quota(QuotaUsage.RETRIES, 70, 10), 105), 1e-9, "and at others");
         assertEquals(
                 90 / 9.0,
                 new FleetQuota(shared, FixedMembershipView.of(1, List.of(2, 3, 4)), 9).allocation(limit, 200),
@@ -157,26 +169,42 @@
         var early = WriteOutcome.SentWrite.of(100, 1, "pay", "toll 1");
         var late = WriteOutcome.SentWrite.of(200, 1, "pay", null);
         shared.merge(WriteOutcome.TYPE, "k2", WriteOutcome.unknown(late), 200);
-        shared.merge(WriteOutcome.TYPE, "k9", WriteOutcome.ran(early, WriteOutcome.OutcomeWitness.of(150, "b", "n1")), 200);
+        shared.merge(
+                WriteOutcome.TYPE, "k9", WriteOutcome.ran(early, WriteOutcome.OutcomeWitness.of(150, "b", "n1")), 200);
         shared.merge(WriteOutcome.TYPE, "k3", WriteOutcome.unknown(late), 200);
-        shared.merge(WriteOutcome.TYPE, "k3", WriteOutcome.notRun(late, WriteOutcome.OutcomeWitness.of(220, "b", "n1")), 200);
+        shared.merge(
+                WriteOutcome.TYPE,
+                "k3",
+                WriteOutcome.notRun(late, WriteOutcome.OutcomeWitness.of(220, "b", "n1")),
+                200);
         assertEquals(
                 List.of("k9", "k2", "k3"),
-                fates.entriesSentBetween(0, 300).stream().map(WriteOutcomes.WriteOutcomeEntry::key).toList());
+                fates.entriesSentBetween(0, 300).stream()
+                        .map(WriteOutcomes.WriteOutcomeEntry::key)
+                        .toList());
         assertEquals(
                 List.of("k2", "k3"),
-                fates.entriesSentBetween(200, 300).stream().map(WriteOutcomes.WriteOutcomeEntry::key).toList());
+                fates.entriesSentBetween(200, 300).stream()
+                        .map(WriteOutcomes.WriteOutcomeEntry::key)
+                        .toList());
         assertEquals(List.of(), fates.takeNewConflicts());
         for (int i = 0; i < 2; i++) {
-            shared.merge(WriteOutcome.TYPE, "k9", WriteOutcome.notRun(early, WriteOutcome.OutcomeWitness.of(140 + i, "c", "n2")), 201);
+            shared.merge(
+                    WriteOutcome.TYPE,
+                    "k9",
+                    WriteOutcome.notRun(early, WriteOutcome.OutcomeWitness.of(140 + i, "c", "n2")),
+                    201);
         }
         var conflict = fates.takeNewConflicts();
-        assertEquals(List.of("k9"), conflict.stream().map(WriteOutcomes.WriteOutcomeEntry::key).toList());
+        assertEquals(
+                List.of("k9"),
+                conflict.stream().map(WriteOutcomes.WriteOutcomeEntry::key).toList());
         WriteOutcome both = conflict.get(0).outcome();
         assertEquals(
                 List.of(new ObservationSource(150, "b"), new ObservationSource(140, "c")),
                 List.of(both.ran().source(), both.notRun().source()));
-        shared.merge(WriteOutcome.TYPE, "k9", WriteOutcome.ran(early, WriteOutcome.OutcomeWitness.of(149, "b", "n1")), 202);
+        shared.merge(
+                WriteOutcome.TYPE, "k9", WriteOutcome.ran(early, WriteOutcome.OutcomeWitness.of(149, "b", "n1")), 202);
         assertEquals(List.of(), fates.takeNewConflicts());
         assertEquals(List.of(1, 0, 1, 1), List.copyOf(fates.counts().values()));
         shared.floor = 150;
--- a/fleet/src/test/java/clayhook/fleet/kinds/ReplicatedTypesTest.java
+++ b/fleet/src/test/java/clayhook/fleet/types/ReplicatedTypesTest.java
@@ -1,14 +1,14 @@
-package clayhook.fleet.kinds;
+package clayhook.fleet.types;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clayhook.fleet.ReplicatedType;
-import clayhook.fleet.Member;
 import clayhook.fleet.FieldReader;
-import clayhook.fleet.ReplicatedStore;
 import clayhook.fleet.FieldWriter;
+import clayhook.fleet.Member;
+import clayhook.fleet.ReplicatedStore;
+import clayhook.fleet.ReplicatedType;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -50,7 +50,9 @@
                 case 2 -> evidence.withResponse(randomSource(r));
                 case 3 -> evidence.withLatencyRatio(r.nextInt(2), randomSource(r));
                 case 4 -> evidence.withLoad(r.nextInt(2), randomSource(r));
-                default -> evidence.withFailures(1 + r.nextInt(2), ObservationSource.of(100 + r.nextInt(4), "router" + r.nextInt(7)));
+                default ->
+                    evidence.withFailures(
+                            1 + r.nextInt(2), ObservationSource.of(100 + r.nextInt(4), "router" + r.nextInt(7)));
             };
         }
         return evidence;
@@ -81,7 +83,13 @@
     private static <V> byte[] encode(ReplicatedType<V> kind, V value, boolean later) {
         var out = new FieldWriter();
         kind.write(value, out);
-        return later ? out.writeNullableString("of a later release").beginList().writeLong(7).endList().toByteArray() : out.toByteArray();
+        return later
+                ? out.writeNullableString("of a later release")
+                        .beginList()
+                        .writeLong(7)
+                        .endList()
+                        .toByteArray()
+                : out.toByteArray();
     }
 
     @Property(tries = 400, seed = "27")
@@ -105,7 +113,8 @@
 
     /** One byte or some changed, cut off, or all of them by chance: another value or IllegalArgumentException. */
     @Property(tries = 2000, seed = "27")
-    void corruptedBytesAreRejectedOrDecodeToAValidValue(@ForAll Random random, @ForAll @IntRange(min = 0, max = 4) int kind) {
+    void corruptedBytesAreRejectedOrDecodeToAValidValue(
+            @ForAll Random random, @ForAll @IntRange(min = 0, max = 4) int kind) {
         checkCorrupted(TYPES.get(kind), random);
     }
 
@@ -119,7 +128,9 @@
             V read = each.type.read(new FieldReader(some));
             assertEquals(read, each.type.merge(read, read));
             assertEquals(
-                    read, each.type.read(new FieldReader(encode(each.type, read, false))), "what was read can be passed on");
+                    read,
+                    each.type.read(new FieldReader(encode(each.type, read, false))),
+                    "what was read can be passed on");
         } catch (IllegalArgumentException e) {
             assertTrue(true, "refused");
         }
@@ -141,7 +152,9 @@
                         .writeNullableString("x")
                         .toByteArray();
                 assertThrows(
-                        IllegalArgumentException.class, () -> each.type.read(new FieldReader(fields)), each.type.name());
+                        IllegalArgumentException.class,
+                        () -> each.type.read(new FieldReader(fields)),
+                        each.type.name());
             }
         }
         List<Runnable> senseless = List.of(
@@ -152,7 +165,16 @@
                 () -> new SessionWrite(1, -1),
                 () -> new NodeObservation(1e9, 5, null, null, null, null, null, null, null, List.of()),
                 () -> new NodeObservation(
-                        0, 0, new TimedValue(50, new ObservationSource(5, "a")), null, null, null, null, null, null, List.of()),
+                        0,
+                        0,
+                        new TimedValue(50, new ObservationSource(5, "a")),
+                        null,
+                        null,
+                        null,
+                        null,
+                        null,
+                        null,
+                        List.of()),
                 () -> new WriteOutcome.SentWrite(1, 0, "g", "l".repeat(129)),
                 () -> new ListedEndpoint(-1, ListedEndpoint.EndpointState.READY, 0, false, "", 0, "", 0, 0));
         senseless.forEach(each -> assertThrows(IllegalArgumentException.class, each::run));
@@ -208,8 +230,11 @@
                     + ReplicatedStore.MAX_KEY_BYTES);
             String use = QuotaUsage.key(QuotaUsage.slowStart(name, 1.7e9), new Member(name, Long.MAX_VALUE));
             List.of(ListedEndpoint.key(name, name), NodeObservation.key(name), SessionWrite.key(name), use)
-                    .forEach(key -> assertTrue(FieldValidation.utf8Length(key.replace('\u001f', '/')) <= ReplicatedStore.MAX_KEY_BYTES, key));
-            assertEquals(ReplicatedKeys.truncateName(name), ReplicatedKeys.truncateName(ReplicatedKeys.truncateName(name)));
+                    .forEach(key -> assertTrue(
+                            FieldValidation.utf8Length(key.replace('\u001f', '/')) <= ReplicatedStore.MAX_KEY_BYTES,
+                            key));
+            assertEquals(
+                    ReplicatedKeys.truncateName(name), ReplicatedKeys.truncateName(ReplicatedKeys.truncateName(name)));
         }
         assertTrue(sizes.stream().allMatch(size -> size <= 1000), sizes.toString());
     }
--- a/fleet/src/test/java/clayhook/fleet/kinds/SessionConsistencyTest.java
+++ b/fleet/src/test/java/clayhook/fleet/types/SessionConsistencyTest.java
@@ -1,4 +1,4 @@
-package clayhook.fleet.kinds;
+package clayhook.fleet.types;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -27,7 +27,10 @@
         consistency.publish(1000);
         assertEquals(990, consistency.requiredPosition("s", 1000), "certain up to where it is asked");
         assertEquals(999, consistency.requiredPosition("s", 1001), "not certain any more");
-        assertEquals(1000 - SessionWrite.RETENTION_SECONDS, consistency.requiredPosition("t", 1000), "older marks were not kept");
+        assertEquals(
+                1000 - SessionWrite.RETENTION_SECONDS,
+                consistency.requiredPosition("t", 1000),
+                "older marks were not kept");
         assertEquals(Double.NEGATIVE_INFINITY, consistency.requiredPosition(null, 1001), "no session");
         store.floor = 995;
         assertEquals(990, consistency.requiredPosition("s", 1000), "as published");
@@ -79,7 +82,8 @@
                 .filter(name -> SessionWriteSnapshot.shardOf(name) == 7)
                 .limit(SessionWriteSnapshot.MAX_ENTRIES_PER_SHARD + 10)
                 .toList();
-        meeting.forEach(name -> store.merge(SessionWrite.TYPE, name, new SessionWrite(2000 + meeting.indexOf(name), 0), 2000));
+        meeting.forEach(
+                name -> store.merge(SessionWrite.TYPE, name, new SessionWrite(2000 + meeting.indexOf(name), 0), 2000));
         consistency.publish(2000);
         assertEquals(2009, consistency.snapshot().evictionFloor());
         assertEquals(2009, consistency.requiredPosition(meeting.get(9), 2000));
@@ -124,7 +128,11 @@
         started.await();
         var random = new Random(7);
         for (int round = 1; round <= rounds; round++) {
-            store.merge(SessionWrite.TYPE, "s" + random.nextInt(sessions), new SessionWrite(1000 + random.nextInt(round), 0), 1000);
+            store.merge(
+                    SessionWrite.TYPE,
+                    "s" + random.nextInt(sessions),
+                    new SessionWrite(1000 + random.nextInt(round), 0),
+                    1000);
             store.merge(SessionWrite.TYPE, "s0", new SessionWrite(1000 + round, 0), 1000);
             consistency.publish(1000);
         }
--- a/fleet/src/test/java/clayhook/fleet/kinds/SharedMemoryStore.java
+++ b/fleet/src/test/java/clayhook/fleet/types/SharedMemoryStore.java
@@ -1,7 +1,7 @@
-package clayhook.fleet.kinds;
+package clayhook.fleet.types;
 
-import clayhook.fleet.ReplicatedType;
 import clayhook.fleet.ReplicatedStore;
+import clayhook.fleet.ReplicatedType;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/fleet/src/test/java/clayhook/rollout/RecordedBytesTest.java
+++ b/fleet/src/test/java/clayhook/rollout/RecordedBytesTest.java
@@ -4,11 +4,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clayhook.fleet.ReplicatedType;
-import clayhook.fleet.Member;
-import clayhook.fleet.Message;
 import clayhook.fleet.FieldReader;
 import clayhook.fleet.FieldWriter;
+import clayhook.fleet.Member;
+import clayhook.fleet.Message;
+import clayhook.fleet.ReplicatedType;
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
@@ -73,9 +73,11 @@
     }
 
     private static Form message(String name, Message part) {
-        Map<Integer, Function<FieldReader, ? extends Message>> decoders = new RolloutCluster(1).nodes[0].controller.messageReaders();
+        Map<Integer, Function<FieldReader, ? extends Message>> decoders =
+                new RolloutCluster(1).nodes[0].controller.messageReaders();
         assertEquals(Set.of(40, 41), decoders.keySet());
-        return new Form("message." + part.typeNumber() + "." + name, part, part::write, decoders.get(part.typeNumber()));
+        return new Form(
+                "message." + part.typeNumber() + "." + name, part, part::write, decoders.get(part.typeNumber()));
     }
 
     private static <V> Form value(String name, ReplicatedType<V> kind, V value) {
@@ -144,7 +146,10 @@
         forms.add(message("answer.granted", new LeaseResponse(ROUND, TIME, true)));
         forms.add(message("answer.refused", new LeaseResponse(ROUND, TIME, false)));
         forms.add(value("round.new", RolloutProgress.TYPE, new RolloutProgress(proposal(), 0, null, TIME)));
-        forms.add(value("round.ended", RolloutProgress.TYPE, new RolloutProgress(proposal(), 17, end(RolloutEnd.EndCause.HALTED), TIME + 2)));
+        forms.add(value(
+                "round.ended",
+                RolloutProgress.TYPE,
+                new RolloutProgress(proposal(), 17, end(RolloutEnd.EndCause.HALTED), TIME + 2)));
         forms.add(value("piece", TextChunk.TYPE, new TextChunk(new byte[] {0, 1, 127, -128, -1}, TIME)));
         forms.add(value("vote", StageVote.TYPE, new StageVote(17, TIME)));
         forms.add(value("counts", MemberCounters.OUTCOME_COUNTS, figure(176)));
@@ -200,7 +205,9 @@
         assertEquals(names, new TreeSet<>(RECORDED.stringPropertyNames()));
         assertEquals(
                 List.of(10, 11, 12, 13, 14, 15),
-                RolloutController.replicatedTypes().stream().map(ReplicatedType::typeNumber).toList());
+                RolloutController.replicatedTypes().stream()
+                        .map(ReplicatedType::typeNumber)
+                        .toList());
         for (ReplicatedType<?> kind : RolloutController.replicatedTypes()) {
             assertTrue(
                     names.stream().anyMatch(name -> name.startsWith("value." + kind.typeNumber() + ".")),
@@ -212,9 +219,16 @@
     @Test
     void endsKeepTheirNumbers() {
         assertEquals(
-                List.of(RolloutEnd.EndCause.HALTED, RolloutEnd.EndCause.VETOED, RolloutEnd.EndCause.WITHDRAWN, RolloutEnd.EndCause.SUPERSEDED, RolloutEnd.EndCause.EXPIRED),
+                List.of(
+                        RolloutEnd.EndCause.HALTED,
+                        RolloutEnd.EndCause.VETOED,
+                        RolloutEnd.EndCause.WITHDRAWN,
+                        RolloutEnd.EndCause.SUPERSEDED,
+                        RolloutEnd.EndCause.EXPIRED),
                 List.of(RolloutEnd.EndCause.values()));
-        assertEquals(List.of(GuardMetric.FAILED, GuardMetric.LATE, GuardMetric.THROTTLED, GuardMetric.SLOW), List.of(GuardMetric.values()));
+        assertEquals(
+                List.of(GuardMetric.FAILED, GuardMetric.LATE, GuardMetric.THROTTLED, GuardMetric.SLOW),
+                List.of(GuardMetric.values()));
     }
 
     @Test
@@ -258,7 +272,8 @@
     @Test
     void sessionsKeepTheirVersion() {
         var old = new RuleSetVersion("old", null, 0, false, Map.of());
-        TrafficSplit split = TrafficSplit.between(old, old, new RuleSetVersion("00000000deadbeef", null, 1, true, Map.of()), 0.25, TIME);
+        TrafficSplit split = TrafficSplit.between(
+                old, old, new RuleSetVersion("00000000deadbeef", null, 1, true, Map.of()), 0.25, TIME);
         var candidates = new ArrayList<Long>();
         for (long session = 0; session < 40; session++) {
             if (split.candidate(session)) {
@@ -293,9 +308,13 @@
         tally.tick(TIME);
         tally.publish(copy, 1, TIME);
         String key = "0123456789abcdef/1/loyw3v5n/10/router/ä-1/read";
-        assertEquals(RECORDED.getProperty(layout(measure, "counts")), sparse(copy.get(MemberCounters.OUTCOME_COUNTS, key)));
-        assertEquals(RECORDED.getProperty(layout(measure, "old")), sparse(copy.get(MemberCounters.BASELINE_LATENCIES, key)));
-        assertEquals(RECORDED.getProperty(layout(measure, "candidate")), sparse(copy.get(MemberCounters.CANDIDATE_LATENCIES, key)));
+        assertEquals(
+                RECORDED.getProperty(layout(measure, "counts")), sparse(copy.get(MemberCounters.OUTCOME_COUNTS, key)));
+        assertEquals(
+                RECORDED.getProperty(layout(measure, "old")), sparse(copy.get(MemberCounters.BASELINE_LATENCIES, key)));
+        assertEquals(
+                RECORDED.getProperty(layout(measure, "candidate")),
+                sparse(copy.get(MemberCounters.CANDIDATE_LATENCIES, key)));
     }
 
     private static String layout(GuardMetric measure, String kind) {
@@ -345,7 +364,8 @@
         entries(net.nodes[2], lines);
         net.nodes[1].controller.withdraw(net.now);
         step(net, lines);
-        net.nodes[2].store.forEach(RolloutProgress.TYPE, (key, round) -> entry(RolloutProgress.TYPE, key, round, lines));
+        net.nodes[2].store.forEach(
+                RolloutProgress.TYPE, (key, round) -> entry(RolloutProgress.TYPE, key, round, lines));
         return lines;
     }
 
--- a/fleet/src/test/java/clayhook/rollout/RolloutAgreementTest.java
+++ b/fleet/src/test/java/clayhook/rollout/RolloutAgreementTest.java
@@ -35,7 +35,9 @@
         }
         net.run(10);
         for (RolloutCluster.RolloutNode node : net.nodes) {
-            assertEquals(net.nodes[0].store.digest(RolloutProgress.TYPE, net.now), node.store.digest(RolloutProgress.TYPE, net.now));
+            assertEquals(
+                    net.nodes[0].store.digest(RolloutProgress.TYPE, net.now),
+                    node.store.digest(RolloutProgress.TYPE, net.now));
             assertEquals(
                     net.nodes[0].controller.split().currentRulesHash(),
                     node.controller.split().currentRulesHash(),
--- a/fleet/src/test/java/clayhook/rollout/RolloutCluster.java
+++ b/fleet/src/test/java/clayhook/rollout/RolloutCluster.java
@@ -1,15 +1,15 @@
 package clayhook.rollout;
 
 import clayhook.fleet.Address;
-import clayhook.fleet.ReplicatedType;
+import clayhook.fleet.FieldReader;
+import clayhook.fleet.FieldWriter;
 import clayhook.fleet.Member;
-import clayhook.fleet.Outbox;
+import clayhook.fleet.MembershipView;
 import clayhook.fleet.Message;
+import clayhook.fleet.Outbox;
 import clayhook.fleet.Peer;
-import clayhook.fleet.FieldReader;
-import clayhook.fleet.MembershipView;
 import clayhook.fleet.ReplicatedStore;
-import clayhook.fleet.FieldWriter;
+import clayhook.fleet.ReplicatedType;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -30,7 +30,8 @@
     /** Seconds of silence after which a member counts as gone. */
     static final double MEMBER_TIMEOUT_SECONDS = 3;
 
-    private static final Set<ReplicatedType<?>> COUNTER_TYPES = Set.of(MemberCounters.OUTCOME_COUNTS, MemberCounters.BASELINE_LATENCIES, MemberCounters.CANDIDATE_LATENCIES);
+    private static final Set<ReplicatedType<?>> COUNTER_TYPES = Set.of(
+            MemberCounters.OUTCOME_COUNTS, MemberCounters.BASELINE_LATENCIES, MemberCounters.CANDIDATE_LATENCIES);
     /** A copy that is exchanged whole: slow, and easily seen to be right. */
     static final class InMemoryStore implements ReplicatedStore {
         private final Map<Integer, TreeMap<String, Object>> values = new TreeMap<>();
@@ -46,7 +47,8 @@
             V before = get(kind, key);
             V joined = before == null ? value : kind.merge(before, value);
             if (!joined.equals(before)) {
-                values.computeIfAbsent(kind.typeNumber(), any -> new TreeMap<>()).put(key, joined);
+                values.computeIfAbsent(kind.typeNumber(), any -> new TreeMap<>())
+                        .put(key, joined);
                 ChangeListener<Object> listener = listeners.get(kind.typeNumber());
                 if (listener != null) {
                     listener.onChange(key, joined, now);
@@ -392,7 +394,8 @@
                 RolloutTerms terms = terms(round);
                 long contacts = terms.roster().stream()
                         .filter(by -> by.equals(node.member)
-                                || now - node.grantedRequestAt.getOrDefault(by, Double.NEGATIVE_INFINITY) < settings.leaseSeconds())
+                                || now - node.grantedRequestAt.getOrDefault(by, Double.NEGATIVE_INFINITY)
+                                        < settings.leaseSeconds())
                         .count();
                 if (2 * contacts <= terms.voterCount()) {
                     return node.member + " runs the candidate with " + contacts + " contacts within a lease";
@@ -453,7 +456,9 @@
     static RolloutPlan plan(double seconds, long samples) {
         List<Guard> guards = List.of(new Guard(Guard.ALL_CLASSES, GuardMetric.FAILED, Double.POSITIVE_INFINITY, 0.002));
         return new RolloutPlan(
-                List.of(new RolloutStage(0.1, seconds, samples, guards), new RolloutStage(0.5, seconds, samples, guards)),
+                List.of(
+                        new RolloutStage(0.1, seconds, samples, guards),
+                        new RolloutStage(0.5, seconds, samples, guards)),
                 RolloutPlan.DEFAULT_ALPHA,
                 1);
     }
--- a/fleet/src/test/java/clayhook/rollout/RolloutControllerTest.java
+++ b/fleet/src/test/java/clayhook/rollout/RolloutControllerTest.java
@@ -59,23 +59,30 @@
         runUntil(40, 0, () -> {
             assertTrue(allNodes(node -> !node.isRunning()
                     || IntStream.range(0, 50)
-                            .allMatch(session ->
-                                    cluster.nodes[0].latestProgress().stage() != node.latestProgress().stage()
-                                            || !cluster.nodes[0].isRunning()
-                                            || cluster.nodes[0].controller.split().candidate(session)
-                                                    == node.controller.split().candidate(session))));
+                            .allMatch(session -> cluster.nodes[0]
+                                                    .latestProgress()
+                                                    .stage()
+                                            != node.latestProgress().stage()
+                                    || !cluster.nodes[0].isRunning()
+                                    || cluster.nodes[0].controller.split().candidate(session)
+                                            == node.controller.split().candidate(session))));
             return allNodes(node -> node.hasEvent(RolloutEvent.EventType.COMPLETED));
         });
         String hash = RuleSet.of(RULES).hash();
         assertTrue(allNodes(node -> node.controller.split().currentRulesHash().equals(hash)
                 && node.controller.split().candidate() == null));
-        assertEquals(List.of(), cluster.nodes[0].controller.propose(PLAN, RULES, cluster.now), "the same file read again");
+        assertEquals(
+                List.of(), cluster.nodes[0].controller.propose(PLAN, RULES, cluster.now), "the same file read again");
         RolloutCluster.RolloutNode late = cluster.startNode(2);
         runUntil(5, 0, () -> late.controller.split().currentRulesHash().equals(hash));
         cluster.nodes[3].controller.onConfiguredRules(hash, cluster.now);
         assertNotNull(cluster.nodes[3].controller.withdraw(cluster.now), "its own file has the rules");
         assertNull(cluster.nodes[0].controller.withdraw(cluster.now));
-        runUntil(2, 0, () -> cluster.nodes[1].controller.split().currentRulesHash().equals(cluster.settings.configuredRulesHash()));
+        runUntil(2, 0, () -> cluster.nodes[1]
+                .controller
+                .split()
+                .currentRulesHash()
+                .equals(cluster.settings.configuredRulesHash()));
     }
 
     @Test
@@ -84,7 +91,8 @@
         cluster.nodes[0].controller.propose(PLAN, RULES, cluster.now);
         runUntil(3, 0, () -> allEnded(RolloutEnd.EndCause.VETOED));
         assertEquals("no such key", cluster.nodes[1].latestProgress().end().reason());
-        assertFalse(Arrays.stream(cluster.nodes).anyMatch(node -> node.hasEvent(RolloutEvent.EventType.CANDIDATE_RUNNING)));
+        assertFalse(
+                Arrays.stream(cluster.nodes).anyMatch(node -> node.hasEvent(RolloutEvent.EventType.CANDIDATE_RUNNING)));
     }
 
     @Test
@@ -96,7 +104,11 @@
                 cluster.nodes[4].latestProgress().end().reason());
         assertEquals(
                 "attempt",
-                cluster.nodes[0].controller.propose(PLAN, RULES, cluster.now).get(0).key());
+                cluster.nodes[0]
+                        .controller
+                        .propose(PLAN, RULES, cluster.now)
+                        .get(0)
+                        .key());
         cluster.run(5);
         assertTrue(allNodes(node -> !node.isRunning()));
         assertNull(cluster.nodes[4].controller.resume(cluster.now));
@@ -111,7 +123,10 @@
         startRollout();
         cluster.partition(2);
         double cut = cluster.now;
-        runUntil(cluster.settings.leaseSeconds() + 0.5, 0, () -> !cluster.nodes[0].isRunning() && !cluster.nodes[1].isRunning());
+        runUntil(
+                cluster.settings.leaseSeconds() + 0.5,
+                0,
+                () -> !cluster.nodes[0].isRunning() && !cluster.nodes[1].isRunning());
         assertTrue(cluster.now - cut > 1, "it had a lease");
         assertTrue(cluster.nodes[0].hasEvent(RolloutEvent.EventType.LEASE_EXPIRED));
         runUntil(20, 0, () -> cluster.nodes[4].latestProgress().stage() == 2);
@@ -120,7 +135,12 @@
             assertNull(cluster.nodes[0].controller.withdraw(cluster.now));
         }
         cluster.partition(0);
-        runUntil(withdraws ? 1 : 5, 0, () -> withdraws ? allEnded(RolloutEnd.EndCause.WITHDRAWN) : allNodes(RolloutCluster.RolloutNode::isRunning));
+        runUntil(
+                withdraws ? 1 : 5,
+                0,
+                () -> withdraws
+                        ? allEnded(RolloutEnd.EndCause.WITHDRAWN)
+                        : allNodes(RolloutCluster.RolloutNode::isRunning));
     }
 
     @ParameterizedTest
@@ -133,13 +153,17 @@
         cluster.now += 0.1;
         assertEquals(List.of(), cluster.nodes[0].controller.propose(PLAN, "a", cluster.now));
         cluster.tick(0);
-        assertEquals(cut == 0, cluster.nodes[0].hasEvent(RolloutEvent.EventType.PROPOSED), "no half of the fleet begins one");
+        assertEquals(
+                cut == 0,
+                cluster.nodes[0].hasEvent(RolloutEvent.EventType.PROPOSED),
+                "no half of the fleet begins one");
         runUntil(cut == 0 ? 10 : 15, 0, () -> cluster.nodes[3].isRunning());
         cluster.partition(0);
         runUntil(10, 0, () -> allNodes(RolloutCluster.RolloutNode::isRunning));
-        assertTrue(allNodes(
-                node -> node.controller.split().candidate().equals(RuleSet.of("b").hash())));
-        assertTrue(cluster.nodes[0].hasEvent(cut == 0 ? RolloutEvent.EventType.SUPERSEDED : RolloutEvent.EventType.REJECTED));
+        assertTrue(allNodes(node ->
+                node.controller.split().candidate().equals(RuleSet.of("b").hash())));
+        assertTrue(cluster.nodes[0].hasEvent(
+                cut == 0 ? RolloutEvent.EventType.SUPERSEDED : RolloutEvent.EventType.REJECTED));
         assertNotNull(cluster.nodes[0].controller.withdraw(cluster.now), "it has lost, and leaves the other alone");
     }
 
@@ -158,7 +182,10 @@
         three.now += 0.1;
         three.nodes[2].controller.propose(PLAN, "b", three.now);
         RolloutCluster.RolloutNode last = three.nodes[2];
-        stepUntil(three, () -> last.isRunning() && last.controller.split().validUntil() - three.now > three.settings.leaseSeconds() - 0.3);
+        stepUntil(
+                three,
+                () -> last.isRunning()
+                        && last.controller.split().validUntil() - three.now > three.settings.leaseSeconds() - 0.3);
         three.partition(2);
         if (restarted) {
             three.startNode(0);
@@ -185,7 +212,8 @@
         for (int i = 0; i < 5; i++) {
             cluster.startNode(i);
         }
-        assertTrue(allNodes(node -> !node.isRunning() && node.controller.split().currentRulesHash().equals(cluster.settings.configuredRulesHash())));
+        assertTrue(allNodes(node -> !node.isRunning()
+                && node.controller.split().currentRulesHash().equals(cluster.settings.configuredRulesHash())));
         assertEquals(List.of(), cluster.nodes[0].controller.propose(PLAN, RULES, cluster.now));
         runUntil(15, 0, () -> allNodes(RolloutCluster.RolloutNode::isRunning));
         assertEquals(1, cluster.nodes[0].latestProgress().stage());
@@ -197,11 +225,16 @@
         cluster.serveRequests(200, 0);
         cluster.run(2);
         cluster.startNode(4);
-        runUntil(5, 0, () -> cluster.nodes[4].isRunning() && cluster.nodes[0].hasEvent(RolloutEvent.EventType.MEMBER_DEPARTED));
+        runUntil(
+                5,
+                0,
+                () -> cluster.nodes[4].isRunning()
+                        && cluster.nodes[0].hasEvent(RolloutEvent.EventType.MEMBER_DEPARTED));
         cluster.killNode(3);
         runUntil(20, 0, () -> cluster.nodes[0].latestProgress().stage() == 2);
         assertNull(cluster.nodes[0].store.get(
-                StageVote.TYPE, StageVote.key(cluster.nodes[0].latestProgress().proposal().id(), cluster.nodes[4].member)));
+                StageVote.TYPE,
+                StageVote.key(cluster.nodes[0].latestProgress().proposal().id(), cluster.nodes[4].member)));
         cluster.killNode(2);
         runUntil(cluster.settings.leaseSeconds() + 0.5, 0, () -> allNodes(node -> !node.isRunning()));
         cluster.run(20);
@@ -222,7 +255,8 @@
         runUntil(
                 20,
                 0,
-                () -> allNodes(node -> node.hasEvent(RolloutEvent.EventType.COUNTERS_RESTORED) && node.latestProgress().stage() > stage));
+                () -> allNodes(node -> node.hasEvent(RolloutEvent.EventType.COUNTERS_RESTORED)
+                        && node.latestProgress().stage() > stage));
     }
 
     @Test
--- a/fleet/src/test/java/clayhook/rollout/RolloutMergeTest.java
+++ b/fleet/src/test/java/clayhook/rollout/RolloutMergeTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clayhook.fleet.ReplicatedType;
 import clayhook.fleet.Member;
+import clayhook.fleet.ReplicatedType;
 import java.util.Random;
 import java.util.function.Function;
 import net.jqwik.api.ForAll;
@@ -51,11 +51,28 @@
         switch (kind) {
             case 0 -> assertMergeLaws(RolloutProgress.TYPE, RolloutMergeTest::randomProgress, seed);
             case 1 ->
-                assertMergeLaws(TextChunk.TYPE, chance -> new TextChunk(new byte[chance.nextInt(2) * 899 + 1], chance.nextInt(3)), seed);
-            case 2 -> assertMergeLaws(StageVote.TYPE, chance -> new StageVote(chance.nextInt(4), chance.nextInt(3)), seed);
-            case 3 -> assertMergeLaws(MemberCounters.OUTCOME_COUNTS, chance -> randomCounters(chance, MemberCounters.EvidenceSums.SIZE + 2 * CounterBatch.OutcomeCounters.SIZE), seed);
-            case 4 -> assertMergeLaws(MemberCounters.BASELINE_LATENCIES, chance -> randomCounters(chance, LatencyHistogram.SIZE), seed);
-            default -> assertMergeLaws(MemberCounters.CANDIDATE_LATENCIES, chance -> randomCounters(chance, LatencyHistogram.SIZE), seed);
+                assertMergeLaws(
+                        TextChunk.TYPE,
+                        chance -> new TextChunk(new byte[chance.nextInt(2) * 899 + 1], chance.nextInt(3)),
+                        seed);
+            case 2 ->
+                assertMergeLaws(StageVote.TYPE, chance -> new StageVote(chance.nextInt(4), chance.nextInt(3)), seed);
+            case 3 ->
+                assertMergeLaws(
+                        MemberCounters.OUTCOME_COUNTS,
+                        chance -> randomCounters(
+                                chance, MemberCounters.EvidenceSums.SIZE + 2 * CounterBatch.OutcomeCounters.SIZE),
+                        seed);
+            case 4 ->
+                assertMergeLaws(
+                        MemberCounters.BASELINE_LATENCIES,
+                        chance -> randomCounters(chance, LatencyHistogram.SIZE),
+                        seed);
+            default ->
+                assertMergeLaws(
+                        MemberCounters.CANDIDATE_LATENCIES,
+                        chance -> randomCounters(chance, LatencyHistogram.SIZE),
+                        seed);
         }
     }
 
@@ -81,7 +98,8 @@
                                         "g".repeat(Guard.MAX_CLASS_BYTES))
                                 .encode(),
                         a));
-        if (joined instanceof RolloutProgress round && (((RolloutProgress) a).end() != null || ((RolloutProgress) b).end() != null)) {
+        if (joined instanceof RolloutProgress round
+                && (((RolloutProgress) a).end() != null || ((RolloutProgress) b).end() != null)) {
             assertTrue(round.end() != null, "a halt wins over every stage");
         }
     }
@@ -105,13 +123,21 @@
                 late.merge(MemberCounters.OUTCOME_COUNTS, key, figure, 40);
             }
         }
-        copy.forEach(MemberCounters.OUTCOME_COUNTS, (key, figure) -> late.merge(MemberCounters.OUTCOME_COUNTS, key, figure, 40));
-        late.forEach(MemberCounters.OUTCOME_COUNTS, (key, figure) -> copy.merge(MemberCounters.OUTCOME_COUNTS, key, figure, 40));
+        copy.forEach(
+                MemberCounters.OUTCOME_COUNTS,
+                (key, figure) -> late.merge(MemberCounters.OUTCOME_COUNTS, key, figure, 40));
+        late.forEach(
+                MemberCounters.OUTCOME_COUNTS,
+                (key, figure) -> copy.merge(MemberCounters.OUTCOME_COUNTS, key, figure, 40));
         long sum = 0;
         for (MemberCounters figure : newest) {
             sum += figure == null ? 0 : figure.counts()[MemberCounters.EvidenceSums.SIZE];
         }
-        assertEquals(sum, MergedCounters.collect(copy, "round", 1).forRequestClass("a/b").requests(0));
-        assertEquals(sum, MergedCounters.collect(late, "round", 1).forRequestClass("a/b").requests(0));
+        assertEquals(
+                sum,
+                MergedCounters.collect(copy, "round", 1).forRequestClass("a/b").requests(0));
+        assertEquals(
+                sum,
+                MergedCounters.collect(late, "round", 1).forRequestClass("a/b").requests(0));
     }
 }
--- a/fleet/src/test/java/clayhook/rollout/RolloutPlanTest.java
+++ b/fleet/src/test/java/clayhook/rollout/RolloutPlanTest.java
@@ -44,7 +44,9 @@
             String key) {
         var first = new RolloutStage(0.1, 0, 1, List.of(new Guard("*", GuardMetric.LATE, NONE, 0)));
         var plan = new RolloutPlan(
-                List.of(first, new RolloutStage(share, seconds, samples, List.of(new Guard(group, measure, most, worse)))),
+                List.of(
+                        first,
+                        new RolloutStage(share, seconds, samples, List.of(new Guard(group, measure, most, worse)))),
                 RolloutPlan.DEFAULT_ALPHA,
                 1);
         assertEquals(
@@ -99,7 +101,8 @@
 
     private static TrafficSplit split(double share) {
         var old = new RuleSetVersion("old", null, 0, false, Map.of());
-        return TrafficSplit.between(old, old, new RuleSetVersion("00000000deadbeef", "round", 1, true, Map.of()), share, 10);
+        return TrafficSplit.between(
+                old, old, new RuleSetVersion("00000000deadbeef", "round", 1, true, Map.of()), share, 10);
     }
 
     @Test
--- a/fleet/src/test/java/clayhook/rollout/RolloutSimulation.java
+++ b/fleet/src/test/java/clayhook/rollout/RolloutSimulation.java
@@ -28,8 +28,11 @@
     /** Three stages with four guards on a command group and four on all. */
     static RolloutPlan plan(int seconds) {
         var guards = IntStream.range(0, 8)
-                .mapToObj(
-                        i -> new Guard(i < 4 ? REQUEST_CLASS : Guard.ALL_CLASSES, GuardMetric.values()[i % 4], Double.POSITIVE_INFINITY, 0))
+                .mapToObj(i -> new Guard(
+                        i < 4 ? REQUEST_CLASS : Guard.ALL_CLASSES,
+                        GuardMetric.values()[i % 4],
+                        Double.POSITIVE_INFINITY,
+                        0))
                 .toList();
         return new RolloutPlan(
                 List.of(
@@ -73,7 +76,8 @@
         });
     }
 
-    private void countRequests(LocalCounters tally, String set, double share, int stage, int second, SplittableRandom chance) {
+    private void countRequests(
+            LocalCounters tally, String set, double share, int stage, int second, SplittableRandom chance) {
         Map<String, Double> limits = tally.slowThresholds(stage);
         var old = new RuleSetVersion("00", "round", stage, false, limits);
         var candidate = new RuleSetVersion(set, "round", stage, true, limits);
@@ -85,8 +89,9 @@
             double even = chance.nextDouble();
             long session = (long) ((uneven ? even * even : even) * sessions);
             RuleSetVersion version = split.versionFor(session, second);
-            double failures =
-                    FAILURE_RATE * (uneven && session % 50 == 0 ? 10 : 1) + trouble + (version.isCandidate() ? extraFailureRate : 0);
+            double failures = FAILURE_RATE * (uneven && session % 50 == 0 ? 10 : 1)
+                    + trouble
+                    + (version.isCandidate() ? extraFailureRate : 0);
             double seconds = 0.005 * Math.exp(chance.nextDouble() * 2 + (trouble > 0 ? 1 : 0));
             batch.add(
                     version,
--- a/fleet/src/test/java/clayhook/rollout/SequentialTestTest.java
+++ b/fleet/src/test/java/clayhook/rollout/SequentialTestTest.java
@@ -15,7 +15,8 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void fewerThanOnePercentAreHaltedWithoutADifference(boolean rough) {
-        long halted = RolloutSimulation.countHalted(new RolloutSimulation(3, 150, 1000, 0, rough), RolloutSimulation.plan(30), 1000, 42);
+        long halted = RolloutSimulation.countHalted(
+                new RolloutSimulation(3, 150, 1000, 0, rough), RolloutSimulation.plan(30), 1000, 42);
         assertTrue(halted < 10, halted + " of 1,000 halted");
     }
 
@@ -55,14 +56,20 @@
         double[] sums = new double[MemberCounters.EvidenceSums.SIZE];
         for (int bucket = 0; bucket < CounterBatch.OutcomeCounters.SESSION_BUCKETS; bucket++) {
             for (int version = 0; version < 2; version++) {
-                int at = MemberCounters.EvidenceSums.SIZE + version * CounterBatch.OutcomeCounters.SIZE + bucket * CounterBatch.OutcomeCounters.COUNTERS_PER_BUCKET;
+                int at = MemberCounters.EvidenceSums.SIZE
+                        + version * CounterBatch.OutcomeCounters.SIZE
+                        + bucket * CounterBatch.OutcomeCounters.COUNTERS_PER_BUCKET;
                 counts[at + CounterBatch.OutcomeCounters.TOTAL] = 1000;
                 counts[at + CounterBatch.OutcomeCounters.FAILED] = version == 1 && bucket == 5 ? 1000 : 10;
             }
         }
         SequentialTest.addInterval(sums, 0, 12_000, 120, 12_000, 1110);
         assertTrue(sums[0] > 10);
-        double dispersion = SequentialTest.dispersion(counts, MemberCounters.EvidenceSums.SIZE, CounterBatch.OutcomeCounters.TOTAL, CounterBatch.OutcomeCounters.FAILED);
+        double dispersion = SequentialTest.dispersion(
+                counts,
+                MemberCounters.EvidenceSums.SIZE,
+                CounterBatch.OutcomeCounters.TOTAL,
+                CounterBatch.OutcomeCounters.FAILED);
         for (int i = 0; i < sums.length; i++) {
             counts[i] = SequentialTest.toFixedPoint(sums[i]);
         }
--- a/fleet/src/test/java/clayhook/rollout/StateSpaceExplorer.java
+++ b/fleet/src/test/java/clayhook/rollout/StateSpaceExplorer.java
@@ -12,8 +12,8 @@
 
 /**
  * Every order in which a few things can happen to three routers and one rollout, breadth first; one that leads to a
- * state seen before is not followed. Whatever is not delivered is late or, once more than {@link #LINK_CAPACITY} wait, lost.
- * The code itself is explored, not a model of it, so that nothing can differ between the two; a model checker for
+ * state seen before is not followed. Whatever is not delivered is late or, once more than {@link #LINK_CAPACITY} wait,
+ * lost. The code itself is explored, not a model of it, so that nothing can differ between the two; a model checker for
  * threads (lincheck) has nothing to interleave here, and Alloy would check a second text of the rules.
  */
 final class StateSpaceExplorer {
@@ -148,7 +148,9 @@
                         if (net.findViolation() != null) {
                             broken.add(order + ": " + net.findViolation());
                         }
-                        return seen.add(hasFailure(order) + fingerprint(net)) ? successors(net, order).stream() : Stream.empty();
+                        return seen.add(hasFailure(order) + fingerprint(net))
+                                ? successors(net, order).stream()
+                                : Stream.empty();
                     })
                     .toList();
             if (!broken.isEmpty()) {
--- a/gather/src/main/java/clayhook/gather/package-info.java
+++ /dev/null
@@ -1,6 +0,0 @@
-/**
- * Answers gathered from many parts. Pure: rows and times are handed in, rows and errands are handed out; no thread,
- * socket or clock of its own. {@link clayhook.gather.Gather} is the machine, {@link clayhook.gather.Plan} says what it
- * is to do, {@link clayhook.gather.Rows} runs it over rows that are at hand already.
- */
-package clayhook.gather;
--- a/lab/src/main/java/clayhook/lab/Comparison.java
+++ b/lab/src/main/java/clayhook/lab/Comparison.java
@@ -1,10 +1,10 @@
 package clayhook.lab;
 
-import clayhook.lab.model.SimulatedFleet;
 import clayhook.lab.model.FleetSpec;
 import clayhook.lab.model.LoopbackFleet;
 import clayhook.lab.model.PeerLinkFactory;
 import clayhook.lab.model.RunMetrics;
+import clayhook.lab.model.SimulatedFleet;
 import clayhook.lab.sharing.PeeredFleet;
 import java.util.ArrayList;
 import java.util.List;
@@ -53,7 +53,8 @@
             for (int seed : experiment.seeds()) {
                 progress.accept(variant.name(), seed);
                 PeerLinkFactory sharing = sharing(variant.fleet().contact(), experiment.peers());
-                runs.add(new SimulatedFleet(variant.fleet(), experiment.failures(), seed, sharing).run(experiment.seconds()));
+                runs.add(new SimulatedFleet(variant.fleet(), experiment.failures(), seed, sharing)
+                        .run(experiment.seconds()));
             }
             played.add(new Played(variant, runs));
         }
@@ -61,7 +62,9 @@
     }
 
     private static PeerLinkFactory sharing(FleetSpec.Contact contact, Experiment.Peers peers) {
-        return contact.shares() ? new PeeredFleet(contact, peers.way(), peers.loss(), peers.faults()) : PeerLinkFactory.NONE;
+        return contact.shares()
+                ? new PeeredFleet(contact, peers.way(), peers.loss(), peers.faults())
+                : PeerLinkFactory.NONE;
     }
 
     /** The same on loopback sockets, one run after the other; a run without a verdict has null for it. */
--- a/lab/src/main/java/clayhook/lab/Experiment.java
+++ b/lab/src/main/java/clayhook/lab/Experiment.java
@@ -1,16 +1,16 @@
 package clayhook.lab;
 
 import clayhook.RequestClass;
-import clayhook.RequestClass.Idempotency;
 import clayhook.RequestClass.ConsistencyLevel;
 import clayhook.RequestClass.DeduplicationScope;
+import clayhook.RequestClass.Idempotency;
 import clayhook.config.ConfigurationException;
 import clayhook.config.TomlSection;
 import clayhook.lab.model.Failure;
 import clayhook.lab.model.FleetSpec;
 import clayhook.lab.model.MachineSpec;
-import clayhook.lab.sharing.SharingFault;
 import clayhook.lab.sharing.FaultPlan;
+import clayhook.lab.sharing.SharingFault;
 import clayhook.lab.sharing.SharingPlay;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -192,15 +192,23 @@
             "bounded", ConsistencyLevel.BOUNDED_STALENESS,
             "any", ConsistencyLevel.EVENTUAL);
 
-    private static final Map<String, Idempotency> EFFECTS =
-            Map.of("replayable", Idempotency.IDEMPOTENT, "keyed", Idempotency.IDEMPOTENT_WITH_KEY, "mutating", Idempotency.NON_IDEMPOTENT);
-    private static final Map<String, DeduplicationScope> SCOPES = Map.of("all", DeduplicationScope.ALL, "zone", DeduplicationScope.ZONE, "group", DeduplicationScope.REPLICA_SET);
+    private static final Map<String, Idempotency> EFFECTS = Map.of(
+            "replayable",
+            Idempotency.IDEMPOTENT,
+            "keyed",
+            Idempotency.IDEMPOTENT_WITH_KEY,
+            "mutating",
+            Idempotency.NON_IDEMPOTENT);
+    private static final Map<String, DeduplicationScope> SCOPES = Map.of(
+            "all", DeduplicationScope.ALL, "zone", DeduplicationScope.ZONE, "group", DeduplicationScope.REPLICA_SET);
 
-    private static <T> T one(TomlSection toml, String key, Map<String, T> words, String absent) throws ConfigurationException {
+    private static <T> T one(TomlSection toml, String key, Map<String, T> words, String absent)
+            throws ConfigurationException {
         return words.get(toml.getChoice(key, absent, words.keySet()));
     }
 
-    private static <T extends Enum<T>> T one(TomlSection toml, String key, Class<T> of, String absent) throws ConfigurationException {
+    private static <T extends Enum<T>> T one(TomlSection toml, String key, Class<T> of, String absent)
+            throws ConfigurationException {
         Set<String> words = Arrays.stream(of.getEnumConstants())
                 .map(one -> one.name().toLowerCase(Locale.ROOT))
                 .collect(Collectors.toSet());
@@ -240,7 +248,8 @@
     }
 
     /** One for each target, in order of their names. */
-    private static List<Failure> failures(TomlSection failure, FleetSpec fleet, double seconds) throws ConfigurationException {
+    private static List<Failure> failures(TomlSection failure, FleetSpec fleet, double seconds)
+            throws ConfigurationException {
         Set<String> several = new TreeSet<>(failure.getStringSet("targets"));
         var failures = new ArrayList<Failure>();
         for (String target : several.isEmpty() ? Set.of(failure.getRequiredString("target")) : several) {
@@ -249,7 +258,8 @@
         return failures;
     }
 
-    private static Failure failure(TomlSection failure, String target, FleetSpec fleet, double seconds) throws ConfigurationException {
+    private static Failure failure(TomlSection failure, String target, FleetSpec fleet, double seconds)
+            throws ConfigurationException {
         failure.getRequiredString("kind");
         Failure.Kind kind = one(failure, "kind", Failure.Kind.class, null);
         boolean zone = kind == Failure.Kind.ZONE_LOSS;
--- a/lab/src/main/java/clayhook/lab/SharingPlays.java
+++ b/lab/src/main/java/clayhook/lab/SharingPlays.java
@@ -1,11 +1,11 @@
 package clayhook.lab;
 
 import clayhook.lab.model.FleetSpec;
-import clayhook.lab.sharing.SimulatedPeerGroup;
 import clayhook.lab.sharing.SharingMetrics;
 import clayhook.lab.sharing.SharingPlay;
 import clayhook.lab.sharing.SharingSweep;
 import clayhook.lab.sharing.SharingTrial;
+import clayhook.lab.sharing.SimulatedPeerGroup;
 import java.io.PrintStream;
 
 /** Plays what a file asks of routers that share, beside service. */
@@ -25,8 +25,8 @@
             case CATCH_UP -> figures.catchUp(play.entries());
             default -> {
                 var spec = new SharingTrial.Spec(company, experiment.seconds(), play.settle(), fleet.rate());
-                SharingSweep.Result result =
-                        new SharingSweep(spec, SharingTrial.KINDS, peers.faults(), play.faults()).play(experiment.seeds());
+                SharingSweep.Result result = new SharingSweep(spec, SharingTrial.KINDS, peers.faults(), play.faults())
+                        .play(experiment.seeds());
                 result.found().forEach(out::println);
                 out.println(result);
                 return result.failed() == 0;
--- a/lab/src/main/java/clayhook/lab/model/LoopbackFleet.java
+++ b/lab/src/main/java/clayhook/lab/model/LoopbackFleet.java
@@ -1,25 +1,25 @@
 package clayhook.lab.model;
 
 import clayhook.Decision.RoutingAction;
+import clayhook.Endpoint;
 import clayhook.RequestClass;
 import clayhook.RequestClass.ConsistencyLevel;
-import clayhook.Endpoint;
 import clayhook.Role;
 import clayhook.RoutingSettings;
 import clayhook.config.RouterConfiguration;
 import clayhook.discovery.EndpointList;
-import clayhook.protocol.MemoryBudget;
-import clayhook.protocol.ClientMessageDecoder;
 import clayhook.protocol.ClientMessage;
+import clayhook.protocol.ClientMessageDecoder;
+import clayhook.protocol.KeyValueStatement;
+import clayhook.protocol.MemoryBudget;
 import clayhook.protocol.MessageEncoder;
-import clayhook.protocol.NodeMessageDecoder;
 import clayhook.protocol.NodeMessage;
-import clayhook.protocol.KeyValueStatement;
-import clayhook.rehearsal.StubClient;
-import clayhook.rehearsal.StubDiscovery;
-import clayhook.rehearsal.StubNode;
+import clayhook.protocol.NodeMessageDecoder;
 import clayhook.serve.Server;
 import clayhook.transport.Transport;
+import clayhook.warmup.StubClient;
+import clayhook.warmup.StubDiscovery;
+import clayhook.warmup.StubNode;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandler;
 import io.netty.channel.ChannelHandlerContext;
@@ -91,7 +91,8 @@
     }
 
     /** The same; {@code watcher} is shown the figures so far each second, on the run's own loop. */
-    public RunMetrics run(List<Failure> failures, double seconds, Consumer<RunMetrics> watcher) throws InterruptedException {
+    public RunMetrics run(List<Failure> failures, double seconds, Consumer<RunMetrics> watcher)
+            throws InterruptedException {
         try {
             begin();
             var ended = new CountDownLatch(1);
@@ -228,7 +229,9 @@
         audit.answered(asked.id, now);
         if (verdict == RoutingAction.REJECT) {
             audit.throttled(asked.id, now);
-        } else if (verdict == RoutingAction.DONE && group.consistency() == ConsistencyLevel.WRITE && asked.ask.session() >= 0) {
+        } else if (verdict == RoutingAction.DONE
+                && group.consistency() == ConsistencyLevel.WRITE
+                && asked.ask.session() >= 0) {
             wrote[asked.ask.session()] = Math.max(wrote[asked.ask.session()], position);
         }
         tally.answered(group, verdict, now - asked.arrived, asked.arrived);
@@ -342,8 +345,9 @@
 
         SocketNode(NodeModel node) throws InterruptedException {
             this.node = node;
-            listening = transport.listen(transport.ephemeralAddress(0), () ->
-                    new ChannelHandler[] {new ClientMessageDecoder(new MemoryBudget(Long.MAX_VALUE)), new NodeHandler(this)});
+            listening = transport.listen(transport.ephemeralAddress(0), () -> new ChannelHandler[] {
+                new ClientMessageDecoder(new MemoryBudget(Long.MAX_VALUE)), new NodeHandler(this)
+            });
         }
 
         int port() {
@@ -380,7 +384,9 @@
                 return;
             }
             if (message instanceof ClientMessage.Startup) {
-                time.in(spec.machine().connecting(), () -> ctx.writeAndFlush(MessageEncoder.startupResponse(0, Map.of())));
+                time.in(
+                        spec.machine().connecting(),
+                        () -> ctx.writeAndFlush(MessageEncoder.startupResponse(0, Map.of())));
             } else if (message instanceof ClientMessage.UnreadableQuery) {
                 ctx.writeAndFlush(StubNode.row(load(node), role(node), millis(node.position()), load(node)));
             } else if (message instanceof ClientMessage.Query query) {
@@ -406,8 +412,9 @@
                 audit.worked(node.node, asked.ask.work(), spec.machine().cores() * node.warmth(), time.now());
             }
             job = new NodeJob(asked.ask.work(), time.now(), done -> {
-                double position =
-                        statement.isWrite ? world.group(node.node.replicaSetId()).commit() : node.position();
+                double position = statement.isWrite
+                        ? world.group(node.node.replicaSetId()).commit()
+                        : node.position();
                 audit.ran(asked.id, node.node, position, needed, time.now());
                 ctx.writeAndFlush(StubNode.row(Double.toString(position), role(node), millis(position), load(node)));
             });
--- a/lab/src/main/java/clayhook/lab/model/PeerLink.java
+++ b/lab/src/main/java/clayhook/lab/model/PeerLink.java
@@ -1,9 +1,9 @@
 package clayhook.lab.model;
 
-import clayhook.Request;
+import clayhook.AttemptResult;
 import clayhook.Endpoint;
 import clayhook.Node;
-import clayhook.AttemptResult;
+import clayhook.Request;
 import java.util.List;
 
 /**
--- a/lab/src/main/java/clayhook/lab/model/RouterModel.java
+++ b/lab/src/main/java/clayhook/lab/model/RouterModel.java
@@ -1,20 +1,20 @@
 package clayhook.lab.model;
 
+import clayhook.Attempt;
+import clayhook.AttemptOutcome;
+import clayhook.AttemptResult;
 import clayhook.Decision;
 import clayhook.Decision.RoutingAction;
-import clayhook.Request;
-import clayhook.RequestClass.Idempotency;
-import clayhook.RequestClass.ConsistencyLevel;
-import clayhook.RoutingPolicy;
-import clayhook.Attempt;
 import clayhook.Endpoint;
 import clayhook.Node;
-import clayhook.AttemptOutcome;
-import clayhook.AttemptResult;
+import clayhook.PeerObservation;
+import clayhook.Request;
+import clayhook.RequestClass.ConsistencyLevel;
+import clayhook.RequestClass.Idempotency;
 import clayhook.Role;
+import clayhook.RoutingPolicy;
 import clayhook.RoutingSettings;
-import clayhook.PeerObservation;
-import clayhook.hand.InFlightRequests;
+import clayhook.inflight.InFlightRequests;
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -59,7 +59,12 @@
         NodeModel at;
     }
 
-    RouterModel(VirtualScheduler timeline, SimulatedFleet fleet, RoutingSettings settings, long seed, BiConsumer<Request, RoutingAction> answered) {
+    RouterModel(
+            VirtualScheduler timeline,
+            SimulatedFleet fleet,
+            RoutingSettings settings,
+            long seed,
+            BiConsumer<Request, RoutingAction> answered) {
         this.timeline = timeline;
         this.fleet = fleet;
         this.settings = settings;
@@ -144,13 +149,17 @@
     private void settle() {
         double now = timeline.now();
         hand.timedOutAttempts(now)
-                .forEach(dispatch -> end(dispatch, AttemptResult.withoutReport(AttemptOutcome.TIMED_OUT, now - dispatch.sentAt), true));
+                .forEach(dispatch -> end(
+                        dispatch, AttemptResult.withoutReport(AttemptOutcome.TIMED_OUT, now - dispatch.sentAt), true));
         InFlightRequests.DecisionBatch turn = hand.tick(now);
         turn.routedRequests().forEach(order -> carryOut(order.request(), order.decision()));
         turn.tickResult().healthChecks().forEach(this::probe);
         peers.used(turn.tickResult().healthChecks().size(), 0);
         if (turn.wakeAfterSeconds() > 0 || wakeAt <= now) {
-            wake(turn.wakeAfterSeconds() > 0 ? now + turn.wakeAfterSeconds() : now + Math.max(LEAST_WAKE, hand.secondsUntilNextTick(now)));
+            wake(
+                    turn.wakeAfterSeconds() > 0
+                            ? now + turn.wakeAfterSeconds()
+                            : now + Math.max(LEAST_WAKE, hand.secondsUntilNextTick(now)));
         }
     }
 
@@ -168,8 +177,10 @@
 
     private void carryOut(Request command, Decision choice) {
         choice.attemptsToCancel()
-                .forEach(dispatch ->
-                        end(dispatch, AttemptResult.withoutReport(AttemptOutcome.CANCELLED, timeline.now() - dispatch.sentAt), true));
+                .forEach(dispatch -> end(
+                        dispatch,
+                        AttemptResult.withoutReport(AttemptOutcome.CANCELLED, timeline.now() - dispatch.sentAt),
+                        true));
         if (choice.action() == RoutingAction.SEND) {
             peers.used(0, command.attempts.size() > 1 ? 1 : 0);
             send(choice.attempt());
@@ -216,7 +227,8 @@
         }
         double needed = fleet.needed(dispatch.request, dispatch.sentAt);
         boolean writes = dispatch.request.requestClass.consistency() == ConsistencyLevel.WRITE;
-        if (writes && at.role != Role.PRIMARY || !writes && settings.replicasRejectStaleReads() && at.position() < needed) {
+        if (writes && at.role != Role.PRIMARY
+                || !writes && settings.replicasRejectStaleReads() && at.position() < needed) {
             back(dispatch, attempt, at.life, tell(at, AttemptOutcome.REJECTED));
             return;
         }
@@ -282,18 +294,21 @@
             fleet.wrote(command, reply.appliedPosition(), this);
         }
         tellPeers(dispatch, reply);
-        hand.onAttemptFinished(dispatch, reply, reply.outcome() == AttemptOutcome.ANSWERED && !command.completed, timeline.now());
+        hand.onAttemptFinished(
+                dispatch, reply, reply.outcome() == AttemptOutcome.ANSWERED && !command.completed, timeline.now());
         turn();
     }
 
     private static boolean changes(Request command) {
-        return command.requestClass.consistency() == ConsistencyLevel.WRITE && command.requestClass.idempotency() != Idempotency.IDEMPOTENT;
+        return command.requestClass.consistency() == ConsistencyLevel.WRITE
+                && command.requestClass.idempotency() != Idempotency.IDEMPOTENT;
     }
 
     private void tellPeers(Attempt dispatch, AttemptResult reply) {
         Request command = dispatch.request;
         peers.looked(dispatch.node, reply);
-        if (reply.outcome() == AttemptOutcome.ANSWERED && command.requestClass.consistency() == ConsistencyLevel.WRITE) {
+        if (reply.outcome() == AttemptOutcome.ANSWERED
+                && command.requestClass.consistency() == ConsistencyLevel.WRITE) {
             if (command.sessionId != null) {
                 wrote.merge(command.sessionId, reply.appliedPosition(), Math::max);
                 peers.wrote(command, reply.appliedPosition());
@@ -309,8 +324,10 @@
         idle.remove(node);
         List.copyOf(attempts.keySet()).stream()
                 .filter(dispatch -> dispatch.node.equals(node))
-                .forEach(
-                        dispatch -> end(dispatch, AttemptResult.withoutReport(AttemptOutcome.RESET, timeline.now() - dispatch.sentAt), true));
+                .forEach(dispatch -> end(
+                        dispatch,
+                        AttemptResult.withoutReport(AttemptOutcome.RESET, timeline.now() - dispatch.sentAt),
+                        true));
     }
 
     private void probe(Node node) {
@@ -322,7 +339,10 @@
             } else {
                 timeline.at(
                         asked + fleet.probeTimeout(),
-                        () -> probed(node, AttemptResult.withoutReport(at.up() ? AttemptOutcome.TIMED_OUT : AttemptOutcome.CONNECT_FAILED, 0)));
+                        () -> probed(
+                                node,
+                                AttemptResult.withoutReport(
+                                        at.up() ? AttemptOutcome.TIMED_OUT : AttemptOutcome.CONNECT_FAILED, 0)));
             }
         });
     }
--- a/lab/src/main/java/clayhook/lab/model/RuleAudit.java
+++ b/lab/src/main/java/clayhook/lab/model/RuleAudit.java
@@ -1,10 +1,10 @@
 package clayhook.lab.model;
 
+import clayhook.Node;
 import clayhook.RequestClass;
-import clayhook.RequestClass.Idempotency;
 import clayhook.RequestClass.ConsistencyLevel;
 import clayhook.RequestClass.DeduplicationScope;
-import clayhook.Node;
+import clayhook.RequestClass.Idempotency;
 import java.util.EnumMap;
 import java.util.HashMap;
 import java.util.Map;
@@ -149,7 +149,9 @@
                 || (scope == DeduplicationScope.REPLICA_SET
                         ? entry.ranAt.replicaSetId() == node.replicaSetId()
                         : entry.ranAt.zone().equals(node.zone()));
-        return entry.group.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY && within && now <= entry.ranWhen + entry.group.deduplicationWindowSeconds();
+        return entry.group.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                && within
+                && now <= entry.ranWhen + entry.group.deduplicationWindowSeconds();
     }
 
     /** A router sent something to a node that it knows to drain since then. */
@@ -183,7 +185,8 @@
         }
         sweptAt = now;
         entries.values().removeIf(entry -> {
-            boolean over = now > entry.expires + entry.group.clientTimeoutSeconds() + entry.group.deduplicationWindowSeconds();
+            boolean over =
+                    now > entry.expires + entry.group.clientTimeoutSeconds() + entry.group.deduplicationWindowSeconds();
             if (over && entry.answers == 0 && !entry.excused) {
                 broke(RuleKept.ONE_ANSWER, entry.group.name() + " was never answered", now);
             }
--- a/lab/src/main/java/clayhook/lab/model/SimulatedFleet.java
+++ b/lab/src/main/java/clayhook/lab/model/SimulatedFleet.java
@@ -1,11 +1,11 @@
 package clayhook.lab.model;
 
 import clayhook.Decision.RoutingAction;
+import clayhook.Endpoint;
+import clayhook.Node;
 import clayhook.Request;
 import clayhook.RequestClass;
 import clayhook.RequestClass.ConsistencyLevel;
-import clayhook.Endpoint;
-import clayhook.Node;
 import clayhook.RoutingSettings;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
--- a/lab/src/main/java/clayhook/lab/plan/Planner.java
+++ b/lab/src/main/java/clayhook/lab/plan/Planner.java
@@ -2,10 +2,10 @@
 
 import clayhook.lab.Experiment;
 import clayhook.lab.model.Failure;
-import clayhook.lab.model.SimulatedFleet;
 import clayhook.lab.model.FleetSpec;
 import clayhook.lab.model.MachineSpec;
 import clayhook.lab.model.RunMetrics;
+import clayhook.lab.model.SimulatedFleet;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
--- a/lab/src/main/java/clayhook/lab/sharing/FaultPlan.java
+++ b/lab/src/main/java/clayhook/lab/sharing/FaultPlan.java
@@ -35,7 +35,9 @@
     private static final double LEAST = 0.05;
 
     public FaultPlan {
-        faults = faults.stream().sorted(Comparator.comparingDouble(SharingFault::at)).toList();
+        faults = faults.stream()
+                .sorted(Comparator.comparingDouble(SharingFault::at))
+                .toList();
     }
 
     /** So many faults among so many routers, all of them over by then. */
@@ -135,6 +137,8 @@
     /** As an experiment's file has it. */
     @Override
     public String toString() {
-        return faults.stream().map(SharingFault::toString).collect(Collectors.joining(",\n    ", "fault = [\n    ", ",\n]"));
+        return faults.stream()
+                .map(SharingFault::toString)
+                .collect(Collectors.joining(",\n    ", "fault = [\n    ", ",\n]"));
     }
 }
--- a/lab/src/main/java/clayhook/lab/sharing/GeneratedValues.java
+++ b/lab/src/main/java/clayhook/lab/sharing/GeneratedValues.java
@@ -1,12 +1,12 @@
 package clayhook.lab.sharing;
 
 import clayhook.fleet.ReplicatedType;
-import clayhook.fleet.kinds.NodeObservation;
-import clayhook.fleet.kinds.WriteOutcome;
-import clayhook.fleet.kinds.ListedEndpoint;
-import clayhook.fleet.kinds.SessionWrite;
-import clayhook.fleet.kinds.ObservationSource;
-import clayhook.fleet.kinds.QuotaUsage;
+import clayhook.fleet.types.ListedEndpoint;
+import clayhook.fleet.types.NodeObservation;
+import clayhook.fleet.types.ObservationSource;
+import clayhook.fleet.types.QuotaUsage;
+import clayhook.fleet.types.SessionWrite;
+import clayhook.fleet.types.WriteOutcome;
 import java.util.List;
 import java.util.SplittableRandom;
 
@@ -78,7 +78,8 @@
     /** Routers hear of a revision at different times; of one node and revision all hear the same. */
     private ListedEndpoint listed(String key, PeeredRouter by, double now) {
         long revision = (long) (now / REVISION) - random.nextInt(4);
-        var state = ListedEndpoint.EndpointState.values()[Math.floorMod(Long.hashCode(revision * 31 + key.hashCode()), 3)];
+        var state =
+                ListedEndpoint.EndpointState.values()[Math.floorMod(Long.hashCode(revision * 31 + key.hashCode()), 3)];
         return new ListedEndpoint(revision, state, 0, false, "a", 1, "10.0.0.1", 1, by.now());
     }
 
--- a/lab/src/main/java/clayhook/lab/sharing/ModelPeer.java
+++ b/lab/src/main/java/clayhook/lab/sharing/ModelPeer.java
@@ -1,23 +1,23 @@
 package clayhook.lab.sharing;
 
-import clayhook.Request;
+import clayhook.AttemptResult;
 import clayhook.Endpoint;
 import clayhook.Node;
-import clayhook.AttemptResult;
 import clayhook.PeerObservation;
+import clayhook.Request;
 import clayhook.discovery.EndpointList;
 import clayhook.fleet.Address;
 import clayhook.fleet.Peer;
-import clayhook.fleet.kinds.WriteOutcome;
-import clayhook.fleet.members.MembershipSettings;
 import clayhook.fleet.members.Membership;
+import clayhook.fleet.members.MembershipSettings;
 import clayhook.fleet.state.ReplicatedState;
 import clayhook.fleet.state.StateSettings;
-import clayhook.lab.model.PeerObservationListener;
+import clayhook.fleet.types.WriteOutcome;
 import clayhook.lab.model.PeerLink;
+import clayhook.lab.model.PeerObservationListener;
 import clayhook.lab.model.Scheduler;
-import clayhook.peers.StateBridge;
 import clayhook.peers.LocalEvent;
+import clayhook.peers.StateBridge;
 import clayhook.serve.PeerSharing;
 import java.net.InetSocketAddress;
 import java.util.Collection;
@@ -65,14 +65,22 @@
     @Override
     public RouterIncarnation begin(Peer self, List<Address> seeds, long seed, double now) {
         var chance = new SplittableRandom(seed);
-        var members =
-                new Membership(MembershipSettings.DEFAULT, self, seeds, chance.nextLong(), now, new Membership.MembershipListener() {});
+        var members = new Membership(
+                MembershipSettings.DEFAULT,
+                self,
+                seeds,
+                chance.nextLong(),
+                now,
+                new Membership.MembershipListener() {});
         var kinds = new StateBridge.EnabledTypes(true, true, marks, WriteOutcome.TYPE, true);
         var state = new ReplicatedState(members, kinds.types(), StateSettings.DEFAULT, chance.nextLong(), now);
         exchange = new StateBridge(
                 kinds, roam, routers, SOURCE, state, members, chance.split(), what -> time.in(0, what), this);
         if (!listed.isEmpty()) {
-            exchange.accept(new LocalEvent.EndpointListReceived(SOURCE, new EndpointList(revision, true, List.copyOf(listed.values()))), now);
+            exchange.accept(
+                    new LocalEvent.EndpointListReceived(
+                            SOURCE, new EndpointList(revision, true, List.copyOf(listed.values()))),
+                    now);
         }
         return new RouterIncarnation(members, state, List.of(members, exchange, state));
     }
@@ -88,7 +96,8 @@
 
     @Override
     public void listed(List<Endpoint> entries, boolean whole, long as) {
-        List<EndpointList.DiscoveredEndpoint> told = entries.stream().map(ModelPeer::entry).toList();
+        List<EndpointList.DiscoveredEndpoint> told =
+                entries.stream().map(ModelPeer::entry).toList();
         told.forEach(entry -> listed.put(entry.id(), entry));
         revision = as;
         tell(new LocalEvent.EndpointListReceived(SOURCE, new EndpointList(as, whole, told)));
@@ -97,7 +106,13 @@
     private static EndpointList.DiscoveredEndpoint entry(Endpoint listing) {
         Node node = listing.node();
         return new EndpointList.DiscoveredEndpoint(
-                node.id(), ADDRESS, node.zone(), node.replicaSetId(), listing.state(), listing.primary(), listing.startedAt());
+                node.id(),
+                ADDRESS,
+                node.zone(),
+                node.replicaSetId(),
+                listing.state(),
+                listing.primary(),
+                listing.startedAt());
     }
 
     @Override
--- a/lab/src/main/java/clayhook/lab/sharing/PeeredFleet.java
+++ b/lab/src/main/java/clayhook/lab/sharing/PeeredFleet.java
@@ -1,9 +1,9 @@
 package clayhook.lab.sharing;
 
 import clayhook.lab.model.FleetSpec;
-import clayhook.lab.model.PeerObservationListener;
 import clayhook.lab.model.PeerLink;
 import clayhook.lab.model.PeerLinkFactory;
+import clayhook.lab.model.PeerObservationListener;
 import clayhook.lab.model.Scheduler;
 import java.util.List;
 
@@ -31,7 +31,8 @@
         List<ModelPeer> peers = routers.stream()
                 .map(router -> new ModelPeer(time, router, routers.size(), !contact.marksCarried(), contact.roam()))
                 .toList();
-        company = new SimulatedPeerGroup(time, new SimulatedPeerGroup.Spec(routers.size(), way, loss), plan, peers::get, seed);
+        company = new SimulatedPeerGroup(
+                time, new SimulatedPeerGroup.Spec(routers.size(), way, loss), plan, peers::get, seed);
         company.routers().forEach(place -> peers.get(place.number()).at(place));
         return List.copyOf(peers);
     }
--- a/lab/src/main/java/clayhook/lab/sharing/PeeredRouter.java
+++ b/lab/src/main/java/clayhook/lab/sharing/PeeredRouter.java
@@ -1,12 +1,12 @@
 package clayhook.lab.sharing;
 
 import clayhook.fleet.Address;
-import clayhook.fleet.MessageDispatcher;
-import clayhook.fleet.ReplicatedType;
 import clayhook.fleet.Member;
-import clayhook.fleet.Peer;
 import clayhook.fleet.MembershipView;
+import clayhook.fleet.MessageDispatcher;
+import clayhook.fleet.Peer;
 import clayhook.fleet.ReplicatedStore;
+import clayhook.fleet.ReplicatedType;
 import clayhook.lab.model.Scheduler;
 import java.util.ArrayDeque;
 import java.util.List;
@@ -49,7 +49,13 @@
     private int deaths;
     private double wakeAt = Double.POSITIVE_INFINITY;
 
-    PeeredRouter(int number, Scheduler time, SimulatedNetwork network, RouterIncarnation.Factory birth, List<Address> seeds, long seed) {
+    PeeredRouter(
+            int number,
+            Scheduler time,
+            SimulatedNetwork network,
+            RouterIncarnation.Factory birth,
+            List<Address> seeds,
+            long seed) {
         this.number = number;
         this.time = time;
         this.network = network;
--- a/lab/src/main/java/clayhook/lab/sharing/RouterIncarnation.java
+++ b/lab/src/main/java/clayhook/lab/sharing/RouterIncarnation.java
@@ -1,13 +1,13 @@
 package clayhook.lab.sharing;
 
 import clayhook.fleet.Address;
-import clayhook.fleet.ReplicatedType;
-import clayhook.fleet.ProtocolHandler;
-import clayhook.fleet.Peer;
 import clayhook.fleet.MembershipView;
+import clayhook.fleet.Peer;
+import clayhook.fleet.ProtocolHandler;
 import clayhook.fleet.ReplicatedStore;
-import clayhook.fleet.members.MembershipSettings;
+import clayhook.fleet.ReplicatedType;
 import clayhook.fleet.members.Membership;
+import clayhook.fleet.members.MembershipSettings;
 import clayhook.fleet.state.ReplicatedState;
 import clayhook.fleet.state.StateSettings;
 import java.util.List;
@@ -17,7 +17,8 @@
  *
  * @param machines in the order of their turns
  */
-public record RouterIncarnation(MembershipView roster, ReplicatedStore shared, List<? extends ProtocolHandler> machines) {
+public record RouterIncarnation(
+        MembershipView roster, ReplicatedStore shared, List<? extends ProtocolHandler> machines) {
 
     /** Begins one; {@code now} is told by the router's own clock. */
     public interface Factory {
@@ -27,7 +28,8 @@
     /** The roster and the copy as routers run them, with nothing beside. */
     public static Factory sharing(List<ReplicatedType<?>> kinds) {
         return (self, seeds, seed, now) -> {
-            var members = new Membership(MembershipSettings.DEFAULT, self, seeds, seed, now, new Membership.MembershipListener() {});
+            var members = new Membership(
+                    MembershipSettings.DEFAULT, self, seeds, seed, now, new Membership.MembershipListener() {});
             var state = new ReplicatedState(members, kinds, StateSettings.DEFAULT, seed + 1, now);
             return new RouterIncarnation(members, state, List.of(members, state));
         };
--- a/lab/src/main/java/clayhook/lab/sharing/SharingMetrics.java
+++ b/lab/src/main/java/clayhook/lab/sharing/SharingMetrics.java
@@ -1,8 +1,8 @@
 package clayhook.lab.sharing;
 
 import clayhook.fleet.ReplicatedType;
-import clayhook.fleet.kinds.ListedEndpoint;
-import clayhook.fleet.kinds.SessionWrite;
+import clayhook.fleet.types.ListedEndpoint;
+import clayhook.fleet.types.SessionWrite;
 import clayhook.lab.model.VirtualScheduler;
 import java.lang.management.ManagementFactory;
 import java.util.Arrays;
@@ -45,7 +45,8 @@
         lines.accept(String.format(Locale.ROOT, format, figures));
     }
 
-    private static SimulatedPeerGroup company(VirtualScheduler time, SimulatedPeerGroup.Spec spec, FaultPlan plan, long seed) {
+    private static SimulatedPeerGroup company(
+            VirtualScheduler time, SimulatedPeerGroup.Spec spec, FaultPlan plan, long seed) {
         return new SimulatedPeerGroup(time, spec, plan, number -> RouterIncarnation.sharing(SharingTrial.KINDS), seed);
     }
 
@@ -59,7 +60,8 @@
                     "urgent",
                     lossy,
                     ListedEndpoint.TYPE,
-                    number -> new ListedEndpoint(number, ListedEndpoint.EndpointState.DRAINING, 0, false, "a", 1, "10.0.0.1", 1, START));
+                    number -> new ListedEndpoint(
+                            number, ListedEndpoint.EndpointState.DRAINING, 0, false, "a", 1, "10.0.0.1", 1, START));
             news("usual", lossy, SessionWrite.TYPE, number -> new SessionWrite(START + BETWEEN * number, 1));
         }
     }
@@ -105,7 +107,8 @@
     public void traffic() {
         for (int size : SIZES) {
             var time = new VirtualScheduler(START);
-            SimulatedPeerGroup company = company(time, new SimulatedPeerGroup.Spec(size, spec.way(), spec.loss()), FaultPlan.NONE, seed);
+            SimulatedPeerGroup company =
+                    company(time, new SimulatedPeerGroup.Spec(size, spec.way(), spec.loss()), FaultPlan.NONE, seed);
             time.run(START + SETTLED);
             traffic("no news", company, time);
             var learning = new GeneratedValues(SharingTrial.KINDS, seed);
--- a/lab/src/main/java/clayhook/lab/sharing/SharingSweep.java
+++ b/lab/src/main/java/clayhook/lab/sharing/SharingSweep.java
@@ -91,8 +91,9 @@
     }
 
     private Found shrunk(int seed) {
-        FaultPlan least =
-                plan(seed).shrunk(plan -> SharingTrial.play(spec, kinds, plan, seed).broken() != null);
-        return new Found(seed, least, SharingTrial.play(spec, kinds, least, seed).broken());
+        FaultPlan least = plan(seed)
+                .shrunk(plan -> SharingTrial.play(spec, kinds, plan, seed).broken() != null);
+        return new Found(
+                seed, least, SharingTrial.play(spec, kinds, least, seed).broken());
     }
 }
--- a/lab/src/main/java/clayhook/lab/sharing/SharingTrial.java
+++ b/lab/src/main/java/clayhook/lab/sharing/SharingTrial.java
@@ -1,14 +1,14 @@
 package clayhook.lab.sharing;
 
-import clayhook.fleet.ReplicatedType;
 import clayhook.fleet.Member;
 import clayhook.fleet.ReplicatedStore;
-import clayhook.fleet.kinds.NodeObservation;
-import clayhook.fleet.kinds.WriteOutcome;
-import clayhook.fleet.kinds.ListedEndpoint;
-import clayhook.fleet.kinds.SessionWrite;
-import clayhook.fleet.kinds.SessionConsistency;
-import clayhook.fleet.kinds.QuotaUsage;
+import clayhook.fleet.ReplicatedType;
+import clayhook.fleet.types.ListedEndpoint;
+import clayhook.fleet.types.NodeObservation;
+import clayhook.fleet.types.QuotaUsage;
+import clayhook.fleet.types.SessionConsistency;
+import clayhook.fleet.types.SessionWrite;
+import clayhook.fleet.types.WriteOutcome;
 import clayhook.lab.model.VirtualScheduler;
 import clayhook.lab.sharing.GeneratedValues.Said;
 import java.util.ArrayList;
@@ -41,7 +41,8 @@
     private static final double LOOK = 0.25;
 
     /** The values that routers share, in order of their numbers. */
-    public static final List<ReplicatedType<?>> KINDS = List.of(NodeObservation.TYPE, ListedEndpoint.TYPE, SessionWrite.TYPE, WriteOutcome.TYPE, QuotaUsage.TYPE);
+    public static final List<ReplicatedType<?>> KINDS =
+            List.of(NodeObservation.TYPE, ListedEndpoint.TYPE, SessionWrite.TYPE, WriteOutcome.TYPE, QuotaUsage.TYPE);
 
     /**
      * What is played.
@@ -79,7 +80,8 @@
         this.kinds = kinds;
         random = new SplittableRandom(seed);
         learning = new GeneratedValues(kinds, random.nextLong());
-        company = new SimulatedPeerGroup(time, spec.company(), plan, number -> RouterIncarnation.sharing(kinds), random.nextLong());
+        company = new SimulatedPeerGroup(
+                time, spec.company(), plan, number -> RouterIncarnation.sharing(kinds), random.nextLong());
         end = START + Math.max(spec.seconds(), plan.over());
         news();
     }
--- a/lab/src/main/java/clayhook/lab/sharing/SimulatedPeerGroup.java
+++ b/lab/src/main/java/clayhook/lab/sharing/SimulatedPeerGroup.java
@@ -1,9 +1,9 @@
 package clayhook.lab.sharing;
 
 import clayhook.fleet.Address;
-import clayhook.fleet.ReplicatedType;
 import clayhook.fleet.Member;
 import clayhook.fleet.Peer;
+import clayhook.fleet.ReplicatedType;
 import clayhook.lab.model.Scheduler;
 import java.util.ArrayList;
 import java.util.List;
@@ -32,7 +32,8 @@
     /**
      * They start at once, now; the plan's times count from then. {@code births} tells how each number of them lives.
      */
-    public SimulatedPeerGroup(Scheduler time, Spec spec, FaultPlan plan, IntFunction<RouterIncarnation.Factory> births, long seed) {
+    public SimulatedPeerGroup(
+            Scheduler time, Spec spec, FaultPlan plan, IntFunction<RouterIncarnation.Factory> births, long seed) {
         double start = time.now();
         network = new SimulatedNetwork(time, spec.routers(), spec.way(), spec.loss(), seed);
         List<Address> seeds = IntStream.range(0, Math.min(SEEDS, spec.routers()))
--- a/lab/src/test/java/clayhook/lab/model/LoopbackTest.java
+++ b/lab/src/test/java/clayhook/lab/model/LoopbackTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import clayhook.RequestClass;
-import clayhook.RequestClass.Idempotency;
 import clayhook.RequestClass.ConsistencyLevel;
 import clayhook.RequestClass.DeduplicationScope;
+import clayhook.RequestClass.Idempotency;
 import clayhook.lab.model.Failure.Kind;
 import java.util.List;
 import java.util.Map;
@@ -37,8 +37,13 @@
                 true,
                 false,
                 List.of(
-                        new FleetSpec.Kind(group("read", Idempotency.IDEMPOTENT, ConsistencyLevel.EVENTUAL), 4, 0.002, 0.5),
-                        new FleetSpec.Kind(group("write", Idempotency.IDEMPOTENT_WITH_KEY, ConsistencyLevel.WRITE), 1, 0.002, 0.5)),
+                        new FleetSpec.Kind(
+                                group("read", Idempotency.IDEMPOTENT, ConsistencyLevel.EVENTUAL), 4, 0.002, 0.5),
+                        new FleetSpec.Kind(
+                                group("write", Idempotency.IDEMPOTENT_WITH_KEY, ConsistencyLevel.WRITE),
+                                1,
+                                0.002,
+                                0.5)),
                 100,
                 List.of(),
                 10);
--- a/lab/src/test/java/clayhook/lab/model/SimulatedFleetTest.java
+++ b/lab/src/test/java/clayhook/lab/model/SimulatedFleetTest.java
@@ -4,13 +4,13 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import clayhook.Node;
 import clayhook.RequestClass;
-import clayhook.RequestClass.Idempotency;
 import clayhook.RequestClass.ConsistencyLevel;
 import clayhook.RequestClass.DeduplicationScope;
-import clayhook.Node;
-import clayhook.lab.model.RuleAudit.RuleKept;
+import clayhook.RequestClass.Idempotency;
 import clayhook.lab.model.Failure.Kind;
+import clayhook.lab.model.RuleAudit.RuleKept;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
@@ -20,7 +20,8 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 class SimulatedFleetTest {
-    private static final RequestClass BOUNDED = group("bounded", Idempotency.IDEMPOTENT, ConsistencyLevel.BOUNDED_STALENESS);
+    private static final RequestClass BOUNDED =
+            group("bounded", Idempotency.IDEMPOTENT, ConsistencyLevel.BOUNDED_STALENESS);
     private static final RequestClass SESSION = group("session", Idempotency.IDEMPOTENT, ConsistencyLevel.SESSION);
     private static final RequestClass ANY = group("any", Idempotency.IDEMPOTENT, ConsistencyLevel.EVENTUAL);
     private static final RequestClass KEYED = group("keyed", Idempotency.IDEMPOTENT_WITH_KEY, ConsistencyLevel.WRITE);
--- a/lab/src/test/java/clayhook/lab/sharing/SharingTrialTest.java
+++ b/lab/src/test/java/clayhook/lab/sharing/SharingTrialTest.java
@@ -5,18 +5,18 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import clayhook.RequestClass;
-import clayhook.RequestClass.Idempotency;
 import clayhook.RequestClass.ConsistencyLevel;
 import clayhook.RequestClass.DeduplicationScope;
+import clayhook.RequestClass.Idempotency;
 import clayhook.fleet.FieldReader;
 import clayhook.fleet.FieldWriter;
-import clayhook.lab.model.RuleAudit.RuleKept;
 import clayhook.lab.model.Failure;
-import clayhook.lab.model.SimulatedFleet;
 import clayhook.lab.model.FleetSpec;
 import clayhook.lab.model.MachineSpec;
 import clayhook.lab.model.PeerLinkFactory;
+import clayhook.lab.model.RuleAudit.RuleKept;
 import clayhook.lab.model.RunMetrics;
+import clayhook.lab.model.SimulatedFleet;
 import clayhook.lab.model.VirtualScheduler;
 import clayhook.lab.sharing.SharingFault.Kind;
 import java.util.ArrayList;
@@ -29,7 +29,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class SharingTrialTest {
-    private static final SharingTrial.Spec SPEC = new SharingTrial.Spec(new SimulatedPeerGroup.Spec(12, 0.0005, 0), 45, 30, 10);
+    private static final SharingTrial.Spec SPEC =
+            new SharingTrial.Spec(new SimulatedPeerGroup.Spec(12, 0.0005, 0), 45, 30, 10);
     private static final int FAULTS = 8;
     /** CI plays so many; a command of {@code lab run} as many as wanted. */
     private static final int SEEDS = 200;
@@ -40,7 +41,8 @@
 
     @Test
     void whateverBefallsAllAgreeInTheEnd() {
-        SharingSweep.Result result = new SharingSweep(SPEC, SharingTrial.KINDS, FaultPlan.NONE, FAULTS).play(seeds(SEEDS));
+        SharingSweep.Result result =
+                new SharingSweep(SPEC, SharingTrial.KINDS, FaultPlan.NONE, FAULTS).play(seeds(SEEDS));
         assertEquals(List.of(), result.found(), result::toString);
         assertEquals(0, result.failed());
     }
@@ -195,8 +197,10 @@
                 true,
                 false,
                 List.of(
-                        new FleetSpec.Kind(group("own", Idempotency.IDEMPOTENT, ConsistencyLevel.SESSION), 4, 0.004, 0.5),
-                        new FleetSpec.Kind(group("pay", Idempotency.IDEMPOTENT_WITH_KEY, ConsistencyLevel.WRITE), 1, 0.003, 0.5)),
+                        new FleetSpec.Kind(
+                                group("own", Idempotency.IDEMPOTENT, ConsistencyLevel.SESSION), 4, 0.004, 0.5),
+                        new FleetSpec.Kind(
+                                group("pay", Idempotency.IDEMPOTENT_WITH_KEY, ConsistencyLevel.WRITE), 1, 0.003, 0.5)),
                 300,
                 List.of(),
                 50,
--- a/gather/src/main/java/clayhook/gather/Aggregate.java
+++ b/scattergather/src/main/java/clayhook/scattergather/Aggregate.java
@@ -1,4 +1,4 @@
-package clayhook.gather;
+package clayhook.scattergather;
 
 /**
  * A figure over the rows of a group. Nulls do not count, as in PostgreSQL; without values it is null, and a count 0.
@@ -30,8 +30,8 @@
         /** How many unlike values: exact up to {@link DistinctAggregator#EXACT}, then a sketch. */
         DISTINCT,
         /**
-         * The least value that has that share of values at or below it: exact up to {@link QuantileAggregator#EXACT}, then a
-         * sketch.
+         * The least value that has that share of values at or below it: exact up to {@link QuantileAggregator#EXACT},
+         * then a sketch.
          */
         QUANTILE
     }
--- a/gather/src/main/java/clayhook/gather/AggregateColumn.java
+++ b/scattergather/src/main/java/clayhook/scattergather/AggregateColumn.java
@@ -1,4 +1,4 @@
-package clayhook.gather;
+package clayhook.scattergather;
 
 import java.util.List;
 
@@ -34,11 +34,16 @@
     private static int result(Aggregate.What what, int type, Column by) {
         ColumnType kind = ColumnType.of(type);
         return switch (what) {
-            case SUM -> kind == ColumnType.WHOLE ? type == ColumnType.INT8 ? ColumnType.NUMERIC : ColumnType.INT8 : kind.number() ? type : 0;
+            case SUM ->
+                kind == ColumnType.WHOLE
+                        ? type == ColumnType.INT8 ? ColumnType.NUMERIC : ColumnType.INT8
+                        : kind.number() ? type : 0;
             case COUNTED -> kind == ColumnType.WHOLE ? ColumnType.INT8 : 0;
             case MEAN -> kind.floating() ? ColumnType.FLOAT8 : kind.number() ? ColumnType.NUMERIC : 0;
             case MEAN_OF_SUMS ->
-                by == null || ColumnType.of(by.type()) != ColumnType.WHOLE ? 0 : result(Aggregate.What.MEAN, type, null);
+                by == null || ColumnType.of(by.type()) != ColumnType.WHOLE
+                        ? 0
+                        : result(Aggregate.What.MEAN, type, null);
             case COUNT, DISTINCT, LEAST, MOST, QUANTILE -> kind == ColumnType.OPAQUE ? 0 : type;
         };
     }
--- a/gather/src/main/java/clayhook/gather/Aggregator.java
+++ b/scattergather/src/main/java/clayhook/scattergather/Aggregator.java
@@ -1,4 +1,4 @@
-package clayhook.gather;
+package clayhook.scattergather;
 
 import static java.nio.charset.StandardCharsets.US_ASCII;
 
--- a/gather/src/main/java/clayhook/gather/BufferLimits.java
+++ b/scattergather/src/main/java/clayhook/scattergather/BufferLimits.java
@@ -1,4 +1,4 @@
-package clayhook.gather;
+package clayhook.scattergather;
 
 /**
  * What one gather may hold.
@@ -10,7 +10,8 @@
  * @param heldRows rows, or groups, that have to be held until the end
  * @param heldBytes memory for these
  */
-public record BufferLimits(int bufferRows, long bufferBytes, int longestRow, long partRows, long heldRows, long heldBytes) {
+public record BufferLimits(
+        int bufferRows, long bufferBytes, int longestRow, long partRows, long heldRows, long heldBytes) {
     /**
      * For a heap of 72 MB. What is read ahead of ten parts stays in a processor's caches; to read further ahead gains
      * nothing, as what is not read yet waits in the sockets.
--- a/gather/src/main/java/clayhook/gather/ColumnLayout.java
+++ b/scattergather/src/main/java/clayhook/scattergather/ColumnLayout.java
@@ -1,4 +1,4 @@
-package clayhook.gather;
+package clayhook.scattergather;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -21,7 +21,9 @@
     ColumnLayout(MergeSpec merging, List<Column> columns, ToDoubleFunction<GatherPart> positions) {
         this.columns = columns;
         reading = new ColumnReader(columns);
-        ranks = merging.duplicates() == null ? null : new DuplicateRanking(merging.duplicates(), columns, reading, positions);
+        ranks = merging.duplicates() == null
+                ? null
+                : new DuplicateRanking(merging.duplicates(), columns, reading, positions);
         Grouping grouping = merging.groups();
         if (grouping == null) {
             figures = List.of();
--- a/gather/src/main/java/clayhook/gather/ColumnType.java
+++ b/scattergather/src/main/java/clayhook/scattergather/ColumnType.java
@@ -1,4 +1,4 @@
-package clayhook.gather;
+package clayhook.scattergather;
 
 import static java.nio.charset.StandardCharsets.ISO_8859_1;
 
@@ -60,7 +60,10 @@
             case TEXT -> new ColumnValue.TextValue(Arrays.copyOfRange(in, from, from + length));
             case PADDED -> padded(in, from, length);
             case TIME -> TimestampParser.read(new String(in, from, length, ISO_8859_1));
-            case FLAG -> length == 1 && (in[from] == 't' || in[from] == 'f') ? new ColumnValue.BooleanValue(in[from] == 't') : null;
+            case FLAG ->
+                length == 1 && (in[from] == 't' || in[from] == 'f')
+                        ? new ColumnValue.BooleanValue(in[from] == 't')
+                        : null;
             case BYTES ->
                 length >= 2 && in[from] == '\\' && in[from + 1] == 'x' && digits(in, from + 2, length - 2)
                         ? new ColumnValue.TextValue(Arrays.copyOfRange(in, from, from + length))
--- a/gather/src/main/java/clayhook/gather/CompletionPolicy.java
+++ b/scattergather/src/main/java/clayhook/scattergather/CompletionPolicy.java
@@ -1,4 +1,4 @@
-package clayhook.gather;
+package clayhook.scattergather;
 
 /** Which parts an answer needs. */
 public sealed interface CompletionPolicy {
--- a/gather/src/main/java/clayhook/gather/DuplicateRanking.java
+++ b/scattergather/src/main/java/clayhook/scattergather/DuplicateRanking.java
@@ -1,8 +1,8 @@
-package clayhook.gather;
+package clayhook.scattergather;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import clayhook.gather.Duplicates.Rule;
+import clayhook.scattergather.Duplicates.Rule;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
@@ -25,7 +25,8 @@
     private boolean fit = true;
 
     /** @param positions of parts, as known when copies are compared */
-    DuplicateRanking(Duplicates duplicates, List<Column> columns, ColumnReader reading, ToDoubleFunction<GatherPart> positions) {
+    DuplicateRanking(
+            Duplicates duplicates, List<Column> columns, ColumnReader reading, ToDoubleFunction<GatherPart> positions) {
         key = duplicates.key().stream()
                 .mapToInt(name -> slot(name, columns, reading))
                 .toArray();
@@ -59,7 +60,9 @@
     }
 
     private static int newer(ColumnValue a, ColumnValue b) {
-        return a == ColumnValue.NULL || b == ColumnValue.NULL ? Boolean.compare(a == ColumnValue.NULL, b == ColumnValue.NULL) : b.compareTo(a);
+        return a == ColumnValue.NULL || b == ColumnValue.NULL
+                ? Boolean.compare(a == ColumnValue.NULL, b == ColumnValue.NULL)
+                : b.compareTo(a);
     }
 
     private Comparator<Row> ranking(Rule.Ranking rule, List<Column> columns, ColumnReader reading) {
--- a/gather/src/main/java/clayhook/gather/Gather.java
+++ b/scattergather/src/main/java/clayhook/scattergather/Gather.java
@@ -1,9 +1,9 @@
-package clayhook.gather;
+package clayhook.scattergather;
 
-import clayhook.gather.GatherResult.Truncation;
-import clayhook.gather.GatherResult.PartNote;
-import clayhook.gather.GatherResult.Outcome;
-import clayhook.gather.GatherResult.PartStatus;
+import clayhook.scattergather.GatherResult.Outcome;
+import clayhook.scattergather.GatherResult.PartNote;
+import clayhook.scattergather.GatherResult.PartStatus;
+import clayhook.scattergather.GatherResult.Truncation;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -322,7 +322,8 @@
             stream.clock(now);
             if (!stream.over && (expired || stream.late(plan.patience()))) {
                 acts.recall(stream.part);
-                stream.fall(PartStatus.LATE, expired ? "not there by the deadline" : "took longer than a part may", null);
+                stream.fall(
+                        PartStatus.LATE, expired ? "not there by the deadline" : "took longer than a part may", null);
                 note(stream);
             }
         }
--- a/gather/src/main/java/clayhook/gather/GatherFault.java
+++ b/scattergather/src/main/java/clayhook/scattergather/GatherFault.java
@@ -1,4 +1,4 @@
-package clayhook.gather;
+package clayhook.scattergather;
 
 /**
  * What is wrong with what came.
--- a/gather/src/main/java/clayhook/gather/GatherPart.java
+++ b/scattergather/src/main/java/clayhook/scattergather/GatherPart.java
@@ -1,4 +1,4 @@
-package clayhook.gather;
+package clayhook.scattergather;
 
 /**
  * One of those that an answer is gathered from, such as a group of nodes or a router.
--- a/gather/src/main/java/clayhook/gather/GatherPlan.java
+++ b/scattergather/src/main/java/clayhook/scattergather/GatherPlan.java
@@ -1,4 +1,4 @@
-package clayhook.gather;
+package clayhook.scattergather;
 
 /**
  * How to gather an answer.
@@ -8,11 +8,22 @@
  * @param oldest position of the oldest part that is fresh, seconds since 1970; negative infinity for any. A part of
  *     which no position was told is older than any bound.
  */
-public record GatherPlan(MergeSpec merging, CompletionPolicy enough, boolean marked, double patience, double oldest, BufferLimits bounds) {
+public record GatherPlan(
+        MergeSpec merging,
+        CompletionPolicy enough,
+        boolean marked,
+        double patience,
+        double oldest,
+        BufferLimits bounds) {
     /** All parts, of any age, within the deadline of the whole; a partial answer is marked. */
     public static GatherPlan of(MergeSpec merging) {
         return new GatherPlan(
-                merging, new CompletionPolicy.All(), true, Double.POSITIVE_INFINITY, Double.NEGATIVE_INFINITY, BufferLimits.DEFAULT);
+                merging,
+                new CompletionPolicy.All(),
+                true,
+                Double.POSITIVE_INFINITY,
+                Double.NEGATIVE_INFINITY,
+                BufferLimits.DEFAULT);
     }
 
     public GatherPlan enough(CompletionPolicy parts) {
--- a/gather/src/main/java/clayhook/gather/Limit.java
+++ b/scattergather/src/main/java/clayhook/scattergather/Limit.java
@@ -1,4 +1,4 @@
-package clayhook.gather;
+package clayhook.scattergather;
 
 /**
  * Where an answer is cut.
--- a/gather/src/main/java/clayhook/gather/LoserTree.java
+++ b/scattergather/src/main/java/clayhook/scattergather/LoserTree.java
@@ -1,4 +1,4 @@
-package clayhook.gather;
+package clayhook.scattergather;
 
 import java.util.Arrays;
 
--- a/gather/src/main/java/clayhook/gather/MemoryPool.java
+++ b/scattergather/src/main/java/clayhook/scattergather/MemoryPool.java
@@ -1,4 +1,4 @@
-package clayhook.gather;
+package clayhook.scattergather;
 
 /** Memory that all gathers of a router share. Called from the gathers' own thread. */
 public interface MemoryPool {
--- a/gather/src/main/java/clayhook/gather/MemoryReservation.java
+++ b/scattergather/src/main/java/clayhook/scattergather/MemoryReservation.java
@@ -1,4 +1,4 @@
-package clayhook.gather;
+package clayhook.scattergather;
 
 /** What one gather holds, out of the router's allowance and under its own bound. */
 final class MemoryReservation {
--- a/gather/src/main/java/clayhook/gather/QuantileAggregator.java
+++ b/scattergather/src/main/java/clayhook/scattergather/QuantileAggregator.java
@@ -1,4 +1,4 @@
-package clayhook.gather;
+package clayhook.scattergather;
 
 import java.math.BigDecimal;
 import java.util.ArrayList;
@@ -9,8 +9,8 @@
 /** A quantile as percentile_disc has it. Values up to a bound are held; beyond it numbers go into buckets. */
 public final class QuantileAggregator extends Aggregator {
     /**
-     * So many values give an exact quantile; more are told with {@link QuantileBuckets}' error, or not at all where they are no
-     * numbers.
+     * So many values give an exact quantile; more are told with {@link QuantileBuckets}' error, or not at all where
+     * they are no numbers.
      */
     public static final int EXACT = 1024, EXACT_BYTES = 1 << 15;
     /** Of an entry and its bytes, about. */
@@ -124,7 +124,9 @@
                 ? null
                 : !type.number()
                         ? GatherFault.Kind.FULL
-                        : !type.floating() && Double.isInfinite(buckets.quantile(share)) ? GatherFault.Kind.OVERFLOW : null;
+                        : !type.floating() && Double.isInfinite(buckets.quantile(share))
+                                ? GatherFault.Kind.OVERFLOW
+                                : null;
     }
 
     @Override
--- a/gather/src/main/java/clayhook/gather/Row.java
+++ b/scattergather/src/main/java/clayhook/scattergather/Row.java
@@ -1,4 +1,4 @@
-package clayhook.gather;
+package clayhook.scattergather;
 
 import java.nio.ByteBuffer;
 import java.util.Arrays;
--- a/gather/src/main/java/clayhook/gather/RowComparator.java
+++ b/scattergather/src/main/java/clayhook/scattergather/RowComparator.java
@@ -1,4 +1,4 @@
-package clayhook.gather;
+package clayhook.scattergather;
 
 import java.util.Comparator;
 import java.util.List;
@@ -14,7 +14,8 @@
         this.keys = keys.toArray(SortKey[]::new);
         this.slots = slots;
         ColumnType first = slots.length == 0 ? ColumnType.OPAQUE : reading.type(slots[0]);
-        roughIsAll = first == ColumnType.WHOLE || first == ColumnType.TIME || first == ColumnType.FLAG || first.floating();
+        roughIsAll =
+                first == ColumnType.WHOLE || first == ColumnType.TIME || first == ColumnType.FLAG || first.floating();
     }
 
     /** Null where one of the keys is no column that can be ordered. */
--- a/gather/src/main/java/clayhook/gather/RowSet.java
+++ b/scattergather/src/main/java/clayhook/scattergather/RowSet.java
@@ -1,4 +1,4 @@
-package clayhook.gather;
+package clayhook.scattergather;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
--- a/gather/src/main/java/clayhook/gather/SortKey.java
+++ b/scattergather/src/main/java/clayhook/scattergather/SortKey.java
@@ -1,4 +1,4 @@
-package clayhook.gather;
+package clayhook.scattergather;
 
 /** A column to order by. */
 public record SortKey(String column, boolean descending, boolean nullsFirst) {
--- a/gather/src/main/java/clayhook/gather/TimestampParser.java
+++ b/scattergather/src/main/java/clayhook/scattergather/TimestampParser.java
@@ -1,4 +1,4 @@
-package clayhook.gather;
+package clayhook.scattergather;
 
 import java.time.LocalDate;
 import java.time.YearMonth;
@@ -46,7 +46,9 @@
         // at most six digits of years are 3e19 microseconds, beyond a long; PostgreSQL's own end at the year 294276 is
         // not
         long since = LocalDate.of(year, month, day).toEpochDay() * DAY + seconds - zone;
-        return Math.abs(since) < Long.MAX_VALUE / MICROS - 1 ? new ColumnValue.TimestampValue(since * MICROS + micros) : null;
+        return Math.abs(since) < Long.MAX_VALUE / MICROS - 1
+                ? new ColumnValue.TimestampValue(since * MICROS + micros)
+                : null;
     }
 
     private static int number(Matcher fields, int group) {
--- a/gather/src/test/java/clayhook/gather/GatherTest.java
+++ b/scattergather/src/test/java/clayhook/scattergather/GatherTest.java
@@ -1,14 +1,14 @@
-package clayhook.gather;
+package clayhook.scattergather;
 
-import static clayhook.gather.GatherResult.Outcome.COMPLETE;
-import static clayhook.gather.GatherResult.Outcome.FAILED;
-import static clayhook.gather.GatherResult.Outcome.PARTIAL;
+import static clayhook.scattergather.GatherResult.Outcome.COMPLETE;
+import static clayhook.scattergather.GatherResult.Outcome.FAILED;
+import static clayhook.scattergather.GatherResult.Outcome.PARTIAL;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clayhook.gather.Duplicates.Rule;
-import clayhook.gather.GatherResult.PartStatus;
+import clayhook.scattergather.Duplicates.Rule;
+import clayhook.scattergather.GatherResult.PartStatus;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -24,7 +24,8 @@
     private static final GatherPlan SORTED = GatherPlan.of(MergeSpec.by(SortKey.ascending("k")));
 
     private final List<String> log = new ArrayList<>();
-    private final List<GatherPart> parts = List.of(new GatherPart("a", 0), new GatherPart("b", 1), new GatherPart("c", 2));
+    private final List<GatherPart> parts =
+            List.of(new GatherPart("a", 0), new GatherPart("b", 1), new GatherPart("c", 2));
     private GatherResult verdict;
 
     private Gather gather(GatherPlan plan, MemoryPool allowance) {
@@ -132,7 +133,8 @@
 
     @Test
     void aLimitThatIsReachedRecallsTheRest() {
-        Gather gather = gather(GatherPlan.of(MergeSpec.by(SortKey.ascending("k")).cut(Limit.rows(2))));
+        Gather gather =
+                gather(GatherPlan.of(MergeSpec.by(SortKey.ascending("k")).cut(Limit.rows(2))));
         whole(gather, 0, 1, "1", "2");
         gather.described(parts.get(1), COLUMNS);
         gather.row(parts.get(1), RowSet.message(List.of("1", "of b")));
@@ -182,7 +184,8 @@
         whole(gather, 1, 6, "2");
         gather.turn(2);
         assertEquals(standing, verdict.notes().get(2).standing());
-        assertEquals(standing == PartStatus.WHOLE || standing == PartStatus.SPARE ? COMPLETE : PARTIAL, verdict.outcome());
+        assertEquals(
+                standing == PartStatus.WHOLE || standing == PartStatus.SPARE ? COMPLETE : PARTIAL, verdict.outcome());
         assertTrue(verdict.enough());
         assertEquals(
                 switch (standing) {
@@ -200,9 +203,10 @@
     @ParameterizedTest
     @CsvSource({"true, MISSING, 1", "false, CUT, 3"})
     void whatCameOfAPartThatBrokeOff(boolean grouped, PartStatus standing, int rows) {
-        MergeSpec merging = MergeSpec.by().grouped(grouped ? new Grouping(List.of(), List.of(Aggregate.count("n"))) : null);
-        Gather gather = gather(
-                GatherPlan.of(grouped ? merging : MergeSpec.by(SortKey.ascending("k")).unsorted()));
+        MergeSpec merging =
+                MergeSpec.by().grouped(grouped ? new Grouping(List.of(), List.of(Aggregate.count("n"))) : null);
+        Gather gather = gather(GatherPlan.of(
+                grouped ? merging : MergeSpec.by(SortKey.ascending("k")).unsorted()));
         whole(gather, 0, 1, "1");
         whole(gather, 1, 1, "2");
         gather.described(parts.get(2), COLUMNS);
--- a/gather/src/test/java/clayhook/gather/GroupsPropertiesTest.java
+++ b/scattergather/src/test/java/clayhook/scattergather/GroupsPropertiesTest.java
@@ -1,13 +1,13 @@
-package clayhook.gather;
+package clayhook.scattergather;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clayhook.gather.Aggregate.What;
-import clayhook.gather.Sample.Line;
-import clayhook.gather.Sample.Value;
+import clayhook.scattergather.Aggregate.What;
+import clayhook.scattergather.Sample.Line;
+import clayhook.scattergather.Sample.Value;
 import java.math.BigDecimal;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -273,10 +273,12 @@
                         .verdict()
                         .fault()
                         .kind());
-        GatherResult sketched =
-                answer(Aggregate.of(What.DISTINCT, "t", "d"), columns.get(), rows).verdict();
+        GatherResult sketched = answer(Aggregate.of(What.DISTINCT, "t", "d"), columns.get(), rows)
+                .verdict();
         assertNull(sketched.fault());
-        assertEquals(DistinctAggregator.ERROR, Objects.requireNonNull(sketched.errors().get("d")));
+        assertEquals(
+                DistinctAggregator.ERROR,
+                Objects.requireNonNull(sketched.errors().get("d")));
     }
 
     private static RowSet.Answer answer(Aggregate measure, List<Column> columns, List<List<String>> rows) {
--- a/gather/src/test/java/clayhook/gather/MergePropertiesTest.java
+++ b/scattergather/src/test/java/clayhook/scattergather/MergePropertiesTest.java
@@ -1,13 +1,13 @@
-package clayhook.gather;
+package clayhook.scattergather;
 
-import static clayhook.gather.GatherResult.Outcome.COMPLETE;
+import static clayhook.scattergather.GatherResult.Outcome.COMPLETE;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clayhook.gather.Sample.Line;
-import clayhook.gather.GatherResult.PartStatus;
+import clayhook.scattergather.GatherResult.PartStatus;
+import clayhook.scattergather.Sample.Line;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -56,7 +56,10 @@
         Sample sample = new Sample(seed, 3, 10).arranged(true);
         Limit limit = new Limit(Long.MAX_VALUE, bytes, Long.MAX_VALUE);
         Play play = new Play(
-                seed, GatherPlan.of(new MergeSpec(sample.keys, true, null, null, limit)), Sample.COLUMNS, Play.texts(sample));
+                seed,
+                GatherPlan.of(new MergeSpec(sample.keys, true, null, null, limit)),
+                Sample.COLUMNS,
+                Play.texts(sample));
         GatherResult verdict = play.run();
         List<List<String>> whole = texts(sample.sorted(sample.all()));
         long sum = 0;
@@ -135,7 +138,10 @@
         GatherPlan plan = GatherPlan.of(new MergeSpec(sample.keys, streams, null, null, limit))
                 .within(TIGHT)
                 .patience(1 + random.nextInt(9))
-                .enough(enough == 0 ? new CompletionPolicy.All() : enough == 1 ? new CompletionPolicy.Quorum(quorum) : new CompletionPolicy.Best())
+                .enough(
+                        enough == 0
+                                ? new CompletionPolicy.All()
+                                : enough == 1 ? new CompletionPolicy.Quorum(quorum) : new CompletionPolicy.Best())
                 .notOlder(random.nextBoolean() ? 1 : Double.NEGATIVE_INFINITY);
         Play play = new Play(seed, marked ? plan : plan.wholeOrError(), Sample.COLUMNS, Play.texts(sample));
         var plays = new ArrayList<Play.Way>();
@@ -156,7 +162,8 @@
             assertFalse(verdict.position() < plan.oldest());
         } else {
             assertTrue(
-                    whole.size() < needed || verdict.cut().where() == GatherResult.Truncation.Where.DEADLINE, verdict.toString());
+                    whole.size() < needed || verdict.cut().where() == GatherResult.Truncation.Where.DEADLINE,
+                    verdict.toString());
         }
         if (!plays.contains(Play.Way.BREAKS_ONCE)) {
             assertEquals(parts, play.asks, "asked again without being told so");
--- a/gather/src/test/java/clayhook/gather/Play.java
+++ b/scattergather/src/test/java/clayhook/scattergather/Play.java
@@ -1,4 +1,4 @@
-package clayhook.gather;
+package clayhook.scattergather;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/statements/src/main/java/clayhook/statements/Classifier.java
+++ b/statements/src/main/java/clayhook/statements/Classifier.java
@@ -1,7 +1,7 @@
 package clayhook.statements;
 
-import clayhook.statements.ShapeFacts.Place;
 import clayhook.statements.Rule.Placement;
+import clayhook.statements.ShapeFacts.Place;
 import clayhook.statements.TokenBuffer.Kind;
 import com.dynatrace.hash4j.hashing.Hasher128;
 import com.dynatrace.hash4j.hashing.Hashing;
@@ -143,7 +143,8 @@
 
     private Classification ruled(ShapeFacts facts, Shape shape, double cost, double high, ClientIdentity client) {
         if (facts.verdict() == StatementEffect.REFUSED) {
-            return new Classification(StatementEffect.REFUSED, shape, "", 0, cost, high, "", facts.why(), 0, null, false);
+            return new Classification(
+                    StatementEffect.REFUSED, shape, "", 0, cost, high, "", facts.why(), 0, null, false);
         }
         String fingerprint = shape == null ? "" : shape.fingerprint;
         for (Rule rule : rules.rules()) {
--- a/statements/src/main/java/clayhook/statements/SessionSettings.java
+++ b/statements/src/main/java/clayhook/statements/SessionSettings.java
@@ -218,7 +218,9 @@
                 var more = new TreeMap<>(values);
                 more.put(name, sql);
                 values = Collections.unmodifiableMap(more);
-                client = name.equals("application_name") ? new ClientIdentity(client.user(), client.database(), plain) : client;
+                client = name.equals("application_name")
+                        ? new ClientIdentity(client.user(), client.database(), plain)
+                        : client;
                 return new Reply.Done("SET", name, plain);
             }
         }
@@ -250,7 +252,9 @@
 
     private String name(int i) {
         String text = text(i, i + 1);
-        return tokens.kinds[i] == Kind.QUOTED ? IdentifierRules.fold(IdentifierRules.unquote(text)) : IdentifierRules.fold(text);
+        return tokens.kinds[i] == Kind.QUOTED
+                ? IdentifierRules.fold(IdentifierRules.unquote(text))
+                : IdentifierRules.fold(text);
     }
 
     private String text(int from, int to) {
--- a/statements/src/main/java/clayhook/statements/ShapeAnalyzer.java
+++ b/statements/src/main/java/clayhook/statements/ShapeAnalyzer.java
@@ -220,9 +220,11 @@
             String first = word(shape, start);
             if (BLOCKS.contains(first)
                     || first.equals("prepare") && word(shape, start + 1).equals("transaction")) {
-                return ShapeFacts.unread(StatementEffect.REFUSED, "transaction blocks are not taken yet: " + first, first, false);
+                return ShapeFacts.unread(
+                        StatementEffect.REFUSED, "transaction blocks are not taken yet: " + first, first, false);
             } else if (BINDING.contains(first)) {
-                return ShapeFacts.unread(StatementEffect.REFUSED, "binds the session to a connection: " + first, first, false);
+                return ShapeFacts.unread(
+                        StatementEffect.REFUSED, "binds the session to a connection: " + first, first, false);
             }
             statements += start > 0 ? 1 : 0;
             start = i + 1;
@@ -254,7 +256,9 @@
         String kind = word(shape, first(shape));
         return statements > 1
                 ? ShapeFacts.unread(StatementEffect.WRITE, "several statements in one", kind, true)
-                : OPAQUE.contains(kind) ? ShapeFacts.unread(StatementEffect.WRITE, kind + " may run anything", kind, true) : null;
+                : OPAQUE.contains(kind)
+                        ? ShapeFacts.unread(StatementEffect.WRITE, kind + " may run anything", kind, true)
+                        : null;
     }
 
     /** CREATE, OR, REPLACE, LOCAL or GLOBAL may stand before TEMPORARY. */
--- a/statements/src/test/java/clayhook/statements/ClassifierTest.java
+++ b/statements/src/test/java/clayhook/statements/ClassifierTest.java
@@ -38,7 +38,12 @@
     }
 
     private static Rule rule(
-            StatementEffect verdict, Set<String> relations, String application, double costFrom, String mark, Placement nodes) {
+            StatementEffect verdict,
+            Set<String> relations,
+            String application,
+            double costFrom,
+            String mark,
+            Placement nodes) {
         return new Rule(
                 "r",
                 verdict,
@@ -209,8 +214,10 @@
                 Shape found = shapes.get(shaper);
                 assertEquals(round == 0 ? null : "select a" + i, found == null ? null : found.toString());
                 if (round == 0) {
-                    shapes.put(
-                            new Shape(("select a" + i).getBytes(UTF_8), "", ShapeFacts.unread(StatementEffect.READ, "", "", false)));
+                    shapes.put(new Shape(
+                            ("select a" + i).getBytes(UTF_8),
+                            "",
+                            ShapeFacts.unread(StatementEffect.READ, "", "", false)));
                 }
             }
         }
@@ -259,11 +266,15 @@
                         .verdict());
         assertEquals(
                 refuse ? StatementEffect.REFUSED : StatementEffect.WRITE,
-                classifier.classify("select 1".getBytes(UTF_8), ClientIdentity.UNKNOWN).verdict());
+                classifier
+                        .classify("select 1".getBytes(UTF_8), ClientIdentity.UNKNOWN)
+                        .verdict());
         assertEquals(
                 StatementEffect.READ,
                 classifier
-                        .classify("select a from t where b = c and d = e and f = g".getBytes(UTF_8), ClientIdentity.UNKNOWN)
+                        .classify(
+                                "select a from t where b = c and d = e and f = g".getBytes(UTF_8),
+                                ClientIdentity.UNKNOWN)
                         .verdict());
         assertEquals(StatementEffect.READ, classed(classifier, "select 1").verdict());
         assertEquals(1, classifier.counts().unread());
@@ -329,8 +340,8 @@
                 "a'b|insert into posts (b, mark) values (-1, 'a''b') on conflict do nothing"
             })
     void aWriteIsKeyedOnlyByOneMark(String mark, String text) {
-        Classification classed =
-                classed(rules(1 << 20, 2000, false, rule(StatementEffect.WRITE, Set.of("posts"), null, 0, "mark", null)), text);
+        Classification classed = classed(
+                rules(1 << 20, 2000, false, rule(StatementEffect.WRITE, Set.of("posts"), null, 0, "mark", null)), text);
         assertEquals(mark, classed.mark());
         assertEquals(mark == null ? "write" : "special", classed.group());
     }
--- a/statements/src/test/java/clayhook/statements/CorpusTest.java
+++ b/statements/src/test/java/clayhook/statements/CorpusTest.java
@@ -61,7 +61,9 @@
                 classifier.turn();
                 assertEquals(
                         given.verdict(),
-                        classifier.classify(given.bytes(), ClientIdentity.UNKNOWN).verdict(),
+                        classifier
+                                .classify(given.bytes(), ClientIdentity.UNKNOWN)
+                                .verdict(),
                         given::text);
             }
         }
