--- a/daemon/src/main/java/clayhook/backend/AttemptCompletion.java
+++ b/daemon/src/main/java/clayhook/backend/AttemptCompletion.java
@@ -4,11 +4,27 @@
 import java.util.List;
 import java.util.Set;
 
-/** How an attempt ended. */
+/** How a request to a node ended. */
 sealed interface AttemptCompletion {
+    /** SQLSTATE too_many_connections: the node is overloaded. */
+    String TOO_MANY_CONNECTIONS = "53300";
+
+    /** SQLSTATE query_canceled, by a time limit of the node for one; the statement has had no effect. */
+    String QUERY_CANCELED = "57014";
+
+    /** The node is read-only or behind; these are refusals of this very node. */
+    Set<String> NODE_STATE_ERRORS = Set.of("25006", "72000");
+
+    /** Connections, resources, operator intervention, system errors, configuration file, internal errors. */
+    Set<String> NODE_FAULT_CLASSES = Set.of("08", "53", "57", "58", "F0", "XX");
+
+    /** Characters of an SQLSTATE that name its class. */
+    int CLASS_LENGTH = 2;
+
+    /** What the routing policy is told. */
     AttemptOutcome outcome();
 
-    /** The node's answer is whole. */
+    /** The node's answer is complete. */
     record Answered() implements AttemptCompletion {
         @Override
         public AttemptOutcome outcome() {
@@ -16,15 +32,14 @@
         }
     }
 
-    /** The node answered with an error; before a connection stands, it turns the connection away. */
+    /** The node answered with an error; before the startup is complete, it rejects the connection. */
     record NodeError(String sqlState) implements AttemptCompletion {
         @Override
         public AttemptOutcome outcome() {
-            return switch (sqlState) {
-                case "25006", "72000" -> AttemptOutcome.REJECTED;
-                case TOO_MANY_CONNECTIONS -> AttemptOutcome.OVERLOADED;
-                default -> AttemptOutcome.ERROR;
-            };
+            if (NODE_STATE_ERRORS.contains(sqlState)) {
+                return AttemptOutcome.REJECTED;
+            }
+            return sqlState.equals(TOO_MANY_CONNECTIONS) ? AttemptOutcome.OVERLOADED : AttemptOutcome.ERROR;
         }
     }
 
@@ -36,32 +51,7 @@
         }
     }
 
-    /**
-     * How a whole answer ends that holds an error, or none. Where statements of any kind are sent, most errors say what
-     * is wrong with the statement, which has had no effect, and are answers; the classes that speak of the node are
-     * not. {@code opaque}: it may run transactions of its own, so that no error proves that nothing ran before it.
-     */
-    static AttemptCompletion ofAnswer(String code, boolean free, boolean opaque) {
-        if (opaque && TOO_MANY_CONNECTIONS.equals(code)) {
-            return new ProtocolViolation();
-        }
-        boolean answer = code == null
-                || free
-                        && !NODE_STATE_ERRORS.contains(code)
-                        && (code.equals(QUERY_CANCELED)
-                                || !NODE_FAULT_CLASSES.contains(code.substring(0, Math.min(2, code.length()))));
-        return answer ? new Answered() : new NodeError(code);
-    }
-
-    String TOO_MANY_CONNECTIONS = "53300";
-    /** Read-only or behind; these are refusals of this very node. */
-    Set<String> NODE_STATE_ERRORS = Set.of("25006", "72000");
-    /** Connections, resources, operator intervention, system errors, configuration file, internal errors. */
-    Set<String> NODE_FAULT_CLASSES = Set.of("08", "53", "57", "58", "F0", "XX");
-    /** The statement was cancelled, by a time limit of the node for one; it has had no effect. */
-    String QUERY_CANCELED = "57014";
-
-    /** What came cannot be understood; the node works, and the command may have run. */
+    /** What came cannot be understood; the node works, and the statement may have run. */
     record ProtocolViolation() implements AttemptCompletion {
         @Override
         public AttemptOutcome outcome() {
@@ -77,7 +67,7 @@
         }
     }
 
-    /** The time to wait is over. */
+    /** The attempt's timeout has passed. */
     record TimedOut(AttemptPhase phase) implements AttemptCompletion {
         @Override
         public AttemptOutcome outcome() {
@@ -85,11 +75,36 @@
         }
     }
 
-    /** It is wanted no longer, or may not go out any more. */
+    /** The router needs it no longer, or may not send it any more. */
     record Cancelled(AttemptPhase phase) implements AttemptCompletion {
         @Override
         public AttemptOutcome outcome() {
             return phase.mayHaveRun() ? AttemptOutcome.CANCELLED : AttemptOutcome.NOT_SENT;
         }
     }
+
+    /**
+     * How a complete answer ends that holds an error, or none. Most errors of statements of any kind say what is wrong
+     * with the statement, which has had no effect, and are answers; those that speak of the node are not.
+     *
+     * @param sqlState code of the error in the answer, or null
+     * @param freeForm the answer is to a statement of any kind
+     * @param mayChangeSession the statement may run transactions of its own, so that no error proves that nothing ran
+     *     before it
+     */
+    static AttemptCompletion ofAnswer(String sqlState, boolean freeForm, boolean mayChangeSession) {
+        if (mayChangeSession && TOO_MANY_CONNECTIONS.equals(sqlState)) {
+            return new ProtocolViolation();
+        }
+        boolean isAnswer = sqlState == null || freeForm && !isNodeError(sqlState);
+        return isAnswer ? new Answered() : new NodeError(sqlState);
+    }
+
+    private static boolean isNodeError(String sqlState) {
+        if (NODE_STATE_ERRORS.contains(sqlState)) {
+            return true;
+        }
+        String sqlClass = sqlState.substring(0, Math.min(CLASS_LENGTH, sqlState.length()));
+        return !sqlState.equals(QUERY_CANCELED) && NODE_FAULT_CLASSES.contains(sqlClass);
+    }
 }
--- a/daemon/src/main/java/clayhook/backend/BackendClient.java
+++ b/daemon/src/main/java/clayhook/backend/BackendClient.java
@@ -6,13 +6,11 @@
 import clayhook.config.OperatorConfiguration;
 import clayhook.log.Log;
 import clayhook.protocol.MemoryBudget;
-import clayhook.protocol.MessageEncoder;
 import clayhook.protocol.NodeMessage;
 import clayhook.protocol.OutboundStatement;
 import clayhook.transport.DescriptorBudget;
 import clayhook.transport.SlewedClock;
 import clayhook.transport.Transport;
-import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandler;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
@@ -21,97 +19,125 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Sends dispatches and probes to nodes over pooled connections and tells how each ended. */
+/**
+ * Sends attempts and health checks to nodes over pooled connections and reports how each ended. Decides nothing: what
+ * to send where, and until when, is the routing policy's.
+ *
+ * <p>Event loop only, but for the constructor. Each attempt that was sent completes exactly once, be it from within
+ * {@link #send} or any other method here; each listener call may call back into this object.
+ */
 public final class BackendClient {
     /** Connections are closed after this part of the time at which nodes do so at the latest. */
     private static final double IDLE_TIMEOUT_FRACTION = 0.6;
-    /** Reads the load report; it is a probe, as is the plain query where nodes do not report. */
+
+    /** Reads the load report; it is a health check, as is the plain query where nodes do not report. */
     private static final byte[] HEALTH_CHECK_QUERY = "SHOW load".getBytes(StandardCharsets.UTF_8);
 
-    /** Hears how attempts ended. */
+    /** An eighth of the memory is for answers that are coming in, as clients' statements may take another. */
+    private static final int MEMORY_DIVISOR = 8;
+
+    /** SQLSTATE protocol_violation. */
+    private static final String MALFORMED_STATEMENT = "08P01";
+
+    /** Hears how attempts ended, and is asked what may be sent. Called on the event loop. */
     public interface Listener {
         /**
-         * {@code answer} holds the messages for the client after an answer, and the node's error where it sent one to a
-         * statement of any kind; {@code error} is that error's code. Either may be null.
+         * An attempt ended.
+         *
+         * @param result the outcome, and what the node reported of itself
+         * @param answer the messages for the client after an answer, and the node's error where it sent one to a
+         *     statement of any kind; or null
+         * @param sqlState the code of that error, or null
          */
-        void onAttemptFinished(Attempt dispatch, AttemptResult reply, List<byte[]> answer, String error);
+        void onAttemptFinished(Attempt attempt, AttemptResult result, List<byte[]> answer, String sqlState);
 
-        void onHealthCheck(Node node, AttemptResult reply);
+        /** A health check ended. */
+        void onHealthCheck(Node node, AttemptResult result);
 
-        /** Whether a dispatch that waited for its connection may still go out; asked also while it goes on waiting. */
-        boolean mayStillSend(Attempt dispatch);
+        /** Whether an attempt that waited for its connection may still be sent; asked also while it goes on waiting. */
+        boolean mayStillSend(Attempt attempt);
 
-        /** Whether anything may be sent to that node yet. */
+        /** Whether the routing policy may send anything to a node yet. */
         boolean isKnown(Node node);
     }
 
-    /** An eighth of the memory for answers that are coming in, as clients' statements may take another. */
-    private static final int MEMORY_DIVISOR = 8;
-
-    final MemoryBudget answerMemory;
-    private final OperatorConfiguration operator;
+    private final MemoryBudget answerMemory;
+    private final ConnectionProfile profile;
     private final Listener listener;
     private final SlewedClock clock;
     private final DescriptorBudget descriptors;
     private final double connectTimeoutSeconds;
     private final double idleTimeoutSeconds;
     private final Transport transport;
-    /** Nodes leave once they are known no more and their last connection has ended. */
+    /** By node id; a node leaves once the policy knows it no more and its last connection has ended. */
     private final Map<String, ConnectionPool> pools = new HashMap<>();
-    /** Each leaves with its outcome. */
+    /** Each leaves with its completion. */
     private final Map<Attempt, BackendRequest> requests = new HashMap<>();
 
+    /**
+     * Registers itself with {@code descriptors} as the side that closes idle connections to nodes.
+     *
+     * @param memoryBytes memory of the process, of which answers take a part
+     * @param connectTimeoutSeconds for a connection from its opening until its startup is complete
+     * @param idleSeconds the time at which nodes close idle connections at the earliest
+     */
     public BackendClient(
             Transport transport,
             SlewedClock clock,
             DescriptorBudget descriptors,
-            long memory,
-            double connectTimeout,
-            double idle,
+            long memoryBytes,
+            double connectTimeoutSeconds,
+            double idleSeconds,
             OperatorConfiguration operator,
             Listener listener) {
-        this.operator = operator;
-        answerMemory = new MemoryBudget(memory / MEMORY_DIVISOR);
+        profile = new ConnectionProfile(operator);
+        answerMemory = new MemoryBudget(memoryBytes / MEMORY_DIVISOR);
         this.listener = listener;
         this.clock = clock;
         this.descriptors = descriptors;
-        this.connectTimeoutSeconds = connectTimeout;
-        this.idleTimeoutSeconds = idle * IDLE_TIMEOUT_FRACTION;
+        this.connectTimeoutSeconds = connectTimeoutSeconds;
+        idleTimeoutSeconds = idleSeconds * IDLE_TIMEOUT_FRACTION;
         this.transport = transport;
         descriptors.setNodeEvictor(this::closeLongestIdle);
     }
 
-    /** The node of that id, at that address. */
-    public Node registerNode(String id, String zone, int group, InetSocketAddress address) {
+    // ---- nodes ----
+
+    /** The node of an id, which is at this address from now on; registers it where it is new. */
+    public Node registerNode(String id, String zone, int replicaSetId, InetSocketAddress address) {
         ConnectionPool pool =
-                pools.computeIfAbsent(id, any -> new ConnectionPool(this, new Node(id, zone, group), address));
+                pools.computeIfAbsent(id, any -> new ConnectionPool(this, new Node(id, zone, replicaSetId), address));
         pool.updateAddress(address);
         return pool.node;
     }
 
-    /** The node of that id, or null for one that was not listed here. */
+    /** The node of an id, or null where none is registered. */
     public Node findNode(String id) {
         ConnectionPool pool = pools.get(id);
         return pool == null ? null : pool.node;
     }
 
-    /** Whether any node of that group was ever listed. */
-    public boolean hasReplicaSet(int group) {
-        return pools.values().stream().anyMatch(pool -> pool.node.replicaSetId() == group);
+    /** Whether any node of a replica set is registered. */
+    public boolean hasReplicaSet(int replicaSetId) {
+        return pools.values().stream().anyMatch(pool -> pool.node.replicaSetId() == replicaSetId);
     }
 
-    public void send(Attempt dispatch, OutboundStatement outgoing) {
-        var attempt = new BackendRequest(dispatch.node, dispatch, outgoing, clock.now());
-        requests.put(dispatch, attempt);
-        ConnectionPool pool = pools.get(dispatch.node.id());
+    // ---- requests ----
+
+    /** Sends an attempt to its node, as soon as a connection is idle. */
+    public void send(Attempt attempt, OutboundStatement statement) {
+        BackendRequest request = BackendRequest.forAttempt(attempt, statement, clock.now());
+        requests.put(attempt, request);
+        ConnectionPool pool = pools.get(attempt.node.id());
         if (pool == null) {
-            // Guards against an attempt without an ending, at a node that was forgotten.
-            complete(attempt, new AttemptCompletion.Cancelled(attempt.phase), null);
+            // The node was forgotten; without this the attempt would never complete.
+            complete(request, new AttemptCompletion.Cancelled(request.phase), null);
         } else {
-            pool.submit(attempt);
+            pool.submit(request);
         }
     }
 
+    /** Sends a health check, unless one is under way at the node or the node is not registered. */
     public void startHealthCheck(Node node) {
         ConnectionPool pool = pools.get(node.id());
         if (pool != null) {
@@ -119,61 +145,46 @@
         }
     }
 
-    /** The time to wait for a dispatch is over. */
-    public void expire(Attempt dispatch) {
-        BackendRequest attempt = requests.get(dispatch);
-        if (attempt != null) {
-            pools.get(dispatch.node.id()).abandon(attempt, new AttemptCompletion.TimedOut(attempt.phase));
+    /** The attempt's timeout has passed: completes it without waiting for its answer. No-op once it is complete. */
+    public void expire(Attempt attempt) {
+        BackendRequest request = requests.get(attempt);
+        if (request != null) {
+            poolOf(request).abandon(request, new AttemptCompletion.TimedOut(request.phase));
         }
     }
 
-    public void cancel(Attempt dispatch) {
-        BackendRequest attempt = requests.get(dispatch);
-        if (attempt != null) {
-            pools.get(dispatch.node.id()).abandon(attempt, new AttemptCompletion.Cancelled(attempt.phase));
+    /** Completes an attempt that is not needed any more without waiting for its answer. No-op once it is complete. */
+    public void cancel(Attempt attempt) {
+        BackendRequest request = requests.get(attempt);
+        if (request != null) {
+            poolOf(request).abandon(request, new AttemptCompletion.Cancelled(request.phase));
         }
     }
 
-    /** Its client has gone: it goes no more if it waits for its connection; once written it keeps its connection. */
-    public void cancelIfUnsent(Attempt dispatch) {
-        BackendRequest attempt = requests.get(dispatch);
-        if (attempt != null && attempt.connection == null) {
-            cancel(dispatch);
+    /** Cancels an attempt only if it waits for its connection; once written it keeps its connection until it ends. */
+    public void cancelIfUnsent(Attempt attempt) {
+        BackendRequest request = requests.get(attempt);
+        if (request != null && request.connection == null) {
+            cancel(attempt);
         }
     }
 
-    /** Closes what has been opening, probing or idle for too long. */
+    private ConnectionPool poolOf(BackendRequest request) {
+        return pools.get(request.node.id());
+    }
+
+    // ---- upkeep ----
+
+    /** Ends what has been connecting, in a health check or idle for too long; forgets unknown nodes. */
     public void sweep() {
-        double begunBefore = clock.now() - connectTimeoutSeconds;
+        double startedBefore = clock.now() - connectTimeoutSeconds;
         for (ConnectionPool pool : pools.values()) {
-            pool.sweep(begunBefore, idleCutoff());
+            pool.sweep(startedBefore, idleCutoff());
         }
         pools.values().removeIf(pool -> pool.isUnused() && !listener.isKnown(pool.node));
     }
 
-    /** What has been idle since before then is not written to. */
-    double idleCutoff() {
-        return clock.now() - idleTimeoutSeconds;
-    }
-
-    /** Whether an attempt that waited may still go out. */
-    boolean mayStillSend(BackendRequest attempt) {
-        return attempt.attempt == null || listener.mayStillSend(attempt.attempt);
-    }
-
-    /** One that waits may not go out any more, and not for its time limit, which is an ending of its own. */
-    boolean isCancelled(BackendRequest attempt) {
-        return !mayStillSend(attempt) && clock.now() < attempt.attempt.timeoutAt;
-    }
-
-    /** What to write for an attempt now. */
-    byte[] queryText(BackendRequest attempt) {
-        return attempt.attempt == null
-                ? HEALTH_CHECK_QUERY
-                : attempt.statement.textWithTimeout(attempt.attempt.timeoutAt - clock.now());
-    }
-
-    /** Gives the longest idle connection of any node back, if there is one. */
+    /** Closes the longest idle connection of all nodes; false where none is idle. */
     private boolean closeLongestIdle() {
         ConnectionPool oldest = null;
         for (ConnectionPool pool : pools.values()) {
@@ -184,90 +195,109 @@
                 && oldest.closeIdleBefore(Math.nextUp(oldest.oldestIdleSince())) > 0;
     }
 
-    /** What really is under way at each node: attempts that were written or wait. */
+    /** The attempts under way at each node, written or waiting, as text for the log. */
     public String inFlightByNode() {
         var counts = new TreeMap<String, Integer>();
-        requests.values().forEach(attempt -> counts.merge(attempt.node.id(), 1, Integer::sum));
+        requests.values().forEach(request -> counts.merge(request.node.id(), 1, Integer::sum));
         return counts.toString();
     }
 
-    /** How many connections stand or open. */
+    /** Connections to nodes that are open or being opened. */
     public int connectionCount() {
         return descriptors.nodeCount();
     }
 
-    /** How many of them wait for something to carry. */
+    /** Connections to nodes that wait for a request. */
     public int idleCount() {
         return pools.values().stream().mapToInt(ConnectionPool::idleCount).sum();
     }
 
-    boolean reserveDescriptor() {
-        return descriptors.tryAcquireForNode();
+    // ---- for the pools ----
+
+    double now() {
+        return clock.now();
     }
 
-    void connect(NodeConnection connection) {
-        transport.connect(
-                connection.address,
-                connectTimeoutSeconds,
-                () -> new ChannelHandler[] {connection.decoder, connection},
-                connection::close);
+    /** Connections idle since before this time, in clock seconds, are not written to. */
+    double idleCutoff() {
+        return clock.now() - idleTimeoutSeconds;
     }
 
-    void countOpened() {
-        Log.count("opened");
+    /** Whether a request that waited may still be sent. */
+    boolean mayStillSend(BackendRequest request) {
+        return request.isHealthCheck() || listener.mayStillSend(request.attempt);
+    }
+
+    /** Whether a request may not be sent any more, but for its timeout, which is a completion of its own. */
+    boolean isCancelled(BackendRequest request) {
+        return !mayStillSend(request) && clock.now() < request.attempt.timeoutAt;
+    }
+
+    /** The text to write for a request now. */
+    byte[] queryText(BackendRequest request) {
+        return request.isHealthCheck()
+                ? HEALTH_CHECK_QUERY
+                : request.statement.textWithTimeout(request.attempt.timeoutAt - clock.now());
+    }
+
+    /** Takes a descriptor for one more connection; false where none is left. */
+    boolean reserveDescriptor() {
+        return descriptors.tryAcquireForNode();
     }
 
     void releaseDescriptor() {
         descriptors.releaseForNode();
     }
 
-    ByteBuf startupMessage() {
-        return operator.statements() == null
-                ? MessageEncoder.startupMessage(operator.user(), operator.database())
-                : MessageEncoder.startupMessage(operator.user(), operator.database(), "client_encoding", "UTF8");
+    NodeConnection newConnection(ConnectionPool pool, InetSocketAddress address) {
+        return new NodeConnection(pool, profile, answerMemory, address, clock.now());
     }
 
-    /** Whether a node that tells this of itself cuts statements as they are cut here. */
-    boolean acceptsParameter(String name, String value) {
-        return operator.statements() == null
-                || switch (name) {
-                    case "client_encoding" -> value.equalsIgnoreCase("UTF8");
-                    case "standard_conforming_strings" ->
-                        value.equals(operator.statements().rules().conforming() ? "on" : "off");
-                    default -> true;
-                };
+    void connect(NodeConnection connection) {
+        transport.connect(
+                connection.address,
+                connectTimeoutSeconds,
+                () -> new ChannelHandler[] {connection.decoder, connection},
+                connection::close);
     }
 
-    /** Bytes of an answer to a statement of any kind. */
-    int maxAnswerBytes() {
-        return operator.statements().maxAnswerBytes();
+    void countOpened() {
+        Log.count("opened");
     }
 
-    double now() {
-        return clock.now();
+    /** Reports a completion; {@code connection} has the answer, null where the request was never written. */
+    void complete(BackendRequest request, AttemptCompletion completion, NodeConnection connection) {
+        double sentAt = request.isHealthCheck() ? request.startedAt : request.attempt.sentAt;
+        double elapsedSeconds = clock.now() - sentAt;
+        AttemptResult result = connection == null
+                ? AttemptResult.withoutReport(completion.outcome(), elapsedSeconds)
+                : connection.result(completion, elapsedSeconds);
+        if (request.isHealthCheck()) {
+            listener.onHealthCheck(request.node, result);
+            return;
+        }
+        requests.remove(request.attempt);
+        boolean forwardsError =
+                completion instanceof AttemptCompletion.NodeError && connection != null && request.hasFreeFormResult();
+        listener.onAttemptFinished(
+                request.attempt,
+                result,
+                messagesForClient(completion, connection, forwardsError),
+                forwardsError ? connection.sqlState() : null);
     }
 
-    void complete(BackendRequest attempt, AttemptCompletion ending, NodeConnection by) {
-        double took = clock.now() - (attempt.attempt == null ? attempt.startedAt : attempt.attempt.sentAt);
-        AttemptResult reply =
-                by == null ? AttemptResult.withoutReport(ending.outcome(), took) : by.result(ending, took);
-        if (attempt.attempt == null) {
-            listener.onHealthCheck(attempt.node, reply);
-        } else {
-            requests.remove(attempt.attempt);
-            boolean refused = ending instanceof AttemptCompletion.NodeError
-                    && by != null
-                    && attempt.statement.hasFreeFormResult();
-            List<byte[]> answer = ending instanceof AttemptCompletion.LocalAnswer concluded
-                    ? concluded.messages()
-                    : refused || ending instanceof AttemptCompletion.Answered ? by.answerMessages() : null;
-            listener.onAttemptFinished(attempt.attempt, reply, answer, refused ? by.sqlState() : null);
+    private static List<byte[]> messagesForClient(
+            AttemptCompletion completion, NodeConnection connection, boolean forwardsError) {
+        if (completion instanceof AttemptCompletion.LocalAnswer local) {
+            return local.messages();
         }
+        boolean answered = forwardsError || completion instanceof AttemptCompletion.Answered;
+        return answered ? connection.answerMessages() : null;
     }
 
     void onErrorResponse(Node node, NodeMessage.ErrorResponse error) {
-        if (error.sqlState().equals("08P01")) {
-            logWarning("node " + node.id() + " calls a statement malformed: " + error.errorText());
+        if (error.sqlState().equals(MALFORMED_STATEMENT)) {
+            logWarning("node " + node.id() + " rejected a statement as malformed: " + error.errorText());
         }
     }
 
--- a/daemon/src/main/java/clayhook/backend/BackendRequest.java
+++ b/daemon/src/main/java/clayhook/backend/BackendRequest.java
@@ -4,29 +4,48 @@
 import clayhook.Node;
 import clayhook.protocol.OutboundStatement;
 
-/** A dispatch or a probe on its way to a node. */
+/** An attempt or a health check on its way to a node. Event loop only. */
 final class BackendRequest {
     final Node node;
-    /** Null for a probe. */
+    /** Null for a health check. */
     final Attempt attempt;
-
+    /** Null for a health check. */
     final OutboundStatement statement;
+    /** Clock seconds. */
     final double startedAt;
+
     AttemptPhase phase = AttemptPhase.NOT_CONNECTED;
-    /** Its ending was told; there is no other, and it goes nowhere any more. */
+    /** Its completion was reported; there is no other, and it is not written any more. */
     boolean completed;
-    /** The connection that it was written to. */
+    /** The connection that it was written to, or null. */
     NodeConnection connection;
 
-    BackendRequest(Node node, Attempt dispatch, OutboundStatement outgoing, double startedAt) {
+    private BackendRequest(Node node, Attempt attempt, OutboundStatement statement, double startedAt) {
         this.node = node;
-        this.attempt = dispatch;
-        this.statement = outgoing;
+        this.attempt = attempt;
+        this.statement = statement;
         this.startedAt = startedAt;
     }
 
-    /** It may be sent on that connection without changing the settings there first; a probe on any. */
-    boolean canUse(NodeConnection connection) {
-        return statement == null || statement.settings().equals(connection.settings());
+    static BackendRequest forAttempt(Attempt attempt, OutboundStatement statement, double now) {
+        return new BackendRequest(attempt.node, attempt, statement, now);
+    }
+
+    static BackendRequest healthCheck(Node node, double now) {
+        return new BackendRequest(node, null, null, now);
+    }
+
+    boolean isHealthCheck() {
+        return attempt == null;
+    }
+
+    /** Whether its answer may have any columns, rows and results. */
+    boolean hasFreeFormResult() {
+        return statement != null && statement.hasFreeFormResult();
+    }
+
+    /** Whether it may be sent on a connection without changing the settings there first; a health check on any. */
+    boolean canUse(NodeConnection candidate) {
+        return statement == null || statement.settings().equals(candidate.settings());
     }
 }
--- a/daemon/src/main/java/clayhook/backend/ConnectionPool.java
+++ b/daemon/src/main/java/clayhook/backend/ConnectionPool.java
@@ -2,7 +2,6 @@
 
 import clayhook.Node;
 import clayhook.protocol.NodeMessage;
-import io.netty.buffer.ByteBuf;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -11,233 +10,259 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The connections to one node, and the attempts that wait for one. */
+/**
+ * The connections to one node, and the requests that wait for one. A request takes the first connection that becomes
+ * idle, opened for it or not; connections are opened while more requests wait than connections are being prepared.
+ *
+ * <p>Event loop only. Completions are reported from within its methods and may call back into them, which is why every
+ * loop here runs over a copy.
+ */
 final class ConnectionPool {
     final Node node;
-    InetSocketAddress address;
+    private InetSocketAddress address;
     private final BackendClient client;
     /** Newest first. */
     private final ArrayDeque<NodeConnection> idle = new ArrayDeque<>();
+    /** Connections that start up or change their settings. */
+    private final Set<NodeConnection> preparing = new LinkedHashSet<>();
 
-    private final Set<NodeConnection> opening = new LinkedHashSet<>();
     private final ArrayDeque<BackendRequest> waiting = new ArrayDeque<>();
-    /** Connections that stand, open or carry something. */
+    /** Connections that are idle, being prepared or carry a request. */
     private int connectionCount;
-    /** The probe that is out, or null. */
+    /** The health check that is under way, or null. */
     private BackendRequest healthCheck;
 
-    ConnectionPool(BackendClient nodes, Node node, InetSocketAddress address) {
-        this.client = nodes;
+    ConnectionPool(BackendClient client, Node node, InetSocketAddress address) {
+        this.client = client;
         this.node = node;
         this.address = address;
     }
 
-    /** Another address: the old connections carry on what they have and get nothing new. */
-    void updateAddress(InetSocketAddress to) {
-        if (to.equals(address)) {
-            return;
-        }
-        address = to;
-        closeIdleBefore(Double.POSITIVE_INFINITY);
-        // Guards against failing attempts, and judging the node, by connections to where it is no more.
-        List<NodeConnection> old = List.copyOf(opening);
-        opening.clear();
-        old.forEach(NodeConnection::close);
-        assignConnections();
-    }
+    // ---- requests ----
 
+    /** Sends a health check unless one is under way. */
     void startHealthCheck() {
         if (healthCheck == null) {
-            healthCheck = new BackendRequest(node, null, null, client.now());
+            healthCheck = BackendRequest.healthCheck(node, client.now());
             submit(healthCheck);
         }
     }
 
-    void submit(BackendRequest attempt) {
-        // Guards against a sweep that is rarer than connections are closed by their node: nothing else was in hand.
+    /** Sends a request as soon as a connection is idle. */
+    void submit(BackendRequest request) {
+        // A node may close idle connections more often than sweeps come: an expired one must not be written to.
         closeIdleBefore(client.idleCutoff());
-        waiting.add(attempt);
+        waiting.add(request);
         assignConnections();
     }
 
+    /** Completes a request without waiting for its answer. */
+    void abandon(BackendRequest request, AttemptCompletion completion) {
+        if (request.connection != null) {
+            request.connection.abandon(completion);
+        } else {
+            waiting.remove(request);
+            complete(request, completion, null);
+        }
+    }
+
+    /** Reports how a request ended, once; {@code connection} has its answer, null where it was never written. */
+    void complete(BackendRequest request, AttemptCompletion completion, NodeConnection connection) {
+        if (request.completed) {
+            return;
+        }
+        request.completed = true;
+        healthCheck = request == healthCheck ? null : healthCheck;
+        client.complete(request, completion, connection);
+    }
+
     private void assignConnections() {
-        for (BackendRequest next : List.copyOf(waiting)) {
-            if (next.completed) {
-                continue;
-            } else if (!idle.isEmpty() && !client.mayStillSend(next)) {
-                abandon(next, new AttemptCompletion.Cancelled(next.phase));
-                continue;
-            }
-            NodeConnection fitting = findIdle(next);
-            if (fitting != null && waiting.remove(next)) {
-                idle.remove(fitting);
-                fitting.send(next, client.queryText(next));
-            } else if (fitting == null && !idle.isEmpty() && opening.size() < waiting.size()) {
-                NodeConnection other = idle.pollLast();
-                if (other.isQuiet()) {
-                    opening.add(other);
-                    other.changeSettings(next.statement.settings(), client.now());
-                } else {
-                    other.close();
-                }
+        for (BackendRequest request : List.copyOf(waiting)) {
+            if (!request.completed) {
+                assignIdle(request);
             }
         }
-        while (opening.size() < waiting.size()) {
-            if (!client.reserveDescriptor()) {
-                // Guards against holding the want of our own descriptors against a node: nothing was asked of it.
-                complete(waiting.poll(), new AttemptCompletion.Cancelled(AttemptPhase.NOT_CONNECTED), null);
-                continue;
-            }
-            var connection = new NodeConnection(this, address, client.answerMemory, client.now());
-            connectionCount++;
-            opening.add(connection);
-            client.connect(connection);
+        while (preparing.size() < waiting.size()) {
+            openConnection();
         }
     }
 
-    /** An idle connection that it may be written to, or null; ones found ended or spoilt on the way are closed. */
-    private NodeConnection findIdle(BackendRequest attempt) {
+    private void assignIdle(BackendRequest request) {
+        if (idle.isEmpty()) {
+            return;
+        } else if (!client.mayStillSend(request)) {
+            abandon(request, new AttemptCompletion.Cancelled(request.phase));
+            return;
+        }
+        NodeConnection usable = findIdle(request);
+        if (usable != null && waiting.remove(request)) {
+            idle.remove(usable);
+            usable.send(request, client.queryText(request));
+        } else if (usable == null && !idle.isEmpty() && preparing.size() < waiting.size()) {
+            changeSettingsOfIdle(request);
+        }
+    }
+
+    /** An idle connection that a request may be written to, or null; closes those found to be ended or not quiet. */
+    private NodeConnection findIdle(BackendRequest request) {
         for (NodeConnection connection : List.copyOf(idle)) {
-            if (attempt.canUse(connection) && connection.isQuiet()) {
+            if (request.canUse(connection) && connection.isQuiet()) {
                 return connection;
-            } else if (attempt.canUse(connection)) {
+            } else if (request.canUse(connection)) {
                 connection.close();
             }
         }
         return null;
     }
 
+    /** Gives the longest idle connection the settings that a request needs. */
+    private void changeSettingsOfIdle(BackendRequest request) {
+        NodeConnection connection = idle.pollLast();
+        if (connection.isQuiet()) {
+            preparing.add(connection);
+            connection.changeSettings(request.statement.settings(), client.now());
+        } else {
+            connection.close();
+        }
+    }
+
+    private void openConnection() {
+        if (!client.reserveDescriptor()) {
+            // Nothing was asked of the node: a lack of descriptors here must not count as its failure.
+            complete(waiting.poll(), new AttemptCompletion.Cancelled(AttemptPhase.NOT_CONNECTED), null);
+            return;
+        }
+        NodeConnection connection = client.newConnection(this, address);
+        connectionCount++;
+        preparing.add(connection);
+        client.connect(connection);
+    }
+
+    // ---- what connections report ----
+
+    /** A connection has started up. */
     void onStarted(NodeConnection connection) {
         client.countOpened();
         onReady(connection);
     }
 
     /**
-     * Guards against opening one after the other to a node that ends each at once: that is a connection that failed.
+     * A connection was given other settings, or its node refused them: then so is one request that asks for them.
+     *
+     * @param refusal the node's error, or null
+     */
+    void onSettingsChanged(
+            NodeConnection connection, AttemptCompletion.LocalAnswer refusal, Map<String, String> asked) {
+        BackendRequest refused = refusal == null ? null : firstWaitingFor(asked);
+        if (refused != null) {
+            waiting.remove(refused);
+            complete(refused, refusal, null);
+        }
+        onReady(connection);
+    }
+
+    private BackendRequest firstWaitingFor(Map<String, String> settings) {
+        return waiting.stream()
+                .filter(request ->
+                        !request.isHealthCheck() && request.statement.settings().equals(settings))
+                .findFirst()
+                .orElse(null);
+    }
+
+    /**
+     * A connection that ends as soon as it is ready counts as one that failed, and takes a waiting request with it;
+     * else a node that does so would be connected to in an endless loop.
      */
     private void onReady(NodeConnection connection) {
         if (connection.isQuiet()) {
-            opening.remove(connection);
+            preparing.remove(connection);
             onIdle(connection);
         } else {
             connection.close();
         }
     }
 
+    /** A connection may carry the next request. */
     void onIdle(NodeConnection connection) {
-        if (!connection.address.equals(address)) {
+        if (connection.address.equals(address)) {
+            connection.idleSince = client.now();
+            idle.push(connection);
+        } else {
             connection.close();
-            assignConnections();
-            return;
         }
-        connection.idleSince = client.now();
-        idle.push(connection);
         assignConnections();
     }
 
-    /** A connection was given other settings, or its node refused them: then so is a statement that asks for them. */
-    void onSettingsChanged(
-            NodeConnection connection, AttemptCompletion.LocalAnswer refusal, Map<String, String> asked) {
-        BackendRequest refused = refusal == null
-                ? null
-                : waiting.stream()
-                        .filter(attempt -> attempt.statement != null
-                                && attempt.statement.settings().equals(asked))
-                        .findFirst()
-                        .orElse(null);
-        if (refused != null) {
-            waiting.remove(refused);
-            complete(refused, refusal, null);
-        }
-        onReady(connection);
-    }
-
-    /** A connection ended; one that never came up takes the attempt that has waited longest with it. */
-    void onClosed(NodeConnection connection, boolean up, String refusal) {
+    /**
+     * A connection ended; one that was being prepared completes the request that has waited longest.
+     *
+     * @param started its startup was complete
+     * @param startupSqlState code of an error before that, or null
+     */
+    void onClosed(NodeConnection connection, boolean started, String startupSqlState) {
         connectionCount--;
         idle.remove(connection);
         client.releaseDescriptor();
-        if (opening.remove(connection) && waiting.size() > opening.size()) {
+        if (preparing.remove(connection) && waiting.size() > preparing.size()) {
+            boolean overloaded = !started && AttemptCompletion.TOO_MANY_CONNECTIONS.equals(startupSqlState);
             complete(
                     waiting.poll(),
-                    !up && refusal != null && refusal.equals(AttemptCompletion.TOO_MANY_CONNECTIONS)
-                            ? new AttemptCompletion.NodeError(refusal)
+                    overloaded
+                            ? new AttemptCompletion.NodeError(startupSqlState)
                             : new AttemptCompletion.ConnectionLost(AttemptPhase.NOT_CONNECTED),
                     null);
         }
     }
 
-    void complete(BackendRequest attempt, AttemptCompletion ending, NodeConnection by) {
-        if (attempt.completed) {
-            return;
-        }
-        attempt.completed = true;
-        healthCheck = attempt == healthCheck ? null : healthCheck;
-        client.complete(attempt, ending, by);
-    }
+    // ---- upkeep ----
 
-    /** Stops waiting for an attempt. */
-    void abandon(BackendRequest attempt, AttemptCompletion ending) {
-        if (attempt.connection != null) {
-            attempt.connection.abandon(ending);
-        } else {
-            waiting.remove(attempt);
-            complete(attempt, ending, null);
+    /** The node has another address: its old connections finish what they carry and get nothing new. */
+    void updateAddress(InetSocketAddress newAddress) {
+        if (newAddress.equals(address)) {
+            return;
         }
+        address = newAddress;
+        closeIdleBefore(Double.POSITIVE_INFINITY);
+        // Emptied first: a failure to connect to the old address must not fail requests, which count against the node.
+        List<NodeConnection> outdated = List.copyOf(preparing);
+        preparing.clear();
+        outdated.forEach(NodeConnection::close);
+        assignConnections();
     }
 
-    /** Ends connections that have been opening and the probe that has been out since before then; and idle ones. */
-    void sweep(double begunBefore, double idleBefore) {
-        // Guards against holding for a connection what its client, the node or the limits of repeats have called off.
-        for (BackendRequest next : List.copyOf(waiting)) {
-            if (client.isCancelled(next)) {
-                abandon(next, new AttemptCompletion.Cancelled(next.phase));
+    /**
+     * Ends what has taken too long or is not needed any more. Times are clock seconds.
+     *
+     * @param startedBefore closes connections prepared, and fails a health check sent, since before then
+     * @param idleBefore closes connections idle since before then
+     */
+    void sweep(double startedBefore, double idleBefore) {
+        // A request whose client, node or retry limits have cancelled it must not wait on for a connection.
+        for (BackendRequest request : List.copyOf(waiting)) {
+            if (client.isCancelled(request)) {
+                abandon(request, new AttemptCompletion.Cancelled(request.phase));
             }
         }
-        List.copyOf(opening).stream()
-                .filter(c -> c.preparingSince < begunBefore)
+        List.copyOf(preparing).stream()
+                .filter(connection -> connection.preparingSince < startedBefore)
                 .forEach(NodeConnection::close);
-        if (healthCheck != null && healthCheck.startedAt < begunBefore) {
+        if (healthCheck != null && healthCheck.startedAt < startedBefore) {
             abandon(healthCheck, new AttemptCompletion.TimedOut(healthCheck.phase));
         }
         closeIdleBefore(idleBefore);
     }
 
-    /** Closes the connections idle since before that time; returns how many. */
-    int closeIdleBefore(double before) {
-        var old = new ArrayList<NodeConnection>();
-        while (!idle.isEmpty() && idle.peekLast().idleSince < before) {
-            old.add(idle.pollLast());
+    /** Closes the connections idle since before a time; returns how many. */
+    int closeIdleBefore(double time) {
+        var expired = new ArrayList<NodeConnection>();
+        while (!idle.isEmpty() && idle.peekLast().idleSince < time) {
+            expired.add(idle.pollLast());
         }
-        old.forEach(NodeConnection::close);
-        return old.size();
-    }
-
-    ByteBuf startupMessage() {
-        return client.startupMessage();
-    }
-
-    boolean acceptsParameter(NodeMessage.ParameterStatus told) {
-        return client.acceptsParameter(told.name(), told.value());
+        expired.forEach(NodeConnection::close);
+        return expired.size();
     }
 
-    int maxAnswerBytes() {
-        return client.maxAnswerBytes();
-    }
-
-    boolean reserveMemory(int bytes) {
-        return client.answerMemory.tryReserve(bytes);
-    }
-
-    void releaseMemory(int bytes) {
-        client.answerMemory.release(bytes);
-    }
-
-    double now() {
-        return client.now();
-    }
-
-    /** No connection and no attempt is left of it. */
+    /** Whether no connection and no request is left. */
     boolean isUnused() {
         return connectionCount == 0 && waiting.isEmpty();
     }
@@ -246,10 +271,17 @@
         return idle.size();
     }
 
+    /** Since when the longest idle connection has been idle, in clock seconds; infinite where none is. */
     double oldestIdleSince() {
         return idle.isEmpty() ? Double.POSITIVE_INFINITY : idle.peekLast().idleSince;
     }
 
+    // ---- for its connections ----
+
+    double now() {
+        return client.now();
+    }
+
     void onErrorResponse(NodeMessage.ErrorResponse error) {
         client.onErrorResponse(node, error);
     }
--- a/daemon/src/main/java/clayhook/backend/NodeConnection.java
+++ b/daemon/src/main/java/clayhook/backend/NodeConnection.java
@@ -1,8 +1,6 @@
 package clayhook.backend;
 
 import clayhook.AttemptResult;
-import clayhook.Role;
-import clayhook.config.LoadReport;
 import clayhook.protocol.MemoryBudget;
 import clayhook.protocol.MessageEncoder;
 import clayhook.protocol.NodeMessage;
@@ -10,152 +8,185 @@
 import clayhook.statements.SessionSettings;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
-import io.netty.channel.ChannelOutboundBuffer;
-import io.netty.channel.nio.AbstractNioChannel;
-import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.nio.ByteBuffer;
-import java.nio.channels.SocketChannel;
 import java.nio.charset.StandardCharsets;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** One connection to a node; it carries one attempt at a time. */
+/**
+ * One connection to a node; it carries one {@link BackendRequest} at a time. It starts up, is idle, answers or changes
+ * its settings; what an answer holds is left to {@link AnswerReader}. Event loop only.
+ */
 final class NodeConnection extends ChannelInboundHandlerAdapter {
-    /** A few times what passes between two writes of one peer: what follows an answer by then is not the next one's. */
+    /**
+     * A connection stays reserved for so long after an answer: a few times what passes between two writes of one peer,
+     * so that surplus bytes are noticed before the next request is written.
+     */
     private static final int QUIET_PERIOD_MS = 2;
-    /** Before a description of rows, and after their end. */
-    private static final int NO_ROW_DESCRIPTION = -1;
-
-    /** What may come next. Nothing may come on a connection that is idle. */
-    private enum Expected {
-        STARTUP,
-        SETTINGS,
-        ANY_RESULT,
-        ROW_DESCRIPTION,
-        DATA_ROW,
-        COMMAND_COMPLETE,
-        READY_FOR_QUERY,
-        NOTHING
+
+    /** SQLSTATE insufficient_resources: out_of_memory. */
+    private static final String OUT_OF_MEMORY = "53200";
+
+    /** SQLSTATE program_limit_exceeded. */
+    private static final String LIMIT_EXCEEDED = "54000";
+
+    private enum State {
+        STARTING,
+        IDLE,
+        CHANGING_SETTINGS,
+        ANSWERING
     }
 
     final NodeMessageDecoder decoder;
-    private final ConnectionPool pool;
     final InetSocketAddress address;
-    /** Since when it has been opening or is given other settings. */
+    /** Clock seconds since which it has been starting up or changing its settings. */
     double preparingSince;
-
+    /** Clock seconds since which it has been idle. */
     double idleSince;
+
+    private final ConnectionPool pool;
+    private final ConnectionProfile profile;
+    private final AnswerReader answer;
+    private final NodeReport report;
     private ChannelHandlerContext context;
-    private Expected expected = Expected.STARTUP;
+    private State state = State.STARTING;
     private boolean startupComplete;
     private boolean closed;
-    /** What is due once all that was read together has been looked at, or null: it got ready or its answer is whole. */
+    /** Runs once all messages of one read have been handled, or null: the connection got ready or answered. */
     private Runnable onReadComplete;
-    /** What it ran may have left something behind in its session. */
+    /** A statement that it ran may have changed its session, which then serves no other. */
     private boolean closeAfterAnswer;
-
+    /** The request that it carries, or null. */
     private BackendRequest request;
-    /** The last byte of the request in hand has gone out. */
+    /** The last byte of {@link #request} has gone out. */
     private boolean requestWritten;
-    /** What this connection was given, and what it is being given. */
+    /** What the node's session was given, as text of SQL. */
     private Map<String, String> settings = Map.of();
-
+    /** What it is being given. */
     private Map<String, String> requestedSettings = Map.of();
-    // what the answer in hand has told so far
-    private int answerBytes;
-    private int reservedBytes;
-    /** Of the rows that may come now. */
-    private int columnCount;
-
-    private boolean resultComplete;
-    private List<byte[]> answerMessages = List.of();
-    private String loadReportText;
-    private String sqlState;
-    private Role role;
-    private double position;
-    private LoadReport loadReport;
-
-    NodeConnection(ConnectionPool pool, InetSocketAddress address, MemoryBudget allowance, double openedAt) {
+    /** The node's refusal of {@link #requestedSettings}, or null. */
+    private byte[] settingsError;
+    /** Code of an error before the startup was complete, or null. */
+    private String startupSqlState;
+
+    NodeConnection(
+            ConnectionPool pool,
+            ConnectionProfile profile,
+            MemoryBudget answerMemory,
+            InetSocketAddress address,
+            double openedAt) {
         this.pool = pool;
-        decoder = new NodeMessageDecoder(allowance);
+        this.profile = profile;
         this.address = address;
+        decoder = new NodeMessageDecoder(answerMemory);
+        answer = new AnswerReader(answerMemory, profile);
+        report = new NodeReport(pool::now);
         preparingSince = openedAt;
     }
 
-    @Override
-    public void handlerAdded(ChannelHandlerContext ctx) {
-        context = ctx;
-    }
-
-    @Override
-    public void channelActive(ChannelHandlerContext ctx) {
-        ctx.writeAndFlush(pool.startupMessage());
-    }
+    // ---- what the pool asks for ----
 
     Map<String, String> settings() {
         return settings;
     }
 
-    /** Changes the settings; the connection must be idle, and tells the pool when it is done. */
-    void changeSettings(Map<String, String> to, double now) {
+    /** Whether neither an end nor a byte has come to this idle connection, also since the loop last polled it. */
+    boolean isQuiet() {
+        return ChannelInspector.isQuiet(context.channel());
+    }
+
+    /** Gives the node's session other settings; the connection must be idle, and tells the pool when it is done. */
+    void changeSettings(Map<String, String> newSettings, double now) {
         preparingSince = now;
-        requestedSettings = to;
-        sqlState = null;
-        expected = Expected.SETTINGS;
-        context.writeAndFlush(
-                MessageEncoder.query(SessionSettings.change(settings, to).getBytes(StandardCharsets.UTF_8)));
+        requestedSettings = newSettings;
+        settingsError = null;
+        state = State.CHANGING_SETTINGS;
+        String statements = SessionSettings.change(settings, newSettings);
+        context.writeAndFlush(MessageEncoder.query(statements.getBytes(StandardCharsets.UTF_8)));
     }
 
-    /** Writes the request of an attempt; the connection must be idle. */
-    void send(BackendRequest started, byte[] query) {
-        request = started;
-        started.connection = this;
-        started.phase = AttemptPhase.PARTLY_WRITTEN;
+    /** Writes a request; the connection must be idle. */
+    void send(BackendRequest newRequest, byte[] queryText) {
+        request = newRequest;
+        newRequest.connection = this;
+        newRequest.phase = AttemptPhase.PARTLY_WRITTEN;
         requestWritten = false;
-        boolean free = started.statement != null && started.statement.hasFreeFormResult();
-        decoder.expectFreeFormResult(free);
-        expected = free ? Expected.ANY_RESULT : Expected.ROW_DESCRIPTION;
-        answerBytes = reservedBytes = 0;
-        columnCount = NO_ROW_DESCRIPTION;
-        resultComplete = false;
-        answerMessages = new ArrayList<>();
-        loadReportText = null;
-        sqlState = null;
-        role = Role.UNKNOWN;
-        position = 0;
-        loadReport = LoadReport.NONE;
-        context.writeAndFlush(MessageEncoder.query(query)).addListener(done -> {
-            requestWritten |= done.isSuccess() && request == started;
-            if (done.isSuccess() && started.phase == AttemptPhase.PARTLY_WRITTEN) {
-                started.phase = AttemptPhase.WRITTEN;
+        boolean freeForm = newRequest.hasFreeFormResult();
+        decoder.expectFreeFormResult(freeForm);
+        answer.begin(freeForm);
+        report.reset();
+        state = State.ANSWERING;
+        context.writeAndFlush(MessageEncoder.query(queryText)).addListener(written -> {
+            if (written.isSuccess()) {
+                onWritten(newRequest);
             }
         });
     }
 
-    /**
-     * Bytes of the request stand here yet; between channels of one process an answer may come before the write is told.
-     */
-    private boolean hasUnsentBytes() {
-        ChannelOutboundBuffer standing = context.channel().unsafe().outboundBuffer();
-        return standing != null && !standing.isEmpty();
+    private void onWritten(BackendRequest writtenRequest) {
+        requestWritten |= request == writtenRequest;
+        if (writtenRequest.phase == AttemptPhase.PARTLY_WRITTEN) {
+            writtenRequest.phase = AttemptPhase.WRITTEN;
+        }
     }
 
-    /** Whether neither an end nor a byte has come to this idle connection, also since the loop last looked. */
-    boolean isQuiet() {
-        if (!context.channel().isActive()) {
-            return false;
+    /** Ends the request without waiting for its answer; the connection closes, so that a late answer is never read. */
+    void abandon(AttemptCompletion completion) {
+        completeRequest(completion);
+        close();
+    }
+
+    /** Closes the connection, from either side; the request that it carries has failed. */
+    void close() {
+        if (closed) {
+            return;
+        }
+        closed = true;
+        if (request != null) {
+            // A fatal error ends the connection with no ReadyForQuery after it.
+            completeRequest(
+                    answer.sqlState() != null
+                            ? new AttemptCompletion.NodeError(answer.sqlState())
+                            : new AttemptCompletion.ConnectionLost(request.phase));
         }
-        try {
-            // Guards against a request whose fate nobody can tell, and against what was there before as its answer.
-            return !(context.channel().unsafe() instanceof AbstractNioChannel.NioUnsafe unsafe
-                    && unsafe.ch() instanceof SocketChannel socket
-                    && socket.read(ByteBuffer.allocate(1)) != 0);
-        } catch (IOException e) {
-            return false;
+        if (context != null) {
+            context.close();
         }
+        pool.onClosed(this, startupComplete, startupSqlState);
+    }
+
+    // ---- what came with the last answer ----
+
+    /** The result of a request that ended so; what the node reported counts only with a whole answer. */
+    AttemptResult result(AttemptCompletion completion, double elapsedSeconds) {
+        boolean answered =
+                completion instanceof AttemptCompletion.Answered || completion instanceof AttemptCompletion.NodeError;
+        return answered
+                ? report.toResult(completion.outcome(), elapsedSeconds)
+                : AttemptResult.withoutReport(completion.outcome(), elapsedSeconds);
+    }
+
+    /** The messages of the last answer, as they came. */
+    List<byte[]> answerMessages() {
+        return answer.messages();
+    }
+
+    /** Code of the error in the last answer, or null. */
+    String sqlState() {
+        return answer.sqlState();
+    }
+
+    // ---- what the channel delivers ----
+
+    @Override
+    public void handlerAdded(ChannelHandlerContext ctx) {
+        context = ctx;
+    }
+
+    @Override
+    public void channelActive(ChannelHandlerContext ctx) {
+        ctx.writeAndFlush(profile.startupMessage());
     }
 
     @Override
@@ -164,187 +195,127 @@
             return;
         } else if (message instanceof NodeMessage.Malformed malformed) {
             failProtocol(malformed.reason());
-        } else if (expected == Expected.NOTHING) {
-            failProtocol("what it was not asked");
-        } else if (expected == Expected.STARTUP) {
-            onStartupMessage(message);
-        } else if (expected == Expected.SETTINGS) {
-            onSettingsMessage(message);
-        } else if (!requestWritten
-                && hasUnsentBytes()
-                && (message instanceof NodeMessage.Part || message instanceof NodeMessage.ReadyForQuery)) {
-            // Guards against a request whose rest goes out after it was counted as answered.
-            failProtocol("an answer to what it was not sent whole");
-        } else {
-            onAnswerMessage(message);
+            return;
+        }
+        switch (state) {
+            case STARTING -> onStartupMessage(message);
+            case IDLE -> failProtocol("an unsolicited message");
+            case CHANGING_SETTINGS -> onSettingsMessage(message);
+            case ANSWERING -> onAnswerMessage(message);
         }
     }
 
     private void onStartupMessage(Object message) {
         if (message instanceof NodeMessage.ReadyForQuery) {
             startupComplete = true;
-            expected = Expected.NOTHING;
+            state = State.IDLE;
             onReadComplete = () -> pool.onStarted(this);
         } else if (message instanceof NodeMessage.ErrorResponse error) {
-            sqlState = error.sqlState();
-        } else if (message instanceof NodeMessage.ParameterStatus told && !pool.acceptsParameter(told)) {
-            // Guards against text that is a string here and code there.
-            failProtocol(told.name() + " '" + told.value() + "', which the operator's file says otherwise");
+            startupSqlState = error.sqlState();
+        } else if (message instanceof NodeMessage.ParameterStatus status
+                && !profile.acceptsParameter(status.name(), status.value())) {
+            failProtocol(status.name() + " '" + status.value() + "', which contradicts the operator's file");
         } else if (message instanceof NodeMessage.Part) {
-            failProtocol("a row before it was asked");
+            failProtocol("a row before any query");
         }
     }
 
-    /** An error undoes all that was asked with it. */
+    /** An error undoes all settings that were asked for with it. */
     private void onSettingsMessage(Object message) {
         if (message instanceof NodeMessage.ErrorResponse error) {
-            sqlState = error.sqlState();
-            answerMessages = List.of(error.message());
+            settingsError = error.message();
         } else if (message instanceof NodeMessage.ReadyForQuery) {
-            expected = Expected.NOTHING;
-            Map<String, String> asked = requestedSettings;
-            settings = sqlState == null ? asked : settings;
-            AttemptCompletion.LocalAnswer refused =
-                    sqlState == null ? null : new AttemptCompletion.LocalAnswer(answerMessages);
-            onReadComplete = () -> pool.onSettingsChanged(this, refused, asked);
-        } else if (!(message instanceof NodeMessage.Part part && part.type() == 'C'
-                || message instanceof NodeMessage.Notice
-                || message instanceof NodeMessage.ParameterStatus)) {
-            failProtocol("an answer out of order");
+            onSettingsAnswered();
+        } else if (!isPartOfSettingsAnswer(message)) {
+            failProtocol("a message out of order");
         }
     }
 
-    /** The parts of an answer to a statement of any kind. */
-    private void onResultMessage(Object message) {
-        request.phase = AttemptPhase.ANSWERING;
-        if (message instanceof NodeMessage.ParameterStatus status) {
-            onParameterStatus(status.name(), status.value());
-        } else if (message instanceof NodeMessage.Part part
-                && (part.type() == 'D'
-                        ? part.columnCount() == columnCount
-                        : part.type() == 'C' || columnCount == NO_ROW_DESCRIPTION)) {
-            columnCount = part.type() == 'T' || part.type() == 'D' ? part.columnCount() : NO_ROW_DESCRIPTION;
-            resultComplete |= columnCount == NO_ROW_DESCRIPTION;
-            appendToAnswer(part.message());
-        } else if (message instanceof NodeMessage.Notice notice) {
-            appendToAnswer(notice.message());
-        } else if (message instanceof NodeMessage.ErrorResponse error) {
-            expected = Expected.READY_FOR_QUERY;
-            sqlState = error.sqlState();
-            appendToAnswer(error.message());
-            pool.onErrorResponse(error);
-        } else if (message instanceof NodeMessage.ReadyForQuery
-                && resultComplete
-                && columnCount == NO_ROW_DESCRIPTION) {
-            onReadyForQuery();
-        } else if (!(message instanceof NodeMessage.Notification)) {
-            failProtocol("an answer out of order");
-        }
+    private static boolean isPartOfSettingsAnswer(Object message) {
+        return message instanceof NodeMessage.Part part && part.type() == 'C'
+                || message instanceof NodeMessage.Notice
+                || message instanceof NodeMessage.ParameterStatus;
     }
 
-    /** A statement whose answer is longer than what is passed on has run all the same. */
-    private void appendToAnswer(byte[] part) {
-        boolean fits = answerBytes + part.length <= pool.maxAnswerBytes();
-        if (fits && pool.reserveMemory(part.length)) {
-            answerBytes += part.length;
-            reservedBytes += part.length;
-            answerMessages.add(part);
-        } else if (request != null) {
-            String why = fits
-                    ? "no memory is left for its answer"
-                    : "its answer is longer than " + pool.maxAnswerBytes() + " bytes";
-            completeRequest(new AttemptCompletion.LocalAnswer(List.of(
-                    MessageEncoder.errorMessage(fits ? "53200" : "54000", "the statement has run, but " + why))));
-            close();
-        }
+    private void onSettingsAnswered() {
+        state = State.IDLE;
+        Map<String, String> asked = requestedSettings;
+        AttemptCompletion.LocalAnswer refusal =
+                settingsError == null ? null : new AttemptCompletion.LocalAnswer(List.of(settingsError));
+        settings = refusal == null ? asked : settings;
+        onReadComplete = () -> pool.onSettingsChanged(this, refusal, asked);
     }
 
     private void onAnswerMessage(Object message) {
-        if (expected == Expected.ANY_RESULT) {
-            onResultMessage(message);
+        if (answersUnsentRequest(message)) {
+            failProtocol("an answer to a request that was only partly written");
             return;
         }
         request.phase = AttemptPhase.ANSWERING;
         if (message instanceof NodeMessage.ParameterStatus status) {
             onParameterStatus(status.name(), status.value());
-        } else if (message instanceof NodeMessage.Part part && part.type() == expectedType()) {
-            expected = Expected.values()[expected.ordinal() + 1];
-            answerMessages.add(part.message());
-            loadReportText = part.type() == 'D' && request.attempt == null ? part.firstColumn() : loadReportText;
-        } else if (message instanceof NodeMessage.ErrorResponse error && expected == Expected.ROW_DESCRIPTION) {
-            expected = Expected.READY_FOR_QUERY;
-            sqlState = error.sqlState();
+            return;
+        }
+        AnswerReader.Progress progress = answer.read(message);
+        switch (progress) {
+            case INCOMPLETE -> {}
+            case COMPLETE -> onReadyForQuery();
+            case OUT_OF_ORDER -> failProtocol("a message out of order");
+            case TOO_LONG ->
+                abandonOversized(LIMIT_EXCEEDED, "its answer is longer than " + profile.maxAnswerBytes() + " bytes");
+            case OUT_OF_MEMORY -> abandonOversized(OUT_OF_MEMORY, "no memory is left for its answer");
+        }
+        if (message instanceof NodeMessage.ErrorResponse error && progress != AnswerReader.Progress.OUT_OF_ORDER) {
             pool.onErrorResponse(error);
-        } else if (message instanceof NodeMessage.ReadyForQuery && expected == Expected.READY_FOR_QUERY) {
-            onReadyForQuery();
-        } else if (!(message instanceof NodeMessage.Notice)) {
-            failProtocol("an answer out of order");
         }
     }
 
-    private char expectedType() {
-        return switch (expected) {
-            case ROW_DESCRIPTION -> 'T';
-            case DATA_ROW -> 'D';
-            case COMMAND_COMPLETE -> 'C';
-            default -> 0;
-        };
+    /**
+     * Whether the node answers a request of which bytes stand here yet; the rest would go out after the request was
+     * counted as answered. Between channels of one process an answer may come before the write is reported, so that the
+     * report alone does not tell.
+     */
+    private boolean answersUnsentRequest(Object message) {
+        return !requestWritten
+                && ChannelInspector.hasUnsentBytes(context.channel())
+                && (message instanceof NodeMessage.Part || message instanceof NodeMessage.ReadyForQuery);
     }
 
-    /** Nothing that was told with it counts, and the connection is of no further use. */
-    private void failProtocol(String why) {
-        pool.logWarning("node " + pool.node.id() + " sent " + why);
-        completeRequest(new AttemptCompletion.ProtocolViolation());
-        close();
+    /** A statement whose answer is not forwarded has run all the same, which its client is told. */
+    private void abandonOversized(String sqlState, String reason) {
+        byte[] error = MessageEncoder.errorMessage(sqlState, "the statement has run, but " + reason);
+        abandon(new AttemptCompletion.LocalAnswer(List.of(error)));
     }
 
     private void onParameterStatus(String name, String value) {
-        try {
-            switch (name) {
-                case "role" ->
-                    role = value.equals("primary")
-                            ? Role.PRIMARY
-                            : value.equals("replica") ? Role.REPLICA : Role.UNKNOWN;
-                case "applied_ms" -> position = requirePlausible(Long.parseLong(value) / 1000.0);
-                case "load" -> {
-                    LoadReport told = LoadReport.parse(value, '=', 0);
-                    requirePlausible(told.position());
-                    loadReport = told;
-                }
-                default -> {}
-            }
-        } catch (IllegalArgumentException e) {
-            pool.logWarning("node " + pool.node.id() + " told " + name + " '" + value + "'");
-        }
-    }
-
-    /** No node has data of the future; the clocks agree but for the correction of this one. */
-    private double requirePlausible(double told) {
-        if (told < 0 || told > pool.now() + MAX_CLOCK_SKEW_SECONDS) {
-            throw new IllegalArgumentException("a position that cannot be");
+        if (!report.accept(name, value)) {
+            pool.logWarning("node " + pool.node.id() + " reported an implausible " + name + " '" + value + "'");
         }
-        return told;
     }
 
-    private static final double MAX_CLOCK_SKEW_SECONDS = 1;
-
     private void onReadyForQuery() {
-        if (loadReportText != null) {
-            onParameterStatus("load", loadReportText);
+        if (request.isHealthCheck() && answer.rowValue() != null) {
+            onParameterStatus("load", answer.rowValue());
         }
-        expected = Expected.NOTHING;
+        state = State.IDLE;
         onReadComplete = this::releaseAfterQuietPeriod;
-        boolean free = request.statement != null && request.statement.hasFreeFormResult();
-        closeAfterAnswer = free && request.statement.mayChangeSession();
+        boolean freeForm = request.hasFreeFormResult();
+        closeAfterAnswer = freeForm && request.statement.mayChangeSession();
         decoder.expectFreeFormResult(false);
-        completeRequest(AttemptCompletion.ofAnswer(sqlState, free, closeAfterAnswer));
+        completeRequest(AttemptCompletion.ofAnswer(answer.sqlState(), freeForm, closeAfterAnswer));
     }
 
-    /** What was read together with an answer or a welcome has been looked at; what is left of it belongs to no one. */
+    /** Nothing that was reported with this answer counts, and the connection is of no further use. */
+    private void failProtocol(String reason) {
+        pool.logWarning("protocol violation by node " + pool.node.id() + ": " + reason);
+        abandon(new AttemptCompletion.ProtocolViolation());
+    }
+
+    /** All messages of one read have been handled; part of a message that is left over belongs to no request. */
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        if (!closed && expected == Expected.NOTHING && decoder.hasPartialMessage()) {
-            failProtocol("part of what it was not asked");
+        if (!closed && state == State.IDLE && decoder.hasPartialMessage()) {
+            failProtocol("part of an unsolicited message");
         } else if (!closed && onReadComplete != null) {
             Runnable due = onReadComplete;
             onReadComplete = null;
@@ -353,7 +324,6 @@
         ctx.fireChannelReadComplete();
     }
 
-    /** Waits a little before it is free. */
     private void releaseAfterQuietPeriod() {
         context.executor()
                 .schedule(
@@ -368,47 +338,16 @@
                         TimeUnit.MILLISECONDS);
     }
 
-    private void completeRequest(AttemptCompletion ending) {
-        BackendRequest ended = request;
+    private void completeRequest(AttemptCompletion completion) {
+        BackendRequest completed = request;
         request = null;
         decoder.releaseMemory();
-        pool.releaseMemory(reservedBytes);
-        reservedBytes = 0;
-        if (ended != null) {
-            pool.complete(ended, ending, this);
+        answer.releaseMemory();
+        if (completed != null) {
+            pool.complete(completed, completion, this);
         }
     }
 
-    /** What was told with the answer in hand, if that was whole. */
-    AttemptResult result(AttemptCompletion ending, double took) {
-        boolean told = ending instanceof AttemptCompletion.Answered || ending instanceof AttemptCompletion.NodeError;
-        return told
-                ? new AttemptResult(
-                        ending.outcome(),
-                        took,
-                        role,
-                        position,
-                        loadReport.role(),
-                        loadReport.position(),
-                        loadReport.load())
-                : AttemptResult.withoutReport(ending.outcome(), took);
-    }
-
-    List<byte[]> answerMessages() {
-        return answerMessages;
-    }
-
-    /** The code of the error in the answer in hand, or null. */
-    String sqlState() {
-        return sqlState;
-    }
-
-    /** Ends the attempt in hand without waiting for its answer; a late one is never read. */
-    void abandon(AttemptCompletion ending) {
-        completeRequest(ending);
-        close();
-    }
-
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         close();
@@ -418,23 +357,4 @@
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         close();
     }
-
-    /** Closes it, from either side; what it carried has failed. */
-    void close() {
-        if (closed) {
-            return;
-        }
-        closed = true;
-        if (request != null) {
-            // A fatal error ends the connection with no readiness after it.
-            completeRequest(
-                    sqlState != null
-                            ? new AttemptCompletion.NodeError(sqlState)
-                            : new AttemptCompletion.ConnectionLost(request.phase));
-        }
-        if (context != null) {
-            context.close();
-        }
-        pool.onClosed(this, startupComplete, sqlState);
-    }
 }
--- a/daemon/src/test/java/clayhook/backend/AttemptCompletionTest.java
+++ b/daemon/src/test/java/clayhook/backend/AttemptCompletionTest.java
@@ -15,15 +15,15 @@
         "ANSWERING, RESET, TIMED_OUT, CANCELLED"
     })
     void phaseDecidesWhetherTheRequestMayHaveRun(
-            AttemptPhase stage, AttemptOutcome broken, AttemptOutcome silent, AttemptOutcome calledOff) {
-        assertEquals(broken, new AttemptCompletion.ConnectionLost(stage).outcome());
-        assertEquals(silent, new AttemptCompletion.TimedOut(stage).outcome());
-        assertEquals(calledOff, new AttemptCompletion.Cancelled(stage).outcome());
+            AttemptPhase phase, AttemptOutcome lost, AttemptOutcome timedOut, AttemptOutcome cancelled) {
+        assertEquals(lost, new AttemptCompletion.ConnectionLost(phase).outcome());
+        assertEquals(timedOut, new AttemptCompletion.TimedOut(phase).outcome());
+        assertEquals(cancelled, new AttemptCompletion.Cancelled(phase).outcome());
     }
 
     @ParameterizedTest
     @CsvSource({"25006, REJECTED", "72000, REJECTED", "53300, OVERLOADED", "XX000, ERROR", "08P01, ERROR"})
-    void sqlStateDecidesTheOutcome(String code, AttemptOutcome outcome) {
-        assertEquals(outcome, new AttemptCompletion.NodeError(code).outcome());
+    void sqlStateDecidesTheOutcome(String sqlState, AttemptOutcome outcome) {
+        assertEquals(outcome, new AttemptCompletion.NodeError(sqlState).outcome());
     }
 }
--- a/daemon/src/test/java/clayhook/backend/BackendClientTest.java
+++ b/daemon/src/test/java/clayhook/backend/BackendClientTest.java
@@ -7,13 +7,8 @@
 import clayhook.AttemptOutcome;
 import clayhook.AttemptResult;
 import clayhook.Node;
-import clayhook.Request;
 import clayhook.Role;
-import clayhook.config.OperatorConfiguration;
 import clayhook.protocol.KeyValueStatement;
-import clayhook.transport.DescriptorBudget;
-import clayhook.transport.SlewedClock;
-import clayhook.transport.Transport;
 import clayhook.warmup.StubNode;
 import clayhook.warmup.StubNode.StubResponse;
 import io.netty.buffer.ByteBuf;
@@ -22,8 +17,6 @@
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.nio.charset.StandardCharsets;
-import java.util.List;
-import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.AfterEach;
@@ -32,91 +25,38 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class BackendClientTest implements BackendClient.Listener {
+class BackendClientTest {
     private static final KeyValueStatement READ = KeyValueStatement.parse(
             "SELECT val FROM state WHERE uid = 'k' /* id=1,c=a,d=9,cluster=1 */".getBytes(StandardCharsets.UTF_8));
-    private final Transport transport = Transport.tcp();
-    private final SlewedClock clock = new SlewedClock();
-    private final LinkedBlockingQueue<AttemptOutcome> outcomes = new LinkedBlockingQueue<>();
-    private final AtomicInteger receivedStatements = new AtomicInteger();
-    private int descriptorLimit = 1024;
-    private boolean mayStillSend = true;
-    private boolean nodesKnown = true;
-    private AttemptResult result;
-    private String answer;
-
-    @Override
-    public void onAttemptFinished(Attempt dispatch, AttemptResult reply, List<byte[]> answer, String error) {
-        this.result = reply;
-        this.answer = answer == null ? "" : new String(answer.get(1), StandardCharsets.ISO_8859_1);
-        outcomes.add(reply.outcome());
-    }
-
-    @Override
-    public void onHealthCheck(Node node, AttemptResult reply) {
-        outcomes.add(reply.outcome());
-    }
-
-    @Override
-    public boolean mayStillSend(Attempt dispatch) {
-        return mayStillSend;
-    }
 
-    @Override
-    public boolean isKnown(Node node) {
-        return nodesKnown;
-    }
+    private final BackendClientFixture backend = new BackendClientFixture();
+    private final AtomicInteger receivedStatements = new AtomicInteger();
 
     @AfterEach
     void close() {
-        transport.close();
-    }
-
-    private BackendClient newClient(double connectTimeout, double idle) {
-        return new BackendClient(
-                transport,
-                clock,
-                new DescriptorBudget(descriptorLimit),
-                1 << 24,
-                connectTimeout,
-                idle,
-                OperatorConfiguration.DEFAULTS,
-                this);
+        backend.close();
     }
 
-    private Node stubNode(BackendClient nodes, String role, StubResponse first, StubResponse then) throws Exception {
-        var there = new StubNode(
-                transport,
-                transport.ephemeralAddress(0),
+    /** A node that answers its first statement with one response, and all others with another. */
+    private Node stubNode(String role, StubResponse first, StubResponse others) throws Exception {
+        var stub = new StubNode(
+                backend.transport,
+                backend.transport.ephemeralAddress(0),
                 role,
-                any -> receivedStatements.incrementAndGet() == 1 ? first : then);
-        return transport
-                .eventLoop()
-                .submit(() -> nodes.registerNode("n", "a", 1, there.address()))
-                .get();
+                any -> receivedStatements.incrementAndGet() == 1 ? first : others);
+        return backend.register(stub.address());
     }
 
-    private Attempt send(BackendClient nodes, Node node) throws Exception {
-        var dispatch = new Attempt(
-                new Request(null, 1, null, 0, clock.now(), clock.now() + 60),
-                node,
-                true,
-                clock.now(),
-                clock.now() + 60);
-        transport.eventLoop().submit(() -> nodes.send(dispatch, READ)).get();
-        return dispatch;
+    private Attempt send(Node node) throws Exception {
+        return backend.send(node, READ);
     }
 
-    /** Sweeps until something has ended. */
-    private AttemptOutcome nextOutcome(BackendClient nodes) throws Exception {
-        while (outcomes.isEmpty()) {
-            transport.eventLoop().submit(nodes::sweep).get();
-        }
-        return outcomes.take();
+    private AttemptOutcome nextOutcome() throws Exception {
+        return backend.sweepUntilFinished().outcome();
     }
 
-    private void awaitIdle(BackendClient nodes) throws Exception {
-        while (transport.eventLoop().submit(nodes::idleCount).get() == 0) {
+    private void awaitReceivedStatement() {
+        while (receivedStatements.get() == 0) {
             Thread.onSpinWait();
         }
     }
@@ -124,11 +64,11 @@
     @ParameterizedTest
     @CsvSource({"mute, 0.5, TIMED_OUT", "replica, 60, ANSWERED"})
     void healthCheckTimesOutAndTheNextOneIsSent(String role, double timeout, AttemptOutcome outcome) throws Exception {
-        BackendClient nodes = newClient(timeout, 60);
-        Node node = stubNode(nodes, role, null, null);
+        backend.open(timeout, BackendClientFixture.LONG_SECONDS);
+        Node node = stubNode(role, null, null);
         for (int i = 0; i < 2; i++) {
-            transport.eventLoop().submit(() -> nodes.startHealthCheck(node)).get();
-            assertEquals(outcome, nextOutcome(nodes));
+            backend.runOnLoop(() -> backend.client.startHealthCheck(node));
+            assertEquals(outcome, nextOutcome());
         }
     }
 
@@ -136,45 +76,38 @@
     @CsvSource({"true, ANSWERED, 1", "false, NOT_SENT, 0"})
     void attemptThatMayNoLongerBeSentIsNeverWritten(boolean allowed, AttemptOutcome outcome, int written)
             throws Exception {
-        mayStillSend = allowed;
-        BackendClient nodes = newClient(60, 60);
-        send(nodes, stubNode(nodes, "replica", StubResponse.answer("a"), StubResponse.answer("a")));
-        assertEquals(outcome, nextOutcome(nodes));
+        backend.mayStillSend = attempt -> allowed;
+        send(stubNode("replica", StubResponse.answer("a"), StubResponse.answer("a")));
+        assertEquals(outcome, nextOutcome());
         assertEquals(written, receivedStatements.get());
     }
 
     @Test
     void lackOfLocalDescriptorsIsNotANodeFailure() throws Exception {
-        descriptorLimit = 1;
-        BackendClient nodes = newClient(1, 9);
-        Node node = stubNode(nodes, "replica", StubResponse.silence(), StubResponse.silence());
-        send(nodes, node);
-        transport.eventLoop().submit(() -> nodes.startHealthCheck(node)).get();
-        assertEquals(AttemptOutcome.NOT_SENT, outcomes.take());
+        backend.open(1, 9, 1);
+        Node node = stubNode("replica", StubResponse.silence(), StubResponse.silence());
+        send(node);
+        backend.runOnLoop(() -> backend.client.startHealthCheck(node));
+        assertEquals(AttemptOutcome.NOT_SENT, backend.finished.take().outcome());
+        assertEquals(1, backend.connectionCount());
     }
 
     @ParameterizedTest
     @CsvSource({"true, CANCELLED", "false, TIMED_OUT"})
-    void answerOfAnAbandonedAttemptNeverReachesTheNextOne(boolean recalled, AttemptOutcome outcome) throws Exception {
-        BackendClient nodes = newClient(60, 60);
-        Node node = stubNode(nodes, "replica", StubResponse.silence(), StubResponse.answer("a"));
-        Attempt first = send(nodes, node);
-        while (receivedStatements.get() == 0) {
-            Thread.onSpinWait();
-        }
-        transport
-                .eventLoop()
-                .submit(() -> {
-                    if (recalled) {
-                        nodes.cancel(first);
-                    } else {
-                        nodes.expire(first);
-                    }
-                })
-                .get();
-        assertEquals(outcome, outcomes.take());
-        send(nodes, node);
-        assertEquals(AttemptOutcome.ANSWERED, nextOutcome(nodes));
+    void answerOfAnAbandonedAttemptNeverReachesTheNextOne(boolean cancelled, AttemptOutcome outcome) throws Exception {
+        Node node = stubNode("replica", StubResponse.silence(), StubResponse.answer("a"));
+        Attempt first = send(node);
+        awaitReceivedStatement();
+        backend.runOnLoop(() -> {
+            if (cancelled) {
+                backend.client.cancel(first);
+            } else {
+                backend.client.expire(first);
+            }
+        });
+        assertEquals(outcome, backend.finished.take().outcome());
+        send(node);
+        assertEquals(AttemptOutcome.ANSWERED, nextOutcome());
         assertEquals(2, receivedStatements.get());
     }
 
@@ -182,49 +115,40 @@
     @CsvSource({"false, NOT_SENT", "true, ANSWERED"})
     void cancelIfUnsentEndsAWaitingAttemptAndLeavesAWrittenOneRunning(boolean written, AttemptOutcome outcome)
             throws Exception {
-        BackendClient nodes = newClient(60, 60);
         try (var silent = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             Node node = written
-                    ? stubNode(nodes, "replica", StubResponse.answer("a"), null)
-                    : transport
-                            .eventLoop()
-                            .submit(() ->
-                                    nodes.registerNode("n", "a", 1, (InetSocketAddress) silent.getLocalSocketAddress()))
-                            .get();
-            Attempt dispatch = send(nodes, node);
-            while (written && receivedStatements.get() == 0) {
-                Thread.onSpinWait();
+                    ? stubNode("replica", StubResponse.answer("a"), null)
+                    : backend.register((InetSocketAddress) silent.getLocalSocketAddress());
+            Attempt attempt = send(node);
+            if (written) {
+                awaitReceivedStatement();
             }
-            transport.eventLoop().submit(() -> nodes.cancelIfUnsent(dispatch)).get();
-            assertEquals(outcome, outcomes.poll(20, TimeUnit.SECONDS));
+            backend.runOnLoop(() -> backend.client.cancelIfUnsent(attempt));
+            assertEquals(outcome, backend.finished.poll(20, TimeUnit.SECONDS).outcome());
         }
     }
 
     @ParameterizedTest
     @CsvSource({"XX000, ERROR", "72000, REJECTED", "53300, OVERLOADED"})
-    void connectionIsReusedAfterAnErrorResponse(String code, AttemptOutcome outcome) throws Exception {
-        BackendClient nodes = newClient(60, 60);
-        Node node = stubNode(nodes, "replica", StubResponse.error(code), StubResponse.answer("a"));
-        send(nodes, node);
-        assertEquals(outcome, nextOutcome(nodes));
-        awaitIdle(nodes);
-        send(nodes, node);
-        assertEquals(AttemptOutcome.ANSWERED, nextOutcome(nodes));
-        assertEquals(
-                1, transport.eventLoop().submit(() -> nodes.connectionCount()).get());
+    void connectionIsReusedAfterAnErrorResponse(String sqlState, AttemptOutcome outcome) throws Exception {
+        Node node = stubNode("replica", StubResponse.error(sqlState), StubResponse.answer("a"));
+        send(node);
+        assertEquals(outcome, nextOutcome());
+        backend.awaitIdle(1);
+        send(node);
+        assertEquals(AttemptOutcome.ANSWERED, nextOutcome());
+        assertEquals(1, backend.connectionCount());
     }
 
     @ParameterizedTest
     @CsvSource({"60, 1", "0, 0"})
-    void idleConnectionIsClosedAfterItsTimeout(double idle, int left) throws Exception {
-        BackendClient nodes = newClient(60, idle);
-        send(nodes, stubNode(nodes, "replica", StubResponse.answer("a"), StubResponse.answer("a")));
-        assertEquals(AttemptOutcome.ANSWERED, outcomes.take());
-        awaitIdle(nodes);
-        transport.eventLoop().submit(nodes::sweep).get();
-        assertEquals(
-                left,
-                transport.eventLoop().submit(() -> nodes.connectionCount()).get());
+    void idleConnectionIsClosedAfterItsTimeout(double idleSeconds, int left) throws Exception {
+        backend.open(BackendClientFixture.LONG_SECONDS, idleSeconds);
+        send(stubNode("replica", StubResponse.answer("a"), StubResponse.answer("a")));
+        assertEquals(AttemptOutcome.ANSWERED, backend.finished.take().outcome());
+        backend.awaitIdle(1);
+        backend.sweep();
+        assertEquals(left, backend.connectionCount());
     }
 
     /** T, D, C, S, E and Z are good messages; a small letter is one whose inside does not fit. */
@@ -259,43 +183,45 @@
                 "STDCSs", "Eq"
             })
     void malformedAnswerCountsAsPossiblyRunAndClosesItsConnection(String letters) throws Exception {
-        BackendClient nodes = newClient(60, 60);
-        Node node = stubNode(nodes, "replica", StubResponse.bytes(messages(letters)), StubResponse.answer("new"));
-        send(nodes, node);
-        assertEquals(AttemptOutcome.ERROR, nextOutcome(nodes));
+        Node node = stubNode("replica", StubResponse.bytes(messages(letters)), StubResponse.answer("new"));
+        send(node);
+        assertEquals(AttemptOutcome.ERROR, nextOutcome());
+        AttemptResult result = backend.lastResult;
         assertEquals(AttemptResult.withoutReport(AttemptOutcome.ERROR, result.elapsedSeconds()), result);
-        send(nodes, node);
-        assertEquals(AttemptOutcome.ANSWERED, nextOutcome(nodes));
-        assertTrue(answer.contains("new"), answer);
+        send(node);
+        assertAnsweredWithNew();
+        assertEquals(1, backend.connectionCount());
+    }
+
+    private void assertAnsweredWithNew() throws Exception {
+        BackendClientFixture.FinishedAttempt finished = backend.sweepUntilFinished();
+        assertEquals(AttemptOutcome.ANSWERED, finished.outcome());
+        assertTrue(finished.value().contains("new"), finished.value());
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"TDCZTDCZ", "TDCZq", "TDCZT", "TDCZS", "TDSCZZ", "EZTDCZ"})
     void bytesAfterACompleteAnswerAreNotTheNextAnswer(String letters) throws Exception {
-        BackendClient nodes = newClient(60, 60);
         ByteBuf bytes = messages(letters);
         for (int cut : new int[] {0, 1, 5}) {
             receivedStatements.set(0);
             Node node = stubNode(
-                    nodes,
                     "replica",
                     StubResponse.bytes(bytes.slice(0, bytes.readableBytes() - cut)),
                     StubResponse.answer("new"));
-            send(nodes, node);
-            assertEquals(
-                    letters.startsWith("E") ? AttemptOutcome.OVERLOADED : AttemptOutcome.ANSWERED, nextOutcome(nodes));
-            send(nodes, node);
-            assertEquals(AttemptOutcome.ANSWERED, nextOutcome(nodes));
-            assertTrue(answer.contains("new"), answer);
+            send(node);
+            assertEquals(letters.startsWith("E") ? AttemptOutcome.OVERLOADED : AttemptOutcome.ANSWERED, nextOutcome());
+            send(node);
+            assertAnsweredWithNew();
         }
     }
 
     @ParameterizedTest
     @CsvSource({"TDrCZ, 0", "TDrSCZ, 1"})
     void implausibleLoadReportIsIgnoredAndTheAnswerStands(String letters, double position) throws Exception {
-        BackendClient nodes = newClient(60, 60);
-        send(nodes, stubNode(nodes, "replica", StubResponse.bytes(messages(letters)), null));
-        assertEquals(AttemptOutcome.ANSWERED, nextOutcome(nodes));
+        send(stubNode("replica", StubResponse.bytes(messages(letters)), null));
+        assertEquals(AttemptOutcome.ANSWERED, nextOutcome());
+        AttemptResult result = backend.lastResult;
         assertEquals(
                 new AttemptResult(
                         AttemptOutcome.ANSWERED, result.elapsedSeconds(), Role.UNKNOWN, position, Role.UNKNOWN, 0, -1),
@@ -304,37 +230,38 @@
 
     @ParameterizedTest
     @CsvSource({"true, 0, true", "false, 60, true", "false, 0, false"})
-    void nodeIsForgottenOnceUnknownAndWithoutConnections(boolean known, double idle, boolean left) throws Exception {
-        BackendClient nodes = newClient(60, idle);
-        send(nodes, stubNode(nodes, "replica", StubResponse.answer("a"), null));
-        assertEquals(AttemptOutcome.ANSWERED, nextOutcome(nodes));
-        awaitIdle(nodes);
-        nodesKnown = known;
-        transport.eventLoop().submit(nodes::sweep).get();
-        assertEquals(
-                left, transport.eventLoop().submit(() -> nodes.hasReplicaSet(1)).get());
+    void nodeIsForgottenOnceUnknownAndWithoutConnections(boolean known, double idleSeconds, boolean left)
+            throws Exception {
+        backend.open(BackendClientFixture.LONG_SECONDS, idleSeconds);
+        send(stubNode("replica", StubResponse.answer("a"), null));
+        assertEquals(AttemptOutcome.ANSWERED, nextOutcome());
+        backend.awaitIdle(1);
+        backend.nodesKnown = known;
+        backend.sweep();
+        assertEquals(left, backend.onLoop(() -> backend.client.hasReplicaSet(1)));
     }
 
     @ParameterizedTest
     @CsvSource({"400000, ANSWERED, 400000", "500000, ANSWERED, 500000", "600000, ERROR, 0", "2000000, ERROR, 0"})
-    void longAnswersReserveMemoryAndReleaseIt(int length, AttemptOutcome outcome, int passed) throws Exception {
-        BackendClient nodes = newClient(60, 60);
+    void longAnswersReserveMemoryAndReleaseIt(int length, AttemptOutcome outcome, int forwarded) throws Exception {
         for (int i = 0; i < 3; i++) {
             receivedStatements.set(0);
-            send(nodes, stubNode(nodes, "replica", StubResponse.answer("v".repeat(length)), null));
-            assertEquals(outcome, nextOutcome(nodes));
-            assertEquals(passed, Math.max(0, answer.length() - 11));
+            send(stubNode("replica", StubResponse.answer("v".repeat(length)), null));
+            BackendClientFixture.FinishedAttempt finished = backend.sweepUntilFinished();
+            assertEquals(outcome, finished.outcome());
+            assertEquals(
+                    forwarded, finished.value() == null ? 0 : finished.value().length());
         }
     }
 
     @Test
     void movedNodeIsReachedAtItsNewAddress() throws Exception {
-        BackendClient nodes = newClient(60, 60);
-        Node node = stubNode(nodes, "replica", StubResponse.answer("a"), StubResponse.answer("a"));
-        send(nodes, node);
-        assertEquals(AttemptOutcome.ANSWERED, nextOutcome(nodes));
-        assertEquals(node, stubNode(nodes, "replica", null, StubResponse.error("72000")));
-        send(nodes, node);
-        assertEquals(AttemptOutcome.REJECTED, nextOutcome(nodes));
+        Node node = stubNode("replica", StubResponse.answer("a"), StubResponse.answer("a"));
+        send(node);
+        assertEquals(AttemptOutcome.ANSWERED, nextOutcome());
+        assertEquals(node, stubNode("replica", null, StubResponse.error("72000")));
+        send(node);
+        assertEquals(AttemptOutcome.REJECTED, nextOutcome());
+        assertEquals(2, receivedStatements.get());
     }
 }
--- a/daemon/src/test/java/clayhook/backend/ScriptedNode.java
+++ b/daemon/src/test/java/clayhook/backend/ScriptedNode.java
@@ -11,13 +11,20 @@
 
 /** A node whose every step a test takes itself, over blocking sockets. */
 final class ScriptedNode implements AutoCloseable {
-    /** Guards against a test that fails by waiting for ever: reads cannot be interrupted. */
+    /** What a node sends once it has accepted the startup message: AuthenticationOk and ReadyForQuery. */
+    static final String STARTUP_ANSWER = message('R', "\0\0\0\0") + message('Z', "I");
+
+    /** Blocking reads cannot be interrupted: this ends a test that would wait for ever. */
     private static final int READ_TIMEOUT_MS = 50_000;
 
+    private static final int BACKLOG = 50;
+    /** Until the other side has acknowledged all that was written. */
+    private static final int LINGER_SECONDS = 30;
+
     private final ServerSocket serverSocket;
 
     ScriptedNode() throws IOException {
-        serverSocket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+        serverSocket = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
         serverSocket.setSoTimeout(READ_TIMEOUT_MS);
     }
 
@@ -25,16 +32,16 @@
         return new InetSocketAddress(serverSocket.getInetAddress(), serverSocket.getLocalPort());
     }
 
-    /** The next connection, with its startup message read and nothing said yet. */
+    /** The next connection, with its startup message read and nothing written yet. */
     ScriptedConnection accept() throws IOException {
         return new ScriptedConnection(serverSocket.accept());
     }
 
-    /** The next connection, welcomed. */
+    /** The next connection, with its startup answered. */
     ScriptedConnection acceptAndStart() throws IOException {
-        ScriptedConnection peer = accept();
-        peer.write(STARTUP_ANSWER);
-        return peer;
+        ScriptedConnection connection = accept();
+        connection.write(STARTUP_ANSWER);
+        return connection;
     }
 
     @Override
@@ -42,25 +49,25 @@
         serverSocket.close();
     }
 
-    static final String STARTUP_ANSWER = message('R', "\0\0\0\0") + message('Z', "I");
-
-    /** An answer of one row up to its end, and the readiness after it. */
+    /** An answer of one row, and ReadyForQuery after it. */
     static String answer(String value) {
         return answerWithoutReady(value) + message('Z', "I");
     }
 
-    static String answerWithoutReady(String value) {
+    private static String answerWithoutReady(String value) {
         return message('T', "\0\1val\0" + "\0".repeat(18))
                 + message('D', "\0\1\0\0\0" + (char) value.length() + value)
                 + message('C', "SELECT 1\0");
     }
 
+    /** One message of the wire, a character a byte. */
     static String message(char type, String body) {
         int length = 4 + body.length();
         return type + "" + (char) (length >> 24 & 0xff) + (char) (length >> 16 & 0xff) + (char) (length >> 8 & 0xff)
                 + (char) (length & 0xff) + body;
     }
 
+    /** The node's side of one connection. */
     static final class ScriptedConnection {
         private final Socket socket;
         private final DataInputStream in;
@@ -83,22 +90,23 @@
             return type < 0 ? null : new String(in.readNBytes(in.readInt() - 4), ISO_8859_1);
         }
 
-        /** The first byte of a query has come, and no more is read. */
+        /** Waits until the first byte of a query has come, and reads no more. */
         void awaitFirstByte() throws IOException {
             in.readByte();
         }
 
-        /** How many bytes come until the end. */
+        /** Reads up to the end of the connection; returns how many bytes came. */
         long skipToEnd() throws IOException {
             return in.skip(Long.MAX_VALUE);
         }
 
-        /** Ends the connection, and returns once the other machine has all that was written and the end. */
+        /** Closes the connection, and returns once the other side has received all that was written and the end. */
         void close() throws IOException {
-            socket.setSoLinger(true, 30);
+            socket.setSoLinger(true, LINGER_SECONDS);
             socket.close();
         }
 
+        /** Closes the connection with a TCP reset. */
         void reset() throws IOException {
             socket.setSoLinger(true, 0);
             socket.close();
