--- a/daemon/src/main/java/clayhook/discovery/EndpointList.java
+++ b/daemon/src/main/java/clayhook/discovery/EndpointList.java
@@ -10,10 +10,25 @@
 import java.util.List;
 import java.util.Map;
 
-/** The list of nodes, or what changed in it, as discovery tells it. */
+/**
+ * The endpoint list, or what changed in it, as the discovery service reports it. Its JSON keys ({@code rev},
+ * {@code all}, {@code targets}, {@code uid}, {@code endpoint}, {@code az}, {@code pod_group}, {@code state},
+ * {@code role}, {@code boot_ms}) are mapped to this project's terms here and nowhere else. Immutable.
+ *
+ * @param version grows with each change
+ * @param complete whether it holds all endpoints, so that one that is missing is gone; else it holds those that changed
+ */
 public record EndpointList(long version, boolean complete, List<DiscoveredEndpoint> endpoints) {
+    private static final double MILLIS_PER_SECOND = 1000;
+    private static final int MAX_PORT = 0xffff;
+    private static final int NO_PORT = 0;
 
-    /** @param startedAt when its process last started, in seconds; 0 for long ago */
+    /**
+     * One node of the list.
+     *
+     * @param primary whether the service takes it for the primary of its replica set
+     * @param startedAt when its process last started, in seconds since 1970; 0 for long ago
+     */
     public record DiscoveredEndpoint(
             String id,
             InetSocketAddress address,
@@ -23,87 +38,107 @@
             boolean primary,
             double startedAt) {}
 
-    /** Throws IllegalArgumentException naming what cannot be understood. */
+    /**
+     * Parses an answer of the discovery service.
+     *
+     * @throws MalformedEndpointListException naming what cannot be understood
+     */
     public static EndpointList parse(String text) {
-        return fromJson(Json.parse(text));
+        Object json;
+        try {
+            json = Json.parse(text);
+        } catch (IllegalArgumentException e) {
+            throw new MalformedEndpointListException(e);
+        }
+        return fromJson(json);
     }
 
-    /** The same of a part of a larger text. */
+    /**
+     * Reads a list that is part of a larger JSON text.
+     *
+     * @throws MalformedEndpointListException naming what cannot be understood
+     */
     public static EndpointList fromJson(Object json) {
         if (!(json instanceof Map<?, ?> map)
                 || !(map.get("targets") instanceof List<?> targets)
-                || !(map.get("all") instanceof Boolean whole)) {
-            throw new IllegalArgumentException("a list of nodes needs rev, all and targets");
+                || !(map.get("all") instanceof Boolean complete)) {
+            throw new MalformedEndpointListException("a list of nodes needs rev, all and targets");
         }
-        var entries = new ArrayList<DiscoveredEndpoint>();
+        var endpoints = new ArrayList<DiscoveredEndpoint>();
         for (Object target : targets) {
-            if (!(target instanceof Map<?, ?> entry)) {
-                throw new IllegalArgumentException("targets: an entry is no object");
+            if (!(target instanceof Map<?, ?> fields)) {
+                throw new MalformedEndpointListException("targets: an entry is no object");
             }
-            entries.add(parseEndpoint(entry));
+            endpoints.add(parseEndpoint(fields));
         }
-        return new EndpointList((long) requireNumber(map, "rev"), whole, List.copyOf(entries));
+        return new EndpointList((long) requireNumber(map, "rev"), complete, List.copyOf(endpoints));
     }
 
-    private static DiscoveredEndpoint parseEndpoint(Map<?, ?> entry) {
-        State state =
-                switch (requireText(entry, "state")) {
-                    case "up" -> State.READY;
-                    case "draining" -> State.DRAINING;
-                    case "removed" -> State.GONE;
-                    default -> throw new IllegalArgumentException("state: unknown '" + entry.get("state") + "'");
-                };
+    private static DiscoveredEndpoint parseEndpoint(Map<?, ?> fields) {
+        State state = parseState(requireText(fields, "state"));
         return new DiscoveredEndpoint(
-                requireText(entry, "uid"),
-                requireAddress(requireText(entry, "endpoint")),
-                requireText(entry, "az"),
-                (int) requireNumber(entry, "pod_group"),
+                requireText(fields, "uid"),
+                requireAddress(requireText(fields, "endpoint")),
+                requireText(fields, "az"),
+                (int) requireNumber(fields, "pod_group"),
                 state,
-                "primary".equals(entry.get("role")),
-                entry.containsKey("boot_ms") ? requireNumber(entry, "boot_ms") / 1000 : 0);
+                "primary".equals(fields.get("role")),
+                fields.containsKey("boot_ms") ? requireNumber(fields, "boot_ms") / MILLIS_PER_SECOND : 0);
+    }
+
+    private static State parseState(String text) {
+        return switch (text) {
+            case "up" -> State.READY;
+            case "draining" -> State.DRAINING;
+            case "removed" -> State.GONE;
+            default -> throw new MalformedEndpointListException("state: unknown '" + text + "'");
+        };
     }
 
-    private static InetSocketAddress requireAddress(String endpoint) {
-        InetSocketAddress address = parseAddress(endpoint);
+    private static InetSocketAddress requireAddress(String text) {
+        InetSocketAddress address = parseAddress(text);
         if (address == null) {
-            throw new IllegalArgumentException("endpoint: '" + endpoint + "' is no address and port");
+            throw new MalformedEndpointListException("endpoint: '" + text + "' is no address and port");
         }
         return address;
     }
 
-    /** An address and port in figures; null for what is none. Names are not looked up: that would hold up who asks. */
+    /**
+     * Parses a numeric IP address and port; null for what is none. Names are not resolved, as that would block the
+     * caller's thread.
+     */
     public static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         byte[] host = NetUtil.createByteArrayFromIpAddressString(text.substring(0, Math.max(0, colon)));
         int port = parsePort(text.substring(colon + 1));
         try {
-            return host == null || port == 0 ? null : new InetSocketAddress(InetAddress.getByAddress(host), port);
+            return host == null || port == NO_PORT ? null : new InetSocketAddress(InetAddress.getByAddress(host), port);
         } catch (UnknownHostException e) {
             return null;
         }
     }
 
-    /** 0 for what is no port. */
+    /** Parses a port, 1 to 65535; 0 for what is none. */
     public static int parsePort(String text) {
         try {
             int port = Integer.parseInt(text);
-            return port > 0xffff ? 0 : Math.max(0, port);
+            return port > MAX_PORT ? NO_PORT : Math.max(NO_PORT, port);
         } catch (NumberFormatException e) {
-            return 0;
+            return NO_PORT;
         }
     }
 
-    private static String requireText(Map<?, ?> entry, String key) {
-        if (entry.get(key) instanceof String text && !text.isEmpty()) {
+    private static String requireText(Map<?, ?> fields, String key) {
+        if (fields.get(key) instanceof String text && !text.isEmpty()) {
             return text;
         }
-        throw new IllegalArgumentException(key + " is missing or no text");
+        throw new MalformedEndpointListException(key + " is missing or no text");
     }
 
-    private static double requireNumber(Map<?, ?> entry, String key) {
-        if (entry.get(key) instanceof Double number) {
+    private static double requireNumber(Map<?, ?> fields, String key) {
+        if (fields.get(key) instanceof Double number) {
             return number;
         }
-        throw new IllegalArgumentException(key + " is missing or no number");
+        throw new MalformedEndpointListException(key + " is missing or no number");
     }
 }
--- a/daemon/src/main/java/clayhook/discovery/EndpointWatcher.java
+++ b/daemon/src/main/java/clayhook/discovery/EndpointWatcher.java
@@ -4,18 +4,22 @@
 import java.net.InetSocketAddress;
 import java.util.random.RandomGenerator;
 
-/** The watch on the list of nodes, whatever address its service moves to. */
+/**
+ * Watches the endpoint list, whatever address the discovery service moves to. After a move the service that answered
+ * last is watched on until the new one has answered.
+ *
+ * <p>Event loop only, but for the constructor, which sends nothing.
+ */
 public final class EndpointWatcher {
-    /** Hears what discovery tells. */
+    /** Hears what the discovery service reports. Called on the event loop. */
     public interface Listener {
+        /** A list came: complete, or the endpoints that have changed. */
         void onEndpointList(EndpointList list);
 
-        /** A call failed; the next one is made when {@link #ensureWatching} is called. */
+        /** The watch failed; the next one is opened by {@link #ensureWatching}. */
         void onEndpointListFailed();
 
-        /**
-         * The answer to a call is late: its watch may have fallen silent. {@link #ensureWatching} asks anew beside it.
-         */
+        /** The answer to the watch is late: it may have fallen silent. {@link #ensureWatching} opens one beside it. */
         void onEndpointListLate();
     }
 
@@ -24,26 +28,33 @@
     private final double longPollSeconds;
     private final RandomGenerator random;
     private ServiceWatch current;
-    /** The one that told news last; it goes on until the current one has answered. */
+    /** The service that answered last, or null; it is watched until the current one has answered. */
     private ServiceWatch previous;
 
     private InetSocketAddress lastAnsweredBy;
 
-    /** {@code wait}: seconds that a call waits for news; {@code random} spreads the calls of many routers. */
+    /**
+     * Prepares a watch; {@link #ensureWatching} opens it.
+     *
+     * @param version the list version that is known; changes after it are reported
+     * @param longPollSeconds how long a watch waits for changes
+     * @param random spreads the polls of many routers
+     */
     public EndpointWatcher(
             Transport transport,
             InetSocketAddress address,
             long version,
-            double wait,
+            double longPollSeconds,
             RandomGenerator random,
             Listener listener) {
         this.transport = transport;
         this.listener = listener;
-        this.longPollSeconds = wait;
+        this.longPollSeconds = longPollSeconds;
         this.random = random;
         current = new ServiceWatch(address, version);
     }
 
+    /** The watch on the service at one address; its faults are reported only while it is the current one. */
     private final class ServiceWatch implements Listener {
         private final DiscoveryClient client;
         private boolean hasAnswered;
@@ -79,30 +90,30 @@
         }
     }
 
-    /** Sees to it that a watch stands. */
+    /** Opens a watch unless there is one whose answer is not late. */
     public void ensureWatching() {
         current.client.ensureWatching();
     }
 
-    /** The service is at that address now: all is asked for anew, as the versions there may be others. */
-    public void moveTo(InetSocketAddress to) {
-        if (!to.equals(current.client.address)) {
-            ServiceWatch left = current.hasAnswered ? previous : current;
-            if (left != null) {
-                left.client.close();
+    /** The service is at another address: asks there for the complete list, as versions there may be others. */
+    public void moveTo(InetSocketAddress newAddress) {
+        if (!newAddress.equals(current.client.address)) {
+            ServiceWatch superseded = current.hasAnswered ? previous : current;
+            if (superseded != null) {
+                superseded.client.close();
             }
             previous = current.hasAnswered ? current : previous;
-            current = new ServiceWatch(to, DiscoveryClient.NO_VERSION);
+            current = new ServiceWatch(newAddress, PollConnection.NO_VERSION);
         }
         ensureWatching();
     }
 
-    /** Where the list came from that was told last; null for none yet. */
+    /** The address of the service that reported a list last, or null. */
     public InetSocketAddress lastAnsweredBy() {
         return lastAnsweredBy;
     }
 
-    /** Watches no more. */
+    /** Ends all watches. */
     public void close() {
         current.client.close();
         if (previous != null) {
--- a/daemon/src/main/java/clayhook/discovery/HttpResponse.java
+++ b/daemon/src/main/java/clayhook/discovery/HttpResponse.java
@@ -1,8 +1,13 @@
 package clayhook.discovery;
 
 /**
- * An answer of discovery; status 0 for what cannot be understood.
+ * An answer of the discovery service.
  *
- * @param last the connection ends after it
+ * @param status the HTTP status, or {@link #MALFORMED} for what is no HTTP response
+ * @param body decoded as UTF-8
+ * @param closesConnection whether the connection ends after it
  */
-record HttpResponse(int status, String body, boolean closesConnection) {}
+record HttpResponse(int status, String body, boolean closesConnection) {
+    /** The status of an answer that cannot be decoded. */
+    static final int MALFORMED = 0;
+}
--- a/daemon/src/main/java/clayhook/discovery/HttpResponseDecoder.java
+++ b/daemon/src/main/java/clayhook/discovery/HttpResponseDecoder.java
@@ -3,18 +3,29 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.handler.codec.ByteToMessageDecoder;
+import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Locale;
 
-/** Decodes HTTP/1.1 answers: a length, chunks, or all up to the end of the connection. */
+/**
+ * Decodes HTTP/1.1 responses into {@link HttpResponse}, their bodies delimited by a length, by chunks or by the end of
+ * the connection. What cannot be decoded becomes one response with the status {@link HttpResponse#MALFORMED}, and all
+ * that follows it is dropped. Lines and bodies are bounded. Event loop only.
+ */
 final class HttpResponseDecoder extends ByteToMessageDecoder {
     /** Ten thousand nodes at some 200 bytes. */
     private static final int MAX_BODY_BYTES = 2 << 20;
 
     private static final int MAX_LINE_BYTES = 8192;
+
+    /** {@link #remainingBytes} of a body that goes on until the connection is closed. */
     private static final int UNTIL_CLOSE = -1;
 
+    private static final int DECIMAL = 10;
+    private static final int HEXADECIMAL = 16;
+    private static final int NO_CONTENT = 204;
+
     private enum ParserState {
         STATUS,
         HEADERS,
@@ -28,10 +39,14 @@
 
     private ParserState state = ParserState.STATUS;
     private int status;
+    /** Bytes missing of the body or the chunk. */
     private int remainingBytes;
+
     private boolean chunked;
+    /** The service announced that it closes the connection after this response. */
     private boolean closeAnnounced;
-    private final java.io.ByteArrayOutputStream bodyBytes = new java.io.ByteArrayOutputStream();
+
+    private final ByteArrayOutputStream bodyBytes = new ByteArrayOutputStream();
 
     @Override
     protected void decode(ChannelHandlerContext context, ByteBuf in, List<Object> out) {
@@ -40,17 +55,22 @@
         } else if (state == ParserState.BODY || state == ParserState.CHUNK) {
             readBody(in, out);
         } else {
-            int length = in.bytesBefore((byte) '\n');
-            if (length > MAX_LINE_BYTES || length < 0 && in.readableBytes() > MAX_LINE_BYTES) {
-                in.skipBytes(in.readableBytes());
-                emitMalformed(out);
-            } else if (length >= 0) {
-                String line = in.readCharSequence(length, StandardCharsets.ISO_8859_1)
-                        .toString()
-                        .strip();
-                in.skipBytes(1);
-                onLine(line, out);
-            }
+            readLine(in, out);
+        }
+    }
+
+    private void readLine(ByteBuf in, List<Object> out) {
+        int length = in.bytesBefore((byte) '\n');
+        boolean incomplete = length < 0;
+        if (length > MAX_LINE_BYTES || incomplete && in.readableBytes() > MAX_LINE_BYTES) {
+            in.skipBytes(in.readableBytes());
+            emitMalformed(out);
+        } else if (!incomplete) {
+            String line = in.readCharSequence(length, StandardCharsets.ISO_8859_1)
+                    .toString()
+                    .strip();
+            in.skipBytes(1);
+            onLine(line, out);
         }
     }
 
@@ -61,9 +81,9 @@
             emitMalformed(out);
             return;
         }
-        byte[] some = new byte[length];
-        in.readBytes(some);
-        bodyBytes.writeBytes(some);
+        byte[] received = new byte[length];
+        in.readBytes(received);
+        bodyBytes.writeBytes(received);
         remainingBytes -= remainingBytes == UNTIL_CLOSE ? 0 : length;
         if (remainingBytes == 0 && state == ParserState.CHUNK) {
             state = ParserState.CHUNK_END;
@@ -77,10 +97,7 @@
             switch (state) {
                 case STATUS -> onStatusLine(line);
                 case HEADERS -> onHeaderLine(line, out);
-                case CHUNK_SIZE -> {
-                    remainingBytes = parseLength(line.split(";")[0].strip(), 16);
-                    state = remainingBytes == 0 ? ParserState.TRAILER : ParserState.CHUNK;
-                }
+                case CHUNK_SIZE -> onChunkSizeLine(line);
                 case CHUNK_END -> state = ParserState.CHUNK_SIZE;
                 default -> {
                     if (line.isEmpty()) {
@@ -107,26 +124,42 @@
     }
 
     private void onHeaderLine(String line, List<Object> out) {
-        if (!line.isEmpty()) {
-            int colon = line.indexOf(':');
-            String name = line.substring(0, Math.max(0, colon)).toLowerCase(Locale.ROOT);
-            String value = line.substring(colon + 1).strip();
-            remainingBytes = name.equals("content-length") ? parseLength(value, 10) : remainingBytes;
-            closeAnnounced |= name.equals("connection") && value.equalsIgnoreCase("close");
-            chunked |= name.equals("transfer-encoding") && value.equalsIgnoreCase("chunked");
-        } else if (status / 100 == 1) {
+        if (line.isEmpty()) {
+            onHeadersEnd(out);
+            return;
+        }
+        int colon = line.indexOf(':');
+        String name = line.substring(0, Math.max(0, colon)).toLowerCase(Locale.ROOT);
+        String value = line.substring(colon + 1).strip();
+        remainingBytes = name.equals("content-length") ? parseLength(value, DECIMAL) : remainingBytes;
+        closeAnnounced |= name.equals("connection") && value.equalsIgnoreCase("close");
+        chunked |= name.equals("transfer-encoding") && value.equalsIgnoreCase("chunked");
+    }
+
+    private void onHeadersEnd(List<Object> out) {
+        if (isInformational()) {
             state = ParserState.STATUS;
         } else if (chunked) {
             state = ParserState.CHUNK_SIZE;
-        } else if (remainingBytes == 0 || status == 204) {
+        } else if (remainingBytes == 0 || status == NO_CONTENT) {
             emitResponse(out);
         } else {
             state = ParserState.BODY;
         }
     }
 
-    private static int parseLength(String text, int base) {
-        int length = Integer.parseInt(text, base);
+    private boolean isInformational() {
+        return status / 100 == 1;
+    }
+
+    private void onChunkSizeLine(String line) {
+        String size = line.split(";")[0];
+        remainingBytes = parseLength(size.strip(), HEXADECIMAL);
+        state = remainingBytes == 0 ? ParserState.TRAILER : ParserState.CHUNK;
+    }
+
+    private static int parseLength(String text, int radix) {
+        int length = Integer.parseInt(text, radix);
         if (length < 0 || length > MAX_BODY_BYTES) {
             throw new IllegalArgumentException("a length of " + text);
         }
@@ -141,7 +174,7 @@
         }
     }
 
-    /** Guards against taking a reset for the end of an answer without a length. */
+    /** A reset must not be taken for the end of a response that goes on until the connection is closed. */
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         state = ParserState.MALFORMED;
@@ -149,13 +182,13 @@
     }
 
     private void emitResponse(List<Object> out) {
-        boolean ends = closeAnnounced || remainingBytes == UNTIL_CLOSE && !chunked;
-        out.add(new HttpResponse(status, bodyBytes.toString(StandardCharsets.UTF_8), ends));
+        boolean closes = closeAnnounced || remainingBytes == UNTIL_CLOSE && !chunked;
+        out.add(new HttpResponse(status, bodyBytes.toString(StandardCharsets.UTF_8), closes));
         state = ParserState.STATUS;
     }
 
     private void emitMalformed(List<Object> out) {
         state = ParserState.MALFORMED;
-        out.add(new HttpResponse(0, "", true));
+        out.add(new HttpResponse(HttpResponse.MALFORMED, "", true));
     }
 }
--- a/daemon/src/main/java/clayhook/discovery/WatchLivenessCheck.java
+++ b/daemon/src/main/java/clayhook/discovery/WatchLivenessCheck.java
@@ -3,25 +3,41 @@
 import java.util.random.RandomGenerator;
 
 /**
- * When to look whether the watch still tells all: pure. A watch that has fallen silent looks like one that has nothing
- * to tell, and what it misses counts as told after six seconds; a call beside it, which does not wait, finds out.
+ * When to check whether the watch still reports everything; no I/O and no clock. A watch that has fallen silent looks
+ * like one that has nothing to report, and a change counts as missed after six seconds; a poll beside it, which does
+ * not wait, finds out. Event loop only.
  */
 final class WatchLivenessCheck {
-    /**
-     * Seconds between a good answer and the next check: two of them, each with its turn, fit into what may be missed.
-     */
+    /** Between a good answer and the next check: a check and its retry, each queued, fit into what may be missed. */
     private static final double MIN_INTERVAL_SECONDS = 2;
-    /** Above the time of a watch, which asks anew by itself: then hardly any check comes between. */
+
+    /** Above the time of a watch, which polls anew by itself: then hardly any check comes between. */
     private static final double MAX_INTERVAL_SECONDS = 12;
-    /** A check that was cut off or stayed silent is made again after this, twice as long each time; and at the most. */
-    private static final double MIN_RETRY_SECONDS = 0.3, MAX_RETRY_SECONDS = 1.2;
-    /** Chance adds up to this part. Guards against all routers asking together after each change. */
+
+    /** Before the first retry of a check that was not answered. */
+    private static final double MIN_RETRY_SECONDS = 0.3;
+
+    /** Before any further retry at most. */
+    private static final double MAX_RETRY_SECONDS = 1.2;
+
+    private static final double RETRY_BACKOFF_FACTOR = 2;
+
+    /** Random part added to each delay, so that routers do not all poll together after each change. */
     private static final double JITTER_FRACTION = 0.2;
-    /** Seconds for an answer: most of the turn that a crowded service grants before it turns calls away. */
+
+    /** Most of the time that a crowded service queues a call before it rejects it. */
     private static final double SLOW_ANSWER_SECONDS = 1.4;
-    /** Many routers leave room for the calls that open watches: fast when one was turned away, slowly back. */
-    private static final double REJECTED_FACTOR = 3, SLOW_ANSWER_FACTOR = 1.5, FAST_ANSWER_FACTOR = 0.9;
-    /** Of the best answer: longer, and the service has a line of calls. */
+
+    /** Lengthens the interval after a rejection: many routers leave capacity for the polls that open watches. */
+    private static final double REJECTED_FACTOR = 3;
+
+    /** Lengthens the interval after a slow answer. */
+    private static final double SLOW_ANSWER_FACTOR = 1.5;
+
+    /** Shortens the interval after a fast answer. */
+    private static final double FAST_ANSWER_FACTOR = 0.9;
+
+    /** Answers that took at most this multiple of the fastest one are fast; longer, and the service queues calls. */
     private static final double FAST_ANSWER_MULTIPLE = 2;
 
     private final RandomGenerator random;
@@ -33,30 +49,34 @@
         this.random = random;
     }
 
-    /** Seconds from a good answer to the next check. */
+    /** Seconds from a good answer to the next check, with jitter. */
     double nextIntervalSeconds() {
         return withJitter(intervalSeconds);
     }
 
-    /** The same after a check that got no answer. */
+    /** Seconds from the failure of a check to its retry, with exponential backoff and jitter. */
     double nextRetrySeconds() {
-        double now = retrySeconds;
-        retrySeconds = Math.min(MAX_RETRY_SECONDS, 2 * retrySeconds);
-        return withJitter(now);
+        double delay = retrySeconds;
+        retrySeconds = Math.min(MAX_RETRY_SECONDS, RETRY_BACKOFF_FACTOR * retrySeconds);
+        return withJitter(delay);
     }
 
-    /** A check was answered after so many seconds. */
-    void onAnswered(double took) {
+    /** A check was answered. */
+    void onAnswered(double elapsedSeconds) {
         retrySeconds = MIN_RETRY_SECONDS;
-        bestAnswerSeconds = Math.min(bestAnswerSeconds, took);
-        double factor = took <= FAST_ANSWER_MULTIPLE * bestAnswerSeconds
-                ? FAST_ANSWER_FACTOR
-                : took > SLOW_ANSWER_SECONDS ? SLOW_ANSWER_FACTOR : 1;
-        intervalSeconds =
-                Math.max(MIN_INTERVAL_SECONDS + took, Math.min(MAX_INTERVAL_SECONDS, intervalSeconds * factor));
+        bestAnswerSeconds = Math.min(bestAnswerSeconds, elapsedSeconds);
+        double scaled = Math.min(MAX_INTERVAL_SECONDS, intervalSeconds * intervalFactor(elapsedSeconds));
+        intervalSeconds = Math.max(MIN_INTERVAL_SECONDS + elapsedSeconds, scaled);
+    }
+
+    private double intervalFactor(double elapsedSeconds) {
+        if (elapsedSeconds <= FAST_ANSWER_MULTIPLE * bestAnswerSeconds) {
+            return FAST_ANSWER_FACTOR;
+        }
+        return elapsedSeconds > SLOW_ANSWER_SECONDS ? SLOW_ANSWER_FACTOR : 1;
     }
 
-    /** The service turned a call away. */
+    /** The service rejected a poll. */
     void onRejected() {
         intervalSeconds = Math.min(MAX_INTERVAL_SECONDS, intervalSeconds * REJECTED_FACTOR);
     }
