--- a/daemon/src/main/java/clayhook/warmup/StubClient.java
+++ b/daemon/src/main/java/clayhook/warmup/StubClient.java
@@ -20,17 +20,26 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A client that sends statements and hands out what comes back, a word an answer. */
+/**
+ * A client that sends statements, and reduces each answer to a text: the value of its row, the SQLSTATE of its error,
+ * or {@value #READY} where it had neither. Any thread may use it; it runs on the event loop of its transport.
+ */
 public final class StubClient {
     /** More than any answer here takes. */
     private static final int TIMEOUT_SECONDS = 20;
-    /** The one word of a client that never reached the router. */
+    /** The only answer of a client whose connection was not established. */
     public static final String NO_CONNECTION = "no connection";
 
+    /** The answer to a startup, and to a statement with neither a row nor an error. */
+    private static final String READY = "ready";
+
+    private static final double NANOS_PER_SECOND = 1e9;
+
     private final BlockingQueue<String> answers = new LinkedBlockingQueue<>();
     private final List<ByteBuf> queuedBeforeConnect = new ArrayList<>();
     private final Channel channel;
 
+    /** Begins to connect. */
     public StubClient(Transport transport, InetSocketAddress router) {
         channel = transport.connect(
                 router,
@@ -42,7 +51,7 @@
     }
 
     private final class StubClientHandler extends ChannelInboundHandlerAdapter {
-        private String answer = "ready";
+        private String answer = READY;
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
@@ -57,13 +66,13 @@
                 answer = error.sqlState();
             } else if (message instanceof NodeMessage.ReadyForQuery) {
                 answers.add(answer);
-                answer = "ready";
+                answer = READY;
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            answers.add(answer.equals("ready") ? "closed" : answer + " closed");
+            answers.add(answer.equals(READY) ? "closed" : answer + " closed");
         }
 
         @Override
@@ -72,7 +81,7 @@
         }
     }
 
-    /** Sends at once; before the connection stands, as soon as it does. */
+    /** Sends bytes at once, or as soon as the connection is established. */
     public void send(ByteBuf bytes) {
         channel.eventLoop().execute(() -> {
             if (channel.isActive()) {
@@ -83,12 +92,12 @@
         });
     }
 
-    /** A statement whose comment holds these fields. */
+    /** A query with a key-value statement on one key, whose comment holds these fields. */
     public static ByteBuf statement(boolean writes, String fields) {
         return statement(writes, "k", fields);
     }
 
-    /** The same on that key, which names the session. */
+    /** A query with a key-value statement on the given key, which names the session, and these comment fields. */
     public static ByteBuf statement(boolean writes, String key, String fields) {
         String text = writes
                 ? "INSERT INTO state (uid, val) VALUES ('" + key + "', '\\x9f03') RETURNING val"
@@ -96,21 +105,25 @@
         return MessageEncoder.query((text + " /* " + fields + " */").getBytes(UTF_8));
     }
 
-    /** Startup and a first statement in one piece. */
+    /** A startup message and a first query in one buffer. */
     public static ByteBuf startupAndFirst(ByteBuf first) {
         return Unpooled.wrappedBuffer(MessageEncoder.startupMessage("client", "core"), first);
     }
 
-    /** The value, the code of the error, or ready for what had neither; closed once the router ended. */
+    /**
+     * Waits for the next answer, which is {@code closed} once the router has closed the connection; null after
+     * {@value #TIMEOUT_SECONDS} seconds.
+     */
     public String nextAnswer() throws InterruptedException {
         return nextAnswer(TIMEOUT_SECONDS);
     }
 
-    /** The same, or null where nothing came within so many seconds. */
+    /** Waits for the next answer; null where none came within so many seconds. */
     public String nextAnswer(double seconds) throws InterruptedException {
-        return answers.poll((long) (seconds * 1e9), TimeUnit.NANOSECONDS);
+        return answers.poll((long) (seconds * NANOS_PER_SECOND), TimeUnit.NANOSECONDS);
     }
 
+    /** Closes the connection. */
     public void close() {
         channel.close();
     }
--- a/daemon/src/main/java/clayhook/warmup/StubDiscovery.java
+++ b/daemon/src/main/java/clayhook/warmup/StubDiscovery.java
@@ -13,29 +13,40 @@
 import java.util.function.Function;
 import java.util.function.Predicate;
 
-/** Discovery that answers each call with a list, or with all that begins with HTTP; null leaves the call waiting. */
+/** A discovery service whose answers its user gives. Its threads are those of {@link StubServer}. */
 public final class StubDiscovery extends StubServer {
 
+    /**
+     * Answers calls at once.
+     *
+     * @param answers gives the answer to a request line, on the event loop: the JSON of a list, a whole HTTP response,
+     *     or null to leave the call waiting
+     */
     public StubDiscovery(Transport transport, InetSocketAddress address, Function<String, String> answers)
             throws InterruptedException {
-        this(transport, address, (call, answer) -> answer.test(answers.apply(call)));
+        this(transport, address, (requestLine, answer) -> answer.test(answers.apply(requestLine)));
     }
 
     /**
-     * {@code calls} is handed each call and what takes its answer, once, by any thread; false where its caller has
-     * gone.
+     * Leaves it to its user when to answer.
+     *
+     * @param requestListener hears the request line of each call on the event loop, with what takes the answer: once,
+     *     on any thread, false where the caller's connection is closed
      */
-    public StubDiscovery(Transport transport, InetSocketAddress address, BiConsumer<String, Predicate<String>> calls)
+    public StubDiscovery(
+            Transport transport, InetSocketAddress address, BiConsumer<String, Predicate<String>> requestListener)
             throws InterruptedException {
-        super(transport, address, () -> new ChannelHandler[] {new StubDiscoveryHandler(calls)});
+        super(transport, address, () -> new ChannelHandler[] {new StubDiscoveryHandler(requestListener)});
     }
 
     private static final class StubDiscoveryHandler extends ChannelInboundHandlerAdapter {
+        private static final String END_OF_HEADERS = "\r\n\r\n";
+
         private final BiConsumer<String, Predicate<String>> requestListener;
         private final StringBuilder received = new StringBuilder();
 
-        private StubDiscoveryHandler(BiConsumer<String, Predicate<String>> calls) {
-            this.requestListener = calls;
+        private StubDiscoveryHandler(BiConsumer<String, Predicate<String>> requestListener) {
+            this.requestListener = requestListener;
         }
 
         @Override
@@ -43,13 +54,13 @@
             var bytes = (ByteBuf) message;
             received.append(bytes.toString(US_ASCII));
             bytes.release();
-            int end = received.indexOf("\r\n\r\n");
+            int end = received.indexOf(END_OF_HEADERS);
             if (end < 0) {
                 return;
             }
-            String call = received.substring(0, received.indexOf("\r\n"));
-            received.delete(0, end + 4);
-            requestListener.accept(call, body -> writeAnswer(ctx, body));
+            String requestLine = received.substring(0, received.indexOf("\r\n"));
+            received.delete(0, end + END_OF_HEADERS.length());
+            requestListener.accept(requestLine, body -> writeAnswer(ctx, body));
         }
 
         private static boolean writeAnswer(ChannelHandlerContext ctx, String body) {
--- a/daemon/src/main/java/clayhook/warmup/StubNode.java
+++ b/daemon/src/main/java/clayhook/warmup/StubNode.java
@@ -17,82 +17,116 @@
 import java.util.Map;
 import java.util.function.Function;
 
-/** A node that does to each statement what it is told to. */
+/** A node that responds to each statement as its user says. Its threads are those of {@link StubServer}. */
 public final class StubNode extends StubServer {
-    /** What a node may do: answer with a row, an error of that code, or that, reset the connection, or say nothing. */
+    /**
+     * What a node does with a statement.
+     *
+     * @param value of the row that answers it, or null
+     * @param errorCode SQLSTATE of the error that answers it, or null
+     * @param closesConnection whether it closes the connection instead
+     * @param bytes what it writes instead, or null
+     */
     public record StubResponse(String value, String errorCode, boolean closesConnection, ByteBuf bytes) {
-        private StubResponse(String value, String errorCode, boolean resets) {
-            this(value, errorCode, resets, null);
+        private StubResponse(String value, String errorCode, boolean closesConnection) {
+            this(value, errorCode, closesConnection, null);
         }
 
+        /** Answers with one row of one column. */
         public static StubResponse answer(String value) {
             return new StubResponse(value, null, false);
         }
 
+        /** Writes bytes as they are; the buffer may be used for several responses. */
         public static StubResponse bytes(ByteBuf bytes) {
             return new StubResponse(null, null, false, bytes);
         }
 
-        public static StubResponse error(String code) {
-            return new StubResponse(null, code, false);
+        /** Answers with an error. */
+        public static StubResponse error(String sqlState) {
+            return new StubResponse(null, sqlState, false);
         }
 
+        /** Closes the connection without an answer. */
         public static StubResponse closeConnection() {
             return new StubResponse(null, null, true);
         }
 
+        /** Never answers. */
         public static StubResponse silence() {
             return new StubResponse(null, null, false);
         }
     }
 
-    /** The role of a node that leaves probes unanswered. */
+    /** The role of a node that does not answer health checks. */
     public static final String UNRESPONSIVE = "mute";
 
+    private static final byte[] COLUMN_NAME = "val\0".getBytes(UTF_8);
+    private static final byte[] COMMAND_TAG = "SELECT 1\0".getBytes(UTF_8);
+    /** Bytes of the length of a message or a value. */
+    private static final int LENGTH_BYTES = 4;
+    /** Bytes of the number of columns. */
+    private static final int COUNT_BYTES = 2;
+    /** What describes a column after its name: table, number, type, size, modifier and format. */
+    private static final int COLUMN_DESCRIPTION_BYTES = 18;
+
+    /**
+     * Starts a node.
+     *
+     * @param role reported with each row: {@code primary} or {@code replica}, or {@link #UNRESPONSIVE}
+     * @param responses gives the response to a statement, on the event loop
+     */
     public StubNode(
             Transport transport,
             InetSocketAddress address,
             String role,
-            Function<KeyValueStatement, StubResponse> deeds)
+            Function<KeyValueStatement, StubResponse> responses)
             throws InterruptedException {
         super(transport, address, () -> new ChannelHandler[] {
-            new ClientMessageDecoder(new MemoryBudget(Long.MAX_VALUE)), new StubNodeHandler(role, deeds)
+            new ClientMessageDecoder(new MemoryBudget(Long.MAX_VALUE)), new StubNodeHandler(role, responses)
         });
     }
 
-    /** An answer of one row, and what a node tells with it; {@code applied} is its position in milliseconds. */
-    public static ByteBuf row(String value, String role, long applied, String load) {
+    /**
+     * The bytes of an answer of one row, and of what a node reports with it.
+     *
+     * @param appliedMillis the node's applied position in milliseconds
+     * @param load its load report
+     */
+    public static ByteBuf row(String value, String role, long appliedMillis, String load) {
         byte[] bytes = value.getBytes(UTF_8);
         ByteBuf out = Unpooled.buffer();
         out.writeByte('T')
-                .writeInt(4 + 2 + 4 + 18)
+                .writeInt(LENGTH_BYTES + COUNT_BYTES + COLUMN_NAME.length + COLUMN_DESCRIPTION_BYTES)
                 .writeShort(1)
-                .writeBytes("val\0".getBytes(UTF_8))
-                .writeZero(18);
+                .writeBytes(COLUMN_NAME)
+                .writeZero(COLUMN_DESCRIPTION_BYTES);
         out.writeByte('D')
-                .writeInt(4 + 2 + 4 + bytes.length)
+                .writeInt(LENGTH_BYTES + COUNT_BYTES + LENGTH_BYTES + bytes.length)
                 .writeShort(1)
                 .writeInt(bytes.length)
                 .writeBytes(bytes);
-        out.writeByte('C').writeInt(4 + 9).writeBytes("SELECT 1\0".getBytes(UTF_8));
+        out.writeByte('C').writeInt(LENGTH_BYTES + COMMAND_TAG.length).writeBytes(COMMAND_TAG);
         writeParameterStatus(out, "role", role);
-        writeParameterStatus(out, "applied_ms", Long.toString(applied));
+        writeParameterStatus(out, "applied_ms", Long.toString(appliedMillis));
         writeParameterStatus(out, "load", load);
         return out.writeBytes(MessageEncoder.readyForQuery());
     }
 
     private static void writeParameterStatus(ByteBuf out, String name, String value) {
         byte[] text = (name + '\0' + value + '\0').getBytes(UTF_8);
-        out.writeByte('S').writeInt(4 + text.length).writeBytes(text);
+        out.writeByte('S').writeInt(LENGTH_BYTES + text.length).writeBytes(text);
     }
 
     private static final class StubNodeHandler extends ChannelInboundHandlerAdapter {
+        private static final double MILLIS_PER_SECOND = 1000;
+
         private final String role;
         private final Function<KeyValueStatement, StubResponse> responses;
 
-        private StubNodeHandler(String role, Function<KeyValueStatement, StubResponse> deeds) {
+        private StubNodeHandler(String role, Function<KeyValueStatement, StubResponse> responses) {
             this.role = role;
-            this.responses = deeds;
+            this.responses = responses;
         }
 
         @Override
@@ -102,28 +136,33 @@
             } else if (message instanceof ClientMessage.Query query) {
                 respond(ctx, responses.apply(query.statement()));
             } else if (message instanceof ClientMessage.UnreadableQuery && !role.equals(UNRESPONSIVE)) {
-                respond(
-                        ctx,
-                        StubResponse.answer("x0=" + System.currentTimeMillis() / 1000.0 + ",x1="
-                                + (role.equals("primary") ? 1 : 0) + ",inflight=1"));
+                respond(ctx, StubResponse.answer(loadReport()));
             }
         }
 
-        private void respond(ChannelHandlerContext ctx, StubResponse deed) {
-            if (deed.closesConnection()) {
+        private void respond(ChannelHandlerContext ctx, StubResponse response) {
+            if (response.closesConnection()) {
                 ctx.close();
-            } else if (deed.bytes() != null) {
-                ctx.writeAndFlush(deed.bytes().retainedDuplicate());
-            } else if (deed.errorCode() != null) {
-                ctx.writeAndFlush(MessageEncoder.error(false, deed.errorCode(), "as told", null));
-            } else if (deed.value() != null) {
-                ctx.writeAndFlush(row(deed.value()));
+            } else if (response.bytes() != null) {
+                ctx.writeAndFlush(response.bytes().retainedDuplicate());
+            } else if (response.errorCode() != null) {
+                ctx.writeAndFlush(MessageEncoder.error(false, response.errorCode(), "as told", null));
+            } else if (response.value() != null) {
+                ctx.writeAndFlush(row(response.value()));
             }
         }
 
+        private String loadReport() {
+            int primary = role.equals("primary") ? 1 : 0;
+            return "x0=" + nowSeconds() + ",x1=" + primary + ",inflight=1";
+        }
+
         private ByteBuf row(String value) {
-            return StubNode.row(
-                    value, role, System.currentTimeMillis(), "inflight=1,x0=" + System.currentTimeMillis() / 1000.0);
+            return StubNode.row(value, role, System.currentTimeMillis(), "inflight=1,x0=" + nowSeconds());
+        }
+
+        private static double nowSeconds() {
+            return System.currentTimeMillis() / MILLIS_PER_SECOND;
         }
 
         @Override
--- a/daemon/src/main/java/clayhook/warmup/WarmUp.java
+++ b/daemon/src/main/java/clayhook/warmup/WarmUp.java
@@ -10,6 +10,7 @@
 import clayhook.serve.Server;
 import clayhook.transport.Transport;
 import io.netty.buffer.ByteBuf;
+import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.ExecutionException;
@@ -20,119 +21,182 @@
 import java.util.function.Function;
 
 /**
- * Runs the whole router against stand-ins within the process before it serves: the first command of a cold process
- * takes tens of milliseconds, many times that on a shared core, and clients would wait for it.
+ * Runs the whole router against stubs within the process before it serves: the first request of a cold process takes
+ * tens of milliseconds, many times that on a shared core, and clients would wait for it.
+ *
+ * <p>Runs on a thread of its own, which the caller waits for; the router and its stubs run on the event loop of a
+ * transport that is closed at the end.
  */
 public final class WarmUp {
-    /** Clients at once, and what each sends; by then the runtime has compiled what is used most. */
+    /** Clients at once. */
     private static final int CONCURRENT_CLIENTS = 6;
 
+    /** After so many of each client the runtime has compiled what is used most. */
     private static final int REQUESTS_PER_CLIENT = 80;
-    /** Commands that a client sends before another takes its place. */
+
+    /** Requests that a client sends before another takes its place, so that opening and closing is warmed up too. */
     private static final int REQUESTS_PER_CONNECTION = 2;
+
     /** Until all that is used is compiled, on half a core. */
     private static final double MAX_SECONDS = 3;
-    /** A router that comes back is awaited, and its clients come back one by one. */
+
+    /** A router that restarts is waited for, and its clients come back one by one. */
     private static final double MAX_RESTART_SECONDS = 1.4;
 
-    /** It ends by itself as soon as its time is over; what stands then does not go on. */
+    /** The run ends by itself as soon as its time is over; one that takes so much longer hangs. */
     private static final double GRACE_SECONDS = 0.5;
 
-    private WarmUp() {}
+    private static final double NANOS_PER_SECOND = 1e9;
+
+    private static final long MEMORY_BYTES = 1 << 24;
+    private static final int MAX_DESCRIPTORS = 1000;
+    private static final double CONNECT_TIMEOUT_SECONDS = 1;
 
-    /** Closes the transport in the end; false where that carries nothing, so that nothing was rehearsed. */
-    public static boolean run(RoutingSettings settings, Transport transport, boolean awaited)
+    /** The version of the list that the stub discovery serves. */
+    private static final int LIST_VERSION = 2;
+
+    private final RoutingSettings settings;
+    /** Carries the router, its nodes and its discovery. */
+    private final Transport transport;
+    /** Carries the clients. */
+    private final Transport clientTransport;
+    /** When to end, in seconds of the system's monotonic clock. */
+    private final double deadline;
+
+    private final List<StubClient> clients = new ArrayList<>();
+
+    private WarmUp(RoutingSettings settings, Transport transport, Transport clientTransport, double deadline) {
+        this.settings = settings;
+        this.transport = transport;
+        this.clientTransport = clientTransport;
+        this.deadline = deadline;
+    }
+
+    /**
+     * Warms the process up, and closes the transport.
+     *
+     * @param restart whether the router has served before, so that less time is taken
+     * @return false where the transport carries nothing, so that nothing was warmed up
+     */
+    public static boolean run(RoutingSettings settings, Transport transport, boolean restart)
             throws InterruptedException {
-        return run(settings, transport, transport, awaited);
+        return run(settings, transport, transport, restart);
     }
 
-    static boolean run(RoutingSettings settings, Transport transport, Transport outside, boolean awaited)
+    static boolean run(RoutingSettings settings, Transport transport, Transport clientTransport, boolean restart)
             throws InterruptedException {
-        double longest = awaited ? MAX_RESTART_SECONDS : MAX_SECONDS;
-        double until = System.nanoTime() / 1e9 + longest;
-        var play = new FutureTask<>(() -> serveStubClients(settings, transport, outside, until));
-        var thread = new Thread(play, "rehearsal");
+        double seconds = restart ? MAX_RESTART_SECONDS : MAX_SECONDS;
+        var warmUp = new WarmUp(settings, transport, clientTransport, monotonicSeconds() + seconds);
+        var task = new FutureTask<>(warmUp::serveStubClients);
+        var thread = new Thread(task, "warm-up");
         thread.setDaemon(true);
         thread.start();
         try {
-            return play.get((long) ((longest + GRACE_SECONDS) * 1e9), TimeUnit.NANOSECONDS);
+            return task.get((long) ((seconds + GRACE_SECONDS) * NANOS_PER_SECOND), TimeUnit.NANOSECONDS);
         } catch (TimeoutException e) {
-            // Guards against a start that waits for a loop that hangs.
-            Log.warn("rehearsal", "the rehearsal was broken off");
+            // An event loop that hangs must not keep the process from serving.
+            Log.warn("warm-up", "the warm-up timed out");
             return true;
         } catch (ExecutionException e) {
-            // Guards against a start that fails, as the rehearsal may in ways in which serving does not.
-            Log.warn("rehearsal", "no rehearsal: " + e.getCause());
+            // The warm-up may fail in ways in which serving does not: the start goes on without it.
+            Log.warn("warm-up", "no warm-up: " + e.getCause());
             return false;
         } finally {
             transport.close();
-            // Guards against serving while its sockets still count against the descriptors of the process.
+            // The sockets count against the descriptors of the process, which serving needs.
             transport.awaitClosed(GRACE_SECONDS);
         }
     }
 
-    private static boolean serveStubClients(
-            RoutingSettings settings, Transport transport, Transport outside, double until)
-            throws InterruptedException {
+    private static double monotonicSeconds() {
+        return System.nanoTime() / NANOS_PER_SECOND;
+    }
+
+    private boolean serveStubClients() throws InterruptedException {
         var primary = new StubNode(
                 transport, transport.ephemeralAddress(1), "primary", any -> StubNode.StubResponse.answer("p"));
         var replica = new StubNode(
                 transport, transport.ephemeralAddress(2), "replica", any -> StubNode.StubResponse.answer("r"));
-        var other = new StubNode(transport, transport.ephemeralAddress(3), "replica", varyingResponses());
-        String list = "{\"rev\":2,\"all\":true,\"targets\":[" + endpointJson("p", primary) + ","
-                + endpointJson("r", replica) + "," + endpointJson("o", other) + "]}";
+        var faulty = new StubNode(transport, transport.ephemeralAddress(3), "replica", occasionalFaults());
+        String list = "{\"rev\":" + LIST_VERSION + ",\"all\":true,\"targets\":[" + endpointJson("p", primary) + ","
+                + endpointJson("r", replica) + "," + endpointJson("o", faulty) + "]}";
         var discovery = new StubDiscovery(
-                transport, transport.ephemeralAddress(4), call -> call.contains("after=2") ? null : list);
-        var server = new Server(
-                transport,
-                new RouterConfiguration(
-                        "rehearsal",
-                        transport.ephemeralAddress(5),
-                        discovery.address(),
-                        1,
-                        1 << 24,
-                        1000,
-                        new EndpointList(0, true, List.of()),
-                        settings,
-                        1));
-        var clients = new ArrayList<StubClient>();
+                transport, transport.ephemeralAddress(4), call -> call.contains("after=" + LIST_VERSION) ? null : list);
+        var server = new Server(transport, configuration(discovery.address()));
+        boolean carried = sendRequests(server.address());
+        server.close();
+        Log.counts();
+        return carried || isOver();
+    }
+
+    private RouterConfiguration configuration(InetSocketAddress discovery) {
+        return new RouterConfiguration(
+                "warm-up",
+                transport.ephemeralAddress(5),
+                discovery,
+                1,
+                MEMORY_BYTES,
+                MAX_DESCRIPTORS,
+                new EndpointList(0, true, List.of()),
+                settings,
+                CONNECT_TIMEOUT_SECONDS);
+    }
+
+    /** Sends rounds of one request a client; false once an answer failed to come. */
+    private boolean sendRequests(InetSocketAddress router) throws InterruptedException {
         boolean carried = true;
-        for (int i = 0; carried && i < REQUESTS_PER_CLIENT && System.nanoTime() / 1e9 < until; i++) {
+        for (int i = 0; carried && i < REQUESTS_PER_CLIENT && !isOver(); i++) {
+            boolean opens = i % REQUESTS_PER_CONNECTION == 0;
             for (int j = 0; j < CONCURRENT_CLIENTS; j++) {
-                RequestClass group = settings.requestClasses()
-                        .get(j % settings.requestClasses().size());
-                ByteBuf statement = StubClient.statement(
-                        group.consistency() == ConsistencyLevel.WRITE,
-                        "id=" + j + ",c=" + group.name() + ",d=400,k=2,cluster=1");
-                if (i % REQUESTS_PER_CONNECTION == 0) {
-                    clients.add(new StubClient(outside, server.address()));
-                    clients.get(j).send(StubClient.startupAndFirst(statement));
-                } else {
-                    clients.get(j).send(statement);
-                }
-            }
-            for (StubClient client : clients) {
-                // Guards against a start that waits for sockets which the platform has not got.
-                carried = carried
-                        && (i % REQUESTS_PER_CONNECTION != 0 || receivedAnswer(client, until))
-                        && receivedAnswer(client, until);
+                sendRequest(j, opens, router);
             }
+            carried = receiveAnswers(opens);
             if (i % REQUESTS_PER_CONNECTION == REQUESTS_PER_CONNECTION - 1) {
                 clients.forEach(StubClient::close);
                 clients.clear();
             }
         }
-        server.close();
-        Log.counts();
-        return carried || System.nanoTime() / 1e9 >= until;
+        return carried;
+    }
+
+    private void sendRequest(int number, boolean opens, InetSocketAddress router) {
+        List<RequestClass> requestClasses = settings.requestClasses();
+        RequestClass requestClass = requestClasses.get(number % requestClasses.size());
+        ByteBuf statement = StubClient.statement(
+                requestClass.consistency() == ConsistencyLevel.WRITE,
+                "id=" + number + ",c=" + requestClass.name() + ",d=400,k=2,cluster=1");
+        if (opens) {
+            clients.add(new StubClient(clientTransport, router));
+            clients.get(number).send(StubClient.startupAndFirst(statement));
+        } else {
+            clients.get(number).send(statement);
+        }
+    }
+
+    /**
+     * Waits for an answer to each client, and for the end of its startup where it has just connected. Stops at the
+     * first that does not come, since the platform may have sockets that carry nothing.
+     */
+    private boolean receiveAnswers(boolean opened) throws InterruptedException {
+        for (StubClient client : clients) {
+            if (opened && !receivedAnswer(client) || !receivedAnswer(client)) {
+                return false;
+            }
+        }
+        return true;
+    }
+
+    private boolean receivedAnswer(StubClient client) throws InterruptedException {
+        String answer = client.nextAnswer(Math.max(0, deadline - monotonicSeconds()));
+        return answer != null && !answer.equals(StubClient.NO_CONNECTION);
     }
 
-    private static boolean receivedAnswer(StubClient client, double until) throws InterruptedException {
-        String word = client.nextAnswer(Math.max(0, until - System.nanoTime() / 1e9));
-        return word != null && !word.equals(StubClient.NO_CONNECTION);
+    private boolean isOver() {
+        return monotonicSeconds() >= deadline;
     }
 
-    private static Function<KeyValueStatement, StubNode.StubResponse> varyingResponses() {
+    /** A replica's answers, with an error of each kind and a lost connection among them. */
+    private static Function<KeyValueStatement, StubNode.StubResponse> occasionalFaults() {
         var count = new AtomicInteger();
         return any -> switch (count.incrementAndGet()) {
             case 2 -> StubNode.StubResponse.error("53300");
@@ -144,8 +208,7 @@
 
     private static String endpointJson(String id, StubNode node) {
         return "{\"uid\":\"" + id + "\",\"endpoint\":\"127.0.0.1:"
-                + node.address().getPort()
-                + "\",\"az\":\"a\",\"model\":\"m\",\"pod_group\":1,\"state\":\"up\",\"capacity_hint\":1.0,"
-                + "\"boot_ms\":0}";
+                + node.address().getPort() + "\",\"az\":\"a\",\"model\":\"m\",\"pod_group\":1,\"state\":\"up\","
+                + "\"capacity_hint\":1.0,\"boot_ms\":0}";
     }
 }
