--- a/daemon/src/main/java/clayhook/simulator/SimulatedRouter.java
+++ b/daemon/src/main/java/clayhook/simulator/SimulatedRouter.java
@@ -4,7 +4,6 @@
 import clayhook.AttemptOutcome;
 import clayhook.AttemptResult;
 import clayhook.Decision;
-import clayhook.Decision.RoutingAction;
 import clayhook.Endpoint;
 import clayhook.Node;
 import clayhook.Request;
@@ -19,19 +18,36 @@
 import java.util.List;
 import java.util.Map;
 
-/** One router: the ids of its commands and nodes, and the module that decides for them. */
+/**
+ * One router in the simulator: maps the ids of requests and nodes on the wire to objects, and passes events to its
+ * routing policy. Times on the wire are nanoseconds of the simulator's clock, seconds here. Not thread-safe.
+ */
 final class SimulatedRouter {
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
+    private static final long NANOS_PER_MILLI = 1_000_000;
+    private static final double MILLIS_PER_SECOND = 1000;
+
+    /** The {@code stand} of a response holds four times the applied position in milliseconds, plus the role. */
+    private static final int STAND_ROLES = 4;
+
+    private static final int STAND_PRIMARY = 1;
+    private static final int STAND_REPLICA = 2;
 
     private static final class SimulatedRequest extends Request {
         private final String id;
         private final long deadlineNanos;
 
         private SimulatedRequest(
-                String id, RequestClass group, int shard, String session, double wroteAt, long now, long notAfter) {
-            super(group, shard, session, wroteAt, toSeconds(now), toSeconds(notAfter));
+                String id,
+                RequestClass requestClass,
+                int replicaSetId,
+                String sessionId,
+                double lastWritePosition,
+                long now,
+                long deadlineNanos) {
+            super(requestClass, replicaSetId, sessionId, lastWritePosition, toSeconds(now), toSeconds(deadlineNanos));
             this.id = id;
-            this.deadlineNanos = notAfter;
+            this.deadlineNanos = deadlineNanos;
         }
     }
 
@@ -39,19 +55,20 @@
     private final RoutingSettings settings;
     private final Map<String, RequestClass> requestClasses = new HashMap<>();
     private final Map<String, Node> nodes = new HashMap<>();
-    /** Each leaves with its final answer and the last outcome of its dispatches. */
+    /** Each leaves with its final answer and the last outcome of its attempts. */
     private final Map<String, SimulatedRequest> requests = new HashMap<>();
 
     private final RoutingPolicy policy;
     private final InFlightRequests inFlight;
 
+    /** Reads the rest of a CONFIGURE line: a seed and settings. */
     SimulatedRouter(InputLine line) throws SimulatorProtocolException {
         long seed = line.nextLong("seed");
-        var configuration = new SimulatorSettings(line);
-        originNanos = configuration.originNanos();
-        settings = configuration.settings();
-        for (RequestClass group : settings.requestClasses()) {
-            requestClasses.put(group.name(), group);
+        var configured = new SimulatorSettings(line);
+        originNanos = configured.originNanos();
+        settings = configured.settings();
+        for (RequestClass requestClass : settings.requestClasses()) {
+            requestClasses.put(requestClass.name(), requestClass);
         }
         policy = new RoutingPolicy(settings, seed);
         inFlight = new InFlightRequests(policy, fault -> {
@@ -59,130 +76,139 @@
         });
     }
 
+    // ---- events ----
+
     void onArrival(InputLine line, long now) throws SimulatorProtocolException {
         String id = line.nextText("id");
         String service = line.nextText("service");
-        RequestClass group = requestClasses.get(service);
-        if (group == null) {
+        RequestClass requestClass = requestClasses.get(service);
+        if (requestClass == null) {
             throw line.error("names a service '" + service + "' that the settings lack");
         }
         line.nextOrNull("team");
-        String session = line.nextOrNull("session");
-        long notAfter = line.nextLong("not_after");
+        String sessionId = line.nextOrNull("session");
+        long deadlineNanos = line.nextLong("not_after");
         line.nextOrNull("size_hint");
-        int shard = (int) line.nextLong("shard");
-        double wroteAgo = line.nextDouble("wrote_ms_ago", 0);
-        double wroteAt = wroteAgo > 0 ? toSeconds(now) - wroteAgo / 1000 : 0;
-        var command = new SimulatedRequest(id, group, shard, session, wroteAt, now, notAfter);
-        requests.put(id, command);
-        inFlight.admit(command, toSeconds(now));
+        int replicaSetId = (int) line.nextLong("shard");
+        double wroteMillisAgo = line.nextDouble("wrote_ms_ago", 0);
+        double lastWritePosition = wroteMillisAgo > 0 ? toSeconds(now) - wroteMillisAgo / MILLIS_PER_SECOND : 0;
+        var request =
+                new SimulatedRequest(id, requestClass, replicaSetId, sessionId, lastWritePosition, now, deadlineNanos);
+        requests.put(id, request);
+        inFlight.admit(request, toSeconds(now));
     }
 
     void onAttemptFinished(InputLine line, long now) throws SimulatorProtocolException {
-        SimulatedRequest command = requests.get(line.nextText("id"));
+        SimulatedRequest request = requests.get(line.nextText("id"));
         int number = (int) line.nextLong("send_no");
         line.nextText("node");
         AttemptOutcome outcome = parseOutcome(line);
-        double took = (double) line.nextLong("time_taken") / NANOS_PER_SECOND;
+        double elapsedSeconds = toSeconds(line.nextLong("time_taken"));
         boolean terminal = line.nextLong("terminal", 0) != 0;
-        AttemptResult reply = parseResult(line, outcome, took, line.nextLong("stand", 0));
-        if (command == null || number < 0 || number >= command.attempts.size()) {
+        AttemptResult result = parseResult(line, outcome, elapsedSeconds, line.nextLong("stand", 0));
+        if (request == null || number < 0 || number >= request.attempts.size()) {
             throw line.error("answers a dispatch that was never sent");
         }
-        Attempt dispatch = command.attempts.get(number);
-        if (dispatch.outcome != null) {
+        Attempt attempt = request.attempts.get(number);
+        if (attempt.outcome != null) {
             throw line.error("answers a dispatch a second time");
         }
-        inFlight.onAttemptFinished(dispatch, reply, terminal, toSeconds(now));
+        inFlight.onAttemptFinished(attempt, result, terminal, toSeconds(now));
     }
 
     void onHealthCheck(InputLine line, long now) throws SimulatorProtocolException {
         Node node = nodes.get(line.nextText("node"));
-        double took = (double) line.nextLong("time_taken") / NANOS_PER_SECOND;
-        AttemptResult reply = parseResult(line, parseOutcome(line), took, 0);
+        double elapsedSeconds = toSeconds(line.nextLong("time_taken"));
+        AttemptResult result = parseResult(line, parseOutcome(line), elapsedSeconds, 0);
         if (node == null) {
             throw line.error("tells of a node that no list named");
         }
-        policy.onHealthCheck(node, reply, toSeconds(now));
+        policy.onHealthCheck(node, result, toSeconds(now));
     }
 
-    void onDiscovery(InputLine line, int scope, List<SimulatedEndpoint> rows, long now) {
-        if (scope == 3) {
-            policy.onEndpointListFailed(toSeconds(now));
-            return;
-        }
-        var listings = new ArrayList<Endpoint>();
-        for (SimulatedEndpoint row : rows) {
-            Node node = nodes.computeIfAbsent(row.nodeId(), id -> new Node(id, row.zone(), row.replicaSetId()));
-            double since = row.startedAtNanos() > 0 ? toSeconds(row.startedAtNanos()) : 0;
-            listings.add(new Endpoint(node, row.state(), row.primary(), since));
+    void onEndpointListFailed(long now) {
+        policy.onEndpointListFailed(toSeconds(now));
+    }
+
+    void onEndpointList(List<SimulatedEndpoint> received, boolean complete, long now) {
+        var endpoints = new ArrayList<Endpoint>();
+        for (SimulatedEndpoint endpoint : received) {
+            Node node = nodes.computeIfAbsent(
+                    endpoint.nodeId(), id -> new Node(id, endpoint.zone(), endpoint.replicaSetId()));
+            double startedAt = endpoint.startedAtNanos() > 0 ? toSeconds(endpoint.startedAtNanos()) : 0;
+            endpoints.add(new Endpoint(node, endpoint.state(), endpoint.primary(), startedAt));
         }
-        policy.onEndpointList(listings, scope != 0, toSeconds(now));
+        policy.onEndpointList(endpoints, complete, toSeconds(now));
     }
 
-    void onClientGone(String id) {
-        SimulatedRequest command = requests.get(id);
-        if (command != null) {
-            inFlight.onClientGone(command);
-            removeIfSettled(command);
+    void onClientGone(String requestId) {
+        SimulatedRequest request = requests.get(requestId);
+        if (request != null) {
+            inFlight.onClientGone(request);
+            removeIfSettled(request);
         }
     }
 
-    /** Carries out what was decided in this batch; sets the next timer. */
+    // ---- decisions ----
+
+    /** Writes what was decided in this batch, and the next timer. */
     void tick(long now, StringBuilder out) {
-        InFlightRequests.DecisionBatch turn = inFlight.tick(toSeconds(now));
-        for (InFlightRequests.RoutedRequest order : turn.routedRequests()) {
-            writeDecision((SimulatedRequest) order.request(), order.decision(), out);
+        InFlightRequests.DecisionBatch batch = inFlight.tick(toSeconds(now));
+        for (InFlightRequests.RoutedRequest routed : batch.routedRequests()) {
+            writeDecision((SimulatedRequest) routed.request(), routed.decision(), out);
         }
-        for (Node node : turn.tickResult().healthChecks()) {
+        for (Node node : batch.tickResult().healthChecks()) {
             out.append("TOUCH ").append(node.id()).append('\n');
         }
-        if (turn.tickResult().pollEndpoints()) {
+        if (batch.tickResult().pollEndpoints()) {
             out.append("KEEP_INFORMED 1\n");
         }
-        if (turn.wakeAfterSeconds() > 0) {
+        if (batch.wakeAfterSeconds() > 0) {
             out.append("SCHEDULE wake ")
-                    .append(Math.max(1, Math.round(turn.wakeAfterSeconds() * NANOS_PER_SECOND)))
+                    .append(Math.max(1, toNanos(batch.wakeAfterSeconds())))
                     .append('\n');
         }
     }
 
-    private void writeDecision(SimulatedRequest command, Decision choice, StringBuilder out) {
-        for (Attempt dispatch : choice.attemptsToCancel()) {
-            int number = command.attempts.indexOf(dispatch);
-            out.append("RECALL ").append(command.id).append(' ').append(number).append('\n');
-        }
-        if (choice.action() == RoutingAction.SEND) {
-            long limit = Math.min(command.deadlineNanos, Math.round(choice.attempt().timeoutAt * NANOS_PER_SECOND));
-            out.append("CALL_OUT ")
-                    .append(command.id)
-                    .append(' ')
-                    .append(limit)
-                    .append(' ')
-                    .append(choice.attempt().node.id())
-                    .append('\n');
-        } else if (choice.action() == RoutingAction.REJECT) {
-            out.append("REJECT ")
-                    .append(command.id)
-                    .append(' ')
-                    .append(
-                            settings.clientsHonorRetryAfter()
-                                    ? Math.round(choice.retryAfterSeconds() * NANOS_PER_SECOND)
-                                    : 0)
-                    .append('\n');
-        } else if (choice.action() == RoutingAction.FAIL) {
-            out.append("REPORT_FAILURE ").append(command.id).append('\n');
-        }
-        removeIfSettled(command);
+    private void writeDecision(SimulatedRequest request, Decision decision, StringBuilder out) {
+        for (Attempt attempt : decision.attemptsToCancel()) {
+            int number = request.attempts.indexOf(attempt);
+            out.append("RECALL ").append(request.id).append(' ').append(number).append('\n');
+        }
+        switch (decision.action()) {
+            case SEND -> writeSend(request, decision.attempt(), out);
+            case REJECT ->
+                out.append("REJECT ")
+                        .append(request.id)
+                        .append(' ')
+                        .append(settings.clientsHonorRetryAfter() ? toNanos(decision.retryAfterSeconds()) : 0)
+                        .append('\n');
+            case FAIL -> out.append("REPORT_FAILURE ").append(request.id).append('\n');
+            default -> {}
+        }
+        removeIfSettled(request);
+    }
+
+    private static void writeSend(SimulatedRequest request, Attempt attempt, StringBuilder out) {
+        long timeoutAt = Math.min(request.deadlineNanos, toNanos(attempt.timeoutAt));
+        out.append("CALL_OUT ")
+                .append(request.id)
+                .append(' ')
+                .append(timeoutAt)
+                .append(' ')
+                .append(attempt.node.id())
+                .append('\n');
     }
 
-    private void removeIfSettled(SimulatedRequest command) {
-        if (command.isRemovable()) {
-            requests.remove(command.id);
+    private void removeIfSettled(SimulatedRequest request) {
+        if (request.isRemovable()) {
+            requests.remove(request.id);
         }
     }
 
-    private AttemptOutcome parseOutcome(InputLine line) throws SimulatorProtocolException {
+    // ---- fields of the wire ----
+
+    private static AttemptOutcome parseOutcome(InputLine line) throws SimulatorProtocolException {
         int verdict = (int) line.nextLong("verdict");
         return switch (verdict) {
             case 100 -> AttemptOutcome.ANSWERED;
@@ -198,20 +224,21 @@
         };
     }
 
-    private AttemptResult parseResult(InputLine line, AttemptOutcome outcome, double took, long stand)
+    private AttemptResult parseResult(InputLine line, AttemptOutcome outcome, double elapsedSeconds, long stand)
             throws SimulatorProtocolException {
         Role role =
-                switch ((int) (stand % 4)) {
-                    case 1 -> Role.PRIMARY;
-                    case 2 -> Role.REPLICA;
+                switch ((int) (stand % STAND_ROLES)) {
+                    case STAND_PRIMARY -> Role.PRIMARY;
+                    case STAND_REPLICA -> Role.REPLICA;
                     default -> Role.UNKNOWN;
                 };
-        long told = stand / 4;
-        double position = told > 0 ? toSeconds(originNanos + told * 1_000_000) : 0;
+        long positionMillis = stand / STAND_ROLES;
+        double position = positionMillis > 0 ? toSeconds(originNanos + positionMillis * NANOS_PER_MILLI) : 0;
         String metrics = line.nextOrNull("metrics");
         try {
             LoadReport report = LoadReport.parse(metrics, ':', toSeconds(originNanos));
-            return new AttemptResult(outcome, took, role, position, report.role(), report.position(), report.load());
+            return new AttemptResult(
+                    outcome, elapsedSeconds, role, position, report.role(), report.position(), report.load());
         } catch (IllegalArgumentException e) {
             throw line.error(e.getMessage());
         }
@@ -220,4 +247,8 @@
     private static double toSeconds(long nanos) {
         return (double) nanos / NANOS_PER_SECOND;
     }
+
+    private static long toNanos(double seconds) {
+        return Math.round(seconds * NANOS_PER_SECOND);
+    }
 }
--- a/daemon/src/main/java/clayhook/simulator/SimulatorAdapter.java
+++ b/daemon/src/main/java/clayhook/simulator/SimulatorAdapter.java
@@ -8,18 +8,35 @@
 import java.util.List;
 import java.util.Map;
 
-/** Speaks the simulator's wire for many routers: decodes its lines into calls, encodes what comes back. */
+/**
+ * Lets the simulator drive many routers over its line protocol: decodes its lines into calls of
+ * {@link SimulatedRouter}, encodes what these decide. The clock is the simulator's. Not thread-safe; reads and writes
+ * block.
+ *
+ * <p>The input is a sequence of batches: BATCH with a clock time, lines for the routers that SWITCH_TO names, GO. The
+ * reply to each is what each router has decided, and NEXT.
+ */
 public final class SimulatorAdapter {
+    /** Numbered endpoint lists that POOL lines fill. */
     private static final int MAX_LISTS = 16;
+
+    private static final long NO_ROUTER = -1;
+
+    /** The scopes of a DISCOVERY line: changes, two kinds of complete list, and a failed poll. */
+    private static final int CHANGES_SCOPE = 0;
+
+    private static final int FAILED_SCOPE = 3;
+
     private final BufferedReader in;
     private final PrintWriter out;
     private final Map<Long, SimulatedRouter> routers = new LinkedHashMap<>();
-    /** What the instances of the batch in hand have to say, in the order in which they first spoke. */
+    /** Replies of the routers in the current batch, in the order in which they were first named. */
     private final Map<Long, StringBuilder> replies = new LinkedHashMap<>();
 
     private final List<List<SimulatedEndpoint>> endpointLists = new ArrayList<>();
     private int lineNumber;
 
+    /** Reads from and writes to streams that the caller closes. */
     public SimulatorAdapter(BufferedReader in, PrintWriter out) {
         this.in = in;
         this.out = out;
@@ -28,11 +45,14 @@
         }
     }
 
-    /** Answers batch after batch until the input ends. */
+    /**
+     * Answers batch after batch until the input ends.
+     *
+     * @throws SimulatorProtocolException for the first line that cannot be understood
+     */
     public void run() throws SimulatorProtocolException, IOException {
         for (InputLine line = nextLine(); line != null; line = nextLine()) {
-            String word = line.nextText("word");
-            if (!word.equals("BATCH")) {
+            if (!line.nextText("word").equals("BATCH")) {
                 throw line.error("stands where a BATCH should");
             }
             long now = line.nextLong("clock");
@@ -44,26 +64,11 @@
 
     private void handleBatch(long now) throws SimulatorProtocolException, IOException {
         replies.clear();
-        long who = -1;
-        for (InputLine line = requireLine(); ; line = requireLine()) {
-            String word = line.nextText("word");
-            if (word.equals("GO")) {
-                break;
-            } else if (word.equals("SWITCH_TO")) {
-                who = line.nextLong("who");
-                replies.computeIfAbsent(who, any -> new StringBuilder());
-            } else if (word.equals("POOL")) {
-                readEndpointList(line);
-            } else if (who < 0) {
-                throw line.error("speaks to no instance");
-            } else {
-                onEvent(who, word, line, now);
-            }
-        }
+        readBatch(now);
         for (var reply : replies.entrySet()) {
-            SimulatedRouter instance = routers.get(reply.getKey());
-            if (instance != null) {
-                runGuarded(reply.getKey(), () -> instance.tick(now, reply.getValue()));
+            SimulatedRouter router = routers.get(reply.getKey());
+            if (router != null) {
+                runGuarded(reply.getKey(), () -> router.tick(now, reply.getValue()));
             }
             if (reply.getValue().length() > 0) {
                 out.append("SOURCE ")
@@ -74,75 +79,108 @@
         }
     }
 
-    private void onEvent(long who, String word, InputLine line, long now) throws SimulatorProtocolException {
-        StringBuilder reply = replies.get(who);
-        if (word.equals("CONFIGURE")) {
-            runGuarded(who, () -> routers.put(who, new SimulatedRouter(line)));
-            return;
+    private void readBatch(long now) throws SimulatorProtocolException, IOException {
+        long routerId = NO_ROUTER;
+        for (InputLine line = requireLine(); ; line = requireLine()) {
+            String word = line.nextText("word");
+            switch (word) {
+                case "GO" -> {
+                    return;
+                }
+                case "SWITCH_TO" -> {
+                    routerId = line.nextLong("who");
+                    replies.computeIfAbsent(routerId, any -> new StringBuilder());
+                }
+                case "POOL" -> readEndpointList(line);
+                default -> {
+                    if (routerId < 0) {
+                        throw line.error("speaks to no instance");
+                    }
+                    onEvent(routerId, word, line, now);
+                }
+            }
         }
-        if (word.equals("DOWN")) {
-            routers.remove(who);
-            reply.setLength(0);
-            return;
+    }
+
+    private void onEvent(long routerId, String word, InputLine line, long now) throws SimulatorProtocolException {
+        switch (word) {
+            case "CONFIGURE" -> runGuarded(routerId, () -> routers.put(routerId, new SimulatedRouter(line)));
+            case "DOWN" -> {
+                routers.remove(routerId);
+                replies.get(routerId).setLength(0);
+            }
+            default -> {
+                SimulatedRouter router = routers.get(routerId);
+                if (router == null) {
+                    throw line.error("speaks to an instance that was not configured");
+                }
+                runGuarded(routerId, () -> onRouterEvent(router, word, line, now));
+            }
         }
-        SimulatedRouter instance = routers.get(who);
-        if (instance == null) {
-            throw line.error("speaks to an instance that was not configured");
+    }
+
+    private void onRouterEvent(SimulatedRouter router, String word, InputLine line, long now)
+            throws SimulatorProtocolException {
+        switch (word) {
+            case "ARRIVAL" -> router.onArrival(line, now);
+            case "RESPONSE" -> router.onAttemptFinished(line, now);
+            case "HEALTH" -> router.onHealthCheck(line, now);
+            case "GONE" -> router.onClientGone(line.nextText("id"));
+            case "DISCOVERY" -> onDiscovery(router, line, now);
+            case "DUE" -> line.nextText("tag"); // a timer: every batch ends with a tick of each router that it names
+            case "FIRST", "PEER_DATA" -> {}
+            default -> throw line.error("has an unknown word");
         }
-        runGuarded(who, () -> {
-            switch (word) {
-                case "ARRIVAL" -> instance.onArrival(line, now);
-                case "RESPONSE" -> instance.onAttemptFinished(line, now);
-                case "HEALTH" -> instance.onHealthCheck(line, now);
-                case "GONE" -> instance.onClientGone(line.nextText("id"));
-                case "DISCOVERY" -> onDiscovery(instance, line, now);
-                case "DUE" -> line.nextText("tag");
-                case "FIRST", "PEER_DATA" -> {}
-                default -> throw line.error("has an unknown word");
-            }
-        });
     }
 
-    private void onDiscovery(SimulatedRouter instance, InputLine line, long now) throws SimulatorProtocolException {
+    private void onDiscovery(SimulatedRouter router, InputLine line, long now) throws SimulatorProtocolException {
         int scope = (int) line.nextLong("scope");
         line.nextLong("stamp");
-        long buffer = line.nextLong("buffer", 0);
-        if (scope < 0 || scope > 3 || buffer < 0 || buffer >= MAX_LISTS) {
+        long list = line.nextLong("buffer", 0);
+        if (scope < CHANGES_SCOPE || scope > FAILED_SCOPE || !isListNumber(list)) {
             throw line.error("has an unknown scope or list number");
         }
-        instance.onDiscovery(line, scope, endpointLists.get((int) buffer), now);
+        if (scope == FAILED_SCOPE) {
+            router.onEndpointListFailed(now);
+        } else {
+            router.onEndpointList(endpointLists.get((int) list), scope != CHANGES_SCOPE, now);
+        }
     }
 
     private void readEndpointList(InputLine line) throws SimulatorProtocolException, IOException {
-        long buffer = line.nextLong("buffer");
+        long list = line.nextLong("buffer");
         long count = line.nextLong("items");
-        if (buffer < 0 || buffer >= MAX_LISTS) {
+        if (!isListNumber(list)) {
             throw line.error("has an unknown list number");
         }
-        var rows = new ArrayList<SimulatedEndpoint>();
+        var endpoints = new ArrayList<SimulatedEndpoint>();
         for (long i = 0; i < count; i++) {
             InputLine entry = requireLine();
             if (!entry.nextText("word").equals("ROW")) {
                 throw entry.error("stands where a ROW should");
             }
-            rows.add(SimulatedEndpoint.parse(entry));
+            endpoints.add(SimulatedEndpoint.parse(entry));
         }
-        endpointLists.set((int) buffer, rows);
+        endpointLists.set((int) list, endpoints);
+    }
+
+    private static boolean isListNumber(long number) {
+        return number >= 0 && number < MAX_LISTS;
     }
 
     private interface RouterTask {
         void run() throws SimulatorProtocolException;
     }
 
-    /** An exception of the decision code ends the day with its text instead of ending the process. */
-    private void runGuarded(long who, RouterTask work) throws SimulatorProtocolException {
+    /** An exception of the routing policy ends the router's day with its text instead of ending the process. */
+    private void runGuarded(long routerId, RouterTask task) throws SimulatorProtocolException {
         try {
-            work.run();
+            task.run();
         } catch (RuntimeException e) {
-            StackTraceElement at = e.getStackTrace().length > 0 ? e.getStackTrace()[0] : null;
-            String text = (e + " at " + at).replace('\n', ' ');
+            StackTraceElement thrownAt = e.getStackTrace().length > 0 ? e.getStackTrace()[0] : null;
+            String text = (e + " at " + thrownAt).replace('\n', ' ');
             System.err.println("clayhook: " + text);
-            replies.get(who).append("GIVE_IN ").append(text).append('\n');
+            replies.get(routerId).append("GIVE_IN ").append(text).append('\n');
         }
     }
 
@@ -154,7 +192,7 @@
         return line;
     }
 
-    /** The next line with anything on it, or null at the end. */
+    /** The next line that is not empty, or null at the end of the input. */
     private InputLine nextLine() throws IOException {
         String text = in.readLine();
         lineNumber++;
--- a/daemon/src/main/java/clayhook/simulator/SimulatorProtocolException.java
+++ b/daemon/src/main/java/clayhook/simulator/SimulatorProtocolException.java
@@ -1,10 +1,10 @@
 package clayhook.simulator;
 
-/** A line of the wire that cannot be understood; the message names it. */
+/** A line from the simulator that cannot be understood; the message names the line and what is wrong with it. */
 public final class SimulatorProtocolException extends Exception {
     private static final long serialVersionUID = 1;
 
-    public SimulatorProtocolException(String message) {
+    SimulatorProtocolException(String message) {
         super(message);
     }
 }
--- a/daemon/src/main/java/clayhook/simulator/SimulatorSettings.java
+++ b/daemon/src/main/java/clayhook/simulator/SimulatorSettings.java
@@ -6,13 +6,23 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The settings of a CONFIGURE line. */
+/** The settings of a CONFIGURE line. Immutable. */
 final class SimulatorSettings {
     private final RoutingSettings settings;
-    /** The clock time from which positions are reckoned, in nanoseconds. */
+    /** The clock time from which positions are counted. */
     private final long originNanos;
 
     SimulatorSettings(InputLine line) throws SimulatorProtocolException {
+        try {
+            var reader = new SettingsReader(parsePairs(line));
+            settings = reader.readSettings();
+            originNanos = reader.originTimeNanos();
+        } catch (ConfigurationException e) {
+            throw line.error("has a bad setting, " + e.getMessage());
+        }
+    }
+
+    private static Map<String, String> parsePairs(InputLine line) throws SimulatorProtocolException {
         Map<String, String> values = new HashMap<>();
         for (String pair : line.remainder().split(" ")) {
             int sign = pair.indexOf('=');
@@ -22,13 +32,7 @@
                 throw line.error("has a setting '" + pair + "' without a value");
             }
         }
-        try {
-            var reader = new SettingsReader(values);
-            settings = reader.readSettings();
-            originNanos = reader.originTimeNanos();
-        } catch (ConfigurationException e) {
-            throw line.error("has a bad setting, " + e.getMessage());
-        }
+        return values;
     }
 
     long originNanos() {
