--- a/daemon/src/main/java/clayhook/backend/AttemptCompletion.java
+++ b/daemon/src/main/java/clayhook/backend/AttemptCompletion.java
@@ -96,7 +96,7 @@
         if (mayChangeSession && TOO_MANY_CONNECTIONS.equals(sqlState)) {
             return new ProtocolViolation();
         }
-        boolean isAnswer = sqlState == null || freeForm && !isNodeError(sqlState);
+        boolean isAnswer = sqlState == null || (freeForm && !isNodeError(sqlState));
         return isAnswer ? new Answered() : new NodeError(sqlState);
     }
 
--- a/daemon/src/main/java/clayhook/backend/NodeConnection.java
+++ b/daemon/src/main/java/clayhook/backend/NodeConnection.java
@@ -18,6 +18,7 @@
  * One connection to a node; it carries one {@link BackendRequest} at a time. It starts up, is idle, answers or changes
  * its settings; what an answer holds is left to {@link AnswerReader}. Event loop only.
  */
+@SuppressWarnings("FutureReturnValueIgnored") // a failed write or close ends in channelInactive
 final class NodeConnection extends ChannelInboundHandlerAdapter {
     /**
      * A connection stays reserved for so long after an answer: a few times what passes between two writes of one peer,
@@ -232,7 +233,7 @@
     }
 
     private static boolean isPartOfSettingsAnswer(Object message) {
-        return message instanceof NodeMessage.Part part && part.type() == 'C'
+        return (message instanceof NodeMessage.Part part && part.type() == 'C')
                 || message instanceof NodeMessage.Notice
                 || message instanceof NodeMessage.ParameterStatus;
     }
--- a/daemon/src/main/java/clayhook/discovery/EndpointList.java
+++ b/daemon/src/main/java/clayhook/discovery/EndpointList.java
@@ -11,9 +11,7 @@
 import java.util.Map;
 
 /**
- * The endpoint list, or what changed in it, as the discovery service reports it. Its JSON keys ({@code rev},
- * {@code all}, {@code targets}, {@code uid}, {@code endpoint}, {@code az}, {@code pod_group}, {@code state},
- * {@code role}, {@code boot_ms}) are mapped to this project's terms here and nowhere else. Immutable.
+ * The endpoint list, or what changed in it, as the discovery service reports it. Immutable.
  *
  * @param version grows with each change
  * @param complete whether it holds all endpoints, so that one that is missing is gone; else it holds those that changed
@@ -59,6 +57,7 @@
      * @throws MalformedEndpointListException naming what cannot be understood
      */
     public static EndpointList fromJson(Object json) {
+        // The keys and values of the wire are mapped to this project's terms here and in parseEndpoint alone.
         if (!(json instanceof Map<?, ?> map)
                 || !(map.get("targets") instanceof List<?> targets)
                 || !(map.get("all") instanceof Boolean complete)) {
--- a/daemon/src/main/java/clayhook/discovery/HttpResponseDecoder.java
+++ b/daemon/src/main/java/clayhook/discovery/HttpResponseDecoder.java
@@ -62,7 +62,7 @@
     private void readLine(ByteBuf in, List<Object> out) {
         int length = in.bytesBefore((byte) '\n');
         boolean incomplete = length < 0;
-        if (length > MAX_LINE_BYTES || incomplete && in.readableBytes() > MAX_LINE_BYTES) {
+        if (length > MAX_LINE_BYTES || (incomplete && in.readableBytes() > MAX_LINE_BYTES)) {
             in.skipBytes(in.readableBytes());
             emitMalformed(out);
         } else if (!incomplete) {
@@ -111,7 +111,7 @@
     }
 
     private void onStatusLine(String line) {
-        String[] words = line.split(" ");
+        String[] words = line.split(" ", -1);
         if (words.length < 2 || !words[0].startsWith("HTTP/1.")) {
             throw new IllegalArgumentException("no status line");
         }
@@ -152,6 +152,7 @@
         return status / 100 == 1;
     }
 
+    @SuppressWarnings("StringSplitter") // a line of separators alone has to fail the connection
     private void onChunkSizeLine(String line) {
         String size = line.split(";")[0];
         remainingBytes = parseLength(size.strip(), HEXADECIMAL);
@@ -182,7 +183,7 @@
     }
 
     private void emitResponse(List<Object> out) {
-        boolean closes = closeAnnounced || remainingBytes == UNTIL_CLOSE && !chunked;
+        boolean closes = closeAnnounced || (remainingBytes == UNTIL_CLOSE && !chunked);
         out.add(new HttpResponse(status, bodyBytes.toString(StandardCharsets.UTF_8), closes));
         state = ParserState.STATUS;
     }
--- a/daemon/src/main/java/clayhook/discovery/PollConnection.java
+++ b/daemon/src/main/java/clayhook/discovery/PollConnection.java
@@ -11,6 +11,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** One connection to the discovery service; it carries one poll at a time. Event loop only. */
+@SuppressWarnings("FutureReturnValueIgnored") // a failed write or close ends in channelInactive
 final class PollConnection extends ChannelInboundHandlerAdapter {
     /** A long poll is late when its answer has not come so long after its wait; most come within some milliseconds. */
     private static final int LATE_ANSWER_MS = 500;
--- a/daemon/src/main/java/clayhook/warmup/StubClient.java
+++ b/daemon/src/main/java/clayhook/warmup/StubClient.java
@@ -24,6 +24,7 @@
  * A client that sends statements, and reduces each answer to a text: the value of its row, the SQLSTATE of its error,
  * or {@value #READY} where it had neither. Any thread may use it; it runs on the event loop of its transport.
  */
+@SuppressWarnings("FutureReturnValueIgnored") // a failed write or close ends in channelInactive
 public final class StubClient {
     /** More than any answer here takes. */
     private static final int TIMEOUT_SECONDS = 20;
--- a/daemon/src/main/java/clayhook/warmup/StubDiscovery.java
+++ b/daemon/src/main/java/clayhook/warmup/StubDiscovery.java
@@ -22,6 +22,7 @@
      * @param answers gives the answer to a request line, on the event loop: the JSON of a list, a whole HTTP response,
      *     or null to leave the call waiting
      */
+    @SuppressWarnings("ReturnValueIgnored") // an answer to a caller that has gone is of no interest
     public StubDiscovery(Transport transport, InetSocketAddress address, Function<String, String> answers)
             throws InterruptedException {
         this(transport, address, (requestLine, answer) -> answer.test(answers.apply(requestLine)));
@@ -39,6 +40,7 @@
         super(transport, address, () -> new ChannelHandler[] {new StubDiscoveryHandler(requestListener)});
     }
 
+    @SuppressWarnings("FutureReturnValueIgnored") // a failed write shows as a closed channel
     private static final class StubDiscoveryHandler extends ChannelInboundHandlerAdapter {
         private static final String END_OF_HEADERS = "\r\n\r\n";
 
--- a/daemon/src/main/java/clayhook/warmup/StubNode.java
+++ b/daemon/src/main/java/clayhook/warmup/StubNode.java
@@ -118,6 +118,7 @@
         out.writeByte('S').writeInt(LENGTH_BYTES + text.length).writeBytes(text);
     }
 
+    @SuppressWarnings("FutureReturnValueIgnored") // a failed write closes the channel, which its peer notices
     private static final class StubNodeHandler extends ChannelInboundHandlerAdapter {
         private static final double MILLIS_PER_SECOND = 1000;
 
--- a/daemon/src/main/java/clayhook/warmup/WarmUp.java
+++ b/daemon/src/main/java/clayhook/warmup/WarmUp.java
@@ -179,7 +179,7 @@
      */
     private boolean receiveAnswers(boolean opened) throws InterruptedException {
         for (StubClient client : clients) {
-            if (opened && !receivedAnswer(client) || !receivedAnswer(client)) {
+            if ((opened && !receivedAnswer(client)) || !receivedAnswer(client)) {
                 return false;
             }
         }
