--- a/daemon/src/test/java/clayhook/backend/BackendClientTest.java
+++ b/daemon/src/test/java/clayhook/backend/BackendClientTest.java
@@ -154,7 +154,8 @@
     /** T, D, C, S, E and Z are good messages; a small letter is one whose inside does not fit. */
     private static ByteBuf messages(String letters) {
         ByteBuf out = Unpooled.buffer();
-        for (char letter : letters.toCharArray()) {
+        for (int i = 0; i < letters.length(); i++) {
+            char letter = letters.charAt(i);
             String body =
                     switch (letter) {
                         case 'T' -> "\0\1val\0" + "\0".repeat(18);
--- a/daemon/src/test/java/clayhook/discovery/DiscoveryDecodingTest.java
+++ b/daemon/src/test/java/clayhook/discovery/DiscoveryDecodingTest.java
@@ -19,11 +19,14 @@
     private static final String ENTRY = "{\"uid\":\"s\",\"endpoint\":\"127.0.0.1:6543\",\"az\":\"a\",\"pod_group\":3,"
             + "\"state\":\"draining\",\"role\":\"primary\",\"boot_ms\":1500}";
 
+    private static final String CHUNKED_HEADERS = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+
+    /** Decodes a text that comes in pieces of so many bytes; {@code ends}: the connection is closed after it. */
     private static HttpResponse read(String text, int size, boolean ends) {
         var channel = new EmbeddedChannel(new HttpResponseDecoder());
         for (int i = 0; i < text.length(); i += size) {
-            String some = text.substring(i, Math.min(text.length(), i + size));
-            channel.writeInbound(Unpooled.copiedBuffer(some, UTF_8));
+            String piece = text.substring(i, Math.min(text.length(), i + size));
+            channel.writeInbound(Unpooled.copiedBuffer(piece, UTF_8));
         }
         if (ends) {
             channel.finish();
@@ -41,11 +44,7 @@
                 read("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", size, false));
         assertEquals(
                 new HttpResponse(200, "hello", false),
-                read(
-                        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                                + "2\r\nhe\r\n3;x=y\r\nllo\r\n0\r\n\r\n",
-                        size,
-                        false));
+                read(CHUNKED_HEADERS + "2\r\nhe\r\n3;x=y\r\nllo\r\n0\r\n\r\n", size, false));
         assertEquals(new HttpResponse(200, "hello", true), read("HTTP/1.0 200 OK\r\n\r\nhello", size, true));
         assertEquals(
                 new HttpResponse(503, "", true),
@@ -91,11 +90,12 @@
                 read("HTTP/1.1 200 OK\r\nContent-Length: " + text.length() + "\r\n\r\n" + text, 1000, false)
                         .body());
         assertEquals(2000, list.endpoints().size());
-        EndpointList.DiscoveredEndpoint entry = list.endpoints().get(1999);
+        EndpointList.DiscoveredEndpoint endpoint = list.endpoints().get(1999);
         assertEquals(43, list.version());
         assertEquals(
-                new EndpointList.DiscoveredEndpoint("s", entry.address(), "a", 3, State.DRAINING, true, 1.5), entry);
-        assertEquals(6543, entry.address().getPort());
+                new EndpointList.DiscoveredEndpoint("s", endpoint.address(), "a", 3, State.DRAINING, true, 1.5),
+                endpoint);
+        assertEquals(6543, endpoint.address().getPort());
     }
 
     @ParameterizedTest
@@ -110,9 +110,9 @@
                 "1500 | \"x\" | boot_ms",
                 "{ | [ | missing"
             })
-    void errorNamesTheFaultyField(String part, String by, String named) {
-        String text = "{\"rev\":43,\"all\":true,\"targets\":[" + ENTRY.replace(part, by) + "]}";
-        var bad = assertThrows(IllegalArgumentException.class, () -> EndpointList.parse(text));
-        assertTrue(bad.getMessage().contains(named), bad.getMessage());
+    void errorNamesTheFaultyField(String part, String replacement, String field) {
+        String text = "{\"rev\":43,\"all\":true,\"targets\":[" + ENTRY.replace(part, replacement) + "]}";
+        var error = assertThrows(MalformedEndpointListException.class, () -> EndpointList.parse(text));
+        assertTrue(error.getMessage().contains(field), error.getMessage());
     }
 }
--- a/daemon/src/test/java/clayhook/discovery/EndpointWatcherTest.java
+++ b/daemon/src/test/java/clayhook/discovery/EndpointWatcherTest.java
@@ -17,11 +17,11 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class EndpointWatcherTest implements EndpointWatcher.Listener {
-    /** Seconds; longer than any test but that on lateness takes. */
+    /** Longer than any test takes, but for the one on late watches. */
     private static final double LONG_POLL_SECONDS = 10;
 
     private final Transport transport = Transport.tcp();
-    /** For a service that is held up. */
+    /** For a service whose event loop a test blocks. */
     private final Transport blockedTransport = Transport.tcp();
 
     private final LinkedBlockingQueue<String> calls = new LinkedBlockingQueue<>();
@@ -36,54 +36,54 @@
 
     private StubDiscovery startService(LinkedBlockingQueue<String> calls, String... answers)
             throws InterruptedException {
-        var left = new LinkedBlockingQueue<>(List.of(answers));
+        var remaining = new LinkedBlockingQueue<>(List.of(answers));
         return new StubDiscovery(transport, transport.ephemeralAddress(0), call -> {
             calls.add(call);
-            return left.poll();
+            return remaining.poll();
         });
     }
 
-    private void moveTo(InetSocketAddress to) throws Exception {
-        transport.eventLoop().submit(() -> watcher.moveTo(to)).get();
+    private void moveTo(InetSocketAddress address) throws Exception {
+        transport.eventLoop().submit(() -> watcher.moveTo(address)).get();
     }
 
     @Test
     void movedServiceIsAskedForTheCompleteListAndTheOldAddressIsIgnored() throws Exception {
         start(list(42, false));
         assertEquals("changes 42", events.take());
-        var there = new LinkedBlockingQueue<String>();
-        moveTo(startService(there, list(7, true), list(8, false)).address());
-        assertEquals("whole 7", events.take());
+        var newCalls = new LinkedBlockingQueue<String>();
+        moveTo(startService(newCalls, list(7, true), list(8, false)).address());
+        assertEquals("complete 7", events.take());
         assertEquals("changes 8", events.take());
-        assertEquals("GET /v1/endpoints HTTP/1.1", there.take());
-        assertTrue(there.take().contains("after=7&"));
+        assertEquals("GET /v1/endpoints HTTP/1.1", newCalls.take());
+        assertTrue(newCalls.take().contains("after=7&"));
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 3})
     void oldAddressIsWatchedUntilTheNewOneAnswers(int moves) throws Exception {
         var gate = new CountDownLatch(1);
-        var asked = new LinkedBlockingQueue<String>();
+        var oldCalls = new LinkedBlockingQueue<String>();
         var old = new StubDiscovery(blockedTransport, transport.ephemeralAddress(0), call -> {
-            asked.add(call);
-            if (asked.size() == 2) {
+            oldCalls.add(call);
+            if (oldCalls.size() == 2) {
                 await(gate);
             }
-            return asked.size() > 2 ? null : list(40 + asked.size(), false);
+            return oldCalls.size() > 2 ? null : list(40 + oldCalls.size(), false);
         });
         watcher = new EndpointWatcher(transport, old.address(), 40, LONG_POLL_SECONDS, new Random(1), this);
         ensureWatching();
         assertEquals("changes 41", events.take());
         for (int i = 0; i < moves; i++) {
-            StubDiscovery none = startService(calls);
-            none.close();
-            moveTo(none.address());
+            StubDiscovery unreachable = startService(calls);
+            unreachable.close();
+            moveTo(unreachable.address());
             assertEquals("failed", events.take());
         }
         gate.countDown();
         assertEquals("changes 42", events.take());
         moveTo(startService(calls, list(7, true)).address());
-        assertEquals("whole 7", events.take());
+        assertEquals("complete 7", events.take());
     }
 
     private static void await(CountDownLatch gate) {
@@ -100,7 +100,7 @@
 
     @Override
     public void onEndpointList(EndpointList list) {
-        events.add((list.complete() ? "whole " : "changes ") + list.version());
+        events.add((list.complete() ? "complete " : "changes ") + list.version());
     }
 
     @Override
@@ -119,15 +119,15 @@
         blockedTransport.close();
     }
 
-    private static String list(int version, boolean whole) {
-        return "{\"rev\":" + version + ",\"all\":" + whole + ",\"targets\":[]}";
+    private static String list(int version, boolean complete) {
+        return "{\"rev\":" + version + ",\"all\":" + complete + ",\"targets\":[]}";
     }
 
     @Test
     void eachAnswerIsFollowedByAPollAfterItsVersion() throws Exception {
         start(list(42, false), list(45, true));
         assertEquals("changes 42", events.take());
-        assertEquals("whole 45", events.take());
+        assertEquals("complete 45", events.take());
         for (int version : new int[] {41, 42, 45}) {
             String call = calls.take();
             assertTrue(call.startsWith("GET /v1/endpoints?after=" + version + "&wait_ms="), call);
@@ -143,25 +143,25 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void lateWatchIsReportedAndItsAnswerIsStillAccepted(boolean askedAnew) throws Exception {
+    void lateWatchIsReportedAndItsAnswerIsStillAccepted(boolean watchedAnew) throws Exception {
         var gate = new CountDownLatch(1);
-        var old = new StubDiscovery(askedAnew ? transport : blockedTransport, transport.ephemeralAddress(0), call -> {
+        var old = new StubDiscovery(watchedAnew ? transport : blockedTransport, transport.ephemeralAddress(0), call -> {
             calls.add(call);
-            if (!askedAnew) {
+            if (!watchedAnew) {
                 await(gate);
             }
-            return askedAnew && calls.size() == 1 ? null : list(42, false);
+            return watchedAnew && calls.size() == 1 ? null : list(42, false);
         });
         watcher = new EndpointWatcher(transport, old.address(), 41, 0.05, new Random(1), this);
         ensureWatching();
         assertEquals("late", events.take());
-        if (askedAnew) {
+        if (watchedAnew) {
             ensureWatching();
         }
         gate.countDown();
         assertEquals("changes 42", events.take());
         assertEquals(
-                askedAnew ? 2 : 1,
+                watchedAnew ? 2 : 1,
                 calls.stream()
                         .filter(call -> call.contains("after=41&wait_ms=50 "))
                         .count());
@@ -173,19 +173,19 @@
         start(answer, list(43, true));
         assertEquals("failed", events.take());
         ensureWatching();
-        assertEquals("whole 43", events.take());
+        assertEquals("complete 43", events.take());
         calls.take();
         assertTrue(calls.take().contains("after=41"));
     }
 
-    /** A call that came, and what takes its answer. */
+    /** A call that the service has not answered, and what takes its answer. */
     private record HeldCall(String call, Predicate<String> answer) {
         boolean isWatch() {
             return !call.contains("wait_ms=0");
         }
     }
 
-    /** A watch that was answered once, at a service that answers when the test says so. */
+    /** Starts a watch that has been answered once, at a service that answers when the test says so. */
     private LinkedBlockingQueue<HeldCall> startWithHeldCalls() throws Exception {
         var held = new LinkedBlockingQueue<HeldCall>();
         var service = new StubDiscovery(
@@ -229,7 +229,7 @@
         assertEquals("changes 43", events.take());
     }
 
-    /** The check asked before the watch told; what it answers then is older, and must not undo what is newer. */
+    /** The check was sent before the watch was answered; its answer is older, and must not undo what is newer. */
     @Test
     void olderCheckAnswerDoesNotUndoANewerWatchAnswer() throws Exception {
         LinkedBlockingQueue<HeldCall> held = startWithHeldCalls();
@@ -244,7 +244,7 @@
         assertEquals("changes 45", events.take());
     }
 
-    /** Its connection is gone, and it is asked for later; a check that is answered meanwhile opens it at once. */
+    /** A watch that failed is opened later on request; a check that is answered meanwhile opens it at once. */
     @Test
     void checkReplacesABrokenWatch() throws Exception {
         LinkedBlockingQueue<HeldCall> held = startWithHeldCalls();
--- a/daemon/src/test/java/clayhook/simulator/SimulatorAdapterTest.java
+++ b/daemon/src/test/java/clayhook/simulator/SimulatorAdapterTest.java
@@ -72,7 +72,7 @@
         "'BATCH 1 1', 'the input ends within a batch'"
     })
     void malformedLineIsNamedInTheError(String input, String message) {
-        SimulatorProtocolException bad = assertThrows(SimulatorProtocolException.class, () -> reply(input + "\n"));
-        assertTrue(bad.getMessage().startsWith(message), bad.getMessage());
+        SimulatorProtocolException error = assertThrows(SimulatorProtocolException.class, () -> reply(input + "\n"));
+        assertTrue(error.getMessage().startsWith(message), error.getMessage());
     }
 }
--- a/daemon/src/test/java/clayhook/warmup/WarmUpTest.java
+++ b/daemon/src/test/java/clayhook/warmup/WarmUpTest.java
@@ -21,126 +21,87 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class WarmUpTest {
-    /** Where sockets carry nothing, waiting for each answer took minutes before serving. */
+    /** Far more than a warm-up that ends in time takes. */
+    private static final double TIMEOUT_SECONDS = 10;
+
+    private static final RoutingSettings SETTINGS = settings(new RequestClass(
+            "any",
+            RequestClass.Idempotency.IDEMPOTENT,
+            RequestClass.ConsistencyLevel.EVENTUAL,
+            1,
+            2,
+            1,
+            0,
+            null,
+            0,
+            0));
+
+    private static RoutingSettings settings(RequestClass requestClass) {
+        return new RoutingSettings(
+                1, "a", List.of(requestClass), true, true, true, true, true, true, true, true, 1, 3, 1, 0, 1, 0, 1, 15);
+    }
+
+    /** Where sockets carry nothing, waiting for each answer would take minutes before serving. */
     @ParameterizedTest
     @CsvSource({"false, true", "true, true", "false, false"})
-    void warmUpEndsInTimeAndReportsWhetherItsSocketsWork(boolean process, boolean carried) throws Exception {
-        Transport transport = process ? Transport.inProcess() : Transport.unixSockets();
-        Transport outside = carried ? transport : Transport.unixSockets();
-        var any = new RequestClass(
-                "any",
-                RequestClass.Idempotency.IDEMPOTENT,
-                RequestClass.ConsistencyLevel.EVENTUAL,
-                1,
-                2,
-                1,
-                0,
-                null,
-                0,
-                0);
-        var settings = new RoutingSettings(
-                1, "a", List.of(any), true, true, true, true, true, true, true, true, 1, 3, 1, 0, 1, 0, 1, 15);
-        double from = System.nanoTime() / 1e9;
-        assertEquals(carried, WarmUp.run(settings, transport, outside, false));
-        assertTrue(System.nanoTime() / 1e9 - from < 10, "it waited for answers that cannot come");
+    void warmUpEndsInTimeAndReportsWhetherItsSocketsWork(boolean inProcess, boolean carried) throws Exception {
+        Transport transport = inProcess ? Transport.inProcess() : Transport.unixSockets();
+        Transport clientTransport = carried ? transport : Transport.unixSockets();
+        long startedAt = System.nanoTime();
+        assertEquals(carried, WarmUp.run(SETTINGS, transport, clientTransport, false));
+        assertTrue((System.nanoTime() - startedAt) / 1e9 < TIMEOUT_SECONDS, "it waited for answers that cannot come");
         if (!carried) {
-            outside.close();
+            clientTransport.close();
         }
     }
 
-    /** Nothing is done on the loop from the start on, so that it never listens. */
+    /** The loop runs no task from the start on, so that the router never listens. */
     @Test
     void blockedEventLoopDoesNotDelayTheStart() throws Exception {
         Transport transport = Transport.inProcess();
-        var hangs = new CountDownLatch(1);
+        var release = new CountDownLatch(1);
         transport.eventLoop().execute(() -> {
             try {
-                hangs.await();
+                release.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
-        var rehearsal = CompletableFuture.supplyAsync(() -> run(transport));
+        var warmUp = CompletableFuture.supplyAsync(() -> run(transport));
         try {
-            rehearsal.get(20, TimeUnit.SECONDS);
+            warmUp.get(20, TimeUnit.SECONDS);
         } finally {
-            hangs.countDown();
+            release.countDown();
         }
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void warmUpIsSkippedWhenItsSocketsCannotBeCreated(boolean process) throws Exception {
-        Transport transport = process ? Transport.inProcess() : Transport.unixSockets();
+    void warmUpIsSkippedWhenItsSocketsCannotBeCreated(boolean inProcess) throws Exception {
+        Transport transport = inProcess ? Transport.inProcess() : Transport.unixSockets();
         transport.listen(transport.ephemeralAddress(5), () -> new ChannelHandler[0]);
         assertFalse(run(transport));
     }
 
     private static boolean run(Transport transport) {
-        var any = new RequestClass(
-                "any",
-                RequestClass.Idempotency.IDEMPOTENT,
-                RequestClass.ConsistencyLevel.EVENTUAL,
-                1,
-                2,
-                1,
-                0,
-                null,
-                0,
-                0);
         try {
-            return WarmUp.run(
-                    new RoutingSettings(
-                            1,
-                            "a",
-                            List.of(any),
-                            true,
-                            true,
-                            true,
-                            true,
-                            true,
-                            true,
-                            true,
-                            true,
-                            1,
-                            3,
-                            1,
-                            0,
-                            1,
-                            0,
-                            1,
-                            15),
-                    transport,
-                    true);
+            return WarmUp.run(SETTINGS, transport, true);
         } catch (InterruptedException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    /** Else its sockets would count against the descriptors of the process that serves by then. */
+    /** Open sockets would count against the descriptors of the process, which serves by then. */
     @Test
     void everySocketIsClosedAfterWarmUp() throws Exception {
         Transport transport = Transport.unixSockets();
-        var any = new RequestClass(
-                "any",
-                RequestClass.Idempotency.IDEMPOTENT,
-                RequestClass.ConsistencyLevel.EVENTUAL,
-                1,
-                2,
-                1,
-                0,
-                null,
-                0,
-                0);
-        WarmUp.run(
-                new RoutingSettings(
-                        1, "a", List.of(any), true, true, true, true, true, true, true, true, 1, 3, 1, 0, 1, 0, 1, 15),
-                transport,
-                true);
+        WarmUp.run(SETTINGS, transport, true);
         assertTrue(transport.eventLoop().isTerminated());
     }
 
-    /** An answer may come there before its request was told to be written; it is no answer to half a request. */
+    /**
+     * Over these an answer may come before the write of its request is reported; it is the answer to a whole request.
+     */
     @Test
     void everyAnswerCountsOverInProcessChannels() throws Exception {
         Transport transport = Transport.inProcess();
@@ -158,8 +119,7 @@
                 null,
                 0,
                 0);
-        var settings = new RoutingSettings(
-                1, "a", List.of(posts), true, true, true, true, true, true, true, true, 1, 3, 1, 0, 1, 0, 1, 15);
+        var settings = settings(posts);
         String list = "{\"rev\":2,\"all\":true,\"targets\":[{\"uid\":\"p\",\"endpoint\":\"127.0.0.1:"
                 + node.address().getPort()
                 + "\",\"az\":\"a\",\"pod_group\":1,\"state\":\"up\",\"role\":\"primary\",\"boot_ms\":0}]}";
