--- a/daemon/src/main/java/clayhook/backend/AttemptCompletion.java
+++ b/daemon/src/main/java/clayhook/backend/AttemptCompletion.java
@@ -21,7 +21,7 @@
     /** Characters of an SQLSTATE that name its class. */
     int CLASS_LENGTH = 2;
 
-    /** What the routing policy is told. */
+    /** The outcome as the routing policy sees it. */
     AttemptOutcome outcome();
 
     /** The node's answer is complete. */
--- a/daemon/src/main/java/clayhook/backend/NodeConnection.java
+++ b/daemon/src/main/java/clayhook/backend/NodeConnection.java
@@ -159,7 +159,7 @@
 
     // ---- what came with the last answer ----
 
-    /** The result of a request that ended so; what the node reported counts only with a whole answer. */
+    /** The result of a request that ended so; what the node reported counts only with a complete answer. */
     AttemptResult result(AttemptCompletion completion, double elapsedSeconds) {
         boolean answered =
                 completion instanceof AttemptCompletion.Answered || completion instanceof AttemptCompletion.NodeError;
@@ -272,9 +272,9 @@
     }
 
     /**
-     * Whether the node answers a request of which bytes stand here yet; the rest would go out after the request was
-     * counted as answered. Between channels of one process an answer may come before the write is reported, so that the
-     * report alone does not tell.
+     * Whether the node answers a request that is not fully written; the rest would go out after the request was counted
+     * as answered. Between channels of one process an answer may come before the write is reported, so that the report
+     * alone does not tell.
      */
     private boolean answersUnsentRequest(Object message) {
         return !requestWritten
@@ -282,7 +282,7 @@
                 && (message instanceof NodeMessage.Part || message instanceof NodeMessage.ReadyForQuery);
     }
 
-    /** A statement whose answer is not forwarded has run all the same, which its client is told. */
+    /** The statement has run although its answer is not forwarded; the client gets an error that says so. */
     private void abandonOversized(String sqlState, String reason) {
         byte[] error = MessageEncoder.errorMessage(sqlState, "the statement has run, but " + reason);
         abandon(new AttemptCompletion.LocalAnswer(List.of(error)));
--- a/daemon/src/main/java/clayhook/backend/NodeReport.java
+++ b/daemon/src/main/java/clayhook/backend/NodeReport.java
@@ -7,7 +7,7 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * What a node has told of itself with one answer: its role, its applied position and its load report. A value that
+ * What a node has reported of itself with one answer: its role, its applied position and its load report. A value that
  * cannot be true costs only itself. Event loop only.
  */
 final class NodeReport {
@@ -21,7 +21,7 @@
     private double position;
     private LoadReport load = LoadReport.NONE;
 
-    /** {@code clock}: seconds since 1970, compared with the positions told. */
+    /** {@code clock}: seconds since 1970, compared with reported positions. */
     NodeReport(DoubleSupplier clock) {
         this.clock = clock;
     }
--- a/daemon/src/main/java/clayhook/warmup/StubDiscovery.java
+++ b/daemon/src/main/java/clayhook/warmup/StubDiscovery.java
@@ -19,8 +19,8 @@
     /**
      * Answers calls at once.
      *
-     * @param answers gives the answer to a request line, on the event loop: the JSON of a list, a whole HTTP response,
-     *     or null to leave the call waiting
+     * @param answers gives the answer to a request line, on the event loop: the JSON of a list, a complete HTTP
+     *     response, or null to leave the call waiting
      */
     @SuppressWarnings("ReturnValueIgnored") // an answer to a caller that has gone is of no interest
     public StubDiscovery(Transport transport, InetSocketAddress address, Function<String, String> answers)
--- a/daemon/src/test/java/clayhook/warmup/WarmUpTest.java
+++ b/daemon/src/test/java/clayhook/warmup/WarmUpTest.java
@@ -100,7 +100,8 @@
     }
 
     /**
-     * Over these an answer may come before the write of its request is reported; it is the answer to a whole request.
+     * Over these an answer may come before the write of its request is reported; it answers a request that was fully
+     * written.
      */
     @Test
     void everyAnswerCountsOverInProcessChannels() throws Exception {
