--- a/core/src/main/java/clayhook/Attempt.java
+++ b/core/src/main/java/clayhook/Attempt.java
@@ -1,23 +1,26 @@
 package clayhook;
 
-/** One send of a command to a node. */
+/**
+ * One attempt at a request: that it is sent to one node. Times are clock times in seconds. Confined to the event loop.
+ */
 public final class Attempt {
     public final Request request;
     public final Node node;
-    /** It had to open a connection, as far as this router can tell. */
+    /** Whether a connection had to be opened, as far as the policy could tell. */
     public final boolean opensConnection;
 
     public final double sentAt;
-    /** When it is abandoned. */
+    /** When the attempt is abandoned. */
     public final double timeoutAt;
-    /** How it ended, or null while it is out. */
+    /** How the attempt ended, or null while it is outstanding. */
     public AttemptOutcome outcome;
 
-    public Attempt(Request command, Node node, boolean connects, double sentAt, double limit) {
-        this.request = command;
+    /** Creates an outstanding attempt. */
+    public Attempt(Request request, Node node, boolean opensConnection, double sentAt, double timeoutAt) {
+        this.request = request;
         this.node = node;
-        this.opensConnection = connects;
+        this.opensConnection = opensConnection;
         this.sentAt = sentAt;
-        this.timeoutAt = limit;
+        this.timeoutAt = timeoutAt;
     }
 }
--- a/core/src/main/java/clayhook/AttemptResult.java
+++ b/core/src/main/java/clayhook/AttemptResult.java
@@ -1,12 +1,15 @@
 package clayhook;
 
 /**
- * What came back from a node. Positions are clock times in seconds; 0 where none was told.
+ * The result of an attempt or a health check, with what the node said of itself. Positions are clock times in seconds;
+ * 0 where the node told none.
  *
- * @param took the time since the send
- * @param position the log position that the node told with this answer
- * @param reportedPosition the same from its load report, as old as that report
- * @param load the commands that the node reported to hold or to have waiting; below 0 where it told none
+ * @param elapsedSeconds the time since the attempt was sent
+ * @param role the role that the node showed with this response
+ * @param appliedPosition the log position that the node told with this response
+ * @param reportedRole the role in the node's load report, which is older than the response
+ * @param reportedPosition the log position in the load report, about as old as the report
+ * @param reportedLoad the requests that the node reported to hold or queue; below 0 where it reported none
  */
 public record AttemptResult(
         AttemptOutcome outcome,
@@ -17,8 +20,8 @@
         double reportedPosition,
         double reportedLoad) {
 
-    /** Nothing was told, or nothing that can be believed. */
-    public static AttemptResult withoutReport(AttemptOutcome outcome, double took) {
-        return new AttemptResult(outcome, took, Role.UNKNOWN, 0, Role.UNKNOWN, 0, -1);
+    /** Returns a result of which the node told nothing, or nothing that can be trusted. */
+    public static AttemptResult withoutReport(AttemptOutcome outcome, double elapsedSeconds) {
+        return new AttemptResult(outcome, elapsedSeconds, Role.UNKNOWN, 0, Role.UNKNOWN, 0, -1);
     }
 }
--- a/core/src/main/java/clayhook/Node.java
+++ b/core/src/main/java/clayhook/Node.java
@@ -1,4 +1,10 @@
 package clayhook;
 
-/** One member of a group of nodes that hold the same data; the front keeps one object for each. */
+/**
+ * One member of a replica set; a frontend keeps one object for each node.
+ *
+ * @param id the name of the node in the endpoint list
+ * @param zone the zone in which the node runs
+ * @param replicaSetId the replica set whose data the node holds
+ */
 public record Node(String id, String zone, int replicaSetId) {}
--- a/core/src/main/java/clayhook/Request.java
+++ b/core/src/main/java/clayhook/Request.java
@@ -1,53 +1,96 @@
 package clayhook;
 
+import clayhook.RequestClass.ConsistencyLevel;
+import clayhook.RequestClass.Idempotency;
 import java.util.ArrayList;
 import java.util.List;
 
-/** One command in hand; each front adds what it needs of its own. Times are clock times in seconds. */
+/**
+ * A request that is in flight, with its attempts. Each frontend extends it by what it needs itself. Times are clock
+ * times in seconds since 1970. Not thread-safe: confined to the event loop.
+ */
 public class Request {
     public final RequestClass requestClass;
+    /** The replica set that holds the data. */
     public final int replicaSetId;
-    /** The session it belongs to, or null. */
+    /** The client session that the request belongs to, or null. */
     public final String sessionId;
-    /** When the session's last write was committed, where commands carry that; 0 for never. */
+    /** The log position of the session's last write, where requests carry it or peers know it; 0 for none. */
     public final double lastWritePosition;
 
     public final double arrivedAt;
     /** When the client gives up. */
     public final double deadline;
-
+    /** All attempts, in the order in which they were sent. */
     public final List<Attempt> attempts = new ArrayList<>();
-    /** It has its final answer, or its client has gone. */
+    /** Whether the request has its final answer, or its client has gone. */
     public boolean completed;
 
-    public Request(RequestClass group, int nodeGroup, String session, double wroteAt, double arrived, double expires) {
-        this.requestClass = group;
-        this.replicaSetId = nodeGroup;
-        this.sessionId = session;
-        this.lastWritePosition = wroteAt;
-        this.arrivedAt = arrived;
-        this.deadline = expires;
+    /** Creates a request without attempts; {@code sessionId} may be null, {@code lastWritePosition} 0. */
+    public Request(
+            RequestClass requestClass,
+            int replicaSetId,
+            String sessionId,
+            double lastWritePosition,
+            double arrivedAt,
+            double deadline) {
+        this.requestClass = requestClass;
+        this.replicaSetId = replicaSetId;
+        this.sessionId = sessionId;
+        this.lastWritePosition = lastWritePosition;
+        this.arrivedAt = arrivedAt;
+        this.deadline = deadline;
     }
 
-    /** Nothing is owed for it any more and no outcome is to come. */
+    /** Whether the request is completed and no result of an attempt is to come, so that it can be forgotten. */
     public boolean isRemovable() {
         return completed && outstandingAttempts().isEmpty();
     }
 
-    /** The dispatches whose outcome is not known yet. */
+    /** Returns the attempts whose outcome is not known yet. */
     List<Attempt> outstandingAttempts() {
-        return attempts.stream().filter(d -> d.outcome == null).toList();
+        return attempts.stream().filter(attempt -> attempt.outcome == null).toList();
     }
 
     boolean wasAttemptedOn(Node node) {
-        return attempts.stream().anyMatch(d -> d.node.equals(node));
+        return attempts.stream().anyMatch(attempt -> attempt.node.equals(node));
     }
 
-    /** The first dispatch that is not known never to have run, or null. */
+    /** Returns the first attempt that was executed or may have been or may still be, or null. */
     Attempt firstPossiblyExecutedAttempt() {
         return attempts.stream()
-                .filter(d -> d.outcome == null || !d.outcome.notExecuted)
+                .filter(attempt -> attempt.outcome == null || !attempt.outcome.notExecuted)
                 .findFirst()
                 .orElse(null);
     }
+
+    ConsistencyLevel consistency() {
+        return requestClass.consistency();
+    }
+
+    Idempotency idempotency() {
+        return requestClass.idempotency();
+    }
+
+    boolean requiresPrimary() {
+        return requestClass.requiresPrimary();
+    }
+
+    double latencyObjectiveSeconds() {
+        return requestClass.latencyObjectiveSeconds();
+    }
+
+    double maxStalenessSeconds() {
+        return requestClass.maxStalenessSeconds();
+    }
+
+    /** The time by which a response meets the latency objective. */
+    double latencyObjectiveAt() {
+        return arrivedAt + requestClass.latencyObjectiveSeconds();
+    }
+
+    /** How long the client waits in all. */
+    double timeoutSeconds() {
+        return deadline - arrivedAt;
+    }
 }
--- a/core/src/main/java/clayhook/RequestClass.java
+++ b/core/src/main/java/clayhook/RequestClass.java
@@ -1,12 +1,18 @@
 package clayhook;
 
 /**
- * What the decisions need to know of one command group. Times are seconds.
+ * The service class of a request: what the {@link RoutingPolicy} needs to know of requests of one kind. Durations are
+ * seconds.
  *
- * @param lateShare the part of the benefit that an answer after the response target still earns
- * @param repeatScope which nodes drop a repeat of a keyed command: those like the node that may have run it
- * @param repeatWindow how long a repeat of a keyed command is dropped, from the first send that may have run
- * @param bound the greatest age of the data of a bounded read when it is sent
+ * @param name the name in the configuration
+ * @param latencyObjectiveSeconds responses within this time count in full
+ * @param clientTimeoutSeconds how long clients wait at most
+ * @param priorityWeight what a response in time is worth
+ * @param lateWeightFraction the fraction of the weight that a response after the latency objective still earns
+ * @param deduplicationScope which nodes drop a duplicate of a request with an idempotency key, beside the one that
+ *     executed it
+ * @param deduplicationWindowSeconds how long they drop it, counted from the first attempt that may have been executed
+ * @param maxStalenessSeconds the greatest age of the data that a bounded read may see, when it is sent
  */
 public record RequestClass(
         String name,
@@ -20,27 +26,37 @@
         double deduplicationWindowSeconds,
         double maxStalenessSeconds) {
 
+    /** Whether executing a request twice differs from executing it once. */
     public enum Idempotency {
         IDEMPOTENT,
+        /** Nodes recognize a duplicate by its key, within a scope and a time window. */
         IDEMPOTENT_WITH_KEY,
         NON_IDEMPOTENT
     }
 
+    /** The nodes that know an idempotency key once one of them has executed the request. */
     public enum DeduplicationScope {
         ALL,
+        /** All nodes of the same zone. */
         ZONE,
         REPLICA_SET
     }
 
+    /** What a request has to see, in the usual terms of replicated databases. */
     public enum ConsistencyLevel {
+        /** A write: only the primary executes it. */
         WRITE,
+        /** A read of the newest data: only the primary serves it. */
         STRONG,
+        /** A read that sees all earlier writes of its session (read your writes). */
         SESSION,
+        /** A read of data of a bounded age. */
         BOUNDED_STALENESS,
+        /** A read of data of any age. */
         EVENTUAL
     }
 
-    /** Only the primary may take such a command. */
+    /** Whether only the primary can take such a request. */
     public boolean requiresPrimary() {
         return consistency == ConsistencyLevel.WRITE || consistency == ConsistencyLevel.STRONG;
     }
--- a/core/src/main/java/clayhook/Role.java
+++ b/core/src/main/java/clayhook/Role.java
@@ -1,6 +1,6 @@
 package clayhook;
 
-/** The part that a node says it plays in its group. */
+/** The role that a node says it has in its replica set. */
 public enum Role {
     UNKNOWN,
     PRIMARY,
--- a/core/src/main/java/clayhook/RoutingSettings.java
+++ b/core/src/main/java/clayhook/RoutingSettings.java
@@ -3,18 +3,25 @@
 import java.util.List;
 
 /**
- * What a router is told at its start. Times are seconds.
+ * What a router is told at its start of its fleet and of the rules that hold there. Durations are seconds.
  *
- * @param listMustBeAsked the node list speaks only to routers that watch it or fetch it
- * @param goneBinds a node that is gone from the list may get nothing new; otherwise only one listed as draining
- * @param replicasCheck a replica too far behind for a read turns it away untouched
- * @param marksCarried a session read tells when its session last wrote; otherwise the router remembers
- * @param coldShare the least part of its capacity that a node has when it starts
- * @param warmAfter a node has its full capacity this long after its start
- * @param overloadFactor a cold node falls over when it is sent more than this multiple of its capacity
- * @param overloadFor the window over which that is reckoned
- * @param commandsAConnection how many dispatches a connection carries at once
- * @param connectionIdle an unused connection closes after this long
+ * @param routerCount how many routers share the nodes, this one included
+ * @param zone the zone of this router
+ * @param endpointListMustBePolled whether the endpoint list comes only to routers that poll or watch it
+ * @param goneIsBinding whether a node that is gone from the list must not be sent anything new; otherwise only draining
+ *     binds
+ * @param replicasRejectStaleReads whether a replica that lags too far for a read rejects it unexecuted
+ * @param requestsCarryLastWrite whether a session read carries the position of its session's last write; otherwise the
+ *     router remembers it
+ * @param hedgingAllowed whether a request may have two attempts outstanding
+ * @param clientsHonorRetryAfter whether clients wait as long as a Retry-After says
+ * @param maxAttempts the most attempts for one request
+ * @param initialCapacityFraction the least fraction of its capacity that a node has when its process starts
+ * @param slowStartSeconds how long after its start a node reaches its full capacity
+ * @param overloadFactor a node in slow start fails when it is sent more than this multiple of its capacity
+ * @param overloadWindowSeconds the time over which that is measured
+ * @param connectionConcurrency how many attempts a connection carries at once
+ * @param connectionIdleTimeoutSeconds an unused connection is closed after this time
  */
 public record RoutingSettings(
         int routerCount,
@@ -35,4 +42,18 @@
         double overloadFactor,
         double overloadWindowSeconds,
         int connectionConcurrency,
-        double connectionIdleTimeoutSeconds) {}
+        double connectionIdleTimeoutSeconds) {
+
+    /**
+     * Returns the least fraction of its full capacity that a node has now; it grows linearly during slow start.
+     *
+     * @param startedAt when the node's process started; 0 for long ago
+     */
+    double capacityFraction(double startedAt, double now) {
+        if (startedAt <= 0 || slowStartSeconds <= 0) {
+            return 1;
+        }
+        double progress = Math.max(0, Math.min(1, (now - startedAt) / slowStartSeconds));
+        return initialCapacityFraction + (1 - initialCapacityFraction) * progress;
+    }
+}
--- a/core/src/main/java/clayhook/TickResult.java
+++ b/core/src/main/java/clayhook/TickResult.java
@@ -3,8 +3,10 @@
 import java.util.List;
 
 /**
- * How long to wait until every command in hand is asked about again, and what else is due now.
+ * What is due after a tick of the {@link RoutingPolicy}.
  *
- * @param watchList ask the node list for its changes from now on
+ * @param nextTickSeconds the time until all requests that are not completed are routed again
+ * @param healthChecks the nodes to health-check now
+ * @param pollEndpoints whether to poll the endpoint list now for changes from the known version on
  */
 public record TickResult(double nextTickSeconds, List<Node> healthChecks, boolean pollEndpoints) {}
--- a/core/src/main/java/clayhook/inflight/InFlightRequests.java
+++ b/core/src/main/java/clayhook/inflight/InFlightRequests.java
@@ -14,147 +14,163 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** The commands in hand and the time to ask about them again. It asks the module and decides nothing itself. */
+/**
+ * The table of requests in flight, and the time at which the {@link RoutingPolicy} is asked about them again. It
+ * decides nothing itself: it passes events to the policy, collects the decisions until {@link #tick}, and forgets a
+ * request once it is completed and no attempt is outstanding. Not thread-safe: confined to the event loop. Times are
+ * clock times in seconds.
+ */
 public final class InFlightRequests {
-    /** More than a clock of seconds since 1970 is rounded by, in a double. */
+    /** More than the rounding error of a double that holds seconds since 1970. */
     private static final double CLOCK_ROUNDING_SECONDS = 1e-6;
 
-    /** What the module wants done with a command. */
+    /** A decision of the policy on a request, to be carried out. */
     public record RoutedRequest(Request request, Decision decision) {}
 
     /**
      * What is to be carried out now.
      *
-     * @param wake settle again after so many seconds; 0 if an earlier call already asked for that in time
+     * @param routedRequests the decisions since the last batch, in the order in which they were made
+     * @param tickResult what else the policy wants done now
+     * @param wakeAfterSeconds when {@link #tick} is to be called again; 0 if an earlier batch already asked for that in
+     *     time
      */
     public record DecisionBatch(List<RoutedRequest> routedRequests, TickResult tickResult, double wakeAfterSeconds) {}
 
     private final RoutingPolicy policy;
-    /** Each leaves with its final answer and the last outcome of its dispatches. */
     private final Set<Request> requests = new LinkedHashSet<>();
-
+    private final Consumer<RuntimeException> faultHandler;
     private List<RoutedRequest> routedRequests = new ArrayList<>();
-    /** No dispatch that is out ends before. */
+    /** No outstanding attempt times out earlier. */
     private double earliestTimeoutAt = Double.POSITIVE_INFINITY;
 
     private double nextTickAt = Double.POSITIVE_INFINITY;
 
-    private final Consumer<RuntimeException> faultHandler;
-
-    /** {@code faults} hears of failures of the module; if it returns, the command concerned fails. */
-    public InFlightRequests(RoutingPolicy decide, Consumer<RuntimeException> faults) {
-        this.policy = decide;
-        this.faultHandler = faults;
+    /**
+     * Creates an empty table.
+     *
+     * @param faultHandler is told of exceptions of the policy; if it returns, the request concerned is failed
+     */
+    public InFlightRequests(RoutingPolicy policy, Consumer<RuntimeException> faultHandler) {
+        this.policy = policy;
+        this.faultHandler = faultHandler;
     }
 
-    public void admit(Request command, double now) {
-        requests.add(command);
-        decide(command, () -> policy.route(command, now));
+    /** Adds a request that has arrived and routes it. */
+    public void admit(Request request, double now) {
+        requests.add(request);
+        decide(request, () -> policy.route(request, now));
     }
 
-    /** The same when nothing is sent any more: the final answer is due at once. */
-    public void rejectOrFail(Request command) {
-        requests.add(command);
-        decide(command, () -> policy.rejectOrFail(command));
+    /** Adds a request that arrived when nothing is sent any more: it is rejected or failed at once. */
+    public void rejectOrFail(Request request) {
+        requests.add(request);
+        decide(request, () -> policy.rejectOrFail(request));
     }
 
-    /** A dispatch ended; {@code over} tells that this gave the command its final answer. */
-    public void onAttemptFinished(Attempt dispatch, AttemptResult reply, boolean over, double now) {
-        Request command = dispatch.request;
-        command.completed |= over;
-        decide(command, () -> policy.onAttemptFinished(dispatch, reply, command.completed, now));
+    /** Takes the result of an attempt; {@code completed} tells that it gave the request its final answer. */
+    public void onAttemptFinished(Attempt attempt, AttemptResult result, boolean completed, double now) {
+        Request request = attempt.request;
+        request.completed |= completed;
+        decide(request, () -> policy.onAttemptFinished(attempt, result, request.completed, now));
     }
 
-    /** The client has gone: nothing is owed any more. */
-    public void onClientGone(Request command) {
-        command.completed = true;
-        removeIfSettled(command);
+    /** The client has gone: the request needs no answer any more. */
+    public void onClientGone(Request request) {
+        request.completed = true;
+        removeIfSettled(request);
     }
 
-    /** What is out of a command that nobody waits for, as far as it may be recalled. */
-    public List<Attempt> cancellableAttempts(Request command) {
-        return policy.rejectOrFail(command).attemptsToCancel();
+    /** Returns the outstanding attempts of a request that needs no answer any more, if they may be cancelled. */
+    public List<Attempt> cancellableAttempts(Request request) {
+        return policy.rejectOrFail(request).attemptsToCancel();
     }
 
-    /** All that is in hand gets its final answer now. */
+    /** Rejects or fails all requests that are not completed. */
     public void rejectOrFailAll() {
-        for (Request command : List.copyOf(requests)) {
-            if (!command.completed) {
-                decide(command, () -> policy.rejectOrFail(command));
+        for (Request request : List.copyOf(requests)) {
+            if (!request.completed) {
+                decide(request, () -> policy.rejectOrFail(request));
             }
         }
     }
 
-    /** The dispatches whose time limit has passed. */
+    /** Returns the outstanding attempts whose time limit has passed. */
     public List<Attempt> timedOutAttempts(double now) {
         if (now < earliestTimeoutAt) {
             return List.of();
         }
-        var overdue = new ArrayList<Attempt>();
+        var timedOut = new ArrayList<Attempt>();
         earliestTimeoutAt = Double.POSITIVE_INFINITY;
-        for (Request command : requests) {
-            for (Attempt dispatch : command.attempts) {
-                if (dispatch.outcome == null && now >= dispatch.timeoutAt) {
-                    overdue.add(dispatch);
-                } else if (dispatch.outcome == null) {
-                    earliestTimeoutAt = Math.min(earliestTimeoutAt, dispatch.timeoutAt);
+        for (Request request : requests) {
+            for (Attempt attempt : request.attempts) {
+                if (attempt.outcome == null && now >= attempt.timeoutAt) {
+                    timedOut.add(attempt);
+                } else if (attempt.outcome == null) {
+                    earliestTimeoutAt = Math.min(earliestTimeoutAt, attempt.timeoutAt);
                 }
             }
         }
-        return overdue;
+        return timedOut;
     }
 
-    /** Asks again about every command in hand, if it is time, and returns all that was decided since. */
+    /**
+     * Routes all requests that are not completed again, if it is time, and returns all decisions since the last call.
+     */
     public DecisionBatch tick(double now) {
         if (now >= nextTickAt - CLOCK_ROUNDING_SECONDS) {
             nextTickAt = Double.POSITIVE_INFINITY;
-            for (Request command : List.copyOf(requests)) {
-                if (!command.completed) {
-                    decide(command, () -> policy.route(command, now));
-                }
-            }
+            routeAll(now);
         }
-        TickResult pause = policy.tick(now);
-        boolean sooner = now + pause.nextTickSeconds() < nextTickAt;
-        nextTickAt = sooner ? now + pause.nextTickSeconds() : nextTickAt;
-        var turn = new DecisionBatch(routedRequests, pause, sooner ? pause.nextTickSeconds() : 0);
+        TickResult tickResult = policy.tick(now);
+        boolean sooner = now + tickResult.nextTickSeconds() < nextTickAt;
+        nextTickAt = sooner ? now + tickResult.nextTickSeconds() : nextTickAt;
+        var batch = new DecisionBatch(routedRequests, tickResult, sooner ? tickResult.nextTickSeconds() : 0);
         routedRequests = new ArrayList<>();
-        return turn;
+        return batch;
+    }
+
+    private void routeAll(double now) {
+        for (Request request : List.copyOf(requests)) {
+            if (!request.completed) {
+                decide(request, () -> policy.route(request, now));
+            }
+        }
     }
 
-    /** The time until commands are asked about again; a clock that was corrected may reach it late. */
+    /** Returns the time until requests are routed again; a clock that was corrected may reach it late. */
     public double secondsUntilNextTick(double now) {
         return Math.max(0, nextTickAt - now);
     }
 
-    /** How many commands are held or out. */
+    /** Returns how many requests wait or have attempts outstanding. */
     public int size() {
         return requests.size();
     }
 
-    private void decide(Request command, Supplier<Decision> question) {
-        Decision choice;
+    private void decide(Request request, Supplier<Decision> policyCall) {
+        Decision decision;
         try {
-            choice = question.get();
+            decision = policyCall.get();
         } catch (RuntimeException e) {
             faultHandler.accept(e);
-            choice = new Decision(RoutingAction.FAIL, null, 0, List.of());
+            decision = new Decision(RoutingAction.FAIL, null, 0, List.of());
         }
-        if (choice.action() == RoutingAction.SEND) {
-            command.attempts.add(choice.attempt());
-            earliestTimeoutAt = Math.min(earliestTimeoutAt, choice.attempt().timeoutAt);
-        } else if (choice.action() == RoutingAction.REJECT || choice.action() == RoutingAction.FAIL) {
-            command.completed = true;
+        if (decision.action() == RoutingAction.SEND) {
+            request.attempts.add(decision.attempt());
+            earliestTimeoutAt = Math.min(earliestTimeoutAt, decision.attempt().timeoutAt);
+        } else if (decision.action() == RoutingAction.REJECT || decision.action() == RoutingAction.FAIL) {
+            request.completed = true;
         }
-        if (choice.action() != RoutingAction.WAIT) {
-            routedRequests.add(new RoutedRequest(command, choice));
+        if (decision.action() != RoutingAction.WAIT) {
+            routedRequests.add(new RoutedRequest(request, decision));
         }
-        removeIfSettled(command);
+        removeIfSettled(request);
     }
 
-    private void removeIfSettled(Request command) {
-        if (command.isRemovable()) {
-            requests.remove(command);
+    private void removeIfSettled(Request request) {
+        if (request.isRemovable()) {
+            requests.remove(request);
         }
     }
 }
