--- /dev/null
+++ b/core/src/main/java/clayhook/DecayingRate.java
@@ -0,0 +1,24 @@
+package clayhook;
+
+/** A rate per second that decays exponentially while nothing is added. Times are seconds. Not thread-safe. */
+final class DecayingRate {
+    private final double decaySeconds;
+    private double lastValue;
+    private double lastUpdatedAt;
+
+    /** Creates a rate of 0 that falls to 1/e in so many seconds. */
+    DecayingRate(double decaySeconds) {
+        this.decaySeconds = decaySeconds;
+    }
+
+    /** Returns the rate at a time. */
+    double value(double now) {
+        return lastValue * Math.exp((lastUpdatedAt - now) / decaySeconds);
+    }
+
+    /** Adds an amount that occurred at a time. */
+    void add(double amount, double now) {
+        lastValue = value(now) + amount;
+        lastUpdatedAt = now;
+    }
+}
