--- a/core/src/main/java/clayhook/RoutingPolicy.java
+++ b/core/src/main/java/clayhook/RoutingPolicy.java
@@ -164,7 +164,7 @@
             healthCheckBudget = Math.min(HEALTH_CHECK_BUDGET_CAP, saved);
             requestCounts.merge(request.requestClass, 1L, Long::sum);
         }
-        if (cannotFinishInTime(request, outstanding, now) || arriving && shouldShed(request, now)) {
+        if (cannotFinishInTime(request, outstanding, now) || (arriving && shouldShed(request, now))) {
             return rejectOrFail(request);
         }
         if (outstanding && !isHedgeDue(request, now)) {
@@ -216,7 +216,7 @@
     private boolean mayAttempt(Request request, double now) {
         boolean retry = request.firstPossiblyExecutedAttempt() != null;
         return request.attempts.size() < settings.maxAttempts()
-                && (!retry || retryBudget >= 1 && mayRetry(request, now));
+                && (!retry || (retryBudget >= 1 && mayRetry(request, now)));
     }
 
     /** Whether a request has waited so long for capacity, or a write for an election, that it is rejected. */
@@ -250,8 +250,8 @@
         // A client may retry what is idempotent, was not executed, or has a key that every node knows.
         boolean safe = request.idempotency() == Idempotency.IDEMPOTENT
                 || request.firstPossiblyExecutedAttempt() == null
-                || request.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
-                        && request.requestClass.deduplicationScope() == DeduplicationScope.ALL;
+                || (request.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                        && request.requestClass.deduplicationScope() == DeduplicationScope.ALL);
         double fraction = MIN_RETRY_AFTER_FRACTION + RETRY_AFTER_JITTER_FRACTION * random.nextDouble();
         double retryAfter = request.latencyObjectiveSeconds() * fraction;
         retryAfter = Math.min(settings.maxRetryAfterSeconds(), retryAfter);
@@ -349,7 +349,7 @@
             return usable ? dedicated : null;
         }
         NodeState reader = nextInRotation(request, replicaSet, primary, now);
-        if (reader != null || awaitingHealthCheck && !settings.replicasRejectStaleReads()) {
+        if (reader != null || (awaitingHealthCheck && !settings.replicasRejectStaleReads())) {
             return reader;
         }
         if (settings.replicasRejectStaleReads()) {
@@ -367,7 +367,7 @@
             int index = (replicaSet.roundRobinIndex + i) % size;
             NodeState replica = replicaSet.members.get(index);
             boolean laggingOnly = i <= size;
-            if (replica == primary || laggingOnly && replica.lagSeconds <= tightestLagGate) {
+            if (replica == primary || (laggingOnly && replica.lagSeconds <= tightestLagGate)) {
                 continue;
             }
             if (isEjected(replica)) {
@@ -382,7 +382,7 @@
                 return replica;
             }
         }
-        awaitingHealthCheck = awaitingHealthCheck || toCheck != null && requestHealthCheck(toCheck, now);
+        awaitingHealthCheck = awaitingHealthCheck || (toCheck != null && requestHealthCheck(toCheck, now));
         return null;
     }
 
@@ -396,14 +396,14 @@
     /** Whether too little is known of a replica for the read; stale ones pass while checks are scarce. */
     private boolean needsHealthCheck(NodeState replica, Request request, double now) {
         boolean plentiful = settings.healthChecksAllowed() && healthCheckBudget > HEALTH_CHECK_BUDGET_CAP / 2;
-        return plentiful && isStale(replica, now)
-                || !satisfiesRead(replica, request, now) && !likelySatisfiesRead(replica, request, now);
+        return (plentiful && isStale(replica, now))
+                || (!satisfiesRead(replica, request, now) && !likelySatisfiesRead(replica, request, now));
     }
 
     /** Of two replicas that were passed over, the one to check: the first, or the first in the own zone. */
     private NodeState preferredToCheck(NodeState current, NodeState replica, double now) {
         String zone = settings.zone();
-        boolean preferred = current == null || replica.isInZone(zone) && !current.isInZone(zone);
+        boolean preferred = current == null || (replica.isInZone(zone) && !current.isInZone(zone));
         boolean due = now >= replica.healthCheckSentAt + HEALTH_CHECK_INTERVAL;
         return preferred && due && !replica.isDrainingOrGone() ? replica : current;
     }
