--- a/core/src/test/java/clayhook/RoutingFixture.java
+++ b/core/src/test/java/clayhook/RoutingFixture.java
@@ -12,7 +12,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A primary and two replicas, all heard of just now, and the router that decides for them. */
+/**
+ * A primary and two replicas, all seen just now, and the policy of a router that decides for them. Tests move the time
+ * by setting {@link #now}, in seconds.
+ */
 final class RoutingFixture {
     final Node primary = new Node("c", "north", 1);
     final Node replica = new Node("b", "north", 1);
@@ -29,55 +32,31 @@
             requestClass("fresh", Idempotency.IDEMPOTENT, ConsistencyLevel.STRONG, 0.4, 0.5);
     final RoutingPolicy policy;
     double now = 1000;
-    /** What each node answers when it is probed: the last that it told. */
+    /** The result of a health check of each node: what it reported last. */
     private final Map<Node, AttemptResult> healthCheckResults = new HashMap<>();
 
-    RoutingFixture() {
-        this(true, false);
-    }
-
-    RoutingFixture(boolean marksCarried, boolean replicasCheck) {
-        this(marksCarried, replicasCheck, false);
-    }
-
-    RoutingFixture(boolean marksCarried, boolean replicasCheck, boolean listMustBeAsked) {
-        this(3, marksCarried, replicasCheck, listMustBeAsked, true);
-    }
-
-    RoutingFixture(
-            int routers, boolean marksCarried, boolean replicasCheck, boolean listMustBeAsked, boolean goneBinds) {
-        this(routers, marksCarried, replicasCheck, listMustBeAsked, goneBinds, true);
-    }
-
-    RoutingFixture(
-            int routers,
-            boolean marksCarried,
-            boolean replicasCheck,
-            boolean listMustBeAsked,
-            boolean goneBinds,
-            boolean mayProbe) {
-        policy = new RoutingPolicy(
-                new RoutingSettings(
-                        routers,
-                        "north",
-                        List.of(bounded, session, eventual, report, write, nonIdempotentWrite, strong),
-                        listMustBeAsked,
-                        goneBinds,
-                        replicasCheck,
-                        marksCarried,
-                        mayProbe,
-                        true,
-                        true,
-                        true,
-                        1,
-                        8,
-                        0.2,
-                        10,
-                        3,
-                        3,
-                        1,
-                        15),
-                1);
+    private RoutingFixture(Builder builder) {
+        var settings = new RoutingSettings(
+                builder.routerCount,
+                "north",
+                List.of(bounded, session, eventual, report, write, nonIdempotentWrite, strong),
+                builder.endpointListMustBePolled,
+                builder.goneIsBinding,
+                builder.replicasRejectStaleReads,
+                builder.requestsCarryLastWrite,
+                builder.healthChecksAllowed,
+                true,
+                true,
+                true,
+                1,
+                8,
+                0.2,
+                10,
+                3,
+                3,
+                1,
+                15);
+        policy = new RoutingPolicy(settings, 1);
         policy.onEndpointList(
                 List.of(
                         new Endpoint(primary, Endpoint.State.READY, false, 0),
@@ -88,14 +67,73 @@
         reportAll(now);
     }
 
-    private static RequestClass requestClass(
-            String name, Idempotency effect, ConsistencyLevel level, double target, double late) {
-        return new RequestClass(
-                name, effect, level, target, 10 * target, 1, late, DeduplicationScope.REPLICA_SET, 1.2, 0.3);
+    /** Returns a builder with the settings that most tests use. */
+    static Builder builder() {
+        return new Builder();
+    }
+
+    /** The settings that tests vary. */
+    static final class Builder {
+        private int routerCount = 3;
+        private boolean requestsCarryLastWrite = true;
+        private boolean replicasRejectStaleReads;
+        private boolean endpointListMustBePolled;
+        private boolean goneIsBinding = true;
+        private boolean healthChecksAllowed = true;
+
+        Builder routerCount(int value) {
+            routerCount = value;
+            return this;
+        }
+
+        Builder requestsCarryLastWrite(boolean value) {
+            requestsCarryLastWrite = value;
+            return this;
+        }
+
+        Builder replicasRejectStaleReads(boolean value) {
+            replicasRejectStaleReads = value;
+            return this;
+        }
+
+        Builder endpointListMustBePolled(boolean value) {
+            endpointListMustBePolled = value;
+            return this;
+        }
+
+        Builder goneIsBinding(boolean value) {
+            goneIsBinding = value;
+            return this;
+        }
+
+        Builder healthChecksAllowed(boolean value) {
+            healthChecksAllowed = value;
+            return this;
+        }
+
+        RoutingFixture build() {
+            return new RoutingFixture(this);
+        }
     }
 
-    RequestClass primaryClass(Idempotency effect) {
-        return switch (effect) {
+    private static RequestClass requestClass(
+            String name, Idempotency idempotency, ConsistencyLevel consistency, double objective, double lateWeight) {
+        return new RequestClass(
+                name,
+                idempotency,
+                consistency,
+                objective,
+                10 * objective,
+                1,
+                lateWeight,
+                DeduplicationScope.REPLICA_SET,
+                1.2,
+                0.3);
+    }
+
+    /** Returns a class of requests that only the primary takes. */
+    RequestClass primaryClass(Idempotency idempotency) {
+        return switch (idempotency) {
             case IDEMPOTENT -> strong;
             case IDEMPOTENT_WITH_KEY -> write;
             case NON_IDEMPOTENT -> nonIdempotentWrite;
@@ -106,10 +144,11 @@
         policy.onEndpointList(List.of(new Endpoint(node, state, false, startedAt)), false, now);
     }
 
+    /** Passes the load report of a node to the policy, as the result of a health check. */
     void report(Node node, Role role, double position) {
-        healthCheckResults.put(
-                node, new AttemptResult(AttemptOutcome.ANSWERED, 0.001, Role.UNKNOWN, 0, role, position, -1));
-        policy.onHealthCheck(node, healthCheckResults.get(node), now);
+        var result = new AttemptResult(AttemptOutcome.ANSWERED, 0.001, Role.UNKNOWN, 0, role, position, -1);
+        healthCheckResults.put(node, result);
+        policy.onHealthCheck(node, result, now);
     }
 
     void reportAll(double position) {
@@ -118,67 +157,73 @@
         report(otherReplica, Role.REPLICA, position);
     }
 
-    Request request(RequestClass group, double wroteAt) {
-        return new Request(group, 1, "s", wroteAt, now, now + group.clientTimeoutSeconds());
+    Request request(RequestClass requestClass, double lastWritePosition) {
+        double deadline = now + requestClass.clientTimeoutSeconds();
+        return new Request(requestClass, 1, "s", lastWritePosition, now, deadline);
     }
 
-    /** Asks where to send a command until it is not held for a probe any more; probes are answered. */
-    Decision route(Request command) {
-        Decision choice = policy.route(command, now);
-        for (int i = 0; i < 9 && choice.action() == RoutingAction.WAIT; i++) {
+    /** Routes a request until it no longer waits for a health check; health checks are answered at once. */
+    Decision route(Request request) {
+        Decision decision = policy.route(request, now);
+        for (int i = 0; i < 9 && decision.action() == RoutingAction.WAIT; i++) {
             policy.tick(now)
                     .healthChecks()
                     .forEach(node -> policy.onHealthCheck(node, healthCheckResults.get(node), now));
-            choice = policy.route(command, now);
+            decision = policy.route(request, now);
         }
-        return choice;
+        return decision;
     }
 
-    Attempt send(RequestClass group) {
-        Decision choice = route(request(group, 0));
-        assertEquals(RoutingAction.SEND, choice.action());
-        choice.attempt().request.attempts.add(choice.attempt());
-        return choice.attempt();
+    /** Routes a new request, which has to be sent, and returns the attempt. */
+    Attempt send(RequestClass requestClass) {
+        Decision decision = route(request(requestClass, 0));
+        assertEquals(RoutingAction.SEND, decision.action());
+        decision.attempt().request.attempts.add(decision.attempt());
+        return decision.attempt();
     }
 
-    /** Sends until nothing goes out any more; returns how many went. */
-    int sendUntilFull(RequestClass group) {
+    /** Routes requests until one is not sent; returns how many were sent. */
+    int sendUntilFull(RequestClass requestClass) {
         int count = 0;
-        while (policy.route(request(group, 0), now).action() == RoutingAction.SEND) {
+        while (policy.route(request(requestClass, 0), now).action() == RoutingAction.SEND) {
             count++;
         }
         return count;
     }
 
-    /** The nodes that so many commands, each answered before the next, would go to. */
-    Set<Node> nodesChosenFor(RequestClass group, int commands) {
+    /** Routes requests and returns the nodes that they are sent to. */
+    Set<Node> nodesChosenFor(RequestClass requestClass, int requests) {
         var nodes = new HashSet<Node>();
-        for (int i = 0; i < commands; i++) {
-            Decision choice = policy.route(request(group, 0), now);
-            if (choice.action() == RoutingAction.SEND) {
-                nodes.add(choice.attempt().node);
+        for (int i = 0; i < requests; i++) {
+            Decision decision = policy.route(request(requestClass, 0), now);
+            if (decision.action() == RoutingAction.SEND) {
+                nodes.add(decision.attempt().node);
             }
         }
         return nodes;
     }
 
-    int countSentTo(Node node, RequestClass group, int commands) {
+    /** Routes requests and returns how many of them are sent to a node. */
+    int countSentTo(Node node, RequestClass requestClass, int requests) {
         int count = 0;
-        for (int i = 0; i < commands; i++) {
-            Decision choice = policy.route(request(group, 0), now);
-            count += choice.action() == RoutingAction.SEND
-                            && choice.attempt().node.equals(node)
-                    ? 1
-                    : 0;
+        for (int i = 0; i < requests; i++) {
+            Decision decision = policy.route(request(requestClass, 0), now);
+            boolean sent = decision.action() == RoutingAction.SEND;
+            count += sent && decision.attempt().node.equals(node) ? 1 : 0;
         }
         return count;
     }
 
-    Decision finish(Attempt dispatch, AttemptOutcome outcome, Role role, double position) {
-        return policy.onAttemptFinished(
-                dispatch,
-                new AttemptResult(outcome, now - dispatch.sentAt, role, position, Role.UNKNOWN, 0, -1),
-                outcome == AttemptOutcome.ANSWERED,
-                now);
+    /** Ends an attempt that took from its start until now. */
+    Decision finish(Attempt attempt, AttemptOutcome outcome, Role role, double position) {
+        double elapsed = now - attempt.sentAt;
+        var result = new AttemptResult(outcome, elapsed, role, position, Role.UNKNOWN, 0, -1);
+        return policy.onAttemptFinished(attempt, result, outcome == AttemptOutcome.ANSWERED, now);
+    }
+
+    /** Answers an attempt as if it had taken so many seconds, and completes its request. */
+    void answer(Attempt attempt, double elapsedSeconds, Role role, double position) {
+        var result = new AttemptResult(AttemptOutcome.ANSWERED, elapsedSeconds, role, position, Role.UNKNOWN, 0, -1);
+        policy.onAttemptFinished(attempt, result, true, now);
     }
 }
