--- a/core/src/main/java/clayhook/Attempt.java
+++ b/core/src/main/java/clayhook/Attempt.java
@@ -4,11 +4,14 @@
  * One attempt at a request: that it is sent to one node. Times are clock times in seconds. Confined to the event loop.
  */
 public final class Attempt {
+    /** The request that is attempted. */
     public final Request request;
+    /** The node that the request is sent to. */
     public final Node node;
     /** Whether a connection had to be opened, as far as the policy could tell. */
     public final boolean opensConnection;
 
+    /** When the attempt was made; the request may have waited for a connection after that. */
     public final double sentAt;
     /** When the attempt is abandoned. */
     public final double timeoutAt;
--- a/core/src/main/java/clayhook/Request.java
+++ b/core/src/main/java/clayhook/Request.java
@@ -10,6 +10,7 @@
  * times in seconds since 1970. Not thread-safe: confined to the event loop.
  */
 public class Request {
+    /** The service class. */
     public final RequestClass requestClass;
     /** The replica set that holds the data. */
     public final int replicaSetId;
@@ -18,6 +19,7 @@
     /** The log position of the session's last write, where requests carry it or peers know it; 0 for none. */
     public final double lastWritePosition;
 
+    /** When the request arrived at this router. */
     public final double arrivedAt;
     /** When the client gives up. */
     public final double deadline;
--- a/core/src/main/java/clayhook/RequestClass.java
+++ b/core/src/main/java/clayhook/RequestClass.java
@@ -28,17 +28,21 @@
 
     /** Whether executing a request twice differs from executing it once. */
     public enum Idempotency {
+        /** A duplicate has no effect of its own. */
         IDEMPOTENT,
         /** Nodes recognize a duplicate by its key, within a scope and a time window. */
         IDEMPOTENT_WITH_KEY,
+        /** A duplicate would be executed once more. */
         NON_IDEMPOTENT
     }
 
     /** The nodes that know an idempotency key once one of them has executed the request. */
     public enum DeduplicationScope {
+        /** All nodes. */
         ALL,
         /** All nodes of the same zone. */
         ZONE,
+        /** The nodes of the same replica set. */
         REPLICA_SET
     }
 
--- a/core/src/main/java/clayhook/RoutingPolicy.java
+++ b/core/src/main/java/clayhook/RoutingPolicy.java
@@ -40,7 +40,7 @@
     private static final double INITIAL_SERVICE_TIME_FRACTION = 0.25; // of the objective, before any response
     private static final double SERVICE_TIME_SMOOTHING = 0.02; // weight of a response
     private static final double MIN_SERVICE_TIME_FRACTION = 0.25; // a quarter of responses come by then
-    private static final double MAX_SERVICE_TIME_FRACTION = 0.5; // of the objective: more never counts
+    private static final double MAX_SERVICE_TIME_FRACTION = 0.5; // of the objective: more is not asked for
     private static final double SHEDDING_STARTS_AT = 0.4; // load above that of work without queues
     private static final double SHEDDING_FULL_AT = 0.65; // load below that at which most responses are late
     private static final double MAX_SHED_PROBABILITY = 0.9; // the rest shows whether the load has fallen
@@ -68,7 +68,7 @@
     private static final double MIN_SILENCE_TIMEOUT = 0.2; // above ordinary stalls, below short objectives
     private static final double SILENCE_FACTOR = 3; // of the expected service time: about its 95th percentile
     private static final double MIN_BACKOFF = 0.05; // doubles with each further failure
-    private static final double MAX_BACKOFF = 1;
+    private static final double MAX_BACKOFF = 1; // a node that has recovered is soon used again
     private static final double HEALTH_CHECKS_PER_REQUEST = 0.45; // most reads find nodes seen lately
     private static final double HEALTH_CHECK_BUDGET_CAP = 15; // two or three per member of a replica set
     private static final double HEALTH_CHECK_TIMEOUT = 0.02; // a few round trips
@@ -97,7 +97,7 @@
 
     private static final double HEALTH_CHECK_TICK = 0.004; // a round trip
     private static final double BUSY_TICK = 0.01; // a small part of short objectives
-    private static final double IDLE_TICK = 1;
+    private static final double IDLE_TICK = 1; // nothing is due but the poll of the endpoint list
     private static final double STALL_THRESHOLD = 0.1; // lateness of a tick: half the silence timeout
     private static final double POLL_TIMEOUT = 5; // after neither a list nor a failure
     private static final double MIN_POLL_RETRY_DELAY = 0.5; // up to a second more spreads the routers
@@ -314,7 +314,7 @@
 
     // ---- choice of the primary ----
 
-    /** Returns the primary if it can take the request now, else null; checks all members if it is unwell. */
+    /** Returns the primary if it can take the request now, else null; checks all members if there is none. */
     private NodeState choosePrimary(Request request, double now) {
         NodeState primary = replicaSet(request).primary();
         if (!isPrimaryHealthy(request, now)) {
