--- a/core/src/test/java/clayhook/RoutingFixture.java
+++ b/core/src/test/java/clayhook/RoutingFixture.java
@@ -56,7 +56,7 @@
                 3,
                 1,
                 15);
-        policy = new RoutingPolicy(settings, 1);
+        policy = new RoutingPolicy(settings, builder.seed);
         policy.onEndpointList(
                 List.of(
                         new Endpoint(primary, Endpoint.State.READY, false, 0),
@@ -74,6 +74,7 @@
 
     /** The settings that tests vary. */
     static final class Builder {
+        private long seed = 1;
         private int routerCount = 3;
         private boolean requestsCarryLastWrite = true;
         private boolean replicasRejectStaleReads;
@@ -81,6 +82,11 @@
         private boolean goneIsBinding = true;
         private boolean healthChecksAllowed = true;
 
+        Builder seed(long value) {
+            seed = value;
+            return this;
+        }
+
         Builder routerCount(int value) {
             routerCount = value;
             return this;
--- a/core/src/test/java/clayhook/RoutingPolicyLoadTest.java
+++ b/core/src/test/java/clayhook/RoutingPolicyLoadTest.java
@@ -82,7 +82,8 @@
     void slowStartBudgetBelowOneRequestIsEnforced() {
         double all = 0;
         for (int seed = 0; seed < 100; seed++) {
-            RoutingFixture idle = RoutingFixture.builder().routerCount(100).build();
+            RoutingFixture idle =
+                    RoutingFixture.builder().seed(seed).routerCount(100).build();
             idle.updateEndpoint(idle.replica, State.READY, idle.now);
             idle.updateEndpoint(idle.otherReplica, State.DRAINING, 0);
             all += idle.countSentTo(idle.replica, idle.eventual, 1);
