--- a/daemon/src/main/java/clayhook/peers/MembershipLogger.java
+++ b/daemon/src/main/java/clayhook/peers/MembershipLogger.java
@@ -1,11 +1,11 @@
 package clayhook.peers;
 
 import clayhook.fleet.Peer;
-import clayhook.fleet.members.Membership;
+import clayhook.fleet.members.MembershipListener;
 import clayhook.log.Log;
 
 /** Tells in the log how the others stand; of each kind of line one a second at most. */
-final class MembershipLogger implements Membership.MembershipListener {
+final class MembershipLogger implements MembershipListener {
     private static String describe(Peer peer) {
         return "sharing: " + peer.member().name() + " at " + peer.address();
     }
--- a/daemon/src/test/java/clayhook/peers/ObservationPublishingTest.java
+++ b/daemon/src/test/java/clayhook/peers/ObservationPublishingTest.java
@@ -10,6 +10,7 @@
 import clayhook.fleet.Member;
 import clayhook.fleet.Peer;
 import clayhook.fleet.members.Membership;
+import clayhook.fleet.members.MembershipListener;
 import clayhook.fleet.members.MembershipSettings;
 import clayhook.fleet.state.ReplicatedState;
 import clayhook.fleet.state.StateSettings;
@@ -31,7 +32,7 @@
             List.of(),
             1,
             START,
-            new Membership.MembershipListener() {});
+            new MembershipListener() {});
     private final ReplicatedState state = new ReplicatedState(
             members, List.of(NodeObservation.TYPE, WriteOutcome.TYPE), StateSettings.DEFAULT, 1, START);
     private final NodeObservations observations = new NodeObservations(members, new SplittableRandom(1));
--- a/daemon/src/test/java/clayhook/peers/RecordedDatagramsTest.java
+++ b/daemon/src/test/java/clayhook/peers/RecordedDatagramsTest.java
@@ -20,6 +20,7 @@
 import clayhook.fleet.ProtocolHandler;
 import clayhook.fleet.ReplicatedType;
 import clayhook.fleet.members.Membership;
+import clayhook.fleet.members.MembershipListener;
 import clayhook.fleet.members.MembershipSettings;
 import clayhook.fleet.state.ReplicatedState;
 import clayhook.fleet.state.StateSettings;
@@ -106,7 +107,7 @@
                     seeds,
                     random.nextLong(),
                     START,
-                    new Membership.MembershipListener() {});
+                    new MembershipListener() {});
             var kinds = new StateBridge.EnabledTypes(true, true, true, FATES, true);
             state = new ReplicatedState(
                     members, kinds.types(), StateSettings.DEFAULT.withBootstrapTimeout(0.2), random.nextLong(), START);
--- a/fleet/src/main/java/clayhook/fleet/members/BroadcastQueue.java
+++ b/fleet/src/main/java/clayhook/fleet/members/BroadcastQueue.java
@@ -7,17 +7,20 @@
 import java.util.List;
 import java.util.Map;
 
-/** Claims that are news here, those told least first. */
+/**
+ * Claims waiting to be gossiped, those transmitted least first and of these the newest first. A claim is dropped once
+ * it was transmitted often enough for the size of the fleet, or is too old. Not thread-safe.
+ */
 final class BroadcastQueue {
     /**
-     * Seconds; older news is found by comparing rosters. Keeps a thousand routers that start at once from telling for
-     * minutes.
+     * Older claims spread by comparing tables instead. Without this bound a thousand routers that start at once would
+     * broadcast for minutes.
      */
     private static final double MAX_AGE_SECONDS = 3;
-    /** Told this often beyond what the size of the fleet asks for: small fleets lose packets too. */
+    /** Transmissions beyond what the fleet size asks for, as small fleets lose packets too. */
     private static final int MIN_TRANSMISSIONS = 3;
     /**
-     * Times told by binary logarithm of the members: one of a hundred is missed once in thirty news at a fifth lost.
+     * Transmissions per doubling of the fleet: one member of a hundred misses one claim in thirty at a loss of 20 %.
      */
     private static final double TRANSMISSIONS_PER_DOUBLING = 1.5;
 
@@ -26,72 +29,87 @@
         final double expiresAt;
         int transmissions;
 
-        PendingBroadcast(MemberClaim claim, double until) {
+        PendingBroadcast(MemberClaim claim, double expiresAt) {
             this.claim = claim;
-            this.expiresAt = until;
+            this.expiresAt = expiresAt;
         }
     }
 
-    /** One a name; emptied of what was told often enough or is old. */
+    /** One a name. */
     private final Map<String, PendingBroadcast> byName = new HashMap<>();
     /**
-     * By how often they were told, the newest first; holds those that were replaced as well, until their turn comes.
+     * By number of transmissions, the newest first. Replaced broadcasts stay until they are reached, and are then
+     * skipped.
      */
     private final List<Deque<PendingBroadcast>> queuesByTransmissions = new ArrayList<>();
 
-    /** What was told of that name before is forgotten. */
+    /** Adds a claim in place of any other on its name. */
     void enqueue(MemberClaim claim, double now) {
-        var rumour = new PendingBroadcast(claim, now + MAX_AGE_SECONDS);
-        byName.put(claim.name(), rumour);
-        queueFor(0).addFirst(rumour);
+        var broadcast = new PendingBroadcast(claim, now + MAX_AGE_SECONDS);
+        byName.put(claim.name(), broadcast);
+        queueFor(0).addFirst(broadcast);
     }
 
-    private Deque<PendingBroadcast> queueFor(int told) {
-        while (queuesByTransmissions.size() <= told) {
+    private Deque<PendingBroadcast> queueFor(int transmissions) {
+        while (queuesByTransmissions.size() <= transmissions) {
             queuesByTransmissions.add(new ArrayDeque<>());
         }
-        return queuesByTransmissions.get(told);
+        return queuesByTransmissions.get(transmissions);
     }
 
     boolean isEmpty() {
         return byName.isEmpty();
     }
 
-    /** Claims that fit into that many bytes, one at least where there is any; they count as told once more. */
-    List<MemberClaim> select(int bytes, int members, double now) {
-        var picked = new ArrayList<PendingBroadcast>();
-        int room = bytes;
-        for (int told = 0; told < queuesByTransmissions.size() && room > 0; told++) {
-            room = select(queuesByTransmissions.get(told), room, picked, now);
+    /**
+     * Selects claims to transmit once, at least one if there is any.
+     *
+     * @param maxBytes the encoded size of the claims; exceeded only by a single claim that is larger
+     * @param fleetSize the number of members, this router included
+     */
+    List<MemberClaim> select(int maxBytes, int fleetSize, double now) {
+        var selected = new ArrayList<PendingBroadcast>();
+        int bytesLeft = maxBytes;
+        for (int i = 0; i < queuesByTransmissions.size() && bytesLeft > 0; i++) {
+            bytesLeft = selectFrom(queuesByTransmissions.get(i), bytesLeft, selected, now);
         }
-        int most =
-                MIN_TRANSMISSIONS + (int) Math.ceil(TRANSMISSIONS_PER_DOUBLING * Math.log(members + 1.0) / Math.log(2));
-        for (PendingBroadcast rumour : picked) {
-            if (++rumour.transmissions < most) {
-                queueFor(rumour.transmissions).addFirst(rumour);
+        int maxTransmissions = maxTransmissions(fleetSize);
+        for (PendingBroadcast broadcast : selected) {
+            broadcast.transmissions++;
+            if (broadcast.transmissions < maxTransmissions) {
+                queueFor(broadcast.transmissions).addFirst(broadcast);
             } else {
-                byName.remove(rumour.claim.name());
+                byName.remove(broadcast.claim.name());
             }
         }
-        return picked.stream().map(rumour -> rumour.claim).toList();
+        return selected.stream().map(broadcast -> broadcast.claim).toList();
+    }
+
+    private static int maxTransmissions(int fleetSize) {
+        double doublings = TRANSMISSIONS_PER_DOUBLING * Math.log(fleetSize + 1.0) / Math.log(2);
+        return MIN_TRANSMISSIONS + (int) Math.ceil(doublings);
     }
 
-    /** Returns the room that is left, 0 when the next one does not fit. */
-    private int select(Deque<PendingBroadcast> from, int room, List<PendingBroadcast> picked, double now) {
-        int left = room;
-        for (PendingBroadcast rumour = from.peekFirst(); rumour != null; rumour = from.peekFirst()) {
-            if (byName.get(rumour.claim.name()) == rumour && rumour.expiresAt >= now) {
-                int size = rumour.claim.maxEncodedBytes();
-                if (size > left && !picked.isEmpty()) {
+    /**
+     * Moves broadcasts from a queue to the selected ones. Returns the bytes that are left, 0 when the next one does not
+     * fit.
+     */
+    private int selectFrom(Deque<PendingBroadcast> queue, int maxBytes, List<PendingBroadcast> selected, double now) {
+        int bytesLeft = maxBytes;
+        for (PendingBroadcast next = queue.peekFirst(); next != null; next = queue.peekFirst()) {
+            boolean current = byName.get(next.claim.name()) == next && next.expiresAt >= now;
+            if (current) {
+                int bytes = next.claim.maxEncodedBytes();
+                if (bytes > bytesLeft && !selected.isEmpty()) {
                     return 0;
                 }
-                left -= size;
-                picked.add(rumour);
+                bytesLeft -= bytes;
+                selected.add(next);
             } else {
-                byName.remove(rumour.claim.name(), rumour);
+                byName.remove(next.claim.name(), next);
             }
-            from.removeFirst();
+            queue.removeFirst();
         }
-        return left;
+        return bytesLeft;
     }
 }
--- a/fleet/src/main/java/clayhook/fleet/members/ClockSkew.java
+++ b/fleet/src/main/java/clayhook/fleet/members/ClockSkew.java
@@ -1,48 +1,62 @@
 package clayhook.fleet.members;
 
 /**
- * By how much another clock is ahead of this one: an interval that holds the truth. An exchange of four times gives one
- * of half its round trip to either side, however unlike the two ways were (RFC 5905, section 8); intervals are cut with
- * each other.
+ * Estimates how far another member's clock is ahead of this router's, as an interval that contains the true offset.
+ *
+ * <p>The four timestamps of one ping bound the offset by half the round trip to either side, however asymmetric the
+ * path is (RFC 5905, section 8). Successive intervals are widened by the possible drift and intersected. Not
+ * thread-safe.
  */
 final class ClockSkew {
     /**
-     * Seconds a second by which two clocks may drift apart: a process's clock is led to the wall's by at most one in
-     * 200.
+     * Seconds a second by which two clocks may drift apart; a process slews its clock towards the wall clock by at most
+     * 1 in 200.
      */
     private static final double MAX_DRIFT_RATE = 0.01;
-    /** Seconds; answers that took longer tell nothing worth having. */
+    /** Acks that took longer give bounds too wide to be useful. */
     private static final double MAX_ROUND_TRIP_SECONDS = 10;
-    /** Seconds; reading a clock is no more exact. */
+
     private static final double CLOCK_RESOLUTION_SECONDS = 1e-4;
 
     private double offset = Double.NaN;
     private double errorBound;
     private double measuredAt;
 
-    /** @param there when the probe was there on its clock; {@code sent} and {@code now} on ours */
-    void addMeasurement(double sent, double there, double now) {
-        double trip = now - sent;
-        if (!(trip >= 0 && trip <= MAX_ROUND_TRIP_SECONDS) || Double.isInfinite(there)) {
+    /**
+     * Adds the timestamps of one ping and its ack.
+     *
+     * @param sentAt when the ping was sent, on this router's clock
+     * @param receivedAt when the ping arrived, on the member's clock
+     * @param now when the ack arrived, on this router's clock
+     */
+    void addMeasurement(double sentAt, double receivedAt, double now) {
+        double roundTrip = now - sentAt;
+        boolean usable = roundTrip >= 0 && roundTrip <= MAX_ROUND_TRIP_SECONDS && !Double.isInfinite(receivedAt);
+        if (!usable) {
             return;
         }
-        double middle = there - (sent + now) / 2;
-        double half = trip / 2 + CLOCK_RESOLUTION_SECONDS;
-        double before = errorBound(now);
-        double low = Math.max(middle - half, offset - before);
-        double high = Math.min(middle + half, offset + before);
-        boolean fits = low <= high; // false for the first one, and when one of the clocks was set
-        offset = fits ? (low + high) / 2 : middle;
-        errorBound = fits ? (high - low) / 2 : half;
+        double middle = receivedAt - (sentAt + now) / 2;
+        double half = roundTrip / 2 + CLOCK_RESOLUTION_SECONDS;
+        double oldError = errorBound(now);
+        double low = Math.max(middle - half, offset - oldError);
+        double high = Math.min(middle + half, offset + oldError);
+        // The intervals are disjoint when one of the clocks was set; without an earlier measurement the comparison with
+        // NaN fails.
+        boolean overlaps = low <= high;
+        offset = overlaps ? (low + high) / 2 : middle;
+        errorBound = overlaps ? (high - low) / 2 : half;
         measuredAt = now;
     }
 
-    /** Seconds; NaN while nothing was measured. */
+    /**
+     * Returns the estimated offset in seconds, positive when the member's clock is ahead; NaN before the first
+     * measurement.
+     */
     double offset() {
         return offset;
     }
 
-    /** Seconds by which {@link #offset()} may be wrong. */
+    /** Returns by how many seconds {@link #offset()} may be wrong at that time. */
     double errorBound(double now) {
         return errorBound + MAX_DRIFT_RATE * Math.max(0, now - measuredAt);
     }
--- a/fleet/src/main/java/clayhook/fleet/members/FailureDetector.java
+++ b/fleet/src/main/java/clayhook/fleet/members/FailureDetector.java
@@ -9,27 +9,25 @@
 import java.util.SplittableRandom;
 import java.util.function.ObjDoubleConsumer;
 
-/** Asks one member after the other whether it is there, on a bad way through others, and asks for others in turn. */
+/**
+ * Probes one member after the other: pings it, and where it does not answer pings it again and asks other members to
+ * ping it. A member that nobody reaches is suspected. Not thread-safe.
+ */
 final class FailureDetector {
     /**
-     * Of one probe: directly, then twice directly and through helpers. At a fifth lost one in five hundred finds
-     * nobody.
+     * Pings of one probe: the first alone, the others together with ping requests. At a packet loss of 20 %, one probe
+     * of a live member in five hundred fails.
      */
     private static final int MAX_ATTEMPTS = 3;
     /**
-     * Members of the whole fleet that look at once when one is accused, on average: three that agree are then nearly
-     * sure.
+     * Members of the whole fleet that probe a suspect out of turn, on average; enough that three confirm a real
+     * failure.
      */
     private static final double EXPECTED_CONFIRMERS = 10;
-    /** Such looks at a time; the rest of a large cut is found by the rounds. */
+    /** Probes out of turn at a time; further suspects of a large partition are left to the regular probes. */
     private static final int MAX_CONCURRENT_CONFIRMATIONS = 4;
-    /** Errands for others at a time; further ones are not run. */
-    private static final int MAX_RELAYED_PINGS = 1024;
-    /**
-     * Of the wait of whoever sent it: when a helper says that it has no answer yet, so that its own word is in time.
-     */
-    private static final double NEGATIVE_RESULT_FRACTION = 0.8;
 
+    /** The attempts to reach one incarnation of a member. */
     private static final class MemberProbe {
         final MemberRecord target;
         final Peer peer;
@@ -43,35 +41,28 @@
         boolean relayResponded;
         boolean answered;
 
-        MemberProbe(MemberRecord target, long sequence, double now, MembershipSettings settings, double patience) {
+        MemberProbe(
+                MemberRecord target, long sequence, double now, MembershipSettings settings, double timeoutMultiplier) {
             this.target = target;
             this.sequence = sequence;
             peer = target.peer();
             startedAt = now;
             nextAttemptAt = now;
-            deadline = now + settings.probeInterval() * patience;
-            retryDelay = settings.probeRetryDelay() * patience;
+            deadline = now + settings.probeInterval() * timeoutMultiplier;
+            retryDelay = settings.probeRetryDelay() * timeoutMultiplier;
         }
 
-        /** The member has another life, or is out of the roster: what comes of it says nothing. */
+        /** Whether the member is no longer live in this incarnation, so that the outcome says nothing. */
         boolean isObsolete() {
             return !target.isLive() || !target.peer().equals(peer);
         }
-    }
 
-    private static final class RelayedPing {
-        final Address requester;
-        final MembershipMessage.PingRequest request;
-        final long sequence;
-        final double expiresAt;
-        double negativeResultAt;
+        boolean isOver(double now) {
+            return answered || isObsolete() || now >= deadline;
+        }
 
-        RelayedPing(Address asker, MembershipMessage.PingRequest errand, long sequence, double saysAt, double until) {
-            this.requester = asker;
-            this.request = errand;
-            this.sequence = sequence;
-            this.negativeResultAt = saysAt;
-            this.expiresAt = until;
+        boolean attemptIsDue(double now) {
+            return now >= nextAttemptAt && attempts < MAX_ATTEMPTS;
         }
     }
 
@@ -81,47 +72,48 @@
     private final LocalHealth localHealth;
     private final SplittableRandom random;
     private final ObjDoubleConsumer<MemberClaim> onSuspect;
-    /**
-     * Emptied a period after they began; one by the rounds, or two where patience has changed, and
-     * {@link #MAX_CONCURRENT_CONFIRMATIONS}.
-     */
+    /** At most {@link #MAX_CONCURRENT_CONFIRMATIONS} and one or two regular probes; each ends at its deadline. */
     private final List<MemberProbe> probes = new ArrayList<>();
-    /** Emptied two periods after they began. */
-    private final List<RelayedPing> relayedPings = new ArrayList<>();
 
     private double nextProbeAt;
-    /** Every other probe goes to the neighbour: by chance alone one of thirty would not be probed for two seconds. */
+    /**
+     * Whether the last probe went to the successor on the ring, as every other one does. With random targets alone, one
+     * member in thirty would go unprobed by anyone for two seconds.
+     */
     private boolean probeSuccessor;
 
+    /** @param onSuspect receives the claim that a member is suspected by this router, and the time */
     FailureDetector(
             MembershipSettings settings,
-            MembershipTable register,
-            MessageSender voice,
-            LocalHealth health,
-            SplittableRandom chance,
+            MembershipTable table,
+            MessageSender sender,
+            LocalHealth localHealth,
+            SplittableRandom random,
             double now,
-            ObjDoubleConsumer<MemberClaim> accuse) {
+            ObjDoubleConsumer<MemberClaim> onSuspect) {
         this.settings = settings;
-        this.table = register;
-        this.sender = voice;
-        this.localHealth = health;
-        this.random = chance;
-        this.onSuspect = accuse;
-        nextProbeAt = now
-                + settings.probeInterval() * chance.nextDouble(); // so that routers started at once do not ask at once
+        this.table = table;
+        this.sender = sender;
+        this.localHealth = localHealth;
+        this.random = random;
+        this.onSuspect = onSuspect;
+        // Random, so that routers started at once do not probe in step.
+        nextProbeAt = now + settings.probeInterval() * random.nextDouble();
     }
 
-    /** Another router has accused that one: now and then this one looks as well. */
-    void maybeConfirm(MemberRecord accused, double now) {
+    /**
+     * Another router suspects that member: probes it with a probability that makes a few routers of the fleet do so.
+     */
+    void maybeConfirm(MemberRecord suspect, double now) {
         if (random.nextDouble() * table.liveCount() < EXPECTED_CONFIRMERS) {
-            probeNow(accused, now);
+            probeNow(suspect, now);
         }
     }
 
-    /** Probes that one out of turn, where there is room for it. */
+    /** Probes a member out of turn, unless it is being probed or too many probes are under way. */
     void probeNow(MemberRecord target, double now) {
-        if (probes.size() < MAX_CONCURRENT_CONFIRMATIONS
-                && probes.stream().noneMatch(probe -> probe.target == target)) {
+        boolean hasRoom = probes.size() < MAX_CONCURRENT_CONFIRMATIONS;
+        if (hasRoom && probes.stream().noneMatch(probe -> probe.target == target)) {
             startProbe(target, now);
         }
     }
@@ -130,78 +122,61 @@
         probes.add(new MemberProbe(target, sender.nextSequence(), now, settings, localHealth.timeoutMultiplier()));
     }
 
-    void onAck(Member by, long sequence, Outbox out) {
+    /** Notes that a member answered the ping of that sequence number. */
+    void onAck(Member from, long sequence) {
         for (MemberProbe probe : probes) {
-            probe.answered |= probe.sequence == sequence && probe.peer.member().equals(by);
+            probe.answered |= probe.sequence == sequence && probe.peer.member().equals(from);
         }
-        relayedPings.removeIf(run -> {
-            boolean done =
-                    run.sequence == sequence && run.request.target().member().equals(by);
-            if (done) {
-                out.add(run.requester, new MembershipMessage.PingRequestResult(run.request.sequence(), true));
-            }
-            return done;
-        });
     }
 
-    void onPingRequestResult(MembershipMessage.PingRequestResult done) {
+    /** Notes the answer of a member that was asked to ping another one. */
+    void onPingRequestResult(MembershipMessage.PingRequestResult result) {
         for (MemberProbe probe : probes) {
-            if (probe.sequence == done.sequence()) {
+            if (probe.sequence == result.sequence()) {
                 probe.relayResponded = true;
-                probe.answered |= done.answered();
+                probe.answered |= result.answered();
             }
         }
     }
 
-    void onPingRequest(Address asker, MembershipMessage.PingRequest errand, double now, Outbox out) {
-        if (relayedPings.size() < MAX_RELAYED_PINGS) {
-            var run = new RelayedPing(
-                    asker,
-                    errand,
-                    sender.nextSequence(),
-                    now + NEGATIVE_RESULT_FRACTION * settings.probeRetryDelay(),
-                    now + 2 * settings.probeInterval());
-            relayedPings.add(run);
-            sender.sendPing(
-                    errand.target().address(), table.find(errand.target().member()), run.sequence, now, out);
-        }
-    }
-
-    /** This router stood still: whatever had no answer may have had one. */
+    /** Abandons all probes after a stall of this router, which may have missed the answers. */
     void onStall() {
         probes.clear();
     }
 
+    /** Starts, repeats and ends probes that are due. Returns when the next tick is due. */
     double tick(double now, Outbox out) {
         if (now >= nextProbeAt) {
-            probeSuccessor = !probeSuccessor;
-            MemberRecord next = probeSuccessor ? table.ringSuccessor() : table.nextProbeTarget();
-            if (next != null) {
-                startProbe(next, now);
-            }
-            nextProbeAt = now + settings.probeInterval() * localHealth.timeoutMultiplier();
+            startNextProbe(now);
         }
         double next = nextProbeAt;
         for (MemberProbe probe : List.copyOf(probes)) {
-            if (probe.answered || probe.isObsolete() || now >= probe.deadline) {
+            if (probe.isOver(now)) {
                 probes.remove(probe);
                 finish(probe, now);
             } else {
                 next = Math.min(next, advance(probe, now, out));
             }
         }
-        return Math.min(next, tickRelayedPings(now, out));
+        return next;
+    }
+
+    private void startNextProbe(double now) {
+        probeSuccessor = !probeSuccessor;
+        MemberRecord target = probeSuccessor ? table.ringSuccessor() : table.nextProbeTarget();
+        if (target != null) {
+            startProbe(target, now);
+        }
+        nextProbeAt = now + settings.probeInterval() * localHealth.timeoutMultiplier();
     }
 
+    /** Makes the next attempt if it is due. Returns when the probe needs the next tick. */
     private double advance(MemberProbe probe, double now, Outbox out) {
-        if (now >= probe.nextAttemptAt && probe.attempts < MAX_ATTEMPTS) {
-            Address to = probe.peer.address();
-            sender.sendPing(to, probe.target, probe.sequence, now, out);
+        if (probe.attemptIsDue(now)) {
+            Address address = probe.peer.address();
+            sender.sendPing(address, probe.target, probe.sequence, now, out);
             if (probe.attempts > 0) {
-                for (MemberRecord helper : table.randomMembers(settings.indirectPings(), probe.target)) {
-                    out.add(helper.peer().address(), new MembershipMessage.PingRequest(probe.sequence, probe.peer));
-                    probe.relayRequests++;
-                }
+                requestPings(probe, out);
             }
             probe.attempts++;
             probe.nextAttemptAt = probe.attempts < MAX_ATTEMPTS ? now + probe.retryDelay : probe.deadline;
@@ -209,32 +184,24 @@
         return Math.min(probe.nextAttemptAt, probe.deadline);
     }
 
-    private void finish(MemberProbe probe, double now) {
-        if (probe.answered || probe.target.lastHeardAt > probe.startedAt) {
-            localHealth.improve();
-        } else if (!probe.isObsolete() && !localHealth.recentlyStalled(now)) {
-            if (probe.relayRequests > 0 && !probe.relayResponded) {
-                localHealth.degrade(); // nobody at all answers: it may well be this router that is cut off
-            }
-            MemberClaim claim = probe.target.claim;
-            onSuspect.accept(
-                    claim.withStatus(
-                            MemberStatus.SUSPECT,
-                            List.of(MemberClaim.accuserHash(sender.ownClaim().name()))),
-                    now);
+    private void requestPings(MemberProbe probe, Outbox out) {
+        for (MemberRecord relay : table.randomMembers(settings.indirectPings(), probe.target)) {
+            out.add(relay.peer().address(), new MembershipMessage.PingRequest(probe.sequence, probe.peer));
+            probe.relayRequests++;
         }
     }
 
-    private double tickRelayedPings(double now, Outbox out) {
-        double next = Double.POSITIVE_INFINITY;
-        relayedPings.removeIf(run -> now >= run.expiresAt);
-        for (RelayedPing run : relayedPings) {
-            if (now >= run.negativeResultAt) {
-                out.add(run.requester, new MembershipMessage.PingRequestResult(run.request.sequence(), false));
-                run.negativeResultAt = Double.POSITIVE_INFINITY;
+    private void finish(MemberProbe probe, double now) {
+        boolean heard = probe.answered || probe.target.lastHeardAt > probe.startedAt;
+        if (heard) {
+            localHealth.improve();
+        } else if (!probe.isObsolete() && !localHealth.recentlyStalled(now)) {
+            boolean nobodyAnswered = probe.relayRequests > 0 && !probe.relayResponded;
+            if (nobodyAnswered) {
+                localHealth.degrade(); // this router itself may be cut off
             }
-            next = Math.min(next, Math.min(run.negativeResultAt, run.expiresAt));
+            long accuser = MemberClaim.accuserHash(sender.ownClaim().name());
+            onSuspect.accept(probe.target.claim.withStatus(MemberStatus.SUSPECT, List.of(accuser)), now);
         }
-        return next;
     }
 }
--- a/fleet/src/main/java/clayhook/fleet/members/LocalHealth.java
+++ b/fleet/src/main/java/clayhook/fleet/members/LocalHealth.java
@@ -1,15 +1,20 @@
 package clayhook.fleet.members;
 
-/** How far this router trusts itself when others seem silent. */
+/**
+ * How far this router can trust its own view of others: the local health multiplier of Lifeguard, and the time after a
+ * stall of this process in which it accuses nobody. Not thread-safe.
+ */
 final class LocalHealth {
     /**
-     * Patience grows to four times. Lifeguard goes to nine times, where a fleet cut in two took half a minute to
-     * notice.
+     * Timeouts grow to four times. Lifeguard allows nine times, with which a partitioned fleet took half a minute to
+     * notice the partition.
      */
     private static final int MAX_SCORE = 3;
-    /** Seconds of doubt after a stand, however long: what waits at the door has been read by then. */
+    /** Bound of the recovery after a stall of any length: what queued up at the socket has been read by then. */
     private static final double MAX_RECOVERY_SECONDS = 5;
 
+    private static final int MIN_RECOVERY_INTERVALS = 2;
+
     private final double stallThreshold;
     private final double minRecoverySeconds;
     private int score;
@@ -18,42 +23,43 @@
 
     LocalHealth(MembershipSettings settings) {
         stallThreshold = settings.stallThreshold();
-        minRecoverySeconds = 2 * settings.probeInterval();
+        minRecoverySeconds = MIN_RECOVERY_INTERVALS * settings.probeInterval();
     }
 
-    /** A turn is wanted then. */
+    /** Notes when the next tick is due, and returns that time. */
     double expectTickAt(double next) {
         expectedTickAt = next;
         return next;
     }
 
-    /** Whether this router has just come out of a stand: a turn is long overdue. */
+    /** Returns whether this process was stalled until now: a tick is overdue by more than the threshold. */
     boolean detectStall(double now) {
-        double stood = now - expectedTickAt;
-        if (stood <= stallThreshold) {
+        double overdue = now - expectedTickAt;
+        if (overdue <= stallThreshold) {
             return false;
         }
         expectedTickAt = now;
-        recoveringUntil = now + Math.min(MAX_RECOVERY_SECONDS, Math.max(minRecoverySeconds, stood));
+        recoveringUntil = now + Math.min(MAX_RECOVERY_SECONDS, Math.max(minRecoverySeconds, overdue));
         degrade();
         return true;
     }
 
+    /** Whether a stall ended so recently that silence of others proves nothing. */
     boolean recentlyStalled(double now) {
         return now < recoveringUntil;
     }
 
-    /** Others answer. */
+    /** Another member has answered. */
     void improve() {
         score = Math.max(0, score - 1);
     }
 
-    /** Others took this router for dead, or neither a member nor any of its helpers answered. */
+    /** Others suspected this router, or neither a member nor any of those asked to ping it have answered. */
     void degrade() {
         score = Math.min(MAX_SCORE, score + 1);
     }
 
-    /** By how much its waits are longer. */
+    /** Returns the factor by which this router's probe timeouts are extended, from 1. */
     double timeoutMultiplier() {
         return 1 + score;
     }
--- a/fleet/src/main/java/clayhook/fleet/members/MemberClaim.java
+++ b/fleet/src/main/java/clayhook/fleet/members/MemberClaim.java
@@ -13,38 +13,48 @@
 import java.util.TreeSet;
 
 /**
- * How a life of a router stands, as somebody says. Two claims on one name are joined: the younger life counts; in one
- * life having left is final, then the higher counter counts, then the worse standing.
+ * The status of an incarnation of a router, as some router claims it. Claims on one name are merged: the younger
+ * incarnation wins; within one incarnation {@link MemberStatus#LEFT} is final, then the higher refutation count wins,
+ * then the later status.
  *
- * @param counter how often it has refuted others in this life
- * @param accusers of a suspect: the least few of the hashes of their names, in order; else empty
+ * @param refutationCount how often the incarnation has refuted claims of others
+ * @param accusers for a suspect, the smallest hashes of the names of its accusers in ascending order, at most
+ *     {@value #MAX_ACCUSERS}; otherwise empty
  */
 record MemberClaim(Peer peer, MemberStatus status, long refutationCount, List<Long> accusers) {
-    /** Accusers counted: one that begins and three that agree. More would not shorten the wait. */
+    /** The first accuser and three that confirm it; more would not shorten the suspicion timeout. */
     static final int MAX_ACCUSERS = 4;
-    /** Of a host's name, as the name system has it. */
-    private static final int MAX_HOST_LENGTH = 253;
-    /** Beyond any number of refutations; leaves room to count on. */
-    private static final long REFUTATION_COUNT_LIMIT = 1L << 50;
 
     /**
-     * Of two lives of one name; of two that began in the same millisecond the address tells which one counts, the same
-     * everywhere.
+     * Orders the incarnations of one name by age. Of two that started in the same millisecond, the address decides, at
+     * every router alike.
      */
-    static final Comparator<Peer> INCARNATION_ORDER = (a, b) -> {
-        int order = Long.compare(a.member().incarnation(), b.member().incarnation());
-        order = order != 0 ? order : a.address().host().compareTo(b.address().host());
-        return order != 0
-                ? order
-                : Integer.compare(a.address().port(), b.address().port());
-    };
+    static final Comparator<Peer> INCARNATION_ORDER = Comparator.<Peer>comparingLong(
+                    peer -> peer.member().incarnation())
+            .thenComparing(peer -> peer.address().host())
+            .thenComparingInt(peer -> peer.address().port());
+
+    /** The longest host name that DNS allows. */
+    private static final int MAX_HOST_LENGTH = 253;
+
+    private static final int PORT_LIMIT = 1 << Character.SIZE;
+    /** Beyond any real number of refutations, and far enough from overflow to be incremented. */
+    private static final long REFUTATION_COUNT_LIMIT = 1L << 50;
+
+    private static final int MAX_LIST_BYTES = 2;
+    private static final int MAX_LONG_BYTES = 9;
+    private static final int MAX_PORT_BYTES = 5;
+    private static final int MAX_SMALL_NUMBER_BYTES = 1;
+    private static final int MAX_STRING_HEADER_BYTES = 3;
+    private static final int MAX_UTF8_BYTES_PER_CHAR = 3;
+    private static final int ASCII_LIMIT = 0x80;
 
     MemberClaim {
         accusers = status == MemberStatus.SUSPECT ? smallestDistinct(accusers) : List.of();
     }
 
-    static MemberClaim alive(Peer peer, long counter) {
-        return new MemberClaim(peer, MemberStatus.ALIVE, counter, List.of());
+    static MemberClaim alive(Peer peer, long refutationCount) {
+        return new MemberClaim(peer, MemberStatus.ALIVE, refutationCount, List.of());
     }
 
     private static List<Long> smallestDistinct(Collection<Long> accusers) {
@@ -53,6 +63,7 @@
                 : new TreeSet<>(accusers).stream().limit(MAX_ACCUSERS).toList();
     }
 
+    /** Returns how a member of that name appears among {@link #accusers}. */
     static long accuserHash(String name) {
         return MemberRecord.ringPosition(name);
     }
@@ -65,64 +76,72 @@
         return status.isLive();
     }
 
-    /** Above 0 where this one outdoes the other; 0 where at most their accusers differ. */
-    private int compare(MemberClaim other) {
+    /** Compares precedence: positive where this claim wins over the other, 0 where at most their accusers differ. */
+    private int comparePrecedence(MemberClaim other) {
         int order = INCARNATION_ORDER.compare(peer, other.peer);
-        order = order != 0 ? order : Boolean.compare(status == MemberStatus.LEFT, other.status == MemberStatus.LEFT);
-        order = order != 0 ? order : Long.compare(refutationCount, other.refutationCount);
+        if (order == 0) {
+            order = Boolean.compare(status == MemberStatus.LEFT, other.status == MemberStatus.LEFT);
+        }
+        if (order == 0) {
+            order = Long.compare(refutationCount, other.refutationCount);
+        }
         return order != 0 ? order : status.compareTo(other.status);
     }
 
-    /** Commutative, associative and idempotent, for claims on one name. */
+    /** Merges two claims on one name. Commutative, associative and idempotent. */
     MemberClaim merge(MemberClaim other) {
-        int order = compare(other);
+        int order = comparePrecedence(other);
         if (order != 0 || status != MemberStatus.SUSPECT) {
             return order < 0 ? other : this;
         }
-        var all = new ArrayList<>(accusers);
-        all.addAll(other.accusers);
-        return new MemberClaim(peer, status, refutationCount, all);
+        var allAccusers = new ArrayList<>(accusers);
+        allAccusers.addAll(other.accusers);
+        return new MemberClaim(peer, status, refutationCount, allAccusers);
     }
 
-    /** Whether a join with that one would keep this one whole. */
+    /** Whether merging the other claim into this one leaves this one unchanged, and not the other way round. */
     boolean supersedes(MemberClaim other) {
-        return compare(other) > 0;
+        return comparePrecedence(other) > 0;
     }
 
+    /** Returns a claim on the same incarnation, with the same refutation count and another status. */
     MemberClaim withStatus(MemberStatus other, List<Long> accusers) {
         return new MemberClaim(peer, other, refutationCount, accusers);
     }
 
-    /** Bytes that it takes on the wire, at most. */
+    /** Returns an upper bound of the encoded size in bytes. */
     int maxEncodedBytes() {
-        return 2
-                + maxEncodedBytes(name())
-                + 9
-                + maxEncodedBytes(peer.address().host())
-                + 5
-                + 1
-                + 9
-                + 1
-                + 9 * accusers.size();
-    }
-
-    private static int maxEncodedBytes(String text) {
-        int room = 3;
+        return MAX_LIST_BYTES
+                + maxStringBytes(name())
+                + MAX_LONG_BYTES
+                + maxStringBytes(peer.address().host())
+                + MAX_PORT_BYTES
+                + MAX_SMALL_NUMBER_BYTES
+                + MAX_LONG_BYTES
+                + MAX_SMALL_NUMBER_BYTES
+                + MAX_LONG_BYTES * accusers.size();
+    }
+
+    private static int maxStringBytes(String text) {
+        int bytes = MAX_STRING_HEADER_BYTES;
         for (int i = 0; i < text.length(); i++) {
-            room += text.charAt(i) < 0x80 ? 1 : 3;
+            bytes += text.charAt(i) < ASCII_LIMIT ? 1 : MAX_UTF8_BYTES_PER_CHAR;
         }
-        return room;
+        return bytes;
     }
 
     void write(FieldWriter out) {
-        out.writeNullableString(name())
-                .writeLong(peer.member().incarnation())
-                .writeNullableString(peer.address().host())
-                .writeLong(peer.address().port());
-        out.writeLong(status.ordinal()).writeLong(refutationCount).writeLong(accusers.size());
+        out.writeNullableString(name());
+        out.writeLong(peer.member().incarnation());
+        out.writeNullableString(peer.address().host());
+        out.writeLong(peer.address().port());
+        out.writeLong(status.ordinal());
+        out.writeLong(refutationCount);
+        out.writeLong(accusers.size());
         accusers.forEach(out::writeLong);
     }
 
+    /** @throws IllegalArgumentException for fields out of range */
     static MemberClaim read(FieldReader in) {
         String name = in.readNonEmptyString();
         if (name.length() > Packet.MAX_NAME_LENGTH) {
@@ -130,28 +149,30 @@
         }
         var member = new Member(name, in.readLong());
         Address address = readAddress(in);
-        int standing = in.readIntBelow(MemberStatus.values().length);
-        long counter = readRefutationCount(in);
+        MemberStatus status = MemberStatus.values()[in.readIntBelow(MemberStatus.values().length)];
+        long refutationCount = readRefutationCount(in);
         var accusers = new ArrayList<Long>();
         for (int left = in.readIntBelow(MAX_ACCUSERS + 1); left > 0; left--) {
             accusers.add(in.readLong());
         }
-        return new MemberClaim(new Peer(member, address), MemberStatus.values()[standing], counter, accusers);
+        return new MemberClaim(new Peer(member, address), status, refutationCount, accusers);
     }
 
+    /** @throws IllegalArgumentException for a host or port out of range */
     static Address readAddress(FieldReader in) {
         String host = in.readNonEmptyString();
         if (host.length() > MAX_HOST_LENGTH) {
             throw new IllegalArgumentException("a host of " + host.length() + " characters");
         }
-        return new Address(host, in.readIntBelow(1 << 16));
+        return new Address(host, in.readIntBelow(PORT_LIMIT));
     }
 
+    /** @throws IllegalArgumentException for a count out of range */
     static long readRefutationCount(FieldReader in) {
-        long counter = in.readLong();
-        if (counter < 0 || counter >= REFUTATION_COUNT_LIMIT) {
-            throw new IllegalArgumentException("a counter of " + counter);
+        long count = in.readLong();
+        if (count < 0 || count >= REFUTATION_COUNT_LIMIT) {
+            throw new IllegalArgumentException("a refutation count of " + count);
         }
-        return counter;
+        return count;
     }
 }
--- a/fleet/src/main/java/clayhook/fleet/members/MemberRecord.java
+++ b/fleet/src/main/java/clayhook/fleet/members/MemberRecord.java
@@ -4,42 +4,48 @@
 import clayhook.fleet.Peer;
 import com.dynatrace.hash4j.hashing.Hashing;
 
-/** What this router knows of one name. */
+/**
+ * What this router knows about one member name: the merged claim and what was measured of its incarnation. Not
+ * thread-safe.
+ */
 final class MemberRecord {
+    /** The merge of all claims received on this name. */
     MemberClaim claim;
-    /** Hash of the name: where it stands in the ring, and its part of the digest. */
+    /** Hash of the name: the position on the ring of members, and the bucket of the table digest. */
     final long ringPosition;
-    /** When the life began to be known. */
+    /** When this router first learned of the incarnation. */
     double knownSince;
-    /** When its standing began, as far as is known. */
+    /** When the current status began, as far as is known. */
     double statusSince;
-    /** When that very life was heard last. */
+    /** When a message of this very incarnation arrived last. */
     double lastHeardAt;
 
     ClockSkew clockSkew;
+    /** Whether the clock was last reported to be out of bound. */
     boolean clockSkewed;
-    /** When its clock was last asked for beside the probes. */
+    /** When the clock was last measured out of turn. */
     double clockPingedAt;
-    /** An older life that was heard although this one is known. */
+    /** An older incarnation that was heard after this one had become known, and was reported as a duplicate. */
     Peer reportedDuplicate;
-    /** What it adds to the digest. */
+    /** What this record contributes to the digest of the table. */
     long digestContribution;
-    /** Where it stands in the list of those alive or of those gone. */
+    /** Index in the table's list of live or of dead members. */
     int listIndex;
 
-    MemberRecord(MemberClaim claim, double since, double now) {
+    MemberRecord(MemberClaim claim, double statusSince, double now) {
         this.claim = claim;
         ringPosition = ringPosition(claim.name());
-        startIncarnation(since, now);
+        startIncarnation(statusSince, now);
     }
 
+    /** Returns the position on the ring for a name, the same at every router. */
     static long ringPosition(String name) {
         return Hashing.komihash5_0().hashCharsToLong(name);
     }
 
-    /** Another life: what was measured of the last one is over. */
+    /** Starts over for another incarnation: nothing measured of the previous one applies. */
     void startIncarnation(double since, double now) {
-        this.statusSince = since;
+        statusSince = since;
         knownSince = now;
         lastHeardAt = Double.NEGATIVE_INFINITY;
         clockSkew = new ClockSkew();
@@ -52,6 +58,7 @@
         return claim.peer();
     }
 
+    /** Whether that incarnation is the one in this record. */
     boolean isIncarnation(Member member) {
         return claim.peer().member().equals(member);
     }
--- a/fleet/src/main/java/clayhook/fleet/members/MemberStatus.java
+++ b/fleet/src/main/java/clayhook/fleet/members/MemberStatus.java
@@ -1,13 +1,16 @@
 package clayhook.fleet.members;
 
-/** How a life of a router stands; of two claims with the same counter the later one here counts. */
+/**
+ * The status of one incarnation of a router. Messages carry the ordinal. Of two claims with equal refutation counts,
+ * the one whose status is declared later wins; the order of the constants must not change.
+ */
 enum MemberStatus {
     ALIVE,
     SUSPECT,
     DEAD,
     LEFT;
 
-    /** It is asked, told and counted. */
+    /** Whether the member is probed, gossiped to and counted. */
     boolean isLive() {
         return this == ALIVE || this == SUSPECT;
     }
--- a/fleet/src/main/java/clayhook/fleet/members/MembershipMessage.java
+++ b/fleet/src/main/java/clayhook/fleet/members/MembershipMessage.java
@@ -12,47 +12,46 @@
 import java.util.Map;
 import java.util.function.Function;
 
-/** What members say to each other. Times are seconds since 1970 on the clock of whoever wrote them. */
+/**
+ * The messages of the membership protocol. Times are seconds since 1970 on the clock of whoever wrote them. The readers
+ * throw {@link IllegalArgumentException} for fields out of range.
+ */
 sealed interface MembershipMessage extends Message {
+    /** The readers of all messages by their type number. */
     Map<Integer, Function<FieldReader, ? extends Message>> READERS = Map.of(
-            1,
-            Ping::read,
-            2,
-            Ack::read,
-            3,
-            PingRequest::read,
-            4,
-            PingRequestResult::read,
-            5,
-            ClaimBroadcast::read,
-            6,
-            SyncRequest::read,
-            7,
-            SyncPage::read);
-    /** More claims than fit. */
+            Ping.TYPE_NUMBER, Ping::read,
+            Ack.TYPE_NUMBER, Ack::read,
+            PingRequest.TYPE_NUMBER, PingRequest::read,
+            PingRequestResult.TYPE_NUMBER, PingRequestResult::read,
+            ClaimBroadcast.TYPE_NUMBER, ClaimBroadcast::read,
+            SyncRequest.TYPE_NUMBER, SyncRequest::read,
+            SyncPage.TYPE_NUMBER, SyncPage::read);
+
+    /** Bound of the claims in one message; more than fit. */
     int MAX_CLAIMS = Packet.MAX_MESSAGE_BYTES;
 
     /**
-     * Are you there? Says who asks as well, so that a probe is all it takes to be found.
+     * Asks a member for an ack. It carries the sender's address and refutation count, so that one ping is enough to be
+     * discovered.
      *
-     * @param sentAt comes back in the answer
-     * @param digest of the asker's roster
+     * @param sequence is repeated in the ack
+     * @param sentAt is repeated in the ack
+     * @param digest of the sender's membership table
      */
     record Ping(long sequence, double sentAt, long digest, Address address, long refutationCount)
             implements MembershipMessage {
+        static final int TYPE_NUMBER = 1;
+
         @Override
         public int typeNumber() {
-            return 1;
+            return TYPE_NUMBER;
         }
 
         @Override
         public void write(FieldWriter out) {
-            out.writeLong(sequence)
-                    .writeDouble(sentAt)
-                    .writeLong(digest)
-                    .writeNullableString(address.host())
-                    .writeLong(address.port())
-                    .writeLong(refutationCount);
+            out.writeLong(sequence).writeDouble(sentAt).writeLong(digest);
+            writeAddress(address, out);
+            out.writeLong(refutationCount);
         }
 
         static Ping read(FieldReader in) {
@@ -66,22 +65,27 @@
     }
 
     /**
-     * Yes.
+     * Answers a {@link Ping} at once.
      *
-     * @param sentAt as the probe had it, on the asker's clock
-     * @param gotAt when the probe came, on the clock of whoever answers; the answer leaves at once
+     * @param sequence of the ping
+     * @param sentAt of the ping, on the clock of the member that sent it
+     * @param receivedAt when the ping arrived, on the clock of the member that answers
+     * @param digest of the answering member's membership table
      */
     record Ack(long sequence, double sentAt, double receivedAt, long digest, Address address, long refutationCount)
             implements MembershipMessage {
+        static final int TYPE_NUMBER = 2;
+
         @Override
         public int typeNumber() {
-            return 2;
+            return TYPE_NUMBER;
         }
 
         @Override
         public void write(FieldWriter out) {
             out.writeLong(sequence).writeDouble(sentAt).writeDouble(receivedAt).writeLong(digest);
-            out.writeNullableString(address.host()).writeLong(address.port()).writeLong(refutationCount);
+            writeAddress(address, out);
+            out.writeLong(refutationCount);
         }
 
         static Ack read(FieldReader in) {
@@ -95,34 +99,40 @@
         }
     }
 
-    /** Ask that one for me. */
+    /** Asks a member to ping another one on the sender's behalf. */
     record PingRequest(long sequence, Peer target) implements MembershipMessage {
+        static final int TYPE_NUMBER = 3;
+
         @Override
         public int typeNumber() {
-            return 3;
+            return TYPE_NUMBER;
         }
 
         @Override
         public void write(FieldWriter out) {
-            out.writeLong(sequence)
-                    .writeNullableString(target.member().name())
-                    .writeLong(target.member().incarnation());
-            out.writeNullableString(target.address().host())
-                    .writeLong(target.address().port());
+            Member member = target.member();
+            out.writeLong(sequence).writeNullableString(member.name()).writeLong(member.incarnation());
+            writeAddress(target.address(), out);
         }
 
         static PingRequest read(FieldReader in) {
-            return new PingRequest(
-                    in.readLong(),
-                    new Peer(new Member(in.readNonEmptyString(), in.readLong()), MemberClaim.readAddress(in)));
+            long sequence = in.readLong();
+            var member = new Member(in.readNonEmptyString(), in.readLong());
+            return new PingRequest(sequence, new Peer(member, MemberClaim.readAddress(in)));
         }
     }
 
-    /** I asked; it answered, or has not yet. */
+    /**
+     * Answers a {@link PingRequest}.
+     *
+     * @param answered whether the target has answered; if not, it still may
+     */
     record PingRequestResult(long sequence, boolean answered) implements MembershipMessage {
+        static final int TYPE_NUMBER = 4;
+
         @Override
         public int typeNumber() {
-            return 4;
+            return TYPE_NUMBER;
         }
 
         @Override
@@ -135,11 +145,13 @@
         }
     }
 
-    /** Claims that are new to whoever tells them, or that concern the one who is told. */
+    /** Claims that are new to the sender, or that concern the receiver. */
     record ClaimBroadcast(List<MemberClaim> claims) implements MembershipMessage {
+        static final int TYPE_NUMBER = 5;
+
         @Override
         public int typeNumber() {
-            return 5;
+            return TYPE_NUMBER;
         }
 
         @Override
@@ -158,11 +170,17 @@
         }
     }
 
-    /** These are the digests of my roster, by hash of the name; tell me where yours differs. */
+    /**
+     * Asks for the claims in all buckets of the membership table in which the receiver's digests differ from these.
+     *
+     * @param bucketDigests one for each of {@link TableDigest#BUCKETS}; never changed
+     */
     record SyncRequest(int[] bucketDigests) implements MembershipMessage {
+        static final int TYPE_NUMBER = 6;
+
         @Override
         public int typeNumber() {
-            return 6;
+            return TYPE_NUMBER;
         }
 
         @Override
@@ -174,7 +192,7 @@
 
         static SyncRequest read(FieldReader in) {
             byte[] bytes = in.readBytes();
-            int[] digests = new int[MembershipTable.BUCKETS];
+            var digests = new int[TableDigest.BUCKETS];
             if (bytes.length != Integer.BYTES * digests.length) {
                 throw new IllegalArgumentException(bytes.length + " bytes of digests");
             }
@@ -183,9 +201,15 @@
         }
     }
 
-    /** A part of a roster. */
+    /** A part of a membership table, in answer to a {@link SyncRequest}. */
     record SyncPage(List<AgedClaim> claims) implements MembershipMessage {
-        /** @param age seconds since that standing began, as far as whoever tells it knows */
+        static final int TYPE_NUMBER = 7;
+
+        /**
+         * A claim and how long its status has lasted.
+         *
+         * @param ageSeconds since the status began, as far as the sender knows; written in whole seconds
+         */
         record AgedClaim(MemberClaim claim, double ageSeconds) {
             private static AgedClaim read(FieldReader in) {
                 return new AgedClaim(MemberClaim.read(in), Math.max(0, in.readDouble()));
@@ -194,7 +218,7 @@
 
         @Override
         public int typeNumber() {
-            return 7;
+            return TYPE_NUMBER;
         }
 
         @Override
@@ -212,4 +236,8 @@
             return new SyncPage(in.readLists(MAX_CLAIMS, AgedClaim::read));
         }
     }
+
+    private static void writeAddress(Address address, FieldWriter out) {
+        out.writeNullableString(address.host()).writeLong(address.port());
+    }
 }
--- a/fleet/src/main/java/clayhook/fleet/members/MembershipTable.java
+++ b/fleet/src/main/java/clayhook/fleet/members/MembershipTable.java
@@ -2,7 +2,6 @@
 
 import clayhook.fleet.Member;
 import clayhook.fleet.Peer;
-import com.dynatrace.hash4j.hashing.Hashing;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
@@ -15,278 +14,261 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 
-/** Every name that this router knows, its own apart, each with the join of all claims on it. */
+/**
+ * All member names this router knows, except its own, each with the merge of all claims on it. The table does not
+ * depend on the order or the number of times in which claims are merged. Not thread-safe.
+ */
 final class MembershipTable {
-    private static final int BUCKET_BITS = 8;
-    /** Parts of the digest, by hash of the name; half of each fills most of a packet. */
-    static final int BUCKETS = 1 << BUCKET_BITS;
+    /** The list in which a record stands, by its status. */
+    private enum Placement {
+        LIVE,
+        DEAD,
+        UNLISTED;
+
+        static Placement of(MemberClaim claim) {
+            if (claim.isLive()) {
+                return LIVE;
+            }
+            return claim.status() == MemberStatus.DEAD ? DEAD : UNLISTED;
+        }
+    }
 
-    /** Where this router stands in the ring. */
     private final long ownRingPosition;
-
     private final int maxNames;
     private final SplittableRandom random;
-    /** Emptied of the gone and those that left, when they were remembered long enough; bound by {@code most}. */
+    /** Dead and departed members are removed once they were retained long enough; at most {@link #maxNames} entries. */
     private final Map<String, MemberRecord> byName = new HashMap<>();
-    /** In the order in which they are probed: shuffled after each round. */
-    private final List<MemberRecord> live = new ArrayList<>();
 
+    private final ProbeOrder live;
     private final List<MemberRecord> dead = new ArrayList<>();
     /**
-     * The living by the hash of their names: neighbours there share neither a host nor a failure more than others do.
+     * Live members by hash of their name: neighbours on the ring share a host or a fault no more often than others do.
      */
     private final NavigableMap<Long, MemberRecord> ring = new TreeMap<>();
 
-    private final int[] bucketDigests = new int[BUCKETS];
-    private long digest;
+    private final TableDigest digest = new TableDigest();
+    /**
+     * The claim of this router on itself; null where a younger incarnation of its name has replaced it, or it has left.
+     */
     private MemberClaim ownClaim;
-    private long ownHash;
-    private int probedCount;
+
+    private long ownDigestContribution;
     private long rejectedNames;
-    /** Null when it is to be made again. */
+    /** Null when it must be computed anew. */
     private List<Peer> livePeers;
 
-    /** @param name of this router itself */
-    MembershipTable(String name, int most, SplittableRandom chance) {
-        ownRingPosition = MemberRecord.ringPosition(name);
-        this.maxNames = most;
-        this.random = chance;
+    /** @param ownName this router's own name */
+    MembershipTable(String ownName, int maxNames, SplittableRandom random) {
+        ownRingPosition = MemberRecord.ringPosition(ownName);
+        this.maxNames = maxNames;
+        this.random = random;
+        live = new ProbeOrder(random);
     }
 
-    /** Null for a name that is not known. */
+    /** Returns the record of a name, or null if it is unknown. */
     MemberRecord find(String name) {
         return byName.get(name);
     }
 
-    /** Null unless it is that very life that counts. */
+    /** Returns the record of a member, or null unless that very incarnation is the current one. */
     MemberRecord find(Member member) {
         MemberRecord known = byName.get(member.name());
         return known != null && known.isIncarnation(member) ? known : null;
     }
 
-    /** Joins a claim in; null for a name that there is no room for. */
-    MemberRecord merge(MemberClaim claim, double since, double now) {
+    /**
+     * Merges a claim and returns the record of its name, or null if the name is new and the table is full.
+     *
+     * @param statusSince when the claimed status began, as far as is known
+     */
+    MemberRecord merge(MemberClaim claim, double statusSince, double now) {
         MemberRecord known = byName.get(claim.name());
         if (known == null) {
-            if (byName.size() >= maxNames) {
-                rejectedNames++;
-                return null;
-            }
-            known = new MemberRecord(claim, since, now);
-            byName.put(claim.name(), known);
-            addToList(known);
-            updateDigest(known);
-            return known;
+            return add(claim, statusSince, now);
         }
-        MemberClaim joined = known.claim.merge(claim);
-        if (!joined.equals(known.claim)) {
-            replace(known, joined, since, now);
+        MemberClaim merged = known.claim.merge(claim);
+        if (!merged.equals(known.claim)) {
+            replaceClaim(known, merged, statusSince, now);
         }
         return known;
     }
 
-    private void replace(MemberRecord known, MemberClaim joined, double since, double now) {
-        boolean sameLife = joined.peer().equals(known.peer());
-        if (!sameLife) {
-            known.startIncarnation(since, now);
-        } else if (joined.status() != known.claim.status()) {
-            known.statusSince = since;
+    private MemberRecord add(MemberClaim claim, double statusSince, double now) {
+        if (byName.size() >= maxNames) {
+            rejectedNames++;
+            return null;
         }
-        boolean moves = listFor(joined) != listFor(known.claim);
-        if (moves) {
-            removeFromList(known);
+        var added = new MemberRecord(claim, statusSince, now);
+        byName.put(claim.name(), added);
+        addToList(added);
+        updateDigest(added);
+        return added;
+    }
+
+    private void replaceClaim(MemberRecord known, MemberClaim merged, double statusSince, double now) {
+        boolean sameIncarnation = merged.peer().equals(known.peer());
+        if (!sameIncarnation) {
+            known.startIncarnation(statusSince, now);
+            livePeers = null;
+        } else if (merged.status() != known.claim.status()) {
+            known.statusSince = statusSince;
         }
-        livePeers = sameLife && !moves ? livePeers : null;
-        known.claim = joined;
-        if (moves) {
+        if (Placement.of(merged) != Placement.of(known.claim)) {
+            removeFromList(known);
+            known.claim = merged;
             addToList(known);
+        } else {
+            known.claim = merged;
         }
         updateDigest(known);
     }
 
-    /** Null for those that left. */
-    private List<MemberRecord> listFor(MemberClaim claim) {
-        return claim.isLive() ? live : claim.status() == MemberStatus.DEAD ? dead : null;
-    }
-
-    /** At a place by chance among those that are still to be probed in this round. */
     private void addToList(MemberRecord known) {
         livePeers = null;
-        List<MemberRecord> list = listFor(known.claim);
-        if (list == null) {
-            return;
-        }
-        known.listIndex = list.size();
-        list.add(known);
-        if (list == live) {
-            ring.put(
-                    known.ringPosition,
-                    known); // of two names with one hash one has no place, and is found by the rounds
-        }
-        if (list == live && probedCount < live.size()) {
-            swap(known.listIndex, random.nextInt(probedCount, live.size()));
+        switch (Placement.of(known.claim)) {
+            case LIVE -> {
+                // Of two names with equal hashes one is not on the ring; it is still probed in each round.
+                ring.put(known.ringPosition, known);
+                live.add(known);
+            }
+            case DEAD -> {
+                known.listIndex = dead.size();
+                dead.add(known);
+            }
+            case UNLISTED -> {}
         }
     }
 
     private void removeFromList(MemberRecord known) {
         livePeers = null;
-        List<MemberRecord> list = listFor(known.claim);
-        if (list == null) {
-            return;
-        }
-        if (list == live) {
-            ring.remove(known.ringPosition, known);
-        }
-        if (list == live && known.listIndex < probedCount) {
-            swap(known.listIndex, --probedCount); // so that what fills its place is not left out of this round
-        }
-        MemberRecord last = list.remove(list.size() - 1);
-        if (last != known) {
-            list.set(known.listIndex, last);
-            last.listIndex = known.listIndex;
+        switch (Placement.of(known.claim)) {
+            case LIVE -> {
+                ring.remove(known.ringPosition, known);
+                live.remove(known);
+            }
+            case DEAD -> ProbeOrder.removeFrom(dead, known);
+            case UNLISTED -> {}
         }
     }
 
-    private void swap(int one, int other) {
-        MemberRecord a = live.get(one);
-        MemberRecord b = live.get(other);
-        live.set(one, b);
-        live.set(other, a);
-        b.listIndex = one;
-        a.listIndex = other;
-    }
-
     private void updateDigest(MemberRecord known) {
-        long hash = known.isLive() ? hash(known.claim) : 0;
-        updateDigest(known.ringPosition, hash - known.digestContribution);
-        known.digestContribution = hash;
-    }
-
-    private void updateDigest(long spot, long more) {
-        bucketDigests[bucket(spot)] += (int) more;
-        digest += more;
-    }
-
-    private static long hash(MemberClaim claim) {
-        Peer peer = claim.peer();
-        return Hashing.komihash5_0()
-                .hashStream()
-                .putString(peer.member().name())
-                .putLong(peer.member().incarnation())
-                .putString(peer.address().host())
-                .putInt(peer.address().port())
-                .putLong(claim.refutationCount())
-                .getAsLong();
-    }
-
-    private static int bucket(long spot) {
-        return (int) (spot >>> Long.SIZE - BUCKET_BITS);
+        long contribution = known.isLive() ? TableDigest.hash(known.claim) : 0;
+        digest.replace(known.ringPosition, known.digestContribution, contribution);
+        known.digestContribution = contribution;
     }
 
     /**
-     * What this router says of itself, which others have in their rosters; it does not count where its name has a
-     * younger life.
+     * Sets what this router claims about itself, which other tables contain and the digests therefore include. It does
+     * not count while a younger incarnation of its name is known.
      */
     void setOwnClaim(MemberClaim claim) {
-        long hash = claim.isLive() && !byName.containsKey(claim.name()) ? hash(claim) : 0;
-        updateDigest(ownRingPosition, hash - ownHash);
-        ownHash = hash;
-        ownClaim = hash == 0 ? null : claim;
+        long contribution = claim.isLive() && !byName.containsKey(claim.name()) ? TableDigest.hash(claim) : 0;
+        digest.replace(ownRingPosition, ownDigestContribution, contribution);
+        ownDigestContribution = contribution;
+        ownClaim = contribution == 0 ? null : claim;
     }
 
-    /** Equal for equal sets of living members with equal counters. */
+    /** Returns a digest that is equal for equal sets of live members with equal refutation counts. */
     long digest() {
-        return digest;
+        return digest.total();
     }
 
+    /** Returns the digests of all {@link TableDigest#BUCKETS}. */
     int[] bucketDigests() {
-        return bucketDigests.clone();
+        return digest.bucketDigests();
     }
 
     /**
-     * All that is known of the names where those digests differ, in an order by chance; this router's own claim first.
+     * Returns all claims in the buckets whose digests differ from those given, in random order after this router's
+     * claim on itself.
      */
-    List<MembershipMessage.SyncPage.AgedClaim> claimsInDifferingBuckets(int[] theirs, double now) {
-        var found = new ArrayList<MembershipMessage.SyncPage.AgedClaim>();
+    List<MembershipMessage.SyncPage.AgedClaim> claimsInDifferingBuckets(int[] otherBucketDigests, double now) {
+        var differing = new ArrayList<MembershipMessage.SyncPage.AgedClaim>();
         for (MemberRecord known : byName.values()) {
-            int bucket = bucket(known.ringPosition);
-            if (theirs[bucket] != bucketDigests[bucket]) {
-                found.add(new MembershipMessage.SyncPage.AgedClaim(known.claim, Math.max(0, now - known.statusSince)));
+            if (digest.differs(known.ringPosition, otherBucketDigests)) {
+                differing.add(
+                        new MembershipMessage.SyncPage.AgedClaim(known.claim, Math.max(0, now - known.statusSince)));
             }
         }
-        for (int i = found.size() - 1; i > 0; i--) {
-            found.set(i, found.set(random.nextInt(i + 1), found.get(i)));
-        }
+        shuffle(differing);
         if (ownClaim != null) {
-            found.add(0, new MembershipMessage.SyncPage.AgedClaim(ownClaim, 0));
+            differing.add(0, new MembershipMessage.SyncPage.AgedClaim(ownClaim, 0));
+        }
+        return differing;
+    }
+
+    private void shuffle(List<MembershipMessage.SyncPage.AgedClaim> claims) {
+        for (int i = claims.size() - 1; i > 0; i--) {
+            claims.set(i, claims.set(random.nextInt(i + 1), claims.get(i)));
         }
-        return found;
     }
 
-    /** The member after this router in the ring; null when there is none. */
+    /** Returns the live member after this router on the ring; null when there is none. */
     MemberRecord ringSuccessor() {
         Map.Entry<Long, MemberRecord> next = ring.higherEntry(ownRingPosition);
-        next = next == null ? ring.firstEntry() : next;
+        if (next == null) {
+            next = ring.firstEntry();
+        }
         return next == null ? null : next.getValue();
     }
 
-    /** The member that is probed next, each once a round; null when there is none. */
+    /** Returns the live member that is next to be probed, each once a round; null when there is none. */
     MemberRecord nextProbeTarget() {
-        if (probedCount >= live.size()) {
-            for (int i = live.size() - 1; i > 0; i--) {
-                swap(i, random.nextInt(i + 1));
-            }
-            probedCount = 0;
-        }
-        return live.isEmpty() ? null : live.get(probedCount++);
+        return live.next();
     }
 
-    /** Up to so many members by chance, without that one, which may be null. */
-    Collection<MemberRecord> randomMembers(int count, MemberRecord but) {
-        return randomMembers(live, count, but);
+    /**
+     * Returns at most so many random live members.
+     *
+     * @param excluded a member to leave out, or null
+     */
+    Collection<MemberRecord> randomMembers(int count, MemberRecord excluded) {
+        return randomMembers(live.members(), count, excluded);
     }
 
-    /** Up to so many of those that are gone, by chance. */
+    /** Returns at most so many random dead members. */
     Collection<MemberRecord> randomDeadMembers(int count) {
         return randomMembers(dead, count, null);
     }
 
-    private Collection<MemberRecord> randomMembers(List<MemberRecord> from, int count, MemberRecord but) {
-        if (from.size() <= count + (but == null ? 0 : 1)) {
-            return from.stream().filter(known -> known != but).limit(count).toList();
+    private Collection<MemberRecord> randomMembers(List<MemberRecord> from, int count, MemberRecord excluded) {
+        if (from.size() <= count + (excluded == null ? 0 : 1)) {
+            return from.stream().filter(known -> known != excluded).limit(count).toList();
         }
-        Set<MemberRecord> some = new LinkedHashSet<>();
-        while (some.size() < count) {
+        Set<MemberRecord> chosen = new LinkedHashSet<>();
+        while (chosen.size() < count) {
             MemberRecord known = from.get(random.nextInt(from.size()));
-            if (known != but) {
-                some.add(known);
+            if (known != excluded) {
+                chosen.add(known);
             }
         }
-        return some;
+        return chosen;
     }
 
     int liveCount() {
         return live.size();
     }
 
+    /** Returns how many claims on new names were rejected because the table was full. */
     long rejectedNames() {
         return rejectedNames;
     }
 
-    /** Forgets the gone and those that left before that. */
-    void removeDeadBefore(double before) {
+    /** Removes dead and departed members whose status began before that time, in seconds since 1970. */
+    void removeDeadBefore(double time) {
         byName.values().removeIf(known -> {
-            boolean old = !known.isLive() && known.statusSince < before;
-            if (old) {
+            boolean expired = !known.isLive() && known.statusSince < time;
+            if (expired) {
                 removeFromList(known);
             }
-            return old;
+            return expired;
         });
     }
 
+    /** Returns all live members in the order of their names. The list is immutable and is the same until it changes. */
     List<Peer> livePeers() {
         if (livePeers == null) {
-            livePeers = live.stream()
+            livePeers = live.members().stream()
                     .map(MemberRecord::peer)
                     .sorted(Comparator.comparing(Peer::member))
                     .toList();
@@ -294,11 +276,12 @@
         return livePeers;
     }
 
-    List<Member> possiblyServing(double goneSince) {
+    /** Returns the live members and those that died after the given time, in seconds since 1970. */
+    List<Member> possiblyServing(double deadSince) {
         var members = new ArrayList<Member>(live.size());
         livePeers().forEach(peer -> members.add(peer.member()));
         dead.stream()
-                .filter(known -> known.statusSince > goneSince)
+                .filter(known -> known.statusSince > deadSince)
                 .forEach(known -> members.add(known.peer().member()));
         return members;
     }
--- a/fleet/src/main/java/clayhook/fleet/members/MessageSender.java
+++ b/fleet/src/main/java/clayhook/fleet/members/MessageSender.java
@@ -7,11 +7,14 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** How this router speaks: whatever it says tells who it is, and takes news along. */
+/**
+ * Sends this router's pings, acks and gossip, and holds the claim of this router on itself. Whatever is sent identifies
+ * the sender and carries waiting broadcasts along. Not thread-safe.
+ */
 final class MessageSender {
-    /** Bytes of news in one packet; with ten rounds a second to three members this bounds news to 20 KB a second. */
+    /** With ten gossip rounds a second to three members, this bounds broadcasts to 20 KB a second. */
     private static final int MAX_BROADCAST_BYTES = 600;
-    /** Members told at once when this router leaves, for its process may end before the next round. */
+    /** Members informed at once when this router leaves, as its process may end before the next gossip round. */
     private static final int LEAVE_FANOUT = 12;
 
     private final MembershipSettings settings;
@@ -24,73 +27,81 @@
     MessageSender(
             Peer self,
             MembershipSettings settings,
-            MembershipTable register,
-            BroadcastQueue rumours,
-            SplittableRandom chance) {
+            MembershipTable table,
+            BroadcastQueue broadcasts,
+            SplittableRandom random) {
         this.settings = settings;
-        this.table = register;
-        this.broadcasts = rumours;
+        this.table = table;
+        this.broadcasts = broadcasts;
         ownClaim = MemberClaim.alive(self, 0);
-        nextSequence =
-                chance.nextInt(Integer.MAX_VALUE); // a younger life does not take answers for those to its own probes
-        register.setOwnClaim(ownClaim);
+        // A random start keeps a restarted router from taking acks to its previous incarnation for its own.
+        nextSequence = random.nextInt(Integer.MAX_VALUE);
+        table.setOwnClaim(ownClaim);
     }
 
     MemberClaim ownClaim() {
         return ownClaim;
     }
 
+    /** Whether this router has left the fleet, which is final for its incarnation. */
     boolean hasLeft() {
         return ownClaim.status() == MemberStatus.LEFT;
     }
 
     /**
-     * Contradicts what was said of this life; false where there is nothing to contradict, or where it has left itself.
+     * Refutes a claim on this router's incarnation. Returns false if there is nothing to refute or this router has
+     * left.
      */
-    boolean refuteIfNeeded(MemberClaim said, double now) {
-        if (hasLeft() || !said.supersedes(ownClaim) || said.status() == MemberStatus.LEFT) {
+    boolean refuteIfNeeded(MemberClaim claim, double now) {
+        if (hasLeft() || !claim.supersedes(ownClaim) || claim.status() == MemberStatus.LEFT) {
             return false;
         }
-        announce(MemberClaim.alive(ownClaim.peer(), said.refutationCount() + 1), now);
+        announce(MemberClaim.alive(ownClaim.peer(), claim.refutationCount() + 1), now);
         return true;
     }
 
-    /** Makes this router's claim of itself known. */
-    void announce(MemberClaim claim, double now) {
+    private void announce(MemberClaim claim, double now) {
         ownClaim = claim;
         table.setOwnClaim(ownClaim);
         broadcasts.enqueue(ownClaim, now);
     }
 
+    /** Announces that this router leaves, and informs some members at once. Has no effect the second time. */
     void leave(double now, Outbox out) {
         if (!hasLeft()) {
             announce(ownClaim.withStatus(MemberStatus.LEFT, List.of()), now);
-            sendClaim(table.randomMembers(LEAVE_FANOUT, null), now, out);
+            sendBroadcasts(table.randomMembers(LEAVE_FANOUT, null), now, out);
         }
     }
 
+    /** Returns a sequence number for a ping. */
     long nextSequence() {
         return nextSequence++;
     }
 
-    /** @param known what is held against the one asked, so that it can contradict; null where nothing is known */
+    /**
+     * Sends a ping and waiting broadcasts.
+     *
+     * @param known the record of the receiver, which is sent any claim it should refute; null where it is unknown
+     */
     void sendPing(Address to, MemberRecord known, long sequence, double now, Outbox out) {
         out.add(
                 to,
                 new MembershipMessage.Ping(
                         sequence, now, table.digest(), ownClaim.peer().address(), ownClaim.refutationCount()));
         if (known != null && known.claim.status() != MemberStatus.ALIVE) {
-            out.add(to, new MembershipMessage.ClaimBroadcast(List.of(known.claim)));
+            sendClaim(to, known.claim, out);
         }
         sendBroadcasts(to, now, out);
     }
 
-    void sendAck(Address to, MembershipMessage.Ping probe, double now, Outbox out) {
+    /** Answers a ping, and sends waiting broadcasts. */
+    void sendAck(Address to, MembershipMessage.Ping ping, double now, Outbox out) {
         out.add(
                 to,
                 new MembershipMessage.Ack(
-                        probe.sequence(),
-                        probe.sentAt(),
+                        ping.sequence(),
+                        ping.sentAt(),
                         now,
                         table.digest(),
                         ownClaim.peer().address(),
@@ -98,30 +109,37 @@
         sendBroadcasts(to, now, out);
     }
 
-    /** Tells one router one thing. */
+    /** Sends one claim to one router. */
     void sendClaim(Address to, MemberClaim claim, Outbox out) {
         out.add(to, new MembershipMessage.ClaimBroadcast(List.of(claim)));
     }
 
     private void sendBroadcasts(Address to, double now, Outbox out) {
-        if (!broadcasts.isEmpty()) {
-            List<MemberClaim> claims = broadcasts.select(MAX_BROADCAST_BYTES, 1 + table.liveCount(), now);
-            if (!claims.isEmpty()) {
-                out.add(to, new MembershipMessage.ClaimBroadcast(claims));
-            }
+        if (broadcasts.isEmpty()) {
+            return;
+        }
+        List<MemberClaim> claims = broadcasts.select(MAX_BROADCAST_BYTES, 1 + table.liveCount(), now);
+        if (!claims.isEmpty()) {
+            out.add(to, new MembershipMessage.ClaimBroadcast(claims));
         }
     }
 
-    private void sendClaim(Collection<MemberRecord> members, double now, Outbox out) {
+    private void sendBroadcasts(Collection<MemberRecord> members, double now, Outbox out) {
         members.forEach(member -> sendBroadcasts(member.peer().address(), now, out));
     }
 
-    /** A round of gossip, when there is news and it is time; returns when the next one is wanted. */
+    /**
+     * Gossips waiting broadcasts when a round is due. Returns when the next round is due, infinity while there is none.
+     */
     double gossip(double now, Outbox out) {
-        if (now >= nextGossipAt && !broadcasts.isEmpty() && table.liveCount() > 0) {
-            sendClaim(table.randomMembers(settings.gossipFanout(), null), now, out);
+        if (now >= nextGossipAt && canGossip()) {
+            sendBroadcasts(table.randomMembers(settings.gossipFanout(), null), now, out);
             nextGossipAt = now + settings.gossipInterval();
         }
-        return broadcasts.isEmpty() || table.liveCount() == 0 ? Double.POSITIVE_INFINITY : Math.max(now, nextGossipAt);
+        return canGossip() ? Math.max(now, nextGossipAt) : Double.POSITIVE_INFINITY;
+    }
+
+    private boolean canGossip() {
+        return !broadcasts.isEmpty() && table.liveCount() > 0;
     }
 }
--- a/fleet/src/main/java/clayhook/fleet/members/SeedReconnector.java
+++ b/fleet/src/main/java/clayhook/fleet/members/SeedReconnector.java
@@ -8,21 +8,24 @@
 import java.util.SplittableRandom;
 
 /**
- * Looks again and again, ever more slowly, at seeds that nobody answers from and at members that are gone: so the sides
- * of a cut find each other.
+ * Pings seeds that do not answer and members that are dead, with backoff, for as long as this router runs. It is how a
+ * new router joins and how the sides of a partition find each other. Not thread-safe.
  */
 final class SeedReconnector {
-    /** Seeds asked at a time while this router knows no member. */
+    /** Seeds pinged in one round while this router knows no live member. */
     private static final int MAX_SEEDS_PER_ROUND = 8;
-    /** Of those that are gone, asked at a time: most of them may be dead. */
+    /** Dead members pinged in one round; few, as most of them may be down for good. */
     private static final int DEAD_MEMBERS_PER_ROUND = 3;
 
     private static final double BACKOFF_MULTIPLIER = 1.5;
+    /** Share of an interval over which it is spread, evenly to both sides. */
+    private static final double JITTER = 0.5;
 
     private static final class SeedState {
         final Address address;
+        /** Of the last ping sent there. */
         long sequence = -1;
-        /** Null until one has answered from there. */
+        /** The last member that answered from there; null for none. */
         Member member;
 
         SeedState(Address address) {
@@ -34,7 +37,7 @@
     private final MembershipTable table;
     private final MessageSender sender;
     private final SplittableRandom random;
-    /** As the operator's file has them. */
+    /** In the order of the operator's configuration. */
     private final List<SeedState> seeds = new ArrayList<>();
 
     private double retryInterval;
@@ -43,66 +46,78 @@
     SeedReconnector(
             MembershipSettings settings,
             List<Address> seeds,
-            MembershipTable register,
-            MessageSender voice,
-            SplittableRandom chance) {
+            MembershipTable table,
+            MessageSender sender,
+            SplittableRandom random) {
         this.settings = settings;
-        this.table = register;
-        this.sender = voice;
-        this.random = chance;
+        this.table = table;
+        this.sender = sender;
+        this.random = random;
         addSeeds(seeds);
     }
 
-    /** Looks at these too, at the next turn; none is ever taken back. */
-    void addSeeds(List<Address> more) {
-        more.stream()
+    /** Adds seeds, which are pinged at the next tick; this router's own address is ignored. Seeds are never removed. */
+    void addSeeds(List<Address> added) {
+        added.stream()
                 .distinct()
-                .filter(seed -> !seed.equals(sender.ownClaim().peer().address())
-                        && seeds.stream().noneMatch(known -> known.address.equals(seed)))
-                .forEach(seed -> seeds.add(new SeedState(seed)));
+                .filter(address -> !address.equals(sender.ownClaim().peer().address()) && !isSeed(address))
+                .forEach(address -> seeds.add(new SeedState(address)));
         retryInterval = settings.reconnectInterval();
         nextRoundAt = Double.NEGATIVE_INFINITY;
     }
 
-    void onAck(Member by, long sequence) {
+    private boolean isSeed(Address address) {
+        return seeds.stream().anyMatch(seed -> seed.address.equals(address));
+    }
+
+    /** Notes that a member answered the ping of that sequence number. */
+    void onAck(Member from, long sequence) {
         for (SeedState seed : seeds) {
             if (seed.sequence == sequence) {
-                seed.member = by;
+                seed.member = from;
             }
         }
     }
 
-    /** One is gone that may only be cut off. */
+    /** Starts the backoff anew, as a member that was declared dead may only be partitioned. */
     void onMemberDead(double now) {
         retryInterval = settings.reconnectInterval();
         nextRoundAt = Math.min(nextRoundAt, now + jittered(retryInterval));
     }
 
-    private double jittered(double time) {
-        return time * (0.75 + random.nextDouble() / 2);
+    private double jittered(double seconds) {
+        return seconds * (1 - JITTER / 2 + random.nextDouble() * JITTER);
     }
 
+    /** Pings unresponsive seeds and dead members when a round is due. Returns when the next round is due. */
     double tick(double now, Outbox out) {
         if (now < nextRoundAt) {
             return nextRoundAt;
         }
-        List<SeedState> silent = seeds.stream()
-                .filter(seed -> seed.member == null
-                        || table.find(seed.member) == null
-                        || !table.find(seed.member).isLive())
-                .toList();
-        int doors = Math.min(silent.size(), table.liveCount() == 0 ? MAX_SEEDS_PER_ROUND : 1);
-        for (int i = 0, from = random.nextInt(1 + silent.size()); i < doors; i++) {
-            pingSeed(silent.get((from + i) % silent.size()), now, out);
-        }
-        for (MemberRecord gone : table.randomDeadMembers(DEAD_MEMBERS_PER_ROUND)) {
-            sender.sendPing(gone.peer().address(), gone, sender.nextSequence(), now, out);
+        pingSeeds(now, out);
+        for (MemberRecord dead : table.randomDeadMembers(DEAD_MEMBERS_PER_ROUND)) {
+            sender.sendPing(dead.peer().address(), dead, sender.nextSequence(), now, out);
         }
         nextRoundAt = now + jittered(retryInterval);
         retryInterval = Math.min(settings.maxReconnectInterval(), retryInterval * BACKOFF_MULTIPLIER);
         return nextRoundAt;
     }
 
+    private void pingSeeds(double now, Outbox out) {
+        List<SeedState> unresponsive =
+                seeds.stream().filter(seed -> !isLive(seed.member)).toList();
+        int count = Math.min(unresponsive.size(), table.liveCount() == 0 ? MAX_SEEDS_PER_ROUND : 1);
+        int first = random.nextInt(1 + unresponsive.size());
+        for (int i = 0; i < count; i++) {
+            pingSeed(unresponsive.get((first + i) % unresponsive.size()), now, out);
+        }
+    }
+
+    private boolean isLive(Member member) {
+        MemberRecord known = member == null ? null : table.find(member);
+        return known != null && known.isLive();
+    }
+
     private void pingSeed(SeedState seed, double now, Outbox out) {
         seed.sequence = sender.nextSequence();
         sender.sendPing(seed.address, null, seed.sequence, now, out);
--- a/fleet/src/main/java/clayhook/fleet/members/SuspicionTimers.java
+++ b/fleet/src/main/java/clayhook/fleet/members/SuspicionTimers.java
@@ -5,72 +5,92 @@
 import java.util.Map;
 import java.util.function.ObjDoubleConsumer;
 
-/** How long a suspect has to speak up: longer in a large fleet, and while few accuse it. */
+/**
+ * Declares suspects dead that do not refute in time. After Lifeguard, the timeout is longer in a large fleet and while
+ * few members confirm the suspicion. Not thread-safe.
+ */
 final class SuspicionTimers {
+    private static final double MIN_TIMEOUT_INTERVALS = 2;
+
     private final MembershipSettings settings;
     private final MembershipTable table;
     private final LocalHealth localHealth;
     private final ObjDoubleConsumer<MemberClaim> onTimeout;
-    /** Since when each is suspected here; emptied as they stand otherwise. At most the members. */
+    /** When the timer of each suspect started, in the order of the suspicions; removed with a change of status. */
     private final Map<MemberRecord, Double> suspectedSince = new LinkedHashMap<>();
 
+    /** @param onTimeout receives the claim that a suspect is dead, and the time */
     SuspicionTimers(
             MembershipSettings settings,
-            MembershipTable register,
-            LocalHealth health,
-            ObjDoubleConsumer<MemberClaim> judge) {
+            MembershipTable table,
+            LocalHealth localHealth,
+            ObjDoubleConsumer<MemberClaim> onTimeout) {
         this.settings = settings;
-        this.table = register;
-        this.localHealth = health;
-        this.onTimeout = judge;
+        this.table = table;
+        this.localHealth = localHealth;
+        this.onTimeout = onTimeout;
     }
 
-    /** Its claim has changed; a suspect of before that spoke up and is accused anew gets the whole time. */
+    /**
+     * Starts, keeps or stops the timer of a member whose claim has changed. A suspect that refuted and is suspected
+     * anew gets the whole timeout.
+     *
+     * @param before the previous claim on the name, or null
+     */
     void onClaimChanged(MemberRecord known, MemberClaim before, double now) {
         if (known.claim.status() != MemberStatus.SUSPECT) {
             suspectedSince.remove(known);
-        } else if (before == null
-                || !before.peer().equals(known.peer())
-                || before.refutationCount() != known.claim.refutationCount()) {
-            suspectedSince.put(known, now);
-        } else {
+            return;
+        }
+        boolean sameRefutation = before != null
+                && before.peer().equals(known.peer())
+                && before.refutationCount() == known.claim.refutationCount();
+        if (sameRefutation) {
             suspectedSince.putIfAbsent(known, now);
+        } else {
+            suspectedSince.put(known, now);
         }
     }
 
-    /** This router stood still, and may not have heard them speak up: all have their time anew. */
+    /** Restarts all timers after a stall of this router, which may have missed refutations. */
     void onStall(double now) {
         suspectedSince.replaceAll((known, since) -> now);
     }
 
+    /** Declares suspects dead whose timers have expired. Returns when the next tick is due. */
     double tick(double now) {
         if (localHealth.recentlyStalled(now)) {
             return suspectedSince.isEmpty() ? Double.POSITIVE_INFINITY : now + settings.probeInterval();
         }
         double next = Double.POSITIVE_INFINITY;
         for (MemberRecord suspect : List.copyOf(suspectedSince.keySet())) {
-            double until = suspectedSince.get(suspect)
-                    + timeoutSeconds(suspect.claim.accusers().size());
-            if (now >= until) {
+            int accusers = suspect.claim.accusers().size();
+            double expiresAt = suspectedSince.get(suspect) + timeoutSeconds(accusers);
+            if (now >= expiresAt) {
                 onTimeout.accept(suspect.claim.withStatus(MemberStatus.DEAD, List.of()), now);
             } else {
-                next = Math.min(next, until);
+                next = Math.min(next, expiresAt);
             }
         }
         return next;
     }
 
-    /** Seconds. After Lifeguard: from the longest to the shortest by the logarithm of those that agree. */
+    /** Returns the timeout for a suspect, which shrinks by the logarithm of the number of accusers. */
     private double timeoutSeconds(int accusers) {
         int members = table.liveCount() + 1;
-        double shortest = settings.probeInterval()
-                * Math.max(2, settings.suspicionMultiplier() * Math.log(members + 1.0) / Math.log(2));
-        int expected =
-                Math.min(MemberClaim.MAX_ACCUSERS, members - 1) - 1; // without the suspect, and the one that began
-        if (expected < 1) {
+        double scaled = settings.suspicionMultiplier() * Math.log(members + 1.0) / Math.log(2);
+        double shortest = settings.probeInterval() * Math.max(MIN_TIMEOUT_INTERVALS, scaled);
+        int expectedConfirmations = expectedConfirmations(members);
+        if (expectedConfirmations < 1) {
             return shortest;
         }
-        double agreed = Math.log(Math.max(1, accusers)) / Math.log(expected + 1.0);
-        return shortest * Math.max(1, settings.maxSuspicionFactor() - (settings.maxSuspicionFactor() - 1) * agreed);
+        double confirmed = Math.log(Math.max(1, accusers)) / Math.log(expectedConfirmations + 1.0);
+        double factor = settings.maxSuspicionFactor() - (settings.maxSuspicionFactor() - 1) * confirmed;
+        return shortest * Math.max(1, factor);
+    }
+
+    /** Returns how many members can be expected to confirm a suspicion: neither the suspect nor its first accuser. */
+    private static int expectedConfirmations(int members) {
+        return Math.min(MemberClaim.MAX_ACCUSERS, members - 1) - 1;
     }
 }
--- a/fleet/src/test/java/clayhook/fleet/members/MemberClaimPropertiesTest.java
+++ b/fleet/src/test/java/clayhook/fleet/members/MemberClaimPropertiesTest.java
@@ -21,14 +21,14 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** Whoever hears the same claims, in whatever order and however often, has the same roster. */
+/** Members that receive the same claims, in any order and any number of times, have the same table. */
 class MemberClaimPropertiesTest {
     private static Arbitrary<MemberClaim> claimsOn(Arbitrary<String> names) {
         Arbitrary<Peer> peers = Combinators.combine(
                         names,
                         Arbitraries.longs().between(1, 3),
                         Arbitraries.integers().between(1, 2))
-                .as((name, boot, port) -> new Peer(new Member(name, boot), new Address("h", port)));
+                .as((name, incarnation, port) -> new Peer(new Member(name, incarnation), new Address("h", port)));
         return Combinators.combine(
                         peers,
                         Arbitraries.of(MemberStatus.values()),
@@ -43,7 +43,7 @@
     }
 
     @Provide
-    Arbitrary<List<MemberClaim>> rosters() {
+    Arbitrary<List<MemberClaim>> claimLists() {
         return claimsOn(Arbitraries.of("a", "b", "c")).list().ofMaxSize(20);
     }
 
@@ -56,21 +56,21 @@
         assertEquals(a.merge(b), a.merge(b).merge(b));
         assertTrue(
                 a.peer().member().incarnation() <= b.peer().member().incarnation() || a.merge(b) == a,
-                "the younger life counts");
+                "the younger incarnation wins");
         assertTrue(
                 !a.peer().equals(b.peer())
                         || a.status() != MemberStatus.LEFT
                         || a.merge(b).status() == MemberStatus.LEFT,
-                "final");
+                "leaving is final");
     }
 
     @Property(tries = 500, seed = "2")
-    void tableDoesNotDependOnTheOrderOfClaims(@ForAll("rosters") List<MemberClaim> claims, @ForAll long seed) {
-        var mixed = new ArrayList<>(claims);
-        mixed.addAll(claims);
-        Collections.shuffle(mixed, new Random(seed));
+    void tableDoesNotDependOnTheOrderOfClaims(@ForAll("claimLists") List<MemberClaim> claims, @ForAll long seed) {
+        var shuffled = new ArrayList<>(claims);
+        shuffled.addAll(claims);
+        Collections.shuffle(shuffled, new Random(seed));
         MembershipTable one = tableOf(claims, 1);
-        MembershipTable other = tableOf(mixed, seed);
+        MembershipTable other = tableOf(shuffled, seed);
         assertEquals(one.livePeers(), other.livePeers());
         assertEquals(one.digest(), other.digest());
         assertTrue(one.claimsInDifferingBuckets(other.bucketDigests(), 0).isEmpty());
@@ -78,42 +78,43 @@
     }
 
     private static MembershipTable tableOf(List<MemberClaim> claims, long seed) {
-        var register = new MembershipTable("self", 1024, new SplittableRandom(seed));
+        var table = new MembershipTable("self", 1024, new SplittableRandom(seed));
         claims.forEach(claim -> {
-            register.merge(claim, 0, 0);
-            register.nextProbeTarget(); // rounds go on meanwhile
+            table.merge(claim, 0, 0);
+            table.nextProbeTarget(); // probing goes on meanwhile
         });
-        return register;
+        return table;
     }
 
     @Property(tries = 300, seed = "3")
     void encodedClaimsAreDecodedUnchangedWithinTheirSizeLimit(
             @ForAll("claims") MemberClaim claim,
-            @ForAll long boot,
-            @ForAll("longest") String name,
-            @ForAll("longest") String host) {
-        var wide = new MemberClaim(
-                new Peer(new Member(name, boot), new Address(host + host, 65_535)),
+            @ForAll long incarnation,
+            @ForAll("longNames") String name,
+            @ForAll("longNames") String host) {
+        var claimOfLongNames = new MemberClaim(
+                new Peer(new Member(name, incarnation), new Address(host + host, 65_535)),
                 claim.status(),
                 1L << 49,
                 claim.accusers());
         var out = new FieldWriter();
-        new MembershipMessage.SyncPage(List.of(new MembershipMessage.SyncPage.AgedClaim(wide, 1e9))).write(out);
+        new MembershipMessage.SyncPage(List.of(new MembershipMessage.SyncPage.AgedClaim(claimOfLongNames, 1e9)))
+                .write(out);
         byte[] bytes = out.toByteArray();
         assertTrue(bytes.length <= Packet.MAX_MESSAGE_BYTES);
         assertEquals(
-                wide,
+                claimOfLongNames,
                 MembershipMessage.SyncPage.read(new FieldReader(bytes))
                         .claims()
                         .get(0)
                         .claim());
         var alone = new FieldWriter();
-        wide.write(alone);
-        assertTrue(alone.toByteArray().length <= wide.maxEncodedBytes());
+        claimOfLongNames.write(alone);
+        assertTrue(alone.toByteArray().length <= claimOfLongNames.maxEncodedBytes());
     }
 
     @Provide
-    Arbitrary<String> longest() {
+    Arbitrary<String> longNames() {
         return Arbitraries.strings().withCharRange('a', '\u2fff').ofMinLength(1).ofMaxLength(100);
     }
 }
--- a/fleet/src/test/java/clayhook/fleet/members/MembershipTest.java
+++ b/fleet/src/test/java/clayhook/fleet/members/MembershipTest.java
@@ -22,14 +22,16 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Rosters of a whole fleet over a network that does its worst. */
+/**
+ * Memberships of a whole fleet in virtual time, over a network that loses, delays, duplicates and cuts off datagrams.
+ */
 class MembershipTest {
-    /** What one router's roster told, as {@code what name}, in order. */
-    private static final class RecordingListener implements Membership.MembershipListener {
+    /** Records the events of one membership in order, each as its kind and the name of the member. */
+    private static final class RecordingListener implements MembershipListener {
         final List<String> events = new ArrayList<>();
 
-        private void add(String what, Peer member) {
-            events.add(what + " " + member.member().name());
+        private void add(String kind, Peer member) {
+            events.add(kind + " " + member.member().name());
         }
 
         @Override
@@ -49,7 +51,7 @@
 
         @Override
         public void onDead(Peer member, double now) {
-            add("gone", member);
+            add("dead", member);
         }
 
         @Override
@@ -58,19 +60,19 @@
         }
 
         @Override
-        public void onDuplicateName(Peer counts, Peer other, double now) {
-            events.add("twins " + counts.member().incarnation() + " "
+        public void onDuplicateName(Peer winner, Peer other, double now) {
+            events.add("duplicate " + winner.member().incarnation() + " "
                     + other.member().incarnation());
         }
 
         @Override
-        public void onClockSkewed(Peer member, double ahead, double now) {
-            add("off", member);
+        public void onClockSkewed(Peer member, double offset, double now) {
+            add("skewed", member);
         }
 
         @Override
-        public void onClockRecovered(Peer member, double ahead, double now) {
-            add("fine", member);
+        public void onClockRecovered(Peer member, double offset, double now) {
+            add("recovered", member);
         }
     }
 
@@ -96,23 +98,23 @@
             return new Address("10.0." + i / 250 + "." + i % 250, 7100);
         }
 
-        TestMember start(String name, Address address, double clockAhead) {
-            var log = new RecordingListener();
+        TestMember start(String name, Address address, double clockOffset) {
+            var listener = new RecordingListener();
             var made = new Membership[1];
-            Host host = network.start(address, clockAhead, (self, wire) -> {
-                var member = new Member(name, (long) (self.clock() * 1000));
+            Host host = network.start(address, clockOffset, (self, transport) -> {
+                var identity = new Member(name, (long) (self.clock() * 1000));
                 made[0] = new Membership(
                         settings,
-                        new Peer(member, address),
+                        new Peer(identity, address),
                         seeds,
                         seed * 7919 + address.hashCode(),
                         self.clock(),
-                        log);
-                return new MessageDispatcher(member, List.of(made[0]), wire);
+                        listener);
+                return new MessageDispatcher(identity, List.of(made[0]), transport);
             });
-            var router = new TestMember(host, made[0], log);
-            members.put(name, router);
-            return router;
+            var member = new TestMember(host, made[0], listener);
+            members.put(name, member);
+            return member;
         }
 
         static TestFleet ofSize(int size, long seed) {
@@ -122,22 +124,22 @@
         TestFleet startMembers(int size) {
             IntStream.range(0, size).forEach(i -> start("router-" + i, address(i), 0));
             if (size > 500 && !Boolean.getBoolean("members.join")) {
-                introduceAll(); // a million first meetings cost 20 s of work
+                introduceAll(); // a million introductions would take 20 s of processor time
             }
             assertTrue(
                     network.runUntil(this::isConverged, 30),
-                    () -> "no whole roster: "
+                    () -> "incomplete membership: "
                             + all().get(size - 1).membership.livePeers().size());
             return this;
         }
 
         private void introduceAll() {
             var page = new MembershipMessage.SyncPage(all().stream()
-                    .map(router ->
-                            new MembershipMessage.SyncPage.AgedClaim(MemberClaim.alive(router.membership.self(), 0), 0))
+                    .map(member ->
+                            new MembershipMessage.SyncPage.AgedClaim(MemberClaim.alive(member.membership.self(), 0), 0))
                     .toList());
-            all().forEach(router -> router.membership.onMessage(
-                    new Peer(new Member("teller", 0), address(0)), page, network.now, (to, part) -> {}));
+            all().forEach(member -> member.membership.onMessage(
+                    new Peer(new Member("introducer", 0), address(0)), page, network.now, (to, message) -> {}));
         }
 
         List<TestMember> all() {
@@ -149,17 +151,17 @@
         }
 
         boolean isConverged() {
-            return all(router -> router.membership.livePeers().size() == members.size() - 1);
+            return all(member -> member.membership.livePeers().size() == members.size() - 1);
         }
 
-        boolean all(Predicate<TestMember> holds) {
-            return members.values().stream().allMatch(holds);
+        boolean all(Predicate<TestMember> condition) {
+            return members.values().stream().allMatch(condition);
         }
 
-        long countEvents(String start) {
+        long countEvents(String prefix) {
             return members.values().stream()
-                    .flatMap(router -> router.listener.events.stream())
-                    .filter(line -> line.startsWith(start))
+                    .flatMap(member -> member.listener.events.stream())
+                    .filter(event -> event.startsWith(prefix))
                     .count();
         }
 
@@ -171,7 +173,7 @@
 
         double averageSentBytes() {
             return members.values().stream()
-                    .mapToLong(router -> router.host.dispatcher.counters().sentBytes)
+                    .mapToLong(member -> member.host.dispatcher.counters().sentBytes)
                     .average()
                     .orElseThrow();
         }
@@ -179,213 +181,219 @@
 
     @ParameterizedTest
     @CsvSource({"1, 0, 3", "2, 0, 3", "3, 0.2, 5", "4, 0.2, 5"})
-    void killedMemberIsDetectedEverywhereAndNoOtherIsDeclaredDead(long seed, double lost, double within) {
-        TestFleet site = TestFleet.ofSize(100, seed);
-        site.network.lossProbability = lost;
-        site.network.duplicationProbability = lost;
-        site.network.maxDelay = lost == 0 ? 0.002 : 0.05;
-        site.network.run(120);
-        assertEquals(0, site.countEvents("gone"));
-        assertEquals(lost > 0, site.countEvents("suspected") > 0);
+    void killedMemberIsDetectedEverywhereAndNoOtherIsDeclaredDead(long seed, double loss, double within) {
+        TestFleet fleet = TestFleet.ofSize(100, seed);
+        fleet.network.lossProbability = loss;
+        fleet.network.duplicationProbability = loss;
+        fleet.network.maxDelay = loss == 0 ? 0.002 : 0.05;
+        fleet.network.run(120);
+        assertEquals(0, fleet.countEvents("dead"));
+        assertEquals(loss > 0, fleet.countEvents("suspected") > 0);
         TestMember killed = null;
         for (int i = 10; i < 20; i++) {
-            TestMember last = site.kill(i);
-            assertTrue(
-                    site.network.runUntil(() -> site.all(router -> !router.membership.isLive(last.member())), within));
-            killed = last;
+            TestMember victim = fleet.kill(i);
+            assertTrue(fleet.network.runUntil(
+                    () -> fleet.all(member -> !member.membership.isLive(victim.member())), within));
+            killed = victim;
         }
-        assertEquals(90 * 10, site.countEvents("gone"));
-        assertTrue(site.get(3).membership.possiblyServing(site.network.now).contains(killed.member()));
-        site.network.run(MembershipSettings.DEFAULT.servingGracePeriod());
-        assertFalse(site.get(3).membership.possiblyServing(site.network.now).contains(killed.member()));
-        assertEquals(90 * 10, site.countEvents("gone"));
+        assertEquals(90 * 10, fleet.countEvents("dead"));
+        assertTrue(fleet.get(3).membership.possiblyServing(fleet.network.now).contains(killed.member()));
+        fleet.network.run(MembershipSettings.DEFAULT.servingGracePeriod());
+        assertFalse(fleet.get(3).membership.possiblyServing(fleet.network.now).contains(killed.member()));
+        assertEquals(90 * 10, fleet.countEvents("dead"));
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void leavingMemberIsRemovedAtOnceAndStaysRemoved(long seed) {
-        TestFleet site = TestFleet.ofSize(100, seed);
-        TestMember leaver = site.members.remove("router-5");
-        leaver.membership.leave(site.network.now, (to, part) -> {});
-        assertTrue(site.network.runUntil(() -> site.all(router -> !router.membership.isLive(leaver.member())), 1));
-        assertTrue(site.all(
-                router -> !router.membership.possiblyServing(site.network.now).contains(leaver.member())));
-        site.network.run(10); // it drains, and still answers
-        assertEquals(99, site.countEvents("left"));
-        assertEquals(0, site.countEvents("gone") + site.countEvents("alive"));
+        TestFleet fleet = TestFleet.ofSize(100, seed);
+        TestMember leaver = fleet.members.remove("router-5");
+        leaver.membership.leave(fleet.network.now, (to, message) -> {});
+        assertTrue(fleet.network.runUntil(() -> fleet.all(member -> !member.membership.isLive(leaver.member())), 1));
+        assertTrue(fleet.all(
+                member -> !member.membership.possiblyServing(fleet.network.now).contains(leaver.member())));
+        fleet.network.run(10); // it is draining and still answers
+        assertEquals(99, fleet.countEvents("left"));
+        assertEquals(0, fleet.countEvents("dead") + fleet.countEvents("alive"));
         leaver.host.kill();
-        TestMember again = site.start("router-5", leaver.host.address, 0);
-        assertTrue(site.network.runUntil(site::isConverged, 5));
-        assertTrue(site.all(router -> router == again || router.membership.isLive(again.member())));
+        TestMember restarted = fleet.start("router-5", leaver.host.address, 0);
+        assertTrue(fleet.network.runUntil(fleet::isConverged, 5));
+        assertTrue(fleet.all(member -> member == restarted || member.membership.isLive(restarted.member())));
     }
 
     @ParameterizedTest
     @CsvSource({"2, 1", "5, 2", "100, 3"})
     void brokenLinkBetweenTwoMembersCausesNoSuspicion(int size, long seed) {
-        TestFleet site = TestFleet.ofSize(Math.max(3, size), seed);
-        site.network.partitioned = (from, to) -> from == site.get(0).host && to == site.get(1).host
-                || size > 2 && from == site.get(1).host && to == site.get(0).host;
-        site.network.run(60);
-        assertEquals(0, site.countEvents("suspected"));
+        TestFleet fleet = TestFleet.ofSize(Math.max(3, size), seed);
+        fleet.network.partitioned = (from, to) -> from == fleet.get(0).host && to == fleet.get(1).host
+                || size > 2 && from == fleet.get(1).host && to == fleet.get(0).host;
+        fleet.network.run(60);
+        assertEquals(0, fleet.countEvents("suspected"));
     }
 
     /**
-     * @param remember so short that each side has forgotten the other, which the seeds must mend; else no seed is left
-     *     to
+     * @param retention either so short that each side forgets the other, and only the seeds bring them together again,
+     *     or so long that they remember each other; then the seeds are killed
      */
     @ParameterizedTest
     @CsvSource({"60, 30, 1", "60, 3600, 2", "5, 3600, 3", "2, 30, 4"})
-    void partitionSidesMergeAfterHealing(int size, double remember, long seed) {
-        var site = new TestFleet(seed);
-        MembershipSettings d = MembershipSettings.DEFAULT;
-        site.settings = new MembershipSettings(
-                d.probeInterval(),
-                d.probeRetryDelay(),
-                d.indirectPings(),
-                d.gossipInterval(),
-                d.gossipFanout(),
-                d.suspicionMultiplier(),
-                d.maxSuspicionFactor(),
-                d.reconnectInterval(),
-                d.maxReconnectInterval(),
-                remember,
-                d.servingGracePeriod(),
-                d.maxClockSkew(),
-                d.stallThreshold(),
-                d.maxNames());
-        site.startMembers(size);
-        if (remember > 60) {
-            site.kill(0);
-            site.kill(1);
+    void partitionSidesMergeAfterHealing(int size, double retention, long seed) {
+        var fleet = new TestFleet(seed);
+        MembershipSettings defaults = MembershipSettings.DEFAULT;
+        fleet.settings = new MembershipSettings(
+                defaults.probeInterval(),
+                defaults.probeRetryDelay(),
+                defaults.indirectPings(),
+                defaults.gossipInterval(),
+                defaults.gossipFanout(),
+                defaults.suspicionMultiplier(),
+                defaults.maxSuspicionFactor(),
+                defaults.reconnectInterval(),
+                defaults.maxReconnectInterval(),
+                retention,
+                defaults.servingGracePeriod(),
+                defaults.maxClockSkew(),
+                defaults.stallThreshold(),
+                defaults.maxNames());
+        fleet.startMembers(size);
+        if (retention > 60) {
+            fleet.kill(0);
+            fleet.kill(1);
         }
-        var half = site.all().stream()
-                .filter(router -> router.host.address.hashCode() % 2 == 0)
+        var half = fleet.all().stream()
+                .filter(member -> member.host.address.hashCode() % 2 == 0)
                 .map(TestMember::host)
                 .collect(Collectors.toSet());
-        site.network.partitioned = (from, to) -> half.contains(from) != half.contains(to);
-        site.network.run(80);
-        assertTrue(site.all(router -> router.membership.livePeers().size()
-                == (half.contains(router.host) ? half.size() : site.members.size() - half.size()) - 1));
-        site.all().forEach(router -> router.listener.events.clear());
-        site.network.partitioned = (from, to) -> false;
-        double healed = site.network.now;
-        assertTrue(site.network.runUntil(site::isConverged, 12));
+        fleet.network.partitioned = (from, to) -> half.contains(from) != half.contains(to);
+        fleet.network.run(80);
+        assertTrue(fleet.all(member -> member.membership.livePeers().size()
+                == (half.contains(member.host) ? half.size() : fleet.members.size() - half.size()) - 1));
+        fleet.all().forEach(member -> member.listener.events.clear());
+        fleet.network.partitioned = (from, to) -> false;
+        double healed = fleet.network.now;
+        assertTrue(fleet.network.runUntil(fleet::isConverged, 12));
         System.out.printf(
-                "%d members, %s: whole %.2f s after the heal%n",
-                size, remember > 60 ? "remembered" : "forgotten", site.network.now - healed);
-        site.network.run(10);
-        assertEquals(0, site.countEvents("gone"), "nobody is lost again on the way");
+                "%d members, %s: converged %.2f s after the partition healed%n",
+                size, retention > 60 ? "remembered" : "forgotten", fleet.network.now - healed);
+        fleet.network.run(10);
+        assertEquals(0, fleet.countEvents("dead"), "no member is declared dead on the way");
     }
 
     @ParameterizedTest
     @CsvSource({"1, 0.7, 0", "1, 1.7, 0", "2, 1.7, 0", "3, 1.7, 0", "4, 1.7, 0", "5, 8, 99", "6, 60, 99"})
-    void stalledMemberAccusesNobodyAfterRecovery(long seed, double seconds, int gone) {
-        TestFleet site = TestFleet.ofSize(100, seed);
-        TestMember stood = site.get(9);
-        stood.host.stall(seconds);
-        site.network.run(seconds - 0.01);
-        site.network.partitioned =
-                (from, to) -> gone > 0 && (from == stood.host || to == stood.host); // its links are slow to come back
-        stood.listener.events.clear();
-        site.network.run(0.02);
-        assertTrue(stood.membership.recentlyStalled(site.network.now));
-        site.network.run(gone > 0 ? 2 : 0);
-        site.network.partitioned = (from, to) -> false;
-        assertTrue(site.network.runUntil(
-                () -> site.all(router -> router == stood || router.membership.isLive(stood.member())), 3));
-        site.network.run(10);
-        assertFalse(stood.membership.recentlyStalled(site.network.now));
-        assertEquals(List.of(), stood.listener.events, "it accuses nobody");
-        assertEquals(gone, site.countEvents("gone"), "nobody but it was gone, and only when it stood for long");
-        assertTrue(site.isConverged());
+    void stalledMemberAccusesNobodyAfterRecovery(long seed, double seconds, int deaths) {
+        TestFleet fleet = TestFleet.ofSize(100, seed);
+        TestMember stalled = fleet.get(9);
+        stalled.host.stall(seconds);
+        fleet.network.run(seconds - 0.01);
+        fleet.network.partitioned =
+                (from, to) -> deaths > 0 && (from == stalled.host || to == stalled.host); // its links recover late
+        stalled.listener.events.clear();
+        fleet.network.run(0.02);
+        assertTrue(stalled.membership.recentlyStalled(fleet.network.now));
+        fleet.network.run(deaths > 0 ? 2 : 0);
+        fleet.network.partitioned = (from, to) -> false;
+        assertTrue(fleet.network.runUntil(
+                () -> fleet.all(member -> member == stalled || member.membership.isLive(stalled.member())), 3));
+        fleet.network.run(10);
+        assertFalse(stalled.membership.recentlyStalled(fleet.network.now));
+        assertEquals(List.of(), stalled.listener.events, "the stalled member suspects nobody");
+        assertEquals(
+                deaths,
+                fleet.countEvents("dead"),
+                "only the stalled member is declared dead, and only after a long stall");
+        assertTrue(fleet.isConverged());
     }
 
     @Test
     void duplicateNameIsReportedOnceAndTheYoungerIncarnationWins() {
-        TestFleet site = TestFleet.ofSize(20, 5);
-        TestMember older = site.get(7);
-        TestMember younger = site.start("router-7", new Address("10.9.9.9", 7100), 0);
-        assertTrue(site.network.runUntil(() -> older.membership.isSuperseded() && site.isConverged(), 5));
-        site.network.run(20);
-        String line =
-                "twins " + younger.member().incarnation() + " " + older.member().incarnation();
+        TestFleet fleet = TestFleet.ofSize(20, 5);
+        TestMember older = fleet.get(7);
+        TestMember younger = fleet.start("router-7", new Address("10.9.9.9", 7100), 0);
+        assertTrue(fleet.network.runUntil(() -> older.membership.isSuperseded() && fleet.isConverged(), 5));
+        fleet.network.run(20);
+        String duplicate = "duplicate " + younger.member().incarnation() + " "
+                + older.member().incarnation();
         assertEquals(
-                List.of(line),
+                List.of(duplicate),
                 older.listener.events.stream()
-                        .filter(told -> told.startsWith("twins"))
+                        .filter(event -> event.startsWith("duplicate"))
                         .toList());
-        assertTrue(site.all(
-                router -> router.membership.livePeers().contains(younger.membership.self()) != (router == younger)));
-        assertTrue(site.countEvents(line) > 10, "the others are told once each that hears both");
-        assertTrue(site.all(
-                router -> router.listener.events.stream().filter(line::equals).count() <= 1));
+        assertTrue(fleet.all(
+                member -> member.membership.livePeers().contains(younger.membership.self()) != (member == younger)));
+        assertTrue(fleet.countEvents(duplicate) > 10, "members that hear both incarnations report them");
+        assertTrue(fleet.all(member ->
+                member.listener.events.stream().filter(duplicate::equals).count() <= 1));
         assertFalse(younger.membership.isSuperseded());
     }
 
     @ParameterizedTest
     @ValueSource(doubles = {-3600, -0.7, 0.2, 0.7, 3600})
-    void clockSkewIsMeasuredAndReportedOnce(double ahead) {
-        var site = new TestFleet(6);
-        TestMember off = site.start("off", TestFleet.address(30), ahead);
-        site.network.minDelay = 0.02;
-        site.network.maxDelay = 0.1;
-        site.startMembers(10);
-        site.network.run(30);
-        boolean far = Math.abs(ahead) > 0.5;
-        Predicate<TestMember> isOff = router -> router == off;
-        assertTrue(site.all(isOff.or(router -> Math.abs(router.membership.clockOffset(off.member()) - ahead) < 0.05)));
-        assertTrue(site.all(isOff.or(router -> router.membership.clockWithinBound(off.member()) != far)));
-        assertEquals(far ? 20 : 0, site.countEvents("off"), "each of ten of it, and it of each");
-        assertEquals(0, site.countEvents("gone"));
-        for (int i = 0; i < 1000 && Math.abs(ahead) == 0.7; i++) { // led back, as the process's clock is
-            off.host.clockOffset -= 0.0005 * Math.signum(ahead);
-            site.network.run(0.1);
+    void clockSkewIsMeasuredAndReportedOnce(double offset) {
+        var fleet = new TestFleet(6);
+        TestMember skewed = fleet.start("off-clock", TestFleet.address(30), offset);
+        fleet.network.minDelay = 0.02;
+        fleet.network.maxDelay = 0.1;
+        fleet.startMembers(10);
+        fleet.network.run(30);
+        boolean outOfBound = Math.abs(offset) > 0.5;
+        Predicate<TestMember> isSkewed = member -> member == skewed;
+        assertTrue(fleet.all(
+                isSkewed.or(member -> Math.abs(member.membership.clockOffset(skewed.member()) - offset) < 0.05)));
+        assertTrue(fleet.all(isSkewed.or(member -> member.membership.clockWithinBound(skewed.member()) != outOfBound)));
+        assertEquals(
+                outOfBound ? 20 : 0, fleet.countEvents("skewed"), "ten members report it, and it reports each of them");
+        assertEquals(0, fleet.countEvents("dead"));
+        for (int i = 0; i < 1000 && Math.abs(offset) == 0.7; i++) { // slewed back, as a process does with its clock
+            skewed.host.clockOffset -= 0.0005 * Math.signum(offset);
+            fleet.network.run(0.1);
         }
-        assertEquals(Math.abs(ahead) == 0.7 ? 10 : 0, site.countEvents("fine off"));
+        assertEquals(Math.abs(offset) == 0.7 ? 10 : 0, fleet.countEvents("recovered off-clock"));
     }
 
     @Test
     void rejectsNamesBeyondTheLimit() {
-        TestFleet site = TestFleet.ofSize(2, 8);
-        Membership one = site.get(0).membership;
+        TestFleet fleet = TestFleet.ofSize(2, 8);
+        Membership membership = fleet.get(0).membership;
         for (int i = 0; i < 17_000; i++) {
             MemberClaim claim = MemberClaim.alive(new Peer(new Member("name-" + i, 1), TestFleet.address(i)), 0);
-            one.onMessage(
-                    site.get(1).membership.self(),
+            membership.onMessage(
+                    fleet.get(1).membership.self(),
                     new MembershipMessage.ClaimBroadcast(List.of(claim)),
-                    site.network.now,
-                    (to, part) -> {});
+                    fleet.network.now,
+                    (to, message) -> {});
         }
-        assertEquals(MembershipSettings.DEFAULT.maxNames(), one.livePeers().size());
-        assertEquals(17_001 - MembershipSettings.DEFAULT.maxNames(), one.rejectedNames());
+        assertEquals(
+                MembershipSettings.DEFAULT.maxNames(), membership.livePeers().size());
+        assertEquals(17_001 - MembershipSettings.DEFAULT.maxNames(), membership.rejectedNames());
     }
 
     @ParameterizedTest
     @ValueSource(ints = {10, 100, 1000})
     void trafficDoesNotGrowWithFleetSize(int size) {
-        long began = System.nanoTime();
-        TestFleet site = TestFleet.ofSize(size, 9);
-        double joined = site.network.now - VirtualNetwork.START_TIME;
-        double joining = site.averageSentBytes();
-        site.network.run(10);
-        double before = site.averageSentBytes();
-        site.network.run(20);
-        double idle = (site.averageSentBytes() - before) / 20;
-        TestMember killed = site.kill(5);
-        double at = site.network.now;
-        before = site.averageSentBytes();
-        assertTrue(site.network.runUntil(() -> site.all(router -> !router.membership.isLive(killed.member())), 6));
+        long startedAtNanos = System.nanoTime();
+        TestFleet fleet = TestFleet.ofSize(size, 9);
+        double convergedAfter = fleet.network.now - VirtualNetwork.START_TIME;
+        double joinBytes = fleet.averageSentBytes();
+        fleet.network.run(10);
+        double bytesBefore = fleet.averageSentBytes();
+        fleet.network.run(20);
+        double idleBytesPerSecond = (fleet.averageSentBytes() - bytesBefore) / 20;
+        TestMember killed = fleet.kill(5);
+        double killedAt = fleet.network.now;
+        bytesBefore = fleet.averageSentBytes();
+        assertTrue(fleet.network.runUntil(() -> fleet.all(member -> !member.membership.isLive(killed.member())), 6));
         System.out.printf(
-                "%d members: whole after %.2f s and %.0f bytes a router; idle %.0f bytes/s; killed known after %.2f s, "
-                        + "%.0f bytes/s; %.1f s of work%n",
+                "%d members: converged after %.2f s and %.0f bytes a router; idle %.0f bytes/s; death detected after %.2f s, "
+                        + "%.0f bytes/s; %.1f s of processor time%n",
                 size,
-                joined,
-                joining,
-                idle,
-                site.network.now - at,
-                (site.averageSentBytes() - before) / (site.network.now - at),
-                (System.nanoTime() - began) / 1e9);
-        assertTrue(idle < 600, () -> "bytes a second: " + idle);
-        assertEquals(0, site.countEvents("gone") - (size - 1));
+                convergedAfter,
+                joinBytes,
+                idleBytesPerSecond,
+                fleet.network.now - killedAt,
+                (fleet.averageSentBytes() - bytesBefore) / (fleet.network.now - killedAt),
+                (System.nanoTime() - startedAtNanos) / 1e9);
+        assertTrue(idleBytesPerSecond < 600, () -> "bytes a second: " + idleBytesPerSecond);
+        assertEquals(0, fleet.countEvents("dead") - (size - 1));
     }
 }
--- a/fleet/src/test/java/clayhook/fleet/members/RecordedMessagesTest.java
+++ b/fleet/src/test/java/clayhook/fleet/members/RecordedMessagesTest.java
@@ -75,10 +75,10 @@
                         new MemberClaim(PEER, MemberStatus.LEFT, 2, List.of()))));
         messages.put(
                 "ask",
-                new MembershipMessage.SyncRequest(IntStream.range(0, MembershipTable.BUCKETS)
+                new MembershipMessage.SyncRequest(IntStream.range(0, TableDigest.BUCKETS)
                         .map(i -> i * 0x9e37_79b9)
                         .toArray()));
-        messages.put("ask-empty", new MembershipMessage.SyncRequest(new int[MembershipTable.BUCKETS]));
+        messages.put("ask-empty", new MembershipMessage.SyncRequest(new int[TableDigest.BUCKETS]));
         messages.put("page-empty", new MembershipMessage.SyncPage(List.of()));
         messages.put(
                 "page",
--- a/lab/src/main/java/clayhook/lab/sharing/ModelPeer.java
+++ b/lab/src/main/java/clayhook/lab/sharing/ModelPeer.java
@@ -9,6 +9,7 @@
 import clayhook.fleet.Address;
 import clayhook.fleet.Peer;
 import clayhook.fleet.members.Membership;
+import clayhook.fleet.members.MembershipListener;
 import clayhook.fleet.members.MembershipSettings;
 import clayhook.fleet.state.ReplicatedState;
 import clayhook.fleet.state.StateSettings;
@@ -71,7 +72,7 @@
                 seeds,
                 chance.nextLong(),
                 now,
-                new Membership.MembershipListener() {});
+                new MembershipListener() {});
         var kinds = new StateBridge.EnabledTypes(true, true, marks, WriteOutcome.TYPE, true);
         var state = new ReplicatedState(members, kinds.types(), StateSettings.DEFAULT, chance.nextLong(), now);
         exchange = new StateBridge(
--- a/lab/src/main/java/clayhook/lab/sharing/RouterIncarnation.java
+++ b/lab/src/main/java/clayhook/lab/sharing/RouterIncarnation.java
@@ -7,6 +7,7 @@
 import clayhook.fleet.ReplicatedStore;
 import clayhook.fleet.ReplicatedType;
 import clayhook.fleet.members.Membership;
+import clayhook.fleet.members.MembershipListener;
 import clayhook.fleet.members.MembershipSettings;
 import clayhook.fleet.state.ReplicatedState;
 import clayhook.fleet.state.StateSettings;
@@ -29,7 +30,7 @@
     public static Factory sharing(List<ReplicatedType<?>> kinds) {
         return (self, seeds, seed, now) -> {
             var members = new Membership(
-                    MembershipSettings.DEFAULT, self, seeds, seed, now, new Membership.MembershipListener() {});
+                    MembershipSettings.DEFAULT, self, seeds, seed, now, new MembershipListener() {});
             var state = new ReplicatedState(members, kinds, StateSettings.DEFAULT, seed + 1, now);
             return new RouterIncarnation(members, state, List.of(members, state));
         };
