--- a/fleet/src/main/java/clayhook/fleet/members/MemberClaim.java
+++ b/fleet/src/main/java/clayhook/fleet/members/MemberClaim.java
@@ -135,7 +135,7 @@
         out.writeLong(peer.member().incarnation());
         out.writeNullableString(peer.address().host());
         out.writeLong(peer.address().port());
-        out.writeLong(status.ordinal());
+        out.writeLong(status.code());
         out.writeLong(refutationCount);
         out.writeLong(accusers.size());
         accusers.forEach(out::writeLong);
@@ -149,7 +149,7 @@
         }
         var member = new Member(name, in.readLong());
         Address address = readAddress(in);
-        MemberStatus status = MemberStatus.values()[in.readIntBelow(MemberStatus.values().length)];
+        MemberStatus status = MemberStatus.ofCode(in.readLong());
         long refutationCount = readRefutationCount(in);
         var accusers = new ArrayList<Long>();
         for (int left = in.readIntBelow(MAX_ACCUSERS + 1); left > 0; left--) {
--- a/fleet/src/main/java/clayhook/fleet/members/MembershipMessage.java
+++ b/fleet/src/main/java/clayhook/fleet/members/MembershipMessage.java
@@ -175,6 +175,7 @@
      *
      * @param bucketDigests one for each of {@link TableDigest#BUCKETS}; never changed
      */
+    @SuppressWarnings("ArrayRecordComponent") // a list of boxed numbers would cost memory in each request
     record SyncRequest(int[] bucketDigests) implements MembershipMessage {
         static final int TYPE_NUMBER = 6;
 
--- a/fleet/src/main/java/clayhook/fleet/members/TableDigest.java
+++ b/fleet/src/main/java/clayhook/fleet/members/TableDigest.java
@@ -31,7 +31,7 @@
 
     /** Returns the bucket of a name by its position on the ring. */
     static int bucketOf(long ringPosition) {
-        return (int) (ringPosition >>> Long.SIZE - BUCKET_BITS);
+        return (int) (ringPosition >>> (Long.SIZE - BUCKET_BITS));
     }
 
     /** Replaces what a name contributes; 0 stands for no contribution. */
--- a/fleet/src/main/java/clayhook/fleet/types/ObservationSource.java
+++ b/fleet/src/main/java/clayhook/fleet/types/ObservationSource.java
@@ -3,23 +3,24 @@
 import java.util.Comparator;
 
 /**
- * Who saw something, and when.
+ * The router that observed something, and when. Ordered by time, then by name.
  *
- * @param at seconds since 1970 on the clock of the router that saw it; never moved by passing it on
- * @param by that router's name, as {@link #of} cuts it
+ * @param observedAt in seconds since 1970 on the clock of the observing router; never changed by passing it on
+ * @param router the name of that router, truncated as by {@link #of}
  */
 public record ObservationSource(double observedAt, String router) implements Comparable<ObservationSource> {
     private static final Comparator<ObservationSource> ORDER =
             Comparator.comparingDouble(ObservationSource::observedAt).thenComparing(ObservationSource::router);
 
+    /** @throws IllegalArgumentException for a time or name out of range */
     public ObservationSource {
         observedAt = FieldValidation.requireTime(observedAt);
         FieldValidation.requireText(router, ReplicatedKeys.MAX_NAME_BYTES, "name of a router");
     }
 
-    /** Of a router of any name. */
-    public static ObservationSource of(double at, String router) {
-        return new ObservationSource(at, ReplicatedKeys.truncateName(router));
+    /** Creates a source for a router name of any length. */
+    public static ObservationSource of(double observedAt, String router) {
+        return new ObservationSource(observedAt, ReplicatedKeys.truncateName(router));
     }
 
     @Override
@@ -27,8 +28,8 @@
         return ORDER.compare(this, other);
     }
 
-    /** The later one, of two at one time that of the later name; null for never. */
+    /** Returns the greater of two values, where null is less than any. */
     static <T extends Comparable<T>> T later(T a, T b) {
-        return a == null || b != null && b.compareTo(a) > 0 ? b : a;
+        return a == null || (b != null && b.compareTo(a) > 0) ? b : a;
     }
 }
--- a/fleet/src/main/java/clayhook/fleet/types/QuotaUsage.java
+++ b/fleet/src/main/java/clayhook/fleet/types/QuotaUsage.java
@@ -1,111 +1,73 @@
 package clayhook.fleet.types;
 
-import clayhook.fleet.FieldReader;
-import clayhook.fleet.FieldWriter;
 import clayhook.fleet.Member;
 import clayhook.fleet.ReplicatedType;
 import java.util.List;
 
 /**
- * How much one life of a router has used of a limit that all routers share; the key is the limit, the router and its
- * boot, so that only that router writes it and a restart never counts twice.
+ * How much of a quota one incarnation of a router has used, where all routers share the quota. The key consists of
+ * quota, router and incarnation, so that only that router writes the value and a restart is never counted twice.
  *
- * @param total units since its boot; only grows
- * @param rate units a second over the limit's window before {@code at}
- * @param at when the router told so, seconds since 1970 on its clock
+ * @param totalUnits since the router has started; never decreases
+ * @param unitsPerSecond over the quota's window before {@code reportedAt}
+ * @param reportedAt in seconds since 1970 on the router's clock
  */
 public record QuotaUsage(double totalUnits, double unitsPerSecond, double reportedAt) {
-    /** Probes that routers send. */
+    /** The quota of health checks. The text is part of the replicated key. */
     public static final String HEALTH_CHECKS = "probes";
-    /** Repeats and second copies, out of the store of extras. */
+    /** The quota of retries and hedged requests. The text is part of the replicated key. */
     public static final String RETRIES = "repeats";
-    /** Bytes of the name of a limit. */
+    /** Begins the quota of a node's slow start. The text is part of the replicated key. */
+    private static final String SLOW_START_PREFIX = "cold ";
+
     static final int MAX_QUOTA_NAME_BYTES = 100;
-    /** Units beyond any limit. */
+    /** More than any quota allows. */
     private static final double MAX_UNITS = 1e15;
+    /** Quota, router and incarnation. */
+    private static final int KEY_PARTS = 3;
 
-    public static final ReplicatedType<QuotaUsage> TYPE = new ReplicatedType<>() {
-        @Override
-        public int typeNumber() {
-            return 5;
-        }
-
-        @Override
-        public String name() {
-            return "use";
-        }
-
-        @Override
-        public QuotaUsage merge(QuotaUsage a, QuotaUsage b) {
-            int later = a.reportedAt != b.reportedAt
-                    ? Double.compare(a.reportedAt, b.reportedAt)
-                    : Double.compare(a.unitsPerSecond, b.unitsPerSecond);
-            QuotaUsage rate = later >= 0 ? a : b;
-            return new QuotaUsage(Math.max(a.totalUnits, b.totalUnits), rate.unitsPerSecond, rate.reportedAt);
-        }
-
-        @Override
-        public double timestamp(QuotaUsage value) {
-            return value.reportedAt;
-        }
-
-        /**
-         * Seconds: more than two windows of any limit, after which what a router that vanished has used counts no more.
-         */
-        @Override
-        public double retentionSeconds() {
-            return 60;
-        }
-
-        /**
-         * A thousand routers with the two standing limits and some thirty cold nodes; at the bound the longest untold
-         * go.
-         */
-        @Override
-        public int maxEntries() {
-            return 32_768;
-        }
-
-        @Override
-        public void write(QuotaUsage value, FieldWriter out) {
-            out.writeDouble(value.totalUnits).writeDouble(value.unitsPerSecond).writeDouble(value.reportedAt);
-        }
-
-        @Override
-        public QuotaUsage read(FieldReader in) {
-            return new QuotaUsage(in.readDouble(), in.readDouble(), in.readDouble());
-        }
-    };
+    /** The replicated type of these values. */
+    public static final ReplicatedType<QuotaUsage> TYPE = new QuotaUsageType();
 
+    /** @throws IllegalArgumentException for fields out of range */
     public QuotaUsage {
-        totalUnits = FieldValidation.requireWithin(totalUnits, MAX_UNITS, "use");
-        unitsPerSecond = FieldValidation.requireWithin(unitsPerSecond, MAX_UNITS, "rate");
+        totalUnits = FieldValidation.requireWithin(totalUnits, MAX_UNITS, "total use");
+        unitsPerSecond = FieldValidation.requireWithin(unitsPerSecond, MAX_UNITS, "rate of use");
         reportedAt = FieldValidation.requireTime(reportedAt);
     }
 
-    /** Work sent to a node while it is cold, in that life of it; in seconds of a core. */
-    public static String slowStart(String node, double nodeStart) {
-        return "cold " + ReplicatedKeys.truncateName(node) + " " + nodeStart;
+    /**
+     * Returns the name of the quota of work for a node during slow start, in core seconds.
+     *
+     * @param incarnationStartedAt of the node, in seconds since 1970
+     */
+    public static String slowStart(String nodeId, double incarnationStartedAt) {
+        return SLOW_START_PREFIX + ReplicatedKeys.truncateName(nodeId) + " " + incarnationStartedAt;
     }
 
-    /** {@code limit}: the name of a {@link FleetQuota.Quota}. */
-    static String key(String limit, Member member) {
+    /** @param quota the name of a {@link FleetQuota.Quota} */
+    static String key(String quota, Member member) {
         return ReplicatedKeys.join(
-                limit, ReplicatedKeys.truncateName(member.name()), Long.toString(member.incarnation()));
+                quota, ReplicatedKeys.truncateName(member.name()), Long.toString(member.incarnation()));
     }
 
-    /** The limit within a key, and whose use it is; null where another release made the key. */
+    /** Returns the parts of a key; null for a key in the format of another release. */
     static UsageKey parseKey(String key) {
         List<String> parts = ReplicatedKeys.split(key);
+        if (parts.size() != KEY_PARTS) {
+            return null;
+        }
         try {
-            return parts.size() != 3
-                    ? null
-                    : new UsageKey(parts.get(0), new Member(parts.get(1), Long.parseLong(parts.get(2))));
+            return new UsageKey(parts.get(0), new Member(parts.get(1), Long.parseLong(parts.get(2))));
         } catch (NumberFormatException e) {
             return null;
         }
     }
 
-    /** @param member its name as keys have it */
+    /**
+     * The parts of a key.
+     *
+     * @param member with its name as keys hold it
+     */
     record UsageKey(String quota, Member member) {}
 }
--- a/fleet/src/main/java/clayhook/fleet/types/ReplicatedKeys.java
+++ b/fleet/src/main/java/clayhook/fleet/types/ReplicatedKeys.java
@@ -3,18 +3,22 @@
 import com.dynatrace.hash4j.hashing.Hashing;
 import java.util.List;
 
-/** Keys made of several texts, and names cut to the room that keys and values have. */
+/** Builds keys from several texts, and truncates names to what keys and values may hold. */
 final class ReplicatedKeys {
-    /** Bytes of a name of a router, node, zone or command group within a value; a value must hold eleven. */
+    /** Of a name of a router, node, zone or request class within a value; a value must have room for eleven. */
     static final int MAX_NAME_BYTES = 48;
     /**
-     * Bytes of a node's id, a session or a mark as a key; a store may ask that key and value be a thousand at the most.
+     * Of a node id, session or idempotency key as a key; the store may limit key and value to a thousand bytes
+     * together.
      */
     static final int MAX_KEY_TEXT_BYTES = 150;
-    /** The separator of units in ASCII; no name holds a control character once it is cut. */
+    /** The ASCII unit separator; a truncated name contains no control characters. */
     private static final String SEPARATOR = "\u001f";
-    /** A tilde and a hash. */
-    private static final int HASH_SUFFIX_LENGTH = 17;
+    /** Joins a truncated text and its hash. */
+    private static final String HASH_MARKER = "~";
+
+    private static final int HASH_DIGITS = 16;
+    private static final String REPLACEMENT = "?";
 
     private ReplicatedKeys() {}
 
@@ -26,32 +30,49 @@
         return List.of(key.split(SEPARATOR, -1));
     }
 
+    /** Returns a name as values and keys hold it. */
     static String truncateName(String name) {
         return truncate(name, MAX_NAME_BYTES);
     }
 
-    /** Of a text that is a key, or ends one. */
+    /** Returns a text as a key, or as the last part of one. */
     static String truncateKeyText(String text) {
         return truncate(text, MAX_KEY_TEXT_BYTES);
     }
 
-    /** The same text where it fits; else its beginning and a hash of it, the same at every router. */
-    static String truncate(String text, int most) {
-        if (FieldValidation.utf8Length(text) <= most) {
+    /**
+     * Returns the text itself if it fits and is printable; otherwise its beginning and a hash, the same at every
+     * router.
+     */
+    static String truncate(String text, int maxBytes) {
+        if (FieldValidation.utf8Length(text) <= maxBytes) {
             return text;
         }
-        var out = new StringBuilder();
+        int maxPrefixBytes = maxBytes - HASH_MARKER.length() - HASH_DIGITS;
+        return printablePrefix(text, maxPrefixBytes) + HASH_MARKER + hexHash(text);
+    }
+
+    private static String printablePrefix(String text, int maxBytes) {
+        var prefix = new StringBuilder();
         int bytes = 0;
-        for (int c : text.codePoints().toArray()) {
-            boolean plain = !Character.isISOControl(c) && (c > Character.MAX_VALUE || !Character.isSurrogate((char) c));
-            String next = plain ? Character.toString(c) : "?";
+        for (int codePoint : text.codePoints().toArray()) {
+            String next = isPrintable(codePoint) ? Character.toString(codePoint) : REPLACEMENT;
             bytes += FieldValidation.utf8Length(next);
-            if (bytes > most - HASH_SUFFIX_LENGTH) {
+            if (bytes > maxBytes) {
                 break;
             }
-            out.append(next);
+            prefix.append(next);
         }
+        return prefix.toString();
+    }
+
+    private static boolean isPrintable(int codePoint) {
+        boolean unpairedSurrogate = codePoint <= Character.MAX_VALUE && Character.isSurrogate((char) codePoint);
+        return !Character.isISOControl(codePoint) && !unpairedSurrogate;
+    }
+
+    private static String hexHash(String text) {
         String hash = Long.toHexString(Hashing.komihash5_0().hashCharsToLong(text));
-        return out + "~" + "0".repeat(HASH_SUFFIX_LENGTH - 1 - hash.length()) + hash;
+        return "0".repeat(HASH_DIGITS - hash.length()) + hash;
     }
 }
--- a/fleet/src/main/java/clayhook/fleet/types/SessionWriteSnapshot.java
+++ b/fleet/src/main/java/clayhook/fleet/types/SessionWriteSnapshot.java
@@ -4,166 +4,201 @@
 import java.util.BitSet;
 
 /**
- * The marks of sessions at one moment, for threads that serve requests: it never changes, and looking one up takes no
- * lock and makes nothing. A next one shares the shards that have not changed.
+ * The positions of all sessions' last writes at one moment, for threads that serve requests: immutable, and read
+ * without locks or allocation. Successive snapshots share the shards that have not changed.
  *
- * <p>Sessions stand by a hash of 64 bits. Two that ever meet in one have the further mark of both, which is safe.
+ * <p>Sessions are identified by a hash of 64 bits. Two with equal hashes both get the further position, which is safe.
  */
 public final class SessionWriteSnapshot {
     /**
-     * Some fifty marks in each at the most that are kept: little to copy for one mark, nor is the list of shards long.
+     * At the bound of retained writes, a shard has some fifty entries: few to copy for one write, and the array of
+     * shards is short.
      */
     static final int SHARD_COUNT = 2048;
-    /** Marks in a shard. Guards against long copies where names of sessions are made to meet in one. */
+    /** Bounds the time to copy a shard where session names are chosen to hash into one. */
     static final int MAX_ENTRIES_PER_SHARD = 256;
 
     private static final double NONE = Double.NEGATIVE_INFINITY;
+    /** The hash in a free slot. */
+    private static final long FREE = 0;
+    /** Array elements of a slot: the hash of a session and the bits of its position. */
+    private static final int SLOT_WIDTH = 2;
 
-    /** Nothing known: no mark, and no certainty of any. */
+    private static final int MIN_SHARD_LENGTH = 16;
+    /** Array elements for each entry, so that at most half of the slots are taken. */
+    private static final int MIN_ELEMENTS_PER_ENTRY = 2 * SLOT_WIDTH;
+
+    /** Without any write, and complete up to no time. */
     public static final SessionWriteSnapshot EMPTY = new SessionWriteSnapshot(new long[SHARD_COUNT][], NONE, NONE);
 
     /**
-     * Each null, or pairs of a session's hash and its position's bits, so that a look-up touches little memory. A pair
-     * is at its hash's place or in the first free one from there; hash 0 is a free place, and never over half are
-     * taken.
+     * Hash tables with open addressing, each in one array for locality, or null. An entry is in the slot of its hash or
+     * in the first free one after it.
      */
     private final long[][] shards;
 
-    private final double evictionFloor, completeUpTo;
+    private final double evictionFloor;
+    private final double completeUpTo;
 
-    private SessionWriteSnapshot(long[][] shards, double floor, double certainUpTo) {
+    private SessionWriteSnapshot(long[][] shards, double evictionFloor, double completeUpTo) {
         this.shards = shards;
-        this.evictionFloor = floor;
-        this.completeUpTo = certainUpTo;
+        this.evictionFloor = evictionFloor;
+        this.completeUpTo = completeUpTo;
     }
 
     private static long hash(String session) {
         long hash = Hashing.komihash5_0().hashCharsToLong(session);
-        return hash == 0 ? 1 : hash;
+        return hash == FREE ? 1 : hash;
     }
 
     private static int shardOf(long hash) {
-        return (int) (hash >>> Long.SIZE - Integer.numberOfTrailingZeros(SHARD_COUNT));
+        return (int) (hash >>> (Long.SIZE - Integer.numberOfTrailingZeros(SHARD_COUNT)));
     }
 
     static int shardOf(String session) {
         return shardOf(hash(session));
     }
 
-    private static int slotOf(long[] pairs, long hash) {
-        int mask = pairs.length - 1;
-        int place = (int) (2 * hash) & mask;
-        while (pairs[place] != 0 && pairs[place] != hash) {
-            place = place + 2 & mask;
+    /** Returns the index of the hash in a shard, or of the free slot where it belongs. */
+    private static int slotOf(long[] shard, long hash) {
+        int mask = shard.length - 1;
+        int index = (int) (SLOT_WIDTH * hash) & mask;
+        while (shard[index] != FREE && shard[index] != hash) {
+            index = (index + SLOT_WIDTH) & mask;
         }
-        return place;
+        return index;
+    }
+
+    private static double positionAt(long[] shard, int slot) {
+        return Double.longBitsToDouble(shard[slot + 1]);
     }
 
-    /** The session's mark, seconds since 1970; negative infinity where there is none. */
+    /** Returns the position of a session's last write, in seconds since 1970; negative infinity if there is none. */
     public double position(String session) {
         long hash = hash(session);
-        long[] pairs = shards[shardOf(hash)];
-        if (pairs == null) {
+        long[] shard = shards[shardOf(hash)];
+        if (shard == null) {
             return NONE;
         }
-        int place = slotOf(pairs, hash);
-        return pairs[place] == 0 ? NONE : Double.longBitsToDouble(pairs[place + 1]);
+        int slot = slotOf(shard, hash);
+        return shard[slot] == FREE ? NONE : positionAt(shard, slot);
     }
 
-    /** Marks up to that position may be missing, seconds since 1970. */
+    /** Returns the position up to which writes may be missing, in seconds since 1970. */
     public double evictionFloor() {
         return evictionFloor;
     }
 
-    /** Up to when it has the marks that other routers put in, seconds since 1970. */
+    /** Returns up to which time the writes published by other routers are included, in seconds since 1970. */
     public double completeUpTo() {
         return completeUpTo;
     }
 
-    /** What the next snapshot will be; for one thread, to be used until it is done. */
+    /** Builds the snapshot that follows another one. For one thread, and not to be used after {@link #build}. */
     static final class Builder {
-        private static final long[] NO_PAIRS = {};
+        private static final long[] EMPTY_SHARD = {};
 
         private final long[][] shards;
-        /** Those that are this draft's own and may be changed, and how many marks they have. */
+        /** The shards that were copied, and may be changed. */
         private final BitSet ownedShards = new BitSet(SHARD_COUNT);
-
+        /** Entries of each owned shard. */
         private final int[] shardSizes = new int[SHARD_COUNT];
-        /** The newest position that was dropped for want of room. */
+        /** The newest position that was evicted from a full shard. */
         private double newestDropped = NONE;
 
-        Builder(SessionWriteSnapshot from) {
-            shards = from.shards.clone();
+        Builder(SessionWriteSnapshot previous) {
+            shards = previous.shards.clone();
         }
 
-        /** That session's mark is at least so far. */
+        /** Raises a session's position to at least the given one. */
         void raise(String session, double position) {
             long hash = hash(session);
-            int number = shardOf(hash);
-            if (!ownedShards.get(number) || 4 * (shardSizes[number] + 1) > shards[number].length) {
-                copyShard(number, NONE);
+            int shard = shardOf(hash);
+            if (!ownedShards.get(shard) || isFull(shard)) {
+                copyShard(shard, NONE);
             }
-            put(number, hash, position);
-            if (shardSizes[number] > MAX_ENTRIES_PER_SHARD) {
-                double oldest = oldestPosition(shards[number]);
+            put(shard, hash, position);
+            if (shardSizes[shard] > MAX_ENTRIES_PER_SHARD) {
+                double oldest = oldestPosition(shards[shard]);
                 newestDropped = Math.max(newestDropped, oldest);
-                copyShard(number, Math.nextUp(oldest));
+                copyShard(shard, Math.nextUp(oldest));
             }
         }
 
+        private boolean isFull(int shard) {
+            return MIN_ELEMENTS_PER_ENTRY * (shardSizes[shard] + 1) > shards[shard].length;
+        }
+
         private void put(int number, long hash, double position) {
-            long[] pairs = shards[number];
-            int place = slotOf(pairs, hash);
-            boolean known = pairs[place] != 0;
-            shardSizes[number] += known ? 0 : 1;
-            pairs[place] = hash;
-            pairs[place + 1] = Double.doubleToLongBits(
-                    known ? Math.max(position, Double.longBitsToDouble(pairs[place + 1])) : position);
+            long[] shard = shards[number];
+            int slot = slotOf(shard, hash);
+            double raised = position;
+            if (shard[slot] == FREE) {
+                shardSizes[number]++;
+            } else {
+                raised = Math.max(position, positionAt(shard, slot));
+            }
+            shard[slot] = hash;
+            shard[slot + 1] = Double.doubleToLongBits(raised);
         }
 
-        /** Makes the shard this draft's own, with its marks from that position on and room for one more. */
+        /** Copies a shard with its entries from a position on, and room for one more. */
         private void copyShard(int number, double from) {
-            long[] old = shards[number] == null ? NO_PAIRS : shards[number];
-            int left = 0;
-            for (int i = 0; i < old.length; i += 2) {
-                left += old[i] != 0 && Double.longBitsToDouble(old[i + 1]) >= from ? 1 : 0;
-            }
-            shards[number] = new long[Math.max(16, 4 * Integer.highestOneBit(2 * left + 1))];
+            long[] old = shards[number] == null ? EMPTY_SHARD : shards[number];
+            shards[number] = new long[lengthFor(countFrom(old, from))];
             shardSizes[number] = 0;
             ownedShards.set(number);
-            for (int i = 0; i < old.length; i += 2) {
-                double position = Double.longBitsToDouble(old[i + 1]);
-                if (old[i] != 0 && position >= from) {
-                    put(number, old[i], position);
+            for (int slot = 0; slot < old.length; slot += SLOT_WIDTH) {
+                if (old[slot] != FREE && positionAt(old, slot) >= from) {
+                    put(number, old[slot], positionAt(old, slot));
                 }
             }
         }
 
-        private static double oldestPosition(long[] pairs) {
+        /** Returns the length of a shard for so many entries and one more: a power of 2. */
+        private static int lengthFor(int entries) {
+            return Math.max(MIN_SHARD_LENGTH, MIN_ELEMENTS_PER_ENTRY * Integer.highestOneBit(2 * entries + 1));
+        }
+
+        private static int countFrom(long[] shard, double from) {
+            int count = 0;
+            for (int slot = 0; slot < shard.length; slot += SLOT_WIDTH) {
+                if (shard[slot] != FREE && positionAt(shard, slot) >= from) {
+                    count++;
+                }
+            }
+            return count;
+        }
+
+        private static double oldestPosition(long[] shard) {
             double oldest = Double.POSITIVE_INFINITY;
-            for (int i = 0; i < pairs.length; i += 2) {
-                oldest = pairs[i] != 0 ? Math.min(oldest, Double.longBitsToDouble(pairs[i + 1])) : oldest;
+            for (int slot = 0; slot < shard.length; slot += SLOT_WIDTH) {
+                if (shard[slot] != FREE) {
+                    oldest = Math.min(oldest, positionAt(shard, slot));
+                }
             }
             return oldest;
         }
 
-        /** Drops what is before that position from one shard, if it has any. */
-        void removeBefore(int number, double before) {
-            if (shards[number] != null && oldestPosition(shards[number]) < before) {
-                copyShard(number, before);
-                if (shardSizes[number] == 0) {
-                    shards[number] = null;
-                    ownedShards.clear(number);
-                }
+        /** Removes the entries of one shard that are before a position, if there are any. */
+        void removeBefore(int number, double position) {
+            if (shards[number] == null || oldestPosition(shards[number]) >= position) {
+                return;
+            }
+            copyShard(number, position);
+            if (shardSizes[number] == 0) {
+                shards[number] = null;
+                ownedShards.clear(number);
             }
         }
 
+        /** Returns the newest position that was evicted from a full shard; negative infinity for none. */
         double newestDropped() {
             return newestDropped;
         }
 
-        SessionWriteSnapshot build(double floor, double certainUpTo) {
-            return new SessionWriteSnapshot(shards, floor, certainUpTo);
+        SessionWriteSnapshot build(double evictionFloor, double completeUpTo) {
+            return new SessionWriteSnapshot(shards, evictionFloor, completeUpTo);
         }
     }
 }
--- a/fleet/src/main/java/clayhook/fleet/types/TimedValue.java
+++ b/fleet/src/main/java/clayhook/fleet/types/TimedValue.java
@@ -2,13 +2,14 @@
 
 import java.util.Comparator;
 
-/** A figure that a router saw; the later sight counts, of two with one sight the larger figure. */
+/** A number that a router observed. Ordered by source, then by value, so that merging keeps the latest observation. */
 public record TimedValue(double value, ObservationSource source) implements Comparable<TimedValue> {
     private static final Comparator<TimedValue> ORDER =
             Comparator.comparing(TimedValue::source).thenComparingDouble(TimedValue::value);
 
+    /** @throws IllegalArgumentException for a value out of range */
     public TimedValue {
-        value = FieldValidation.requireWithin(value, FieldValidation.MAX_TIME, "figure");
+        value = FieldValidation.requireWithin(value, FieldValidation.MAX_TIME, "observed value");
     }
 
     @Override
--- a/fleet/src/main/java/clayhook/fleet/types/WriteOutcome.java
+++ b/fleet/src/main/java/clayhook/fleet/types/WriteOutcome.java
@@ -1,23 +1,21 @@
 package clayhook.fleet.types;
 
-import clayhook.fleet.FieldReader;
-import clayhook.fleet.FieldWriter;
 import clayhook.fleet.ReplicatedType;
 import java.util.Comparator;
 
 /**
- * What routers know of whether a keyed or mutating command has run; the key is the command's mark or id. Knowledge
- * beats doubt; one witness that it ran against one that it did not is a conflict, which is kept with both and never
- * decided here.
+ * What routers know about whether a non-idempotent write has run; the key is the write's idempotency key or id, see
+ * {@link #key}. A witness that it ran and one that it did not are a conflict, which keeps both and is not resolved
+ * here.
  *
- * @param first its first dispatch as known, with what it was
- * @param ran the earliest witness that it ran; null for none
- * @param notRun the earliest witness that it has not run and will not: of the command, not of one attempt that never
- *     left, as another router may have made another attempt; null for none
- * @param newest time of any word on it, seconds since 1970
+ * @param firstSent the earliest known sending of the write
+ * @param ran the earliest witness that the write ran; null for none
+ * @param notRun the earliest witness that the write has not run and will not run; null for none. It is no witness that
+ *     one attempt was never sent, as another router may have made another attempt
+ * @param newestAt the time of the newest information, in seconds since 1970
  */
 public record WriteOutcome(SentWrite firstSent, OutcomeWitness ran, OutcomeWitness notRun, double newestAt) {
-    /** What is known. */
+    /** What is known about a write. The names are part of the router's log. */
     public enum OutcomeStatus {
         UNKNOWN,
         RAN,
@@ -25,20 +23,24 @@
         CONFLICT
     }
 
-    /** Seconds: a day, in which an operator asks about charges in doubt. */
+    /** A day, within which operators look into writes in doubt. */
     private static final double DEFAULT_RETENTION_SECONDS = 86_400;
-    /** Some 400 bytes each; at the bound the oldest go. */
-    private static final int MAX_ENTRIES = 50_000;
-    /** Of a label, in characters, and in bytes, so that a value fits a part of a packet. */
-    private static final int MAX_LABEL_LENGTH = 128, MAX_LABEL_BYTES = 256;
+
+    private static final int MAX_LABEL_LENGTH = 128;
+    /** Keeps a value small enough for one message. */
+    private static final int MAX_LABEL_BYTES = 256;
+
+    /** The replicated type of these values, with the default retention of a day. */
+    public static final ReplicatedType<WriteOutcome> TYPE = typeWithRetention(DEFAULT_RETENTION_SECONDS);
 
     /**
-     * A command as it was first sent. Of two words on one command the smaller counts: the earlier, then by group, name
-     * and label, any label before none.
+     * A sending of a write. Ordered by time, then by replica set, request class and label, with a missing label last;
+     * the least one is kept.
      *
-     * @param at seconds since 1970
-     * @param commandGroup name of the command group
-     * @param label a short text for people; null for none
+     * @param sentAt in seconds since 1970
+     * @param replicaSet that the write was sent to
+     * @param requestClass the name of its request class
+     * @param label a short text for operators; null for none
      */
     public record SentWrite(double sentAt, int replicaSet, String requestClass, String label)
             implements Comparable<SentWrite> {
@@ -47,24 +49,22 @@
                 .thenComparing(SentWrite::requestClass)
                 .thenComparing(SentWrite::label, Comparator.nullsLast(Comparator.naturalOrder()));
 
+        /** @throws IllegalArgumentException for fields out of range */
         public SentWrite {
             sentAt = FieldValidation.requireTime(sentAt);
-            FieldValidation.require(replicaSet >= 0 && replicaSet < FieldValidation.MAX_REPLICA_SETS, "group");
-            FieldValidation.requireText(requestClass, ReplicatedKeys.MAX_NAME_BYTES, "command group");
-            FieldValidation.require(
-                    label == null
-                            || label.length() <= MAX_LABEL_LENGTH
-                                    && FieldValidation.utf8Length(label) <= MAX_LABEL_BYTES,
-                    "label");
+            FieldValidation.requireReplicaSet(replicaSet);
+            FieldValidation.requireText(requestClass, ReplicatedKeys.MAX_NAME_BYTES, "request class");
+            FieldValidation.require(label == null || isValidLabel(label), "label");
         }
 
-        /** Of texts of any length, which are cut. */
-        public static SentWrite of(double at, int nodeGroup, String commandGroup, String label) {
-            return new SentWrite(
-                    at,
-                    nodeGroup,
-                    ReplicatedKeys.truncateName(commandGroup),
-                    label == null ? null : ReplicatedKeys.truncate(label, MAX_LABEL_LENGTH));
+        private static boolean isValidLabel(String label) {
+            return label.length() <= MAX_LABEL_LENGTH && FieldValidation.utf8Length(label) <= MAX_LABEL_BYTES;
+        }
+
+        /** Creates a sending with texts of any length, which are truncated. */
+        public static SentWrite of(double sentAt, int replicaSet, String requestClass, String label) {
+            String truncatedLabel = label == null ? null : ReplicatedKeys.truncate(label, MAX_LABEL_LENGTH);
+            return new SentWrite(sentAt, replicaSet, ReplicatedKeys.truncateName(requestClass), truncatedLabel);
         }
 
         @Override
@@ -74,20 +74,21 @@
     }
 
     /**
-     * Who knows: a router, from which node, and when it learned it. The smaller is the earlier, then by router and
-     * node.
+     * A router that knows the outcome, and the node it learned it from. Ordered by time, then by router and node; the
+     * least one is kept.
      */
     public record OutcomeWitness(ObservationSource source, String nodeId) implements Comparable<OutcomeWitness> {
         private static final Comparator<OutcomeWitness> ORDER =
                 Comparator.comparing(OutcomeWitness::source).thenComparing(OutcomeWitness::nodeId);
 
+        /** @throws IllegalArgumentException for a node id out of range */
         public OutcomeWitness {
             FieldValidation.requireText(nodeId, ReplicatedKeys.MAX_NAME_BYTES, "node");
         }
 
-        /** Of names of any length, which are cut. */
-        public static OutcomeWitness of(double at, String router, String node) {
-            return new OutcomeWitness(ObservationSource.of(at, router), ReplicatedKeys.truncateName(node));
+        /** Creates a witness with names of any length, which are truncated. */
+        public static OutcomeWitness of(double observedAt, String router, String nodeId) {
+            return new OutcomeWitness(ObservationSource.of(observedAt, router), ReplicatedKeys.truncateName(nodeId));
         }
 
         @Override
@@ -96,135 +97,42 @@
         }
     }
 
-    private static final class WriteOutcomeType implements ReplicatedType<WriteOutcome> {
-        private final double retentionSeconds;
-
-        private WriteOutcomeType(double keep) {
-            this.retentionSeconds = keep;
-        }
-
-        @Override
-        public int typeNumber() {
-            return 4;
-        }
-
-        @Override
-        public String name() {
-            return "fates";
-        }
-
-        @Override
-        public WriteOutcome merge(WriteOutcome a, WriteOutcome b) {
-            return new WriteOutcome(
-                    earliest(a.firstSent, b.firstSent),
-                    earliest(a.ran, b.ran),
-                    earliest(a.notRun, b.notRun),
-                    Math.max(a.newestAt, b.newestAt));
-        }
-
-        @Override
-        public double timestamp(WriteOutcome value) {
-            return value.newestAt;
-        }
-
-        @Override
-        public double retentionSeconds() {
-            return retentionSeconds;
-        }
-
-        @Override
-        public int maxEntries() {
-            return MAX_ENTRIES;
-        }
-
-        /** Knowledge holds whatever the clock of who has it; times only order witnesses. */
-        @Override
-        public boolean clockDependent() {
-            return false;
-        }
-
-        @Override
-        public void write(WriteOutcome value, FieldWriter out) {
-            SentWrite first = value.firstSent;
-            out.writeDouble(first.sentAt)
-                    .writeLong(first.replicaSet)
-                    .writeNullableString(first.requestClass)
-                    .writeNullableString(first.label)
-                    .writeDouble(value.newestAt);
-            write(value.ran, out);
-            write(value.notRun, out);
-        }
-
-        private static void write(OutcomeWitness witness, FieldWriter out) {
-            out.writeBoolean(witness != null);
-            if (witness != null) {
-                out.writeDouble(witness.source.observedAt())
-                        .writeNullableString(witness.source.router())
-                        .writeNullableString(witness.nodeId);
-            }
-        }
-
-        @Override
-        public WriteOutcome read(FieldReader in) {
-            var first = new SentWrite(
-                    in.readDouble(),
-                    in.readIntBelow(FieldValidation.MAX_REPLICA_SETS),
-                    in.readNullableString(),
-                    in.readNullableString());
-            double newest = in.readDouble();
-            return new WriteOutcome(first, readWitness(in), readWitness(in), newest);
-        }
-
-        private static OutcomeWitness readWitness(FieldReader in) {
-            return in.readBoolean()
-                    ? new OutcomeWitness(
-                            new ObservationSource(in.readDouble(), in.readNonEmptyString()), in.readNullableString())
-                    : null;
-        }
-    }
-
-    public static final ReplicatedType<WriteOutcome> TYPE = typeWithRetention(DEFAULT_RETENTION_SECONDS);
-
+    /** @throws IllegalArgumentException for a time out of range */
     public WriteOutcome {
-        newestAt = Math.max(
-                FieldValidation.requireTime(newestAt),
-                Math.max(firstSent.sentAt, Math.max(timeOf(ran), timeOf(notRun))));
+        double newestWitness = Math.max(timeOf(ran), timeOf(notRun));
+        newestAt = Math.max(FieldValidation.requireTime(newestAt), Math.max(firstSent.sentAt, newestWitness));
     }
 
     private static double timeOf(OutcomeWitness witness) {
         return witness == null ? 0 : witness.source.observedAt();
     }
 
-    /** Null stands for none, so that doubt is beaten by anything. */
-    private static <T extends Comparable<T>> T earliest(T a, T b) {
-        return a == null || b != null && b.compareTo(a) < 0 ? b : a;
-    }
-
-    /** The same kind where an operator has it kept for so many seconds. */
+    /** Returns the same replicated type with a retention in seconds as configured by the operator. */
     public static ReplicatedType<WriteOutcome> typeWithRetention(double seconds) {
         return new WriteOutcomeType(seconds);
     }
 
-    /** The key of a command of any mark. */
-    public static String key(String mark) {
-        return ReplicatedKeys.truncateKeyText(mark);
+    /** Returns the key of a write with an idempotency key or id of any length. */
+    public static String key(String writeKey) {
+        return ReplicatedKeys.truncateKeyText(writeKey);
     }
 
-    /** It was sent, and nobody knows more. */
-    public static WriteOutcome unknown(SentWrite first) {
-        return new WriteOutcome(first, null, null, first.sentAt);
+    /** Returns the outcome of a write that was sent, and of which nobody knows more. */
+    public static WriteOutcome unknown(SentWrite sent) {
+        return new WriteOutcome(sent, null, null, sent.sentAt);
     }
 
-    /** It ran, as that one knows. */
-    public static WriteOutcome ran(SentWrite first, OutcomeWitness witness) {
-        return new WriteOutcome(first, witness, null, first.sentAt);
+    /** Returns the outcome of a write that ran. */
+    public static WriteOutcome ran(SentWrite sent, OutcomeWitness witness) {
+        return new WriteOutcome(sent, witness, null, sent.sentAt);
     }
 
-    /** It has not run and will not, as that one knows. */
-    public static WriteOutcome notRun(SentWrite first, OutcomeWitness witness) {
-        return new WriteOutcome(first, null, witness, first.sentAt);
+    /** Returns the outcome of a write that has not run and will not run. */
+    public static WriteOutcome notRun(SentWrite sent, OutcomeWitness witness) {
+        return new WriteOutcome(sent, null, witness, sent.sentAt);
     }
 
+    /** Returns what is known about the write. */
     public OutcomeStatus status() {
         if (ran != null) {
             return notRun != null ? OutcomeStatus.CONFLICT : OutcomeStatus.RAN;
--- a/fleet/src/main/java/clayhook/fleet/types/WriteOutcomes.java
+++ b/fleet/src/main/java/clayhook/fleet/types/WriteOutcomes.java
@@ -10,85 +10,92 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The fates of commands as this router's copy has them, for whoever asks about charges in doubt. */
+/** The outcomes of writes in this router's replica, for operators who look into writes in doubt. Not thread-safe. */
 public final class WriteOutcomes {
-    /** Of one command. */
+    /** The outcome of one write; ordered by the time at which the write was first sent, then by key. */
     public record WriteOutcomeEntry(String key, WriteOutcome outcome) {
         static final Comparator<WriteOutcomeEntry> ORDER = Comparator.comparing(
-                        (WriteOutcomeEntry row) -> row.outcome.firstSent())
+                        (WriteOutcomeEntry entry) -> entry.outcome.firstSent())
                 .thenComparing(WriteOutcomeEntry::key);
     }
 
-    /** More conflicts than anyone reads; one beyond is counted and shown, but perhaps told twice. */
+    /**
+     * More conflicts than anyone reads. Beyond it conflicts are still counted and listed, but may be reported twice.
+     */
     private static final int MAX_REPORTED_CONFLICTS = 1000;
 
     private final ReplicatedStore store;
     private final ReplicatedType<WriteOutcome> type;
-    /** Conflicts that were told; the first to come are dropped at the bound. */
+    /** The keys of conflicts that were noticed; at the bound the oldest are dropped. */
     private final Set<String> reportedConflicts = new LinkedHashSet<>();
-    /** Those not taken yet; emptied by taking them, and never more than told. */
+    /** Those of them that were not taken yet. */
     private final Set<String> newConflictKeys = new LinkedHashSet<>();
 
     /**
-     * {@code kind} as this router keeps it: {@link WriteOutcome#TYPE} or one {@link WriteOutcome#typeWithRetention}.
+     * Starts to follow the outcomes that the store holds and receives.
+     *
+     * @param type as this router stores it: {@link WriteOutcome#TYPE} or a {@link WriteOutcome#typeWithRetention}
      */
-    public WriteOutcomes(ReplicatedStore shared, ReplicatedType<WriteOutcome> kind) {
-        this.store = shared;
-        this.type = kind;
-        shared.forEach(kind, this::noteConflict);
-        shared.addListener(kind, (key, fate, now) -> noteConflict(key, fate));
+    public WriteOutcomes(ReplicatedStore store, ReplicatedType<WriteOutcome> type) {
+        this.store = store;
+        this.type = type;
+        store.forEach(type, this::noteConflict);
+        store.addListener(type, (key, outcome, now) -> noteConflict(key, outcome));
     }
 
-    private void noteConflict(String key, WriteOutcome fate) {
-        if (fate.status() != WriteOutcome.OutcomeStatus.CONFLICT || !reportedConflicts.add(key)) {
+    private void noteConflict(String key, WriteOutcome outcome) {
+        if (outcome.status() != WriteOutcome.OutcomeStatus.CONFLICT || !reportedConflicts.add(key)) {
             return;
         }
         newConflictKeys.add(key);
         if (reportedConflicts.size() > MAX_REPORTED_CONFLICTS) {
-            String first = reportedConflicts.iterator().next();
-            reportedConflicts.remove(first);
-            newConflictKeys.remove(first);
+            String oldest = reportedConflicts.iterator().next();
+            reportedConflicts.remove(oldest);
+            newConflictKeys.remove(oldest);
         }
     }
 
-    /** Of what was first sent from then on and before then, seconds since 1970; by that time, then by key. */
+    /**
+     * Returns the outcomes of writes first sent at {@code from} or later and before {@code before}, in seconds since
+     * 1970.
+     */
     public List<WriteOutcomeEntry> entriesSentBetween(double from, double before) {
-        var rows = new ArrayList<WriteOutcomeEntry>();
-        store.forEach(type, (key, fate) -> {
-            if (fate.firstSent().sentAt() >= from && fate.firstSent().sentAt() < before) {
-                rows.add(new WriteOutcomeEntry(key, fate));
+        var entries = new ArrayList<WriteOutcomeEntry>();
+        store.forEach(type, (key, outcome) -> {
+            double sentAt = outcome.firstSent().sentAt();
+            if (sentAt >= from && sentAt < before) {
+                entries.add(new WriteOutcomeEntry(key, outcome));
             }
         });
-        rows.sort(WriteOutcomeEntry.ORDER);
-        return rows;
+        entries.sort(WriteOutcomeEntry.ORDER);
+        return entries;
     }
 
-    /** Commands with a last word before that, seconds since 1970, may be missing; negative infinity where none are. */
+    /** Returns the time before which outcomes may be missing, in seconds since 1970. */
     public double missingBefore(double now) {
-        double floor = store.evictionFloor(type);
-        return Math.max(floor, now - type.retentionSeconds());
+        return Math.max(store.evictionFloor(type), now - type.retentionSeconds());
     }
 
-    /** How many there are of each; all of them are in the map. */
+    /** Returns how many outcomes have each status, those of which there are none included. */
     public Map<WriteOutcome.OutcomeStatus, Integer> counts() {
         var counts = new EnumMap<WriteOutcome.OutcomeStatus, Integer>(WriteOutcome.OutcomeStatus.class);
-        for (WriteOutcome.OutcomeStatus each : WriteOutcome.OutcomeStatus.values()) {
-            counts.put(each, 0);
+        for (WriteOutcome.OutcomeStatus status : WriteOutcome.OutcomeStatus.values()) {
+            counts.put(status, 0);
         }
-        store.forEach(type, (key, fate) -> counts.merge(fate.status(), 1, Integer::sum));
+        store.forEach(type, (key, outcome) -> counts.merge(outcome.status(), 1, Integer::sum));
         return counts;
     }
 
-    /** Conflicts found since this was last asked, each told once; for the log. */
+    /** Returns the conflicts that were found since the last call. */
     public List<WriteOutcomeEntry> takeNewConflicts() {
-        var rows = new ArrayList<WriteOutcomeEntry>();
+        var entries = new ArrayList<WriteOutcomeEntry>();
         for (String key : newConflictKeys) {
-            WriteOutcome fate = store.get(type, key);
-            if (fate != null) {
-                rows.add(new WriteOutcomeEntry(key, fate));
+            WriteOutcome outcome = store.get(type, key);
+            if (outcome != null) {
+                entries.add(new WriteOutcomeEntry(key, outcome));
             }
         }
         newConflictKeys.clear();
-        return rows;
+        return entries;
     }
 }
--- a/fleet/src/test/java/clayhook/fleet/members/MemberClaimPropertiesTest.java
+++ b/fleet/src/test/java/clayhook/fleet/members/MemberClaimPropertiesTest.java
@@ -47,6 +47,7 @@
         return claimsOn(Arbitraries.of("a", "b", "c")).list().ofMaxSize(20);
     }
 
+    @SuppressWarnings("ReferenceEquality") // a merge returns the winning claim itself
     @Property(tries = 3000, seed = "1")
     void mergeIsCommutativeAssociativeAndIdempotent(
             @ForAll("claims") MemberClaim a, @ForAll("claims") MemberClaim b, @ForAll("claims") MemberClaim c) {
--- a/fleet/src/test/java/clayhook/fleet/members/MembershipTest.java
+++ b/fleet/src/test/java/clayhook/fleet/members/MembershipTest.java
@@ -218,15 +218,15 @@
         leaver.host.kill();
         TestMember restarted = fleet.start("router-5", leaver.host.address, 0);
         assertTrue(fleet.network.runUntil(fleet::isConverged, 5));
-        assertTrue(fleet.all(member -> member == restarted || member.membership.isLive(restarted.member())));
+        assertTrue(fleet.all(member -> member.equals(restarted) || member.membership.isLive(restarted.member())));
     }
 
     @ParameterizedTest
     @CsvSource({"2, 1", "5, 2", "100, 3"})
     void brokenLinkBetweenTwoMembersCausesNoSuspicion(int size, long seed) {
         TestFleet fleet = TestFleet.ofSize(Math.max(3, size), seed);
-        fleet.network.partitioned = (from, to) -> from == fleet.get(0).host && to == fleet.get(1).host
-                || size > 2 && from == fleet.get(1).host && to == fleet.get(0).host;
+        fleet.network.partitioned = (from, to) -> (from == fleet.get(0).host && to == fleet.get(1).host)
+                || (size > 2 && from == fleet.get(1).host && to == fleet.get(0).host);
         fleet.network.run(60);
         assertEquals(0, fleet.countEvents("suspected"));
     }
@@ -294,7 +294,7 @@
         fleet.network.run(deaths > 0 ? 2 : 0);
         fleet.network.partitioned = (from, to) -> false;
         assertTrue(fleet.network.runUntil(
-                () -> fleet.all(member -> member == stalled || member.membership.isLive(stalled.member())), 3));
+                () -> fleet.all(member -> member.equals(stalled) || member.membership.isLive(stalled.member())), 3));
         fleet.network.run(10);
         assertFalse(stalled.membership.recentlyStalled(fleet.network.now));
         assertEquals(List.of(), stalled.listener.events, "the stalled member suspects nobody");
@@ -320,7 +320,7 @@
                         .filter(event -> event.startsWith("duplicate"))
                         .toList());
         assertTrue(fleet.all(
-                member -> member.membership.livePeers().contains(younger.membership.self()) != (member == younger)));
+                member -> member.membership.livePeers().contains(younger.membership.self()) != member.equals(younger)));
         assertTrue(fleet.countEvents(duplicate) > 10, "members that hear both incarnations report them");
         assertTrue(fleet.all(member ->
                 member.listener.events.stream().filter(duplicate::equals).count() <= 1));
@@ -337,7 +337,7 @@
         fleet.startMembers(10);
         fleet.network.run(30);
         boolean outOfBound = Math.abs(offset) > 0.5;
-        Predicate<TestMember> isSkewed = member -> member == skewed;
+        Predicate<TestMember> isSkewed = member -> member.equals(skewed);
         assertTrue(fleet.all(
                 isSkewed.or(member -> Math.abs(member.membership.clockOffset(skewed.member()) - offset) < 0.05)));
         assertTrue(fleet.all(isSkewed.or(member -> member.membership.clockWithinBound(skewed.member()) != outOfBound)));
@@ -384,8 +384,8 @@
         bytesBefore = fleet.averageSentBytes();
         assertTrue(fleet.network.runUntil(() -> fleet.all(member -> !member.membership.isLive(killed.member())), 6));
         System.out.printf(
-                "%d members: converged after %.2f s and %.0f bytes a router; idle %.0f bytes/s; death detected after %.2f s, "
-                        + "%.0f bytes/s; %.1f s of processor time%n",
+                "%d members: converged after %.2f s and %.0f bytes a router; idle %.0f bytes/s; "
+                        + "death detected after %.2f s, %.0f bytes/s; %.1f s of processor time%n",
                 size,
                 convergedAfter,
                 joinBytes,
--- a/fleet/src/test/java/clayhook/fleet/members/RecordedMessagesTest.java
+++ b/fleet/src/test/java/clayhook/fleet/members/RecordedMessagesTest.java
@@ -38,53 +38,54 @@
 
     private static Map<String, MembershipMessage> messages() {
         var messages = new LinkedHashMap<String, MembershipMessage>();
-        messages.put("probe", new MembershipMessage.Ping(1, SENT_AT, -2, ADDRESS, 3));
+        messages.put("ping", new MembershipMessage.Ping(1, SENT_AT, -2, ADDRESS, 3));
         messages.put(
-                "probe-of-extremes",
+                "ping-of-extremes",
                 new MembershipMessage.Ping(
                         Long.MAX_VALUE, Double.POSITIVE_INFINITY, Long.MIN_VALUE, new Address("h", 0), (1L << 50) - 1));
         messages.put("ack", new MembershipMessage.Ack(1, SENT_AT, RECEIVED_AT, Long.MAX_VALUE, ADDRESS, 24));
         messages.put(
                 "ack-of-extremes",
                 new MembershipMessage.Ack(Long.MIN_VALUE, -0.5, 1e300, 0, new Address("node.example.org", 65_535), 0));
-        messages.put("errand", new MembershipMessage.PingRequest(256, PEER));
-        messages.put("errand-wide", new MembershipMessage.PingRequest(1L << 32, OTHER_PEER));
-        messages.put("done-answered", new MembershipMessage.PingRequestResult(256, true));
-        messages.put("done-unanswered", new MembershipMessage.PingRequestResult(70_000, false));
-        messages.put("news-empty", new MembershipMessage.ClaimBroadcast(List.of()));
-        messages.put("news-alive", new MembershipMessage.ClaimBroadcast(List.of(MemberClaim.alive(PEER, 0))));
+        messages.put("ping-request", new MembershipMessage.PingRequest(256, PEER));
+        messages.put("ping-request-wide", new MembershipMessage.PingRequest(1L << 32, OTHER_PEER));
+        messages.put("ping-request-result-answered", new MembershipMessage.PingRequestResult(256, true));
+        messages.put("ping-request-result-unanswered", new MembershipMessage.PingRequestResult(70_000, false));
+        messages.put("claim-broadcast-empty", new MembershipMessage.ClaimBroadcast(List.of()));
         messages.put(
-                "news-suspected",
-                new MembershipMessage.ClaimBroadcast(List.of(suspected(-1L, 2L, Long.MAX_VALUE, Long.MIN_VALUE))));
+                "claim-broadcast-alive", new MembershipMessage.ClaimBroadcast(List.of(MemberClaim.alive(PEER, 0))));
         messages.put(
-                "news-suspected-by-one",
-                new MembershipMessage.ClaimBroadcast(List.of(suspected(0x1234_5678_9abc_def0L))));
-        messages.put("news-suspected-by-none", new MembershipMessage.ClaimBroadcast(List.of(suspected())));
+                "claim-broadcast-suspect",
+                new MembershipMessage.ClaimBroadcast(List.of(suspect(-1L, 2L, Long.MAX_VALUE, Long.MIN_VALUE))));
         messages.put(
-                "news-gone",
+                "claim-broadcast-suspect-by-one",
+                new MembershipMessage.ClaimBroadcast(List.of(suspect(0x1234_5678_9abc_def0L))));
+        messages.put("claim-broadcast-suspect-by-none", new MembershipMessage.ClaimBroadcast(List.of(suspect())));
+        messages.put(
+                "claim-broadcast-dead",
                 new MembershipMessage.ClaimBroadcast(List.of(new MemberClaim(PEER, MemberStatus.DEAD, 23, List.of()))));
         messages.put(
-                "news-left",
+                "claim-broadcast-left",
                 new MembershipMessage.ClaimBroadcast(
                         List.of(new MemberClaim(OTHER_PEER, MemberStatus.LEFT, 1L << 49, List.of()))));
         messages.put(
-                "news-several",
+                "claim-broadcast-several",
                 new MembershipMessage.ClaimBroadcast(List.of(
                         MemberClaim.alive(OTHER_PEER, 1),
-                        suspected(3L, 4L),
+                        suspect(3L, 4L),
                         new MemberClaim(PEER, MemberStatus.LEFT, 2, List.of()))));
         messages.put(
-                "ask",
+                "sync-request",
                 new MembershipMessage.SyncRequest(IntStream.range(0, TableDigest.BUCKETS)
                         .map(i -> i * 0x9e37_79b9)
                         .toArray()));
-        messages.put("ask-empty", new MembershipMessage.SyncRequest(new int[TableDigest.BUCKETS]));
-        messages.put("page-empty", new MembershipMessage.SyncPage(List.of()));
+        messages.put("sync-request-empty", new MembershipMessage.SyncRequest(new int[TableDigest.BUCKETS]));
+        messages.put("sync-page-empty", new MembershipMessage.SyncPage(List.of()));
         messages.put(
-                "page",
+                "sync-page",
                 new MembershipMessage.SyncPage(List.of(
                         new MembershipMessage.SyncPage.AgedClaim(MemberClaim.alive(PEER, 5), 0),
-                        new MembershipMessage.SyncPage.AgedClaim(suspected(7L, 8L, 9L), 1),
+                        new MembershipMessage.SyncPage.AgedClaim(suspect(7L, 8L, 9L), 1),
                         new MembershipMessage.SyncPage.AgedClaim(
                                 new MemberClaim(OTHER_PEER, MemberStatus.DEAD, 6, List.of()), 3600),
                         new MembershipMessage.SyncPage.AgedClaim(
@@ -92,7 +93,7 @@
         return messages;
     }
 
-    private static MemberClaim suspected(Long... accusers) {
+    private static MemberClaim suspect(Long... accusers) {
         return new MemberClaim(PEER, MemberStatus.SUSPECT, 1, List.of(accusers));
     }
 
@@ -168,10 +169,10 @@
     void ageIsWrittenInWholeSeconds() {
         var aged = new MembershipMessage.SyncPage(List.of(
                 new MembershipMessage.SyncPage.AgedClaim(MemberClaim.alive(PEER, 5), 0.9),
-                new MembershipMessage.SyncPage.AgedClaim(suspected(9L, 7L, 8L, 7L), 1.99),
+                new MembershipMessage.SyncPage.AgedClaim(suspect(9L, 7L, 8L, 7L), 1.99),
                 new MembershipMessage.SyncPage.AgedClaim(
                         new MemberClaim(OTHER_PEER, MemberStatus.DEAD, 6, List.of(1L)), 3600.5),
                 new MembershipMessage.SyncPage.AgedClaim(new MemberClaim(PEER, MemberStatus.LEFT, 0, List.of()), 1e9)));
-        assertArrayEquals(RECORDED.get("page"), encode(aged));
+        assertArrayEquals(RECORDED.get("sync-page"), encode(aged));
     }
 }
--- a/fleet/src/test/java/clayhook/fleet/types/EndpointListMergeTest.java
+++ b/fleet/src/test/java/clayhook/fleet/types/EndpointListMergeTest.java
@@ -15,7 +15,10 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
+/** How updates of several discovery sources are merged into one endpoint list. */
 class EndpointListMergeTest {
+    private static final List<EndpointState> STATES = List.of(EndpointState.values());
+
     private final SharedMemoryStore store = new SharedMemoryStore();
     private final EndpointListMerge merge = new EndpointListMerge("old:1", store);
     private final Map<String, EndpointState> published = new TreeMap<>();
@@ -31,16 +34,16 @@
     }
 
     private String takeChanges() {
-        var out = new TreeMap<String, EndpointState>();
+        var changes = new TreeMap<String, EndpointState>();
         merge.takeChanges()
-                .forEach(entry -> out.put(entry.id(), entry.endpoint().state()));
-        published.putAll(out);
-        return out.toString();
+                .forEach(update -> changes.put(update.id(), update.endpoint().state()));
+        published.putAll(changes);
+        return changes.toString();
     }
 
     /**
-     * Deltas and whole lists by this router's discovery, words by peers, late and doubled: the newest counts at each
-     * step.
+     * Partial and complete lists of this router's discovery and updates of peers, late and repeated: the newest
+     * revision holds after each step.
      */
     @Property(tries = 500, seed = "27")
     void newestRevisionWinsInAnyOrderOfUpdates(@ForAll Random random) {
@@ -48,40 +51,42 @@
     }
 
     private void checkRandomUpdates(Random random) {
-        record News(long revision, boolean whole, boolean byPeer, Map<String, EndpointState> states) {}
+        record Update(long revision, boolean complete, boolean byPeer, Map<String, EndpointState> states) {}
         var truth = new HashMap<String, EndpointState>();
-        var news = new ArrayList<News>();
+        var received = new ArrayList<Update>();
         for (long revision = 1; revision <= 12; revision++) {
             String id = "n" + random.nextInt(4);
-            EndpointState state = EndpointState.values()[random.nextInt(3)];
+            EndpointState state = STATES.get(random.nextInt(STATES.size()));
             truth.remove(id);
             if (state != EndpointState.GONE) {
                 truth.put(id, state);
             }
-            news.add(
+            received.add(
                     random.nextInt(3) == 0
-                            ? new News(revision, true, false, Map.copyOf(truth))
-                            : new News(revision, false, random.nextBoolean(), Map.of(id, state)));
+                            ? new Update(revision, true, false, Map.copyOf(truth))
+                            : new Update(revision, false, random.nextBoolean(), Map.of(id, state)));
         }
-        news.addAll(List.copyOf(news.subList(0, 4)));
-        Collections.shuffle(news, random);
+        received.addAll(List.copyOf(received.subList(0, 4)));
+        Collections.shuffle(received, random);
         var newest = new HashMap<String, Long>();
         var expected = new HashMap<String, EndpointState>();
-        for (News each : news) {
+        for (Update update : received) {
             for (String id : List.of("n0", "n1", "n2", "n3")) {
-                if ((each.whole || each.states.containsKey(id)) && each.revision > newest.getOrDefault(id, 0L)) {
-                    newest.put(id, each.revision);
-                    expected.put(id, each.states.getOrDefault(id, EndpointState.GONE));
+                if ((update.complete || update.states.containsKey(id))
+                        && update.revision > newest.getOrDefault(id, 0L)) {
+                    newest.put(id, update.revision);
+                    expected.put(id, update.states.getOrDefault(id, EndpointState.GONE));
                 }
             }
-            if (each.byPeer) {
-                each.states.forEach((id, state) -> putAsPeer("old:1", id, endpoint(each.revision, state)));
+            if (update.byPeer) {
+                update.states.forEach((id, state) -> putAsPeer("old:1", id, endpoint(update.revision, state)));
             } else {
-                merge.onDiscoveryUpdate("old:1", each.revision, each.whole, updates(each.revision, each.states), 100);
+                merge.onDiscoveryUpdate(
+                        "old:1", update.revision, update.complete, updates(update.revision, update.states), 100);
             }
             takeChanges();
             expected.forEach((id, state) ->
-                    assertEquals(state, published.getOrDefault(id, EndpointState.GONE), id + " after " + each));
+                    assertEquals(state, published.getOrDefault(id, EndpointState.GONE), id + " after " + update));
         }
     }
 
@@ -99,13 +104,13 @@
         merge.onDiscoveryUpdate("old:1", 50, true, updates(50, states), 100);
         assertEquals("{a=READY, b=DRAINING, c=READY, d=READY}", takeChanges());
         putAsPeer("new:1", "a", endpoint(3, EndpointState.DRAINING));
-        assertEquals("{}", takeChanges(), "the current source has its say");
+        assertEquals("{}", takeChanges(), "updates of the current source win");
         merge.onSourceChanged("new:1");
-        assertEquals("{a=DRAINING}", takeChanges(), "a peer that moved first has heard it");
+        assertEquals("{a=DRAINING}", takeChanges(), "a peer that changed first has received it");
         putAsPeer("old:1", "b", endpoint(51, EndpointState.READY));
         putAsPeer("old:1", "c", endpoint(51, EndpointState.DRAINING));
         putAsPeer("old:1", "d", endpoint(51, EndpointState.READY).asRemoved(51, 100));
-        assertEquals("{c=DRAINING, d=GONE}", takeChanges(), "b drains on");
+        assertEquals("{c=DRAINING, d=GONE}", takeChanges(), "b goes on draining");
         merge.onDiscoveryUpdate("new:1", 4, false, updates(4, Map.of("c", EndpointState.READY)), 100);
         putAsPeer("old:1", "c", endpoint(60, EndpointState.DRAINING));
         assertEquals("{c=READY}", takeChanges());
@@ -119,14 +124,11 @@
         assertEquals(
                 EndpointState.GONE,
                 store.get(ListedEndpoint.TYPE, ListedEndpoint.key("new:1", "d")).state(),
-                "peers are told what it leaves out");
+                "what the list leaves out is shared");
         merge.onSourceChanged("old:1");
-        assertEquals(
-                "{c=DRAINING}",
-                takeChanges(),
-                "a drains on: what the old source said before the move is an older word");
+        assertEquals("{c=DRAINING}", takeChanges(), "a goes on draining: what the old source said before is older");
         merge.onDiscoveryUpdate("old:1", 50, true, updates(50, Map.of("a", EndpointState.READY)), 100);
-        assertEquals("{a=READY}", takeChanges(), "but what it says now counts, though it be nothing new");
+        assertEquals("{a=READY}", takeChanges(), "what the current source says now wins, even if it repeats itself");
     }
 
     @Example
@@ -144,11 +146,11 @@
                 101 + ListedEndpoint.TYPE.retentionSeconds() / 2,
                 store.get(ListedEndpoint.TYPE, ListedEndpoint.key("old:1", "a")).lastHeardAt());
         assertEquals("{a=READY}", takeChanges());
-        var late = new EndpointListMerge("old:1", store);
-        assertFalse(late.takeChanges().isEmpty(), "a router that starts has what its peers had heard");
+        var restarted = new EndpointListMerge("old:1", store);
+        assertFalse(restarted.takeChanges().isEmpty(), "a router that starts has what its peers have received");
     }
 
-    private void putAsPeer(String source, String id, ListedEndpoint word) {
-        store.merge(ListedEndpoint.TYPE, ListedEndpoint.key(source, id), word, 100);
+    private void putAsPeer(String source, String id, ListedEndpoint endpoint) {
+        store.merge(ListedEndpoint.TYPE, ListedEndpoint.key(source, id), endpoint, 100);
     }
 }
--- a/fleet/src/test/java/clayhook/fleet/types/FixedMembershipView.java
+++ b/fleet/src/test/java/clayhook/fleet/types/FixedMembershipView.java
@@ -8,12 +8,15 @@
 import java.util.List;
 import java.util.Set;
 
-/** A roster that sees just those members; names that begin with "off" have clocks that cannot be used, 3 s ahead. */
+/**
+ * A view with fixed live members. The clocks of members named "ahead" and "off" are 3 s ahead, and that of "off" is out
+ * of bound.
+ */
 record FixedMembershipView(Member selfMember, List<Peer> livePeers) implements MembershipView {
-    static FixedMembershipView of(int self, Collection<Integer> seen) {
+    static FixedMembershipView of(int self, Collection<Integer> live) {
         return new FixedMembershipView(
                 member(self),
-                seen.stream()
+                live.stream()
                         .filter(other -> other != self)
                         .sorted()
                         .map(other -> peer(member(other)))
--- a/fleet/src/test/java/clayhook/fleet/types/RecordedValuesTest.java
+++ b/fleet/src/test/java/clayhook/fleet/types/RecordedValuesTest.java
@@ -26,68 +26,75 @@
     private static final Map<String, byte[]> KEY_BYTES = RecordedBytes.load("replicated-keys.txt");
     private static final double NOW = 1_700_000_000.25;
     private static final String WIDE_NAME = "r\u00fcter-\u20ac-\ud83d\ude00";
-    /** Beyond what keys and values hold, so that it is cut and ends with a hash. */
+    /** Longer than keys and values may hold, so that it is truncated and ends with a hash. */
     private static final String LONG_NAME = "longer than a name may be \u20ac ".repeat(8);
 
-    private static final Map<String, Case<?>> VALUES = values();
+    private static final Map<String, RecordedValue<?>> VALUES = values();
     private static final Map<String, String> KEYS = keys();
 
-    /** A value and the kind that reads and writes it. */
-    private record Case<V>(ReplicatedType<V> kind, V value) {
+    /** A value and the replicated type that reads and writes it. */
+    private record RecordedValue<V>(ReplicatedType<V> type, V value) {
         byte[] encoded() {
             var out = new FieldWriter();
-            kind.write(value, out);
+            type.write(value, out);
             return out.toByteArray();
         }
 
         void assertReadFrom(byte[] bytes) {
-            assertEquals(value, kind.read(new FieldReader(bytes)));
+            assertEquals(value, type.read(new FieldReader(bytes)));
         }
     }
 
-    private static Map<String, Case<?>> values() {
-        var values = new LinkedHashMap<String, Case<?>>();
-        evidence().forEach((name, value) -> values.put("evidence-" + name, new Case<>(NodeObservation.TYPE, value)));
-        listed().forEach((name, value) -> values.put("listed-" + name, new Case<>(ListedEndpoint.TYPE, value)));
-        values.put("mark", new Case<>(SessionWrite.TYPE, new SessionWrite(NOW, 1)));
-        values.put("mark-of-extremes", new Case<>(SessionWrite.TYPE, new SessionWrite(0, (1 << 20) - 1)));
-        fates().forEach((name, value) -> values.put("fate-" + name, new Case<>(WriteOutcome.TYPE, value)));
-        values.put("use", new Case<>(QuotaUsage.TYPE, new QuotaUsage(1234.5, 0.1, NOW)));
-        values.put("use-none", new Case<>(QuotaUsage.TYPE, new QuotaUsage(0, 0, 0)));
+    private static Map<String, RecordedValue<?>> values() {
+        var values = new LinkedHashMap<String, RecordedValue<?>>();
+        observations()
+                .forEach((name, value) ->
+                        values.put("observation-" + name, new RecordedValue<>(NodeObservation.TYPE, value)));
+        endpoints()
+                .forEach(
+                        (name, value) -> values.put("listed-" + name, new RecordedValue<>(ListedEndpoint.TYPE, value)));
+        values.put("session-write", new RecordedValue<>(SessionWrite.TYPE, new SessionWrite(NOW, 1)));
+        values.put(
+                "session-write-of-extremes",
+                new RecordedValue<>(SessionWrite.TYPE, new SessionWrite(0, (1 << 20) - 1)));
+        outcomes()
+                .forEach((name, value) -> values.put("outcome-" + name, new RecordedValue<>(WriteOutcome.TYPE, value)));
+        values.put("quota-usage", new RecordedValue<>(QuotaUsage.TYPE, new QuotaUsage(1234.5, 0.1, NOW)));
+        values.put("quota-usage-none", new RecordedValue<>(QuotaUsage.TYPE, new QuotaUsage(0, 0, 0)));
         return values;
     }
 
-    private static Map<String, NodeObservation> evidence() {
+    private static Map<String, NodeObservation> observations() {
         NodeObservation none = NodeObservation.empty(NOW - 100);
         var one = ObservationSource.of(NOW, "router-1");
         var two = ObservationSource.of(NOW + 1.1, WIDE_NAME);
         var three = ObservationSource.of(NOW + 2, LONG_NAME);
-        var evidence = new LinkedHashMap<String, NodeObservation>();
-        evidence.put("none", none);
-        evidence.put("of-long-ago", NodeObservation.empty(0));
-        evidence.put("position", none.withPosition(NOW - 0.5, 0.25, one));
-        evidence.put("lag-alone", none.withPosition(-1, 0.25, one));
-        evidence.put("primary", none.withRole(true, one));
-        evidence.put("replica", none.withRole(false, two));
-        evidence.put("heard", none.withResponse(three));
-        evidence.put("failed", none.withFailures(1, one));
-        evidence.put(
+        var observations = new LinkedHashMap<String, NodeObservation>();
+        observations.put("none", none);
+        observations.put("of-long-ago", NodeObservation.empty(0));
+        observations.put("position", none.withPosition(NOW - 0.5, 0.25, one));
+        observations.put("without-position", none.withPosition(-1, 0.25, one));
+        observations.put("primary", none.withRole(true, one));
+        observations.put("replica", none.withRole(false, two));
+        observations.put("response", none.withResponse(three));
+        observations.put("failed", none.withFailures(1, one));
+        observations.put(
                 "failed-for-several",
                 none.withFailures(1000, one)
                         .withFailures(2, two)
                         .withFailures(3, three)
                         .withFailures(4, ObservationSource.of(NOW - 1, "router-4"))
                         .withFailures(5, ObservationSource.of(NOW - 2, "router-5")));
-        evidence.put("slowness", none.withLatencyRatio(1.5, one));
-        evidence.put("load", none.withLoad(300, two));
-        evidence.put(
-                "one-sight",
+        observations.put("latency-ratio", none.withLatencyRatio(1.5, one));
+        observations.put("load", none.withLoad(300, two));
+        observations.put(
+                "one-source",
                 none.withPosition(NOW, 0, one)
                         .withRole(true, one)
                         .withResponse(one)
                         .withLoad(1e6, one)
                         .withLatencyRatio(1000, one));
-        evidence.put(
+        observations.put(
                 "all",
                 none.withPosition(NOW - 3, 1e6, one)
                         .withRole(true, two)
@@ -97,13 +104,13 @@
                         .withLoad(7, ObservationSource.of(NOW - 7, "router-6"))
                         .withFailures(8, ObservationSource.of(NOW - 4, "router-7"))
                         .withFailures(9, two));
-        evidence.put(
-                "of-a-later-sight",
+        observations.put(
+                "of-a-later-incarnation",
                 NodeObservation.TYPE.merge(none.withResponse(one), NodeObservation.empty(NOW - 50)));
-        return evidence;
+        return observations;
     }
 
-    private static Map<String, ListedEndpoint> listed() {
+    private static Map<String, ListedEndpoint> endpoints() {
         var listed = new LinkedHashMap<String, ListedEndpoint>();
         listed.put(
                 "ready",
@@ -126,21 +133,22 @@
         return listed;
     }
 
-    private static Map<String, WriteOutcome> fates() {
+    private static Map<String, WriteOutcome> outcomes() {
         var unlabelled = WriteOutcome.SentWrite.of(NOW, 1, "pay", null);
         var labelled = WriteOutcome.SentWrite.of(NOW + 0.1, (1 << 20) - 1, WIDE_NAME, "label " + WIDE_NAME);
         var witness = WriteOutcome.OutcomeWitness.of(NOW + 1, "router-1", "node-1");
         var other = WriteOutcome.OutcomeWitness.of(NOW + 2, WIDE_NAME, LONG_NAME);
-        var fates = new LinkedHashMap<String, WriteOutcome>();
-        fates.put("unknown", WriteOutcome.unknown(unlabelled));
-        fates.put("unknown-labelled", WriteOutcome.unknown(labelled));
-        fates.put("unknown-of-long-names", WriteOutcome.unknown(WriteOutcome.SentWrite.of(0, 0, LONG_NAME, LONG_NAME)));
-        fates.put("ran", WriteOutcome.ran(unlabelled, witness));
-        fates.put("not-run", WriteOutcome.notRun(labelled, other));
-        fates.put(
+        var outcomes = new LinkedHashMap<String, WriteOutcome>();
+        outcomes.put("unknown", WriteOutcome.unknown(unlabelled));
+        outcomes.put("unknown-labelled", WriteOutcome.unknown(labelled));
+        outcomes.put(
+                "unknown-of-long-names", WriteOutcome.unknown(WriteOutcome.SentWrite.of(0, 0, LONG_NAME, LONG_NAME)));
+        outcomes.put("ran", WriteOutcome.ran(unlabelled, witness));
+        outcomes.put("not-run", WriteOutcome.notRun(labelled, other));
+        outcomes.put(
                 "conflict",
                 WriteOutcome.TYPE.merge(WriteOutcome.ran(unlabelled, other), WriteOutcome.notRun(labelled, witness)));
-        return fates;
+        return outcomes;
     }
 
     private static Map<String, String> keys() {
@@ -152,21 +160,21 @@
                 .sorted(Map.Entry.comparingByKey())
                 .toList()) {
             String name = each.getValue();
-            keys.put("evidence-" + each.getKey(), NodeObservation.key(name));
+            keys.put("observation-" + each.getKey(), NodeObservation.key(name));
             keys.put("listed-" + each.getKey(), ListedEndpoint.key("10.0.0.9:7000", name));
             keys.put("listed-source-" + each.getKey(), ListedEndpoint.key(name, ""));
-            keys.put("mark-" + each.getKey(), SessionWrite.key(name));
-            keys.put("fate-" + each.getKey(), WriteOutcome.key(name));
+            keys.put("session-write-" + each.getKey(), SessionWrite.key(name));
+            keys.put("outcome-" + each.getKey(), WriteOutcome.key(name));
             keys.put(
-                    "use-" + each.getKey(),
+                    "quota-usage-" + each.getKey(),
                     QuotaUsage.key(QuotaUsage.HEALTH_CHECKS, new Member(name, 1_700_000_000_123L)));
             keys.put(
-                    "use-cold-" + each.getKey(),
+                    "quota-usage-slow-start-" + each.getKey(),
                     QuotaUsage.key(QuotaUsage.slowStart(name, NOW), new Member("router-1", -1)));
-            keys.put("sight-" + each.getKey(), ObservationSource.of(NOW, name).router());
+            keys.put("source-" + each.getKey(), ObservationSource.of(NOW, name).router());
         }
-        keys.put("use-repeats", QuotaUsage.key(QuotaUsage.RETRIES, new Member("router-1", 0)));
-        keys.put("use-cold-of-long-ago", QuotaUsage.slowStart("node-1", 0));
+        keys.put("quota-usage-retries", QuotaUsage.key(QuotaUsage.RETRIES, new Member("router-1", 0)));
+        keys.put("quota-usage-slow-start-of-long-ago", QuotaUsage.slowStart("node-1", 0));
         return keys;
     }
 
@@ -212,13 +220,13 @@
         assertEquals(List.of("node-1", ""), ListedEndpoint.parseKey(recordedKey("listed-source-plain")));
         assertEquals(
                 new QuotaUsage.UsageKey("probes", new Member("node-1", 1_700_000_000_123L)),
-                QuotaUsage.parseKey(recordedKey("use-plain")));
+                QuotaUsage.parseKey(recordedKey("quota-usage-plain")));
         assertEquals(
                 new QuotaUsage.UsageKey("repeats", new Member("router-1", 0)),
-                QuotaUsage.parseKey(recordedKey("use-repeats")));
+                QuotaUsage.parseKey(recordedKey("quota-usage-retries")));
         assertEquals(
                 new QuotaUsage.UsageKey("cold node-1 1.70000000025E9", new Member("router-1", -1)),
-                QuotaUsage.parseKey(recordedKey("use-cold-plain")));
+                QuotaUsage.parseKey(recordedKey("quota-usage-slow-start-plain")));
     }
 
     private static String recordedKey(String name) {
@@ -236,10 +244,10 @@
                         SessionWrite.TYPE,
                         WriteOutcome.TYPE,
                         QuotaUsage.TYPE),
-                VALUES.values().stream().map(Case::kind).collect(Collectors.toSet()));
+                VALUES.values().stream().map(RecordedValue::type).collect(Collectors.toSet()));
         var states = new HashSet<ListedEndpoint.EndpointState>();
         var knowledge = new HashSet<WriteOutcome.OutcomeStatus>();
-        for (Case<?> each : VALUES.values()) {
+        for (RecordedValue<?> each : VALUES.values()) {
             if (each.value() instanceof ListedEndpoint listed) {
                 states.add(listed.state());
             } else if (each.value() instanceof WriteOutcome fate) {
@@ -251,15 +259,15 @@
     }
 
     @Test
-    void kindKeepsItsNumberAndName() {
+    void typeKeepsItsNumberAndName() {
         assertEquals(
-                List.of(1, 2, 3, 4, 5), kinds().map(ReplicatedType::typeNumber).toList());
+                List.of(1, 2, 3, 4, 5), types().map(ReplicatedType::typeNumber).toList());
         assertEquals(
                 List.of("evidence", "listed", "marks", "fates", "use"),
-                kinds().map(ReplicatedType::name).toList());
+                types().map(ReplicatedType::name).toList());
     }
 
-    private static Stream<ReplicatedType<?>> kinds() {
+    private static Stream<ReplicatedType<?>> types() {
         return Stream.of(
                 NodeObservation.TYPE, ListedEndpoint.TYPE, SessionWrite.TYPE, WriteOutcome.TYPE, QuotaUsage.TYPE);
     }
--- a/fleet/src/test/java/clayhook/fleet/types/ReplicatedTypesTest.java
+++ b/fleet/src/test/java/clayhook/fleet/types/ReplicatedTypesTest.java
@@ -10,6 +10,7 @@
 import clayhook.fleet.ReplicatedStore;
 import clayhook.fleet.ReplicatedType;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import java.util.Random;
 import java.util.function.Function;
@@ -18,72 +19,82 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** What holds for the join and the fields of every kind. Few different figures, so that values meet in all ways. */
+/**
+ * What holds for the merge and the fields of every replicated type. Values have few different fields, so that they
+ * often collide.
+ */
 class ReplicatedTypesTest {
-    /** A kind with a source of its values. */
-    private record TypeCase<V>(ReplicatedType<V> type, Function<Random, V> value) {
+    /** A type and a generator of its values. */
+    private record TypeCase<V>(ReplicatedType<V> type, Function<Random, V> generator) {
         V next(Random random) {
-            return value.apply(random);
+            return generator.apply(random);
         }
     }
 
+    private static final List<ListedEndpoint.EndpointState> ENDPOINT_STATES =
+            List.of(ListedEndpoint.EndpointState.values());
+
     private static final List<TypeCase<?>> TYPES = List.of(
             new TypeCase<>(NodeObservation.TYPE, ReplicatedTypesTest::randomObservation),
             new TypeCase<>(ListedEndpoint.TYPE, ReplicatedTypesTest::randomEndpoint),
             new TypeCase<>(WriteOutcome.TYPE, ReplicatedTypesTest::randomOutcome),
-            new TypeCase<>(SessionWrite.TYPE, r -> new SessionWrite(r.nextInt(3), r.nextInt(2))),
+            new TypeCase<>(SessionWrite.TYPE, random -> new SessionWrite(random.nextInt(3), random.nextInt(2))),
             new TypeCase<>(
                     QuotaUsage.TYPE,
-                    r -> new QuotaUsage(
-                            r.nextInt(3), r.nextInt(2), List.of(-0.0, 0.0, 1.0).get(r.nextInt(3)))));
+                    random -> new QuotaUsage(
+                            random.nextInt(3),
+                            random.nextInt(2),
+                            List.of(-0.0, 0.0, 1.0).get(random.nextInt(3)))));
 
-    private static ObservationSource randomSource(Random r) {
-        return ObservationSource.of(100 + r.nextInt(4), "router" + r.nextInt(3));
+    private static ObservationSource randomSource(Random random) {
+        return ObservationSource.of(100 + random.nextInt(4), "router" + random.nextInt(3));
     }
 
-    private static NodeObservation randomObservation(Random r) {
-        var evidence = NodeObservation.empty(90 + r.nextInt(2));
-        for (int i = r.nextInt(8); i > 0; i--) {
-            evidence = switch (r.nextInt(6)) {
-                case 0 -> evidence.withPosition(99 + r.nextInt(3), r.nextInt(2), randomSource(r));
-                case 1 -> evidence.withRole(r.nextBoolean(), randomSource(r));
-                case 2 -> evidence.withResponse(randomSource(r));
-                case 3 -> evidence.withLatencyRatio(r.nextInt(2), randomSource(r));
-                case 4 -> evidence.withLoad(r.nextInt(2), randomSource(r));
+    private static NodeObservation randomObservation(Random random) {
+        var observation = NodeObservation.empty(90 + random.nextInt(2));
+        for (int i = random.nextInt(8); i > 0; i--) {
+            observation = switch (random.nextInt(6)) {
+                case 0 -> observation.withPosition(99 + random.nextInt(3), random.nextInt(2), randomSource(random));
+                case 1 -> observation.withRole(random.nextBoolean(), randomSource(random));
+                case 2 -> observation.withResponse(randomSource(random));
+                case 3 -> observation.withLatencyRatio(random.nextInt(2), randomSource(random));
+                case 4 -> observation.withLoad(random.nextInt(2), randomSource(random));
                 default ->
-                    evidence.withFailures(
-                            1 + r.nextInt(2), ObservationSource.of(100 + r.nextInt(4), "router" + r.nextInt(7)));
+                    observation.withFailures(
+                            1 + random.nextInt(2),
+                            ObservationSource.of(100 + random.nextInt(4), "router" + random.nextInt(7)));
             };
         }
-        return evidence;
+        return observation;
     }
 
-    private static ListedEndpoint randomEndpoint(Random r) {
+    private static ListedEndpoint randomEndpoint(Random random) {
         return new ListedEndpoint(
-                r.nextInt(2),
-                ListedEndpoint.EndpointState.values()[r.nextInt(3)],
-                r.nextInt(2),
-                r.nextBoolean(),
-                "z" + r.nextInt(2),
-                r.nextInt(2),
-                "h" + r.nextInt(2),
-                r.nextInt(2),
-                r.nextInt(3));
+                random.nextInt(2),
+                ENDPOINT_STATES.get(random.nextInt(ENDPOINT_STATES.size())),
+                random.nextInt(2),
+                random.nextBoolean(),
+                "z" + random.nextInt(2),
+                random.nextInt(2),
+                "h" + random.nextInt(2),
+                random.nextInt(2),
+                random.nextInt(3));
     }
 
-    private static WriteOutcome randomOutcome(Random r) {
-        String label = r.nextBoolean() ? null : "toll " + r.nextInt(2);
-        var sent = WriteOutcome.SentWrite.of(r.nextInt(2), r.nextInt(2), "pay" + r.nextInt(2), label);
-        var witness = WriteOutcome.OutcomeWitness.of(r.nextInt(3), "router" + r.nextInt(2), "node" + r.nextInt(2));
-        return r.nextInt(3) == 0
+    private static WriteOutcome randomOutcome(Random random) {
+        String label = random.nextBoolean() ? null : "toll " + random.nextInt(2);
+        var sent = WriteOutcome.SentWrite.of(random.nextInt(2), random.nextInt(2), "pay" + random.nextInt(2), label);
+        var witness = WriteOutcome.OutcomeWitness.of(
+                random.nextInt(3), "router" + random.nextInt(2), "node" + random.nextInt(2));
+        return random.nextInt(3) == 0
                 ? WriteOutcome.unknown(sent)
-                : r.nextBoolean() ? WriteOutcome.ran(sent, witness) : WriteOutcome.notRun(sent, witness);
+                : random.nextBoolean() ? WriteOutcome.ran(sent, witness) : WriteOutcome.notRun(sent, witness);
     }
 
-    private static <V> byte[] encode(ReplicatedType<V> kind, V value, boolean later) {
+    private static <V> byte[] encode(ReplicatedType<V> type, V value, boolean withUnknownFields) {
         var out = new FieldWriter();
-        kind.write(value, out);
-        return later
+        type.write(value, out);
+        return withUnknownFields
                 ? out.writeNullableString("of a later release")
                         .beginList()
                         .writeLong(7)
@@ -98,24 +109,24 @@
     }
 
     private static <V> void checkMerge(TypeCase<V> each, Random random) {
-        ReplicatedType<V> kind = each.type;
+        ReplicatedType<V> type = each.type;
         V a = each.next(random), b = each.next(random), c = each.next(random);
-        V ab = kind.merge(a, b);
-        assertEquals(ab, kind.merge(b, a), kind.name());
-        assertEquals(kind.merge(ab, c), kind.merge(a, kind.merge(b, c)), kind.name());
-        assertEquals(ab, kind.merge(ab, a), kind.name());
-        assertTrue(kind.timestamp(ab) >= Math.max(kind.timestamp(a), kind.timestamp(b)), kind.name() + " falls");
-        for (V value : List.of(a, ab, kind.merge(ab, c))) {
-            assertEquals(value, kind.read(new FieldReader(encode(kind, value, false))), kind.name());
-            assertEquals(value, kind.read(new FieldReader(encode(kind, value, true))), kind.name());
+        V ab = type.merge(a, b);
+        assertEquals(ab, type.merge(b, a), type.name());
+        assertEquals(type.merge(ab, c), type.merge(a, type.merge(b, c)), type.name());
+        assertEquals(ab, type.merge(ab, a), type.name());
+        assertTrue(type.timestamp(ab) >= Math.max(type.timestamp(a), type.timestamp(b)), type.name() + " goes back");
+        for (V value : List.of(a, ab, type.merge(ab, c))) {
+            assertEquals(value, type.read(new FieldReader(encode(type, value, false))), type.name());
+            assertEquals(value, type.read(new FieldReader(encode(type, value, true))), type.name());
         }
     }
 
-    /** One byte or some changed, cut off, or all of them by chance: another value or IllegalArgumentException. */
+    /** With some bytes changed or cut off, there is another valid value or an IllegalArgumentException. */
     @Property(tries = 2000, seed = "27")
     void corruptedBytesAreRejectedOrDecodeToAValidValue(
-            @ForAll Random random, @ForAll @IntRange(min = 0, max = 4) int kind) {
-        checkCorrupted(TYPES.get(kind), random);
+            @ForAll Random random, @ForAll @IntRange(min = 0, max = 4) int typeIndex) {
+        checkCorrupted(TYPES.get(typeIndex), random);
     }
 
     private static <V> void checkCorrupted(TypeCase<V> each, Random random) {
@@ -123,28 +134,29 @@
         for (int i = random.nextInt(4); i >= 0; i--) {
             bytes[random.nextInt(bytes.length)] = (byte) random.nextInt();
         }
-        byte[] some = random.nextInt(4) > 0 ? bytes : java.util.Arrays.copyOf(bytes, random.nextInt(bytes.length));
+        byte[] corrupted = random.nextInt(4) > 0 ? bytes : Arrays.copyOf(bytes, random.nextInt(bytes.length));
         try {
-            V read = each.type.read(new FieldReader(some));
-            assertEquals(read, each.type.merge(read, read));
+            V decoded = each.type.read(new FieldReader(corrupted));
+            assertEquals(decoded, each.type.merge(decoded, decoded));
             assertEquals(
-                    read,
-                    each.type.read(new FieldReader(encode(each.type, read, false))),
-                    "what was read can be passed on");
+                    decoded,
+                    each.type.read(new FieldReader(encode(each.type, decoded, false))),
+                    "what was decoded can be passed on");
         } catch (IllegalArgumentException e) {
-            assertTrue(true, "refused");
+            assertTrue(true, "rejected");
         }
     }
 
     /**
-     * So is the first figure of each kind when it is none, negative or endless, and other fields beyond their bounds.
+     * The first number of each type is rejected if it is NaN, negative or too large, and so are other fields out of
+     * range.
      */
     @Example
     void rejectsFieldsOutOfRange() {
         for (TypeCase<?> each : TYPES) {
-            for (double senseless : new double[] {Double.NaN, -1, 1e300, Double.POSITIVE_INFINITY}) {
+            for (double outOfRange : new double[] {Double.NaN, -1, 1e300, Double.POSITIVE_INFINITY}) {
                 byte[] fields = new FieldWriter()
-                        .writeDouble(senseless)
+                        .writeDouble(outOfRange)
                         .writeDouble(1)
                         .writeDouble(1)
                         .writeDouble(1)
@@ -157,7 +169,7 @@
                         each.type.name());
             }
         }
-        List<Runnable> senseless = List.of(
+        List<Runnable> invalidValues = List.of(
                 () -> new ObservationSource(1, "n".repeat(49)),
                 () -> new ObservationSource(1, "\ud800"),
                 () -> new ObservationSource(1, "a\u0001"),
@@ -177,7 +189,7 @@
                         List.of()),
                 () -> new WriteOutcome.SentWrite(1, 0, "g", "l".repeat(129)),
                 () -> new ListedEndpoint(-1, ListedEndpoint.EndpointState.READY, 0, false, "", 0, "", 0, 0));
-        senseless.forEach(each -> assertThrows(IllegalArgumentException.class, each::run));
+        invalidValues.forEach(each -> assertThrows(IllegalArgumentException.class, each::run));
         var none = NodeObservation.empty(0);
         assertEquals(
                 List.of(none, none, none),
@@ -185,34 +197,37 @@
                         none.withPosition(Double.NaN, 0, new ObservationSource(0, "a")),
                         none.withLatencyRatio(-1, new ObservationSource(0, "a")),
                         none.withLoad(1e9, new ObservationSource(0, "a"))),
-                "what a node garbles costs itself");
+                "invalid reports of a node are left out");
     }
 
-    /** Whatever the names are, keys fit, values fit the store with their longest keys, and names are cut alike. */
+    /**
+     * For names of any kind, keys fit, values fit the store together with their longest keys, and truncation is
+     * idempotent.
+     */
     @Example
     void longestKeysAndValuesFitTheStore() {
         var sizes = new ArrayList<Integer>();
         for (String letter : List.of("n", "\u00e9", "\u20ac", "\ud83d\ude00", "\u0007", "\ud800")) {
             String name = letter.repeat(200);
-            var evidence = NodeObservation.empty(0);
+            var observation = NodeObservation.empty(0);
             for (int i = 0; i < 12; i++) {
-                ObservationSource sight = ObservationSource.of(1.7e9 + i / 7.0, i + name);
-                evidence = switch (i) {
-                    case 0 -> evidence.withPosition(1.7e9 + 0.1, 0.3, sight);
-                    case 1 -> evidence.withRole(true, sight);
-                    case 2 -> evidence.withRole(false, sight);
-                    case 3 -> evidence.withResponse(sight);
-                    case 4 -> evidence.withLatencyRatio(0.3, sight);
-                    case 5 -> evidence.withLoad(0.3, sight);
-                    default -> evidence.withFailures(999, sight);
+                ObservationSource source = ObservationSource.of(1.7e9 + i / 7.0, i + name);
+                observation = switch (i) {
+                    case 0 -> observation.withPosition(1.7e9 + 0.1, 0.3, source);
+                    case 1 -> observation.withRole(true, source);
+                    case 2 -> observation.withRole(false, source);
+                    case 3 -> observation.withResponse(source);
+                    case 4 -> observation.withLatencyRatio(0.3, source);
+                    case 5 -> observation.withLoad(0.3, source);
+                    default -> observation.withFailures(999, source);
                 };
             }
-            sizes.add(encode(NodeObservation.TYPE, evidence, false).length + ReplicatedKeys.MAX_KEY_TEXT_BYTES);
+            sizes.add(encode(NodeObservation.TYPE, observation, false).length + ReplicatedKeys.MAX_KEY_TEXT_BYTES);
             var sent = WriteOutcome.SentWrite.of(1.7e9 + 0.1, 1 << 19, name, name);
-            var fate = WriteOutcome.TYPE.merge(
+            var outcome = WriteOutcome.TYPE.merge(
                     WriteOutcome.ran(sent, WriteOutcome.OutcomeWitness.of(1.7e9 + 0.1, name, name)),
                     WriteOutcome.notRun(sent, WriteOutcome.OutcomeWitness.of(1.7e9 + 0.3, name, name)));
-            sizes.add(encode(WriteOutcome.TYPE, fate, false).length + ReplicatedKeys.MAX_KEY_TEXT_BYTES);
+            sizes.add(encode(WriteOutcome.TYPE, outcome, false).length + ReplicatedKeys.MAX_KEY_TEXT_BYTES);
             sizes.add(encode(
                                     ListedEndpoint.TYPE,
                                     new ListedEndpoint(
@@ -228,8 +243,8 @@
                                     false)
                             .length
                     + ReplicatedStore.MAX_KEY_BYTES);
-            String use = QuotaUsage.key(QuotaUsage.slowStart(name, 1.7e9), new Member(name, Long.MAX_VALUE));
-            List.of(ListedEndpoint.key(name, name), NodeObservation.key(name), SessionWrite.key(name), use)
+            String usageKey = QuotaUsage.key(QuotaUsage.slowStart(name, 1.7e9), new Member(name, Long.MAX_VALUE));
+            List.of(ListedEndpoint.key(name, name), NodeObservation.key(name), SessionWrite.key(name), usageKey)
                     .forEach(key -> assertTrue(
                             FieldValidation.utf8Length(key.replace('\u001f', '/')) <= ReplicatedStore.MAX_KEY_BYTES,
                             key));
--- a/fleet/src/test/java/clayhook/fleet/types/SessionConsistencyTest.java
+++ b/fleet/src/test/java/clayhook/fleet/types/SessionConsistencyTest.java
@@ -15,6 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
+/** Which position a session's read must cover, and the snapshots from which request threads read it. */
 class SessionConsistencyTest {
     private final SharedMemoryStore store = new SharedMemoryStore();
     private final SessionConsistency consistency = new SessionConsistency(store, 2);
@@ -23,16 +24,16 @@
     void readRequiresTheKnownWriteOrTheRoamWindow() {
         assertEquals(998, consistency.requiredPosition("s", 1000), "nothing was published yet");
         store.merge(SessionWrite.TYPE, "s", new SessionWrite(990, 1), 1000);
-        store.certainUpTo = 998;
+        store.completeUpTo = 998;
         consistency.publish(1000);
-        assertEquals(990, consistency.requiredPosition("s", 1000), "certain up to where it is asked");
-        assertEquals(999, consistency.requiredPosition("s", 1001), "not certain any more");
+        assertEquals(990, consistency.requiredPosition("s", 1000), "complete up to the roam window");
+        assertEquals(999, consistency.requiredPosition("s", 1001), "no longer complete");
         assertEquals(
                 1000 - SessionWrite.RETENTION_SECONDS,
                 consistency.requiredPosition("t", 1000),
-                "older marks were not kept");
+                "older writes are not retained");
         assertEquals(Double.NEGATIVE_INFINITY, consistency.requiredPosition(null, 1001), "no session");
-        store.floor = 995;
+        store.evictionFloor = 995;
         assertEquals(990, consistency.requiredPosition("s", 1000), "as published");
         consistency.publish(1000.1);
         assertEquals(995, consistency.requiredPosition("s", 1000));
@@ -42,33 +43,34 @@
         assertEquals(999, consistency.requiredPosition("s", 1000), "as published");
     }
 
-    /** Under random raises, forgetting and publishing. */
+    /** Under random raises, removals and snapshots. */
     @Property(tries = 30, seed = "27")
     void snapshotMatchesAPlainMap(@ForAll Random random) {
         var plain = new HashMap<String, Double>();
         SessionWriteSnapshot snapshot = SessionWriteSnapshot.EMPTY;
         double floor = 0;
         for (int round = 0; round < 10; round++) {
-            var draft = new SessionWriteSnapshot.Builder(snapshot);
+            var builder = new SessionWriteSnapshot.Builder(snapshot);
             SessionWriteSnapshot before = snapshot;
-            var then = new HashMap<>(plain);
+            var plainBefore = new HashMap<>(plain);
             for (int i = random.nextInt(3000); i > 0; i--) {
                 if (random.nextInt(1000) == 0) {
-                    double from = floor = 10 * round;
+                    floor = 10 * round;
+                    double from = floor;
                     for (int shard = 0; shard < SessionWriteSnapshot.SHARD_COUNT; shard++) {
-                        draft.removeBefore(shard, from);
+                        builder.removeBefore(shard, from);
                     }
                     plain.values().removeIf(position -> position < from);
                 }
                 String session = "s" + random.nextInt(5000);
                 double position = random.nextInt(100) + 9 * round;
-                draft.raise(session, position);
+                builder.raise(session, position);
                 plain.merge(session, position, Math::max);
             }
-            snapshot = draft.build(floor, 0);
+            snapshot = builder.build(floor, 0);
             SessionWriteSnapshot after = snapshot;
             plain.forEach((session, position) -> assertEquals(position, after.position(session), session));
-            then.forEach((session, position) -> assertEquals(position, before.position(session), "changed"));
+            plainBefore.forEach((session, position) -> assertEquals(position, before.position(session), "changed"));
             for (int i = 0; i < 5000; i++) {
                 assertEquals(plain.containsKey("s" + i), after.position("s" + i) > Double.NEGATIVE_INFINITY);
             }
@@ -77,42 +79,44 @@
 
     @Example
     void fullShardEvictsTheOldestAndRaisesTheFloor() {
-        var meeting = IntStream.iterate(0, i -> i + 1)
+        var sessionsOfOneShard = IntStream.iterate(0, i -> i + 1)
                 .mapToObj(i -> "s" + i)
                 .filter(name -> SessionWriteSnapshot.shardOf(name) == 7)
                 .limit(SessionWriteSnapshot.MAX_ENTRIES_PER_SHARD + 10)
                 .toList();
-        meeting.forEach(
-                name -> store.merge(SessionWrite.TYPE, name, new SessionWrite(2000 + meeting.indexOf(name), 0), 2000));
+        sessionsOfOneShard.forEach(name -> store.merge(
+                SessionWrite.TYPE, name, new SessionWrite(2000 + sessionsOfOneShard.indexOf(name), 0), 2000));
         consistency.publish(2000);
         assertEquals(2009, consistency.snapshot().evictionFloor());
-        assertEquals(2009, consistency.requiredPosition(meeting.get(9), 2000));
+        assertEquals(2009, consistency.requiredPosition(sessionsOfOneShard.get(9), 2000));
         store.merge(SessionWrite.TYPE, "new", new SessionWrite(2000.5, 0), 2000);
         for (int i = 0; i < SessionWriteSnapshot.SHARD_COUNT; i++) {
             consistency.publish(2000 + 2 * SessionWrite.RETENTION_SECONDS + 500);
         }
-        assertEquals(Double.NEGATIVE_INFINITY, consistency.snapshot().position("new"), "its time is over");
-        assertTrue(consistency.snapshot().evictionFloor() > 2001, "and the floor is above it");
+        assertEquals(Double.NEGATIVE_INFINITY, consistency.snapshot().position("new"), "expired");
+        assertTrue(consistency.snapshot().evictionFloor() > 2001, "the floor is above what has expired");
     }
 
-    /** One thread feeds and publishes while others ask: for none of them a session's mark goes back. */
+    /** One thread writes and publishes while others read. */
     @Test
     @Timeout(30)
     void requiredPositionNeverDecreasesForAReader() throws InterruptedException {
-        int sessions = 200, rounds = 3000, readers = 3;
-        store.certainUpTo = Double.POSITIVE_INFINITY;
-        consistency.publish(1000); // what was not certain before stood higher, and no mark of a session
-        var wrong = new AtomicReference<String>();
+        int sessions = 200;
+        int rounds = 3000;
+        int readers = 3;
+        store.completeUpTo = Double.POSITIVE_INFINITY;
+        consistency.publish(1000); // while incomplete, the roam window required a higher position
+        var violation = new AtomicReference<String>();
         var started = new CountDownLatch(readers);
         Runnable reading = () -> {
             var last = new double[sessions];
-            for (boolean first = true; last[0] < 1000 + rounds && wrong.get() == null; ) {
+            for (boolean first = true; last[0] < 1000 + rounds && violation.get() == null; ) {
                 for (int i = sessions - 1; i >= 0; i--) {
-                    double need = consistency.requiredPosition("s" + i, 1000);
-                    if (need < last[i]) {
-                        wrong.set("s" + i + " went from " + last[i] + " to " + need);
+                    double required = consistency.requiredPosition("s" + i, 1000);
+                    if (required < last[i]) {
+                        violation.set("s" + i + " went from " + last[i] + " to " + required);
                     }
-                    last[i] = need;
+                    last[i] = required;
                 }
                 if (first) {
                     started.countDown();
@@ -139,6 +143,6 @@
         for (Thread thread : threads) {
             thread.join();
         }
-        assertNull(wrong.get());
+        assertNull(violation.get());
     }
 }
--- a/fleet/src/test/java/clayhook/fleet/types/SharedMemoryStore.java
+++ b/fleet/src/test/java/clayhook/fleet/types/SharedMemoryStore.java
@@ -9,62 +9,63 @@
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 
-/** One copy that all routers of a test share at once. */
+/** A store that all routers of a test share, so that each sees the writes of the others at once. */
 final class SharedMemoryStore implements ReplicatedStore {
-    double floor = Double.NEGATIVE_INFINITY;
-    double certainUpTo = Double.POSITIVE_INFINITY;
+    double evictionFloor = Double.NEGATIVE_INFINITY;
+    double completeUpTo = Double.POSITIVE_INFINITY;
     private final Map<ReplicatedType<?>, Map<String, Object>> values = new HashMap<>();
     private final Map<ReplicatedType<?>, List<ChangeListener<?>>> listeners = new HashMap<>();
 
-    private Map<String, Object> valuesOf(ReplicatedType<?> kind) {
-        return values.computeIfAbsent(kind, any -> new TreeMap<>());
+    private Map<String, Object> valuesOf(ReplicatedType<?> type) {
+        return values.computeIfAbsent(type, any -> new TreeMap<>());
     }
 
     @Override
     @SuppressWarnings("unchecked")
-    public <V> V merge(ReplicatedType<V> kind, String key, V value, double now) {
-        V known = get(kind, key);
-        V joined = known == null ? value : kind.merge(known, value);
-        if (!joined.equals(valuesOf(kind).put(key, joined))) {
-            listeners.getOrDefault(kind, List.of()).forEach(to -> ((ChangeListener<V>) to).onChange(key, joined, now));
+    public <V> V merge(ReplicatedType<V> type, String key, V value, double now) {
+        V known = get(type, key);
+        V merged = known == null ? value : type.merge(known, value);
+        if (!merged.equals(valuesOf(type).put(key, merged))) {
+            listeners.getOrDefault(type, List.of()).forEach(listener -> ((ChangeListener<V>) listener)
+                    .onChange(key, merged, now));
         }
-        return joined;
+        return merged;
     }
 
     @Override
     @SuppressWarnings("unchecked")
-    public <V> V get(ReplicatedType<V> kind, String key) {
-        return (V) valuesOf(kind).get(key);
+    public <V> V get(ReplicatedType<V> type, String key) {
+        return (V) valuesOf(type).get(key);
     }
 
     @Override
     @SuppressWarnings("unchecked")
-    public <V> void forEach(ReplicatedType<V> kind, BiConsumer<String, V> to) {
-        valuesOf(kind).forEach((key, value) -> to.accept(key, (V) value));
+    public <V> void forEach(ReplicatedType<V> type, BiConsumer<String, V> consumer) {
+        valuesOf(type).forEach((key, value) -> consumer.accept(key, (V) value));
     }
 
     @Override
-    public <V> void addListener(ReplicatedType<V> kind, ChangeListener<V> listener) {
-        listeners.computeIfAbsent(kind, any -> new ArrayList<>()).add(listener);
+    public <V> void addListener(ReplicatedType<V> type, ChangeListener<V> listener) {
+        listeners.computeIfAbsent(type, any -> new ArrayList<>()).add(listener);
     }
 
     @Override
-    public int size(ReplicatedType<?> kind) {
-        return valuesOf(kind).size();
+    public int size(ReplicatedType<?> type) {
+        return valuesOf(type).size();
     }
 
     @Override
-    public double evictionFloor(ReplicatedType<?> kind) {
-        return floor;
+    public double evictionFloor(ReplicatedType<?> type) {
+        return evictionFloor;
     }
 
     @Override
     public double completeUpTo(double now) {
-        return certainUpTo;
+        return completeUpTo;
     }
 
     @Override
-    public long digest(ReplicatedType<?> kind, double now) {
-        return valuesOf(kind).hashCode();
+    public long digest(ReplicatedType<?> type, double now) {
+        return valuesOf(type).hashCode();
     }
 }
