--- a/daemon/src/test/java/clayhook/peers/RecordedDatagramsTest.java
+++ b/daemon/src/test/java/clayhook/peers/RecordedDatagramsTest.java
@@ -102,12 +102,7 @@
             self = new Peer(new Member(name, (long) (START * 1000) + port), new Address("10.0.0.1", port));
             var random = new SplittableRandom(seed);
             members = new Membership(
-                    MembershipSettings.DEFAULT,
-                    self,
-                    seeds,
-                    random.nextLong(),
-                    START,
-                    new MembershipListener() {});
+                    MembershipSettings.DEFAULT, self, seeds, random.nextLong(), START, new MembershipListener() {});
             var kinds = new StateBridge.EnabledTypes(true, true, true, FATES, true);
             state = new ReplicatedState(
                     members, kinds.types(), StateSettings.DEFAULT.withBootstrapTimeout(0.2), random.nextLong(), START);
--- a/lab/src/main/java/clayhook/lab/sharing/ModelPeer.java
+++ b/lab/src/main/java/clayhook/lab/sharing/ModelPeer.java
@@ -67,12 +67,7 @@
     public RouterIncarnation begin(Peer self, List<Address> seeds, long seed, double now) {
         var chance = new SplittableRandom(seed);
         var members = new Membership(
-                MembershipSettings.DEFAULT,
-                self,
-                seeds,
-                chance.nextLong(),
-                now,
-                new MembershipListener() {});
+                MembershipSettings.DEFAULT, self, seeds, chance.nextLong(), now, new MembershipListener() {});
         var kinds = new StateBridge.EnabledTypes(true, true, marks, WriteOutcome.TYPE, true);
         var state = new ReplicatedState(members, kinds.types(), StateSettings.DEFAULT, chance.nextLong(), now);
         exchange = new StateBridge(
--- a/lab/src/main/java/clayhook/lab/sharing/RouterIncarnation.java
+++ b/lab/src/main/java/clayhook/lab/sharing/RouterIncarnation.java
@@ -29,8 +29,8 @@
     /** The roster and the copy as routers run them, with nothing beside. */
     public static Factory sharing(List<ReplicatedType<?>> kinds) {
         return (self, seeds, seed, now) -> {
-            var members = new Membership(
-                    MembershipSettings.DEFAULT, self, seeds, seed, now, new MembershipListener() {});
+            var members =
+                    new Membership(MembershipSettings.DEFAULT, self, seeds, seed, now, new MembershipListener() {});
             var state = new ReplicatedState(members, kinds, StateSettings.DEFAULT, seed + 1, now);
             return new RouterIncarnation(members, state, List.of(members, state));
         };
