--- a/fleet/src/main/java/clayhook/fleet/members/package-info.java
+++ b/fleet/src/main/java/clayhook/fleet/members/package-info.java
@@ -4,7 +4,7 @@
  *
  * <p>The package is pure: it does no I/O, starts no threads and reads no clock. It may use {@code clayhook.fleet} and
  * nothing else of the project. Start with {@link clayhook.fleet.members.Membership}, which receives messages and ticks;
- * then {@link clayhook.fleet.members.MemberClaim}, what members say about each other, and {@code ClaimProcessor}, which
- * turns claims into changes of the membership table.
+ * then {@code MemberClaim}, what members say about each other, and {@code ClaimProcessor}, which turns claims into
+ * changes of the membership table.
  */
 package clayhook.fleet.members;
