--- a/fleet/src/main/java/clayhook/fleet/state/HashTree.java
+++ b/fleet/src/main/java/clayhook/fleet/state/HashTree.java
@@ -1,35 +1,37 @@
 package clayhook.fleet.state;
 
 /**
- * Sums of the marks of entries by the front bits of their keys' hashes: a root, 16, 256 and 4,096 ranges. A sum knows
- * no order, so that equal sets have equal sums whatever way they came about. 52 KB.
+ * Sums of the hashes of entries by the leading bits of the hashes of their keys: a root and levels of 16, 256 and 4,096
+ * nodes. A sum does not depend on the order of additions, so equal sets of entries have equal trees. Takes 52 KB. Not
+ * thread-safe.
  */
 final class HashTree {
-    /** Ranges that each is made of. */
-    static final int FANOUT = 16;
-    /** The level of the smallest ranges. */
+    static final int ROOT_LEVEL = 0;
+    /** The level of the nodes that have no children. */
     static final int LEAF_LEVEL = 3;
-    /** Where each level begins. */
-    private static final int[] LEVEL_OFFSETS = {0, 1, 17, 273};
+    /** Children of a node. */
+    static final int FANOUT = 16;
 
     private static final int BITS_PER_LEVEL = 4;
+    /** The index of the first node of each level, and the number of all nodes. */
+    private static final int[] LEVEL_OFFSETS = {0, 1, 17, 273, 4369};
 
-    private final long[] hashSums = new long[4369];
+    private final long[] hashSums = new long[LEVEL_OFFSETS[LEAF_LEVEL + 1]];
     private final int[] entryCounts = new int[hashSums.length];
 
-    void add(long hash, long mark) {
-        update(hash, mark, 1);
+    void add(long keyHash, long entryHash) {
+        update(keyHash, entryHash, 1);
     }
 
-    void remove(long hash, long mark) {
-        update(hash, -mark, -1);
+    void remove(long keyHash, long entryHash) {
+        update(keyHash, -entryHash, -1);
     }
 
-    private void update(long hash, long mark, int count) {
-        for (int level = 0; level <= LEAF_LEVEL; level++) {
-            int i = LEVEL_OFFSETS[level] + (level == 0 ? 0 : (int) (hash >>> prefixShift(level)));
-            hashSums[i] += mark;
-            entryCounts[i] += count;
+    private void update(long keyHash, long hashChange, int countChange) {
+        for (int level = ROOT_LEVEL; level <= LEAF_LEVEL; level++) {
+            int index = level == ROOT_LEVEL ? 0 : (int) (keyHash >>> prefixShift(level));
+            hashSums[LEVEL_OFFSETS[level] + index] += hashChange;
+            entryCounts[LEVEL_OFFSETS[level] + index] += countChange;
         }
     }
 
@@ -37,24 +39,32 @@
         return Long.SIZE - BITS_PER_LEVEL * level;
     }
 
-    /** First hash of a range. */
+    /** The lowest key hash of a node's range, as an unsigned number. */
     static long firstHash(int level, int index) {
-        return level == 0 ? 0 : (long) index << prefixShift(level);
+        return level == ROOT_LEVEL ? 0 : (long) index << prefixShift(level);
     }
 
-    /** Last hash of a range. */
+    /** The highest key hash of a node's range, as an unsigned number. */
     static long lastHash(int level, int index) {
-        return level == 0 ? -1 : firstHash(level, index) + (1L << prefixShift(level)) - 1;
+        return level == ROOT_LEVEL ? -1 : firstHash(level, index) + (1L << prefixShift(level)) - 1;
     }
 
+    /** The number of nodes of a level. */
     static int nodeCount(int level) {
-        return 1 << BITS_PER_LEVEL * level;
+        return 1 << (BITS_PER_LEVEL * level);
+    }
+
+    /** The sum of the hashes of all entries. */
+    long rootSum() {
+        return hashSum(ROOT_LEVEL, 0);
     }
 
+    /** The sum of the hashes of the entries in a node's range. */
     long hashSum(int level, int index) {
         return hashSums[LEVEL_OFFSETS[level] + index];
     }
 
+    /** The number of entries in a node's range. */
     int entryCount(int level, int index) {
         return entryCounts[LEVEL_OFFSETS[level] + index];
     }
--- a/fleet/src/main/java/clayhook/fleet/state/StateCounters.java
+++ b/fleet/src/main/java/clayhook/fleet/state/StateCounters.java
@@ -3,37 +3,36 @@
 import java.util.EnumMap;
 import java.util.Map;
 
-/** What a copy has done since its start; read for the log, by the thread that takes the turns. */
+/** What a replica has done since its start. Not thread-safe: written and read by the thread that ticks the replica. */
 public final class StateCounters {
-    /** Entries told as news, once for each member told. */
+    /** Entries broadcast, once for each member that they were sent to. */
     public long deltasSent;
-    /** Entries that came as news and changed this copy. */
+    /** Entries that arrived by broadcast and changed this replica. */
     public long deltasApplied;
-    /** Entries that came as news and were here already. */
+    /** Entries that arrived by broadcast and did not change this replica. */
     public long duplicateDeltas;
-    /** Entries that were missing or older here, as a comparison showed. */
+    /** Entries that arrived by anti-entropy and changed this replica. */
     public long antiEntropyRepairs;
-    /** Changed entries that were no more told as news for want of time or room. */
+    /** Changed entries whose broadcast was cut short for want of time or room; they are left to anti-entropy. */
     public long deltasAbandoned;
-    /** Values not taken, by why. */
+    /** Rejected values by reason. */
     public final Map<ApplyResult, Long> rejections = new EnumMap<>(ApplyResult.class);
-    /** Values of kinds that this release does not know. */
+    /** Values of types that this release does not know. */
     public long unknownTypes;
-    /** Comparisons begun, carried through, and given up because the other fell silent or this router stood. */
+    /** Anti-entropy sessions started. */
     public long sessionsStarted;
-
+    /** Anti-entropy sessions that were carried through. */
     public long sessionsCompleted;
+    /** Anti-entropy sessions abandoned because the peer timed out or this router stalled. */
     public long sessionsAborted;
-    /** Questions asked again. */
+    /** Anti-entropy requests repeated. */
     public long requestsRetried;
-    /** Questions of others that found the queue full. */
+    /** Anti-entropy requests of other members dropped because too many were queued. */
     public long requestsDropped;
-    /**
-     * Bytes of news, of all that comparisons made this router send, and of pieces of numbers; without the packets'
-     * frames.
-     */
+    /** Bytes of broadcasts sent, without packet headers. */
     public long deltaBytes;
-
+    /** Bytes of anti-entropy requests, responses and pushed entries sent, without packet headers. */
     public long antiEntropyBytes;
+    /** Bytes of gossiped version vectors sent, without packet headers. */
     public long versionGossipBytes;
 }
