--- a/fleet/src/test/java/clayhook/fleet/state/FaultScenario.java
+++ b/fleet/src/test/java/clayhook/fleet/state/FaultScenario.java
@@ -1,15 +1,16 @@
 package clayhook.fleet.state;
 
 import clayhook.fleet.Member;
+import clayhook.fleet.state.StateTestNetwork.SimulatedMember;
 import clayhook.fleet.state.TimestampedNumberType.TimestampedNumber;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 
-/** What befalls a few routers, with a plain record of all that was put in, and what must hold of their copies. */
+/** Writes and faults on a few routers, a record of all that was written, and checks of what the replicas must hold. */
 final class FaultScenario {
-    /** One thing that happens; what the numbers mean goes by {@code what}. */
+    /** One write or fault; {@code actionIndex} tells which, and what the other numbers mean. */
     record Action(int actionIndex, int memberIndex, int key, int value) {
         static final int ACTION_COUNT = 13;
     }
@@ -18,114 +19,128 @@
 
     private record RecordedWrite(TypedKey key, TimestampedNumber value, Member writer, double writtenAt) {}
 
-    /** Beside the margin: the clocks' bound and a step, since copies leave out the same a moment apart. */
+    /** The clock skew and a step of the cut-off: replicas leave out the same entries at slightly different times. */
     private static final double TIMING_SLACK_SECONDS = 2;
 
+    private static final double CLOCK_PRECISION_SECONDS = 0.002;
+
     final StateTestNetwork network;
     private final List<TimestampedNumberType> types;
     private final List<RecordedWrite> writes = new ArrayList<>();
-    /** Joins of all that was put in, and of what some router surely has. */
+    /** The merge of all writes. */
     private final Map<TypedKey, TimestampedNumber> allWrites = new HashMap<>();
-
+    /** The merge of all writes that some running router holds. */
     private final Map<TypedKey, TimestampedNumber> guaranteedWrites = new HashMap<>();
 
-    FaultScenario(long seed, int size, List<TimestampedNumberType> kinds) {
-        network = new StateTestNetwork(seed, size, List.copyOf(kinds), StateSettings.DEFAULT).startAll();
-        this.types = kinds;
+    FaultScenario(long seed, int size, List<TimestampedNumberType> types) {
+        network = new StateTestNetwork(seed, size, List.copyOf(types), StateSettings.DEFAULT).startAll();
+        this.types = types;
     }
 
-    void perform(Action act) {
-        StateTestNetwork.SimulatedMember node = network.nodes.get(act.memberIndex % network.nodes.size());
-        switch (act.actionIndex) {
-            case 0, 1, 2, 3, 4, 5, 6 -> put(node, act);
-            case 7 -> node.partition ^= 1;
-            case 8 -> network.nodes.forEach(each -> each.partition = 0);
-            case 9 -> node.frozen = true;
-            case 10 -> node.thaw();
-            case 11 -> restart(node);
-            default -> setLinkFaults(act.value % 4 * 0.1, act.key % 3 * 0.1, act.value % 5 * 0.01);
+    void perform(Action action) {
+        SimulatedMember member = network.members.get(action.memberIndex % network.members.size());
+        switch (action.actionIndex) {
+            case 0, 1, 2, 3, 4, 5, 6 -> write(member, action);
+            case 7 -> member.partition ^= 1;
+            case 8 -> network.members.forEach(each -> each.partition = 0);
+            case 9 -> member.frozen = true;
+            case 10 -> member.thaw();
+            case 11 -> restart(member);
+            default -> setLinkFaults(action.value % 4 * 0.1, action.key % 3 * 0.1, action.value % 5 * 0.01);
         }
-        network.run(act.value % 7 * 0.1);
-        network.nodes.stream().filter(each -> !each.frozen).forEach(this::checkCertainty);
+        network.run(action.value % 7 * 0.1);
+        network.members.stream().filter(each -> !each.frozen).forEach(this::checkCertainty);
     }
 
-    private void setLinkFaults(double loss, double doubled, double jitter) {
-        network.lossProbability = loss;
-        network.duplicationProbability = doubled;
+    private void setLinkFaults(double lossProbability, double duplicationProbability, double jitter) {
+        network.lossProbability = lossProbability;
+        network.duplicationProbability = duplicationProbability;
         network.jitter = jitter;
     }
 
-    private void put(StateTestNetwork.SimulatedMember node, Action act) {
-        if (node.frozen) {
+    private void write(SimulatedMember member, Action action) {
+        if (member.frozen) {
             return;
         }
-        var key = new TypedKey(types.get(act.value % types.size()), "key " + act.key % 15);
-        double age = act.value % 11 == 0 ? 30 : act.value % 13 == 0 ? -30 : act.value % 10 * 0.3;
-        var value = new TimestampedNumber(1L << act.value % 60, node.clock() - age);
-        TimestampedNumber joined = node.state.merge(key.type, key.key, value, node.clock());
-        if (joined != null) {
-            writes.add(new RecordedWrite(key, value, node.self.member(), network.now));
+        var key = new TypedKey(types.get(action.value % types.size()), "key " + action.key % 15);
+        var value = new TimestampedNumber(1L << action.value % 60, member.clock() - age(action));
+        TimestampedNumber merged = member.state.merge(key.type, key.key, value, member.clock());
+        if (merged != null) {
+            writes.add(new RecordedWrite(key, value, member.self.member(), network.now));
             allWrites.merge(key, value, key.type::merge);
             guaranteedWrites.merge(key, value, key.type::merge);
         }
     }
 
-    /** What only that router had is gone, which no copy can help. */
-    private void restart(StateTestNetwork.SimulatedMember node) {
+    /** Now and then an expired value, or one from the future. */
+    private static double age(Action action) {
+        if (action.value % 11 == 0) {
+            return 30;
+        }
+        return action.value % 13 == 0 ? -30 : action.value % 10 * 0.3;
+    }
+
+    /** What only this router held is lost, which no replication can prevent. */
+    private void restart(SimulatedMember member) {
         guaranteedWrites.clear();
-        network.nodes.stream()
-                .filter(other -> other != node)
-                .forEach(other -> types.forEach(kind -> other.state.forEach(
-                        kind, (key, value) -> guaranteedWrites.merge(new TypedKey(kind, key), value, kind::merge))));
-        node.start();
+        network.members.stream()
+                .filter(other -> other != member)
+                .forEach(other -> types.forEach(type -> other.state.forEach(
+                        type, (key, value) -> guaranteedWrites.merge(new TypedKey(type, key), value, type::merge))));
+        member.start();
     }
 
-    /** What a copy calls certain is there. */
-    private void checkCertainty(StateTestNetwork.SimulatedMember node) {
-        double upTo = node.state.completeUpTo(node.clock()) + node.clockLag;
-        for (RecordedWrite put : writes) {
-            if (put.writtenAt < upTo - 0.002 && !put.writer.equals(node.self.member()) && node.isLive(put.writer)) {
-                expect(node, put.key, put.value, "certain up to " + (network.now - upTo) + " s ago");
+    /** Checks that a replica holds all that was written before the time up to which it calls itself complete. */
+    private void checkCertainty(SimulatedMember member) {
+        double upTo = member.state.completeUpTo(member.clock()) + member.clockLag;
+        for (RecordedWrite write : writes) {
+            boolean covered = write.writtenAt < upTo - CLOCK_PRECISION_SECONDS;
+            boolean byOther = !write.writer.equals(member.self.member());
+            if (covered && byOther && member.isLive(write.writer)) {
+                expect(member, write.key, write.value, "complete up to " + (network.now - upTo) + " s ago");
             }
         }
     }
 
-    private void expect(StateTestNetwork.SimulatedMember node, TypedKey key, TimestampedNumber value, String why) {
-        double ends = value.at()
+    private void expect(SimulatedMember member, TypedKey key, TimestampedNumber value, String reason) {
+        double excludedAt = value.at()
                 + key.type.retentionSeconds()
                 - StateSettings.DEFAULT.digestExclusionMargin()
                 - TIMING_SLACK_SECONDS;
-        if (ends > network.now && value.at() > node.state.evictionFloor(key.type)) {
-            TimestampedNumber here = node.state.get(key.type, key.key);
-            if (here == null || !key.type.merge(here, value).equals(here)) {
+        if (excludedAt > network.now && value.at() > member.state.evictionFloor(key.type)) {
+            TimestampedNumber held = member.state.get(key.type, key.key);
+            if (held == null || !key.type.merge(held, value).equals(held)) {
                 throw new AssertionError(
-                        node.address + " lacks " + value + " of " + key + ", has " + here + ", " + why);
+                        member.address + " lacks " + value + " of " + key + ", has " + held + ", " + reason);
             }
         }
     }
 
-    /** Everything heals; then all copies come to the same, which is the join of all that was put in. */
+    /** Ends all faults, and checks that all replicas converge to the merge of all writes. */
     void healAndCheck() {
         setLinkFaults(0.05, 0.05, 0.01);
-        network.nodes.forEach(node -> node.partition = 0);
-        network.nodes.forEach(StateTestNetwork.SimulatedMember::thaw);
+        network.members.forEach(member -> member.partition = 0);
+        network.members.forEach(SimulatedMember::thaw);
         if (network.runUntil(30, network::replicasAreEqual) > 30) {
-            throw new AssertionError("copies differ after 30 s");
+            throw new AssertionError("replicas differ after 30 s");
         }
-        for (StateTestNetwork.SimulatedMember node : network.nodes) {
-            guaranteedWrites.forEach((key, value) -> expect(node, key, value, "at the end"));
-            types.forEach(kind -> node.state.forEach(kind, (key, value) -> {
-                TimestampedNumber all = allWrites.get(new TypedKey(kind, key));
-                if (all == null || !kind.merge(value, all).equals(all)) {
-                    throw new AssertionError(node.address + " has " + value + " under " + key + ", put in was " + all);
-                }
-            }));
+        network.members.forEach(this::checkHeldValues);
+        double seconds = network.runUntil(20, () -> network.members.stream()
+                .allMatch(member -> member.state.completeUpTo(member.clock()) > network.now - 4));
+        if (seconds > 20) {
+            throw new AssertionError("replicas are not complete after 20 s");
         }
-        double sure = network.runUntil(20, () -> network.nodes.stream()
-                .allMatch(node -> node.state.completeUpTo(node.clock()) > network.now - 4));
-        if (sure > 20) {
-            throw new AssertionError("not certain after 20 s");
-        }
-        network.nodes.forEach(this::checkCertainty);
+        network.members.forEach(this::checkCertainty);
+    }
+
+    /** Checks that a replica holds all guaranteed writes, and nothing that was not written. */
+    private void checkHeldValues(SimulatedMember member) {
+        guaranteedWrites.forEach((key, value) -> expect(member, key, value, "at the end"));
+        types.forEach(type -> member.state.forEach(type, (key, value) -> {
+            TimestampedNumber written = allWrites.get(new TypedKey(type, key));
+            if (written == null || !type.merge(value, written).equals(written)) {
+                throw new AssertionError(member.address + " has " + value + " under " + key + ", written: " + written);
+            }
+        }));
     }
 }
--- a/fleet/src/test/java/clayhook/fleet/state/ReplicatedStateTest.java
+++ b/fleet/src/test/java/clayhook/fleet/state/ReplicatedStateTest.java
@@ -7,6 +7,7 @@
 
 import clayhook.fleet.ReplicatedType;
 import clayhook.fleet.state.FaultScenario.Action;
+import clayhook.fleet.state.StateTestNetwork.SimulatedMember;
 import clayhook.fleet.state.TimestampedNumberType.TimestampedNumber;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -38,55 +39,55 @@
             new TimestampedNumberType(3, FOREVER, 8, false, TimestampedNumberType.LATEST);
 
     @Provide
-    Arbitrary<List<Action>> acts() {
-        Arbitrary<Integer> small =
+    Arbitrary<List<Action>> actions() {
+        Arbitrary<Integer> number =
                 Arbitraries.integers().between(0, 1000).withDistribution(RandomDistribution.uniform());
-        return Combinators.combine(Arbitraries.integers().between(0, Action.ACTION_COUNT - 1), small, small, small)
+        return Combinators.combine(Arbitraries.integers().between(0, Action.ACTION_COUNT - 1), number, number, number)
                 .as(Action::new)
                 .list()
                 .ofMinSize(10)
                 .ofMaxSize(80);
     }
 
-    /** Puts, loss, doubling, reordering, cuts, restarts, frozen routers, in any order. */
+    /** Writes, lost, duplicated and reordered packets, partitions, restarts and frozen routers, in any order. */
     @Property(tries = 60, seed = "27")
     void replicasConvergeToTheMergeOfAllWritesAndAreCertainOnlyOfWhatTheyHold(
-            @ForAll("acts") List<Action> acts, @ForAll @IntRange(min = 5, max = 20) int size, @ForAll long seed) {
-        var story = new FaultScenario(seed, size, List.of(REGISTERS, SETS, BOUNDED_REGISTERS));
-        acts.forEach(story::perform);
-        story.healAndCheck();
+            @ForAll("actions") List<Action> actions, @ForAll @IntRange(min = 5, max = 20) int size, @ForAll long seed) {
+        var scenario = new FaultScenario(seed, size, List.of(REGISTERS, SETS, BOUNDED_REGISTERS));
+        actions.forEach(scenario::perform);
+        scenario.healAndCheck();
     }
 
-    /** The seeded defect: the same stories hold with the right join and not with one that goes by who is heard last. */
+    /** The same scenarios pass with a correct merge and fail with one that depends on the order of arrival. */
     @ParameterizedTest
     @CsvSource({"true", "false"})
-    void anOrderDependentMergeIsDetected(boolean right) {
+    void anOrderDependentMergeIsDetected(boolean correct) {
         BinaryOperator<TimestampedNumber> rule =
-                right ? TimestampedNumberType.LATEST : TimestampedNumberType.LAST_HEARD;
-        int caught = 0;
+                correct ? TimestampedNumberType.LATEST : TimestampedNumberType.LAST_RECEIVED;
+        int detected = 0;
         for (int seed = 0; seed < 8; seed++) {
             var random = new SplittableRandom(seed);
-            var story = new FaultScenario(seed, 6, List.of(new TimestampedNumberType(1, FOREVER, 1000, false, rule)));
+            var scenario =
+                    new FaultScenario(seed, 6, List.of(new TimestampedNumberType(1, FOREVER, 1000, false, rule)));
             try {
                 for (int i = 0; i < 40; i++) {
-                    story.perform(
+                    scenario.perform(
                             new Action(random.nextInt(8), random.nextInt(6), random.nextInt(15), random.nextInt(1000)));
                 }
-                story.healAndCheck();
+                scenario.healAndCheck();
             } catch (AssertionError e) {
-                caught++;
+                detected++;
             }
         }
-        assertEquals(right ? 0 : 8, caught);
+        assertEquals(correct ? 0 : 8, detected);
     }
 
-    private static StateTestNetwork net(int size, TimestampedNumberType... kinds) {
-        return new StateTestNetwork(1, size, List.<ReplicatedType<?>>of(kinds), StateSettings.DEFAULT).startAll();
+    private static StateTestNetwork startedNetwork(int size, TimestampedNumberType... types) {
+        return new StateTestNetwork(1, size, List.<ReplicatedType<?>>of(types), StateSettings.DEFAULT).startAll();
     }
 
-    private static TimestampedNumber put(
-            StateTestNetwork.SimulatedMember node, TimestampedNumberType kind, String key, double age) {
-        return node.state.merge(kind, key, new TimestampedNumber(7, node.clock() - age), node.clock());
+    private static TimestampedNumber write(SimulatedMember member, TimestampedNumberType type, String key, double age) {
+        return member.state.merge(type, key, new TimestampedNumber(7, member.clock() - age), member.clock());
     }
 
     @ParameterizedTest
@@ -100,28 +101,28 @@
         "0, 256, ",
         "NaN, 1, FUTURE"
     })
-    void rejectsExpiredAndFutureValuesAndInvalidKeys(double age, int length, ApplyResult why) {
-        StateTestNetwork.SimulatedMember alone = net(1, REGISTERS).nodes.get(0);
+    void rejectsExpiredAndFutureValuesAndInvalidKeys(double age, int length, ApplyResult reason) {
+        SimulatedMember alone = startedNetwork(1, REGISTERS).members.get(0);
         String key = "k".repeat(length);
-        TimestampedNumber put = put(alone, REGISTERS, key, age);
-        assertEquals(why == null, put != null);
-        assertEquals(put, alone.state.get(REGISTERS, key));
+        TimestampedNumber merged = write(alone, REGISTERS, key, age);
+        assertEquals(reason == null, merged != null);
+        assertEquals(merged, alone.state.get(REGISTERS, key));
         assertEquals(
-                why == null ? List.of() : List.of(why),
+                reason == null ? List.of() : List.of(reason),
                 new ArrayList<>(alone.state.counters().rejections.keySet()));
     }
 
     @Test
     void evictsOldestEntriesAtTheBoundAndRaisesTheFloorOnAllReplicas() {
-        StateTestNetwork net = net(3, BOUNDED_REGISTERS).awaitCertainty();
-        StateTestNetwork.SimulatedMember node = net.nodes.get(0);
-        double start = node.clock();
+        StateTestNetwork network = startedNetwork(3, BOUNDED_REGISTERS).awaitCertainty();
+        SimulatedMember member = network.members.get(0);
+        double start = member.clock();
         for (int i = 0; i < 20; i++) {
-            assertNotNull(node.state.merge(
-                    BOUNDED_REGISTERS, "k" + i, new TimestampedNumber(i, start + i * 0.01), node.clock()));
+            assertNotNull(member.state.merge(
+                    BOUNDED_REGISTERS, "k" + i, new TimestampedNumber(i, start + i * 0.01), member.clock()));
         }
-        net.run(3);
-        for (StateTestNetwork.SimulatedMember each : net.nodes) {
+        network.run(3);
+        for (SimulatedMember each : network.members) {
             assertEquals(8, each.state.size(BOUNDED_REGISTERS));
             assertEquals(start + 0.11, each.state.evictionFloor(BOUNDED_REGISTERS), 1e-9);
             assertNull(
@@ -141,160 +142,178 @@
         assertEquals(ApplyResult.CHANGED, table.merge("a", StableHash.ofKey("a"), new TimestampedNumber(1, 5.1), 9));
     }
 
-    /** Without tombstones: whoever slept brings nothing back that the others dropped, and drops it itself. */
+    /**
+     * There are no tombstones: a replica that was stalled removes expired entries itself and does not spread them
+     * again.
+     */
     @Test
     void expiredEntriesAreNotRevivedByAStalledReplica() {
-        StateTestNetwork net = net(4, REGISTERS).awaitCertainty();
-        put(net.nodes.get(0), REGISTERS, "gone", 0);
-        net.run(2);
-        net.nodes.get(3).frozen = true;
-        net.run(19);
-        net.nodes.get(3).thaw();
-        var heard = new ArrayList<String>();
-        net.nodes.forEach(node -> node.state.addListener(REGISTERS, (key, value, now) -> heard.add(key)));
-        net.run(3);
+        StateTestNetwork network = startedNetwork(4, REGISTERS).awaitCertainty();
+        write(network.members.get(0), REGISTERS, "gone", 0);
+        network.run(2);
+        network.members.get(3).frozen = true;
+        network.run(19);
+        network.members.get(3).thaw();
+        var changedKeys = new ArrayList<String>();
+        network.members.forEach(
+                member -> member.state.addListener(REGISTERS, (key, value, now) -> changedKeys.add(key)));
+        network.run(3);
         assertEquals(
                 List.of(0, 0, 0, 0),
-                net.nodes.stream().map(node -> node.state.size(REGISTERS)).toList());
-        assertEquals(List.of(), heard);
+                network.members.stream()
+                        .map(member -> member.state.size(REGISTERS))
+                        .toList());
+        assertEquals(List.of(), changedKeys);
     }
 
-    /** Clocks a bit apart drop the same entries at different times; that is nothing to compare. */
+    /**
+     * Replicas whose clocks differ a little remove the same entries at different times, which must not start a
+     * transfer.
+     */
     @Test
     void expiringEntriesCauseNoRangeTransfers() {
-        StateTestNetwork net = net(4, REGISTERS).awaitCertainty();
+        StateTestNetwork network = startedNetwork(4, REGISTERS).awaitCertainty();
         for (int i = 0; i < 180; i++) {
-            put(net.nodes.get(i % 4), REGISTERS, "key " + i, 0);
-            net.run(0.1);
+            write(network.members.get(i % 4), REGISTERS, "key " + i, 0);
+            network.run(0.1);
         }
-        net.run(3);
-        double bytes = -sum(net, counts -> counts.antiEntropyBytes);
-        double walks = -sum(net, counts -> counts.sessionsStarted);
-        net.run(17);
-        assertTrue(net.nodes.get(0).state.size(REGISTERS) < 10);
-        bytes += sum(net, counts -> counts.antiEntropyBytes);
-        walks += sum(net, counts -> counts.sessionsStarted);
+        network.run(3);
+        double bytes = -sum(network, counters -> counters.antiEntropyBytes);
+        double sessions = -sum(network, counters -> counters.sessionsStarted);
+        network.run(17);
+        assertTrue(network.members.get(0).state.size(REGISTERS) < 10);
+        bytes += sum(network, counters -> counters.antiEntropyBytes);
+        sessions += sum(network, counters -> counters.sessionsStarted);
         assertEquals(
                 2 * (StateMessage.HEADER_BYTES + StateMessage.ROOT_DIGEST_BYTES),
-                bytes / walks,
+                bytes / sessions,
                 20,
-                "the roots and no more");
+                "only root digests are exchanged");
     }
 
-    private static long sum(StateTestNetwork net, ToLongFunction<StateCounters> of) {
-        return net.nodes.stream()
-                .mapToLong(node -> of.applyAsLong(node.state.counters()))
+    private static long sum(StateTestNetwork network, ToLongFunction<StateCounters> counter) {
+        return network.members.stream()
+                .mapToLong(member -> counter.applyAsLong(member.state.counters()))
                 .sum();
     }
 
     @Test
     void certaintyIsNeverOverstated() {
-        StateTestNetwork net = net(3, REGISTERS);
-        StateTestNetwork.SimulatedMember first = net.nodes.get(0);
-        net.nodes.get(1).partition = 1;
-        net.nodes.get(2).partition = 1;
-        net.run(15);
-        assertEquals(-FOREVER, first.state.completeUpTo(first.clock()), "knows others and was brought up by none");
-        net.nodes.get(1).partition = 0;
-        net.nodes.get(2).partition = 0;
-        net.nodes.forEach(StateTestNetwork.SimulatedMember::start);
-        net.run(5);
-        assertEquals(-FOREVER, first.state.completeUpTo(first.clock()), "those whom it met know no more than itself");
-        net.awaitCertainty();
-        net.run(5);
+        StateTestNetwork network = startedNetwork(3, REGISTERS);
+        SimulatedMember first = network.members.get(0);
+        network.members.get(1).partition = 1;
+        network.members.get(2).partition = 1;
+        network.run(15);
+        assertEquals(-FOREVER, first.state.completeUpTo(first.clock()), "has peers and was bootstrapped by none");
+        network.members.get(1).partition = 0;
+        network.members.get(2).partition = 0;
+        network.members.forEach(SimulatedMember::start);
+        network.run(5);
+        assertEquals(-FOREVER, first.state.completeUpTo(first.clock()), "its peers are not bootstrapped either");
+        network.awaitCertainty();
+        network.run(5);
         assertEquals(first.clock(), first.state.completeUpTo(first.clock()), 1.5);
-        net.nodes.get(1).partition = 1;
-        net.run(10);
+        network.members.get(1).partition = 1;
+        network.run(10);
         assertEquals(
-                first.clock() - 10, first.state.completeUpTo(first.clock()), 1.5, "one that may serve is not heard");
-        first.doubtful = true;
-        assertEquals(-FOREVER, first.state.completeUpTo(first.clock()), "stood itself");
-        StateTestNetwork.SimulatedMember alone = net(1, REGISTERS).nodes.get(0);
-        assertEquals(-FOREVER, alone.state.completeUpTo(alone.clock() + 9.9), "too early to be the only one");
+                first.clock() - 10,
+                first.state.completeUpTo(first.clock()),
+                1.5,
+                "a member that may be serving is not reachable");
+        first.recentlyStalled = true;
+        assertEquals(-FOREVER, first.state.completeUpTo(first.clock()), "stalled itself");
+        SimulatedMember alone = startedNetwork(1, REGISTERS).members.get(0);
+        assertEquals(
+                -FOREVER, alone.state.completeUpTo(alone.clock() + 9.9), "too early to take itself for the only one");
         assertEquals(alone.clock() + 10.1, alone.state.completeUpTo(alone.clock() + 10.1));
     }
 
-    /** A member whose clock is off is heard only on kinds that need none, and takes all certainty. */
+    /**
+     * From a member whose clock is off only values of types without a clock are accepted, and nothing is certain any
+     * more.
+     */
     @Test
     void rejectsTimedValuesFromMembersWithSkewedClocks() {
-        StateTestNetwork net = new StateTestNetwork(1, 3, List.of(REGISTERS, SETS), StateSettings.DEFAULT);
-        StateTestNetwork.SimulatedMember off = net.nodes.get(2);
-        off.clockLag = 5;
-        net.startAll().run(15);
-        put(off, REGISTERS, "timed", 0);
-        put(off, SETS, "untimed", 0);
-        put(net.nodes.get(0), REGISTERS, "right", 0);
-        net.run(3);
-        for (StateTestNetwork.SimulatedMember node : net.nodes.subList(0, 2)) {
-            assertNull(node.state.get(REGISTERS, "timed"));
-            assertNotNull(node.state.get(REGISTERS, "right"));
-            assertNotNull(node.state.get(SETS, "untimed"));
-            assertEquals(-FOREVER, node.state.completeUpTo(node.clock()));
+        StateTestNetwork network = new StateTestNetwork(1, 3, List.of(REGISTERS, SETS), StateSettings.DEFAULT);
+        SimulatedMember skewed = network.members.get(2);
+        skewed.clockLag = 5;
+        network.startAll().run(15);
+        write(skewed, REGISTERS, "timed", 0);
+        write(skewed, SETS, "untimed", 0);
+        write(network.members.get(0), REGISTERS, "right", 0);
+        network.run(3);
+        for (SimulatedMember member : network.members.subList(0, 2)) {
+            assertNull(member.state.get(REGISTERS, "timed"));
+            assertNotNull(member.state.get(REGISTERS, "right"));
+            assertNotNull(member.state.get(SETS, "untimed"));
+            assertEquals(-FOREVER, member.state.completeUpTo(member.clock()));
         }
     }
 
-    /** Half a fleet runs a release that knows one more kind. */
+    /** Half of the fleet runs a release that knows one more type. */
     @Test
     void skipsAndCountsUnknownTypes() {
-        StateTestNetwork net = new StateTestNetwork(1, 4, List.of(REGISTERS, SETS), StateSettings.DEFAULT);
-        net.nodes.subList(0, 2).forEach(node -> node.supportedTypes = List.of(REGISTERS));
-        net.startAll().awaitCertainty();
-        net.nodes.forEach(node -> put(node, REGISTERS, node.address.host(), 0));
-        put(net.nodes.get(3), SETS, "new", 0);
-        net.run(5);
-        for (StateTestNetwork.SimulatedMember node : net.nodes) {
-            assertEquals(4, node.state.size(REGISTERS));
-            assertEquals(node.clock(), node.state.completeUpTo(node.clock()), 2);
+        StateTestNetwork network = new StateTestNetwork(1, 4, List.of(REGISTERS, SETS), StateSettings.DEFAULT);
+        network.members.subList(0, 2).forEach(member -> member.supportedTypes = List.of(REGISTERS));
+        network.startAll().awaitCertainty();
+        network.members.forEach(member -> write(member, REGISTERS, member.address.host(), 0));
+        write(network.members.get(3), SETS, "new", 0);
+        network.run(5);
+        for (SimulatedMember member : network.members) {
+            assertEquals(4, member.state.size(REGISTERS));
+            assertEquals(member.clock(), member.state.completeUpTo(member.clock()), 2);
             assertTrue(
-                    node.supportedTypes.size() == 2
-                            ? node.state.get(SETS, "new") != null
-                            : node.state.counters().unknownTypes > 0);
+                    member.supportedTypes.size() == 2
+                            ? member.state.get(SETS, "new") != null
+                            : member.state.counters().unknownTypes > 0);
         }
-        StateTestNetwork.SimulatedMember cut = net.nodes.get(2);
-        StateTestNetwork.SimulatedMember source = net.nodes.get(3);
-        cut.partition = 1;
-        double before = net.now;
-        put(source, SETS, "newer", 0);
-        net.run(3);
+        SimulatedMember isolated = network.members.get(2);
+        SimulatedMember source = network.members.get(3);
+        isolated.partition = 1;
+        double before = network.now;
+        write(source, SETS, "newer", 0);
+        network.run(3);
         source.frozen = true;
-        cut.partition = 0;
-        net.run(3);
+        isolated.partition = 0;
+        network.run(3);
         assertTrue(
-                cut.state.completeUpTo(cut.clock()) + cut.clockLag < before,
-                "those who don't know the kind can't vouch for it");
+                isolated.state.completeUpTo(isolated.clock()) + isolated.clockLag < before,
+                "members that do not know the type cannot confirm that it is complete");
         source.thaw();
-        assertTrue(net.runUntil(5, () -> cut.state.completeUpTo(cut.clock()) + cut.clockLag > before) < 5);
-        assertNotNull(cut.state.get(SETS, "newer"));
+        assertTrue(network.runUntil(5, () -> isolated.state.completeUpTo(isolated.clock()) + isolated.clockLag > before)
+                < 5);
+        assertNotNull(isolated.state.get(SETS, "newer"));
     }
 
     /**
-     * A router that lacks everything is brought up though the one that it asks is cut off, frozen or killed half way.
+     * A router that lacks everything is bootstrapped even if the peer that it asks is cut off, frozen or restarted half
+     * way.
      */
     @ParameterizedTest
     @CsvSource({"cut", "frozen", "killed"})
-    void catchUpContinuesFromAnotherPeer(String how) {
-        StateTestNetwork net = net(4, SETS).awaitCertainty();
+    void catchUpContinuesFromAnotherPeer(String failure) {
+        StateTestNetwork network = startedNetwork(4, SETS).awaitCertainty();
         for (int i = 0; i < 1000; i++) {
-            put(net.nodes.get(i % 3), SETS, "key " + i, 0);
+            write(network.members.get(i % 3), SETS, "key " + i, 0);
         }
-        net.run(5);
-        StateTestNetwork.SimulatedMember back = net.nodes.get(3);
-        net.delay = 0.02;
-        Map<StateTestNetwork.SimulatedMember, Long> before = new HashMap<>();
-        net.nodes.forEach(node -> before.put(node, node.state.counters().antiEntropyBytes));
-        back.start();
-        net.runUntil(5, () -> back.state.size(SETS) > 300);
-        assertTrue(back.state.size(SETS) < 1000 && back.state.completeUpTo(back.clock()) == -FOREVER);
-        StateTestNetwork.SimulatedMember asked = net.nodes.subList(0, 3).stream()
-                .max(Comparator.comparing(node -> node.state.counters().antiEntropyBytes - before.get(node)))
+        network.run(5);
+        SimulatedMember restarted = network.members.get(3);
+        network.delay = 0.02;
+        Map<SimulatedMember, Long> before = new HashMap<>();
+        network.members.forEach(member -> before.put(member, member.state.counters().antiEntropyBytes));
+        restarted.start();
+        network.runUntil(5, () -> restarted.state.size(SETS) > 300);
+        assertTrue(restarted.state.size(SETS) < 1000 && restarted.state.completeUpTo(restarted.clock()) == -FOREVER);
+        SimulatedMember responder = network.members.subList(0, 3).stream()
+                .max(Comparator.comparing(member -> member.state.counters().antiEntropyBytes - before.get(member)))
                 .orElseThrow();
-        if (how.equals("killed")) {
-            asked.start();
+        if (failure.equals("killed")) {
+            responder.start();
         } else {
-            asked.frozen = how.equals("frozen");
-            asked.partition = how.equals("cut") ? 1 : 0;
+            responder.frozen = failure.equals("frozen");
+            responder.partition = failure.equals("cut") ? 1 : 0;
         }
-        assertTrue(net.runUntil(5, () -> back.state.size(SETS) == 1000) < 5);
-        assertTrue(net.runUntil(5, () -> back.state.isBootstrapped(back.clock())) < 5);
+        assertTrue(network.runUntil(5, () -> restarted.state.size(SETS) == 1000) < 5);
+        assertTrue(network.runUntil(5, () -> restarted.state.isBootstrapped(restarted.clock())) < 5);
     }
 }
--- a/fleet/src/test/java/clayhook/fleet/state/StateTestNetwork.java
+++ b/fleet/src/test/java/clayhook/fleet/state/StateTestNetwork.java
@@ -16,69 +16,84 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Routers with a fixed roster on a network of our own, in virtual time: it loses, doubles, delays, cuts and freezes.
+ * Routers with a fixed membership on a simulated network in virtual time, which loses, duplicates, delays and reorders
+ * packets, and can be partitioned. Members can be frozen and restarted.
  */
 final class StateTestNetwork {
-    private record ScheduledAction(double at, long order, Runnable action) implements Comparable<ScheduledAction> {
+    /** Packets that wait for a frozen member at most, as in the receive buffer of a socket. */
+    private static final int RECEIVE_QUEUE_LIMIT = 200;
+    /** Seconds after which a tick of a frozen member is due again. */
+    private static final double FROZEN_TICK_INTERVAL = 0.05;
+    /** Seconds between two ticks at least, so that virtual time goes on. */
+    private static final double MIN_TICK_INTERVAL = 1e-4;
+    /** Seconds between two checks of a condition at least. */
+    private static final double CHECK_INTERVAL = 0.005;
+
+    private record ScheduledAction(double time, long sequence, Runnable action) implements Comparable<ScheduledAction> {
         @Override
         public int compareTo(ScheduledAction other) {
-            return at != other.at ? Double.compare(at, other.at) : Long.compare(order, other.order);
+            return time != other.time ? Double.compare(time, other.time) : Long.compare(sequence, other.sequence);
         }
     }
 
-    /** One router; {@code behind} is by how much its clock is. */
+    /** One router, whose membership lists all that were ever started. */
     final class SimulatedMember implements MembershipView {
         final Address address;
+        /** Seconds by which its clock is behind virtual time. */
         double clockLag;
+
         Peer self;
         private long incarnation;
-        /** Of its release. */
+        /** The types that its release knows. */
         List<ReplicatedType<?>> supportedTypes = types;
 
-        MessageDispatcher fleet;
+        MessageDispatcher dispatcher;
         ReplicatedState state;
+        /** Members reach each other only if their partitions are equal. */
         int partition;
+
         boolean frozen;
-        boolean doubtful;
+        boolean recentlyStalled;
         private final List<Runnable> missedPackets = new ArrayList<>();
 
-        private SimulatedMember(int index, double behind) {
+        private SimulatedMember(int index, double clockLag) {
             address = new Address("r" + String.format("%04d", index), 1);
-            this.clockLag = behind;
+            this.clockLag = clockLag;
         }
 
         double clock() {
             return now - clockLag;
         }
 
-        /** Begins a new life; what was in memory is gone. */
+        /** Starts a new incarnation; what was in memory is lost. */
         void start() {
             frozen = false;
             missedPackets.clear();
             incarnation = Math.max(incarnation + 1, (long) (clock() * 1000));
             self = new Peer(new Member(address.host(), incarnation), address);
-            peers.clear();
-            members.clear();
+            peersByMember.clear();
+            membersByPeers.clear();
             state = new ReplicatedState(this, supportedTypes, settings, random.nextLong(), clock());
-            fleet = new MessageDispatcher(self.member(), List.of(state), (to, bytes) -> send(this, to, bytes));
-            turn(fleet);
+            dispatcher = new MessageDispatcher(self.member(), List.of(state), (to, bytes) -> send(this, to, bytes));
+            tick(dispatcher);
         }
 
-        private void turn(MessageDispatcher life) {
-            if (life == fleet) {
-                double next = frozen ? clock() + 0.05 : life.tick(clock());
-                schedule(Math.max(now + 1e-4, next + clockLag), () -> turn(life));
+        private void tick(MessageDispatcher ofIncarnation) {
+            if (ofIncarnation == dispatcher) {
+                double next = frozen ? clock() + FROZEN_TICK_INTERVAL : dispatcher.tick(clock());
+                schedule(Math.max(now + MIN_TICK_INTERVAL, next + clockLag), () -> tick(ofIncarnation));
             }
         }
 
-        private void heard(Address from, byte[] bytes) {
+        private void receive(Address from, byte[] bytes) {
             if (!frozen) {
-                fleet.onDatagram(from, bytes, clock());
-            } else if (missedPackets.size() < 200) {
-                missedPackets.add(() -> fleet.onDatagram(from, bytes, clock()));
+                dispatcher.onDatagram(from, bytes, clock());
+            } else if (missedPackets.size() < RECEIVE_QUEUE_LIMIT) {
+                missedPackets.add(() -> dispatcher.onDatagram(from, bytes, clock()));
             }
         }
 
+        /** Ends the freeze; packets that wait are received now. */
         void thaw() {
             frozen = false;
             missedPackets.forEach(Runnable::run);
@@ -92,16 +107,16 @@
 
         @Override
         public List<Peer> livePeers() {
-            return peers.computeIfAbsent(this, any -> nodes.stream()
-                    .filter(node -> node != this && node.self != null)
-                    .map(node -> node.self)
+            return peersByMember.computeIfAbsent(this, any -> members.stream()
+                    .filter(member -> member != this && member.self != null)
+                    .map(member -> member.self)
                     .toList());
         }
 
         @Override
         public List<Member> possiblyServing(double time) {
-            return members.computeIfAbsent(
-                    livePeers(), list -> list.stream().map(Peer::member).toList());
+            return membersByPeers.computeIfAbsent(
+                    livePeers(), peers -> peers.stream().map(Peer::member).toList());
         }
 
         @Override
@@ -126,103 +141,111 @@
 
         @Override
         public boolean recentlyStalled(double time) {
-            return doubtful;
+            return recentlyStalled;
         }
     }
 
-    final List<SimulatedMember> nodes = new ArrayList<>();
+    final List<SimulatedMember> members = new ArrayList<>();
     final SplittableRandom random;
     final List<ReplicatedType<?>> types;
     final StateSettings settings;
     private final Map<String, SimulatedMember> byAddress = new HashMap<>();
-    private final Map<SimulatedMember, List<Peer>> peers = new HashMap<>();
-    private final Map<List<Peer>, List<Member>> members = new IdentityHashMap<>();
-    private final PriorityQueue<ScheduledAction> events = new PriorityQueue<>();
-    private long order;
+    private final Map<SimulatedMember, List<Peer>> peersByMember = new HashMap<>();
+    private final IdentityHashMap<List<Peer>, List<Member>> membersByPeers = new IdentityHashMap<>();
+    private final PriorityQueue<ScheduledAction> schedule = new PriorityQueue<>();
+    private long nextSequence;
     double now = 1_000_000;
     double lossProbability;
     double duplicationProbability;
-    /** Seconds from router to router at least, and how much more it may be. */
+    /** Seconds that a packet takes at least. */
     double delay = 0.0005;
-
+    /** Seconds that a packet takes beyond that at most. */
     double jitter;
 
-    StateTestNetwork(long seed, int size, List<ReplicatedType<?>> kinds, StateSettings settings) {
+    StateTestNetwork(long seed, int size, List<ReplicatedType<?>> types, StateSettings settings) {
         random = new SplittableRandom(seed);
-        this.types = kinds;
+        this.types = types;
         this.settings = settings;
         for (int i = 0; i < size; i++) {
-            nodes.add(new SimulatedMember(i, (random.nextDouble() - 0.5) * settings.maxClockSkew() / 2));
-            byAddress.put(nodes.get(i).address.host(), nodes.get(i));
+            members.add(new SimulatedMember(i, (random.nextDouble() - 0.5) * settings.maxClockSkew() / 2));
+            byAddress.put(members.get(i).address.host(), members.get(i));
         }
     }
 
-    /** Starts those that never were. */
+    /** Starts all members that were never started. */
     StateTestNetwork startAll() {
-        nodes.stream().filter(node -> node.self == null).forEach(SimulatedMember::start);
+        members.stream().filter(member -> member.self == null).forEach(SimulatedMember::start);
         return this;
     }
 
-    /** Until all copies hold themselves for whole and know up to when. */
+    /** Runs until all replicas are bootstrapped and know up to when they are complete. */
     StateTestNetwork awaitCertainty() {
-        runUntil(30, () -> nodes.stream().allMatch(node -> node.state.completeUpTo(node.clock()) > now - 20));
+        runUntil(30, () -> members.stream().allMatch(member -> member.state.completeUpTo(member.clock()) > now - 20));
         return this;
     }
 
-    void schedule(double time, Runnable what) {
-        events.add(new ScheduledAction(time, order++, what));
+    void schedule(double time, Runnable action) {
+        schedule.add(new ScheduledAction(time, nextSequence, action));
+        nextSequence++;
     }
 
     private void send(SimulatedMember from, Address to, byte[] bytes) {
-        for (int copies = random.nextDouble() < duplicationProbability ? 2 : 1; copies > 0; copies--) {
+        int copies = random.nextDouble() < duplicationProbability ? 2 : 1;
+        for (int i = 0; i < copies; i++) {
             if (random.nextDouble() >= lossProbability) {
-                schedule(now + delay + jitter * random.nextDouble(), () -> {
-                    SimulatedMember target = byAddress.get(to.host());
-                    if (target.partition == from.partition && target.fleet != null) {
-                        target.heard(from.address, bytes);
-                    }
-                });
+                schedule(now + delay + jitter * random.nextDouble(), () -> deliver(from, to, bytes));
             }
         }
     }
 
+    private void deliver(SimulatedMember from, Address to, byte[] bytes) {
+        SimulatedMember target = byAddress.get(to.host());
+        if (target.partition == from.partition && target.dispatcher != null) {
+            target.receive(from.address, bytes);
+        }
+    }
+
     void run(double seconds) {
         runUntil(seconds, () -> false);
     }
 
-    /**
-     * Runs until that is so, asked after each event that may change it; returns seconds, or more than the limit for
-     * never.
-     */
-    double runUntil(double limit, BooleanSupplier so) {
+    /** Runs until the condition holds; returns the seconds that took, or infinity if the limit passed before. */
+    double runUntil(double limit, BooleanSupplier condition) {
         double start = now;
-        double asked = now;
-        while (events.peek().at <= start + limit) {
-            ScheduledAction event = events.poll();
-            now = event.at;
-            event.action.run();
-            if (now - asked > 0.005) {
-                asked = now;
-                if (so.getAsBoolean()) {
+        double lastCheckedAt = now;
+        while (schedule.peek().time <= start + limit) {
+            ScheduledAction next = schedule.poll();
+            now = next.time;
+            next.action.run();
+            if (now - lastCheckedAt > CHECK_INTERVAL) {
+                lastCheckedAt = now;
+                if (condition.getAsBoolean()) {
                     return now - start;
                 }
             }
         }
         now = start + limit;
-        return so.getAsBoolean() ? limit : Double.POSITIVE_INFINITY;
+        return condition.getAsBoolean() ? limit : Double.POSITIVE_INFINITY;
     }
 
+    /** Whether all replicas have the same digest and eviction floor of each type. */
     boolean replicasAreEqual() {
-        return types.stream()
-                .allMatch(kind -> nodes.stream()
-                                        .mapToLong(node -> node.state.digest(kind, now))
-                                        .distinct()
-                                        .count()
-                                == 1
-                        && nodes.stream()
-                                        .mapToDouble(node -> node.state.evictionFloor(kind))
-                                        .distinct()
-                                        .count()
-                                == 1);
+        return types.stream().allMatch(type -> digestsAreEqual(type) && floorsAreEqual(type));
+    }
+
+    private boolean digestsAreEqual(ReplicatedType<?> type) {
+        return members.stream()
+                        .mapToLong(member -> member.state.digest(type, now))
+                        .distinct()
+                        .count()
+                == 1;
+    }
+
+    private boolean floorsAreEqual(ReplicatedType<?> type) {
+        return members.stream()
+                        .mapToDouble(member -> member.state.evictionFloor(type))
+                        .distinct()
+                        .count()
+                == 1;
     }
 }
--- a/fleet/src/test/java/clayhook/fleet/state/TimestampedNumberType.java
+++ b/fleet/src/test/java/clayhook/fleet/state/TimestampedNumberType.java
@@ -5,7 +5,7 @@
 import clayhook.fleet.ReplicatedType;
 import java.util.function.BinaryOperator;
 
-/** A kind for tests: numbers with a time, and a join of choice. */
+/** A replicated type for tests: numbers with a timestamp, and a merge rule of choice. */
 record TimestampedNumberType(
         int typeNumber,
         double retentionSeconds,
@@ -15,18 +15,18 @@
         implements ReplicatedType<TimestampedNumberType.TimestampedNumber> {
     record TimestampedNumber(long value, double at) {}
 
-    /** The later one, of two of one time the greater one. */
+    /** The later value wins, and of two with the same timestamp the greater one. */
     static final BinaryOperator<TimestampedNumber> LATEST =
-            (a, b) -> a.at > b.at || a.at == b.at && a.value >= b.value ? a : b;
-    /** A set of small numbers that only grows. */
+            (a, b) -> a.at > b.at || (a.at == b.at && a.value >= b.value) ? a : b;
+    /** A set of small numbers that only grows, as bits. */
     static final BinaryOperator<TimestampedNumber> UNION =
             (a, b) -> new TimestampedNumber(a.value | b.value, Math.max(a.at, b.at));
-    /** The defect that tests must find: whoever is heard last wins. */
-    static final BinaryOperator<TimestampedNumber> LAST_HEARD = (a, b) -> b;
+    /** Not commutative: the value that arrives last wins. Tests must detect this defect. */
+    static final BinaryOperator<TimestampedNumber> LAST_RECEIVED = (a, b) -> b;
 
     @Override
     public String name() {
-        return "plain " + typeNumber;
+        return "timestamped number " + typeNumber;
     }
 
     @Override
@@ -39,7 +39,7 @@
         return value.at;
     }
 
-    /** What is kept for ever needs no clock. */
+    /** Values that never expire need no clock. */
     @Override
     public boolean clockDependent() {
         return retentionSeconds < Double.POSITIVE_INFINITY;
