--- a/fleet/src/main/java/clayhook/fleet/state/AntiEntropyResponder.java
+++ b/fleet/src/main/java/clayhook/fleet/state/AntiEntropyResponder.java
@@ -3,164 +3,162 @@
 import clayhook.fleet.Outbox;
 import clayhook.fleet.Packet;
 import clayhook.fleet.Peer;
+import clayhook.fleet.state.AntiEntropyRequest.RangeRequest;
+import clayhook.fleet.state.AntiEntropyRequest.RootDigestsRequest;
+import clayhook.fleet.state.AntiEntropyRequest.TreeNodeRequest;
+import clayhook.fleet.state.AntiEntropyRequest.VersionVectorRequest;
+import clayhook.fleet.state.AntiEntropyResponse.ChildDigest;
+import clayhook.fleet.state.AntiEntropyResponse.RangeEntries;
+import clayhook.fleet.state.AntiEntropyResponse.RangeEntry;
+import clayhook.fleet.state.AntiEntropyResponse.RootDigestsResponse;
+import clayhook.fleet.state.AntiEntropyResponse.TreeNodeResponse;
+import clayhook.fleet.state.AntiEntropyResponse.VersionVectorUpdate;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.function.BooleanSupplier;
 
 /**
- * What this router tells those that compare their copies with its own. Keeps nothing of them but questions that must
- * wait.
+ * Answers the requests of other members' anti-entropy sessions, within a bandwidth. Keeps no state of a session, only
+ * requests that wait for bandwidth. Not thread-safe.
  */
 final class AntiEntropyResponder {
-    /** Questions that wait until bytes may be spent again; more are dropped and asked again. */
+    /** Requests that wait for bandwidth; further ones are dropped, and their senders repeat them. */
     private static final int MAX_QUEUED_REQUESTS = 256;
-    /** Answered in one turn, some 30 entries each. */
+    /** Bounds the time of a tick; a response holds some 30 entries. */
     private static final int MAX_RESPONSES_PER_TICK = 32;
 
-    private record QueuedRequest(Peer from, StateMessage request) {}
+    private record QueuedRequest(Peer from, AntiEntropyRequest request) {}
 
     private final Replica replica;
     private final VersionVector versionVector;
+    private final BootstrapStatus bootstrap;
     private final StateSettings settings;
     private final StateCounters counters;
     private final TokenBucket byteBudget;
+    /** At most {@link #MAX_QUEUED_REQUESTS}; emptied by {@link #tick}. */
     private final ArrayDeque<QueuedRequest> queuedRequests = new ArrayDeque<>();
 
     AntiEntropyResponder(
-            Replica copy, VersionVector origins, StateSettings settings, StateCounters counts, double now) {
-        this.replica = copy;
-        this.versionVector = origins;
+            Replica replica,
+            VersionVector versionVector,
+            BootstrapStatus bootstrap,
+            StateSettings settings,
+            StateCounters counters,
+            double now) {
+        this.replica = replica;
+        this.versionVector = versionVector;
+        this.bootstrap = bootstrap;
         this.settings = settings;
-        this.counters = counts;
+        this.counters = counters;
         byteBudget = new TokenBucket(settings.catchUpBytesPerSecond(), now);
     }
 
+    /** Whether no request waits. */
     boolean isIdle() {
         return queuedRequests.isEmpty();
     }
 
-    void onRequest(Peer from, StateMessage word, BooleanSupplier whole, double now, Outbox out) {
+    /** Answers a request at once, or queues it until there is bandwidth. */
+    void onRequest(Peer from, AntiEntropyRequest request, double now, Outbox outbox) {
         if (queuedRequests.isEmpty() && byteBudget.hasTokens(now)) {
-            respond(from, word, whole, now, out);
+            respond(from, request, now, outbox);
         } else if (queuedRequests.size() < MAX_QUEUED_REQUESTS) {
-            queuedRequests.add(new QueuedRequest(from, word));
+            queuedRequests.add(new QueuedRequest(from, request));
         } else {
             counters.requestsDropped++;
         }
     }
 
-    void tick(BooleanSupplier whole, double now, Outbox out) {
-        for (int i = 0; i < MAX_RESPONSES_PER_TICK && !queuedRequests.isEmpty() && byteBudget.hasTokens(now); i++) {
-            QueuedRequest question = queuedRequests.poll();
-            respond(question.from, question.request, whole, now, out);
+    /** Answers queued requests. */
+    void tick(double now, Outbox outbox) {
+        int responses = 0;
+        while (responses < MAX_RESPONSES_PER_TICK && !queuedRequests.isEmpty() && byteBudget.hasTokens(now)) {
+            QueuedRequest queued = queuedRequests.poll();
+            respond(queued.from, queued.request, now, outbox);
+            responses++;
         }
     }
 
-    private void respond(Peer from, StateMessage word, BooleanSupplier whole, double now, Outbox out) {
-        if (word instanceof StateMessage.VersionVectorRequest ask) {
-            List<StateMessage.OriginVersion> pairs = versionVector.knownVersions(ask.originIds(), now);
-            send(
-                    from,
-                    new StateMessage.VersionVectorUpdate(ask.sessionId(), ask.requestId(), now, pairs),
-                    StateMessage.HEADER_BYTES + StateMessage.NUMBER_PAIR_BYTES * pairs.size(),
-                    out);
-        } else if (word instanceof StateMessage.RootDigestsRequest ask) {
-            List<StateMessage.RootDigest> roots = rootDigests(from, ask, now);
-            send(
-                    from,
-                    new StateMessage.RootDigestsResponse(ask.sessionId(), ask.requestId(), whole.getAsBoolean(), roots),
-                    StateMessage.HEADER_BYTES + StateMessage.ROOT_DIGEST_BYTES * roots.size(),
-                    out);
-        } else if (word instanceof StateMessage.TreeNodeRequest ask && replica.table(ask.replicatedType()) != null) {
-            send(
-                    from,
-                    treeNode(ask, replica.table(ask.replicatedType()), now),
-                    StateMessage.HEADER_BYTES + 2 * StateMessage.NUMBER_PAIR_BYTES / 3 * HashTree.FANOUT,
-                    out);
-        } else if (word instanceof StateMessage.RangeRequest ask && replica.table(ask.replicatedType()) != null) {
-            StateMessage.RangeEntries entries = rangeEntries(ask, replica.table(ask.replicatedType()));
-            send(
-                    from,
-                    entries,
-                    StateMessage.HEADER_BYTES
-                            + entries.entries().stream()
-                                    .mapToInt(StateMessage.RangeEntry::maxEncodedBytes)
-                                    .sum(),
-                    out);
+    private void respond(Peer from, AntiEntropyRequest request, double now, Outbox outbox) {
+        if (request instanceof VersionVectorRequest versions) {
+            send(from, versionVector(versions, now), outbox);
+        } else if (request instanceof RootDigestsRequest roots) {
+            send(from, rootDigests(from, roots, now), outbox);
+        } else if (request instanceof TreeNodeRequest node && replica.table(node.replicatedType()) != null) {
+            send(from, treeNode(node, replica.table(node.replicatedType()), now), outbox);
+        } else if (request instanceof RangeRequest range && replica.table(range.replicatedType()) != null) {
+            send(from, rangeEntries(range, replica.table(range.replicatedType())), outbox);
         }
     }
 
-    private void send(Peer to, StateMessage word, int bytes, Outbox out) {
+    private void send(Peer to, AntiEntropyResponse response, Outbox outbox) {
+        int bytes = response.maxEncodedBytes();
         byteBudget.consume(bytes);
         counters.antiEntropyBytes += bytes;
-        out.add(to.address(), word);
+        outbox.add(to.address(), response);
     }
 
-    /** Of all kinds that both know and that the other may be heard on. */
-    private List<StateMessage.RootDigest> rootDigests(Peer from, StateMessage.RootDigestsRequest ask, double now) {
-        var out = new ArrayList<StateMessage.RootDigest>();
-        for (StateMessage.RootDigest root : ask.roots()) {
+    private VersionVectorUpdate versionVector(VersionVectorRequest request, double now) {
+        List<OriginVersion> versions = versionVector.knownVersions(request.originIds(), now);
+        return new VersionVectorUpdate(request.sessionId(), request.requestId(), now, versions);
+    }
+
+    /** Of all types that both know and for which the requester's clock is good enough. */
+    private RootDigestsResponse rootDigests(Peer from, RootDigestsRequest request, double now) {
+        var roots = new ArrayList<RootDigest>();
+        for (RootDigest root : request.roots()) {
             EntryTable<?> table = replica.table(root.replicatedType());
             if (table != null && replica.accepts(from.member(), table)) {
-                replica.adoptBounds(from.member(), table, root.cutoff(), root.evictionFloor(), now);
-                out.add(Replica.rootDigest(table));
+                replica.adoptBounds(from.member(), table, root.digestCutoff(), root.evictionFloor(), now);
+                roots.add(table.rootDigest());
             }
         }
-        return out;
+        return new RootDigestsResponse(request.sessionId(), request.requestId(), bootstrap.isBootstrapped(now), roots);
     }
 
-    private StateMessage.TreeNodeResponse treeNode(StateMessage.TreeNodeRequest ask, EntryTable<?> table, double now) {
-        table.raiseCutoff(ask.cutoff(), now, settings.maxSweptEntries());
-        int level = ask.level() + 1;
-        long[] sums = new long[HashTree.FANOUT];
-        long[] sizes = new long[HashTree.FANOUT];
-        for (int i = 0; i < HashTree.FANOUT; i++) {
-            sums[i] = table.hashTree.hashSum(level, ask.index() * HashTree.FANOUT + i);
-            sizes[i] = table.hashTree.entryCount(level, ask.index() * HashTree.FANOUT + i);
+    private TreeNodeResponse treeNode(TreeNodeRequest request, EntryTable<?> table, double now) {
+        table.raiseCutoff(request.digestCutoff(), now, settings.maxSweptEntries());
+        HashTree tree = table.hashTree();
+        int level = request.level() + 1;
+        var children = new ArrayList<ChildDigest>(HashTree.FANOUT);
+        for (int child = 0; child < HashTree.FANOUT; child++) {
+            int index = request.index() * HashTree.FANOUT + child;
+            children.add(new ChildDigest(tree.hashSum(level, index), tree.entryCount(level, index)));
         }
-        return new StateMessage.TreeNodeResponse(
-                ask.sessionId(), ask.requestId(), table.digestCutoff(), table.evictionFloor(), sums, sizes);
+        return new TreeNodeResponse(
+                request.sessionId(), request.requestId(), table.digestCutoff(), table.evictionFloor(), children);
     }
 
-    /** All that the other lacks in the range, as far as it fits. */
-    private <V> StateMessage.RangeEntries rangeEntries(StateMessage.RangeRequest ask, EntryTable<V> table) {
-        var entries = new ArrayList<StateMessage.RangeEntry>();
-        int room = Packet.MAX_MESSAGE_BYTES - StateMessage.HEADER_BYTES;
-        long had = 0;
-        long upTo = ask.lastHash();
-        boolean full = false;
-        for (int slot = table.firstSlotFrom(ask.firstHash());
-                slot >= 0 && Long.compareUnsigned(table.keyHash(slot), ask.lastHash()) <= 0;
-                slot = table.slotAfter(slot)) {
-            if (!table.isDigested(slot)) {
-                continue;
-            }
-            int at = indexOfFingerprint(
-                    ask.fingerprints(), StableHash.fingerprint(table.entryHash(slot), ask.sessionId()));
-            if (at >= 0) {
-                had |= 1L << at;
-            } else if (!full) {
-                var entry = new StateMessage.RangeEntry(table.key(slot), table.encode(table.value(slot)));
-                room -= entry.maxEncodedBytes();
-                full = room < 0;
-                if (full) {
-                    upTo = table.keyHash(slot) - 1;
-                } else {
+    /** All entries of the range that the requester lacks, as far as they fit into one message. */
+    private static RangeEntries rangeEntries(RangeRequest request, EntryTable<?> table) {
+        var entries = new ArrayList<RangeEntry>();
+        int bytesLeft = Packet.MAX_MESSAGE_BYTES - EncodedSizes.HEADER_BYTES;
+        long presentMask = 0;
+        long coveredTo = request.lastHash();
+        for (int slot = table.firstDigestedSlot(request.firstHash(), request.lastHash());
+                slot >= 0;
+                slot = table.nextDigestedSlot(slot, request.lastHash())) {
+            int fingerprint = StableHash.fingerprint(table.entryHash(slot), request.sessionId());
+            int index = request.fingerprints().indexOf(fingerprint);
+            if (index >= 0) {
+                presentMask |= 1L << index;
+            } else if (bytesLeft >= 0) {
+                var entry = new RangeEntry(table.key(slot), table.encodedValue(slot));
+                bytesLeft -= entry.maxEncodedBytes();
+                if (bytesLeft >= 0) {
                     entries.add(entry);
+                } else {
+                    coveredTo = table.keyHash(slot) - 1;
                 }
             }
         }
-        return new StateMessage.RangeEntries(
-                ask.sessionId(), ask.requestId(), ask.replicatedType(), table.evictionFloor(), upTo, had, entries);
-    }
-
-    private static int indexOfFingerprint(long[] briefs, int brief) {
-        for (int i = 0; i < briefs.length; i++) {
-            if ((int) briefs[i] == brief) {
-                return i;
-            }
-        }
-        return -1;
+        return new RangeEntries(
+                request.sessionId(),
+                request.requestId(),
+                request.replicatedType(),
+                table.evictionFloor(),
+                coveredTo,
+                presentMask,
+                entries);
     }
 }
--- a/fleet/src/main/java/clayhook/fleet/state/AntiEntropyScheduler.java
+++ b/fleet/src/main/java/clayhook/fleet/state/AntiEntropyScheduler.java
@@ -8,168 +8,167 @@
 import java.util.Optional;
 import java.util.SplittableRandom;
 
-/** When this copy is compared with whose, one at a time, and whether it was brought up since the start. */
+/** Starts anti-entropy sessions, one at a time, and chooses their peers. Not thread-safe. */
 final class AntiEntropyScheduler {
-    /** Seconds for which something may be missing before it is asked for: the news may be under way. */
+    /** An update may be missing for so many seconds before it is asked for, since its broadcast may be under way. */
     private static final double DELTA_GRACE_SECONDS = 0.3;
-    /** Seconds between two comparisons while this copy is not brought up. */
+    /** Seconds between two sessions while this replica is not bootstrapped. */
     private static final double BOOTSTRAP_INTERVAL_SECONDS = 0.1;
     /**
-     * A costly comparison puts off the next one by that many intervals at most, and until this copy is brought up by
-     * one.
+     * The pause after a session that used much bandwidth is longer, up to that many intervals; while this replica is
+     * not bootstrapped, it is shorter by this factor.
      */
     private static final double MAX_PAUSE_INTERVALS = 4;
+    /** A pause is multiplied by a random factor from this one up, 1 on average. */
+    private static final double MIN_JITTER_FACTOR = 0.75;
 
-    private final MembershipView roster;
+    private static final double JITTER_RANGE = 0.5;
+    /** While a session is active, it is given so many ticks in each broadcast interval. */
+    private static final int SESSION_TICKS_PER_INTERVAL = 4;
+    /** Further attempts to choose a peer that is not to be avoided. */
+    private static final int CHOICE_RETRIES = 3;
+
+    private final MembershipView membership;
     private final Replica replica;
     private final VersionVector versionVector;
+    private final BootstrapStatus bootstrap;
     private final StateSettings settings;
     private final StateCounters counters;
     private final SplittableRandom random;
     private final TokenBucket byteBudget;
-    private final double startedAt;
-    /** Null between two comparisons. */
+    /** Null between two sessions. */
     private AntiEntropySession session;
 
     private double nextSessionAt;
-    /** The one that fell silent last or knew no more itself; another one is tried before it. */
+    /** The peer that last timed out or knew no more than this replica; null for none. */
     private Member avoidedMember;
 
-    private boolean bootstrappedFromPeer;
-    /** Someone was compared with who knew no more either. */
-    private boolean sessionCompleted;
-
     AntiEntropyScheduler(
-            MembershipView roster,
-            Replica copy,
-            VersionVector origins,
+            MembershipView membership,
+            Replica replica,
+            VersionVector versionVector,
+            BootstrapStatus bootstrap,
             StateSettings settings,
-            StateCounters counts,
+            StateCounters counters,
             SplittableRandom random,
             double now) {
-        this.roster = roster;
-        this.replica = copy;
-        this.versionVector = origins;
+        this.membership = membership;
+        this.replica = replica;
+        this.versionVector = versionVector;
+        this.bootstrap = bootstrap;
         this.settings = settings;
-        this.counters = counts;
+        this.counters = counters;
         this.random = random;
         byteBudget = new TokenBucket(settings.catchUpBytesPerSecond(), now);
-        startedAt = now;
         nextSessionAt = now;
     }
 
     /**
-     * Whether this copy has what the fleet had as this router started: it has got all from one who was brought up; or
-     * no such one was met for a stated time, and it has met others in the same case or there are none.
-     */
-    boolean isBootstrapped(double now) {
-        return bootstrappedFromPeer
-                || now - startedAt >= settings.bootstrapTimeout()
-                        && (sessionCompleted
-                                || roster.livePeers().isEmpty()
-                                        && roster.possiblyServing(now).isEmpty());
-    }
-
-    /**
-     * Guards against answers that stood in a queue while this router stood still, and against peers that have gone
-     * meanwhile.
+     * Abandons the session and starts another one at once, since this router has stalled: responses that waited in a
+     * queue are out of date, and the peer may have left.
      */
     void onStall(double now) {
-        counters.sessionsAborted += session == null ? 0 : 1;
-        session = null;
+        if (session != null) {
+            abandonSession();
+        }
         nextSessionAt = now;
     }
 
-    /** Returns when the next turn is wanted. */
-    double tick(double now, Outbox out) {
+    /** Returns when the next tick is wanted, seconds since 1970. */
+    double tick(double now, Outbox outbox) {
         if (session != null && session.isTimedOut(now)) {
-            counters.sessionsAborted++;
             avoidedMember = session.peer.member();
-            session = null;
+            abandonSession();
             nextSessionAt = now;
         }
         if (session == null && now >= nextSessionAt) {
             startSession(now);
         }
-        advanceSession(now, out);
-        return session != null ? now + settings.broadcastInterval() / 4 : nextSessionAt;
+        advanceSession(now, outbox);
+        return session != null ? now + settings.broadcastInterval() / SESSION_TICKS_PER_INTERVAL : nextSessionAt;
+    }
+
+    /** See {@link AntiEntropySession#onResponse}. */
+    void onResponse(Peer from, AntiEntropyResponse response, boolean settled, double now, Outbox outbox) {
+        if (session != null) {
+            session.onResponse(from, response, settled, now, outbox);
+            advanceSession(now, outbox);
+        }
     }
 
     private void startSession(double now) {
-        List<Peer> others = roster.livePeers();
-        if (others.isEmpty()) {
+        List<Peer> peers = membership.livePeers();
+        if (peers.isEmpty()) {
             nextSessionAt = now + BOOTSTRAP_INTERVAL_SECONDS;
             return;
         }
         counters.sessionsStarted++;
-        List<Member> lacking = versionVector.membersWithGaps(!bootstrappedFromPeer, DELTA_GRACE_SECONDS, now);
-        long id = random.nextLong() | 1; // never 0, which stands for none
-        session = new AntiEntropySession(
-                choosePeer(others, lacking), id, lacking, replica, settings, counters, byteBudget, now);
+        List<Member> incomplete = bootstrap.isBootstrappedFromPeer()
+                ? versionVector.membersWithGaps(DELTA_GRACE_SECONDS, now)
+                : membership.possiblyServing(now);
+        long sessionId = random.nextLong() | 1; // never AntiEntropyResponse.NO_SESSION
+        Peer peer = choosePeer(peers, incomplete);
+        session = new AntiEntropySession(peer, sessionId, incomplete, replica, settings, counters, byteBudget, now);
     }
 
-    /** Anyone, or now and then one of whom something is missing: it has that for sure. */
-    private Peer choosePeer(List<Peer> others, List<Member> lacking) {
-        if (bootstrappedFromPeer && !lacking.isEmpty() && random.nextBoolean()) {
-            Member wanted = lacking.get(random.nextInt(lacking.size()));
-            Optional<Peer> itself =
-                    others.stream().filter(peer -> peer.member().equals(wanted)).findFirst();
-            if (itself.isPresent() && !wanted.equals(avoidedMember)) {
-                return itself.get();
+    /**
+     * Any peer at random, or, half of the time, a member of whose updates some are missing: that one has them for sure.
+     */
+    private Peer choosePeer(List<Peer> peers, List<Member> incomplete) {
+        if (bootstrap.isBootstrappedFromPeer() && !incomplete.isEmpty() && random.nextBoolean()) {
+            Member wanted = incomplete.get(random.nextInt(incomplete.size()));
+            Optional<Peer> origin =
+                    peers.stream().filter(peer -> peer.member().equals(wanted)).findFirst();
+            if (origin.isPresent() && !wanted.equals(avoidedMember)) {
+                return origin.get();
             }
         }
-        Peer peer = others.get(random.nextInt(others.size()));
-        for (int i = 0;
-                i < 3 && (peer.member().equals(avoidedMember) || !roster.clockWithinBound(peer.member()));
-                i++) {
-            peer = others.get(random.nextInt(others.size()));
+        Peer peer = peers.get(random.nextInt(peers.size()));
+        for (int i = 0; i < CHOICE_RETRIES && isAvoided(peer.member()); i++) {
+            peer = peers.get(random.nextInt(peers.size()));
         }
         return peer;
     }
 
-    private void advanceSession(double now, Outbox out) {
+    private boolean isAvoided(Member member) {
+        return member.equals(avoidedMember) || !membership.clockWithinBound(member);
+    }
+
+    private void advanceSession(double now, Outbox outbox) {
         if (session != null) {
-            session.sendDueRequests(now, out);
+            session.sendDueRequests(now, outbox);
             if (session.isDone()) {
                 finishSession(now);
             }
         }
     }
 
+    private void abandonSession() {
+        counters.sessionsAborted++;
+        session = null;
+    }
+
     private void finishSession(double now) {
         counters.sessionsCompleted++;
-        avoidedMember = session.isPeerBootstrapped() ? null : session.peer.member();
-        sessionCompleted = true;
-        if (session.isComplete() && roster.clockWithinBound(session.peer.member())) {
-            session.peerVersions().forEach(pair -> versionVector.markComplete(pair, now));
-            bootstrappedFromPeer |= session.isPeerBootstrapped() || now - startedAt >= settings.bootstrapTimeout();
+        Member peer = session.peer.member();
+        avoidedMember = session.isPeerBootstrapped() ? null : peer;
+        bootstrap.onSessionDone();
+        if (session.isComplete() && membership.clockWithinBound(peer)) {
+            session.peerVersions().forEach(version -> versionVector.markComplete(version, now));
+            bootstrap.onReplicaComplete(session.isPeerBootstrapped(), now);
         }
-        double paid = session.transferredBytes() / settings.antiEntropyBytesPerSecond();
-        double rest = isBootstrapped(now)
-                ? Math.min(
-                        MAX_PAUSE_INTERVALS * settings.antiEntropyInterval(),
-                        Math.max(settings.antiEntropyInterval(), paid))
-                : Math.min(
-                        settings.antiEntropyInterval(),
-                        Math.max(BOOTSTRAP_INTERVAL_SECONDS, paid / MAX_PAUSE_INTERVALS));
-        // Uneven, so that routers that started together do not all compare together.
-        nextSessionAt = now + rest * (0.75 + random.nextDouble() / 2);
+        // Routers that started together must not all go on to compare together.
+        double jitter = MIN_JITTER_FACTOR + random.nextDouble() * JITTER_RANGE;
+        nextSessionAt = now + pauseSeconds(session.transferredBytes(), now) * jitter;
         session = null;
     }
 
-    void onResponse(Peer from, StateMessage word, boolean settled, double now, Outbox out) {
-        if (session == null) {
-            return;
-        }
-        if (word instanceof StateMessage.VersionVectorUpdate pairs) {
-            session.onResponse(from, pairs, now);
-        } else if (word instanceof StateMessage.RootDigestsResponse roots) {
-            session.onResponse(from, roots, now);
-        } else if (word instanceof StateMessage.TreeNodeResponse node) {
-            session.onResponse(from, node, now);
-        } else if (word instanceof StateMessage.RangeEntries entries) {
-            session.onResponse(from, entries, settled, now, out);
-        }
-        advanceSession(now, out);
+    /** The pause after a session, so that sessions keep within their average bandwidth. */
+    private double pauseSeconds(double transferredBytes, double now) {
+        double interval = settings.antiEntropyInterval();
+        double paidOff = transferredBytes / settings.antiEntropyBytesPerSecond();
+        return bootstrap.isBootstrapped(now)
+                ? Math.min(MAX_PAUSE_INTERVALS * interval, Math.max(interval, paidOff))
+                : Math.min(interval, Math.max(BOOTSTRAP_INTERVAL_SECONDS, paidOff / MAX_PAUSE_INTERVALS));
     }
 }
--- a/fleet/src/main/java/clayhook/fleet/state/AntiEntropySession.java
+++ b/fleet/src/main/java/clayhook/fleet/state/AntiEntropySession.java
@@ -2,100 +2,87 @@
 
 import clayhook.fleet.Member;
 import clayhook.fleet.Outbox;
-import clayhook.fleet.Packet;
 import clayhook.fleet.Peer;
+import clayhook.fleet.state.AntiEntropyRequest.RangeRequest;
+import clayhook.fleet.state.AntiEntropyRequest.RootDigestsRequest;
+import clayhook.fleet.state.AntiEntropyRequest.TreeNodeRequest;
+import clayhook.fleet.state.AntiEntropyRequest.VersionVectorRequest;
+import clayhook.fleet.state.AntiEntropyResponse.ChildDigest;
+import clayhook.fleet.state.AntiEntropyResponse.RangeEntries;
+import clayhook.fleet.state.AntiEntropyResponse.RootDigestsResponse;
+import clayhook.fleet.state.AntiEntropyResponse.TreeNodeResponse;
+import clayhook.fleet.state.AntiEntropyResponse.VersionVectorUpdate;
+import clayhook.fleet.state.SyncStep.CompareRoots;
+import clayhook.fleet.state.SyncStep.CompareTreeNode;
+import clayhook.fleet.state.SyncStep.FetchRange;
+import clayhook.fleet.state.SyncStep.FetchVersions;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.Deque;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
+import java.util.Optional;
 
 /**
- * One comparison with one member, from the roots down to what differs, so that afterwards this copy has all that the
- * other had. Several questions are under way at a time; each is asked again until it is answered, and each answer makes
- * sense by itself, so that late, doubled or reordered ones do no harm. Whatever was got before it is given up stays:
- * the next one, with whomever, finds those ranges alike.
+ * One comparison with one peer, from the root digests down to the entries that differ; afterwards this replica holds
+ * all that the peer held. Several requests are outstanding at a time. Each is repeated until it is answered, and each
+ * response can be applied by itself, so late, duplicated or reordered ones do no harm. What was fetched before a
+ * session is abandoned is kept: the next session, with any peer, finds those ranges equal. Not thread-safe.
  */
 final class AntiEntropySession {
-    private static final int INITIAL_WINDOW = 4;
-    /** Ranges with no more entries on either side are asked for entry by entry. */
+    /** A range with no more entries than this on either side is fetched instead of split further. */
     private static final int SMALL_RANGE_ENTRIES = 24;
 
-    /** Something still to be found out. */
-    private sealed interface SyncStep {
-        record FetchVersions(long[] originIds) implements SyncStep {}
-
-        record CompareRoots() implements SyncStep {}
-
-        record CompareTreeNode(EntryTable<?> table, int level, int index) implements SyncStep {}
-
-        record FetchRange(EntryTable<?> table, long firstHash, long lastHash) implements SyncStep {}
-    }
-
-    /** A question under way; {@code keys} of the entries that it told in brief. */
-    private static final class OutstandingRequest {
-        final SyncStep step;
-        final StateMessage message;
-        final List<String> fingerprintedKeys;
-        final int encodedBytes;
-        int attempts;
-        double retryAt;
-
-        OutstandingRequest(SyncStep step, StateMessage word, List<String> keys, int bytes) {
-            this.step = step;
-            this.message = word;
-            this.fingerprintedKeys = keys;
-            this.encodedBytes = bytes;
-        }
-    }
-
     final Peer peer;
     private final long sessionId;
     private final Replica replica;
     private final StateSettings settings;
     private final StateCounters counters;
     private final TokenBucket byteBudget;
-    /** Last in, first out, so that no more than a few ranges a level wait. */
+    /** Last in, first out, so that no more than a few ranges of each tree level are queued. */
     private final Deque<SyncStep> pendingSteps = new ArrayDeque<>();
-    /** At most {@link StateSettings#maxOutstandingRequests()}. */
-    private final Map<Integer, OutstandingRequest> outstanding = new HashMap<>();
-    /** What the other had before the roots were compared. */
-    private final List<StateMessage.OriginVersion> peerVersions = new ArrayList<>();
 
-    private int lastRequestId;
-    private int window = INITIAL_WINDOW;
-    private double lastResponseAt;
+    private final RequestWindow requests;
+    private final EntryPusher pusher;
+    /** What the peer had before the root digests were compared. */
+    private final List<OriginVersion> peerVersions = new ArrayList<>();
+
     private boolean rootsRequested;
     private boolean peerBootstrapped;
-    /** All kinds were compared, and nothing that came was refused that should be here. */
+    /** All types were compared, and no entry that belongs into this replica was rejected. */
     private boolean complete = true;
 
     private boolean done;
-    private double pushedBytes;
     private double transferredBytes;
 
+    /**
+     * @param sessionId not 0
+     * @param incomplete members of whose updates some are missing here
+     * @param byteBudget shared by all sessions, one after the other
+     */
     AntiEntropySession(
             Peer peer,
-            long id,
-            List<Member> lacking,
-            Replica copy,
+            long sessionId,
+            List<Member> incomplete,
+            Replica replica,
             StateSettings settings,
-            StateCounters counts,
-            TokenBucket allowance,
+            StateCounters counters,
+            TokenBucket byteBudget,
             double now) {
         this.peer = peer;
-        this.sessionId = id;
-        this.replica = copy;
+        this.sessionId = sessionId;
+        this.replica = replica;
         this.settings = settings;
-        this.counters = counts;
-        this.byteBudget = allowance;
-        lastResponseAt = now;
-        for (int i = 0; i < lacking.size(); i += StateMessage.MAX_REQUESTED_ORIGINS) {
-            List<Member> some = lacking.subList(i, Math.min(lacking.size(), i + StateMessage.MAX_REQUESTED_ORIGINS));
-            pendingSteps.push(new SyncStep.FetchVersions(
-                    some.stream().mapToLong(StableHash::ofMember).toArray()));
+        this.counters = counters;
+        this.byteBudget = byteBudget;
+        requests = new RequestWindow(settings, counters, now);
+        pusher = new EntryPusher(settings.maxPushBytes());
+        queueVersionSteps(incomplete);
+    }
+
+    private void queueVersionSteps(List<Member> members) {
+        for (int from = 0; from < members.size(); from += VersionVectorRequest.MAX_REQUESTED_ORIGINS) {
+            int to = Math.min(members.size(), from + VersionVectorRequest.MAX_REQUESTED_ORIGINS);
+            pendingSteps.push(new FetchVersions(members.subList(from, to)));
         }
     }
 
@@ -103,262 +90,192 @@
         return done;
     }
 
-    /** Whether all that the other had is here now. */
+    /** Whether the session is done and this replica now holds all that the peer held. */
     boolean isComplete() {
         return done && complete;
     }
 
-    /** The other was brought up itself. */
+    /** Whether the peer said that its own replica is bootstrapped. */
     boolean isPeerBootstrapped() {
         return peerBootstrapped;
     }
 
-    List<StateMessage.OriginVersion> peerVersions() {
+    /** What the peer had as the session began; this replica has it too once the session is complete. */
+    List<OriginVersion> peerVersions() {
         return peerVersions;
     }
 
+    /** Bytes sent and received by this session. */
     double transferredBytes() {
         return transferredBytes;
     }
 
+    /** Whether the peer has stopped to answer. */
     boolean isTimedOut(double now) {
-        return now - lastResponseAt > settings.peerTimeout();
+        return requests.isTimedOut(now);
     }
 
-    /** Asks what is due, and again what got no answer. */
-    void sendDueRequests(double now, Outbox out) {
-        for (OutstandingRequest each : outstanding.values()) {
-            if (each.retryAt <= now) {
-                counters.requestsRetried++;
-                window = Math.max(2, window / 2);
-                send(each, now, out);
-            }
-        }
-        while (!done && outstanding.size() < window && byteBudget.hasTokens(now)) {
+    // ---- requests ----
+
+    /** Repeats requests whose retry timeout has passed and starts new ones as far as window and bandwidth allow. */
+    void sendDueRequests(double now, Outbox outbox) {
+        requests.retryDue(now, request -> transmit(request, now, outbox));
+        while (!done && requests.hasRoom() && byteBudget.hasTokens(now)) {
             SyncStep step = pendingSteps.poll();
             if (step != null) {
-                startRequest(step, now, out);
-            } else if (!outstanding.isEmpty()) {
+                startRequest(step, now, outbox);
+            } else if (!requests.isEmpty()) {
                 return;
             } else if (rootsRequested) {
                 done = true;
             } else {
                 rootsRequested = true;
-                startRequest(new SyncStep.CompareRoots(), now, out);
+                startRequest(new CompareRoots(), now, outbox);
             }
         }
     }
 
-    private void startRequest(SyncStep step, double now, Outbox out) {
-        lastRequestId++;
-        OutstandingRequest question;
-        if (step instanceof SyncStep.FetchVersions numbers) {
-            question = new OutstandingRequest(
-                    step,
-                    new StateMessage.VersionVectorRequest(sessionId, lastRequestId, numbers.originIds),
-                    List.of(),
-                    StateMessage.HEADER_BYTES + 9 * numbers.originIds.length);
-        } else if (step instanceof SyncStep.CompareTreeNode node) {
-            question = new OutstandingRequest(
-                    step,
-                    new StateMessage.TreeNodeRequest(
-                            sessionId,
-                            lastRequestId,
-                            node.table.type.typeNumber(),
-                            node.table.digestCutoff(),
-                            node.level,
-                            node.index),
-                    List.of(),
-                    StateMessage.HEADER_BYTES);
-        } else if (step instanceof SyncStep.FetchRange range) {
-            question = rangeRequest(range);
-        } else {
-            List<StateMessage.RootDigest> roots =
-                    replica.tables().stream().map(Replica::rootDigest).toList();
-            question = new OutstandingRequest(
-                    step,
-                    new StateMessage.RootDigestsRequest(sessionId, lastRequestId, roots),
-                    List.of(),
-                    StateMessage.HEADER_BYTES + StateMessage.ROOT_DIGEST_BYTES * roots.size());
+    private void startRequest(SyncStep step, double now, Outbox outbox) {
+        OutstandingRequest request = createRequest(step, requests.nextRequestId());
+        requests.add(request, now);
+        transmit(request, now, outbox);
+    }
+
+    private OutstandingRequest createRequest(SyncStep step, int requestId) {
+        if (step instanceof FetchRange range) {
+            return createRangeRequest(range, requestId);
+        }
+        return new OutstandingRequest(step, createMessage(step, requestId), List.of());
+    }
+
+    private AntiEntropyRequest createMessage(SyncStep step, int requestId) {
+        if (step instanceof FetchVersions versions) {
+            List<Long> originIds =
+                    versions.members().stream().map(StableHash::ofMember).toList();
+            return new VersionVectorRequest(sessionId, requestId, originIds);
+        }
+        if (step instanceof CompareTreeNode node) {
+            EntryTable<?> table = node.table();
+            return new TreeNodeRequest(
+                    sessionId, requestId, table.type.typeNumber(), table.digestCutoff(), node.level(), node.index());
         }
-        // A pause for want of allowance is no silence of the other.
-        lastResponseAt = outstanding.isEmpty() ? now : lastResponseAt;
-        outstanding.put(lastRequestId, question);
-        send(question, now, out);
+        List<RootDigest> roots =
+                replica.tables().stream().map(EntryTable::rootDigest).toList();
+        return new RootDigestsRequest(sessionId, requestId, roots);
     }
 
-    /** Asks for the range, or for as much of it as what is here can be told of in brief; the rest of it waits. */
-    private OutstandingRequest rangeRequest(SyncStep.FetchRange range) {
-        EntryTable<?> table = range.table;
-        long[] briefs = new long[StateMessage.MAX_FINGERPRINTS];
+    /** Requests the range, or as much of it as the fingerprints in one request can cover; the rest is queued. */
+    private OutstandingRequest createRangeRequest(FetchRange range, int requestId) {
+        EntryTable<?> table = range.table();
+        var fingerprints = new ArrayList<Integer>();
         var keys = new ArrayList<String>();
-        long to = range.lastHash;
-        for (int slot = table.firstSlotFrom(range.firstHash);
-                slot >= 0 && Long.compareUnsigned(table.keyHash(slot), range.lastHash) <= 0;
-                slot = table.slotAfter(slot)) {
-            if (!table.isDigested(slot)) {
-                continue;
-            }
-            if (keys.size() == StateMessage.MAX_FINGERPRINTS) {
-                to = table.keyHash(slot) - 1;
-                pendingSteps.push(new SyncStep.FetchRange(table, to + 1, range.lastHash));
+        long lastHash = range.lastHash();
+        for (int slot = table.firstDigestedSlot(range.firstHash(), range.lastHash());
+                slot >= 0;
+                slot = table.nextDigestedSlot(slot, range.lastHash())) {
+            if (keys.size() == RangeRequest.MAX_FINGERPRINTS) {
+                lastHash = table.keyHash(slot) - 1;
+                pendingSteps.push(new FetchRange(table, lastHash + 1, range.lastHash()));
                 break;
             }
-            briefs[keys.size()] = StableHash.fingerprint(table.entryHash(slot), sessionId);
+            fingerprints.add(StableHash.fingerprint(table.entryHash(slot), sessionId));
             keys.add(table.key(slot));
         }
-        return new OutstandingRequest(
-                new SyncStep.FetchRange(table, range.firstHash, to),
-                new StateMessage.RangeRequest(
-                        sessionId,
-                        lastRequestId,
-                        table.type.typeNumber(),
-                        range.firstHash,
-                        to,
-                        Arrays.copyOf(briefs, keys.size())),
-                keys,
-                StateMessage.HEADER_BYTES + 5 * keys.size());
+        var message = new RangeRequest(
+                sessionId, requestId, table.type.typeNumber(), range.firstHash(), lastHash, fingerprints);
+        return new OutstandingRequest(new FetchRange(table, range.firstHash(), lastHash), message, keys);
     }
 
-    private void send(OutstandingRequest question, double now, Outbox out) {
-        question.retryAt = now + settings.retryTimeout() * (1 << Math.min(question.attempts++, 6));
-        chargeBytes(question.encodedBytes);
-        counters.antiEntropyBytes += question.encodedBytes;
-        out.add(peer.address(), question.message);
+    private void transmit(OutstandingRequest request, double now, Outbox outbox) {
+        request.onSent(settings.retryTimeout(), now);
+        transmit(request.message(), outbox);
     }
 
-    private void chargeBytes(int much) {
-        byteBudget.consume(much);
-        transferredBytes += much;
+    private void transmit(StateMessage message, Outbox outbox) {
+        int bytes = message.maxEncodedBytes();
+        chargeBytes(bytes);
+        counters.antiEntropyBytes += bytes;
+        outbox.add(peer.address(), message);
     }
 
-    /** The question that this answers; null for none of this walk that is still open. */
-    private OutstandingRequest takeOutstanding(Peer from, long walk, int ask, int size, double now) {
-        OutstandingRequest question =
-                walk == sessionId && from.member().equals(peer.member()) ? outstanding.remove(ask) : null;
-        if (question != null) {
-            lastResponseAt = now;
-            window = Math.min(settings.maxOutstandingRequests(), window + 1);
-            chargeBytes(size);
-        }
-        return question;
+    private void chargeBytes(int bytes) {
+        byteBudget.consume(bytes);
+        transferredBytes += bytes;
     }
 
-    void onResponse(Peer from, StateMessage.VersionVectorUpdate answer, double now) {
-        if (takeOutstanding(
-                        from,
-                        answer.sessionId(),
-                        answer.requestId(),
-                        StateMessage.HEADER_BYTES
-                                + StateMessage.NUMBER_PAIR_BYTES
-                                        * answer.versions().size(),
-                        now)
-                != null) {
-            peerVersions.addAll(answer.versions());
-        }
-    }
+    // ---- responses ----
 
-    void onResponse(Peer from, StateMessage.RootDigestsResponse answer, double now) {
-        if (takeOutstanding(
-                        from,
-                        answer.sessionId(),
-                        answer.requestId(),
-                        StateMessage.HEADER_BYTES
-                                + StateMessage.ROOT_DIGEST_BYTES
-                                        * answer.roots().size(),
-                        now)
-                == null) {
+    /**
+     * Takes a response whose entries or versions were applied already; ignores one that answers no outstanding request
+     * of this session.
+     *
+     * @param settled whether all entries that came with it are in this replica now, or belong to none any more
+     */
+    void onResponse(Peer from, AntiEntropyResponse response, boolean settled, double now, Outbox outbox) {
+        boolean fromThisSession =
+                response.sessionId() == sessionId && from.member().equals(peer.member());
+        Optional<OutstandingRequest> answered =
+                fromThisSession ? requests.complete(response.requestId(), now) : Optional.empty();
+        if (answered.isEmpty()) {
             return;
         }
-        peerBootstrapped = answer.bootstrapped();
-        int compared = 0;
-        for (StateMessage.RootDigest root : answer.roots()) {
-            EntryTable<?> table = replica.table(root.replicatedType());
-            if (table != null && replica.accepts(from.member(), table)) {
-                compared++;
-                replica.adoptBounds(from.member(), table, root.cutoff(), root.evictionFloor(), now);
-                if (table.hashTree.hashSum(0, 0) != root.hashSum()) {
-                    pendingSteps.push(new SyncStep.CompareTreeNode(table, 0, 0));
-                }
-            }
+        chargeBytes(response.maxEncodedBytes());
+        OutstandingRequest request = answered.get();
+        if (response instanceof VersionVectorUpdate update) {
+            peerVersions.addAll(update.versions());
+        } else if (response instanceof RootDigestsResponse roots) {
+            compareRoots(roots, now);
+        } else if (response instanceof TreeNodeResponse node && request.step() instanceof CompareTreeNode step) {
+            compareChildren(step, node, now);
+        } else if (response instanceof RangeEntries entries && request.step() instanceof FetchRange step) {
+            complete &= settled;
+            finishRange(step, request.fingerprintedKeys(), entries, outbox);
         }
-        complete &= compared == replica.tables().size();
     }
 
-    void onResponse(Peer from, StateMessage.TreeNodeResponse answer, double now) {
-        OutstandingRequest question = takeOutstanding(
-                from, answer.sessionId(), answer.requestId(), StateMessage.HEADER_BYTES + 12 * HashTree.FANOUT, now);
-        if (question == null || !(question.step instanceof SyncStep.CompareTreeNode node)) {
-            return;
-        }
-        replica.adoptBounds(from.member(), node.table, answer.cutoff(), answer.evictionFloor(), now);
-        int level = node.level + 1;
-        for (int i = 0; i < HashTree.FANOUT; i++) {
-            int index = node.index * HashTree.FANOUT + i;
-            int here = node.table.hashTree.entryCount(level, index);
-            if (node.table.hashTree.hashSum(level, index) != answer.hashSums()[i] || here != answer.entryCounts()[i]) {
-                boolean few = level == HashTree.LEAF_LEVEL
-                        || here <= SMALL_RANGE_ENTRIES && answer.entryCounts()[i] <= SMALL_RANGE_ENTRIES;
-                pendingSteps.push(
-                        few
-                                ? new SyncStep.FetchRange(
-                                        node.table, HashTree.firstHash(level, index), HashTree.lastHash(level, index))
-                                : new SyncStep.CompareTreeNode(node.table, level, index));
+    private void compareRoots(RootDigestsResponse response, double now) {
+        peerBootstrapped = response.bootstrapped();
+        int comparedTypes = 0;
+        for (RootDigest root : response.roots()) {
+            EntryTable<?> table = replica.table(root.replicatedType());
+            if (table != null && replica.accepts(peer.member(), table)) {
+                comparedTypes++;
+                replica.adoptBounds(peer.member(), table, root.digestCutoff(), root.evictionFloor(), now);
+                if (table.hashTree().rootSum() != root.hashSum()) {
+                    pendingSteps.push(new CompareTreeNode(table, HashTree.ROOT_LEVEL, 0));
+                }
             }
         }
+        complete &= comparedTypes == replica.tables().size();
     }
 
-    /** @param settled whether all that came with it is here now or rightly not */
-    void onResponse(Peer from, StateMessage.RangeEntries answer, boolean settled, double now, Outbox out) {
-        int size = StateMessage.HEADER_BYTES
-                + answer.entries().stream()
-                        .mapToInt(StateMessage.RangeEntry::maxEncodedBytes)
-                        .sum();
-        OutstandingRequest question = takeOutstanding(from, answer.sessionId(), answer.requestId(), size, now);
-        if (question == null || !(question.step instanceof SyncStep.FetchRange range)) {
-            return;
-        }
-        complete &= settled;
-        if (Long.compareUnsigned(answer.coveredTo(), range.lastHash) < 0) {
-            pendingSteps.push(new SyncStep.FetchRange(range.table, answer.coveredTo() + 1, range.lastHash));
+    private void compareChildren(CompareTreeNode parent, TreeNodeResponse response, double now) {
+        EntryTable<?> table = parent.table();
+        replica.adoptBounds(peer.member(), table, response.digestCutoff(), response.evictionFloor(), now);
+        HashTree tree = table.hashTree();
+        int level = parent.level() + 1;
+        for (int child = 0; child < HashTree.FANOUT; child++) {
+            int index = parent.index() * HashTree.FANOUT + child;
+            ChildDigest peerDigest = response.children().get(child);
+            int count = tree.entryCount(level, index);
+            if (tree.hashSum(level, index) != peerDigest.hashSum() || count != peerDigest.entryCount()) {
+                boolean isSmall = count <= SMALL_RANGE_ENTRIES && peerDigest.entryCount() <= SMALL_RANGE_ENTRIES;
+                pendingSteps.push(nextStep(table, level, index, isSmall));
+            }
         }
-        pushEntries(range.table, question.fingerprintedKeys, answer.presentMask(), out);
     }
 
-    /** Sends the other what it lacks, as far as one walk may. */
-    private void pushEntries(EntryTable<?> table, List<String> keys, long had, Outbox out) {
-        var entries = new ArrayList<StateMessage.RangeEntry>();
-        int room = Packet.MAX_MESSAGE_BYTES - StateMessage.HEADER_BYTES;
-        for (int i = 0; i < keys.size() && pushedBytes < settings.maxPushBytes(); i++) {
-            byte[] value = (had >>> i & 1) == 0 ? table.encodedValue(keys.get(i), StableHash.ofKey(keys.get(i))) : null;
-            if (value == null) {
-                continue;
-            }
-            var entry = new StateMessage.RangeEntry(keys.get(i), value);
-            if (entry.maxEncodedBytes() > room) {
-                pushEntries(table, entries, out);
-                entries = new ArrayList<>();
-                room = Packet.MAX_MESSAGE_BYTES - StateMessage.HEADER_BYTES;
-            }
-            entries.add(entry);
-            room -= entry.maxEncodedBytes();
-        }
-        pushEntries(table, entries, out);
+    private static SyncStep nextStep(EntryTable<?> table, int level, int index, boolean isSmall) {
+        return isSmall || level == HashTree.LEAF_LEVEL
+                ? new FetchRange(table, HashTree.firstHash(level, index), HashTree.lastHash(level, index))
+                : new CompareTreeNode(table, level, index);
     }
 
-    private void pushEntries(EntryTable<?> table, List<StateMessage.RangeEntry> entries, Outbox out) {
-        if (!entries.isEmpty()) {
-            int size = StateMessage.HEADER_BYTES
-                    + entries.stream()
-                            .mapToInt(StateMessage.RangeEntry::maxEncodedBytes)
-                            .sum();
-            pushedBytes += size;
-            chargeBytes(size);
-            counters.antiEntropyBytes += size;
-            out.add(
-                    peer.address(),
-                    new StateMessage.RangeEntries(
-                            0, 0, table.type.typeNumber(), table.evictionFloor(), 0, 0, List.copyOf(entries)));
+    private void finishRange(FetchRange range, List<String> fingerprintedKeys, RangeEntries response, Outbox outbox) {
+        if (Long.compareUnsigned(response.coveredTo(), range.lastHash()) < 0) {
+            pendingSteps.push(new FetchRange(range.table(), response.coveredTo() + 1, range.lastHash()));
         }
+        pusher.pushMissing(
+                range.table(), fingerprintedKeys, response.presentMask(), entries -> transmit(entries, outbox));
     }
 }
--- a/fleet/src/main/java/clayhook/fleet/state/ApplyResult.java
+++ b/fleet/src/main/java/clayhook/fleet/state/ApplyResult.java
@@ -1,30 +1,31 @@
 package clayhook.fleet.state;
 
-/** What came of a value that was put in or heard. */
+/** What became of a value that was written here or received from another member. */
 public enum ApplyResult {
-    /** It changed the copy. */
+    /** It changed the replica. */
     CHANGED,
-    /** The copy had it, or more. */
+    /** The replica held it, or a value that includes it, already. */
     UNCHANGED,
-    /** It is past its time. */
+    /** Rejected: its retention is over. */
     EXPIRED,
-    /** It is at or below the floor of its kind. */
+    /** Rejected: it is at or below the eviction floor of its type. */
     BELOW_FLOOR,
-    /** It is from further in the future than clocks may be off. */
+    /** Rejected: its timestamp is further in the future than clocks may be off, or is no finite number. */
     FUTURE,
-    /** Its key is empty or no text, or key and value together are too long. */
-    UNFIT,
-    /** It could not be read. */
+    /** Rejected: its key is empty or no valid text, or the key or the entry is too long. */
+    INVALID_ENTRY,
+    /** Rejected: it could not be decoded. */
     MALFORMED,
-    /** Its kind goes by clocks, and that of the router that told it is off. */
+    /** Rejected: its type depends on clocks, and the clock of the member that sent it is off. */
     CLOCK_SKEWED;
 
+    /** Whether the replica holds the value now. */
     boolean isAccepted() {
         return this == CHANGED || this == UNCHANGED;
     }
 
     /**
-     * Whether the copy lacks nothing that it should hold: what is past its time or below the floor is missing rightly.
+     * Whether the replica lacks nothing that it should hold: a value that expired or was evicted belongs to no replica.
      */
     boolean isSettled() {
         return isAccepted() || this == EXPIRED || this == BELOW_FLOOR;
--- /dev/null
+++ b/fleet/src/main/java/clayhook/fleet/state/DeltaBroadcast.java
@@ -0,0 +1,69 @@
+package clayhook.fleet.state;
+
+import clayhook.fleet.FieldReader;
+import clayhook.fleet.FieldWriter;
+import java.util.List;
+
+/**
+ * Entries that changed lately, sent unasked to a few members.
+ *
+ * @param sequence the last sequence number of the sender
+ * @param asOf seconds since 1970 on the sender's clock when that was so
+ */
+record DeltaBroadcast(long sequence, double asOf, List<DeltaEntry> entries) implements StateMessage {
+    static final int TYPE_NUMBER = 20;
+    /** Update ids of one entry at most; with more, the oldest are dropped. */
+    static final int MAX_UPDATES_PER_DELTA = 8;
+
+    /**
+     * The present value of a changed entry.
+     *
+     * @param replicatedType number of the type
+     * @param updateIds the updates that the value includes, as far as they are still being broadcast
+     */
+    @SuppressWarnings("ArrayRecordComponent") // the encoded value is never changed, and entries are never compared
+    record DeltaEntry(int replicatedType, String key, byte[] value, List<UpdateId> updateIds) {
+        int maxEncodedBytes() {
+            return EncodedSizes.ENTRY_OVERHEAD_BYTES
+                    + EncodedSizes.utf8Length(key)
+                    + value.length
+                    + EncodedSizes.NUMBER_PAIR_BYTES * updateIds.size();
+        }
+
+        private void write(FieldWriter out) {
+            out.beginList().writeLong(replicatedType).writeNullableString(key).writeBytes(value);
+            UpdateId.writeList(updateIds, out);
+            out.endList();
+        }
+
+        private static DeltaEntry read(FieldReader in) {
+            return new DeltaEntry(
+                    in.readIntBelow(REPLICATED_TYPE_LIMIT),
+                    in.readNonEmptyString(),
+                    in.readBytes(),
+                    UpdateId.readList(in, MAX_UPDATES_PER_DELTA));
+        }
+    }
+
+    @Override
+    public int typeNumber() {
+        return TYPE_NUMBER;
+    }
+
+    @Override
+    public int maxEncodedBytes() {
+        return EncodedSizes.HEADER_BYTES
+                + entries.stream().mapToInt(DeltaEntry::maxEncodedBytes).sum();
+    }
+
+    @Override
+    public void write(FieldWriter out) {
+        out.writeLong(sequence).writeDouble(asOf).beginList();
+        entries.forEach(entry -> entry.write(out));
+        out.endList();
+    }
+
+    static DeltaBroadcast read(FieldReader in) {
+        return new DeltaBroadcast(in.readLong(), in.readDouble(), in.readLists(MAX_ENTRIES, DeltaEntry::read));
+    }
+}
--- a/fleet/src/main/java/clayhook/fleet/state/DeltaBroadcastQueue.java
+++ b/fleet/src/main/java/clayhook/fleet/state/DeltaBroadcastQueue.java
@@ -1,5 +1,6 @@
 package clayhook.fleet.state;
 
+import clayhook.fleet.state.DeltaBroadcast.DeltaEntry;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -7,82 +8,18 @@
 import java.util.Map;
 
 /**
- * What was changed lately and is told on, least told first and of those the latest first. One entry is one rumour,
- * whatever changes: it always tells the value as it is now. A rumour ends when it was told a number of times, when it
- * is too old, or at the bound.
+ * The entries that changed lately and are being broadcast: those that were broadcast in the fewest rounds first, and of
+ * these the ones that changed last. An entry leaves the queue after a number of rounds, when it is too old, when it is
+ * removed from its table, or when there are too many; anti-entropy spreads what was not broadcast often enough. Not
+ * thread-safe.
  */
 final class DeltaBroadcastQueue {
-    /** Rounds in which a rumour is told at most; enough for any fleet. */
+    /** An entry is broadcast in so many rounds at most; enough for any fleet. */
     private static final int MAX_ROUNDS = 15;
 
-    private static final class PendingDelta {
-        final EntryTable<?> table;
-        final String key;
-        final long hash;
-        /** Member, number, rounds told, and again; at most {@link StateMessage#MAX_UPDATES_PER_DELTA} of them. */
-        long[] updates = new long[0];
-        /** Rounds in which it was told, or heard from others, since it changed last. */
-        int completedRounds;
-
-        double changedAt;
-        PendingDelta previous = this;
-        PendingDelta next = this;
-
-        PendingDelta(EntryTable<?> table, String key, long hash) {
-            this.table = table;
-            this.key = key;
-            this.hash = hash;
-        }
-
-        void unlink() {
-            previous.next = next;
-            next.previous = previous;
-            previous = this;
-            next = this;
-        }
-
-        void linkAfter(PendingDelta head) {
-            previous = head;
-            next = head.next;
-            next.previous = this;
-            head.next = this;
-        }
-
-        void addUpdate(long member, long number) {
-            int most = 3 * StateMessage.MAX_UPDATES_PER_DELTA;
-            int from = updates.length == most ? 3 : 0;
-            long[] more = Arrays.copyOfRange(updates, from, updates.length + 3);
-            more[more.length - 3] = member;
-            more[more.length - 2] = number;
-            more[more.length - 1] = 0;
-            updates = more;
-        }
-
-        /** What was told often enough need not be told with the next change. */
-        void ageUpdates(int rounds) {
-            int kept = 0;
-            for (int i = 0; i < updates.length; i += 3) {
-                if (++updates[i + 2] < rounds) {
-                    System.arraycopy(updates, i, updates, kept, 3);
-                    kept += 3;
-                }
-            }
-            updates = Arrays.copyOf(updates, kept);
-        }
-
-        long[] updateIds() {
-            long[] out = new long[updates.length / 3 * 2];
-            for (int i = 0; i < out.length / 2; i++) {
-                out[2 * i] = updates[3 * i];
-                out[2 * i + 1] = updates[3 * i + 1];
-            }
-            return out;
-        }
-    }
-
-    /** By table and key; holds {@link #maxPending} rumours, which go as said above. */
+    /** By table and key; at most {@link #maxPending} in all, which leave as described above. */
     private final Map<EntryTable<?>, Map<String, PendingDelta>> byKey = new HashMap<>();
-    /** Rings by rounds told; each head stands before the latest one. */
+    /** A ring for each number of completed rounds, the latest change first. */
     private final PendingDelta[] ringsByRounds = new PendingDelta[MAX_ROUNDS];
 
     private final int maxPending;
@@ -90,122 +27,153 @@
     private final StateCounters counters;
     private int size;
 
-    DeltaBroadcastQueue(Iterable<EntryTable<?>> tables, StateSettings settings, StateCounters counts) {
+    DeltaBroadcastQueue(Iterable<EntryTable<?>> tables, StateSettings settings, StateCounters counters) {
         maxPending = settings.maxPendingDeltas();
         lifetimeSeconds = settings.deltaLifetime();
-        this.counters = counts;
-        tables.forEach(table -> {
-            byKey.put(table, new HashMap<>());
-            table.setRemovalListener(key -> onEntryRemoved(byKey.get(table).get(key)));
-        });
-        Arrays.setAll(ringsByRounds, any -> new PendingDelta(null, null, 0));
+        this.counters = counters;
+        Arrays.setAll(ringsByRounds, rounds -> PendingDelta.ringHead());
+        tables.forEach(this::addTable);
+    }
+
+    private void addTable(EntryTable<?> table) {
+        var deltas = new HashMap<String, PendingDelta>();
+        byKey.put(table, deltas);
+        // An entry that is written anew under the same key does not include the updates of the one that was removed.
+        table.setRemovalListener(key -> removeIfPending(deltas.get(key)));
+    }
+
+    private void removeIfPending(PendingDelta delta) {
+        if (delta != null) {
+            remove(delta);
+        }
     }
 
     boolean isEmpty() {
         return size == 0;
     }
 
-    /** That entry was changed, or is known to hold what those members put in: ids and numbers in turn. */
-    void enqueue(EntryTable<?> table, String key, long hash, long[] tags, int tagged, double now) {
-        PendingDelta rumour = byKey.get(table).get(key);
-        if (rumour == null) {
-            rumour = new PendingDelta(table, key, hash);
-            byKey.get(table).put(key, rumour);
+    /**
+     * Queues an entry that has changed, or is known only now to include those updates.
+     *
+     * @param newUpdates updates that the value includes and that were not known to be here before
+     */
+    void enqueue(EntryTable<?> table, String key, long keyHash, List<UpdateId> newUpdates, double now) {
+        PendingDelta delta = byKey.get(table).get(key);
+        if (delta == null) {
+            delta = new PendingDelta(table, key, keyHash);
+            byKey.get(table).put(key, delta);
             size++;
         }
-        for (int i = 0; i < tagged; i += 2) {
-            rumour.addUpdate(tags[i], tags[i + 1]);
-        }
-        rumour.completedRounds = 0;
-        rumour.changedAt = now;
-        rumour.unlink();
-        rumour.linkAfter(ringsByRounds[0]);
+        delta.onChange(newUpdates, now);
+        delta.unlink();
+        delta.linkAfter(ringsByRounds[0]);
         if (size > maxPending) {
             abandon(mostBroadcast());
         }
     }
 
-    /** Someone else told that entry as it is here: one telling less is needed. */
+    /** Counts a round for an entry that another member broadcast just as it is here. */
     void onDuplicate(EntryTable<?> table, String key, int rounds) {
-        PendingDelta rumour = byKey.get(table).get(key);
-        if (rumour != null) {
-            countRound(rumour, rounds);
+        PendingDelta delta = byKey.get(table).get(key);
+        if (delta != null) {
+            completeRound(delta, rounds);
         }
     }
 
-    /** The most told and of those the oldest. */
-    private PendingDelta mostBroadcast() {
-        for (int ring = MAX_ROUNDS - 1; ring >= 0; ring--) {
-            if (ringsByRounds[ring].previous != ringsByRounds[ring]) {
-                return ringsByRounds[ring].previous;
+    /** Removes entries that changed too long ago. */
+    void removeExpired(double now) {
+        for (PendingDelta head : ringsByRounds) {
+            while (head.previous() != head && head.previous().changedAt() + lifetimeSeconds < now) {
+                abandon(head.previous());
             }
         }
-        throw new IllegalStateException("no rumour");
     }
 
     /**
-     * Guards against an entry that is put in anew under the numbers of one that went: its value does not hold those.
+     * Takes the entries to broadcast next, and counts a round for each.
+     *
+     * @param maxBytes of the entries of a batch
+     * @param rounds in which each entry is broadcast
      */
-    private void onEntryRemoved(PendingDelta rumour) {
-        if (rumour != null) {
-            remove(rumour);
+    List<List<DeltaEntry>> nextBatches(int maxBatches, int maxBytes, int rounds) {
+        var batches = new BatchBuilder(maxBatches, maxBytes);
+        var taken = new ArrayList<PendingDelta>();
+        for (PendingDelta head : ringsByRounds) {
+            if (!takeRing(head, batches, taken)) {
+                break;
+            }
         }
+        taken.forEach(delta -> completeRound(delta, rounds));
+        return batches.batches;
     }
 
-    private void abandon(PendingDelta rumour) {
-        counters.deltasAbandoned++;
-        remove(rumour);
+    /** Returns false if the batches are full. */
+    private static boolean takeRing(PendingDelta head, BatchBuilder batches, List<PendingDelta> taken) {
+        for (PendingDelta delta = head.next(); delta != head; delta = delta.next()) {
+            if (!batches.add(delta.toEntry())) {
+                return false;
+            }
+            taken.add(delta);
+        }
+        return true;
     }
 
-    private void remove(PendingDelta rumour) {
-        rumour.unlink();
-        byKey.get(rumour.table).remove(rumour.key);
-        size--;
+    private void completeRound(PendingDelta delta, int rounds) {
+        delta.completeRound(rounds);
+        if (delta.completedRounds() >= Math.min(rounds, MAX_ROUNDS)) {
+            remove(delta);
+        } else {
+            delta.unlink();
+            delta.linkAfter(ringsByRounds[delta.completedRounds()]);
+        }
     }
 
-    /** Ends what is too old to be news. */
-    void expire(double now) {
-        for (PendingDelta ring : ringsByRounds) {
-            while (ring.previous != ring && ring.previous.changedAt + lifetimeSeconds < now) {
-                abandon(ring.previous);
+    /** Of the entries that were broadcast in the most rounds, the one that changed first. */
+    private PendingDelta mostBroadcast() {
+        for (int rounds = MAX_ROUNDS - 1; rounds >= 0; rounds--) {
+            PendingDelta head = ringsByRounds[rounds];
+            if (head.previous() != head) {
+                return head.previous();
             }
         }
+        throw new IllegalStateException("no entry is pending");
     }
 
-    /** Takes what is to be told next, in parts of at most that many bytes, and counts it as told. */
-    List<List<StateMessage.DeltaEntry>> nextBatches(int parts, int bytes, int rounds) {
-        var out = new ArrayList<List<StateMessage.DeltaEntry>>();
-        var taken = new ArrayList<PendingDelta>();
-        int room = 0;
-        all:
-        for (PendingDelta ring : ringsByRounds) {
-            for (PendingDelta rumour = ring.next; rumour != ring; rumour = rumour.next) {
-                byte[] value = rumour.table.encodedValue(rumour.key, rumour.hash);
-                var told = new StateMessage.DeltaEntry(
-                        rumour.table.type.typeNumber(), rumour.key, value, rumour.updateIds());
-                if (told.maxEncodedBytes() > room) {
-                    if (out.size() == parts) {
-                        break all;
-                    }
-                    out.add(new ArrayList<>());
-                    room = bytes;
-                }
-                taken.add(rumour);
-                out.get(out.size() - 1).add(told);
-                room -= told.maxEncodedBytes();
-            }
-        }
-        taken.forEach(each -> countRound(each, rounds));
-        return out;
+    private void abandon(PendingDelta delta) {
+        counters.deltasAbandoned++;
+        remove(delta);
     }
 
-    private void countRound(PendingDelta rumour, int rounds) {
-        rumour.ageUpdates(rounds);
-        if (++rumour.completedRounds >= Math.min(rounds, MAX_ROUNDS)) {
-            remove(rumour);
-        } else {
-            rumour.unlink();
-            rumour.linkAfter(ringsByRounds[rumour.completedRounds]);
+    private void remove(PendingDelta delta) {
+        delta.unlink();
+        byKey.get(delta.table).remove(delta.key);
+        size--;
+    }
+
+    /** Fills batches one after the other. */
+    private static final class BatchBuilder {
+        private final List<List<DeltaEntry>> batches = new ArrayList<>();
+        private final int maxBatches;
+        private final int maxBytes;
+        private int bytesLeft;
+
+        BatchBuilder(int maxBatches, int maxBytes) {
+            this.maxBatches = maxBatches;
+            this.maxBytes = maxBytes;
+        }
+
+        /** Returns false, without adding the entry, if all batches are full. */
+        boolean add(DeltaEntry entry) {
+            if (entry.maxEncodedBytes() > bytesLeft) {
+                if (batches.size() == maxBatches) {
+                    return false;
+                }
+                batches.add(new ArrayList<>());
+                bytesLeft = maxBytes;
+            }
+            batches.get(batches.size() - 1).add(entry);
+            bytesLeft -= entry.maxEncodedBytes();
+            return true;
         }
     }
 }
--- /dev/null
+++ b/fleet/src/main/java/clayhook/fleet/state/DeltaBroadcaster.java
@@ -0,0 +1,128 @@
+package clayhook.fleet.state;
+
+import clayhook.fleet.MembershipView;
+import clayhook.fleet.Outbox;
+import clayhook.fleet.Packet;
+import clayhook.fleet.Peer;
+import clayhook.fleet.state.DeltaBroadcast.DeltaEntry;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.SplittableRandom;
+
+/**
+ * Broadcasts changed entries by rumor mongering: in each round to a few random members, in so many rounds that all
+ * members hear of a change with high probability. Entries of urgent types go out at once. Not thread-safe.
+ */
+final class DeltaBroadcaster {
+    /**
+     * Rounds beyond those in which all members would be reached if no message were lost or sent twice to one member.
+     */
+    private static final int EXTRA_ROUNDS = 2;
+
+    private static final int MAX_BATCH_BYTES = Packet.MAX_MESSAGE_BYTES - EncodedSizes.HEADER_BYTES;
+
+    private final MembershipView membership;
+    private final VersionVector versionVector;
+    private final StateSettings settings;
+    private final StateCounters counters;
+    private final SplittableRandom random;
+    private final TokenBucket byteBudget;
+    private final DeltaBroadcastQueue urgentDeltas;
+    private final DeltaBroadcastQueue regularDeltas;
+    /** Entries of urgent types were queued since the last broadcast of these. */
+    private boolean urgentPending;
+
+    private double nextRoundAt;
+
+    DeltaBroadcaster(
+            MembershipView membership,
+            Replica replica,
+            VersionVector versionVector,
+            StateSettings settings,
+            StateCounters counters,
+            SplittableRandom random,
+            double now) {
+        this.membership = membership;
+        this.versionVector = versionVector;
+        this.settings = settings;
+        this.counters = counters;
+        this.random = random;
+        byteBudget = new TokenBucket(settings.broadcastBytesPerSecond(), now);
+        urgentDeltas = new DeltaBroadcastQueue(replica.tables(true), settings, counters);
+        regularDeltas = new DeltaBroadcastQueue(replica.tables(false), settings, counters);
+    }
+
+    /** Queues a changed entry, see {@link DeltaBroadcastQueue#enqueue}. */
+    void enqueue(EntryTable<?> table, String key, long keyHash, List<UpdateId> newUpdates, double now) {
+        queueOf(table).enqueue(table, key, keyHash, newUpdates, now);
+        urgentPending |= table.type.urgent();
+    }
+
+    /** Another member broadcast an entry just as it is here, so this router need not do so once more. */
+    void onDuplicate(EntryTable<?> table, String key) {
+        queueOf(table).onDuplicate(table, key, roundsPerDelta());
+    }
+
+    private DeltaBroadcastQueue queueOf(EntryTable<?> table) {
+        return table.type.urgent() ? urgentDeltas : regularDeltas;
+    }
+
+    /** Broadcasts what is urgent, and takes the next round if it is due. */
+    void tick(double now, Outbox outbox) {
+        broadcastUrgent(now, outbox);
+        if (now >= nextRoundAt && !(urgentDeltas.isEmpty() && regularDeltas.isEmpty())) {
+            nextRoundAt = now + settings.broadcastInterval();
+            urgentDeltas.removeExpired(now);
+            regularDeltas.removeExpired(now);
+            broadcast(urgentDeltas, now, outbox);
+            broadcast(regularDeltas, now, outbox);
+        }
+    }
+
+    /** Broadcasts entries of urgent types that were queued since the last broadcast of these. */
+    void broadcastUrgent(double now, Outbox outbox) {
+        if (urgentPending) {
+            urgentPending = false;
+            broadcast(urgentDeltas, now, outbox);
+        }
+    }
+
+    private void broadcast(DeltaBroadcastQueue deltas, double now, Outbox outbox) {
+        if (deltas.isEmpty() || membership.livePeers().isEmpty() || !byteBudget.hasTokens(now)) {
+            return;
+        }
+        List<List<DeltaEntry>> batches =
+                deltas.nextBatches(settings.maxMessagesPerRound(), MAX_BATCH_BYTES, roundsPerDelta());
+        for (Peer peer : randomPeers()) {
+            for (List<DeltaEntry> batch : batches) {
+                var message = new DeltaBroadcast(versionVector.lastSequence(), versionVector.asOf(now), batch);
+                int bytes = message.maxEncodedBytes();
+                byteBudget.consume(bytes);
+                counters.deltaBytes += bytes;
+                counters.deltasSent += batch.size();
+                outbox.add(peer.address(), message);
+            }
+        }
+    }
+
+    /** The rounds in which each change is broadcast: each round multiplies the members that know it by fanout + 1. */
+    private int roundsPerDelta() {
+        double members = membership.livePeers().size() + 1;
+        return (int) Math.ceil(Math.log(members) / Math.log(settings.fanout() + 1)) + EXTRA_ROUNDS;
+    }
+
+    private List<Peer> randomPeers() {
+        List<Peer> peers = membership.livePeers();
+        if (peers.size() <= settings.fanout()) {
+            return peers;
+        }
+        var chosen = new ArrayList<Peer>();
+        while (chosen.size() < settings.fanout()) {
+            Peer peer = peers.get(random.nextInt(peers.size()));
+            if (!chosen.contains(peer)) {
+                chosen.add(peer);
+            }
+        }
+        return chosen;
+    }
+}
--- a/fleet/src/main/java/clayhook/fleet/state/EntryTable.java
+++ b/fleet/src/main/java/clayhook/fleet/state/EntryTable.java
@@ -1,377 +1,290 @@
 package clayhook.fleet.state;
 
+import clayhook.fleet.FieldReader;
 import clayhook.fleet.FieldWriter;
 import clayhook.fleet.ReplicatedStore;
 import clayhook.fleet.ReplicatedType;
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.List;
 import java.util.function.Consumer;
 
 /**
- * The entries of one kind, kept by the hash of their keys so that ranges of hashes come in order. Holds at most
- * {@link ReplicatedType#maxEntries()} entries; they go when they are past their time or at the bound. An entry out of
- * its time is never taken, so that nothing that was dropped comes back and nothing has to be remembered of it.
+ * The entries of one replicated type. Holds at most {@link ReplicatedType#maxEntries()} of them; they are removed when
+ * they expire, or, oldest first, when there are too many. A value that is expired or at or below the eviction floor is
+ * never accepted, so nothing that was removed comes back, and no tombstones are needed.
  *
- * <p>An entry takes some 56 bytes beside its key and value, measured with 100,000; just after the arrays grew half as
- * much again. Arrays do not shrink.
+ * <p>An entry takes some 56 bytes beside its key and value, measured with 100,000 entries, and up to half as much again
+ * right after the arrays have grown. Not thread-safe.
  */
 final class EntryTable<V> {
-    /** Bytes of key and value; leaves room for the frame of any part that holds just this one. */
+    /** Bytes of key and value at most; a message that holds just this one entry fits into a packet. */
     static final int MAX_ENTRY_BYTES = 1000;
+    /** The digest exclusion margin is at most this part of the type's retention. */
+    private static final double MAX_MARGIN_OF_RETENTION = 0.25;
+    /** The cut-off moves in steps of this part of the margin, or of a second if that is less. */
+    private static final double CUTOFF_STEP_OF_MARGIN = 0.5;
 
-    private static final int MIN_BUCKET_BITS = 6;
-    private static final int INITIAL_SLOTS = 16;
+    private static final double MAX_CUTOFF_STEP_SECONDS = 1;
 
     final ReplicatedType<V> type;
-    final HashTree hashTree = new HashTree();
-    /** Bounded by who calls {@link ReplicatedStore#addListener} once at the start. */
+    /** Bounded by callers, which add a listener once at the start. */
     private final List<ReplicatedStore.ChangeListener<V>> listeners = new ArrayList<>();
 
-    private Consumer<String> removalListener = key -> {};
     private final double maxClockSkew;
     private final double exclusionMargin;
     private final double cutoffStep;
-
-    /** Slots: what each holds. Free ones are linked from {@link #firstFreeSlot} by {@link #nextSlots}. */
-    private String[] keys = new String[0];
-
-    private Object[] values = new Object[0];
-    private long[] keyHashes = new long[0];
-    private long[] entryHashes = new long[0];
-    private int[] nextSlots = new int[0];
-    private int firstFreeSlot = -1;
-    private int size;
-    /** First slots by the front bits of the hash; each chain in the order of hashes. */
-    private int[] bucketHeads;
-
-    private int bucketBits = MIN_BUCKET_BITS;
-
-    private final EntryTimestamps timestamps = new EntryTimestamps();
-    /** Those in the digests, younger than {@link #digestCutoff}, and the others. */
-    private final EntryTimestamps.AgeHeap digestedEntries = timestamps.new AgeHeap();
-
-    private final EntryTimestamps.AgeHeap expiringEntries = timestamps.new AgeHeap();
-    private double digestCutoff = Double.NEGATIVE_INFINITY;
+    private final EntrySlots<V> slots = new EntrySlots<>();
+    private final TableDigest digest = new TableDigest(slots);
+    private Consumer<String> removalListener = key -> {};
     private double evictionFloor = Double.NEGATIVE_INFINITY;
 
-    EntryTable(ReplicatedType<V> kind, StateSettings settings) {
-        this.type = kind;
+    EntryTable(ReplicatedType<V> type, StateSettings settings) {
+        this.type = type;
         maxClockSkew = settings.maxClockSkew();
-        // A kind that is kept for seconds would else never be compared.
-        exclusionMargin = Math.min(settings.digestExclusionMargin(), kind.retentionSeconds() / 4);
-        cutoffStep = Math.min(1, exclusionMargin / 2);
-        bucketHeads = new int[1 << bucketBits];
-        Arrays.fill(bucketHeads, -1);
+        // Otherwise entries of a type that is retained for seconds would never be in the digest.
+        exclusionMargin = Math.min(settings.digestExclusionMargin(), type.retentionSeconds() * MAX_MARGIN_OF_RETENTION);
+        cutoffStep = Math.min(MAX_CUTOFF_STEP_SECONDS, exclusionMargin * CUTOFF_STEP_OF_MARGIN);
     }
 
     void addListener(ReplicatedStore.ChangeListener<V> listener) {
         listeners.add(listener);
     }
 
-    void setRemovalListener(Consumer<String> hears) {
-        removalListener = hears;
+    /** {@code listener} is told the key of each entry that is removed. */
+    void setRemovalListener(Consumer<String> listener) {
+        removalListener = listener;
     }
 
+    // ---- entries ----
+
     int size() {
-        return size;
+        return slots.size();
     }
 
-    double evictionFloor() {
-        return evictionFloor;
+    /** The value under that key, or null. */
+    V get(String key) {
+        int slot = slots.find(key, StableHash.ofKey(key));
+        return slot < 0 ? null : slots.value(slot);
     }
 
-    /** What was true then or earlier is left out of the digests. */
-    double digestCutoff() {
-        return digestCutoff;
+    /** The encoded value under that key, or null. */
+    byte[] encodedValue(String key, long keyHash) {
+        int slot = slots.find(key, keyHash);
+        return slot < 0 ? null : encodedValue(slot);
     }
 
-    /** Joins that value in. */
-    ApplyResult merge(String key, long hash, V value, double now) {
-        double at = type.timestamp(value);
-        if (!Double.isFinite(at) || type.clockDependent() && at > now + maxClockSkew) {
-            return ApplyResult.FUTURE;
-        }
-        if (at + type.retentionSeconds() <= now) {
-            return ApplyResult.EXPIRED;
-        }
-        if (at <= evictionFloor) {
-            return ApplyResult.BELOW_FLOOR;
-        }
-        int slot = findSlot(key, hash);
-        V joined = slot < 0 ? value : type.merge(value(slot), value);
-        if (slot >= 0 && joined.equals(value(slot))) {
-            return ApplyResult.UNCHANGED;
-        }
-        byte[] bytes = encode(joined);
-        if (!isWithinLimits(key, bytes)) {
-            return ApplyResult.UNFIT;
-        }
-        slot = slot < 0 ? insertSlot(key, hash) : detachSlot(slot);
-        storeValue(slot, joined, StableHash.ofEntry(hash, bytes));
-        while (size > type.maxEntries()) {
-            evictionFloor = timestamps.timestamp(heapWithOldest().oldest());
-            evictUpTo(evictionFloor, Integer.MAX_VALUE);
-        }
-        if (findSlot(key, hash) < 0) {
-            return ApplyResult.BELOW_FLOOR;
-        }
-        listeners.forEach(listener -> listener.onChange(key, joined, now));
-        return ApplyResult.CHANGED;
+    byte[] encodedValue(int slot) {
+        return encode(slots.value(slot));
     }
 
-    private static boolean isWithinLimits(String key, byte[] value) {
-        int bytes = StableHash.utf8Length(key);
-        return bytes > 0 && bytes <= ReplicatedStore.MAX_KEY_BYTES && bytes + value.length <= MAX_ENTRY_BYTES;
+    private byte[] encode(V value) {
+        var out = new FieldWriter();
+        type.write(value, out);
+        return out.toByteArray();
     }
 
-    /** Whether the copy has just that value under that key, as far as hashes tell. */
-    boolean containsValue(String key, long hash, byte[] value) {
-        int slot = findSlot(key, hash);
-        return slot >= 0 && entryHashes[slot] == StableHash.ofEntry(hash, value);
+    String key(int slot) {
+        return slots.key(slot);
     }
 
-    V get(String key) {
-        int slot = findSlot(key, StableHash.ofKey(key));
-        return slot < 0 ? null : value(slot);
+    long keyHash(int slot) {
+        return slots.keyHash(slot);
     }
 
-    /** Null where there is none. */
-    byte[] encodedValue(String key, long hash) {
-        int slot = findSlot(key, hash);
-        return slot < 0 ? null : encode(value(slot));
+    long entryHash(int slot) {
+        return slots.entryHash(slot);
     }
 
-    @SuppressWarnings("unchecked") // only attach() stores
     V value(int slot) {
-        return (V) values[slot];
+        return slots.value(slot);
     }
 
-    byte[] encode(V value) {
-        var out = new FieldWriter();
-        type.write(value, out);
-        return out.toByteArray();
+    /** The first slot in order of key hashes; negative if there is none. */
+    int firstSlot() {
+        return slots.firstFrom(0);
     }
 
-    String key(int slot) {
-        return keys[slot];
+    /** The slot after that one in order of key hashes; negative if there is none. */
+    int nextSlot(int slot) {
+        return slots.next(slot);
     }
 
-    long keyHash(int slot) {
-        return keyHashes[slot];
+    /**
+     * The first slot of an entry of the digest whose key hash is in that range, both ends included, in unsigned order;
+     * negative if there is none.
+     */
+    int firstDigestedSlot(long firstHash, long lastHash) {
+        return digestedFrom(slots.firstFrom(firstHash), lastHash);
     }
 
-    long entryHash(int slot) {
-        return entryHashes[slot];
+    /** As {@link #firstDigestedSlot}, after that slot. */
+    int nextDigestedSlot(int slot, long lastHash) {
+        return digestedFrom(slots.next(slot), lastHash);
     }
 
-    boolean isDigested(int slot) {
-        return timestamps.timestamp(slot) > digestCutoff;
+    private int digestedFrom(int firstSlot, long lastHash) {
+        int slot = firstSlot;
+        while (slot >= 0 && Long.compareUnsigned(slots.keyHash(slot), lastHash) <= 0) {
+            if (digest.contains(slot)) {
+                return slot;
+            }
+            slot = slots.next(slot);
+        }
+        return EntrySlots.NO_SLOT;
     }
 
-    /** The first one whose hash is at least that; negative for none. Hashes are ordered as unsigned numbers. */
-    int firstSlotFrom(long hash) {
-        int slot = firstSlotInBuckets(bucketOf(hash));
-        while (slot >= 0 && Long.compareUnsigned(keyHashes[slot], hash) < 0) {
-            slot = slotAfter(slot);
+    // ---- merging ----
+
+    /** Decodes a value and merges it; does neither if the table holds just that value. */
+    ApplyResult mergeEncoded(String key, long keyHash, byte[] encodedValue, double now) {
+        if (containsValue(key, keyHash, encodedValue)) {
+            return ApplyResult.UNCHANGED;
+        }
+        V value;
+        try {
+            value = type.read(new FieldReader(encodedValue));
+        } catch (IllegalArgumentException e) {
+            return ApplyResult.MALFORMED;
         }
-        return slot;
+        return merge(key, keyHash, value, now);
     }
 
-    int slotAfter(int slot) {
-        return nextSlots[slot] >= 0 ? nextSlots[slot] : firstSlotInBuckets(bucketOf(keyHashes[slot]) + 1);
+    /** Whether the table holds just that value under that key, as far as hashes tell. */
+    private boolean containsValue(String key, long keyHash, byte[] encodedValue) {
+        int slot = slots.find(key, keyHash);
+        return slot >= 0 && slots.entryHash(slot) == StableHash.ofEntry(keyHash, encodedValue);
     }
 
-    private int firstSlotInBuckets(int fromBucket) {
-        for (int i = fromBucket; i < bucketHeads.length; i++) {
-            if (bucketHeads[i] >= 0) {
-                return bucketHeads[i];
-            }
+    /** Merges a value into the one under that key. */
+    ApplyResult merge(String key, long keyHash, V value, double now) {
+        double timestamp = type.timestamp(value);
+        if (isFromFuture(timestamp, now)) {
+            return ApplyResult.FUTURE;
         }
-        return -1;
+        if (timestamp + type.retentionSeconds() <= now) {
+            return ApplyResult.EXPIRED;
+        }
+        if (timestamp <= evictionFloor) {
+            return ApplyResult.BELOW_FLOOR;
+        }
+        int slot = slots.find(key, keyHash);
+        V merged = slot < 0 ? value : type.merge(slots.value(slot), value);
+        if (slot >= 0 && merged.equals(slots.value(slot))) {
+            return ApplyResult.UNCHANGED;
+        }
+        byte[] encoded = encode(merged);
+        if (!isWithinLimits(key, encoded)) {
+            return ApplyResult.INVALID_ENTRY;
+        }
+        store(slot, key, keyHash, merged, encoded);
+        evictBeyondMaxEntries();
+        if (slots.find(key, keyHash) < 0) {
+            return ApplyResult.BELOW_FLOOR;
+        }
+        listeners.forEach(listener -> listener.onChange(key, merged, now));
+        return ApplyResult.CHANGED;
     }
 
-    /**
-     * Drops what is past its time or below the floor and takes what is about to go out of the digests, up to so many
-     * entries.
-     */
-    void sweep(double now, int most) {
-        int left = evictUpTo(Math.max(evictionFloor, now - type.retentionSeconds()), most);
-        advanceCutoff(targetCutoff(now), left);
+    /** Also true for a timestamp that is no finite number. */
+    private boolean isFromFuture(double timestamp, double now) {
+        return !Double.isFinite(timestamp) || (type.clockDependent() && timestamp > now + maxClockSkew);
     }
 
-    /** Steps, so that the digests of two routers that compare at slightly different times leave out the same. */
-    private double targetCutoff(double now) {
-        return Double.isInfinite(type.retentionSeconds())
-                ? Double.NEGATIVE_INFINITY
-                : Math.floor((now - type.retentionSeconds() + exclusionMargin) / cutoffStep) * cutoffStep;
+    private static boolean isWithinLimits(String key, byte[] encodedValue) {
+        int keyBytes = EncodedSizes.utf8Length(key);
+        return keyBytes > 0
+                && keyBytes <= ReplicatedStore.MAX_KEY_BYTES
+                && keyBytes + encodedValue.length <= MAX_ENTRY_BYTES;
     }
 
-    /** Two routers compare by the later of their cut-offs. */
-    void raiseCutoff(double theirs, double now, int most) {
-        if (theirs <= targetCutoff(now) + maxClockSkew + cutoffStep) {
-            advanceCutoff(theirs, most);
+    /** @param slot of the present value; negative if there is none */
+    private void store(int slot, String key, long keyHash, V value, byte[] encoded) {
+        int target = slot;
+        if (slot >= 0) {
+            digest.remove(slot);
+        } else {
+            target = slots.insert(key, keyHash);
         }
+        slots.setValue(target, value, StableHash.ofEntry(keyHash, encoded));
+        digest.add(target, type.timestamp(value));
     }
 
-    /** Floors join by the higher one. */
-    void raiseFloor(double theirs, double now, int most) {
-        if (theirs > evictionFloor
-                && (!type.clockDependent() || theirs <= now + maxClockSkew)
-                && theirs < Double.POSITIVE_INFINITY) {
-            evictionFloor = theirs;
-            evictUpTo(evictionFloor, most);
-        }
-    }
+    // ---- digest ----
 
-    private void advanceCutoff(double to, int most) {
-        for (int left = most; to > digestCutoff; left--) {
-            int slot = digestedEntries.oldest();
-            if (slot < 0 || timestamps.timestamp(slot) > to) {
-                digestCutoff = to;
-                return;
-            }
-            if (left <= 0) {
-                return;
-            }
-            // All of one age at once, since what is counted goes by the cut-off alone.
-            double at = timestamps.timestamp(slot);
-            for (; slot >= 0 && timestamps.timestamp(slot) == at; slot = digestedEntries.oldest()) {
-                digestedEntries.remove(slot);
-                hashTree.remove(keyHashes[slot], entryHashes[slot]);
-                expiringEntries.add(slot);
-            }
-            digestCutoff = at;
-        }
+    HashTree hashTree() {
+        return digest.hashTree();
     }
 
-    private int evictUpTo(double limit, int most) {
-        int left = most;
-        for (int slot = heapWithOldest().oldest();
-                slot >= 0 && timestamps.timestamp(slot) <= limit && left > 0;
-                slot = heapWithOldest().oldest()) {
-            removeSlot(slot);
-            left--;
-        }
-        return left;
+    /** Entries whose timestamp is at or before it are not in the digest; seconds since 1970. */
+    double digestCutoff() {
+        return digest.cutoff();
     }
 
-    private EntryTimestamps.AgeHeap heapWithOldest() {
-        return expiringEntries.oldest() >= 0 ? expiringEntries : digestedEntries;
+    RootDigest rootDigest() {
+        return new RootDigest(
+                type.typeNumber(), digest.cutoff(), evictionFloor, hashTree().rootSum());
     }
 
-    private int findSlot(String key, long hash) {
-        int slot = bucketHeads[bucketOf(hash)];
-        while (slot >= 0 && !(keyHashes[slot] == hash && keys[slot].equals(key))) {
-            slot = nextSlots[slot];
+    /** Adopts the cut-off of another replica if it is the later one and can be right. */
+    void raiseCutoff(double cutoff, double now, int maxEntries) {
+        if (cutoff <= targetCutoff(now) + maxClockSkew + cutoffStep) {
+            digest.advanceCutoff(cutoff, maxEntries);
         }
-        return slot;
     }
 
-    private int bucketOf(long hash) {
-        return (int) (hash >>> (Long.SIZE - bucketBits));
+    /** Moves in steps, so that two replicas that compare at slightly different times leave out the same entries. */
+    private double targetCutoff(double now) {
+        return Double.isInfinite(type.retentionSeconds())
+                ? Double.NEGATIVE_INFINITY
+                : Math.floor((now - type.retentionSeconds() + exclusionMargin) / cutoffStep) * cutoffStep;
     }
 
-    private int insertSlot(String key, long hash) {
-        if (firstFreeSlot < 0) {
-            growSlots();
-        }
-        int slot = firstFreeSlot;
-        firstFreeSlot = nextSlots[slot];
-        keys[slot] = key;
-        keyHashes[slot] = hash;
-        size++;
-        linkIntoBucket(slot);
-        return slot;
-    }
-
-    private void storeValue(int slot, V value, long mark) {
-        values[slot] = value;
-        entryHashes[slot] = mark;
-        timestamps.setTimestamp(slot, type.timestamp(value));
-        if (isDigested(slot)) {
-            digestedEntries.add(slot);
-            hashTree.add(keyHashes[slot], mark);
-        } else {
-            expiringEntries.add(slot);
-        }
+    // ---- expiry and eviction ----
+
+    /** Entries at or before it were evicted, here or elsewhere; seconds since 1970, negative infinity for none. */
+    double evictionFloor() {
+        return evictionFloor;
     }
 
-    private int detachSlot(int slot) {
-        if (isDigested(slot)) {
-            digestedEntries.remove(slot);
-            hashTree.remove(keyHashes[slot], entryHashes[slot]);
-        } else {
-            expiringEntries.remove(slot);
+    /** Adopts the eviction floor of another replica if it is the higher one and can be right. */
+    void raiseFloor(double floor, double now, int maxEntries) {
+        boolean plausible = !type.clockDependent() || floor <= now + maxClockSkew;
+        if (floor > evictionFloor && plausible && floor < Double.POSITIVE_INFINITY) {
+            evictionFloor = floor;
+            removeUpTo(evictionFloor, maxEntries);
         }
-        return slot;
     }
 
-    private void removeSlot(int slot) {
-        detachSlot(slot);
-        int bucket = bucketOf(keyHashes[slot]);
-        if (bucketHeads[bucket] == slot) {
-            bucketHeads[bucket] = nextSlots[slot];
-        } else {
-            int before = bucketHeads[bucket];
-            while (nextSlots[before] != slot) {
-                before = nextSlots[before];
-            }
-            nextSlots[before] = nextSlots[slot];
-        }
-        removalListener.accept(keys[slot]);
-        keys[slot] = null;
-        values[slot] = null;
-        nextSlots[slot] = firstFreeSlot;
-        firstFreeSlot = slot;
-        size--;
-    }
-
-    private void linkIntoBucket(int slot) {
-        int bucket = bucketOf(keyHashes[slot]);
-        int before = -1;
-        int behind = bucketHeads[bucket];
-        while (behind >= 0 && Long.compareUnsigned(keyHashes[behind], keyHashes[slot]) < 0) {
-            before = behind;
-            behind = nextSlots[behind];
-        }
-        nextSlots[slot] = behind;
-        if (before < 0) {
-            bucketHeads[bucket] = slot;
-        } else {
-            nextSlots[before] = slot;
-        }
+    /** Removes expired entries and takes those that expire soon out of the digest, up to so many entries in all. */
+    void sweep(double now, int maxEntries) {
+        int remaining = removeUpTo(Math.max(evictionFloor, now - type.retentionSeconds()), maxEntries);
+        digest.advanceCutoff(targetCutoff(now), remaining);
     }
 
-    /** Grows by half, so that little is idle. */
-    private void growSlots() {
-        int old = keys.length;
-        int slots = Math.max(INITIAL_SLOTS, old + old / 2);
-        keys = Arrays.copyOf(keys, slots);
-        values = Arrays.copyOf(values, slots);
-        keyHashes = Arrays.copyOf(keyHashes, slots);
-        entryHashes = Arrays.copyOf(entryHashes, slots);
-        nextSlots = Arrays.copyOf(nextSlots, slots);
-        timestamps.grow(slots);
-        for (int slot = slots - 1; slot >= old; slot--) {
-            nextSlots[slot] = firstFreeSlot;
-            firstFreeSlot = slot;
-        }
-        if (slots > 2 * bucketHeads.length) {
-            rehash();
+    /** Removes the oldest entries, all of one timestamp together, so that the floor tells what is gone. */
+    private void evictBeyondMaxEntries() {
+        while (slots.size() > type.maxEntries()) {
+            evictionFloor = digest.timestamp(digest.oldest());
+            removeUpTo(evictionFloor, Integer.MAX_VALUE);
         }
     }
 
-    private void rehash() {
-        int[] before = bucketHeads;
-        bucketBits++;
-        bucketHeads = new int[1 << bucketBits];
-        Arrays.fill(bucketHeads, -1);
-        for (int head : before) {
-            for (int slot = head, behind; slot >= 0; slot = behind) {
-                behind = nextSlots[slot];
-                linkIntoBucket(slot);
-            }
+    /** Removes entries whose timestamp is at or before {@code limit}; returns how many more it might have removed. */
+    private int removeUpTo(double limit, int maxEntries) {
+        int remaining = maxEntries;
+        int slot = digest.oldest();
+        while (slot >= 0 && digest.timestamp(slot) <= limit && remaining > 0) {
+            remove(slot);
+            remaining--;
+            slot = digest.oldest();
         }
+        return remaining;
+    }
+
+    private void remove(int slot) {
+        digest.remove(slot);
+        String key = slots.key(slot);
+        slots.remove(slot);
+        removalListener.accept(key);
     }
 }
--- a/fleet/src/main/java/clayhook/fleet/state/EntryTimestamps.java
+++ b/fleet/src/main/java/clayhook/fleet/state/EntryTimestamps.java
@@ -3,78 +3,96 @@
 import java.util.Arrays;
 
 /**
- * How old each entry of a table is, and heaps with the oldest first; an entry is in one heap at most. 16 bytes an
- * entry.
+ * The timestamp of each slot of a table, and heaps of slots with the oldest first. An entry is in one heap at most, so
+ * the heaps share one array of positions. Takes 16 bytes an entry. Not thread-safe.
  */
 final class EntryTimestamps {
     private double[] timestamps = new double[0];
-    /** Where in its heap each one stands. */
+    /** The index of each slot in its heap. */
     private int[] heapPositions = new int[0];
 
+    /** Seconds since 1970. */
     double timestamp(int slot) {
         return timestamps[slot];
     }
 
-    void setTimestamp(int slot, double time) {
-        timestamps[slot] = time;
+    /** Sets the timestamp of a slot that is in no heap. */
+    void setTimestamp(int slot, double timestamp) {
+        timestamps[slot] = timestamp;
     }
 
-    void grow(int slots) {
-        timestamps = Arrays.copyOf(timestamps, slots);
-        heapPositions = Arrays.copyOf(heapPositions, slots);
+    /** Makes room for all slots below {@code capacity}. */
+    void ensureCapacity(int capacity) {
+        if (timestamps.length < capacity) {
+            timestamps = Arrays.copyOf(timestamps, capacity);
+            heapPositions = Arrays.copyOf(heapPositions, capacity);
+        }
     }
 
-    /** Emptied by its table, which bounds it. */
+    /** A binary min-heap of slots by their timestamps. Bounded by its table, which removes entries from it. */
     final class AgeHeap {
-        private int[] slots = new int[16];
+        private static final int INITIAL_CAPACITY = 16;
+
+        private int[] slots = new int[INITIAL_CAPACITY];
         private int size;
 
-        /** Negative for none. */
+        /** The slot with the least timestamp; negative if the heap is empty. */
         int oldest() {
-            return size == 0 ? -1 : slots[0];
+            return size == 0 ? EntrySlots.NO_SLOT : slots[0];
         }
 
         void add(int slot) {
-            slots = size == slots.length ? Arrays.copyOf(slots, 2 * size) : slots;
-            siftUp(size++, slot);
+            if (size == slots.length) {
+                slots = Arrays.copyOf(slots, 2 * size);
+            }
+            size++;
+            siftUp(size - 1, slot);
         }
 
+        /** Removes a slot that is in this heap. */
         void remove(int slot) {
             int hole = heapPositions[slot];
-            int last = slots[--size];
+            size--;
+            int last = slots[size];
             if (last != slot) {
                 siftUp(hole, last);
                 siftDown(heapPositions[last], last);
             }
         }
 
-        private void siftUp(int from, int slot) {
-            int i = from;
-            for (int up = (i - 1) >> 1; i > 0 && timestamps[slots[up]] > timestamps[slot]; up = (i - 1) >> 1) {
-                placeAt(i, slots[up]);
-                i = up;
+        private void siftUp(int start, int slot) {
+            int position = start;
+            while (position > 0) {
+                int parent = (position - 1) >> 1;
+                if (timestamps[slots[parent]] <= timestamps[slot]) {
+                    break;
+                }
+                placeAt(position, slots[parent]);
+                position = parent;
             }
-            placeAt(i, slot);
+            placeAt(position, slot);
         }
 
-        private void siftDown(int from, int slot) {
-            int i = from;
-            for (int down = 2 * i + 1; down < size; down = 2 * i + 1) {
-                if (down + 1 < size && timestamps[slots[down + 1]] < timestamps[slots[down]]) {
-                    down++;
+        private void siftDown(int start, int slot) {
+            int position = start;
+            int child = 2 * position + 1;
+            while (child < size) {
+                if (child + 1 < size && timestamps[slots[child + 1]] < timestamps[slots[child]]) {
+                    child++;
                 }
-                if (timestamps[slots[down]] >= timestamps[slot]) {
+                if (timestamps[slots[child]] >= timestamps[slot]) {
                     break;
                 }
-                placeAt(i, slots[down]);
-                i = down;
+                placeAt(position, slots[child]);
+                position = child;
+                child = 2 * position + 1;
             }
-            placeAt(i, slot);
+            placeAt(position, slot);
         }
 
-        private void placeAt(int i, int slot) {
-            slots[i] = slot;
-            heapPositions[slot] = i;
+        private void placeAt(int position, int slot) {
+            slots[position] = slot;
+            heapPositions[slot] = position;
         }
     }
 }
--- /dev/null
+++ b/fleet/src/main/java/clayhook/fleet/state/RemoteUpdates.java
@@ -0,0 +1,113 @@
+package clayhook.fleet.state;
+
+import clayhook.fleet.Peer;
+import clayhook.fleet.state.AntiEntropyResponse.RangeEntries;
+import clayhook.fleet.state.AntiEntropyResponse.RangeEntry;
+import clayhook.fleet.state.AntiEntropyResponse.VersionVectorUpdate;
+import clayhook.fleet.state.DeltaBroadcast.DeltaEntry;
+import java.util.List;
+
+/**
+ * Applies what other members send to the replica and the version vector, and passes on what must spread further. Not
+ * thread-safe.
+ */
+final class RemoteUpdates {
+    private final Replica replica;
+    private final VersionVector versionVector;
+    private final BootstrapStatus bootstrap;
+    private final DeltaBroadcaster broadcaster;
+    private final StateCounters counters;
+
+    RemoteUpdates(
+            Replica replica,
+            VersionVector versionVector,
+            BootstrapStatus bootstrap,
+            DeltaBroadcaster broadcaster,
+            StateCounters counters) {
+        this.replica = replica;
+        this.versionVector = versionVector;
+        this.bootstrap = bootstrap;
+        this.broadcaster = broadcaster;
+        this.counters = counters;
+    }
+
+    void applyBroadcast(Peer from, DeltaBroadcast broadcast, double now) {
+        broadcast.entries().forEach(entry -> applyDelta(from, entry, now));
+        long originId = StableHash.ofMember(from.member());
+        versionVector.observe(new OriginVersion(originId, broadcast.sequence(), broadcast.asOf()), now);
+    }
+
+    private void applyDelta(Peer from, DeltaEntry delta, double now) {
+        EntryTable<?> table = replica.table(delta.replicatedType());
+        if (table == null) {
+            // The updates count as received, since this release keeps nothing of that type.
+            counters.unknownTypes++;
+            receiveUpdates(delta.updateIds(), now);
+            return;
+        }
+        long keyHash = StableHash.ofKey(delta.key());
+        ApplyResult result = replica.applyRemote(from.member(), table, delta.key(), keyHash, delta.value(), now);
+        List<UpdateId> newUpdates = result.isSettled() ? receiveUpdates(delta.updateIds(), now) : List.of();
+        if (result == ApplyResult.CHANGED) {
+            counters.deltasApplied++;
+            broadcaster.enqueue(table, delta.key(), keyHash, newUpdates, now);
+            return;
+        }
+        counters.duplicateDeltas++;
+        if (result == ApplyResult.UNCHANGED && newUpdates.isEmpty()) {
+            broadcaster.onDuplicate(table, delta.key());
+        } else if (result == ApplyResult.UNCHANGED) {
+            broadcaster.enqueue(table, delta.key(), keyHash, newUpdates, now);
+        }
+    }
+
+    /** Returns those of the updates that were missing. */
+    private List<UpdateId> receiveUpdates(List<UpdateId> updates, double now) {
+        return updates.stream()
+                .filter(update -> versionVector.markReceived(update, now))
+                .toList();
+    }
+
+    /**
+     * Applies what a response of an anti-entropy session carries, whether or not the session is still active.
+     *
+     * @return whether all entries that came with it are in the replica now, or belong to none any more
+     */
+    boolean applyResponse(Peer from, AntiEntropyResponse response, double now) {
+        if (response instanceof RangeEntries range) {
+            return applyRange(from, range, now);
+        }
+        if (response instanceof VersionVectorUpdate update) {
+            update.versions().forEach(version -> versionVector.observe(version, now));
+        }
+        return true;
+    }
+
+    private boolean applyRange(Peer from, RangeEntries range, double now) {
+        EntryTable<?> table = replica.table(range.replicatedType());
+        if (table == null) {
+            counters.unknownTypes += range.entries().size();
+            return true;
+        }
+        replica.adoptBounds(from.member(), table, Double.NEGATIVE_INFINITY, range.evictionFloor(), now);
+        boolean settled = true;
+        for (RangeEntry entry : range.entries()) {
+            settled &= applyRangeEntry(from, table, entry, now).isSettled();
+        }
+        return settled;
+    }
+
+    private ApplyResult applyRangeEntry(Peer from, EntryTable<?> table, RangeEntry entry, double now) {
+        long keyHash = StableHash.ofKey(entry.key());
+        ApplyResult result = replica.applyRemote(from.member(), table, entry.key(), keyHash, entry.value(), now);
+        if (result == ApplyResult.CHANGED) {
+            counters.antiEntropyRepairs++;
+            // After a partition heals, urgent entries spread at once; the others are left to each member's own
+            // sessions.
+            if (table.type.urgent() && bootstrap.isBootstrapped(now)) {
+                broadcaster.enqueue(table, entry.key(), keyHash, List.of(), now);
+            }
+        }
+        return result;
+    }
+}
--- a/fleet/src/main/java/clayhook/fleet/state/Replica.java
+++ b/fleet/src/main/java/clayhook/fleet/state/Replica.java
@@ -1,111 +1,107 @@
 package clayhook.fleet.state;
 
-import clayhook.fleet.FieldReader;
 import clayhook.fleet.Member;
 import clayhook.fleet.MembershipView;
 import clayhook.fleet.ReplicatedType;
-import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 
-/** All tables of this router, and what may be taken into them from others. */
+/**
+ * The tables of all replicated types of this router, and what is accepted into them from other members. Not
+ * thread-safe.
+ */
 final class Replica {
-    /** Kinds whose roots fit into one part. */
+    /** The root digests of so many types fit into one packet. */
     private static final int MAX_TYPES = 32;
 
-    private final MembershipView roster;
+    private final MembershipView membership;
     private final StateSettings settings;
     private final StateCounters counters;
-    /** Filled at the start only. */
+    /** By type number; filled at construction only. */
     private final Map<Integer, EntryTable<?>> tables = new TreeMap<>();
 
-    Replica(MembershipView roster, List<ReplicatedType<?>> kinds, StateSettings settings, StateCounters counts) {
-        this.roster = roster;
+    /**
+     * Throws {@link IllegalArgumentException} for more than 32 types, or a type number that is used twice or above 255.
+     */
+    Replica(MembershipView membership, List<ReplicatedType<?>> types, StateSettings settings, StateCounters counters) {
+        this.membership = membership;
         this.settings = settings;
-        this.counters = counts;
-        for (ReplicatedType<?> kind : kinds) {
-            boolean fits = kind.typeNumber() >= 0
-                    && kind.typeNumber() < StateMessage.REPLICATED_TYPE_LIMIT
-                    && tables.size() < MAX_TYPES;
-            if (!fits || tables.put(kind.typeNumber(), new EntryTable<>(kind, settings)) != null) {
-                throw new IllegalArgumentException(
-                        "no room for the kind " + kind.name() + " with number " + kind.typeNumber());
-            }
+        this.counters = counters;
+        types.forEach(this::addTable);
+    }
+
+    private void addTable(ReplicatedType<?> type) {
+        int number = type.typeNumber();
+        boolean fits = number >= 0 && number < StateMessage.REPLICATED_TYPE_LIMIT && tables.size() < MAX_TYPES;
+        if (!fits || tables.put(number, new EntryTable<>(type, settings)) != null) {
+            throw new IllegalArgumentException("no room for the type " + type.name() + " with number " + number);
         }
     }
 
+    /** In order of type numbers. */
     Collection<EntryTable<?>> tables() {
         return tables.values();
     }
 
+    /** The tables of all urgent types, or of all others. */
     List<EntryTable<?>> tables(boolean urgent) {
-        var out = new ArrayList<EntryTable<?>>(tables.values());
-        out.removeIf(table -> table.type.urgent() != urgent);
-        return out;
+        return tables.values().stream()
+                .filter(table -> table.type.urgent() == urgent)
+                .toList();
     }
 
-    /** Null for a kind that is not known here. */
-    EntryTable<?> table(int kind) {
-        return tables.get(kind);
+    /** The table of the type with that number; null for a type that this release does not know. */
+    EntryTable<?> table(int typeNumber) {
+        return tables.get(typeNumber);
     }
 
-    @SuppressWarnings("unchecked") // a table is filed under its own kind
-    <V> EntryTable<V> table(ReplicatedType<V> kind) {
-        EntryTable<?> table = tables.get(kind.typeNumber());
-        if (table == null || table.type != kind) {
-            throw new IllegalArgumentException("not a kind of this copy: " + kind.name());
+    /** The table of that type; throws {@link IllegalArgumentException} if there is none. */
+    @SuppressWarnings("unchecked") // a table is stored under the number of its own type
+    <V> EntryTable<V> table(ReplicatedType<V> type) {
+        EntryTable<?> table = tables.get(type.typeNumber());
+        if (table == null || table.type != type) {
+            throw new IllegalArgumentException("not a type of this replica: " + type.name());
         }
         return (EntryTable<V>) table;
     }
 
-    /** Whether what that member says on that kind counts. */
+    /** Whether values of that type are accepted from that member: its clock must be right if they depend on clocks. */
     boolean accepts(Member from, EntryTable<?> table) {
-        return !table.type.clockDependent() || roster.clockWithinBound(from);
+        return !table.type.clockDependent() || membership.clockWithinBound(from);
     }
 
-    /** Joins in a value that came from that member. */
-    <V> ApplyResult applyRemote(Member from, EntryTable<V> table, String key, long hash, byte[] value, double now) {
-        ApplyResult fate = !accepts(from, table)
-                ? ApplyResult.CLOCK_SKEWED
-                : table.containsValue(key, hash, value)
-                        ? ApplyResult.UNCHANGED
-                        : decodeAndMerge(table, key, hash, value, now);
-        return countRejection(fate);
+    /** Merges a value that another member sent. */
+    ApplyResult applyRemote(
+            Member from, EntryTable<?> table, String key, long keyHash, byte[] encodedValue, double now) {
+        ApplyResult result =
+                accepts(from, table) ? table.mergeEncoded(key, keyHash, encodedValue, now) : ApplyResult.CLOCK_SKEWED;
+        return countRejection(result);
     }
 
-    private <V> ApplyResult decodeAndMerge(EntryTable<V> table, String key, long hash, byte[] value, double now) {
-        V read;
-        try {
-            read = table.type.read(new FieldReader(value));
-        } catch (IllegalArgumentException e) {
-            return ApplyResult.MALFORMED;
-        }
-        return table.merge(key, hash, read, now);
+    /** Merges a value that was written here. */
+    <V> ApplyResult applyLocal(EntryTable<V> table, String key, long keyHash, V value, double now) {
+        return countRejection(table.merge(key, keyHash, value, now));
     }
 
-    ApplyResult countRejection(ApplyResult fate) {
-        if (!fate.isAccepted()) {
-            counters.rejections.merge(fate, 1L, Long::sum);
+    private ApplyResult countRejection(ApplyResult result) {
+        if (!result.isAccepted()) {
+            counters.rejections.merge(result, 1L, Long::sum);
         }
-        return fate;
+        return result;
     }
 
-    /** Takes over what another copy has dropped or left out already. */
-    void adoptBounds(Member from, EntryTable<?> table, double cutoff, double floor, double now) {
+    /** Adopts what another replica has evicted or left out of its digest already. */
+    void adoptBounds(Member from, EntryTable<?> table, double digestCutoff, double evictionFloor, double now) {
         if (accepts(from, table)) {
-            table.raiseFloor(floor, now, settings.maxSweptEntries());
-            table.raiseCutoff(cutoff, now, settings.maxSweptEntries());
+            table.raiseFloor(evictionFloor, now, settings.maxSweptEntries());
+            table.raiseCutoff(digestCutoff, now, settings.maxSweptEntries());
         }
     }
 
+    /** Removes expired entries of all types. */
     void sweep(double now) {
         tables.values().forEach(table -> table.sweep(now, settings.maxSweptEntries()));
     }
-
-    static StateMessage.RootDigest rootDigest(EntryTable<?> table) {
-        return new StateMessage.RootDigest(
-                table.type.typeNumber(), table.digestCutoff(), table.evictionFloor(), table.hashTree.hashSum(0, 0));
-    }
 }
--- a/fleet/src/main/java/clayhook/fleet/state/ReplicatedState.java
+++ b/fleet/src/main/java/clayhook/fleet/state/ReplicatedState.java
@@ -4,12 +4,10 @@
 import clayhook.fleet.MembershipView;
 import clayhook.fleet.Message;
 import clayhook.fleet.Outbox;
-import clayhook.fleet.Packet;
 import clayhook.fleet.Peer;
 import clayhook.fleet.ProtocolHandler;
 import clayhook.fleet.ReplicatedStore;
 import clayhook.fleet.ReplicatedType;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
@@ -17,324 +15,185 @@
 import java.util.function.Function;
 
 /**
- * This router's copy of the values that routers share. What changes here is told on to a few members a round, a bounded
- * number of times; what that misses is found by comparing hash trees with some member about once a second; a copy that
- * lacks much is brought up by the same comparison, from whomever.
+ * This router's replica of the values that routers share. A change is broadcast to a few members a round, a bounded
+ * number of times. What that misses is found by anti-entropy: about once a second the replica compares hash trees with
+ * some member. A replica that lacks much, such as that of a router that has just started, is filled by the same
+ * comparison.
  *
- * <p><b>What goes.</b> Entries past their time are dropped and never taken again, so that nothing comes back and no
- * tombstone is needed; a router that was away for longer than a kind is kept brings nothing of it back. At the bound
- * the oldest go, with all of the same age, and the floor rises to them; floors spread and join by the higher one.
+ * <p><b>Expiry and eviction.</b> Expired values are removed and never accepted again, so nothing comes back and no
+ * tombstones are needed; a router that was away for longer than a type's retention brings none of its values back. When
+ * a table is full, its oldest entries are evicted, with all others of the same timestamp, and the eviction floor rises
+ * to them; floors spread, and the higher one wins.
  *
- * <p><b>What {@link #certainUpTo} promises.</b> Of each member that the roster says may serve, every value that it put
- * in before that moment (on this router's clock, as far as the skew was measured) was joined into this copy, or is past
- * its time, about to be, or at or below the floor. That is known from the numbers under which each one puts in: all
- * came as news, or the copy was compared, whole, with one that had them. What it does not promise: anything on members
- * that the roster does not know or holds for dead, though they may live beyond a cut; on values still in a queue before
- * {@link #put}; on what members put in before they restarted if all who had it went with them; on a router that started
- * cut off from all others and found nobody for {@link StateSettings#bootstrapTimeout}, which holds itself for the only
- * one. It is negative infinity on the safe side: until someone brought this copy up, while this router doubts itself,
- * and while a member may serve whose clock is off.
+ * <p><b>What {@link #completeUpTo} guarantees.</b> Of each member that may be serving according to the membership,
+ * every value that it merged before that time (on this router's clock, as far as the offset was measured) was merged
+ * into this replica, or is expired, about to expire, or at or below the eviction floor. That is known from the sequence
+ * numbers of updates: all of them arrived by broadcast, or this replica was compared completely with one that held
+ * them. It is negative infinity until this replica is bootstrapped, while this router has recently stalled, and while a
+ * member may be serving whose clock is off. It guarantees nothing about
  *
- * <p>For one thread. Take a turn at once after putting in a value of an urgent kind.
+ * <ul>
+ *   <li>members that the membership does not know or takes for dead, though they may live beyond a partition;
+ *   <li>values that are still queued before {@link #merge};
+ *   <li>values of a member that restarted, if all routers that held them restarted too;
+ *   <li>a router that started in a partition and met no other for {@link StateSettings#bootstrapTimeout}: it takes
+ *       itself for the only one.
+ * </ul>
+ *
+ * <p>Not thread-safe. Call {@link #tick} right after merging a value of an urgent type.
  */
 public final class ReplicatedState implements ProtocolHandler, ReplicatedStore {
-    /** Seconds between two times at which members that went are forgotten. */
+    /** Seconds between two removals of departed members from the version vector. */
     private static final double CLEANUP_INTERVAL_SECONDS = 5;
-    /** Rounds beyond those in which everyone would hear if no word were lost or wasted. */
-    private static final int EXTRA_ROUNDS = 2;
+    /** While requests wait for bandwidth, there are so many ticks in each broadcast interval. */
+    private static final int BUSY_TICKS_PER_INTERVAL = 10;
 
-    private final MembershipView roster;
+    private final MembershipView membership;
     private final StateSettings settings;
-    private final SplittableRandom random;
     private final StateCounters counters = new StateCounters();
     private final Replica replica;
     private final VersionVector versionVector;
+    private final BootstrapStatus bootstrap;
     private final AntiEntropyScheduler antiEntropy;
     private final AntiEntropyResponder responder;
-    private final TokenBucket broadcastBudget;
-    private final DeltaBroadcastQueue urgentDeltas;
-    private final DeltaBroadcastQueue regularDeltas;
-    private boolean urgentPending;
+    private final DeltaBroadcaster broadcaster;
+    private final RemoteUpdates remoteUpdates;
+    private final VersionGossip versionGossip;
     private double lastTickAt;
-    private double nextBroadcastAt;
-    private double nextVersionGossipAt;
     private double nextCleanupAt;
 
-    /** @param kinds at most 32, numbers below 256 */
+    /**
+     * @param types at most 32, with distinct numbers below 256; others throw {@link IllegalArgumentException}
+     * @param seed of all random choices
+     * @param now seconds since 1970, as in all methods
+     */
     public ReplicatedState(
-            MembershipView roster, List<ReplicatedType<?>> kinds, StateSettings settings, long seed, double now) {
-        this.roster = roster;
+            MembershipView membership, List<ReplicatedType<?>> types, StateSettings settings, long seed, double now) {
+        this.membership = membership;
         this.settings = settings;
-        random = new SplittableRandom(seed);
-        replica = new Replica(roster, kinds, settings, counters);
-        versionVector = new VersionVector(roster, settings, random.nextInt(Integer.MAX_VALUE), now);
-        antiEntropy = new AntiEntropyScheduler(roster, replica, versionVector, settings, counters, random.split(), now);
-        responder = new AntiEntropyResponder(replica, versionVector, settings, counters, now);
-        broadcastBudget = new TokenBucket(settings.broadcastBytesPerSecond(), now);
-        urgentDeltas = new DeltaBroadcastQueue(replica.tables(true), settings, counters);
-        regularDeltas = new DeltaBroadcastQueue(replica.tables(false), settings, counters);
+        var random = new SplittableRandom(seed);
+        replica = new Replica(membership, types, settings, counters);
+        versionVector = new VersionVector(membership, settings, random.nextInt(Integer.MAX_VALUE), now);
+        bootstrap = new BootstrapStatus(membership, settings.bootstrapTimeout(), now);
+        antiEntropy = new AntiEntropyScheduler(
+                membership, replica, versionVector, bootstrap, settings, counters, random.split(), now);
+        responder = new AntiEntropyResponder(replica, versionVector, bootstrap, settings, counters, now);
+        broadcaster = new DeltaBroadcaster(membership, replica, versionVector, settings, counters, random, now);
+        remoteUpdates = new RemoteUpdates(replica, versionVector, bootstrap, broadcaster, counters);
+        versionGossip =
+                new VersionGossip(membership, versionVector, counters, random, settings.versionGossipInterval(), now);
         lastTickAt = now;
-        nextVersionGossipAt = now + settings.versionGossipInterval() * random.nextDouble();
     }
 
+    /** What this replica has done since its start; to be read by the thread that calls {@link #tick}. */
     public StateCounters counters() {
         return counters;
     }
 
-    /** Whether this copy was brought up since the start; until then absence is ignorance. */
+    /**
+     * Whether this replica holds what the fleet held when it started; until then, absence of an entry means nothing.
+     */
     public boolean isBootstrapped(double now) {
-        return antiEntropy.isBootstrapped(now);
+        return bootstrap.isBootstrapped(now);
     }
 
+    // ---- store ----
+
     /**
      * {@inheritDoc}
      *
-     * <p>Null also for a value from the future beyond the clocks' bound, and for one that is too long with its key
-     * (1,000 bytes together); counted by reason.
+     * <p>Null also for a value from further in the future than clocks may be off, and for one that is too long together
+     * with its key (1,000 bytes). Rejections are counted by reason.
      */
     @Override
-    public <V> V merge(ReplicatedType<V> kind, String key, V value, double now) {
-        EntryTable<V> table = replica.table(kind);
-        long hash = StableHash.ofKey(key);
-        ApplyResult fate = replica.countRejection(table.merge(key, hash, value, now));
-        if (fate == ApplyResult.CHANGED) {
-            enqueueDelta(table, key, hash, new long[] {versionVector.selfId(), versionVector.nextSequence()}, 2, now);
+    public <V> V merge(ReplicatedType<V> type, String key, V value, double now) {
+        EntryTable<V> table = replica.table(type);
+        long keyHash = StableHash.ofKey(key);
+        ApplyResult result = replica.applyLocal(table, key, keyHash, value, now);
+        if (result == ApplyResult.CHANGED) {
+            broadcaster.enqueue(table, key, keyHash, List.of(versionVector.nextUpdate()), now);
         }
-        return fate.isAccepted() ? table.get(key) : null;
-    }
-
-    private void enqueueDelta(EntryTable<?> table, String key, long hash, long[] tags, int tagged, double now) {
-        deltaQueue(table).enqueue(table, key, hash, tags, tagged, now);
-        urgentPending |= table.type.urgent();
-    }
-
-    private DeltaBroadcastQueue deltaQueue(EntryTable<?> table) {
-        return table.type.urgent() ? urgentDeltas : regularDeltas;
+        return result.isAccepted() ? table.get(key) : null;
     }
 
     @Override
-    public <V> V get(ReplicatedType<V> kind, String key) {
-        return replica.table(kind).get(key);
+    public <V> V get(ReplicatedType<V> type, String key) {
+        return replica.table(type).get(key);
     }
 
     @Override
-    public <V> void forEach(ReplicatedType<V> kind, BiConsumer<String, V> to) {
-        EntryTable<V> table = replica.table(kind);
-        for (int slot = table.firstSlotFrom(0); slot >= 0; slot = table.slotAfter(slot)) {
-            to.accept(table.key(slot), table.value(slot));
+    public <V> void forEach(ReplicatedType<V> type, BiConsumer<String, V> action) {
+        EntryTable<V> table = replica.table(type);
+        for (int slot = table.firstSlot(); slot >= 0; slot = table.nextSlot(slot)) {
+            action.accept(table.key(slot), table.value(slot));
         }
     }
 
     @Override
-    public <V> void addListener(ReplicatedType<V> kind, ChangeListener<V> listener) {
-        replica.table(kind).addListener(listener);
+    public <V> void addListener(ReplicatedType<V> type, ChangeListener<V> listener) {
+        replica.table(type).addListener(listener);
     }
 
     @Override
-    public int size(ReplicatedType<?> kind) {
-        return replica.table(kind).size();
+    public int size(ReplicatedType<?> type) {
+        return replica.table(type).size();
     }
 
     @Override
-    public double evictionFloor(ReplicatedType<?> kind) {
-        return replica.table(kind).evictionFloor();
+    public double evictionFloor(ReplicatedType<?> type) {
+        return replica.table(type).evictionFloor();
     }
 
     @Override
     public double completeUpTo(double now) {
-        return roster.recentlyStalled(now) || !antiEntropy.isBootstrapped(now)
-                ? Double.NEGATIVE_INFINITY
-                : versionVector.completeUpTo(now);
+        boolean unknown = membership.recentlyStalled(now) || !isBootstrapped(now);
+        return unknown ? Double.NEGATIVE_INFINITY : versionVector.completeUpTo(now);
     }
 
     @Override
-    public long digest(ReplicatedType<?> kind, double now) {
-        EntryTable<?> table = replica.table(kind);
+    public long digest(ReplicatedType<?> type, double now) {
+        EntryTable<?> table = replica.table(type);
         table.sweep(now, settings.maxSweptEntries());
-        return table.hashTree.hashSum(0, 0);
+        return table.hashTree().rootSum();
     }
 
+    // ---- protocol ----
+
     @Override
     public Map<Integer, Function<FieldReader, ? extends Message>> messageReaders() {
         return StateMessage.messageReaders();
     }
 
     @Override
-    public void onMessage(Peer from, Message part, double now, Outbox out) {
-        if (part instanceof StateMessage.DeltaBroadcast news) {
-            applyBroadcast(from, news, now);
-        } else if (part instanceof StateMessage.RangeEntries entries) {
-            antiEntropy.onResponse(from, entries, applyRange(from, entries, now), now, out);
-        } else if (part instanceof StateMessage.VersionVectorUpdate pairs) {
-            pairs.versions().forEach(pair -> versionVector.observe(pair, now));
-            antiEntropy.onResponse(from, pairs, true, now, out);
-        } else if (part instanceof StateMessage.RootDigestsResponse || part instanceof StateMessage.TreeNodeResponse) {
-            antiEntropy.onResponse(from, (StateMessage) part, true, now, out);
-        } else if (part instanceof StateMessage question) {
-            responder.onRequest(from, question, () -> antiEntropy.isBootstrapped(now), now, out);
-        }
-        broadcastUrgent(now, out);
-    }
-
-    private void applyBroadcast(Peer from, StateMessage.DeltaBroadcast news, double now) {
-        news.entries().forEach(told -> applyDelta(from, told, now));
-        versionVector.observe(
-                new StateMessage.OriginVersion(StableHash.ofMember(from.member()), news.sequence(), news.asOf()), now);
-    }
-
-    private void applyDelta(Peer from, StateMessage.DeltaEntry told, double now) {
-        EntryTable<?> table = replica.table(told.replicatedType());
-        if (table == null) {
-            // Nothing is missing here: this release would not keep it.
-            counters.unknownTypes++;
-            keepNewUpdates(told.updateIds(), now);
-            return;
-        }
-        long hash = StableHash.ofKey(told.key());
-        ApplyResult fate = replica.applyRemote(from.member(), table, told.key(), hash, told.value(), now);
-        int fresh = fate.isSettled() ? keepNewUpdates(told.updateIds(), now) : 0;
-        if (fate == ApplyResult.CHANGED) {
-            counters.deltasApplied++;
-        } else {
-            counters.duplicateDeltas++;
-        }
-        if (fate == ApplyResult.CHANGED || fate == ApplyResult.UNCHANGED && fresh > 0) {
-            enqueueDelta(table, told.key(), hash, told.updateIds(), fresh, now);
-        } else if (fate == ApplyResult.UNCHANGED) {
-            deltaQueue(table).onDuplicate(table, told.key(), broadcastRounds());
-        }
-    }
-
-    /** Moves the tags that say something new to the front; returns how many numbers they are. */
-    private int keepNewUpdates(long[] tags, double now) {
-        int fresh = 0;
-        for (int i = 0; i + 1 < tags.length; i += 2) {
-            if (versionVector.markReceived(tags[i], tags[i + 1], now)) {
-                tags[fresh] = tags[i];
-                tags[fresh + 1] = tags[i + 1];
-                fresh += 2;
-            }
-        }
-        return fresh;
-    }
-
-    /** Returns whether all of them are here now or rightly not. */
-    private boolean applyRange(Peer from, StateMessage.RangeEntries entries, double now) {
-        EntryTable<?> table = replica.table(entries.replicatedType());
-        if (table == null) {
-            counters.unknownTypes += entries.entries().size();
-            return true;
-        }
-        replica.adoptBounds(from.member(), table, Double.NEGATIVE_INFINITY, entries.evictionFloor(), now);
-        boolean settled = true;
-        for (StateMessage.RangeEntry entry : entries.entries()) {
-            long hash = StableHash.ofKey(entry.key());
-            ApplyResult fate = replica.applyRemote(from.member(), table, entry.key(), hash, entry.value(), now);
-            settled &= fate.isSettled();
-            counters.antiEntropyRepairs += fate == ApplyResult.CHANGED ? 1 : 0;
-            // What crosses a heal in a hurry goes on as news; the rest is for each one's own comparisons.
-            if (fate == ApplyResult.CHANGED && table.type.urgent() && antiEntropy.isBootstrapped(now)) {
-                enqueueDelta(table, entry.key(), hash, new long[0], 0, now);
-            }
+    public void onMessage(Peer from, Message message, double now, Outbox outbox) {
+        if (message instanceof DeltaBroadcast broadcast) {
+            remoteUpdates.applyBroadcast(from, broadcast, now);
+        } else if (message instanceof AntiEntropyRequest request) {
+            responder.onRequest(from, request, now, outbox);
+        } else if (message instanceof AntiEntropyResponse response) {
+            boolean settled = remoteUpdates.applyResponse(from, response, now);
+            antiEntropy.onResponse(from, response, settled, now, outbox);
         }
-        return settled;
+        broadcaster.broadcastUrgent(now, outbox);
     }
 
     @Override
-    public double tick(double now, Outbox out) {
+    public double tick(double now, Outbox outbox) {
         if (now - lastTickAt > settings.stallThreshold()) {
             antiEntropy.onStall(now);
         }
         lastTickAt = now;
         replica.sweep(now);
-        responder.tick(() -> antiEntropy.isBootstrapped(now), now, out);
-        broadcastRound(now, out);
-        double next = antiEntropy.tick(now, out);
-        gossipVersions(now, out);
+        responder.tick(now, outbox);
+        broadcaster.tick(now, outbox);
+        double nextSessionTick = antiEntropy.tick(now, outbox);
+        versionGossip.tick(now, outbox);
         if (now >= nextCleanupAt) {
             nextCleanupAt = now + CLEANUP_INTERVAL_SECONDS;
             versionVector.removeDeparted(now);
         }
-        // Never longer than a round, since what is heard or put in meanwhile has its due time too.
-        double latest = now + settings.broadcastInterval() / (responder.isIdle() ? 1 : 10);
-        return Math.max(now, Math.min(latest, Math.min(next, nextVersionGossipAt)));
-    }
-
-    private void broadcastRound(double now, Outbox out) {
-        broadcastUrgent(now, out);
-        if (now >= nextBroadcastAt && !(urgentDeltas.isEmpty() && regularDeltas.isEmpty())) {
-            nextBroadcastAt = now + settings.broadcastInterval();
-            urgentDeltas.expire(now);
-            regularDeltas.expire(now);
-            broadcast(urgentDeltas, now, out);
-            broadcast(regularDeltas, now, out);
-        }
-    }
-
-    private void broadcastUrgent(double now, Outbox out) {
-        if (urgentPending) {
-            urgentPending = false;
-            broadcast(urgentDeltas, now, out);
-        }
-    }
-
-    private void broadcast(DeltaBroadcastQueue rumours, double now, Outbox out) {
-        if (rumours.isEmpty() || roster.livePeers().isEmpty() || !broadcastBudget.hasTokens(now)) {
-            return;
-        }
-        List<List<StateMessage.DeltaEntry>> parts = rumours.nextBatches(
-                settings.maxMessagesPerRound(),
-                Packet.MAX_MESSAGE_BYTES - StateMessage.HEADER_BYTES,
-                broadcastRounds());
-        for (Peer peer : randomPeers()) {
-            for (List<StateMessage.DeltaEntry> part : parts) {
-                int bytes = StateMessage.HEADER_BYTES
-                        + part.stream()
-                                .mapToInt(StateMessage.DeltaEntry::maxEncodedBytes)
-                                .sum();
-                broadcastBudget.consume(bytes);
-                counters.deltaBytes += bytes;
-                counters.deltasSent += part.size();
-                out.add(
-                        peer.address(),
-                        new StateMessage.DeltaBroadcast(versionVector.lastSequence(), versionVector.asOf(now), part));
-            }
-        }
-    }
-
-    /** In how many rounds a rumour is told. */
-    private int broadcastRounds() {
-        return (int) Math.ceil(Math.log(roster.livePeers().size() + 1) / Math.log(settings.fanout() + 1))
-                + EXTRA_ROUNDS;
-    }
-
-    private List<Peer> randomPeers() {
-        List<Peer> others = roster.livePeers();
-        if (others.size() <= settings.fanout()) {
-            return others;
-        }
-        var out = new ArrayList<Peer>();
-        while (out.size() < settings.fanout()) {
-            Peer peer = others.get(random.nextInt(others.size()));
-            if (!out.contains(peer)) {
-                out.add(peer);
-            }
-        }
-        return out;
-    }
-
-    private void gossipVersions(double now, Outbox out) {
-        List<Peer> others = roster.livePeers();
-        if (now < nextVersionGossipAt || others.isEmpty()) {
-            nextVersionGossipAt = others.isEmpty() ? now + settings.versionGossipInterval() : nextVersionGossipAt;
-            return;
-        }
-        nextVersionGossipAt = now + settings.versionGossipInterval();
-        List<StateMessage.OriginVersion> piece =
-                versionVector.nextGossipSlice(Packet.MAX_MESSAGE_BYTES - StateMessage.HEADER_BYTES, now);
-        counters.versionGossipBytes += StateMessage.HEADER_BYTES + (long) StateMessage.NUMBER_PAIR_BYTES * piece.size();
-        out.add(
-                others.get(random.nextInt(others.size())).address(),
-                new StateMessage.VersionVectorUpdate(0, 0, now, piece));
+        // At most one interval, since what is received or merged until then must be broadcast in time too.
+        double latest = now + settings.broadcastInterval() / (responder.isIdle() ? 1 : BUSY_TICKS_PER_INTERVAL);
+        return Math.max(now, Math.min(latest, Math.min(nextSessionTick, versionGossip.nextAt())));
     }
 }
--- a/fleet/src/main/java/clayhook/fleet/state/StableHash.java
+++ b/fleet/src/main/java/clayhook/fleet/state/StableHash.java
@@ -4,47 +4,32 @@
 import com.dynatrace.hash4j.hashing.Hasher64;
 import com.dynatrace.hash4j.hashing.Hashing;
 
-/** Hashes that are the same at all routers, and what a key may be. */
+/** Hashes that travel in messages, so they must be the same in all routers and releases. */
 final class StableHash {
     private static final Hasher64 HASHER = Hashing.komihash5_0();
 
     private StableHash() {}
 
+    /** The hash by which an entry is placed in the hash tree. */
     static long ofKey(String key) {
         return HASHER.hashCharsToLong(key);
     }
 
-    /** Of one entry; what digests are made of. */
-    static long ofEntry(long key, byte[] value) {
-        return HASHER.hashLongLongToLong(key, HASHER.hashBytesToLong(value));
+    /** The hash of an entry, of which digests are sums. */
+    static long ofEntry(long keyHash, byte[] encodedValue) {
+        return HASHER.hashLongLongToLong(keyHash, HASHER.hashBytesToLong(encodedValue));
     }
 
-    /** Of a mark, for one walk; what two marks have in common by chance they don't have in common in the next walk. */
-    static int fingerprint(long mark, long walk) {
-        return (int) HASHER.hashLongLongToLong(mark, walk);
+    /**
+     * A short form of an entry's hash, salted by the session: two entries whose fingerprints collide in one session
+     * differ in the next.
+     */
+    static int fingerprint(long entryHash, long sessionId) {
+        return (int) HASHER.hashLongLongToLong(entryHash, sessionId);
     }
 
-    /** Stands for a life of a router on the wire. */
+    /** The hash that stands for one incarnation of a member. */
     static long ofMember(Member member) {
         return HASHER.hashLongLongToLong(HASHER.hashCharsToLong(member.name()), member.incarnation());
     }
-
-    /** Bytes of the key in UTF-8; negative for an empty key and for what is no text. */
-    static int utf8Length(String key) {
-        int bytes = key.isEmpty() ? -1 : 0;
-        for (int i = 0; i < key.length(); i++) {
-            char c = key.charAt(i);
-            if (!Character.isSurrogate(c)) {
-                bytes += c < 0x80 ? 1 : c < 0x800 ? 2 : 3;
-            } else if (Character.isHighSurrogate(c)
-                    && i + 1 < key.length()
-                    && Character.isLowSurrogate(key.charAt(i + 1))) {
-                bytes += 4;
-                i++;
-            } else {
-                return -1;
-            }
-        }
-        return bytes;
-    }
 }
--- /dev/null
+++ b/fleet/src/main/java/clayhook/fleet/state/UpdateId.java
@@ -0,0 +1,33 @@
+package clayhook.fleet.state;
+
+import clayhook.fleet.FieldReader;
+import clayhook.fleet.FieldWriter;
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * Identifies one update: the member incarnation that made it and that member's sequence number.
+ *
+ * @param originId hash of the member incarnation, see {@link StableHash#ofMember}
+ * @param sequence from 1 on
+ */
+record UpdateId(long originId, long sequence) {
+    /** Writes the ids as one flat list: origin and sequence number in turn. */
+    static void writeList(List<UpdateId> ids, FieldWriter out) {
+        out.beginList();
+        for (UpdateId id : ids) {
+            out.writeLong(id.originId).writeLong(id.sequence);
+        }
+        out.endList();
+    }
+
+    /** Reads what {@link #writeList} wrote; a last number without its counterpart is ignored. */
+    static List<UpdateId> readList(FieldReader in, int maxIds) {
+        long[] numbers = in.readLongs(2 * maxIds);
+        var ids = new ArrayList<UpdateId>(numbers.length / 2);
+        for (int i = 0; i + 1 < numbers.length; i += 2) {
+            ids.add(new UpdateId(numbers[i], numbers[i + 1]));
+        }
+        return ids;
+    }
+}
--- a/fleet/src/main/java/clayhook/fleet/state/VersionVector.java
+++ b/fleet/src/main/java/clayhook/fleet/state/VersionVector.java
@@ -7,73 +7,103 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 
 /**
- * How far this copy has what each member put in, and what it put in itself. Lives of members are told apart by a hash
- * of 64 bits, which saves their names on the wire.
+ * Up to which update this replica has the updates of each member, and the numbers of this router's own updates. An
+ * origin is one incarnation of a member, identified by a hash of 64 bits, which saves its name on the wire. Not
+ * thread-safe.
  */
 final class VersionVector {
-    /** Lives that the roster does not name, kept beside those it names: its news may come later than the state's. */
+    /**
+     * Origins that the membership does not list, kept beside the listed ones: its news may come later than the state's.
+     */
     private static final int MAX_UNLISTED_ORIGINS = 1024;
-    /** Seconds for which one that may no more serve is remembered. */
+    /** An unlisted origin is kept for that long after its last activity. */
     private static final double RETENTION_SECONDS = 60;
 
     private static final double MILLIS_PER_SECOND = 1000;
 
-    private final MembershipView roster;
+    private final MembershipView membership;
     private final StateSettings settings;
     private final long selfId;
-    /** Emptied by {@link #removeDeparted}; at most {@link #MAX_UNLISTED_ORIGINS} more than may serve. */
+    /** Emptied by {@link #removeDeparted}; at most {@link #MAX_UNLISTED_ORIGINS} more than {@link #byMember}. */
     private final Map<Long, OriginProgress> byId = new HashMap<>();
-    /** Emptied by {@link #removeDeparted} of those that may no more serve. */
+    /** Emptied by {@link #removeDeparted} of members that cannot be serving any more. */
     private final Map<Member, OriginProgress> byMember = new HashMap<>();
 
     private long lastSequence;
     private double lastAsOf;
-    /** Whose pair is told next. */
     private int nextMemberIndex;
 
-    VersionVector(MembershipView roster, StateSettings settings, int turn, double now) {
-        this.roster = roster;
+    /** @param firstMemberIndex where gossip starts among the members; chosen at random, so that routers differ */
+    VersionVector(MembershipView membership, StateSettings settings, int firstMemberIndex, double now) {
+        this.membership = membership;
         this.settings = settings;
-        this.nextMemberIndex = turn;
-        selfId = StableHash.ofMember(roster.self().member());
+        nextMemberIndex = firstMemberIndex;
+        selfId = StableHash.ofMember(membership.self().member());
         lastAsOf = now;
     }
 
-    long selfId() {
-        return selfId;
+    // ---- this router's own updates ----
+
+    /** Numbers a new update of this router. */
+    UpdateId nextUpdate() {
+        lastSequence++;
+        return new UpdateId(selfId, lastSequence);
     }
 
+    /** The number of this router's last update. */
     long lastSequence() {
         return lastSequence;
     }
 
-    /** The number of what this router puts in next. */
-    long nextSequence() {
-        return ++lastSequence;
-    }
-
-    /** Time of what is told; never goes back. */
+    /** The time of statements about this router's own updates; never goes back. */
     double asOf(double now) {
         lastAsOf = Math.max(lastAsOf, now);
         return lastAsOf;
     }
 
-    private OriginProgress findOrCreate(long id, double now) {
-        OriginProgress track = byId.get(id);
-        if (track == null) {
+    private OriginVersion ownVersion(double now) {
+        return new OriginVersion(selfId, lastSequence, asOf(now));
+    }
+
+    // ---- updates of others ----
+
+    /** Notes that an update is here. Returns whether it was missing. */
+    boolean markReceived(UpdateId update, double now) {
+        return update.originId() != selfId
+                && findOrCreate(update.originId(), now).markReceived(update.sequence());
+    }
+
+    /** Notes what some member states about an origin's updates. */
+    void observe(OriginVersion version, double now) {
+        if (version.originId() != selfId) {
+            findOrCreate(version.originId(), now).observe(version.sequence(), version.asOf(), now);
+        }
+    }
+
+    /** Notes that all updates of that version are here. */
+    void markComplete(OriginVersion version, double now) {
+        if (version.originId() != selfId) {
+            findOrCreate(version.originId(), now).markComplete(version.sequence(), version.asOf());
+        }
+    }
+
+    private OriginProgress findOrCreate(long originId, double now) {
+        OriginProgress progress = byId.get(originId);
+        if (progress == null) {
             if (byId.size() >= byMember.size() + MAX_UNLISTED_ORIGINS) {
                 byId.values().retainAll(new HashSet<>(byMember.values()));
             }
-            track = new OriginProgress(id);
-            byId.put(id, track);
+            progress = new OriginProgress(originId);
+            byId.put(originId, progress);
         }
-        track.lastActivityAt = now;
-        return track;
+        progress.lastActivityAt = now;
+        return progress;
     }
 
-    OriginProgress progressOf(Member member, double now) {
+    private OriginProgress progressOf(Member member, double now) {
         OriginProgress known = byMember.get(member);
         if (known == null) {
             known = findOrCreate(StableHash.ofMember(member), now);
@@ -83,103 +113,80 @@
         return known;
     }
 
-    /** What that one put in under that number is here. Returns whether that is new. */
-    boolean markReceived(long id, long number, double now) {
-        return id != selfId && findOrCreate(id, now).markReceived(number);
-    }
-
-    /** That one had put in so many by then. */
-    void observe(StateMessage.OriginVersion pair, double now) {
-        if (pair.originId() != selfId) {
-            findOrCreate(pair.originId(), now).observe(pair.sequence(), pair.asOf(), now);
-        }
-    }
-
-    /** All of that is here. */
-    void markComplete(StateMessage.OriginVersion pair, double now) {
-        if (pair.originId() != selfId) {
-            findOrCreate(pair.originId(), now).markComplete(pair.sequence(), pair.asOf());
-        }
-    }
+    // ---- queries ----
 
-    private StateMessage.OriginVersion ownVersion(double now) {
-        return new StateMessage.OriginVersion(selfId, lastSequence, asOf(now));
-    }
-
-    /** The next ones in turn that fit into so many bytes; the own one is always among them. */
-    List<StateMessage.OriginVersion> nextGossipSlice(int bytes, double now) {
-        List<Member> members = roster.possiblyServing(now);
-        var out = new ArrayList<StateMessage.OriginVersion>(List.of(ownVersion(now)));
-        int room = bytes - encodedBytes(out.get(0), now);
+    /** The versions to gossip next, as many as fit into that many bytes; this router's own is always among them. */
+    List<OriginVersion> nextGossipSlice(int maxBytes, double now) {
+        List<Member> members = membership.possiblyServing(now);
+        var slice = new ArrayList<OriginVersion>();
+        slice.add(ownVersion(now));
+        int bytesLeft = maxBytes - slice.get(0).maxEncodedBytes(now);
         for (int i = 0; i < members.size(); i++) {
-            OriginProgress track = progressOf(members.get(Math.floorMod(nextMemberIndex, members.size())), now);
-            var pair = new StateMessage.OriginVersion(track.originId, track.confirmedSequence(), track.confirmedAsOf());
-            room -= encodedBytes(pair, now);
-            if (room < 0) {
+            Member member = members.get(Math.floorMod(nextMemberIndex, members.size()));
+            OriginVersion version = confirmedVersion(progressOf(member, now));
+            bytesLeft -= version.maxEncodedBytes(now);
+            if (bytesLeft < 0) {
                 break;
             }
             nextMemberIndex++;
-            out.add(pair);
+            slice.add(version);
         }
-        return out;
+        return slice;
     }
 
-    private static int encodedBytes(StateMessage.OriginVersion pair, double now) {
-        return 2
-                + Long.BYTES
-                + 1
-                + encodedBytes(pair.sequence())
-                + encodedBytes((long) ((now - pair.asOf()) * MILLIS_PER_SECOND) + 1);
+    /** The versions of those origins, as far as they are known here. */
+    List<OriginVersion> knownVersions(List<Long> originIds, double now) {
+        var versions = new ArrayList<OriginVersion>();
+        for (long originId : originIds) {
+            knownVersion(originId, now).ifPresent(versions::add);
+        }
+        return versions;
     }
 
-    /** Bytes of a number on the wire. */
-    private static int encodedBytes(long value) {
-        return value < 0
-                ? Long.BYTES + 1
-                : value < 1 << 8 ? 2 : value < 1 << 16 ? 3 : value < 1L << 32 ? 5 : Long.BYTES + 1;
+    private Optional<OriginVersion> knownVersion(long originId, double now) {
+        if (originId == selfId) {
+            return Optional.of(ownVersion(now));
+        }
+        return Optional.ofNullable(byId.get(originId))
+                .map(VersionVector::confirmedVersion)
+                .filter(version -> version.asOf() > Double.NEGATIVE_INFINITY);
     }
 
-    /** What is known here of those. */
-    List<StateMessage.OriginVersion> knownVersions(long[] ids, double now) {
-        var out = new ArrayList<StateMessage.OriginVersion>();
-        for (long id : ids) {
-            OriginProgress track = byId.get(id);
-            if (id == selfId) {
-                out.add(ownVersion(now));
-            } else if (track != null && track.confirmedAsOf() > Double.NEGATIVE_INFINITY) {
-                out.add(new StateMessage.OriginVersion(id, track.confirmedSequence(), track.confirmedAsOf()));
-            }
-        }
-        return out;
+    private static OriginVersion confirmedVersion(OriginProgress progress) {
+        return new OriginVersion(progress.originId, progress.confirmedSequence(), progress.confirmedAsOf());
     }
 
-    /** Those of whom something has been missing here for longer than that; with {@code all}, all. */
-    List<Member> membersWithGaps(boolean all, double longer, double now) {
-        return roster.possiblyServing(now).stream()
-                .filter(member -> all || progressOf(member, now).hasGapLongerThan(longer, now))
+    /**
+     * The members that may be serving of whose updates some have been missing here for longer than that many seconds.
+     */
+    List<Member> membersWithGaps(double seconds, double now) {
+        return membership.possiblyServing(now).stream()
+                .filter(member -> progressOf(member, now).hasGapLongerThan(seconds, now))
                 .toList();
     }
 
-    /** Up to when all is here that anyone put in who may serve, on this router's clock. */
+    /**
+     * Up to when, on this router's clock, all updates are here of all members that may be serving. Negative infinity
+     * while the clock of such a member is off, since its values are rejected.
+     */
     double completeUpTo(double now) {
         double least = now;
-        for (Member member : roster.possiblyServing(now)) {
-            // What a router whose clock is off puts in is not heard, so nothing can be said of it.
-            if (!roster.clockWithinBound(member)) {
+        for (Member member : membership.possiblyServing(now)) {
+            if (!membership.clockWithinBound(member)) {
                 return Double.NEGATIVE_INFINITY;
             }
-            double ahead = roster.clockOffset(member);
-            least = Math.min(
-                    least,
-                    progressOf(member, now).confirmedAsOf() - (Double.isNaN(ahead) ? settings.maxClockSkew() : ahead));
+            double offset = membership.clockOffset(member);
+            double maxOffset = Double.isNaN(offset) ? settings.maxClockSkew() : offset;
+            least = Math.min(least, progressOf(member, now).confirmedAsOf() - maxOffset);
         }
         return least;
     }
 
-    /** Forgets who may no more serve. */
+    /** Forgets members that cannot be serving any more. */
     void removeDeparted(double now) {
-        byMember.keySet().retainAll(new HashSet<>(roster.possiblyServing(now)));
-        var named = new HashSet<>(byMember.values());
-        byId.values().removeIf(track -> !named.contains(track) && track.lastActivityAt + RETENTION_SECONDS < now);
+        byMember.keySet().retainAll(new HashSet<>(membership.possiblyServing(now)));
+        var listed = new HashSet<>(byMember.values());
+        byId.values()
+                .removeIf(progress -> !listed.contains(progress) && progress.lastActivityAt + RETENTION_SECONDS < now);
     }
 }
--- a/fleet/src/test/java/clayhook/fleet/state/RecordedStateMessagesTest.java
+++ b/fleet/src/test/java/clayhook/fleet/state/RecordedStateMessagesTest.java
@@ -8,6 +8,17 @@
 import clayhook.fleet.FieldWriter;
 import clayhook.fleet.Member;
 import clayhook.fleet.Message;
+import clayhook.fleet.state.AntiEntropyRequest.RangeRequest;
+import clayhook.fleet.state.AntiEntropyRequest.RootDigestsRequest;
+import clayhook.fleet.state.AntiEntropyRequest.TreeNodeRequest;
+import clayhook.fleet.state.AntiEntropyRequest.VersionVectorRequest;
+import clayhook.fleet.state.AntiEntropyResponse.ChildDigest;
+import clayhook.fleet.state.AntiEntropyResponse.RangeEntries;
+import clayhook.fleet.state.AntiEntropyResponse.RangeEntry;
+import clayhook.fleet.state.AntiEntropyResponse.RootDigestsResponse;
+import clayhook.fleet.state.AntiEntropyResponse.TreeNodeResponse;
+import clayhook.fleet.state.AntiEntropyResponse.VersionVectorUpdate;
+import clayhook.fleet.state.DeltaBroadcast.DeltaEntry;
 import java.lang.reflect.Array;
 import java.lang.reflect.RecordComponent;
 import java.util.ArrayList;
@@ -48,14 +59,14 @@
     static Stream<Recording> recordings() {
         return Stream.of(
                 new Recording(
-                        "news without entries",
+                        "delta broadcast without entries",
                         20,
-                        new StateMessage.DeltaBroadcast(0, 0, List.of()),
+                        new DeltaBroadcast(0, 0, List.of()),
                         "9f00fb00000000000000009fffff"),
                 new Recording(
-                        "news",
+                        "delta broadcast",
                         20,
-                        news(),
+                        deltas(),
                         "9f1a00011170fb41d954fc402000009f9f00616b409fffff9f176f72c3bc74657220e282ac20f09f98804500"
                                 + "017f80ff9f2001ffff9f18186973657373696f6e2031439f01ff9f3b7fffffffffffffff171b7fffffffffff"
                                 + "ffff18180018ff011901000219ffff031a00010000041b00000001000000000500ffff9f18ff790100"
@@ -64,118 +75,124 @@
                                 + "00".repeat(30)
                                 + "9f1b0123456789abcdef1b0000010000000000ffffffff"),
                 new Recording(
-                        "pairs without members",
+                        "version vector update without members",
                         21,
-                        new StateMessage.VersionVectorUpdate(0, 0, NOW, List.of()),
+                        new VersionVectorUpdate(0, 0, NOW, List.of()),
                         "9f0000fb41d954fc402000009fffff"),
                 new Recording(
-                        "pairs",
+                        "version vector update",
                         21,
-                        pairs(),
+                        versions(),
                         "9f381a181cfb41d954fc402000009f9f000000ff9f200118faff9f3b7fffffffffffffff18ff3901f3ff9f1b"
                                 + "7fffffffffffffff1b00000100000000001a05265c00ffffff"),
                 new Recording(
-                        "question for pairs without members",
+                        "version vector request without members",
                         22,
-                        new StateMessage.VersionVectorRequest(1, 0, new long[0]),
+                        new VersionVectorRequest(1, 0, List.of()),
                         "9f01009fffff"),
                 new Recording(
-                        "question for pairs",
+                        "version vector request",
                         22,
-                        new StateMessage.VersionVectorRequest(-2, Integer.MAX_VALUE - 1, new long[] {
-                            0, -1, Long.MIN_VALUE, Long.MAX_VALUE, 255, 256, 65_536, 1L << 32
-                        }),
+                        new VersionVectorRequest(
+                                -2,
+                                Integer.MAX_VALUE - 1,
+                                List.of(0L, -1L, Long.MIN_VALUE, Long.MAX_VALUE, 255L, 256L, 65_536L, 1L << 32)),
                         "9f211a7ffffffe9f00203b7fffffffffffffff1b7fffffffffffffff18ff1901001a000100001b0000000100"
                                 + "000000ffff"),
                 new Recording(
-                        "question for pairs of the most members",
+                        "version vector request for the most members",
                         22,
-                        new StateMessage.VersionVectorRequest(
+                        new VersionVectorRequest(
                                 3,
                                 4,
-                                LongStream.range(0, StateMessage.MAX_REQUESTED_ORIGINS)
-                                        .toArray()),
+                                LongStream.range(0, VersionVectorRequest.MAX_REQUESTED_ORIGINS)
+                                        .boxed()
+                                        .toList()),
                         "9f03049f000102030405060708090a0b0c0d0e0f101112131415161718181819181a181b181c181d181e181f"
                                 + "18201821182218231824182518261827ffff"),
                 new Recording(
-                        "question for roots without kinds",
+                        "root digests request without types",
                         23,
-                        new StateMessage.RootDigestsRequest(5, 6, List.of()),
+                        new RootDigestsRequest(5, 6, List.of()),
                         "9f05069fffff"),
                 new Recording(
-                        "question for roots",
+                        "root digests request",
                         23,
-                        new StateMessage.RootDigestsRequest(Long.MAX_VALUE, 7, roots()),
+                        new RootDigestsRequest(Long.MAX_VALUE, 7, roots()),
                         "9f1b7fffffffffffffff079f9f00fbfff0000000000000fbfff000000000000000ff9f01fb41d954fc3c2000"
                                 + "00fb41d954fc3b20000020ff9f18fffb0000000000000000fbbfe00000000000003b7fffffffffffffffffff"
                                 + "ff"),
                 new Recording(
-                        "roots without kinds",
+                        "root digests response without types",
                         24,
-                        new StateMessage.RootDigestsResponse(8, 9, false, List.of()),
+                        new RootDigestsResponse(8, 9, false, List.of()),
                         "9f0809f49fffff"),
                 new Recording(
-                        "roots",
+                        "root digests response",
                         24,
-                        new StateMessage.RootDigestsResponse(Long.MIN_VALUE, 10, true, roots()),
+                        new RootDigestsResponse(Long.MIN_VALUE, 10, true, roots()),
                         "9f3b7fffffffffffffff0af59f9f00fbfff0000000000000fbfff000000000000000ff9f01fb41d954fc3c20"
                                 + "0000fb41d954fc3b20000020ff9f18fffb0000000000000000fbbfe00000000000003b7fffffffffffffffff"
                                 + "ffff"),
                 new Recording(
-                        "question for the root node",
+                        "request for the root node",
                         25,
-                        new StateMessage.TreeNodeRequest(11, 12, 0, -FOREVER, 0, 0),
+                        new TreeNodeRequest(11, 12, 0, -FOREVER, 0, 0),
                         "9f0b0c00fbfff00000000000000000ff"),
                 new Recording(
-                        "question for the last inner node",
+                        "request for the last inner node",
                         25,
-                        new StateMessage.TreeNodeRequest(-13, 14, 255, NOW, 2, 255),
+                        new TreeNodeRequest(-13, 14, 255, NOW, 2, 255),
                         "9f2c0e18fffb41d954fc402000000218ffff"),
                 new Recording(
-                        "node",
+                        "tree node response",
                         26,
-                        new StateMessage.TreeNodeResponse(15, 16, -FOREVER, NOW - 60, sums(), counts()),
+                        new TreeNodeResponse(15, 16, -FOREVER, NOW - 60, children()),
                         "9f0f10fbfff0000000000000fb41d954fc312000009f003b61c8864680b583ea1b3c6ef372fe94f82a3b2559"
                                 + "92d382208bc01b78dde6e5fd29f0541b1715609f7c746c693b4ab325a7044117811b538454127b0964933b0e"
                                 + "44323405ac1f573b700cb87a8661a3421b2e2ac13ef8e8d8d23b339dc50787ccab181b6a99b4b1f77dd0fc1b"
                                 + "08d12e6b76c84d113b58f757db09ed36d91b454021de755d453bff9f00030f183f18ff1903ff190fff193fff"
                                 + "19ffff1a0003ffff1a000fffff1a003fffff1a00ffffff1a03ffffff1a0fffffff1a3fffffffffff"),
                 new Recording(
-                        "question for all hashes",
+                        "request for all hashes",
                         27,
-                        new StateMessage.RangeRequest(17, 18, 1, 0, -1, new long[0]),
+                        new RangeRequest(17, 18, 1, 0, -1, List.of()),
                         "9f11120100209fffff"),
                 new Recording(
-                        "question for a range",
+                        "request for a range",
                         27,
-                        new StateMessage.RangeRequest(-19, 20, 255, 0x1230L << 48, (0x1231L << 48) - 1, new long[] {
-                            Integer.MIN_VALUE, -1, 0, 1, Integer.MAX_VALUE
-                        }),
+                        new RangeRequest(
+                                -19,
+                                20,
+                                255,
+                                0x1230L << 48,
+                                (0x1231L << 48) - 1,
+                                List.of(Integer.MIN_VALUE, -1, 0, 1, Integer.MAX_VALUE)),
                         "9f321418ff1b12300000000000001b1230ffffffffffff9f3a7fffffff2000011a7fffffffffff"),
                 new Recording(
-                        "question for a range with the most entries told in brief",
+                        "request for a range with the most fingerprints",
                         27,
-                        new StateMessage.RangeRequest(
+                        new RangeRequest(
                                 21,
                                 22,
                                 2,
                                 -2,
                                 -1,
-                                LongStream.range(0, StateMessage.MAX_FINGERPRINTS)
-                                        .toArray()),
+                                IntStream.range(0, RangeRequest.MAX_FINGERPRINTS)
+                                        .boxed()
+                                        .toList()),
                         "9f15160221209f000102030405060708090a0b0c0d0e0f101112131415161718181819181a181b181c181d18"
                                 + "1e181f1820182118221823182418251826182718281829182a182b182c182d182e182f183018311832183318"
                                 + "3418351836183718381839183a183b183c183dffff"),
                 new Recording(
-                        "no entries",
+                        "range without entries",
                         28,
-                        new StateMessage.RangeEntries(23, 24, 3, -FOREVER, -1, 0, List.of()),
+                        new RangeEntries(23, 24, 3, -FOREVER, -1, 0, List.of()),
                         "9f17181803fbfff000000000000020009fffff"),
                 new Recording(
-                        "entries",
+                        "range of entries",
                         28,
-                        new StateMessage.RangeEntries(
-                                -25, 26, 255, NOW - 3600, 0x7fffL << 48, 0x3fff_ffff_ffff_ffffL, entries()),
+                        new RangeEntries(-25, 26, 255, NOW - 3600, 0x7fffL << 48, 0x3fff_ffff_ffff_ffffL, entries()),
                         "9f3818181a18fffb41d954f8bc2000001b7fff0000000000001b3fffffffffffffff9f9f616b40ff9f6f72c3"
                                 + "bc74657220e282ac20f09f988044007f80ffff9f790100"
                                 + "6b".repeat(256)
@@ -183,80 +200,74 @@
                                 + "00".repeat(30)
                                 + "ffffff"),
                 new Recording(
-                        "unasked entries",
+                        "pushed entries",
                         28,
-                        new StateMessage.RangeEntries(
-                                0, 0, 4, -FOREVER, 0, 0, entries().subList(0, 1)),
+                        new RangeEntries(0, 0, 4, -FOREVER, 0, 0, entries().subList(0, 1)),
                         "9f000004fbfff000000000000000009f9f616b40ffffff"));
     }
 
-    private static StateMessage.DeltaBroadcast news() {
-        return new StateMessage.DeltaBroadcast(
+    private static DeltaBroadcast deltas() {
+        return new DeltaBroadcast(
                 70_000,
                 NOW,
                 List.of(
-                        new StateMessage.DeltaEntry(0, "k", new byte[0], new long[0]),
-                        new StateMessage.DeltaEntry(
-                                23, "r\u00fcter \u20ac \ud83d\ude00", bytes(0, 1, 127, 128, 255), new long[] {-1, 1}),
-                        new StateMessage.DeltaEntry(24, "session 1", bytes(0x9f, 0x01, 0xff), new long[] {
-                            Long.MIN_VALUE,
-                            23,
-                            Long.MAX_VALUE,
-                            24,
-                            0,
-                            255,
-                            1,
-                            256,
-                            2,
-                            65_535,
-                            3,
-                            65_536,
-                            4,
-                            1L << 32,
-                            5,
-                            0
-                        }),
-                        new StateMessage.DeltaEntry(
-                                255, "k".repeat(256), new byte[30], new long[] {0x0123_4567_89ab_cdefL, 1L << 40})));
+                        new DeltaEntry(0, "k", new byte[0], List.of()),
+                        new DeltaEntry(
+                                23,
+                                "r\u00fcter \u20ac \ud83d\ude00",
+                                bytes(0, 1, 127, 128, 255),
+                                List.of(new UpdateId(-1, 1))),
+                        new DeltaEntry(24, "session 1", bytes(0x9f, 0x01, 0xff), mostUpdateIds()),
+                        new DeltaEntry(
+                                255,
+                                "k".repeat(256),
+                                new byte[30],
+                                List.of(new UpdateId(0x0123_4567_89ab_cdefL, 1L << 40)))));
+    }
+
+    private static List<UpdateId> mostUpdateIds() {
+        return List.of(
+                new UpdateId(Long.MIN_VALUE, 23),
+                new UpdateId(Long.MAX_VALUE, 24),
+                new UpdateId(0, 255),
+                new UpdateId(1, 256),
+                new UpdateId(2, 65_535),
+                new UpdateId(3, 65_536),
+                new UpdateId(4, 1L << 32),
+                new UpdateId(5, 0));
     }
 
-    /** Their ages are whole milliseconds, so that decoding gives the same times back. */
-    private static StateMessage.VersionVectorUpdate pairs() {
-        return new StateMessage.VersionVectorUpdate(
+    /** The ages are whole milliseconds, so that decoding restores the same times. */
+    private static VersionVectorUpdate versions() {
+        return new VersionVectorUpdate(
                 -27,
                 28,
                 NOW,
                 List.of(
-                        new StateMessage.OriginVersion(0, 0, NOW),
-                        new StateMessage.OriginVersion(-1, 1, NOW - 0.25),
-                        new StateMessage.OriginVersion(Long.MIN_VALUE, 255, NOW + 0.5),
-                        new StateMessage.OriginVersion(Long.MAX_VALUE, 1L << 40, NOW - 86_400)));
+                        new OriginVersion(0, 0, NOW),
+                        new OriginVersion(-1, 1, NOW - 0.25),
+                        new OriginVersion(Long.MIN_VALUE, 255, NOW + 0.5),
+                        new OriginVersion(Long.MAX_VALUE, 1L << 40, NOW - 86_400)));
     }
 
-    private static List<StateMessage.RootDigest> roots() {
+    private static List<RootDigest> roots() {
         return List.of(
-                new StateMessage.RootDigest(0, -FOREVER, -FOREVER, 0),
-                new StateMessage.RootDigest(1, NOW - 16, NOW - 20, -1),
-                new StateMessage.RootDigest(255, 0, -0.5, Long.MIN_VALUE));
-    }
-
-    private static long[] sums() {
-        return IntStream.range(0, HashTree.FANOUT)
-                .mapToLong(i -> i * 0x9e37_79b9_7f4a_7c15L)
-                .toArray();
+                new RootDigest(0, -FOREVER, -FOREVER, 0),
+                new RootDigest(1, NOW - 16, NOW - 20, -1),
+                new RootDigest(255, 0, -0.5, Long.MIN_VALUE));
     }
 
-    private static long[] counts() {
+    private static List<ChildDigest> children() {
         return IntStream.range(0, HashTree.FANOUT)
-                .mapToLong(i -> (1L << 2 * i) - 1)
-                .toArray();
+                .mapToObj(i -> new ChildDigest(i * 0x9e37_79b9_7f4a_7c15L, (1L << (2 * i)) - 1))
+                .toList();
     }
 
-    private static List<StateMessage.RangeEntry> entries() {
+    private static List<RangeEntry> entries() {
         return List.of(
-                new StateMessage.RangeEntry("k", new byte[0]),
-                new StateMessage.RangeEntry("r\u00fcter \u20ac \ud83d\ude00", bytes(0, 127, 128, 255)),
-                new StateMessage.RangeEntry("k".repeat(256), new byte[30]));
+                new RangeEntry("k", new byte[0]),
+                new RangeEntry("r\u00fcter \u20ac \ud83d\ude00", bytes(0, 127, 128, 255)),
+                new RangeEntry("k".repeat(256), new byte[30]));
     }
 
     private static byte[] bytes(int... values) {
@@ -327,7 +338,7 @@
 
     @ParameterizedTest
     @MethodSource("recordings")
-    void rejectsBytesThatAreCut(Recording recording) {
+    void rejectsTruncatedBytes(Recording recording) {
         byte[] bytes = recording.bytes();
         for (int length = 1; length < bytes.length - 1; length++) {
             byte[] cut = Arrays.copyOf(bytes, length);
@@ -336,22 +347,20 @@
         }
     }
 
-    /** A new form of message needs a recording, and none may go without notice. */
+    /** Fails if a message type is added without a recording, or removed. */
     @Test
-    void everyFormOfMessageIsRecorded() {
+    void everyMessageTypeIsRecorded() {
         Set<Integer> recorded =
                 new TreeSet<>(recordings().map(Recording::number).toList());
         assertEquals(new TreeSet<>(IntStream.rangeClosed(20, 28).boxed().toList()), recorded);
         assertEquals(recorded, new TreeSet<>(StateMessage.messageReaders().keySet()));
     }
 
-    /** An age is rounded up, so that a receiver never takes a member's numbers for newer than they were. */
+    /** An age is rounded up, so that a receiver never takes a version for newer than it is. */
     @Test
     void encodesAgesInMillisecondsRoundedUp() {
-        var exact = new StateMessage.VersionVectorUpdate(
-                0, 0, NOW, List.of(new StateMessage.OriginVersion(1, 2, NOW - 0.25)));
-        var rounded = new StateMessage.VersionVectorUpdate(
-                0, 0, NOW, List.of(new StateMessage.OriginVersion(1, 2, NOW - 0.249_5)));
+        var exact = new VersionVectorUpdate(0, 0, NOW, List.of(new OriginVersion(1, 2, NOW - 0.25)));
+        var rounded = new VersionVectorUpdate(0, 0, NOW, List.of(new OriginVersion(1, 2, NOW - 0.249_5)));
         assertEquals(encode(exact), encode(rounded));
     }
 
@@ -377,16 +386,16 @@
         return out.endList();
     }
 
-    private static FieldWriter root(FieldWriter out, int kind) {
-        return out.writeLong(kind).writeDouble(1).writeDouble(2).writeLong(3);
+    private static FieldWriter rootDigest(FieldWriter out, int replicatedType) {
+        return out.writeLong(replicatedType).writeDouble(1).writeDouble(2).writeLong(3);
     }
 
-    private static FieldWriter told(FieldWriter out, int kind, String key, int tags) {
-        return longs(out.writeLong(kind).writeNullableString(key).writeBytes(new byte[1]), tags);
+    private static FieldWriter delta(FieldWriter out, int replicatedType, String key, int updateIds) {
+        return longs(out.writeLong(replicatedType).writeNullableString(key).writeBytes(new byte[1]), updateIds);
     }
 
-    /** Bytes at a bound of the decoder, and the same just beyond it, which it must not take. */
-    private record Bound(String name, int number, byte[] within, byte[] beyond) {
+    /** Bytes at a bound of the decoder, and the same just beyond it, which it must reject. */
+    private record Bound(String name, int number, FieldWriter within, FieldWriter beyond) {
         @Override
         public String toString() {
             return name;
@@ -400,68 +409,53 @@
         }
         return Stream.of(
                 new Bound(
-                        "kind of news",
+                        "type of a delta",
                         20,
-                        lists(out[0].writeLong(1).writeDouble(2), 1, () -> told(out[0], 255, "k", 0))
-                                .toByteArray(),
-                        lists(out[1].writeLong(1).writeDouble(2), 1, () -> told(out[1], 256, "k", 0))
-                                .toByteArray()),
+                        lists(out[0].writeLong(1).writeDouble(2), 1, () -> delta(out[0], 255, "k", 0)),
+                        lists(out[1].writeLong(1).writeDouble(2), 1, () -> delta(out[1], 256, "k", 0))),
                 new Bound(
-                        "key of news",
+                        "key of a delta",
                         20,
-                        lists(out[2].writeLong(1).writeDouble(2), 1, () -> told(out[2], 1, "k".repeat(4096), 0))
-                                .toByteArray(),
-                        lists(out[3].writeLong(1).writeDouble(2), 1, () -> told(out[3], 1, "", 0))
-                                .toByteArray()),
+                        lists(out[2].writeLong(1).writeDouble(2), 1, () -> delta(out[2], 1, "k".repeat(4096), 0)),
+                        lists(out[3].writeLong(1).writeDouble(2), 1, () -> delta(out[3], 1, "", 0))),
                 new Bound(
-                        "tags of news",
+                        "update ids of a delta",
                         20,
-                        lists(out[4].writeLong(1).writeDouble(2), 1, () -> told(out[4], 1, "k", 16))
-                                .toByteArray(),
-                        lists(out[5].writeLong(1).writeDouble(2), 1, () -> told(out[5], 1, "k", 17))
-                                .toByteArray()),
+                        lists(out[4].writeLong(1).writeDouble(2), 1, () -> delta(out[4], 1, "k", 16)),
+                        lists(out[5].writeLong(1).writeDouble(2), 1, () -> delta(out[5], 1, "k", 17))),
                 new Bound(
-                        "entries of news",
+                        "entries of a delta broadcast",
                         20,
-                        lists(out[6].writeLong(1).writeDouble(2), 256, () -> told(out[6], 1, "k", 0))
-                                .toByteArray(),
-                        lists(out[7].writeLong(1).writeDouble(2), 257, () -> told(out[7], 1, "k", 0))
-                                .toByteArray()),
+                        lists(out[6].writeLong(1).writeDouble(2), 256, () -> delta(out[6], 1, "k", 0)),
+                        lists(out[7].writeLong(1).writeDouble(2), 257, () -> delta(out[7], 1, "k", 0))),
                 new Bound(
-                        "pairs",
+                        "version vector update",
                         21,
                         lists(out[8].writeLong(1).writeLong(2).writeDouble(3), 256, () -> out[8].writeLong(1)
-                                        .writeLong(2)
-                                        .writeLong(250))
-                                .toByteArray(),
+                                .writeLong(2)
+                                .writeLong(250)),
                         lists(out[9].writeLong(1).writeLong(2).writeDouble(3), 257, () -> out[9].writeLong(1)
-                                        .writeLong(2)
-                                        .writeLong(250))
-                                .toByteArray()),
-                new Bound(
-                        "number of a question",
-                        22,
-                        longs(fields(1, Integer.MAX_VALUE - 1), 1).toByteArray(),
-                        longs(fields(1, Integer.MAX_VALUE), 1).toByteArray()),
+                                .writeLong(2)
+                                .writeLong(250))),
                 new Bound(
-                        "members asked about",
+                        "id of a request",
                         22,
-                        longs(fields(1, 2), 40).toByteArray(),
-                        longs(fields(1, 2), 41).toByteArray()),
+                        longs(fields(1, Integer.MAX_VALUE - 1), 1),
+                        longs(fields(1, Integer.MAX_VALUE), 1)),
+                new Bound("members of a version vector request", 22, longs(fields(1, 2), 40), longs(fields(1, 2), 41)),
                 new Bound(
-                        "roots asked for",
+                        "digests of a root digests request",
                         23,
-                        lists(out[10].writeLong(1).writeLong(2), 256, () -> root(out[10], 255))
-                                .toByteArray(),
-                        lists(out[11].writeLong(1).writeLong(2), 257, () -> root(out[11], 255))
-                                .toByteArray()),
+                        lists(out[10].writeLong(1).writeLong(2), 256, () -> rootDigest(out[10], 255)),
+                        lists(out[11].writeLong(1).writeLong(2), 257, () -> rootDigest(out[11], 255))),
                 new Bound(
-                        "kind of a root",
+                        "type of a root digest",
                         24,
-                        lists(out[12].writeLong(1).writeLong(2).writeBoolean(true), 256, () -> root(out[12], 255))
-                                .toByteArray(),
-                        lists(out[13].writeLong(1).writeLong(2).writeBoolean(true), 1, () -> root(out[13], 256))
-                                .toByteArray()),
+                        lists(
+                                out[12].writeLong(1).writeLong(2).writeBoolean(true),
+                                256,
+                                () -> rootDigest(out[12], 255)),
+                        lists(out[13].writeLong(1).writeLong(2).writeBoolean(true), 1, () -> rootDigest(out[13], 256))),
                 new Bound(
                         "level of a node",
                         25,
@@ -470,132 +464,118 @@
                                 .writeLong(3)
                                 .writeDouble(4)
                                 .writeLong(2)
-                                .writeLong(255)
-                                .toByteArray(),
+                                .writeLong(255),
                         out[15].writeLong(1)
                                 .writeLong(2)
                                 .writeLong(3)
                                 .writeDouble(4)
                                 .writeLong(3)
-                                .writeLong(0)
-                                .toByteArray()),
+                                .writeLong(0)),
                 new Bound(
-                        "place of a node",
+                        "index of a node",
                         25,
                         out[16].writeLong(1)
                                 .writeLong(2)
                                 .writeLong(3)
                                 .writeDouble(4)
                                 .writeLong(1)
-                                .writeLong(15)
-                                .toByteArray(),
+                                .writeLong(15),
                         out[17].writeLong(1)
                                 .writeLong(2)
                                 .writeLong(3)
                                 .writeDouble(4)
                                 .writeLong(1)
-                                .writeLong(16)
-                                .toByteArray()),
+                                .writeLong(16)),
                 new Bound(
                         "sums of a node, fewer",
                         26,
                         longs(
-                                        longs(
-                                                out[18].writeLong(1)
-                                                        .writeLong(2)
-                                                        .writeDouble(3)
-                                                        .writeDouble(4),
-                                                16),
-                                        16)
-                                .toByteArray(),
+                                longs(
+                                        out[18].writeLong(1)
+                                                .writeLong(2)
+                                                .writeDouble(3)
+                                                .writeDouble(4),
+                                        16),
+                                16),
                         longs(
-                                        longs(
-                                                out[19].writeLong(1)
-                                                        .writeLong(2)
-                                                        .writeDouble(3)
-                                                        .writeDouble(4),
-                                                15),
-                                        16)
-                                .toByteArray()),
+                                longs(
+                                        out[19].writeLong(1)
+                                                .writeLong(2)
+                                                .writeDouble(3)
+                                                .writeDouble(4),
+                                        15),
+                                16)),
                 new Bound(
                         "counts of a node, more",
                         26,
                         longs(
-                                        longs(
-                                                out[20].writeLong(1)
-                                                        .writeLong(2)
-                                                        .writeDouble(3)
-                                                        .writeDouble(4),
-                                                16),
-                                        16)
-                                .toByteArray(),
+                                longs(
+                                        out[20].writeLong(1)
+                                                .writeLong(2)
+                                                .writeDouble(3)
+                                                .writeDouble(4),
+                                        16),
+                                16),
                         longs(
-                                        longs(
-                                                out[21].writeLong(1)
-                                                        .writeLong(2)
-                                                        .writeDouble(3)
-                                                        .writeDouble(4),
-                                                16),
-                                        17)
-                                .toByteArray()),
-                new Bound(
-                        "entries told in brief",
-                        27,
-                        longs(fields(1, 2, 255, 4, 5), 62).toByteArray(),
-                        longs(fields(1, 2, 255, 4, 5), 63).toByteArray()),
+                                longs(
+                                        out[21].writeLong(1)
+                                                .writeLong(2)
+                                                .writeDouble(3)
+                                                .writeDouble(4),
+                                        16),
+                                17)),
+                new Bound("fingerprints", 27, longs(fields(1, 2, 255, 4, 5), 62), longs(fields(1, 2, 255, 4, 5), 63)),
                 new Bound(
-                        "entries",
+                        "range of entries",
                         28,
                         lists(
-                                        out[22].writeLong(1)
-                                                .writeLong(2)
-                                                .writeLong(3)
-                                                .writeDouble(4)
-                                                .writeLong(5)
-                                                .writeLong(6),
-                                        256,
-                                        () -> out[22].writeNullableString("k").writeBytes(new byte[1]))
-                                .toByteArray(),
+                                out[22].writeLong(1)
+                                        .writeLong(2)
+                                        .writeLong(3)
+                                        .writeDouble(4)
+                                        .writeLong(5)
+                                        .writeLong(6),
+                                256,
+                                () -> out[22].writeNullableString("k").writeBytes(new byte[1])),
                         lists(
-                                        out[23].writeLong(1)
-                                                .writeLong(2)
-                                                .writeLong(3)
-                                                .writeDouble(4)
-                                                .writeLong(5)
-                                                .writeLong(6),
-                                        257,
-                                        () -> out[23].writeNullableString("k").writeBytes(new byte[1]))
-                                .toByteArray()),
+                                out[23].writeLong(1)
+                                        .writeLong(2)
+                                        .writeLong(3)
+                                        .writeDouble(4)
+                                        .writeLong(5)
+                                        .writeLong(6),
+                                257,
+                                () -> out[23].writeNullableString("k").writeBytes(new byte[1]))),
                 new Bound(
                         "floor that is no number",
                         28,
                         lists(
-                                        out[24].writeLong(1)
-                                                .writeLong(2)
-                                                .writeLong(3)
-                                                .writeDouble(-FOREVER)
-                                                .writeLong(5)
-                                                .writeLong(6),
-                                        0,
-                                        () -> {})
-                                .toByteArray(),
+                                out[24].writeLong(1)
+                                        .writeLong(2)
+                                        .writeLong(3)
+                                        .writeDouble(-FOREVER)
+                                        .writeLong(5)
+                                        .writeLong(6),
+                                0,
+                                () -> {}),
                         lists(
-                                        out[25].writeLong(1)
-                                                .writeLong(2)
-                                                .writeLong(3)
-                                                .writeDouble(Double.NaN)
-                                                .writeLong(5)
-                                                .writeLong(6),
-                                        0,
-                                        () -> {})
-                                .toByteArray()));
+                                out[25].writeLong(1)
+                                        .writeLong(2)
+                                        .writeLong(3)
+                                        .writeDouble(Double.NaN)
+                                        .writeLong(5)
+                                        .writeLong(6),
+                                0,
+                                () -> {})));
     }
 
     @ParameterizedTest
     @MethodSource("bounds")
-    void decodesUpToItsBoundsAndNoFurther(Bound bound) {
-        assertEquals(HexFormat.of().formatHex(bound.within), encode(decode(bound.number, bound.within)));
-        assertThrows(IllegalArgumentException.class, () -> decode(bound.number, bound.beyond));
+    void rejectsFieldsBeyondTheirBounds(Bound bound) {
+        byte[] within = bound.within.toByteArray();
+        byte[] beyond = bound.beyond.toByteArray();
+        assertEquals(HexFormat.of().formatHex(within), encode(decode(bound.number, within)));
+        assertThrows(IllegalArgumentException.class, () -> decode(bound.number, beyond));
     }
 
     /** These hashes travel in messages or decide what is compared, so two releases must agree on them. */
@@ -607,14 +587,14 @@
                         "key beyond ASCII", 1257999140883978802L,
                         "entry", 4574474288793154412L,
                         "empty entry", -2106646935190566307L,
-                        "brief", -1187007122L,
+                        "fingerprint", -1187007122L,
                         "member", -3665406089380348712L),
                 Map.of(
                         "key", StableHash.ofKey("session 1"),
                         "key beyond ASCII", StableHash.ofKey("r\u00fcter \u20ac \ud83d\ude00"),
                         "entry", StableHash.ofEntry(StableHash.ofKey("session 1"), bytes(0x9f, 0x01, 0xff)),
                         "empty entry", StableHash.ofEntry(-1, new byte[0]),
-                        "brief", (long) StableHash.fingerprint(0x0123_4567_89ab_cdefL, -27),
+                        "fingerprint", (long) StableHash.fingerprint(0x0123_4567_89ab_cdefL, -27),
                         "member", StableHash.ofMember(new Member("router-1", 1_700_000_000_123L))));
     }
 
--- a/fleet/src/test/java/clayhook/fleet/state/ReplicatedStateTest.java
+++ b/fleet/src/test/java/clayhook/fleet/state/ReplicatedStateTest.java
@@ -96,8 +96,8 @@
         "19.9, 1, ",
         "-2, 1, FUTURE",
         "-0.9, 1, ",
-        "0, 0, UNFIT",
-        "0, 257, UNFIT",
+        "0, 0, INVALID_ENTRY",
+        "0, 257, INVALID_ENTRY",
         "0, 256, ",
         "NaN, 1, FUTURE"
     })
@@ -185,7 +185,7 @@
         bytes += sum(network, counters -> counters.antiEntropyBytes);
         sessions += sum(network, counters -> counters.sessionsStarted);
         assertEquals(
-                2 * (StateMessage.HEADER_BYTES + StateMessage.ROOT_DIGEST_BYTES),
+                2 * (EncodedSizes.HEADER_BYTES + EncodedSizes.ROOT_DIGEST_BYTES),
                 bytes / sessions,
                 20,
                 "only root digests are exchanged");
