--- a/fleet/src/main/java/clayhook/fleet/state/DeltaBroadcaster.java
+++ b/fleet/src/main/java/clayhook/fleet/state/DeltaBroadcaster.java
@@ -10,8 +10,8 @@
 import java.util.SplittableRandom;
 
 /**
- * Broadcasts changed entries by rumor mongering: in each round to a few random members, in so many rounds that all
- * members hear of a change with high probability. Entries of urgent types go out at once. Not thread-safe.
+ * Broadcasts changed entries as an epidemic protocol does: in each round to a few random members, in so many rounds
+ * that all members hear of a change with high probability. Entries of urgent types go out at once. Not thread-safe.
  */
 final class DeltaBroadcaster {
     /**
--- a/fleet/src/main/java/clayhook/fleet/state/EntryTable.java
+++ b/fleet/src/main/java/clayhook/fleet/state/EntryTable.java
@@ -50,7 +50,7 @@
         listeners.add(listener);
     }
 
-    /** {@code listener} is told the key of each entry that is removed. */
+    /** {@code listener} receives the key of each entry that is removed. */
     void setRemovalListener(Consumer<String> listener) {
         removalListener = listener;
     }
@@ -149,7 +149,7 @@
         return merge(key, keyHash, value, now);
     }
 
-    /** Whether the table holds just that value under that key, as far as hashes tell. */
+    /** Whether the table holds just that value under that key, as far as hashes can show. */
     private boolean containsValue(String key, long keyHash, byte[] encodedValue) {
         int slot = slots.find(key, keyHash);
         return slot >= 0 && slots.entryHash(slot) == StableHash.ofEntry(keyHash, encodedValue);
@@ -261,7 +261,7 @@
         digest.advanceCutoff(targetCutoff(now), remaining);
     }
 
-    /** Removes the oldest entries, all of one timestamp together, so that the floor tells what is gone. */
+    /** Removes the oldest entries, all of one timestamp together, so that the floor alone says what was evicted. */
     private void evictBeyondMaxEntries() {
         while (slots.size() > type.maxEntries()) {
             evictionFloor = digest.timestamp(digest.oldest());
--- a/fleet/src/main/java/clayhook/fleet/state/OriginVersion.java
+++ b/fleet/src/main/java/clayhook/fleet/state/OriginVersion.java
@@ -16,7 +16,9 @@
     /** Begin and end of the list, and the marker byte of a 64-bit integer. */
     private static final int FRAMING_BYTES = 3;
 
-    /** The time is written as whole milliseconds before {@code now}, rounded up so that it is never made younger. */
+    /**
+     * The time is written as whole milliseconds before {@code now}, rounded up so that it is never later than it was.
+     */
     void write(double now, FieldWriter out) {
         long ageMillis = (long) Math.ceil((now - asOf) * MILLIS_PER_SECOND);
         out.beginList()
--- a/fleet/src/main/java/clayhook/fleet/state/PendingDelta.java
+++ b/fleet/src/main/java/clayhook/fleet/state/PendingDelta.java
@@ -88,7 +88,7 @@
         return changedAt;
     }
 
-    /** Rounds since the last change in which the entry was broadcast, by this router or, as heard, by others. */
+    /** Rounds since the last change in which the entry was broadcast, by this router or by others that sent it here. */
     int completedRounds() {
         return completedRounds;
     }
--- a/fleet/src/main/java/clayhook/fleet/state/TableDigest.java
+++ b/fleet/src/main/java/clayhook/fleet/state/TableDigest.java
@@ -80,7 +80,9 @@
         }
     }
 
-    /** Takes out all entries with the oldest timestamp at once, since the cut-off alone tells which entries are in. */
+    /**
+     * Takes out all entries with the oldest timestamp at once, since the cut-off alone decides which entries are in.
+     */
     private void excludeAllAt(double timestamp) {
         for (int slot = digestedEntries.oldest();
                 slot >= 0 && timestamps.timestamp(slot) == timestamp;
--- a/fleet/src/main/java/clayhook/fleet/state/TokenBucket.java
+++ b/fleet/src/main/java/clayhook/fleet/state/TokenBucket.java
@@ -18,7 +18,7 @@
         lastRefillAt = now;
     }
 
-    /** Adds the tokens that have accrued since the last call, and tells whether there are any. */
+    /** Adds the tokens that have accrued since the last call; returns whether there are any. */
     boolean hasTokens(double now) {
         tokens = Math.min(bytesPerSecond * BURST_SECONDS, tokens + bytesPerSecond * Math.max(0, now - lastRefillAt));
         lastRefillAt = Math.max(lastRefillAt, now);
--- a/fleet/src/main/java/clayhook/fleet/state/VersionVector.java
+++ b/fleet/src/main/java/clayhook/fleet/state/VersionVector.java
@@ -15,9 +15,7 @@
  * thread-safe.
  */
 final class VersionVector {
-    /**
-     * Origins that the membership does not list, kept beside the listed ones: its news may come later than the state's.
-     */
+    /** Origins kept that the membership does not list: membership messages may arrive later than state messages. */
     private static final int MAX_UNLISTED_ORIGINS = 1024;
     /** An unlisted origin is kept for that long after its last activity. */
     private static final double RETENTION_SECONDS = 60;
--- a/fleet/src/test/java/clayhook/fleet/state/FaultScenario.java
+++ b/fleet/src/test/java/clayhook/fleet/state/FaultScenario.java
@@ -10,7 +10,7 @@
 
 /** Writes and faults on a few routers, a record of all that was written, and checks of what the replicas must hold. */
 final class FaultScenario {
-    /** One write or fault; {@code actionIndex} tells which, and what the other numbers mean. */
+    /** One write or fault; {@code actionIndex} selects it and the meaning of the other numbers. */
     record Action(int actionIndex, int memberIndex, int key, int value) {
         static final int ACTION_COUNT = 13;
     }
