--- a/fleet/src/main/java/clayhook/fleet/state/DeltaBroadcastQueue.java
+++ b/fleet/src/main/java/clayhook/fleet/state/DeltaBroadcastQueue.java
@@ -164,7 +164,8 @@
 
         /** Returns false, without adding the entry, if all batches are full. */
         boolean add(DeltaEntry entry) {
-            if (entry.maxEncodedBytes() > bytesLeft) {
+            int bytes = entry.maxEncodedBytes();
+            if (bytes > bytesLeft) {
                 if (batches.size() == maxBatches) {
                     return false;
                 }
@@ -172,7 +173,7 @@
                 bytesLeft = maxBytes;
             }
             batches.get(batches.size() - 1).add(entry);
-            bytesLeft -= entry.maxEncodedBytes();
+            bytesLeft -= bytes;
             return true;
         }
     }
--- a/fleet/src/main/java/clayhook/fleet/state/DeltaBroadcaster.java
+++ b/fleet/src/main/java/clayhook/fleet/state/DeltaBroadcaster.java
@@ -93,14 +93,17 @@
         }
         List<List<DeltaEntry>> batches =
                 deltas.nextBatches(settings.maxMessagesPerRound(), MAX_BATCH_BYTES, roundsPerDelta());
+        List<DeltaBroadcast> messages = batches.stream()
+                .map(batch -> new DeltaBroadcast(versionVector.lastSequence(), versionVector.asOf(now), batch))
+                .toList();
+        int[] sizes =
+                messages.stream().mapToInt(DeltaBroadcast::maxEncodedBytes).toArray();
         for (Peer peer : randomPeers()) {
-            for (List<DeltaEntry> batch : batches) {
-                var message = new DeltaBroadcast(versionVector.lastSequence(), versionVector.asOf(now), batch);
-                int bytes = message.maxEncodedBytes();
-                byteBudget.consume(bytes);
-                counters.deltaBytes += bytes;
-                counters.deltasSent += batch.size();
-                outbox.add(peer.address(), message);
+            for (int i = 0; i < sizes.length; i++) {
+                byteBudget.consume(sizes[i]);
+                counters.deltaBytes += sizes[i];
+                counters.deltasSent += messages.get(i).entries().size();
+                outbox.add(peer.address(), messages.get(i));
             }
         }
     }
--- a/fleet/src/main/java/clayhook/fleet/state/PendingDelta.java
+++ b/fleet/src/main/java/clayhook/fleet/state/PendingDelta.java
@@ -98,13 +98,21 @@
      */
     void completeRound(int maxRounds) {
         completedRounds++;
-        updates.forEach(update -> update.completedRounds++);
-        updates.removeIf(update -> update.completedRounds >= maxRounds);
+        for (int i = updates.size() - 1; i >= 0; i--) {
+            PendingUpdate update = updates.get(i);
+            update.completedRounds++;
+            if (update.completedRounds >= maxRounds) {
+                updates.remove(i);
+            }
+        }
     }
 
     /** The entry as it is now. */
     DeltaEntry toEntry() {
-        List<UpdateId> updateIds = updates.stream().map(update -> update.id).toList();
+        var updateIds = new ArrayList<UpdateId>(updates.size());
+        for (PendingUpdate update : updates) {
+            updateIds.add(update.id);
+        }
         return new DeltaEntry(table.type.typeNumber(), key, table.encodedValue(key, keyHash), updateIds);
     }
 }
--- a/fleet/src/main/java/clayhook/fleet/state/RemoteUpdates.java
+++ b/fleet/src/main/java/clayhook/fleet/state/RemoteUpdates.java
@@ -5,6 +5,7 @@
 import clayhook.fleet.state.AntiEntropyResponse.RangeEntry;
 import clayhook.fleet.state.AntiEntropyResponse.VersionVectorUpdate;
 import clayhook.fleet.state.DeltaBroadcast.DeltaEntry;
+import java.util.ArrayList;
 import java.util.List;
 
 /**
@@ -63,9 +64,13 @@
 
     /** Returns those of the updates that were missing. */
     private List<UpdateId> receiveUpdates(List<UpdateId> updates, double now) {
-        return updates.stream()
-                .filter(update -> versionVector.markReceived(update, now))
-                .toList();
+        var missing = new ArrayList<UpdateId>(updates.size());
+        for (UpdateId update : updates) {
+            if (versionVector.markReceived(update, now)) {
+                missing.add(update);
+            }
+        }
+        return missing;
     }
 
     /**
