--- /dev/null
+++ b/fleet/src/main/java/clayhook/rollout/ClassCounters.java
@@ -0,0 +1,117 @@
+package clayhook.rollout;
+
+/**
+ * What this router has counted in one stage and request class, for both variants side by side. Outcomes are collected
+ * in an open interval, in which both variants are taken to be exposed to the same conditions, and then added to the
+ * closed ones. Not thread-safe.
+ */
+final class ClassCounters {
+    /** Answer times of the baseline from which the threshold of slowness is taken. */
+    private static final int MIN_LATENCY_SAMPLES = 500;
+
+    /** Outcomes since the interval began, by variant. */
+    private OutcomeCounters[] interval = emptyCounters();
+    /** Outcomes of closed intervals, by variant. */
+    private final OutcomeCounters[] closed = emptyCounters();
+
+    private final double[] evidenceSums = new double[CounterLayout.EVIDENCE_SIZE];
+    private double slowThreshold = Double.NaN;
+    private boolean intervalHasOutcomes;
+    private boolean unpublished;
+    private long revision;
+
+    private static OutcomeCounters[] emptyCounters() {
+        return new OutcomeCounters[] {new OutcomeCounters(), new OutcomeCounters()};
+    }
+
+    /** Adds outcomes to the open interval. */
+    void add(Variant variant, OutcomeCounters outcomes) {
+        interval[variant.ordinal()].add(outcomes);
+        intervalHasOutcomes = true;
+    }
+
+    /** Closes the interval, if it has outcomes, and begins a new one. */
+    void closeInterval() {
+        if (!intervalHasOutcomes) {
+            return;
+        }
+        OutcomeCounters baseline = interval[Variant.BASELINE.ordinal()];
+        OutcomeCounters candidate = interval[Variant.CANDIDATE.ordinal()];
+        for (GuardMetric metric : GuardMetric.values()) {
+            int compared = OutcomeCounters.comparedOffset(metric);
+            int bad = OutcomeCounters.badOffset(metric);
+            SequentialTest.addInterval(
+                    evidenceSums,
+                    CounterLayout.evidenceOffset(metric),
+                    baseline.sum(compared),
+                    baseline.sum(bad),
+                    candidate.sum(compared),
+                    candidate.sum(bad));
+        }
+        for (Variant variant : Variant.values()) {
+            closed[variant.ordinal()].add(interval[variant.ordinal()]);
+        }
+        interval = emptyCounters();
+        intervalHasOutcomes = false;
+        unpublished = true;
+    }
+
+    /**
+     * Seconds from which a request counts as slow: the 99th percentile of the baseline. Once known it stays for the
+     * stage.
+     *
+     * @param previousStage counters of the same class in the stage before; null for none
+     * @return NaN while there are too few answer times
+     */
+    double slowThreshold(ClassCounters previousStage) {
+        if (Double.isNaN(slowThreshold)) {
+            slowThreshold = baselinePercentile99(previousStage);
+        }
+        return slowThreshold;
+    }
+
+    /** From closed intervals only, so that no request takes part in the decision whether it is slow itself. */
+    private double baselinePercentile99(ClassCounters previousStage) {
+        var baseline = new OutcomeCounters();
+        baseline.add(closed[Variant.BASELINE.ordinal()]);
+        if (previousStage != null) {
+            baseline.add(previousStage.closed[Variant.BASELINE.ordinal()]);
+        }
+        return LatencyHistogram.total(baseline.latencies) >= MIN_LATENCY_SAMPLES
+                ? LatencyHistogram.percentile99(baseline.latencies)
+                : Double.NaN;
+    }
+
+    /** Whether an interval was closed since the last {@link #markPublished()}. */
+    boolean isUnpublished() {
+        return unpublished;
+    }
+
+    /** Records that the closed intervals were replicated. */
+    void markPublished() {
+        unpublished = false;
+    }
+
+    /** The revision for the next replicated value. */
+    long nextRevision() {
+        return ++revision;
+    }
+
+    /** A copy of the closed intervals in the layout of {@link CounterLayout}. */
+    long[] outcomeCounts() {
+        long[] counts = new long[CounterLayout.SIZE];
+        for (int i = 0; i < CounterLayout.EVIDENCE_SIZE; i++) {
+            counts[i] = SequentialTest.toFixedPoint(evidenceSums[i]);
+        }
+        for (Variant variant : Variant.values()) {
+            long[] outcomes = closed[variant.ordinal()].counts;
+            System.arraycopy(outcomes, 0, counts, CounterLayout.outcomeOffset(variant), OutcomeCounters.SIZE);
+        }
+        return counts;
+    }
+
+    /** A copy of a variant's answer times in closed intervals, see {@link LatencyHistogram}. */
+    long[] latencies(Variant variant) {
+        return closed[variant.ordinal()].latencies.clone();
+    }
+}
--- a/fleet/src/main/java/clayhook/rollout/Guard.java
+++ b/fleet/src/main/java/clayhook/rollout/Guard.java
@@ -6,39 +6,46 @@
 import java.util.List;
 
 /**
- * A bound on what the candidate may do to a command group. It halts only where the figures prove that the candidate is
- * worse than the old version at the same time; both bounds say how much of that is bearable.
+ * A limit on what the candidate may do to a request class. It halts a rollout only where the counters prove that the
+ * candidate is worse than the baseline at the same time; the two limits say how much of that is acceptable.
  *
- * @param group the command group, or {@link #ALL_CLASSES} for all taken together
- * @param most absolute: share of commands, or seconds at the 99th percentile for {@link GuardMetric#SLOW}; infinite for
- *     none
- * @param worse against the old version: share of commands more, or for {@link GuardMetric#SLOW} the part by which the
- *     99th percentile is longer, 0.2 for a fifth; infinite for none
+ * @param requestClass the request class, or {@link #ALL_CLASSES}
+ * @param metric what is compared
+ * @param absoluteLimit upper limit of the metric: share of requests, or seconds at the 99th percentile for
+ *     {@link GuardMetric#SLOW}; infinite for none
+ * @param regressionLimit upper limit of the difference from the baseline: share of requests, or for
+ *     {@link GuardMetric#SLOW} the relative increase of the 99th percentile, 0.2 for a fifth; infinite for none
  */
 public record Guard(String requestClass, GuardMetric metric, double absoluteLimit, double regressionLimit) {
-    /** All command groups together. */
+    /** Stands for all request classes together. */
     public static final String ALL_CLASSES = "*";
-    /** Bytes of a command group's name in UTF-8; it stands in keys of shared values. */
+    /** Bytes of a request class's name in UTF-8; the name is part of replicated keys, whose length is limited. */
     static final int MAX_CLASS_BYTES = 64;
 
-    void validate(String key, List<RolloutProblem> faults) {
+    /** Adds to {@code problems} what is wrong with this guard, whose table in the operator's file is {@code key}. */
+    void validate(String key, List<RolloutProblem> problems) {
         if (requestClass.isEmpty() || requestClass.getBytes(StandardCharsets.UTF_8).length > MAX_CLASS_BYTES) {
-            faults.add(new RolloutProblem(key + ".group", "must have 1 to " + MAX_CLASS_BYTES + " bytes"));
+            problems.add(new RolloutProblem(key + ".group", "must have 1 to " + MAX_CLASS_BYTES + " bytes"));
         }
-        double end = metric == GuardMetric.SLOW ? Double.POSITIVE_INFINITY : 1;
-        if (!(absoluteLimit > 0) || absoluteLimit != Double.POSITIVE_INFINITY && absoluteLimit > end) {
-            faults.add(new RolloutProblem(
-                    key + ".most", "must be above 0" + (metric == GuardMetric.SLOW ? "" : " and at most 1")));
+        boolean isShare = metric != GuardMetric.SLOW;
+        double max = isShare ? 1 : Double.POSITIVE_INFINITY;
+        // Negated comparisons, so that NaN is a problem too.
+        if (!(absoluteLimit > 0) || isLimited(absoluteLimit) && absoluteLimit > max) {
+            problems.add(new RolloutProblem(key + ".most", "must be above 0" + (isShare ? " and at most 1" : "")));
         }
-        if (!(regressionLimit >= 0) || regressionLimit != Double.POSITIVE_INFINITY && regressionLimit > end) {
-            faults.add(new RolloutProblem(
-                    key + ".worse", "must not be below 0" + (metric == GuardMetric.SLOW ? "" : " nor above 1")));
+        if (!(regressionLimit >= 0) || isLimited(regressionLimit) && regressionLimit > max) {
+            problems.add(new RolloutProblem(key + ".worse", "must not be below 0" + (isShare ? " nor above 1" : "")));
         }
         if (absoluteLimit == Double.POSITIVE_INFINITY && regressionLimit == Double.POSITIVE_INFINITY) {
-            faults.add(new RolloutProblem(key, "needs most or worse"));
+            problems.add(new RolloutProblem(key, "needs most or worse"));
         }
     }
 
+    private static boolean isLimited(double limit) {
+        return limit != Double.POSITIVE_INFINITY;
+    }
+
+    /** Encodes the guard as a list of its own. */
     void write(FieldWriter out) {
         out.beginList()
                 .writeNullableString(requestClass)
@@ -48,11 +55,10 @@
                 .endList();
     }
 
+    /** Decodes the fields within the list; throws IllegalArgumentException for malformed ones. */
     static Guard read(FieldReader in) {
-        return new Guard(
-                in.readNonEmptyString(),
-                GuardMetric.values()[in.readIntBelow(GuardMetric.values().length)],
-                in.readDouble(),
-                in.readDouble());
+        String requestClass = in.readNonEmptyString();
+        GuardMetric metric = GuardMetric.values()[in.readIntBelow(GuardMetric.values().length)];
+        return new Guard(requestClass, metric, in.readDouble(), in.readDouble());
     }
 }
--- a/fleet/src/main/java/clayhook/rollout/GuardEvaluator.java
+++ b/fleet/src/main/java/clayhook/rollout/GuardEvaluator.java
@@ -2,80 +2,93 @@
 
 import java.util.Locale;
 
-/** Holds the figures of a stage against its guards. */
+/** Compares the merged counters of a stage with its guards. */
 final class GuardEvaluator {
     /**
-     * Evidence (as a logarithm) at which a stage is not left although nothing is proven; waiting costs only time, so
-     * this may well be noise.
+     * Evidence, as a natural logarithm, from which a stage is not left although nothing is proven. Waiting costs only
+     * time, so the value may be low enough for noise to reach it.
      */
     private static final double INCONCLUSIVE_LOG_EVIDENCE = 1;
 
+    private static final double PERCENT = 100;
+
     private final RolloutPlan plan;
 
+    /** Evaluates the guards of that plan. */
     GuardEvaluator(RolloutPlan plan) {
         this.plan = plan;
     }
 
     /**
-     * Why the rollout must be halted, or null. The candidate must be proven worse than the old version at the same
-     * routers at the same time, so what hits both halts nothing; and it must be worse by more than is bearable, or
-     * above the absolute bound.
+     * Why the rollout must be halted, or null. The candidate must be proven worse than the baseline at the same routers
+     * at the same time, so that an incident that affects both does not halt the rollout; and it must exceed one of the
+     * guard's limits.
+     *
+     * @param stageNumber from 1
      */
-    String haltReason(int number, MergedCounters figures) {
-        RolloutStage stage = plan.stages().get(number - 1);
+    String haltReason(int stageNumber, MergedCounters counters) {
+        RolloutStage stage = plan.stages().get(stageNumber - 1);
         for (Guard guard : stage.guards()) {
-            MergedCounters.ClassTotals group = figures.forRequestClass(guard.requestClass());
-            if ((exceedsAbsoluteLimit(guard, group) || exceedsRegressionLimit(guard, group))
-                    && SequentialTest.isProven(group.logEvidence(guard.metric()), plan.alphaPerGuard(stage))) {
-                return "stage " + number + ", " + describe(guard, group);
+            ClassTotals totals = counters.forRequestClass(guard.requestClass());
+            boolean exceeded = exceedsAbsoluteLimit(guard, totals) || exceedsRegressionLimit(guard, totals);
+            if (exceeded && SequentialTest.isProven(totals.logEvidence(guard.metric()), plan.alphaPerGuard(stage))) {
+                return "stage " + stageNumber + ", " + describe(guard, totals);
             }
         }
         return null;
     }
 
-    /** Why the stage must go on, or null when its samples are there and no guard is in doubt. */
-    String holdReason(int number, MergedCounters figures) {
-        RolloutStage stage = plan.stages().get(number - 1);
+    /**
+     * Why the stage must go on, or null when it has its samples and no guard is inconclusive.
+     *
+     * @param stageNumber from 1
+     */
+    String holdReason(int stageNumber, MergedCounters counters) {
+        RolloutStage stage = plan.stages().get(stageNumber - 1);
         for (Guard guard : stage.guards()) {
-            MergedCounters.ClassTotals group = figures.forRequestClass(guard.requestClass());
-            if (group.requests(1) < stage.minSamples() || group.requests(0) == 0) {
+            ClassTotals totals = counters.forRequestClass(guard.requestClass());
+            long candidateRequests = totals.requests(Variant.CANDIDATE);
+            long baselineRequests = totals.requests(Variant.BASELINE);
+            if (candidateRequests < stage.minSamples() || baselineRequests == 0) {
                 return String.format(
                         Locale.ROOT,
-                        "%s: %d of %d commands, %d of the old version",
+                        "%s: %d of %d requests, %d of the baseline",
                         guard.requestClass(),
-                        group.requests(1),
+                        candidateRequests,
                         stage.minSamples(),
-                        group.requests(0));
+                        baselineRequests);
             }
-            if (exceedsAbsoluteLimit(guard, group)
-                    || exceedsRegressionLimit(guard, group)
-                            && group.logEvidence(guard.metric()) >= INCONCLUSIVE_LOG_EVIDENCE) {
-                return "in doubt, " + describe(guard, group);
+            if (exceedsAbsoluteLimit(guard, totals)
+                    || exceedsRegressionLimit(guard, totals)
+                            && totals.logEvidence(guard.metric()) >= INCONCLUSIVE_LOG_EVIDENCE) {
+                return "inconclusive, " + describe(guard, totals);
             }
         }
         return null;
     }
 
-    private static boolean exceedsAbsoluteLimit(Guard guard, MergedCounters.ClassTotals group) {
-        return group.metricValue(guard.metric(), 1) > guard.absoluteLimit();
+    private static boolean exceedsAbsoluteLimit(Guard guard, ClassTotals totals) {
+        return totals.metricValue(guard.metric(), Variant.CANDIDATE) > guard.absoluteLimit();
     }
 
-    private static boolean exceedsRegressionLimit(Guard guard, MergedCounters.ClassTotals group) {
-        return group.regression(guard.metric()) > guard.regressionLimit();
+    private static boolean exceedsRegressionLimit(Guard guard, ClassTotals totals) {
+        return totals.regression(guard.metric()) > guard.regressionLimit();
     }
 
-    private static String describe(Guard guard, MergedCounters.ClassTotals group) {
-        GuardMetric measure = guard.metric();
-        String form = measure == GuardMetric.SLOW
+    /** The wording is part of a halt's reason, which other routers receive. */
+    private static String describe(Guard guard, ClassTotals totals) {
+        GuardMetric metric = guard.metric();
+        boolean isLatency = metric == GuardMetric.SLOW;
+        String format = isLatency
                 ? "%s: %.4f s at the 99th percentile, old %.4f s, of %d commands"
-                : "%s: %.3f%% " + measure.name().toLowerCase(Locale.ROOT) + ", old %.3f%%, of %d commands";
-        double unit = measure == GuardMetric.SLOW ? 1 : 100;
+                : "%s: %.3f%% " + metric.key() + ", old %.3f%%, of %d commands";
+        double unit = isLatency ? 1 : PERCENT;
         return String.format(
                 Locale.ROOT,
-                form,
+                format,
                 guard.requestClass(),
-                unit * group.metricValue(measure, 1),
-                unit * group.metricValue(measure, 0),
-                group.requests(1));
+                unit * totals.metricValue(metric, Variant.CANDIDATE),
+                unit * totals.metricValue(metric, Variant.BASELINE),
+                totals.requests(Variant.CANDIDATE));
     }
 }
--- a/fleet/src/main/java/clayhook/rollout/LeaseRequest.java
+++ b/fleet/src/main/java/clayhook/rollout/LeaseRequest.java
@@ -5,13 +5,16 @@
 import clayhook.fleet.Message;
 
 /**
- * May I run the candidate of that rollout?
+ * Asks a voter to grant the sender a lease to run a rollout's candidate.
  *
- * @param at when it is asked, on the asker's clock, which alone understands it
+ * @param rolloutId the rollout, see {@link Proposal#id()}
+ * @param requestedAt when the request was sent, in seconds on the sender's clock; only the sender interprets it
  */
 record LeaseRequest(String rolloutId, double requestedAt) implements Message {
+    /** Message type on the wire. */
     static final int TYPE_NUMBER = 40;
 
+    /** Decodes the fields in the order of {@link #write}; throws IllegalArgumentException for malformed ones. */
     static LeaseRequest read(FieldReader in) {
         return new LeaseRequest(in.readNonEmptyString(), in.readDouble());
     }
--- a/fleet/src/main/java/clayhook/rollout/Proposal.java
+++ b/fleet/src/main/java/clayhook/rollout/Proposal.java
@@ -7,15 +7,17 @@
 import java.util.Comparator;
 
 /**
- * What a router asks the others for. It never changes; its text and terms are spread beside it, in pieces.
+ * What a router proposes to the fleet. It never changes; the texts that it names by hash are replicated beside it as
+ * {@link TextChunk}s. Proposals are ordered: of several that are open at once the smallest wins everywhere.
  *
- * @param by the router that proposes
- * @param begun when, seconds since 1970 on its clock
- * @param base hash of the rules that the fleet stands on
- * @param rules hash of the candidate
- * @param rulesBytes of its text in UTF-8
- * @param terms hash of the plan and the roster as frozen then
- * @param lease seconds for which the candidate may run after contact with a majority
+ * @param proposer the router that proposes
+ * @param proposedAt when, in seconds since 1970 on the proposer's clock
+ * @param baseRulesHash hash of the fleet's current rules
+ * @param rulesHash hash of the candidate
+ * @param rulesLength bytes of the candidate's text in UTF-8
+ * @param termsHash hash of the encoded {@link RolloutTerms}
+ * @param termsLength bytes of the encoded terms
+ * @param leaseSeconds how long the candidate may run after contact with a majority
  * @param attempt of this candidate, counted from 1
  */
 record Proposal(
@@ -29,7 +31,7 @@
         double leaseSeconds,
         int attempt)
         implements Comparable<Proposal> {
-    /** Of two begun at two ends the earlier one wins everywhere, of two begun at once the one with the smaller hash. */
+    /** The earlier proposal first, of simultaneous ones that with the smaller hash; the rest makes the order total. */
     private static final Comparator<Proposal> ORDER = Comparator.comparingDouble(Proposal::proposedAt)
             .thenComparing(Proposal::rulesHash)
             .thenComparing(Proposal::proposer)
@@ -39,10 +41,10 @@
             .thenComparingDouble(Proposal::leaseSeconds)
             .thenComparingInt(Proposal::rulesLength)
             .thenComparingInt(Proposal::termsLength);
-    /** Seconds that a lease may have at most. */
+    /** The longest lease. */
     static final double MAX_LEASE_SECONDS = 300;
 
-    /** The key under which routers share whatever belongs to this rollout. */
+    /** Identifies the rollout; the key of its progress and part of the keys of its votes and counters. */
     String id() {
         var text = proposer.name()
                 + '\n'
@@ -65,6 +67,7 @@
         return ORDER.compare(this, other);
     }
 
+    /** Encodes the proposal as a list of its own. */
     void write(FieldWriter out) {
         out.beginList()
                 .writeNullableString(proposer.name())
@@ -80,6 +83,7 @@
                 .endList();
     }
 
+    /** Decodes what {@link #write} encoded; throws IllegalArgumentException for malformed or invalid fields. */
     static Proposal read(FieldReader in) {
         in.beginList();
         var proposal = new Proposal(
--- a/fleet/src/main/java/clayhook/rollout/RolloutEnd.java
+++ b/fleet/src/main/java/clayhook/rollout/RolloutEnd.java
@@ -5,21 +5,29 @@
 import java.util.Comparator;
 
 /**
- * Why a rollout is over. There is no way back from it; whoever wants the set again proposes it anew.
+ * Why a rollout has ended. An end is never taken back; the same rule set can only be proposed again, with a higher
+ * attempt.
  *
- * @param by name of the router that said so first
- * @param at when, on that router's clock
+ * @param cause what kind of end
+ * @param reason text for operators, shortened to 100 characters
+ * @param endedBy name of the router that ended it first
+ * @param endedAt when, in seconds since 1970 on that router's clock
  */
 record RolloutEnd(EndCause cause, String reason, String endedBy, double endedAt) {
     /**
-     * In the order in which they are told where several routers ended it at once; to the candidate they are all the
-     * same.
+     * Kinds of ends, in the order in which one is reported where several routers end a rollout at once. The ordinals
+     * are written to the wire, so constants may only be added at the end.
      */
     enum EndCause {
+        /** The counters proved that the candidate is worse, or it could not go on. */
         HALTED,
+        /** A router cannot run the candidate. */
         VETOED,
+        /** An operator took it back. */
         WITHDRAWN,
+        /** Another rollout that was proposed earlier wins. */
         SUPERSEDED,
+        /** It did not start in time. */
         EXPIRED
     }
 
@@ -27,19 +35,28 @@
             .thenComparingDouble(RolloutEnd::endedAt)
             .thenComparing(RolloutEnd::endedBy)
             .thenComparing(RolloutEnd::reason);
-    /** Characters of a reason; the rest is cut off, so that the value fits its part whatever the letters. */
+    /** Keeps the encoded value within the size of a message, whatever the characters. */
     private static final int MAX_REASON_LENGTH = 100;
 
-    static RolloutEnd of(EndCause what, String reason, String by, double at) {
-        String cut = reason.length() <= MAX_REASON_LENGTH ? reason : reason.substring(0, MAX_REASON_LENGTH - 3) + "...";
-        return new RolloutEnd(what, cut, by, at);
+    private static final String ELLIPSIS = "...";
+
+    /** Creates an end whose reason is shortened to the maximum length. */
+    static RolloutEnd of(EndCause cause, String reason, String endedBy, double endedAt) {
+        String shortened = reason.length() <= MAX_REASON_LENGTH
+                ? reason
+                : reason.substring(0, MAX_REASON_LENGTH - ELLIPSIS.length()) + ELLIPSIS;
+        return new RolloutEnd(cause, shortened, endedBy, endedAt);
     }
 
-    /** Which of the two is told; null is none. */
+    /** Which of two ends is reported; null stands for none. Commutative, associative and idempotent. */
     static RolloutEnd merge(RolloutEnd a, RolloutEnd b) {
-        return a == null ? b : b == null || ORDER.compare(a, b) <= 0 ? a : b;
+        if (a == null) {
+            return b;
+        }
+        return b == null || ORDER.compare(a, b) <= 0 ? a : b;
     }
 
+    /** Encodes the end as a list of its own. */
     void write(FieldWriter out) {
         out.beginList()
                 .writeLong(cause.ordinal())
@@ -49,13 +66,11 @@
                 .endList();
     }
 
+    /** Decodes what {@link #write} encoded; throws IllegalArgumentException for malformed fields. */
     static RolloutEnd read(FieldReader in) {
         in.beginList();
-        var end = new RolloutEnd(
-                EndCause.values()[in.readIntBelow(EndCause.values().length)],
-                in.readNullableString(),
-                in.readNonEmptyString(),
-                in.readDouble());
+        EndCause cause = EndCause.values()[in.readIntBelow(EndCause.values().length)];
+        var end = new RolloutEnd(cause, in.readNullableString(), in.readNonEmptyString(), in.readDouble());
         in.endList();
         return end;
     }
--- a/fleet/src/main/java/clayhook/rollout/RolloutEvent.java
+++ b/fleet/src/main/java/clayhook/rollout/RolloutEvent.java
@@ -1,40 +1,46 @@
 package clayhook.rollout;
 
 /**
- * What operators are told.
+ * Something that operators are to see.
  *
- * @param rules hash of the candidate
- * @param text with names and figures
+ * @param type what has happened
+ * @param rulesHash the candidate's hash
+ * @param message details, with names and numbers
  */
 public record RolloutEvent(EventType type, String rulesHash, String message) {
-    /** Kinds of news; {@code docs/rollouts.md} says what to do about each. */
+    /** Types of events; {@code docs/rollouts.md} says what to do about each. */
     public enum EventType {
-        /** A proposal waits for members, for its copy, or for its settling. */
+        /** A requested rollout waits for members, for the replicated state, or for the settling time after a start. */
         WAITING,
         /** A rollout is known here. */
         PROPOSED,
-        /** This router's operator asked for what cannot be done now. */
+        /** The rollout that this router's operator requested cannot start now. */
         REJECTED,
-        /** A majority went on to another stage. */
+        /** A majority voted for the next stage. */
         ADVANCED,
-        /** All sessions get the candidate, which is what the fleet stands on from now on. */
+        /** All sessions get the candidate, which from now on is the fleet's current rule set. */
         COMPLETED,
+        /** The candidate was proven worse, or cannot go on. */
         HALTED,
+        /** A router cannot run the candidate. */
         VETOED,
+        /** An operator took the rollout back. */
         WITHDRAWN,
+        /** Another rollout that was proposed earlier wins. */
         SUPERSEDED,
+        /** The rollout did not start in time. */
         EXPIRED,
-        /** The figures do not show enough routers; nothing is decided. */
+        /** Fewer than a majority of routers have fresh counters; nothing is decided. */
         COUNTERS_MISSING,
-        /** They do again. */
+        /** A majority of routers has fresh counters again. */
         COUNTERS_RESTORED,
         /** The candidate runs at this router. */
         CANDIDATE_RUNNING,
-        /** It does not any more, as there was no contact with a majority. */
+        /** The candidate no longer runs here, as there was no contact with a majority. */
         LEASE_EXPIRED,
-        /** This router cannot take part: it stands on other rules, or could not read these. */
+        /** This router does not take part, as its own current rules are not the rollout's base rules. */
         NOT_PARTICIPATING,
-        /** A router that died has counted something; what it counted last is lost. */
+        /** A router that has counted requests has departed; what it counted last is lost. */
         MEMBER_DEPARTED
     }
 }
--- a/fleet/src/main/java/clayhook/rollout/RolloutListener.java
+++ b/fleet/src/main/java/clayhook/rollout/RolloutListener.java
@@ -1,6 +1,7 @@
 package clayhook.rollout;
 
-/** Hears what operators are to see; called on the thread that turns the machine. */
+/** Receives what operators are to see. */
 public interface RolloutListener {
-    void onEvent(RolloutEvent news);
+    /** Called on the thread that calls the {@link RolloutController}; must not call it back. */
+    void onEvent(RolloutEvent event);
 }
--- a/fleet/src/main/java/clayhook/rollout/RolloutPlan.java
+++ b/fleet/src/main/java/clayhook/rollout/RolloutPlan.java
@@ -8,65 +8,70 @@
 import java.util.TreeSet;
 
 /**
- * How a candidate gets from no session to all.
+ * How a candidate gets from no session to all sessions.
  *
- * @param alpha chance that a rollout without any difference is halted wrongly, all its guards and stages together
- * @param attempt 1 for the first; whoever raises it asks for a rollout anew after one of that set has ended
+ * @param stages in the order in which they follow each other
+ * @param alpha probability that a rollout without any difference is halted, over all its guards and stages together
+ * @param attempt 1 for the first; a higher one asks for a new rollout of a rule set after one has ended
  */
 public record RolloutPlan(List<RolloutStage> stages, double alpha, int attempt) {
-    /** Of a plan. */
+    /** Stages of a plan at most. */
     static final int MAX_STAGES = 16;
-    /** Half of the one in a hundred that is promised: routers look at copies of the figures that differ for moments. */
+    /** Half of the documented one in a hundred, as routers evaluate copies of the counters that differ for moments. */
     public static final double DEFAULT_ALPHA = 0.005;
-    /** The most that may be asked for. */
+    /** The highest alpha that a plan may have. */
     static final double MAX_ALPHA = 0.01;
 
+    /** Copies the list of stages. */
     public RolloutPlan {
         stages = List.copyOf(stages);
     }
 
-    /** All that is wrong with it, each with its key; empty for a plan that can be taken. */
+    /** All that is wrong with the plan, each with its key; empty for a valid plan. The list may be changed. */
     public List<RolloutProblem> validate() {
-        var faults = new ArrayList<RolloutProblem>();
+        var problems = new ArrayList<RolloutProblem>();
         if (stages.isEmpty() || stages.size() > MAX_STAGES) {
-            faults.add(new RolloutProblem("stage", "needs 1 to " + MAX_STAGES + " stages"));
+            problems.add(new RolloutProblem("stage", "needs 1 to " + MAX_STAGES + " stages"));
         }
-        double before = 0;
+        double previousShare = 0;
         for (int i = 0; i < stages.size(); i++) {
-            stages.get(i).validate("stage[" + i + "]", before, faults);
-            before = stages.get(i).share();
+            stages.get(i).validate("stage[" + i + "]", previousShare, problems);
+            previousShare = stages.get(i).share();
         }
         if (!(alpha > 0) || alpha > MAX_ALPHA) {
-            faults.add(new RolloutProblem("alpha", "must be above 0 and at most " + MAX_ALPHA));
+            problems.add(new RolloutProblem("alpha", "must be above 0 and at most " + MAX_ALPHA));
         }
         if (attempt < 1) {
-            faults.add(new RolloutProblem("attempt", "must be 1 or more"));
+            problems.add(new RolloutProblem("attempt", "must be 1 or more"));
         }
-        return faults;
+        return problems;
     }
 
-    /** Of the alpha, what each guard of a stage may spend: the union bound over stages and guards. */
+    /** The part of alpha that each guard of a stage may use: the union bound over stages and guards. */
     double alphaPerGuard(RolloutStage stage) {
         return alpha / stages.size() / stage.guards().size();
     }
 
-    /** The command groups that guards name, {@link Guard#ALL_CLASSES} among them if one does. */
+    /** The request classes of all guards, including {@link Guard#ALL_CLASSES} if a guard names it. */
     Set<String> requestClasses() {
-        var groups = new TreeSet<String>();
-        stages.forEach(stage -> stage.guards().forEach(guard -> groups.add(guard.requestClass())));
-        return groups;
+        var classes = new TreeSet<String>();
+        stages.forEach(stage -> stage.guards().forEach(guard -> classes.add(guard.requestClass())));
+        return classes;
     }
 
-    RolloutPlan withAttempt(int attempt) {
-        return new RolloutPlan(stages, alpha, attempt);
+    /** The same plan for another attempt. */
+    RolloutPlan withAttempt(int newAttempt) {
+        return new RolloutPlan(stages, alpha, newAttempt);
     }
 
+    /** Encodes the plan as a list of its own. */
     void write(FieldWriter out) {
         out.beginList().writeDouble(alpha).writeLong(attempt).beginList();
         stages.forEach(stage -> stage.write(out));
         out.endList().endList();
     }
 
+    /** Decodes what {@link #write} encoded; throws IllegalArgumentException for malformed fields. */
     static RolloutPlan read(FieldReader in) {
         in.beginList();
         double alpha = in.readDouble();
--- a/fleet/src/main/java/clayhook/rollout/RolloutProblem.java
+++ b/fleet/src/main/java/clayhook/rollout/RolloutProblem.java
@@ -1,9 +1,10 @@
 package clayhook.rollout;
 
 /**
- * What is wrong with a plan, with rules, or with asking for them now.
+ * Why a plan, a rule set or a request for a rollout is not accepted.
  *
- * @param key of the operator's file, below the rollout's table; empty where no key is to blame
+ * @param key of the operator's file, below the table of the rollout; empty where no key is the cause
+ * @param message what is wrong, for operators
  */
 public record RolloutProblem(String key, String message) {
     @Override
--- a/fleet/src/main/java/clayhook/rollout/RolloutProgress.java
+++ b/fleet/src/main/java/clayhook/rollout/RolloutProgress.java
@@ -7,19 +7,49 @@
 /**
  * How far a rollout has come, as far as is known here. An end wins over every stage.
  *
- * @param stage the last one that a majority has voted for: 0 none yet, 1 the first, one past the last when all is done
- * @param end null while it goes on
- * @param at when it was proposed, or made young again so that it is kept
+ * @param proposal what was proposed
+ * @param stage the highest stage that a majority has voted for: 0 before the start, one past the last when it is
+ *     completed
+ * @param end null while the rollout goes on
+ * @param retainedFrom from when the retention time is counted, in seconds since 1970
  */
 record RolloutProgress(Proposal proposal, int stage, RolloutEnd end, double retainedFrom) {
     /**
-     * Seconds. Routers that go on with a rollout make what belongs to it young again at half of this, all to the same
-     * time; so this is how long a halt is remembered, and how long a router may be away before it could miss one.
+     * How long a halt is remembered, and how long a router may be away before it could miss one: 14 days. Routers renew
+     * the retention of a rollout that goes on after half of this, all to the same time.
      */
     static final double RETENTION_SECONDS = 14 * 86_400;
 
-    /** Empties itself as rollouts get old; rollouts are rare, so the bound is far away. */
-    static final ReplicatedType<RolloutProgress> TYPE = new ReplicatedType<>() {
+    private static final double RENEWAL_SECONDS = RETENTION_SECONDS / 2;
+    /** Rollouts are rare, so that their retention ends long before the bound is reached. */
+    private static final int MAX_ENTRIES = 256;
+
+    /** Merge and encoding. */
+    static final ReplicatedType<RolloutProgress> TYPE = new Type();
+
+    /**
+     * The retention start of a rollout that goes on: the same at all routers, so that only one change is replicated.
+     */
+    static double renewedRetention(double proposedAt, double now) {
+        return proposedAt + Math.max(0, Math.floor((now - proposedAt) / RENEWAL_SECONDS)) * RENEWAL_SECONDS;
+    }
+
+    /** The same rollout, ended. */
+    RolloutProgress withEnd(RolloutEnd newEnd) {
+        return new RolloutProgress(proposal, stage, newEnd, retainedFrom);
+    }
+
+    /** The same rollout at another stage. */
+    RolloutProgress withStage(int newStage) {
+        return new RolloutProgress(proposal, newStage, end, retainedFrom);
+    }
+
+    /** The same rollout with another start of its retention. */
+    RolloutProgress withRetainedFrom(double newRetainedFrom) {
+        return new RolloutProgress(proposal, stage, end, newRetainedFrom);
+    }
+
+    private static final class Type implements ReplicatedType<RolloutProgress> {
         @Override
         public int typeNumber() {
             return 10;
@@ -41,8 +71,8 @@
         }
 
         @Override
-        public double timestamp(RolloutProgress round) {
-            return round.retainedFrom;
+        public double timestamp(RolloutProgress progress) {
+            return progress.retainedFrom;
         }
 
         @Override
@@ -52,7 +82,7 @@
 
         @Override
         public int maxEntries() {
-            return 256;
+            return MAX_ENTRIES;
         }
 
         @Override
@@ -60,18 +90,18 @@
             return true;
         }
 
-        /** A halt counts whatever the clock of whoever says so. */
+        /** A halt counts whatever the clock of the router that reports it. */
         @Override
         public boolean clockDependent() {
             return false;
         }
 
         @Override
-        public void write(RolloutProgress round, FieldWriter out) {
-            round.proposal.write(out);
-            out.writeLong(round.stage).writeDouble(round.retainedFrom).writeBoolean(round.end != null);
-            if (round.end != null) {
-                round.end.write(out);
+        public void write(RolloutProgress progress, FieldWriter out) {
+            progress.proposal.write(out);
+            out.writeLong(progress.stage).writeDouble(progress.retainedFrom).writeBoolean(progress.end != null);
+            if (progress.end != null) {
+                progress.end.write(out);
             }
         }
 
@@ -79,25 +109,8 @@
         public RolloutProgress read(FieldReader in) {
             Proposal proposal = Proposal.read(in);
             int stage = in.readIntBelow(RolloutPlan.MAX_STAGES + 2);
-            double at = in.readDouble();
-            return new RolloutProgress(proposal, stage, in.readBoolean() ? RolloutEnd.read(in) : null, at);
+            double retainedFrom = in.readDouble();
+            return new RolloutProgress(proposal, stage, in.readBoolean() ? RolloutEnd.read(in) : null, retainedFrom);
         }
-    };
-
-    /** The time to which everyone makes it young again now: the same for all, so that it is one piece of news. */
-    static double renewedRetention(double begun, double now) {
-        return begun + Math.max(0, Math.floor((now - begun) / (RETENTION_SECONDS / 2))) * (RETENTION_SECONDS / 2);
-    }
-
-    RolloutProgress withEnd(RolloutEnd by) {
-        return new RolloutProgress(proposal, stage, by, retainedFrom);
-    }
-
-    RolloutProgress withStage(int further) {
-        return new RolloutProgress(proposal, further, end, retainedFrom);
-    }
-
-    RolloutProgress at(double when) {
-        return new RolloutProgress(proposal, stage, end, when);
     }
 }
--- a/fleet/src/main/java/clayhook/rollout/RolloutSettings.java
+++ b/fleet/src/main/java/clayhook/rollout/RolloutSettings.java
@@ -1,15 +1,16 @@
 package clayhook.rollout;
 
 /**
- * The same at all routers, but for the first.
+ * Settings of rollouts. All but the first must be the same at all routers.
  *
- * @param standing hash of the rules that this router's own file has
- * @param fleet routers that the operator counts with; no rollout begins with half of them or fewer in sight
- * @param lease seconds for which a candidate may run after contact with a majority. About 0.03 s a member keeps the
- *     contact under a packet in 10 ms
- * @param settle seconds before a proposal that was heard is begun, in which another one or a veto may show
- * @param patience seconds within which a proposal must begin
- * @param every seconds between figures that are shared, at least
+ * @param configuredRulesHash hash of the rules in this router's own file
+ * @param fleetSize routers that the operator expects; no rollout starts while half of them or fewer are visible
+ * @param leaseSeconds how long a candidate may run after contact with a majority. With about 0.03 s for each member the
+ *     lease traffic stays below a packet in 10 ms
+ * @param settleSeconds time between the proposal of a rollout and its start, in which another proposal or a veto may
+ *     arrive
+ * @param startTimeoutSeconds time within which a proposed rollout must start
+ * @param shareIntervalSeconds least time between replicated counters
  */
 public record RolloutSettings(
         String configuredRulesHash,
@@ -18,7 +19,12 @@
         double settleSeconds,
         double startTimeoutSeconds,
         double shareIntervalSeconds) {
-    /** Fails on what no settings reader should let through. */
+    private static final double DEFAULT_LEASE_SECONDS = 10;
+    private static final double DEFAULT_SETTLE_SECONDS = 2;
+    private static final double DEFAULT_START_TIMEOUT_SECONDS = 60;
+    private static final double DEFAULT_SHARE_INTERVAL_SECONDS = 1;
+
+    /** Throws IllegalArgumentException for values out of range. */
     public RolloutSettings {
         if (fleetSize < 1
                 || !(leaseSeconds > 0 && leaseSeconds <= Proposal.MAX_LEASE_SECONDS)
@@ -29,8 +35,14 @@
         }
     }
 
-    /** The usual ones. */
-    public static RolloutSettings defaults(String standing, int fleet) {
-        return new RolloutSettings(standing, fleet, 10, 2, 60, 1);
+    /** The default times. */
+    public static RolloutSettings defaults(String configuredRulesHash, int fleetSize) {
+        return new RolloutSettings(
+                configuredRulesHash,
+                fleetSize,
+                DEFAULT_LEASE_SECONDS,
+                DEFAULT_SETTLE_SECONDS,
+                DEFAULT_START_TIMEOUT_SECONDS,
+                DEFAULT_SHARE_INTERVAL_SECONDS);
     }
 }
--- a/fleet/src/main/java/clayhook/rollout/RolloutStatus.java
+++ b/fleet/src/main/java/clayhook/rollout/RolloutStatus.java
@@ -3,15 +3,17 @@
 import java.util.List;
 
 /**
- * What a rollout looks like from here, for metrics and log lines.
+ * The state of a rollout as seen from this router, for metrics and logs. Immutable, for any thread.
  *
- * @param rules hash of the candidate
- * @param stage from 1 on; 0 before it begins
- * @param share of sessions in this stage
- * @param until when this router's lease ends, seconds since 1970
- * @param heard routers of the frozen roster whose figures are fresh, of {@code voters}
- * @param dead routers whose figures count although they are gone
- * @param waits why the stage goes on
+ * @param rulesHash hash of the candidate
+ * @param stage number of the stage, from 1
+ * @param share of sessions that get the candidate in this stage
+ * @param leaseExpiresAt when this router's lease ends, in seconds since 1970
+ * @param freshMembers voters with fresh counters
+ * @param voters of how many routers a majority is taken
+ * @param departedMembers routers whose counters count although they have departed
+ * @param holdReason why the stage goes on; empty when this router votes for the next one
+ * @param metrics one for each guard of the stage
  */
 public record RolloutStatus(
         String rulesHash,
@@ -24,10 +26,12 @@
         String holdReason,
         List<MetricComparison> metrics) {
     /**
-     * A measure of a command group, merged.
+     * A metric of a request class, merged over all routers.
      *
-     * @param candidate share of commands; seconds at the 99th percentile for {@link GuardMetric#SLOW}
-     * @param evidence natural logarithm of the evidence that the candidate is worse
+     * @param requests of the candidate
+     * @param candidate share of requests; seconds at the 99th percentile for {@link GuardMetric#SLOW}
+     * @param baseline the same for the baseline
+     * @param logEvidence natural logarithm of the evidence that the candidate is worse
      */
     public record MetricComparison(
             String requestClass,
--- a/fleet/src/main/java/clayhook/rollout/RolloutTerms.java
+++ b/fleet/src/main/java/clayhook/rollout/RolloutTerms.java
@@ -6,21 +6,25 @@
 import java.util.List;
 
 /**
- * What a rollout goes by from its beginning to its end.
+ * What stays fixed from the proposal of a rollout to its end.
  *
- * @param fleet routers that the operator counts with; the majority is of these where the roster has fewer
- * @param roster as frozen at the beginning: only these vote and grant leases, and the dead among them still count
+ * @param plan the stages and guards
+ * @param fleetSize routers that the operator expects; the majority is taken of these if the roster has fewer
+ * @param roster the voters: the members at the time of the proposal. Only these vote and grant leases, and those that
+ *     depart still count in the majority
  */
 record RolloutTerms(RolloutPlan plan, int fleetSize, List<Member> roster) {
-    /** Routers. */
+    /** Routers in a roster at most. */
     static final int MAX_ROUTERS = 4096;
-    /** Bytes, for the longest plan and roster. */
+    /** Bytes of the encoded terms at most, enough for the longest plan and roster. */
     static final int MAX_BYTES = 1024 * 1024;
 
+    /** Copies the roster. */
     RolloutTerms {
         roster = List.copyOf(roster);
     }
 
+    /** The encoded form, whose hash is part of the proposal. */
     byte[] encode() {
         var out = new FieldWriter();
         plan.write(out);
@@ -32,16 +36,16 @@
         return out.endList().toByteArray();
     }
 
-    /** Throws IllegalArgumentException for what cannot be. */
+    /** Decodes the encoded form; throws IllegalArgumentException for malformed bytes and invalid plans. */
     static RolloutTerms decode(byte[] bytes) {
         var in = new FieldReader(bytes);
         var terms = new RolloutTerms(
                 RolloutPlan.read(in),
                 in.readIntBelow(Integer.MAX_VALUE),
                 in.readLists(MAX_ROUTERS, member -> new Member(member.readNonEmptyString(), member.readLong())));
-        List<RolloutProblem> faults = terms.plan.validate();
-        if (!faults.isEmpty()) {
-            throw new IllegalArgumentException(faults.get(0).toString());
+        List<RolloutProblem> problems = terms.plan.validate();
+        if (!problems.isEmpty()) {
+            throw new IllegalArgumentException(problems.get(0).toString());
         }
         return terms;
     }
--- a/fleet/src/main/java/clayhook/rollout/RuleSet.java
+++ b/fleet/src/main/java/clayhook/rollout/RuleSet.java
@@ -8,18 +8,20 @@
 import java.util.TreeMap;
 
 /**
- * Routing rules as one text that is the same however the operator laid them out: TOML that the usual reader
- * understands, keys in order, no comments. Only what routes can be in it: nothing that touches the five rules, nor what
- * tells reads from writes.
+ * Routing rules in a canonical text form that does not depend on the layout of the operator's file: TOML with sorted
+ * keys and without comments. It holds routes only; neither the safety rules of the router nor the lists that tell reads
+ * from writes can be staged.
  *
- * @param hash 128 bits of the text in hexadecimal; the name of the set. No seal: whoever may write the file is trusted
+ * @param text the canonical TOML text
+ * @param hash 128 bits of the text in hexadecimal digits; identifies the rule set. It is no signature, as whoever may
+ *     write the file is trusted
  */
 public record RuleSet(String text, String hash) {
-    /** Bytes of a text. */
+    /** Bytes of a text in UTF-8 at most. */
     public static final int MAX_BYTES = 256 * 1024;
-    /** Of {@code [statements]}: where statements go that no rule matches. */
+    /** Keys of {@code [statements]} that say where statements go that no rule matches. */
     private static final Set<String> DEFAULT_KEYS = Set.of("read_group", "write_group", "nodes", "timeout");
-    /** Of {@code [[statements.rule]]}; none of them makes a read of what may write. */
+    /** Keys of {@code [[statements.rule]]}; none of them makes a read of a statement that may write. */
     private static final Set<String> RULE_KEYS = Set.of(
             "name",
             "class",
@@ -39,52 +41,61 @@
             "nodes_by",
             "nodes");
 
-    /** Names that text. */
+    private static final int FIRST_PRINTABLE = ' ';
+    private static final int DELETE = 127;
+
+    /** The rule set with that canonical text. */
     public static RuleSet of(String text) {
         return new RuleSet(text, TextChunk.contentHash(text.getBytes(StandardCharsets.UTF_8)));
     }
 
     /**
-     * The canonical form of tables as a TOML reader gives them: texts, whole and real numbers, truths and lists of
+     * The canonical form of tables as a TOML parser returns them: strings, integers, floats, booleans and lists of
      * these.
      *
      * @param defaults the keys of {@code [statements]} that are staged with the rules
-     * @param rules in their order, as the first that matches wins
-     * @param faults gets whatever cannot be staged, with its key
-     * @return null where there are faults
+     * @param rules in their order, as the first one that matches wins
+     * @param problems receives whatever cannot be staged, with its key
+     * @return null if problems were added
      */
     public static RuleSet of(
-            Map<String, ?> defaults, List<? extends Map<String, ?>> rules, List<RolloutProblem> faults) {
-        int before = faults.size();
+            Map<String, ?> defaults, List<? extends Map<String, ?>> rules, List<RolloutProblem> problems) {
+        int problemsBefore = problems.size();
         var out = new StringBuilder("[statements]\n");
-        appendTable(defaults, DEFAULT_KEYS, "", out, faults);
+        appendTable(defaults, DEFAULT_KEYS, "", out, problems);
         for (int i = 0; i < rules.size(); i++) {
             out.append("[[statements.rule]]\n");
-            appendTable(rules.get(i), RULE_KEYS, "rule[" + i + "].", out, faults);
+            appendTable(rules.get(i), RULE_KEYS, "rule[" + i + "].", out, problems);
         }
         String text = out.toString();
         if (text.getBytes(StandardCharsets.UTF_8).length > MAX_BYTES) {
-            faults.add(new RolloutProblem("rule", "the rules must have at most " + MAX_BYTES + " bytes"));
+            problems.add(new RolloutProblem("rule", "the rules must have at most " + MAX_BYTES + " bytes"));
         }
-        return faults.size() > before ? null : of(text);
+        return problems.size() > problemsBefore ? null : of(text);
     }
 
     private static void appendTable(
-            Map<String, ?> table, Set<String> known, String prefix, StringBuilder out, List<RolloutProblem> faults) {
+            Map<String, ?> table,
+            Set<String> allowedKeys,
+            String prefix,
+            StringBuilder out,
+            List<RolloutProblem> problems) {
         new TreeMap<>(table).forEach((key, value) -> {
-            String text = known.contains(key) ? format(value) : null;
-            if (!known.contains(key)) {
-                faults.add(new RolloutProblem(prefix + key, "can't be staged"));
-            } else if (text == null) {
-                faults.add(
-                        new RolloutProblem(prefix + key, "must be a text, a number, true, false, or a list of these"));
+            if (!allowedKeys.contains(key)) {
+                problems.add(new RolloutProblem(prefix + key, "can't be staged"));
+                return;
+            }
+            String text = format(value);
+            if (text == null) {
+                String message = "must be a text, a number, true, false, or a list of these";
+                problems.add(new RolloutProblem(prefix + key, message));
             } else {
                 out.append(key).append(" = ").append(text).append('\n');
             }
         });
     }
 
-    /** Null for what none of the keys can hold. */
+    /** The value in TOML; null for values that no key can have. */
     private static String format(Object value) {
         if (value instanceof String text) {
             return quote(text);
@@ -108,7 +119,7 @@
         text.chars().forEach(c -> {
             if (c == '"' || c == '\\') {
                 out.append('\\').append((char) c);
-            } else if (c < ' ' || c == 127) {
+            } else if (c < FIRST_PRINTABLE || c == DELETE) {
                 out.append(String.format("\\u%04X", c));
             } else {
                 out.append((char) c);
--- a/fleet/src/main/java/clayhook/rollout/StageEvaluation.java
+++ b/fleet/src/main/java/clayhook/rollout/StageEvaluation.java
@@ -2,116 +2,185 @@
 
 import clayhook.fleet.Member;
 import clayhook.fleet.MembershipView;
+import clayhook.fleet.ReplicatedStore;
+import clayhook.rollout.RolloutEnd.EndCause;
+import clayhook.rollout.RolloutEvent.EventType;
 import java.util.List;
 import java.util.Locale;
 
-/** What the merged figures of a stage show to this router: who is heard, whether to halt, whether to go on. */
+/**
+ * Evaluates the merged counters of the running stage: which routers have fresh counters, whether to halt, whether this
+ * router votes for the next stage. Not thread-safe.
+ */
 final class StageEvaluation {
-    /** Bytes that a command group's figures take, about, and bytes a second that those of all routers may. */
+    /** Approximate bytes of the counters of one request class. */
     private static final double CLASS_COUNTERS_BYTES = 1300;
-
+    /** Bytes a second that the counters of all routers may take. */
     private static final double MAX_COUNTERS_BYTES_PER_SECOND = 20_000;
-    /** Figures older than so many times the time between them, and the time that news takes, count as not heard. */
+    /** Counters are stale after this many intervals, and the propagation time. */
     private static final double STALE_INTERVALS = 3;
 
     private static final double PROPAGATION_SECONDS = 2;
 
-    private final MembershipView membership;
     private final RolloutRegistry registry;
+    private final MembershipView membership;
+    private final ReplicatedStore store;
     private final RolloutSettings settings;
+    private final Quorum quorum;
     private final Member self;
 
-    StageEvaluation(MembershipView roster, RolloutRegistry known, RolloutSettings settings) {
-        this.membership = roster;
-        this.registry = known;
+    /** Evaluates the rollouts of a registry. */
+    StageEvaluation(
+            RolloutRegistry registry,
+            MembershipView membership,
+            ReplicatedStore store,
+            RolloutSettings settings,
+            Quorum quorum) {
+        this.registry = registry;
+        this.membership = membership;
+        this.store = store;
         this.settings = settings;
-        this.self = roster.self().member();
+        this.quorum = quorum;
+        this.self = membership.self().member();
+    }
+
+    /**
+     * Replicates this router's counters and evaluates those of all routers, when that is due. Halts the rollout if a
+     * guard demands it; else {@link LocalRollout#holdReason} is up to date.
+     *
+     * @param leaseExpiresAt when this router's lease ends, for the status
+     * @return null if the evaluation is not due, or the rollout was halted
+     */
+    RolloutStatus evaluate(LocalRollout rollout, double leaseExpiresAt, double now) {
+        rollout.counters.tick(now);
+        if (now < rollout.nextEvaluationAt) {
+            return null;
+        }
+        rollout.nextEvaluationAt = now + shareIntervalSeconds(rollout);
+        rollout.counters.publish(store, rollout.stage(), now);
+        MergedCounters counters = MergedCounters.collect(store, rollout.id, rollout.stage());
+        var evaluator = new GuardEvaluator(rollout.terms.plan());
+        String haltReason = haltReason(rollout, evaluator, counters);
+        if (haltReason != null) {
+            registry.end(rollout, EndCause.HALTED, haltReason, now);
+            return null;
+        }
+        updateVisibility(rollout, counters, now);
+        rollout.holdReason = holdReason(rollout, evaluator, counters, now);
+        return status(rollout, counters, leaseExpiresAt);
+    }
+
+    /** The stage before is evaluated too, as its last requests finish only now. */
+    private String haltReason(LocalRollout rollout, GuardEvaluator evaluator, MergedCounters counters) {
+        int stage = rollout.stage();
+        String reason = evaluator.haltReason(stage, counters);
+        if (reason != null || stage == 1) {
+            return reason;
+        }
+        return evaluator.haltReason(stage - 1, MergedCounters.collect(store, rollout.id, stage - 1));
     }
 
-    /** Seconds between figures, so that those of all routers together stay within a bound. */
-    double shareIntervalSeconds(LocalRollout live) {
+    /** Time between replicated counters, so that those of all routers together stay within their bound. */
+    private double shareIntervalSeconds(LocalRollout rollout) {
         double bytes = CLASS_COUNTERS_BYTES
-                * live.terms.roster().size()
-                * live.terms.plan().requestClasses().size();
+                * rollout.terms.roster().size()
+                * rollout.terms.plan().requestClasses().size();
         return Math.max(settings.shareIntervalSeconds(), bytes / MAX_COUNTERS_BYTES_PER_SECOND);
     }
 
-    /** Counts whose figures are fresh, and tells whose have ended. */
-    void updateVisibility(LocalRollout live, MergedCounters figures, double now) {
-        double stale = STALE_INTERVALS * shareIntervalSeconds(live) + PROPAGATION_SECONDS;
-        live.freshMembers = 0;
-        live.departedMembers = 0;
-        figures.lastRecordedAt().forEach((member, at) -> {
-            boolean lives = member.equals(self) || membership.isLive(member);
-            double ahead = member.equals(self) ? 0 : membership.clockOffset(member);
-            live.freshMembers +=
-                    lives && live.votes(member) && at - (Double.isNaN(ahead) ? 0 : ahead) >= now - stale ? 1 : 0;
-            live.departedMembers += lives ? 0 : 1;
-            if (!lives && live.announced.add("dead " + member)) {
-                registry.emit(
-                        RolloutEvent.EventType.MEMBER_DEPARTED,
-                        live,
-                        member.name() + " is gone; what it shared until " + String.format(Locale.ROOT, "%.1f", at)
-                                + " counts, what it counted after that is lost");
+    /** Counts the voters with fresh counters, and emits events for departed routers and a missing majority. */
+    private void updateVisibility(LocalRollout rollout, MergedCounters counters, double now) {
+        double staleAfter = STALE_INTERVALS * shareIntervalSeconds(rollout) + PROPAGATION_SECONDS;
+        rollout.freshMembers = 0;
+        rollout.departedMembers = 0;
+        counters.lastRecordedAt().forEach((member, recordedAt) -> {
+            boolean live = member.equals(self) || membership.isLive(member);
+            if (!live) {
+                rollout.departedMembers++;
+                announceDeparture(rollout, member, recordedAt);
+            } else if (rollout.isVoter(member) && recordedAt - clockOffset(member) >= now - staleAfter) {
+                rollout.freshMembers++;
             }
         });
-        boolean blind = live.freshMembers < registry.majoritySize(live);
-        // A stage that has just begun has no figures yet.
-        if (blind != live.lacksCounters && (!blind || now - live.stageStartedAt > stale)) {
-            live.lacksCounters = blind;
+        int majority = rollout.majoritySize(quorum);
+        boolean lacksCounters = rollout.freshMembers < majority;
+        // A stage that has just begun has no counters yet.
+        boolean countersExpected = now - rollout.stageStartedAt > staleAfter;
+        if (lacksCounters != rollout.lacksCounters && (!lacksCounters || countersExpected)) {
+            rollout.lacksCounters = lacksCounters;
             registry.emit(
-                    blind ? RolloutEvent.EventType.COUNTERS_MISSING : RolloutEvent.EventType.COUNTERS_RESTORED,
-                    live,
-                    "fresh figures of " + live.freshMembers + " routers, " + registry.majoritySize(live) + " needed");
+                    lacksCounters ? EventType.COUNTERS_MISSING : EventType.COUNTERS_RESTORED,
+                    rollout,
+                    "fresh counters of " + rollout.freshMembers + " routers, " + majority + " needed");
         }
     }
 
-    /** Why this router does not vote to go on; empty when it does. */
-    String holdReason(LocalRollout live, GuardEvaluator judge, MergedCounters figures, double now) {
-        double left = live.terms.plan().stages().get(live.stage() - 1).minSeconds() - (now - live.stageStartedAt);
-        if (!live.votes(self)) {
+    /** By how much the member's clock is ahead, in seconds; 0 while unknown. */
+    private double clockOffset(Member member) {
+        double offset = member.equals(self) ? 0 : membership.clockOffset(member);
+        return Double.isNaN(offset) ? 0 : offset;
+    }
+
+    private void announceDeparture(LocalRollout rollout, Member member, double recordedAt) {
+        if (rollout.announced.add("departed " + member)) {
+            registry.emit(
+                    EventType.MEMBER_DEPARTED,
+                    rollout,
+                    String.format(
+                            Locale.ROOT,
+                            "%s has departed; what it replicated until %.1f counts, what it counted after that is lost",
+                            member.name(),
+                            recordedAt));
+        }
+    }
+
+    /** Why this router does not vote for the next stage; empty when it does. */
+    private String holdReason(LocalRollout rollout, GuardEvaluator evaluator, MergedCounters counters, double now) {
+        double secondsLeft = rollout.currentStage().minSeconds() - (now - rollout.stageStartedAt);
+        if (!rollout.isVoter(self)) {
             return "this router is not in the roster";
         }
-        if (!live.running) {
+        if (!rollout.running) {
             return "this router does not run the candidate";
         }
-        if (live.freshMembers < registry.majoritySize(live)) {
-            return "fresh figures of " + live.freshMembers + " routers only";
+        if (rollout.freshMembers < rollout.majoritySize(quorum)) {
+            return "fresh counters of " + rollout.freshMembers + " routers only";
         }
         if (membership.recentlyStalled(now)) {
-            return "this router stood still";
+            return "this router stalled";
         }
-        if (left > 0) {
-            return (long) Math.ceil(left) + " s of the stage are left";
+        if (secondsLeft > 0) {
+            return (long) Math.ceil(secondsLeft) + " s of the stage are left";
         }
-        String waits = judge.holdReason(live.stage(), figures);
-        return waits == null ? "" : waits;
+        String guardReason = evaluator.holdReason(rollout.stage(), counters);
+        return guardReason == null ? "" : guardReason;
     }
 
-    /** For metrics. */
-    RolloutStatus status(LocalRollout live, MergedCounters figures, double until) {
-        RolloutStage stage = live.terms.plan().stages().get(live.stage() - 1);
-        List<RolloutStatus.MetricComparison> rates = stage.guards().stream()
-                .map(guard -> {
-                    MergedCounters.ClassTotals group = figures.forRequestClass(guard.requestClass());
-                    return new RolloutStatus.MetricComparison(
-                            guard.requestClass(),
-                            guard.metric(),
-                            group.requests(1),
-                            group.metricValue(guard.metric(), 1),
-                            group.metricValue(guard.metric(), 0),
-                            group.logEvidence(guard.metric()));
-                })
-                .toList();
+    private static RolloutStatus status(LocalRollout rollout, MergedCounters counters, double leaseExpiresAt) {
+        RolloutStage stage = rollout.currentStage();
+        List<RolloutStatus.MetricComparison> metrics =
+                stage.guards().stream().map(guard -> compare(guard, counters)).toList();
         return new RolloutStatus(
-                live.proposal.rulesHash(),
-                live.stage(),
+                rollout.proposal.rulesHash(),
+                rollout.stage(),
                 stage.share(),
-                until,
-                live.freshMembers,
-                live.terms.voterCount(),
-                live.departedMembers,
-                live.holdReason,
-                rates);
+                leaseExpiresAt,
+                rollout.freshMembers,
+                rollout.terms.voterCount(),
+                rollout.departedMembers,
+                rollout.holdReason,
+                metrics);
+    }
+
+    private static RolloutStatus.MetricComparison compare(Guard guard, MergedCounters counters) {
+        ClassTotals totals = counters.forRequestClass(guard.requestClass());
+        GuardMetric metric = guard.metric();
+        return new RolloutStatus.MetricComparison(
+                guard.requestClass(),
+                metric,
+                totals.requests(Variant.CANDIDATE),
+                totals.metricValue(metric, Variant.CANDIDATE),
+                totals.metricValue(metric, Variant.BASELINE),
+                totals.logEvidence(metric));
     }
 }
--- a/fleet/src/main/java/clayhook/rollout/StageVote.java
+++ b/fleet/src/main/java/clayhook/rollout/StageVote.java
@@ -6,13 +6,24 @@
 import clayhook.fleet.ReplicatedType;
 
 /**
- * What one router of the frozen roster has said to a rollout. It never takes a word back.
+ * The vote of one voter in one rollout. Votes only rise.
  *
- * @param stage up to which it wants to go; 0: it has read the candidate and could run it
+ * @param stage the highest stage that the voter agrees to enter; 0 if it has read the candidate and can run it
+ * @param retainedFrom from when the retention time is counted, in seconds since 1970
  */
 record StageVote(int stage, double retainedFrom) {
-    /** One a router and rollout: two rollouts of the largest fleet, and room for the ones before. */
-    static final ReplicatedType<StageVote> TYPE = new ReplicatedType<>() {
+    /** Room for two rollouts of the largest fleet and for earlier ones. */
+    private static final int MAX_ENTRIES = 4096;
+
+    /** Merge and encoding; the highest vote wins. */
+    static final ReplicatedType<StageVote> TYPE = new Type();
+
+    /** The key of a voter's vote in a rollout. */
+    static String key(String rolloutId, Member voter) {
+        return rolloutId + '/' + Long.toString(voter.incarnation(), Character.MAX_RADIX) + '/' + voter.name();
+    }
+
+    private static final class Type implements ReplicatedType<StageVote> {
         @Override
         public int typeNumber() {
             return 12;
@@ -40,7 +51,7 @@
 
         @Override
         public int maxEntries() {
-            return 4096;
+            return MAX_ENTRIES;
         }
 
         @Override
@@ -57,9 +68,5 @@
         public StageVote read(FieldReader in) {
             return new StageVote(in.readIntBelow(RolloutPlan.MAX_STAGES + 2), in.readDouble());
         }
-    };
-
-    static String key(String round, Member by) {
-        return round + '/' + Long.toString(by.incarnation(), Character.MAX_RADIX) + '/' + by.name();
     }
 }
--- a/fleet/src/main/java/clayhook/rollout/TextChunk.java
+++ b/fleet/src/main/java/clayhook/rollout/TextChunk.java
@@ -8,13 +8,67 @@
 import com.dynatrace.hash4j.hashing.Hashing;
 import java.util.Arrays;
 
-/** A part of a text too long for one packet, kept under the hash of the whole, so that the same text is spread once. */
+/**
+ * A part of a text that is too long for one message. Chunks are keyed by the hash of the whole text, so that the same
+ * text is replicated once.
+ *
+ * @param bytes the chunk's part of the text; must not be changed
+ * @param retainedFrom from when the retention time is counted, in seconds since 1970
+ */
 record TextChunk(byte[] bytes, double retainedFrom) {
-    /** Bytes; with the key it fits a part. */
+    /** Bytes of a chunk; together with its key it fits in a message. */
     private static final int MAX_BYTES = 900;
+    /** Room for nine texts of the longest kind; older ones are evicted. */
+    private static final int MAX_ENTRIES = 3072;
 
-    /** Texts go as they get old, or as others come: nine of the longest fit. */
-    static final ReplicatedType<TextChunk> TYPE = new ReplicatedType<>() {
+    /** Merge and encoding. Chunks under one key are equal but for their retention time, unless a router is at fault. */
+    static final ReplicatedType<TextChunk> TYPE = new Type();
+
+    /** 128 bits of the content in hexadecimal digits; also the name of a rule set. */
+    static String contentHash(byte[] content) {
+        HashValue128 hash = Hashing.murmur3_128().hashBytesTo128Bits(content);
+        return String.format("%016x%016x", hash.getMostSignificantBits(), hash.getLeastSignificantBits());
+    }
+
+    /** Replicates a text in chunks. */
+    static void publish(ReplicatedStore store, byte[] content, double retainedFrom, double now) {
+        String hash = contentHash(content);
+        for (int from = 0; from < content.length; from += MAX_BYTES) {
+            byte[] bytes = Arrays.copyOfRange(content, from, Math.min(content.length, from + MAX_BYTES));
+            store.merge(TYPE, key(hash, from), new TextChunk(bytes, retainedFrom), now);
+        }
+    }
+
+    /** The whole text, or null while chunks are missing or do not have the content that the hash names. */
+    static byte[] assemble(ReplicatedStore store, String hash, int length) {
+        byte[] content = new byte[length];
+        for (int from = 0; from < length; from += MAX_BYTES) {
+            TextChunk chunk = store.get(TYPE, key(hash, from));
+            if (chunk == null || chunk.bytes.length != Math.min(MAX_BYTES, length - from)) {
+                return null;
+            }
+            System.arraycopy(chunk.bytes, 0, content, from, chunk.bytes.length);
+        }
+        return contentHash(content).equals(hash) ? content : null;
+    }
+
+    private static String key(String hash, int from) {
+        return hash + '/' + from / MAX_BYTES;
+    }
+
+    @Override
+    public boolean equals(Object other) {
+        return other instanceof TextChunk chunk
+                && retainedFrom == chunk.retainedFrom
+                && Arrays.equals(bytes, chunk.bytes);
+    }
+
+    @Override
+    public int hashCode() {
+        return 31 * Arrays.hashCode(bytes) + Double.hashCode(retainedFrom);
+    }
+
+    private static final class Type implements ReplicatedType<TextChunk> {
         @Override
         public int typeNumber() {
             return 11;
@@ -27,14 +81,13 @@
 
         @Override
         public TextChunk merge(TextChunk a, TextChunk b) {
-            return new TextChunk(
-                    Arrays.compare(a.bytes, b.bytes) <= 0 ? a.bytes : b.bytes,
-                    Math.max(a.retainedFrom, b.retainedFrom));
+            byte[] bytes = Arrays.compare(a.bytes, b.bytes) <= 0 ? a.bytes : b.bytes;
+            return new TextChunk(bytes, Math.max(a.retainedFrom, b.retainedFrom));
         }
 
         @Override
-        public double timestamp(TextChunk piece) {
-            return piece.retainedFrom;
+        public double timestamp(TextChunk chunk) {
+            return chunk.retainedFrom;
         }
 
         @Override
@@ -44,7 +97,7 @@
 
         @Override
         public int maxEntries() {
-            return 3072;
+            return MAX_ENTRIES;
         }
 
         @Override
@@ -53,8 +106,8 @@
         }
 
         @Override
-        public void write(TextChunk piece, FieldWriter out) {
-            out.writeBytes(piece.bytes).writeDouble(piece.retainedFrom);
+        public void write(TextChunk chunk, FieldWriter out) {
+            out.writeBytes(chunk.bytes).writeDouble(chunk.retainedFrom);
         }
 
         @Override
@@ -65,45 +118,5 @@
             }
             return new TextChunk(bytes, in.readDouble());
         }
-    };
-
-    /** The name of bytes, as that of a set of rules. */
-    static String contentHash(byte[] whole) {
-        HashValue128 hash = Hashing.murmur3_128().hashBytesTo128Bits(whole);
-        return String.format("%016x%016x", hash.getMostSignificantBits(), hash.getLeastSignificantBits());
-    }
-
-    /** Spreads bytes. */
-    static void publish(ReplicatedStore shared, byte[] whole, double at, double now) {
-        String hash = contentHash(whole);
-        for (int from = 0; from < whole.length; from += MAX_BYTES) {
-            byte[] bytes = Arrays.copyOfRange(whole, from, Math.min(whole.length, from + MAX_BYTES));
-            shared.merge(TYPE, hash + '/' + from / MAX_BYTES, new TextChunk(bytes, at), now);
-        }
-    }
-
-    /** The whole, or null while pieces are missing or do not make what the hash names. */
-    static byte[] assemble(ReplicatedStore shared, String hash, int length) {
-        byte[] whole = new byte[length];
-        for (int from = 0; from < length; from += MAX_BYTES) {
-            TextChunk piece = shared.get(TYPE, hash + '/' + from / MAX_BYTES);
-            if (piece == null || piece.bytes.length != Math.min(MAX_BYTES, length - from)) {
-                return null;
-            }
-            System.arraycopy(piece.bytes, 0, whole, from, piece.bytes.length);
-        }
-        return contentHash(whole).equals(hash) ? whole : null;
-    }
-
-    @Override
-    public boolean equals(Object other) {
-        return other instanceof TextChunk piece
-                && retainedFrom == piece.retainedFrom
-                && Arrays.equals(bytes, piece.bytes);
-    }
-
-    @Override
-    public int hashCode() {
-        return 31 * Arrays.hashCode(bytes) + Double.hashCode(retainedFrom);
     }
 }
--- a/fleet/src/main/java/clayhook/rollout/TrafficSplit.java
+++ b/fleet/src/main/java/clayhook/rollout/TrafficSplit.java
@@ -1,14 +1,19 @@
 package clayhook.rollout;
 
 /**
- * Which sessions get the candidate, as of now at this router. Immutable; request threads read one reference and
- * allocate nothing. A session gets the same answer at every router that has come to the same stage, and once it has the
- * candidate it keeps it as the share grows.
+ * Which sessions get the candidate at this router. Immutable, for any thread; reading it allocates nothing. A session
+ * gets the same answer at every router that has come to the same stage, and keeps the candidate as the share grows.
  */
 public final class TrafficSplit {
-    /** Shares are compared in this many steps, so that each share has a whole number of them. */
+    /** Resolution of shares: the number of values that the used bits of a hash can have. */
     private static final long HASH_STEPS = 1L << 53;
 
+    private static final int UNUSED_HASH_BITS = Long.SIZE - 53;
+    /** Digits of the candidate's hash that make the salt: 64 bits. */
+    private static final int SALT_DIGITS = 16;
+
+    private static final int HEXADECIMAL = 16;
+
     private final RuleSetVersion currentVersion;
     private final RuleSetVersion baseline;
     private final RuleSetVersion candidate;
@@ -18,84 +23,97 @@
     private final double validUntil;
 
     private TrafficSplit(
-            RuleSetVersion plain, RuleSetVersion old, RuleSetVersion candidate, double share, long salt, double until) {
-        this.currentVersion = plain;
-        this.baseline = old;
+            RuleSetVersion currentVersion,
+            RuleSetVersion baseline,
+            RuleSetVersion candidate,
+            double share,
+            long salt,
+            double validUntil) {
+        this.currentVersion = currentVersion;
+        this.baseline = baseline;
         this.candidate = candidate;
         this.share = share;
         this.candidateSteps = (long) (share * HASH_STEPS);
         this.salt = salt;
-        this.validUntil = until;
+        this.validUntil = validUntil;
     }
 
-    /** One version for all. */
-    static TrafficSplit unsplit(RuleSetVersion plain) {
-        return new TrafficSplit(plain, null, null, 0, 0, Double.NEGATIVE_INFINITY);
+    /** All sessions get the current version. */
+    static TrafficSplit unsplit(RuleSetVersion currentVersion) {
+        return new TrafficSplit(currentVersion, null, null, 0, 0, Double.NEGATIVE_INFINITY);
     }
 
     /**
-     * Two versions until then, seconds since 1970; after that the one that the fleet stands on, whoever forgets to say
-     * so.
+     * Sessions are split between baseline and candidate.
+     *
+     * @param currentVersion for all sessions from {@code validUntil} on, even if nobody replaces this split
+     * @param share of sessions that get the candidate
+     * @param validUntil seconds since 1970
      */
     static TrafficSplit between(
-            RuleSetVersion plain, RuleSetVersion old, RuleSetVersion candidate, double share, double until) {
-        // By the set alone: a rollout that is tried again begins with the same sessions.
-        return new TrafficSplit(
-                plain,
-                old,
-                candidate,
-                share,
-                Long.parseUnsignedLong(candidate.rulesHash().substring(0, 16), 16),
-                until);
+            RuleSetVersion currentVersion,
+            RuleSetVersion baseline,
+            RuleSetVersion candidate,
+            double share,
+            double validUntil) {
+        // The salt depends on the rule set alone, so that another attempt begins with the same sessions.
+        long salt = Long.parseUnsignedLong(candidate.rulesHash().substring(0, SALT_DIGITS), HEXADECIMAL);
+        return new TrafficSplit(currentVersion, baseline, candidate, share, salt, validUntil);
     }
 
-    boolean matches(RuleSetVersion plain, RuleSetVersion old, RuleSetVersion candidate, double until) {
-        return this.currentVersion == plain
-                && this.baseline == old
-                && this.candidate == candidate
-                && this.validUntil == until;
+    /** Whether this split has the same version objects and end; if so, there is no need to replace it. */
+    boolean matches(
+            RuleSetVersion otherCurrent, RuleSetVersion otherBaseline, RuleSetVersion otherCandidate, double otherEnd) {
+        return currentVersion == otherCurrent
+                && baseline == otherBaseline
+                && candidate == otherCandidate
+                && validUntil == otherEnd;
     }
 
     /**
-     * The version for a command of that session that begins now. {@code session}: any hash that all routers agree on.
+     * The version for a request that begins now.
+     *
+     * @param session a hash of the session that is the same at all routers
+     * @param now seconds since 1970
      */
     public RuleSetVersion versionFor(long session, double now) {
         if (!(now < validUntil)) {
             return currentVersion;
         }
-        return candidate(session) ? candidate : baseline;
+        return isCandidateSession(session) ? candidate : baseline;
     }
 
-    /** Whether the session belongs to the candidate's share; it gets the candidate only as long as the lease lasts. */
-    public boolean candidate(long session) {
-        return mixHash(session ^ salt) >>> 11 < candidateSteps;
+    /** Whether the session belongs to the candidate's share; it gets the candidate only while the lease lasts. */
+    public boolean isCandidateSession(long session) {
+        return mixHash(session ^ salt) >>> UNUSED_HASH_BITS < candidateSteps;
     }
 
-    /** Hash of the rules that the fleet stands on. */
+    /** Hash of the fleet's current rules, without any candidate. */
     public String currentRulesHash() {
         return currentVersion.rulesHash();
     }
 
     /** Hash of the candidate, or null. */
-    public String candidate() {
+    public String candidateRulesHash() {
         return candidate == null ? null : candidate.rulesHash();
     }
 
-    /** Of all sessions. */
+    /** The share of sessions that get the candidate. */
     public double share() {
         return share;
     }
 
+    /** What is mixed into the hashes of sessions. */
     public long salt() {
         return salt;
     }
 
-    /** When the lease ends, seconds since 1970. */
+    /** When the lease ends, in seconds since 1970; negative infinity without a candidate. */
     public double validUntil() {
         return validUntil;
     }
 
-    /** MurmurHash3's finalizer: hashes of sessions may be poor, and must not be the ones that anything else goes by. */
+    /** The finalizer of MurmurHash3. Session hashes may be poor, and other uses of them must stay independent. */
     static long mixHash(long hash) {
         long mixed = (hash ^ hash >>> 33) * 0xff51afd7ed558ccdL;
         mixed = (mixed ^ mixed >>> 33) * 0xc4ceb9fe1a85ec53L;
--- a/fleet/src/main/java/clayhook/rollout/package-info.java
+++ b/fleet/src/main/java/clayhook/rollout/package-info.java
@@ -1,6 +1,11 @@
 /**
- * Staged rollouts of routing rules: a candidate set runs for a growing share of sessions, beside the old one, for as
- * long as a majority of routers says so and the merged figures do not speak against it. Pure, as is all of this module;
- * the design and its sources stand in {@code docs/rollouts.md}.
+ * Staged rollouts of routing rules: a candidate rule set serves a growing share of sessions beside the baseline, for as
+ * long as a majority of routers agrees and the merged counters do not show that the candidate is worse.
+ *
+ * <p>The package is pure: no I/O, no clock, no threads of its own. It uses only {@code clayhook.fleet} (membership,
+ * replicated values, message encoding). Readers start at {@link clayhook.rollout.RolloutController}, the entry point
+ * for operators, peers' messages and timers, then {@link clayhook.rollout.RolloutRegistry} for the state and
+ * {@link clayhook.rollout.SequentialTest} for the statistics. The design and its sources are in
+ * {@code docs/rollouts.md}.
  */
 package clayhook.rollout;
--- a/fleet/src/test/java/clayhook/rollout/RecordedBytesTest.java
+++ b/fleet/src/test/java/clayhook/rollout/RecordedBytesTest.java
@@ -9,6 +9,8 @@
 import clayhook.fleet.Member;
 import clayhook.fleet.Message;
 import clayhook.fleet.ReplicatedType;
+import clayhook.rollout.RolloutEnd.EndCause;
+import clayhook.rollout.RolloutEvent.EventType;
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
@@ -105,7 +107,7 @@
         return switch (measure) {
             case FAILED -> new Guard("read", measure, 0.02, 0.01);
             case LATE -> new Guard("read", measure, NONE, 0);
-            case THROTTLED -> new Guard(Guard.ALL_CLASSES, measure, 0.5, NONE);
+            case REJECTED -> new Guard(Guard.ALL_CLASSES, measure, 0.5, NONE);
             case SLOW -> new Guard("schreiben/ü", measure, 3, 0.2);
         };
     }
@@ -114,7 +116,7 @@
         return new RolloutPlan(
                 List.of(
                         new RolloutStage(0.01, 60, 100, List.of(guard(GuardMetric.FAILED), guard(GuardMetric.SLOW))),
-                        new RolloutStage(0.99, 0, 1, List.of(guard(GuardMetric.LATE), guard(GuardMetric.THROTTLED)))),
+                        new RolloutStage(0.99, 0, 1, List.of(guard(GuardMetric.LATE), guard(GuardMetric.REJECTED)))),
                 0.005,
                 3);
     }
@@ -123,7 +125,7 @@
         return new Proposal(MEMBER, TIME, BASE, RULES, 262_144, TERMS, 70_000, 10, 2);
     }
 
-    private static RolloutEnd end(RolloutEnd.EndCause what) {
+    private static RolloutEnd end(EndCause what) {
         return RolloutEnd.of(what, "stage 1, *: 2.000% failed", "router/ä-1", TIME + 1);
     }
 
@@ -149,14 +151,14 @@
         forms.add(value(
                 "round.ended",
                 RolloutProgress.TYPE,
-                new RolloutProgress(proposal(), 17, end(RolloutEnd.EndCause.HALTED), TIME + 2)));
+                new RolloutProgress(proposal(), 17, end(EndCause.HALTED), TIME + 2)));
         forms.add(value("piece", TextChunk.TYPE, new TextChunk(new byte[] {0, 1, 127, -128, -1}, TIME)));
         forms.add(value("vote", StageVote.TYPE, new StageVote(17, TIME)));
         forms.add(value("counts", MemberCounters.OUTCOME_COUNTS, figure(176)));
         forms.add(value("times.old", MemberCounters.BASELINE_LATENCIES, figure(160)));
         forms.add(value("times.candidate", MemberCounters.CANDIDATE_LATENCIES, figure(160)));
         forms.add(field("proposal", proposal(), proposal()::write, Proposal::read));
-        for (RolloutEnd.EndCause what : RolloutEnd.EndCause.values()) {
+        for (EndCause what : EndCause.values()) {
             forms.add(field("end." + what.ordinal(), end(what), end(what)::write, RolloutEnd::read));
         }
         forms.add(field("plan", plan(), plan()::write, RolloutPlan::read));
@@ -219,15 +221,10 @@
     @Test
     void endsKeepTheirNumbers() {
         assertEquals(
-                List.of(
-                        RolloutEnd.EndCause.HALTED,
-                        RolloutEnd.EndCause.VETOED,
-                        RolloutEnd.EndCause.WITHDRAWN,
-                        RolloutEnd.EndCause.SUPERSEDED,
-                        RolloutEnd.EndCause.EXPIRED),
-                List.of(RolloutEnd.EndCause.values()));
+                List.of(EndCause.HALTED, EndCause.VETOED, EndCause.WITHDRAWN, EndCause.SUPERSEDED, EndCause.EXPIRED),
+                List.of(EndCause.values()));
         assertEquals(
-                List.of(GuardMetric.FAILED, GuardMetric.LATE, GuardMetric.THROTTLED, GuardMetric.SLOW),
+                List.of(GuardMetric.FAILED, GuardMetric.LATE, GuardMetric.REJECTED, GuardMetric.SLOW),
                 List.of(GuardMetric.values()));
     }
 
@@ -235,9 +232,9 @@
     void keysKeepTheirText() {
         assertEquals("0fa4cf391cad9e48", proposal().id());
         assertEquals("0123456789abcdef/loyw3v5n/router/ä-1", StageVote.key(ROUND, MEMBER));
-        var key = new MemberCounters.CounterKey(ROUND, 2, MEMBER, "read/only");
+        var key = new CounterKey(ROUND, 2, MEMBER, "read/only");
         assertEquals("0123456789abcdef/2/loyw3v5n/10/router/ä-1/read/only", key.encode());
-        assertEquals(key, MemberCounters.CounterKey.decode("0123456789abcdef/2/loyw3v5n/10/router/ä-1/read/only"));
+        assertEquals(key, CounterKey.decode("0123456789abcdef/2/loyw3v5n/10/router/ä-1/read/only"));
     }
 
     @Test
@@ -245,7 +242,7 @@
         byte[] text = "0123456789".repeat(185).getBytes(StandardCharsets.UTF_8);
         String hash = "51144900af68e240bdf5b2057074d1e6";
         assertEquals(hash, TextChunk.contentHash(text));
-        var copy = new RolloutCluster.InMemoryStore();
+        var copy = new InMemoryStore();
         TextChunk.publish(copy, text, TIME, TIME);
         var lengths = new TreeMap<String, Integer>();
         copy.forEach(TextChunk.TYPE, (key, piece) -> lengths.put(key, piece.bytes().length));
@@ -276,7 +273,7 @@
                 old, old, new RuleSetVersion("00000000deadbeef", null, 1, true, Map.of()), 0.25, TIME);
         var candidates = new ArrayList<Long>();
         for (long session = 0; session < 40; session++) {
-            if (split.candidate(session)) {
+            if (split.isCandidateSession(session)) {
                 candidates.add(session);
             }
         }
@@ -288,7 +285,7 @@
     @ParameterizedTest
     @EnumSource(GuardMetric.class)
     void countsKeepTheirPlaces(GuardMetric measure) {
-        var copy = new RolloutCluster.InMemoryStore();
+        var copy = new InMemoryStore();
         var tally = new LocalCounters(ROUND, MEMBER, Set.of("read"));
         var old = new RuleSetVersion(BASE, ROUND, 1, false, Map.of("read", 0.05));
         var candidate = new RuleSetVersion(RULES, ROUND, 1, true, Map.of("read", 0.05));
@@ -301,7 +298,7 @@
                     session,
                     measure == GuardMetric.FAILED,
                     measure == GuardMetric.LATE,
-                    measure == GuardMetric.THROTTLED,
+                    measure == GuardMetric.REJECTED,
                     measure == GuardMetric.SLOW ? 0.1 : Double.NaN);
         }
         batch.forEach(tally::add);
@@ -335,13 +332,13 @@
     /** A rollout at three routers that comes to its end and is then withdrawn. */
     @Test
     void aCompletedRolloutKeepsEveryByte() throws IOException {
-        assertEquals(recordedRollout("completed"), rollout(0, RolloutEvent.EventType.COMPLETED));
+        assertEquals(recordedRollout("completed"), rollout(0, EventType.COMPLETED));
     }
 
     /** A rollout at three routers that is halted by its figures. */
     @Test
     void aHaltedRolloutKeepsEveryByte() throws IOException {
-        assertEquals(recordedRollout("halted"), rollout(0.2, RolloutEvent.EventType.HALTED));
+        assertEquals(recordedRollout("halted"), rollout(0.2, EventType.HALTED));
     }
 
     private static List<String> recordedRollout(String name) throws IOException {
@@ -351,7 +348,7 @@
     }
 
     /** Each message in the order sent, and what a router knows when it is told of that, and after a withdrawal. */
-    private static List<String> rollout(double failing, RolloutEvent.EventType last) {
+    private static List<String> rollout(double failing, EventType last) {
         var lines = new ArrayList<String>();
         var net = new RolloutCluster(3);
         net.run(5);
@@ -389,13 +386,13 @@
         }
     }
 
-    private static void entries(RolloutCluster.RolloutNode node, List<String> lines) {
+    private static void entries(RolloutNode node, List<String> lines) {
         for (ReplicatedType<?> kind : RolloutController.replicatedTypes()) {
             entries(node, kind, lines);
         }
     }
 
-    private static <V> void entries(RolloutCluster.RolloutNode node, ReplicatedType<V> kind, List<String> lines) {
+    private static <V> void entries(RolloutNode node, ReplicatedType<V> kind, List<String> lines) {
         node.store.forEach(kind, (key, value) -> entry(kind, key, value, lines));
     }
 
--- a/fleet/src/test/java/clayhook/rollout/RolloutAgreementTest.java
+++ b/fleet/src/test/java/clayhook/rollout/RolloutAgreementTest.java
@@ -12,86 +12,98 @@
 import net.jqwik.api.ShrinkingMode;
 
 /**
- * Exchanges, losses, cuts, deaths, and operators at several ends in any order: the rules hold, and all come to the
- * same.
+ * Random interleavings of exchanges, lost messages, partitions, crashes and operators at several routers: the
+ * invariants hold, and all routers agree in the end.
  */
 class RolloutAgreementTest {
+    private static final int ACTIONS = 300;
+
     @Property(tries = 150, seed = "42", shrinking = ShrinkingMode.OFF)
     void invariantsHoldInEveryInterleaving(@ForAll long seed) {
-        var chance = new Random(seed);
+        var random = new Random(seed);
         var ended = new HashSet<String>();
-        var net = new RolloutCluster(3 + chance.nextInt(3));
-        net.run(5);
-        for (int i = 0; i < 300; i++) {
-            applyRandomAction(net, chance);
-            assertNull(net.findViolation(), "seed " + seed + ", step " + i);
-            assertEndsArePermanent(net, ended);
-        }
-        net.partition(0);
-        for (int i = 0; i < net.nodes.length; i++) {
-            if (net.nodes[i] == null) {
-                net.startNode(i);
-            }
+        var cluster = new RolloutCluster(3 + random.nextInt(3));
+        cluster.run(5);
+        for (int i = 0; i < ACTIONS; i++) {
+            applyRandomAction(cluster, random);
+            assertNull(cluster.findViolation(), "seed " + seed + ", step " + i);
+            assertEndsArePermanent(cluster, ended);
         }
-        net.run(10);
-        for (RolloutCluster.RolloutNode node : net.nodes) {
+        heal(cluster);
+        RolloutNode first = cluster.nodes[0];
+        for (RolloutNode node : cluster.nodes) {
             assertEquals(
-                    net.nodes[0].store.digest(RolloutProgress.TYPE, net.now),
-                    node.store.digest(RolloutProgress.TYPE, net.now));
-            assertEquals(
-                    net.nodes[0].controller.split().currentRulesHash(),
-                    node.controller.split().currentRulesHash(),
-                    "seed " + seed);
+                    first.store.digest(RolloutProgress.TYPE, cluster.now),
+                    node.store.digest(RolloutProgress.TYPE, cluster.now));
+            assertEquals(first.currentRulesHash(), node.currentRulesHash(), "seed " + seed);
         }
     }
 
-    private static void applyRandomAction(RolloutCluster net, Random chance) {
-        int some = chance.nextInt(net.nodes.length);
-        int other = chance.nextInt(net.nodes.length);
-        int what = chance.nextInt(100);
-        if (what < 30) {
-            net.exchange(some, other);
-        } else if (what < 50) {
-            net.deliver(some, other);
-        } else if (what < 60) {
-            net.links.get(some).get(other).pollFirst();
-        } else if (what < 80) {
-            net.now += 0.25;
-            net.serveRequests(20, chance.nextInt(20) == 0 ? 0.5 : 0);
-            net.tick(some);
-        } else if (what < 92) {
-            net.step();
-        } else if (what < 94) {
-            net.partition(chance.nextInt(net.nodes.length));
-        } else if (what < 95) {
-            net.killNode(some);
-        } else if (what < 97) {
-            net.startNode(some);
-        } else if (net.nodes[some] != null) {
-            if (what < 99) {
-                RolloutPlan plan = RolloutCluster.plan(1, 1).withAttempt(1 + chance.nextInt(3));
-                net.nodes[some].controller.propose(plan, "set " + chance.nextInt(2), net.now);
-            } else {
-                net.nodes[some].controller.withdraw(net.now);
+    private static void heal(RolloutCluster cluster) {
+        cluster.partition(0);
+        for (int i = 0; i < cluster.nodes.length; i++) {
+            if (cluster.nodes[i] == null) {
+                cluster.startNode(i);
             }
         }
+        cluster.run(10);
+    }
+
+    private static void applyRandomAction(RolloutCluster cluster, Random random) {
+        int some = random.nextInt(cluster.nodes.length);
+        int other = random.nextInt(cluster.nodes.length);
+        int percent = random.nextInt(100);
+        if (percent < 30) {
+            cluster.exchange(some, other);
+        } else if (percent < 50) {
+            cluster.deliver(some, other);
+        } else if (percent < 60) {
+            cluster.links.get(some).get(other).pollFirst();
+        } else if (percent < 80) {
+            cluster.now += RolloutCluster.STEP_SECONDS;
+            cluster.serveRequests(20, random.nextInt(20) == 0 ? 0.5 : 0);
+            cluster.tick(some);
+        } else if (percent < 92) {
+            cluster.step();
+        } else if (percent < 94) {
+            cluster.partition(random.nextInt(cluster.nodes.length));
+        } else if (percent < 95) {
+            cluster.killNode(some);
+        } else if (percent < 97) {
+            cluster.startNode(some);
+        } else if (cluster.nodes[some] != null) {
+            operate(cluster, cluster.nodes[some], percent < 99, random);
+        }
+    }
+
+    private static void operate(RolloutCluster cluster, RolloutNode node, boolean propose, Random random) {
+        if (propose) {
+            RolloutPlan plan = RolloutCluster.plan(1, 1).withAttempt(1 + random.nextInt(3));
+            node.controller.propose(plan, "set " + random.nextInt(2), cluster.now);
+        } else {
+            node.controller.withdraw(cluster.now);
+        }
     }
 
-    private static void assertEndsArePermanent(RolloutCluster net, Set<String> ended) {
-        for (RolloutCluster.RolloutNode node : net.nodes) {
+    /**
+     * Checks that no router forgets an end.
+     *
+     * @param ended the ends seen so far, by member and rollout; those of now are added
+     */
+    private static void assertEndsArePermanent(RolloutCluster cluster, Set<String> ended) {
+        for (RolloutNode node : cluster.nodes) {
             if (node != null) {
-                node.store.forEach(RolloutProgress.TYPE, (id, round) -> {
-                    if (round.end() != null) {
-                        ended.add(node.member + id);
+                String member = node.member.toString();
+                node.store.forEach(RolloutProgress.TYPE, (id, progress) -> {
+                    if (progress.end() != null) {
+                        ended.add(member + id);
                     }
                 });
                 ended.stream()
-                        .filter(key -> key.startsWith(node.member.toString()))
-                        .forEach(key -> assertNotNull(node.store
-                                .get(
-                                        RolloutProgress.TYPE,
-                                        key.substring(node.member.toString().length()))
-                                .end()));
+                        .filter(key -> key.startsWith(member))
+                        .map(key -> key.substring(member.length()))
+                        .forEach(id -> assertNotNull(
+                                node.store.get(RolloutProgress.TYPE, id).end()));
             }
         }
     }
--- a/fleet/src/test/java/clayhook/rollout/RolloutControllerTest.java
+++ b/fleet/src/test/java/clayhook/rollout/RolloutControllerTest.java
@@ -6,6 +6,8 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import clayhook.rollout.RolloutEnd.EndCause;
+import clayhook.rollout.RolloutEvent.EventType;
 import java.util.Arrays;
 import java.util.List;
 import java.util.function.BooleanSupplier;
@@ -37,16 +39,16 @@
         }
     }
 
-    private boolean allNodes(Predicate<RolloutCluster.RolloutNode> holds) {
+    private boolean allNodes(Predicate<RolloutNode> holds) {
         return Arrays.stream(cluster.nodes).allMatch(node -> node == null || holds.test(node));
     }
 
     private void startRollout() {
         assertEquals(List.of(), cluster.nodes[0].controller.propose(PLAN, RULES, cluster.now));
-        runUntil(10, 0, () -> allNodes(RolloutCluster.RolloutNode::isRunning));
+        runUntil(10, 0, () -> allNodes(RolloutNode::isRunning));
     }
 
-    private boolean allEnded(RolloutEnd.EndCause what) {
+    private boolean allEnded(EndCause what) {
         return allNodes(node -> node.latestProgress() != null
                 && node.latestProgress().end() != null
                 && node.latestProgress().end().cause() == what
@@ -64,16 +66,16 @@
                                                     .stage()
                                             != node.latestProgress().stage()
                                     || !cluster.nodes[0].isRunning()
-                                    || cluster.nodes[0].controller.split().candidate(session)
-                                            == node.controller.split().candidate(session))));
-            return allNodes(node -> node.hasEvent(RolloutEvent.EventType.COMPLETED));
+                                    || cluster.nodes[0].controller.split().isCandidateSession(session)
+                                            == node.controller.split().isCandidateSession(session))));
+            return allNodes(node -> node.hasEvent(EventType.COMPLETED));
         });
         String hash = RuleSet.of(RULES).hash();
         assertTrue(allNodes(node -> node.controller.split().currentRulesHash().equals(hash)
-                && node.controller.split().candidate() == null));
+                && node.controller.split().candidateRulesHash() == null));
         assertEquals(
                 List.of(), cluster.nodes[0].controller.propose(PLAN, RULES, cluster.now), "the same file read again");
-        RolloutCluster.RolloutNode late = cluster.startNode(2);
+        RolloutNode late = cluster.startNode(2);
         runUntil(5, 0, () -> late.controller.split().currentRulesHash().equals(hash));
         cluster.nodes[3].controller.onConfiguredRules(hash, cluster.now);
         assertNotNull(cluster.nodes[3].controller.withdraw(cluster.now), "its own file has the rules");
@@ -89,16 +91,15 @@
     void routerThatCannotReadTheRulesVetoesBeforeTheStart() {
         cluster.nodes[3].unreadableRules = RULES;
         cluster.nodes[0].controller.propose(PLAN, RULES, cluster.now);
-        runUntil(3, 0, () -> allEnded(RolloutEnd.EndCause.VETOED));
+        runUntil(3, 0, () -> allEnded(EndCause.VETOED));
         assertEquals("no such key", cluster.nodes[1].latestProgress().end().reason());
-        assertFalse(
-                Arrays.stream(cluster.nodes).anyMatch(node -> node.hasEvent(RolloutEvent.EventType.CANDIDATE_RUNNING)));
+        assertFalse(Arrays.stream(cluster.nodes).anyMatch(node -> node.hasEvent(EventType.CANDIDATE_RUNNING)));
     }
 
     @Test
     void haltedRolloutRestartsOnlyOnResume() {
         startRollout();
-        runUntil(10, 0.2, () -> allEnded(RolloutEnd.EndCause.HALTED));
+        runUntil(10, 0.2, () -> allEnded(EndCause.HALTED));
         assertTrue(
                 cluster.nodes[4].latestProgress().end().reason().startsWith("stage 1, *:"),
                 cluster.nodes[4].latestProgress().end().reason());
@@ -112,7 +113,7 @@
         cluster.run(5);
         assertTrue(allNodes(node -> !node.isRunning()));
         assertNull(cluster.nodes[4].controller.resume(cluster.now));
-        runUntil(10, 0, () -> allNodes(RolloutCluster.RolloutNode::isRunning));
+        runUntil(10, 0, () -> allNodes(RolloutNode::isRunning));
         assertEquals(1, cluster.nodes[0].controller.status().stage());
     }
 
@@ -128,7 +129,7 @@
                 0,
                 () -> !cluster.nodes[0].isRunning() && !cluster.nodes[1].isRunning());
         assertTrue(cluster.now - cut > 1, "it had a lease");
-        assertTrue(cluster.nodes[0].hasEvent(RolloutEvent.EventType.LEASE_EXPIRED));
+        assertTrue(cluster.nodes[0].hasEvent(EventType.LEASE_EXPIRED));
         runUntil(20, 0, () -> cluster.nodes[4].latestProgress().stage() == 2);
         assertEquals(1, cluster.nodes[0].latestProgress().stage());
         if (withdraws) {
@@ -138,9 +139,7 @@
         runUntil(
                 withdraws ? 1 : 5,
                 0,
-                () -> withdraws
-                        ? allEnded(RolloutEnd.EndCause.WITHDRAWN)
-                        : allNodes(RolloutCluster.RolloutNode::isRunning));
+                () -> withdraws ? allEnded(EndCause.WITHDRAWN) : allNodes(RolloutNode::isRunning));
     }
 
     @ParameterizedTest
@@ -153,17 +152,15 @@
         cluster.now += 0.1;
         assertEquals(List.of(), cluster.nodes[0].controller.propose(PLAN, "a", cluster.now));
         cluster.tick(0);
-        assertEquals(
-                cut == 0,
-                cluster.nodes[0].hasEvent(RolloutEvent.EventType.PROPOSED),
-                "no half of the fleet begins one");
+        assertEquals(cut == 0, cluster.nodes[0].hasEvent(EventType.PROPOSED), "no half of the fleet begins one");
         runUntil(cut == 0 ? 10 : 15, 0, () -> cluster.nodes[3].isRunning());
         cluster.partition(0);
-        runUntil(10, 0, () -> allNodes(RolloutCluster.RolloutNode::isRunning));
-        assertTrue(allNodes(node ->
-                node.controller.split().candidate().equals(RuleSet.of("b").hash())));
-        assertTrue(cluster.nodes[0].hasEvent(
-                cut == 0 ? RolloutEvent.EventType.SUPERSEDED : RolloutEvent.EventType.REJECTED));
+        runUntil(10, 0, () -> allNodes(RolloutNode::isRunning));
+        assertTrue(allNodes(node -> node.controller
+                .split()
+                .candidateRulesHash()
+                .equals(RuleSet.of("b").hash())));
+        assertTrue(cluster.nodes[0].hasEvent(cut == 0 ? EventType.SUPERSEDED : EventType.REJECTED));
         assertNotNull(cluster.nodes[0].controller.withdraw(cluster.now), "it has lost, and leaves the other alone");
     }
 
@@ -181,7 +178,7 @@
         three.tick(0);
         three.now += 0.1;
         three.nodes[2].controller.propose(PLAN, "b", three.now);
-        RolloutCluster.RolloutNode last = three.nodes[2];
+        RolloutNode last = three.nodes[2];
         stepUntil(
                 three,
                 () -> last.isRunning()
@@ -194,7 +191,7 @@
         }
         stepUntil(three, () -> three.nodes[0].isRunning() && three.nodes[1].isRunning());
         assertFalse(last.isRunning());
-        assertEquals(RuleSet.of("a").hash(), three.nodes[1].controller.split().candidate());
+        assertEquals(RuleSet.of("a").hash(), three.nodes[1].controller.split().candidateRulesHash());
     }
 
     private static void stepUntil(RolloutCluster net, BooleanSupplier done) {
@@ -215,7 +212,7 @@
         assertTrue(allNodes(node -> !node.isRunning()
                 && node.controller.split().currentRulesHash().equals(cluster.settings.configuredRulesHash())));
         assertEquals(List.of(), cluster.nodes[0].controller.propose(PLAN, RULES, cluster.now));
-        runUntil(15, 0, () -> allNodes(RolloutCluster.RolloutNode::isRunning));
+        runUntil(15, 0, () -> allNodes(RolloutNode::isRunning));
         assertEquals(1, cluster.nodes[0].latestProgress().stage());
     }
 
@@ -225,11 +222,7 @@
         cluster.serveRequests(200, 0);
         cluster.run(2);
         cluster.startNode(4);
-        runUntil(
-                5,
-                0,
-                () -> cluster.nodes[4].isRunning()
-                        && cluster.nodes[0].hasEvent(RolloutEvent.EventType.MEMBER_DEPARTED));
+        runUntil(5, 0, () -> cluster.nodes[4].isRunning() && cluster.nodes[0].hasEvent(EventType.MEMBER_DEPARTED));
         cluster.killNode(3);
         runUntil(20, 0, () -> cluster.nodes[0].latestProgress().stage() == 2);
         assertNull(cluster.nodes[0].store.get(
@@ -246,7 +239,7 @@
     void stageHoldsWhileCountersAreMissing() {
         startRollout();
         cluster.countersMuted = true;
-        runUntil(20, 0, () -> allNodes(node -> node.hasEvent(RolloutEvent.EventType.COUNTERS_MISSING)));
+        runUntil(20, 0, () -> allNodes(node -> node.hasEvent(EventType.COUNTERS_MISSING)));
         int stage = cluster.nodes[0].latestProgress().stage();
         cluster.serveRequests(200, 0);
         cluster.run(20);
@@ -255,7 +248,7 @@
         runUntil(
                 20,
                 0,
-                () -> allNodes(node -> node.hasEvent(RolloutEvent.EventType.COUNTERS_RESTORED)
+                () -> allNodes(node -> node.hasEvent(EventType.COUNTERS_RESTORED)
                         && node.latestProgress().stage() > stage));
     }
 
@@ -263,6 +256,6 @@
     void changedConfiguredRulesHaltTheRollout() {
         startRollout();
         cluster.nodes[2].controller.onConfiguredRules("other", cluster.now);
-        runUntil(1, 0, () -> allEnded(RolloutEnd.EndCause.HALTED));
+        runUntil(1, 0, () -> allEnded(EndCause.HALTED));
     }
 }
--- a/fleet/src/test/java/clayhook/rollout/RolloutMergeTest.java
+++ b/fleet/src/test/java/clayhook/rollout/RolloutMergeTest.java
@@ -5,6 +5,7 @@
 
 import clayhook.fleet.Member;
 import clayhook.fleet.ReplicatedType;
+import clayhook.rollout.RolloutEnd.EndCause;
 import java.util.Random;
 import java.util.function.Function;
 import net.jqwik.api.ForAll;
@@ -31,7 +32,7 @@
         RolloutEnd end = chance.nextBoolean()
                 ? null
                 : RolloutEnd.of(
-                        RolloutEnd.EndCause.values()[chance.nextInt(5)],
+                        EndCause.values()[chance.nextInt(5)],
                         "r".repeat(200 + chance.nextInt(2)),
                         LONGEST_NAME,
                         chance.nextInt(2));
@@ -59,10 +60,7 @@
                 assertMergeLaws(StageVote.TYPE, chance -> new StageVote(chance.nextInt(4), chance.nextInt(3)), seed);
             case 3 ->
                 assertMergeLaws(
-                        MemberCounters.OUTCOME_COUNTS,
-                        chance -> randomCounters(
-                                chance, MemberCounters.EvidenceSums.SIZE + 2 * CounterBatch.OutcomeCounters.SIZE),
-                        seed);
+                        MemberCounters.OUTCOME_COUNTS, chance -> randomCounters(chance, CounterLayout.SIZE), seed);
             case 4 ->
                 assertMergeLaws(
                         MemberCounters.BASELINE_LATENCIES,
@@ -91,7 +89,7 @@
                 a,
                 RolloutCluster.encodeAndDecode(
                         kind,
-                        new MemberCounters.CounterKey(
+                        new CounterKey(
                                         "0".repeat(16),
                                         16,
                                         new Member(LONGEST_NAME, 1_700_000_000_000L),
@@ -108,16 +106,16 @@
     @Property(tries = 100, seed = "42")
     void duplicateCountersAreCountedOnce(@ForAll long seed) {
         var chance = new Random(seed);
-        var copy = new RolloutCluster.InMemoryStore();
-        var late = new RolloutCluster.InMemoryStore();
+        var copy = new InMemoryStore();
+        var late = new InMemoryStore();
         var newest = new MemberCounters[3];
         for (int i = 0; i < 30; i++) {
             int by = chance.nextInt(newest.length);
-            long[] counts = new long[MemberCounters.EvidenceSums.SIZE + 2 * CounterBatch.OutcomeCounters.SIZE];
-            counts[MemberCounters.EvidenceSums.SIZE] = i + 1;
+            long[] counts = new long[CounterLayout.SIZE];
+            counts[CounterLayout.EVIDENCE_SIZE] = i + 1;
             MemberCounters figure = new MemberCounters(i, i, counts);
             newest[by] = figure;
-            String key = new MemberCounters.CounterKey("round", 1, new Member("r/" + by, 1), "a/b").encode();
+            String key = new CounterKey("round", 1, new Member("r/" + by, 1), "a/b").encode();
             copy.merge(MemberCounters.OUTCOME_COUNTS, key, figure, 40);
             if (chance.nextBoolean()) {
                 late.merge(MemberCounters.OUTCOME_COUNTS, key, figure, 40);
@@ -131,13 +129,13 @@
                 (key, figure) -> copy.merge(MemberCounters.OUTCOME_COUNTS, key, figure, 40));
         long sum = 0;
         for (MemberCounters figure : newest) {
-            sum += figure == null ? 0 : figure.counts()[MemberCounters.EvidenceSums.SIZE];
+            sum += figure == null ? 0 : figure.counts()[CounterLayout.EVIDENCE_SIZE];
         }
         assertEquals(
                 sum,
-                MergedCounters.collect(copy, "round", 1).forRequestClass("a/b").requests(0));
+                MergedCounters.collect(copy, "round", 1).forRequestClass("a/b").requests(Variant.BASELINE));
         assertEquals(
                 sum,
-                MergedCounters.collect(late, "round", 1).forRequestClass("a/b").requests(0));
+                MergedCounters.collect(late, "round", 1).forRequestClass("a/b").requests(Variant.BASELINE));
     }
 }
--- a/fleet/src/test/java/clayhook/rollout/RolloutPlanTest.java
+++ b/fleet/src/test/java/clayhook/rollout/RolloutPlanTest.java
@@ -91,10 +91,12 @@
         int candidates = 0;
         for (int i = 0; i < 4000; i++) {
             long session = seed + i;
-            assertTrue(!small.candidate(session) || large.candidate(session));
-            assertEquals(large.candidate(session), large.versionFor(session, 9).isCandidate());
+            assertTrue(!small.isCandidateSession(session) || large.isCandidateSession(session));
+            assertEquals(
+                    large.isCandidateSession(session),
+                    large.versionFor(session, 9).isCandidate());
             assertEquals("old", large.versionFor(session, 10).rulesHash(), "the lease is over");
-            candidates += large.candidate(session) ? 1 : 0;
+            candidates += large.isCandidateSession(session) ? 1 : 0;
         }
         assertEquals(share, candidates / 4000.0, 0.05);
     }
--- a/fleet/src/test/java/clayhook/rollout/RolloutSimulation.java
+++ b/fleet/src/test/java/clayhook/rollout/RolloutSimulation.java
@@ -46,7 +46,7 @@
     SimulationOutcome run(RolloutPlan plan, long seed) {
         var chance = new SplittableRandom(seed);
         var judge = new GuardEvaluator(plan);
-        var copy = new RolloutCluster.InMemoryStore();
+        var copy = new InMemoryStore();
         var tallies = IntStream.range(0, routers)
                 .mapToObj(i -> new LocalCounters("round", new Member("r" + i, 1), plan.requestClasses()))
                 .toArray(LocalCounters[]::new);
@@ -70,7 +70,7 @@
 
     private boolean anyRouterHaltsAlone(GuardEvaluator judge, LocalCounters[] tallies, int stage, int now) {
         return Arrays.stream(tallies).anyMatch(tally -> {
-            var own = new RolloutCluster.InMemoryStore();
+            var own = new InMemoryStore();
             tally.publish(own, stage, now);
             return judge.haltReason(stage, MergedCounters.collect(own, "round", stage)) != null;
         });
--- a/fleet/src/test/java/clayhook/rollout/SequentialTestTest.java
+++ b/fleet/src/test/java/clayhook/rollout/SequentialTestTest.java
@@ -52,24 +52,21 @@
     /** One broken client among the candidate's sessions is no proof, however long it goes on. */
     @Test
     void oneFailingSessionIsNotProof() {
-        long[] counts = new long[MemberCounters.EvidenceSums.SIZE + 2 * CounterBatch.OutcomeCounters.SIZE];
-        double[] sums = new double[MemberCounters.EvidenceSums.SIZE];
-        for (int bucket = 0; bucket < CounterBatch.OutcomeCounters.SESSION_BUCKETS; bucket++) {
+        long[] counts = new long[CounterLayout.SIZE];
+        double[] sums = new double[CounterLayout.EVIDENCE_SIZE];
+        for (int bucket = 0; bucket < OutcomeCounters.SESSION_BUCKETS; bucket++) {
             for (int version = 0; version < 2; version++) {
-                int at = MemberCounters.EvidenceSums.SIZE
-                        + version * CounterBatch.OutcomeCounters.SIZE
-                        + bucket * CounterBatch.OutcomeCounters.COUNTERS_PER_BUCKET;
-                counts[at + CounterBatch.OutcomeCounters.TOTAL] = 1000;
-                counts[at + CounterBatch.OutcomeCounters.FAILED] = version == 1 && bucket == 5 ? 1000 : 10;
+                int at = CounterLayout.EVIDENCE_SIZE
+                        + version * OutcomeCounters.SIZE
+                        + bucket * OutcomeCounters.COUNTERS_PER_BUCKET;
+                counts[at + OutcomeCounters.TOTAL] = 1000;
+                counts[at + OutcomeCounters.FAILED] = version == 1 && bucket == 5 ? 1000 : 10;
             }
         }
         SequentialTest.addInterval(sums, 0, 12_000, 120, 12_000, 1110);
         assertTrue(sums[0] > 10);
         double dispersion = SequentialTest.dispersion(
-                counts,
-                MemberCounters.EvidenceSums.SIZE,
-                CounterBatch.OutcomeCounters.TOTAL,
-                CounterBatch.OutcomeCounters.FAILED);
+                counts, CounterLayout.EVIDENCE_SIZE, OutcomeCounters.TOTAL, OutcomeCounters.FAILED);
         for (int i = 0; i < sums.length; i++) {
             counts[i] = SequentialTest.toFixedPoint(sums[i]);
         }
@@ -81,13 +78,13 @@
     /** What hits both versions in one second and at one router tells nothing; the same ends at unlike times do. */
     @Test
     void onlyDifferencesWithinTheSameIntervalCount() {
-        double[] both = new double[MemberCounters.EvidenceSums.SIZE];
+        double[] both = new double[CounterLayout.EVIDENCE_SIZE];
         SequentialTest.addInterval(both, 0, 900, 450, 100, 50);
         assertTrue(both[0] < 0 && both[4] < 0);
-        double[] none = new double[MemberCounters.EvidenceSums.SIZE];
+        double[] none = new double[CounterLayout.EVIDENCE_SIZE];
         SequentialTest.addInterval(none, 0, 0, 0, 100, 100);
         assertEquals(0, none[0]);
-        double[] worse = new double[MemberCounters.EvidenceSums.SIZE];
+        double[] worse = new double[CounterLayout.EVIDENCE_SIZE];
         SequentialTest.addInterval(worse, 0, 900, 9, 100, 10);
         assertTrue(worse[5] > 5, "ten of a hundred against one of a hundred: " + worse[5]);
     }
--- a/fleet/src/test/java/clayhook/rollout/StateSpaceExplorer.java
+++ b/fleet/src/test/java/clayhook/rollout/StateSpaceExplorer.java
@@ -11,153 +11,166 @@
 import java.util.stream.Stream;
 
 /**
- * Every order in which a few things can happen to three routers and one rollout, breadth first; one that leads to a
- * state seen before is not followed. Whatever is not delivered is late or, once more than {@link #LINK_CAPACITY} wait,
- * lost. The code itself is explored, not a model of it, so that nothing can differ between the two; a model checker for
- * threads (lincheck) has nothing to interleave here, and Alloy would check a second text of the rules.
+ * Explores every order of a few steps of three routers and one rollout, breadth first; an order that leads to a known
+ * state is not followed. Messages that are not delivered are late or, once more than {@link #LINK_CAPACITY} wait, lost.
+ * The code itself is explored and not a model of it, so that the two cannot differ; a model checker for threads
+ * (lincheck) has nothing to interleave here, and Alloy would check a second text of the rules.
  */
 final class StateSpaceExplorer {
     private static final int MEMBERS = 3;
+    private static final int LINK_CAPACITY = 2;
+    // Steps are numbered: exchanges and deliveries by sender and receiver, crashes by node, the passing of time, a
+    // withdrawal.
     private static final int EXCHANGE_STEPS_END = MEMBERS * MEMBERS;
     private static final int DELIVERY_STEPS_END = 2 * MEMBERS * MEMBERS;
     private static final int CRASH_STEPS_END = DELIVERY_STEPS_END + MEMBERS;
     private static final int TIME_STEP = CRASH_STEPS_END;
     private static final int WITHDRAWAL_STEP = TIME_STEP + 1;
-    private static final int LINK_CAPACITY = 2;
     private static final int STEPS = WITHDRAWAL_STEP + 1;
 
     private final Quorum quorum;
     private final Supplier<Lease> leaseFactory;
+    /** States found so far. */
     int exploredStates;
 
-    StateSpaceExplorer(Quorum quorum, Supplier<Lease> leases) {
+    StateSpaceExplorer(Quorum quorum, Supplier<Lease> leaseFactory) {
         this.quorum = quorum;
-        this.leaseFactory = leases;
+        this.leaseFactory = leaseFactory;
     }
 
-    /** Up to where all have read the candidate; or up to where all run it, and one asks whether it may go on. */
+    /**
+     * The state from which all orders start.
+     *
+     * @param running false: all have loaded the candidate; true: all run it, and one has asked for another lease
+     */
     private RolloutCluster start(boolean running) {
-        var net = new RolloutCluster(MEMBERS, quorum, leaseFactory);
-        net.linkCapacity = LINK_CAPACITY;
-        net.now += 5;
+        var cluster = new RolloutCluster(MEMBERS, quorum, leaseFactory);
+        cluster.linkCapacity = LINK_CAPACITY;
+        cluster.now += 5;
         for (int i = 0; i < EXCHANGE_STEPS_END; i++) {
-            net.exchange(i / MEMBERS, i % MEMBERS);
+            cluster.exchange(i / MEMBERS, i % MEMBERS);
         }
-        net.nodes[0].controller.propose(RolloutCluster.plan(0, 1), "candidate", net.now);
-        net.tick(0);
+        cluster.nodes[0].controller.propose(RolloutCluster.plan(0, 1), "candidate", cluster.now);
+        cluster.tick(0);
         for (int i = 1; i < MEMBERS; i++) {
-            net.exchange(0, i);
-            net.tick(i);
-            net.exchange(i, 0);
+            cluster.exchange(0, i);
+            cluster.tick(i);
+            cluster.exchange(i, 0);
         }
-        net.exchange(0, 1);
-        net.now += 1;
+        cluster.exchange(0, 1);
+        cluster.now += 1;
         if (running) {
-            net.run(1);
-            net.now += 1;
-            net.tick(0);
+            cluster.run(1);
+            cluster.now += 1;
+            cluster.tick(0);
         }
-        return net;
+        return cluster;
     }
 
-    private static boolean isEnabled(RolloutCluster net, int step, List<Integer> before) {
+    private static boolean isEnabled(RolloutCluster cluster, int step, List<Integer> before) {
         int from = step / MEMBERS % MEMBERS;
         int to = step % MEMBERS;
         if (step < EXCHANGE_STEPS_END) {
             return from < to;
         }
         if (step < DELIVERY_STEPS_END) {
-            return !net.links.get(from).get(to).isEmpty();
+            return !cluster.links.get(from).get(to).isEmpty();
         }
         return step == TIME_STEP || !hasFailure(before);
     }
 
-    /** One crash or one withdrawal is enough for an order. */
+    /** Whether there is a crash or a withdrawal; one is enough for an order. */
     private static boolean hasFailure(List<Integer> order) {
-        return order.stream().anyMatch(each -> each >= DELIVERY_STEPS_END && each != TIME_STEP);
+        return order.stream().anyMatch(step -> step >= DELIVERY_STEPS_END && step != TIME_STEP);
     }
 
-    private static void apply(RolloutCluster net, int step) {
+    private static void apply(RolloutCluster cluster, int step) {
         int from = step / MEMBERS % MEMBERS;
         int to = step % MEMBERS;
         if (step < EXCHANGE_STEPS_END) {
-            net.exchange(from, to);
-            net.exchange(to, from);
-            net.tick(from);
-            net.tick(to);
+            cluster.exchange(from, to);
+            cluster.exchange(to, from);
+            cluster.tick(from);
+            cluster.tick(to);
         } else if (step < DELIVERY_STEPS_END) {
-            net.deliver(from, to);
+            cluster.deliver(from, to);
         } else if (step < CRASH_STEPS_END) {
-            net.startNode(step - DELIVERY_STEPS_END);
+            cluster.startNode(step - DELIVERY_STEPS_END);
         } else if (step == TIME_STEP) {
-            net.now += net.settings.leaseSeconds() / 2;
-            net.serveRequests(50, 0);
+            cluster.now += cluster.settings.leaseSeconds() / 2;
+            cluster.serveRequests(50, 0);
             for (int i = 0; i < MEMBERS; i++) {
-                net.tick(i);
+                cluster.tick(i);
             }
         } else {
-            net.nodes[2].controller.withdraw(net.now);
+            cluster.nodes[2].controller.withdraw(cluster.now);
         }
     }
 
-    /** All that what follows depends on, times as of now. */
-    private static String fingerprint(RolloutCluster net) {
+    /** All that the further course depends on, with times relative to now. */
+    private static String fingerprint(RolloutCluster cluster) {
         var text = new StringBuilder();
-        for (RolloutCluster.RolloutNode node : net.nodes) {
+        for (RolloutNode node : cluster.nodes) {
             text.append(node.member)
                     .append(node.store.digest(RolloutProgress.TYPE, 0))
                     .append(' ')
                     .append(node.store.digest(StageVote.TYPE, 0))
                     .append(' ')
                     .append(node.store.digest(MemberCounters.OUTCOME_COUNTS, 0));
-            node.controller.rollouts().forEach(live -> text.append(live.progress)
-                    .append(live.running)
-                    .append(live.firstSeenAt - net.now)
-                    .append(live.nextLeaseRequestAt - net.now)
-                    .append(live.lease == null ? "" : new TreeMap<>(live.lease.granted())));
-            node.grantedRequestAt.forEach((by, at) -> text.append(by).append(at - net.now));
+            node.controller.rollouts().forEach(rollout -> text.append(rollout.progress)
+                    .append(rollout.running)
+                    .append(rollout.firstSeenAt - cluster.now)
+                    .append(rollout.nextLeaseRequestAt - cluster.now)
+                    .append(rollout.lease == null ? "" : new TreeMap<>(rollout.lease.grantTimes())));
+            node.grantedRequestAt.forEach(
+                    (voter, requestedAt) -> text.append(voter).append(requestedAt - cluster.now));
         }
-        net.links.forEach(links -> links.forEach(
+        cluster.links.forEach(links -> links.forEach(
                 link -> link.forEach(sent -> text.append(sent.message()).append(';'))));
-        return text.append(net.now).append(net.votes).toString();
+        return text.append(cluster.now).append(cluster.invariants.highestVotes).toString();
     }
 
-    /** What can happen after that order. */
-    private static List<List<Integer>> successors(RolloutCluster net, List<Integer> order) {
-        var next = new ArrayList<List<Integer>>();
+    /** That order with each step that may follow. */
+    private static List<List<Integer>> successors(RolloutCluster cluster, List<Integer> order) {
+        var successors = new ArrayList<List<Integer>>();
         for (int step = 0; step < STEPS; step++) {
-            if (isEnabled(net, step, order)) {
+            if (isEnabled(cluster, step, order)) {
                 var longer = new ArrayList<>(order);
                 longer.add(step);
-                next.add(longer);
+                successors.add(longer);
             }
         }
-        return next;
+        return successors;
     }
 
-    /** The first order, shortest ones first, after which a rule does not hold; null for none. */
+    /** The first order, shortest ones first, after which an invariant does not hold; null for none. */
     String findViolation(boolean running, int depth) {
         Set<String> seen = ConcurrentHashMap.newKeySet();
         List<List<Integer>> orders = successors(start(running), List.of());
         for (int i = 0; i < depth; i++) {
-            Queue<String> broken = new ConcurrentLinkedQueue<>();
+            Queue<String> violations = new ConcurrentLinkedQueue<>();
             orders = orders.parallelStream()
-                    .flatMap(order -> {
-                        RolloutCluster net = start(running);
-                        order.forEach(step -> apply(net, step));
-                        if (net.findViolation() != null) {
-                            broken.add(order + ": " + net.findViolation());
-                        }
-                        return seen.add(hasFailure(order) + fingerprint(net))
-                                ? successors(net, order).stream()
-                                : Stream.empty();
-                    })
+                    .flatMap(order -> explore(running, order, seen, violations))
                     .toList();
-            if (!broken.isEmpty()) {
-                return broken.peek();
+            if (!violations.isEmpty()) {
+                return violations.peek();
             }
         }
         exploredStates += seen.size();
         return null;
     }
+
+    /** Plays an order; returns its successors if it leads to a new state. */
+    private Stream<List<Integer>> explore(
+            boolean running, List<Integer> order, Set<String> seen, Queue<String> violations) {
+        RolloutCluster cluster = start(running);
+        order.forEach(step -> apply(cluster, step));
+        String violation = cluster.findViolation();
+        if (violation != null) {
+            violations.add(order + ": " + violation);
+        }
+        return seen.add(hasFailure(order) + fingerprint(cluster))
+                ? successors(cluster, order).stream()
+                : Stream.empty();
+    }
 }
--- a/fleet/src/test/java/clayhook/rollout/StateSpaceExplorerTest.java
+++ b/fleet/src/test/java/clayhook/rollout/StateSpaceExplorerTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 class StateSpaceExplorerTest {
-    /** Things that happen after a start; one more takes ten times as long, and is done by hand. */
+    /** Steps after a start; one more takes ten times as long, and is tried by hand. */
     private static final int DEPTH = Integer.getInteger("clayhook.depth", 4);
 
     @Test
@@ -20,25 +20,23 @@
 
     @Test
     void findsAQuorumThatIsNoMajority() {
-        var defect = new StateSpaceExplorer(
-                new Quorum() {
-                    @Override
-                    int majorityOf(int voters) {
-                        return voters / 2;
-                    }
-                },
-                Lease::new);
-        assertNotNull(defect.findViolation(false, DEPTH));
+        Quorum half = new Quorum() {
+            @Override
+            int majorityOf(int voters) {
+                return voters / 2;
+            }
+        };
+        assertNotNull(new StateSpaceExplorer(half, Lease::new).findViolation(false, DEPTH));
     }
 
     @Test
     void findsALeaseCountedFromTheResponse() {
-        var defect = new StateSpaceExplorer(new Quorum(), () -> new Lease() {
+        class LateLease extends Lease {
             @Override
-            double countedFrom(double asked, double now) {
+            double countedFrom(double requestedAt, double now) {
                 return now;
             }
-        });
-        assertNotNull(defect.findViolation(true, DEPTH));
+        }
+        assertNotNull(new StateSpaceExplorer(new Quorum(), LateLease::new).findViolation(true, DEPTH));
     }
 }
