--- a/fleet/src/main/java/clayhook/rollout/ClassCounters.java
+++ b/fleet/src/main/java/clayhook/rollout/ClassCounters.java
@@ -1,5 +1,8 @@
 package clayhook.rollout;
 
+import java.util.EnumMap;
+import java.util.Map;
+
 /**
  * What this router has counted in one stage and request class, for both variants side by side. Outcomes are collected
  * in an open interval, in which both variants are taken to be exposed to the same conditions, and then added to the
@@ -10,9 +13,9 @@
     private static final int MIN_LATENCY_SAMPLES = 500;
 
     /** Outcomes since the interval began, by variant. */
-    private OutcomeCounters[] interval = emptyCounters();
+    private Map<Variant, OutcomeCounters> interval = emptyCounters();
     /** Outcomes of closed intervals, by variant. */
-    private final OutcomeCounters[] closed = emptyCounters();
+    private final Map<Variant, OutcomeCounters> closed = emptyCounters();
 
     private final double[] evidenceSums = new double[CounterLayout.EVIDENCE_SIZE];
     private double slowThreshold = Double.NaN;
@@ -20,13 +23,17 @@
     private boolean unpublished;
     private long revision;
 
-    private static OutcomeCounters[] emptyCounters() {
-        return new OutcomeCounters[] {new OutcomeCounters(), new OutcomeCounters()};
+    private static Map<Variant, OutcomeCounters> emptyCounters() {
+        var counters = new EnumMap<Variant, OutcomeCounters>(Variant.class);
+        for (Variant variant : Variant.values()) {
+            counters.put(variant, new OutcomeCounters());
+        }
+        return counters;
     }
 
     /** Adds outcomes to the open interval. */
     void add(Variant variant, OutcomeCounters outcomes) {
-        interval[variant.ordinal()].add(outcomes);
+        interval.get(variant).add(outcomes);
         intervalHasOutcomes = true;
     }
 
@@ -35,8 +42,8 @@
         if (!intervalHasOutcomes) {
             return;
         }
-        OutcomeCounters baseline = interval[Variant.BASELINE.ordinal()];
-        OutcomeCounters candidate = interval[Variant.CANDIDATE.ordinal()];
+        OutcomeCounters baseline = interval.get(Variant.BASELINE);
+        OutcomeCounters candidate = interval.get(Variant.CANDIDATE);
         for (GuardMetric metric : GuardMetric.values()) {
             int compared = OutcomeCounters.comparedOffset(metric);
             int bad = OutcomeCounters.badOffset(metric);
@@ -49,7 +56,7 @@
                     candidate.sum(bad));
         }
         for (Variant variant : Variant.values()) {
-            closed[variant.ordinal()].add(interval[variant.ordinal()]);
+            closed.get(variant).add(interval.get(variant));
         }
         interval = emptyCounters();
         intervalHasOutcomes = false;
@@ -73,9 +80,9 @@
     /** From closed intervals only, so that no request takes part in the decision whether it is slow itself. */
     private double baselinePercentile99(ClassCounters previousStage) {
         var baseline = new OutcomeCounters();
-        baseline.add(closed[Variant.BASELINE.ordinal()]);
+        baseline.add(closed.get(Variant.BASELINE));
         if (previousStage != null) {
-            baseline.add(previousStage.closed[Variant.BASELINE.ordinal()]);
+            baseline.add(previousStage.closed.get(Variant.BASELINE));
         }
         return LatencyHistogram.total(baseline.latencies) >= MIN_LATENCY_SAMPLES
                 ? LatencyHistogram.percentile99(baseline.latencies)
@@ -104,7 +111,7 @@
             counts[i] = SequentialTest.toFixedPoint(evidenceSums[i]);
         }
         for (Variant variant : Variant.values()) {
-            long[] outcomes = closed[variant.ordinal()].counts;
+            long[] outcomes = closed.get(variant).counts;
             System.arraycopy(outcomes, 0, counts, CounterLayout.outcomeOffset(variant), OutcomeCounters.SIZE);
         }
         return counts;
@@ -112,6 +119,6 @@
 
     /** A copy of a variant's answer times in closed intervals, see {@link LatencyHistogram}. */
     long[] latencies(Variant variant) {
-        return closed[variant.ordinal()].latencies.clone();
+        return closed.get(variant).latencies.clone();
     }
 }
--- a/fleet/src/main/java/clayhook/rollout/ClassTotals.java
+++ b/fleet/src/main/java/clayhook/rollout/ClassTotals.java
@@ -1,17 +1,44 @@
 package clayhook.rollout;
 
+import java.util.EnumMap;
+import java.util.Map;
+
 /** Counters of one request class in one stage, added over all routers. Not thread-safe. */
 final class ClassTotals {
     /** In the layout of {@link CounterLayout}. */
     private final long[] counts = new long[CounterLayout.SIZE];
     /** By variant, see {@link LatencyHistogram}. */
-    private final long[][] latencies = new long[Variant.values().length][LatencyHistogram.SIZE];
+    private final Map<Variant, long[]> latencies = new EnumMap<>(Variant.class);
+
+    private final Map<GuardMetric, WeightedMean> differences = new EnumMap<>(GuardMetric.class);
+
     /**
-     * By metric: differences between the variants at each router, weighted by how precise that router's comparison is.
+     * The mean over routers of a difference between the variants, weighted by how precise each router's comparison is.
      */
-    private final double[] weightedDifferences = new double[GuardMetric.values().length];
+    private static final class WeightedMean {
+        private double sum;
+        private double weight;
+
+        void add(double difference, double differenceWeight) {
+            sum += differenceWeight * difference;
+            weight += differenceWeight;
+        }
+
+        /** NaN while nothing was added. */
+        double mean() {
+            return sum / weight;
+        }
+    }
 
-    private final double[] weights = new double[GuardMetric.values().length];
+    /** Nothing was counted yet. */
+    ClassTotals() {
+        for (Variant variant : Variant.values()) {
+            latencies.put(variant, new long[LatencyHistogram.SIZE]);
+        }
+        for (GuardMetric metric : GuardMetric.values()) {
+            differences.put(metric, new WeightedMean());
+        }
+    }
 
     /** Adds the outcome counts of one router. */
     void addOutcomes(long[] more) {
@@ -22,18 +49,16 @@
             double baseline = comparedRequests(more, metric, Variant.BASELINE);
             double candidate = comparedRequests(more, metric, Variant.CANDIDATE);
             if (baseline > 0 && candidate > 0) {
-                double weight = baseline * candidate / (baseline + candidate);
-                weightedDifferences[metric.ordinal()] += weight
-                        * (badRequests(more, metric, Variant.CANDIDATE) / candidate
-                                - badRequests(more, metric, Variant.BASELINE) / baseline);
-                weights[metric.ordinal()] += weight;
+                double difference = badRequests(more, metric, Variant.CANDIDATE) / candidate
+                        - badRequests(more, metric, Variant.BASELINE) / baseline;
+                differences.get(metric).add(difference, baseline * candidate / (baseline + candidate));
             }
         }
     }
 
     /** Adds the latency histogram of one router. */
     void addLatencies(Variant variant, long[] more) {
-        long[] times = latencies[variant.ordinal()];
+        long[] times = latencies.get(variant);
         for (int i = 0; i < LatencyHistogram.SIZE; i++) {
             times[i] += more[i];
         }
@@ -60,7 +85,7 @@
      */
     double metricValue(GuardMetric metric, Variant variant) {
         return metric == GuardMetric.SLOW
-                ? LatencyHistogram.percentile99(latencies[variant.ordinal()])
+                ? LatencyHistogram.percentile99(latencies.get(variant))
                 : badRequests(counts, metric, variant) / comparedRequests(counts, metric, variant);
     }
 
@@ -71,7 +96,7 @@
     double regression(GuardMetric metric) {
         return metric == GuardMetric.SLOW
                 ? metricValue(metric, Variant.CANDIDATE) / metricValue(metric, Variant.BASELINE) - 1
-                : weightedDifferences[metric.ordinal()] / weights[metric.ordinal()];
+                : differences.get(metric).mean();
     }
 
     /** Natural logarithm of the evidence that the candidate is worse. */
--- a/fleet/src/main/java/clayhook/rollout/CounterBatch.java
+++ b/fleet/src/main/java/clayhook/rollout/CounterBatch.java
@@ -16,7 +16,8 @@
     private static final int MAX_VERSIONS = 8;
 
     /** By version object, then by request class. */
-    private final Map<RuleSetVersion, Map<String, OutcomeCounters>> countersByVersion = new IdentityHashMap<>();
+    private final IdentityHashMap<RuleSetVersion, Map<String, OutcomeCounters>> countersByVersion =
+            new IdentityHashMap<>();
 
     /**
      * Counts a finished request, for its class and for all classes together.
--- a/fleet/src/main/java/clayhook/rollout/CounterLayout.java
+++ b/fleet/src/main/java/clayhook/rollout/CounterLayout.java
@@ -16,11 +16,11 @@
 
     /** Where the evidence sums of a metric begin. */
     static int evidenceOffset(GuardMetric metric) {
-        return metric.ordinal() * SUMS_PER_METRIC;
+        return metric.code() * SUMS_PER_METRIC;
     }
 
     /** Where the outcome counters of a variant begin. */
     static int outcomeOffset(Variant variant) {
-        return EVIDENCE_SIZE + variant.ordinal() * OutcomeCounters.SIZE;
+        return EVIDENCE_SIZE + variant.position() * OutcomeCounters.SIZE;
     }
 }
--- a/fleet/src/main/java/clayhook/rollout/Guard.java
+++ b/fleet/src/main/java/clayhook/rollout/Guard.java
@@ -30,10 +30,10 @@
         boolean isShare = metric != GuardMetric.SLOW;
         double max = isShare ? 1 : Double.POSITIVE_INFINITY;
         // Negated comparisons, so that NaN is a problem too.
-        if (!(absoluteLimit > 0) || isLimited(absoluteLimit) && absoluteLimit > max) {
+        if (!(absoluteLimit > 0) || (isLimited(absoluteLimit) && absoluteLimit > max)) {
             problems.add(new RolloutProblem(key + ".most", "must be above 0" + (isShare ? " and at most 1" : "")));
         }
-        if (!(regressionLimit >= 0) || isLimited(regressionLimit) && regressionLimit > max) {
+        if (!(regressionLimit >= 0) || (isLimited(regressionLimit) && regressionLimit > max)) {
             problems.add(new RolloutProblem(key + ".worse", "must not be below 0" + (isShare ? " nor above 1" : "")));
         }
         if (absoluteLimit == Double.POSITIVE_INFINITY && regressionLimit == Double.POSITIVE_INFINITY) {
@@ -49,7 +49,7 @@
     void write(FieldWriter out) {
         out.beginList()
                 .writeNullableString(requestClass)
-                .writeLong(metric.ordinal())
+                .writeLong(metric.code())
                 .writeDouble(absoluteLimit)
                 .writeDouble(regressionLimit)
                 .endList();
@@ -58,7 +58,7 @@
     /** Decodes the fields within the list; throws IllegalArgumentException for malformed ones. */
     static Guard read(FieldReader in) {
         String requestClass = in.readNonEmptyString();
-        GuardMetric metric = GuardMetric.values()[in.readIntBelow(GuardMetric.values().length)];
+        GuardMetric metric = GuardMetric.ofCode(in.readIntBelow(GuardMetric.values().length));
         return new Guard(requestClass, metric, in.readDouble(), in.readDouble());
     }
 }
--- a/fleet/src/main/java/clayhook/rollout/GuardEvaluator.java
+++ b/fleet/src/main/java/clayhook/rollout/GuardEvaluator.java
@@ -59,8 +59,8 @@
                         baselineRequests);
             }
             if (exceedsAbsoluteLimit(guard, totals)
-                    || exceedsRegressionLimit(guard, totals)
-                            && totals.logEvidence(guard.metric()) >= INCONCLUSIVE_LOG_EVIDENCE) {
+                    || (exceedsRegressionLimit(guard, totals)
+                            && totals.logEvidence(guard.metric()) >= INCONCLUSIVE_LOG_EVIDENCE)) {
                 return "inconclusive, " + describe(guard, totals);
             }
         }
--- a/fleet/src/main/java/clayhook/rollout/GuardMetric.java
+++ b/fleet/src/main/java/clayhook/rollout/GuardMetric.java
@@ -1,28 +1,42 @@
 package clayhook.rollout;
 
-/**
- * What a guard watches: the share of requests that end in a certain way. The ordinals are written to the wire, so
- * constants may only be added at the end.
- */
+import java.util.Arrays;
+
+/** What a guard watches: the share of requests that end in a certain way. */
 public enum GuardMetric {
     /** Ended in an error that is not the statement's own. */
-    FAILED("failed"),
+    FAILED(0, "failed"),
     /** Answered after their latency objective. */
-    LATE("late"),
+    LATE(1, "late"),
     /** Rejected by the router. */
-    REJECTED("throttled"),
+    REJECTED(2, "throttled"),
     /**
      * Slower than the baseline's 99th percentile at the same router; shown and limited as the 99th percentile in
      * seconds.
      */
-    SLOW("slow");
+    SLOW(3, "slow");
 
+    private final int code;
     private final String key;
 
-    GuardMetric(String key) {
+    GuardMetric(int code, String key) {
+        this.code = code;
         this.key = key;
     }
 
+    /** The number on the wire, from 0 without gaps; also the position in replicated counters. Never changes. */
+    int code() {
+        return code;
+    }
+
+    /** The metric with that code; throws IllegalArgumentException for none. */
+    static GuardMetric ofCode(int code) {
+        return Arrays.stream(values())
+                .filter(metric -> metric.code == code)
+                .findFirst()
+                .orElseThrow(() -> new IllegalArgumentException("no metric " + code));
+    }
+
     /** The word for the metric in the operator's file and in the reason of a halt, which other routers receive. */
     public String key() {
         return key;
--- a/fleet/src/main/java/clayhook/rollout/LeaseGrants.java
+++ b/fleet/src/main/java/clayhook/rollout/LeaseGrants.java
@@ -33,7 +33,7 @@
      */
     boolean tryGrant(String rolloutId, double now, double leaseSeconds) {
         expiryByRollout.values().removeIf(expiry -> expiry <= now);
-        if (now < notBefore || !expiryByRollout.isEmpty() && !expiryByRollout.containsKey(rolloutId)) {
+        if (now < notBefore || (!expiryByRollout.isEmpty() && !expiryByRollout.containsKey(rolloutId))) {
             return false;
         }
         expiryByRollout.put(rolloutId, now + leaseSeconds * MAX_CLOCK_DRIFT);
--- a/fleet/src/main/java/clayhook/rollout/MemberCountersType.java
+++ b/fleet/src/main/java/clayhook/rollout/MemberCountersType.java
@@ -42,7 +42,7 @@
     @Override
     public MemberCounters merge(MemberCounters a, MemberCounters b) {
         int order = Long.compare(a.revision(), b.revision());
-        boolean firstIsNewer = order > 0 || order == 0 && Arrays.compare(a.counts(), b.counts()) >= 0;
+        boolean firstIsNewer = order > 0 || (order == 0 && Arrays.compare(a.counts(), b.counts()) >= 0);
         MemberCounters newer = firstIsNewer ? a : b;
         return new MemberCounters(newer.revision(), Math.max(a.recordedAt(), b.recordedAt()), newer.counts());
     }
--- a/fleet/src/main/java/clayhook/rollout/RolloutEnd.java
+++ b/fleet/src/main/java/clayhook/rollout/RolloutEnd.java
@@ -2,6 +2,7 @@
 
 import clayhook.fleet.FieldReader;
 import clayhook.fleet.FieldWriter;
+import java.util.Arrays;
 import java.util.Comparator;
 
 /**
@@ -14,21 +15,37 @@
  * @param endedAt when, in seconds since 1970 on that router's clock
  */
 record RolloutEnd(EndCause cause, String reason, String endedBy, double endedAt) {
-    /**
-     * Kinds of ends, in the order in which one is reported where several routers end a rollout at once. The ordinals
-     * are written to the wire, so constants may only be added at the end.
-     */
+    /** Kinds of ends, in the order in which one is reported where several routers end a rollout at once. */
     enum EndCause {
         /** The counters proved that the candidate is worse, or it could not go on. */
-        HALTED,
+        HALTED(0),
         /** A router cannot run the candidate. */
-        VETOED,
+        VETOED(1),
         /** An operator took it back. */
-        WITHDRAWN,
+        WITHDRAWN(2),
         /** Another rollout that was proposed earlier wins. */
-        SUPERSEDED,
+        SUPERSEDED(3),
         /** It did not start in time. */
-        EXPIRED
+        EXPIRED(4);
+
+        private final int code;
+
+        EndCause(int code) {
+            this.code = code;
+        }
+
+        /** The number on the wire, from 0 without gaps. Never changes. */
+        int code() {
+            return code;
+        }
+
+        /** The cause with that code; throws IllegalArgumentException for none. */
+        static EndCause ofCode(int code) {
+            return Arrays.stream(values())
+                    .filter(cause -> cause.code == code)
+                    .findFirst()
+                    .orElseThrow(() -> new IllegalArgumentException("no cause " + code));
+        }
     }
 
     private static final Comparator<RolloutEnd> ORDER = Comparator.comparing(RolloutEnd::cause)
@@ -59,7 +76,7 @@
     /** Encodes the end as a list of its own. */
     void write(FieldWriter out) {
         out.beginList()
-                .writeLong(cause.ordinal())
+                .writeLong(cause.code())
                 .writeNullableString(reason)
                 .writeNullableString(endedBy)
                 .writeDouble(endedAt)
@@ -69,7 +86,7 @@
     /** Decodes what {@link #write} encoded; throws IllegalArgumentException for malformed fields. */
     static RolloutEnd read(FieldReader in) {
         in.beginList();
-        EndCause cause = EndCause.values()[in.readIntBelow(EndCause.values().length)];
+        EndCause cause = EndCause.ofCode(in.readIntBelow(EndCause.values().length));
         var end = new RolloutEnd(cause, in.readNullableString(), in.readNonEmptyString(), in.readDouble());
         in.endList();
         return end;
--- a/fleet/src/main/java/clayhook/rollout/TextChunk.java
+++ b/fleet/src/main/java/clayhook/rollout/TextChunk.java
@@ -10,12 +10,9 @@
 
 /**
  * A part of a text that is too long for one message. Chunks are keyed by the hash of the whole text, so that the same
- * text is replicated once.
- *
- * @param bytes the chunk's part of the text; must not be changed
- * @param retainedFrom from when the retention time is counted, in seconds since 1970
+ * text is replicated once. Immutable.
  */
-record TextChunk(byte[] bytes, double retainedFrom) {
+final class TextChunk {
     /** Bytes of a chunk; together with its key it fits in a message. */
     private static final int MAX_BYTES = 900;
     /** Room for nine texts of the longest kind; older ones are evicted. */
@@ -24,6 +21,25 @@
     /** Merge and encoding. Chunks under one key are equal but for their retention time, unless a router is at fault. */
     static final ReplicatedType<TextChunk> TYPE = new Type();
 
+    private final byte[] bytes;
+    private final double retainedFrom;
+
+    /**
+     * Creates a chunk.
+     *
+     * @param bytes the chunk's part of the text; not copied, so they must not be changed any more
+     * @param retainedFrom from when the retention time is counted, in seconds since 1970
+     */
+    TextChunk(byte[] bytes, double retainedFrom) {
+        this.bytes = bytes;
+        this.retainedFrom = retainedFrom;
+    }
+
+    /** The chunk's part of the text; not a copy, so they must not be changed. */
+    byte[] bytes() {
+        return bytes;
+    }
+
     /** 128 bits of the content in hexadecimal digits; also the name of a rule set. */
     static String contentHash(byte[] content) {
         HashValue128 hash = Hashing.murmur3_128().hashBytesTo128Bits(content);
--- a/fleet/src/test/java/clayhook/rollout/RecordedBytesTest.java
+++ b/fleet/src/test/java/clayhook/rollout/RecordedBytesTest.java
@@ -39,7 +39,7 @@
     private static final Properties RECORDED = recorded();
     private static final double TIME = 1_700_000_000.25;
     private static final Member MEMBER = new Member("router/ä-1", 1_700_000_000_123L);
-    private static final String ROUND = "0123456789abcdef";
+    private static final String ROLLOUT_ID = "0123456789abcdef";
     private static final String BASE = "a".repeat(32);
     private static final String RULES = "b".repeat(32);
     private static final String TERMS = "c".repeat(32);
@@ -74,16 +74,19 @@
         }
     }
 
-    private static Form message(String name, Message part) {
+    private static Form message(String name, Message message) {
         Map<Integer, Function<FieldReader, ? extends Message>> decoders =
                 new RolloutCluster(1).nodes[0].controller.messageReaders();
         assertEquals(Set.of(40, 41), decoders.keySet());
         return new Form(
-                "message." + part.typeNumber() + "." + name, part, part::write, decoders.get(part.typeNumber()));
+                "message." + message.typeNumber() + "." + name,
+                message,
+                message::write,
+                decoders.get(message.typeNumber()));
     }
 
-    private static <V> Form value(String name, ReplicatedType<V> kind, V value) {
-        return new Form("value." + kind.typeNumber() + "." + name, value, out -> kind.write(value, out), kind::read);
+    private static <V> Form value(String name, ReplicatedType<V> type, V value) {
+        return new Form("value." + type.typeNumber() + "." + name, value, out -> type.write(value, out), type::read);
     }
 
     /** What stands in another value as an element of a list. */
@@ -103,12 +106,12 @@
         return new Form("field." + name, value, encoder, decoder);
     }
 
-    private static Guard guard(GuardMetric measure) {
-        return switch (measure) {
-            case FAILED -> new Guard("read", measure, 0.02, 0.01);
-            case LATE -> new Guard("read", measure, NONE, 0);
-            case REJECTED -> new Guard(Guard.ALL_CLASSES, measure, 0.5, NONE);
-            case SLOW -> new Guard("schreiben/ü", measure, 3, 0.2);
+    private static Guard guard(GuardMetric metric) {
+        return switch (metric) {
+            case FAILED -> new Guard("read", metric, 0.02, 0.01);
+            case LATE -> new Guard("read", metric, NONE, 0);
+            case REJECTED -> new Guard(Guard.ALL_CLASSES, metric, 0.5, NONE);
+            case SLOW -> new Guard("schreiben/ü", metric, 3, 0.2);
         };
     }
 
@@ -125,15 +128,15 @@
         return new Proposal(MEMBER, TIME, BASE, RULES, 262_144, TERMS, 70_000, 10, 2);
     }
 
-    private static RolloutEnd end(EndCause what) {
-        return RolloutEnd.of(what, "stage 1, *: 2.000% failed", "router/ä-1", TIME + 1);
+    private static RolloutEnd end(EndCause cause) {
+        return RolloutEnd.of(cause, "stage 1, *: 2.000% failed", "router/ä-1", TIME + 1);
     }
 
     private static RolloutTerms terms() {
         return new RolloutTerms(plan(), 5, List.of(new Member("a", 1), MEMBER));
     }
 
-    private static MemberCounters figure(int size) {
+    private static MemberCounters memberCounters(int size) {
         long[] counts = new long[size];
         for (int i = 0; i < size; i++) {
             // One to nine bytes long, of both signs.
@@ -144,9 +147,9 @@
 
     static Stream<Form> forms() {
         var forms = new ArrayList<Form>();
-        forms.add(message("ask", new LeaseRequest(ROUND, TIME)));
-        forms.add(message("answer.granted", new LeaseResponse(ROUND, TIME, true)));
-        forms.add(message("answer.refused", new LeaseResponse(ROUND, TIME, false)));
+        forms.add(message("ask", new LeaseRequest(ROLLOUT_ID, TIME)));
+        forms.add(message("answer.granted", new LeaseResponse(ROLLOUT_ID, TIME, true)));
+        forms.add(message("answer.refused", new LeaseResponse(ROLLOUT_ID, TIME, false)));
         forms.add(value("round.new", RolloutProgress.TYPE, new RolloutProgress(proposal(), 0, null, TIME)));
         forms.add(value(
                 "round.ended",
@@ -154,19 +157,19 @@
                 new RolloutProgress(proposal(), 17, end(EndCause.HALTED), TIME + 2)));
         forms.add(value("piece", TextChunk.TYPE, new TextChunk(new byte[] {0, 1, 127, -128, -1}, TIME)));
         forms.add(value("vote", StageVote.TYPE, new StageVote(17, TIME)));
-        forms.add(value("counts", MemberCounters.OUTCOME_COUNTS, figure(176)));
-        forms.add(value("times.old", MemberCounters.BASELINE_LATENCIES, figure(160)));
-        forms.add(value("times.candidate", MemberCounters.CANDIDATE_LATENCIES, figure(160)));
+        forms.add(value("counts", MemberCounters.OUTCOME_COUNTS, memberCounters(176)));
+        forms.add(value("times.old", MemberCounters.BASELINE_LATENCIES, memberCounters(160)));
+        forms.add(value("times.candidate", MemberCounters.CANDIDATE_LATENCIES, memberCounters(160)));
         forms.add(field("proposal", proposal(), proposal()::write, Proposal::read));
-        for (EndCause what : EndCause.values()) {
-            forms.add(field("end." + what.ordinal(), end(what), end(what)::write, RolloutEnd::read));
+        for (EndCause cause : EndCause.values()) {
+            forms.add(field("end." + cause.code(), end(cause), end(cause)::write, RolloutEnd::read));
         }
         forms.add(field("plan", plan(), plan()::write, RolloutPlan::read));
         RolloutStage stage = plan().stages().get(0);
         forms.add(element("stage", stage, stage::write, RolloutStage::read));
-        for (GuardMetric measure : GuardMetric.values()) {
-            Guard guard = guard(measure);
-            forms.add(element("guard." + measure.ordinal(), guard, guard::write, Guard::read));
+        for (GuardMetric metric : GuardMetric.values()) {
+            Guard guard = guard(metric);
+            forms.add(element("guard." + metric.code(), guard, guard::write, Guard::read));
         }
         return forms.stream();
     }
@@ -201,8 +204,8 @@
     void everyRecordedFormIsChecked() {
         Set<String> names = forms().map(Form::name).collect(Collectors.toCollection(TreeSet::new));
         names.add("terms");
-        for (GuardMetric measure : GuardMetric.values()) {
-            Stream.of("counts", "old", "candidate").forEach(kind -> names.add(layout(measure, kind)));
+        for (GuardMetric metric : GuardMetric.values()) {
+            Stream.of("counts", "old", "candidate").forEach(kind -> names.add(layout(metric, kind)));
         }
         assertEquals(names, new TreeSet<>(RECORDED.stringPropertyNames()));
         assertEquals(
@@ -210,10 +213,10 @@
                 RolloutController.replicatedTypes().stream()
                         .map(ReplicatedType::typeNumber)
                         .toList());
-        for (ReplicatedType<?> kind : RolloutController.replicatedTypes()) {
+        for (ReplicatedType<?> type : RolloutController.replicatedTypes()) {
             assertTrue(
-                    names.stream().anyMatch(name -> name.startsWith("value." + kind.typeNumber() + ".")),
-                    "kind " + kind.typeNumber());
+                    names.stream().anyMatch(name -> name.startsWith("value." + type.typeNumber() + ".")),
+                    "kind " + type.typeNumber());
         }
     }
 
@@ -231,8 +234,8 @@
     @Test
     void keysKeepTheirText() {
         assertEquals("0fa4cf391cad9e48", proposal().id());
-        assertEquals("0123456789abcdef/loyw3v5n/router/ä-1", StageVote.key(ROUND, MEMBER));
-        var key = new CounterKey(ROUND, 2, MEMBER, "read/only");
+        assertEquals("0123456789abcdef/loyw3v5n/router/ä-1", StageVote.key(ROLLOUT_ID, MEMBER));
+        var key = new CounterKey(ROLLOUT_ID, 2, MEMBER, "read/only");
         assertEquals("0123456789abcdef/2/loyw3v5n/10/router/ä-1/read/only", key.encode());
         assertEquals(key, CounterKey.decode("0123456789abcdef/2/loyw3v5n/10/router/ä-1/read/only"));
     }
@@ -252,15 +255,23 @@
 
     @Test
     void ruleSetsKeepTextAndHash() {
-        var faults = new ArrayList<RolloutProblem>();
+        var problems = new ArrayList<RolloutProblem>();
         RuleSet set = RuleSet.of(
                 Map.of("timeout", 2.5, "read_group", "reads"),
                 List.of(Map.of("name", "a\t\"b\"", "kinds", List.of("select"), "cost_from", 10, "only", true)),
-                faults);
-        assertEquals(List.of(), faults);
+                problems);
+        assertEquals(List.of(), problems);
         assertEquals(
-                "[statements]\nread_group = \"reads\"\ntimeout = 2.5\n[[statements.rule]]\ncost_from = 10\n"
-                        + "kinds = [\"select\"]\nname = \"a\\u0009\\\"b\\\"\"\nonly = true\n",
+                """
+                [statements]
+                read_group = "reads"
+                timeout = 2.5
+                [[statements.rule]]
+                cost_from = 10
+                kinds = ["select"]
+                name = "a\\u0009\\"b\\""
+                only = true
+                """,
                 set.text());
         assertEquals("1eace384ecdce751dd4208e7d5d41261", set.hash());
     }
@@ -268,7 +279,7 @@
     /** Routers must agree on which sessions get the candidate. */
     @Test
     void sessionsKeepTheirVersion() {
-        var old = new RuleSetVersion("old", null, 0, false, Map.of());
+        var old = RuleSetVersion.outsideRollouts("old");
         TrafficSplit split = TrafficSplit.between(
                 old, old, new RuleSetVersion("00000000deadbeef", null, 1, true, Map.of()), 0.25, TIME);
         var candidates = new ArrayList<Long>();
@@ -284,11 +295,11 @@
     /** Which count stands where, and what a histogram's steps are, is part of the format too. */
     @ParameterizedTest
     @EnumSource(GuardMetric.class)
-    void countsKeepTheirPlaces(GuardMetric measure) {
+    void countsKeepTheirPlaces(GuardMetric metric) {
         var copy = new InMemoryStore();
-        var tally = new LocalCounters(ROUND, MEMBER, Set.of("read"));
-        var old = new RuleSetVersion(BASE, ROUND, 1, false, Map.of("read", 0.05));
-        var candidate = new RuleSetVersion(RULES, ROUND, 1, true, Map.of("read", 0.05));
+        var counters = new LocalCounters(ROLLOUT_ID, MEMBER, Set.of("read"));
+        var old = new RuleSetVersion(BASE, ROLLOUT_ID, 1, false, Map.of("read", 0.05));
+        var candidate = new RuleSetVersion(RULES, ROLLOUT_ID, 1, true, Map.of("read", 0.05));
         var batch = new CounterBatch();
         for (int session = 0; session < 6; session++) {
             batch.add(old, "read", session, false, false, false, 0.004);
@@ -296,34 +307,34 @@
                     candidate,
                     "read",
                     session,
-                    measure == GuardMetric.FAILED,
-                    measure == GuardMetric.LATE,
-                    measure == GuardMetric.REJECTED,
-                    measure == GuardMetric.SLOW ? 0.1 : Double.NaN);
+                    metric == GuardMetric.FAILED,
+                    metric == GuardMetric.LATE,
+                    metric == GuardMetric.REJECTED,
+                    metric == GuardMetric.SLOW ? 0.1 : Double.NaN);
         }
-        batch.forEach(tally::add);
-        tally.tick(TIME);
-        tally.publish(copy, 1, TIME);
+        batch.forEach(counters::add);
+        counters.tick(TIME);
+        counters.publish(copy, 1, TIME);
         String key = "0123456789abcdef/1/loyw3v5n/10/router/ä-1/read";
         assertEquals(
-                RECORDED.getProperty(layout(measure, "counts")), sparse(copy.get(MemberCounters.OUTCOME_COUNTS, key)));
+                RECORDED.getProperty(layout(metric, "counts")), sparse(copy.get(MemberCounters.OUTCOME_COUNTS, key)));
         assertEquals(
-                RECORDED.getProperty(layout(measure, "old")), sparse(copy.get(MemberCounters.BASELINE_LATENCIES, key)));
+                RECORDED.getProperty(layout(metric, "old")), sparse(copy.get(MemberCounters.BASELINE_LATENCIES, key)));
         assertEquals(
-                RECORDED.getProperty(layout(measure, "candidate")),
+                RECORDED.getProperty(layout(metric, "candidate")),
                 sparse(copy.get(MemberCounters.CANDIDATE_LATENCIES, key)));
     }
 
-    private static String layout(GuardMetric measure, String kind) {
-        return "layout." + measure.ordinal() + "." + kind;
+    private static String layout(GuardMetric metric, String kind) {
+        return "layout." + metric.code() + "." + kind;
     }
 
     /** The places of counts that are not zero. */
-    private static String sparse(MemberCounters figure) {
+    private static String sparse(MemberCounters counters) {
         var out = new StringBuilder();
-        for (int i = 0; i < figure.counts().length; i++) {
-            if (figure.counts()[i] != 0) {
-                out.append(i).append('=').append(figure.counts()[i]).append(' ');
+        for (int i = 0; i < counters.counts().length; i++) {
+            if (counters.counts()[i] != 0) {
+                out.append(i).append('=').append(counters.counts()[i]).append(' ');
             }
         }
         return out.toString().trim();
@@ -376,10 +387,10 @@
             for (int j = 0; j < net.nodes.length; j++) {
                 net.exchange(i, j);
                 while (!net.links.get(i).get(j).isEmpty()) {
-                    Message part = net.links.get(i).get(j).peekFirst().message();
+                    Message message = net.links.get(i).get(j).peekFirst().message();
                     var out = new FieldWriter();
-                    part.write(out);
-                    lines.add(i + " to " + j + ": " + part.typeNumber() + " " + hex(out.toByteArray()));
+                    message.write(out);
+                    lines.add(i + " to " + j + ": " + message.typeNumber() + " " + hex(out.toByteArray()));
                     net.deliver(i, j);
                 }
             }
@@ -387,18 +398,18 @@
     }
 
     private static void entries(RolloutNode node, List<String> lines) {
-        for (ReplicatedType<?> kind : RolloutController.replicatedTypes()) {
-            entries(node, kind, lines);
+        for (ReplicatedType<?> type : RolloutController.replicatedTypes()) {
+            entries(node, type, lines);
         }
     }
 
-    private static <V> void entries(RolloutNode node, ReplicatedType<V> kind, List<String> lines) {
-        node.store.forEach(kind, (key, value) -> entry(kind, key, value, lines));
+    private static <V> void entries(RolloutNode node, ReplicatedType<V> type, List<String> lines) {
+        node.store.forEach(type, (key, value) -> entry(type, key, value, lines));
     }
 
-    private static <V> void entry(ReplicatedType<V> kind, String key, V value, List<String> lines) {
+    private static <V> void entry(ReplicatedType<V> type, String key, V value, List<String> lines) {
         var out = new FieldWriter();
-        kind.write(value, out);
-        lines.add("kind " + kind.typeNumber() + ": " + key + " " + hex(out.toByteArray()));
+        type.write(value, out);
+        lines.add("kind " + type.typeNumber() + ": " + key + " " + hex(out.toByteArray()));
     }
 }
--- a/fleet/src/test/java/clayhook/rollout/RolloutControllerTest.java
+++ b/fleet/src/test/java/clayhook/rollout/RolloutControllerTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Five routers from the proposal to its end, and each rule on what may come between. */
+/** Rollouts at five routers from the proposal to the end, and what may happen in between. */
 class RolloutControllerTest {
     private static final String RULES = "[statements]\n".repeat(9000);
     private static final RolloutPlan PLAN = RolloutCluster.plan(3, 20);
@@ -39,8 +39,8 @@
         }
     }
 
-    private boolean allNodes(Predicate<RolloutNode> holds) {
-        return Arrays.stream(cluster.nodes).allMatch(node -> node == null || holds.test(node));
+    private boolean allNodes(Predicate<RolloutNode> condition) {
+        return Arrays.stream(cluster.nodes).allMatch(node -> node == null || condition.test(node));
     }
 
     private void startRollout() {
@@ -48,43 +48,44 @@
         runUntil(10, 0, () -> allNodes(RolloutNode::isRunning));
     }
 
-    private boolean allEnded(EndCause what) {
+    private boolean allEnded(EndCause cause) {
         return allNodes(node -> node.latestProgress() != null
                 && node.latestProgress().end() != null
-                && node.latestProgress().end().cause() == what
+                && node.latestProgress().end().cause() == cause
                 && !node.isRunning());
     }
 
+    /** Whether two routers that run the same stage give the same sessions the candidate. */
+    private static boolean splitsLike(RolloutNode first, RolloutNode second) {
+        boolean sameStage =
+                first.latestProgress().stage() == second.latestProgress().stage();
+        if (!second.isRunning() || !first.isRunning() || !sameStage) {
+            return true;
+        }
+        TrafficSplit split = first.controller.split();
+        return IntStream.range(0, 50)
+                .allMatch(session -> split.isCandidateSession(session)
+                        == second.controller.split().isCandidateSession(session));
+    }
+
     @Test
     void advancesThroughAllStages() {
         startRollout();
         runUntil(40, 0, () -> {
-            assertTrue(allNodes(node -> !node.isRunning()
-                    || IntStream.range(0, 50)
-                            .allMatch(session -> cluster.nodes[0]
-                                                    .latestProgress()
-                                                    .stage()
-                                            != node.latestProgress().stage()
-                                    || !cluster.nodes[0].isRunning()
-                                    || cluster.nodes[0].controller.split().isCandidateSession(session)
-                                            == node.controller.split().isCandidateSession(session))));
+            assertTrue(allNodes(node -> splitsLike(cluster.nodes[0], node)));
             return allNodes(node -> node.hasEvent(EventType.COMPLETED));
         });
         String hash = RuleSet.of(RULES).hash();
-        assertTrue(allNodes(node -> node.controller.split().currentRulesHash().equals(hash)
-                && node.controller.split().candidateRulesHash() == null));
+        assertTrue(allNodes(node ->
+                node.currentRulesHash().equals(hash) && node.controller.split().candidateRulesHash() == null));
         assertEquals(
                 List.of(), cluster.nodes[0].controller.propose(PLAN, RULES, cluster.now), "the same file read again");
         RolloutNode late = cluster.startNode(2);
-        runUntil(5, 0, () -> late.controller.split().currentRulesHash().equals(hash));
+        runUntil(5, 0, () -> late.currentRulesHash().equals(hash));
         cluster.nodes[3].controller.onConfiguredRules(hash, cluster.now);
         assertNotNull(cluster.nodes[3].controller.withdraw(cluster.now), "its own file has the rules");
         assertNull(cluster.nodes[0].controller.withdraw(cluster.now));
-        runUntil(2, 0, () -> cluster.nodes[1]
-                .controller
-                .split()
-                .currentRulesHash()
-                .equals(cluster.settings.configuredRulesHash()));
+        runUntil(2, 0, () -> cluster.nodes[1].currentRulesHash().equals(cluster.settings.configuredRulesHash()));
     }
 
     @Test
@@ -117,7 +118,7 @@
         assertEquals(1, cluster.nodes[0].controller.status().stage());
     }
 
-    /** What the side without a majority may do: fall back, and halt; the halt crosses the heal within a second. */
+    /** The side without a majority falls back and may halt; a halt crosses the healed partition within a second. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void partitionedMinorityFallsBackWhenItsLeaseExpires(boolean withdraws) {
@@ -128,7 +129,7 @@
                 cluster.settings.leaseSeconds() + 0.5,
                 0,
                 () -> !cluster.nodes[0].isRunning() && !cluster.nodes[1].isRunning());
-        assertTrue(cluster.now - cut > 1, "it had a lease");
+        assertTrue(cluster.now - cut > 1, "the lease was still held");
         assertTrue(cluster.nodes[0].hasEvent(EventType.LEASE_EXPIRED));
         runUntil(20, 0, () -> cluster.nodes[4].latestProgress().stage() == 2);
         assertEquals(1, cluster.nodes[0].latestProgress().stage());
@@ -152,7 +153,7 @@
         cluster.now += 0.1;
         assertEquals(List.of(), cluster.nodes[0].controller.propose(PLAN, "a", cluster.now));
         cluster.tick(0);
-        assertEquals(cut == 0, cluster.nodes[0].hasEvent(EventType.PROPOSED), "no half of the fleet begins one");
+        assertEquals(cut == 0, cluster.nodes[0].hasEvent(EventType.PROPOSED), "half of the fleet starts no rollout");
         runUntil(cut == 0 ? 10 : 15, 0, () -> cluster.nodes[3].isRunning());
         cluster.partition(0);
         runUntil(10, 0, () -> allNodes(RolloutNode::isRunning));
@@ -161,12 +162,12 @@
                 .candidateRulesHash()
                 .equals(RuleSet.of("b").hash())));
         assertTrue(cluster.nodes[0].hasEvent(cut == 0 ? EventType.SUPERSEDED : EventType.REJECTED));
-        assertNotNull(cluster.nodes[0].controller.withdraw(cluster.now), "it has lost, and leaves the other alone");
+        assertNotNull(cluster.nodes[0].controller.withdraw(cluster.now), "its own rule set has lost to the other");
     }
 
     /**
-     * A router that runs one candidate is cut off with its whole lease ahead, and the others go for another one:
-     * because an earlier proposal came to them, or because they were started anew and know nothing of the first.
+     * A router that runs one candidate is partitioned with its whole lease ahead, and the others start another rollout:
+     * because an earlier proposal reaches them, or because they were restarted and know nothing of the first.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
@@ -194,11 +195,11 @@
         assertEquals(RuleSet.of("a").hash(), three.nodes[1].controller.split().candidateRulesHash());
     }
 
-    private static void stepUntil(RolloutCluster net, BooleanSupplier done) {
-        for (double end = net.now + 20; !done.getAsBoolean(); ) {
-            assertTrue(net.now < end, "too late");
-            net.step();
-            assertNull(net.findViolation());
+    private static void stepUntil(RolloutCluster other, BooleanSupplier done) {
+        for (double end = other.now + 20; !done.getAsBoolean(); ) {
+            assertTrue(other.now < end, "too late");
+            other.step();
+            assertNull(other.findViolation());
         }
     }
 
@@ -209,8 +210,8 @@
         for (int i = 0; i < 5; i++) {
             cluster.startNode(i);
         }
-        assertTrue(allNodes(node -> !node.isRunning()
-                && node.controller.split().currentRulesHash().equals(cluster.settings.configuredRulesHash())));
+        assertTrue(allNodes(
+                node -> !node.isRunning() && node.currentRulesHash().equals(cluster.settings.configuredRulesHash())));
         assertEquals(List.of(), cluster.nodes[0].controller.propose(PLAN, RULES, cluster.now));
         runUntil(15, 0, () -> allNodes(RolloutNode::isRunning));
         assertEquals(1, cluster.nodes[0].latestProgress().stage());
@@ -234,7 +235,7 @@
         assertEquals(2, cluster.nodes[0].latestProgress().stage());
     }
 
-    /** Contact there is, but no figures: neither on nor back. */
+    /** Leases are renewed, but no counters arrive: the stage neither advances nor ends. */
     @Test
     void stageHoldsWhileCountersAreMissing() {
         startRollout();
--- a/fleet/src/test/java/clayhook/rollout/RolloutPlanTest.java
+++ b/fleet/src/test/java/clayhook/rollout/RolloutPlanTest.java
@@ -35,20 +35,17 @@
     })
     void validationNamesTheInvalidKey(
             double share,
-            double seconds,
-            long samples,
-            String group,
-            GuardMetric measure,
-            double most,
-            double worse,
+            double minSeconds,
+            long minSamples,
+            String requestClass,
+            GuardMetric metric,
+            double absoluteLimit,
+            double regressionLimit,
             String key) {
         var first = new RolloutStage(0.1, 0, 1, List.of(new Guard("*", GuardMetric.LATE, NONE, 0)));
-        var plan = new RolloutPlan(
-                List.of(
-                        first,
-                        new RolloutStage(share, seconds, samples, List.of(new Guard(group, measure, most, worse)))),
-                RolloutPlan.DEFAULT_ALPHA,
-                1);
+        var guard = new Guard(requestClass, metric, absoluteLimit, regressionLimit);
+        var second = new RolloutStage(share, minSeconds, minSamples, List.of(guard));
+        var plan = new RolloutPlan(List.of(first, second), RolloutPlan.DEFAULT_ALPHA, 1);
         assertEquals(
                 key.isEmpty() ? List.of() : List.of(key),
                 plan.validate().stream().map(RolloutProblem::key).toList());
@@ -64,29 +61,34 @@
                 Map.of("name", "a \"b\"\n", "class", "read", "cost_from", 0.5, "nodes", List.of(1L, 2L));
         var other = new LinkedHashMap<String, Object>();
         List.of("nodes", "cost_from", "class", "name").forEach(key -> other.put(key, one.get(key)));
-        var faults = new ArrayList<RolloutProblem>();
-        RuleSet set = RuleSet.of(Map.of(), List.of(one), faults);
-        assertEquals(set, RuleSet.of(Map.of(), List.of(other), faults));
+        var problems = new ArrayList<RolloutProblem>();
+        RuleSet set = RuleSet.of(Map.of(), List.of(one), problems);
+        assertEquals(set, RuleSet.of(Map.of(), List.of(other), problems));
         assertEquals(
-                "[statements]\n[[statements.rule]]\nclass = \"read\"\ncost_from = 0.5\nname = \"a \\\"b\\\"\\u000A\"\n"
-                        + "nodes = [1, 2]\n",
+                """
+                [statements]
+                [[statements.rule]]
+                class = "read"
+                cost_from = 0.5
+                name = "a \\"b\\"\\u000A"
+                nodes = [1, 2]
+                """,
                 set.text());
         assertTrue(set.hash().matches("[0-9a-f]{32}"));
-        assertEquals(List.of(), faults);
-        assertNull(RuleSet.of(Map.of("reads", List.of("f")), List.of(Map.of("nodes", new Object())), faults));
+        assertEquals(List.of(), problems);
+        assertNull(RuleSet.of(Map.of("reads", List.of("f")), List.of(Map.of("nodes", new Object())), problems));
         assertEquals(
                 List.of("reads", "rule[0].nodes"),
-                faults.stream().map(RolloutProblem::key).toList());
+                problems.stream().map(RolloutProblem::key).toList());
     }
 
-    /**
-     * At two routers in one stage the same; who has the candidate at a share has it at any larger one; the share is
-     * met.
-     */
+    /** A session that has the candidate at a share has it at any larger one; the share of sessions is met. */
     @Property(tries = 50, seed = "42")
     void sessionsKeepTheCandidateAsTheShareGrows(
-            @ForAll long seed, @ForAll @DoubleRange(max = 1) double share, @ForAll @DoubleRange(max = 1) double more) {
-        TrafficSplit small = split(share * more);
+            @ForAll long seed,
+            @ForAll @DoubleRange(max = 1) double share,
+            @ForAll @DoubleRange(max = 1) double factor) {
+        TrafficSplit small = split(share * factor);
         TrafficSplit large = split(share);
         int candidates = 0;
         for (int i = 0; i < 4000; i++) {
@@ -102,9 +104,9 @@
     }
 
     private static TrafficSplit split(double share) {
-        var old = new RuleSetVersion("old", null, 0, false, Map.of());
-        return TrafficSplit.between(
-                old, old, new RuleSetVersion("00000000deadbeef", "round", 1, true, Map.of()), share, 10);
+        var old = RuleSetVersion.outsideRollouts("old");
+        var candidate = new RuleSetVersion("00000000deadbeef", "round", 1, true, Map.of());
+        return TrafficSplit.between(old, old, candidate, share, 10);
     }
 
     @Test
--- a/fleet/src/test/java/clayhook/rollout/RolloutSimulation.java
+++ b/fleet/src/test/java/clayhook/rollout/RolloutSimulation.java
@@ -9,28 +9,34 @@
 import java.util.stream.IntStream;
 
 /**
- * One rollout by its figures alone: commands drawn second by second, counted, shared and judged by the classes that do
- * so in service. {@code report} plays many without a difference, then the curve of times to halt.
+ * Simulates the counters of one rollout: requests are drawn second by second, then counted, replicated and evaluated by
+ * the production classes, without votes and leases.
  *
- * @param routers that share the commands
- * @param rate commands a second of all routers together
- * @param sessions few ones are uneven: some send far more than others
- * @param extra by which the candidate's share of failures is higher
- * @param rough whether nodes die for a while, bursts come, and some sessions fail far more often than others
+ * @param routers number of routers
+ * @param requestsPerSecond of all routers together
+ * @param sessions number of sessions
+ * @param extraFailureRate by how much the candidate's share of failures is higher
+ * @param uneven whether there are outages and bursts, some sessions send far more requests than others, and some fail
+ *     far more often
  */
 record RolloutSimulation(int routers, int requestsPerSecond, int sessions, double extraFailureRate, boolean uneven) {
     private static final double FAILURE_RATE = 0.01;
     private static final String REQUEST_CLASS = "read";
 
-    /** What became of it: the second of the halt, or -1; and whether any router alone would have halted then. */
+    /**
+     * How the rollout ended.
+     *
+     * @param haltedAtSecond -1 if it was not halted
+     * @param anyRouterHaltsAlone whether the counters of a single router would have halted it in that second
+     */
     record SimulationOutcome(int haltedAtSecond, boolean anyRouterHaltsAlone) {}
 
-    /** Three stages with four guards on a command group and four on all. */
+    /** Three stages with four guards on a request class and four on all requests. */
     static RolloutPlan plan(int seconds) {
         var guards = IntStream.range(0, 8)
                 .mapToObj(i -> new Guard(
                         i < 4 ? REQUEST_CLASS : Guard.ALL_CLASSES,
-                        GuardMetric.values()[i % 4],
+                        GuardMetric.ofCode(i % 4),
                         Double.POSITIVE_INFINITY,
                         0))
                 .toList();
@@ -44,100 +50,112 @@
     }
 
     SimulationOutcome run(RolloutPlan plan, long seed) {
-        var chance = new SplittableRandom(seed);
-        var judge = new GuardEvaluator(plan);
-        var copy = new InMemoryStore();
-        var tallies = IntStream.range(0, routers)
+        var random = new SplittableRandom(seed);
+        var evaluator = new GuardEvaluator(plan);
+        var store = new InMemoryStore();
+        var counters = IntStream.range(0, routers)
                 .mapToObj(i -> new LocalCounters("round", new Member("r" + i, 1), plan.requestClasses()))
                 .toArray(LocalCounters[]::new);
-        String set = String.format("%016x", chance.nextLong());
+        String candidateHash = String.format("%016x", random.nextLong());
         int second = 0;
         for (int stage = 1; stage <= plan.stages().size(); stage++) {
             for (double left = plan.stages().get(stage - 1).minSeconds(); left > 0; left--) {
                 second++;
                 for (int i = 0; i < routers; i++) {
-                    countRequests(tallies[i], set, plan.stages().get(stage - 1).share(), stage, second, chance);
-                    tallies[i].tick(second);
-                    tallies[i].publish(copy, stage, second);
+                    countRequests(
+                            counters[i],
+                            candidateHash,
+                            plan.stages().get(stage - 1).share(),
+                            stage,
+                            second,
+                            random);
+                    counters[i].tick(second);
+                    counters[i].publish(store, stage, second);
                 }
-                if (judge.haltReason(stage, MergedCounters.collect(copy, "round", stage)) != null) {
-                    return new SimulationOutcome(second, anyRouterHaltsAlone(judge, tallies, stage, second));
+                if (evaluator.haltReason(stage, MergedCounters.collect(store, "round", stage)) != null) {
+                    return new SimulationOutcome(second, anyRouterHaltsAlone(evaluator, counters, stage, second));
                 }
             }
         }
         return new SimulationOutcome(-1, false);
     }
 
-    private boolean anyRouterHaltsAlone(GuardEvaluator judge, LocalCounters[] tallies, int stage, int now) {
-        return Arrays.stream(tallies).anyMatch(tally -> {
-            var own = new InMemoryStore();
-            tally.publish(own, stage, now);
-            return judge.haltReason(stage, MergedCounters.collect(own, "round", stage)) != null;
+    private boolean anyRouterHaltsAlone(GuardEvaluator evaluator, LocalCounters[] counters, int stage, int now) {
+        return Arrays.stream(counters).anyMatch(routerCounters -> {
+            var ownStore = new InMemoryStore();
+            routerCounters.publish(ownStore, stage, now);
+            return evaluator.haltReason(stage, MergedCounters.collect(ownStore, "round", stage)) != null;
         });
     }
 
     private void countRequests(
-            LocalCounters tally, String set, double share, int stage, int second, SplittableRandom chance) {
-        Map<String, Double> limits = tally.slowThresholds(stage);
-        var old = new RuleSetVersion("00", "round", stage, false, limits);
-        var candidate = new RuleSetVersion(set, "round", stage, true, limits);
-        TrafficSplit split = TrafficSplit.between(old, old, candidate, share, Double.POSITIVE_INFINITY);
-        // A node is dead, or there is a burst, in one second of ten.
-        double trouble = uneven && chance.nextInt(10) == 0 ? 0.3 : 0;
+            LocalCounters routerCounters,
+            String candidateHash,
+            double share,
+            int stage,
+            int second,
+            SplittableRandom random) {
+        Map<String, Double> thresholds = routerCounters.slowThresholds(stage);
+        var baseline = new RuleSetVersion("00", "round", stage, false, thresholds);
+        var candidate = new RuleSetVersion(candidateHash, "round", stage, true, thresholds);
+        TrafficSplit split = TrafficSplit.between(baseline, baseline, candidate, share, Double.POSITIVE_INFINITY);
+        // An outage of a node, or a burst, in one second of ten.
+        double outage = uneven && random.nextInt(10) == 0 ? 0.3 : 0;
         var batch = new CounterBatch();
         for (int i = 0; i < requestsPerSecond / routers; i++) {
-            double even = chance.nextDouble();
-            long session = (long) ((uneven ? even * even : even) * sessions);
+            double uniform = random.nextDouble();
+            long session = (long) ((uneven ? uniform * uniform : uniform) * sessions);
             RuleSetVersion version = split.versionFor(session, second);
-            double failures = FAILURE_RATE * (uneven && session % 50 == 0 ? 10 : 1)
-                    + trouble
+            double failureRate = FAILURE_RATE * (uneven && session % 50 == 0 ? 10 : 1)
+                    + outage
                     + (version.isCandidate() ? extraFailureRate : 0);
-            double seconds = 0.005 * Math.exp(chance.nextDouble() * 2 + (trouble > 0 ? 1 : 0));
+            double seconds = 0.005 * Math.exp(random.nextDouble() * 2 + (outage > 0 ? 1 : 0));
             batch.add(
                     version,
                     REQUEST_CLASS,
                     session * 0x9e3779b97f4a7c15L,
-                    chance.nextDouble() < failures,
-                    chance.nextDouble() < 0.03 + trouble,
-                    chance.nextDouble() < 0.005,
+                    random.nextDouble() < failureRate,
+                    random.nextDouble() < 0.03 + outage,
+                    random.nextDouble() < 0.005,
                     seconds);
         }
-        batch.forEach(tally::add);
+        batch.forEach(routerCounters::add);
     }
 
-    /** Halted ones of so many, at any second. */
-    static long countHalted(RolloutSimulation trial, RolloutPlan plan, int times, long seed) {
+    /** How many of so many simulations are halted. */
+    static long countHalted(RolloutSimulation simulation, RolloutPlan plan, int times, long seed) {
         return IntStream.range(0, times)
                 .parallel()
-                .filter(i -> trial.run(plan, seed + i).haltedAtSecond() >= 0)
+                .filter(i -> simulation.run(plan, seed + i).haltedAtSecond() >= 0)
                 .count();
     }
 
-    /** Plays so many rollouts without a difference, and a tenth as many of each with one. */
+    /** Prints halt rates of so many rollouts without a difference, and times to halt of a tenth as many with one. */
     static void printReport(int times) {
         RolloutPlan plan = plan(60);
-        for (boolean rough : new boolean[] {false, true}) {
-            long halted = countHalted(new RolloutSimulation(5, 200, 2000, 0, rough), plan, times, 1);
+        for (boolean uneven : new boolean[] {false, true}) {
+            long halted = countHalted(new RolloutSimulation(5, 200, 2000, 0, uneven), plan, times, 1);
             System.out.printf(
-                    Locale.ROOT, "no difference, %s: %d of %d halted%n", rough ? "rough" : "calm", halted, times);
+                    Locale.ROOT, "no difference, %s: %d of %d halted%n", uneven ? "uneven" : "even", halted, times);
         }
         for (double extra : new double[] {0.01, 0.05}) {
-            var trial = new RolloutSimulation(5, 1000, 5000, extra, false);
-            int[] at = IntStream.range(0, times / 10)
+            var simulation = new RolloutSimulation(5, 1000, 5000, extra, false);
+            int[] haltedAt = IntStream.range(0, times / 10)
                     .parallel()
-                    .map(i -> trial.run(plan, 7_000_000L + i).haltedAtSecond())
+                    .map(i -> simulation.run(plan, 7_000_000L + i).haltedAtSecond())
                     .sorted()
                     .toArray();
-            int missed = (int) Arrays.stream(at).filter(second -> second < 0).count();
+            int missed =
+                    (int) Arrays.stream(haltedAt).filter(second -> second < 0).count();
             System.out.printf(
                     Locale.ROOT,
-                    "%.0f points more failures: %d of %d never halted; halted after s:",
+                    "%.0f percentage points more failures: %d of %d never halted; halted after s:",
                     100 * extra,
                     missed,
-                    at.length);
+                    haltedAt.length);
             for (int percent : new int[] {1, 10, 25, 50, 75, 90, 99}) {
-                int index = missed + (at.length - missed - 1) * percent / 100;
-                System.out.printf(Locale.ROOT, "  %d%% %d", percent, at[index]);
+                int index = missed + (haltedAt.length - missed - 1) * percent / 100;
+                System.out.printf(Locale.ROOT, "  %d%% %d", percent, haltedAt[index]);
             }
             System.out.println();
         }
--- a/fleet/src/test/java/clayhook/rollout/SequentialTestTest.java
+++ b/fleet/src/test/java/clayhook/rollout/SequentialTestTest.java
@@ -11,28 +11,28 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class SequentialTestTest {
-    /** Looked at each second, for a minute and a half: a plain test at this level would halt a good part of them. */
+    /** Evaluated each second for a minute and a half; a fixed-sample test of this level would halt many of them. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void fewerThanOnePercentAreHaltedWithoutADifference(boolean rough) {
+    void fewerThanOnePercentAreHaltedWithoutADifference(boolean uneven) {
         long halted = RolloutSimulation.countHalted(
-                new RolloutSimulation(3, 150, 1000, 0, rough), RolloutSimulation.plan(30), 1000, 42);
+                new RolloutSimulation(3, 150, 1000, 0, uneven), RolloutSimulation.plan(30), 1000, 42);
         assertTrue(halted < 10, halted + " of 1,000 halted");
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void fivePercentagePointsMoreFailuresHaltBeforeTheLastStage(boolean rough) {
-        var trial = new RolloutSimulation(5, 1000, 5000, 0.05, rough);
-        int[] at = IntStream.range(0, 20)
+    void fivePercentagePointsMoreFailuresHaltBeforeTheLastStage(boolean uneven) {
+        var simulation = new RolloutSimulation(5, 1000, 5000, 0.05, uneven);
+        int[] haltedAt = IntStream.range(0, 20)
                 .parallel()
-                .map(i -> trial.run(RolloutSimulation.plan(60), i).haltedAtSecond())
+                .map(i -> simulation.run(RolloutSimulation.plan(60), i).haltedAtSecond())
                 .sorted()
                 .toArray();
-        assertTrue(at[0] > 0 && at[10] < 75, "halted at " + at[0] + " to " + at[19]);
+        assertTrue(haltedAt[0] > 0 && haltedAt[10] < 75, "halted at " + haltedAt[0] + " to " + haltedAt[19]);
     }
 
-    /** {@code -Dclayhook.rollouts=10000}: minutes. */
+    /** Skipped unless {@code -Dclayhook.rollouts=10000} is set, as it takes minutes; it checks nothing. */
     @Test
     @EnabledIfSystemProperty(named = "clayhook.rollouts", matches = "[0-9]+")
     void reportHaltRates() {
@@ -41,26 +41,24 @@
 
     @Test
     void mergedCountersDetectWhatNoSingleRouterCan() {
-        var trial = new RolloutSimulation(20, 1000, 5000, 0.03, false);
+        var simulation = new RolloutSimulation(20, 1000, 5000, 0.03, false);
         for (int seed = 0; seed < 5; seed++) {
-            RolloutSimulation.SimulationOutcome outcome = trial.run(RolloutSimulation.plan(60), seed);
+            RolloutSimulation.SimulationOutcome outcome = simulation.run(RolloutSimulation.plan(60), seed);
             assertTrue(outcome.haltedAtSecond() > 0);
             assertFalse(outcome.anyRouterHaltsAlone());
         }
     }
 
-    /** One broken client among the candidate's sessions is no proof, however long it goes on. */
+    /** One client that always fails among the candidate's sessions proves nothing, however many requests it sends. */
     @Test
     void oneFailingSessionIsNotProof() {
         long[] counts = new long[CounterLayout.SIZE];
         double[] sums = new double[CounterLayout.EVIDENCE_SIZE];
         for (int bucket = 0; bucket < OutcomeCounters.SESSION_BUCKETS; bucket++) {
-            for (int version = 0; version < 2; version++) {
-                int at = CounterLayout.EVIDENCE_SIZE
-                        + version * OutcomeCounters.SIZE
-                        + bucket * OutcomeCounters.COUNTERS_PER_BUCKET;
+            for (Variant variant : Variant.values()) {
+                int at = CounterLayout.outcomeOffset(variant) + bucket * OutcomeCounters.COUNTERS_PER_BUCKET;
                 counts[at + OutcomeCounters.TOTAL] = 1000;
-                counts[at + OutcomeCounters.FAILED] = version == 1 && bucket == 5 ? 1000 : 10;
+                counts[at + OutcomeCounters.FAILED] = variant == Variant.CANDIDATE && bucket == 5 ? 1000 : 10;
             }
         }
         SequentialTest.addInterval(sums, 0, 12_000, 120, 12_000, 1110);
@@ -75,7 +73,7 @@
                 "dispersion " + dispersion);
     }
 
-    /** What hits both versions in one second and at one router tells nothing; the same ends at unlike times do. */
+    /** Failures that affect both variants in the same second at the same router are no evidence. */
     @Test
     void onlyDifferencesWithinTheSameIntervalCount() {
         double[] both = new double[CounterLayout.EVIDENCE_SIZE];
