--- a/fleet/src/main/java/clayhook/rollout/ClassCounters.java
+++ b/fleet/src/main/java/clayhook/rollout/ClassCounters.java
@@ -9,7 +9,7 @@
  * closed ones. Not thread-safe.
  */
 final class ClassCounters {
-    /** Answer times of the baseline from which the threshold of slowness is taken. */
+    /** Response times of the baseline from which the threshold of slowness is taken. */
     private static final int MIN_LATENCY_SAMPLES = 500;
 
     /** Outcomes since the interval began, by variant. */
@@ -68,7 +68,7 @@
      * stage.
      *
      * @param previousStage counters of the same class in the stage before; null for none
-     * @return NaN while there are too few answer times
+     * @return NaN while there are too few response times
      */
     double slowThreshold(ClassCounters previousStage) {
         if (Double.isNaN(slowThreshold)) {
@@ -117,7 +117,7 @@
         return counts;
     }
 
-    /** A copy of a variant's answer times in closed intervals, see {@link LatencyHistogram}. */
+    /** A copy of a variant's response times in closed intervals, see {@link LatencyHistogram}. */
     long[] latencies(Variant variant) {
         return closed.get(variant).latencies.clone();
     }
--- a/fleet/src/main/java/clayhook/rollout/CounterBatch.java
+++ b/fleet/src/main/java/clayhook/rollout/CounterBatch.java
@@ -28,7 +28,7 @@
      * @param failed whether it ended in an error that is not the statement's own
      * @param late whether it was answered after its latency objective
      * @param rejected whether it was rejected
-     * @param seconds until the answer; NaN without an answer
+     * @param seconds until the response; NaN without a response
      */
     public void add(
             RuleSetVersion version,
--- a/fleet/src/main/java/clayhook/rollout/CounterLayout.java
+++ b/fleet/src/main/java/clayhook/rollout/CounterLayout.java
@@ -7,9 +7,9 @@
 final class CounterLayout {
     /** Evidence sums of one metric: one for each ratio of the {@link SequentialTest}. */
     static final int SUMS_PER_METRIC = SequentialTest.RATIOS.length;
-    /** All evidence sums; they stand in front of the outcome counters. */
+    /** All evidence sums; they precede the outcome counters. */
     static final int EVIDENCE_SIZE = GuardMetric.values().length * SUMS_PER_METRIC;
-    /** Length of the whole array. */
+    /** Length of the array. */
     static final int SIZE = EVIDENCE_SIZE + Variant.values().length * OutcomeCounters.SIZE;
 
     private CounterLayout() {}
--- a/fleet/src/main/java/clayhook/rollout/GuardMetric.java
+++ b/fleet/src/main/java/clayhook/rollout/GuardMetric.java
@@ -37,7 +37,7 @@
                 .orElseThrow(() -> new IllegalArgumentException("no metric " + code));
     }
 
-    /** The word for the metric in the operator's file and in the reason of a halt, which other routers receive. */
+    /** The name of the metric in the operator's file and in the reason of a halt, which other routers receive. */
     public String key() {
         return key;
     }
--- a/fleet/src/main/java/clayhook/rollout/LatencyHistogram.java
+++ b/fleet/src/main/java/clayhook/rollout/LatencyHistogram.java
@@ -1,9 +1,9 @@
 package clayhook.rollout;
 
 /**
- * A histogram of answer times as plain counts that can be added: eight buckets to each doubling from 0.1 ms on, each 9%
- * wide. That is enough for a 99th percentile and small enough for one packet whatever the counts; HdrHistogram with one
- * digit would have 12% and more counters over the same range. The buckets are part of the wire format.
+ * A histogram of response times as plain counts that can be added: eight buckets to each doubling from 0.1 ms on, each
+ * 9% wide. That is enough for a 99th percentile and small enough for one packet whatever the counts; HdrHistogram with
+ * one digit would have 12% and more counters over the same range. The buckets are part of the wire format.
  */
 final class LatencyHistogram {
     private static final int BUCKETS_PER_DOUBLING = 8;
--- a/fleet/src/main/java/clayhook/rollout/LocalRollout.java
+++ b/fleet/src/main/java/clayhook/rollout/LocalRollout.java
@@ -18,7 +18,7 @@
 
     final String id;
     final Proposal proposal;
-    /** When this router first heard of it, in seconds since 1970. */
+    /** When this router first received it, in seconds since 1970. */
     final double firstSeenAt;
 
     /** Merged progress; changed by {@link RolloutRegistry}. */
@@ -62,7 +62,7 @@
     RuleSetVersion candidate;
     Map<String, Double> slowThresholds;
 
-    /** A rollout that was heard of now. */
+    /** A rollout that was received now. */
     LocalRollout(String id, RolloutProgress progress, double now) {
         this.id = id;
         this.proposal = progress.proposal();
--- a/fleet/src/main/java/clayhook/rollout/OutcomeCounters.java
+++ b/fleet/src/main/java/clayhook/rollout/OutcomeCounters.java
@@ -19,7 +19,7 @@
     static final int LATENCY_COMPARED = 4;
     /** Position within a bucket: requests above the threshold of slowness. */
     static final int SLOW = 5;
-    /** Counters in a bucket, which stand side by side. */
+    /** Counters in a bucket, which are adjacent. */
     static final int COUNTERS_PER_BUCKET = 6;
     /** Counters in all buckets. */
     static final int SIZE = SESSION_BUCKETS * COUNTERS_PER_BUCKET;
@@ -28,7 +28,7 @@
 
     /** The buckets, one after the other. */
     final long[] counts = new long[SIZE];
-    /** Answer times, see {@link LatencyHistogram}. */
+    /** Response times, see {@link LatencyHistogram}. */
     final long[] latencies = new long[LatencyHistogram.SIZE];
 
     /** Position within a bucket of the requests that a metric is a share of. */
@@ -50,7 +50,7 @@
      * Counts one request.
      *
      * @param session hash of the session
-     * @param seconds until the answer; NaN without an answer
+     * @param seconds until the response; NaN without a response
      * @param slowThreshold seconds from which the request counts as slow; NaN while unknown
      */
     void add(long session, boolean failed, boolean late, boolean rejected, double seconds, double slowThreshold) {
--- a/fleet/src/main/java/clayhook/rollout/RolloutLoader.java
+++ b/fleet/src/main/java/clayhook/rollout/RolloutLoader.java
@@ -113,7 +113,7 @@
         return validator.validate(rollout.rules.hash(), rollout.rules.text());
     }
 
-    /** A router that has not yet heard of the preceding rollout is given time before it vetoes. */
+    /** A router that has not yet received the preceding rollout is given time before it vetoes. */
     private void onOtherBaseRules(LocalRollout rollout, double now) {
         boolean started = rollout.stage() > 0;
         if (!started && rollout.isVoter(self) && now - rollout.firstSeenAt > settings.startTimeoutSeconds() / 2) {
--- a/fleet/src/main/java/clayhook/rollout/RolloutRegistry.java
+++ b/fleet/src/main/java/clayhook/rollout/RolloutRegistry.java
@@ -130,12 +130,12 @@
         }
     }
 
-    /** Tells the listener of something that concerns a rollout. */
+    /** Emits an event about a rollout to the listener. */
     void emit(EventType type, LocalRollout rollout, String message) {
         listener.onEvent(new RolloutEvent(type, rollout.proposal.rulesHash(), rollout.displayName() + ": " + message));
     }
 
-    /** Tells the listener that all sessions have the candidate. */
+    /** Emits the event that all sessions have the candidate. */
     void emitCompleted(LocalRollout rollout) {
         emit(EventType.COMPLETED, rollout, "put it into the file of every router");
     }
--- a/fleet/src/main/java/clayhook/rollout/RolloutStarter.java
+++ b/fleet/src/main/java/clayhook/rollout/RolloutStarter.java
@@ -18,7 +18,7 @@
     private static final class PendingRollout {
         final RolloutPlan plan;
         final RuleSet rules;
-        /** The reason for waiting of which the listener was told last. */
+        /** The reason for waiting that was last sent to the listener. */
         String announcedReason = "";
 
         PendingRollout(RolloutPlan plan, RuleSet rules) {
--- a/fleet/src/main/java/clayhook/rollout/SequentialTest.java
+++ b/fleet/src/main/java/clayhook/rollout/SequentialTest.java
@@ -72,7 +72,7 @@
      *
      * @param counts the buckets of the baseline from {@code offset} on, then those of the candidate
      * @param compared position within a bucket of the requests, and {@code bad} that of the bad ones
-     * @return infinite where a variant has too few sessions to tell
+     * @return infinite where a variant has too few sessions for an estimate
      */
     static double dispersion(long[] counts, int offset, int compared, int bad) {
         double baseline = variantDispersion(counts, offset, compared, bad);
--- a/fleet/src/test/java/clayhook/rollout/RecordedBytesTest.java
+++ b/fleet/src/test/java/clayhook/rollout/RecordedBytesTest.java
@@ -89,7 +89,7 @@
         return new Form("value." + type.typeNumber() + "." + name, value, out -> type.write(value, out), type::read);
     }
 
-    /** What stands in another value as an element of a list. */
+    /** A form that occurs in another value as an element of a list. */
     private static Form element(String name, Object value, Encoder encoder, Function<FieldReader, ?> decoder) {
         return new Form(
                 "element." + name,
@@ -220,9 +220,19 @@
         }
     }
 
-    /** The number of a constant is its place: each one, told apart by its meaning and not only by its number. */
+    /** Checks which constant has which code; the recorded forms alone would not notice two codes that are swapped. */
     @Test
-    void endsKeepTheirNumbers() {
+    void enumConstantsKeepTheirCodes() {
+        assertEquals(
+                List.of(0, 1, 2, 3, 4),
+                Stream.of(EndCause.HALTED, EndCause.VETOED, EndCause.WITHDRAWN, EndCause.SUPERSEDED, EndCause.EXPIRED)
+                        .map(EndCause::code)
+                        .toList());
+        assertEquals(
+                List.of(0, 1, 2, 3),
+                Stream.of(GuardMetric.FAILED, GuardMetric.LATE, GuardMetric.REJECTED, GuardMetric.SLOW)
+                        .map(GuardMetric::code)
+                        .toList());
         assertEquals(
                 List.of(EndCause.HALTED, EndCause.VETOED, EndCause.WITHDRAWN, EndCause.SUPERSEDED, EndCause.EXPIRED),
                 List.of(EndCause.values()));
@@ -241,16 +251,16 @@
     }
 
     @Test
-    void textsAreCutIntoTheSamePieces() {
+    void textsAreSplitIntoTheSameChunks() {
         byte[] text = "0123456789".repeat(185).getBytes(StandardCharsets.UTF_8);
         String hash = "51144900af68e240bdf5b2057074d1e6";
         assertEquals(hash, TextChunk.contentHash(text));
-        var copy = new InMemoryStore();
-        TextChunk.publish(copy, text, TIME, TIME);
+        var store = new InMemoryStore();
+        TextChunk.publish(store, text, TIME, TIME);
         var lengths = new TreeMap<String, Integer>();
-        copy.forEach(TextChunk.TYPE, (key, piece) -> lengths.put(key, piece.bytes().length));
+        store.forEach(TextChunk.TYPE, (key, chunk) -> lengths.put(key, chunk.bytes().length));
         assertEquals(Map.of(hash + "/0", 900, hash + "/1", 900, hash + "/2", 50), lengths);
-        assertArrayEquals(text, TextChunk.assemble(copy, hash, text.length));
+        assertArrayEquals(text, TextChunk.assemble(store, hash, text.length));
     }
 
     @Test
@@ -279,9 +289,9 @@
     /** Routers must agree on which sessions get the candidate. */
     @Test
     void sessionsKeepTheirVersion() {
-        var old = RuleSetVersion.outsideRollouts("old");
+        var baseline = RuleSetVersion.outsideRollouts("old");
         TrafficSplit split = TrafficSplit.between(
-                old, old, new RuleSetVersion("00000000deadbeef", null, 1, true, Map.of()), 0.25, TIME);
+                baseline, baseline, new RuleSetVersion("00000000deadbeef", null, 1, true, Map.of()), 0.25, TIME);
         var candidates = new ArrayList<Long>();
         for (long session = 0; session < 40; session++) {
             if (split.isCandidateSession(session)) {
@@ -292,17 +302,17 @@
         assertEquals(0xdeadbeefL, split.salt());
     }
 
-    /** Which count stands where, and what a histogram's steps are, is part of the format too. */
+    /** The positions of counters and the buckets of histograms are part of the format too. */
     @ParameterizedTest
     @EnumSource(GuardMetric.class)
     void countsKeepTheirPlaces(GuardMetric metric) {
-        var copy = new InMemoryStore();
+        var store = new InMemoryStore();
         var counters = new LocalCounters(ROLLOUT_ID, MEMBER, Set.of("read"));
-        var old = new RuleSetVersion(BASE, ROLLOUT_ID, 1, false, Map.of("read", 0.05));
+        var baseline = new RuleSetVersion(BASE, ROLLOUT_ID, 1, false, Map.of("read", 0.05));
         var candidate = new RuleSetVersion(RULES, ROLLOUT_ID, 1, true, Map.of("read", 0.05));
         var batch = new CounterBatch();
         for (int session = 0; session < 6; session++) {
-            batch.add(old, "read", session, false, false, false, 0.004);
+            batch.add(baseline, "read", session, false, false, false, 0.004);
             batch.add(
                     candidate,
                     "read",
@@ -314,22 +324,22 @@
         }
         batch.forEach(counters::add);
         counters.tick(TIME);
-        counters.publish(copy, 1, TIME);
+        counters.publish(store, 1, TIME);
         String key = "0123456789abcdef/1/loyw3v5n/10/router/ä-1/read";
         assertEquals(
-                RECORDED.getProperty(layout(metric, "counts")), sparse(copy.get(MemberCounters.OUTCOME_COUNTS, key)));
+                RECORDED.getProperty(layout(metric, "counts")), sparse(store.get(MemberCounters.OUTCOME_COUNTS, key)));
         assertEquals(
-                RECORDED.getProperty(layout(metric, "old")), sparse(copy.get(MemberCounters.BASELINE_LATENCIES, key)));
+                RECORDED.getProperty(layout(metric, "old")), sparse(store.get(MemberCounters.BASELINE_LATENCIES, key)));
         assertEquals(
                 RECORDED.getProperty(layout(metric, "candidate")),
-                sparse(copy.get(MemberCounters.CANDIDATE_LATENCIES, key)));
+                sparse(store.get(MemberCounters.CANDIDATE_LATENCIES, key)));
     }
 
     private static String layout(GuardMetric metric, String kind) {
         return "layout." + metric.code() + "." + kind;
     }
 
-    /** The places of counts that are not zero. */
+    /** Positions and values of the counts that are not zero. */
     private static String sparse(MemberCounters counters) {
         var out = new StringBuilder();
         for (int i = 0; i < counters.counts().length; i++) {
@@ -340,13 +350,13 @@
         return out.toString().trim();
     }
 
-    /** A rollout at three routers that comes to its end and is then withdrawn. */
+    /** A rollout at three routers that is completed and then withdrawn. */
     @Test
     void aCompletedRolloutKeepsEveryByte() throws IOException {
         assertEquals(recordedRollout("completed"), rollout(0, EventType.COMPLETED));
     }
 
-    /** A rollout at three routers that is halted by its figures. */
+    /** A rollout at three routers that is halted by its counters. */
     @Test
     void aHaltedRolloutKeepsEveryByte() throws IOException {
         assertEquals(recordedRollout("halted"), rollout(0.2, EventType.HALTED));
@@ -358,40 +368,42 @@
         }
     }
 
-    /** Each message in the order sent, and what a router knows when it is told of that, and after a withdrawal. */
+    /** Each message in the order sent, then the values of a router at that event, then after a withdrawal. */
     private static List<String> rollout(double failing, EventType last) {
         var lines = new ArrayList<String>();
-        var net = new RolloutCluster(3);
-        net.run(5);
-        assertEquals(List.of(), net.nodes[0].controller.propose(RolloutCluster.plan(1, 5), "[statements]\n", net.now));
-        for (int i = 0; i < 80 && !net.nodes[2].hasEvent(last); i++) {
-            net.serveRequests(40, failing);
-            step(net, lines);
+        var cluster = new RolloutCluster(3);
+        cluster.run(5);
+        assertEquals(
+                List.of(),
+                cluster.nodes[0].controller.propose(RolloutCluster.plan(1, 5), "[statements]\n", cluster.now));
+        for (int i = 0; i < 80 && !cluster.nodes[2].hasEvent(last); i++) {
+            cluster.serveRequests(40, failing);
+            step(cluster, lines);
         }
-        assertTrue(net.nodes[2].hasEvent(last));
-        entries(net.nodes[2], lines);
-        net.nodes[1].controller.withdraw(net.now);
-        step(net, lines);
-        net.nodes[2].store.forEach(
-                RolloutProgress.TYPE, (key, round) -> entry(RolloutProgress.TYPE, key, round, lines));
+        assertTrue(cluster.nodes[2].hasEvent(last));
+        entries(cluster.nodes[2], lines);
+        cluster.nodes[1].controller.withdraw(cluster.now);
+        step(cluster, lines);
+        cluster.nodes[2].store.forEach(
+                RolloutProgress.TYPE, (key, progress) -> entry(RolloutProgress.TYPE, key, progress, lines));
         return lines;
     }
 
-    /** As {@link RolloutCluster#step()}, which keeps no record. */
-    private static void step(RolloutCluster net, List<String> lines) {
-        net.now += 0.25;
-        for (int i = 0; i < net.nodes.length; i++) {
-            net.tick(i);
+    /** Like {@link RolloutCluster#step()}, but records the messages. */
+    private static void step(RolloutCluster cluster, List<String> lines) {
+        cluster.now += 0.25;
+        for (int i = 0; i < cluster.nodes.length; i++) {
+            cluster.tick(i);
         }
-        for (int i = 0; i < net.nodes.length; i++) {
-            for (int j = 0; j < net.nodes.length; j++) {
-                net.exchange(i, j);
-                while (!net.links.get(i).get(j).isEmpty()) {
-                    Message message = net.links.get(i).get(j).peekFirst().message();
+        for (int i = 0; i < cluster.nodes.length; i++) {
+            for (int j = 0; j < cluster.nodes.length; j++) {
+                cluster.exchange(i, j);
+                while (!cluster.links.get(i).get(j).isEmpty()) {
+                    Message message = cluster.links.get(i).get(j).peekFirst().message();
                     var out = new FieldWriter();
                     message.write(out);
                     lines.add(i + " to " + j + ": " + message.typeNumber() + " " + hex(out.toByteArray()));
-                    net.deliver(i, j);
+                    cluster.deliver(i, j);
                 }
             }
         }
--- a/fleet/src/test/java/clayhook/rollout/RolloutInvariants.java
+++ b/fleet/src/test/java/clayhook/rollout/RolloutInvariants.java
@@ -20,7 +20,7 @@
         this.cluster = cluster;
     }
 
-    /** Notes the votes that stand in the nodes' stores now. */
+    /** Records the votes that are in the nodes' stores now. */
     void recordVotes() {
         for (RolloutNode node : cluster.nodes) {
             if (node != null) {
--- a/fleet/src/test/java/clayhook/rollout/RolloutMergeTest.java
+++ b/fleet/src/test/java/clayhook/rollout/RolloutMergeTest.java
@@ -107,7 +107,7 @@
             counts[CounterLayout.EVIDENCE_SIZE] = i + 1L;
             var counters = new MemberCounters(i, i, counts);
             newest[writer] = counters;
-            String key = new CounterKey("round", 1, new Member("r/" + writer, 1), "a/b").encode();
+            String key = new CounterKey("rollout", 1, new Member("r/" + writer, 1), "a/b").encode();
             store.merge(MemberCounters.OUTCOME_COUNTS, key, counters, 40);
             if (random.nextBoolean()) {
                 late.merge(MemberCounters.OUTCOME_COUNTS, key, counters, 40);
@@ -125,9 +125,13 @@
         }
         assertEquals(
                 sum,
-                MergedCounters.collect(store, "round", 1).forRequestClass("a/b").requests(Variant.BASELINE));
+                MergedCounters.collect(store, "rollout", 1)
+                        .forRequestClass("a/b")
+                        .requests(Variant.BASELINE));
         assertEquals(
                 sum,
-                MergedCounters.collect(late, "round", 1).forRequestClass("a/b").requests(Variant.BASELINE));
+                MergedCounters.collect(late, "rollout", 1)
+                        .forRequestClass("a/b")
+                        .requests(Variant.BASELINE));
     }
 }
--- a/fleet/src/test/java/clayhook/rollout/RolloutPlanTest.java
+++ b/fleet/src/test/java/clayhook/rollout/RolloutPlanTest.java
@@ -105,7 +105,7 @@
 
     private static TrafficSplit split(double share) {
         var old = RuleSetVersion.outsideRollouts("old");
-        var candidate = new RuleSetVersion("00000000deadbeef", "round", 1, true, Map.of());
+        var candidate = new RuleSetVersion("00000000deadbeef", "rollout", 1, true, Map.of());
         return TrafficSplit.between(old, old, candidate, share, 10);
     }
 
--- a/fleet/src/test/java/clayhook/rollout/RolloutSimulation.java
+++ b/fleet/src/test/java/clayhook/rollout/RolloutSimulation.java
@@ -22,6 +22,7 @@
 record RolloutSimulation(int routers, int requestsPerSecond, int sessions, double extraFailureRate, boolean uneven) {
     private static final double FAILURE_RATE = 0.01;
     private static final String REQUEST_CLASS = "read";
+    private static final String ROLLOUT_ID = "rollout";
 
     /**
      * How the rollout ended.
@@ -54,7 +55,7 @@
         var evaluator = new GuardEvaluator(plan);
         var store = new InMemoryStore();
         var counters = IntStream.range(0, routers)
-                .mapToObj(i -> new LocalCounters("round", new Member("r" + i, 1), plan.requestClasses()))
+                .mapToObj(i -> new LocalCounters(ROLLOUT_ID, new Member("r" + i, 1), plan.requestClasses()))
                 .toArray(LocalCounters[]::new);
         String candidateHash = String.format("%016x", random.nextLong());
         int second = 0;
@@ -72,7 +73,7 @@
                     counters[i].tick(second);
                     counters[i].publish(store, stage, second);
                 }
-                if (evaluator.haltReason(stage, MergedCounters.collect(store, "round", stage)) != null) {
+                if (evaluator.haltReason(stage, MergedCounters.collect(store, ROLLOUT_ID, stage)) != null) {
                     return new SimulationOutcome(second, anyRouterHaltsAlone(evaluator, counters, stage, second));
                 }
             }
@@ -84,7 +85,7 @@
         return Arrays.stream(counters).anyMatch(routerCounters -> {
             var ownStore = new InMemoryStore();
             routerCounters.publish(ownStore, stage, now);
-            return evaluator.haltReason(stage, MergedCounters.collect(ownStore, "round", stage)) != null;
+            return evaluator.haltReason(stage, MergedCounters.collect(ownStore, ROLLOUT_ID, stage)) != null;
         });
     }
 
@@ -96,8 +97,8 @@
             int second,
             SplittableRandom random) {
         Map<String, Double> thresholds = routerCounters.slowThresholds(stage);
-        var baseline = new RuleSetVersion("00", "round", stage, false, thresholds);
-        var candidate = new RuleSetVersion(candidateHash, "round", stage, true, thresholds);
+        var baseline = new RuleSetVersion("00", ROLLOUT_ID, stage, false, thresholds);
+        var candidate = new RuleSetVersion(candidateHash, ROLLOUT_ID, stage, true, thresholds);
         TrafficSplit split = TrafficSplit.between(baseline, baseline, candidate, share, Double.POSITIVE_INFINITY);
         // An outage of a node, or a burst, in one second of ten.
         double outage = uneven && random.nextInt(10) == 0 ? 0.3 : 0;
@@ -138,8 +139,8 @@
             System.out.printf(
                     Locale.ROOT, "no difference, %s: %d of %d halted%n", uneven ? "uneven" : "even", halted, times);
         }
-        for (double extra : new double[] {0.01, 0.05}) {
-            var simulation = new RolloutSimulation(5, 1000, 5000, extra, false);
+        for (double extraFailureRate : new double[] {0.01, 0.05}) {
+            var simulation = new RolloutSimulation(5, 1000, 5000, extraFailureRate, false);
             int[] haltedAt = IntStream.range(0, times / 10)
                     .parallel()
                     .map(i -> simulation.run(plan, 7_000_000L + i).haltedAtSecond())
@@ -150,7 +151,7 @@
             System.out.printf(
                     Locale.ROOT,
                     "%.0f percentage points more failures: %d of %d never halted; halted after s:",
-                    100 * extra,
+                    100 * extraFailureRate,
                     missed,
                     haltedAt.length);
             for (int percent : new int[] {1, 10, 25, 50, 75, 90, 99}) {
--- a/fleet/src/test/java/clayhook/rollout/StateSpaceExplorer.java
+++ b/fleet/src/test/java/clayhook/rollout/StateSpaceExplorer.java
@@ -160,7 +160,7 @@
         return null;
     }
 
-    /** Plays an order; returns its successors if it leads to a new state. */
+    /** Applies an order of steps; returns its successors if it leads to a new state. */
     private Stream<List<Integer>> explore(
             boolean running, List<Integer> order, Set<String> seen, Queue<String> violations) {
         RolloutCluster cluster = start(running);
