--- a/fleet/src/test/java/clayhook/rollout/RecordedBytesTest.java
+++ b/fleet/src/test/java/clayhook/rollout/RecordedBytesTest.java
@@ -10,7 +10,6 @@
 import clayhook.fleet.Message;
 import clayhook.fleet.ReplicatedType;
 import clayhook.rollout.RolloutEnd.EndCause;
-import clayhook.rollout.RolloutEvent.EventType;
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
@@ -349,79 +348,4 @@
         }
         return out.toString().trim();
     }
-
-    /** A rollout at three routers that is completed and then withdrawn. */
-    @Test
-    void aCompletedRolloutKeepsEveryByte() throws IOException {
-        assertEquals(recordedRollout("completed"), rollout(0, EventType.COMPLETED));
-    }
-
-    /** A rollout at three routers that is halted by its counters. */
-    @Test
-    void aHaltedRolloutKeepsEveryByte() throws IOException {
-        assertEquals(recordedRollout("halted"), rollout(0.2, EventType.HALTED));
-    }
-
-    private static List<String> recordedRollout(String name) throws IOException {
-        try (InputStream in = RecordedBytesTest.class.getResourceAsStream("recorded-rollout-" + name + ".txt")) {
-            return new String(in.readAllBytes(), StandardCharsets.UTF_8).lines().toList();
-        }
-    }
-
-    /** Each message in the order sent, then the values of a router at that event, then after a withdrawal. */
-    private static List<String> rollout(double failing, EventType last) {
-        var lines = new ArrayList<String>();
-        var cluster = new RolloutCluster(3);
-        cluster.run(5);
-        assertEquals(
-                List.of(),
-                cluster.nodes[0].controller.propose(RolloutCluster.plan(1, 5), "[statements]\n", cluster.now));
-        for (int i = 0; i < 80 && !cluster.nodes[2].hasEvent(last); i++) {
-            cluster.serveRequests(40, failing);
-            step(cluster, lines);
-        }
-        assertTrue(cluster.nodes[2].hasEvent(last));
-        entries(cluster.nodes[2], lines);
-        cluster.nodes[1].controller.withdraw(cluster.now);
-        step(cluster, lines);
-        cluster.nodes[2].store.forEach(
-                RolloutProgress.TYPE, (key, progress) -> entry(RolloutProgress.TYPE, key, progress, lines));
-        return lines;
-    }
-
-    /** Like {@link RolloutCluster#step()}, but records the messages. */
-    private static void step(RolloutCluster cluster, List<String> lines) {
-        cluster.now += 0.25;
-        for (int i = 0; i < cluster.nodes.length; i++) {
-            cluster.tick(i);
-        }
-        for (int i = 0; i < cluster.nodes.length; i++) {
-            for (int j = 0; j < cluster.nodes.length; j++) {
-                cluster.exchange(i, j);
-                while (!cluster.links.get(i).get(j).isEmpty()) {
-                    Message message = cluster.links.get(i).get(j).peekFirst().message();
-                    var out = new FieldWriter();
-                    message.write(out);
-                    lines.add(i + " to " + j + ": " + message.typeNumber() + " " + hex(out.toByteArray()));
-                    cluster.deliver(i, j);
-                }
-            }
-        }
-    }
-
-    private static void entries(RolloutNode node, List<String> lines) {
-        for (ReplicatedType<?> type : RolloutController.replicatedTypes()) {
-            entries(node, type, lines);
-        }
-    }
-
-    private static <V> void entries(RolloutNode node, ReplicatedType<V> type, List<String> lines) {
-        node.store.forEach(type, (key, value) -> entry(type, key, value, lines));
-    }
-
-    private static <V> void entry(ReplicatedType<V> type, String key, V value, List<String> lines) {
-        var out = new FieldWriter();
-        type.write(value, out);
-        lines.add("kind " + type.typeNumber() + ": " + key + " " + hex(out.toByteArray()));
-    }
 }
