--- a/fleet/src/test/java/clayhook/rollout/RolloutControllerTest.java
+++ b/fleet/src/test/java/clayhook/rollout/RolloutControllerTest.java
@@ -6,6 +6,8 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import clayhook.rollout.RolloutEnd.EndCause;
+import clayhook.rollout.RolloutEvent.EventType;
 import java.util.Arrays;
 import java.util.List;
 import java.util.function.BooleanSupplier;
@@ -16,7 +18,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Five routers from the proposal to its end, and each rule on what may come between. */
+/** Rollouts at five routers from the proposal to the end, and what may happen in between. */
 class RolloutControllerTest {
     private static final String RULES = "[statements]\n".repeat(9000);
     private static final RolloutPlan PLAN = RolloutCluster.plan(3, 20);
@@ -37,68 +39,68 @@
         }
     }
 
-    private boolean allNodes(Predicate<RolloutCluster.RolloutNode> holds) {
-        return Arrays.stream(cluster.nodes).allMatch(node -> node == null || holds.test(node));
+    private boolean allNodes(Predicate<RolloutNode> condition) {
+        return Arrays.stream(cluster.nodes).allMatch(node -> node == null || condition.test(node));
     }
 
     private void startRollout() {
         assertEquals(List.of(), cluster.nodes[0].controller.propose(PLAN, RULES, cluster.now));
-        runUntil(10, 0, () -> allNodes(RolloutCluster.RolloutNode::isRunning));
+        runUntil(10, 0, () -> allNodes(RolloutNode::isRunning));
     }
 
-    private boolean allEnded(RolloutEnd.EndCause what) {
+    private boolean allEnded(EndCause cause) {
         return allNodes(node -> node.latestProgress() != null
                 && node.latestProgress().end() != null
-                && node.latestProgress().end().cause() == what
+                && node.latestProgress().end().cause() == cause
                 && !node.isRunning());
     }
 
+    /** Whether two routers that run the same stage give the same sessions the candidate. */
+    private static boolean splitsLike(RolloutNode first, RolloutNode second) {
+        boolean sameStage =
+                first.latestProgress().stage() == second.latestProgress().stage();
+        if (!second.isRunning() || !first.isRunning() || !sameStage) {
+            return true;
+        }
+        TrafficSplit split = first.controller.split();
+        return IntStream.range(0, 50)
+                .allMatch(session -> split.isCandidateSession(session)
+                        == second.controller.split().isCandidateSession(session));
+    }
+
     @Test
     void advancesThroughAllStages() {
         startRollout();
         runUntil(40, 0, () -> {
-            assertTrue(allNodes(node -> !node.isRunning()
-                    || IntStream.range(0, 50)
-                            .allMatch(session -> cluster.nodes[0]
-                                                    .latestProgress()
-                                                    .stage()
-                                            != node.latestProgress().stage()
-                                    || !cluster.nodes[0].isRunning()
-                                    || cluster.nodes[0].controller.split().candidate(session)
-                                            == node.controller.split().candidate(session))));
-            return allNodes(node -> node.hasEvent(RolloutEvent.EventType.COMPLETED));
+            assertTrue(allNodes(node -> splitsLike(cluster.nodes[0], node)));
+            return allNodes(node -> node.hasEvent(EventType.COMPLETED));
         });
         String hash = RuleSet.of(RULES).hash();
-        assertTrue(allNodes(node -> node.controller.split().currentRulesHash().equals(hash)
-                && node.controller.split().candidate() == null));
+        assertTrue(allNodes(node ->
+                node.currentRulesHash().equals(hash) && node.controller.split().candidateRulesHash() == null));
         assertEquals(
                 List.of(), cluster.nodes[0].controller.propose(PLAN, RULES, cluster.now), "the same file read again");
-        RolloutCluster.RolloutNode late = cluster.startNode(2);
-        runUntil(5, 0, () -> late.controller.split().currentRulesHash().equals(hash));
+        RolloutNode late = cluster.startNode(2);
+        runUntil(5, 0, () -> late.currentRulesHash().equals(hash));
         cluster.nodes[3].controller.onConfiguredRules(hash, cluster.now);
         assertNotNull(cluster.nodes[3].controller.withdraw(cluster.now), "its own file has the rules");
         assertNull(cluster.nodes[0].controller.withdraw(cluster.now));
-        runUntil(2, 0, () -> cluster.nodes[1]
-                .controller
-                .split()
-                .currentRulesHash()
-                .equals(cluster.settings.configuredRulesHash()));
+        runUntil(2, 0, () -> cluster.nodes[1].currentRulesHash().equals(cluster.settings.configuredRulesHash()));
     }
 
     @Test
     void routerThatCannotReadTheRulesVetoesBeforeTheStart() {
         cluster.nodes[3].unreadableRules = RULES;
         cluster.nodes[0].controller.propose(PLAN, RULES, cluster.now);
-        runUntil(3, 0, () -> allEnded(RolloutEnd.EndCause.VETOED));
+        runUntil(3, 0, () -> allEnded(EndCause.VETOED));
         assertEquals("no such key", cluster.nodes[1].latestProgress().end().reason());
-        assertFalse(
-                Arrays.stream(cluster.nodes).anyMatch(node -> node.hasEvent(RolloutEvent.EventType.CANDIDATE_RUNNING)));
+        assertFalse(Arrays.stream(cluster.nodes).anyMatch(node -> node.hasEvent(EventType.CANDIDATE_RUNNING)));
     }
 
     @Test
     void haltedRolloutRestartsOnlyOnResume() {
         startRollout();
-        runUntil(10, 0.2, () -> allEnded(RolloutEnd.EndCause.HALTED));
+        runUntil(10, 0.2, () -> allEnded(EndCause.HALTED));
         assertTrue(
                 cluster.nodes[4].latestProgress().end().reason().startsWith("stage 1, *:"),
                 cluster.nodes[4].latestProgress().end().reason());
@@ -112,11 +114,11 @@
         cluster.run(5);
         assertTrue(allNodes(node -> !node.isRunning()));
         assertNull(cluster.nodes[4].controller.resume(cluster.now));
-        runUntil(10, 0, () -> allNodes(RolloutCluster.RolloutNode::isRunning));
+        runUntil(10, 0, () -> allNodes(RolloutNode::isRunning));
         assertEquals(1, cluster.nodes[0].controller.status().stage());
     }
 
-    /** What the side without a majority may do: fall back, and halt; the halt crosses the heal within a second. */
+    /** The side without a majority falls back and may halt; a halt crosses the healed partition within a second. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void partitionedMinorityFallsBackWhenItsLeaseExpires(boolean withdraws) {
@@ -127,8 +129,8 @@
                 cluster.settings.leaseSeconds() + 0.5,
                 0,
                 () -> !cluster.nodes[0].isRunning() && !cluster.nodes[1].isRunning());
-        assertTrue(cluster.now - cut > 1, "it had a lease");
-        assertTrue(cluster.nodes[0].hasEvent(RolloutEvent.EventType.LEASE_EXPIRED));
+        assertTrue(cluster.now - cut > 1, "the lease was still held");
+        assertTrue(cluster.nodes[0].hasEvent(EventType.LEASE_EXPIRED));
         runUntil(20, 0, () -> cluster.nodes[4].latestProgress().stage() == 2);
         assertEquals(1, cluster.nodes[0].latestProgress().stage());
         if (withdraws) {
@@ -138,9 +140,7 @@
         runUntil(
                 withdraws ? 1 : 5,
                 0,
-                () -> withdraws
-                        ? allEnded(RolloutEnd.EndCause.WITHDRAWN)
-                        : allNodes(RolloutCluster.RolloutNode::isRunning));
+                () -> withdraws ? allEnded(EndCause.WITHDRAWN) : allNodes(RolloutNode::isRunning));
     }
 
     @ParameterizedTest
@@ -153,23 +153,21 @@
         cluster.now += 0.1;
         assertEquals(List.of(), cluster.nodes[0].controller.propose(PLAN, "a", cluster.now));
         cluster.tick(0);
-        assertEquals(
-                cut == 0,
-                cluster.nodes[0].hasEvent(RolloutEvent.EventType.PROPOSED),
-                "no half of the fleet begins one");
+        assertEquals(cut == 0, cluster.nodes[0].hasEvent(EventType.PROPOSED), "half of the fleet starts no rollout");
         runUntil(cut == 0 ? 10 : 15, 0, () -> cluster.nodes[3].isRunning());
         cluster.partition(0);
-        runUntil(10, 0, () -> allNodes(RolloutCluster.RolloutNode::isRunning));
-        assertTrue(allNodes(node ->
-                node.controller.split().candidate().equals(RuleSet.of("b").hash())));
-        assertTrue(cluster.nodes[0].hasEvent(
-                cut == 0 ? RolloutEvent.EventType.SUPERSEDED : RolloutEvent.EventType.REJECTED));
-        assertNotNull(cluster.nodes[0].controller.withdraw(cluster.now), "it has lost, and leaves the other alone");
+        runUntil(10, 0, () -> allNodes(RolloutNode::isRunning));
+        assertTrue(allNodes(node -> node.controller
+                .split()
+                .candidateRulesHash()
+                .equals(RuleSet.of("b").hash())));
+        assertTrue(cluster.nodes[0].hasEvent(cut == 0 ? EventType.SUPERSEDED : EventType.REJECTED));
+        assertNotNull(cluster.nodes[0].controller.withdraw(cluster.now), "its own rule set has lost to the other");
     }
 
     /**
-     * A router that runs one candidate is cut off with its whole lease ahead, and the others go for another one:
-     * because an earlier proposal came to them, or because they were started anew and know nothing of the first.
+     * A router that runs one candidate is partitioned with its whole lease ahead, and the others start another rollout:
+     * because an earlier proposal reaches them, or because they were restarted and know nothing of the first.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
@@ -181,7 +179,7 @@
         three.tick(0);
         three.now += 0.1;
         three.nodes[2].controller.propose(PLAN, "b", three.now);
-        RolloutCluster.RolloutNode last = three.nodes[2];
+        RolloutNode last = three.nodes[2];
         stepUntil(
                 three,
                 () -> last.isRunning()
@@ -194,14 +192,14 @@
         }
         stepUntil(three, () -> three.nodes[0].isRunning() && three.nodes[1].isRunning());
         assertFalse(last.isRunning());
-        assertEquals(RuleSet.of("a").hash(), three.nodes[1].controller.split().candidate());
+        assertEquals(RuleSet.of("a").hash(), three.nodes[1].controller.split().candidateRulesHash());
     }
 
-    private static void stepUntil(RolloutCluster net, BooleanSupplier done) {
-        for (double end = net.now + 20; !done.getAsBoolean(); ) {
-            assertTrue(net.now < end, "too late");
-            net.step();
-            assertNull(net.findViolation());
+    private static void stepUntil(RolloutCluster other, BooleanSupplier done) {
+        for (double end = other.now + 20; !done.getAsBoolean(); ) {
+            assertTrue(other.now < end, "too late");
+            other.step();
+            assertNull(other.findViolation());
         }
     }
 
@@ -212,10 +210,10 @@
         for (int i = 0; i < 5; i++) {
             cluster.startNode(i);
         }
-        assertTrue(allNodes(node -> !node.isRunning()
-                && node.controller.split().currentRulesHash().equals(cluster.settings.configuredRulesHash())));
+        assertTrue(allNodes(
+                node -> !node.isRunning() && node.currentRulesHash().equals(cluster.settings.configuredRulesHash())));
         assertEquals(List.of(), cluster.nodes[0].controller.propose(PLAN, RULES, cluster.now));
-        runUntil(15, 0, () -> allNodes(RolloutCluster.RolloutNode::isRunning));
+        runUntil(15, 0, () -> allNodes(RolloutNode::isRunning));
         assertEquals(1, cluster.nodes[0].latestProgress().stage());
     }
 
@@ -225,11 +223,7 @@
         cluster.serveRequests(200, 0);
         cluster.run(2);
         cluster.startNode(4);
-        runUntil(
-                5,
-                0,
-                () -> cluster.nodes[4].isRunning()
-                        && cluster.nodes[0].hasEvent(RolloutEvent.EventType.MEMBER_DEPARTED));
+        runUntil(5, 0, () -> cluster.nodes[4].isRunning() && cluster.nodes[0].hasEvent(EventType.MEMBER_DEPARTED));
         cluster.killNode(3);
         runUntil(20, 0, () -> cluster.nodes[0].latestProgress().stage() == 2);
         assertNull(cluster.nodes[0].store.get(
@@ -241,12 +235,12 @@
         assertEquals(2, cluster.nodes[0].latestProgress().stage());
     }
 
-    /** Contact there is, but no figures: neither on nor back. */
+    /** Leases are renewed, but no counters arrive: the stage neither advances nor ends. */
     @Test
     void stageHoldsWhileCountersAreMissing() {
         startRollout();
         cluster.countersMuted = true;
-        runUntil(20, 0, () -> allNodes(node -> node.hasEvent(RolloutEvent.EventType.COUNTERS_MISSING)));
+        runUntil(20, 0, () -> allNodes(node -> node.hasEvent(EventType.COUNTERS_MISSING)));
         int stage = cluster.nodes[0].latestProgress().stage();
         cluster.serveRequests(200, 0);
         cluster.run(20);
@@ -255,7 +249,7 @@
         runUntil(
                 20,
                 0,
-                () -> allNodes(node -> node.hasEvent(RolloutEvent.EventType.COUNTERS_RESTORED)
+                () -> allNodes(node -> node.hasEvent(EventType.COUNTERS_RESTORED)
                         && node.latestProgress().stage() > stage));
     }
 
@@ -263,6 +257,6 @@
     void changedConfiguredRulesHaltTheRollout() {
         startRollout();
         cluster.nodes[2].controller.onConfiguredRules("other", cluster.now);
-        runUntil(1, 0, () -> allEnded(RolloutEnd.EndCause.HALTED));
+        runUntil(1, 0, () -> allEnded(EndCause.HALTED));
     }
 }
