--- /dev/null
+++ b/daemon/src/main/java/clayhook/serve/AttemptResults.java
@@ -0,0 +1,97 @@
+package clayhook.serve;
+
+import clayhook.Attempt;
+import clayhook.AttemptOutcome;
+import clayhook.AttemptResult;
+import clayhook.Node;
+import clayhook.RequestClass.ConsistencyLevel;
+import clayhook.RoutingPolicy;
+import clayhook.backend.BackendClient;
+import clayhook.frontend.ClientRequest;
+import clayhook.inflight.InFlightRequests;
+import clayhook.log.Log;
+import clayhook.transport.SlewedClock;
+import java.util.List;
+
+/** Passes the results of attempts and health checks on to the routing policy and to peers. Event loop only. */
+final class AttemptResults implements BackendClient.Listener {
+    /** The SQLSTATE of a node that must not run a statement because it writes. */
+    private static final String READ_ONLY = "25006";
+
+    private final EventInbox inbox;
+    private final RoutingPolicy policy;
+    private final InFlightRequests inFlight;
+    private final SqlRequests sqlRequests;
+    private final ClientResponder responder;
+    private final PeerReporter peers;
+    private final SlewedClock clock;
+
+    AttemptResults(
+            EventInbox inbox,
+            RoutingPolicy policy,
+            InFlightRequests inFlight,
+            SqlRequests sqlRequests,
+            ClientResponder responder,
+            PeerReporter peers,
+            SlewedClock clock) {
+        this.inbox = inbox;
+        this.policy = policy;
+        this.inFlight = inFlight;
+        this.sqlRequests = sqlRequests;
+        this.responder = responder;
+        this.peers = peers;
+        this.clock = clock;
+    }
+
+    @Override
+    public void onAttemptFinished(Attempt attempt, AttemptResult result, List<byte[]> answer, String error) {
+        Log.count(result.outcome().toString());
+        inbox.add(now -> handle(attempt, result, answer, error, now));
+    }
+
+    private void handle(Attempt attempt, AttemptResult result, List<byte[]> answer, String error, double now) {
+        var request = (ClientRequest) attempt.request;
+        if (needsRestartAsWrite(request, error)) {
+            sqlRequests.restartAsWrite(request, attempt, result, now);
+            return;
+        }
+        boolean answers = result.outcome() == AttemptOutcome.ANSWERED && !request.completed;
+        request.lastNodeError = answers ? null : answer;
+        if (answers) {
+            responder.holdAnswer(request, answer);
+        }
+        if (request.classification != null && answers) {
+            sqlRequests.onAnswered(request, result, now);
+        }
+        peers.onAttemptFinished(attempt, result, answer, now);
+        inFlight.onAttemptFinished(attempt, result, answers, now);
+    }
+
+    /** An SQL statement that was classified as a read writes after all, so that a replica refused to run it. */
+    private static boolean needsRestartAsWrite(ClientRequest request, String error) {
+        return request.classification != null
+                && READ_ONLY.equals(error)
+                && request.requestClass.consistency() != ConsistencyLevel.WRITE
+                && !request.completed;
+    }
+
+    @Override
+    public void onHealthCheck(Node node, AttemptResult result) {
+        Log.count("health check " + result.outcome());
+        inbox.add(now -> {
+            peers.onHealthCheck(node, result, now);
+            policy.onHealthCheck(node, result, now);
+        });
+    }
+
+    @Override
+    public boolean mayStillSend(Attempt attempt) {
+        return !((ClientRequest) attempt.request).clientSession.isClientGone()
+                && policy.mayStillSend(attempt, clock.now());
+    }
+
+    @Override
+    public boolean isKnown(Node node) {
+        return policy.isKnown(node);
+    }
+}
--- a/daemon/src/main/java/clayhook/serve/PeerSharing.java
+++ b/daemon/src/main/java/clayhook/serve/PeerSharing.java
@@ -12,64 +12,64 @@
 import java.util.concurrent.Executor;
 
 /**
- * What a router tells others and hears from them. All but the end is called on the router's loop; each call returns at
- * once, and whatever goes wrong behind it costs no command. A router that shares nothing has none of this.
+ * Exchange of state with the other routers of the fleet. All methods but {@link #leave} and {@link #close} are called
+ * on the event loop, or before it runs; each returns at once, and a failure behind it does not affect requests.
  */
 public interface PeerSharing {
-    /** Hears on the router's loop what others told. */
+    /** Receives what peers share; called on the event loop. */
     interface PeerListener {
-        /** Others have seen that of nodes, by their ids. */
-        void onPeerUpdate(Map<String, PeerObservation> told);
+        /** Peers have observed these nodes, by their ids. */
+        void onPeerUpdate(Map<String, PeerObservation> observations);
 
         /**
-         * The discovery that this router hears now said that, perhaps to others only; or another did, where it says
-         * nothing.
+         * Lists that the discovery service this router uses now has sent, perhaps to peers only; or those of another
+         * service for endpoints that it does not list.
          */
         void onPeerUpdate(Collection<EndpointList> changes);
     }
 
-    /** What all routers together may use of, in units: probes, and dispatches beyond the first of a command. */
+    /** What all routers together may use a limited amount of: health checks, and attempts beyond a request's first. */
     enum SharedQuota {
         HEALTH_CHECKS,
         FURTHER_ATTEMPTS
     }
 
-    /** From now on it can be asked. {@code discovery} is where the list of nodes comes from. */
+    /** Prepares for the calls below. {@code discovery} is where the endpoint list comes from. */
     void attach(Executor loop, InetSocketAddress discovery, PeerListener listener);
 
-    /** From now on it tells and hears. */
+    /** Begins to send to peers and to receive from them. */
     void start();
 
-    /** A dispatch or a probe came back from that node, at {@code now} in seconds since 1970. */
-    void recordObservation(Node node, AttemptResult reply, double now);
+    /** An attempt or a health check at a node has ended, at {@code now} in seconds since 1970. */
+    void recordObservation(Node node, AttemptResult result, double now);
 
-    /** The discovery at that address told this. */
+    /** The discovery service at that address has sent a list. */
     void recordEndpointList(InetSocketAddress discovery, EndpointList list);
 
-    /** Discovery is asked at that address from now on. */
+    /** The discovery service is at that address from now on. */
     void discoveryMoved(InetSocketAddress discovery);
 
-    /** The position that a read of that session must cover, in seconds since 1970; 0 for none. */
+    /** The position that a read of the session must cover, in seconds since 1970; 0 for none. */
     double requiredPosition(String session, double now);
 
-    /** A write of that session was committed at that position of its group of nodes. */
-    void recordSessionWrite(String session, int group, double position);
+    /** A write of the session was committed in a replica set at that position, in seconds since 1970. */
+    void recordSessionWrite(String session, int replicaSetId, double position);
 
-    /** That write has run at that node; or, with null, has its final answer and it is not known whether it has run. */
-    void recordWriteOutcome(ClientRequest command, Node ranAt, double now);
+    /** A write has run at that node; null where it has its final answer and may or may not have run. */
+    void recordWriteOutcome(ClientRequest request, Node ranAt, double now);
 
-    /** This router has used so much of a limit. */
-    void recordQuotaUse(SharedQuota limit, int units);
+    /** This router has used so many units of a quota. */
+    void recordQuotaUse(SharedQuota quota, int units);
 
-    /** What is left of it for this router, as reckoned last; infinite where the limit is not shared. */
-    double remainingQuota(SharedQuota limit);
+    /** This router's remaining units as computed last; infinite where the quota is not shared. */
+    double remainingQuota(SharedQuota quota);
 
-    /** The operator's file was read again; only its seeds count. */
+    /** Applies the seeds of reloaded settings; the others take a restart. */
     void reload(SharingSettings settings);
 
-    /** Tells the others that this router goes, and ends; waits for that a fifth of a second at most. For any thread. */
+    /** Tells peers that this router leaves, and closes; takes at most 0.2 s. For any thread. */
     void leave();
 
-    /** Ends at once. For any thread. */
+    /** Closes at once. For any thread. */
     void close();
 }
--- /dev/null
+++ b/daemon/src/main/java/clayhook/serve/PeerUpdates.java
@@ -0,0 +1,43 @@
+package clayhook.serve;
+
+import clayhook.Node;
+import clayhook.PeerObservation;
+import clayhook.RoutingPolicy;
+import clayhook.backend.BackendClient;
+import clayhook.discovery.EndpointList;
+import clayhook.log.Log;
+import java.util.Collection;
+import java.util.Map;
+
+/** Applies what peers share: their observations of nodes and their endpoint lists. Event loop only. */
+final class PeerUpdates implements PeerSharing.PeerListener {
+    private final EventInbox inbox;
+    private final RoutingPolicy policy;
+    private final BackendClient backend;
+    private final EndpointUpdates endpoints;
+
+    PeerUpdates(EventInbox inbox, RoutingPolicy policy, BackendClient backend, EndpointUpdates endpoints) {
+        this.inbox = inbox;
+        this.policy = policy;
+        this.backend = backend;
+        this.endpoints = endpoints;
+    }
+
+    @Override
+    public void onPeerUpdate(Collection<EndpointList> changes) {
+        Log.count("peer endpoint list");
+        endpoints.onPeerLists(changes);
+    }
+
+    /** Observations of nodes that this router's endpoint list lacks are dropped. */
+    @Override
+    public void onPeerUpdate(Map<String, PeerObservation> observations) {
+        Log.count("peer observations");
+        inbox.add(now -> observations.forEach((id, observation) -> {
+            Node node = backend.findNode(id);
+            if (node != null) {
+                policy.onPeerObservation(node, observation, now);
+            }
+        }));
+    }
+}
--- a/daemon/src/main/java/clayhook/serve/ReloadSignal.java
+++ b/daemon/src/main/java/clayhook/serve/ReloadSignal.java
@@ -2,22 +2,26 @@
 
 import java.lang.reflect.Proxy;
 
-/** SIGHUP, which asks for the configuration to be read again; by default the runtime ends the process on it. */
+/** Handles SIGHUP, the request to reload the configuration; without a handler it ends the process. Thread-safe. */
 public final class ReloadSignal {
     private ReloadSignal() {}
 
-    /** Runs that at each SIGHUP, on a thread of the runtime's. By reflection, as the compiler warns of the type. */
+    /**
+     * Runs {@code handler} at each SIGHUP, on a thread of the runtime. Uses reflection, as the compiler warns about
+     * {@code sun.misc.Signal} and warnings are errors here.
+     */
     public static void install(Runnable handler) throws ReflectiveOperationException {
-        Class<?> signal = Class.forName("sun.misc.Signal");
-        Class<?> handles = Class.forName("sun.misc.SignalHandler");
-        Object proxy =
-                Proxy.newProxyInstance(handles.getClassLoader(), new Class<?>[] {handles}, (self, method, values) -> {
+        Class<?> signalClass = Class.forName("sun.misc.Signal");
+        Class<?> handlerClass = Class.forName("sun.misc.SignalHandler");
+        Object proxy = Proxy.newProxyInstance(
+                handlerClass.getClassLoader(), new Class<?>[] {handlerClass}, (self, method, arguments) -> {
                     if (method.getName().equals("handle")) {
                         handler.run();
                     }
                     return null;
                 });
-        signal.getMethod("handle", signal, handles)
-                .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), proxy);
+        signalClass
+                .getMethod("handle", signalClass, handlerClass)
+                .invoke(null, signalClass.getConstructor(String.class).newInstance("HUP"), proxy);
     }
 }
--- /dev/null
+++ b/daemon/src/main/java/clayhook/serve/RequestAdmission.java
@@ -0,0 +1,136 @@
+package clayhook.serve;
+
+import clayhook.RequestClass;
+import clayhook.RequestClass.ConsistencyLevel;
+import clayhook.RequestClass.Idempotency;
+import clayhook.backend.BackendClient;
+import clayhook.frontend.ClientRequest;
+import clayhook.frontend.ClientSession;
+import clayhook.inflight.InFlightRequests;
+import clayhook.log.Log;
+import clayhook.protocol.KeyValueStatement;
+import clayhook.sql.SqlAdmission.AdmissionResult;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.Executor;
+
+/** Validates and admits what clients send, and withdraws what they no longer want. Event loop only. */
+final class RequestAdmission implements ClientSession.RequestHandler {
+    /** The reasons are sent to clients, so that their wording is part of the protocol. */
+    static final String UNKNOWN_REPLICA_SET = "unknown group of nodes";
+
+    private static final String UNKNOWN_REQUEST_CLASS = "unknown command group";
+    private static final String WRONG_STATEMENT_KIND = "a statement of another kind than its command group";
+    private static final String MISSING_IDEMPOTENCY_KEY = "no key in a keyed command group";
+    private static final String DUPLICATE_ID = "the id of an open command";
+    private static final String INVALID_STATEMENT = "42601";
+
+    private final Executor loop;
+    private final EventInbox inbox;
+    private final BackendClient backend;
+    private final InFlightRequests inFlight;
+    private final OpenRequests openRequests;
+    private final SqlRequests sqlRequests;
+    private final PeerReporter peers;
+    private final Map<String, RequestClass> requestClasses = new HashMap<>();
+
+    RequestAdmission(
+            Executor loop,
+            EventInbox inbox,
+            BackendClient backend,
+            InFlightRequests inFlight,
+            OpenRequests openRequests,
+            SqlRequests sqlRequests,
+            PeerReporter peers,
+            List<RequestClass> requestClasses) {
+        this.loop = loop;
+        this.inbox = inbox;
+        this.backend = backend;
+        this.inFlight = inFlight;
+        this.openRequests = openRequests;
+        this.sqlRequests = sqlRequests;
+        this.peers = peers;
+        requestClasses.forEach(requestClass -> this.requestClasses.put(requestClass.name(), requestClass));
+    }
+
+    @Override
+    public void onKeyValueStatement(ClientSession session, KeyValueStatement statement) {
+        RequestClass requestClass = requestClasses.get(statement.requestClassName);
+        String reason = rejectionReason(requestClass, statement);
+        if (reason != null) {
+            Log.warn("client", reason);
+            loop.execute(() -> session.respondWithError(INVALID_STATEMENT, reason));
+            return;
+        }
+        openRequests.reserveId(statement.requestId);
+        inbox.add(now -> {
+            double requiredPosition = peers.requiredPosition(requestClass, statement.key, now);
+            openRequests.admit(new ClientRequest(requestClass, statement, session, requiredPosition, now), now);
+        });
+    }
+
+    /** Why the statement is invalid, or null. */
+    private String rejectionReason(RequestClass requestClass, KeyValueStatement statement) {
+        if (requestClass == null) {
+            return UNKNOWN_REQUEST_CLASS;
+        } else if ((requestClass.consistency() == ConsistencyLevel.WRITE) != statement.isWrite) {
+            return WRONG_STATEMENT_KIND;
+        } else if (requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY && !statement.hasIdempotencyKey) {
+            return MISSING_IDEMPOTENCY_KEY;
+        } else if (!backend.hasReplicaSet(statement.replicaSetId)) {
+            return UNKNOWN_REPLICA_SET;
+        }
+        return openRequests.containsId(statement.requestId) ? DUPLICATE_ID : null;
+    }
+
+    @Override
+    public void onSqlStatement(ClientSession session, byte[] text) {
+        AdmissionResult result = sqlRequests.classify(session, text);
+        if (result instanceof AdmissionResult.Admitted admitted && backend.hasReplicaSet(admitted.replicaSetId())) {
+            Log.count(admitted.classification().verdict() + " "
+                    + admitted.classification().rule());
+            inbox.add(now -> sqlRequests.admit(admitted, session, admitted.timeoutSeconds(), now));
+        } else {
+            sqlRequests.refuse(session, result);
+        }
+    }
+
+    @Override
+    public void onClientGone(ClientSession session) {
+        inbox.add(now -> {
+            ClientRequest request = openRequests.remove(session);
+            if (request != null) {
+                Log.count("disconnected");
+                peers.onRequestAbandoned(request);
+                inFlight.onClientGone(request);
+                request.attempts.forEach(backend::cancelIfUnsent);
+            }
+        });
+    }
+
+    /** Sends no further attempt and cancels those in flight; the client is answered once their outcome is known. */
+    @Override
+    public void onCancelRequest(ClientSession session) {
+        inbox.add(now -> {
+            ClientRequest request = openRequests.find(session);
+            if (request == null || request.completed) {
+                return;
+            }
+            openRequests.remove(session);
+            Log.count("cancelled");
+            inFlight.onClientGone(request);
+            // One tick later: what was decided in this one is carried out at its end, and must be cancelled as well.
+            inbox.add(next -> cancelAttempts(request));
+        });
+    }
+
+    /** The answer follows another tick later, when the results of the cancelled attempts have been handled. */
+    private void cancelAttempts(ClientRequest request) {
+        inFlight.cancellableAttempts(request).forEach(backend::cancel);
+        inbox.add(now -> {
+            peers.onRequestAbandoned(request);
+            request.clientSession.respondCancelled(OpenRequests.mayHaveRun(request));
+        });
+    }
+}
--- a/daemon/src/main/java/clayhook/serve/Server.java
+++ b/daemon/src/main/java/clayhook/serve/Server.java
@@ -11,24 +11,29 @@
 import java.util.List;
 import java.util.concurrent.Callable;
 
-/** One router from its start to its end. */
+/** One router from its start to its end. Thread-safe. */
 public final class Server {
     private static final long POLL_INTERVAL_MS = 20;
+    private static final double NANOS_PER_SECOND = 1e9;
 
     private final Transport transport;
     private final Router router;
-    /** Null where nothing is shared with other routers. */
+    /** Null where nothing is shared with peers. */
     private final PeerSharing sharing;
 
     private final ShutdownSchedule shutdownSchedule;
     private boolean closed;
 
-    /** Without a file of the operator's. */
+    /** Starts with the operator's defaults. */
     public Server(Transport transport, RouterConfiguration configuration) throws InterruptedException {
         this(transport, configuration, OperatorConfiguration.DEFAULTS, null);
     }
 
-    /** Throws IOException naming the address where others cannot be heard at it. */
+    /**
+     * Starts; the server listens for clients on return.
+     *
+     * @throws IOException naming the address where datagrams of peers cannot be received
+     */
     public Server(Transport transport, RouterConfiguration configuration, OperatorConfiguration operator)
             throws IOException, InterruptedException {
         this(
@@ -44,35 +49,40 @@
         this.transport = transport;
         this.sharing = sharing;
         router = new Router(transport, configuration, operator, sharing);
-        List<RequestClass> groups = configuration.settings().requestClasses();
-        double longest = groups.stream()
+        shutdownSchedule = ShutdownSchedule.of(
+                longestClientTimeout(configuration.settings().requestClasses()));
+    }
+
+    /** In seconds; infinite where there are no request classes. */
+    private static double longestClientTimeout(List<RequestClass> requestClasses) {
+        return requestClasses.stream()
                 .mapToDouble(RequestClass::clientTimeoutSeconds)
                 .max()
                 .orElse(Double.POSITIVE_INFINITY);
-        shutdownSchedule = ShutdownSchedule.of(longest);
     }
 
+    /** The address that clients connect to. */
     public InetSocketAddress address() {
         return router.address();
     }
 
-    /** Takes over what can be changed while it serves. */
-    public synchronized void reload(RouterConfiguration fresh, OperatorConfiguration operator) {
+    /** Applies a reloaded configuration as far as that needs no restart. Returns at once. */
+    public synchronized void reload(RouterConfiguration configuration, OperatorConfiguration operator) {
         if (!closed) {
-            transport.eventLoop().execute(() -> router.reload(fresh, operator));
+            transport.eventLoop().execute(() -> router.reload(configuration, operator));
         }
     }
 
-    /** Serves on while the platform waits, answers what it has taken, then closes; returns when all is over. */
+    /** Shuts down gracefully by the {@link ShutdownSchedule}; returns when it is done, not on the event loop. */
     public void shutDown() throws Exception {
-        Log.info("ending: takes commands for " + Math.round(shutdownSchedule.acceptUntil() * 1000) + " ms");
-        long start = System.nanoTime();
+        Log.info("shutting down: admits requests for " + Math.round(shutdownSchedule.acceptUntil() * 1000) + " ms");
+        long startNanos = System.nanoTime();
         Thread.sleep(Math.round(ShutdownSchedule.MIN_ACCEPT_SECONDS * 1000));
-        awaitNoClients(start, shutdownSchedule.acceptUntil());
-        transport.eventLoop().submit(router::end).get();
-        awaitNoClients(start, shutdownSchedule.failPendingAt());
-        transport.eventLoop().submit(router::giveUp).get();
-        awaitNoClients(start, shutdownSchedule.exitAt());
+        awaitNoClients(startNanos, shutdownSchedule.acceptUntil());
+        transport.eventLoop().submit(router::drain).get();
+        awaitNoClients(startNanos, shutdownSchedule.failPendingAt());
+        transport.eventLoop().submit(router::failPendingRequests).get();
+        awaitNoClients(startNanos, shutdownSchedule.exitAt());
         if (sharing != null) {
             sharing.leave();
         }
@@ -80,16 +90,16 @@
         Log.info("ended");
     }
 
-    /** Waits so many seconds from the start, or until no client is left. */
-    private void awaitNoClients(long start, double seconds) throws Exception {
-        Callable<Boolean> ended = router::ended;
-        while ((System.nanoTime() - start) / 1e9 < seconds
-                && !transport.eventLoop().submit(ended).get()) {
+    /** Waits until so many seconds after the start, or until no client is connected. */
+    private void awaitNoClients(long startNanos, double seconds) throws Exception {
+        Callable<Boolean> hasNoClients = router::hasNoClients;
+        while ((System.nanoTime() - startNanos) / NANOS_PER_SECOND < seconds
+                && !transport.eventLoop().submit(hasNoClients).get()) {
             Thread.sleep(POLL_INTERVAL_MS);
         }
     }
 
-    /** Ends at once, whatever is in hand. */
+    /** Closes at once, whatever is in flight. */
     public synchronized void close() {
         if (!closed) {
             closed = true;
--- a/daemon/src/main/java/clayhook/serve/ServerLifecycle.java
+++ b/daemon/src/main/java/clayhook/serve/ServerLifecycle.java
@@ -2,30 +2,33 @@
 
 import java.util.concurrent.Callable;
 
-/** Sees to it that a request to end finds no server, or a whole one: what a listener has accepted is owed an answer. */
+/**
+ * Orders a server's start and its shutdown, which may be requested while the server starts: it then either does not
+ * start or is shut down once it has, as connections that its listener has accepted are owed an answer. Thread-safe.
+ */
 public final class ServerLifecycle {
-    /** Null before it serves. */
+    /** Null before the start. */
     private Server server;
 
     private boolean shutdownRequested;
 
-    /** The server once it listens; null where the request to end came first, and none was started. */
-    public synchronized Server start(Callable<Server> starting) throws Exception {
+    /** Returns the started server; null where shutdown was requested first, so that none was started. */
+    public synchronized Server start(Callable<Server> starter) throws Exception {
         if (!shutdownRequested) {
-            server = starting.call();
+            server = starter.call();
         }
         return server;
     }
 
-    /** Returns when all is over; waits for a start that has begun. */
+    /** Shuts the server down and returns when that is done; waits for a start that has begun. */
     public void shutDown() throws Exception {
-        Server begun;
+        Server started;
         synchronized (this) {
             shutdownRequested = true;
-            begun = server;
+            started = server;
         }
-        if (begun != null) {
-            begun.shutDown();
+        if (started != null) {
+            started.shutDown();
         }
     }
 }
--- /dev/null
+++ b/daemon/src/main/java/clayhook/serve/SqlRequests.java
@@ -0,0 +1,103 @@
+package clayhook.serve;
+
+import clayhook.Attempt;
+import clayhook.AttemptOutcome;
+import clayhook.AttemptResult;
+import clayhook.RequestClass.ConsistencyLevel;
+import clayhook.frontend.ClientRequest;
+import clayhook.frontend.ClientSession;
+import clayhook.inflight.InFlightRequests;
+import clayhook.log.Log;
+import clayhook.sql.SqlAdmission.AdmissionResult;
+import java.util.concurrent.Executor;
+
+/**
+ * Requests that are SQL statements: their admission, their restart as writes, and what answers tell. Event loop only.
+ */
+final class SqlRequests {
+    private final Executor loop;
+    private final SqlSupport sql;
+    private final InFlightRequests inFlight;
+    private final OpenRequests openRequests;
+
+    SqlRequests(Executor loop, SqlSupport sql, InFlightRequests inFlight, OpenRequests openRequests) {
+        this.loop = loop;
+        this.sql = sql;
+        this.inFlight = inFlight;
+        this.openRequests = openRequests;
+    }
+
+    /** Classifies a statement and checks it against the operator's rules. */
+    AdmissionResult classify(ClientSession session, byte[] text) {
+        return sql.admission()
+                .admit(
+                        text,
+                        session.settings().client(),
+                        session.settings().timeout(),
+                        session.settings().values());
+    }
+
+    /** Admits a statement whose client waits for so many seconds. */
+    void admit(AdmissionResult.Admitted admitted, ClientSession session, double timeoutSeconds, double now) {
+        openRequests.admit(
+                new ClientRequest(
+                        admitted.requestClass(),
+                        admitted.replicaSetId(),
+                        admitted.statement(),
+                        admitted.classification(),
+                        session,
+                        Math.max(admitted.requiredPosition(), session.lastWritePosition()),
+                        now,
+                        timeoutSeconds),
+                now);
+    }
+
+    /** Answers a statement with an error: the reason of its rejection, or that there is no such replica set. */
+    void refuse(ClientSession session, AdmissionResult result) {
+        var rejected = result instanceof AdmissionResult.Rejected given
+                ? given
+                : new AdmissionResult.Rejected("42601", RequestAdmission.UNKNOWN_REPLICA_SET);
+        Log.count("refused");
+        Log.warn("statement", "refused: " + rejected.reason());
+        loop.execute(() -> session.respondWithError(rejected.sqlState(), rejected.reason()));
+    }
+
+    /** Ends a request that a node refused to run as a read, without an answer, and begins it again as a write. */
+    void restartAsWrite(ClientRequest request, Attempt attempt, AttemptResult result, double now) {
+        ClientSession session = request.clientSession;
+        AdmissionResult admission = sql.admission()
+                .readmitAsWrite(
+                        request.classification,
+                        request.outboundStatement.textWithTimeout(0),
+                        session.settings().client(),
+                        session.settings().timeout(),
+                        session.settings().values());
+        openRequests.release(session);
+        inFlight.onAttemptFinished(attempt, asAnswered(result), true, now);
+        if (admission instanceof AdmissionResult.Admitted admitted) {
+            admit(admitted, session, request.deadline - now, now);
+        } else {
+            refuse(session, admission);
+        }
+    }
+
+    /** The node is sound: the policy must not take this refusal for a replica that is too far behind. */
+    private static AttemptResult asAnswered(AttemptResult result) {
+        return new AttemptResult(
+                AttemptOutcome.ANSWERED,
+                result.elapsedSeconds(),
+                result.role(),
+                result.appliedPosition(),
+                result.reportedRole(),
+                result.reportedPosition(),
+                result.reportedLoad());
+    }
+
+    /** Learns the service time of a statement, and the position that later reads of its session must cover. */
+    void onAnswered(ClientRequest request, AttemptResult result, double now) {
+        sql.admission().recordServiceTime(request.classification, result.elapsedSeconds());
+        if (request.requestClass.consistency() == ConsistencyLevel.WRITE) {
+            request.clientSession.recordWrite(result.appliedPosition() > 0 ? result.appliedPosition() : now);
+        }
+    }
+}
--- /dev/null
+++ b/daemon/src/main/java/clayhook/serve/SummaryLog.java
@@ -0,0 +1,58 @@
+package clayhook.serve;
+
+import clayhook.RoutingPolicy;
+import clayhook.backend.BackendClient;
+import clayhook.frontend.ClientListener;
+import clayhook.inflight.InFlightRequests;
+import clayhook.log.Log;
+import clayhook.transport.DescriptorBudget;
+
+/** Writes a summary of the router to the log at fixed intervals. Event loop only. */
+final class SummaryLog {
+    private static final double INTERVAL_SECONDS = 10;
+
+    private final ClientListener frontend;
+    private final BackendClient backend;
+    private final InFlightRequests inFlight;
+    private final DescriptorBudget descriptors;
+    private final TickTimer timer;
+    private final RoutingPolicy policy;
+    private final SqlSupport sql;
+    private double nextAt;
+
+    SummaryLog(
+            ClientListener frontend,
+            BackendClient backend,
+            InFlightRequests inFlight,
+            DescriptorBudget descriptors,
+            TickTimer timer,
+            RoutingPolicy policy,
+            SqlSupport sql,
+            double startedAt) {
+        this.frontend = frontend;
+        this.backend = backend;
+        this.inFlight = inFlight;
+        this.descriptors = descriptors;
+        this.timer = timer;
+        this.policy = policy;
+        this.sql = sql;
+        nextAt = startedAt + INTERVAL_SECONDS;
+    }
+
+    /** Writes the summary if it is due; each figure covers the time since the last one. */
+    void onTick(double now) {
+        if (now < nextAt) {
+            return;
+        }
+        nextAt = now + INTERVAL_SECONDS;
+        Log.info("summary: clients " + frontend.sessionCount() + ", connections to nodes "
+                + backend.connectionCount() + ", in flight " + inFlight.size() + ", descriptors at most "
+                + descriptors.peak() + ", event loop delay at most " + Math.round(timer.maxDelay() * 1000) + " ms, "
+                + Log.counts());
+        Log.info("nodes: " + policy.describeNodes(now) + ", in flight " + backend.inFlightByNode());
+        if (sql.isEnabled()) {
+            Log.info("statements: " + sql.admission().summary());
+        }
+        timer.resetMaxDelay();
+    }
+}
--- a/daemon/src/test/java/clayhook/serve/ReloadSignalTest.java
+++ b/daemon/src/test/java/clayhook/serve/ReloadSignalTest.java
@@ -2,8 +2,13 @@
 
 import static java.nio.charset.StandardCharsets.ISO_8859_1;
 import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
 import java.util.concurrent.Semaphore;
+import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
 class ReloadSignalTest {
@@ -20,10 +25,17 @@
         }
     }
 
-    /** Each shape of concatenation would make classes at its first use, while commands wait. */
+    /** Each shape of concatenation would define classes at its first use, while requests wait. */
     @Test
-    void textIsJoinedWithoutMakingClasses() throws Exception {
-        byte[] code = Router.class.getResourceAsStream("Router.class").readAllBytes();
-        assertFalse(new String(code, ISO_8859_1).contains("makeConcatWithConstants"));
+    void stringConcatenationOfTheServingPathDefinesNoClassesAtRunTime() throws Exception {
+        Path folder = Path.of(Router.class.getResource("Router.class").toURI()).getParent();
+        try (Stream<Path> files = Files.list(folder)) {
+            List<Path> classes = files.toList();
+            assertTrue(classes.contains(folder.resolve("Router.class")), "the package's classes were not found");
+            for (Path file : classes) {
+                String code = Files.readString(file, ISO_8859_1);
+                assertFalse(code.contains("makeConcatWithConstants"), file.toString());
+            }
+        }
     }
 }
--- a/daemon/src/test/java/clayhook/serve/ShutdownTest.java
+++ b/daemon/src/test/java/clayhook/serve/ShutdownTest.java
@@ -123,8 +123,8 @@
         start(any -> StubNode.StubResponse.silence());
         StubClient client = client(statement(1, "mutating"), statement(2, "any"), statement(3, "mutating"));
         sent.take();
-        routerTransport.eventLoop().submit(router::end).get();
-        routerTransport.eventLoop().submit(router::giveUp).get();
+        routerTransport.eventLoop().submit(router::drain).get();
+        routerTransport.eventLoop().submit(router::failPendingRequests).get();
         assertEquals(
                 List.of("ready", "40003", "53300", "53300"),
                 List.of(client.nextAnswer(), client.nextAnswer(), client.nextAnswer(), client.nextAnswer()));
@@ -137,7 +137,7 @@
         start(any -> StubNode.StubResponse.answer("served"));
         StubClient client = client(statement(1, "any"));
         assertEquals(List.of("ready", "served"), List.of(client.nextAnswer(), client.nextAnswer()));
-        routerTransport.eventLoop().submit(router::giveUp).get();
+        routerTransport.eventLoop().submit(router::failPendingRequests).get();
         client.send(statement(2, "any"));
         assertEquals("53300", client.nextAnswer());
         assertEquals(1, sent.size());
@@ -154,7 +154,7 @@
             await(goesOn);
         });
         stands.await();
-        routerTransport.eventLoop().execute(router::end);
+        routerTransport.eventLoop().execute(router::drain);
         var sockets = new ArrayList<Socket>();
         for (int i = 0; i < 40; i++) {
             var socket =
