--- a/daemon/src/main/java/clayhook/config/ConfigurationException.java
+++ b/daemon/src/main/java/clayhook/config/ConfigurationException.java
@@ -1,6 +1,6 @@
 package clayhook.config;
 
-/** A configuration that cannot be used; the message names the faulty key. */
+/** A configuration is invalid; the message names the key, and for the operator's file also file and line. */
 public final class ConfigurationException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/daemon/src/main/java/clayhook/config/Json.java
+++ b/daemon/src/main/java/clayhook/config/Json.java
@@ -5,11 +5,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** A parser of JSON: objects are maps, arrays lists, the rest strings, numbers, truth values and null. */
+/** A parser of JSON: objects become maps, arrays lists, the rest strings, doubles, booleans and null. */
 public final class Json {
-    /** Deep enough for any message of ours; it bounds the stack. */
+    /** Deeper than any message of the platform; bounds the stack. */
     private static final int MAX_DEPTH = 32;
 
+    private static final int HEX = 16;
+
     private final String text;
     private int position;
 
@@ -17,7 +19,11 @@
         this.text = text;
     }
 
-    /** Throws IllegalArgumentException with the place of what cannot be understood. */
+    /**
+     * Parses a text that holds one value.
+     *
+     * @throws IllegalArgumentException with the position of a syntax error
+     */
     public static Object parse(String text) {
         var json = new Json(text);
         Object value = json.parseValue(0);
@@ -87,6 +93,7 @@
         return array;
     }
 
+    /** Whether another element follows; otherwise the end of the object or array is consumed. */
     private boolean consumeSeparator(char end) {
         skipWhitespace();
         if (peek() == ',') {
@@ -129,11 +136,11 @@
     private char parseUnicodeEscape() {
         int code = 0;
         for (int i = 0; i < 4; i++) {
-            int digit = Character.digit(peek(), 16);
+            int digit = Character.digit(peek(), HEX);
             if (digit < 0) {
                 throw syntaxError("a faulty escape");
             }
-            code = code * 16 + digit;
+            code = code * HEX + digit;
             position++;
         }
         return (char) code;
@@ -151,9 +158,9 @@
         }
     }
 
-    private boolean consumeLiteral(String word) {
-        boolean found = text.startsWith(word, position);
-        position += found ? word.length() : 0;
+    private boolean consumeLiteral(String literal) {
+        boolean found = text.startsWith(literal, position);
+        position += found ? literal.length() : 0;
         return found;
     }
 
--- a/daemon/src/main/java/clayhook/config/LoadReport.java
+++ b/daemon/src/main/java/clayhook/config/LoadReport.java
@@ -5,17 +5,25 @@
 /**
  * What a node reports of itself. The simulator and the sockets use the same fields, some under two names.
  *
- * @param position its log position in clock seconds; 0 where it told none
- * @param load the commands that it holds or that wait there; below 0 where it told none
+ * @param role that the node claims
+ * @param position its applied log position in clock seconds; 0 for none
+ * @param load the requests that run or wait at the node; below 0 for none
  */
 public record LoadReport(Role role, double position, double load) {
-    /** No machine holds so many commands. */
+    /** A load beyond this is taken for an error in the report. */
     private static final double MAX_LOAD = 1e6;
 
+    /** Reports nothing. */
     public static final LoadReport NONE = new LoadReport(Role.UNKNOWN, 0, -1);
 
-    /** Reads name and value pairs; {@code origin} is the clock time of position 0. */
-    public static LoadReport parse(String text, char sign, double origin) {
+    /**
+     * Parses name and value pairs that are separated by commas. Unknown names are ignored.
+     *
+     * @param separator between a name and its value
+     * @param origin the clock time of position 0, in seconds
+     * @throws IllegalArgumentException with the fault, to follow the name of what holds the report
+     */
+    public static LoadReport parse(String text, char separator, double origin) {
         if (text == null || text.isEmpty()) {
             return NONE;
         }
@@ -23,7 +31,7 @@
         double position = 0;
         double load = -1;
         for (String pair : text.split(",")) {
-            int at = pair.indexOf(sign);
+            int at = pair.indexOf(separator);
             if (at < 0) {
                 throw new IllegalArgumentException("has a report value '" + pair + "' without a name");
             }
--- a/daemon/src/main/java/clayhook/config/OperatorConfigurationReader.java
+++ b/daemon/src/main/java/clayhook/config/OperatorConfigurationReader.java
@@ -13,7 +13,7 @@
 
 /** Reads the operator's file; {@code deploy/clayhook.toml} holds every key with its default. */
 public final class OperatorConfigurationReader {
-    /** Seconds; longer than any statement is waited for. */
+    /** The longest timeout that a file may set. */
     private static final double SECONDS_PER_DAY = 86_400;
 
     private static final int DEFAULT_MAX_ANSWER_BYTES = 1 << 20;
@@ -21,49 +21,57 @@
     private OperatorConfigurationReader() {}
 
     /**
-     * {@code groups} are the command groups there are; null where any name will do. Throws BadConfig naming the place.
+     * Reads and validates a file.
+     *
+     * @param requestClasses that the file may name; null to accept any name
+     * @throws ConfigurationException naming file, line and key
      */
-    public static OperatorConfiguration read(Path file, List<RequestClass> groups) throws ConfigurationException {
-        return read(TomlSection.read(file), groups);
+    public static OperatorConfiguration read(Path file, List<RequestClass> requestClasses)
+            throws ConfigurationException {
+        return read(TomlSection.read(file), requestClasses);
     }
 
-    /** What it says of statements, on or not, for tools that do not serve. Throws BadConfig naming the place. */
+    /**
+     * Reads the settings of statements, whether or not they are enabled, for tools that do not serve.
+     *
+     * @throws ConfigurationException naming file, line and key
+     */
     public static OperatorConfiguration.StatementSettings readStatements(Path file) throws ConfigurationException {
         TomlSection toml = TomlSection.read(file);
-        read(toml, null);
-        return readStatements(toml.getTable("statements"), null);
+        read(toml, null); // validates the other tables as well
+        return readStatements(toml.getTable("statements"), new RequestClassValidator(null));
     }
 
-    private static OperatorConfiguration read(TomlSection toml, List<RequestClass> groups)
+    private static OperatorConfiguration read(TomlSection toml, List<RequestClass> requestClasses)
             throws ConfigurationException {
         TomlSection nodes = toml.getTable("nodes");
         String user = nodes.getString("user", OperatorConfiguration.DEFAULTS.user());
         String database = nodes.getString("database", OperatorConfiguration.DEFAULTS.database());
         TomlSection table = toml.getTable("statements");
-        boolean on = table.getBoolean("enabled", false);
-        OperatorConfiguration.StatementSettings statements = readStatements(table, on ? groups : null);
+        boolean statementsEnabled = table.getBoolean("enabled", false);
+        OperatorConfiguration.StatementSettings statements =
+                readStatements(table, new RequestClassValidator(statementsEnabled ? requestClasses : null));
         TomlSection sharing = toml.getTable("sharing");
-        boolean shares = sharing.getBoolean("enabled", false);
-        SharingSettings shared = SharingSettings.read(sharing);
+        boolean sharingEnabled = sharing.getBoolean("enabled", false);
+        SharingSettings sharingSettings = SharingSettings.read(sharing);
         toml.rejectUnknownKeys();
-        return new OperatorConfiguration(on ? statements : null, user, database, shares ? shared : null);
+        return new OperatorConfiguration(
+                statementsEnabled ? statements : null, user, database, sharingEnabled ? sharingSettings : null);
     }
 
-    private static OperatorConfiguration.StatementSettings readStatements(TomlSection table, List<RequestClass> groups)
-            throws ConfigurationException {
+    private static OperatorConfiguration.StatementSettings readStatements(
+            TomlSection table, RequestClassValidator validator) throws ConfigurationException {
         StatementRules defaults = StatementRules.DEFAULT;
         TomlSection database = table.getTable("database");
         String readGroup = table.getString("read_group", defaults.readGroup());
         String writeGroup = table.getString("write_group", defaults.writeGroup());
-        OperatorConfiguration.RequestClassValidator.forClasses(groups, table)
-                .validate("read_group", false, false, readGroup);
-        OperatorConfiguration.RequestClassValidator.forClasses(groups, table)
-                .validate("write_group", true, false, writeGroup);
+        validator.validate(table, "read_group", false, false, readGroup);
+        validator.validate(table, "write_group", true, false, writeGroup);
         var rules = new ArrayList<Rule>();
         for (TomlSection rule : table.getTables("rule")) {
-            rules.add(readRule(rule, groups, rules.size() + 1));
+            rules.add(readRule(rule, validator, rules.size() + 1));
         }
-        var read = new StatementRules(
+        var statementRules = new StatementRules(
                 table.getBoolean("standard_conforming_strings", true),
                 database.getStringSet("reads"),
                 database.getStringSet("writes"),
@@ -79,25 +87,24 @@
                 writeGroup,
                 table.getInt("nodes", defaults.nodes(), 0, Integer.MAX_VALUE));
         return new OperatorConfiguration.StatementSettings(
-                read,
+                statementRules,
                 table.getBoolean("trust_comments", false),
                 table.getNumber("timeout", 0, 0, SECONDS_PER_DAY),
                 table.getInt("answer_bytes", DEFAULT_MAX_ANSWER_BYTES, 1024, 1 << 28));
     }
 
-    private static Rule readRule(TomlSection rule, List<RequestClass> groups, int number)
+    private static Rule readRule(TomlSection rule, RequestClassValidator validator, int number)
             throws ConfigurationException {
         rule.getRequiredString("class");
         boolean writes = rule.getChoice("class", null, Set.of("read", "write")).equals("write");
-        String mark = rule.getString("mark", null);
-        if (mark != null && !writes) {
+        String outcomeKey = rule.getString("mark", null);
+        if (outcomeKey != null && !writes) {
             throw rule.invalid("mark", "is for rules on writes");
         }
-        String group = rule.getRequiredString("group");
-        OperatorConfiguration.RequestClassValidator.forClasses(groups, rule)
-                .validate("group", writes, mark != null, group);
-        double from = rule.getNumber("cost_from", 0, 0, SECONDS_PER_DAY);
-        double to = rule.getNumber("cost_to", Double.MAX_VALUE, from, Double.MAX_VALUE);
+        String requestClass = rule.getRequiredString("group");
+        validator.validate(rule, "group", writes, outcomeKey != null, requestClass);
+        double minCost = rule.getNumber("cost_from", 0, 0, SECONDS_PER_DAY);
+        double maxCost = rule.getNumber("cost_to", Double.MAX_VALUE, minCost, Double.MAX_VALUE);
         return new Rule(
                 rule.getString("name", "rule " + number),
                 writes ? StatementEffect.WRITE : StatementEffect.READ,
@@ -109,11 +116,11 @@
                 readPattern(rule, "user"),
                 readPattern(rule, "database"),
                 readPattern(rule, "application"),
-                from,
-                to,
-                group,
+                minCost,
+                maxCost,
+                requestClass,
                 rule.getNumber("timeout", 0, 0, SECONDS_PER_DAY),
-                mark,
+                outcomeKey,
                 readPlacement(rule));
     }
 
@@ -124,12 +131,12 @@
 
     private static Placement readPlacement(TomlSection rule) throws ConfigurationException {
         String column = rule.getString("nodes_by", null);
-        List<Integer> groups = rule.getIntList("nodes");
-        if (column != null && groups.isEmpty()) {
+        List<Integer> replicaSetIds = rule.getIntList("nodes");
+        if (column != null && replicaSetIds.isEmpty()) {
             throw rule.invalid("nodes_by", "needs nodes, the list of groups");
-        } else if (column == null && groups.size() > 1) {
+        } else if (column == null && replicaSetIds.size() > 1) {
             throw rule.invalid("nodes", "several groups need nodes_by, the column that tells which");
         }
-        return groups.isEmpty() ? null : new Placement(column, groups);
+        return replicaSetIds.isEmpty() ? null : new Placement(column, replicaSetIds);
     }
 }
--- a/daemon/src/main/java/clayhook/config/RouterConfiguration.java
+++ b/daemon/src/main/java/clayhook/config/RouterConfiguration.java
@@ -12,13 +12,18 @@
 import java.util.Map;
 
 /**
- * All that a real router is told at its start: a file of JSON named by LB_CONFIG; the variables LB_NAME, LB_LISTEN and
- * LB_DISCOVERY stand in for what the file leaves out.
+ * The platform's configuration of a router: a JSON file that the environment variable LB_CONFIG names; LB_NAME,
+ * LB_LISTEN and LB_DISCOVERY stand in for keys that it lacks. Immutable.
  *
- * @param known the list of nodes as this router last had it, perhaps old
- * @param connectTimeout seconds in which a connection to a node must stand
- * @param memory bytes that the whole process may take
- * @param sockets descriptors that the process may hold
+ * @param name of this router, unique in its fleet
+ * @param listen the address that clients connect to
+ * @param discovery the address of the discovery service
+ * @param seed of all random draws of this router
+ * @param memoryBytes limit of the whole process
+ * @param maxDescriptors that the process may hold
+ * @param knownEndpoints the endpoint list as this router last had it, perhaps stale
+ * @param settings for the routing policy
+ * @param connectTimeout of connections to nodes, in seconds
  */
 public record RouterConfiguration(
         String name,
@@ -31,12 +36,17 @@
         RoutingSettings settings,
         double connectTimeout) {
 
-    /** What the platform grants where it states nothing: the least that it hands out on scored days. */
+    /** What the platform grants at least, for a file that states no limits. */
     private static final double DEFAULT_MEMORY_MB = 192;
 
     private static final double DEFAULT_MAX_DESCRIPTORS = 1024;
+    private static final double BYTES_PER_MB = 1024 * 1024;
 
-    /** Throws BadConfig naming the faulty key. */
+    /**
+     * Reads the file that the environment names.
+     *
+     * @throws ConfigurationException naming the variable or key that is invalid
+     */
     public static RouterConfiguration fromEnvironment(Map<String, String> environment) throws ConfigurationException {
         String file = environment.get("LB_CONFIG");
         if (file == null || file.isEmpty()) {
@@ -51,7 +61,7 @@
         }
     }
 
-    /** The same of a file's content. */
+    /** The same from the parsed content of the file. */
     public static RouterConfiguration fromJson(Object json, Map<String, String> environment)
             throws ConfigurationException {
         if (!(json instanceof Map<?, ?> map)) {
@@ -62,11 +72,11 @@
         }
         Map<String, String> values = new HashMap<>();
         flatten("", settings, values);
-        // On sockets the list is told only to who asks, even where the simulator pushes it.
+        // On sockets the endpoint list must be polled, even where the simulator pushes it.
         values.put("discovery", "subscribe");
         var reader = new SettingsReader(values);
-        RoutingSettings read = reader.readSettings();
-        if (read.requestClasses().isEmpty()) {
+        RoutingSettings routingSettings = reader.readSettings();
+        if (routingSettings.requestClasses().isEmpty()) {
             throw new ConfigurationException("settings.grades: missing or empty");
         }
         return new RouterConfiguration(
@@ -74,19 +84,22 @@
                 parseAddress("listen", requiredText(map, "listen", environment.get("LB_LISTEN"))),
                 parseAddress("discovery", requiredText(map, "discovery", environment.get("LB_DISCOVERY"))),
                 parseSeed(requiredText(map, "seed", null)),
-                (long) (limit(map, "memory_mb", DEFAULT_MEMORY_MB) * 1024 * 1024),
+                (long) (limit(map, "memory_mb", DEFAULT_MEMORY_MB) * BYTES_PER_MB),
                 (int) limit(map, "sockets", DEFAULT_MAX_DESCRIPTORS),
-                known(map.get("known")),
-                read,
+                parseKnownEndpoints(map.get("known")),
+                routingSettings,
                 reader.connectTimeoutSeconds());
     }
 
-    /** It was there before, and clients may wait for it: where a deployment starts, its list has never changed. */
+    /** Whether this is a restart, for which clients may wait: a new deployment's endpoint list has no version yet. */
     public boolean hasServedBefore() {
         return knownEndpoints.version() > 0;
     }
 
-    /** The keys in which another differs and which only a start reads; the seed and the known list are for starts. */
+    /**
+     * Names the keys in which another configuration differs and that take a restart to apply, joined by commas; empty
+     * for none. The seed and the known endpoints only matter at a start and are not compared.
+     */
     public String restartOnlyDifferences(RouterConfiguration other) {
         var keys = new ArrayList<String>();
         if (!name.equals(other.name)) {
@@ -104,7 +117,7 @@
         return String.join(", ", keys);
     }
 
-    /** One value a path; lists of plain values are joined by commas, those of objects state their length. */
+    /** Flattens to one value a path: lists of scalars are joined by commas, those of objects get a count. */
     private static void flatten(String path, Object json, Map<String, String> values) {
         if (json instanceof Map<?, ?> map) {
             String start = path.isEmpty() ? "" : path + ".";
@@ -129,7 +142,7 @@
         return json == null ? "" : json.toString();
     }
 
-    private static EndpointList known(Object json) throws ConfigurationException {
+    private static EndpointList parseKnownEndpoints(Object json) throws ConfigurationException {
         try {
             return json == null ? new EndpointList(0, true, List.of()) : EndpointList.fromJson(json);
         } catch (IllegalArgumentException e) {
@@ -137,16 +150,16 @@
         }
     }
 
-    private static double limit(Map<?, ?> map, String key, double absent) throws ConfigurationException {
+    private static double limit(Map<?, ?> map, String key, double defaultValue) throws ConfigurationException {
         Object limit = map.get("limits") instanceof Map<?, ?> limits ? limits.get(key) : null;
         if (limit != null && !(limit instanceof Double number && number >= 1)) {
             throw new ConfigurationException("limits." + key + ": '" + limit + "' is not a number of at least 1");
         }
-        return limit == null ? absent : (Double) limit;
+        return limit == null ? defaultValue : (Double) limit;
     }
 
-    private static String requiredText(Map<?, ?> map, String key, String absent) throws ConfigurationException {
-        Object value = map.get(key) == null ? absent : map.get(key);
+    private static String requiredText(Map<?, ?> map, String key, String defaultValue) throws ConfigurationException {
+        Object value = map.get(key) == null ? defaultValue : map.get(key);
         if (value instanceof String text && !text.isEmpty()) {
             return text;
         }
--- a/daemon/src/main/java/clayhook/config/SettingsReader.java
+++ b/daemon/src/main/java/clayhook/config/SettingsReader.java
@@ -9,16 +9,27 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads, checks and defaults the settings that a router is handed at its start. Unknown keys are passed over. */
+/**
+ * Reads the platform's settings: validates them, applies defaults, and maps the words of their keys and values to the
+ * names of the code. Unknown keys are ignored.
+ */
 public final class SettingsReader {
     private static final double NANOS_PER_SECOND = 1e9;
+    private static final double DEFAULT_IDLE_SECONDS = 15;
+    private static final double DEFAULT_CONNECT_TIMEOUT_SECONDS = 0.25;
+
     private final Map<String, String> values;
 
-    /** Takes one value a path, such as {@code rules.warm_after}; lists are joined by commas. */
+    /** {@code values}: one a path, such as {@code rules.warm_after}; lists are joined by commas. */
     public SettingsReader(Map<String, String> values) {
         this.values = values;
     }
 
+    /**
+     * Reads the settings of the routing policy.
+     *
+     * @throws ConfigurationException naming the key that is invalid
+     */
     public RoutingSettings readSettings() throws ConfigurationException {
         return new RoutingSettings(
                 (int) numberAtLeast(1, "balancers", 1),
@@ -39,45 +50,45 @@
                 number("rules.overload_factor", 1),
                 seconds("rules.overload_for"),
                 (int) Math.max(1, number("limits.multiplex", 1)),
-                number("limits.conn_idle", 15 * NANOS_PER_SECOND) / NANOS_PER_SECOND);
+                number("limits.conn_idle", DEFAULT_IDLE_SECONDS * NANOS_PER_SECOND) / NANOS_PER_SECOND);
     }
 
-    /** The clock time from which the simulator reckons positions, in nanoseconds. */
+    /** The clock time of position 0 in the simulator, in nanoseconds. */
     public long originTimeNanos() throws ConfigurationException {
         return (long) number("domain.origin_time", 0);
     }
 
-    /** A connection that does not stand after so many seconds has failed. */
+    /** After so many seconds an attempt to connect has failed. */
     public double connectTimeoutSeconds() throws ConfigurationException {
-        return number("limits.dial_timeout", NANOS_PER_SECOND / 4) / NANOS_PER_SECOND;
+        return number("limits.dial_timeout", DEFAULT_CONNECT_TIMEOUT_SECONDS * NANOS_PER_SECOND) / NANOS_PER_SECOND;
     }
 
     private List<RequestClass> readRequestClasses() throws ConfigurationException {
         String[] levels = text("domain.read_level", "").split(",");
         String[] bounds = text("domain.max_age", "").split(",");
-        var groups = new ArrayList<RequestClass>();
+        var requestClasses = new ArrayList<RequestClass>();
         int count = (int) number("grades.count", 0);
         for (int i = 0; i < count; i++) {
             String path = "grades." + i + ".";
             double clientTimeout = seconds(path + "hard_limit");
-            groups.add(new RequestClass(
+            requestClasses.add(new RequestClass(
                     text(path + "name", ""),
-                    readEffect(path + "effect"),
-                    parseReadLevel(i < levels.length ? levels[i] : "any"),
+                    readIdempotency(path + "effect"),
+                    parseConsistencyLevel(i < levels.length ? levels[i] : "any"),
                     seconds(path + "aim"),
                     clientTimeout,
                     number(path + "value", 1),
                     number(path + "late_worth", 0),
-                    readScope(path + "group"),
+                    readDeduplicationScope(path + "group"),
                     seconds(path + "repeat_window"),
                     i < bounds.length && !bounds[i].isEmpty()
                             ? parseFinite("domain.max_age", bounds[i]) / NANOS_PER_SECOND
                             : 0));
         }
-        return groups;
+        return requestClasses;
     }
 
-    private Idempotency readEffect(String key) throws ConfigurationException {
+    private Idempotency readIdempotency(String key) throws ConfigurationException {
         String word = text(key, "");
         return switch (word) {
             case "idempotent" -> Idempotency.IDEMPOTENT;
@@ -87,7 +98,7 @@
         };
     }
 
-    private DeduplicationScope readScope(String key) throws ConfigurationException {
+    private DeduplicationScope readDeduplicationScope(String key) throws ConfigurationException {
         String word = text(key, "all");
         return switch (word) {
             case "all" -> DeduplicationScope.ALL;
@@ -97,7 +108,7 @@
         };
     }
 
-    private static ConsistencyLevel parseReadLevel(String word) throws ConfigurationException {
+    private static ConsistencyLevel parseConsistencyLevel(String word) throws ConfigurationException {
         return switch (word) {
             case "write" -> ConsistencyLevel.WRITE;
             case "fresh" -> ConsistencyLevel.STRONG;
@@ -108,33 +119,33 @@
         };
     }
 
-    private String text(String key, String absent) {
-        return values.getOrDefault(key, absent);
+    private String text(String key, String defaultValue) {
+        return values.getOrDefault(key, defaultValue);
     }
 
-    private boolean flag(String key, boolean absent) throws ConfigurationException {
+    private boolean flag(String key, boolean defaultValue) throws ConfigurationException {
         String value = values.get(key);
         if (value != null && !List.of("true", "false", "1", "0").contains(value)) {
             throw new ConfigurationException(key + ": '" + value + "' is neither true nor false");
         }
-        return value == null ? absent : value.equals("true") || value.equals("1");
+        return value == null ? defaultValue : value.equals("true") || value.equals("1");
     }
 
     private double seconds(String key) throws ConfigurationException {
         return numberAtLeast(0, key, 0) / NANOS_PER_SECOND;
     }
 
-    private double numberAtLeast(double least, String key, double absent) throws ConfigurationException {
-        double value = number(key, absent);
-        if (value < least) {
-            throw new ConfigurationException(key + ": " + values.get(key) + " is less than " + (long) least);
+    private double numberAtLeast(double minimum, String key, double defaultValue) throws ConfigurationException {
+        double value = number(key, defaultValue);
+        if (value < minimum) {
+            throw new ConfigurationException(key + ": " + values.get(key) + " is less than " + (long) minimum);
         }
         return value;
     }
 
-    private double number(String key, double absent) throws ConfigurationException {
+    private double number(String key, double defaultValue) throws ConfigurationException {
         String value = values.get(key);
-        return value == null ? absent : parseFinite(key, value);
+        return value == null ? defaultValue : parseFinite(key, value);
     }
 
     private static double parseFinite(String key, String value) throws ConfigurationException {
@@ -144,7 +155,7 @@
                 return parsed;
             }
         } catch (NumberFormatException e) {
-            // told below, as for a number that is none
+            // reported below, as infinite values are
         }
         throw new ConfigurationException(key + ": '" + value + "' is not a number");
     }
--- a/daemon/src/main/java/clayhook/config/SharingSettings.java
+++ b/daemon/src/main/java/clayhook/config/SharingSettings.java
@@ -4,23 +4,24 @@
 import java.util.List;
 
 /**
- * What a router shares with others, as the operator's file says. Times are seconds.
+ * The operator's settings of what a router shares with its peers. Times are seconds. Immutable.
  *
- * @param listen where datagrams come in; port 0 for any that is free
- * @param advertise where others send them to; null for the address listened at
- * @param name told to the others; null for the router's own
- * @param seeds where some of the others listen
- * @param clockBound a router whose clock is off by more is heard only for what needs no clock
- * @param deadAfter a router that is gone for so long counts as one that serves no more
- * @param roam no session comes to another router sooner than this after its write was answered
- * @param newsBytes a second that this router sends of its news and what it passes on, at most
- * @param catchUpBytes a second that a router which was away is brought up by, at most
- * @param report between two lines of figures in the log
- * @param evidence what was seen of nodes
- * @param lists news of the node list
- * @param marks last writes of sessions
- * @param fates of writes in doubt; kept for {@code fatesKept}
- * @param limits use of limits that hold for all routers together
+ * @param listen where datagrams are received; port 0 for any that is free
+ * @param advertise where peers send them to; null for the address of {@code listen}
+ * @param name of this router among its peers; null for the name in the platform's configuration
+ * @param seeds addresses of some of the peers
+ * @param maxClockSkew of a peer from whom values that depend on a clock are accepted
+ * @param deadAfter a peer that has been gone for so long counts as one that serves no more
+ * @param sessionRoamDelay no session moves to another router sooner than this after its write was answered
+ * @param gossipBytesPerSecond that this router sends of its own and of forwarded changes at most
+ * @param antiEntropyBytesPerSecond by which a router that was away is brought up to date at most
+ * @param logInterval between two summaries in the log
+ * @param shareObservations of nodes
+ * @param shareEndpointLists changes of the endpoint list
+ * @param shareSessionWrites the last write positions of sessions
+ * @param shareWriteOutcomes of writes in doubt
+ * @param writeOutcomeRetention how long outcomes of writes are kept
+ * @param shareQuotas the use of quotas that all routers have together
  */
 public record SharingSettings(
         InetSocketAddress listen,
@@ -39,16 +40,20 @@
         boolean shareWriteOutcomes,
         double writeOutcomeRetention,
         boolean shareQuotas) {
-    /** What only the machine it stands on can reach, as nothing is signed. */
+    /** Reachable from this machine only, as datagrams are not authenticated. */
     static final String DEFAULT_LISTEN = "127.0.0.1:7400";
-    /** Seconds. */
+
     private static final double SECONDS_PER_DAY = 86_400;
-    /** Beyond, entries could come back after they went. */
+    /** With a greater skew, deleted entries could come back. */
     private static final double MAX_CLOCK_SKEW_LIMIT = 2;
-    /** What the wire allows of a name. */
+    /** The limit of the packet format. */
     private static final int MAX_NAME_LENGTH = 100;
 
-    /** Reads the table {@code sharing}, on or not. Throws BadConfig naming the place. */
+    /**
+     * Reads the table {@code sharing}, whether or not it is enabled.
+     *
+     * @throws ConfigurationException naming file, line and key
+     */
     static SharingSettings read(TomlSection table) throws ConfigurationException {
         InetSocketAddress listen = table.getAddress("listen", DEFAULT_LISTEN);
         InetSocketAddress advertise = table.getAddress("advertise", null);
@@ -79,7 +84,7 @@
                 table.getBoolean("limits", true));
     }
 
-    /** They differ in what only a start reads: all but the seeds. */
+    /** Whether they differ in what takes a restart to apply, which is all but the seeds. */
     public boolean differsBeyondSeeds(SharingSettings other) {
         return !equals(new SharingSettings(
                 other.listen,
--- a/daemon/src/main/java/clayhook/config/TomlSection.java
+++ b/daemon/src/main/java/clayhook/config/TomlSection.java
@@ -16,25 +16,29 @@
 import org.tomlj.TomlPosition;
 import org.tomlj.TomlTable;
 
-/** One table of a TOML file, read key by key; what is wrong is told with file, line and key. */
+/**
+ * One table of a TOML file, read key by key. Every getter throws a {@link ConfigurationException} that names file, line
+ * and key where a value has the wrong type or is out of range. Not thread-safe.
+ */
 public final class TomlSection {
     private final String file;
     private final String path;
     private final TomlTable table;
-    /** Where the table stands, for what it lacks. */
+    /** Of the table itself, for keys that are missing; null for the file. */
     private final TomlPosition position;
 
     private final Set<String> readKeys = new HashSet<>();
     private final List<TomlSection> subsections = new ArrayList<>();
     private final Map<String, TomlSection> subsectionsByKey = new HashMap<>();
 
-    private TomlSection(String file, String path, TomlTable table, TomlPosition place) {
+    private TomlSection(String file, String path, TomlTable table, TomlPosition position) {
         this.file = file;
         this.path = path;
         this.table = table;
-        this.position = place;
+        this.position = position;
     }
 
+    /** Parses a file; the section returned is its top level. */
     public static TomlSection read(Path file) throws ConfigurationException {
         TomlParseResult result;
         try {
@@ -49,32 +53,40 @@
         return new TomlSection(file.toString(), "", result, null);
     }
 
+    /** Makes the error that a key is invalid, or that a missing one is. */
     public ConfigurationException invalid(String key, String why) {
-        TomlPosition at = table.contains(List.of(key)) ? table.inputPositionOf(List.of(key)) : position;
+        TomlPosition at = positionOf(key);
         return new ConfigurationException(file + (at == null ? "" : ":" + at.line()) + ": " + path + key + ": " + why);
     }
 
-    private <T> T typedValue(String key, Class<T> type, String what, T absent) throws ConfigurationException {
+    private TomlPosition positionOf(String key) {
+        return table.contains(List.of(key)) ? table.inputPositionOf(List.of(key)) : position;
+    }
+
+    private <T> T typedValue(String key, Class<T> type, String typeName, T defaultValue) throws ConfigurationException {
         readKeys.add(key);
         Object value = table.get(List.of(key));
         if (value != null && !type.isInstance(value)) {
-            throw invalid(key, "is no " + what);
+            throw invalid(key, "is no " + typeName);
         }
-        return value == null ? absent : type.cast(value);
+        return value == null ? defaultValue : type.cast(value);
     }
 
-    public boolean getBoolean(String key, boolean absent) throws ConfigurationException {
-        return typedValue(key, Boolean.class, "true or false", absent);
+    /** A boolean. */
+    public boolean getBoolean(String key, boolean defaultValue) throws ConfigurationException {
+        return typedValue(key, Boolean.class, "true or false", defaultValue);
     }
 
-    public String getString(String key, String absent) throws ConfigurationException {
-        String text = typedValue(key, String.class, "text", absent);
+    /** A string that is not blank. */
+    public String getString(String key, String defaultValue) throws ConfigurationException {
+        String text = typedValue(key, String.class, "text", defaultValue);
         if (text != null && text.isBlank()) {
             throw invalid(key, "is empty");
         }
         return text;
     }
 
+    /** A string that must be there. */
     public String getRequiredString(String key) throws ConfigurationException {
         String text = getString(key, null);
         if (text == null) {
@@ -83,16 +95,19 @@
         return text;
     }
 
-    public double getNumber(String key, double absent, double least, double most) throws ConfigurationException {
-        Number number = typedValue(key, Number.class, "number", absent);
-        if (!(number.doubleValue() >= least && number.doubleValue() <= most)) {
-            throw invalid(key, number + " is not from " + formatNumber(least) + " to " + formatNumber(most));
+    /** A number within inclusive bounds. */
+    public double getNumber(String key, double defaultValue, double minimum, double maximum)
+            throws ConfigurationException {
+        Number number = typedValue(key, Number.class, "number", defaultValue);
+        if (!(number.doubleValue() >= minimum && number.doubleValue() <= maximum)) {
+            throw invalid(key, number + " is not from " + formatNumber(minimum) + " to " + formatNumber(maximum));
         }
         return number.doubleValue();
     }
 
-    public int getInt(String key, int absent, int least, int most) throws ConfigurationException {
-        double number = getNumber(key, absent, least, most);
+    /** A whole number within inclusive bounds. */
+    public int getInt(String key, int defaultValue, int minimum, int maximum) throws ConfigurationException {
+        double number = getNumber(key, defaultValue, minimum, maximum);
         if (number != Math.rint(number)) {
             throw invalid(key, "is no whole number");
         }
@@ -103,15 +118,16 @@
         return number == Math.rint(number) ? Long.toString((long) number) : Double.toString(number);
     }
 
-    /** One of a few words. */
-    public String getChoice(String key, String absent, Set<String> words) throws ConfigurationException {
-        String word = getString(key, absent);
+    /** One of the given words. */
+    public String getChoice(String key, String defaultValue, Set<String> words) throws ConfigurationException {
+        String word = getString(key, defaultValue);
         if (word != null && !words.contains(word)) {
             throw invalid(key, "'" + word + "' is none of " + String.join(", ", new TreeSet<>(words)));
         }
         return word;
     }
 
+    /** A list of strings, each kept once; empty if it is missing. */
     public Set<String> getStringSet(String key) throws ConfigurationException {
         var texts = new HashSet<String>();
         for (Object text : getList(key)) {
@@ -123,13 +139,13 @@
         return Set.copyOf(texts);
     }
 
-    /** An address and port in figures. */
-    public InetSocketAddress getAddress(String key, String absent) throws ConfigurationException {
-        String text = getString(key, absent);
+    /** A numeric address with a port, such as {@code 127.0.0.1:7400}. */
+    public InetSocketAddress getAddress(String key, String defaultValue) throws ConfigurationException {
+        String text = getString(key, defaultValue);
         return text == null ? null : parseNumericAddress(key, text);
     }
 
-    /** Several of them, each once. */
+    /** A list of numeric addresses, sorted by their text, each kept once. */
     public List<InetSocketAddress> getAddresses(String key) throws ConfigurationException {
         var addresses = new ArrayList<InetSocketAddress>();
         for (String text : new TreeSet<>(getStringSet(key))) {
@@ -146,6 +162,7 @@
         return address;
     }
 
+    /** A list of whole numbers of at least 0; empty if it is missing. */
     public List<Integer> getIntList(String key) throws ConfigurationException {
         var numbers = new ArrayList<Integer>();
         for (Object number : getList(key)) {
@@ -162,23 +179,19 @@
         return array == null ? List.of() : array.toList();
     }
 
-    /** The table of that name, empty if there is none. */
+    /** The table of that name; an empty one if it is missing. */
     public TomlSection getTable(String key) throws ConfigurationException {
         TomlTable found = typedValue(key, TomlTable.class, "table", org.tomlj.Toml.parse(""));
-        TomlSection known = subsectionsByKey.get(key);
-        if (known == null) {
-            known = new TomlSection(
-                    file,
-                    path + key + ".",
-                    found,
-                    table.contains(List.of(key)) ? table.inputPositionOf(List.of(key)) : position);
-            subsectionsByKey.put(key, known);
-            subsections.add(known);
+        TomlSection section = subsectionsByKey.get(key);
+        if (section == null) {
+            section = new TomlSection(file, path + key + ".", found, positionOf(key));
+            subsectionsByKey.put(key, section);
+            subsections.add(section);
         }
-        return known;
+        return section;
     }
 
-    /** The tables of a list. */
+    /** An array of tables; empty if it is missing. */
     public List<TomlSection> getTables(String key) throws ConfigurationException {
         TomlArray array = typedValue(key, TomlArray.class, "list of tables", null);
         var tables = new ArrayList<TomlSection>();
@@ -192,15 +205,15 @@
         return tables;
     }
 
-    /** Throws if there are keys that nothing has read. */
+    /** Rejects keys that no getter has asked for, in this table and in those read from it. */
     public void rejectUnknownKeys() throws ConfigurationException {
         for (String key : table.keySet()) {
             if (!readKeys.contains(key)) {
                 throw invalid(key, "is no key that is known");
             }
         }
-        for (TomlSection toml : subsections) {
-            toml.rejectUnknownKeys();
+        for (TomlSection subsection : subsections) {
+            subsection.rejectUnknownKeys();
         }
     }
 }
