--- a/cli/src/main/java/clayhook/cli/ServeCommand.java
+++ b/cli/src/main/java/clayhook/cli/ServeCommand.java
@@ -17,6 +17,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
+/** The sub-command {@code serve}: warms up, serves, reloads on SIGHUP and shuts down gracefully on SIGTERM. */
 @Command(
         name = "serve",
         mixinStandardHelpOptions = true,
@@ -34,25 +35,30 @@
         return run(config);
     }
 
-    /** Serves until the process is told to end, and reads the configuration again when it is told that. */
+    /**
+     * Serves until the process is told to end; the shutdown hook then ends it, and this never returns.
+     *
+     * @param config the operator's file; null for none
+     * @return the exit code where it could not start, or shutdown was requested first
+     */
     static int run(Path config) {
         var reloads = new Semaphore(0);
-        var life = new ServerLifecycle();
+        var lifecycle = new ServerLifecycle();
         try {
             ReloadSignal.install(reloads::release);
-            Runtime.getRuntime().addShutdownHook(new Thread(() -> shutDown(life)));
+            Runtime.getRuntime().addShutdownHook(new Thread(() -> shutDown(lifecycle)));
             RouterConfiguration configuration = RouterConfiguration.fromEnvironment(System.getenv());
             OperatorConfiguration operator = readOperatorConfiguration(config, configuration);
             warmUp(configuration);
             Log.info("serving as " + configuration.name() + " at " + configuration.listen()
                     + (operator.statements() == null ? "" : ", statements of any kind"));
-            Server server = life.start(() -> new Server(Transport.tcp(), configuration, operator));
+            Server server = lifecycle.start(() -> new Server(Transport.tcp(), configuration, operator));
             if (server == null) {
                 return Main.DONE;
             }
             while (true) {
                 reloads.acquire();
-                reloads.drainPermits(); // several in a row are one, as the files are read after them
+                reloads.drainPermits(); // one reload serves all requests before it, as it reads the files after them
                 reload(server, config);
             }
         } catch (ConfigurationException e) {
@@ -63,11 +69,11 @@
         }
     }
 
-    private static void shutDown(ServerLifecycle life) {
+    private static void shutDown(ServerLifecycle lifecycle) {
         try {
-            life.shutDown();
+            lifecycle.shutDown();
         } catch (Exception e) {
-            Log.error("the end was cut short", e);
+            Log.error("the shutdown failed", e);
         }
     }
 
@@ -79,28 +85,28 @@
                         config, configuration.settings().requestClasses());
     }
 
-    /** A router that cannot rehearse is only slow at first. */
+    /** Warms up, on Unix domain sockets where possible; a failure only makes the first requests slower. */
     private static void warmUp(RouterConfiguration configuration) throws InterruptedException {
-        boolean carried = false;
+        boolean connected = false;
         try {
-            carried = WarmUp.run(configuration.settings(), Transport.unixSockets(), configuration.hasServedBefore());
+            connected = WarmUp.run(configuration.settings(), Transport.unixSockets(), configuration.hasServedBefore());
         } catch (IOException e) {
-            Log.warn("rehearsal", "no folder for its sockets: " + e);
+            Log.warn("warm-up", "warm-up: no folder for its sockets: " + e);
         }
-        if (!carried) {
-            Log.info("rehearsing within the process: its sockets carry nothing here");
+        if (!connected) {
+            Log.info("warming up within the process: sockets are not available here");
             WarmUp.run(configuration.settings(), Transport.inProcess(), configuration.hasServedBefore());
         }
     }
 
     private static void reload(Server server, Path config) {
         try {
-            RouterConfiguration fresh = RouterConfiguration.fromEnvironment(System.getenv());
-            server.reload(fresh, readOperatorConfiguration(config, fresh));
+            RouterConfiguration configuration = RouterConfiguration.fromEnvironment(System.getenv());
+            server.reload(configuration, readOperatorConfiguration(config, configuration));
         } catch (ConfigurationException e) {
-            Log.warn("reload", "reload: the configuration stays as it was: " + e.getMessage());
+            Log.warn("reload", "reload: the configuration is unchanged: " + e.getMessage());
         } catch (RuntimeException e) {
-            Log.error("a reload failed", e);
+            Log.error("the reload failed", e);
         }
     }
 }
--- a/daemon/src/main/java/clayhook/config/Json.java
+++ b/daemon/src/main/java/clayhook/config/Json.java
@@ -46,12 +46,12 @@
             return parseArray(depth);
         } else if (c == '"') {
             return parseString();
-        } else if (c == '-' || c >= '0' && c <= '9') {
+        } else if (c == '-' || (c >= '0' && c <= '9')) {
             return parseNumber();
         } else if (consumeLiteral("true")) {
-            return Boolean.TRUE;
+            return true;
         } else if (consumeLiteral("false")) {
-            return Boolean.FALSE;
+            return false;
         } else if (consumeLiteral("null")) {
             return null;
         }
--- a/daemon/src/main/java/clayhook/config/LoadReport.java
+++ b/daemon/src/main/java/clayhook/config/LoadReport.java
@@ -30,7 +30,8 @@
         Role role = Role.UNKNOWN;
         double position = 0;
         double load = -1;
-        for (String pair : text.split(",")) {
+        // Limit 0: a trailing comma is ignored.
+        for (String pair : text.split(",", 0)) {
             int at = pair.indexOf(separator);
             if (at < 0) {
                 throw new IllegalArgumentException("has a report value '" + pair + "' without a name");
--- a/daemon/src/main/java/clayhook/config/SettingsReader.java
+++ b/daemon/src/main/java/clayhook/config/SettingsReader.java
@@ -64,8 +64,8 @@
     }
 
     private List<RequestClass> readRequestClasses() throws ConfigurationException {
-        String[] levels = text("domain.read_level", "").split(",");
-        String[] bounds = text("domain.max_age", "").split(",");
+        String[] levels = text("domain.read_level", "").split(",", 0);
+        String[] bounds = text("domain.max_age", "").split(",", 0);
         var requestClasses = new ArrayList<RequestClass>();
         int count = (int) number("grades.count", 0);
         for (int i = 0; i < count; i++) {
--- a/daemon/src/main/java/clayhook/log/NettyLogHandler.java
+++ b/daemon/src/main/java/clayhook/log/NettyLogHandler.java
@@ -5,25 +5,26 @@
 import java.util.logging.Logger;
 
 /**
- * Netty's lines among our own. Guards against the runtime's way of writing them: its first line opens a file for the
- * time zone, and a loop that has something to tell as no descriptor is left ends for want of one more.
+ * Adds Netty's lines to our own, each logger rate limited. The runtime's handler opens a file for the time zone at its
+ * first line: with no descriptor left that fails and would end an event loop that reports just that. Thread-safe.
  */
 public final class NettyLogHandler extends Handler {
-    /** Held here, as the runtime forgets loggers that nobody holds. */
+    /** Referenced here, as the runtime only keeps weak references to loggers. */
     private static final Logger NETTY = Logger.getLogger("io.netty");
 
     private NettyLogHandler() {}
 
+    /** Replaces the runtime's handlers for Netty's lines. To be called before the first event loop. */
     public static void install() {
         NETTY.setUseParentHandlers(false);
         NETTY.addHandler(new NettyLogHandler());
     }
 
     @Override
-    public void publish(LogRecord line) {
-        if (isLoggable(line)) {
-            Throwable cause = line.getThrown();
-            Log.warn(line.getLoggerName(), line.getMessage() + (cause == null ? "" : ": " + cause));
+    public void publish(LogRecord entry) {
+        if (isLoggable(entry)) {
+            Throwable cause = entry.getThrown();
+            Log.warn(entry.getLoggerName(), entry.getMessage() + (cause == null ? "" : ": " + cause));
         }
     }
 
--- a/daemon/src/main/java/clayhook/log/StandardErrorLoggerFinder.java
+++ b/daemon/src/main/java/clayhook/log/StandardErrorLoggerFinder.java
@@ -1,11 +1,13 @@
 package clayhook.log;
 
+import java.text.MessageFormat;
 import java.time.Instant;
 import java.util.ResourceBundle;
 
 /**
- * Where the lines of {@code System.Logger} go: one each to standard error. The runtime's own way takes a tenth of a
- * second for its first line, while clients wait.
+ * Makes the loggers of the process, which write one line an entry to standard error. The runtime's own logger takes a
+ * tenth of a second for its first line, during which no client is served. Thread-safe. The runtime finds this class by
+ * its name in {@code META-INF/services}.
  */
 public final class StandardErrorLoggerFinder extends System.LoggerFinder {
     @Override
@@ -39,7 +41,7 @@
             log(
                     level,
                     bundle,
-                    values == null || values.length == 0 ? format : java.text.MessageFormat.format(format, values),
+                    values == null || values.length == 0 ? format : MessageFormat.format(format, values),
                     (Throwable) null);
         }
     }
