--- a/cli/src/test/java/clayhook/cli/ServeProcessTest.java
+++ b/cli/src/test/java/clayhook/cli/ServeProcessTest.java
@@ -41,15 +41,15 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The program as a process of its own, with its signals and its limit of descriptors. */
+/** The program as a process of its own, with signals and a limit of descriptors. */
 class ServeProcessTest {
-    /** Far more than anything here takes. */
+    /** Far more than any step here takes. */
     private static final int TIMEOUT_SECONDS = 60;
 
     private static final String SERVICE_UNAVAILABLE = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
     /** 128 + SIGTERM. */
     private static final int SIGTERM_EXIT_CODE = 143;
-    /** Of the jars on the class path; the other modules are jars as well once they are packed. */
+    /** Jars of the class path that belong to the program; modules are among them once they are packaged. */
     private static final Pattern PROGRAM_JARS = Pattern.compile("^(netty|picocli|jackson|clayhook)");
 
     private final Transport transport = Transport.tcp();
@@ -96,7 +96,9 @@
                 + "\",\"az\":\"a\",\"pod_group\":1,\"state\":\"up\",\"role\":\"primary\",\"boot_ms\":0}]}";
     }
 
-    /** {@code machine}: how many descriptors the process gets; {@code sockets}: how many it is told of. */
+    /**
+     * {@code machine}: the process's limit of descriptors; {@code sockets}: the limit that its configuration states.
+     */
     private void start(InetSocketAddress discovery, String known, int machine, int sockets) throws Exception {
         Path config = Files.writeString(
                 folder.resolve("config.json"),
@@ -127,7 +129,7 @@
         process = builder.redirectErrorStream(true).redirectOutput(log.toFile()).start();
     }
 
-    /** What runs here as the one jar that the program is: each part of a class path takes descriptors of its own. */
+    /** Packs the program into one jar, as it is deployed: each entry of a class path takes a descriptor of its own. */
     private Path jar() throws IOException {
         Path jar = folder.resolve("serve.jar");
         var taken = new HashSet<String>();
@@ -166,7 +168,7 @@
         return new String(Files.readAllBytes(log), UTF_8);
     }
 
-    /** Sends that on a new connection until one gets as far as its answer, and returns that. */
+    /** Sends a statement on new connections until one is answered, and returns the answer. */
     private String asked(ByteBuf statement) throws Exception {
         double until = System.nanoTime() / 1e9 + TIMEOUT_SECONDS;
         while (System.nanoTime() / 1e9 < until && process.isAlive()) {
@@ -191,7 +193,7 @@
         return Unpooled.buffer().writeByte('Q').writeInt(5).writeByte(0);
     }
 
-    /** What the process holds; 0 where the machine doesn't tell. */
+    /** Descriptors that the process has open; 0 where the machine does not report them. */
     private int descriptors() {
         String[] held =
                 Path.of("/proc", Long.toString(process.pid()), "fd").toFile().list();
@@ -231,7 +233,7 @@
         lists.add(list(3, node(StubResponse.answer("new"))));
         double until = System.nanoTime() / 1e9 + TIMEOUT_SECONDS;
         while (!asked(read()).equals("new")) {
-            assertTrue(System.nanoTime() / 1e9 < until, "it did not get back to its list; " + log());
+            assertTrue(System.nanoTime() / 1e9 < until, "it did not recover its endpoint list; " + log());
             floodSockets.add(new Socket(listen.getAddress(), listen.getPort()));
             held = Math.max(held, descriptors());
         }
@@ -239,7 +241,7 @@
         assertTrue(!log().contains("Too many open files"), log());
     }
 
-    /** It was told of more than the machine gives: accepting and connecting fail, and it stands all the same. */
+    /** The configuration allows more descriptors than the machine: accepting and connecting fail for a while. */
     @Test
     void acceptsAndConnectsAgainAfterTheProcessRanOutOfDescriptors() throws Exception {
         var lists = new LinkedBlockingQueue<String>();
@@ -257,12 +259,12 @@
         }
         lists.add(list(3, node(StubResponse.answer("new"))));
         while (!asked(read()).equals("new")) {
-            assertTrue(System.nanoTime() / 1e9 < until, "it did not get back to its list; " + log());
+            assertTrue(System.nanoTime() / 1e9 < until, "it did not recover its endpoint list; " + log());
         }
         assertTrue(!log().contains("ERROR"), log());
     }
 
-    /** A command is in hand; SIGTERM comes twice, and SIGHUP after it. */
+    /** A request is in flight; SIGTERM is sent twice, with SIGHUP in between. */
     @ParameterizedTest
     @CsvSource({"any, 53300", "mutating, 40003"})
     void inFlightRequestsAreAnsweredBeforeExitWhateverSignalsFollow(String group, String word) throws Exception {
@@ -290,7 +292,7 @@
                         .waitFor());
     }
 
-    /** While it rehearses, which a folder for its sockets shows. */
+    /** During the warm-up, which a folder for its sockets shows. */
     @Test
     void sigtermDuringStartupEndsTheProcessAndLeavesNoRequestUnanswered() throws Exception {
         start(discovery(call -> null), list(2, node(StubResponse.silence())), 1024, 1024);
--- a/cli/src/test/java/clayhook/cli/SharingDisabledTest.java
+++ b/cli/src/test/java/clayhook/cli/SharingDisabledTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What sharing costs a router that does not share: nothing, as a process of its own shows. */
+/** Sharing costs a router nothing where it is disabled, as observed on a process of its own. */
 class SharingDisabledTest {
     private static final String CONFIG =
             """
@@ -47,7 +47,7 @@
         }
     }
 
-    /** Which of those packages the process has loaded classes of, whether it has the thread and whether the socket. */
+    /** The sharing packages of which the process has loaded classes, and whether it has the thread and the socket. */
     private List<Object> seen(Process process, Path classes, int port) throws Exception {
         String loaded = Files.readString(classes);
         boolean thread = threads(process).contains("clayhook-peers");
@@ -113,7 +113,7 @@
             assertEquals("ready", word);
             List<Object> expected = shares ? List.of(SHARING_PACKAGES, true, true) : List.of(List.of(), false, false);
             for (int tries = 0; tries < 200 && shares && !expected.equals(seen(process, classes, peers)); tries++) {
-                Thread.sleep(50); // it answers a moment before it shares
+                Thread.sleep(50); // clients are served shortly before sharing starts
             }
             assertEquals(expected, seen(process, classes, peers));
             process.destroy();
--- a/daemon/src/test/java/clayhook/config/OperatorConfigurationReaderTest.java
+++ b/daemon/src/test/java/clayhook/config/OperatorConfigurationReaderTest.java
@@ -49,7 +49,7 @@
                 SharingSettings.DEFAULT_LISTEN,
                 on.sharing().listen().getHostString() + ":"
                         + on.sharing().listen().getPort());
-        // Uncommented, its rule is understood key by key; nothing else may be missing from the example.
+        // The rule of the example is valid once uncommented, so that the example holds every key.
         String rule = Files.readString(example)
                 .replaceAll("(?m)^# (\\[\\[|[a-z_]+ = )", "$1")
                 .replace("mark = \"id\"", "")
@@ -107,11 +107,11 @@
                 RULE + "group = \"write\"\\ncost_from = 2\\ncost_to = 1|:7: statements.rule.cost_to: 1 is not from 2"
             })
     void anErrorNamesFileLineAndKey(String text, String fault) {
-        ConfigurationException told = assertThrows(ConfigurationException.class, () -> read(text));
+        ConfigurationException error = assertThrows(ConfigurationException.class, () -> read(text));
         assertEquals(
                 folder.resolve("c.toml") + fault,
-                told.getMessage()
+                error.getMessage()
                         .substring(
-                                0, Math.min(told.getMessage().length(), (folder.resolve("c.toml") + fault).length())));
+                                0, Math.min(error.getMessage().length(), (folder.resolve("c.toml") + fault).length())));
     }
 }
--- a/daemon/src/test/java/clayhook/serve/ClientDisconnectTest.java
+++ b/daemon/src/test/java/clayhook/serve/ClientDisconnectTest.java
@@ -37,7 +37,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** No attempt begins for a client that has closed or cancelled: the whole router on loopback, between stand-ins. */
+/** No attempt starts for a client that has closed or cancelled: a whole router on loopback, between stub servers. */
 class ClientDisconnectTest {
     private final Transport transport = Transport.tcp();
     private final Transport routerTransport = Transport.tcp();
@@ -46,8 +46,7 @@
     private SlowNode slowNode;
 
     /**
-     * A node whose connections come up when they are let; it answers statement 1 with an error when let, others at
-     * once.
+     * A node that holds back connections and its error answer to statement 1 until released; answers others at once.
      */
     private final class SlowNode implements Runnable {
         private final ServerSocket listening = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
@@ -181,25 +180,25 @@
         return sent.stream().map(statement -> statement.requestId).toList();
     }
 
-    /** Ends a client's sending, by which it has gone, and waits until the router has seen that. */
+    /** Shuts down a client's sending side and waits until the router has closed the connection. */
     private static void disconnect(SocketClient client) throws IOException {
         if (!client.socket.isOutputShutdown()) {
             client.socket.shutdownOutput();
         }
-        String word = client.readResponse();
-        assertEquals("closed", word.equals("ready") ? client.readResponse() : word);
+        String reply = client.readResponse();
+        assertEquals("closed", reply.equals("ready") ? client.readResponse() : reply);
     }
 
-    /** The router stands still while this is done. */
+    /** Runs a step while the router's event loop is blocked. */
     private void whileLoopIsBlocked(Callable<?> step) throws Exception {
-        var standing = new CountDownLatch(1);
+        var blocked = new CountDownLatch(1);
         var done = new CountDownLatch(1);
         routerTransport.eventLoop().submit(() -> {
-            standing.countDown();
+            blocked.countDown();
             done.await();
             return null;
         });
-        standing.await();
+        blocked.await();
         try {
             step.call();
         } finally {
--- a/daemon/src/test/java/clayhook/serve/EndpointListDelayTest.java
+++ b/daemon/src/test/java/clayhook/serve/EndpointListDelayTest.java
@@ -27,14 +27,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** A change counts as told six seconds after discovery had it and could be reached, whatever befell the watch. */
+/** A change must be known within six seconds once discovery is reachable, whatever happens to the watch. */
 class EndpointListDelayTest {
-    /** Seconds; the rest up to six is for a busy machine. */
+    /** The rest up to six seconds is for a busy machine. */
     private static final double MAX_DELAY_SECONDS = 5.5;
-    /** Each draws its own waits. */
+    /** Each draws its own random intervals. */
     private static final int ROUTERS = 6;
 
-    /** What befalls the first watch, which is open as the change is made; and calls after it. */
+    /** What happens to the first watch, which is open when the change is made, and to calls after it. */
     private enum WatchFault {
         NONE,
         SILENT,
@@ -51,7 +51,9 @@
     private final List<Server> servers = new ArrayList<>();
     private final List<FaultyDiscovery> services = new ArrayList<>();
 
-    /** A service whose list changes as the first watch comes in; that falls into trouble, later calls are answered. */
+    /**
+     * A discovery service whose list changes when the first watch arrives; that one fails, later calls are answered.
+     */
     private static final class FaultyDiscovery {
         private final WatchFault fault;
         private final int port;
@@ -99,7 +101,7 @@
             return fault == WatchFault.SILENT_TWICE || fault == WatchFault.BUSY_TWICE ? 2 : 1;
         }
 
-        /** False where the connection is no more. */
+        /** Whether the connection is still open afterwards. */
         private boolean injectFault(Socket socket) throws Exception {
             switch (fault) {
                 case BUSY_TWICE -> write(socket, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
@@ -121,7 +123,7 @@
                     listening.close();
                     socket.close();
                     TimeUnit.SECONDS.sleep(2);
-                    changedAt = now(); // from when it can be reached
+                    changedAt = now(); // from when the service is reachable
                     listening = new ServerSocket(port, 50, InetAddress.getByName("127.0.0.1"));
                     accept(listening);
                 }
--- a/daemon/src/test/java/clayhook/serve/PeerSharingTest.java
+++ b/daemon/src/test/java/clayhook/serve/PeerSharingTest.java
@@ -25,18 +25,20 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Whole routers on loopback that share what one of them was told. */
+/** Whole routers on loopback that share what one of them has learned. */
 class PeerSharingTest {
     private static final int ROUTERS = 3;
-    /** Reads in a row that must not come to a node that drains; without the news every one does. */
+    /**
+     * Reads in a row that must avoid a draining node; a router that does not know of the drain sends every one there.
+     */
     private static final int READS = 20;
-    /** Far more than it takes. */
+    /** Far more than the test takes. */
     private static final double TIMEOUT_SECONDS = 20;
 
     private final Transport transport = Transport.tcp();
     private final List<Server> servers = new ArrayList<>();
     private final List<InetSocketAddress> peerAddresses = new ArrayList<>();
-    /** Answers of discovery that told of the drain: one, to one router. */
+    /** Answers of discovery that contain the drain: one, to one router. */
     private final AtomicInteger drainAnswers = new AtomicInteger();
 
     private StubDiscovery discovery;
@@ -153,7 +155,7 @@
         client.nextAnswer();
         double until = System.nanoTime() / 1e9 + TIMEOUT_SECONDS;
         for (int row = 0; row < READS; row = client.nextAnswer().equals("primary") ? row + 1 : 0) {
-            assertTrue(System.nanoTime() / 1e9 < until, "reads go on to a node that drains");
+            assertTrue(System.nanoTime() / 1e9 < until, "reads still reach the draining node");
             client.send(read());
         }
         client.close();
--- a/daemon/src/test/java/clayhook/serve/ReloadSignalTest.java
+++ b/daemon/src/test/java/clayhook/serve/ReloadSignalTest.java
@@ -12,16 +12,16 @@
 import org.junit.jupiter.api.Test;
 
 class ReloadSignalTest {
-    /** Without the handler the runtime ends, and this test with it. */
+    /** Without the handler SIGHUP ends the process, and this test with it. */
     @Test
     void everySighupReachesTheHandler() throws Exception {
-        var heard = new Semaphore(0);
-        ReloadSignal.install(heard::release);
+        var signals = new Semaphore(0);
+        ReloadSignal.install(signals::release);
         Class<?> signal = Class.forName("sun.misc.Signal");
         for (int i = 0; i < 3; i++) {
             signal.getMethod("raise", signal)
                     .invoke(null, signal.getConstructor(String.class).newInstance("HUP"));
-            heard.acquire();
+            signals.acquire();
         }
     }
 
--- a/daemon/src/test/java/clayhook/serve/ServerLifecycleTest.java
+++ b/daemon/src/test/java/clayhook/serve/ServerLifecycleTest.java
@@ -32,43 +32,43 @@
     void noServerStartsAfterShutdownWasRequested() throws Exception {
         lifecycle.shutDown();
         assertNull(lifecycle.start(() -> {
-            throw new IllegalStateException("it listens, and nobody will answer");
+            throw new IllegalStateException("a server started that nobody will shut down");
         }));
     }
 
-    /** The request to end comes when the listener has accepted a client and the start is not over. */
+    /** Shutdown is requested when the listener has accepted a client and the start has not returned yet. */
     @Test
     void shutdownDuringStartupWaitsForTheServerAndAnswersItsClients() throws Exception {
-        var listens = new CompletableFuture<Server>();
-        var goesOn = new CountDownLatch(1);
-        var starting = CompletableFuture.supplyAsync(() -> start(listens, goesOn));
-        var client = new StubClient(transport, listens.get().address());
+        var listening = new CompletableFuture<Server>();
+        var mayReturn = new CountDownLatch(1);
+        var starting = CompletableFuture.supplyAsync(() -> start(listening, mayReturn));
+        var client = new StubClient(transport, listening.get().address());
         client.send(StubClient.startupAndFirst(StubClient.statement(false, "id=1,c=any,d=500,cluster=1")));
         assertEquals("ready", client.nextAnswer());
-        var ending = new Thread(() -> {
+        var shutdown = new Thread(() -> {
             try {
                 lifecycle.shutDown();
             } catch (Exception e) {
                 throw new IllegalStateException(e);
             }
         });
-        ending.start();
-        while (ending.getState() != Thread.State.BLOCKED && ending.getState() != Thread.State.TERMINATED) {
+        shutdown.start();
+        while (shutdown.getState() != Thread.State.BLOCKED && shutdown.getState() != Thread.State.TERMINATED) {
             Thread.onSpinWait();
         }
-        goesOn.countDown();
+        mayReturn.countDown();
         assertEquals("53300", client.nextAnswer());
         assertEquals("closed", client.nextAnswer());
-        ending.join();
+        shutdown.join();
         starting.get();
     }
 
-    private Server start(CompletableFuture<Server> listens, CountDownLatch goesOn) {
+    private Server start(CompletableFuture<Server> listening, CountDownLatch mayReturn) {
         try {
             return lifecycle.start(() -> {
                 Server server = server();
-                listens.complete(server);
-                goesOn.await();
+                listening.complete(server);
+                mayReturn.await();
                 return server;
             });
         } catch (Exception e) {
@@ -76,7 +76,7 @@
         }
     }
 
-    /** Without a node that can be reached. */
+    /** A server without a reachable node. */
     private Server server() throws InterruptedException {
         var discovery = new StubDiscovery(transport, transport.ephemeralAddress(0), call -> null);
         var settings = new RoutingSettings(
--- a/daemon/src/test/java/clayhook/serve/ServerTest.java
+++ b/daemon/src/test/java/clayhook/serve/ServerTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The whole router on loopback, between stand-ins. */
+/** A whole router on loopback, between stub servers. */
 class ServerTest {
     private static final String READ = "id=1,c=any,d=30000,cluster=1";
     private static final String WRITE = "id=2,c=write,d=30000,k=7,cluster=1";
@@ -39,12 +39,12 @@
     private Server server;
     private StubClient client;
 
-    /** Response targets are far beyond what a busy machine takes; only brief commands are to run out of time. */
+    /** Latency objectives far exceed what a busy machine takes; only requests of the class "brief" are to time out. */
     private static RequestClass group(String name, Idempotency effect, ConsistencyLevel level, double target) {
         return new RequestClass(name, effect, level, target, 60, 1, 0, DeduplicationScope.REPLICA_SET, 60, 0);
     }
 
-    /** A router that knows a primary and a replica which do this to statements, and a client of it. */
+    /** Starts a router that knows a primary and a replica with these behaviours, and a client of it. */
     private void start(
             Function<KeyValueStatement, StubResponse> primary,
             Function<KeyValueStatement, StubResponse> replica,
@@ -112,7 +112,7 @@
         return any -> deed;
     }
 
-    /** Only the command group any reads. */
+    /** Only the request class "any" is for reads. */
     private static ByteBuf statement(String fields) {
         return StubClient.statement(!fields.contains("c=any"), fields);
     }
@@ -271,15 +271,15 @@
     }
 
     private Thread shutDownInBackground() {
-        var ending = new Thread(() -> {
+        var shutdown = new Thread(() -> {
             try {
                 server.shutDown();
             } catch (Exception e) {
                 throw new IllegalStateException(e);
             }
         });
-        ending.start();
-        return ending;
+        shutdown.start();
+        return shutdown;
     }
 
     @ParameterizedTest
@@ -291,12 +291,12 @@
                 1024);
         greet(READ);
         assertEquals("r", client.nextAnswer());
-        Thread ending = shutDownInBackground();
+        Thread shutdown = shutDownInBackground();
         client.send(statement(READ));
         assertEquals("r", client.nextAnswer());
         client.send(statement(fields));
         assertEquals(word, client.nextAnswer());
         assertEquals("closed", client.nextAnswer());
-        ending.join();
+        shutdown.join();
     }
 }
--- a/daemon/src/test/java/clayhook/serve/ShutdownTest.java
+++ b/daemon/src/test/java/clayhook/serve/ShutdownTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** The steps of an end, each at a moment that the test chooses. */
+/** The steps of a graceful shutdown, each at a moment that the test chooses. */
 class ShutdownTest {
     private final Transport transport = Transport.tcp();
     private final Transport routerTransport = Transport.tcp();
@@ -129,7 +129,7 @@
                 List.of("ready", "40003", "53300", "53300"),
                 List.of(client.nextAnswer(), client.nextAnswer(), client.nextAnswer(), client.nextAnswer()));
         assertEquals("closed", client.nextAnswer());
-        assertEquals(0, sent.size(), "what was given up went to a node");
+        assertEquals(0, sent.size(), "a failed request reached a node");
     }
 
     @Test
@@ -143,17 +143,17 @@
         assertEquals(1, sent.size());
     }
 
-    /** The order is forced: the loop stands until the machine has accepted all and the end is next to be done. */
+    /** The event loop is blocked until the kernel has accepted all connections, and draining is its next step. */
     @Test
     void connectionsInTheAcceptBacklogAreServedBeforeTheListenerCloses() throws Exception {
         start(any -> StubNode.StubResponse.answer("served"));
-        var stands = new CountDownLatch(1);
-        var goesOn = new CountDownLatch(1);
+        var blocked = new CountDownLatch(1);
+        var mayContinue = new CountDownLatch(1);
         routerTransport.eventLoop().execute(() -> {
-            stands.countDown();
-            await(goesOn);
+            blocked.countDown();
+            await(mayContinue);
         });
-        stands.await();
+        blocked.await();
         routerTransport.eventLoop().execute(router::drain);
         var sockets = new ArrayList<Socket>();
         for (int i = 0; i < 40; i++) {
@@ -164,7 +164,7 @@
             hello.readBytes(socket.getOutputStream(), hello.readableBytes());
             sockets.add(socket);
         }
-        goesOn.countDown();
+        mayContinue.countDown();
         for (Socket socket : sockets) {
             String all = new String(socket.getInputStream().readAllBytes(), ISO_8859_1);
             assertTrue(all.contains("served"), "closed without an answer");
