--- a/daemon/src/main/java/clayhook/backend/BackendClient.java
+++ b/daemon/src/main/java/clayhook/backend/BackendClient.java
@@ -5,6 +5,7 @@
 import clayhook.Node;
 import clayhook.config.OperatorConfiguration;
 import clayhook.log.Log;
+import clayhook.metrics.EventCounters;
 import clayhook.protocol.MemoryBudget;
 import clayhook.protocol.MessageEncoder;
 import clayhook.protocol.NodeMessage;
@@ -51,6 +52,7 @@
     final MemoryBudget answerMemory;
     private final OperatorConfiguration operator;
     private final Listener listener;
+    private final EventCounters counters;
     private final SlewedClock clock;
     private final DescriptorBudget descriptors;
     private final double connectTimeoutSeconds;
@@ -69,7 +71,9 @@
             double connectTimeout,
             double idle,
             OperatorConfiguration operator,
-            Listener listener) {
+            Listener listener,
+            EventCounters counters) {
+        this.counters = counters;
         this.operator = operator;
         answerMemory = new MemoryBudget(memory / MEMORY_DIVISOR);
         this.listener = listener;
@@ -214,7 +218,7 @@
     }
 
     void countOpened() {
-        Log.count("opened");
+        counters.increment("opened");
     }
 
     void releaseDescriptor() {
--- a/daemon/src/main/java/clayhook/frontend/ClientListener.java
+++ b/daemon/src/main/java/clayhook/frontend/ClientListener.java
@@ -1,6 +1,6 @@
 package clayhook.frontend;
 
-import clayhook.log.Log;
+import clayhook.metrics.EventCounters;
 import clayhook.protocol.ClientMessageDecoder;
 import clayhook.protocol.MemoryBudget;
 import clayhook.protocol.MessageEncoder;
@@ -44,6 +44,7 @@
     private final DescriptorBudget descriptors;
     private final InetSocketAddress requestedAddress;
     private final Transport transport;
+    private final EventCounters counters;
     private final Channel serverChannel;
     /** No more connections are taken. */
     private boolean draining;
@@ -56,16 +57,18 @@
             long memory,
             Supplier<SessionSettings> settings,
             DoubleSupplier clock,
-            ClientSession.RequestHandler listener)
+            ClientSession.RequestHandler listener,
+            EventCounters counters)
             throws InterruptedException {
         this.transport = transport;
+        this.counters = counters;
         this.descriptors = descriptors;
         requestedAddress = address;
         descriptors.setClientEvictor(this::evictSession);
         var allowance = new MemoryBudget(memory / MEMORY_DIVISOR);
         serverChannel = transport.listen(address, () -> {
             if (!descriptors.tryAcquireForClient()) {
-                Log.count("turned away");
+                counters.increment("turned away");
                 return new ChannelHandler[] {new RejectionHandler()};
             }
             var decoder = new ClientMessageDecoder(allowance, settings != null);
@@ -152,7 +155,7 @@
                 .toList();
         int tooMany = atRest.size() - (int) (descriptors.limitPerSide() * CROWDED_FRACTION);
         atRest.stream().limit(Math.max(0, tooMany)).forEach(session -> {
-            Log.count("let go");
+            counters.increment("let go");
             session.drain();
         });
     }
--- a/daemon/src/main/java/clayhook/log/Log.java
+++ b/daemon/src/main/java/clayhook/log/Log.java
@@ -19,8 +19,6 @@
 
     /** By kind of line; there are only a few, all named in the code. Guarded by the class lock. */
     private static final Map<String, RateLimit> RATE_LIMITS = new TreeMap<>();
-    /** Emptied by each summary. It is its own lock: the loop counts while another thread may be writing a line. */
-    private static final Map<String, Integer> COUNTS = new TreeMap<>();
 
     private Log() {}
 
@@ -54,19 +52,4 @@
     public static synchronized void error(String line, Throwable cause) {
         LOGGER.log(System.Logger.Level.ERROR, line, cause);
     }
-
-    public static void count(String what) {
-        synchronized (COUNTS) {
-            COUNTS.merge(what, 1, Integer::sum);
-        }
-    }
-
-    /** What was counted since the last call. */
-    public static String counts() {
-        synchronized (COUNTS) {
-            String text = COUNTS.toString();
-            COUNTS.clear();
-            return text;
-        }
-    }
 }
--- a/daemon/src/main/java/clayhook/serve/AttemptResults.java
+++ b/daemon/src/main/java/clayhook/serve/AttemptResults.java
@@ -9,7 +9,7 @@
 import clayhook.backend.BackendClient;
 import clayhook.frontend.ClientRequest;
 import clayhook.inflight.InFlightRequests;
-import clayhook.log.Log;
+import clayhook.metrics.EventCounters;
 import clayhook.transport.SlewedClock;
 import java.util.List;
 
@@ -24,6 +24,7 @@
     private final SqlRequests sqlRequests;
     private final ClientResponder responder;
     private final PeerReporter peers;
+    private final EventCounters counters;
     private final SlewedClock clock;
 
     AttemptResults(
@@ -33,6 +34,7 @@
             SqlRequests sqlRequests,
             ClientResponder responder,
             PeerReporter peers,
+            EventCounters counters,
             SlewedClock clock) {
         this.inbox = inbox;
         this.policy = policy;
@@ -40,12 +42,13 @@
         this.sqlRequests = sqlRequests;
         this.responder = responder;
         this.peers = peers;
+        this.counters = counters;
         this.clock = clock;
     }
 
     @Override
     public void onAttemptFinished(Attempt attempt, AttemptResult result, List<byte[]> answer, String error) {
-        Log.count(result.outcome().toString());
+        counters.increment(result.outcome().toString());
         inbox.add(now -> handle(attempt, result, answer, error, now));
     }
 
@@ -77,7 +80,7 @@
 
     @Override
     public void onHealthCheck(Node node, AttemptResult result) {
-        Log.count("health check " + result.outcome());
+        counters.increment("health check " + result.outcome());
         inbox.add(now -> {
             peers.onHealthCheck(node, result, now);
             policy.onHealthCheck(node, result, now);
--- a/daemon/src/main/java/clayhook/serve/ClientResponder.java
+++ b/daemon/src/main/java/clayhook/serve/ClientResponder.java
@@ -4,7 +4,7 @@
 import clayhook.Decision.RoutingAction;
 import clayhook.frontend.ClientRequest;
 import clayhook.frontend.ClientSession;
-import clayhook.log.Log;
+import clayhook.metrics.EventCounters;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -13,14 +13,17 @@
 final class ClientResponder {
     private final OpenRequests openRequests;
     private final PeerReporter peers;
+    private final EventCounters counters;
     private final boolean clientsHonorRetryAfter;
     /** Answers of nodes that are passed on once the policy has seen the attempt; each leaves at the end of its tick. */
     private final Map<ClientRequest, List<byte[]>> answers = new HashMap<>();
 
     /** {@code clientsHonorRetryAfter}: whether a rejection tells the client how long to wait. */
-    ClientResponder(OpenRequests openRequests, PeerReporter peers, boolean clientsHonorRetryAfter) {
+    ClientResponder(
+            OpenRequests openRequests, PeerReporter peers, EventCounters counters, boolean clientsHonorRetryAfter) {
         this.openRequests = openRequests;
         this.peers = peers;
+        this.counters = counters;
         this.clientsHonorRetryAfter = clientsHonorRetryAfter;
     }
 
@@ -35,7 +38,7 @@
         if (action != RoutingAction.DONE) {
             peers.onRequestAbandoned(request);
         }
-        Log.count(action + " " + request.requestClass.name());
+        counters.increment(action + " " + request.requestClass.name());
         List<byte[]> answer = answers.remove(request);
         if (openRequests.remove(request)) {
             respond(request, decision, answer);
--- a/daemon/src/main/java/clayhook/serve/OpenRequests.java
+++ b/daemon/src/main/java/clayhook/serve/OpenRequests.java
@@ -4,7 +4,7 @@
 import clayhook.frontend.ClientRequest;
 import clayhook.frontend.ClientSession;
 import clayhook.inflight.InFlightRequests;
-import clayhook.log.Log;
+import clayhook.metrics.EventCounters;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
@@ -16,13 +16,15 @@
  */
 final class OpenRequests {
     private final InFlightRequests inFlight;
+    private final EventCounters counters;
     private final Map<ClientSession, ClientRequest> bySession = new HashMap<>();
     private final Set<String> ids = new HashSet<>();
     /** Pending requests were failed, and later ones are as well. */
     private boolean failing;
 
-    OpenRequests(InFlightRequests inFlight) {
+    OpenRequests(InFlightRequests inFlight, EventCounters counters) {
         this.inFlight = inFlight;
+        this.counters = counters;
     }
 
     boolean containsId(String requestId) {
@@ -39,7 +41,7 @@
         // A close that was read together with the request would otherwise cost a node work that nobody waits for.
         if (request.clientSession.isClientGone()) {
             ids.remove(request.requestId);
-            Log.count("disconnected");
+            counters.increment("disconnected");
             return;
         }
         bySession.put(request.clientSession, request);
--- a/daemon/src/main/java/clayhook/serve/PeerUpdates.java
+++ b/daemon/src/main/java/clayhook/serve/PeerUpdates.java
@@ -5,7 +5,7 @@
 import clayhook.RoutingPolicy;
 import clayhook.backend.BackendClient;
 import clayhook.discovery.EndpointList;
-import clayhook.log.Log;
+import clayhook.metrics.EventCounters;
 import java.util.Collection;
 import java.util.Map;
 
@@ -15,24 +15,31 @@
     private final RoutingPolicy policy;
     private final BackendClient backend;
     private final EndpointUpdates endpoints;
+    private final EventCounters counters;
 
-    PeerUpdates(EventInbox inbox, RoutingPolicy policy, BackendClient backend, EndpointUpdates endpoints) {
+    PeerUpdates(
+            EventInbox inbox,
+            RoutingPolicy policy,
+            BackendClient backend,
+            EndpointUpdates endpoints,
+            EventCounters counters) {
         this.inbox = inbox;
         this.policy = policy;
         this.backend = backend;
         this.endpoints = endpoints;
+        this.counters = counters;
     }
 
     @Override
     public void onPeerUpdate(Collection<EndpointList> changes) {
-        Log.count("peer endpoint list");
+        counters.increment("peer endpoint list");
         endpoints.onPeerLists(changes);
     }
 
     /** Observations of nodes that this router's endpoint list lacks are dropped. */
     @Override
     public void onPeerUpdate(Map<String, PeerObservation> observations) {
-        Log.count("peer observations");
+        counters.increment("peer observations");
         inbox.add(now -> observations.forEach((id, observation) -> {
             Node node = backend.findNode(id);
             if (node != null) {
--- a/daemon/src/main/java/clayhook/serve/RequestAdmission.java
+++ b/daemon/src/main/java/clayhook/serve/RequestAdmission.java
@@ -8,6 +8,7 @@
 import clayhook.frontend.ClientSession;
 import clayhook.inflight.InFlightRequests;
 import clayhook.log.Log;
+import clayhook.metrics.EventCounters;
 import clayhook.protocol.KeyValueStatement;
 import clayhook.sql.SqlAdmission.AdmissionResult;
 import java.util.HashMap;
@@ -33,6 +34,7 @@
     private final OpenRequests openRequests;
     private final SqlRequests sqlRequests;
     private final PeerReporter peers;
+    private final EventCounters counters;
     private final Map<String, RequestClass> requestClasses = new HashMap<>();
 
     RequestAdmission(
@@ -43,6 +45,7 @@
             OpenRequests openRequests,
             SqlRequests sqlRequests,
             PeerReporter peers,
+            EventCounters counters,
             List<RequestClass> requestClasses) {
         this.loop = loop;
         this.inbox = inbox;
@@ -51,6 +54,7 @@
         this.openRequests = openRequests;
         this.sqlRequests = sqlRequests;
         this.peers = peers;
+        this.counters = counters;
         requestClasses.forEach(requestClass -> this.requestClasses.put(requestClass.name(), requestClass));
     }
 
@@ -88,7 +92,7 @@
     public void onSqlStatement(ClientSession session, byte[] text) {
         AdmissionResult result = sqlRequests.classify(session, text);
         if (result instanceof AdmissionResult.Admitted admitted && backend.hasReplicaSet(admitted.replicaSetId())) {
-            Log.count(admitted.classification().verdict() + " "
+            counters.increment(admitted.classification().verdict() + " "
                     + admitted.classification().rule());
             inbox.add(now -> sqlRequests.admit(admitted, session, admitted.timeoutSeconds(), now));
         } else {
@@ -101,7 +105,7 @@
         inbox.add(now -> {
             ClientRequest request = openRequests.remove(session);
             if (request != null) {
-                Log.count("disconnected");
+                counters.increment("disconnected");
                 peers.onRequestAbandoned(request);
                 inFlight.onClientGone(request);
                 request.attempts.forEach(backend::cancelIfUnsent);
@@ -118,7 +122,7 @@
                 return;
             }
             openRequests.remove(session);
-            Log.count("cancelled");
+            counters.increment("cancelled");
             inFlight.onClientGone(request);
             // One tick later: what was decided in this one is carried out at its end, and must be cancelled as well.
             inbox.add(next -> cancelAttempts(request));
--- a/daemon/src/main/java/clayhook/serve/Router.java
+++ b/daemon/src/main/java/clayhook/serve/Router.java
@@ -13,6 +13,7 @@
 import clayhook.frontend.ClientRequest;
 import clayhook.inflight.InFlightRequests;
 import clayhook.log.Log;
+import clayhook.metrics.EventCounters;
 import clayhook.transport.DescriptorBudget;
 import clayhook.transport.SlewedClock;
 import clayhook.transport.Transport;
@@ -62,14 +63,15 @@
         inbox = new EventInbox(loop, this::tick);
         timer = new TickTimer(loop, this::tick);
         RoutingSettings settings = configuration.settings();
+        var counters = new EventCounters();
         var descriptors = new DescriptorBudget(configuration.maxDescriptors());
         var policy = new RoutingPolicy(settings, configuration.seed());
         inFlight = new InFlightRequests(policy, FaultBarrier::logFault);
-        openRequests = new OpenRequests(inFlight);
+        openRequests = new OpenRequests(inFlight, counters);
         sql = new SqlSupport(operator.statements(), settings.requestClasses(), configuration.seed());
         peers = new PeerReporter(sharing, clock);
-        responder = new ClientResponder(openRequests, peers, settings.clientsHonorRetryAfter());
-        var sqlRequests = new SqlRequests(loop, sql, inFlight, openRequests);
+        responder = new ClientResponder(openRequests, peers, counters, settings.clientsHonorRetryAfter());
+        var sqlRequests = new SqlRequests(loop, sql, inFlight, openRequests, counters);
         backend = new BackendClient(
                 transport,
                 clock,
@@ -78,9 +80,10 @@
                 configuration.connectTimeout(),
                 settings.connectionIdleTimeoutSeconds(),
                 operator,
-                new AttemptResults(inbox, policy, inFlight, sqlRequests, responder, peers, clock));
+                new AttemptResults(inbox, policy, inFlight, sqlRequests, responder, peers, counters, clock),
+                counters);
         endpoints = new EndpointUpdates(transport, configuration, inbox, policy, backend, peers, clock.now());
-        peers.attach(loop, configuration.discovery(), new PeerUpdates(inbox, policy, backend, endpoints));
+        peers.attach(loop, configuration.discovery(), new PeerUpdates(inbox, policy, backend, endpoints, counters));
         frontend = new ClientListener(
                 transport,
                 configuration.listen(),
@@ -89,8 +92,17 @@
                 sql.sessionSettings(),
                 clock::now,
                 new RequestAdmission(
-                        loop, inbox, backend, inFlight, openRequests, sqlRequests, peers, settings.requestClasses()));
-        summaryLog = new SummaryLog(frontend, backend, inFlight, descriptors, timer, policy, sql, startedAt);
+                        loop,
+                        inbox,
+                        backend,
+                        inFlight,
+                        openRequests,
+                        sqlRequests,
+                        peers,
+                        counters,
+                        settings.requestClasses()),
+                counters);
+        summaryLog = new SummaryLog(frontend, backend, inFlight, descriptors, timer, policy, sql, counters, startedAt);
         inbox.scheduleTick();
         peers.start();
     }
--- a/daemon/src/main/java/clayhook/serve/SqlRequests.java
+++ b/daemon/src/main/java/clayhook/serve/SqlRequests.java
@@ -8,6 +8,7 @@
 import clayhook.frontend.ClientSession;
 import clayhook.inflight.InFlightRequests;
 import clayhook.log.Log;
+import clayhook.metrics.EventCounters;
 import clayhook.sql.SqlAdmission.AdmissionResult;
 import java.util.concurrent.Executor;
 
@@ -19,12 +20,19 @@
     private final SqlSupport sql;
     private final InFlightRequests inFlight;
     private final OpenRequests openRequests;
+    private final EventCounters counters;
 
-    SqlRequests(Executor loop, SqlSupport sql, InFlightRequests inFlight, OpenRequests openRequests) {
+    SqlRequests(
+            Executor loop,
+            SqlSupport sql,
+            InFlightRequests inFlight,
+            OpenRequests openRequests,
+            EventCounters counters) {
         this.loop = loop;
         this.sql = sql;
         this.inFlight = inFlight;
         this.openRequests = openRequests;
+        this.counters = counters;
     }
 
     /** Classifies a statement and checks it against the operator's rules. */
@@ -57,7 +65,7 @@
         var rejected = result instanceof AdmissionResult.Rejected given
                 ? given
                 : new AdmissionResult.Rejected("42601", RequestAdmission.UNKNOWN_REPLICA_SET);
-        Log.count("refused");
+        counters.increment("refused");
         Log.warn("statement", "refused: " + rejected.reason());
         loop.execute(() -> session.respondWithError(rejected.sqlState(), rejected.reason()));
     }
--- a/daemon/src/main/java/clayhook/serve/SummaryLog.java
+++ b/daemon/src/main/java/clayhook/serve/SummaryLog.java
@@ -5,6 +5,7 @@
 import clayhook.frontend.ClientListener;
 import clayhook.inflight.InFlightRequests;
 import clayhook.log.Log;
+import clayhook.metrics.EventCounters;
 import clayhook.transport.DescriptorBudget;
 
 /** Writes a summary of the router to the log at fixed intervals. Event loop only. */
@@ -18,6 +19,7 @@
     private final TickTimer timer;
     private final RoutingPolicy policy;
     private final SqlSupport sql;
+    private final EventCounters counters;
     private double nextAt;
 
     SummaryLog(
@@ -28,6 +30,7 @@
             TickTimer timer,
             RoutingPolicy policy,
             SqlSupport sql,
+            EventCounters counters,
             double startedAt) {
         this.frontend = frontend;
         this.backend = backend;
@@ -36,6 +39,7 @@
         this.timer = timer;
         this.policy = policy;
         this.sql = sql;
+        this.counters = counters;
         nextAt = startedAt + INTERVAL_SECONDS;
     }
 
@@ -48,7 +52,7 @@
         Log.info("summary: clients " + frontend.sessionCount() + ", connections to nodes "
                 + backend.connectionCount() + ", in flight " + inFlight.size() + ", descriptors at most "
                 + descriptors.peak() + ", event loop delay at most " + Math.round(timer.maxDelay() * 1000) + " ms, "
-                + Log.counts());
+                + counters.takeSummary());
         Log.info("nodes: " + policy.describeNodes(now) + ", in flight " + backend.inFlightByNode());
         if (sql.isEnabled()) {
             Log.info("statements: " + sql.admission().summary());
--- a/daemon/src/main/java/clayhook/warmup/WarmUp.java
+++ b/daemon/src/main/java/clayhook/warmup/WarmUp.java
@@ -123,7 +123,6 @@
             }
         }
         server.close();
-        Log.counts();
         return carried || System.nanoTime() / 1e9 >= until;
     }
 
--- a/daemon/src/test/java/clayhook/backend/BackendClientTest.java
+++ b/daemon/src/test/java/clayhook/backend/BackendClientTest.java
@@ -10,6 +10,7 @@
 import clayhook.Request;
 import clayhook.Role;
 import clayhook.config.OperatorConfiguration;
+import clayhook.metrics.EventCounters;
 import clayhook.protocol.KeyValueStatement;
 import clayhook.transport.DescriptorBudget;
 import clayhook.transport.SlewedClock;
@@ -81,7 +82,8 @@
                 connectTimeout,
                 idle,
                 OperatorConfiguration.DEFAULTS,
-                this);
+                this,
+                new EventCounters());
     }
 
     private Node stubNode(BackendClient nodes, String role, StubResponse first, StubResponse then) throws Exception {
--- a/daemon/src/test/java/clayhook/backend/ConnectionRaceTest.java
+++ b/daemon/src/test/java/clayhook/backend/ConnectionRaceTest.java
@@ -12,6 +12,7 @@
 import clayhook.Node;
 import clayhook.Request;
 import clayhook.config.OperatorConfiguration;
+import clayhook.metrics.EventCounters;
 import clayhook.protocol.OutboundStatement;
 import clayhook.transport.DescriptorBudget;
 import clayhook.transport.SlewedClock;
@@ -91,7 +92,8 @@
                 connectTimeout,
                 idle,
                 OperatorConfiguration.DEFAULTS,
-                this);
+                this,
+                new EventCounters());
     }
 
     private <T> T onLoop(Callable<T> step) throws Exception {
--- a/daemon/src/test/java/clayhook/frontend/ClientListenerTest.java
+++ b/daemon/src/test/java/clayhook/frontend/ClientListenerTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import clayhook.metrics.EventCounters;
 import clayhook.protocol.KeyValueStatement;
 import clayhook.protocol.MessageEncoder;
 import clayhook.transport.DescriptorBudget;
@@ -53,7 +54,8 @@
                 1 << 24,
                 null,
                 () -> now,
-                this);
+                this,
+                new EventCounters());
     }
 
     private StubClient client(ByteBuf first) throws InterruptedException {
--- a/daemon/src/test/java/clayhook/frontend/ClientSessionRaceTest.java
+++ b/daemon/src/test/java/clayhook/frontend/ClientSessionRaceTest.java
@@ -5,6 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
+import clayhook.metrics.EventCounters;
 import clayhook.protocol.KeyValueStatement;
 import clayhook.protocol.MessageEncoder;
 import clayhook.transport.DescriptorBudget;
@@ -70,7 +71,8 @@
                 1 << 28,
                 null,
                 () -> now,
-                this);
+                this,
+                new EventCounters());
     }
 
     private SocketClient client() throws Exception {
