--- a/daemon/src/main/java/clayhook/backend/BackendClient.java
+++ b/daemon/src/main/java/clayhook/backend/BackendClient.java
@@ -5,6 +5,7 @@
 import clayhook.Node;
 import clayhook.config.OperatorConfiguration;
 import clayhook.log.Log;
+import clayhook.metrics.EventCounters;
 import clayhook.protocol.MemoryBudget;
 import clayhook.protocol.NodeMessage;
 import clayhook.protocol.OutboundStatement;
@@ -64,6 +65,7 @@
     private final MemoryBudget answerMemory;
     private final ConnectionProfile profile;
     private final Listener listener;
+    private final EventCounters counters;
     private final SlewedClock clock;
     private final DescriptorBudget descriptors;
     private final double connectTimeoutSeconds;
@@ -79,7 +81,8 @@
      *
      * @param memoryBytes memory of the process, of which answers take a part
      * @param connectTimeoutSeconds for a connection from its opening until its startup is complete
-     * @param idleSeconds the time at which nodes close idle connections at the earliest
+     * @param idleSeconds after which nodes close idle connections
+     * @param counters counts the connections opened
      */
     public BackendClient(
             Transport transport,
@@ -89,10 +92,12 @@
             double connectTimeoutSeconds,
             double idleSeconds,
             OperatorConfiguration operator,
-            Listener listener) {
+            Listener listener,
+            EventCounters counters) {
         profile = new ConnectionProfile(operator);
         answerMemory = new MemoryBudget(memoryBytes / MEMORY_DIVISOR);
         this.listener = listener;
+        this.counters = counters;
         this.clock = clock;
         this.descriptors = descriptors;
         this.connectTimeoutSeconds = connectTimeoutSeconds;
@@ -262,7 +267,7 @@
     }
 
     void countOpened() {
-        Log.count("opened");
+        counters.increment("opened");
     }
 
     /** Reports a completion; {@code connection} has the answer, null where the request was never written. */
--- a/daemon/src/main/java/clayhook/warmup/WarmUp.java
+++ b/daemon/src/main/java/clayhook/warmup/WarmUp.java
@@ -125,7 +125,6 @@
         var server = new Server(transport, configuration(discovery.address()));
         boolean carried = sendRequests(server.address());
         server.close();
-        Log.counts();
         return carried || isOver();
     }
 
--- a/daemon/src/test/java/clayhook/backend/BackendClientFixture.java
+++ b/daemon/src/test/java/clayhook/backend/BackendClientFixture.java
@@ -9,6 +9,7 @@
 import clayhook.Node;
 import clayhook.Request;
 import clayhook.config.OperatorConfiguration;
+import clayhook.metrics.EventCounters;
 import clayhook.protocol.OutboundStatement;
 import clayhook.transport.DescriptorBudget;
 import clayhook.transport.SlewedClock;
@@ -73,7 +74,8 @@
                 connectTimeoutSeconds,
                 idleSeconds,
                 OperatorConfiguration.DEFAULTS,
-                this);
+                this,
+                new EventCounters());
     }
 
     @Override
--- a/daemon/src/test/java/clayhook/peers/RecordedDatagramsTest.java
+++ b/daemon/src/test/java/clayhook/peers/RecordedDatagramsTest.java
@@ -20,6 +20,7 @@
 import clayhook.fleet.ProtocolHandler;
 import clayhook.fleet.ReplicatedType;
 import clayhook.fleet.members.Membership;
+import clayhook.fleet.members.MembershipListener;
 import clayhook.fleet.members.MembershipSettings;
 import clayhook.fleet.state.ReplicatedState;
 import clayhook.fleet.state.StateSettings;
@@ -101,12 +102,7 @@
             self = new Peer(new Member(name, (long) (START * 1000) + port), new Address("10.0.0.1", port));
             var random = new SplittableRandom(seed);
             members = new Membership(
-                    MembershipSettings.DEFAULT,
-                    self,
-                    seeds,
-                    random.nextLong(),
-                    START,
-                    new Membership.MembershipListener() {});
+                    MembershipSettings.DEFAULT, self, seeds, random.nextLong(), START, new MembershipListener() {});
             var kinds = new StateBridge.EnabledTypes(true, true, true, FATES, true);
             state = new ReplicatedState(
                     members, kinds.types(), StateSettings.DEFAULT.withBootstrapTimeout(0.2), random.nextLong(), START);
--- a/fleet/src/main/java/clayhook/fleet/members/MemberStatus.java
+++ b/fleet/src/main/java/clayhook/fleet/members/MemberStatus.java
@@ -1,13 +1,37 @@
 package clayhook.fleet.members;
 
-/** How a life of a router stands; of two claims with the same counter the later one here counts. */
+/**
+ * The status of one incarnation of a router. Of two claims with equal refutation counts, the one whose status is
+ * declared later wins; the order of the constants must not change.
+ */
 enum MemberStatus {
-    ALIVE,
-    SUSPECT,
-    DEAD,
-    LEFT;
+    ALIVE(0),
+    SUSPECT(1),
+    DEAD(2),
+    LEFT(3);
 
-    /** It is asked, told and counted. */
+    private final int code;
+
+    MemberStatus(int code) {
+        this.code = code;
+    }
+
+    /** Returns the number that stands for this status in messages. */
+    int code() {
+        return code;
+    }
+
+    /** @throws IllegalArgumentException for a number that stands for no status */
+    static MemberStatus ofCode(long code) {
+        for (MemberStatus status : values()) {
+            if (status.code == code) {
+                return status;
+            }
+        }
+        throw new IllegalArgumentException("a member status of " + code);
+    }
+
+    /** Whether the member is probed, gossiped to and counted. */
     boolean isLive() {
         return this == ALIVE || this == SUSPECT;
     }
--- a/lab/src/main/java/clayhook/lab/sharing/ModelPeer.java
+++ b/lab/src/main/java/clayhook/lab/sharing/ModelPeer.java
@@ -9,6 +9,7 @@
 import clayhook.fleet.Address;
 import clayhook.fleet.Peer;
 import clayhook.fleet.members.Membership;
+import clayhook.fleet.members.MembershipListener;
 import clayhook.fleet.members.MembershipSettings;
 import clayhook.fleet.state.ReplicatedState;
 import clayhook.fleet.state.StateSettings;
@@ -66,12 +67,7 @@
     public RouterIncarnation begin(Peer self, List<Address> seeds, long seed, double now) {
         var chance = new SplittableRandom(seed);
         var members = new Membership(
-                MembershipSettings.DEFAULT,
-                self,
-                seeds,
-                chance.nextLong(),
-                now,
-                new Membership.MembershipListener() {});
+                MembershipSettings.DEFAULT, self, seeds, chance.nextLong(), now, new MembershipListener() {});
         var kinds = new StateBridge.EnabledTypes(true, true, marks, WriteOutcome.TYPE, true);
         var state = new ReplicatedState(members, kinds.types(), StateSettings.DEFAULT, chance.nextLong(), now);
         exchange = new StateBridge(
