--- a/daemon/src/main/java/clayhook/protocol/ClientMessageDecoder.java
+++ b/daemon/src/main/java/clayhook/protocol/ClientMessageDecoder.java
@@ -4,31 +4,39 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Decodes what a client sends. */
+/** Decodes the messages of one client connection into {@link ClientMessage}s. Event loop only. */
 public final class ClientMessageDecoder extends FrameDecoder {
+    /** The key of a cancel request that has none; no session is given this one. */
+    public static final long NO_CANCEL_KEY = 0;
+
     private static final int CANCEL_REQUEST_CODE = 80877102;
     private static final int SSL_REQUEST_CODE = 80877103;
     private static final int GSS_ENCRYPTION_REQUEST_CODE = 80877104;
-    /** No session is given this one. */
-    public static final long NO_CANCEL_KEY = 0;
-    /** Values hold 64 KiB, and twice that in hex digits; the rest is for the statement around them. */
+    private static final int MAJOR_VERSION = 3;
+    /** Values have up to 64 KiB, and twice that as hex digits; the rest is for the statement around them. */
     private static final int MAX_MESSAGE_LENGTH = 160 * 1024;
-    /** As long as the reference server takes it. */
+    /** The limit of the reference server. */
     private static final int MAX_STARTUP_LENGTH = 10_000;
-    /** Shorter messages go without an allowance: all clients together may send as many as a session reads ahead. */
+    /** Longer messages need memory from the budget; shorter ones are bounded by what a session reads ahead. */
     private static final int MAX_UNRESERVED_LENGTH = 1024;
 
     private final boolean acceptsAnyStatement;
     private boolean startupDone;
 
-    /** {@code sql}: statements of any kind are taken, and what a client tells at its start counts. */
-    public ClientMessageDecoder(MemoryBudget allowance, boolean sql) {
-        super(allowance, MAX_UNRESERVED_LENGTH);
-        this.acceptsAnyStatement = sql;
+    /**
+     * Creates the decoder of one connection.
+     *
+     * @param acceptsAnyStatement whether queries may be any SQL, and start-up parameters are decoded; otherwise only
+     *     the two forms of {@link KeyValueStatement} are accepted
+     */
+    public ClientMessageDecoder(MemoryBudget memoryBudget, boolean acceptsAnyStatement) {
+        super(memoryBudget, MAX_UNRESERVED_LENGTH);
+        this.acceptsAnyStatement = acceptsAnyStatement;
     }
 
-    public ClientMessageDecoder(MemoryBudget allowance) {
-        this(allowance, false);
+    /** Creates a decoder that accepts only the two forms of {@link KeyValueStatement}. */
+    public ClientMessageDecoder(MemoryBudget memoryBudget) {
+        this(memoryBudget, false);
     }
 
     @Override
@@ -43,12 +51,12 @@
 
     @Override
     Object outOfMemory() {
-        return new ClientMessage.Malformed("53300", "no memory is left for a long statement");
+        return new ClientMessage.Malformed(SqlState.TOO_MANY_CONNECTIONS, "no memory is left for a long statement");
     }
 
     @Override
-    Object malformed(String why) {
-        return new ClientMessage.Malformed("08P01", why);
+    Object malformed(String reason) {
+        return new ClientMessage.Malformed(SqlState.PROTOCOL_VIOLATION, reason);
     }
 
     @Override
@@ -68,16 +76,21 @@
     }
 
     private Object decodeFirstMessage(ByteBuf body) {
-        int version = body.readInt();
-        if (version == SSL_REQUEST_CODE || version == GSS_ENCRYPTION_REQUEST_CODE) {
+        int code = body.readInt();
+        if (code == SSL_REQUEST_CODE || code == GSS_ENCRYPTION_REQUEST_CODE) {
             return new ClientMessage.EncryptionRequest();
-        } else if (version == CANCEL_REQUEST_CODE) {
+        }
+        if (code == CANCEL_REQUEST_CODE) {
             return new ClientMessage.CancelRequest(body.readableBytes() < Long.BYTES ? NO_CANCEL_KEY : body.readLong());
-        } else if (version >>> 16 != 3) {
-            return new ClientMessage.Malformed("0A000", "protocol version " + (version >>> 16) + " is not supported");
+        }
+        int majorVersion = code >>> 16;
+        int minorVersion = code & 0xffff;
+        if (majorVersion != MAJOR_VERSION) {
+            return new ClientMessage.Malformed(
+                    SqlState.FEATURE_NOT_SUPPORTED, "protocol version " + majorVersion + " is not supported");
         }
         startupDone = true;
-        return new ClientMessage.Startup(version & 0xffff, acceptsAnyStatement ? readParameters(body) : Map.of());
+        return new ClientMessage.Startup(minorVersion, acceptsAnyStatement ? readParameters(body) : Map.of());
     }
 
     private static Map<String, String> readParameters(ByteBuf body) {
@@ -97,16 +110,18 @@
         body.readBytes(text);
         if (isBlank(text)) {
             return new ClientMessage.EmptyQuery();
-        } else if (acceptsAnyStatement) {
+        }
+        if (acceptsAnyStatement) {
             return new ClientMessage.SqlQuery(text);
         }
         try {
             return new ClientMessage.Query(KeyValueStatement.parse(text));
-        } catch (IllegalArgumentException e) {
+        } catch (InvalidStatementException e) {
             return new ClientMessage.UnreadableQuery(e.getMessage());
         }
     }
 
+    /** Whether the text has nothing but white space, control characters and semicolons; bytes above 127 are text. */
     private static boolean isBlank(byte[] text) {
         for (byte b : text) {
             if (b > ' ' && b != ';' || b < 0) {
--- a/daemon/src/main/java/clayhook/protocol/FrameDecoder.java
+++ b/daemon/src/main/java/clayhook/protocol/FrameDecoder.java
@@ -6,21 +6,27 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** Cuts the stream into messages: a type, a length that counts itself, a body. Holds only what has come. */
+/**
+ * Splits a byte stream into messages: a type byte where there is one, a length that includes itself, and a body.
+ * Buffers no more than what has arrived. After a message that cannot be read it emits one that says so, and discards
+ * all further input. Event loop only.
+ */
 abstract class FrameDecoder extends ByteToMessageDecoder {
+    private static final int LENGTH_BYTES = 4;
+
     private final MemoryBudget memoryBudget;
-    /** Shorter messages go without an allowance. */
+    /** Messages up to this length in bytes need no reservation. */
     private final int maxUnreservedLength;
-    /** What the messages that came take of it until they are done with, or the connection ends. */
+    /** Reserved for the messages that have arrived, until the owner of the connection releases it. */
     private int reservedBytes;
 
     private boolean discarding;
-    /** The message in hand has been let in. */
+    /** The header of the current message has been checked, and its memory reserved. */
     private boolean admitted;
 
-    FrameDecoder(MemoryBudget allowance, int untaken) {
-        this.memoryBudget = allowance;
-        this.maxUnreservedLength = untaken;
+    FrameDecoder(MemoryBudget memoryBudget, int maxUnreservedLength) {
+        this.memoryBudget = memoryBudget;
+        this.maxUnreservedLength = maxUnreservedLength;
     }
 
     @Override
@@ -29,82 +35,97 @@
             in.skipBytes(in.readableBytes());
             return;
         }
-        int header = hasTypeByte() ? 1 : 0;
-        if (in.readableBytes() < header + 4) {
+        int typeBytes = hasTypeByte() ? 1 : 0;
+        if (in.readableBytes() < typeBytes + LENGTH_BYTES) {
             return;
         }
-        int length = in.getInt(in.readerIndex() + header);
-        if (length < 4 || length > maxMessageLength()) {
-            discarding = true;
-            in.skipBytes(in.readableBytes());
-            out.add(malformed("a message of length " + Integer.toUnsignedString(length)));
+        int length = in.getInt(in.readerIndex() + typeBytes);
+        if (length < LENGTH_BYTES || length > maxMessageLength()) {
+            discardAfter(malformed("a message of length " + Integer.toUnsignedString(length)), in, out);
             return;
         }
         if (!admitted && !reserveMemory(length)) {
-            discarding = true;
-            in.skipBytes(in.readableBytes());
-            out.add(outOfMemory());
+            discardAfter(outOfMemory(), in, out);
             return;
         }
-        admitted = in.readableBytes() < header + length;
-        if (admitted) {
-            return;
+        admitted = in.readableBytes() < typeBytes + length;
+        if (!admitted) {
+            out.add(decodeMessage(in.readSlice(typeBytes + length)));
         }
-        ByteBuf message = in.readSlice(header + length);
+    }
+
+    private void discardAfter(Object lastMessage, ByteBuf in, List<Object> out) {
+        discarding = true;
+        in.skipBytes(in.readableBytes());
+        out.add(lastMessage);
+    }
+
+    private Object decodeMessage(ByteBuf message) {
         char type = hasTypeByte() ? (char) (message.readByte() & 0xff) : 0;
-        message.skipBytes(4);
+        message.skipBytes(LENGTH_BYTES);
         try {
-            out.add(decodeBody(type, message));
+            return decodeBody(type, message);
         } catch (IndexOutOfBoundsException | IllegalArgumentException e) {
             discarding = true;
-            out.add(malformed("a message of type '" + type + "' that cannot be read"));
+            return malformed("a message of type '" + type + "' that cannot be read");
+        }
+    }
+
+    private boolean reserveMemory(int length) {
+        if (length <= maxUnreservedLength) {
+            return true;
         }
+        boolean reserved = memoryBudget.tryReserve(length);
+        reservedBytes += reserved ? length : 0;
+        return reserved;
+    }
+
+    /** Returns the memory of all messages that have arrived: the caller is done with them. */
+    public final void releaseMemory() {
+        memoryBudget.release(reservedBytes);
+        reservedBytes = 0;
     }
 
-    /** Nothing that comes is to be understood any more. */
+    /** Decodes nothing that arrives from now on. */
     public final void discardInput() {
         discarding = true;
     }
 
-    /** Part of a message has come. */
+    /** Whether part of a message has arrived. */
     public final boolean hasPartialMessage() {
         return actualReadableBytes() > 0;
     }
 
-    /** Whether the next message has a type. */
+    @Override
+    protected final void handlerRemoved0(ChannelHandlerContext context) {
+        releaseMemory();
+    }
+
+    /** Whether the next message begins with a type byte. */
     abstract boolean hasTypeByte();
 
-    /** The longest message that may come next. */
+    /** The greatest length in bytes that the next message may state. */
     abstract int maxMessageLength();
 
-    /** The message whose body is to be read; its header has been. */
+    /**
+     * Decodes a message whose header has been read.
+     *
+     * @param type 0 where the message has no type byte
+     * @param body the message, at its first byte after the header; valid during the call only
+     * @throws IndexOutOfBoundsException if the body is too short
+     * @throws IllegalArgumentException if the body has no valid form
+     */
     abstract Object decodeBody(char type, ByteBuf body);
 
-    abstract Object malformed(String why);
-
-    private boolean reserveMemory(int length) {
-        boolean may = length <= maxUnreservedLength || memoryBudget.tryReserve(length);
-        reservedBytes += may && length > maxUnreservedLength ? length : 0;
-        return may;
-    }
-
-    /** All messages that came are done with. */
-    public final void releaseMemory() {
-        memoryBudget.release(reservedBytes);
-        reservedBytes = 0;
-    }
-
-    @Override
-    protected final void handlerRemoved0(ChannelHandlerContext context) {
-        releaseMemory();
-    }
+    /** The message that is emitted in place of one that cannot be read. */
+    abstract Object malformed(String reason);
 
-    /** What is told of a message that there is no memory for. */
+    /** The message that is emitted in place of one for which no memory is left. */
     Object outOfMemory() {
         return malformed("a message too long for now");
     }
 
-    /** Text up to its closing zero. */
+    /** Reads text up to and with its closing zero; throws IllegalArgumentException if there is none. */
     static String readString(ByteBuf body) {
         int length = body.bytesBefore((byte) 0);
         if (length < 0) {
--- a/daemon/src/main/java/clayhook/protocol/KeyValueStatement.java
+++ b/daemon/src/main/java/clayhook/protocol/KeyValueStatement.java
@@ -6,36 +6,41 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** A client's statement and what its comment says; it goes on to nodes with no change but the time to wait. */
+/**
+ * A statement of one of the platform's two fixed forms, a read or a write of one key, with its routing comment. It is
+ * forwarded to nodes unchanged but for the timeout in its comment. Immutable.
+ */
 public final class KeyValueStatement implements OutboundStatement {
     private static final String KEY_PATTERN = "[^'\\\\\\p{Cntrl}]{1,256}";
-    /** The two forms that nodes take; a character is a byte here. */
-    private static final Pattern STATEMENT_PATTERN =
-            Pattern.compile("(?:SELECT val FROM state WHERE uid = '(?<read>" + KEY_PATTERN
-                    + ")'|INSERT INTO state \\(uid, val\\) VALUES \\('(?<written>" + KEY_PATTERN
-                    + ")', '\\\\x(?:[0-9a-fA-F]{2})*+'\\) RETURNING val)\\s*/\\*(?<comment>[^*]*+)\\*/\\s*;?\\s*");
+    /** The two forms that nodes accept. Matched against ISO 8859-1 text, so that offsets in it are offsets in bytes. */
+    private static final Pattern STATEMENT_PATTERN = Pattern.compile("(?:SELECT val FROM state WHERE uid = '(?<read>"
+            + KEY_PATTERN + ")'|INSERT INTO state \\(uid, val\\) VALUES \\('(?<written>" + KEY_PATTERN
+            + ")', '\\\\x(?:[0-9a-fA-F]{2})*+'\\) RETURNING val)\\s*/\\*(?<comment>[^*]*+)\\*/\\s*;?\\s*");
+
+    private static final double MILLIS_PER_SECOND = 1000;
 
     private final byte[] text;
-    /** Where the value of {@code d} stands in the text. */
+    /** Where the value of {@code d}, the timeout, stands in the text. */
     private final int timeoutStart;
 
     private final int timeoutEnd;
+    /** Unique among the open requests of all clients. */
     public final String requestId;
-    /** The name of its command group. */
+    /** The name of its request class. */
     public final String requestClassName;
-
+    /** The replica set that holds the key. */
     public final int replicaSetId;
-    /** How long the client waits, in seconds from when it sent this. */
+    /** How long the client waits, from when it sent the statement. */
     public final double timeoutSeconds;
-    /** The position in seconds that a read must see; 0 for none. */
+    /** The log position in seconds that a read must cover; 0 for none. */
     public final double requiredPosition;
-    /** The quoted key. */
+    /** The quoted key; its reads and writes form one session. */
     public final String key;
 
     public final boolean isWrite;
-    /** It has a key by which nodes drop its repeats. */
+    /** Whether nodes can recognize and drop a repeat of it. */
     public final boolean hasIdempotencyKey;
-    /** That key, or else its id: what anyone asks by whether it has run. */
+    /** The key under which routers share whether it has run: the idempotency key, or else the request id. */
     public final String outcomeKey;
 
     private KeyValueStatement(byte[] text, Matcher form) {
@@ -46,23 +51,27 @@
         requestId = comment.requiredField("id", RoutingComment.ID_PATTERN);
         requestClassName = comment.field("c");
         if (requestClassName == null) {
-            throw new IllegalArgumentException("the comment lacks c");
+            throw new InvalidStatementException("the comment lacks c");
         }
         replicaSetId = Integer.parseInt(comment.requiredField("cluster", RoutingComment.SMALL_NUMBER_PATTERN));
-        String milliseconds = comment.requiredField("d", RoutingComment.NUMBER_PATTERN);
-        timeoutSeconds = Long.parseLong(milliseconds) / 1000.0;
+        String timeoutMillis = comment.requiredField("d", RoutingComment.NUMBER_PATTERN);
+        timeoutSeconds = Long.parseLong(timeoutMillis) / MILLIS_PER_SECOND;
         timeoutStart = comment.valueOffset("d");
-        timeoutEnd = timeoutStart + milliseconds.length();
+        timeoutEnd = timeoutStart + timeoutMillis.length();
         requiredPosition = comment.secondsOr("after", 0);
         hasIdempotencyKey = comment.hasIdempotencyKey();
         outcomeKey = hasIdempotencyKey ? comment.field("k") : requestId;
     }
 
-    /** Throws IllegalArgumentException naming what does not fit. */
+    /**
+     * Parses the text of a query message.
+     *
+     * @throws InvalidStatementException if it has neither of the two forms, or no valid routing comment
+     */
     public static KeyValueStatement parse(byte[] text) {
         Matcher form = STATEMENT_PATTERN.matcher(new String(text, ISO_8859_1));
         if (!form.matches()) {
-            throw new IllegalArgumentException(
+            throw new InvalidStatementException(
                     "no read or write of the form that nodes take, with a comment that names it");
         }
         return new KeyValueStatement(text, form);
@@ -70,11 +79,12 @@
 
     @Override
     public byte[] textWithTimeout(double seconds) {
-        byte[] wait = Long.toString(Math.max(1, (long) (seconds * 1000))).getBytes(US_ASCII);
-        byte[] out = new byte[text.length - (timeoutEnd - timeoutStart) + wait.length];
+        long millis = Math.max(1, (long) (seconds * MILLIS_PER_SECOND));
+        byte[] timeout = Long.toString(millis).getBytes(US_ASCII);
+        byte[] out = new byte[text.length - (timeoutEnd - timeoutStart) + timeout.length];
         System.arraycopy(text, 0, out, 0, timeoutStart);
-        System.arraycopy(wait, 0, out, timeoutStart, wait.length);
-        System.arraycopy(text, timeoutEnd, out, timeoutStart + wait.length, text.length - timeoutEnd);
+        System.arraycopy(timeout, 0, out, timeoutStart, timeout.length);
+        System.arraycopy(text, timeoutEnd, out, timeoutStart + timeout.length, text.length - timeoutEnd);
         return out;
     }
 }
--- a/daemon/src/main/java/clayhook/protocol/MessageEncoder.java
+++ b/daemon/src/main/java/clayhook/protocol/MessageEncoder.java
@@ -8,82 +8,97 @@
 import java.util.List;
 import java.util.Map;
 
-/** Encodes what goes to clients and nodes. */
+/** Encodes messages to clients and nodes. Stateless; the caller owns the returned buffers. */
 public final class MessageEncoder {
     private static final byte[] READY_FOR_QUERY = {'Z', 0, 0, 0, 5, 'I'};
+    private static final int LENGTH_BYTES = 4;
+    private static final int PROTOCOL_VERSION = 3 << 16;
 
     private MessageEncoder() {}
 
-    /** Of a server that cancels nothing. */
-    public static ByteBuf startupResponse(int minor, Map<String, String> more) {
-        return startupResponse(minor, 0, more);
+    /** The response of a server without cancel keys to a start-up message; otherwise as below. */
+    public static ByteBuf startupResponse(int minorVersion, Map<String, String> parameters) {
+        return startupResponse(minorVersion, ClientMessageDecoder.NO_CANCEL_KEY, parameters);
     }
 
     /**
-     * The session stands; {@code minor} is the version of the protocol that the client asked for, {@code cancelKey}
-     * what it cancels by.
+     * The response to a start-up message: the session is ready.
+     *
+     * @param minorVersion the version of the protocol that the client asked for; above 0 it is told that it gets 3.0
+     * @param cancelKey by which the client may cancel its requests
+     * @param parameters settings that are reported beyond the fixed ones, in this order
      */
-    public static ByteBuf startupResponse(int minor, long cancelKey, Map<String, String> more) {
+    public static ByteBuf startupResponse(int minorVersion, long cancelKey, Map<String, String> parameters) {
         ByteBuf out = Unpooled.buffer(128);
-        if (minor > 0) {
-            out.writeByte('v').writeInt(12).writeInt(3 << 16).writeInt(0);
+        if (minorVersion > 0) {
+            out.writeByte('v').writeInt(12).writeInt(PROTOCOL_VERSION).writeInt(0);
         }
         out.writeByte('R').writeInt(8).writeInt(0);
         appendParameterStatus(out, "server_version", "15.0");
         appendParameterStatus(out, "client_encoding", "UTF8");
         appendParameterStatus(out, "standard_conforming_strings", "on");
-        more.forEach((name, value) -> appendParameterStatus(out, name, value));
+        parameters.forEach((name, value) -> appendParameterStatus(out, name, value));
         out.writeByte('K').writeInt(12).writeLong(cancelKey);
         return out.writeBytes(READY_FOR_QUERY);
     }
 
-    /** The command was carried out; {@code name} is a setting that is told anew, or null. */
-    public static ByteBuf commandComplete(String tag, String name, String value) {
+    /**
+     * The response to a statement that was carried out without rows.
+     *
+     * @param setting the name of a setting that is reported with it, or null
+     * @param value of that setting
+     */
+    public static ByteBuf commandComplete(String tag, String setting, String value) {
         ByteBuf out = Unpooled.buffer(64);
-        if (name != null) {
-            appendParameterStatus(out, name, value);
+        if (setting != null) {
+            appendParameterStatus(out, setting, value);
         }
         byte[] text = tag.getBytes(UTF_8);
-        return out.writeByte('C')
-                .writeInt(4 + text.length + 1)
-                .writeBytes(text)
-                .writeByte(0)
-                .writeBytes(READY_FOR_QUERY);
+        out.writeByte('C').writeInt(LENGTH_BYTES + text.length + 1);
+        return out.writeBytes(text).writeByte(0).writeBytes(READY_FOR_QUERY);
     }
 
     private static void appendParameterStatus(ByteBuf out, String name, String value) {
-        byte[] first = name.getBytes(UTF_8);
-        byte[] second = value.getBytes(UTF_8);
-        out.writeByte('S').writeInt(4 + first.length + 1 + second.length + 1);
-        out.writeBytes(first).writeByte(0).writeBytes(second).writeByte(0);
+        byte[] nameBytes = name.getBytes(UTF_8);
+        byte[] valueBytes = value.getBytes(UTF_8);
+        out.writeByte('S').writeInt(LENGTH_BYTES + nameBytes.length + 1 + valueBytes.length + 1);
+        out.writeBytes(nameBytes).writeByte(0).writeBytes(valueBytes).writeByte(0);
     }
 
+    /** The response to a request for encryption: the session goes on without. */
     public static ByteBuf encryptionRefused() {
         return Unpooled.buffer(1).writeByte('N');
     }
 
+    /** The response to a query without a statement. */
     public static ByteBuf emptyQueryResponse() {
-        return Unpooled.buffer(16).writeByte('I').writeInt(4).writeBytes(READY_FOR_QUERY);
+        return Unpooled.buffer(16).writeByte('I').writeInt(LENGTH_BYTES).writeBytes(READY_FOR_QUERY);
     }
 
+    /** The session takes the next statement. */
     public static ByteBuf readyForQuery() {
         return Unpooled.wrappedBuffer(READY_FOR_QUERY);
     }
 
-    /** The messages of an answer as the node gave them, and that the session is ready again. */
+    /** The messages of a node's response, unchanged and not copied, and readiness behind them. */
     public static ByteBuf response(List<byte[]> messages) {
         byte[][] parts = messages.toArray(new byte[messages.size() + 1][]);
         parts[messages.size()] = READY_FOR_QUERY;
         return Unpooled.wrappedBuffer(parts);
     }
 
-    /** An error; {@code detail} may be null. After a fatal one the connection ends. */
-    public static ByteBuf error(boolean fatal, String code, String text, String detail) {
+    /**
+     * An error, with readiness behind it unless it is fatal.
+     *
+     * @param fatal whether the connection ends with it
+     * @param detail may be null
+     */
+    public static ByteBuf error(boolean fatal, String sqlState, String text, String detail) {
         ByteBuf out = Unpooled.buffer(128).writeByte('E').writeInt(0);
         String severity = fatal ? "FATAL" : "ERROR";
         appendErrorField(out, 'S', severity);
         appendErrorField(out, 'V', severity);
-        appendErrorField(out, 'C', code);
+        appendErrorField(out, 'C', sqlState);
         appendErrorField(out, 'M', text);
         if (detail != null) {
             appendErrorField(out, 'D', detail);
@@ -93,41 +108,40 @@
         return fatal ? out : out.writeBytes(READY_FOR_QUERY);
     }
 
-    private static void appendErrorField(ByteBuf out, char name, String value) {
-        out.writeByte(name).writeBytes(value.getBytes(UTF_8)).writeByte(0);
+    private static void appendErrorField(ByteBuf out, char type, String value) {
+        out.writeByte(type).writeBytes(value.getBytes(UTF_8)).writeByte(0);
     }
 
-    /** An error without the readiness that follows elsewhere; for messages up to a Sync. */
-    public static ByteBuf errorWithoutReadiness(String code, String text) {
-        ByteBuf out = error(false, code, text, null);
+    /** An error without readiness behind it: for the extended query protocol, or as a part of a longer response. */
+    public static ByteBuf errorWithoutReadiness(String sqlState, String text) {
+        ByteBuf out = error(false, sqlState, text, null);
         return out.writerIndex(out.writerIndex() - READY_FOR_QUERY.length);
     }
 
-    /** An error as one message of an answer. */
-    public static byte[] errorMessage(String code, String text) {
-        ByteBuf message = errorWithoutReadiness(code, text);
+    /** An error as one message of a response. */
+    public static byte[] errorMessage(String sqlState, String text) {
+        ByteBuf message = errorWithoutReadiness(sqlState, text);
         byte[] bytes = new byte[message.readableBytes()];
         message.readBytes(bytes);
         return bytes;
     }
 
-    /** {@code more}: names and values of settings, by turns. */
-    public static ByteBuf startupMessage(String user, String database, String... more) {
-        ByteBuf out = Unpooled.buffer(48).writeInt(0).writeInt(3 << 16);
-        var words = new ArrayList<>(List.of("user", user, "database", database));
-        words.addAll(List.of(more));
-        for (String word : words) {
-            out.writeBytes(word.getBytes(UTF_8)).writeByte(0);
+    /** The first message of a client; {@code settings} has names and values in turns. */
+    public static ByteBuf startupMessage(String user, String database, String... settings) {
+        ByteBuf out = Unpooled.buffer(48).writeInt(0).writeInt(PROTOCOL_VERSION);
+        var strings = new ArrayList<>(List.of("user", user, "database", database));
+        strings.addAll(List.of(settings));
+        for (String string : strings) {
+            out.writeBytes(string.getBytes(UTF_8)).writeByte(0);
         }
         out.writeByte(0);
         return out.setInt(0, out.writerIndex());
     }
 
+    /** A simple query; {@code text} without a closing zero. */
     public static ByteBuf query(byte[] text) {
-        return Unpooled.buffer(text.length + 6)
-                .writeByte('Q')
-                .writeInt(text.length + 5)
-                .writeBytes(text)
-                .writeByte(0);
+        ByteBuf out = Unpooled.buffer(text.length + 6);
+        out.writeByte('Q').writeInt(LENGTH_BYTES + text.length + 1);
+        return out.writeBytes(text).writeByte(0);
     }
 }
--- a/daemon/src/main/java/clayhook/protocol/NodeMessageDecoder.java
+++ b/daemon/src/main/java/clayhook/protocol/NodeMessageDecoder.java
@@ -2,27 +2,31 @@
 
 import io.netty.buffer.ByteBuf;
 
-/** Decodes what a node sends. */
+/** Decodes the messages of one node connection into {@link NodeMessage}s. Event loop only. */
 public final class NodeMessageDecoder extends FrameDecoder {
-    /** Some values that were written elsewhere are several times as long as those that clients may write here. */
+    /** Values that were written by other means can be several times as long as those that clients may write here. */
     private static final int MAX_MESSAGE_LENGTH = 1 << 20;
-    /** Shorter messages go without an allowance. */
+    /** Longer messages need memory from the budget. */
     private static final int MAX_UNRESERVED_LENGTH = 4096;
-    /** What describes a column after its name: table, number, type, size, modifier and format. */
+    /** A column in a RowDescription, after its name: table, number, type, size, modifier and format. */
     private static final int COLUMN_DESCRIPTION_BYTES = 18;
-    /** The length of a column without a value. */
+    /** The length that a DataRow states for a column without a value. */
     private static final int NULL_VALUE_LENGTH = -1;
+    /** The status in ReadyForQuery of a session outside a transaction. */
+    private static final byte NO_TRANSACTION = 'I';
+
+    private static final int CANCEL_KEY_BYTES = 8;
 
-    /** Answers may have any columns. */
     private boolean freeFormResult;
 
-    public NodeMessageDecoder(MemoryBudget allowance) {
-        super(allowance, MAX_UNRESERVED_LENGTH);
+    /** Creates the decoder of one connection, which expects results of one column without null values. */
+    public NodeMessageDecoder(MemoryBudget memoryBudget) {
+        super(memoryBudget, MAX_UNRESERVED_LENGTH);
     }
 
-    /** Whether what comes next is the answer to a statement of any kind. */
-    public void expectFreeFormResult(boolean answers) {
-        freeFormResult = answers;
+    /** Sets whether the next response may have any columns and values, as that to a statement of any kind. */
+    public void expectFreeFormResult(boolean expected) {
+        freeFormResult = expected;
     }
 
     @Override
@@ -36,87 +40,104 @@
     }
 
     @Override
-    Object malformed(String why) {
-        return new NodeMessage.Malformed(why);
+    Object malformed(String reason) {
+        return new NodeMessage.Malformed(reason);
     }
 
     @Override
     Object decodeBody(char type, ByteBuf body) {
-        byte[] whole = "TDCEN".indexOf(type) < 0 && !(freeFormResult && type == 'I') ? null : copyMessage(body);
         Object message =
                 switch (type) {
-                    case 'R' ->
-                        body.readInt() == 0 ? new NodeMessage.AuthenticationOk() : malformed("asks for a password");
+                    case 'R' -> decodeAuthentication(body);
                     case 'S' -> new NodeMessage.ParameterStatus(readString(body), readString(body));
-                    case 'T', 'D', 'C' -> {
-                        checkResultMessage(type, body);
-                        yield new NodeMessage.Part(type, whole);
-                    }
-                    case 'I' ->
-                        freeFormResult ? new NodeMessage.Part(type, whole) : malformed("an answer to an empty query");
-                    case 'E' -> decodeError(body, whole);
-                    case 'N' -> {
-                        decodeError(body, whole);
-                        yield new NodeMessage.Notice(whole);
-                    }
-                    case 'A' -> {
-                        body.skipBytes(body.readableBytes());
-                        yield freeFormResult ? new NodeMessage.Notification() : malformed("a notification");
-                    }
-                    case 'Z' -> {
-                        require(body.readByte() == 'I');
-                        yield new NodeMessage.ReadyForQuery();
-                    }
-                    case 'K' -> {
-                        body.skipBytes(8);
-                        yield new NodeMessage.CancelKey();
-                    }
+                    case 'T', 'D', 'C' -> decodeResult(type, body);
+                    case 'I' -> freeFormResult ? decodeResult(type, body) : malformed("an answer to an empty query");
+                    case 'E' -> decodeError(body);
+                    case 'N' -> new NodeMessage.Notice(decodeError(body).message());
+                    case 'A' -> freeFormResult ? decodeNotification(body) : malformed("a notification");
+                    case 'Z' -> decodeReadyForQuery(body);
+                    case 'K' -> decodeCancelKey(body);
                     default -> malformed("an unknown message of type " + (int) type);
                 };
         require(!body.isReadable() || message instanceof NodeMessage.Malformed);
         return message;
     }
 
-    /** Checks a part of an answer: one column unless any may come, and lengths that fit. */
-    private void checkResultMessage(char type, ByteBuf body) {
-        if (type == 'C') {
+    private Object decodeAuthentication(ByteBuf body) {
+        return body.readInt() == 0 ? new NodeMessage.AuthenticationOk() : malformed("asks for a password");
+    }
+
+    private static Object decodeNotification(ByteBuf body) {
+        body.skipBytes(body.readableBytes());
+        return new NodeMessage.Notification();
+    }
+
+    private static Object decodeReadyForQuery(ByteBuf body) {
+        require(body.readByte() == NO_TRANSACTION);
+        return new NodeMessage.ReadyForQuery();
+    }
+
+    private static Object decodeCancelKey(ByteBuf body) {
+        body.skipBytes(CANCEL_KEY_BYTES);
+        return new NodeMessage.CancelKey();
+    }
+
+    private Object decodeResult(char type, ByteBuf body) {
+        byte[] message = copyMessage(body);
+        switch (type) {
+            case 'T' -> checkRowDescription(body);
+            case 'D' -> checkDataRow(body);
+            case 'C' -> readString(body);
+            default -> {} // an EmptyQueryResponse has no body
+        }
+        return new NodeMessage.Part(type, message);
+    }
+
+    private void checkRowDescription(ByteBuf body) {
+        int columns = readColumnCount(body);
+        for (int i = 0; i < columns; i++) {
             readString(body);
-            return;
+            body.skipBytes(COLUMN_DESCRIPTION_BYTES);
         }
-        int columns = body.readUnsignedShort();
-        require(freeFormResult || columns == 1);
+    }
+
+    private void checkDataRow(ByteBuf body) {
+        int columns = readColumnCount(body);
         for (int i = 0; i < columns; i++) {
-            if (type == 'T') {
-                readString(body);
-                body.skipBytes(COLUMN_DESCRIPTION_BYTES);
-            } else {
-                int length = body.readInt();
-                require(length >= 0 || freeFormResult && length == NULL_VALUE_LENGTH);
-                body.skipBytes(Math.max(0, length));
-            }
+            int length = body.readInt();
+            require(length >= 0 || freeFormResult && length == NULL_VALUE_LENGTH);
+            body.skipBytes(Math.max(0, length));
         }
     }
 
-    private static void require(boolean fits) {
-        if (!fits) {
+    private int readColumnCount(ByteBuf body) {
+        int columns = body.readUnsignedShort();
+        require(freeFormResult || columns == 1);
+        return columns;
+    }
+
+    private static void require(boolean valid) {
+        if (!valid) {
             throw new IllegalArgumentException("a message that does not fit its form");
         }
     }
 
+    /** The whole message, with type byte and length, of which {@code body} has read the header. */
     private static byte[] copyMessage(ByteBuf body) {
         byte[] message = new byte[body.writerIndex()];
         body.getBytes(0, message);
         return message;
     }
 
-    private static NodeMessage decodeError(ByteBuf body, byte[] whole) {
-        String code = "";
+    private static NodeMessage.ErrorResponse decodeError(ByteBuf body) {
+        byte[] message = copyMessage(body);
+        String sqlState = "";
         String text = "";
         for (byte field = body.readByte(); field != 0; field = body.readByte()) {
             String value = readString(body);
-            code = field == 'C' ? value : code;
+            sqlState = field == 'C' ? value : sqlState;
             text = field == 'M' ? value : text;
         }
-        return new NodeMessage.ErrorResponse(code, text, whole);
+        return new NodeMessage.ErrorResponse(sqlState, text, message);
     }
 }
--- a/daemon/src/main/java/clayhook/protocol/OutboundStatement.java
+++ b/daemon/src/main/java/clayhook/protocol/OutboundStatement.java
@@ -2,22 +2,22 @@
 
 import java.util.Map;
 
-/** A statement on its way to a node, as the connection that carries it must know it. */
+/** A statement on its way to a node, as the connection that carries it must know it. Immutable. */
 public interface OutboundStatement {
-    /** The text to send to a node that will be waited for so long, in seconds. */
+    /** The text to send to a node whose response will be awaited for so long, in seconds. */
     byte[] textWithTimeout(double seconds);
 
-    /** Its answer may have any columns, rows and results, and an error of the database is an answer too. */
+    /** Whether the response may have any columns, rows and results, and may be an error of the database. */
     default boolean hasFreeFormResult() {
         return false;
     }
 
-    /** Settings that the connection must have been given: names and values as text of SQL. */
+    /** The settings that the connection must have been given before: names, and values as SQL text. */
     default Map<String, String> settings() {
         return Map.of();
     }
 
-    /** It may leave something behind in the session that runs it, which then serves no other. */
+    /** Whether it may change the session of the node that runs it, whose connection is then not used again. */
     default boolean mayChangeSession() {
         return false;
     }
--- a/daemon/src/main/java/clayhook/protocol/RoutingComment.java
+++ b/daemon/src/main/java/clayhook/protocol/RoutingComment.java
@@ -7,11 +7,19 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The comment by which a statement names its command: fields with commas between them. */
+/**
+ * The comment of a statement that tells routers how to handle it: {@code name=value} fields with commas between them.
+ * Immutable.
+ *
+ * <p>Field names on the wire: {@code id} request id, {@code c} request class, {@code d} timeout in milliseconds,
+ * {@code cluster} replica set, {@code after} required log position in milliseconds, {@code k} idempotency key.
+ */
 public final class RoutingComment {
-    /** The comment that ends a statement; a character is a byte here. */
+    /**
+     * The comment that ends a statement. Matched against ISO 8859-1 text, so that offsets in it are offsets in bytes.
+     */
     private static final Pattern TRAILING_COMMENT = Pattern.compile("/\\*([^*]*+)\\*/[\\s;]*+$");
-    /** Nothing but white space and a semicolon follows the comment, so that it begins near the end. */
+    /** Nothing but white space and semicolons follow the comment, so it begins within so many bytes from the end. */
     private static final int MAX_LENGTH = 4096;
 
     static final Pattern ID_PATTERN = Pattern.compile("[0-9A-Za-z_-]{1,64}");
@@ -20,11 +28,18 @@
 
     static final Pattern SMALL_NUMBER_PATTERN = Pattern.compile("[0-9]{1,9}");
 
+    private static final double MILLIS_PER_SECOND = 1000;
+
+    /** Where the value of each field begins in the statement. */
     private final Map<String, Integer> offsets = new HashMap<>();
+
     private final Map<String, String> values = new HashMap<>();
 
     /**
-     * {@code from} is where the text stands in its statement. Throws IllegalArgumentException naming what does not fit.
+     * Parses the text between the delimiters of a comment.
+     *
+     * @param from where the text begins in its statement
+     * @throws InvalidStatementException if a field has no name, or stands twice
      */
     RoutingComment(String text, int from) {
         int start = from;
@@ -32,61 +47,76 @@
             int sign = field.indexOf('=');
             String name = field.substring(0, Math.max(0, sign)).strip();
             String value = field.substring(sign + 1);
-            offsets.put(
-                    name,
-                    start + sign + 1 + value.length() - value.stripLeading().length());
+            int leadingBlanks = value.length() - value.stripLeading().length();
+            offsets.put(name, start + sign + 1 + leadingBlanks);
             if (name.isEmpty() || values.put(name, value.strip()) != null) {
-                throw new IllegalArgumentException("the comment has a field without a name, or one twice");
+                throw new InvalidStatementException("the comment has a field without a name, or one twice");
             }
             start += field.length() + 1;
         }
     }
 
-    /** The one at the end of any statement, or null if there is none of this form. */
+    /** The comment at the end of a statement of any kind; null if there is none of this form. */
     public static RoutingComment parseTrailing(byte[] statement) {
         int from = Math.max(0, statement.length - MAX_LENGTH);
-        Matcher last = TRAILING_COMMENT.matcher(new String(statement, from, statement.length - from, ISO_8859_1));
+        Matcher trailing = TRAILING_COMMENT.matcher(new String(statement, from, statement.length - from, ISO_8859_1));
         try {
-            return last.find() ? new RoutingComment(last.group(1), from + last.start(1)) : null;
-        } catch (IllegalArgumentException e) {
+            return trailing.find() ? new RoutingComment(trailing.group(1), from + trailing.start(1)) : null;
+        } catch (InvalidStatementException e) {
             return null;
         }
     }
 
+    /** Whether the comment has a field of that name. */
     public boolean hasField(String name) {
         return values.containsKey(name);
     }
 
-    /** Null if it is not there. */
+    /** The value of a field; null if there is none of that name. */
     public String field(String name) {
         return values.get(name);
     }
 
-    String requiredField(String name, Pattern form) {
+    /** The value of a field; throws InvalidStatementException if it is missing or does not match. */
+    String requiredField(String name, Pattern pattern) {
         String value = values.get(name);
-        if (value == null || !form.matcher(value).matches()) {
-            throw new IllegalArgumentException(
-                    "the comment " + (value == null ? "lacks " + name : "has no valid " + name));
+        if (value == null) {
+            throw new InvalidStatementException("the comment lacks " + name);
+        }
+        if (!pattern.matcher(value).matches()) {
+            throw new InvalidStatementException("the comment has no valid " + name);
         }
         return value;
     }
 
-    /** Where the value of a field stands in the statement. */
+    /** Where the value of a field begins in the statement, in bytes; the field must be there. */
     int valueOffset(String name) {
         return offsets.get(name);
     }
 
-    /** A time or position in milliseconds as seconds; {@code absent} where it is not there. Throws as the others do. */
+    /**
+     * A time or log position in seconds, which the comment states in milliseconds.
+     *
+     * @throws InvalidStatementException if the field is there and is no number
+     */
     public double secondsOr(String name, double absent) {
-        return hasField(name) ? Long.parseLong(requiredField(name, NUMBER_PATTERN)) / 1000.0 : absent;
+        return hasField(name) ? Long.parseLong(requiredField(name, NUMBER_PATTERN)) / MILLIS_PER_SECOND : absent;
     }
 
-    /** The group of nodes; {@code absent} where it is not there. */
+    /**
+     * The replica set that the statement is for.
+     *
+     * @throws InvalidStatementException if the field is there and is no number
+     */
     public int replicaSetIdOr(int absent) {
         return hasField("cluster") ? Integer.parseInt(requiredField("cluster", SMALL_NUMBER_PATTERN)) : absent;
     }
 
-    /** It has a key by which nodes drop repeats. */
+    /**
+     * Whether it has a key by which nodes recognize and drop repeats.
+     *
+     * @throws InvalidStatementException if the key has no valid form
+     */
     public boolean hasIdempotencyKey() {
         return hasField("k") && !requiredField("k", ID_PATTERN).isEmpty();
     }
--- a/daemon/src/main/java/clayhook/sql/SqlAdmission.java
+++ b/daemon/src/main/java/clayhook/sql/SqlAdmission.java
@@ -4,7 +4,9 @@
 import clayhook.RequestClass.ConsistencyLevel;
 import clayhook.RequestClass.Idempotency;
 import clayhook.config.OperatorConfiguration;
+import clayhook.protocol.InvalidStatementException;
 import clayhook.protocol.RoutingComment;
+import clayhook.protocol.SqlState;
 import clayhook.protocol.SqlStatement;
 import clayhook.statements.Classification;
 import clayhook.statements.Classifier;
@@ -15,19 +17,27 @@
 import java.util.List;
 import java.util.Map;
 
-/** Makes commands of statements. The decision module is told no more than of the platform's own statements. */
+/**
+ * Admits client statements of any kind: finds the request class, replica set and timeout of each, or rejects it. The
+ * routing policy learns no more of a statement than of the platform's own ones.
+ *
+ * <p>Event loop only. Pure: does no I/O and reads no clock.
+ */
 public final class SqlAdmission {
+    private static final int BYTES_PER_KIB = 1024;
+
     private final OperatorConfiguration.StatementSettings operator;
     private final Classifier classifier;
     private final Map<String, RequestClass> requestClasses = new HashMap<>();
 
-    /** What becomes of a statement. */
+    /** Whether a statement is handled, and how. */
     public sealed interface AdmissionResult {
         /**
-         * A command.
+         * The statement becomes a request.
          *
-         * @param seconds that its client waits
-         * @param after position in seconds that the client's comment asks a read to cover; 0 for none
+         * @param timeoutSeconds how long the client waits for the response
+         * @param requiredPosition the log position in seconds that a read must cover, as stated in the routing comment;
+         *     0 for none
          */
         record Admitted(
                 RequestClass requestClass,
@@ -38,57 +48,97 @@
                 Classification classification)
                 implements AdmissionResult {}
 
-        /** None; nothing of it goes to any node. */
+        /** The statement is sent to no node; code and reason are for the client. */
         record Rejected(String sqlState, String reason) implements AdmissionResult {}
     }
 
-    /** {@code seed}: the instance's own. */
-    public SqlAdmission(OperatorConfiguration.StatementSettings operator, List<RequestClass> groups, long seed) {
+    /**
+     * Creates the admission of one router.
+     *
+     * @param seed of this router; clients must not know it, as it protects the statement cache from hash collisions
+     */
+    public SqlAdmission(
+            OperatorConfiguration.StatementSettings operator, List<RequestClass> requestClasses, long seed) {
         this.operator = operator;
         classifier = new Classifier(operator.rules(), seed);
-        groups.forEach(group -> this.requestClasses.put(group.name(), group));
+        requestClasses.forEach(requestClass -> this.requestClasses.put(requestClass.name(), requestClass));
     }
 
-    /** A turn of the loop begins. */
+    /** Begins an event loop iteration, which has a limit for statements of unknown shape. */
     public void beginTick() {
         classifier.turn();
     }
 
+    /** The settings of a new client session. */
     public SessionSettings newSessionSettings() {
         return new SessionSettings(operator.rules().conforming());
     }
 
+    /**
+     * Admits a statement or rejects it.
+     *
+     * @param text the bytes of the client, without the closing zero
+     * @param clientTimeout seconds that the client has set for its statements; 0 where it set none
+     * @param settings of the client's session: names, and values as SQL text
+     */
     public AdmissionResult admit(
             byte[] text, ClientIdentity client, double clientTimeout, Map<String, String> settings) {
-        Classification classed = classifier.classify(text, client);
-        if (classed.verdict() == StatementEffect.REFUSED) {
-            return new AdmissionResult.Rejected("0A000", classed.why());
+        Classification classification = classifier.classify(text, client);
+        if (classification.verdict() == StatementEffect.REFUSED) {
+            return new AdmissionResult.Rejected(SqlState.FEATURE_NOT_SUPPORTED, classification.why());
         }
-        RequestClass group = requestClasses.get(classed.group());
+        RequestClass requestClass = requestClasses.get(classification.group());
+        var admitted = new AdmissionResult.Admitted(
+                requestClass,
+                classification.nodes(),
+                timeoutSeconds(classification, clientTimeout, requestClass),
+                0,
+                new SqlStatement(text, settings, classification.opaque()),
+                classification);
         RoutingComment comment = operator.trustComments() ? RoutingComment.parseTrailing(text) : null;
-        double wait = classed.timeout() > 0
-                ? classed.timeout()
-                : clientTimeout > 0
-                        ? clientTimeout
-                        : operator.timeout() > 0 ? operator.timeout() : group.clientTimeoutSeconds();
-        int nodes = classed.nodes();
-        double after = 0;
-        if (comment != null) {
-            try {
-                RequestClass named = requestClasses.get(comment.field("c"));
-                group = mayReplaceClass(named, classed, comment) ? named : group;
-                nodes = comment.replicaSetIdOr(nodes);
-                after = comment.secondsOr("after", 0);
-                wait = comment.secondsOr("d", wait);
-            } catch (IllegalArgumentException e) {
-                return new AdmissionResult.Rejected("42601", e.getMessage());
-            }
+        if (comment == null) {
+            return admitted;
+        }
+        try {
+            return withComment(admitted, comment);
+        } catch (InvalidStatementException e) {
+            return new AdmissionResult.Rejected(SqlState.SYNTAX_ERROR, e.getMessage());
+        }
+    }
+
+    /** The first that is set: by the rule that matched, by the client, by the operator, for the request class. */
+    private double timeoutSeconds(Classification classification, double clientTimeout, RequestClass requestClass) {
+        if (classification.timeout() > 0) {
+            return classification.timeout();
         }
+        if (clientTimeout > 0) {
+            return clientTimeout;
+        }
+        return operator.timeout() > 0 ? operator.timeout() : requestClass.clientTimeoutSeconds();
+    }
+
+    private AdmissionResult.Admitted withComment(AdmissionResult.Admitted admitted, RoutingComment comment) {
+        RequestClass named = requestClasses.get(comment.field("c"));
+        boolean replaces = mayReplaceClass(named, admitted.classification(), comment);
+        // The first faulty field in this order is the one that the client is told of.
+        int replicaSetId = comment.replicaSetIdOr(admitted.replicaSetId());
+        double requiredPosition = comment.secondsOr("after", admitted.requiredPosition());
+        double timeoutSeconds = comment.secondsOr("d", admitted.timeoutSeconds());
         return new AdmissionResult.Admitted(
-                group, nodes, wait, after, new SqlStatement(text, settings, classed.opaque()), classed);
+                replaces ? named : admitted.requestClass(),
+                replicaSetId,
+                timeoutSeconds,
+                requiredPosition,
+                admitted.statement(),
+                admitted.classification());
     }
 
-    /** The same once a node has refused to run as a read what was taken for one: it never ran, and is a write. */
+    /**
+     * Admits a statement that a node has refused to run as a read: it has not run, and its shape counts as a write from
+     * now on.
+     *
+     * @param refused the classification under which it was sent
+     */
     public AdmissionResult readmitAsWrite(
             Classification refused,
             byte[] text,
@@ -96,32 +146,40 @@
             double clientTimeout,
             Map<String, String> settings) {
         classifier.wrote(refused);
-        AdmissionResult order = admit(text, client, clientTimeout, settings);
-        return order instanceof AdmissionResult.Admitted taken
-                        && taken.classification().verdict() == StatementEffect.WRITE
-                ? order
-                : new AdmissionResult.Rejected("25006", "the statement writes, which its text does not show");
+        AdmissionResult result = admit(text, client, clientTimeout, settings);
+        boolean isWrite = result instanceof AdmissionResult.Admitted admitted
+                && admitted.classification().verdict() == StatementEffect.WRITE;
+        return isWrite
+                ? result
+                : new AdmissionResult.Rejected(
+                        SqlState.READ_ONLY_TRANSACTION, "the statement writes, which its text does not show");
     }
 
-    /** A comment may make a write of a read; what may write stays one, and is keyed only with a key. */
-    private static boolean mayReplaceClass(RequestClass named, Classification classed, RoutingComment comment) {
-        return named != null
-                && (named.consistency() == ConsistencyLevel.WRITE
-                        ? named.idempotency() == Idempotency.NON_IDEMPOTENT
-                                || named.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY && comment.hasIdempotencyKey()
-                        : classed.verdict() == StatementEffect.READ);
+    /**
+     * Whether the request class in a comment replaces that of the classification. A comment may make a write of a read,
+     * but no read of a write, and it needs an idempotency key to make a write idempotent.
+     */
+    private static boolean mayReplaceClass(RequestClass named, Classification classification, RoutingComment comment) {
+        if (named == null) {
+            return false;
+        }
+        if (named.consistency() != ConsistencyLevel.WRITE) {
+            return classification.verdict() == StatementEffect.READ;
+        }
+        return named.idempotency() == Idempotency.NON_IDEMPOTENT
+                || named.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY && comment.hasIdempotencyKey();
     }
 
-    /** A statement was answered after so many seconds. */
-    public void recordServiceTime(Classification classed, double seconds) {
-        classifier.took(classed, seconds);
+    /** Records that a statement was answered after so many seconds, for the cost estimates of its shape. */
+    public void recordServiceTime(Classification classification, double seconds) {
+        classifier.took(classification, seconds);
     }
 
-    /** What came since the last call, for the log. */
+    /** The counters since the last call, for the log. */
     public String summary() {
         Classifier.Counts counts = classifier.counts();
-        return "shapes held " + classifier.size() + " in " + classifier.weight() / 1024
-                + " KiB, statements of a known shape " + counts.hits() + ", read anew " + counts.read()
-                + ", past the budget " + counts.unread();
+        return "shapes cached " + classifier.size() + " in " + classifier.weight() / BYTES_PER_KIB
+                + " KiB, cache hits " + counts.hits() + ", shapes parsed " + counts.read() + ", over the parse budget "
+                + counts.unread();
     }
 }
--- a/daemon/src/main/java/clayhook/transport/SlewedClock.java
+++ b/daemon/src/main/java/clayhook/transport/SlewedClock.java
@@ -2,25 +2,31 @@
 
 import java.time.Instant;
 
-/** Seconds since 1970 that never go back: the steady clock, led to the wall clock by at most one part in 200. */
+/**
+ * Seconds since 1970 that never go back: the monotonic clock, slewed towards the wall clock by at most one part in 200.
+ * Not thread-safe: each instance belongs to one thread.
+ */
 public final class SlewedClock {
-    /** Ten times what a wall clock is usually corrected by; a jump of it moves no time limit by more. */
+    /** Ten times the usual slew rate of a wall clock; a jump of the wall clock moves no time limit by more. */
     private static final double MAX_SLEW_RATE = 0.005;
 
+    private static final double NANOS_PER_SECOND = 1e9;
+
     private long lastNanoTime = System.nanoTime();
     private double lastTime = wallClock();
 
+    /** The current time in seconds since 1970; at least the time of the call before. */
     public double now() {
-        long steady = System.nanoTime();
-        double passed = (steady - lastNanoTime) / 1e9;
-        lastNanoTime = steady;
-        double most = MAX_SLEW_RATE * passed;
-        lastTime += passed + Math.max(-most, Math.min(most, wallClock() - lastTime - passed));
+        long nanoTime = System.nanoTime();
+        double elapsed = (nanoTime - lastNanoTime) / NANOS_PER_SECOND;
+        lastNanoTime = nanoTime;
+        double maxSlew = MAX_SLEW_RATE * elapsed;
+        lastTime += elapsed + Math.max(-maxSlew, Math.min(maxSlew, wallClock() - lastTime - elapsed));
         return lastTime;
     }
 
     private static double wallClock() {
         Instant now = Instant.now();
-        return now.getEpochSecond() + now.getNano() / 1e9;
+        return now.getEpochSecond() + now.getNano() / NANOS_PER_SECOND;
     }
 }
--- a/daemon/src/main/java/clayhook/transport/Transport.java
+++ b/daemon/src/main/java/clayhook/transport/Transport.java
@@ -21,7 +21,6 @@
 import io.netty.channel.nio.NioIoHandler;
 import io.netty.channel.socket.nio.NioDomainSocketChannel;
 import io.netty.channel.socket.nio.NioServerDomainSocketChannel;
-import io.netty.channel.socket.nio.NioServerSocketChannel;
 import io.netty.channel.socket.nio.NioSocketChannel;
 import java.io.File;
 import java.io.IOException;
@@ -30,34 +29,45 @@
 import java.net.UnixDomainSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.ArrayList;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Supplier;
 
-/** One event loop and the connections on it: TCP, or for a rehearsal what nothing outside can reach. */
+/**
+ * One event loop thread and the connections on it: over TCP, or for a warm-up over sockets that nothing outside the
+ * process can reach.
+ *
+ * <p>Thread-safe, but for {@link #stopListening}, which is called on the event loop. The handlers that {@link #listen}
+ * and {@link #connect} ask for are made and run on the event loop.
+ */
 public final class Transport {
-    /** Connections that the machine may accept before the process does. */
+    /** Connections that the system accepts before the process does. */
     private static final int BACKLOG = 1024;
     /**
-     * Accepted in one turn: each may be over the budget, and what made room for it holds its own until the next turn.
+     * Connections accepted in one event loop iteration. Each may exceed the descriptor budget, as the descriptor of the
+     * connection that is evicted for it is freed only in the next iteration.
      */
     private static final int MAX_ACCEPTS_PER_TICK = 4;
-    /** Of one connection in one turn, so that none holds up the others. */
+    /** Socket reads of one connection in one event loop iteration, so that none delays the others. */
     private static final int MAX_READS_PER_TICK = 2;
-    /** Without a task for so long, and after so long at the latest, a loop that is to end does. */
+    /** A loop that is closed ends when it has had no task for so long, or after the time limit. */
     private static final int SHUTDOWN_QUIET_PERIOD_MS = 50;
 
     private static final int SHUTDOWN_TIMEOUT_MS = 1000;
-    /** Over what connections go: the network, sockets in a folder, or queues within the process. */
+    private static final int BACKLOG_RETRY_MS = 1;
+    private static final int MILLIS_PER_SECOND = 1000;
+    private static final double NANOS_PER_SECOND = 1e9;
+
     private enum Kind {
         TCP,
+        /** Unix domain sockets in a directory of this transport. */
         UNIX_SOCKET,
+        /** Queues within the process. */
         IN_PROCESS
     }
 
-    /** Tells the addresses within this process apart that several transports listen at. */
+    /** Distinguishes the in-process addresses of several transports. */
     private static final AtomicInteger LAST_ID = new AtomicInteger();
 
     static {
@@ -65,31 +75,32 @@
     }
 
     private final Kind kind;
-    /** Where the sockets of a rehearsal lie; null without. */
+    /** Null but for Unix domain sockets. */
     private final Path socketDirectory;
 
     private final int id = LAST_ID.incrementAndGet();
     private final MultiThreadIoEventLoopGroup group;
     private final AtomicBoolean closed = new AtomicBoolean();
-    /** Makes what connects; throws ChannelException where no descriptor is left. */
+    /** Makes channels that connect; throws ChannelException where no descriptor is left. */
     private final Supplier<Channel> channelFactory;
 
-    private Transport(Kind kind, Path folder, IoHandlerFactory handlers, Supplier<Channel> sockets) {
-        this.channelFactory = sockets;
+    private Transport(Kind kind, Path socketDirectory, IoHandlerFactory handlers, Supplier<Channel> channelFactory) {
         this.kind = kind;
-        this.socketDirectory = folder;
+        this.socketDirectory = socketDirectory;
+        this.channelFactory = channelFactory;
         group = new MultiThreadIoEventLoopGroup(1, handlers);
     }
 
+    /** A transport over TCP. */
     public static Transport tcp() {
         return tcp(NioSocketChannel::new);
     }
 
-    static Transport tcp(Supplier<Channel> sockets) {
-        return new Transport(Kind.TCP, null, NioIoHandler.newFactory(), sockets);
+    static Transport tcp(Supplier<Channel> channelFactory) {
+        return new Transport(Kind.TCP, null, NioIoHandler.newFactory(), channelFactory);
     }
 
-    /** Ports are but names here; the same code runs as for TCP. */
+    /** A transport over Unix domain sockets, which runs the code of TCP; ports are file names in a new directory. */
     public static Transport unixSockets() throws IOException {
         return new Transport(
                 Kind.UNIX_SOCKET,
@@ -98,21 +109,28 @@
                 NioDomainSocketChannel::new);
     }
 
-    /** For a platform that lets no process connect to itself: all but the sockets runs as for TCP. */
+    /** A transport without sockets, for systems that let no process connect to itself; ports are names. */
     public static Transport inProcess() {
         return new Transport(Kind.IN_PROCESS, null, LocalIoHandler.newFactory(), LocalChannel::new);
     }
 
-    /** An address to listen at: a free port, or in a rehearsal that name. */
-    public InetSocketAddress ephemeralAddress(int name) {
-        return new InetSocketAddress("127.0.0.1", kind == Kind.TCP ? 0 : name);
+    /** A loopback address to listen at: over TCP any free port, otherwise the given one, which must be unused. */
+    public InetSocketAddress ephemeralAddress(int port) {
+        return new InetSocketAddress("127.0.0.1", kind == Kind.TCP ? 0 : port);
     }
 
+    /** The event loop of all connections. */
     public EventLoop eventLoop() {
         return group.next();
     }
 
-    /** Listens at an address; {@code handlers} makes the handlers of each connection. */
+    /**
+     * Listens at an address.
+     *
+     * @param handlers makes the handlers of each accepted connection
+     * @return the listening channel, bound
+     * @throws InterruptedException if the thread is interrupted before the socket is bound
+     */
     public Channel listen(InetSocketAddress address, Supplier<ChannelHandler[]> handlers) throws InterruptedException {
         var bootstrap = new ServerBootstrap()
                 .group(group)
@@ -136,61 +154,51 @@
         return bootstrap.bind(socketAddress(address)).sync().channel();
     }
 
-    private static final class BacklogDrainingServerChannel extends NioServerSocketChannel {
-        /** Hands on some of what the machine has accepted and the process has not; false where that is no more. */
-        private boolean acceptBacklog() {
-            var accepted = new ArrayList<Object>();
-            try {
-                while (accepted.size() < MAX_ACCEPTS_PER_TICK && doReadMessages(accepted) > 0) {
-                    // the next one
-                }
-            } catch (Exception e) {
-                Log.warn("accept", "accepts no more before it closes: " + e);
-            }
-            accepted.forEach(pipeline()::fireChannelRead);
-            return accepted.size() == MAX_ACCEPTS_PER_TICK;
-        }
-    }
-
-    /** Listens no more. A listening socket resets what waits to be accepted as it closes: that is accepted first. */
+    /**
+     * Stops listening. The system resets connections that wait to be accepted as a listening socket closes, so these
+     * are accepted first, over several event loop iterations if there are many. Event loop only.
+     */
     public void stopListening(Channel listening) {
-        if (listening instanceof BacklogDrainingServerChannel own && own.isOpen() && own.acceptBacklog()) {
-            eventLoop()
-                    .schedule(
-                            () -> stopListening(listening),
-                            1,
-                            TimeUnit.MILLISECONDS); // once descriptors are free again
+        if (listening instanceof BacklogDrainingServerChannel channel
+                && channel.isOpen()
+                && channel.acceptBacklog(MAX_ACCEPTS_PER_TICK)) {
+            // Later, once the descriptors of connections evicted for the accepted ones are free.
+            eventLoop().schedule(() -> stopListening(listening), BACKLOG_RETRY_MS, TimeUnit.MILLISECONDS);
         } else {
             listening.close();
         }
     }
 
     /**
-     * Connects; {@code failed} runs, on the loop and after this returns, if that does not come about within so many
-     * seconds. Null where there is no descriptor for it.
+     * Begins to connect.
+     *
+     * @param timeout seconds for the connection to be established
+     * @param handlers makes the handlers of the connection
+     * @param onFailure runs on the event loop, after this method returns, if the connection is not established in time
+     * @return the channel, not connected yet; null where no descriptor is left for it
      */
     public Channel connect(
-            InetSocketAddress address, double seconds, Supplier<ChannelHandler[]> handlers, Runnable failed) {
+            InetSocketAddress address, double timeout, Supplier<ChannelHandler[]> handlers, Runnable onFailure) {
         Channel channel;
         try {
             channel = channelFactory.get();
         } catch (ChannelException e) {
-            // Guards against Netty's answer to that: it runs listeners on a thread of its own.
-            Log.warn("connect", "no socket to connect with: " + e.getCause());
-            eventLoop().execute(failed);
+            // Not left to Netty, which would call the listeners on a thread of its own.
+            Log.warn("connect", "cannot open a socket: " + e.getCause());
+            eventLoop().execute(onFailure);
             return null;
         }
         var bootstrap = new Bootstrap()
                 .group(group)
                 .channelFactory(() -> channel)
                 .handler(initializer(handlers))
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.ceil(seconds * 1000));
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.ceil(timeout * MILLIS_PER_SECOND));
         if (kind == Kind.TCP) {
             bootstrap.option(ChannelOption.TCP_NODELAY, true);
         }
         bootstrap.connect(socketAddress(address)).addListener(done -> {
             if (!done.isSuccess()) {
-                failed.run();
+                onFailure.run();
             }
         });
         return channel;
@@ -214,8 +222,9 @@
     }
 
     /**
-     * Ends the loop and all that is on it. Netty closes connections only in a turn that begins after the request to
-     * end; without a quiet period a loop that is asked between two steps of a turn ends there, and they stay open.
+     * Closes all connections and ends the event loop, without waiting for that; has no effect after the first call.
+     * Netty closes connections only in an iteration that begins after the request to shut down. Without a quiet period,
+     * a loop that gets the request between two steps of an iteration ends there, and they stay open.
      */
     public void close() {
         if (!closed.getAndSet(true)) {
@@ -225,15 +234,15 @@
         }
     }
 
-    /** Waits until nothing of it is open any more, for so many seconds at most. */
+    /** Waits until the event loop has ended, for so many seconds at most. */
     public void awaitClosed(double seconds) throws InterruptedException {
-        group.awaitTermination((long) (seconds * 1e9), TimeUnit.NANOSECONDS);
+        group.awaitTermination((long) (seconds * NANOS_PER_SECOND), TimeUnit.NANOSECONDS);
     }
 
     private void deleteSocketDirectory() throws IOException {
         if (socketDirectory != null) {
-            for (File left : socketDirectory.toFile().listFiles()) {
-                Files.deleteIfExists(left.toPath());
+            for (File file : socketDirectory.toFile().listFiles()) {
+                Files.deleteIfExists(file.toPath());
             }
             Files.delete(socketDirectory);
         }
--- a/daemon/src/test/java/clayhook/sql/SqlRoutingTest.java
+++ b/daemon/src/test/java/clayhook/sql/SqlRoutingTest.java
@@ -333,7 +333,7 @@
     }
 
     @ParameterizedTest
-    @MethodSource("spoilt")
+    @MethodSource("malformedResponses")
     void retriesReadElsewhereAfterMalformedResponse(ByteBuf spoilt) throws Exception {
         var sent = new AtomicInteger();
         start(
