--- a/daemon/src/main/java/clayhook/frontend/CancelKeyRegistry.java
+++ b/daemon/src/main/java/clayhook/frontend/CancelKeyRegistry.java
@@ -5,14 +5,14 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** By which clients cancel what their sessions wait for. A key leaves with its session. */
+/** The keys by which clients cancel the current request of a session, one for each open session. Event loop only. */
 final class CancelKeyRegistry {
-    /** Guards against clients that guess the keys of others. */
+    /** Secure, as a client that guesses the key of another can cancel its requests. */
     private final SecureRandom random = new SecureRandom();
 
     private final Map<Long, ClientSession> sessions = new HashMap<>();
 
-    /** A key of its own. */
+    /** Assigns a new unique key to a session. */
     long register(ClientSession session) {
         long key = random.nextLong();
         while (key == ClientMessageDecoder.NO_CANCEL_KEY || sessions.putIfAbsent(key, session) != null) {
@@ -21,11 +21,12 @@
         return key;
     }
 
-    /** The session of that key, or null. */
+    /** The session with that key, or null. */
     ClientSession find(long key) {
         return sessions.get(key);
     }
 
+    /** Removes a key; does nothing if it is not registered. */
     void remove(long key) {
         sessions.remove(key);
     }
--- a/daemon/src/main/java/clayhook/frontend/ClientListener.java
+++ b/daemon/src/main/java/clayhook/frontend/ClientListener.java
@@ -3,117 +3,97 @@
 import clayhook.log.Log;
 import clayhook.protocol.ClientMessageDecoder;
 import clayhook.protocol.MemoryBudget;
-import clayhook.protocol.MessageEncoder;
 import clayhook.statements.SessionSettings;
 import clayhook.transport.DescriptorBudget;
 import clayhook.transport.Transport;
-import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
-import io.netty.channel.ChannelFutureListener;
 import io.netty.channel.ChannelHandler;
-import io.netty.channel.ChannelHandlerContext;
-import io.netty.channel.ChannelInboundHandlerAdapter;
-import io.netty.util.ReferenceCountUtil;
 import java.net.InetSocketAddress;
 import java.util.Comparator;
 import java.util.LinkedHashSet;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.DoubleSupplier;
 import java.util.function.Supplier;
 
-/** Where clients connect. */
+/**
+ * Accepts client connections and owns their sessions: it admits them within the descriptor budget, closes idle ones and
+ * drains all at shutdown. Event loop only, but for the constructor and {@link #address}.
+ */
 public final class ClientListener {
-    /** An eighth of the memory: the runtime itself takes half. */
+    /** An eighth of the memory is for long statements of clients; the runtime itself takes half. */
     private static final int MEMORY_DIVISOR = 8;
-    /** Of what clients may hold here: whoever deals their connections out may grant them less. */
+    /**
+     * Above this share of the clients that fit, idle ones are closed: whoever distributes the connections over the
+     * routers may grant this router fewer than it has descriptors for.
+     */
     private static final double CROWDED_FRACTION = 0.5;
     /**
-     * Clients turned away that are waited for at once, so that they get their answer; from the reserve of descriptors.
+     * While draining, for the first request of a client that has just connected; short beside the time that is left.
      */
-    private static final int MAX_LINGERING_REJECTIONS = 16;
-    /** At the end, for the first command of a client that has just connected; short beside what is left then. */
     private static final int FIRST_REQUEST_GRACE_MS = 50;
 
-    private final Set<ClientSession> sessions = new LinkedHashSet<>();
-    private final CancelKeyRegistry cancelKeys = new CancelKeyRegistry();
-    /** Connections of clients that were turned away and have not closed yet. */
-    private int lingeringRejections;
-
-    private final DescriptorBudget descriptors;
-    private final InetSocketAddress requestedAddress;
     private final Transport transport;
+    private final InetSocketAddress requestedAddress;
+    private final DescriptorBudget descriptors;
+    private final MemoryBudget memoryBudget;
+    /** Null where only the two fixed forms of statement are accepted. */
+    private final Supplier<SessionSettings> settingsFactory;
+
+    private final DoubleSupplier clock;
+    private final ClientSession.RequestHandler requestHandler;
     private final Channel serverChannel;
-    /** No more connections are taken. */
+    /** In the order of their connects. */
+    private final Set<ClientSession> sessions = new LinkedHashSet<>();
+
+    private final CancelKeyRegistry cancelKeys = new CancelKeyRegistry();
+    private final RejectionHandler.Lingering lingeringRejections = new RejectionHandler.Lingering();
     private boolean draining;
 
-    /** {@code settings} makes those of a new session; null where only the two forms of statement are taken. */
+    /**
+     * Listens at an address.
+     *
+     * @param memory bytes that the process may use; a part of it is the limit for long statements
+     * @param settingsFactory makes the settings of a new session; null where only the two fixed forms of statement are
+     *     accepted
+     * @param clock the time in seconds
+     * @throws InterruptedException if the thread is interrupted before the socket is bound
+     */
     public ClientListener(
             Transport transport,
             InetSocketAddress address,
             DescriptorBudget descriptors,
             long memory,
-            Supplier<SessionSettings> settings,
+            Supplier<SessionSettings> settingsFactory,
             DoubleSupplier clock,
-            ClientSession.RequestHandler listener)
+            ClientSession.RequestHandler requestHandler)
             throws InterruptedException {
         this.transport = transport;
-        this.descriptors = descriptors;
         requestedAddress = address;
+        this.descriptors = descriptors;
+        memoryBudget = new MemoryBudget(memory / MEMORY_DIVISOR);
+        this.settingsFactory = settingsFactory;
+        this.clock = clock;
+        this.requestHandler = requestHandler;
         descriptors.setClientEvictor(this::evictSession);
-        var allowance = new MemoryBudget(memory / MEMORY_DIVISOR);
-        serverChannel = transport.listen(address, () -> {
-            if (!descriptors.tryAcquireForClient()) {
-                Log.count("turned away");
-                return new ChannelHandler[] {new RejectionHandler()};
-            }
-            var decoder = new ClientMessageDecoder(allowance, settings != null);
-            var session = new ClientSession(
-                    listener,
-                    decoder,
-                    settings == null ? null : settings.get(),
-                    cancelKeys,
-                    clock,
-                    this::onSessionClosed);
-            sessions.add(session);
-            if (draining) {
-                drain(session);
-            }
-            return new ChannelHandler[] {decoder, session};
-        });
+        serverChannel = transport.listen(address, this::handlersOfNewConnection);
     }
 
-    /** Takes no commands, as there are no descriptors for more. */
-    private final class RejectionHandler extends ChannelInboundHandlerAdapter {
-        private boolean lingering;
-
-        @Override
-        public void channelActive(ChannelHandlerContext ctx) {
-            ByteBuf error = MessageEncoder.error(true, "53300", "no descriptors are left for more clients", null);
-            if (lingeringRejections < MAX_LINGERING_REJECTIONS) {
-                lingeringRejections++;
-                lingering = true;
-                LingeringClose.begin(ctx.channel()).finish(error, () -> {});
-            } else {
-                ctx.writeAndFlush(error).addListener(ChannelFutureListener.CLOSE);
-            }
-        }
-
-        @Override
-        public void channelRead(ChannelHandlerContext ctx, Object message) {
-            ReferenceCountUtil.release(message);
-        }
-
-        @Override
-        public void channelInactive(ChannelHandlerContext ctx) {
-            lingeringRejections -= lingering ? 1 : 0;
+    private ChannelHandler[] handlersOfNewConnection() {
+        if (!descriptors.tryAcquireForClient()) {
+            Log.count("clients rejected");
+            return new ChannelHandler[] {new RejectionHandler(lingeringRejections)};
         }
-
-        @Override
-        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            ctx.close();
+        var decoder = new ClientMessageDecoder(memoryBudget, settingsFactory != null);
+        SessionSettings settings = settingsFactory == null ? null : settingsFactory.get();
+        var session = new ClientSession(requestHandler, decoder, settings, cancelKeys, clock, this::onSessionClosed);
+        sessions.add(session);
+        if (draining) {
+            drain(session);
         }
+        return new ChannelHandler[] {decoder, session.connection()};
     }
 
     private void onSessionClosed(ClientSession session) {
@@ -122,19 +102,20 @@
         }
     }
 
-    /** Where it listens; with the port that was found if none was asked for. */
+    /** The address of the listening socket, with the actual port if an ephemeral one was requested. Any thread. */
     public InetSocketAddress address() {
-        return serverChannel.localAddress() instanceof InetSocketAddress given ? given : requestedAddress;
+        return serverChannel.localAddress() instanceof InetSocketAddress bound ? bound : requestedAddress;
     }
 
-    /** Takes no more connections and ends each session once what it has taken is answered. */
+    /** Accepts no more connections and closes each session once what has arrived on it is answered. */
     public void drain() {
         draining = true;
         transport.stopListening(serverChannel);
         List.copyOf(sessions).forEach(this::drain);
     }
 
-    /** One that has asked nothing yet may have its first command on the way, and is given a moment for that. */
+    /** A client that has sent no request yet may have its first one in transit, and gets a short grace period. */
+    @SuppressWarnings("FutureReturnValueIgnored") // nothing waits for the scheduled drain
     private void drain(ClientSession session) {
         if (session.isIdleAfterRequest() || session.isBusy()) {
             session.drain();
@@ -143,39 +124,41 @@
         }
     }
 
-    /** Ends those that have been silent for too long; where they are many, also those that asked once and stay. */
+    /**
+     * Closes sessions that have exceeded a time limit and, where there are many, those that had a request answered and
+     * stay idle; {@code now} is clock time in seconds.
+     */
     public void closeIdleSessions(double now) {
         List.copyOf(sessions).forEach(session -> session.closeIfIdleTooLong(now));
-        List<ClientSession> atRest = sessions.stream()
+        List<ClientSession> idle = sessions.stream()
                 .filter(ClientSession::isIdleAfterRequest)
                 .sorted(Comparator.comparingDouble(ClientSession::evictionRank))
                 .toList();
-        int tooMany = atRest.size() - (int) (descriptors.limitPerSide() * CROWDED_FRACTION);
-        atRest.stream().limit(Math.max(0, tooMany)).forEach(session -> {
-            Log.count("let go");
+        int excess = idle.size() - (int) (descriptors.limitPerSide() * CROWDED_FRACTION);
+        idle.stream().limit(Math.max(0, excess)).forEach(session -> {
+            Log.count("idle clients closed");
             session.drain();
         });
     }
 
-    /** Ends the session without a command that is worth least, to make room for one; false if there is none. */
+    /** Closes the session of lowest rank that is not busy, to free its descriptor; false if there is none. */
     private boolean evictSession() {
-        ClientSession least = sessions.stream()
+        Optional<ClientSession> lowest = sessions.stream()
                 .filter(session -> !session.isBusy())
-                .min(Comparator.comparingDouble(ClientSession::evictionRank))
-                .orElse(null);
-        if (least != null) {
-            sessions.remove(least);
-            descriptors.releaseForClient();
-            least.evict();
-        }
-        return least != null;
+                .min(Comparator.comparingDouble(ClientSession::evictionRank));
+        lowest.ifPresent(session -> {
+            onSessionClosed(session);
+            session.evict();
+        });
+        return lowest.isPresent();
     }
 
+    /** The number of open sessions. */
     public int sessionCount() {
         return sessions.size();
     }
 
-    /** How many sessions could be asked to cancel. */
+    /** The number of sessions whose current request could be cancelled. */
     int cancelKeyCount() {
         return cancelKeys.size();
     }
--- a/daemon/src/main/java/clayhook/frontend/ClientRequest.java
+++ b/daemon/src/main/java/clayhook/frontend/ClientRequest.java
@@ -7,51 +7,79 @@
 import clayhook.statements.Classification;
 import java.util.List;
 
-/** A command that a client session waits for. */
+/** A request for which a client session awaits the response. Event loop only. */
 public final class ClientRequest extends Request {
+    /** The session that gets the response. */
     public final ClientSession clientSession;
+    /** What is sent to nodes. */
     public final OutboundStatement outboundStatement;
-    /** Its id among all open commands, or null where the router needs none. */
+    /** Unique among the open requests of this router; null for a statement of any kind, which has no id. */
     public final String requestId;
-    /** What the statement was taken for; null where its comment says that. */
+    /** How the statement was classified; null for one of the two fixed forms, whose routing comment says it. */
     public final Classification classification;
-    /** By which anyone asks whether it has run; null where it has none. */
+    /** The key under which routers share whether it has run; null if it has none. */
     public final String outcomeKey;
-    /** The error that a node answered last, for the client where that is all that is known; or null. */
+    /** The last error of a node, which the client gets if there is no other response; null if there was none. */
     public List<byte[]> lastNodeError;
 
-    /** {@code wroteAt}: the position that a read of its session must cover, as far as others told it; 0 for none. */
+    /**
+     * Creates the request of a statement in one of the two fixed forms.
+     *
+     * @param sessionWritePosition the log position in seconds that a read of its session must cover, as far as other
+     *     routers reported it; 0 for none
+     * @param now clock time in seconds
+     */
     public ClientRequest(
-            RequestClass group, KeyValueStatement statement, ClientSession session, double wroteAt, double now) {
+            RequestClass requestClass,
+            KeyValueStatement statement,
+            ClientSession clientSession,
+            double sessionWritePosition,
+            double now) {
         super(
-                group,
+                requestClass,
                 statement.replicaSetId,
                 statement.key,
-                Math.max(statement.requiredPosition, wroteAt),
+                Math.max(statement.requiredPosition, sessionWritePosition),
                 now,
-                now + Math.min(statement.timeoutSeconds, group.clientTimeoutSeconds()));
-        this.clientSession = session;
+                deadline(requestClass, now, statement.timeoutSeconds));
+        this.clientSession = clientSession;
         outboundStatement = statement;
         requestId = statement.requestId;
         outcomeKey = statement.outcomeKey;
         classification = null;
     }
 
-    /** {@code wait}: seconds that the client waits, at most those of its command group. */
+    /**
+     * Creates the request of a statement of any kind.
+     *
+     * @param sessionWritePosition the log position in seconds that a read must cover; 0 for none
+     * @param now clock time in seconds
+     * @param timeoutSeconds how long the client waits; at most that of the request class counts
+     */
     public ClientRequest(
-            RequestClass group,
-            int nodes,
-            OutboundStatement outgoing,
-            Classification classed,
-            ClientSession session,
-            double wroteAt,
+            RequestClass requestClass,
+            int replicaSetId,
+            OutboundStatement statement,
+            Classification classification,
+            ClientSession clientSession,
+            double sessionWritePosition,
             double now,
-            double wait) {
-        super(group, nodes, session.id(), wroteAt, now, now + Math.min(wait, group.clientTimeoutSeconds()));
-        this.clientSession = session;
-        this.outboundStatement = outgoing;
+            double timeoutSeconds) {
+        super(
+                requestClass,
+                replicaSetId,
+                clientSession.id(),
+                sessionWritePosition,
+                now,
+                deadline(requestClass, now, timeoutSeconds));
+        this.clientSession = clientSession;
+        this.classification = classification;
+        outboundStatement = statement;
         requestId = null;
-        outcomeKey = classed.mark();
-        this.classification = classed;
+        outcomeKey = classification.mark();
+    }
+
+    private static double deadline(RequestClass requestClass, double now, double timeoutSeconds) {
+        return now + Math.min(timeoutSeconds, requestClass.clientTimeoutSeconds());
     }
 }
--- a/daemon/src/main/java/clayhook/frontend/ClientSession.java
+++ b/daemon/src/main/java/clayhook/frontend/ClientSession.java
@@ -8,474 +8,409 @@
 import clayhook.statements.SessionSettings;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
-import io.netty.channel.AdaptiveRecvByteBufAllocator;
-import io.netty.channel.ChannelFutureListener;
-import io.netty.channel.ChannelHandlerContext;
-import io.netty.channel.ChannelInboundHandlerAdapter;
-import io.netty.channel.RecvByteBufAllocator;
-import io.netty.util.concurrent.EventExecutor;
-import java.io.IOException;
-import java.util.ArrayDeque;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
-import java.util.concurrent.TimeUnit;
+import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.DoubleSupplier;
 
-/** One client's connection: one command after the other, each answered before the next is begun. */
-public final class ClientSession extends ChannelInboundHandlerAdapter {
-    /** What a client may send ahead of its answers; one that sends more is ended after these. */
-    private static final int MAX_PENDING_MESSAGES = 32;
-    /**
-     * What a client that says nothing, or no whole message, is given; a client may be closed after 2 s without a
-     * command.
-     */
-    private static final double IDLE_TIMEOUT_SECONDS = 2.2;
-    /** An answer that is not read for so long is dropped with its connection; above any client timeout. */
-    private static final double UNREAD_RESPONSE_TIMEOUT_SECONDS = 10;
-    /** A client that has asked is spared so much longer; one that asked once and stays must not bar those that come. */
-    private static final double ACTIVE_CLIENT_BONUS_SECONDS = 2;
-    /** Reads of a session in one turn: a long statement in two, and one that looks for the client's end behind it. */
-    private static final int READS_PER_TICK = 3;
-    /**
-     * Reads on until nothing is left. Guards against work for clients that left while the process stood still: their
-     * end is read together with their commands, before any of these goes on.
-     */
-    private static final RecvByteBufAllocator READ_UNTIL_EMPTY =
-            new AdaptiveRecvByteBufAllocator().respectMaybeMoreData(false).maxMessagesPerRead(READS_PER_TICK);
-
-    /** Hears what sessions want. */
+/**
+ * The state machine of one client connection. Requests are handled in order, one at a time: each is answered before the
+ * next one begins.
+ *
+ * <p>{@link ClientMessageDecoder} parses the bytes, {@link ClientConnection} reads, writes and closes,
+ * {@link PendingMessages} holds what the client sent ahead, and {@link SessionActivity} knows the time limits.
+ *
+ * <p>Event loop only: all methods are called on the event loop of the connection.
+ */
+public final class ClientSession {
+    /** Receives the requests of all sessions, on the event loop. */
     public interface RequestHandler {
-        /** A command came; it gets one of the final answers below. */
+        /** A statement of one of the two fixed forms arrived; it must get exactly one response. */
         void onKeyValueStatement(ClientSession session, KeyValueStatement statement);
 
-        /** The same of a statement of any kind. */
+        /** A statement of any kind arrived, as the bytes that the client sent; it must get exactly one response. */
         void onSqlStatement(ClientSession session, byte[] text);
 
-        /** The client has gone before it got its answer. */
+        /** The client closed its connection before its request was answered; no response is due any more. */
         void onClientGone(ClientSession session);
 
-        /**
-         * The client wants its command stopped; that gets {@link #respondCancelled(boolean)} unless its answer is on
-         * its way.
-         */
+        /** The client cancels its request, which gets {@link #respondCancelled} unless its response was sent first. */
         void onCancelRequest(ClientSession session);
     }
 
+    private enum State {
+        /** No start-up message has arrived. */
+        STARTUP,
+        /** The next message is handled as soon as it arrives. */
+        READY,
+        /** A request is being handled; later messages wait. */
+        AWAITING_RESPONSE,
+        /** A message of the extended query protocol was rejected: everything up to the next Sync is skipped. */
+        SKIPPING_TO_SYNC,
+        /** The connection is closing or closed; no message is handled any more. */
+        CLOSING
+    }
+
     private final RequestHandler requestHandler;
     private final Consumer<ClientSession> onClosed;
-    private final ClientMessageDecoder decoder;
     private final CancelKeyRegistry cancelKeys;
     private final DoubleSupplier clock;
-    /** Null where only the two forms of statement are taken. */
+    /** Null where only the two fixed forms of statement are accepted. */
     private final SessionSettings settings;
 
-    private final ArrayDeque<Object> pendingMessages = new ArrayDeque<>();
-    /** Seconds; the position of its last write, for its own reads. */
-    private double lastWritePosition;
-
-    private ChannelHandlerContext context;
-    private boolean startupDone;
-    private boolean awaitingResponse;
-    private boolean skippingToSync;
-    private boolean closing;
-    /** Null as long as what comes is taken. */
-    private LingeringClose lingeringClose;
-    /** Writes that the system has not taken whole yet. */
-    private int pendingWrites;
-    /** By which its commands are cancelled. */
+    private final PendingMessages pendingMessages = new PendingMessages();
+    private final SessionActivity activity;
+    private final ClientConnection connection;
+    private State state = State.STARTUP;
     private long cancelKey = ClientMessageDecoder.NO_CANCEL_KEY;
-
+    /** Clock time in seconds. */
     private final double connectedAt;
-    /** When the command in hand was begun. */
+    /** When the current request began; clock time in seconds. */
     private double requestStartedAt;
-    /** It has sent a command that was taken. */
-    private boolean hasSentRequest;
-    /** When it connected or got its last answer, and since when part of a message has been there; 0 for none. */
-    private double quietSince;
-
-    private double partialMessageSince;
-    /** It ends as soon as what it has taken is answered; and what had come by then was looked for once more. */
+    /** Log position in seconds; 0 for no write. */
+    private double lastWritePosition;
+    /** The session closes as soon as everything received has been answered. */
     private boolean draining;
-
+    /** While draining: everything that had arrived before the close has been read. */
     private boolean finalReadDone;
 
+    /**
+     * Creates the session of a new connection.
+     *
+     * @param settings null where only the two fixed forms of statement are accepted
+     * @param clock the time in seconds
+     * @param onClosed called once the connection is closed
+     */
     ClientSession(
-            RequestHandler listener,
+            RequestHandler requestHandler,
             ClientMessageDecoder decoder,
             SessionSettings settings,
-            CancelKeyRegistry keys,
+            CancelKeyRegistry cancelKeys,
             DoubleSupplier clock,
-            Consumer<ClientSession> ended) {
-        this.cancelKeys = keys;
+            Consumer<ClientSession> onClosed) {
+        this.requestHandler = requestHandler;
         this.settings = settings;
-        this.requestHandler = listener;
-        this.decoder = decoder;
+        this.cancelKeys = cancelKeys;
         this.clock = clock;
-        this.onClosed = ended;
+        this.onClosed = onClosed;
+        connection = new ClientConnection(decoder, this);
         connectedAt = clock.getAsDouble();
-        quietSince = connectedAt;
+        activity = new SessionActivity(connectedAt);
     }
 
-    @Override
-    public void handlerAdded(ChannelHandlerContext ctx) {
-        context = ctx;
-        ctx.channel().config().setRecvByteBufAllocator(READ_UNTIL_EMPTY);
+    /** The channel handler of the connection; it stands behind the decoder. */
+    ClientConnection connection() {
+        return connection;
     }
 
-    @Override
-    public void channelRead(ChannelHandlerContext ctx, Object message) {
-        if (lingeringClose != null) {
-            return;
-        }
-        partialMessageSince = 0;
-        boolean flooding = pendingMessages.size() >= MAX_PENDING_MESSAGES;
-        pendingMessages.add(flooding ? new ClientMessage.Malformed("54000", "too many commands ahead") : message);
-        if (flooding) {
-            discardFurtherInput();
+    // ---- what the request handler asks ----
+
+    /** Whether the client has closed its connection, which may not have been reported to the request handler yet. */
+    public boolean isClientGone() {
+        return !connection.isOpen();
+    }
+
+    /** An id that is unique among the sessions of this router. */
+    public String id() {
+        return connection.id();
+    }
+
+    /** The log position in seconds that reads of this session must cover to see its own writes; 0 for none. */
+    public double lastWritePosition() {
+        return lastWritePosition;
+    }
+
+    /** Records that a write of this session was committed at a log position, in seconds. */
+    public void recordWrite(double position) {
+        lastWritePosition = Math.max(lastWritePosition, position);
+    }
+
+    /** The settings that the client has made; null where only the two fixed forms of statement are accepted. */
+    public SessionSettings settings() {
+        return settings;
+    }
+
+    // ---- events of the connection ----
+
+    /** A message arrived. */
+    void onMessage(Object message) {
+        activity.onMessage();
+        boolean accepted = pendingMessages.add(message);
+        if (!accepted) {
+            connection.discardInput();
         }
         processPendingMessages();
     }
 
-    private void discardFurtherInput() {
-        if (lingeringClose == null) {
-            lingeringClose = LingeringClose.begin(context.channel());
-            decoder.discardInput();
-        }
+    /** Everything that had arrived is read, and passed to {@link #onMessage} but for a partial message. */
+    void onReadComplete() {
+        activity.onReadComplete(connection.hasPartialMessage(), clock);
+        closeIfDrained();
     }
 
-    @Override
-    public void channelReadComplete(ChannelHandlerContext ctx) {
-        partialMessageSince =
-                !decoder.hasPartialMessage() ? 0 : partialMessageSince > 0 ? partialMessageSince : clock.getAsDouble();
+    /** The client reads its responses again, or no longer; while it does not, no further request is handled. */
+    void onWritabilityChanged() {
+        processPendingMessages();
+    }
+
+    /** A write has completed or failed. */
+    void onWritten() {
         closeIfDrained();
     }
 
+    /** The connection is closed, by either side. */
+    void onDisconnect() {
+        boolean responseDue = state == State.AWAITING_RESPONSE;
+        state = State.CLOSING;
+        pendingMessages.clear();
+        cancelKeys.remove(cancelKey);
+        if (responseDue) {
+            requestHandler.onClientGone(this);
+        }
+        onClosed.accept(this);
+    }
+
     private void processPendingMessages() {
-        while (!awaitingResponse
-                && !closing
-                && !pendingMessages.isEmpty()
-                && context.channel().isWritable()) {
+        while (mayHandleMessage() && !pendingMessages.isEmpty() && connection.isWritable()) {
             Object message = pendingMessages.poll();
-            if (startupDone) {
-                handleMessage(message);
-            } else {
+            if (state == State.STARTUP) {
                 handleBeforeStartup(message);
+            } else {
+                handleMessage(message);
             }
         }
         if (isIdle()) {
-            decoder.releaseMemory();
+            connection.releaseMemory();
         }
         closeIfDrained();
     }
 
-    /** A command that came before the sending side ends is answered; what comes later its client sends once more. */
-    private void closeIfDrained() {
-        if (!draining || !isQuiescent()) {
-            return;
-        } else if (finalReadDone) {
-            drain(Unpooled.EMPTY_BUFFER);
-            return;
-        }
-        afterPendingReads(() -> {
-            finalReadDone = true;
-            closeIfDrained();
-        });
+    private boolean mayHandleMessage() {
+        return state != State.AWAITING_RESPONSE && state != State.CLOSING;
     }
 
-    /** Runs it once all that has come by now is read: what a task of the loop schedules runs after a round of reads. */
-    private void afterPendingReads(Runnable step) {
-        EventExecutor loop = context.executor();
-        loop.execute(() -> loop.schedule(step, 0, TimeUnit.NANOSECONDS));
-    }
-
-    /** A client that does not read its answers gets no more of them. */
-    @Override
-    public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-        processPendingMessages();
-    }
+    // ---- start-up ----
 
     private void handleBeforeStartup(Object message) {
         if (message instanceof ClientMessage.EncryptionRequest) {
-            write(MessageEncoder.encryptionRefused());
+            connection.write(MessageEncoder.encryptionRefused());
         } else if (message instanceof ClientMessage.Startup startup) {
-            startupDone = true;
             completeStartup(startup);
         } else if (message instanceof ClientMessage.Malformed malformed) {
             rejectMalformed(malformed);
         } else if (message instanceof ClientMessage.CancelRequest request) {
-            ClientSession session = cancelKeys.find(request.key());
-            if (session != null) {
-                session.cancelRequestStartedBy(connectedAt);
+            ClientSession target = cancelKeys.find(request.key());
+            if (target != null) {
+                target.cancelRequestStartedBy(connectedAt);
             }
-            drain(Unpooled.EMPTY_BUFFER); // no answer tells whether the key was right
+            closeAfter(
+                    Unpooled.EMPTY_BUFFER); // the protocol forbids an answer: it would tell whether the key was right
         }
     }
 
     private void completeStartup(ClientMessage.Startup startup) {
+        state = State.READY;
         String fault = settings == null ? null : settings.introduced(startup.parameters());
         if (fault != null) {
             Log.warn("client", fault);
-            drain(MessageEncoder.error(true, "0A000", fault, null));
+            closeAfter(ClientResponses.startupRejected(fault));
             return;
         }
-        Map<String, String> told = new LinkedHashMap<>();
-        if (settings != null) {
-            told.put("server_encoding", "UTF8");
-            told.put("integer_datetimes", "on");
-            told.put("session_authorization", settings.client().user());
-            startup.parameters().forEach((name, value) -> {
-                if (REPORTED_PARAMETERS.contains(name)) {
-                    told.put(name, value);
-                }
-            });
-        }
         cancelKey = cancelKeys.register(this);
-        write(MessageEncoder.startupResponse(startup.minorVersion(), cancelKey, told));
+        connection.write(MessageEncoder.startupResponse(
+                startup.minorVersion(), cancelKey, ReportedParameters.atStartup(settings, startup.parameters())));
     }
 
-    /** Guards against stopping the next command for one whose answer crossed the request to cancel it. */
+    /** Does nothing if the current request began later: the cancel request was then meant for an earlier one. */
     private void cancelRequestStartedBy(double requestedAt) {
-        if (awaitingResponse && requestStartedAt <= requestedAt) {
+        if (state == State.AWAITING_RESPONSE && requestStartedAt <= requestedAt) {
             requestHandler.onCancelRequest(this);
         }
     }
 
-    /** Settings whose values servers tell, as they write them. */
-    private static final List<String> REPORTED_PARAMETERS =
-            List.of("application_name", "DateStyle", "IntervalStyle", "TimeZone");
-
-    private void handleSql(byte[] text) {
-        SessionSettings.Reply reply = settings.asked(text);
-        if (reply instanceof SessionSettings.Reply.Refused refused) {
-            write(MessageEncoder.error(false, "0A000", refused.why(), null));
-        } else if (reply instanceof SessionSettings.Reply.Done done) {
-            String told = REPORTED_PARAMETERS.stream()
-                    .filter(name -> name.equalsIgnoreCase(done.name()))
-                    .findFirst()
-                    .orElse(null);
-            write(MessageEncoder.commandComplete(done.tag(), told, done.value()));
-        } else {
-            beginRequest();
-            requestHandler.onSqlStatement(this, text);
-        }
-    }
-
-    private void beginRequest() {
-        awaitingResponse = true;
-        requestStartedAt = clock.getAsDouble();
-    }
-
-    /** The client has closed, though that may not have been told yet. */
-    public boolean isClientGone() {
-        return !context.channel().isActive();
-    }
-
-    /** Its own among all sessions of this router. */
-    public String id() {
-        return context.channel().id().asLongText();
-    }
-
-    /** The log position in seconds that its reads must cover to see its own writes; 0 for none. */
-    public double lastWritePosition() {
-        return lastWritePosition;
-    }
-
-    public void recordWrite(double position) {
-        lastWritePosition = Math.max(lastWritePosition, position);
-    }
-
-    /** What the client has set; null where only the two forms of statement are taken. */
-    public SessionSettings settings() {
-        return settings;
-    }
+    // ---- requests ----
 
     private void handleMessage(Object message) {
-        if (skippingToSync
-                && !(message instanceof ClientMessage.Sync
-                        || message instanceof ClientMessage.Terminate
-                        || message instanceof ClientMessage.Malformed)) {
+        if (state == State.SKIPPING_TO_SYNC && !endsSkipping(message)) {
             return;
         }
         if (message instanceof ClientMessage.Query query) {
             beginRequest();
-            hasSentRequest = true;
+            activity.onRequest();
             requestHandler.onKeyValueStatement(this, query.statement());
         } else if (message instanceof ClientMessage.SqlQuery query) {
-            hasSentRequest = true;
+            activity.onRequest();
             handleSql(query.text());
         } else if (message instanceof ClientMessage.EmptyQuery) {
-            write(MessageEncoder.emptyQueryResponse());
+            connection.write(MessageEncoder.emptyQueryResponse());
         } else if (message instanceof ClientMessage.UnreadableQuery unreadable) {
-            Log.warn("client", "unreadable statement: " + unreadable.reason());
-            write(MessageEncoder.error(false, "42601", unreadable.reason(), null));
+            Log.warn("client", "invalid statement: " + unreadable.reason());
+            connection.write(ClientResponses.invalidStatement(unreadable.reason()));
         } else if (message instanceof ClientMessage.Extended) {
-            skippingToSync = true;
-            write(MessageEncoder.errorWithoutReadiness("0A000", "only simple queries are taken"));
+            state = State.SKIPPING_TO_SYNC;
+            connection.write(ClientResponses.extendedQueryRejected());
         } else if (message instanceof ClientMessage.Sync) {
-            skippingToSync = false;
-            write(MessageEncoder.readyForQuery());
+            state = State.READY;
+            connection.write(MessageEncoder.readyForQuery());
         } else if (message instanceof ClientMessage.FunctionCall) {
-            write(MessageEncoder.error(false, "0A000", "there are no functions to call", null));
+            connection.write(ClientResponses.functionCallRejected());
         } else if (message instanceof ClientMessage.Terminate) {
-            drain(Unpooled.EMPTY_BUFFER); // as servers do: what was sent before it is answered before it counts
+            closeAfter(Unpooled.EMPTY_BUFFER); // all requests before it have been answered, as servers do
         } else if (message instanceof ClientMessage.Malformed malformed) {
             rejectMalformed(malformed);
         }
     }
 
-    private void rejectMalformed(ClientMessage.Malformed malformed) {
-        Log.warn("client", "malformed: " + malformed.reason());
-        drain(MessageEncoder.error(true, malformed.sqlState(), malformed.reason(), null));
+    private static boolean endsSkipping(Object message) {
+        return message instanceof ClientMessage.Sync
+                || message instanceof ClientMessage.Terminate
+                || message instanceof ClientMessage.Malformed;
     }
 
-    private void write(ByteBuf bytes) {
-        pendingWrites++;
-        context.writeAndFlush(bytes).addListener(onFlushed);
+    private void handleSql(byte[] text) {
+        SessionSettings.Reply reply = settings.asked(text);
+        if (reply instanceof SessionSettings.Reply.Refused refused) {
+            connection.write(ClientResponses.settingRejected(refused.why()));
+        } else if (reply instanceof SessionSettings.Reply.Done done) {
+            String reported = ReportedParameters.reportedName(done.name());
+            connection.write(MessageEncoder.commandComplete(done.tag(), reported, done.value()));
+        } else {
+            beginRequest();
+            requestHandler.onSqlStatement(this, text);
+        }
     }
 
-    private final ChannelFutureListener onFlushed = done -> {
-        pendingWrites--;
-        closeIfDrained();
-    };
+    private void beginRequest() {
+        state = State.AWAITING_RESPONSE;
+        requestStartedAt = clock.getAsDouble();
+    }
+
+    private void rejectMalformed(ClientMessage.Malformed malformed) {
+        Log.warn("client", "malformed client message: " + malformed.reason());
+        closeAfter(ClientResponses.malformedMessage(malformed));
+    }
 
-    /** The messages of the answer as the node gave them. */
+    // ---- responses ----
+
+    /** Answers with the messages of a node's response, unchanged. */
     public void respondWithResult(List<byte[]> messages) {
         respond(MessageEncoder.response(messages));
     }
 
-    /** Trying again is harmless, best after so many seconds; 0 for no advice. */
-    public void respondRejected(double advice) {
-        String detail = advice > 0 ? Long.toString(Math.round(advice * 1000)) : null;
-        respond(MessageEncoder.error(false, "53300", "throttled", detail));
+    /**
+     * Answers that the request was rejected and has not run.
+     *
+     * @param retryAfter seconds after which the client should retry; 0 for no advice
+     */
+    public void respondRejected(double retryAfter) {
+        respond(ClientResponses.rejected(retryAfter));
     }
 
-    /** The command may have run. */
+    /** Answers that the statement may or may not have run. */
     public void respondInDoubt() {
-        respond(MessageEncoder.error(false, "40003", "it is not known whether the statement has run", null));
+        respond(ClientResponses.inDoubt());
     }
 
-    /** The client wanted it stopped. */
+    /** Answers that the request was cancelled on behalf of the client. */
     public void respondCancelled(boolean mayHaveRun) {
-        respond(MessageEncoder.error(
-                false,
-                "57014",
-                mayHaveRun
-                        ? "cancelled; it is not known whether the statement has run"
-                        : "cancelled; the statement has not run",
-                null));
+        respond(ClientResponses.cancelled(mayHaveRun));
     }
 
-    /** The statement could not be taken. */
-    public void respondWithError(String code, String why) {
-        respond(MessageEncoder.error(false, code, why, null));
+    /** Answers that the statement could not be accepted, and why. */
+    public void respondWithError(String sqlState, String reason) {
+        respond(ClientResponses.error(sqlState, reason));
     }
 
     private void respond(ByteBuf bytes) {
-        if (awaitingResponse) {
-            awaitingResponse = false;
-            quietSince = clock.getAsDouble();
-            write(bytes);
-            processPendingMessages();
-        } else {
+        if (state != State.AWAITING_RESPONSE) {
             bytes.release();
+            return;
         }
+        state = State.READY;
+        activity.onResponse(clock.getAsDouble());
+        connection.write(bytes);
+        processPendingMessages();
     }
 
+    // ---- idleness and time limits ----
+
     private boolean isIdle() {
-        return !awaitingResponse && !closing && pendingMessages.isEmpty();
+        return mayHandleMessage() && pendingMessages.isEmpty();
     }
 
-    /** Between commands: all answers have gone out, and no part of the next command has come. */
+    /** Between requests: all responses have been written, and no part of the next request has arrived. */
     private boolean isQuiescent() {
-        return isIdle() && pendingWrites == 0 && !decoder.hasPartialMessage();
+        return isIdle() && connection.isFlushed() && !connection.hasPartialMessage();
     }
 
-    /** It has asked and got its answer. */
+    /** Whether the client has had a request answered and has sent no further one. */
     boolean isIdleAfterRequest() {
-        return hasSentRequest && isQuiescent();
+        return activity.hasSentRequest() && isQuiescent();
     }
 
-    /** It is owed an answer or the rest of one, or is in the middle of a command. */
+    /** Whether the client is owed a response, or the rest of one, or is in the middle of a request. */
     boolean isBusy() {
-        return pendingWrites > 0 || !closing && !isQuiescent();
+        return !connection.isFlushed() || (state != State.CLOSING && !isQuiescent());
     }
 
-    /** Which of those without a command goes first: what has ended, then what has been quiet longest. */
+    /** The order in which sessions that are not busy are evicted, lowest first: closing ones, then the longest idle. */
     double evictionRank() {
-        return closing ? 0 : quietSince + (hasSentRequest ? ACTIVE_CLIENT_BONUS_SECONDS : 0);
+        return state == State.CLOSING ? 0 : activity.evictionRank();
     }
 
-    /** Ends it if it has been silent for too long. */
+    /** Closes the connection of a client that has exceeded a time limit; {@code now} is clock time in seconds. */
     void closeIfIdleTooLong(double now) {
-        if (!awaitingResponse && pendingWrites > 0 && now > quietSince + UNREAD_RESPONSE_TIMEOUT_SECONDS) {
-            context.close();
-        } else if (timeoutReason(now) != null) {
-            // Guards against taking this router's own stand for the client's silence.
-            afterPendingReads(() -> {
-                String why = timeoutReason(now);
-                if (why != null) {
-                    Log.warn("client", why);
-                    drain(MessageEncoder.error(true, "57P05", "no whole command came in time", null));
-                }
-            });
+        if (state != State.AWAITING_RESPONSE && !connection.isFlushed() && activity.isResponseUnreadTooLong(now)) {
+            connection.closeNow();
+        } else if (idleTimeout(now).isPresent()) {
+            // Reads what arrived first: a stall of this process must not count as silence of the client.
+            connection.afterPendingReads(() -> idleTimeout(now).ifPresent(reason -> {
+                Log.warn("client", reason);
+                closeAfter(ClientResponses.idleTimeout());
+            }));
         }
     }
 
-    /** In what it has been so, or null. */
-    private String timeoutReason(double now) {
-        return !isIdle()
-                ? null
-                : partialMessageSince > 0 && now > partialMessageSince + IDLE_TIMEOUT_SECONDS
-                        ? "half a message"
-                        : !hasSentRequest && now > quietSince + IDLE_TIMEOUT_SECONDS
-                                ? "a client that says nothing"
-                                : null;
+    private Optional<String> idleTimeout(double now) {
+        return isIdle() ? activity.idleTimeout(now) : Optional.empty();
     }
 
-    /** Answers what it has taken and what has come by now, then ends. */
+    // ---- closing ----
+
+    /** Answers what has arrived by now, then closes the connection. */
     void drain() {
         draining = true;
         closeIfDrained();
     }
 
-    /** Ends it at once, to make room; only when it is not busy. */
+    /** Closes the connection at once, to free its descriptor; only for a session that is not busy. */
     void evict() {
-        if (!closing) {
-            drain(Unpooled.EMPTY_BUFFER);
+        if (state != State.CLOSING) {
+            closeAfter(Unpooled.EMPTY_BUFFER);
         }
-        // Guards against a reset over a command that has just come, which may overtake the last answer.
-        afterPendingReads(context::close);
+        // Closing a socket that holds unread bytes resets the connection, which may overtake the last response.
+        connection.afterPendingReads(connection::closeNow);
     }
 
-    private void drain(ByteBuf last) {
-        closing = true;
-        pendingMessages.clear();
-        quietSince = clock.getAsDouble();
-        discardFurtherInput();
-        decoder.releaseMemory();
-        pendingWrites++;
-        lingeringClose.finish(last, () -> pendingWrites--);
-    }
-
-    @Override
-    public void channelInactive(ChannelHandlerContext ctx) {
-        closing = true;
-        pendingMessages.clear();
-        cancelKeys.remove(cancelKey);
-        if (awaitingResponse) {
-            awaitingResponse = false;
-            requestHandler.onClientGone(this);
+    /** Requests that arrived before the sending side ends are answered; the client retries later ones elsewhere. */
+    private void closeIfDrained() {
+        if (!draining || !isQuiescent()) {
+            return;
         }
-        onClosed.accept(this);
+        if (finalReadDone) {
+            closeAfter(Unpooled.EMPTY_BUFFER);
+            return;
+        }
+        connection.afterPendingReads(() -> {
+            finalReadDone = true;
+            closeIfDrained();
+        });
     }
 
-    @Override
-    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        if (!(cause instanceof IOException)) {
-            Log.error("a client session failed", cause);
-        }
-        ctx.close();
+    private void closeAfter(ByteBuf lastBytes) {
+        state = State.CLOSING;
+        pendingMessages.clear();
+        activity.onResponse(clock.getAsDouble());
+        connection.closeAfter(lastBytes);
     }
 }
--- a/daemon/src/main/java/clayhook/frontend/LingeringClose.java
+++ b/daemon/src/main/java/clayhook/frontend/LingeringClose.java
@@ -9,14 +9,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Stands before all other handlers once nothing more is taken from a client. A close over unread bytes resets the
- * connection and takes the last answer with it, and only who reads sees the client close: what comes is read and
- * dropped.
+ * Closes a client connection without losing the last response. Closing a socket that holds unread bytes resets the
+ * connection, and the reset may discard bytes that the client has not read. So this handler stands first in the
+ * pipeline, reads and drops all input, ends the sending side, and waits for the client's close. Event loop only.
  */
+@SuppressWarnings("FutureReturnValueIgnored") // a failed write, end of output or close ends in channelInactive
 final class LingeringClose extends ChannelInboundHandlerAdapter {
-    /** From the end of the sending side; many times what bytes that cross it take, also on a busy machine. */
+    /** From the end of the sending side; many times the round trip of bytes that cross it, also on a busy machine. */
     private static final int LINGER_MS = 1000;
-    /** More than a client has on its way when it hears that nothing more is taken. */
+    /** More than a client has in transit when it learns of the close; one that sends more is reset. */
     private static final int MAX_DISCARDED_BYTES = 1 << 20;
 
     private final Channel channel;
@@ -27,17 +28,22 @@
         this.channel = channel;
     }
 
-    /** Takes nothing more; answers may still be written. */
+    /** Discards all input from now on; responses may still be written. */
     static LingeringClose begin(Channel channel) {
         var close = new LingeringClose(channel);
         channel.pipeline().addFirst(close);
         return close;
     }
 
-    /** Ends the sending side once all and these bytes are written, and the rest when the client has done so too. */
-    void finish(ByteBuf last, Runnable written) {
-        channel.writeAndFlush(last).addListener(done -> {
-            written.run();
+    /**
+     * Ends the sending side once everything before and these bytes are written, and closes the connection when the
+     * client has done so too, or after the time limit.
+     *
+     * @param onWritten runs once the bytes are written or have failed
+     */
+    void finish(ByteBuf lastBytes, Runnable onWritten) {
+        channel.writeAndFlush(lastBytes).addListener(done -> {
+            onWritten.run();
             if (done.isSuccess() && channel instanceof DuplexChannel socket) {
                 socket.shutdownOutput();
                 lingerTimeout = channel.eventLoop().schedule(() -> channel.close(), LINGER_MS, TimeUnit.MILLISECONDS);
@@ -52,7 +58,7 @@
         var bytes = (ByteBuf) message;
         discardedBytes += bytes.readableBytes();
         bytes.release();
-        // Guards against reading for ever for a client that sends without end.
+        // A client that sends without end would otherwise be read for ever.
         if (discardedBytes > MAX_DISCARDED_BYTES) {
             ctx.close();
         }
