--- a/daemon/src/main/java/clayhook/protocol/ClientMessage.java
+++ b/daemon/src/main/java/clayhook/protocol/ClientMessage.java
@@ -29,6 +29,7 @@
     record Query(KeyValueStatement statement) implements ClientMessage {}
 
     /** A query of any kind; where all are accepted. {@code text} has the bytes without the closing zero. */
+    @SuppressWarnings("ArrayRecordComponent") // raw bytes, which are forwarded and never compared
     record SqlQuery(byte[] text) implements ClientMessage {}
 
     /** A query that cannot be parsed; the session continues. {@code reason} is for the client. */
--- a/daemon/src/main/java/clayhook/protocol/ClientMessageDecoder.java
+++ b/daemon/src/main/java/clayhook/protocol/ClientMessageDecoder.java
@@ -6,7 +6,7 @@
 
 /** Decodes the messages of one client connection into {@link ClientMessage}s. Event loop only. */
 public final class ClientMessageDecoder extends FrameDecoder {
-    /** The key of a cancel request that has none; no session is given this one. */
+    /** The key of a cancel request that has none; no session has this one. */
     public static final long NO_CANCEL_KEY = 0;
 
     private static final int CANCEL_REQUEST_CODE = 80877102;
@@ -124,7 +124,7 @@
     /** Whether the text has nothing but white space, control characters and semicolons; bytes above 127 are text. */
     private static boolean isBlank(byte[] text) {
         for (byte b : text) {
-            if (b > ' ' && b != ';' || b < 0) {
+            if ((b > ' ' && b != ';') || b < 0) {
                 return false;
             }
         }
--- a/daemon/src/main/java/clayhook/protocol/MessageEncoder.java
+++ b/daemon/src/main/java/clayhook/protocol/MessageEncoder.java
@@ -24,7 +24,7 @@
     /**
      * The response to a start-up message: the session is ready.
      *
-     * @param minorVersion the version of the protocol that the client asked for; above 0 it is told that it gets 3.0
+     * @param minorVersion the version of the protocol that the client asked for; above 0 the response offers 3.0
      * @param cancelKey by which the client may cancel its requests
      * @param parameters settings that are reported beyond the fixed ones, in this order
      */
--- a/daemon/src/main/java/clayhook/protocol/NodeMessage.java
+++ b/daemon/src/main/java/clayhook/protocol/NodeMessage.java
@@ -11,6 +11,7 @@
     record ParameterStatus(String name, String value) implements NodeMessage {}
 
     /** RowDescription, DataRow, CommandComplete or EmptyQueryResponse, by its type byte. */
+    @SuppressWarnings("ArrayRecordComponent") // raw bytes, which are forwarded and never compared
     record Part(char type, byte[] message) implements NodeMessage {
         private static final int HEADER_BYTES = 1 + 4;
         /** Of a RowDescription or DataRow. */
@@ -20,7 +21,7 @@
 
         /** The number of columns of a RowDescription or DataRow. */
         public int columnCount() {
-            return (message[COLUMN_COUNT_OFFSET] & 0xff) << 8 | message[COLUMN_COUNT_OFFSET + 1] & 0xff;
+            return ((message[COLUMN_COUNT_OFFSET] & 0xff) << 8) | (message[COLUMN_COUNT_OFFSET + 1] & 0xff);
         }
 
         /** The value of a DataRow with one column, as text. */
@@ -30,12 +31,14 @@
     }
 
     /** An error, with its SQLSTATE, its text and the raw message. */
+    @SuppressWarnings("ArrayRecordComponent") // raw bytes, which are forwarded and never compared
     record ErrorResponse(String sqlState, String errorText, byte[] message) implements NodeMessage {}
 
     /** The response is complete, and the node takes the next statement. */
     record ReadyForQuery() implements NodeMessage {}
 
     /** A warning or remark, as the raw message. */
+    @SuppressWarnings("ArrayRecordComponent") // raw bytes, which are forwarded and never compared
     record Notice(byte[] message) implements NodeMessage {}
 
     /** A notification of a channel; the router listens to none. */
--- a/daemon/src/main/java/clayhook/protocol/NodeMessageDecoder.java
+++ b/daemon/src/main/java/clayhook/protocol/NodeMessageDecoder.java
@@ -105,7 +105,7 @@
         int columns = readColumnCount(body);
         for (int i = 0; i < columns; i++) {
             int length = body.readInt();
-            require(length >= 0 || freeFormResult && length == NULL_VALUE_LENGTH);
+            require(length >= 0 || (freeFormResult && length == NULL_VALUE_LENGTH));
             body.skipBytes(Math.max(0, length));
         }
     }
--- a/daemon/src/main/java/clayhook/protocol/OutboundStatement.java
+++ b/daemon/src/main/java/clayhook/protocol/OutboundStatement.java
@@ -12,7 +12,7 @@
         return false;
     }
 
-    /** The settings that the connection must have been given before: names, and values as SQL text. */
+    /** The settings that must be made on the connection first: names, and values as SQL text. */
     default Map<String, String> settings() {
         return Map.of();
     }
--- a/daemon/src/main/java/clayhook/protocol/SqlStatement.java
+++ b/daemon/src/main/java/clayhook/protocol/SqlStatement.java
@@ -9,6 +9,7 @@
  * @param settings the settings of the client's session: names, and values as SQL text
  * @param mayChangeSession whether it may change the session of the node that runs it
  */
+@SuppressWarnings("ArrayRecordComponent") // raw bytes, which are forwarded and never compared
 public record SqlStatement(byte[] text, Map<String, String> settings, boolean mayChangeSession)
         implements OutboundStatement {
     @Override
--- a/daemon/src/main/java/clayhook/sql/SqlAdmission.java
+++ b/daemon/src/main/java/clayhook/sql/SqlAdmission.java
@@ -120,7 +120,7 @@
     private AdmissionResult.Admitted withComment(AdmissionResult.Admitted admitted, RoutingComment comment) {
         RequestClass named = requestClasses.get(comment.field("c"));
         boolean replaces = mayReplaceClass(named, admitted.classification(), comment);
-        // The first faulty field in this order is the one that the client is told of.
+        // The order matters: the client gets the error of the first invalid field.
         int replicaSetId = comment.replicaSetIdOr(admitted.replicaSetId());
         double requiredPosition = comment.secondsOr("after", admitted.requiredPosition());
         double timeoutSeconds = comment.secondsOr("d", admitted.timeoutSeconds());
@@ -167,7 +167,7 @@
             return classification.verdict() == StatementEffect.READ;
         }
         return named.idempotency() == Idempotency.NON_IDEMPOTENT
-                || named.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY && comment.hasIdempotencyKey();
+                || (named.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY && comment.hasIdempotencyKey());
     }
 
     /** Records that a statement was answered after so many seconds, for the cost estimates of its shape. */
--- a/daemon/src/main/java/clayhook/transport/Transport.java
+++ b/daemon/src/main/java/clayhook/transport/Transport.java
@@ -115,6 +115,7 @@
     }
 
     /** A loopback address to listen at: over TCP any free port, otherwise the given one, which must be unused. */
+    @SuppressWarnings("AddressSelection") // a literal address, which is not looked up
     public InetSocketAddress ephemeralAddress(int port) {
         return new InetSocketAddress("127.0.0.1", kind == Kind.TCP ? 0 : port);
     }
@@ -158,6 +159,7 @@
      * Stops listening. The system resets connections that wait to be accepted as a listening socket closes, so these
      * are accepted first, over several event loop iterations if there are many. Event loop only.
      */
+    @SuppressWarnings("FutureReturnValueIgnored") // nothing waits for the close
     public void stopListening(Channel listening) {
         if (listening instanceof BacklogDrainingServerChannel channel
                 && channel.isOpen()
