--- a/daemon/src/test/java/clayhook/frontend/SocketClient.java
+++ b/daemon/src/test/java/clayhook/frontend/SocketClient.java
@@ -11,17 +11,24 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A client over a plain socket: a write has reached the router's machine when it returns, and nothing is read unasked.
+ * A client over a blocking socket. A write is in the router's socket buffer when it returns, and nothing is read before
+ * a test asks for it.
  */
 public final class SocketClient {
     private static final int READ_TIMEOUT_MS = 20_000;
+    /** Longer values are summed up by their length. */
+    private static final int LONG_VALUE_BYTES = 1000;
+
+    private static final int CANCEL_REQUEST_CODE = 80877102;
+
     public final Socket socket;
     private final DataInputStream in;
-    /** What the router gave it to cancel by. */
+    /** The key for cancel requests, once the session is ready. */
     public long cancelKey;
     /** The text of the last error. */
     public String lastErrorMessage;
 
+    /** Connects to a router. */
     public SocketClient(InetSocketAddress router) throws IOException {
         socket = new Socket(router.getAddress(), router.getPort());
         socket.setTcpNoDelay(true);
@@ -29,26 +36,29 @@
         in = new DataInputStream(socket.getInputStream());
     }
 
+    /** Sends the parts in one piece. */
     public SocketClient send(ByteBuf... parts) throws IOException {
         ByteBuf all = Unpooled.wrappedBuffer(parts);
         all.readBytes(socket.getOutputStream(), all.readableBytes());
         return this;
     }
 
+    /** The message that cancels the request of another session. */
     public static ByteBuf cancelRequest(long key) {
-        return Unpooled.buffer().writeInt(16).writeInt(80877102).writeLong(key);
+        return Unpooled.buffer().writeInt(16).writeInt(CANCEL_REQUEST_CODE).writeLong(key);
     }
 
+    /** Sends a start-up message, and other messages right behind it. */
     public SocketClient sendStartup(ByteBuf... after) throws IOException {
         return send(MessageEncoder.startupMessage("client", "core")).send(after);
     }
 
     /**
-     * A word an answer: the value, or its length where that is long; the code of the error, or ready for what had
-     * neither; with closed or reset behind it where the connection ended so.
+     * Reads one response and sums it up: the value, or its length if that is long; the code of the error; or "ready" if
+     * it has neither. If the connection ends instead, "closed" or "reset" stands behind that.
      */
     public String readResponse() throws IOException {
-        String word = "";
+        String summary = "";
         try {
             while (true) {
                 char type = (char) in.readByte();
@@ -57,30 +67,30 @@
                 ByteBuf bytes = Unpooled.wrappedBuffer(body);
                 switch (type) {
                     case 'D' ->
-                        word = body.length > 1000
+                        summary = body.length > LONG_VALUE_BYTES
                                 ? "" + body.length
                                 : bytes.toString(6, body.length - 6, StandardCharsets.UTF_8);
-                    case 'E' -> word = parseError(new String(body, StandardCharsets.UTF_8));
+                    case 'E' -> summary = parseError(new String(body, StandardCharsets.UTF_8));
                     case 'K' -> cancelKey = bytes.readLong();
                     case 'Z' -> {
-                        return word.isEmpty() ? "ready" : word;
+                        return summary.isEmpty() ? "ready" : summary;
                     }
                     default -> {}
                 }
             }
         } catch (EOFException e) {
-            return (word + " closed").strip();
+            return (summary + " closed").strip();
         } catch (IOException e) {
-            return (word + " " + (e.getMessage().contains("reset") ? "reset" : e)).strip();
+            return (summary + " " + (e.getMessage().contains("reset") ? "reset" : e)).strip();
         }
     }
 
     private String parseError(String fields) {
-        String code = null;
+        String sqlState = null;
         for (String field : fields.split("\0")) {
-            code = field.startsWith("C") ? field.substring(1) : code;
+            sqlState = field.startsWith("C") ? field.substring(1) : sqlState;
             lastErrorMessage = field.startsWith("M") ? field.substring(1) : lastErrorMessage;
         }
-        return code;
+        return sqlState;
     }
 }
--- a/daemon/src/test/java/clayhook/protocol/MessageDecodersTest.java
+++ b/daemon/src/test/java/clayhook/protocol/MessageDecodersTest.java
@@ -18,23 +18,24 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** The decoders of client and node messages, and the parser of fixed-form statements. */
 class MessageDecodersTest {
     private static final String READ =
             "SELECT val FROM state WHERE uid = '7f3a' " + "/* id=9b1f,c=basket,d=480,cluster=2,after=1767225600123 */";
 
-    /** The kinds of message that come out when the bytes come in pieces of that size. */
+    /** The types of the messages that are decoded when the bytes arrive in pieces of that size. */
     private static List<String> decodedTypes(ChannelHandler decoder, ByteBuf bytes, int size) {
         var channel = new EmbeddedChannel(decoder);
         while (bytes.isReadable()) {
             channel.writeInbound(bytes.readRetainedSlice(Math.min(size, bytes.readableBytes())));
         }
         bytes.release();
-        var kinds = new ArrayList<String>();
+        var types = new ArrayList<String>();
         for (Object message = channel.readInbound(); message != null; message = channel.readInbound()) {
-            kinds.add(message.getClass().getSimpleName());
+            types.add(message.getClass().getSimpleName());
         }
         channel.finishAndReleaseAll();
-        return kinds;
+        return types;
     }
 
     private static ByteBuf message(char type, int length) {
@@ -71,9 +72,9 @@
     void ignoresInputAfterMalformedClientMessage(char type, int length) {
         ByteBuf bytes = Unpooled.wrappedBuffer(
                 MessageEncoder.startupMessage("client", "core"), message(type, length), message('S', 4));
-        List<String> kinds = decodedTypes(new ClientMessageDecoder(new MemoryBudget(1 << 20)), bytes, 1000);
-        assertEquals("Malformed", kinds.get(1));
-        assertTrue(kinds.size() == 2 || type == 'j' || length == 4, kinds.toString());
+        List<String> types = decodedTypes(new ClientMessageDecoder(new MemoryBudget(1 << 20)), bytes, 1000);
+        assertEquals("Malformed", types.get(1));
+        assertTrue(types.size() == 2 || type == 'j' || length == 4, types.toString());
     }
 
     @ParameterizedTest
--- a/daemon/src/test/java/clayhook/sql/ScriptedSqlNode.java
+++ b/daemon/src/test/java/clayhook/sql/ScriptedSqlNode.java
@@ -19,11 +19,9 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.function.Function;
 
-/** A node that takes any statement, logs what it ran and does to each what it is told to. */
+/** A node that accepts any statement, records what it ran, and reacts to each statement as a test says. */
 final class ScriptedSqlNode {
-    /**
-     * Runs the statement and answers; or answers with an error; or resets the connection, before or after running it.
-     */
+    /** What the node does to a statement: answer, fail, or reset the connection before or after running it. */
     record Reaction(Kind kind, ByteBuf response, String sqlState) {
         enum Kind {
             ANSWER,
@@ -69,23 +67,25 @@
             return new Reaction(Kind.ANSWER, bytes, null);
         }
 
-        static Reaction error(String code) {
-            return new Reaction(Kind.ERROR, null, code);
+        static Reaction error(String sqlState) {
+            return new Reaction(Kind.ERROR, null, sqlState);
         }
     }
 
-    /** What it ran, in order; what settings were given. */
+    /** The statements that it ran, in order. */
     final Queue<String> executedStatements = new ConcurrentLinkedQueue<>();
 
+    /** The statements by which it was given settings, in order. */
     final Queue<String> settingStatements = new ConcurrentLinkedQueue<>();
+
     final Queue<Channel> connections = new ConcurrentLinkedQueue<>();
     private final String role;
     private final Function<String, Reaction> script;
     private final Channel serverChannel;
 
-    ScriptedSqlNode(Transport transport, String role, Function<String, Reaction> deeds) throws InterruptedException {
+    ScriptedSqlNode(Transport transport, String role, Function<String, Reaction> script) throws InterruptedException {
         this.role = role;
-        this.script = deeds;
+        this.script = script;
         serverChannel =
                 transport.listen(transport.ephemeralAddress(0), () -> new ChannelHandler[] {
                     new ClientMessageDecoder(new MemoryBudget(Long.MAX_VALUE), true), new Connection()
@@ -120,47 +120,55 @@
         }
 
         private void execute(ChannelHandlerContext ctx, String text) {
-            ByteBuf out = Unpooled.buffer();
             if (text.equals("SHOW load")) {
-                String load = "x0=" + System.currentTimeMillis() / 1000.0 + ",x1=" + (role.equals("primary") ? 1 : 0);
-                appendMessage(
-                        out,
-                        'T',
-                        Unpooled.buffer()
-                                .writeShort(1)
-                                .writeBytes("load\0".getBytes(UTF_8))
-                                .writeZero(18));
-                byte[] bytes = load.getBytes(UTF_8);
-                appendMessage(
-                        out,
-                        'D',
-                        Unpooled.buffer().writeShort(1).writeInt(bytes.length).writeBytes(bytes));
-                ctx.writeAndFlush(appendMessage(out, 'C', cString("SHOW")).writeBytes(MessageEncoder.readyForQuery()));
-                return;
+                ctx.writeAndFlush(loadReport());
             } else if (text.startsWith("SET ") || text.startsWith("RESET ")) {
                 settingStatements.add(text);
                 ctx.writeAndFlush(
                         text.contains("'Mars'")
                                 ? MessageEncoder.error(false, "22023", "no such zone", null)
                                 : MessageEncoder.commandComplete("SET", null, null));
-                return;
+            } else {
+                react(ctx, text, script.apply(text));
             }
-            Reaction deed = script.apply(text);
-            if (deed.kind() == Reaction.Kind.RESET_BEFORE) {
-                ctx.close();
-                return;
-            } else if (deed.kind() == Reaction.Kind.ERROR) {
-                ctx.writeAndFlush(MessageEncoder.error(false, deed.sqlState(), "as told", null));
-                return;
-            }
-            executedStatements.add(text);
-            if (deed.kind() == Reaction.Kind.RESET_AFTER) {
-                ctx.close();
-                return;
+        }
+
+        private ByteBuf loadReport() {
+            ByteBuf out = Unpooled.buffer();
+            appendMessage(
+                    out,
+                    'T',
+                    Unpooled.buffer()
+                            .writeShort(1)
+                            .writeBytes("load\0".getBytes(UTF_8))
+                            .writeZero(18));
+            String load = "x0=" + System.currentTimeMillis() / 1000.0 + ",x1=" + (role.equals("primary") ? 1 : 0);
+            byte[] bytes = load.getBytes(UTF_8);
+            appendMessage(
+                    out,
+                    'D',
+                    Unpooled.buffer().writeShort(1).writeInt(bytes.length).writeBytes(bytes));
+            return appendMessage(out, 'C', cString("SHOW")).writeBytes(MessageEncoder.readyForQuery());
+        }
+
+        private void react(ChannelHandlerContext ctx, String text, Reaction reaction) {
+            switch (reaction.kind()) {
+                case RESET_BEFORE -> ctx.close();
+                case ERROR ->
+                    ctx.writeAndFlush(MessageEncoder.error(false, reaction.sqlState(), "scripted error", null));
+                case RESET_AFTER -> {
+                    executedStatements.add(text);
+                    ctx.close();
+                }
+                case ANSWER -> {
+                    executedStatements.add(text);
+                    ByteBuf out =
+                            Unpooled.buffer().writeBytes(reaction.response().duplicate());
+                    appendParameterStatus(out, "role", role);
+                    appendParameterStatus(out, "applied_ms", Long.toString(System.currentTimeMillis()));
+                    ctx.writeAndFlush(out.writeBytes(MessageEncoder.readyForQuery()));
+                }
             }
-            appendParameterStatus(out.writeBytes(deed.response().duplicate()), "role", role);
-            appendParameterStatus(out, "applied_ms", Long.toString(System.currentTimeMillis()));
-            ctx.writeAndFlush(out.writeBytes(MessageEncoder.readyForQuery()));
         }
 
         private void appendParameterStatus(ByteBuf out, String name, String value) {
--- a/daemon/src/test/java/clayhook/sql/SqlClient.java
+++ b/daemon/src/test/java/clayhook/sql/SqlClient.java
@@ -10,9 +10,9 @@
 import java.net.Socket;
 import java.nio.ByteBuffer;
 
-/** A client that sends one statement after the other and reads each answer up to its readiness. */
+/** A blocking client that reads the response to a statement before it sends the next one. */
 final class SqlClient implements AutoCloseable {
-    /** Far beyond any answer: a test that waits so long has failed. */
+    /** Far longer than any response takes: a test that waits so long has failed. */
     private static final int READ_TIMEOUT_MS = 60_000;
 
     private final Socket socket = new Socket();
@@ -41,24 +41,22 @@
                 .array());
     }
 
-    /**
-     * The types of the messages of one answer, tags and codes with them: {@code "TDC(SELECT 1)"}, {@code "E(42601)"}.
-     */
+    /** The types of the messages of one response, with tags and codes: {@code "TDC(SELECT 1)"}, {@code "E(42601)"}. */
     String readResponse() throws IOException {
-        var told = new StringBuilder();
+        var summary = new StringBuilder();
         while (true) {
             char type = (char) in.readByte();
             byte[] body = in.readNBytes(in.readInt() - 4);
             if (type == 'Z') {
-                return told.toString();
+                return summary.toString();
             } else if (type == 'E' || type == 'N') {
-                told.append(type).append('(').append(sqlState(body)).append(')');
+                summary.append(type).append('(').append(sqlState(body)).append(')');
             } else if (type == 'C') {
-                told.append("C(")
+                summary.append("C(")
                         .append(new String(body, 0, body.length - 1, UTF_8))
                         .append(')');
             } else if (type != 'S' && type != 'R' && type != 'K' && type != 'v') {
-                told.append(type);
+                summary.append(type);
             }
         }
     }
@@ -77,7 +75,7 @@
         return readResponse();
     }
 
-    /** Says goodbye; true if nothing more came than was asked for. */
+    /** Ends the session; false if the router sent more than was asked for. */
     boolean terminate() throws IOException {
         out.write(new byte[] {'X', 0, 0, 0, 4});
         try {
--- a/daemon/src/test/java/clayhook/sql/SqlRoutingTest.java
+++ b/daemon/src/test/java/clayhook/sql/SqlRoutingTest.java
@@ -32,12 +32,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import java.util.concurrent.Callable;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Function;
+import java.util.regex.Pattern;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -46,7 +46,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Statements of any kind through the whole router on loopback, between nodes that log what they ran. */
+/** Routes statements of any kind through a whole router on loopback, between nodes that record what they ran. */
 class SqlRoutingTest {
     private static final String RULES =
             """
@@ -73,8 +73,10 @@
 
     private Server server;
 
-    private static RequestClass requestClass(String name, Idempotency effect, ConsistencyLevel level, double timeout) {
-        return new RequestClass(name, effect, level, timeout / 2, timeout, 1, 0, DeduplicationScope.REPLICA_SET, 60, 0);
+    private static RequestClass requestClass(
+            String name, Idempotency idempotency, ConsistencyLevel consistency, double timeout) {
+        return new RequestClass(
+                name, idempotency, consistency, timeout / 2, timeout, 1, 0, DeduplicationScope.REPLICA_SET, 60, 0);
     }
 
     private void start(Function<String, Reaction> primary, Function<String, Reaction> replica) throws Exception {
@@ -94,12 +96,12 @@
                     + (entries.isEmpty() ? "primary" : "replica") + "\",\"boot_ms\":0}");
         }
         var discovery = new StubDiscovery(transport, transport.ephemeralAddress(0), call -> null);
-        List<RequestClass> groups = List.of(
+        List<RequestClass> requestClasses = List.of(
                 requestClass("any", Idempotency.IDEMPOTENT, ConsistencyLevel.EVENTUAL, 8),
                 requestClass("write", Idempotency.IDEMPOTENT_WITH_KEY, ConsistencyLevel.WRITE, 8),
                 requestClass("mutating", Idempotency.NON_IDEMPOTENT, ConsistencyLevel.WRITE, 8));
         var settings = new RoutingSettings(
-                1, "a", groups, true, true, false, true, true, true, true, true, 1, 9, 0.2, 10, 3, 3, 1, 15);
+                1, "a", requestClasses, true, true, false, true, true, true, true, true, 1, 9, 0.2, 10, 3, 3, 1, 15);
         Path file = folder.resolve("clayhook.toml");
         Files.writeString(file, rules);
         server = new Server(
@@ -114,7 +116,7 @@
                         EndpointList.parse("{\"rev\":2,\"all\":true,\"targets\":[" + String.join(",", entries) + "]}"),
                         settings,
                         2),
-                OperatorConfigurationReader.read(file, groups));
+                OperatorConfigurationReader.read(file, requestClasses));
     }
 
     private SqlClient client(String... parameters) throws IOException {
@@ -129,8 +131,8 @@
         transport.close();
     }
 
-    private static Function<String, Reaction> always(Reaction deed) {
-        return any -> deed;
+    private static Function<String, Reaction> always(Reaction reaction) {
+        return any -> reaction;
     }
 
     private int executionCount(String text) {
@@ -232,13 +234,13 @@
         }
     }
 
-    /** A view that calls a function that writes: the text does not show it, the replica does. */
+    /** The view calls a function that writes: the text does not show that, only the replica's error does. */
     @Test
     void reclassifiesReadThatReplicaRefusesAsWrite() throws Exception {
-        var turnedAway = new AtomicInteger();
+        var refusals = new AtomicInteger();
         start(always(Reaction.tag("W")), text -> {
             if (text.contains("v_next")) {
-                turnedAway.incrementAndGet();
+                refusals.incrementAndGet();
                 return Reaction.error("25006");
             }
             return Reaction.tag("R");
@@ -248,12 +250,12 @@
                 assertEquals("C(W)", client.query("select * from v_next where a = " + i));
                 assertEquals("C(R)", client.query("select " + i));
             }
-            assertEquals(1, turnedAway.get());
+            assertEquals(1, refusals.get());
             assertEquals(4, nodes.get(0).executedStatements.size());
         }
     }
 
-    /** What is a string here would be code there. */
+    /** Where the router and a node disagree on escapes, text that is a string to one is code to the other. */
     @Test
     void doesNotUseNodeWithOtherStringLiteralSetting() throws Exception {
         start(
@@ -283,8 +285,8 @@
                     .flatMap(node -> node.settingStatements.stream())
                     .anyMatch("SET extra_float_digits TO 3;SET timezone TO 'UTC';"::equals));
         }
-        var refused = new SqlClient(server.address(), "user", "u", "search_path", "x");
-        assertThrows(EOFException.class, refused::readResponse);
+        var rejected = new SqlClient(server.address(), "user", "u", "search_path", "x");
+        assertThrows(EOFException.class, rejected::readResponse);
     }
 
     @Test
@@ -334,11 +336,11 @@
 
     @ParameterizedTest
     @MethodSource("malformedResponses")
-    void retriesReadElsewhereAfterMalformedResponse(ByteBuf spoilt) throws Exception {
+    void retriesReadElsewhereAfterMalformedResponse(ByteBuf malformed) throws Exception {
         var sent = new AtomicInteger();
         start(
-                always(Reaction.bytes(spoilt)),
-                any -> sent.incrementAndGet() == 1 ? Reaction.bytes(spoilt) : Reaction.tag("R"));
+                always(Reaction.bytes(malformed)),
+                any -> sent.incrementAndGet() == 1 ? Reaction.bytes(malformed) : Reaction.tag("R"));
         try (SqlClient client = client()) {
             assertEquals("C(R)", client.query("select 1"));
             assertEquals("E(40003)", client.query("delete from t"));
@@ -363,7 +365,7 @@
         }
     }
 
-    // ---- rules 1, 2 and 5 over many ----
+    // ---- many statements under faults ----
 
     private static final String[] READS = {
         "select a, b from t where c = %d",
@@ -389,93 +391,103 @@
     @Test
     void underFaultsWritesReachOnlyThePrimaryRunOnceAndEveryStatementIsAnsweredOnce() throws Exception {
         var random = new Random(5);
-        int[] chances = random.ints(100_000, 0, 100).toArray();
-        var chance = new AtomicInteger();
-        Function<String, Reaction> trouble = text -> switch (chances[chance.getAndIncrement() % chances.length]) {
+        int[] draws = random.ints(100_000, 0, 100).toArray();
+        var nextDraw = new AtomicInteger();
+        Function<String, Reaction> faults = text -> switch (draws[nextDraw.getAndIncrement() % draws.length]) {
             case 0 -> Reaction.error("53300");
             case 2 -> new Reaction(Reaction.Kind.RESET_BEFORE, null, null);
             case 3 -> new Reaction(Reaction.Kind.RESET_AFTER, null, null);
             case 4 -> Reaction.error("XX000");
             default -> text.startsWith("select a, b") ? Reaction.rows("1", "2") : Reaction.tag("OK");
         };
-        start(trouble, trouble);
+        start(faults, faults);
         int clients = 8;
-        int each = 2500;
+        int statementsPerClient = 2500;
+        Map<String, String> answers = runClients(clients, statementsPerClient);
+        assertEquals(clients * statementsPerClient, answers.size());
+        Map<String, Integer> executions = assertReplicasRanOnlyTheirShareOfReads();
+        answers.forEach((text, answer) -> assertAnswerFitsExecutions(text, answer, executions.getOrDefault(text, 0)));
+        long failed = answers.values().stream()
+                .filter(answer -> answer.startsWith("E"))
+                .count();
+        assertTrue(failed < clients * statementsPerClient / 20, failed + " failed");
+    }
+
+    /** Runs different statements from many clients at the same time; the answers by statement. */
+    private Map<String, String> runClients(int clients, int statementsPerClient) throws Exception {
         var pool = Executors.newFixedThreadPool(clients);
-        var played = new ArrayList<Future<Map<String, String>>>();
+        var results = new ArrayList<Future<Map<String, String>>>();
         for (int c = 0; c < clients; c++) {
             int number = c;
-            Callable<Map<String, String>> play = () -> {
-                var dice = new Random(number);
-                var answers = new HashMap<String, String>();
-                try (SqlClient client = client("user", "u", "application_name", "c" + number % 2)) {
-                    for (int i = 0; i < each; i++) {
-                        String[] forms = dice.nextInt(3) == 0 ? WRITES : READS;
-                        String text =
-                                forms[dice.nextInt(forms.length)].replace("%d", Integer.toString(number * each + i));
-                        answers.put(text, client.query(text));
-                        if (i % 500 == 499) { // a node loses all its connections
-                            nodes.get(dice.nextInt(3)).connections.forEach(Channel::close);
-                        }
-                    }
-                    assertTrue(client.terminate());
-                }
-                return answers;
-            };
-            played.add(pool.submit(play));
+            results.add(pool.submit(() -> runClient(number, statementsPerClient)));
         }
         var answers = new HashMap<String, String>();
-        for (Future<Map<String, String>> one : played) {
-            answers.putAll(one.get());
+        for (Future<Map<String, String>> result : results) {
+            answers.putAll(result.get());
         }
         pool.shutdown();
-        assertEquals(clients * each, answers.size());
-        var ran = new HashMap<String, Integer>();
+        return answers;
+    }
+
+    private Map<String, String> runClient(int number, int statements) throws Exception {
+        var random = new Random(number);
+        var answers = new HashMap<String, String>();
+        try (SqlClient client = client("user", "u", "application_name", "c" + number % 2)) {
+            for (int i = 0; i < statements; i++) {
+                String[] forms = random.nextInt(3) == 0 ? WRITES : READS;
+                String text =
+                        forms[random.nextInt(forms.length)].replace("%d", Integer.toString(number * statements + i));
+                answers.put(text, client.query(text));
+                if (i % 500 == 499) { // a node loses all its connections
+                    nodes.get(random.nextInt(3)).connections.forEach(Channel::close);
+                }
+            }
+            assertTrue(client.terminate());
+        }
+        return answers;
+    }
+
+    /** Returns how often each statement ran, at all nodes together. */
+    private Map<String, Integer> assertReplicasRanOnlyTheirShareOfReads() {
+        var executions = new HashMap<String, Integer>();
         var reads = new ArrayList<Long>();
         for (ScriptedSqlNode node : nodes) {
-            node.executedStatements.forEach(text -> ran.merge(text, 1, Integer::sum));
+            node.executedStatements.forEach(text -> executions.merge(text, 1, Integer::sum));
             boolean replica = node != nodes.get(0);
             assertTrue(!replica || node.executedStatements.stream().noneMatch(SqlRoutingTest::isWrite));
             reads.add(node.executedStatements.stream()
                     .filter(text -> !isWrite(text))
                     .count());
         }
-        // Reads take turns over the replicas; the primary gets those that both could not take.
+        // Reads are balanced over the replicas; the primary gets those that neither could take.
         assertTrue(
                 reads.get(0) < reads.get(1)
                         && reads.get(0) < reads.get(2)
                         && reads.get(1) < 2 * reads.get(2)
                         && reads.get(2) < 2 * reads.get(1),
                 reads.toString());
-        for (var answered : answers.entrySet()) {
-            String text = answered.getKey();
-            int runs = ran.getOrDefault(text, 0);
-            boolean keyed = text.startsWith("insert into posts");
-            assertTrue(!isWrite(text) || runs <= 1 || keyed, text + " ran " + runs + " times");
-            boolean ok =
-                    answered.getValue().endsWith(")") && !answered.getValue().startsWith("E");
-            assertTrue(!ok || runs >= 1, text + " was answered but never ran");
-            assertTrue(ok || answered.getValue().matches("E\\((53300|40003|XX000)\\)"), answered.getValue());
-            assertTrue(
-                    !answered.getValue().equals("E(53300)") || runs == 0 || !isWrite(text),
-                    text + " ran and was throttled");
-        }
-        long failed = answers.values().stream()
-                .filter(answer -> answer.startsWith("E"))
-                .count();
-        assertTrue(failed < clients * each / 20, failed + " failed");
+        return executions;
+    }
+
+    private static void assertAnswerFitsExecutions(String text, String answer, int executions) {
+        boolean hasIdempotencyKey = text.startsWith("insert into posts");
+        assertTrue(!isWrite(text) || executions <= 1 || hasIdempotencyKey, text + " ran " + executions + " times");
+        boolean succeeded = answer.endsWith(")") && !answer.startsWith("E");
+        assertTrue(!succeeded || executions >= 1, text + " was answered but never ran");
+        assertTrue(succeeded || answer.matches("E\\((53300|40003|XX000)\\)"), answer);
+        assertTrue(!answer.equals("E(53300)") || executions == 0 || !isWrite(text), text + " ran and was rejected");
     }
 
     private static boolean isWrite(String text) {
         for (String form : WRITES) {
-            if (text.matches("(?s)" + java.util.regex.Pattern.quote(form).replace("%d", "\\E[0-9]+\\Q"))) {
+            if (text.matches("(?s)" + Pattern.quote(form).replace("%d", "\\E[0-9]+\\Q"))) {
                 return true;
             }
         }
         return false;
     }
 
-    // ---- a real client ----
+    // ---- JDBC driver ----
 
     @Test
     void servesJdbcDriver() throws Exception {
--- a/daemon/src/test/java/clayhook/transport/TransportTest.java
+++ b/daemon/src/test/java/clayhook/transport/TransportTest.java
@@ -19,6 +19,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Failure and shutdown of the transport. */
 class TransportTest {
     private final LinkedBlockingQueue<String> events = new LinkedBlockingQueue<>();
     private final Transport transport = Transport.tcp(() -> {
@@ -30,7 +31,7 @@
         transport.close();
     }
 
-    /** All that hears of a failure belongs to the loop; on another thread it crosses what the loop does just then. */
+    /** The callbacks change state that belongs to the event loop: on another thread they would race with it. */
     @Test
     void reportsMissingDescriptorOnEventLoopAfterConnectReturns() throws Exception {
         transport
@@ -52,12 +53,12 @@
         assertTrue(events.isEmpty());
     }
 
-    /** A rehearsal's sockets would count against the process that serves. */
+    /** The sockets of a warm-up would otherwise count against the descriptors of the process that serves. */
     @Test
     void closeFromEventLoopLeavesNoChannelOpen() throws Exception {
-        Transport asked = Transport.tcp();
+        Transport closing = Transport.tcp();
         var accepted = new LinkedBlockingQueue<Channel>();
-        Channel listening = asked.listen(asked.ephemeralAddress(0), () -> new ChannelHandler[] {
+        Channel listening = closing.listen(closing.ephemeralAddress(0), () -> new ChannelHandler[] {
             new ChannelInboundHandlerAdapter() {
                 @Override
                 public void channelActive(ChannelHandlerContext ctx) {
@@ -65,32 +66,31 @@
                 }
             }
         });
-        Channel connected = asked.connect(
+        Channel connected = closing.connect(
                 (InetSocketAddress) listening.localAddress(),
                 20,
                 () -> new ChannelHandler[0],
                 () -> events.add("failed"));
         Channel other = accepted.take();
-        asked.eventLoop().submit(asked::close).get();
-        assertTrue(asked.eventLoop().awaitTermination(20, TimeUnit.SECONDS));
+        closing.eventLoop().submit(closing::close).get();
+        assertTrue(closing.eventLoop().awaitTermination(20, TimeUnit.SECONDS));
         assertEquals(List.of(false, false, false), List.of(listening.isOpen(), connected.isOpen(), other.isOpen()));
     }
 
-    /** What is told of it changes tables that only the loop may touch. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void reportsSocketCreationFailureOnEventLoop(boolean fromTheLoop) throws Exception {
-        var toldOnTheLoop = new CompletableFuture<Boolean>();
+    void reportsSocketCreationFailureOnEventLoop(boolean callFromEventLoop) throws Exception {
+        var reportedOnEventLoop = new CompletableFuture<Boolean>();
         Runnable connect = () -> transport.connect(
                 new InetSocketAddress("127.0.0.1", 1),
                 1,
                 () -> new ChannelHandler[0],
-                () -> toldOnTheLoop.complete(transport.eventLoop().inEventLoop()));
-        if (fromTheLoop) {
+                () -> reportedOnEventLoop.complete(transport.eventLoop().inEventLoop()));
+        if (callFromEventLoop) {
             transport.eventLoop().submit(connect).get();
         } else {
             connect.run();
         }
-        assertTrue(toldOnTheLoop.get());
+        assertTrue(reportedOnEventLoop.get());
     }
 }
