--- a/daemon/src/main/java/clayhook/frontend/ClientSession.java
+++ b/daemon/src/main/java/clayhook/frontend/ClientSession.java
@@ -203,8 +203,8 @@
             if (target != null) {
                 target.cancelRequestStartedBy(connectedAt);
             }
-            closeAfter(
-                    Unpooled.EMPTY_BUFFER); // the protocol forbids an answer: it would tell whether the key was right
+            // No response: it would tell whether the key was right.
+            closeAfter(Unpooled.EMPTY_BUFFER);
         }
     }
 
@@ -255,7 +255,8 @@
         } else if (message instanceof ClientMessage.FunctionCall) {
             connection.write(ClientResponses.functionCallRejected());
         } else if (message instanceof ClientMessage.Terminate) {
-            closeAfter(Unpooled.EMPTY_BUFFER); // all requests before it have been answered, as servers do
+            // As at a server, the requests before it have been answered.
+            closeAfter(Unpooled.EMPTY_BUFFER);
         } else if (message instanceof ClientMessage.Malformed malformed) {
             rejectMalformed(malformed);
         }
@@ -327,7 +328,7 @@
             return;
         }
         state = State.READY;
-        activity.onResponse(clock.getAsDouble());
+        activity.onQuiet(clock.getAsDouble());
         connection.write(bytes);
         processPendingMessages();
     }
@@ -410,7 +411,7 @@
     private void closeAfter(ByteBuf lastBytes) {
         state = State.CLOSING;
         pendingMessages.clear();
-        activity.onResponse(clock.getAsDouble());
+        activity.onQuiet(clock.getAsDouble());
         connection.closeAfter(lastBytes);
     }
 }
--- a/daemon/src/main/java/clayhook/frontend/SessionActivity.java
+++ b/daemon/src/main/java/clayhook/frontend/SessionActivity.java
@@ -19,7 +19,7 @@
 
     private static final double NONE = 0;
 
-    /** When it connected, or was last answered. */
+    /** When it connected, was last answered, or began to close. */
     private double quietSince;
     /** Since when part of a message has been waiting for its rest, or {@link #NONE}. */
     private double partialMessageSince = NONE;
@@ -46,7 +46,8 @@
         hasSentRequest = true;
     }
 
-    void onResponse(double now) {
+    /** The client has been answered, or its connection begins to close. */
+    void onQuiet(double now) {
         quietSince = now;
     }
 
--- a/daemon/src/main/java/clayhook/protocol/KeyValueStatement.java
+++ b/daemon/src/main/java/clayhook/protocol/KeyValueStatement.java
@@ -20,7 +20,7 @@
     private static final double MILLIS_PER_SECOND = 1000;
 
     private final byte[] text;
-    /** Where the value of {@code d}, the timeout, stands in the text. */
+    /** Where the value of the timeout stands in the text. */
     private final int timeoutStart;
 
     private final int timeoutEnd;
@@ -48,19 +48,20 @@
         isWrite = form.group("read") == null;
         key = form.group(isWrite ? "written" : "read");
         var comment = new RoutingComment(form.group("comment"), form.start("comment"));
-        requestId = comment.requiredField("id", RoutingComment.ID_PATTERN);
-        requestClassName = comment.field("c");
+        requestId = comment.requiredField(RoutingComment.REQUEST_ID, RoutingComment.ID_PATTERN);
+        requestClassName = comment.field(RoutingComment.REQUEST_CLASS);
         if (requestClassName == null) {
-            throw new InvalidStatementException("the comment lacks c");
+            throw new InvalidStatementException("the comment lacks " + RoutingComment.REQUEST_CLASS);
         }
-        replicaSetId = Integer.parseInt(comment.requiredField("cluster", RoutingComment.SMALL_NUMBER_PATTERN));
-        String timeoutMillis = comment.requiredField("d", RoutingComment.NUMBER_PATTERN);
+        replicaSetId = Integer.parseInt(
+                comment.requiredField(RoutingComment.REPLICA_SET, RoutingComment.SMALL_NUMBER_PATTERN));
+        String timeoutMillis = comment.requiredField(RoutingComment.TIMEOUT, RoutingComment.NUMBER_PATTERN);
         timeoutSeconds = Long.parseLong(timeoutMillis) / MILLIS_PER_SECOND;
-        timeoutStart = comment.valueOffset("d");
+        timeoutStart = comment.valueOffset(RoutingComment.TIMEOUT);
         timeoutEnd = timeoutStart + timeoutMillis.length();
-        requiredPosition = comment.secondsOr("after", 0);
+        requiredPosition = comment.secondsOr(RoutingComment.REQUIRED_POSITION, 0);
         hasIdempotencyKey = comment.hasIdempotencyKey();
-        outcomeKey = hasIdempotencyKey ? comment.field("k") : requestId;
+        outcomeKey = hasIdempotencyKey ? comment.field(RoutingComment.IDEMPOTENCY_KEY) : requestId;
     }
 
     /**
--- a/daemon/src/main/java/clayhook/protocol/RoutingComment.java
+++ b/daemon/src/main/java/clayhook/protocol/RoutingComment.java
@@ -10,11 +10,22 @@
 /**
  * The comment of a statement that tells routers how to handle it: {@code name=value} fields with commas between them.
  * Immutable.
- *
- * <p>Field names on the wire: {@code id} request id, {@code c} request class, {@code d} timeout in milliseconds,
- * {@code cluster} replica set, {@code after} required log position in milliseconds, {@code k} idempotency key.
  */
 public final class RoutingComment {
+    // The names of the fields, which are part of the wire protocol.
+    /** An id that is unique among the open requests of all clients. */
+    public static final String REQUEST_ID = "id";
+    /** The name of the request class. */
+    public static final String REQUEST_CLASS = "c";
+    /** How long the client waits, in milliseconds. */
+    public static final String TIMEOUT = "d";
+    /** The id of the replica set. */
+    public static final String REPLICA_SET = "cluster";
+    /** The log position that a read must cover, in milliseconds. */
+    public static final String REQUIRED_POSITION = "after";
+    /** The key by which nodes recognize a repeat. */
+    public static final String IDEMPOTENCY_KEY = "k";
+
     /**
      * The comment that ends a statement. Matched against ISO 8859-1 text, so that offsets in it are offsets in bytes.
      */
@@ -109,7 +120,7 @@
      * @throws InvalidStatementException if the field is there and is no number
      */
     public int replicaSetIdOr(int absent) {
-        return hasField("cluster") ? Integer.parseInt(requiredField("cluster", SMALL_NUMBER_PATTERN)) : absent;
+        return hasField(REPLICA_SET) ? Integer.parseInt(requiredField(REPLICA_SET, SMALL_NUMBER_PATTERN)) : absent;
     }
 
     /**
@@ -118,6 +129,7 @@
      * @throws InvalidStatementException if the key has no valid form
      */
     public boolean hasIdempotencyKey() {
-        return hasField("k") && !requiredField("k", ID_PATTERN).isEmpty();
+        return hasField(IDEMPOTENCY_KEY)
+                && !requiredField(IDEMPOTENCY_KEY, ID_PATTERN).isEmpty();
     }
 }
--- a/daemon/src/main/java/clayhook/sql/SqlAdmission.java
+++ b/daemon/src/main/java/clayhook/sql/SqlAdmission.java
@@ -118,12 +118,12 @@
     }
 
     private AdmissionResult.Admitted withComment(AdmissionResult.Admitted admitted, RoutingComment comment) {
-        RequestClass named = requestClasses.get(comment.field("c"));
+        RequestClass named = requestClasses.get(comment.field(RoutingComment.REQUEST_CLASS));
         boolean replaces = mayReplaceClass(named, admitted.classification(), comment);
         // The order matters: the client gets the error of the first invalid field.
         int replicaSetId = comment.replicaSetIdOr(admitted.replicaSetId());
-        double requiredPosition = comment.secondsOr("after", admitted.requiredPosition());
-        double timeoutSeconds = comment.secondsOr("d", admitted.timeoutSeconds());
+        double requiredPosition = comment.secondsOr(RoutingComment.REQUIRED_POSITION, admitted.requiredPosition());
+        double timeoutSeconds = comment.secondsOr(RoutingComment.TIMEOUT, admitted.timeoutSeconds());
         return new AdmissionResult.Admitted(
                 replaces ? named : admitted.requestClass(),
                 replicaSetId,
