--- a/daemon/src/main/java/clayhook/simulator/SimulatorSettings.java
+++ b/daemon/src/main/java/clayhook/simulator/SimulatorSettings.java
@@ -6,15 +6,25 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The settings of a CONFIGURE line. */
+/** The settings of a CONFIGURE line. Immutable. */
 final class SimulatorSettings {
     private final RoutingSettings settings;
-    /** The clock time from which positions are reckoned, in nanoseconds. */
+    /** The clock time from which positions are counted. */
     private final long originNanos;
 
     SimulatorSettings(InputLine line) throws SimulatorProtocolException {
+        try {
+            var reader = new SettingsReader(parsePairs(line));
+            settings = reader.readSettings();
+            originNanos = reader.originTimeNanos();
+        } catch (ConfigurationException e) {
+            throw line.error("has a bad setting, " + e.getMessage());
+        }
+    }
+
+    private static Map<String, String> parsePairs(InputLine line) throws SimulatorProtocolException {
         Map<String, String> values = new HashMap<>();
-        for (String pair : line.remainder().split(" ")) {
+        for (String pair : line.remainder().split(" ", -1)) {
             int sign = pair.indexOf('=');
             if (sign > 0) {
                 values.put(pair.substring(0, sign), pair.substring(sign + 1));
@@ -22,13 +32,7 @@
                 throw line.error("has a setting '" + pair + "' without a value");
             }
         }
-        try {
-            var reader = new SettingsReader(values);
-            settings = reader.readSettings();
-            originNanos = reader.originTimeNanos();
-        } catch (ConfigurationException e) {
-            throw line.error("has a bad setting, " + e.getMessage());
-        }
+        return values;
     }
 
     long originNanos() {
