--- a/daemon/src/main/java/clayhook/peers/ConflatingQueue.java
+++ b/daemon/src/main/java/clayhook/peers/ConflatingQueue.java
@@ -1,6 +1,7 @@
 package clayhook.peers;
 
 import java.util.HashMap;
+import java.util.Iterator;
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.Executor;
@@ -9,25 +10,27 @@
 import java.util.function.Consumer;
 
 /**
- * From a thread to the router's loop: of each key the latest value, and never more than one task that waits on the
- * loop. Guards against a loop that is late and finds a pile of news, most of it overtaken.
+ * A queue from any thread to the event loop that keeps only the latest value of each key and has at most one task
+ * waiting on the loop. A loop that is late thus finds no backlog of outdated values.
  */
 final class ConflatingQueue<K, V> {
-    /** Values handed over in one turn of the loop, tens of microseconds of it; the rest in the next. */
+    /** Values handed over in one task, which takes tens of microseconds; the rest follow in the next task. */
     static final int MAX_BATCH = 256;
 
-    private final Executor loop;
+    private final Executor eventLoop;
     private final Consumer<Map<K, V>> consumer;
-    /** No more keys than there are entries of the kind; emptied on the loop. */
+    /** Bounded by the number of keys in use; emptied on the event loop. */
     private final Map<K, V> latest = new ConcurrentHashMap<>();
 
     private final AtomicBoolean drainScheduled = new AtomicBoolean();
 
-    ConflatingQueue(Executor loop, Consumer<Map<K, V>> to) {
-        this.loop = loop;
-        this.consumer = to;
+    /** {@code consumer} is called on {@code eventLoop}. */
+    ConflatingQueue(Executor eventLoop, Consumer<Map<K, V>> consumer) {
+        this.eventLoop = eventLoop;
+        this.consumer = consumer;
     }
 
+    /** Replaces the value of that key where it has not been handed over. For any thread. */
     void put(K key, V value) {
         latest.put(key, value);
         scheduleDrain();
@@ -36,9 +39,9 @@
     private void scheduleDrain() {
         if (drainScheduled.compareAndSet(false, true)) {
             try {
-                loop.execute(this::drain);
+                eventLoop.execute(this::drain);
             } catch (RejectedExecutionException e) {
-                latest.clear(); // the loop has ended
+                latest.clear(); // the event loop has ended
             }
         }
     }
@@ -46,11 +49,13 @@
     private void drain() {
         drainScheduled.set(false);
         var batch = new HashMap<K, V>();
-        for (K key : latest.keySet()) {
+        // The iterator is weakly consistent: it tolerates puts of other threads and the removals below.
+        for (Iterator<K> keys = latest.keySet().iterator(); keys.hasNext(); ) {
             if (batch.size() == MAX_BATCH) {
                 scheduleDrain();
                 break;
             }
+            K key = keys.next();
             V value = latest.remove(key);
             if (value != null) {
                 batch.put(key, value);
--- a/daemon/src/main/java/clayhook/peers/DatagramEndpoint.java
+++ b/daemon/src/main/java/clayhook/peers/DatagramEndpoint.java
@@ -14,19 +14,19 @@
 import java.nio.channels.Selector;
 import java.util.function.BiConsumer;
 
-/** The socket that packets come and go by, and the wait for them. For one thread; {@link #wakeUp} is for all. */
+/** A non-blocking UDP socket and the wait for datagrams. For one thread, except {@link #wakeUp}. */
 final class DatagramEndpoint implements AutoCloseable {
-    /** Bytes asked of the machine for what comes while the thread is at other work; what finds no room is lost. */
+    /** Size of the kernel buffers. Datagrams that arrive while the thread is busy and find no room are lost. */
     private static final int SOCKET_BUFFER_BYTES = 1 << 20;
-    /** Packets taken in one go. Guards against a flood that leaves no time for anything else. */
+    /** Datagrams received in one go, so that a flood leaves time for the rest of the thread's work. */
     static final int MAX_DATAGRAMS_PER_RECEIVE = 64;
-    /** Seconds; nothing here is so seldom that it could not be looked at as often. */
+    /** The longest wait; bounds the delay where a wake-up is missed. */
     private static final double MAX_WAIT_SECONDS = 1;
 
     private final DatagramChannel channel;
     private final Selector selector;
     private final SelectionKey selectionKey;
-    /** A byte more than a packet may have, so that longer ones show. */
+    /** One byte larger than a packet may be, so that a longer datagram is recognized. */
     private final ByteBuffer receiveBuffer = ByteBuffer.allocateDirect(Packet.MAX_BYTES + 1);
 
     private final ByteBuffer sendBuffer = ByteBuffer.allocateDirect(Packet.MAX_BYTES);
@@ -40,7 +40,7 @@
         selectionKey = channel.register(selector, SelectionKey.OP_READ);
     }
 
-    /** Throws IOException naming the address where nothing can be received there. */
+    /** Opens a socket bound to the address; throws IOException naming the address where that fails. */
     static DatagramEndpoint bind(InetSocketAddress address) throws IOException {
         var channel = DatagramChannel.open(
                 address.getAddress() instanceof Inet4Address
@@ -60,12 +60,13 @@
         }
     }
 
+    /** The local port. */
     int port() throws IOException {
         return ((InetSocketAddress) channel.getLocalAddress()).getPort();
     }
 
-    /** Hands on what has come in; returns whether there may be more. */
-    boolean receive(BiConsumer<Address, byte[]> to) throws IOException {
+    /** Hands received datagrams and their senders to {@code consumer}; returns whether there may be more. */
+    boolean receive(BiConsumer<Address, byte[]> consumer) throws IOException {
         for (int i = 0; i < MAX_DATAGRAMS_PER_RECEIVE; i++) {
             receiveBuffer.clear();
             var from = (InetSocketAddress) channel.receive(receiveBuffer);
@@ -79,12 +80,12 @@
             }
             var bytes = new byte[receiveBuffer.remaining()];
             receiveBuffer.get(bytes);
-            to.accept(new Address(from.getAddress().getHostAddress(), from.getPort()), bytes);
+            consumer.accept(new Address(from.getAddress().getHostAddress(), from.getPort()), bytes);
         }
         return true;
     }
 
-    /** What cannot go is lost, as anything may be on the way. */
+    /** Sends a datagram; one that cannot be sent is dropped and counted, as it might have been lost on the network. */
     void send(Address to, byte[] bytes) {
         InetSocketAddress address = EndpointList.parseAddress(to.toString());
         try {
@@ -93,16 +94,17 @@
                 unsentPackets++;
             }
         } catch (IOException | RuntimeException e) {
-            unsentPackets++; // nowhere to go, or no address that can be sent to: a peer may tell any
+            unsentPackets++; // unreachable, or an invalid address: peers may advertise any
         }
     }
 
     /**
-     * Waits until something comes, {@link #wakeUp} is called or the time is over; deaf, it leaves what comes where it
-     * is.
+     * Waits until a datagram arrives, {@link #wakeUp} is called or the time is over.
+     *
+     * @param ignoreDatagrams whether datagrams leave the wait as it is and stay in the kernel's buffer
      */
-    void await(double seconds, boolean deaf) throws IOException {
-        selectionKey.interestOps(deaf ? 0 : SelectionKey.OP_READ);
+    void await(double seconds, boolean ignoreDatagrams) throws IOException {
+        selectionKey.interestOps(ignoreDatagrams ? 0 : SelectionKey.OP_READ);
         long milliseconds = (long) Math.ceil(Math.min(seconds, MAX_WAIT_SECONDS) * 1000);
         if (milliseconds > 0) {
             selector.select(milliseconds);
@@ -112,17 +114,17 @@
         selector.selectedKeys().clear();
     }
 
-    /** Ends the wait, or the next one. */
+    /** Ends the current wait, or the next one. For any thread. */
     void wakeUp() {
         selector.wakeup();
     }
 
-    /** Datagrams longer than any packet. */
+    /** Received datagrams that were longer than a packet may be. */
     long oversizedDatagrams() {
         return oversizedDatagrams;
     }
 
-    /** Packets that the machine did not take. */
+    /** Packets that could not be sent. */
     long unsentPackets() {
         return unsentPackets;
     }
--- a/daemon/src/main/java/clayhook/peers/EventQueue.java
+++ b/daemon/src/main/java/clayhook/peers/EventQueue.java
@@ -8,17 +8,17 @@
 import org.jctools.queues.MpscChunkedArrayQueue;
 
 /**
- * The way from the router's loop to the peers' thread. Who puts news in never waits; what finds no room is dropped and
- * counted. The thread empties it each turn.
+ * A bounded queue from the event loop to the gossip thread. The producer never blocks: an event that finds no room is
+ * dropped and counted. The gossip thread drains the queue on each iteration.
  */
 final class EventQueue {
-    /** What can be told again: some seconds of answers at the busiest. */
+    /** Room for replaceable events: some seconds of answers at the highest rate. */
     static final int REPLACEABLE_CAPACITY = 1 << 13;
-    /** What cannot: grows by need up to minutes of it. */
+    /** Room for events that are never repeated: some minutes of them. Grows on demand up to this. */
     static final int ESSENTIAL_CAPACITY = 1 << 17;
 
     private static final int ESSENTIAL_INITIAL_CAPACITY = 1 << 8;
-    /** Taken in one turn, a few milliseconds of it. */
+    /** Events drained at once, which takes a few milliseconds. */
     private static final int MAX_BATCH = 1 << 12;
 
     private final Queue<LocalEvent> replaceable = new MpscArrayQueue<>(REPLACEABLE_CAPACITY);
@@ -27,53 +27,54 @@
     private final LongAdder droppedReplaceable = new LongAdder();
     private final LongAdder droppedEssential = new LongAdder();
     private final Runnable wakeUp;
-    /** The thread waits for news, not for a moment. */
+    /** Set while the consumer waits, so that a producer wakes it only then. */
     private volatile boolean consumerWaiting;
 
-    /** {@code waker} ends the wait of the thread; may be called from any. */
-    EventQueue(Runnable waker) {
-        this.wakeUp = waker;
+    /** {@code wakeUp} ends the wait of the consumer; it is called by producers. */
+    EventQueue(Runnable wakeUp) {
+        this.wakeUp = wakeUp;
     }
 
-    /** For the router's loop. */
-    void add(LocalEvent news) {
-        boolean again = news instanceof LocalEvent.AttemptFinished || news instanceof LocalEvent.QuotaUsed;
-        if (!(again ? replaceable : essential).offer(news)) {
-            (again ? droppedReplaceable : droppedEssential).increment();
+    /** Adds an event, or drops and counts it where there is no room. For any thread; never blocks. */
+    void add(LocalEvent event) {
+        boolean isReplaceable = event instanceof LocalEvent.AttemptFinished || event instanceof LocalEvent.QuotaUsed;
+        if (!(isReplaceable ? replaceable : essential).offer(event)) {
+            (isReplaceable ? droppedReplaceable : droppedEssential).increment();
         } else if (consumerWaiting) {
             consumerWaiting = false;
             wakeUp.run();
         }
     }
 
-    /** Hands over what is there; returns how much. */
-    int drain(Consumer<LocalEvent> to) {
+    /** Hands over a batch, essential events first; returns how many. For the consumer. */
+    int drain(Consumer<LocalEvent> consumer) {
         int count = 0;
         for (Queue<LocalEvent> queue : List.of(essential, replaceable)) {
-            for (LocalEvent news; count < MAX_BATCH && (news = queue.poll()) != null; count++) {
-                to.accept(news);
+            for (LocalEvent event; count < MAX_BATCH && (event = queue.poll()) != null; count++) {
+                consumer.accept(event);
             }
         }
         return count;
     }
 
-    /** From now on news ends the wait; false where some is there already. */
+    /** Announces that the consumer is about to wait; false where events are left and it must not. For the consumer. */
     boolean beginWait() {
-        consumerWaiting = true; // before the look, so that what is put in after it sees it
+        consumerWaiting = true; // before the queues are read, so that an event added after that sees it
         consumerWaiting = replaceable.isEmpty() && essential.isEmpty();
         return consumerWaiting;
     }
 
+    /** The consumer waits no more. */
     void endWait() {
         consumerWaiting = false;
     }
 
-    /** News that will be told again and found no room, since the start. */
+    /** Replaceable events dropped since the start. */
     long droppedReplaceable() {
         return droppedReplaceable.sum();
     }
 
-    /** The same of news that will not: others may lack it for good. */
+    /** Essential events dropped since the start: what peers may lack for good. */
     long droppedEssential() {
         return droppedEssential.sum();
     }
--- a/daemon/src/main/java/clayhook/peers/InDoubtWrites.java
+++ b/daemon/src/main/java/clayhook/peers/InDoubtWrites.java
@@ -9,36 +9,40 @@
 import java.util.Set;
 
 /**
- * Which fates of writes are put into what routers share: all that are in doubt, and what ran where any router is in
- * doubt. Guards against telling each write to all routers.
+ * Selects which write outcomes are published: every write in doubt, and an executed write only if some router holds it
+ * in doubt. Publishing each executed write would make traffic grow with the write rate. Confined to the gossip thread.
  */
 final class InDoubtWrites {
-    /** Writes that ran here lately; a client that got no answer elsewhere has tried again here within seconds. */
+    /**
+     * Executed writes remembered. A client without an answer retries at another router within seconds, sooner than
+     * that.
+     */
     static final int MAX_EXECUTED = 20_000;
 
     private final ReplicatedStore store;
     private final ReplicatedType<WriteOutcome> type;
-    /** By key, oldest first; at the bound the oldest go, and a doubt told later than that stays one. */
+    /** By key, oldest first. At the bound the oldest are forgotten; a doubt published later than that remains. */
     private final Map<String, WriteOutcome> executedWrites = new LinkedHashMap<>();
-    /** Doubts that others told of what ran here; emptied each turn. */
+    /** Keys in doubt at some router that were executed here; emptied by {@link #publishResolved}. */
     private final Set<String> resolvableKeys = new LinkedHashSet<>();
 
-    InDoubtWrites(ReplicatedStore shared, ReplicatedType<WriteOutcome> kind) {
-        this.store = shared;
-        this.type = kind;
-        shared.addListener(kind, (key, fate, now) -> {
-            if (fate.ran() == null && executedWrites.containsKey(key)) {
+    InDoubtWrites(ReplicatedStore store, ReplicatedType<WriteOutcome> type) {
+        this.store = store;
+        this.type = type;
+        store.addListener(type, (key, outcome, now) -> {
+            if (outcome.ran() == null && executedWrites.containsKey(key)) {
                 resolvableKeys.add(key);
             }
         });
     }
 
-    void recordOutcome(String key, WriteOutcome fate, double now) {
-        if (fate.ran() == null) {
-            store.merge(type, key, fate, now);
+    /** Publishes an outcome in doubt at once, and remembers an executed write. */
+    void recordOutcome(String key, WriteOutcome outcome, double now) {
+        if (outcome.ran() == null) {
+            store.merge(type, key, outcome, now);
             return;
         }
-        executedWrites.put(key, fate);
+        executedWrites.put(key, outcome);
         if (store.get(type, key) != null) {
             resolvableKeys.add(key);
         }
@@ -47,12 +51,12 @@
         }
     }
 
-    /** Ends the doubts that can be ended here. */
+    /** Publishes the executed writes that some router holds in doubt. */
     void publishResolved(double now) {
         for (String key : Set.copyOf(resolvableKeys)) {
-            WriteOutcome fate = executedWrites.get(key);
-            if (fate != null) {
-                store.merge(type, key, fate, now);
+            WriteOutcome outcome = executedWrites.get(key);
+            if (outcome != null) {
+                store.merge(type, key, outcome, now);
             }
         }
         resolvableKeys.clear();
--- a/daemon/src/main/java/clayhook/peers/MembershipLogger.java
+++ b/daemon/src/main/java/clayhook/peers/MembershipLogger.java
@@ -4,7 +4,7 @@
 import clayhook.fleet.members.Membership;
 import clayhook.log.Log;
 
-/** Tells in the log how the others stand; of each kind of line one a second at most. */
+/** Logs changes of the membership; at most one line a second of each kind. */
 final class MembershipLogger implements Membership.MembershipListener {
     private static String describe(Peer peer) {
         return "sharing: " + peer.member().name() + " at " + peer.address();
--- a/daemon/src/main/java/clayhook/peers/NodeObservations.java
+++ b/daemon/src/main/java/clayhook/peers/NodeObservations.java
@@ -14,34 +14,41 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * What this router has seen of nodes, thinned to what the others do not know yet. Guards against traffic that grows
- * with commands, and against a hundred routers that all tell the same at once.
+ * Collects what this router observes of nodes and publishes what peers do not know yet. Publishing every observation
+ * would make traffic grow with the request rate, and many routers would publish the same at once. Confined to the
+ * gossip thread.
  */
 final class NodeObservations {
-    /** Seconds; readers ask for a word of the last second, and a word is some tenths on its way. */
+    /** Seconds. Readers want an observation of the last second, and it takes some tenths of a second to spread. */
     static final double FRESHNESS = 0.5;
-    /** Seconds between two turns, and about the time in which one router's word reaches the rest. */
+    /** Seconds between two publications; about the time in which an observation reaches the other routers. */
     static final double PUBLISH_INTERVAL = 0.1;
-    /** Routers that tell at once what cannot wait: one is likely lost or late, ten are not. */
+    /**
+     * Expected number of routers that publish an urgent change: the message of one may get lost, those of ten do not.
+     */
     private static final int URGENT_PUBLISHERS = 10;
-    /** Seconds; a shorter wait for an answer says more of the client than of the node. */
+    /** Seconds; a shorter timeout says more of the client than of the node. */
     private static final double MIN_SIGNIFICANT_TIMEOUT = 0.2;
-    /** Failures known of several routers; more prove no more. */
+    /** Number of routers whose failures are published; more of them prove no more. */
     private static final int ENOUGH_WITNESSES = 3;
-    /** Seconds; a report arrives at most so old, and is made anew so often. */
-    private static final double MAX_REPORT_AGE = 5, TYPICAL_REPORT_AGE = 0.25;
+    /** Seconds; a load report is no older than that when it arrives. */
+    private static final double MAX_REPORT_AGE = 5;
+    /** Seconds between two load reports of a node. */
+    private static final double TYPICAL_REPORT_AGE = 0.25;
 
     private static final double NEVER = Double.NEGATIVE_INFINITY;
 
-    /** Of one node since it was last told; times are those of what was seen. */
+    /** What was observed of one node; times are those of the observation. */
     private static final class PendingObservation {
-        double heardAt = NEVER,
-                positionAt = NEVER,
-                primaryAt = NEVER,
-                replicaAt = NEVER,
-                loadAt = NEVER,
-                failedAt = NEVER;
-        double position, lag, load;
+        double heardAt = NEVER;
+        double positionAt = NEVER;
+        double primaryAt = NEVER;
+        double replicaAt = NEVER;
+        double loadAt = NEVER;
+        double failedAt = NEVER;
+        double position;
+        double lag;
+        double load;
         int consecutiveFailures;
         boolean unpublished;
     }
@@ -49,134 +56,164 @@
     private final String selfName;
     private final MembershipView membership;
     private final SplittableRandom random;
-    /** By key; one a node that answers, emptied with the list of nodes. */
+    /** By node key; bounded by the endpoint list. */
     private final Map<String, PendingObservation> pendingByKey = new HashMap<>();
 
     private double nextPublishAt = NEVER;
 
-    NodeObservations(MembershipView roster, SplittableRandom chance) {
-        this.membership = roster;
-        this.random = chance;
-        selfName = roster.self().member().name();
+    NodeObservations(MembershipView membership, SplittableRandom random) {
+        this.membership = membership;
+        this.random = random;
+        selfName = membership.self().member().name();
     }
 
-    /** That came back from a node. */
-    void recordResult(String key, AttemptResult reply, double now) {
-        PendingObservation look = pendingByKey.computeIfAbsent(key, any -> new PendingObservation());
-        look.unpublished = true;
-        double then = now - reply.elapsedSeconds() / 2;
-        AttemptOutcome outcome = reply.outcome();
-        if (outcome == AttemptOutcome.ANSWERED || outcome == AttemptOutcome.REJECTED || reply.role() != Role.UNKNOWN) {
-            look.heardAt = Math.max(look.heardAt, then);
-            look.consecutiveFailures = 0;
+    /**
+     * Records the result of an attempt or a health check; what a node told counts as of half way between send and
+     * result.
+     */
+    void recordResult(String key, AttemptResult result, double now) {
+        PendingObservation pending = pendingByKey.computeIfAbsent(key, any -> new PendingObservation());
+        pending.unpublished = true;
+        double observedAt = now - result.elapsedSeconds() / 2;
+        AttemptOutcome outcome = result.outcome();
+        if (outcome == AttemptOutcome.ANSWERED || outcome == AttemptOutcome.REJECTED || result.role() != Role.UNKNOWN) {
+            pending.heardAt = Math.max(pending.heardAt, observedAt);
+            pending.consecutiveFailures = 0;
         } else if (outcome == AttemptOutcome.CONNECT_FAILED
-                || outcome == AttemptOutcome.TIMED_OUT && reply.elapsedSeconds() >= MIN_SIGNIFICANT_TIMEOUT) {
-            look.consecutiveFailures++;
-            look.failedAt = now;
+                || (outcome == AttemptOutcome.TIMED_OUT && result.elapsedSeconds() >= MIN_SIGNIFICANT_TIMEOUT)) {
+            pending.consecutiveFailures++;
+            pending.failedAt = now;
         }
-        recordPosition(look, reply, then);
-        recordRole(look, reply, then);
-        if (reply.reportedLoad() >= 0) {
-            look.load = reply.reportedLoad();
-            look.loadAt = then;
+        recordPosition(pending, result, observedAt);
+        recordRole(pending, result, observedAt);
+        if (result.reportedLoad() >= 0) {
+            pending.load = result.reportedLoad();
+            pending.loadAt = observedAt;
         }
     }
 
-    /** As a router reckons it itself: the log goes on, whether or not its primary was heard. */
-    private static void recordPosition(PendingObservation look, AttemptResult reply, double then) {
-        double position = Math.max(reply.appliedPosition(), reply.reportedPosition());
+    /**
+     * Computes the lag as routing does: positions are clock times, as the log goes on whether or not the primary was
+     * heard.
+     */
+    private static void recordPosition(PendingObservation pending, AttemptResult result, double observedAt) {
+        double position = Math.max(result.appliedPosition(), result.reportedPosition());
         if (position > 0) {
-            look.position = position;
-            look.lag = Math.max(0, (reply.appliedPosition() > 0 ? then : then - TYPICAL_REPORT_AGE) - position);
-            look.positionAt = then;
+            pending.position = position;
+            pending.lag = Math.max(
+                    0, (result.appliedPosition() > 0 ? observedAt : observedAt - TYPICAL_REPORT_AGE) - position);
+            pending.positionAt = observedAt;
         }
     }
 
-    /** A report is as old as its position, though a replica's may be older than the report. */
-    private static void recordRole(PendingObservation look, AttemptResult reply, double then) {
-        if (reply.role() == Role.PRIMARY) {
-            look.primaryAt = Math.max(look.primaryAt, then);
-        } else if (reply.role() == Role.REPLICA) {
-            look.replicaAt = Math.max(look.replicaAt, then);
+    /**
+     * A reported role is as old as the position in the report, but a replica's position may be older than its report.
+     */
+    private static void recordRole(PendingObservation pending, AttemptResult result, double observedAt) {
+        if (result.role() == Role.PRIMARY) {
+            pending.primaryAt = Math.max(pending.primaryAt, observedAt);
+        } else if (result.role() == Role.REPLICA) {
+            pending.replicaAt = Math.max(pending.replicaAt, observedAt);
         }
-        double reported = reply.reportedPosition();
-        if (reply.reportedRole() == Role.PRIMARY && reported > 0) {
-            look.primaryAt = Math.max(look.primaryAt, Math.min(reported, then));
-        } else if (reply.reportedRole() == Role.REPLICA) {
-            look.replicaAt = Math.max(look.replicaAt, Math.min(then, Math.max(reported, then - MAX_REPORT_AGE)));
+        double reported = result.reportedPosition();
+        if (result.reportedRole() == Role.PRIMARY && reported > 0) {
+            pending.primaryAt = Math.max(pending.primaryAt, Math.min(reported, observedAt));
+        } else if (result.reportedRole() == Role.REPLICA) {
+            pending.replicaAt =
+                    Math.max(pending.replicaAt, Math.min(observedAt, Math.max(reported, observedAt - MAX_REPORT_AGE)));
         }
     }
 
-    /** Only nodes of those keys go on. */
+    /** Forgets all nodes but those of the given keys. */
     void retainNodes(Set<String> keys) {
         pendingByKey.keySet().retainAll(keys);
     }
 
-    /** Puts in what others do not know; {@code starts} tells when the life of a node began, 0 for long ago. */
-    double publish(ReplicatedStore shared, ToDoubleFunction<String> starts, double now) {
+    /**
+     * Publishes what peers do not know, if it is due. Each router publishes with a probability that makes the expected
+     * number of publishers one, or {@link #URGENT_PUBLISHERS} for an urgent change.
+     *
+     * @param startedAt when the incarnation of the node of that key began, in seconds since 1970; 0 for long ago
+     * @return when to call it next, in seconds since 1970
+     */
+    double publish(ReplicatedStore store, ToDoubleFunction<String> startedAt, double now) {
         if (now < nextPublishAt) {
             return nextPublishAt;
         }
         nextPublishAt = now + PUBLISH_INTERVAL;
-        double others = 1 + membership.livePeers().size();
-        pendingByKey.forEach((key, look) -> {
-            if (look.unpublished) {
-                double start = starts.applyAsDouble(key);
-                NodeObservation known = shared.get(NodeObservation.TYPE, key);
-                boolean urgent = known == null || known.incarnationStartedAt() < start || contradicts(look, known);
-                if ((urgent || look.heardAt > timeOf(known.lastSeen()) + FRESHNESS)
-                        && random.nextDouble() < (urgent ? URGENT_PUBLISHERS : 1) / others) {
-                    look.unpublished = false;
-                    shared.merge(NodeObservation.TYPE, key, toObservation(look, start), now);
-                }
+        double routers = 1 + membership.livePeers().size();
+        pendingByKey.forEach((key, pending) -> {
+            if (pending.unpublished) {
+                publish(store, key, pending, startedAt.applyAsDouble(key), routers, now);
             }
         });
         return nextPublishAt;
     }
 
-    private static double timeOf(ObservationSource sight) {
-        return sight == null ? NEVER : sight.observedAt();
+    private void publish(
+            ReplicatedStore store, String key, PendingObservation pending, double start, double routers, double now) {
+        NodeObservation published = store.get(NodeObservation.TYPE, key);
+        boolean urgent =
+                published == null || published.incarnationStartedAt() < start || contradicts(pending, published);
+        boolean due = urgent || pending.heardAt > timeOf(published.lastSeen()) + FRESHNESS;
+        if (due && random.nextDouble() < (urgent ? URGENT_PUBLISHERS : 1) / routers) {
+            pending.unpublished = false;
+            store.merge(NodeObservation.TYPE, key, toObservation(pending, start), now);
+        }
+    }
+
+    private static double timeOf(ObservationSource source) {
+        return source == null ? NEVER : source.observedAt();
+    }
+
+    /**
+     * Whether the node has another role than published, or a failure of it has not been published by enough routers.
+     */
+    private boolean contradicts(PendingObservation pending, NodeObservation published) {
+        return hasOtherRole(pending, published) || hasUnpublishedFailure(pending, published);
+    }
+
+    private static boolean hasOtherRole(PendingObservation pending, NodeObservation published) {
+        double publishedPrimaryAt = timeOf(published.primaryClaim());
+        double publishedReplicaAt = timeOf(published.replicaClaim());
+        boolean isPrimary = pending.primaryAt > pending.replicaAt;
+        boolean wasPrimary = publishedPrimaryAt > publishedReplicaAt;
+        double roleAt = Math.max(pending.primaryAt, pending.replicaAt);
+        return isPrimary != wasPrimary && roleAt > Math.max(publishedPrimaryAt, publishedReplicaAt);
     }
 
-    /** Another role, or a failure that has not been told by enough. */
-    private boolean contradicts(PendingObservation look, NodeObservation known) {
-        boolean primary = look.primaryAt > look.replicaAt;
-        double roleAt = Math.max(look.primaryAt, look.replicaAt);
-        boolean role = primary != timeOf(known.primaryClaim()) > timeOf(known.replicaClaim())
-                && roleAt > Math.max(timeOf(known.primaryClaim()), timeOf(known.replicaClaim()));
-        boolean said = known.failureStreaks().stream()
-                .anyMatch(strike -> strike.count() >= look.consecutiveFailures
-                        && strike.source().router().equals(selfName));
-        return role
-                || look.consecutiveFailures > 0
-                        && look.failedAt > timeOf(known.lastSeen())
-                        && known.failureStreaks().size() < ENOUGH_WITNESSES
-                        && !said;
+    private boolean hasUnpublishedFailure(PendingObservation pending, NodeObservation published) {
+        return pending.consecutiveFailures > 0
+                && pending.failedAt > timeOf(published.lastSeen())
+                && published.failureStreaks().size() < ENOUGH_WITNESSES
+                && published.failureStreaks().stream()
+                        .noneMatch(streak -> streak.count() >= pending.consecutiveFailures
+                                && streak.source().router().equals(selfName));
     }
 
-    private NodeObservation toObservation(PendingObservation look, double start) {
-        NodeObservation evidence = NodeObservation.empty(start);
-        if (look.positionAt > NEVER) {
-            evidence = evidence.withPosition(look.position, look.lag, sourceAt(look.positionAt));
+    private NodeObservation toObservation(PendingObservation pending, double start) {
+        NodeObservation observation = NodeObservation.empty(start);
+        if (pending.positionAt > NEVER) {
+            observation = observation.withPosition(pending.position, pending.lag, sourceAt(pending.positionAt));
         }
-        if (look.primaryAt > NEVER) {
-            evidence = evidence.withRole(true, sourceAt(look.primaryAt));
+        if (pending.primaryAt > NEVER) {
+            observation = observation.withRole(true, sourceAt(pending.primaryAt));
         }
-        if (look.replicaAt > NEVER) {
-            evidence = evidence.withRole(false, sourceAt(look.replicaAt));
+        if (pending.replicaAt > NEVER) {
+            observation = observation.withRole(false, sourceAt(pending.replicaAt));
         }
-        if (look.loadAt > NEVER) {
-            evidence = evidence.withLoad(look.load, sourceAt(look.loadAt));
+        if (pending.loadAt > NEVER) {
+            observation = observation.withLoad(pending.load, sourceAt(pending.loadAt));
         }
-        if (look.heardAt > NEVER) {
-            evidence = evidence.withResponse(sourceAt(look.heardAt));
+        if (pending.heardAt > NEVER) {
+            observation = observation.withResponse(sourceAt(pending.heardAt));
         }
-        return look.consecutiveFailures == 0
-                ? evidence
-                : evidence.withFailures(look.consecutiveFailures, sourceAt(look.failedAt));
+        return pending.consecutiveFailures == 0
+                ? observation
+                : observation.withFailures(pending.consecutiveFailures, sourceAt(pending.failedAt));
     }
 
-    private ObservationSource sourceAt(double at) {
-        return ObservationSource.of(at, selfName);
+    private ObservationSource sourceAt(double observedAt) {
+        return ObservationSource.of(observedAt, selfName);
     }
 }
