--- a/fleet/src/main/java/clayhook/fleet/FieldReader.java
+++ b/fleet/src/main/java/clayhook/fleet/FieldReader.java
@@ -4,28 +4,34 @@
 import com.fasterxml.jackson.dataformat.cbor.CBORParser;
 import java.io.IOException;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import java.util.function.Function;
 
 /**
- * Reads a list of fields as {@link FieldWriter} wrote it. Whatever does not fit throws IllegalArgumentException, which
- * stops where packets are taken apart. Fields that a later release has added are left unread.
+ * Decodes a list of fields as {@link FieldWriter} encoded it. Each method reads the next field and throws
+ * {@link MalformedFieldException} where that is not of the expected type or beyond a limit. Fields that a later release
+ * has added at the end are left unread. Not thread-safe.
  */
 public final class FieldReader {
-    /** Of one text; names and keys are far shorter. */
+    /** In characters; names and keys are far shorter. */
     private static final int MAX_TEXT_LENGTH = 4096;
 
+    private static final int INITIAL_LIST_CAPACITY = 16;
+
     private final CBORParser parser;
 
+    /** Begins to read the list of fields that {@code bytes} holds. */
     public FieldReader(byte[] bytes) {
         this(bytes, 0, bytes.length);
     }
 
+    /** Begins to read the list of fields that starts at {@code from} and takes at most {@code length} bytes. */
     public FieldReader(byte[] bytes, int from, int length) {
         try {
             parser = FieldWriter.CBOR.createParser(bytes, from, length);
         } catch (IOException e) {
-            throw new IllegalArgumentException(e.getMessage(), e);
+            throw new MalformedFieldException(e);
         }
         beginList();
     }
@@ -33,27 +39,25 @@
     private JsonToken nextToken() {
         try {
             JsonToken token = parser.nextToken();
-            if (token == null) {
-                throw new IllegalArgumentException("the bytes end too soon");
-            }
+            require(token != null, "more fields");
             return token;
         } catch (IOException e) {
-            throw new IllegalArgumentException(e.getMessage(), e);
+            throw new MalformedFieldException(e);
         }
     }
 
-    private void require(boolean fits, String what) {
-        if (!fits) {
-            throw new IllegalArgumentException("no " + what + " where one belongs");
+    private static void require(boolean holds, String expected) {
+        if (!holds) {
+            throw new MalformedFieldException("expected " + expected);
         }
     }
 
-    /** Goes into a list within the list. */
+    /** Enters the nested list that is the next field. */
     public void beginList() {
-        require(nextToken() == JsonToken.START_ARRAY, "list");
+        require(nextToken() == JsonToken.START_ARRAY, "a list");
     }
 
-    /** Leaves a list, whatever it still holds. */
+    /** Leaves the current list and skips what is left of it. */
     public void endList() {
         int depth = 1;
         while (depth > 0) {
@@ -65,96 +69,106 @@
         }
     }
 
-    /** The lists within the next field, which is a list of lists; each is read by {@code each} and left by itself. */
-    public <T> List<T> readLists(int most, Function<FieldReader, T> each) {
+    /** Reads a list of at most {@code most} lists; {@code readOne} reads the fields of one and need not leave it. */
+    public <T> List<T> readLists(int most, Function<FieldReader, T> readOne) {
         beginList();
-        var out = new ArrayList<T>();
+        var elements = new ArrayList<T>();
         for (JsonToken token = nextToken(); token != JsonToken.END_ARRAY; token = nextToken()) {
-            require(token == JsonToken.START_ARRAY && out.size() < most, "list of at most " + most);
-            out.add(each.apply(this));
+            require(token == JsonToken.START_ARRAY, "a list of lists");
+            require(elements.size() < most, "at most " + most + " lists");
+            elements.add(readOne.apply(this));
             endList();
         }
-        return out;
+        return elements;
     }
 
-    /** The numbers in the next field, which is a list of whole numbers. */
+    /** Reads a list of at most {@code most} integers. */
     public long[] readLongs(int most) {
         beginList();
-        long[] out = new long[Math.min(most, 16)];
+        long[] values = new long[Math.min(most, INITIAL_LIST_CAPACITY)];
         int size = 0;
         for (JsonToken token = nextToken(); token != JsonToken.END_ARRAY; token = nextToken()) {
-            require(token == JsonToken.VALUE_NUMBER_INT && size < most, "list of at most " + most + " numbers");
-            out = size == out.length ? java.util.Arrays.copyOf(out, Math.min(most, 2 * size)) : out;
-            out[size++] = currentLong();
+            require(token == JsonToken.VALUE_NUMBER_INT, "a list of integers");
+            require(size < most, "at most " + most + " integers");
+            if (size == values.length) {
+                values = Arrays.copyOf(values, Math.min(most, 2 * size));
+            }
+            values[size++] = currentLong();
         }
-        return java.util.Arrays.copyOf(out, size);
+        return Arrays.copyOf(values, size);
     }
 
     private long currentLong() {
         try {
             return parser.getLongValue();
         } catch (IOException e) {
-            throw new IllegalArgumentException(e.getMessage(), e);
+            throw new MalformedFieldException(e);
         }
     }
 
-    /** Null is a text too. */
+    /** Reads a string or null. */
     public String readNullableString() {
         JsonToken token = nextToken();
-        require(token == JsonToken.VALUE_STRING || token == JsonToken.VALUE_NULL, "text");
+        require(token == JsonToken.VALUE_STRING || token == JsonToken.VALUE_NULL, "a string or null");
+        if (token == JsonToken.VALUE_NULL) {
+            return null;
+        }
         try {
             String text = parser.getText();
-            require(token == JsonToken.VALUE_NULL || text.length() <= MAX_TEXT_LENGTH, "short text");
-            return token == JsonToken.VALUE_NULL ? null : text;
+            require(text.length() <= MAX_TEXT_LENGTH, "at most " + MAX_TEXT_LENGTH + " characters");
+            return text;
         } catch (IOException e) {
-            throw new IllegalArgumentException(e.getMessage(), e);
+            throw new MalformedFieldException(e);
         }
     }
 
-    /** A text that must be there. */
+    /** Reads a string that is neither null nor empty. */
     public String readNonEmptyString() {
         String text = readNullableString();
-        require(text != null && !text.isEmpty(), "name");
+        require(text != null && !text.isEmpty(), "a string that is not empty");
         return text;
     }
 
+    /** Reads an integer. */
     public long readLong() {
-        require(nextToken() == JsonToken.VALUE_NUMBER_INT, "whole number");
+        require(nextToken() == JsonToken.VALUE_NUMBER_INT, "an integer");
         return currentLong();
     }
 
-    /** A whole number from 0 on, below {@code end}. */
+    /** Reads an integer from 0 to {@code end}, exclusive. */
     public int readIntBelow(int end) {
         long value = readLong();
-        require(value >= 0 && value < end, "number below " + end);
+        require(value >= 0 && value < end, "an integer from 0 to below " + end);
         return (int) value;
     }
 
-    /** Never NaN; infinite only where the writer meant it. */
+    /** Reads a double or an integer; may return an infinity, never NaN. */
     public double readDouble() {
         JsonToken token = nextToken();
-        require(token == JsonToken.VALUE_NUMBER_FLOAT || token == JsonToken.VALUE_NUMBER_INT, "number");
+        require(token == JsonToken.VALUE_NUMBER_FLOAT || token == JsonToken.VALUE_NUMBER_INT, "a number");
         try {
             double value = parser.getDoubleValue();
-            require(!Double.isNaN(value), "number");
+            require(!Double.isNaN(value), "a number other than NaN");
             return value;
         } catch (IOException e) {
-            throw new IllegalArgumentException(e.getMessage(), e);
+            throw new MalformedFieldException(e);
         }
     }
 
+    /** Reads a boolean. */
     public boolean readBoolean() {
         JsonToken token = nextToken();
-        require(token == JsonToken.VALUE_TRUE || token == JsonToken.VALUE_FALSE, "true or false");
+        require(token == JsonToken.VALUE_TRUE || token == JsonToken.VALUE_FALSE, "a boolean");
         return token == JsonToken.VALUE_TRUE;
     }
 
+    /** Reads a byte string. */
     public byte[] readBytes() {
-        require(nextToken() == JsonToken.VALUE_EMBEDDED_OBJECT, "bytes");
+        require(nextToken() == JsonToken.VALUE_EMBEDDED_OBJECT, "a byte string");
         try {
             return parser.getBinaryValue();
         } catch (IOException e) {
-            throw new IllegalArgumentException(e.getMessage(), e);
+            throw new MalformedFieldException(e);
         }
     }
 }
--- a/fleet/src/main/java/clayhook/fleet/MembershipView.java
+++ b/fleet/src/main/java/clayhook/fleet/MembershipView.java
@@ -2,34 +2,32 @@
 
 import java.util.List;
 
-/** The members as this router sees them. */
+/** The members of the fleet as this router sees them. Read-only; for the thread of the protocols. */
 public interface MembershipView {
     /** This router itself. */
     Peer self();
 
-    /**
-     * The others that are alive or only suspected, each name once, in order of their names. The list does not change.
-     */
+    /** The other routers that are alive or suspected, ordered by name, each name once. The list is immutable. */
     List<Peer> livePeers();
 
-    /**
-     * The others that may still serve: those, and the ones that fell silent less than the time after which they count
-     * as dead.
-     */
+    /** The live peers, and the dead ones that may still serve requests as they were declared dead only lately. */
     List<Member> possiblyServing(double now);
 
-    /** Whether that life of a router is one of {@link #livePeers()}. */
+    /** Whether that incarnation of a router is one of {@link #livePeers()}. */
     boolean isLive(Member member);
 
-    /** When something came from that very member last, seconds since 1970; negative infinity for never. */
+    /** When this incarnation of a router was last heard, in seconds since 1970; negative infinity for never. */
     double lastHeardAt(Member member);
 
-    /** Seconds by which its clock is ahead of this one's, as last measured; NaN while nothing was measured. */
+    /** Seconds by which the member's clock is ahead of this router's, as last measured; NaN before any measurement. */
     double clockOffset(Member member);
 
-    /** Its clock is within the bound, as far as is known; what others say that needs a clock is left unheard. */
+    /**
+     * Whether the member's clock is within the bound, as far as it was measured. Values that depend on clocks are not
+     * accepted from a member whose clock is not.
+     */
     boolean clockWithinBound(Member member);
 
-    /** Whether this router stood still itself lately, so that it doubts itself before others. */
+    /** Whether this router itself stalled lately, so that its view of the others is in doubt. */
     boolean recentlyStalled(double now);
 }
--- a/fleet/src/main/java/clayhook/fleet/Outbox.java
+++ b/fleet/src/main/java/clayhook/fleet/Outbox.java
@@ -1,6 +1,7 @@
 package clayhook.fleet;
 
-/** What is to be sent; it leaves when the turn ends, several parts to a packet. */
+/** Collects messages to send. They leave when the current tick or datagram has been handled, several to a packet. */
 public interface Outbox {
-    void add(Address to, Message part);
+    /** Queues a message; throws IllegalArgumentException for one longer than {@link Packet#MAX_MESSAGE_BYTES}. */
+    void add(Address to, Message message);
 }
--- a/fleet/src/main/java/clayhook/fleet/PacketAssembler.java
+++ b/fleet/src/main/java/clayhook/fleet/PacketAssembler.java
@@ -6,54 +6,68 @@
 import java.util.Map;
 import java.util.function.BiConsumer;
 
-/** Gathers the parts of a turn by where they go, and packs them into as few packets as hold them. */
+/**
+ * Collects messages by address and packs them into as few packets as hold them. Confined to the dispatcher's thread.
+ */
 final class PacketAssembler implements Outbox {
     private static final class PendingPacket {
         final List<Integer> typeNumbers = new ArrayList<>();
         final List<byte[]> encodedMessages = new ArrayList<>();
         int reservedBytes;
+
+        boolean isEmpty() {
+            return encodedMessages.isEmpty();
+        }
+
+        void add(int typeNumber, byte[] encodedMessage) {
+            typeNumbers.add(typeNumber);
+            encodedMessages.add(encodedMessage);
+            reservedBytes += Packet.maxFramedBytes(encodedMessage);
+        }
+
+        void clear() {
+            typeNumbers.clear();
+            encodedMessages.clear();
+            reservedBytes = 0;
+        }
     }
 
     private final Member sender;
     private final BiConsumer<Address, byte[]> transport;
-    /** Emptied at the end of each turn. */
+    /** In the order in which addresses were first used; emptied by each flush. */
     private final Map<Address, PendingPacket> pendingByAddress = new LinkedHashMap<>();
 
-    PacketAssembler(Member self, BiConsumer<Address, byte[]> wire) {
-        this.sender = self;
-        this.transport = wire;
+    PacketAssembler(Member sender, BiConsumer<Address, byte[]> transport) {
+        this.sender = sender;
+        this.transport = transport;
     }
 
+    /** {@inheritDoc} Sends the pending packet first where the message does not fit into it. */
     @Override
-    public void add(Address to, Message part) {
-        byte[] bytes = Packet.encode(part);
-        if (bytes.length > Packet.MAX_MESSAGE_BYTES) {
-            throw new IllegalArgumentException(
-                    "a part of " + bytes.length + " bytes: " + part.getClass().getSimpleName());
+    public void add(Address to, Message message) {
+        byte[] encoded = Packet.encode(message);
+        if (encoded.length > Packet.MAX_MESSAGE_BYTES) {
+            throw new IllegalArgumentException("message of " + encoded.length + " bytes: "
+                    + message.getClass().getSimpleName());
         }
-        PendingPacket bundle = pendingByAddress.computeIfAbsent(to, any -> new PendingPacket());
-        if (!bundle.encodedMessages.isEmpty()
-                && Packet.maxHeaderBytes(sender) + bundle.reservedBytes + Packet.maxFramedBytes(bytes)
-                        > Packet.MAX_BYTES) {
-            send(to, bundle);
+        PendingPacket pending = pendingByAddress.computeIfAbsent(to, any -> new PendingPacket());
+        int bytes = Packet.maxHeaderBytes(sender) + pending.reservedBytes + Packet.maxFramedBytes(encoded);
+        if (!pending.isEmpty() && bytes > Packet.MAX_BYTES) {
+            send(to, pending);
         }
-        bundle.typeNumbers.add(part.typeNumber());
-        bundle.encodedMessages.add(bytes);
-        bundle.reservedBytes += Packet.maxFramedBytes(bytes);
+        pending.add(message.typeNumber(), encoded);
     }
 
-    private void send(Address to, PendingPacket bundle) {
-        transport.accept(to, Packet.encode(sender, bundle.typeNumbers, bundle.encodedMessages));
-        bundle.typeNumbers.clear();
-        bundle.encodedMessages.clear();
-        bundle.reservedBytes = 0;
+    private void send(Address to, PendingPacket pending) {
+        transport.accept(to, Packet.encode(sender, pending.typeNumbers, pending.encodedMessages));
+        pending.clear();
     }
 
-    /** Sends what is left. */
+    /** Sends all pending packets. */
     void flush() {
-        pendingByAddress.forEach((to, bundle) -> {
-            if (!bundle.encodedMessages.isEmpty()) {
-                send(to, bundle);
+        pendingByAddress.forEach((to, pending) -> {
+            if (!pending.isEmpty()) {
+                send(to, pending);
             }
         });
         pendingByAddress.clear();
--- a/fleet/src/main/java/clayhook/fleet/ReplicatedStore.java
+++ b/fleet/src/main/java/clayhook/fleet/ReplicatedStore.java
@@ -2,44 +2,48 @@
 
 import java.util.function.BiConsumer;
 
-/** The values that routers share, as this router's copy has them. For one thread; readers elsewhere get snapshots. */
+/** This router's replica of the shared values. Confined to one thread; readers on others get snapshots. */
 public interface ReplicatedStore {
-    /** Bytes of a key in UTF-8. */
+    /** Longest key, in bytes of UTF-8. */
     int MAX_KEY_BYTES = 256;
 
-    /** Hears what has changed in this copy. */
+    /** Is told of changes of this replica. */
     interface ChangeListener<V> {
-        /** @param value the joined one */
+        /** Called after a change with the merged value; called on the store's thread. */
         void onChange(String key, V value, double now);
     }
 
     /**
-     * Joins that value in; what this changes is told to the others. Returns the joined one, or null where it is too old
-     * or below the floor.
+     * Merges a value into this replica; a change is sent to the other routers.
+     *
+     * @return the merged value; null where the value is too old or at or below the eviction floor
      */
-    <V> V merge(ReplicatedType<V> kind, String key, V value, double now);
+    <V> V merge(ReplicatedType<V> type, String key, V value, double now);
 
-    /** Null where this copy has none. */
-    <V> V get(ReplicatedType<V> kind, String key);
+    /** Returns the value of that key; null where this replica has none. */
+    <V> V get(ReplicatedType<V> type, String key);
 
-    <V> void forEach(ReplicatedType<V> kind, BiConsumer<String, V> to);
+    /** Hands all entries of the type to {@code consumer}, which must not change the store. */
+    <V> void forEach(ReplicatedType<V> type, BiConsumer<String, V> consumer);
 
-    <V> void addListener(ReplicatedType<V> kind, ChangeListener<V> listener);
+    /** Adds a listener for changes of the type, both own ones and those from peers. */
+    <V> void addListener(ReplicatedType<V> type, ChangeListener<V> listener);
 
-    int size(ReplicatedType<?> kind);
+    /** The number of entries of the type. */
+    int size(ReplicatedType<?> type);
 
     /**
-     * What may have been dropped for want of room: of values as old as that or older, absence tells nothing. Negative
-     * infinity for none.
+     * The timestamp up to which entries may have been evicted at the bound, in seconds since 1970; negative infinity
+     * for none. That a value of that age or older is absent proves nothing.
      */
-    double evictionFloor(ReplicatedType<?> kind);
+    double evictionFloor(ReplicatedType<?> type);
 
     /**
-     * Up to when this copy has whatever each member that may serve has put in, seconds since 1970: of values younger
-     * than that, absence tells nothing. Negative infinity while it is being brought up.
+     * The time up to which this replica has all that every possibly serving member has published, in seconds since
+     * 1970; negative infinity before the replica is complete. That a younger value is absent proves nothing.
      */
     double completeUpTo(double now);
 
-    /** A hash of all entries of that kind that are not about to go; equal copies have equal ones. */
-    long digest(ReplicatedType<?> kind, double now);
+    /** A hash of all entries of the type that do not expire soon; equal replicas have equal digests. */
+    long digest(ReplicatedType<?> type, double now);
 }
--- a/fleet/src/main/java/clayhook/fleet/ReplicatedType.java
+++ b/fleet/src/main/java/clayhook/fleet/ReplicatedType.java
@@ -1,44 +1,49 @@
 package clayhook.fleet;
 
 /**
- * A kind of value that routers share under a key. Two copies that differ are joined; whoever hears one twice, late or
- * over three ways comes to the same.
+ * A type of values that are replicated under keys: a state-based CRDT, its encoding and its limits. Replicas that have
+ * received the same values in any order, any number of times, are equal.
+ *
+ * @param <V> the values; immutable, with {@code equals} by content
  */
 public interface ReplicatedType<V> {
-    /** Its number on the wire, never given to another kind. */
+    /** The type on the wire, never reused for another one. */
     int typeNumber();
 
-    /** For the log and for figures. */
+    /** The name in logs and metrics. */
     String name();
 
-    /** Commutative, associative and idempotent; never changes either value. Equal results must be {@code equals}. */
+    /** Merges two values. Commutative, associative and idempotent; equal results must be {@code equals}. */
     V merge(V a, V b);
 
-    /** When it was true there, seconds since 1970 on the clock of whoever saw it. A join is never older than either. */
+    /**
+     * When the value was observed, in seconds since 1970 on the clock of the router that observed it. A merged value is
+     * never older than either of the two.
+     */
     double timestamp(V value);
 
-    /** Seconds after that for which it is kept. What is older is neither kept nor taken, so that nothing comes back. */
+    /** Seconds after its timestamp for which a value is kept. An older one is dropped and never accepted again. */
     double retentionSeconds();
 
-    /** Entries kept at most. At the bound the oldest go, and the floor rises to them. */
+    /** The most entries kept. Beyond that the oldest are evicted and the eviction floor rises to their time. */
     int maxEntries();
 
-    /** Its news goes out at once; else with the next turn of gossip. */
+    /** Whether a change is broadcast at once rather than in the next round of gossip. */
     default boolean urgent() {
         return false;
     }
 
-    /** Whether its times are compared with clocks, so that nothing of it is heard from a router whose clock is off. */
+    /** Whether timestamps are compared with clocks; if so, values from a router whose clock is off are not accepted. */
     default boolean clockDependent() {
         return true;
     }
 
     /**
-     * Fields in order; a later release may only add some at the end. At most {@code Packet.LONGEST_PART} less the key's
-     * bytes.
+     * Writes the fields in order; a later release may only add fields at the end. Key and value together take at most
+     * {@link Packet#MAX_MESSAGE_BYTES} less the overhead of a message.
      */
     void write(V value, FieldWriter out);
 
-    /** Throws IllegalArgumentException for what cannot be. */
+    /** Reads a value as written by {@link #write}; throws IllegalArgumentException for an invalid one. */
     V read(FieldReader in);
 }
