--- a/daemon/src/test/java/clayhook/peers/GossipTransportTest.java
+++ b/daemon/src/test/java/clayhook/peers/GossipTransportTest.java
@@ -37,10 +37,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class GossipTransportTest {
-    /** Seconds; far more than any of it takes. */
+    /** Seconds; far longer than any condition takes. */
     private static final double WAIT_LIMIT = 20;
-    /** Seconds; shorter than usual, as no router here can know more than those that start with it. */
-    private static final double ALONE_AFTER = 0.5;
+    /** Seconds; shorter than by default, as no router of a test has more state than those that start with it. */
+    private static final double BOOTSTRAP_TIMEOUT = 0.5;
 
     private static final InetSocketAddress DISCOVERY = new InetSocketAddress("127.0.0.1", 1);
     private static final AttemptResult ANSWER =
@@ -60,7 +60,7 @@
 
     private static void await(BooleanSupplier condition) throws InterruptedException {
         for (double until = now() + WAIT_LIMIT; !condition.getAsBoolean(); Thread.sleep(5)) {
-            assertTrue(now() < until, "not in time");
+            assertTrue(now() < until, () -> "condition not met within " + WAIT_LIMIT + " s");
         }
     }
 
@@ -77,39 +77,39 @@
     private GossipTransport start(String name, int port, int... seeds) throws IOException {
         var settings = new RoutingSettings(
                 2, "a", List.of(), true, true, false, false, true, true, true, true, 1, 3, 0.2, 10, 3, 3, 1, 15);
-        StateSettings usual = StateSettings.DEFAULT;
-        var peers = GossipTransport.open(
+        StateSettings defaults = StateSettings.DEFAULT;
+        var transport = GossipTransport.open(
                 settings(
                         port,
                         Arrays.stream(seeds).mapToObj(GossipTransportTest::at).toList()),
                 new RouterConfiguration(
                         name, at(0), DISCOVERY, 1, 1 << 24, 100, new EndpointList(0, true, List.of()), settings, 1),
                 new StateSettings(
-                        usual.broadcastInterval(),
-                        usual.fanout(),
-                        usual.maxMessagesPerRound(),
-                        usual.broadcastBytesPerSecond(),
-                        usual.deltaLifetime(),
-                        usual.maxPendingDeltas(),
-                        usual.antiEntropyInterval(),
-                        usual.antiEntropyBytesPerSecond(),
-                        usual.retryTimeout(),
-                        usual.peerTimeout(),
-                        usual.maxOutstandingRequests(),
-                        usual.catchUpBytesPerSecond(),
-                        usual.maxPushBytes(),
-                        usual.versionGossipInterval(),
-                        usual.maxClockSkew(),
-                        usual.digestExclusionMargin(),
-                        ALONE_AFTER,
-                        usual.stallThreshold(),
-                        usual.maxSweptEntries()));
-        openTransports.add(peers);
-        assertEquals(999.5, peers.requiredPosition("s", 1000), "a command may come before it begins");
-        peers.attach(Runnable::run, DISCOVERY, new PeerSharing.PeerListener() {
+                        defaults.broadcastInterval(),
+                        defaults.fanout(),
+                        defaults.maxMessagesPerRound(),
+                        defaults.broadcastBytesPerSecond(),
+                        defaults.deltaLifetime(),
+                        defaults.maxPendingDeltas(),
+                        defaults.antiEntropyInterval(),
+                        defaults.antiEntropyBytesPerSecond(),
+                        defaults.retryTimeout(),
+                        defaults.peerTimeout(),
+                        defaults.maxOutstandingRequests(),
+                        defaults.catchUpBytesPerSecond(),
+                        defaults.maxPushBytes(),
+                        defaults.versionGossipInterval(),
+                        defaults.maxClockSkew(),
+                        defaults.digestExclusionMargin(),
+                        BOOTSTRAP_TIMEOUT,
+                        defaults.stallThreshold(),
+                        defaults.maxSweptEntries()));
+        openTransports.add(transport);
+        assertEquals(999.5, transport.requiredPosition("s", 1000), "a request may come before attach");
+        transport.attach(Runnable::run, DISCOVERY, new PeerSharing.PeerListener() {
             @Override
             public void onPeerUpdate(Map<String, PeerObservation> nodes) {
-                nodes.forEach((node, word) -> observations.put(name + " " + node, word));
+                nodes.forEach((node, observation) -> observations.put(name + " " + node, observation));
             }
 
             @Override
@@ -118,9 +118,9 @@
                         change -> change.endpoints().forEach(entry -> endpoints.put(name + " " + entry.id(), entry)));
             }
         });
-        assertTrue(peers.requiredPosition("s", now()) > now() - 1, "nothing is known before it starts");
-        peers.start();
-        return peers;
+        assertTrue(transport.requiredPosition("s", now()) > now() - 1, "without any state all may have been written");
+        transport.start();
+        return transport;
     }
 
     private static EndpointList list() {
@@ -165,12 +165,12 @@
                             observations.get(node).appliedPosition(),
                             observations.get(node).load()));
         }
-        // Killed, and back at once with nothing, at the same place, though nobody there was told that.
+        // One is killed and restarts at once, without state, at the same address, which nobody is told.
         others.get(0).close();
-        GossipTransport back = start("r1", others.get(0).address().port(), seed);
-        await(() -> back.requiredPosition("s", now()) == position);
+        GossipTransport restarted = start("r1", others.get(0).address().port(), seed);
+        await(() -> restarted.requiredPosition("s", now()) == position);
         others.get(0).leave();
-        back.leave();
+        restarted.leave();
     }
 
     @Test
@@ -200,8 +200,8 @@
     @Test
     void reportsAddressThatIsInUse() throws Exception {
         int port = start("r0", 0).address().port();
-        IOException told = assertThrows(IOException.class, () -> start("r1", port));
-        assertTrue(told.getMessage().contains("sharing.listen: 127.0.0.1:" + port), told::getMessage);
+        IOException thrown = assertThrows(IOException.class, () -> start("r1", port));
+        assertTrue(thrown.getMessage().contains("sharing.listen: 127.0.0.1:" + port), thrown::getMessage);
     }
 
     @Test
@@ -217,8 +217,8 @@
         }
         assertEquals(List.of(10L, 10L, 1), List.of(queue.droppedReplaceable(), queue.droppedEssential(), wakes.get()));
         int taken = 0;
-        for (int some = 1; some > 0; taken += some) {
-            some = queue.drain(news -> {});
+        for (int batch = 1; batch > 0; taken += batch) {
+            batch = queue.drain(event -> {});
         }
         assertEquals(EventQueue.REPLACEABLE_CAPACITY + EventQueue.ESSENTIAL_CAPACITY, taken);
     }
@@ -226,16 +226,16 @@
     @Test
     void conflatingQueueDeliversLatestValuePerKeyInOneTask() {
         var tasks = new ArrayDeque<Runnable>();
-        var got = new HashMap<Integer, Integer>();
-        var mailbox = new ConflatingQueue<Integer, Integer>(tasks::add, got::putAll);
+        var delivered = new HashMap<Integer, Integer>();
+        var queue = new ConflatingQueue<Integer, Integer>(tasks::add, delivered::putAll);
         for (int i = 0; i < 3 * ConflatingQueue.MAX_BATCH; i++) {
-            mailbox.put(i / 2, i);
+            queue.put(i / 2, i);
             assertEquals(1, tasks.size());
         }
         tasks.poll().run();
-        assertEquals(List.of(ConflatingQueue.MAX_BATCH, 1), List.of(got.size(), tasks.size()));
+        assertEquals(List.of(ConflatingQueue.MAX_BATCH, 1), List.of(delivered.size(), tasks.size()));
         tasks.poll().run();
         assertEquals(0, tasks.size());
-        got.forEach((key, value) -> assertEquals(2 * key + 1, value));
+        delivered.forEach((key, value) -> assertEquals(2 * key + 1, value));
     }
 }
--- a/daemon/src/test/java/clayhook/peers/ObservationPublishingTest.java
+++ b/daemon/src/test/java/clayhook/peers/ObservationPublishingTest.java
@@ -22,10 +22,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What of all that a router sees is told to others; in virtual time, at one router alone, so that no chance acts. */
+/**
+ * Which observations and write outcomes a router publishes. In virtual time and with one router, where every
+ * probability of publishing is one, so that random draws do not matter.
+ */
 class ObservationPublishingTest {
     private static final double START = 1e9;
-    private final Membership members = new Membership(
+    private final Membership membership = new Membership(
             MembershipSettings.DEFAULT,
             new Peer(new Member("r", 1), new Address("127.0.0.1", 1)),
             List.of(),
@@ -33,8 +36,8 @@
             START,
             new Membership.MembershipListener() {});
     private final ReplicatedState state = new ReplicatedState(
-            members, List.of(NodeObservation.TYPE, WriteOutcome.TYPE), StateSettings.DEFAULT, 1, START);
-    private final NodeObservations observations = new NodeObservations(members, new SplittableRandom(1));
+            membership, List.of(NodeObservation.TYPE, WriteOutcome.TYPE), StateSettings.DEFAULT, 1, START);
+    private final NodeObservations observations = new NodeObservations(membership, new SplittableRandom(1));
     private final InDoubtWrites inDoubtWrites = new InDoubtWrites(state, WriteOutcome.TYPE);
 
     private NodeObservation publishedAfter(AttemptOutcome outcome, Role role, double now) {
@@ -86,11 +89,11 @@
                         NodeObservations.FRESHNESS + 6 * NodeObservations.PUBLISH_INTERVAL));
     }
 
-    private void recordOutcome(String key, boolean ran, double now) {
+    private void recordOutcome(String key, boolean executed, double now) {
         var sent = WriteOutcome.SentWrite.of(START, 1, "post", null);
         inDoubtWrites.recordOutcome(
                 key,
-                ran
+                executed
                         ? WriteOutcome.ran(sent, WriteOutcome.OutcomeWitness.of(START + now, "r", "n"))
                         : WriteOutcome.unknown(sent),
                 START + now);
@@ -99,17 +102,17 @@
 
     @ParameterizedTest
     @ValueSource(ints = {0, InDoubtWrites.MAX_EXECUTED})
-    void publishesOutcomesOnlyForWritesInDoubt(int later) {
+    void publishesOutcomesOnlyForWritesInDoubt(int laterWrites) {
         recordOutcome("a", true, 1);
         assertEquals(0, state.size(WriteOutcome.TYPE));
-        for (int i = 0; i < later; i++) {
+        for (int i = 0; i < laterWrites; i++) {
             recordOutcome("other " + i, true, 2);
         }
         recordOutcome("a", false, 3);
         recordOutcome("b", false, 3);
         recordOutcome("b", true, 4);
         assertEquals(
-                later == 0 ? OutcomeStatus.RAN : OutcomeStatus.UNKNOWN,
+                laterWrites == 0 ? OutcomeStatus.RAN : OutcomeStatus.UNKNOWN,
                 state.get(WriteOutcome.TYPE, "a").status());
         assertEquals(
                 List.of(OutcomeStatus.RAN, 2),
--- a/daemon/src/test/java/clayhook/peers/RecordedDatagramsTest.java
+++ b/daemon/src/test/java/clayhook/peers/RecordedDatagramsTest.java
@@ -11,9 +11,7 @@
 import clayhook.Role;
 import clayhook.discovery.EndpointList;
 import clayhook.fleet.Address;
-import clayhook.fleet.FieldReader;
 import clayhook.fleet.Member;
-import clayhook.fleet.Message;
 import clayhook.fleet.MessageDispatcher;
 import clayhook.fleet.Outbox;
 import clayhook.fleet.Peer;
@@ -37,7 +35,6 @@
 import java.util.Map;
 import java.util.Queue;
 import java.util.SplittableRandom;
-import java.util.function.Function;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -86,21 +83,21 @@
                 + "\",\"role\":\"replica\",\"boot_ms\":1600000000000}]}");
     }
 
-    /** One router's end: what {@link GossipTransport} builds, without its socket, thread and clock. */
+    /** One router: what {@link GossipTransport} builds, without its socket, thread and clock. */
     private final class Router implements PeerSharing.PeerListener, ProtocolHandler {
         private final Peer self;
-        private final Membership members;
+        private final Membership membership;
         private final ReplicatedState state;
-        private final StateBridge exchange;
-        private final MessageDispatcher fleet;
-        private final Map<String, PeerObservation> told = new HashMap<>();
-        private final Map<String, EndpointList.DiscoveredEndpoint> listed = new HashMap<>();
+        private final StateBridge bridge;
+        private final MessageDispatcher dispatcher;
+        private final Map<String, PeerObservation> observations = new HashMap<>();
+        private final Map<String, EndpointList.DiscoveredEndpoint> endpoints = new HashMap<>();
         private boolean leaving;
 
         private Router(String name, int port, List<Address> seeds, long seed) {
             self = new Peer(new Member(name, (long) (START * 1000) + port), new Address("10.0.0.1", port));
             var random = new SplittableRandom(seed);
-            members = new Membership(
+            membership = new Membership(
                     MembershipSettings.DEFAULT,
                     self,
                     seeds,
@@ -109,10 +106,14 @@
                     new Membership.MembershipListener() {});
             var kinds = new StateBridge.EnabledTypes(true, true, true, FATES, true);
             state = new ReplicatedState(
-                    members, kinds.types(), StateSettings.DEFAULT.withBootstrapTimeout(0.2), random.nextLong(), START);
-            exchange = new StateBridge(kinds, 0.5, 2, DISCOVERY, state, members, random.split(), Runnable::run, this);
-            exchange.updateKnownNodes(FIRST_LIST);
-            fleet = new MessageDispatcher(self.member(), List.of(members, this, exchange, state), this::send);
+                    membership,
+                    kinds.types(),
+                    StateSettings.DEFAULT.withBootstrapTimeout(0.2),
+                    random.nextLong(),
+                    START);
+            bridge = new StateBridge(kinds, 0.5, 2, DISCOVERY, state, membership, random.split(), Runnable::run, this);
+            bridge.updateKnownNodes(FIRST_LIST);
+            dispatcher = new MessageDispatcher(self.member(), List.of(membership, this, bridge, state), this::send);
             routers.put(self.address(), this);
         }
 
@@ -125,37 +126,27 @@
             byte[] datagram = HEX.parseHex(expected.substring(expected.indexOf(' ') + 1));
             underWay.add(() -> {
                 if (routers.containsKey(to)) {
-                    routers.get(to).fleet.onDatagram(self.address(), datagram, now);
+                    routers.get(to).dispatcher.onDatagram(self.address(), datagram, now);
                 }
             });
         }
 
         @Override
         public void onPeerUpdate(Map<String, PeerObservation> nodes) {
-            told.putAll(nodes);
+            observations.putAll(nodes);
         }
 
         @Override
         public void onPeerUpdate(Collection<EndpointList> changes) {
-            changes.forEach(change -> change.endpoints().forEach(entry -> listed.put(entry.id(), entry)));
-        }
-
-        @Override
-        public Map<Integer, Function<FieldReader, ? extends Message>> messageReaders() {
-            return Map.of();
-        }
-
-        @Override
-        public void onMessage(Peer from, Message part, double now, Outbox out) {
-            throw new IllegalArgumentException("no part is read for this");
+            changes.forEach(change -> change.endpoints().forEach(entry -> endpoints.put(entry.id(), entry)));
         }
 
         @Override
         public double tick(double now, Outbox out) {
             if (leaving) {
                 leaving = false;
-                exchange.publishOnNextTick();
-                members.leave(now, out);
+                bridge.publishOnNextTick();
+                membership.leave(now, out);
             }
             return Double.POSITIVE_INFINITY;
         }
@@ -167,7 +158,7 @@
         for (int step = (int) Math.round((now - START) * STEPS_A_SECOND); step < seconds * STEPS_A_SECOND; step++) {
             now = START + (double) step / STEPS_A_SECOND;
             for (Router router : turns) {
-                router.fleet.tick(now);
+                router.dispatcher.tick(now);
             }
             for (int pending = underWay.size(); pending > 0; pending--) {
                 underWay.remove().run();
@@ -190,49 +181,48 @@
         var receiver = new Router("receiver", 7402, List.of(sender.self.address()), 2);
         playUntil(1, sender, receiver);
 
-        sender.exchange.accept(new LocalEvent.EndpointListReceived(DISCOVERY, FIRST_LIST), now);
-        sender.exchange.accept(new LocalEvent.AttemptFinished(PRIMARY, answer(Role.PRIMARY, now - 0.01, 3), now), now);
-        sender.exchange.accept(
+        sender.bridge.accept(new LocalEvent.EndpointListReceived(DISCOVERY, FIRST_LIST), now);
+        sender.bridge.accept(new LocalEvent.AttemptFinished(PRIMARY, answer(Role.PRIMARY, now - 0.01, 3), now), now);
+        sender.bridge.accept(
                 new LocalEvent.AttemptFinished(
                         REPLICA, AttemptResult.withoutReport(AttemptOutcome.TIMED_OUT, 0.5), now),
                 now);
-        sender.exchange.accept(new LocalEvent.SessionWriteCommitted("session", 1, POSITION), now);
-        sender.exchange.accept(written("in doubt", false, now), now);
-        sender.exchange.accept(written("resolved", false, now), now);
-        sender.exchange.accept(new LocalEvent.QuotaUsed(PeerSharing.SharedQuota.FURTHER_ATTEMPTS, 2), now);
-        sender.exchange.accept(new LocalEvent.QuotaUsed(PeerSharing.SharedQuota.HEALTH_CHECKS, 3.5), now);
+        sender.bridge.accept(new LocalEvent.SessionWriteCommitted("session", 1, POSITION), now);
+        sender.bridge.accept(written("in doubt", false, now), now);
+        sender.bridge.accept(written("resolved", false, now), now);
+        sender.bridge.accept(new LocalEvent.QuotaUsed(PeerSharing.SharedQuota.FURTHER_ATTEMPTS, 2), now);
+        sender.bridge.accept(new LocalEvent.QuotaUsed(PeerSharing.SharedQuota.HEALTH_CHECKS, 3.5), now);
         playUntil(2, sender, receiver);
-        assertEquals(1, receiver.told.get("n2").failedRouterCount());
-        double granted = receiver.exchange.remainingQuota(PeerSharing.SharedQuota.FURTHER_ATTEMPTS);
+        assertEquals(1, receiver.observations.get("n2").failedRouterCount());
+        double granted = receiver.bridge.remainingQuota(PeerSharing.SharedQuota.FURTHER_ATTEMPTS);
 
-        sender.exchange.accept(new LocalEvent.EndpointListReceived(DISCOVERY, list(8, false, "up", "draining")), now);
-        sender.exchange.accept(new LocalEvent.AttemptFinished(REPLICA, answer(Role.REPLICA, now - 1, 0), now), now);
-        sender.exchange.accept(written("resolved", true, now), now);
-        sender.exchange.accept(written("only here", true, now), now);
+        sender.bridge.accept(new LocalEvent.EndpointListReceived(DISCOVERY, list(8, false, "up", "draining")), now);
+        sender.bridge.accept(new LocalEvent.AttemptFinished(REPLICA, answer(Role.REPLICA, now - 1, 0), now), now);
+        sender.bridge.accept(written("resolved", true, now), now);
+        sender.bridge.accept(written("only here", true, now), now);
         playUntil(2.5, sender, receiver);
 
-        sender.exchange.accept(new LocalEvent.DiscoveryMoved("10.0.0.9:8080"), now);
-        sender.exchange.accept(
-                new LocalEvent.EndpointListReceived("10.0.0.9:8080", list(3, true, "up", "removed")), now);
+        sender.bridge.accept(new LocalEvent.DiscoveryMoved("10.0.0.9:8080"), now);
+        sender.bridge.accept(new LocalEvent.EndpointListReceived("10.0.0.9:8080", list(3, true, "up", "removed")), now);
         playUntil(END - 0.2, sender, receiver);
         sender.leaving = true;
         playUntil(END, sender, receiver);
 
         assertEquals(recorded, sent);
-        PeerObservation primary = receiver.told.get("n1");
+        PeerObservation primary = receiver.observations.get("n1");
         assertEquals(
                 List.of(START + 0.99, 3.0, 1.6e9),
                 List.of(primary.appliedPosition(), primary.load(), primary.incarnationStartedAt()));
         assertTrue(primary.primaryClaimedAt() > primary.replicaClaimedAt());
-        PeerObservation replica = receiver.told.get("n2");
+        PeerObservation replica = receiver.observations.get("n2");
         assertEquals(List.of(START + 1, 1.6e9), List.of(replica.appliedPosition(), replica.incarnationStartedAt()));
-        assertEquals(Endpoint.State.DRAINING, receiver.listed.get("n2").state());
-        assertEquals(POSITION, receiver.exchange.requiredPosition("session", now));
+        assertEquals(Endpoint.State.DRAINING, receiver.endpoints.get("n2").state());
+        assertEquals(POSITION, receiver.bridge.requiredPosition("session", now));
         assertEquals(
                 List.of(WriteOutcome.OutcomeStatus.UNKNOWN, WriteOutcome.OutcomeStatus.RAN),
                 List.of(knowledge(receiver, "in doubt"), knowledge(receiver, "resolved")));
         assertEquals(45, granted);
-        assertEquals(List.of(), receiver.members.livePeers());
+        assertEquals(List.of(), receiver.membership.livePeers());
     }
 
     private static WriteOutcome.OutcomeStatus knowledge(Router router, String mark) {
--- a/fleet/src/test/java/clayhook/fleet/RecordedBytes.java
+++ b/fleet/src/test/java/clayhook/fleet/RecordedBytes.java
@@ -26,7 +26,7 @@
                 .lines()
                 .filter(line -> !line.isBlank() && !line.startsWith("#"))
                 .forEach(line -> {
-                    String[] words = line.split(" ");
+                    String[] words = line.split(" ", -1);
                     if (words.length != 2
                             || recorded.put(words[0], HexFormat.of().parseHex(words[1])) != null) {
                         throw new IllegalArgumentException("not a form of its own: " + line);
--- a/fleet/src/test/java/clayhook/fleet/VirtualNetwork.java
+++ b/fleet/src/test/java/clayhook/fleet/VirtualNetwork.java
@@ -13,17 +13,20 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Routers in virtual time, and datagrams between them that get lost, late, doubled and cut off. The same seed plays the
- * same.
+ * A network of routers in virtual time whose datagrams may be lost, delayed, duplicated and blocked by partitions. The
+ * same seed gives the same run.
  */
 public final class VirtualNetwork {
-    /** 2023; figures that only work near zero fail. */
+    /** Seconds since 1970, in 2023, so that arithmetic that is exact only near zero fails. */
     public static final double START_TIME = 1.7e9;
-    /** Datagrams that wait at a router that stands; further ones are lost, as at a socket. */
+    /** Datagrams that wait at a stalled router; further ones are lost, as in a full socket buffer. */
     private static final int RECEIVE_QUEUE_LIMIT = 1000;
-    /** Seconds; timers are no finer. */
+    /** Seconds; the resolution of timers. */
     private static final double MIN_TICK_INTERVAL = 0.001;
 
+    /** Seconds between two checks of the condition of {@link #runUntil}. */
+    private static final double CHECK_INTERVAL = 0.05;
+
     private record ScheduledEvent(double time, long sequence, Runnable action) implements Comparable<ScheduledEvent> {
         @Override
         public int compareTo(ScheduledEvent other) {
@@ -32,7 +35,7 @@
         }
     }
 
-    /** A process at an address; its clock may be off. */
+    /** A router process at an address, with a clock that may be off. */
     public final class Host {
         public final Address address;
         public double clockOffset;
@@ -42,11 +45,12 @@
         private double nextTickAt = Double.POSITIVE_INFINITY;
         private final Queue<Runnable> receiveQueue = new ArrayDeque<>();
 
-        private Host(Address address, double clockAhead) {
+        private Host(Address address, double clockOffset) {
             this.address = address;
-            this.clockOffset = clockAhead;
+            this.clockOffset = clockOffset;
         }
 
+        /** The time on this host's clock, in seconds since 1970. */
         public double clock() {
             return now + clockOffset;
         }
@@ -83,13 +87,13 @@
             schedule(nextTickAt, this::tick);
         }
 
-        /** Dies at once. */
+        /** Ends the process at once. */
         public void kill() {
             running = false;
             hosts.remove(address, this);
         }
 
-        /** SIGSTOP, and SIGCONT after that many seconds. */
+        /** Stalls the process for that many seconds, as by SIGSTOP and SIGCONT. */
         public void stall(double seconds) {
             stalledUntil = now + seconds;
             schedule(stalledUntil, () -> {
@@ -103,11 +107,11 @@
 
     public double lossProbability;
     public double duplicationProbability;
-    /** Seconds that a datagram takes; by chance between the two, so that some overtake others. */
+    /** Least and greatest delay of a datagram in seconds; drawn for each, so that datagrams are reordered. */
     public double minDelay = 0.0002;
 
     public double maxDelay = 0.002;
-    /** Whether what goes from the first to the second never comes. */
+    /** Whether datagrams from the first host to the second are lost. */
     public BiPredicate<Host, Host> partitioned = (from, to) -> false;
 
     public double now = START_TIME;
@@ -120,47 +124,53 @@
         random = new SplittableRandom(seed);
     }
 
-    /** What makes a router's end; {@code wire} is to be its wire. */
+    /** Creates the dispatcher of a host. */
     public interface DispatcherFactory {
-        MessageDispatcher create(Host host, BiConsumer<Address, byte[]> wire);
+        /** Creates a dispatcher that sends by {@code transport}. */
+        MessageDispatcher create(Host host, BiConsumer<Address, byte[]> transport);
     }
 
-    /** A process begins there. */
-    public Host start(Address address, double clockAhead, DispatcherFactory maker) {
-        var host = new Host(address, clockAhead);
+    /** Starts a router process at that address. */
+    public Host start(Address address, double clockOffset, DispatcherFactory factory) {
+        var host = new Host(address, clockOffset);
         hosts.put(address, host);
-        host.dispatcher = maker.create(host, host::send);
+        host.dispatcher = factory.create(host, host::send);
         host.nextTickAt = now;
         schedule(now, host::tick);
         return host;
     }
 
+    /** The running hosts. */
     public List<Host> hosts() {
         return new ArrayList<>(hosts.values());
     }
 
-    public void schedule(double time, Runnable run) {
-        events.add(new ScheduledEvent(time, nextSequence++, run));
+    /** Runs the action at that virtual time. */
+    public void schedule(double time, Runnable action) {
+        events.add(new ScheduledEvent(time, nextSequence++, action));
     }
 
+    /** Lets that many virtual seconds pass. */
     public void run(double seconds) {
         runUntil(() -> false, seconds);
     }
 
-    /** Plays until that holds, looked at every 50 ms; false when it does not within those seconds. */
+    /**
+     * Runs until the condition holds, checked every 50 ms; false where it does not within that many virtual seconds.
+     */
     public boolean runUntil(BooleanSupplier condition, double within) {
         double end = now + within;
-        for (double look = now; !condition.getAsBoolean(); look += 0.05) {
-            while (!events.isEmpty() && events.peek().time() <= Math.min(look, end)) {
+        for (double nextCheckAt = now; !condition.getAsBoolean(); nextCheckAt += CHECK_INTERVAL) {
+            while (!events.isEmpty() && events.peek().time() <= Math.min(nextCheckAt, end)) {
                 ScheduledEvent event = events.remove();
                 now = Math.max(now, event.time());
                 event.action().run();
             }
-            if (look >= end) {
+            if (nextCheckAt >= end) {
                 now = end;
                 return condition.getAsBoolean();
             }
-            now = Math.max(now, look);
+            now = Math.max(now, nextCheckAt);
         }
         return true;
     }
