--- a/daemon/src/main/java/clayhook/peers/GossipLoop.java
+++ b/daemon/src/main/java/clayhook/peers/GossipLoop.java
@@ -132,15 +132,15 @@
         text.append(" out ").append(traffic.sentPackets);
         text.append(", bytes out ").append(traffic.sentBytes);
         text.append(", dropped ").append(traffic.droppedByReason);
-        text.append(", too long ").append(endpoint.oversizedDatagrams());
+        text.append(", oversized ").append(endpoint.oversizedDatagrams());
         text.append(", unsent ").append(endpoint.unsentPackets());
-        text.append(", parts unknown ").append(traffic.skippedMessages);
-        text.append(", names refused ").append(membership.rejectedNames());
-        text.append(", news put off ").append(eventQueue.droppedReplaceable());
+        text.append(", messages skipped ").append(traffic.skippedMessages);
+        text.append(", names rejected ").append(membership.rejectedNames());
+        text.append(", events dropped ").append(eventQueue.droppedReplaceable());
         text.append(" lost ").append(eventQueue.droppedEssential());
-        text.append(failures > 0 ? ", faults " + failures : "");
-        text.append(membership.recentlyStalled(now) ? ", stood still" : "");
-        text.append(membership.isSuperseded() ? ", replaced" : "");
+        text.append(failures > 0 ? ", failures " + failures : "");
+        text.append(membership.recentlyStalled(now) ? ", stalled" : "");
+        text.append(membership.isSuperseded() ? ", superseded" : "");
         Log.info(text.toString());
     }
 }
--- a/daemon/src/main/java/clayhook/peers/MembershipLogger.java
+++ b/daemon/src/main/java/clayhook/peers/MembershipLogger.java
@@ -38,26 +38,26 @@
     }
 
     @Override
-    public void onDuplicateName(Peer counts, Peer other, double now) {
+    public void onDuplicateName(Peer active, Peer duplicate, double now) {
         Log.warn(
-                "sharing twins",
-                "sharing: two routers are called " + counts.member().name() + ", at " + counts.address() + " and at "
-                        + other.address() + "; the first counts");
+                "sharing duplicate name",
+                "sharing: duplicate router name " + active.member().name() + ", at " + active.address() + " and at "
+                        + duplicate.address() + "; the first is the member");
     }
 
     @Override
-    public void onClockSkewed(Peer member, double ahead, double now) {
+    public void onClockSkewed(Peer member, double offset, double now) {
         Log.warn(
-                "sharing clock",
-                describe(member) + " has a clock that is " + toMilliseconds(ahead)
-                        + " ms ahead; it is heard only for what needs no clock");
+                "sharing clock skewed",
+                describe(member) + " has a clock that is " + toMilliseconds(offset)
+                        + " ms ahead; values that depend on clocks are not accepted from it");
     }
 
     @Override
-    public void onClockRecovered(Peer member, double ahead, double now) {
+    public void onClockRecovered(Peer member, double offset, double now) {
         Log.info(
-                "sharing clock fine",
-                describe(member) + " has a clock within the bound again, " + toMilliseconds(ahead) + " ms ahead");
+                "sharing clock recovered",
+                describe(member) + " has a clock within the bound again, " + toMilliseconds(offset) + " ms ahead");
     }
 
     private static long toMilliseconds(double seconds) {
--- a/daemon/src/main/java/clayhook/peers/StateBridge.java
+++ b/daemon/src/main/java/clayhook/peers/StateBridge.java
@@ -190,19 +190,19 @@
         double completeUpTo = store.completeUpTo(now);
         text.append(
                 completeUpTo == Double.NEGATIVE_INFINITY
-                        ? ", not certain"
-                        : ", certain " + roundToTenths(now - completeUpTo) + " s ago");
+                        ? ", not complete"
+                        : ", complete up to " + roundToTenths(now - completeUpTo) + " s ago");
         if (endpointLists != null) {
-            text.append(", list behind ").append(endpointLists.revisionsBehind());
+            text.append(", endpoint list behind ").append(endpointLists.revisionsBehind());
         }
         if (writeOutcomes != null) {
             text.append(", fates ").append(writeOutcomes.counts());
         }
         if (quotas != null && quotas.isPartitioned(now)) {
-            text.append(", cut off");
+            text.append(", partitioned");
         }
         long rejectedValues = rejectedEvents + (endpointLists == null ? 0 : endpointLists.rejectedValues());
-        return text.append(", senseless ").append(rejectedValues).toString();
+        return text.append(", rejected values ").append(rejectedValues).toString();
     }
 
     private static double roundToTenths(double seconds) {
--- a/daemon/src/main/java/clayhook/peers/WriteOutcomeSharing.java
+++ b/daemon/src/main/java/clayhook/peers/WriteOutcomeSharing.java
@@ -45,8 +45,8 @@
     private static void logConflict(WriteOutcomes.WriteOutcomeEntry conflict) {
         Log.warn(
                 "sharing conflict",
-                "sharing: command " + conflict.key() + " has run, says "
-                        + conflict.outcome().ran().source().router() + ", and has not, says "
+                "sharing: write " + conflict.key() + " was executed according to "
+                        + conflict.outcome().ran().source().router() + ", and was not according to "
                         + conflict.outcome().notRun().source().router());
     }
 
