--- a/daemon/src/main/java/clayhook/peers/MembershipLogger.java
+++ b/daemon/src/main/java/clayhook/peers/MembershipLogger.java
@@ -1,11 +1,11 @@
 package clayhook.peers;
 
 import clayhook.fleet.Peer;
-import clayhook.fleet.members.Membership;
+import clayhook.fleet.members.MembershipListener;
 import clayhook.log.Log;
 
 /** Logs changes of the membership; at most one line a second of each kind. */
-final class MembershipLogger implements Membership.MembershipListener {
+final class MembershipLogger implements MembershipListener {
     private static String describe(Peer peer) {
         return "sharing: " + peer.member().name() + " at " + peer.address();
     }
