--- a/daemon/src/main/java/clayhook/peers/NodeObservations.java
+++ b/daemon/src/main/java/clayhook/peers/NodeObservations.java
@@ -68,7 +68,7 @@
     }
 
     /**
-     * Records the result of an attempt or a health check; what a node told counts as of half way between send and
+     * Records the result of an attempt or a health check; what a node reported is dated half way between send and
      * result.
      */
     void recordResult(String key, AttemptResult result, double now) {
--- a/daemon/src/test/java/clayhook/peers/RecordedDatagramsTest.java
+++ b/daemon/src/test/java/clayhook/peers/RecordedDatagramsTest.java
@@ -57,7 +57,7 @@
     private static final Node REPLICA = new Node("n2", "zone-b", 1);
     private static final EndpointList FIRST_LIST = list(7, true, "up", "up");
     private static final double POSITION = START - 5;
-    private static final ReplicatedType<WriteOutcome> FATES = WriteOutcome.typeWithRetention(86_400);
+    private static final ReplicatedType<WriteOutcome> WRITE_OUTCOMES = WriteOutcome.typeWithRetention(86_400);
 
     private final List<String> recorded = recorded();
     private final List<String> sent = new ArrayList<>();
@@ -100,14 +100,15 @@
             var random = new SplittableRandom(seed);
             membership = new Membership(
                     MembershipSettings.DEFAULT, self, seeds, random.nextLong(), START, new MembershipListener() {});
-            var kinds = new StateBridge.EnabledTypes(true, true, true, FATES, true);
+            var enabledTypes = new StateBridge.EnabledTypes(true, true, true, WRITE_OUTCOMES, true);
             state = new ReplicatedState(
                     membership,
-                    kinds.types(),
+                    enabledTypes.types(),
                     StateSettings.DEFAULT.withBootstrapTimeout(0.2),
                     random.nextLong(),
                     START);
-            bridge = new StateBridge(kinds, 0.5, 2, DISCOVERY, state, membership, random.split(), Runnable::run, this);
+            bridge = new StateBridge(
+                    enabledTypes, 0.5, 2, DISCOVERY, state, membership, random.split(), Runnable::run, this);
             bridge.updateKnownNodes(FIRST_LIST);
             dispatcher = new MessageDispatcher(self.member(), List.of(membership, this, bridge, state), this::send);
             routers.put(self.address(), this);
@@ -150,10 +151,10 @@
 
     private double now = START;
 
-    private void playUntil(double seconds, Router... turns) {
+    private void playUntil(double seconds, Router... ticked) {
         for (int step = (int) Math.round((now - START) * STEPS_A_SECOND); step < seconds * STEPS_A_SECOND; step++) {
             now = START + (double) step / STEPS_A_SECOND;
-            for (Router router : turns) {
+            for (Router router : ticked) {
                 router.dispatcher.tick(now);
             }
             for (int pending = underWay.size(); pending > 0; pending--) {
@@ -167,8 +168,8 @@
         return new AttemptResult(AttemptOutcome.ANSWERED, 0.002, role, position, role, position - 0.25, load);
     }
 
-    private static LocalEvent.WriteFinished written(String mark, boolean ran, double now) {
-        return new LocalEvent.WriteFinished(mark, now - 0.5, 1, "post", ran, ran ? "n1" : "", now);
+    private static LocalEvent.WriteFinished written(String writeKey, boolean executed, double now) {
+        return new LocalEvent.WriteFinished(writeKey, now - 0.5, 1, "post", executed, executed ? "n1" : "", now);
     }
 
     @Test
@@ -216,12 +217,12 @@
         assertEquals(POSITION, receiver.bridge.requiredPosition("session", now));
         assertEquals(
                 List.of(WriteOutcome.OutcomeStatus.UNKNOWN, WriteOutcome.OutcomeStatus.RAN),
-                List.of(knowledge(receiver, "in doubt"), knowledge(receiver, "resolved")));
+                List.of(status(receiver, "in doubt"), status(receiver, "resolved")));
         assertEquals(45, granted);
         assertEquals(List.of(), receiver.membership.livePeers());
     }
 
-    private static WriteOutcome.OutcomeStatus knowledge(Router router, String mark) {
-        return router.state.get(FATES, WriteOutcome.key(mark)).status();
+    private static WriteOutcome.OutcomeStatus status(Router router, String writeKey) {
+        return router.state.get(WRITE_OUTCOMES, WriteOutcome.key(writeKey)).status();
     }
 }
--- a/fleet/src/test/java/clayhook/fleet/RecordedPacketsTest.java
+++ b/fleet/src/test/java/clayhook/fleet/RecordedPacketsTest.java
@@ -47,9 +47,9 @@
     }
 
     /** A message as it came, and from whom. */
-    private record Received(Peer from, Message part) {}
+    private record Received(Peer from, Message message) {}
 
-    /** Sends given messages on its first turn, and keeps those that it receives. */
+    /** Sends given messages on its first tick, and keeps those that it receives. */
     private static final class SampleHandler implements ProtocolHandler {
         private final List<Integer> numbers;
         private final Consumer<Outbox> messages;
@@ -68,8 +68,8 @@
         }
 
         @Override
-        public void onMessage(Peer from, Message part, double now, Outbox out) {
-            received.add(new Received(from, part));
+        public void onMessage(Peer from, Message message, double now, Outbox out) {
+            received.add(new Received(from, message));
         }
 
         @Override
@@ -288,8 +288,8 @@
     @Test
     void unpacksRecordedPackets() throws IOException {
         var expected = new HashMap<Address, List<Message>>();
-        messagesToSend((to, part) ->
-                expected.computeIfAbsent(to, any -> new ArrayList<>()).add(part));
+        messagesToSend((to, message) ->
+                expected.computeIfAbsent(to, any -> new ArrayList<>()).add(message));
         var unpacked = new HashMap<Address, List<Message>>();
         var from = new Address("10.0.0.9", 9);
         for (String line : recorded()) {
@@ -305,7 +305,7 @@
             Address to = address(line);
             handler.received.forEach(received -> {
                 assertEquals(new Peer(SENDER, from), received.from());
-                unpacked.computeIfAbsent(to, any -> new ArrayList<>()).add(received.part());
+                unpacked.computeIfAbsent(to, any -> new ArrayList<>()).add(received.message());
             });
         }
         assertEquals(expected, unpacked);
