--- a/daemon/src/test/java/clayhook/peers/GossipTransportTest.java
+++ b/daemon/src/test/java/clayhook/peers/GossipTransportTest.java
@@ -42,7 +42,7 @@
     /** Seconds; shorter than by default, as no router of a test has more state than those that start with it. */
     private static final double BOOTSTRAP_TIMEOUT = 0.5;
 
-    private static final InetSocketAddress DISCOVERY = new InetSocketAddress("127.0.0.1", 1);
+    private static final InetSocketAddress DISCOVERY = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
     private static final AttemptResult ANSWER =
             new AttemptResult(AttemptOutcome.ANSWERED, 0.001, Role.PRIMARY, 1e9, Role.UNKNOWN, 0, 3);
     private final List<PeerSharing> openTransports = new ArrayList<>();
