--- a/cli/src/main/java/clayhook/cli/ClassifyCommand.java
+++ b/cli/src/main/java/clayhook/cli/ClassifyCommand.java
@@ -57,6 +57,8 @@
             description = "statements; standard input if left out")
     private Path file;
 
+    /** Ends the program: nothing is printed after standard output is closed. */
+    @SuppressWarnings("ClosingStandardOutputStreams")
     @Override
     public Integer call() throws IOException {
         StatementRules rules;
--- a/cli/src/main/java/clayhook/cli/LabCommand.java
+++ b/cli/src/main/java/clayhook/cli/LabCommand.java
@@ -166,14 +166,16 @@
                 }
             }
             out.println();
-            for (Played one : played) {
-                Interval gain = Comparison.gain(played.get(0), one);
+            Played baseline = played.get(0);
+            for (int i = 0; i < played.size(); i++) {
+                Played one = played.get(i);
+                Interval gain = Comparison.gain(baseline, one);
                 out.printf(
                         Locale.ROOT,
                         "%-24s service %.4f%s, busiest node %.2f, rules %s%n",
                         one.variant().name(),
                         one.service(),
-                        one == played.get(0)
+                        i == 0
                                 ? ""
                                 : String.format(
                                         Locale.ROOT, ", %+.4f to the first (95%%: +-%.4f)", gain.mean(), gain.reach()),
--- a/clustertests/src/main/java/clayhook/clustertests/ClusterNode.java
+++ b/clustertests/src/main/java/clayhook/clustertests/ClusterNode.java
@@ -22,6 +22,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /** A node on a socket that tells the witness what it runs, for whom. Its state may be changed by any thread. */
+@SuppressWarnings("FutureReturnValueIgnored") // a write or close that fails shows as the end of its channel
 public final class ClusterNode {
     /** What it does with a statement. */
     public enum Mood {
@@ -167,7 +168,7 @@
         private ByteBuf run(KeyValueStatement statement) {
             cluster.witness.came(router, node);
             RequestClass group = cluster.group(statement.requestClassName);
-            if (group == null || group.requiresPrimary() && !leads()) {
+            if (group == null || (group.requiresPrimary() && !leads())) {
                 return MessageEncoder.error(false, "25006", "not here", null);
             }
             reckonCold();
--- a/clustertests/src/main/java/clayhook/clustertests/DatagramRelay.java
+++ b/clustertests/src/main/java/clayhook/clustertests/DatagramRelay.java
@@ -27,6 +27,7 @@
  * knows the sender, and with it the directed link; what comes through leaves from the sender's own socket here, so that
  * the receiver sees the address that it may answer to, and no datagram finds a way around.
  */
+@SuppressWarnings("FutureReturnValueIgnored") // a datagram that cannot be sent is lost, as on a network
 public final class DatagramRelay {
     private static final int LONGEST = 1 << 16;
     /**
--- a/clustertests/src/main/java/clayhook/clustertests/LoadClient.java
+++ b/clustertests/src/main/java/clayhook/clustertests/LoadClient.java
@@ -70,7 +70,7 @@
         if (word == null
                 || word.equals(StubClient.NO_CONNECTION)
                 || word.equals("closed")
-                || value && word.endsWith("closed")) {
+                || (value && word.endsWith("closed"))) {
             witness.unanswered(id, word);
             leave(router);
             Thread.sleep(AGAIN_MS);
--- a/clustertests/src/main/java/clayhook/clustertests/RouterProcess.java
+++ b/clustertests/src/main/java/clayhook/clustertests/RouterProcess.java
@@ -58,7 +58,7 @@
         return address;
     }
 
-    /** Writes its two files; a router that runs reads them on {@link #reload}. */
+    /** Writes its two files; a router that runs reads them on SIGHUP. */
     void configure(String platform, String operator) throws IOException {
         Files.writeString(folder.resolve("config.json"), platform);
         Files.writeString(operatorFile(), operator);
--- a/lab/src/main/java/clayhook/lab/Report.java
+++ b/lab/src/main/java/clayhook/lab/Report.java
@@ -59,8 +59,10 @@
 
     private static void table(StringBuilder page, List<Played> played) {
         page.append("<table><tr><th>variant<th>service<th>to the first, 95%<th>rules</tr>");
-        for (Played one : played) {
-            Interval gain = Comparison.gain(played.get(0), one);
+        Played baseline = played.get(0);
+        for (int i = 0; i < played.size(); i++) {
+            Played one = played.get(i);
+            Interval gain = Comparison.gain(baseline, one);
             String broken = one.runs().stream()
                     .map(RunMetrics::firstBroken)
                     .filter(first -> first != null)
@@ -71,9 +73,7 @@
                     "<tr><td>%s<td>%.4f<td>%s<td>%s</tr>",
                     text(one.variant().name()),
                     one.service(),
-                    one == played.get(0)
-                            ? ""
-                            : String.format(Locale.ROOT, "%+.4f &plusmn; %.4f", gain.mean(), gain.reach()),
+                    i == 0 ? "" : String.format(Locale.ROOT, "%+.4f &plusmn; %.4f", gain.mean(), gain.reach()),
                     text(broken)));
         }
         page.append("</table>");
--- a/lab/src/main/java/clayhook/lab/model/LoopbackFleet.java
+++ b/lab/src/main/java/clayhook/lab/model/LoopbackFleet.java
@@ -38,6 +38,7 @@
  * platform's protocol and take the time that the model says. Nodes and clients share a loop; each router has its own.
  * Routers ask for the list again after ten seconds at the latest, so that changes reach them by then.
  */
+@SuppressWarnings("FutureReturnValueIgnored") // a write or close that fails shows as the end of its channel
 public final class LoopbackFleet {
     /** Where a run's own loop was late by more, its figures are those of the machine, and no verdict is given. */
     private static final double MOST_LATE = 0.01;
@@ -397,7 +398,7 @@
         private void run(ChannelHandlerContext ctx, KeyValueStatement statement) {
             NodeModel node = socket.node;
             Asked asked = open.get(statement.requestId);
-            if (asked == null || statement.isWrite && node.role != Role.PRIMARY) {
+            if (asked == null || (statement.isWrite && node.role != Role.PRIMARY)) {
                 ctx.writeAndFlush(MessageEncoder.error(false, asked == null ? "53300" : "25006", "not here", null));
                 return;
             }
--- a/lab/src/main/java/clayhook/lab/model/RouterModel.java
+++ b/lab/src/main/java/clayhook/lab/model/RouterModel.java
@@ -218,7 +218,7 @@
 
     private void arrive(Attempt dispatch, SimulatedAttempt attempt) {
         NodeModel at = fleet.node(dispatch.node);
-        if (attempts.get(dispatch) != attempt || at.silent() && at.up()) {
+        if (attempts.get(dispatch) != attempt || (at.silent() && at.up())) {
             return; // given up on the way, or nobody reads it: the router's time limit ends it
         }
         if (!at.up()) {
@@ -227,8 +227,8 @@
         }
         double needed = fleet.needed(dispatch.request, dispatch.sentAt);
         boolean writes = dispatch.request.requestClass.consistency() == ConsistencyLevel.WRITE;
-        if (writes && at.role != Role.PRIMARY
-                || !writes && settings.replicasRejectStaleReads() && at.position() < needed) {
+        if ((writes && at.role != Role.PRIMARY)
+                || (!writes && settings.replicasRejectStaleReads() && at.position() < needed)) {
             back(dispatch, attempt, at.life, tell(at, AttemptOutcome.REJECTED));
             return;
         }
--- a/lab/src/main/java/clayhook/lab/model/WallClockScheduler.java
+++ b/lab/src/main/java/clayhook/lab/model/WallClockScheduler.java
@@ -29,6 +29,7 @@
         return start + (System.nanoTime() - steady) / 1e9;
     }
 
+    @SuppressWarnings("FutureReturnValueIgnored") // what runs later reports its own failures
     @Override
     public void at(double time, Runnable what) {
         loop.schedule(
--- a/lab/src/main/java/clayhook/lab/sharing/GeneratedValues.java
+++ b/lab/src/main/java/clayhook/lab/sharing/GeneratedValues.java
@@ -39,7 +39,7 @@
                 case 0 -> said(0, "n" + random.nextInt(NODES), key -> evidence(key, by, now), by, now);
                 case 1 -> said(1, "n" + random.nextInt(NODES), key -> listed(key, by, now), by, now);
                 case 2 -> said(2, "s" + random.nextInt(SESSIONS), key -> new SessionWrite(now, 1), by, now);
-                case 3 -> said(3, "c" + random.nextInt(COMMANDS), key -> fate(key, by, now), by, now);
+                case 3 -> said(3, "c" + random.nextInt(COMMANDS), key -> writeOutcome(key, by), by, now);
                 default ->
                     said(
                             4,
@@ -84,7 +84,7 @@
     }
 
     /** Each command has run or not; its router may know or be in doubt. */
-    private WriteOutcome fate(String key, PeeredRouter by, double now) {
+    private WriteOutcome writeOutcome(String key, PeeredRouter by) {
         String router = by.toString();
         var first = WriteOutcome.SentWrite.of(by.now(), 1, "pay", null);
         boolean ran = key.hashCode() % 2 == 0;
--- a/scattergather/src/main/java/clayhook/scattergather/Aggregate.java
+++ b/scattergather/src/main/java/clayhook/scattergather/Aggregate.java
@@ -54,7 +54,7 @@
     }
 
     public Aggregate {
-        if ((column == null) != (what == What.COUNT) && what != What.COUNT
+        if (((column == null) != (what == What.COUNT) && what != What.COUNT)
                 || (by == null) == (what == What.MEAN_OF_SUMS)
                 || !(share >= 0 && share <= 1)) {
             throw new IllegalArgumentException(
--- a/scattergather/src/main/java/clayhook/scattergather/AggregateGroups.java
+++ b/scattergather/src/main/java/clayhook/scattergather/AggregateGroups.java
@@ -31,7 +31,7 @@
         }
 
         void show(byte[][] fields, GatherPart from, long row) {
-            if (part == null || from.number() < part.number() || from.number() == part.number() && row < number) {
+            if (part == null || from.number() < part.number() || (from.number() == part.number() && row < number)) {
                 shown = fields;
                 part = from;
                 number = row;
--- a/scattergather/src/main/java/clayhook/scattergather/Aggregator.java
+++ b/scattergather/src/main/java/clayhook/scattergather/Aggregator.java
@@ -86,7 +86,7 @@
          * Of values that are equal and yet written in two ways, as 1.0 and 1.00, the same one is taken in any order.
          */
         private void take(int compared, ColumnValue other, byte[] bytes) {
-            if (compared < 0 || compared == 0 && Arrays.compareUnsigned(bytes, raw) < 0) {
+            if (compared < 0 || (compared == 0 && Arrays.compareUnsigned(bytes, raw) < 0)) {
                 cell = other;
                 raw = bytes;
             }
--- a/scattergather/src/main/java/clayhook/scattergather/ColumnValue.java
+++ b/scattergather/src/main/java/clayhook/scattergather/ColumnValue.java
@@ -76,7 +76,7 @@
 
         private static long rough(double value) {
             long bits = Double.doubleToLongBits(value);
-            return bits ^ bits >> 63 & Long.MAX_VALUE; // negative ones the other way round
+            return bits ^ (bits >> 63 & Long.MAX_VALUE); // negative ones the other way round
         }
 
         @Override
--- a/scattergather/src/main/java/clayhook/scattergather/DuplicateGroup.java
+++ b/scattergather/src/main/java/clayhook/scattergather/DuplicateGroup.java
@@ -35,7 +35,7 @@
     }
 
     private Row better(Row a, Row b) {
-        return a == null || b != null && ranks.compare(b, a) < 0 ? b : a;
+        return a == null || (b != null && ranks.compare(b, a) < 0) ? b : a;
     }
 
     Row best() {
--- a/scattergather/src/main/java/clayhook/scattergather/ExactSum.java
+++ b/scattergather/src/main/java/clayhook/scattergather/ExactSum.java
@@ -149,7 +149,7 @@
 
     long weight() {
         return Aggregator.OBJECT
-                + (big == null ? 0 : Aggregator.OBJECT + big.unscaledValue().bitLength() / 8);
+                + (big == null ? 0 : Aggregator.OBJECT + big.unscaledValue().bitLength() / 8L);
     }
 
     /** A sum, or a sum of counts, which is 0 without any. */
--- a/scattergather/src/main/java/clayhook/scattergather/Gather.java
+++ b/scattergather/src/main/java/clayhook/scattergather/Gather.java
@@ -83,7 +83,12 @@
         return merging.streams() ? streams.size() * (ahead + heaviest) : 0;
     }
 
-    /** Asks all parts. @param end when the final answer is due at the latest, seconds since 1970 like {@code time} */
+    /**
+     * Asks all parts.
+     *
+     * @param time now, seconds since 1970
+     * @param end when the final answer is due at the latest, seconds since 1970
+     */
     public void begin(double time, double end) {
         enter();
         if (begun) {
@@ -120,7 +125,7 @@
     /** The part's stream, if it is still heard; then {@link #leave} must follow. */
     private PartStream heard(GatherPart part) {
         PartStream stream = streams.get(part.number());
-        if (stream.part != part && !stream.part.equals(part) || !begun) {
+        if (!stream.part.equals(part) || !begun) {
             throw new IllegalArgumentException(begun ? "no part of this gather: " + part : "not begun");
         }
         if (over || stream.over) {
@@ -255,8 +260,9 @@
     }
 
     /**
-     * The part came to its end. @param position at which it was read, seconds since 1970; negative infinity where
-     * unknown
+     * The part came to its end.
+     *
+     * @param position at which it was read, seconds since 1970; negative infinity where unknown
      */
     public void ended(GatherPart part, double position) {
         PartStream stream = heard(part);
@@ -373,7 +379,7 @@
         boolean isFirm = stream.over ? !stream.shortened && !old(stream) : blend.firm(stream);
         boolean isLost = stream.over
                 && !stream.spare
-                && (stream.shortened && stream.buffer.isEmpty() || stream.fall == null && old(stream));
+                && ((stream.shortened && stream.buffer.isEmpty()) || (stream.fall == null && old(stream)));
         ready += change(stream.ready, isReady);
         firm += change(stream.firm, isFirm);
         lost += change(stream.lost, isLost);
@@ -392,7 +398,7 @@
 
     /** Does what follows from what was told. */
     private void settle() {
-        if (blend.fault() != null || !plan.marked() && hopeless()) {
+        if (blend.fault() != null || (!plan.marked() && hopeless())) {
             finish(blend.fault(), true);
             return;
         }
@@ -448,7 +454,11 @@
         note(stream);
     }
 
-    /** The one place where it ends. @param broken whether the answer was not at its end */
+    /**
+     * The one place where it ends.
+     *
+     * @param broken whether the answer was not at its end
+     */
     private void finish(GatherFault fault, boolean broken) {
         over = true;
         var notes = new ArrayList<PartNote>();
@@ -484,7 +494,7 @@
                                 .filter(note -> note.standing() == PartStatus.WHOLE)
                                 .count()
                         >= needed();
-        boolean enough = complete || !broken && plan.enough() instanceof CompletionPolicy.Best && !used.isEmpty();
+        boolean enough = complete || (!broken && plan.enough() instanceof CompletionPolicy.Best && !used.isEmpty());
         var cut = new Truncation(
                 broken && now >= deadline ? Truncation.Where.DEADLINE : out.where(),
                 !broken && streams.stream().noneMatch(stream -> stream.dry),
@@ -507,10 +517,10 @@
 
     /** A part that broke off is whole all the same where the answer ended before it would have needed more of it. */
     private PartStatus standing(PartStream stream, boolean broken) {
-        if (stream.spare || !stream.over && broken) {
+        if (stream.spare || (!stream.over && broken)) {
             return PartStatus.SPARE;
         }
-        if (stream.dry || stream.fall != null && broken) {
+        if (stream.dry || (stream.fall != null && broken)) {
             return stream.fall == null || stream.counted > 0 ? PartStatus.CUT : stream.fall;
         }
         return old(stream) ? PartStatus.OLD : PartStatus.WHOLE;
--- a/scattergather/src/main/java/clayhook/scattergather/LoserTree.java
+++ b/scattergather/src/main/java/clayhook/scattergather/LoserTree.java
@@ -33,7 +33,7 @@
             return heads[a] != null;
         }
         int keyed = order.keys(heads[a], heads[b]);
-        return keyed < 0 || keyed == 0 && a < b;
+        return keyed < 0 || (keyed == 0 && a < b);
     }
 
     /** All matches anew, from the leaves up. */
--- a/scattergather/src/main/java/clayhook/scattergather/PartStream.java
+++ b/scattergather/src/main/java/clayhook/scattergather/PartStream.java
@@ -99,7 +99,7 @@
      * How many rows more there is room for, if each is as long as any may be; none while half of what could be is out.
      */
     int room(int rowsAhead, long bytesAhead, long heaviest, long useful) {
-        if (owed > (rowsAhead >> 1) || owed * heaviest > (bytesAhead - held >> 1)) {
+        if (owed > (rowsAhead >> 1) || owed * heaviest > ((bytesAhead - held) >> 1)) {
             return 0;
         }
         return (int) Math.max(
--- a/scattergather/src/main/java/clayhook/scattergather/QuantileBuckets.java
+++ b/scattergather/src/main/java/clayhook/scattergather/QuantileBuckets.java
@@ -60,7 +60,7 @@
         }
     }
 
-    private static void fold(TreeMap<Integer, Long> buckets) {
+    private static void fold(Map<Integer, Long> buckets) {
         var coarse = new TreeMap<Integer, Long>();
         buckets.forEach((index, count) -> coarse.merge(up(index), count, Long::sum));
         buckets.clear();
--- a/scattergather/src/main/java/clayhook/scattergather/Row.java
+++ b/scattergather/src/main/java/clayhook/scattergather/Row.java
@@ -92,11 +92,11 @@
     }
 
     static int count(byte[] message) {
-        return (message[HEADER] & 0xff) << 8 | message[HEADER + 1] & 0xff;
+        return (message[HEADER] & 0xff) << 8 | (message[HEADER + 1] & 0xff);
     }
 
     static int number(byte[] in, int at) {
-        return in[at] << 24 | (in[at + 1] & 0xff) << 16 | (in[at + 2] & 0xff) << 8 | in[at + 3] & 0xff;
+        return in[at] << 24 | (in[at + 1] & 0xff) << 16 | (in[at + 2] & 0xff) << 8 | (in[at + 3] & 0xff);
     }
 
     /** Where the first field's length is. */
--- a/scattergather/src/main/java/clayhook/scattergather/RowSet.java
+++ b/scattergather/src/main/java/clayhook/scattergather/RowSet.java
@@ -12,15 +12,26 @@
  */
 public record RowSet(List<Column> columns, List<byte[]> messages) {
     /**
-     * What one part holds. @param rows null where it is out of reach, and {@code why} says how; @param position as of
-     * the gather
+     * What one part holds.
+     *
+     * @param rows null where it is out of reach
+     * @param why how it is out of reach
+     * @param position as of the gather, seconds since 1970
      */
     public record Held(GatherPart part, RowSet rows, String why, double position) {}
 
-    /** An answer with its verdict. @param columns empty where no part told any */
+    /**
+     * An answer with its verdict.
+     *
+     * @param columns empty where no part told any
+     */
     public record Answer(List<Column> columns, List<byte[]> rows, GatherResult verdict) {}
 
-    /** @param rows values as PostgreSQL writes them, null for none */
+    /**
+     * Encodes rows of text values.
+     *
+     * @param rows values as PostgreSQL writes them, null for none
+     */
     public static RowSet table(List<Column> columns, List<List<String>> rows) {
         var messages = new ArrayList<byte[]>(rows.size());
         for (List<String> row : rows) {
--- a/scattergather/src/main/java/clayhook/scattergather/RowTable.java
+++ b/scattergather/src/main/java/clayhook/scattergather/RowTable.java
@@ -33,7 +33,7 @@
     private boolean put(Object key, DuplicateGroup copies, boolean fresh) {
         DuplicateGroup known = byKey.get(key);
         if (known == null) {
-            if (byKey.size() >= mostRows || fresh && !take(copies.weight() + ENTRY)) {
+            if (byKey.size() >= mostRows || (fresh && !take(copies.weight() + ENTRY))) {
                 return false;
             }
             byKey.put(key, copies);
--- a/scattergather/src/main/java/clayhook/scattergather/SortedMerge.java
+++ b/scattergather/src/main/java/clayhook/scattergather/SortedMerge.java
@@ -53,7 +53,7 @@
 
     @Override
     public boolean firm(PartStream part) {
-        return part.over || part.owed == 0 && !part.buffer.isEmpty();
+        return part.over || (part.owed == 0 && !part.buffer.isEmpty());
     }
 
     @Override
--- a/scattergather/src/test/java/clayhook/scattergather/GroupsPropertiesTest.java
+++ b/scattergather/src/test/java/clayhook/scattergather/GroupsPropertiesTest.java
@@ -9,6 +9,7 @@
 import clayhook.scattergather.Sample.Line;
 import clayhook.scattergather.Sample.Value;
 import java.math.BigDecimal;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Collections;
@@ -191,16 +192,17 @@
         Arrays.sort(values);
         Aggregator quantile = tree(layout.figures().get(3), rows, random);
         double exact = values[(int) QuantileAggregator.rank(0.9, count)];
-        double off = Math.abs(Double.parseDouble(new String(quantile.text())) - exact);
+        double off = Math.abs(Double.parseDouble(new String(quantile.text(), StandardCharsets.UTF_8)) - exact);
         assertTrue(off <= quantile.error() * Math.abs(exact) * (1 + 1e-9) + 1e-300, off + " of " + exact);
         assertEquals(count <= QuantileAggregator.EXACT, quantile.error() == 0);
         Aggregator distinct = tree(layout.figures().get(2), rows, random);
-        assertTrue(Math.abs(Double.parseDouble(new String(distinct.text())) - count) <= 6 * distinct.error() * count);
+        assertTrue(Math.abs(Double.parseDouble(new String(distinct.text(), StandardCharsets.UTF_8)) - count)
+                <= 6 * distinct.error() * count);
         BigDecimal sum = Arrays.stream(values).mapToObj(BigDecimal::new).reduce(BigDecimal.ZERO, BigDecimal::add);
         assertEquals(
                 sum.doubleValue(),
                 Double.parseDouble(
-                        new String(tree(layout.figures().get(0), rows, random).text())));
+                        new String(tree(layout.figures().get(0), rows, random).text(), StandardCharsets.UTF_8)));
     }
 
     /** As PostgreSQL 16 writes them. */
--- a/scattergather/src/test/java/clayhook/scattergather/Sample.java
+++ b/scattergather/src/test/java/clayhook/scattergather/Sample.java
@@ -204,7 +204,7 @@
     List<Line> distinct(Duplicates duplicates, Function<Integer, Double> positions) {
         var out = new ArrayList<Line>();
         for (List<Line> copies : by(duplicates.key(), all()).values()) {
-            Comparator<Line> merit = (a, b) -> 0;
+            Comparator<Line> merit = Comparator.comparingInt(unused -> 0);
             for (Duplicates.Rule rule : duplicates.rules()) {
                 merit = merit.thenComparing(merit(rule, positions));
             }
--- a/statements/src/main/java/clayhook/statements/IdentifierRules.java
+++ b/statements/src/main/java/clayhook/statements/IdentifierRules.java
@@ -71,7 +71,8 @@
 
     private static int hex(String digits) {
         int value = 0;
-        for (char c : digits.toCharArray()) {
+        for (int i = 0; i < digits.length(); i++) {
+            char c = digits.charAt(i);
             int digit = Character.digit(c, 16);
             if (digit < 0 || c > 'f') {
                 return -1;
--- a/statements/src/main/java/clayhook/statements/Lexer.java
+++ b/statements/src/main/java/clayhook/statements/Lexer.java
@@ -18,7 +18,7 @@
         for (int c = 0; c < 256; c++) {
             CLASS[c] = c == ' ' || c == '\t' || c == '\n' || c == '\r' || c == '\f'
                     ? SPACE
-                    : c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '_' || c >= 128
+                    : (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '_' || c >= 128
                             ? START
                             : c >= '0' && c <= '9'
                                     ? DIGIT
@@ -130,7 +130,7 @@
         do {
             at++;
             while (at < text.length && (text[at] != '\'' || peek(1) == '\'')) {
-                at += text[at] == '\'' || escapes && text[at] == '\\' ? 2 : 1;
+                at += text[at] == '\'' || (escapes && text[at] == '\\') ? 2 : 1;
             }
             if (at >= text.length) {
                 fault("a string without its end");
@@ -186,7 +186,7 @@
         }
         int tag = at + 1;
         while (tag < text.length
-                && (CLASS[text[tag] & 0xff] == START || tag > at + 1 && CLASS[text[tag] & 0xff] == DIGIT)) {
+                && (CLASS[text[tag] & 0xff] == START || (tag > at + 1 && CLASS[text[tag] & 0xff] == DIGIT))) {
             tag++;
         }
         if (tag >= text.length || text[tag] != '$') {
@@ -274,7 +274,7 @@
         while (end < text.length && CLASS[text[end] & 0xff] == OPERATOR) {
             int c = text[end];
             int after = end + 1 < text.length ? text[end + 1] : 0;
-            if (end > start && (c == '-' && after == '-' || c == '/' && after == '*')) {
+            if (end > start && ((c == '-' && after == '-') || (c == '/' && after == '*'))) {
                 break;
             }
             keeps |= KEEPS_SIGN.indexOf(c) >= 0;
--- a/statements/src/main/java/clayhook/statements/SessionSettings.java
+++ b/statements/src/main/java/clayhook/statements/SessionSettings.java
@@ -75,8 +75,8 @@
                     || name.equals("database")
                     || name.startsWith("_pq_.")
                     || value.isEmpty()
-                    || name.equals("replication")
-                            && Set.of("false", "off", "no", "0").contains(value);
+                    || (name.equals("replication")
+                            && Set.of("false", "off", "no", "0").contains(value));
             if (!passed && started(name, value) instanceof Reply.Refused refused) {
                 return refused.why();
             }
@@ -106,7 +106,7 @@
         while (tokens.size > 0 && tokens.kinds[tokens.size - 1] == Kind.SEMI) {
             tokens.size--;
         }
-        if (tokens.fault != null || tokens.size < 2 || !tokens.is(0, "set") && !tokens.is(0, "reset")) {
+        if (tokens.fault != null || tokens.size < 2 || (!tokens.is(0, "set") && !tokens.is(0, "reset"))) {
             return null;
         }
         for (int i = 0; i < tokens.size; i++) {
@@ -125,10 +125,10 @@
         }
         int c = i < statement.length ? statement[i] | 0x20 : 0;
         int second = i + 1 < statement.length ? statement[i + 1] | 0x20 : 0;
-        return (c == 's' || c == 'r')
+        return ((c == 's' || c == 'r')
                         && second == 'e'
                         && i + 2 < statement.length
-                        && ((statement[i + 2] | 0x20) == 't' || (statement[i + 2] | 0x20) == 's')
+                        && ((statement[i + 2] | 0x20) == 't' || (statement[i + 2] | 0x20) == 's'))
                 || c == '-'
                 || c == '/'
                 || c == ';';
@@ -137,7 +137,7 @@
     private Reply reset() {
         boolean all = tokens.is(1, "all");
         String name = all ? "" : name(1);
-        if (tokens.size != 2 || !all && !REPLAYED.contains(name) && !name.equals(TIMEOUT)) {
+        if (tokens.size != 2 || (!all && !REPLAYED.contains(name) && !name.equals(TIMEOUT))) {
             return refused(all ? "" : name);
         }
         timeout = all || name.equals(TIMEOUT) ? 0 : timeout;
@@ -157,7 +157,7 @@
         String name = zone ? "timezone" : names ? "client_encoding" : name(at);
         int value = zone ? at + 2 : names ? at + 1 : at + 2;
         boolean sign =
-                zone || names || at + 1 < tokens.size && (tokens.kinds[at + 1] == Kind.EQ || tokens.is(at + 1, "to"));
+                zone || names || (at + 1 < tokens.size && (tokens.kinds[at + 1] == Kind.EQ || tokens.is(at + 1, "to")));
         if (!sign || value >= tokens.size || !constants(value)) {
             return refused(name);
         }
--- a/statements/src/main/java/clayhook/statements/ShapeAnalyzer.java
+++ b/statements/src/main/java/clayhook/statements/ShapeAnalyzer.java
@@ -185,8 +185,8 @@
         int deepest = 0;
         for (int i = 0; i < shape.size; i++) {
             boolean word = shape.kinds[i] == Kind.WORD;
-            boolean opens = shape.kinds[i] == Kind.LP || shape.kinds[i] == Kind.LB || word && shape.is(i, "case");
-            boolean closes = shape.kinds[i] == Kind.RP || shape.kinds[i] == Kind.RB || word && shape.is(i, "end");
+            boolean opens = shape.kinds[i] == Kind.LP || shape.kinds[i] == Kind.LB || (word && shape.is(i, "case"));
+            boolean closes = shape.kinds[i] == Kind.RP || shape.kinds[i] == Kind.RB || (word && shape.is(i, "end"));
             depth += opens ? 1 : closes ? -1 : 0;
             deepest = Math.max(deepest, depth);
         }
@@ -219,7 +219,7 @@
             }
             String first = word(shape, start);
             if (BLOCKS.contains(first)
-                    || first.equals("prepare") && word(shape, start + 1).equals("transaction")) {
+                    || (first.equals("prepare") && word(shape, start + 1).equals("transaction"))) {
                 return ShapeFacts.unread(
                         StatementEffect.REFUSED, "transaction blocks are not taken yet: " + first, first, false);
             } else if (BINDING.contains(first)) {
--- a/statements/src/main/java/clayhook/statements/ShapeBuilder.java
+++ b/statements/src/main/java/clayhook/statements/ShapeBuilder.java
@@ -60,7 +60,8 @@
 
     /** Where a list of nothing but literals closes that opens at {@code i}; -1 if it is none. */
     private int list(int i, int end, Kind close) {
-        for (int j = i + 1; j < end; j++) {
+        int j = i + 1;
+        while (j < end) {
             if (from.kinds[j] == Kind.OP && sign(j)) {
                 j++;
             }
@@ -73,6 +74,7 @@
             } else if (from.kinds[j] != Kind.COMMA) {
                 return -1;
             }
+            j++;
         }
         return -1;
     }
--- a/statements/src/main/java/clayhook/statements/StatementAnalysis.java
+++ b/statements/src/main/java/clayhook/statements/StatementAnalysis.java
@@ -145,7 +145,7 @@
     @Override
     public void enterTail(TailContext ctx) {
         sorts += ctx.ORDER() == null ? 0 : 1;
-        limited |= ctx.LIMIT() != null && ctx.ALL() == null || ctx.FETCH() != null;
+        limited |= (ctx.LIMIT() != null && ctx.ALL() == null) || ctx.FETCH() != null;
     }
 
     @Override
@@ -217,7 +217,7 @@
         ParseTree sign = ctx.OPERATOR() == null ? ctx.getChild(0) : ctx.getChild(ctx.getChildCount() - 2);
         if (!known.operator(sign.getText())
                 || ctx.name().size() > 1
-                || !schema.isEmpty() && !schema.equals("pg_catalog")) {
+                || (!schema.isEmpty() && !schema.equals("pg_catalog"))) {
             writes("operator " + sign.getText() + " is not known to change nothing");
         }
     }
