--- a/cli/src/main/java/clayhook/cli/RehearseCommand.java
+++ b/cli/src/main/java/clayhook/cli/RehearseCommand.java
@@ -1,8 +1,8 @@
 package clayhook.cli;
 
 import clayhook.RoutingSettings;
-import clayhook.config.Json;
 import clayhook.config.RouterConfiguration;
+import clayhook.json.Json;
 import clayhook.serve.ReloadSignal;
 import clayhook.transport.Transport;
 import clayhook.warmup.WarmUp;
--- a/cli/src/test/java/clayhook/architecture/ArchitectureTest.java
+++ b/cli/src/test/java/clayhook/architecture/ArchitectureTest.java
@@ -14,11 +14,7 @@
 class ArchitectureTest {
     /** Packages without I/O, threads and clocks: time and random seeds are handed in. */
     private static final String[] PURE = {
-        "clayhook",
-        "clayhook.inflight",
-        "clayhook.statements..",
-        "clayhook.fleet..",
-        "clayhook.rollout.."
+        "clayhook", "clayhook.inflight", "clayhook.statements..", "clayhook.fleet..", "clayhook.rollout.."
     };
 
     /** Packages of the serving path: what {@code serve} loads. */
--- a/clustertests/src/test/java/clayhook/clustertests/HistoryRecorderTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/HistoryRecorderTest.java
@@ -57,7 +57,7 @@
         if (what.contains("twice")) {
             witness.ran("id", SECOND, 0);
         }
-        if (rule.equals("ONE_ANSWER") && !what.startsWith("two")
+        if ((rule.equals("ONE_ANSWER") && !what.startsWith("two"))
                 || what.startsWith("killed")
                 || what.startsWith("stopped")) {
             witness.unanswered("id", null);
--- a/clustertests/src/test/java/clayhook/clustertests/NetworkLinkTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/NetworkLinkTest.java
@@ -36,9 +36,12 @@
 
     private static boolean whole(byte[] bytes) {
         ByteBuffer numbers = ByteBuffer.wrap(bytes);
-        return bytes.length == BYTES
-                && numbers.getInt() == numbers.getInt()
-                && IntStream.range(numbers.position(), BYTES).allMatch(i -> bytes[i] == 0);
+        if (bytes.length != BYTES) {
+            return false;
+        }
+        int first = numbers.getInt();
+        int second = numbers.getInt();
+        return first == second && IntStream.range(numbers.position(), BYTES).allMatch(i -> bytes[i] == 0);
     }
 
     @ParameterizedTest
--- a/daemon/src/main/java/clayhook/config/RouterConfiguration.java
+++ b/daemon/src/main/java/clayhook/config/RouterConfiguration.java
@@ -2,6 +2,7 @@
 
 import clayhook.RoutingSettings;
 import clayhook.discovery.EndpointList;
+import clayhook.json.Json;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
--- a/daemon/src/main/java/clayhook/discovery/EndpointList.java
+++ b/daemon/src/main/java/clayhook/discovery/EndpointList.java
@@ -1,7 +1,7 @@
 package clayhook.discovery;
 
 import clayhook.Endpoint.State;
-import clayhook.config.Json;
+import clayhook.json.Json;
 import io.netty.util.NetUtil;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
--- a/daemon/src/main/java/clayhook/config/Json.java
+++ b/daemon/src/main/java/clayhook/json/Json.java
@@ -1,4 +1,4 @@
-package clayhook.config;
+package clayhook.json;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
--- a/daemon/src/main/java/clayhook/peers/GossipTransport.java
+++ b/daemon/src/main/java/clayhook/peers/GossipTransport.java
@@ -14,7 +14,7 @@
 import clayhook.fleet.types.WriteOutcome;
 import clayhook.frontend.ClientRequest;
 import clayhook.log.Log;
-import clayhook.serve.PeerSharing;
+import clayhook.sharing.PeerSharing;
 import clayhook.transport.SlewedClock;
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/daemon/src/main/java/clayhook/peers/LocalEvent.java
+++ b/daemon/src/main/java/clayhook/peers/LocalEvent.java
@@ -4,7 +4,7 @@
 import clayhook.Node;
 import clayhook.discovery.EndpointList;
 import clayhook.fleet.Address;
-import clayhook.serve.PeerSharing;
+import clayhook.sharing.PeerSharing;
 import java.util.List;
 
 /** What the event loop reports to the gossip thread. Times are seconds since 1970 on the event loop's clock. */
--- a/daemon/src/main/java/clayhook/peers/QuotaSharing.java
+++ b/daemon/src/main/java/clayhook/peers/QuotaSharing.java
@@ -4,7 +4,7 @@
 import clayhook.fleet.ReplicatedStore;
 import clayhook.fleet.types.FleetQuota;
 import clayhook.fleet.types.QuotaUsage;
-import clayhook.serve.PeerSharing;
+import clayhook.sharing.PeerSharing;
 import java.util.EnumMap;
 import java.util.Map;
 
--- a/daemon/src/main/java/clayhook/peers/StateBridge.java
+++ b/daemon/src/main/java/clayhook/peers/StateBridge.java
@@ -11,7 +11,7 @@
 import clayhook.fleet.types.QuotaUsage;
 import clayhook.fleet.types.SessionWrite;
 import clayhook.fleet.types.WriteOutcome;
-import clayhook.serve.PeerSharing;
+import clayhook.sharing.PeerSharing;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
--- a/daemon/src/main/java/clayhook/serve/PeerReporter.java
+++ b/daemon/src/main/java/clayhook/serve/PeerReporter.java
@@ -11,6 +11,7 @@
 import clayhook.config.SharingSettings;
 import clayhook.discovery.EndpointList;
 import clayhook.frontend.ClientRequest;
+import clayhook.sharing.PeerSharing;
 import clayhook.transport.SlewedClock;
 import java.net.InetSocketAddress;
 import java.util.List;
--- a/daemon/src/main/java/clayhook/serve/PeerUpdates.java
+++ b/daemon/src/main/java/clayhook/serve/PeerUpdates.java
@@ -6,6 +6,7 @@
 import clayhook.backend.BackendClient;
 import clayhook.discovery.EndpointList;
 import clayhook.metrics.EventCounters;
+import clayhook.sharing.PeerSharing;
 import java.util.Collection;
 import java.util.Map;
 
--- a/daemon/src/main/java/clayhook/serve/Router.java
+++ b/daemon/src/main/java/clayhook/serve/Router.java
@@ -14,6 +14,7 @@
 import clayhook.inflight.InFlightRequests;
 import clayhook.log.Log;
 import clayhook.metrics.EventCounters;
+import clayhook.sharing.PeerSharing;
 import clayhook.transport.DescriptorBudget;
 import clayhook.transport.SlewedClock;
 import clayhook.transport.Transport;
--- a/daemon/src/main/java/clayhook/serve/Server.java
+++ b/daemon/src/main/java/clayhook/serve/Server.java
@@ -5,6 +5,7 @@
 import clayhook.config.RouterConfiguration;
 import clayhook.log.Log;
 import clayhook.peers.GossipTransport;
+import clayhook.sharing.PeerSharing;
 import clayhook.transport.Transport;
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/daemon/src/main/java/clayhook/serve/PeerSharing.java
+++ b/daemon/src/main/java/clayhook/sharing/PeerSharing.java
@@ -1,4 +1,4 @@
-package clayhook.serve;
+package clayhook.sharing;
 
 import clayhook.AttemptResult;
 import clayhook.Node;
--- a/daemon/src/test/java/clayhook/config/RouterConfigurationTest.java
+++ b/daemon/src/test/java/clayhook/config/RouterConfigurationTest.java
@@ -9,6 +9,7 @@
 import clayhook.RequestClass.DeduplicationScope;
 import clayhook.RequestClass.Idempotency;
 import clayhook.Role;
+import clayhook.json.Json;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
--- a/daemon/src/test/java/clayhook/frontend/ClientListenerFixture.java
+++ b/daemon/src/test/java/clayhook/frontend/ClientListenerFixture.java
@@ -116,8 +116,13 @@
         runOnLoop(take(receivedRequests)::respondInDoubt);
     }
 
-    void closeIdleSessionsAfter(double seconds) throws Exception {
+    /** Moves the clock of the sessions on. */
+    synchronized void advanceClock(double seconds) {
         now += seconds;
+    }
+
+    void closeIdleSessionsAfter(double seconds) throws Exception {
+        advanceClock(seconds);
         runOnLoop(() -> listener.closeIdleSessions(now));
     }
 
--- a/daemon/src/test/java/clayhook/frontend/ClientListenerTest.java
+++ b/daemon/src/test/java/clayhook/frontend/ClientListenerTest.java
@@ -87,7 +87,7 @@
         fixture.respondToNextRequest();
         assertEquals("40003", List.of(active.nextAnswer(), active.nextAnswer()).get(1));
         for (int i = 0; i < 5; i++) {
-            fixture.now += 0.1;
+            fixture.advanceClock(0.1);
             assertEquals(
                     "ready",
                     client(StubClient.startupAndFirst(Unpooled.EMPTY_BUFFER)).nextAnswer());
@@ -103,7 +103,7 @@
         var idle = client(StubClient.startupAndFirst(request()));
         fixture.respondToNextRequest();
         assertEquals("40003", List.of(idle.nextAnswer(), idle.nextAnswer()).get(1));
-        fixture.now += 3;
+        fixture.advanceClock(3);
         var fresh = client(StubClient.startupAndFirst(Unpooled.EMPTY_BUFFER));
         assertEquals("ready", fresh.nextAnswer());
         assertEquals(
--- a/daemon/src/test/java/clayhook/frontend/ClientSessionRaceTest.java
+++ b/daemon/src/test/java/clayhook/frontend/ClientSessionRaceTest.java
@@ -205,10 +205,10 @@
             client.send(MessageEncoder.query(new byte[0]), request().slice(0, 30));
         }
         assertEquals("ready", client.readResponse());
-        fixture.now += 0.1;
+        fixture.advanceClock(0.1);
         ByteBuf rest = partialRequest ? request().skipBytes(30) : request();
         fixture.duringLoopStall(() -> client.send(rest), () -> {
-            fixture.now += 5;
+            fixture.advanceClock(5);
             closeIdleSessions();
         });
         fixture.respondToNextRequest();
@@ -311,7 +311,7 @@
         assertEquals("ready", client.readResponse());
         SocketClient cancelling = fixture.connect();
         fixture.awaitSessionCount(2);
-        fixture.now += 0.001;
+        fixture.advanceClock(0.001);
         fixture.runOnLoop(session::respondInDoubt);
         assertEquals("40003", client.readResponse());
         if (!pipelined) {
--- a/daemon/src/test/java/clayhook/peers/GossipTransportTest.java
+++ b/daemon/src/test/java/clayhook/peers/GossipTransportTest.java
@@ -14,7 +14,7 @@
 import clayhook.config.SharingSettings;
 import clayhook.discovery.EndpointList;
 import clayhook.fleet.state.StateSettings;
-import clayhook.serve.PeerSharing;
+import clayhook.sharing.PeerSharing;
 import java.io.IOException;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
--- a/daemon/src/test/java/clayhook/peers/RecordedDatagramsTest.java
+++ b/daemon/src/test/java/clayhook/peers/RecordedDatagramsTest.java
@@ -23,7 +23,7 @@
 import clayhook.fleet.state.ReplicatedState;
 import clayhook.fleet.state.StateSettings;
 import clayhook.fleet.types.WriteOutcome;
-import clayhook.serve.PeerSharing;
+import clayhook.sharing.PeerSharing;
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
--- a/daemon/src/test/java/clayhook/sql/ScriptedSqlNode.java
+++ b/daemon/src/test/java/clayhook/sql/ScriptedSqlNode.java
@@ -20,6 +20,7 @@
 import java.util.function.Function;
 
 /** A node that accepts any statement, records what it ran, and reacts to each statement as a test says. */
+@SuppressWarnings("FutureReturnValueIgnored") // a write or close that fails shows as the end of its channel
 final class ScriptedSqlNode {
     /** What the node does to a statement: answer, fail, or reset the connection before or after running it. */
     record Reaction(Kind kind, ByteBuf response, String sqlState) {
@@ -79,6 +80,12 @@
     final Queue<String> settingStatements = new ConcurrentLinkedQueue<>();
 
     final Queue<Channel> connections = new ConcurrentLinkedQueue<>();
+
+    /** Closes all connections, as a node that fails does. */
+    void closeConnections() {
+        connections.forEach(Channel::close);
+    }
+
     private final String role;
     private final Function<String, Reaction> script;
     private final Channel serverChannel;
--- a/daemon/src/test/java/clayhook/sql/SqlRoutingTest.java
+++ b/daemon/src/test/java/clayhook/sql/SqlRoutingTest.java
@@ -439,7 +439,7 @@
                         forms[random.nextInt(forms.length)].replace("%d", Integer.toString(number * statements + i));
                 answers.put(text, client.query(text));
                 if (i % 500 == 499) { // a node loses all its connections
-                    nodes.get(random.nextInt(3)).connections.forEach(Channel::close);
+                    nodes.get(random.nextInt(3)).closeConnections();
                 }
             }
             assertTrue(client.terminate());
--- a/lab/src/main/java/clayhook/lab/sharing/ModelPeer.java
+++ b/lab/src/main/java/clayhook/lab/sharing/ModelPeer.java
@@ -19,7 +19,7 @@
 import clayhook.lab.model.Scheduler;
 import clayhook.peers.LocalEvent;
 import clayhook.peers.StateBridge;
-import clayhook.serve.PeerSharing;
+import clayhook.sharing.PeerSharing;
 import java.net.InetSocketAddress;
 import java.util.Collection;
 import java.util.LinkedHashMap;
