--- a/daemon/src/main/java/clayhook/backend/BackendClient.java
+++ b/daemon/src/main/java/clayhook/backend/BackendClient.java
@@ -81,7 +81,8 @@
      *
      * @param memoryBytes memory of the process, of which answers take a part
      * @param connectTimeoutSeconds for a connection from its opening until its startup is complete
-     * @param idleSeconds the time at which nodes close idle connections at the earliest
+     * @param idleSeconds after which nodes close idle connections
+     * @param counters counts the connections opened
      */
     public BackendClient(
             Transport transport,
@@ -93,10 +94,10 @@
             OperatorConfiguration operator,
             Listener listener,
             EventCounters counters) {
-        this.counters = counters;
         profile = new ConnectionProfile(operator);
         answerMemory = new MemoryBudget(memoryBytes / MEMORY_DIVISOR);
         this.listener = listener;
+        this.counters = counters;
         this.clock = clock;
         this.descriptors = descriptors;
         this.connectTimeoutSeconds = connectTimeoutSeconds;
