--- a/daemon/src/test/java/clayhook/serve/ClientDisconnectTest.java
+++ b/daemon/src/test/java/clayhook/serve/ClientDisconnectTest.java
@@ -29,6 +29,7 @@
 import java.util.Map;
 import java.util.concurrent.Callable;
 import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.Future;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.Semaphore;
 import java.util.function.Function;
@@ -193,7 +194,7 @@
     private void whileLoopIsBlocked(Callable<?> step) throws Exception {
         var blocked = new CountDownLatch(1);
         var done = new CountDownLatch(1);
-        routerTransport.eventLoop().submit(() -> {
+        Future<?> block = routerTransport.eventLoop().submit(() -> {
             blocked.countDown();
             done.await();
             return null;
@@ -204,6 +205,7 @@
         } finally {
             done.countDown();
         }
+        block.get();
     }
 
     @AfterEach
--- a/daemon/src/test/java/clayhook/serve/EndpointListDelayTest.java
+++ b/daemon/src/test/java/clayhook/serve/EndpointListDelayTest.java
@@ -88,7 +88,7 @@
                 int number = changedAt == 0 ? 0 : calls.incrementAndGet();
                 if (number == 0) {
                     answer(socket, 2);
-                } else if (number > 1 && number > faultyCalls() || fault == WatchFault.NONE) {
+                } else if ((number > 1 && number > faultyCalls()) || fault == WatchFault.NONE) {
                     learnedAfter.complete(now() - changedAt);
                     answer(socket, 3);
                 } else if (!injectFault(socket)) {
