--- a/core/src/main/java/clayhook/inflight/InFlightRequests.java
+++ b/core/src/main/java/clayhook/inflight/InFlightRequests.java
@@ -17,8 +17,9 @@
 /**
  * The table of requests in flight, and the time at which the {@link RoutingPolicy} is asked about them again. It
  * decides nothing itself: it passes events to the policy, collects the decisions until {@link #tick}, and forgets a
- * request once it is completed and no attempt is outstanding. Not thread-safe: confined to the event loop. Times are
- * clock times in seconds.
+ * request once it is completed and no attempt is outstanding. It holds one request a client that waits, and completed
+ * ones until their last attempt ends, at its timeout at the latest. Not thread-safe: confined to the event loop. Times
+ * are clock times in seconds.
  */
 public final class InFlightRequests {
     /** More than the rounding error of a double that holds seconds since 1970. */
--- a/daemon/src/main/java/clayhook/frontend/ClientResponses.java
+++ b/daemon/src/main/java/clayhook/frontend/ClientResponses.java
@@ -14,7 +14,7 @@
 
     private ClientResponses() {}
 
-    /** The request was rejected and has not run; {@code retryAfter} in seconds, 0 for no advice. */
+    /** The request was rejected and may safely be sent again; {@code retryAfter} in seconds, 0 for no advice. */
     static ByteBuf rejected(double retryAfter) {
         String detail = retryAfter > 0 ? Long.toString(Math.round(retryAfter * MILLIS_PER_SECOND)) : null;
         return MessageEncoder.error(false, SqlState.TOO_MANY_CONNECTIONS, "throttled", detail);
--- a/daemon/src/main/java/clayhook/frontend/ClientSession.java
+++ b/daemon/src/main/java/clayhook/frontend/ClientSession.java
@@ -299,7 +299,7 @@
     }
 
     /**
-     * Answers that the request was rejected and has not run.
+     * Answers that the request was rejected and may safely be sent again.
      *
      * @param retryAfter seconds after which the client should retry; 0 for no advice
      */
