--- a/scattergather/src/main/java/clayhook/scattergather/DistinctAggregator.java
+++ b/scattergather/src/main/java/clayhook/scattergather/DistinctAggregator.java
@@ -61,13 +61,30 @@
                         : 0;
     }
 
-    private static long hash(ColumnValue cell) {
-        byte[] bytes = cell instanceof ColumnValue.TextValue text
+    private static long hash(ColumnValue value) {
+        return Hashing.komihash5_0().hashBytesToLong(hashedBytes(value));
+    }
+
+    /** What is hashed of a value. The form is fixed: sketches of it are merged, and their estimates depend on it. */
+    static byte[] hashedBytes(ColumnValue value) {
+        return value instanceof ColumnValue.TextValue text
                 ? text.bytes()
-                : cell instanceof ColumnValue.DecimalValue decimal
-                        ? decimal.value().stripTrailingZeros().toString().getBytes(US_ASCII)
-                        : cell.toString().getBytes(US_ASCII);
-        return Hashing.komihash5_0().hashBytesToLong(bytes);
+                : hashedText(value).getBytes(US_ASCII);
+    }
+
+    private static String hashedText(ColumnValue value) {
+        if (value instanceof ColumnValue.DecimalValue decimal) {
+            return decimal.value().stripTrailingZeros().toString();
+        } else if (value instanceof ColumnValue.IntegerValue integer) {
+            return "Whole[value=" + integer.value() + "]";
+        } else if (value instanceof ColumnValue.FloatValue number) {
+            return "Real[value=" + number.value() + "]";
+        } else if (value instanceof ColumnValue.TimestampValue timestamp) {
+            return "Time[micros=" + timestamp.micros() + "]";
+        } else if (value instanceof ColumnValue.BooleanValue flag) {
+            return "Flag[value=" + flag.value() + "]";
+        }
+        return "Null[]";
     }
 
     @Override
