--- a/daemon/src/main/java/clayhook/discovery/DiscoveryClient.java
+++ b/daemon/src/main/java/clayhook/discovery/DiscoveryClient.java
@@ -11,14 +11,14 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Watches one discovery service by long polls: each follows the answer to the last, on one connection while that
- * answers. Beside it a liveness check polls without a wait now and then, on a connection of its own, since a watch that
- * has fallen silent looks like one that has nothing to report. Event loop only.
+ * Watches one discovery service with long polls. Each poll follows the answer to the previous one, on the same
+ * connection as long as that answers. A liveness check periodically polls without waiting on a separate connection,
+ * because a dead watch cannot be told from a watch without changes. Confined to the event loop.
  */
 final class DiscoveryClient implements PollConnection.Listener {
     private static final int OK = 200;
 
-    /** The service rejects a poll, as too many came. */
+    /** The status with which the overloaded service rejects a poll. */
     private static final int SERVICE_UNAVAILABLE = 503;
 
     private static final double NANOS_PER_SECOND = 1e9;
@@ -29,25 +29,30 @@
     private final EndpointWatcher.Listener listener;
     private final int longPollMs;
     private final WatchLivenessCheck livenessCheck;
-    /** The newest list version that was reported, or {@link PollConnection#NO_VERSION}. */
+    /** The newest list version reported, or {@link PollConnection#NO_VERSION} if none was. */
     private long version;
-    /** Carries the watch, or null. */
+    /** The connection of the watch, or null if no watch is open. */
     private PollConnection watchConnection;
-    /** The answer to the watch is late. */
+    /** Whether the answer to the watch is late. */
     private boolean watchIsLate;
-    /** Polls of the watch that were rejected since anything was answered. */
-    private int rejectedWatches;
+    /** Polls of the watch that were rejected since the last list was received. */
+    private int rejectedWatchPolls;
     /**
-     * Carried the watch before and is late, or null: its answer is still accepted. It leaves with any answer, or when
-     * its poll times out.
+     * The connection of the previous watch, whose answer is late but still accepted; null if there is none. It is
+     * closed when the watch receives a list, when its poll fails, or when another late watch replaces it.
      */
     private PollConnection lateConnection;
-    /** Carries checks, or null; it stays for as long as the service keeps it. */
+    /** The connection of the liveness checks, or null; it stays open until the service closes it. */
     private PollConnection checkConnection;
-    /** The next check; null before the first watch and after {@link #close}. */
+    /** The next liveness check; null before the first watch and after {@link #close}. */
     private ScheduledFuture<?> scheduledCheck;
 
-    /** {@code longPollSeconds}: how long a watch waits for changes. */
+    /**
+     * Creates a client without opening the watch.
+     *
+     * @param version the list version that the caller already has, or {@link PollConnection#NO_VERSION}
+     * @param longPollSeconds the longest time in seconds that a long poll waits for changes
+     */
     DiscoveryClient(
             Transport transport,
             InetSocketAddress address,
@@ -63,7 +68,7 @@
         longPollMs = (int) Math.round(longPollSeconds * MILLIS_PER_SECOND);
     }
 
-    /** Opens a watch unless there is one; one whose answer is late does not count. */
+    /** Opens a watch unless one is open whose answer is not late. */
     void ensureWatching() {
         if (watchConnection != null && !watchIsLate) {
             return;
@@ -79,7 +84,7 @@
         }
     }
 
-    /** Ends the watch and its checks. */
+    /** Closes the watch and stops the liveness checks. */
     void close() {
         PollConnection watch = watchConnection;
         PollConnection late = lateConnection;
@@ -102,37 +107,39 @@
         }
     }
 
-    // ---- checks ----
+    // ---- liveness checks ----
 
     private void scheduleCheck(double seconds) {
         if (scheduledCheck != null) {
             scheduledCheck.cancel(false);
         }
         long nanos = (long) (seconds * NANOS_PER_SECOND);
-        scheduledCheck = transport.eventLoop().schedule(this::check, nanos, TimeUnit.NANOSECONDS);
+        scheduledCheck = transport.eventLoop().schedule(this::sendCheck, nanos, TimeUnit.NANOSECONDS);
     }
 
-    private void check() {
+    private void sendCheck() {
         if (checkConnection == null) {
             checkConnection = new PollConnection(address, this);
             checkConnection.connect(transport);
         } else if (!checkConnection.isPolling()) {
             poll(checkConnection);
-        } // else the last check has not ended yet, and schedules the next one when it does
+        } // else the previous check is still pending and schedules the next one when it ends
     }
 
-    /** Polls on a connection: with a wait for changes on all but the one for checks. */
+    /**
+     * Sends a poll, which waits for changes if a list version is known and the connection is not the one for checks.
+     */
     private void poll(PollConnection connection) {
         boolean waits = version != PollConnection.NO_VERSION && connection != checkConnection;
         connection.poll(version, waits ? watchWaitMs() : PollConnection.NO_WAIT);
     }
 
     private int watchWaitMs() {
-        double waitSeconds = livenessCheck.nextWatchWaitSeconds(rejectedWatches);
+        double waitSeconds = livenessCheck.nextWatchWaitSeconds(rejectedWatchPolls);
         return (int) Math.min(longPollMs, waitSeconds * MILLIS_PER_SECOND);
     }
 
-    // ---- what connections report ----
+    // ---- connection events ----
 
     @Override
     public void onConnected(PollConnection connection) {
@@ -161,7 +168,7 @@
         } else if (response.status() == SERVICE_UNAVAILABLE) {
             livenessCheck.onRejected();
             if (connection == watchConnection) {
-                rejectedWatches++;
+                rejectedWatchPolls++;
             }
             fail(connection, describe(response), true, livenessCheck::nextIntervalSeconds);
             return;
@@ -176,11 +183,12 @@
             onFailure(connection, e.getMessage());
             return;
         }
-        rejectedWatches = 0;
+        rejectedWatchPolls = 0;
         scheduleCheck(livenessCheck.nextIntervalSeconds());
         double polledSecondsAgo = connection.secondsSincePoll();
-        // The service may have made the answer to a watch as long before as it takes for a call.
-        double answerAge =
+        // The service may have created the answer to a long poll up to the duration of one call ago, and not before
+        // the poll was sent.
+        double answerAgeSeconds =
                 connection.isLongPoll() ? Math.min(polledSecondsAgo, livenessCheck.callSeconds()) : polledSecondsAgo;
         PollKind kind = connection.isLongPoll() ? PollKind.WATCH : PollKind.CHECK;
         if (connection == checkConnection) {
@@ -188,7 +196,7 @@
         } else {
             onWatchAnswered(connection, list, response.closesConnection());
         }
-        listener.onWatchEvent(new WatchEvent.Confirmed(answerAge, kind, polledSecondsAgo, list.version()));
+        listener.onWatchEvent(new WatchEvent.Confirmed(answerAgeSeconds, kind, polledSecondsAgo, list.version()));
     }
 
     private boolean isInUse(PollConnection connection) {
@@ -206,11 +214,11 @@
             }
             return;
         }
-        // The watch is broken, or has missed what it should have reported: this connection takes its place.
+        // The watch is closed or missed a change that it should have reported, so this connection replaces it.
         checkConnection = null;
         discard(watchConnection);
         watchConnection = connection;
-        // The watch may have reported changes while this answer was on its way, which must not be undone.
+        // The watch may have reported newer changes while this answer was in transit; they must not be reverted.
         boolean outdated = !list.complete() && list.version() < version;
         onWatchAnswered(connection, outdated ? new EndpointList(version, false, List.of()) : list, closes);
     }
@@ -248,11 +256,16 @@
         fail(connection, reason, false, livenessCheck::nextRetrySeconds);
     }
 
-    /** Gives a connection up; {@code checkDelay} says when to check again where it carried a check. */
+    /**
+     * Closes a connection after its poll failed or was rejected, and reports the failure of a watch.
+     *
+     * @param rejected whether the service rejected the poll
+     * @param checkDelay supplies the seconds until the next check if the connection carried one
+     */
     private void fail(PollConnection connection, String reason, boolean rejected, DoubleSupplier checkDelay) {
         if (connection == checkConnection) {
             checkConnection = null;
-            if (connection.isPolling()) { // else it was closed between two checks
+            if (connection.isPolling()) { // else the service closed it between two checks
                 Log.info("discovery check", "discovery check failed: " + reason + describeAge(connection));
                 scheduleCheck(checkDelay.getAsDouble());
             }
