--- a/daemon/src/main/java/clayhook/discovery/PollConnection.java
+++ b/daemon/src/main/java/clayhook/discovery/PollConnection.java
@@ -12,47 +12,51 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
 
-/** One connection to the discovery service; it carries one poll at a time. Event loop only. */
-@SuppressWarnings("FutureReturnValueIgnored") // a failed write or close ends in channelInactive
+/** A connection to the discovery service, with at most one poll pending at a time. Confined to the event loop. */
+@SuppressWarnings("FutureReturnValueIgnored") // a failed write or close leads to channelInactive
 final class PollConnection extends ChannelInboundHandlerAdapter {
-    /** A long poll is late when its answer has not come so long after its wait; most come within some milliseconds. */
+    /**
+     * Time after the end of its wait at which an unanswered long poll is late, in milliseconds; most answers arrive
+     * within a few milliseconds.
+     */
     private static final int LATE_ANSWER_MS = 500;
 
     /**
-     * A poll fails when its answer has not come so long after its wait: above the two seconds that the service may
-     * queue a call, as one that gives up earlier joins the queue anew at its end; below the time at which a change
-     * counts as notified.
+     * Time after the end of its wait at which an unanswered poll fails, in milliseconds. Longer than the two seconds
+     * for which the service may queue a call, because a client that gives up earlier has to queue again at the end;
+     * shorter than the time after which a change counts as notified.
      */
     private static final int ANSWER_TIMEOUT_MS = 2200;
 
     /**
-     * Where no connection is established by then the service cannot be reached, or another attempt gets there sooner.
+     * Time limit of a connection attempt. If no connection is established by then, the service is unreachable or a new
+     * attempt succeeds sooner.
      */
     private static final double CONNECT_TIMEOUT_SECONDS = 1;
 
-    /** Asks for the complete list in place of changes. */
+    /** The version that requests the complete list instead of changes. */
     static final long NO_VERSION = -1;
 
-    /** Lets the service answer at once, also where nothing has changed. */
+    /** The wait with which the service answers at once, even if nothing has changed. */
     static final int NO_WAIT = 0;
 
     private static final double NANOS_PER_SECOND = 1e9;
 
-    /** Hears what becomes of a connection and its polls. */
+    /** Receives the events of a connection and its polls. Called on the event loop. */
     interface Listener {
-        /** The connection is established and may poll. */
+        /** Called when the connection is established and can be polled on. */
         void onConnected(PollConnection connection);
 
-        /** The answer to a long poll is late, and may still come. */
+        /** Called when the answer to a long poll is late; it may still arrive. */
         void onLate(PollConnection connection);
 
-        /** The pending poll was answered. */
+        /** Called when the pending poll was answered. */
         void onResponse(PollConnection connection, HttpResponse response);
 
-        /** The connection is of no further use, or could not be established. */
+        /** Called when the connection could not be established, was closed, or did not answer in time. */
         void onFailure(PollConnection connection, String reason);
 
-        /** The service refused the connection; {@link #onFailure} follows. */
+        /** Called when the service refused the connection; {@link #onFailure} follows. */
         void onRefused(PollConnection connection);
     }
 
@@ -61,13 +65,14 @@
     private final Listener listener;
     private Channel channel;
     /**
-     * The pending poll, or null; each has an object of its own. A connection that is being opened counts as polling.
+     * Identifies the pending poll; null if none is pending. Each poll has its own object. A connection that is being
+     * established counts as polling.
      */
     private Object pendingPoll = new Object();
 
     private long polledAtNanos;
-    private long connectBegunAtNanos;
-    private boolean waits;
+    private long connectStartedAtNanos;
+    private boolean longPoll;
 
     PollConnection(InetSocketAddress address, Listener listener) {
         this.address = address;
@@ -76,7 +81,7 @@
     }
 
     void connect(Transport transport) {
-        connectBegunAtNanos = System.nanoTime();
+        connectStartedAtNanos = System.nanoTime();
         channel = transport.connectOrReport(
                 address,
                 CONNECT_TIMEOUT_SECONDS,
@@ -92,27 +97,27 @@
     }
 
     /**
-     * Asks for the endpoint list.
+     * Requests the endpoint list.
      *
-     * @param version asks for the changes after it, or {@link #NO_VERSION}
-     * @param waitMs how long the service may wait for a change, or {@link #NO_WAIT}
+     * @param version the version after which changes are requested, or {@link #NO_VERSION} for the complete list
+     * @param waitMs how long the service may wait for a change, in milliseconds, or {@link #NO_WAIT}
      */
     void poll(long version, int waitMs) {
         Object poll = new Object();
         pendingPoll = poll;
         polledAtNanos = System.nanoTime();
-        waits = waitMs > NO_WAIT;
+        longPoll = waitMs > NO_WAIT;
         String query = version == NO_VERSION ? "" : "?after=" + version + "&wait_ms=" + waitMs;
         String request = "GET /v1/endpoints" + query + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n";
         channel.writeAndFlush(Unpooled.copiedBuffer(request, StandardCharsets.US_ASCII));
         if (waitMs > NO_WAIT) {
-            ifStillPending(poll, waitMs + LATE_ANSWER_MS, () -> listener.onLate(this));
+            scheduleIfPending(poll, waitMs + LATE_ANSWER_MS, () -> listener.onLate(this));
         }
-        ifStillPending(poll, waitMs + ANSWER_TIMEOUT_MS, () -> listener.onFailure(this, "no answer"));
+        scheduleIfPending(poll, waitMs + ANSWER_TIMEOUT_MS, () -> listener.onFailure(this, "no answer"));
     }
 
-    /** Runs a task after a delay where that poll is still pending then. */
-    private void ifStillPending(Object poll, int delayMs, Runnable task) {
+    /** Schedules a task that runs only if the poll is still pending after the delay. */
+    private void scheduleIfPending(Object poll, int delayMs, Runnable task) {
         channel.eventLoop()
                 .schedule(
                         () -> {
@@ -124,19 +129,19 @@
                         TimeUnit.MILLISECONDS);
     }
 
-    /** Whether a poll is pending, or the connection is being opened. */
+    /** Whether a poll is pending or the connection is being established. */
     boolean isPolling() {
         return pendingPoll != null;
     }
 
-    /** Whether a poll was ever sent. */
+    /** Whether a poll was sent on this connection. */
     boolean hasPolled() {
         return polledAtNanos != 0;
     }
 
-    /** Whether the last poll lets the service wait for changes. */
+    /** Whether the last poll allows the service to wait for changes. */
     boolean isLongPoll() {
-        return waits;
+        return longPoll;
     }
 
     /** Seconds since the last poll was sent. */
@@ -144,20 +149,20 @@
         return (System.nanoTime() - polledAtNanos) / NANOS_PER_SECOND;
     }
 
-    /** Seconds since {@link #connect}. */
+    /** Seconds since {@link #connect} was called. */
     double secondsSinceConnect() {
-        return (System.nanoTime() - connectBegunAtNanos) / NANOS_PER_SECOND;
+        return (System.nanoTime() - connectStartedAtNanos) / NANOS_PER_SECOND;
     }
 
-    /** Forgets the pending poll; an answer to it is ignored. */
+    /** Clears the pending poll; an answer to it is ignored. */
     void endPoll() {
         pendingPoll = null;
     }
 
-    /** Closes the connection; nothing more is reported of its poll. */
+    /** Closes the connection; no further event of its poll is reported. */
     void discard() {
         pendingPoll = null;
-        if (channel != null) { // null where no descriptor was left for it
+        if (channel != null) { // null if no file descriptor was available
             channel.close();
         }
     }
