--- a/daemon/src/main/java/clayhook/discovery/EndpointWatcher.java
+++ b/daemon/src/main/java/clayhook/discovery/EndpointWatcher.java
@@ -5,24 +5,27 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Watches the endpoint list, whatever address the discovery service moves to. After a move the service that answered
- * last is watched on until the new one has answered.
+ * Watches the endpoint list and follows the discovery service from one address to the next. After a move, the service
+ * instance that answered last remains watched until the new one has answered.
  *
- * <p>Event loop only, but for the constructor, which sends nothing.
+ * <p>Confined to the event loop, except for the constructor, which performs no I/O.
  */
 public final class EndpointWatcher {
-    /** Hears what the discovery service reports. Called on the event loop. */
+    /** Receives the endpoint lists and the state of the watch. Called on the event loop. */
     public interface Listener {
-        /** A list came: complete, or the endpoints that have changed. */
+        /** Called for each list received, which is complete or contains the changed endpoints. */
         void onEndpointList(EndpointList list);
 
-        /** The watch failed; the next one is opened by {@link #ensureWatching}. */
+        /** Called when the watch has failed; {@link #ensureWatching} opens the next one. */
         void onEndpointListFailed();
 
-        /** The age of the list has become known, or has become unknown. */
+        /** Called when the age of the list has become known or unknown. */
         default void onWatchEvent(WatchEvent event) {}
 
-        /** The answer to the watch is late: it may have fallen silent. {@link #ensureWatching} opens one beside it. */
+        /**
+         * Called when the answer to the watch is late, which may mean that the connection is dead.
+         * {@link #ensureWatching} opens a second watch and keeps the late one.
+         */
         void onEndpointListLate();
     }
 
@@ -31,17 +34,17 @@
     private final double longPollSeconds;
     private final RandomGenerator random;
     private ServiceWatch current;
-    /** The service that answered last, or null; it is watched until the current one has answered. */
+    /** The watch on the service that answered last, kept until the current one has answered; null if there is none. */
     private ServiceWatch previous;
 
     private InetSocketAddress lastAnsweredBy;
 
     /**
-     * Prepares a watch; {@link #ensureWatching} opens it.
+     * Creates a watcher without opening the watch; {@link #ensureWatching} opens it.
      *
-     * @param version the list version that is known; changes after it are reported
-     * @param longPollSeconds how long a watch waits for changes
-     * @param random spreads the polls of many routers
+     * @param version the list version that the caller already has; later changes are reported
+     * @param longPollSeconds the longest time in seconds that a long poll waits for changes
+     * @param random source of the jitter that spreads the polls of many routers
      */
     public EndpointWatcher(
             Transport transport,
@@ -57,7 +60,10 @@
         current = new ServiceWatch(address, version);
     }
 
-    /** The watch on the service at one address; its faults are reported only while it is the current one. */
+    /**
+     * The watch on the service at one address; it reports lists always, but failures and events only while it is the
+     * current one.
+     */
     private final class ServiceWatch implements Listener {
         private final DiscoveryClient client;
         private boolean hasAnswered;
@@ -100,12 +106,15 @@
         }
     }
 
-    /** Opens a watch unless there is one whose answer is not late. */
+    /** Opens a watch unless one is open whose answer is not late. */
     public void ensureWatching() {
         current.client.ensureWatching();
     }
 
-    /** The service is at another address: asks there for the complete list, as versions there may be others. */
+    /**
+     * Watches the service at a new address. Requests the complete list there because the versions of another service
+     * instance may differ.
+     */
     public void moveTo(InetSocketAddress newAddress) {
         if (!newAddress.equals(current.client.address)) {
             ServiceWatch superseded = current.hasAnswered ? previous : current;
@@ -118,12 +127,12 @@
         ensureWatching();
     }
 
-    /** The address of the service that reported a list last, or null. */
+    /** The address of the service that last reported a list, or null if none has. */
     public InetSocketAddress lastAnsweredBy() {
         return lastAnsweredBy;
     }
 
-    /** Ends all watches. */
+    /** Closes all watches. */
     public void close() {
         current.client.close();
         if (previous != null) {
--- a/daemon/src/main/java/clayhook/discovery/WatchEvent.java
+++ b/daemon/src/main/java/clayhook/discovery/WatchEvent.java
@@ -1,30 +1,37 @@
 package clayhook.discovery;
 
-/** What the watch on the endpoint list shows of the age of the list, apart from what it reports. */
+/** An event of the watch on the endpoint list that changes the known upper bound on the age of the list. */
 public sealed interface WatchEvent {
-    /** Which kind of poll an answer came to. */
+    /** The kind of the poll that was answered. */
     enum PollKind {
-        /** A check beside the watch, which does not wait. */
+        /** A liveness check, which does not wait for changes. */
         CHECK,
-        /** The watch, which waits for changes. */
+        /** A long poll of the watch, which waits for changes. */
         WATCH
     }
 
     /**
-     * All changes that the service had before so many seconds ago have been reported.
+     * An answer confirmed the list: all changes that the service had up to a moment in the past have been reported.
      *
-     * @param kind of the poll that was answered
-     * @param polledSecondsAgo when it was sent
-     * @param version of the answer
+     * @param secondsAgo the age of that moment in seconds
+     * @param kind the kind of the answered poll
+     * @param polledSecondsAgo the time since the answered poll was sent, in seconds
+     * @param version the list version of the answer
      */
     record Confirmed(double secondsAgo, PollKind kind, double polledSecondsAgo, long version) implements WatchEvent {}
 
     /**
-     * The service has rejected the poll of the watch, which was sent so many seconds ago. It may have had changes to
-     * report since then, however it answered checks: while a watch is open these only repeat what the watch reported.
+     * The service rejected a poll of the watch. It may have had changes to report since that poll was sent, even if it
+     * answered checks: while a watch is open, checks only repeat what the watch has reported.
+     *
+     * @param polledSecondsAgo the time since the rejected poll was sent, in seconds
      */
     record Rejected(double polledSecondsAgo) implements WatchEvent {}
 
-    /** The service refused a connection that was begun so many seconds ago. */
+    /**
+     * The service refused a connection.
+     *
+     * @param begunSecondsAgo the time since the start of the connection attempt, in seconds
+     */
     record Unreachable(double begunSecondsAgo) implements WatchEvent {}
 }
