--- a/daemon/src/main/java/clayhook/discovery/EndpointList.java
+++ b/daemon/src/main/java/clayhook/discovery/EndpointList.java
@@ -11,10 +11,12 @@
 import java.util.Map;
 
 /**
- * The endpoint list, or what changed in it, as the discovery service reports it. Immutable.
+ * An endpoint list reported by the discovery service: either the complete list or the endpoints that have changed.
+ * Immutable.
  *
- * @param version grows with each change
- * @param complete whether it holds all endpoints, so that one that is missing is gone; else it holds those that changed
+ * @param version the list version, which increases with each change
+ * @param complete whether the list contains all endpoints, so that an endpoint missing from it is gone; if false, the
+ *     list contains only the changed endpoints
  */
 public record EndpointList(long version, boolean complete, List<DiscoveredEndpoint> endpoints) {
     private static final double MILLIS_PER_SECOND = 1000;
@@ -24,8 +26,9 @@
     /**
      * One node of the list.
      *
-     * @param primary whether the service takes it for the primary of its replica set
-     * @param startedAt when its process last started, in seconds since 1970; 0 for long ago
+     * @param primary whether the discovery service reports the node as the primary of its replica set
+     * @param startedAt the last start of the node's process in seconds since the Unix epoch; 0 if the service does not
+     *     report it, which counts as long ago
      */
     public record DiscoveredEndpoint(
             String id,
@@ -37,9 +40,10 @@
             double startedAt) {}
 
     /**
-     * Parses an answer of the discovery service.
+     * Parses the body of a discovery service response.
      *
-     * @throws MalformedEndpointListException naming what cannot be understood
+     * @throws MalformedEndpointListException if the text is not valid JSON or not an endpoint list; the message names
+     *     the invalid part
      */
     public static EndpointList parse(String text) {
         Object json;
@@ -52,21 +56,22 @@
     }
 
     /**
-     * Reads a list that is part of a larger JSON text.
+     * Converts a parsed JSON value, which may be part of a larger document, to an endpoint list.
      *
-     * @throws MalformedEndpointListException naming what cannot be understood
+     * @throws MalformedEndpointListException if the value is not an endpoint list; the message names the invalid field
      */
     public static EndpointList fromJson(Object json) {
-        // The keys and values of the wire are mapped to this project's terms here and in parseEndpoint alone.
+        // Wire keys and values are translated to the terms of this code only here and in parseEndpoint.
         if (!(json instanceof Map<?, ?> map)
                 || !(map.get("targets") instanceof List<?> targets)
                 || !(map.get("all") instanceof Boolean complete)) {
-            throw new MalformedEndpointListException("a list of nodes needs rev, all and targets");
+            throw new MalformedEndpointListException(
+                    "endpoint list: rev, all or targets is missing or has the wrong type");
         }
         var endpoints = new ArrayList<DiscoveredEndpoint>();
         for (Object target : targets) {
             if (!(target instanceof Map<?, ?> fields)) {
-                throw new MalformedEndpointListException("targets: an entry is no object");
+                throw new MalformedEndpointListException("targets: an entry is not a JSON object");
             }
             endpoints.add(parseEndpoint(fields));
         }
@@ -103,8 +108,8 @@
     }
 
     /**
-     * Parses a numeric IP address and port; null for what is none. Names are not resolved, as that would block the
-     * caller's thread.
+     * Parses a numeric IP address and port; returns null if the text is not one. Host names are not resolved because
+     * that would block the calling thread.
      */
     public static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
@@ -117,7 +122,7 @@
         }
     }
 
-    /** Parses a port, 1 to 65535; 0 for what is none. */
+    /** Parses a port from 1 to 65535; returns 0 if the text is not one. */
     public static int parsePort(String text) {
         try {
             int port = Integer.parseInt(text);
--- a/daemon/src/main/java/clayhook/discovery/MalformedEndpointListException.java
+++ b/daemon/src/main/java/clayhook/discovery/MalformedEndpointListException.java
@@ -1,6 +1,6 @@
 package clayhook.discovery;
 
-/** Text that is no endpoint list; the message names the field and what is wrong with it. */
+/** Thrown for text that is not a valid endpoint list; the message names the invalid field and the problem. */
 public final class MalformedEndpointListException extends IllegalArgumentException {
     private static final long serialVersionUID = 1;
 
