--- a/daemon/src/main/java/clayhook/discovery/HttpResponse.java
+++ b/daemon/src/main/java/clayhook/discovery/HttpResponse.java
@@ -1,13 +1,13 @@
 package clayhook.discovery;
 
 /**
- * An answer of the discovery service.
+ * A response of the discovery service.
  *
- * @param status the HTTP status, or {@link #MALFORMED} for what is no HTTP response
- * @param body decoded as UTF-8
- * @param closesConnection whether the connection ends after it
+ * @param status the HTTP status, or {@link #MALFORMED} if the input is not a valid HTTP response
+ * @param body the body decoded as UTF-8
+ * @param closesConnection whether the service closes the connection after this response
  */
 record HttpResponse(int status, String body, boolean closesConnection) {
-    /** The status of an answer that cannot be decoded. */
+    /** The status of a response that cannot be decoded. */
     static final int MALFORMED = 0;
 }
--- a/daemon/src/main/java/clayhook/discovery/HttpResponseDecoder.java
+++ b/daemon/src/main/java/clayhook/discovery/HttpResponseDecoder.java
@@ -9,17 +9,18 @@
 import java.util.Locale;
 
 /**
- * Decodes HTTP/1.1 responses into {@link HttpResponse}, their bodies delimited by a length, by chunks or by the end of
- * the connection. What cannot be decoded becomes one response with the status {@link HttpResponse#MALFORMED}, and all
- * that follows it is dropped. Lines and bodies are bounded. Event loop only.
+ * Decodes HTTP/1.1 responses into {@link HttpResponse}. Bodies are delimited by a content length, by chunks or by the
+ * end of the connection. Input that cannot be decoded yields one response with the status
+ * {@link HttpResponse#MALFORMED}, and all input after it is dropped. Lines and bodies are limited in length. Confined
+ * to the event loop.
  */
 final class HttpResponseDecoder extends ByteToMessageDecoder {
-    /** Ten thousand nodes at some 200 bytes. */
+    /** Enough for ten thousand nodes of about 200 bytes each. */
     private static final int MAX_BODY_BYTES = 2 << 20;
 
     private static final int MAX_LINE_BYTES = 8192;
 
-    /** {@link #remainingBytes} of a body that goes on until the connection is closed. */
+    /** Value of {@link #remainingBytes} for a body that extends to the end of the connection. */
     private static final int UNTIL_CLOSE = -1;
 
     private static final int DECIMAL = 10;
@@ -39,11 +40,11 @@
 
     private ParserState state = ParserState.STATUS;
     private int status;
-    /** Bytes missing of the body or the chunk. */
+    /** Bytes of the body or chunk that are still to be received, or {@link #UNTIL_CLOSE}. */
     private int remainingBytes;
 
     private boolean chunked;
-    /** The service announced that it closes the connection after this response. */
+    /** Whether the service announced that it closes the connection after this response. */
     private boolean closeAnnounced;
 
     private final ByteArrayOutputStream bodyBytes = new ByteArrayOutputStream();
@@ -113,7 +114,7 @@
     private void onStatusLine(String line) {
         String[] words = line.split(" ", -1);
         if (words.length < 2 || !words[0].startsWith("HTTP/1.")) {
-            throw new IllegalArgumentException("no status line");
+            throw new IllegalArgumentException("not an HTTP/1.x status line");
         }
         status = Integer.parseInt(words[1]);
         remainingBytes = UNTIL_CLOSE;
@@ -152,7 +153,7 @@
         return status / 100 == 1;
     }
 
-    @SuppressWarnings("StringSplitter") // a line of separators alone has to fail the connection
+    @SuppressWarnings("StringSplitter") // the empty array for a line of separators has to fail the connection
     private void onChunkSizeLine(String line) {
         String size = line.split(";")[0];
         remainingBytes = parseLength(size.strip(), HEXADECIMAL);
@@ -162,7 +163,7 @@
     private static int parseLength(String text, int radix) {
         int length = Integer.parseInt(text, radix);
         if (length < 0 || length > MAX_BODY_BYTES) {
-            throw new IllegalArgumentException("a length of " + text);
+            throw new IllegalArgumentException("length out of range: " + text);
         }
         return length;
     }
@@ -175,7 +176,7 @@
         }
     }
 
-    /** A reset must not be taken for the end of a response that goes on until the connection is closed. */
+    /** Drops the current response, so that a reset does not count as the end of a body without a length. */
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         state = ParserState.MALFORMED;
