--- a/daemon/src/main/java/clayhook/protocol/FrameDecoder.java
+++ b/daemon/src/main/java/clayhook/protocol/FrameDecoder.java
@@ -7,9 +7,9 @@
 import java.util.List;
 
 /**
- * Splits a byte stream into messages: a type byte where there is one, a length that includes itself, and a body.
- * Buffers no more than what has arrived. After a message that cannot be read it emits one that says so, and discards
- * all further input. Event loop only.
+ * Splits a byte stream into messages, each of which consists of an optional type byte, a length that includes itself,
+ * and a body. Buffers only bytes that have been received. For a message that cannot be decoded it emits a message that
+ * describes the error, and then discards all further input. Confined to the event loop.
  */
 abstract class FrameDecoder extends ByteToMessageDecoder {
     private static final int LENGTH_BYTES = 4;
@@ -17,19 +17,19 @@
     private final MemoryBudget memoryBudget;
     /** Messages up to this length in bytes need no reservation. */
     private final int maxUnreservedLength;
-    /** Of all messages since the memory was last released, the first so many bytes need no reservation. */
+    /** The number of bytes that need no reservation, summed over all messages since the memory was last released. */
     private final int maxUnreservedBytes;
-    /** Reserved for the messages that have arrived, until the owner of the connection releases it. */
+    /** Bytes of received messages with reserved memory; the owner of the connection releases it. */
     private int reservedBytes;
 
     private int unreservedBytes;
 
-    /** Bytes that are still to come of a message that is skipped. */
+    /** Bytes still to be received of a message that is being skipped. */
     private int bytesToSkip;
 
     private boolean discarding;
-    /** The header of the current message has been checked, and its memory reserved. */
-    private boolean admitted;
+    /** Whether the header of the current message has been checked and memory has been reserved for it. */
+    private boolean headerAccepted;
 
     FrameDecoder(MemoryBudget memoryBudget, int maxUnreservedLength, int maxUnreservedBytes) {
         this.memoryBudget = memoryBudget;
@@ -53,15 +53,15 @@
         }
         int length = in.getInt(in.readerIndex() + typeBytes);
         if (length < LENGTH_BYTES || length > maxMessageLength()) {
-            discardAfter(malformed("a message of length " + Integer.toUnsignedString(length)), in, out);
+            emitAndDiscardInput(malformed("a message of length " + Integer.toUnsignedString(length)), in, out);
             return;
         }
-        if (!admitted && !reserveMemory(length)) {
+        if (!headerAccepted && !reserveMemory(length)) {
             skipOrDiscard(typeBytes + length, in, out);
             return;
         }
-        admitted = in.readableBytes() < typeBytes + length;
-        if (!admitted) {
+        headerAccepted = in.readableBytes() < typeBytes + length;
+        if (!headerAccepted) {
             out.add(decodeMessage(in.readSlice(typeBytes + length)));
         }
     }
@@ -71,11 +71,11 @@
             bytesToSkip = messageBytes;
             skip(in, out);
         } else {
-            discardAfter(outOfMemory(), in, out);
+            emitAndDiscardInput(outOfMemory(), in, out);
         }
     }
 
-    /** Drops a message without keeping any of it; once it has come whole, another stands in its place. */
+    /** Drops the bytes of a message as they are received; emits {@link #skipped} in its place after the last one. */
     private void skip(ByteBuf in, List<Object> out) {
         int length = Math.min(bytesToSkip, in.readableBytes());
         in.skipBytes(length);
@@ -85,7 +85,7 @@
         }
     }
 
-    private void discardAfter(Object lastMessage, ByteBuf in, List<Object> out) {
+    private void emitAndDiscardInput(Object lastMessage, ByteBuf in, List<Object> out) {
         discarding = true;
         in.skipBytes(in.readableBytes());
         out.add(lastMessage);
@@ -112,19 +112,19 @@
         return reserved;
     }
 
-    /** Returns the memory of all messages that have arrived: the caller is done with them. */
+    /** Releases the memory of all received messages, which the caller no longer uses. */
     public final void releaseMemory() {
         memoryBudget.release(reservedBytes);
         reservedBytes = 0;
         unreservedBytes = 0;
     }
 
-    /** Decodes nothing that arrives from now on. */
+    /** Discards all further input. */
     public final void discardInput() {
         discarding = true;
     }
 
-    /** Whether part of a message has arrived. */
+    /** Whether a message has been received only in part. */
     public final boolean hasPartialMessage() {
         return actualReadableBytes() > 0 || bytesToSkip > 0;
     }
@@ -134,41 +134,45 @@
         releaseMemory();
     }
 
-    /** Whether the next message begins with a type byte. */
+    /** Whether the next message starts with a type byte. */
     abstract boolean hasTypeByte();
 
-    /** The greatest length in bytes that the next message may state. */
+    /** The greatest length in bytes that the header of the next message may specify. */
     abstract int maxMessageLength();
 
     /**
      * Decodes a message whose header has been read.
      *
-     * @param type 0 where the message has no type byte
-     * @param body the message, at its first byte after the header; valid during the call only
+     * @param type the type byte, or 0 if the message has none
+     * @param body the message, positioned after its header; valid only during the call
      * @throws IndexOutOfBoundsException if the body is too short
-     * @throws IllegalArgumentException if the body has no valid form
+     * @throws IllegalArgumentException if the body is malformed
      */
     abstract Object decodeBody(char type, ByteBuf body);
 
-    /** The message that is emitted in place of one that cannot be read. */
+    /** The message emitted in place of one that cannot be decoded. */
     abstract Object malformed(String reason);
 
-    /** The message that is emitted in place of one for which no memory is left and after which nothing is read. */
+    /** The message emitted in place of one that exceeds the memory budget; all input after it is discarded. */
     Object outOfMemory() {
         return malformed("a message too long for now");
     }
 
-    /** Whether a message of that type may be skipped where no memory is left for it; {@link #skipped} then follows. */
+    /** Whether a message of this type is skipped and replaced by {@link #skipped} if the memory budget is exhausted. */
     boolean maySkip(byte type) {
         return false;
     }
 
-    /** The message that is emitted in place of one that was skipped. */
+    /** The message emitted in place of one that was skipped. */
     Object skipped() {
-        throw new IllegalStateException("no message is skipped");
+        throw new IllegalStateException("this decoder skips no messages");
     }
 
-    /** Reads text up to and with its closing zero; throws IllegalArgumentException if there is none. */
+    /**
+     * Reads a zero-terminated string including its terminator.
+     *
+     * @throws IllegalArgumentException if there is no terminator
+     */
     static String readString(ByteBuf body) {
         int length = body.bytesBefore((byte) 0);
         if (length < 0) {
