--- a/daemon/src/main/java/clayhook/protocol/ClientMessageDecoder.java
+++ b/daemon/src/main/java/clayhook/protocol/ClientMessageDecoder.java
@@ -4,22 +4,25 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Decodes the messages of one client connection into {@link ClientMessage}s. Event loop only. */
+/** Decodes the messages of one client connection into {@link ClientMessage}s. Confined to the event loop. */
 public final class ClientMessageDecoder extends FrameDecoder {
-    /** The key of a cancel request that has none; no session has this one. */
+    /** The key reported for a cancel request without one; no session uses it. */
     public static final long NO_CANCEL_KEY = 0;
 
     private static final int CANCEL_REQUEST_CODE = 80877102;
     private static final int SSL_REQUEST_CODE = 80877103;
     private static final int GSS_ENCRYPTION_REQUEST_CODE = 80877104;
     private static final int MAJOR_VERSION = 3;
-    /** Values have up to 64 KiB, and twice that as hex digits; the rest is for the statement around them. */
+    /**
+     * Longest message after the start-up, in bytes: a value of up to 64 KiB takes twice its length as hex digits, and
+     * the rest is for the statement around it.
+     */
     private static final int MAX_MESSAGE_LENGTH = 160 * 1024;
-    /** The limit of the reference server. */
+    /** Longest start-up message in bytes; the limit of the reference server. */
     private static final int MAX_STARTUP_LENGTH = 10_000;
-    /** Longer messages need memory from the budget. */
+    /** Messages longer than this number of bytes need memory from the budget. */
     private static final int MAX_UNRESERVED_LENGTH = 1024;
-    /** Shorter messages need it where a client has sent more than this ahead. */
+    /** Shorter messages need memory from the budget if the client has sent more unprocessed bytes than this. */
     private static final int MAX_UNRESERVED_BYTES = 32 * MAX_UNRESERVED_LENGTH;
 
     private static final char QUERY = 'Q';
@@ -31,8 +34,8 @@
     /**
      * Creates the decoder of one connection.
      *
-     * @param acceptsAnyStatement whether queries may be any SQL, and start-up parameters are decoded; otherwise only
-     *     the two forms of {@link KeyValueStatement} are accepted
+     * @param acceptsAnyStatement whether queries may contain any SQL and start-up parameters are decoded; if false,
+     *     only the two forms of {@link KeyValueStatement} are accepted
      */
     public ClientMessageDecoder(MemoryBudget memoryBudget, boolean acceptsAnyStatement) {
         super(memoryBudget, MAX_UNRESERVED_LENGTH, MAX_UNRESERVED_BYTES);
@@ -59,7 +62,10 @@
         return new ClientMessage.Malformed(SqlState.TOO_MANY_CONNECTIONS, NO_MEMORY);
     }
 
-    /** Statements that follow one without memory may be in the same segment; they have to be answered as well. */
+    /**
+     * Queries are skipped rather than ending the session: the same segment may contain further statements, which have
+     * to be answered as well.
+     */
     @Override
     boolean maySkip(byte type) {
         return type == QUERY;
@@ -137,7 +143,7 @@
         }
     }
 
-    /** Whether the text has nothing but white space, control characters and semicolons; bytes above 127 are text. */
+    /** Whether the text consists of white space, control characters and semicolons; bytes above 127 count as text. */
     private static boolean isBlank(byte[] text) {
         for (byte b : text) {
             if ((b > ' ' && b != ';') || b < 0) {
