--- a/daemon/src/main/java/clayhook/protocol/NodeMessageDecoder.java
+++ b/daemon/src/main/java/clayhook/protocol/NodeMessageDecoder.java
@@ -2,29 +2,32 @@
 
 import io.netty.buffer.ByteBuf;
 
-/** Decodes the messages of one node connection into {@link NodeMessage}s. Event loop only. */
+/** Decodes the messages of one node connection into {@link NodeMessage}s. Confined to the event loop. */
 public final class NodeMessageDecoder extends FrameDecoder {
-    /** Values that were written by other means can be several times as long as those that clients may write here. */
+    /**
+     * Longest message in bytes. Values that were not written through a router can be several times as long as those
+     * that clients may write through one.
+     */
     private static final int MAX_MESSAGE_LENGTH = 1 << 20;
-    /** Longer messages need memory from the budget. */
+    /** Messages longer than this number of bytes need memory from the budget. */
     private static final int MAX_UNRESERVED_LENGTH = 4096;
-    /** A column in a RowDescription, after its name: table, number, type, size, modifier and format. */
+    /** Bytes of a RowDescription column after its name: table, number, type, size, modifier and format. */
     private static final int COLUMN_DESCRIPTION_BYTES = 18;
-    /** The length that a DataRow states for a column without a value. */
+    /** The length in a DataRow that marks a null value. */
     private static final int NULL_VALUE_LENGTH = -1;
-    /** The status in ReadyForQuery of a session outside a transaction. */
+    /** The ReadyForQuery status of a session outside a transaction. */
     private static final byte NO_TRANSACTION = 'I';
 
     private static final int CANCEL_KEY_BYTES = 8;
 
     private boolean freeFormResult;
 
-    /** Creates the decoder of one connection, which expects results of one column without null values. */
+    /** Creates the decoder of one connection, which at first expects results of one column without null values. */
     public NodeMessageDecoder(MemoryBudget memoryBudget) {
         super(memoryBudget, MAX_UNRESERVED_LENGTH, Integer.MAX_VALUE);
     }
 
-    /** Sets whether the next response may have any columns and values, as that to a statement of any kind. */
+    /** Sets whether the next response may have any number of columns and null values, as with arbitrary SQL. */
     public void expectFreeFormResult(boolean expected) {
         freeFormResult = expected;
     }
@@ -118,11 +121,15 @@
 
     private static void require(boolean valid) {
         if (!valid) {
-            throw new IllegalArgumentException("a message that does not fit its form");
+            throw new IllegalArgumentException("malformed message body");
         }
     }
 
-    /** The whole message, with type byte and length, of which {@code body} has read the header. */
+    /**
+     * Copies a whole message, including its type byte and length.
+     *
+     * @param body the message, whose header has already been read
+     */
     private static byte[] copyMessage(ByteBuf body) {
         byte[] message = new byte[body.writerIndex()];
         body.getBytes(0, message);
