--- a/daemon/src/main/java/clayhook/protocol/MessageEncoder.java
+++ b/daemon/src/main/java/clayhook/protocol/MessageEncoder.java
@@ -16,17 +16,21 @@
 
     private MessageEncoder() {}
 
-    /** The response of a server without cancel keys to a start-up message; otherwise as below. */
+    /**
+     * Encodes the response to a start-up message for a server without cancel keys. Otherwise equivalent to
+     * {@link #startupResponse(int, long, Map)}.
+     */
     public static ByteBuf startupResponse(int minorVersion, Map<String, String> parameters) {
         return startupResponse(minorVersion, ClientMessageDecoder.NO_CANCEL_KEY, parameters);
     }
 
     /**
-     * The response to a start-up message: the session is ready.
+     * Encodes the response to a start-up message, after which the session is ready for queries.
      *
-     * @param minorVersion the version of the protocol that the client asked for; above 0 the response offers 3.0
-     * @param cancelKey by which the client may cancel its requests
-     * @param parameters settings that are reported beyond the fixed ones, in this order
+     * @param minorVersion the minor protocol version requested by the client; if it is above 0, the response negotiates
+     *     version 3.0
+     * @param cancelKey the key with which the client may cancel its requests
+     * @param parameters settings to report after the fixed ones, in this order
      */
     public static ByteBuf startupResponse(int minorVersion, long cancelKey, Map<String, String> parameters) {
         ByteBuf out = Unpooled.buffer(128);
@@ -43,10 +47,11 @@
     }
 
     /**
-     * The response to a statement that was carried out without rows.
+     * Encodes the response to a statement that has completed and returns no rows.
      *
-     * @param setting the name of a setting that is reported with it, or null
-     * @param value of that setting
+     * @param tag the command tag
+     * @param setting the name of a setting to report with the response, or null
+     * @param value the value of that setting
      */
     public static ByteBuf commandComplete(String tag, String setting, String value) {
         ByteBuf out = Unpooled.buffer(64);
@@ -65,22 +70,22 @@
         out.writeBytes(nameBytes).writeByte(0).writeBytes(valueBytes).writeByte(0);
     }
 
-    /** The response to a request for encryption: the session goes on without. */
+    /** Encodes the response that declines encryption; the session continues unencrypted. */
     public static ByteBuf encryptionRefused() {
         return Unpooled.buffer(1).writeByte('N');
     }
 
-    /** The response to a query without a statement. */
+    /** Encodes the response to a query without a statement. */
     public static ByteBuf emptyQueryResponse() {
         return Unpooled.buffer(16).writeByte('I').writeInt(LENGTH_BYTES).writeBytes(READY_FOR_QUERY);
     }
 
-    /** The session takes the next statement. */
+    /** Encodes the message that the session is ready for the next statement. */
     public static ByteBuf readyForQuery() {
         return Unpooled.wrappedBuffer(READY_FOR_QUERY);
     }
 
-    /** The messages of a node's response, unchanged and not copied, and readiness behind them. */
+    /** Wraps the messages of a node's response without copying them, followed by ReadyForQuery. */
     public static ByteBuf response(List<byte[]> messages) {
         byte[][] parts = messages.toArray(new byte[messages.size() + 1][]);
         parts[messages.size()] = READY_FOR_QUERY;
@@ -88,10 +93,10 @@
     }
 
     /**
-     * An error, with readiness behind it unless it is fatal.
+     * Encodes an error, followed by ReadyForQuery unless the error is fatal.
      *
-     * @param fatal whether the connection ends with it
-     * @param detail may be null
+     * @param fatal whether the connection is closed after the error
+     * @param detail the detail field of the error, or null
      */
     public static ByteBuf error(boolean fatal, String sqlState, String text, String detail) {
         ByteBuf out = Unpooled.buffer(128).writeByte('E').writeInt(0);
@@ -112,13 +117,13 @@
         out.writeByte(type).writeBytes(value.getBytes(UTF_8)).writeByte(0);
     }
 
-    /** An error without readiness behind it: for the extended query protocol, or as a part of a longer response. */
+    /** Encodes an error without ReadyForQuery, for the extended query protocol or as part of a longer response. */
     public static ByteBuf errorWithoutReadiness(String sqlState, String text) {
         ByteBuf out = error(false, sqlState, text, null);
         return out.writerIndex(out.writerIndex() - READY_FOR_QUERY.length);
     }
 
-    /** An error as one message of a response. */
+    /** Encodes an error as one message of a response. */
     public static byte[] errorMessage(String sqlState, String text) {
         ByteBuf message = errorWithoutReadiness(sqlState, text);
         byte[] bytes = new byte[message.readableBytes()];
@@ -126,7 +131,11 @@
         return bytes;
     }
 
-    /** The first message of a client; {@code settings} has names and values in turns. */
+    /**
+     * Encodes the start-up message of a client.
+     *
+     * @param settings alternating names and values
+     */
     public static ByteBuf startupMessage(String user, String database, String... settings) {
         ByteBuf out = Unpooled.buffer(48).writeInt(0).writeInt(PROTOCOL_VERSION);
         var strings = new ArrayList<>(List.of("user", user, "database", database));
@@ -138,7 +147,11 @@
         return out.setInt(0, out.writerIndex());
     }
 
-    /** A simple query; {@code text} without a closing zero. */
+    /**
+     * Encodes a simple query.
+     *
+     * @param text the text of the query without a terminating zero
+     */
     public static ByteBuf query(byte[] text) {
         ByteBuf out = Unpooled.buffer(text.length + 6);
         out.writeByte('Q').writeInt(LENGTH_BYTES + text.length + 1);
