--- a/daemon/src/main/java/clayhook/protocol/InvalidStatementException.java
+++ b/daemon/src/main/java/clayhook/protocol/InvalidStatementException.java
@@ -1,6 +1,6 @@
 package clayhook.protocol;
 
-/** A statement or its routing comment has no valid form. The message goes to the client, and names what is wrong. */
+/** Thrown for a malformed statement or routing comment. The message is sent to the client and names the problem. */
 public final class InvalidStatementException extends IllegalArgumentException {
     private static final long serialVersionUID = 1;
 
--- a/daemon/src/main/java/clayhook/protocol/KeyValueStatement.java
+++ b/daemon/src/main/java/clayhook/protocol/KeyValueStatement.java
@@ -7,12 +7,12 @@
 import java.util.regex.Pattern;
 
 /**
- * A statement of one of the platform's two fixed forms, a read or a write of one key, with its routing comment. It is
- * forwarded to nodes unchanged but for the timeout in its comment. Immutable.
+ * A statement in one of the platform's two fixed forms, a read or a write of one key, with its routing comment. Only
+ * the timeout in the comment changes when the statement is forwarded to a node. Immutable.
  */
 public final class KeyValueStatement implements OutboundStatement {
     private static final String KEY_PATTERN = "[^'\\\\\\p{Cntrl}]{1,256}";
-    /** The two forms that nodes accept. Matched against ISO 8859-1 text, so that offsets in it are offsets in bytes. */
+    /** The two forms that nodes accept. Matched against ISO 8859-1 text, so that character offsets are byte offsets. */
     private static final Pattern STATEMENT_PATTERN = Pattern.compile("(?:SELECT val FROM state WHERE uid = '(?<read>"
             + KEY_PATTERN + ")'|INSERT INTO state \\(uid, val\\) VALUES \\('(?<written>" + KEY_PATTERN
             + ")', '\\\\x(?:[0-9a-fA-F]{2})*+'\\) RETURNING val)\\s*/\\*(?<comment>[^*]*+)\\*/\\s*;?\\s*");
@@ -20,34 +20,37 @@
     private static final double MILLIS_PER_SECOND = 1000;
 
     private final byte[] text;
-    /** Where the value of the timeout stands in the text. */
+    /** The start of the timeout's value in the text, as a byte offset. */
     private final int timeoutStart;
 
     private final int timeoutEnd;
     /** Unique among the open requests of all clients. */
     public final String requestId;
-    /** The name of its request class. */
+    /** The name of the request class. */
     public final String requestClassName;
     /** The replica set that holds the key. */
     public final int replicaSetId;
-    /** How long the client waits, from when it sent the statement. */
+    /** The client timeout in seconds, counted from when the client sent the statement. */
     public final double timeoutSeconds;
-    /** The log position in seconds that a read must cover; 0 for none. */
+    /** The log position in seconds that a node must have applied for a read; 0 if the read requires none. */
     public final double requiredPosition;
-    /** The quoted key; its reads and writes form one session. */
+    /** The quoted key that is read or written; all reads and writes of one key form a session. */
     public final String key;
 
     public final boolean isWrite;
-    /** Whether nodes can recognize and drop a repeat of it. */
+    /** Whether the statement has an idempotency key, by which nodes recognize and drop repeats. */
     public final boolean hasIdempotencyKey;
-    /** The key under which routers share whether it has run: the idempotency key, or else the request id. */
+    /**
+     * The key under which routers share the outcome of a write: the idempotency key, or the request id if there is
+     * none.
+     */
     public final String outcomeKey;
 
-    private KeyValueStatement(byte[] text, Matcher form) {
+    private KeyValueStatement(byte[] text, Matcher matcher) {
         this.text = text;
-        isWrite = form.group("read") == null;
-        key = form.group(isWrite ? "written" : "read");
-        var comment = new RoutingComment(form.group("comment"), form.start("comment"));
+        isWrite = matcher.group("read") == null;
+        key = matcher.group(isWrite ? "written" : "read");
+        var comment = new RoutingComment(matcher.group("comment"), matcher.start("comment"));
         requestId = comment.requiredField(RoutingComment.REQUEST_ID, RoutingComment.ID_PATTERN);
         requestClassName = comment.field(RoutingComment.REQUEST_CLASS);
         if (requestClassName == null) {
@@ -67,15 +70,15 @@
     /**
      * Parses the text of a query message.
      *
-     * @throws InvalidStatementException if it has neither of the two forms, or no valid routing comment
+     * @throws InvalidStatementException if the text has neither of the two forms or no valid routing comment
      */
     public static KeyValueStatement parse(byte[] text) {
-        Matcher form = STATEMENT_PATTERN.matcher(new String(text, ISO_8859_1));
-        if (!form.matches()) {
+        Matcher matcher = STATEMENT_PATTERN.matcher(new String(text, ISO_8859_1));
+        if (!matcher.matches()) {
             throw new InvalidStatementException(
                     "no read or write of the form that nodes take, with a comment that names it");
         }
-        return new KeyValueStatement(text, form);
+        return new KeyValueStatement(text, matcher);
     }
 
     @Override
