--- a/daemon/src/main/java/clayhook/protocol/RoutingComment.java
+++ b/daemon/src/main/java/clayhook/protocol/RoutingComment.java
@@ -8,40 +8,43 @@
 import java.util.regex.Pattern;
 
 /**
- * The comment of a statement that tells routers how to handle it: {@code name=value} fields with commas between them.
- * Immutable.
+ * The routing comment of a statement: comma-separated {@code name=value} fields that specify how routers handle the
+ * statement. Immutable.
  */
 public final class RoutingComment {
-    // The names of the fields, which are part of the wire protocol.
+    // The field names are part of the wire protocol.
     /** An id that is unique among the open requests of all clients. */
     public static final String REQUEST_ID = "id";
     /** The name of the request class. */
     public static final String REQUEST_CLASS = "c";
-    /** How long the client waits, in milliseconds. */
+    /** The client timeout in milliseconds. */
     public static final String TIMEOUT = "d";
     /** The id of the replica set. */
     public static final String REPLICA_SET = "cluster";
-    /** The log position that a read must cover, in milliseconds. */
+    /** The log position in milliseconds that a node must have applied for a read. */
     public static final String REQUIRED_POSITION = "after";
-    /** The key by which nodes recognize a repeat. */
+    /** The idempotency key, by which nodes recognize a repeat. */
     public static final String IDEMPOTENCY_KEY = "k";
 
     /**
-     * The comment that ends a statement. Matched against ISO 8859-1 text, so that offsets in it are offsets in bytes.
+     * A comment at the end of a statement. Matched against ISO 8859-1 text, so that character offsets are byte offsets.
      */
     private static final Pattern TRAILING_COMMENT = Pattern.compile("/\\*([^*]*+)\\*/[\\s;]*+$");
-    /** Nothing but white space and semicolons follow the comment, so it begins within so many bytes from the end. */
+    /**
+     * Number of bytes at the end of a statement that are searched for the comment, which only white space and
+     * semicolons may follow.
+     */
     private static final int MAX_LENGTH = 4096;
 
     static final Pattern ID_PATTERN = Pattern.compile("[0-9A-Za-z_-]{1,64}");
-    /** Far above any time in milliseconds, and any position. */
+    /** Allows numbers far above any time or log position in milliseconds. */
     static final Pattern NUMBER_PATTERN = Pattern.compile("[0-9]{1,15}");
 
     static final Pattern SMALL_NUMBER_PATTERN = Pattern.compile("[0-9]{1,9}");
 
     private static final double MILLIS_PER_SECOND = 1000;
 
-    /** Where the value of each field begins in the statement. */
+    /** The byte offset of each field's value in the statement. */
     private final Map<String, Integer> offsets = new HashMap<>();
 
     private final Map<String, String> values = new HashMap<>();
@@ -49,8 +52,8 @@
     /**
      * Parses the text between the delimiters of a comment.
      *
-     * @param from where the text begins in its statement
-     * @throws InvalidStatementException if a field has no name, or stands twice
+     * @param from the byte offset of the text in its statement
+     * @throws InvalidStatementException if a field has no name or occurs twice
      */
     RoutingComment(String text, int from) {
         int start = from;
@@ -67,7 +70,7 @@
         }
     }
 
-    /** The comment at the end of a statement of any kind; null if there is none of this form. */
+    /** Parses the comment at the end of any SQL statement; returns null if there is no valid routing comment. */
     public static RoutingComment parseTrailing(byte[] statement) {
         int from = Math.max(0, statement.length - MAX_LENGTH);
         Matcher trailing = TRAILING_COMMENT.matcher(new String(statement, from, statement.length - from, ISO_8859_1));
@@ -78,17 +81,21 @@
         }
     }
 
-    /** Whether the comment has a field of that name. */
+    /** Whether the comment has a field with this name. */
     public boolean hasField(String name) {
         return values.containsKey(name);
     }
 
-    /** The value of a field; null if there is none of that name. */
+    /** The value of a field, or null if the comment has no field with this name. */
     public String field(String name) {
         return values.get(name);
     }
 
-    /** The value of a field; throws InvalidStatementException if it is missing or does not match. */
+    /**
+     * The value of a required field.
+     *
+     * @throws InvalidStatementException if the field is missing or its value does not match the pattern
+     */
     String requiredField(String name, Pattern pattern) {
         String value = values.get(name);
         if (value == null) {
@@ -100,33 +107,37 @@
         return value;
     }
 
-    /** Where the value of a field begins in the statement, in bytes; the field must be there. */
+    /** The byte offset of a field's value in the statement; the field must be present. */
     int valueOffset(String name) {
         return offsets.get(name);
     }
 
     /**
-     * A time or log position in seconds, which the comment states in milliseconds.
+     * A time or log position in seconds, converted from the milliseconds in the comment.
      *
-     * @throws InvalidStatementException if the field is there and is no number
+     * @param defaultSeconds the result if the field is missing
+     * @throws InvalidStatementException if the field is present but not a number
      */
-    public double secondsOr(String name, double absent) {
-        return hasField(name) ? Long.parseLong(requiredField(name, NUMBER_PATTERN)) / MILLIS_PER_SECOND : absent;
+    public double secondsOr(String name, double defaultSeconds) {
+        return hasField(name)
+                ? Long.parseLong(requiredField(name, NUMBER_PATTERN)) / MILLIS_PER_SECOND
+                : defaultSeconds;
     }
 
     /**
-     * The replica set that the statement is for.
+     * The id of the replica set that the statement is addressed to.
      *
-     * @throws InvalidStatementException if the field is there and is no number
+     * @param defaultId the result if the field is missing
+     * @throws InvalidStatementException if the field is present but not a number
      */
-    public int replicaSetIdOr(int absent) {
-        return hasField(REPLICA_SET) ? Integer.parseInt(requiredField(REPLICA_SET, SMALL_NUMBER_PATTERN)) : absent;
+    public int replicaSetIdOr(int defaultId) {
+        return hasField(REPLICA_SET) ? Integer.parseInt(requiredField(REPLICA_SET, SMALL_NUMBER_PATTERN)) : defaultId;
     }
 
     /**
-     * Whether it has a key by which nodes recognize and drop repeats.
+     * Whether the comment has an idempotency key, by which nodes recognize and drop repeats.
      *
-     * @throws InvalidStatementException if the key has no valid form
+     * @throws InvalidStatementException if the key is malformed
      */
     public boolean hasIdempotencyKey() {
         return hasField(IDEMPOTENCY_KEY)
