--- a/daemon/src/main/java/clayhook/protocol/OutboundStatement.java
+++ b/daemon/src/main/java/clayhook/protocol/OutboundStatement.java
@@ -2,22 +2,26 @@
 
 import java.util.Map;
 
-/** A statement on its way to a node, as the connection that carries it must know it. Immutable. */
+/** A statement to be sent to a node, with the properties that the node connection needs. Immutable. */
 public interface OutboundStatement {
-    /** The text to send to a node whose response will be awaited for so long, in seconds. */
+    /**
+     * The text to send to a node.
+     *
+     * @param seconds how long the router waits for the response of the node
+     */
     byte[] textWithTimeout(double seconds);
 
-    /** Whether the response may have any columns, rows and results, and may be an error of the database. */
+    /** Whether the response may have any number of columns, rows and results, and may be a database error. */
     default boolean hasFreeFormResult() {
         return false;
     }
 
-    /** The settings that must be made on the connection first: names, and values as SQL text. */
+    /** The settings to apply on the connection before the statement: names and values as SQL text. */
     default Map<String, String> settings() {
         return Map.of();
     }
 
-    /** Whether it may change the session of the node that runs it, whose connection is then not used again. */
+    /** Whether the statement may change the session state of its node connection, which is then not reused. */
     default boolean mayChangeSession() {
         return false;
     }
--- a/daemon/src/main/java/clayhook/protocol/SqlStatement.java
+++ b/daemon/src/main/java/clayhook/protocol/SqlStatement.java
@@ -3,11 +3,11 @@
 import java.util.Map;
 
 /**
- * A statement of any kind, which is forwarded as the client wrote it.
+ * Any SQL statement, forwarded without changes.
  *
- * @param text the bytes of the client, without the closing zero
- * @param settings the settings of the client's session: names, and values as SQL text
- * @param mayChangeSession whether it may change the session of the node that runs it
+ * @param text the bytes received from the client, without the terminating zero
+ * @param settings the settings of the client's session: names and values as SQL text
+ * @param mayChangeSession whether the statement may change the session state of its node connection
  */
 @SuppressWarnings("ArrayRecordComponent") // raw bytes, which are forwarded and never compared
 public record SqlStatement(byte[] text, Map<String, String> settings, boolean mayChangeSession)
