--- a/daemon/src/main/java/clayhook/protocol/MemoryBudget.java
+++ b/daemon/src/main/java/clayhook/protocol/MemoryBudget.java
@@ -1,18 +1,23 @@
 package clayhook.protocol;
 
-/** The memory that the long messages of all connections of one kind may take together. Event loop only. */
+/** Limits the total memory of long messages on all connections of one kind. Confined to the event loop. */
 public final class MemoryBudget {
-    /** What a message takes in all while it is read, held and forwarded, for each byte of it. */
+    /** Memory in bytes that a message occupies per byte of its length while it is received, kept and forwarded. */
     private static final int BYTES_PER_MESSAGE_BYTE = 4;
 
     private long availableBytes;
 
-    /** A budget of so many bytes. */
+    /** Creates a budget of the given number of bytes. */
     public MemoryBudget(long bytes) {
         availableBytes = bytes;
     }
 
-    /** Reserves memory for a message of that length in bytes; false, and nothing reserved, if there is not enough. */
+    /**
+     * Reserves memory for a message.
+     *
+     * @param length the length of the message in bytes
+     * @return false if too little memory is available, in which case none is reserved
+     */
     public boolean tryReserve(int length) {
         long bytes = (long) length * BYTES_PER_MESSAGE_BYTE;
         if (availableBytes < bytes) {
@@ -22,7 +27,7 @@
         return true;
     }
 
-    /** Returns what was reserved for messages of that length in bytes. */
+    /** Releases the memory that was reserved for messages with this total length in bytes. */
     public void release(int length) {
         availableBytes += (long) length * BYTES_PER_MESSAGE_BYTE;
     }
