--- a/daemon/src/main/java/clayhook/transport/Transport.java
+++ b/daemon/src/main/java/clayhook/transport/Transport.java
@@ -36,23 +36,26 @@
 import java.util.function.Supplier;
 
 /**
- * One event loop thread and the connections on it: over TCP, or for a warm-up over sockets that nothing outside the
- * process can reach.
+ * One event loop thread and its connections: over TCP, or during a warm-up over sockets that are unreachable from
+ * outside the process.
  *
- * <p>Thread-safe, but for {@link #stopListening}, which is called on the event loop. The handlers that {@link #listen}
- * and {@link #connect} ask for are made and run on the event loop.
+ * <p>Thread-safe, except for {@link #stopListening}, which must be called on the event loop. The handlers passed to
+ * {@link #listen} and {@link #connect} are created and run on the event loop.
  */
 public final class Transport {
-    /** Connections that the system accepts before the process does. */
+    /**
+     * Length of the listen backlog: connections established by the operating system and not yet accepted by the
+     * process.
+     */
     private static final int BACKLOG = 1024;
     /**
-     * Connections accepted in one event loop iteration. Each may exceed the descriptor budget, as the descriptor of the
-     * connection that is evicted for it is freed only in the next iteration.
+     * Maximum number of connections accepted in one event loop iteration. Each may exceed the descriptor budget because
+     * the descriptor of the connection evicted for it is freed only in the next iteration.
      */
     private static final int MAX_ACCEPTS_PER_TICK = 4;
-    /** Socket reads of one connection in one event loop iteration, so that none delays the others. */
+    /** Maximum socket reads per connection in one event loop iteration, so that no connection delays the others. */
     private static final int MAX_READS_PER_TICK = 2;
-    /** A loop that is closed ends when it has had no task for so long, or after the time limit. */
+    /** A closed event loop ends after this time without a task, or at the latest after the shutdown timeout. */
     private static final int SHUTDOWN_QUIET_PERIOD_MS = 50;
 
     private static final int SHUTDOWN_TIMEOUT_MS = 1000;
@@ -62,13 +65,13 @@
 
     private enum Kind {
         TCP,
-        /** Unix domain sockets in a directory of this transport. */
+        /** Unix domain sockets in a temporary directory of this transport. */
         UNIX_SOCKET,
-        /** Queues within the process. */
+        /** In-process channels without sockets. */
         IN_PROCESS
     }
 
-    /** Distinguishes the in-process addresses of several transports. */
+    /** Source of the ids that distinguish the in-process addresses of several transports. */
     private static final AtomicInteger LAST_ID = new AtomicInteger();
 
     static {
@@ -76,13 +79,13 @@
     }
 
     private final Kind kind;
-    /** Null but for Unix domain sockets. */
+    /** The directory of the Unix domain sockets; null for the other kinds. */
     private final Path socketDirectory;
 
     private final int id = LAST_ID.incrementAndGet();
     private final MultiThreadIoEventLoopGroup group;
     private final AtomicBoolean closed = new AtomicBoolean();
-    /** Makes channels that connect; throws ChannelException where no descriptor is left. */
+    /** Creates outbound channels; throws ChannelException if no file descriptor is available. */
     private final Supplier<Channel> channelFactory;
 
     private Transport(Kind kind, Path socketDirectory, IoHandlerFactory handlers, Supplier<Channel> channelFactory) {
@@ -92,7 +95,7 @@
         group = new MultiThreadIoEventLoopGroup(1, handlers);
     }
 
-    /** A transport over TCP. */
+    /** Creates a transport over TCP. */
     public static Transport tcp() {
         return tcp(NioSocketChannel::new);
     }
@@ -101,7 +104,10 @@
         return new Transport(Kind.TCP, null, NioIoHandler.newFactory(), channelFactory);
     }
 
-    /** A transport over Unix domain sockets, which runs the code of TCP; ports are file names in a new directory. */
+    /**
+     * Creates a transport over Unix domain sockets, which executes the same code as TCP; ports are file names in a new
+     * temporary directory.
+     */
     public static Transport unixSockets() throws IOException {
         return new Transport(
                 Kind.UNIX_SOCKET,
@@ -110,13 +116,16 @@
                 NioDomainSocketChannel::new);
     }
 
-    /** A transport without sockets, for systems that let no process connect to itself; ports are names. */
+    /**
+     * Creates a transport without sockets, for systems on which a process cannot connect to itself; ports are names of
+     * in-process addresses.
+     */
     public static Transport inProcess() {
         return new Transport(Kind.IN_PROCESS, null, LocalIoHandler.newFactory(), LocalChannel::new);
     }
 
-    /** A loopback address to listen at: over TCP any free port, otherwise the given one, which must be unused. */
-    @SuppressWarnings("AddressSelection") // a literal address, which is not looked up
+    /** A loopback address to listen on: any free port over TCP, otherwise the given port, which must be unused. */
+    @SuppressWarnings("AddressSelection") // a literal address, which needs no name resolution
     public InetSocketAddress ephemeralAddress(int port) {
         return new InetSocketAddress("127.0.0.1", kind == Kind.TCP ? 0 : port);
     }
@@ -127,10 +136,10 @@
     }
 
     /**
-     * Listens at an address.
+     * Starts listening on an address.
      *
-     * @param handlers makes the handlers of each accepted connection
-     * @return the listening channel, bound
+     * @param handlers creates the handlers of each accepted connection
+     * @return the bound listening channel
      * @throws InterruptedException if the thread is interrupted before the socket is bound
      */
     public Channel listen(InetSocketAddress address, Supplier<ChannelHandler[]> handlers) throws InterruptedException {
@@ -157,15 +166,15 @@
     }
 
     /**
-     * Stops listening. The system resets connections that wait to be accepted as a listening socket closes, so these
-     * are accepted first, over several event loop iterations if there are many. Event loop only.
+     * Stops listening. The operating system resets connections in the backlog of a listening socket that is closed, so
+     * these are accepted first, over several event loop iterations if there are many. Event loop only.
      */
     @SuppressWarnings("FutureReturnValueIgnored") // nothing waits for the close
     public void stopListening(Channel listening) {
         if (listening instanceof BacklogDrainingServerChannel channel
                 && channel.isOpen()
                 && channel.acceptBacklog(MAX_ACCEPTS_PER_TICK)) {
-            // Later, once the descriptors of connections evicted for the accepted ones are free.
+            // Retried after the descriptors of the connections evicted for the accepted ones have been freed.
             eventLoop().schedule(() -> stopListening(listening), BACKLOG_RETRY_MS, TimeUnit.MILLISECONDS);
         } else {
             listening.close();
@@ -173,19 +182,23 @@
     }
 
     /**
-     * Begins to connect.
+     * Starts connecting to an address.
      *
-     * @param timeout seconds for the connection to be established
-     * @param handlers makes the handlers of the connection
+     * @param timeout the time limit for establishing the connection, in seconds
+     * @param handlers creates the handlers of the connection
      * @param onFailure runs on the event loop, after this method returns, if the connection is not established in time
-     * @return the channel, not connected yet; null where no descriptor is left for it
+     * @return the channel, which is not connected yet; null if no file descriptor is available
      */
     public Channel connect(
             InetSocketAddress address, double timeout, Supplier<ChannelHandler[]> handlers, Runnable onFailure) {
         return connectOrReport(address, timeout, handlers, cause -> onFailure.run());
     }
 
-    /** The same; {@code onFailure} gets the cause, null where no descriptor was left. */
+    /**
+     * Starts connecting to an address like {@link #connect}, but passes the cause of a failure on.
+     *
+     * @param onFailure receives the cause, which is null if no file descriptor was available
+     */
     public Channel connectOrReport(
             InetSocketAddress address,
             double timeout,
@@ -195,7 +208,7 @@
         try {
             channel = channelFactory.get();
         } catch (ChannelException e) {
-            // Not left to Netty, which would call the listeners on a thread of its own.
+            // Handled here because Netty would call the listeners on another thread.
             Log.warn("connect", "cannot open a socket: " + e.getCause());
             eventLoop().execute(() -> onFailure.accept(null));
             return null;
@@ -234,9 +247,9 @@
     }
 
     /**
-     * Closes all connections and ends the event loop, without waiting for that; has no effect after the first call.
-     * Netty closes connections only in an iteration that begins after the request to shut down. Without a quiet period,
-     * a loop that gets the request between two steps of an iteration ends there, and they stay open.
+     * Closes all connections and ends the event loop asynchronously; has no effect after the first call. Netty closes
+     * connections only in an iteration that starts after the shutdown request. Without a quiet period, an event loop
+     * that receives the request in the middle of an iteration ends in it, and the connections stay open.
      */
     public void close() {
         if (!closed.getAndSet(true)) {
@@ -246,7 +259,7 @@
         }
     }
 
-    /** Waits until the event loop has ended, for so many seconds at most. */
+    /** Waits until the event loop has ended, for at most the given number of seconds. */
     public void awaitClosed(double seconds) throws InterruptedException {
         group.awaitTermination((long) (seconds * NANOS_PER_SECOND), TimeUnit.NANOSECONDS);
     }
