--- a/daemon/src/main/java/clayhook/transport/BacklogDrainingServerChannel.java
+++ b/daemon/src/main/java/clayhook/transport/BacklogDrainingServerChannel.java
@@ -5,20 +5,21 @@
 import java.util.ArrayList;
 
 /**
- * A TCP server socket whose backlog can be accepted before it closes: the system resets connections that still wait in
- * the backlog of a socket that closes. Event loop only, but for its creation.
+ * A TCP server socket whose backlog can be accepted before it is closed; the operating system resets connections that
+ * are still in the backlog of a closed socket. Confined to the event loop after its creation.
  */
 final class BacklogDrainingServerChannel extends NioServerSocketChannel {
     /**
-     * Accepts some of the connections that wait in the backlog.
+     * Accepts connections from the backlog.
      *
-     * @return whether more may be waiting
+     * @param max the maximum number of connections to accept
+     * @return whether the backlog may contain more connections
      */
     boolean acceptBacklog(int max) {
         var accepted = new ArrayList<Object>();
         try {
             while (accepted.size() < max && doReadMessages(accepted) > 0) {
-                // doReadMessages has added a connection
+                // doReadMessages adds each accepted connection to the list
             }
         } catch (Exception e) {
             Log.warn("accept", "cannot accept the rest of the backlog: " + e);
--- a/daemon/src/main/java/clayhook/transport/DescriptorBudget.java
+++ b/daemon/src/main/java/clayhook/transport/DescriptorBudget.java
@@ -3,18 +3,18 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Divides the file descriptors of the process between client and node connections, half each: a flood of clients cannot
- * take the descriptors that connections to nodes need. Event loop only.
+ * Divides the file descriptors of the process equally between client and node connections, so that a flood of clients
+ * cannot use up the descriptors that node connections need. Confined to the event loop.
  */
 public final class DescriptorBudget {
     /**
-     * For the runtime's own files, the listening socket and the selector (14), discovery (4), connections accepted over
-     * the budget in one event loop iteration and those evicted for them (8), and rejected clients that still read their
-     * answer (16).
+     * Descriptors outside the budget: for the runtime's own files, the listening socket and the selector (14), for
+     * discovery (4), for connections accepted over the budget in one event loop iteration and the connections evicted
+     * for them (8), and for rejected clients that are still reading their response (16).
      */
-    private static final int RESERVED = 48;
+    private static final int RESERVED_DESCRIPTORS = 48;
 
-    /** One half of the budget. */
+    /** The half of the budget for clients or for nodes. */
     private final class Side {
         private int count;
         private BooleanSupplier evictor = () -> false;
@@ -38,32 +38,36 @@
     private final Side nodes = new Side();
     private int peak;
 
-    /** A budget of as many descriptors as the process may open; each side gets one at least. */
+    /**
+     * Creates a budget.
+     *
+     * @param limit the number of descriptors that the process may open; each side gets at least one
+     */
     public DescriptorBudget(int limit) {
-        limitPerSide = Math.max(1, (limit - RESERVED) / 2);
+        limitPerSide = Math.max(1, (limit - RESERVED_DESCRIPTORS) / 2);
     }
 
-    /** Sets what closes an idle client connection when all are in use; it returns false if none is idle. */
+    /** Sets the callback that closes an idle client connection if all descriptors are in use; false if none is idle. */
     public void setClientEvictor(BooleanSupplier evictor) {
         clients.evictor = evictor;
     }
 
-    /** Sets what closes an idle node connection when all are in use; it returns false if none is idle. */
+    /** Sets the callback that closes an idle node connection if all descriptors are in use; false if none is idle. */
     public void setNodeEvictor(BooleanSupplier evictor) {
         nodes.evictor = evictor;
     }
 
-    /** The greatest number of connections on each side. */
+    /** The maximum number of connections on each side. */
     public int limitPerSide() {
         return limitPerSide;
     }
 
-    /** Takes a descriptor for a node connection; false if none is free and none can be freed. */
+    /** Acquires a descriptor for a node connection; returns false if none is free and none can be freed. */
     public boolean tryAcquireForNode() {
         return nodes.tryAcquire();
     }
 
-    /** Returns the descriptor of a node connection. */
+    /** Releases the descriptor of a node connection. */
     public void releaseForNode() {
         nodes.release();
     }
@@ -73,17 +77,17 @@
         return nodes.count;
     }
 
-    /** Takes a descriptor for a client connection; false if none is free and none can be freed. */
+    /** Acquires a descriptor for a client connection; returns false if none is free and none can be freed. */
     public boolean tryAcquireForClient() {
         return clients.tryAcquire();
     }
 
-    /** Returns the descriptor of a client connection. */
+    /** Releases the descriptor of a client connection. */
     public void releaseForClient() {
         clients.release();
     }
 
-    /** The greatest number of connections at a time, of both sides, since the start. */
+    /** The peak number of simultaneous connections on both sides together since the start. */
     public int peak() {
         return peak;
     }
