--- a/daemon/src/main/java/clayhook/transport/SlewedClock.java
+++ b/daemon/src/main/java/clayhook/transport/SlewedClock.java
@@ -3,11 +3,11 @@
 import java.time.Instant;
 
 /**
- * Seconds since 1970 that never go back: the monotonic clock, slewed towards the wall clock by at most one part in 200.
- * Not thread-safe: each instance belongs to one thread.
+ * A clock that returns seconds since the Unix epoch and never goes backwards: the monotonic clock, slewed towards the
+ * wall clock by at most one part in 200. Not thread-safe: each instance is confined to one thread.
  */
 public final class SlewedClock {
-    /** Ten times the usual slew rate of a wall clock; a jump of the wall clock moves no time limit by more. */
+    /** Ten times the usual slew rate of a wall clock; bounds how far a jump of the wall clock shifts a time limit. */
     private static final double MAX_SLEW_RATE = 0.005;
 
     private static final double NANOS_PER_SECOND = 1e9;
@@ -15,7 +15,7 @@
     private long lastNanoTime = System.nanoTime();
     private double lastTime = wallClock();
 
-    /** The current time in seconds since 1970; at least the time of the call before. */
+    /** The current time in seconds since the Unix epoch; at least the result of the previous call. */
     public double now() {
         long nanoTime = System.nanoTime();
         double elapsed = (nanoTime - lastNanoTime) / NANOS_PER_SECOND;
--- a/daemon/src/main/java/clayhook/transport/package-info.java
+++ b/daemon/src/main/java/clayhook/transport/package-info.java
@@ -1,9 +1,9 @@
 /**
- * The event loop and the sockets on it, the budget of file descriptors, and the clock.
+ * The event loop and its sockets, the file descriptor budget, and the clock.
  *
- * <p>Start at {@link clayhook.transport.Transport}: everything that listens or connects in a router does so through it.
- * {@link clayhook.transport.DescriptorBudget} divides the process's descriptors between clients and nodes, and
- * {@link clayhook.transport.SlewedClock} is the source of all times. The package knows nothing of what the connections
- * carry; it may use Netty and the log only.
+ * <p>Start with {@link clayhook.transport.Transport}, through which a router opens all listening sockets and
+ * connections. {@link clayhook.transport.DescriptorBudget} divides the file descriptors of the process between clients
+ * and nodes, and {@link clayhook.transport.SlewedClock} is the source of all times. The package is independent of the
+ * protocols on the connections; it may depend only on Netty and the log.
  */
 package clayhook.transport;
