--- a/daemon/src/test/java/clayhook/discovery/DiscoveryDecodingTest.java
+++ b/daemon/src/test/java/clayhook/discovery/DiscoveryDecodingTest.java
@@ -21,14 +21,19 @@
 
     private static final String CHUNKED_HEADERS = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-    /** Decodes a text that comes in pieces of so many bytes; {@code ends}: the connection is closed after it. */
-    private static HttpResponse read(String text, int size, boolean ends) {
+    /**
+     * Decodes a response that is received in pieces.
+     *
+     * @param pieceLength the length of the pieces
+     * @param closesConnection whether the connection is closed after the text
+     */
+    private static HttpResponse decode(String text, int pieceLength, boolean closesConnection) {
         var channel = new EmbeddedChannel(new HttpResponseDecoder());
-        for (int i = 0; i < text.length(); i += size) {
-            String piece = text.substring(i, Math.min(text.length(), i + size));
+        for (int i = 0; i < text.length(); i += pieceLength) {
+            String piece = text.substring(i, Math.min(text.length(), i + pieceLength));
             channel.writeInbound(Unpooled.copiedBuffer(piece, UTF_8));
         }
-        if (ends) {
+        if (closesConnection) {
             channel.finish();
         }
         HttpResponse response = channel.readInbound();
@@ -38,17 +43,17 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 3, 1000})
-    void responseIsDecodedHoweverItIsSplit(int size) {
+    void splitResponseIsDecoded(int pieceLength) {
         assertEquals(
                 new HttpResponse(200, "hello", false),
-                read("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", size, false));
+                decode("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", pieceLength, false));
         assertEquals(
                 new HttpResponse(200, "hello", false),
-                read(CHUNKED_HEADERS + "2\r\nhe\r\n3;x=y\r\nllo\r\n0\r\n\r\n", size, false));
-        assertEquals(new HttpResponse(200, "hello", true), read("HTTP/1.0 200 OK\r\n\r\nhello", size, true));
+                decode(CHUNKED_HEADERS + "2\r\nhe\r\n3;x=y\r\nllo\r\n0\r\n\r\n", pieceLength, false));
+        assertEquals(new HttpResponse(200, "hello", true), decode("HTTP/1.0 200 OK\r\n\r\nhello", pieceLength, true));
         assertEquals(
                 new HttpResponse(503, "", true),
-                read("HTTP/1.1 503 Busy\r\nconnection: close\r\ncontent-length: 0\r\n\r\n", size, false));
+                decode("HTTP/1.1 503 Busy\r\nconnection: close\r\ncontent-length: 0\r\n\r\n", pieceLength, false));
     }
 
     @Test
@@ -80,14 +85,14 @@
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"
             })
     void malformedResponseHasStatusZero(String text) {
-        assertEquals(0, read(text, 1000, false).status());
+        assertEquals(0, decode(text, 1000, false).status());
     }
 
     @Test
     void everyEndpointOfALongListIsParsed() {
         String text = "{\"rev\":43,\"all\":false,\"targets\":[" + (ENTRY + ",").repeat(1999) + ENTRY + "]}";
         EndpointList list = EndpointList.parse(
-                read("HTTP/1.1 200 OK\r\nContent-Length: " + text.length() + "\r\n\r\n" + text, 1000, false)
+                decode("HTTP/1.1 200 OK\r\nContent-Length: " + text.length() + "\r\n\r\n" + text, 1000, false)
                         .body());
         assertEquals(2000, list.endpoints().size());
         EndpointList.DiscoveredEndpoint endpoint = list.endpoints().get(1999);
@@ -110,7 +115,7 @@
                 "1500 | \"x\" | boot_ms",
                 "{ | [ | missing"
             })
-    void errorNamesTheFaultyField(String part, String replacement, String field) {
+    void errorNamesTheInvalidField(String part, String replacement, String field) {
         String text = "{\"rev\":43,\"all\":true,\"targets\":[" + ENTRY.replace(part, replacement) + "]}";
         var error = assertThrows(MalformedEndpointListException.class, () -> EndpointList.parse(text));
         assertTrue(error.getMessage().contains(field), error.getMessage());
--- a/daemon/src/test/java/clayhook/discovery/EndpointWatcherTest.java
+++ b/daemon/src/test/java/clayhook/discovery/EndpointWatcherTest.java
@@ -23,18 +23,18 @@
 class EndpointWatcherTest implements EndpointWatcher.Listener {
     private static final long TIMEOUT_SECONDS = 10;
 
-    /** Longer than any test takes, but for the one on late watches. */
+    /** Longer than any test runs, except the tests of late watches, which use a shorter wait. */
     private static final double LONG_POLL_SECONDS = 10;
 
     private static final int REJECTIONS = 3;
-    /** A crowded service queues a call for so long before it rejects it. */
+    /** How long an overloaded service queues a call before it rejects it. */
     private static final double QUEUE_SECONDS = 2;
 
     private static final double NOTIFIED_AFTER_SECONDS = 6;
     private static final Pattern WAIT = Pattern.compile("wait_ms=(\\d+) ");
 
     private final Transport transport = Transport.tcp();
-    /** For a service whose event loop a test blocks. */
+    /** The transport of a service whose event loop a test blocks. */
     private final Transport blockedTransport = Transport.tcp();
 
     private final LinkedBlockingQueue<String> calls = new LinkedBlockingQueue<>();
@@ -42,7 +42,7 @@
     private final LinkedBlockingQueue<WatchEvent> watchEvents = new LinkedBlockingQueue<>();
     private EndpointWatcher watcher;
 
-    private void start(String... answers) throws InterruptedException {
+    private void startWatching(String... answers) throws InterruptedException {
         watcher = new EndpointWatcher(
                 transport, startService(calls, answers).address(), 41, LONG_POLL_SECONDS, new Random(1), this);
         ensureWatching();
@@ -62,8 +62,8 @@
     }
 
     @Test
-    void movedServiceIsAskedForTheCompleteListAndTheOldAddressIsIgnored() throws Exception {
-        start(list(42, false));
+    void moveRequestsTheCompleteListAndIgnoresTheOldAddress() throws Exception {
+        startWatching(list(42, false));
         assertEquals("changes 42", events.take());
         var newCalls = new LinkedBlockingQueue<String>();
         moveTo(startService(newCalls, list(7, true), list(8, false)).address());
@@ -100,12 +100,12 @@
         assertEquals("complete 7", events.take());
     }
 
-    /** A service that takes its time for calls may have made the answer to a watch as long before. */
+    /** A slow service may have created the answer to a watch up to the duration of one call before it arrives. */
     @Test
-    @SuppressWarnings("FutureReturnValueIgnored") // an answer that fails shows as one that does not come
-    void answerToAWatchIsAsOldAsACallTakes() throws Exception {
+    @SuppressWarnings("FutureReturnValueIgnored") // an answer that fails makes the wait for its event fail
+    void watchAnswerIsAtLeastAsOldAsACallTakes() throws Exception {
         double callSeconds = 0.5;
-        double watchSeconds = 3.5; // the first check goes out after 2 to 2.4 s
+        double watchSeconds = 3.5; // the first check is sent after 2 to 2.4 s
         var service = new StubDiscovery(transport, transport.ephemeralAddress(0), (line, answer) -> {
             boolean waits = !line.contains("wait_ms=0");
             int version = waits ? 42 : 41;
@@ -124,7 +124,7 @@
     }
 
     @Test
-    void refusedConnectionTellsWhenItWasBegun() throws Exception {
+    void refusedConnectionReportsSecondsSinceConnectStart() throws Exception {
         StubDiscovery closed = startService(calls);
         closed.close();
         watcher = new EndpointWatcher(transport, closed.address(), 41, LONG_POLL_SECONDS, new Random(1), this);
@@ -177,7 +177,7 @@
 
     @Test
     void eachAnswerIsFollowedByAPollAfterItsVersion() throws Exception {
-        start(list(42, false), list(45, true));
+        startWatching(list(42, false), list(45, true));
         assertEquals("changes 42", events.take());
         assertEquals("complete 45", events.take());
         for (int version : new int[] {41, 42, 45}) {
@@ -188,32 +188,34 @@
 
     @Test
     void watchContinuesAfterTheServiceClosesTheConnection() throws Exception {
-        start("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 35\r\n\r\n" + list(42, false), list(43, false));
+        startWatching(
+                "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 35\r\n\r\n" + list(42, false),
+                list(43, false));
         assertEquals("changes 42", events.take());
         assertEquals("changes 43", events.take());
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void lateWatchIsReportedAndItsAnswerIsStillAccepted(boolean watchedAnew) throws Exception {
+    void lateWatchIsReportedAndItsAnswerIsStillAccepted(boolean reopened) throws Exception {
         var gate = new CountDownLatch(1);
-        var old = new StubDiscovery(watchedAnew ? transport : blockedTransport, transport.ephemeralAddress(0), call -> {
+        var old = new StubDiscovery(reopened ? transport : blockedTransport, transport.ephemeralAddress(0), call -> {
             calls.add(call);
-            if (!watchedAnew) {
+            if (!reopened) {
                 await(gate);
             }
-            return watchedAnew && calls.size() == 1 ? null : list(42, false);
+            return reopened && calls.size() == 1 ? null : list(42, false);
         });
         watcher = new EndpointWatcher(transport, old.address(), 41, 0.05, new Random(1), this);
         ensureWatching();
         assertEquals("late", events.take());
-        if (watchedAnew) {
+        if (reopened) {
             ensureWatching();
         }
         gate.countDown();
         assertEquals("changes 42", events.take());
         assertEquals(
-                watchedAnew ? 2 : 1,
+                reopened ? 2 : 1,
                 calls.stream()
                         .filter(call -> call.contains("after=41&wait_ms=50 "))
                         .count());
@@ -221,8 +223,8 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", "HTTPS\r\n", "[]", "{\"rev\":42}"})
-    void failedPollIsRepeatedOnRequestFromTheOldVersion(String answer) throws Exception {
-        start(answer, list(43, true));
+    void failedPollIsRetriedOnRequestWithTheOldVersion(String answer) throws Exception {
+        startWatching(answer, list(43, true));
         assertEquals("failed", events.take());
         ensureWatching();
         assertEquals("complete 43", events.take());
@@ -230,42 +232,48 @@
         assertTrue(calls.take().contains("after=41"));
     }
 
-    /** A call that the service has not answered, and what takes its answer. */
-    private record HeldCall(String call, Predicate<String> answer) {
+    /**
+     * A call that the service has not answered yet.
+     *
+     * @param answer sends an answer to the call
+     */
+    private record PendingCall(String call, Predicate<String> answer) {
         boolean isWatch() {
             return !call.contains("wait_ms=0");
         }
     }
 
-    /** Starts a watch that has been answered once, at a service that answers when the test says so. */
-    private LinkedBlockingQueue<HeldCall> startWithHeldCalls() throws Exception {
-        return startWithHeldCalls(LONG_POLL_SECONDS);
+    /** Starts a watch whose first poll is answered, at a service that answers all later calls only through the test. */
+    private LinkedBlockingQueue<PendingCall> startWithPendingCalls() throws Exception {
+        return startWithPendingCalls(LONG_POLL_SECONDS);
     }
 
-    private LinkedBlockingQueue<HeldCall> startWithHeldCalls(double longPollSeconds) throws Exception {
-        var held = new LinkedBlockingQueue<HeldCall>();
+    private LinkedBlockingQueue<PendingCall> startWithPendingCalls(double longPollSeconds) throws Exception {
+        var pendingCalls = new LinkedBlockingQueue<PendingCall>();
         var service = new StubDiscovery(
-                transport, transport.ephemeralAddress(0), (call, answer) -> held.add(new HeldCall(call, answer)));
+                transport,
+                transport.ephemeralAddress(0),
+                (call, answer) -> pendingCalls.add(new PendingCall(call, answer)));
         watcher = new EndpointWatcher(transport, service.address(), 41, longPollSeconds, new Random(1), this);
         ensureWatching();
-        answer(held.take(), list(42, false));
+        answer(pendingCalls.take(), list(42, false));
         assertEquals("changes 42", events.take());
-        return held;
+        return pendingCalls;
     }
 
-    private void answer(HeldCall held, String body) throws Exception {
-        transport.eventLoop().submit(() -> held.answer().test(body)).get();
+    private void answer(PendingCall pendingCall, String body) throws Exception {
+        transport.eventLoop().submit(() -> pendingCall.answer().test(body)).get();
     }
 
     @Test
-    void checkThatFindsANewerListReplacesTheSilentWatch() throws Exception {
-        LinkedBlockingQueue<HeldCall> held = startWithHeldCalls();
-        assertTrue(held.take().isWatch());
-        HeldCall check = held.take();
+    void checkWithANewerListReplacesTheUnansweredWatch() throws Exception {
+        LinkedBlockingQueue<PendingCall> pendingCalls = startWithPendingCalls();
+        assertTrue(pendingCalls.take().isWatch());
+        PendingCall check = pendingCalls.take();
         assertTrue(check.call().contains("after=42&wait_ms=0 "));
         answer(check, list(43, false));
         assertEquals("changes 43", events.take());
-        assertTrue(held.take().call().contains("after=43&wait_ms=10000 "));
+        assertTrue(pendingCalls.take().call().contains("after=43&wait_ms=10000 "));
     }
 
     @ParameterizedTest
@@ -276,75 +284,75 @@
                 "{\"rev\":42,\"all\":false,\"targets\":[]}"
             })
     void failedOrUnchangedCheckKeepsTheWatch(String answer) throws Exception {
-        LinkedBlockingQueue<HeldCall> held = startWithHeldCalls();
-        HeldCall watch = held.take();
-        answer(held.take(), answer);
-        HeldCall next = held.take();
+        LinkedBlockingQueue<PendingCall> pendingCalls = startWithPendingCalls();
+        PendingCall watch = pendingCalls.take();
+        answer(pendingCalls.take(), answer);
+        PendingCall next = pendingCalls.take();
         assertTrue(next.call().contains("after=42&wait_ms=0 "), next.call());
         answer(watch, list(43, false));
         assertEquals("changes 43", events.take());
     }
 
-    /** The check was sent before the watch was answered; its answer is older, and must not undo what is newer. */
+    /** The check was sent before the watch was answered, so its answer is older and must not revert newer changes. */
     @Test
-    void olderCheckAnswerDoesNotUndoANewerWatchAnswer() throws Exception {
-        LinkedBlockingQueue<HeldCall> held = startWithHeldCalls();
-        HeldCall watch = held.take();
-        HeldCall check = held.take();
+    void olderCheckAnswerDoesNotRevertANewerWatchAnswer() throws Exception {
+        LinkedBlockingQueue<PendingCall> pendingCalls = startWithPendingCalls();
+        PendingCall watch = pendingCalls.take();
+        PendingCall check = pendingCalls.take();
         answer(watch, list(44, false));
         assertEquals("changes 44", events.take());
-        HeldCall next = held.take();
+        PendingCall next = pendingCalls.take();
         assertTrue(next.call().contains("after=44&wait_ms=10000 "), next.call());
         answer(check, list(43, false));
         answer(next, list(45, false));
         assertEquals("changes 45", events.take());
     }
 
-    /** A watch that failed is opened later on request; a check that is answered meanwhile opens it at once. */
+    /** A failed watch is otherwise reopened only on request; a check answered before that reopens it at once. */
     @Test
-    void checkReplacesABrokenWatch() throws Exception {
-        LinkedBlockingQueue<HeldCall> held = startWithHeldCalls();
-        answer(held.take(), "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
+    void answeredCheckReplacesAFailedWatch() throws Exception {
+        LinkedBlockingQueue<PendingCall> pendingCalls = startWithPendingCalls();
+        answer(pendingCalls.take(), "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
         assertEquals("failed", events.take());
-        answer(held.take(), list(42, false));
+        answer(pendingCalls.take(), list(42, false));
         assertEquals("changes 42", events.take());
-        assertTrue(held.take().isWatch());
+        assertTrue(pendingCalls.take().isWatch());
     }
 
-    /** Else a router that has the newest version would not hear for up to the wait of its watch. */
+    /** Otherwise a router that already has the newest version gets no confirmation of it until the wait has elapsed. */
     @Test
-    void watchThatFollowsAnOutageWaitsLessThanUntilAChangeCountsAsNotified() throws Exception {
-        LinkedBlockingQueue<HeldCall> held = startWithHeldCalls();
-        HeldCall watch = held.take();
+    void watchAfterAnOutageWaitsLessThanTheNotificationTime() throws Exception {
+        LinkedBlockingQueue<PendingCall> pendingCalls = startWithPendingCalls();
+        PendingCall watch = pendingCalls.take();
         for (int i = 0; i < REJECTIONS; i++) {
             answer(watch, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
             assertEquals("failed", events.take());
             ensureWatching();
-            watch = held.take();
+            watch = pendingCalls.take();
             assertTrue(watch.isWatch(), watch.call());
         }
         assertTrue(waitSeconds(watch) + QUEUE_SECONDS < NOTIFIED_AFTER_SECONDS, watch.call());
         answer(watch, list(42, false));
         assertEquals("changes 42", events.take());
-        assertEquals(LONG_POLL_SECONDS, waitSeconds(held.take()));
+        assertEquals(LONG_POLL_SECONDS, waitSeconds(pendingCalls.take()));
     }
 
-    private static double waitSeconds(HeldCall watch) {
+    private static double waitSeconds(PendingCall watch) {
         Matcher matcher = WAIT.matcher(watch.call());
         assertTrue(matcher.find(), watch.call());
         return Double.parseDouble(matcher.group(1)) / 1000;
     }
 
-    /** What checks confirmed while it waited is in doubt, as with a watch that is not late. */
+    /** As with a watch that is not late, the rejection invalidates what checks confirmed since the poll was sent. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void rejectionOfAWatchIsReportedAlsoWhereItIsLateAndAnotherIsOpen(boolean late) throws Exception {
-        LinkedBlockingQueue<HeldCall> held = startWithHeldCalls(late ? 0.05 : LONG_POLL_SECONDS);
-        HeldCall watch = held.take();
+    void rejectedWatchIsReportedEvenIfItIsLateAndAnotherIsOpen(boolean late) throws Exception {
+        LinkedBlockingQueue<PendingCall> pendingCalls = startWithPendingCalls(late ? 0.05 : LONG_POLL_SECONDS);
+        PendingCall watch = pendingCalls.take();
         if (late) {
             assertEquals("late", events.take());
             ensureWatching();
-            assertTrue(held.take().isWatch());
+            assertTrue(pendingCalls.take().isWatch());
         }
         watchEvents.clear();
         answer(watch, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
