--- a/daemon/src/test/java/clayhook/discovery/DiscoverySimulation.java
+++ b/daemon/src/test/java/clayhook/discovery/DiscoverySimulation.java
@@ -6,11 +6,11 @@
 import java.util.Random;
 
 /**
- * Routers and a discovery service that handles one call after the other, in virtual time. Watches are opened anew when
- * their waits are over.
+ * Simulates routers and a discovery service that handles calls one at a time, in virtual time. A watch is reopened when
+ * its wait has elapsed.
  */
 final class DiscoverySimulation {
-    /** The service queues a call for so long before it rejects it. */
+    /** How long the service queues a call before it rejects it. */
     static final double QUEUE_LIMIT_SECONDS = 2;
 
     private record ScheduledCall(double at, WatchingRouter router, boolean isCheck) {}
@@ -20,10 +20,10 @@
         final double longPollSeconds;
         double checkAt;
         boolean watched;
-        /** Calls for a watch that were rejected since a call was answered. */
-        int rejectedWatches;
-        /** When it found out that its watch is silent. */
-        double foundAt = Double.POSITIVE_INFINITY;
+        /** Calls to open a watch that were rejected since the last call was answered. */
+        int rejectedWatchCalls;
+        /** Time at which the router detected that its watch is dead; infinite before that. */
+        double detectedAt = Double.POSITIVE_INFINITY;
 
         WatchingRouter(int seed) {
             var random = new Random(seed);
@@ -37,15 +37,15 @@
     private final Random random = new Random(7);
     private final double secondsPerCall;
     private double busyUntil;
-    /** From then on watches report nothing. */
-    double silentAt = Double.POSITIVE_INFINITY;
-    /** Calls that opened a watch. */
+    /** Time from which on the watches report no changes. */
+    double watchesDeadAt = Double.POSITIVE_INFINITY;
+    /** Answered calls that opened a watch. */
     int watches;
-    /** Calls that were to open one and were rejected. */
-    int rejectedWatches;
+    /** Rejected calls to open a watch. */
+    int rejectedWatchCalls;
 
-    DiscoverySimulation(int routers, double allCalls) {
-        secondsPerCall = allCalls / routers;
+    DiscoverySimulation(int routers, double secondsForAllCalls) {
+        secondsPerCall = secondsForAllCalls / routers;
         for (int i = 0; i < routers; i++) {
             var router = new WatchingRouter(i);
             this.routers.add(router);
@@ -53,12 +53,12 @@
         }
     }
 
-    /** When the last router found out that its watch is silent; infinite where one has not. */
-    double lastFoundAt() {
-        return routers.stream().mapToDouble(router -> router.foundAt).max().orElse(0);
+    /** Time at which the last router detected that its watch is dead; infinite if a router has not detected it. */
+    double lastDetectedAt() {
+        return routers.stream().mapToDouble(router -> router.detectedAt).max().orElse(0);
     }
 
-    /** Runs up to a time. */
+    /** Runs the simulation up to a virtual time in seconds. */
     void run(double until) {
         while (queue.peek().at < until) {
             ScheduledCall due = queue.poll();
@@ -83,8 +83,8 @@
         if (isCheck) {
             scheduleCheck(router, now, router.livenessCheck.nextIntervalSeconds());
         } else {
-            rejectedWatches++;
-            router.rejectedWatches++;
+            rejectedWatchCalls++;
+            router.rejectedWatchCalls++;
             queue.add(new ScheduledCall(now + 0.5 + random.nextDouble(), router, false));
         }
     }
@@ -94,16 +94,16 @@
             router.livenessCheck.onAnswered(answeredAt - sentAt);
         } else {
             watches++;
-            double maxWaitSeconds = router.livenessCheck.nextWatchWaitSeconds(router.rejectedWatches);
+            double maxWaitSeconds = router.livenessCheck.nextWatchWaitSeconds(router.rejectedWatchCalls);
             double waitSeconds = Math.min(router.longPollSeconds, maxWaitSeconds);
             queue.add(new ScheduledCall(sentAt + waitSeconds, router, false));
         }
-        router.rejectedWatches = 0;
-        if (answeredAt >= silentAt) {
-            router.foundAt = Math.min(router.foundAt, answeredAt);
+        router.rejectedWatchCalls = 0;
+        if (answeredAt >= watchesDeadAt) {
+            router.detectedAt = Math.min(router.detectedAt, answeredAt);
         }
         double lastAnswerAt =
-                isCheck || sentAt > silentAt ? answeredAt : sentAt + (router.watched ? 0 : answeredAt - sentAt);
+                isCheck || sentAt > watchesDeadAt ? answeredAt : sentAt + (router.watched ? 0 : answeredAt - sentAt);
         scheduleCheck(router, lastAnswerAt, router.livenessCheck.nextIntervalSeconds());
         router.watched = true;
     }
--- a/daemon/src/test/java/clayhook/discovery/WatchLivenessCheckTest.java
+++ b/daemon/src/test/java/clayhook/discovery/WatchLivenessCheckTest.java
@@ -9,15 +9,15 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class WatchLivenessCheckTest {
-    /** After the start of all routers. */
+    /** Time after the start of all routers that is excluded from the counts. */
     private static final double SETTLING_SECONDS = 30;
 
-    /** When all watches fall silent. */
-    private static final double SILENT_AT = 120;
+    /** Time at which all watches stop reporting changes, in seconds. */
+    private static final double WATCHES_DEAD_AT = 120;
 
-    private static final double END = 160;
+    private static final double END_SECONDS = 160;
 
-    /** Part of the calls that open watches. */
+    /** Largest permitted share of rejected calls among those that open watches. */
     private static final double MAX_REJECTED_FRACTION = 0.05;
 
     @Test
@@ -43,10 +43,10 @@
     }
 
     /**
-     * Where the service takes so long that checks would crowd it, watches go before checks.
+     * If the service is so slow that checks would overload it, calls that open watches take precedence over checks.
      *
-     * @param allCalls seconds that the service takes for one call of every router
-     * @param within seconds in which every silent watch is to be found
+     * @param secondsForAllCalls the time in seconds that the service takes for one call of every router
+     * @param maxDetectionSeconds the time limit in seconds for the detection of all dead watches
      */
     @ParameterizedTest
     @CsvSource({
@@ -60,18 +60,19 @@
         "100, 4, 12",
         "100, 8, 12"
     })
-    void checksDetectASilentWatchInTimeWithoutCrowdingOutWatches(int routers, double allCalls, double within) {
-        var simulation = new DiscoverySimulation(routers, allCalls);
+    void checksDetectADeadWatchInTimeWithoutDisplacingWatches(
+            int routers, double secondsForAllCalls, double maxDetectionSeconds) {
+        var simulation = new DiscoverySimulation(routers, secondsForAllCalls);
         simulation.run(SETTLING_SECONDS);
         simulation.watches = 0;
-        simulation.rejectedWatches = 0;
-        simulation.run(SILENT_AT);
+        simulation.rejectedWatchCalls = 0;
+        simulation.run(WATCHES_DEAD_AT);
         int watches = simulation.watches;
-        int rejected = simulation.rejectedWatches;
-        simulation.silentAt = SILENT_AT;
-        simulation.run(END);
-        double worst = simulation.lastFoundAt() - SILENT_AT;
-        assertTrue(worst < within, worst + " s");
+        int rejected = simulation.rejectedWatchCalls;
+        simulation.watchesDeadAt = WATCHES_DEAD_AT;
+        simulation.run(END_SECONDS);
+        double detectionSeconds = simulation.lastDetectedAt() - WATCHES_DEAD_AT;
+        assertTrue(detectionSeconds < maxDetectionSeconds, detectionSeconds + " s");
         assertTrue(rejected <= MAX_REJECTED_FRACTION * (watches + rejected), rejected + " of " + (watches + rejected));
     }
 
