--- a/daemon/src/test/java/clayhook/protocol/MessageDecodersTest.java
+++ b/daemon/src/test/java/clayhook/protocol/MessageDecodersTest.java
@@ -18,16 +18,16 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The decoders of client and node messages, and the parser of fixed-form statements. */
+/** Tests the decoders of client and node messages and the parser of fixed-form statements. */
 class MessageDecodersTest {
     private static final String READ =
             "SELECT val FROM state WHERE uid = '7f3a' " + "/* id=9b1f,c=basket,d=480,cluster=2,after=1767225600123 */";
 
-    /** The types of the messages that are decoded when the bytes arrive in pieces of that size. */
-    private static List<String> decodedTypes(ChannelHandler decoder, ByteBuf bytes, int size) {
+    /** Returns the types of the messages decoded from bytes that are received in pieces of {@code pieceBytes} bytes. */
+    private static List<String> decodedTypes(ChannelHandler decoder, ByteBuf bytes, int pieceBytes) {
         var channel = new EmbeddedChannel(decoder);
         while (bytes.isReadable()) {
-            channel.writeInbound(bytes.readRetainedSlice(Math.min(size, bytes.readableBytes())));
+            channel.writeInbound(bytes.readRetainedSlice(Math.min(pieceBytes, bytes.readableBytes())));
         }
         bytes.release();
         var types = new ArrayList<String>();
@@ -44,7 +44,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 7, 1000})
-    void decodesClientMessagesSplitAnywhere(int size) {
+    void decodesClientMessagesSplitAnywhere(int pieceBytes) {
         ByteBuf bytes = Unpooled.wrappedBuffer(
                 Unpooled.buffer().writeInt(8).writeInt(80877103),
                 MessageEncoder.startupMessage("client", "core"),
@@ -64,7 +64,7 @@
                         "Ignored",
                         "Extended",
                         "Terminate"),
-                decodedTypes(new ClientMessageDecoder(new MemoryBudget(1 << 20)), bytes, size));
+                decodedTypes(new ClientMessageDecoder(new MemoryBudget(1 << 20)), bytes, pieceBytes));
     }
 
     @ParameterizedTest
@@ -97,7 +97,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 5, 1000})
-    void decodesNodeMessagesSplitAnywhere(int size) {
+    void decodesNodeMessagesSplitAnywhere(int pieceBytes) {
         ByteBuf bytes = Unpooled.wrappedBuffer(
                 MessageEncoder.startupResponse(0, Map.of()),
                 MessageEncoder.error(false, "53300", "full", null),
@@ -115,7 +115,7 @@
                         "ReadyForQuery",
                         "Part",
                         "ReadyForQuery"),
-                decodedTypes(new NodeMessageDecoder(new MemoryBudget(1 << 20)), bytes, size));
+                decodedTypes(new NodeMessageDecoder(new MemoryBudget(1 << 20)), bytes, pieceBytes));
     }
 
     @Test
@@ -160,10 +160,10 @@
                 "id= ,c=a,d=5,cluster=1 | no valid id",
                 "id=1,c=a,d=5,cluster=1,k=* | no read or write"
             })
-    void namesTheFaultOfAnInvalidComment(String comment, String named) {
+    void errorNamesTheProblemOfAnInvalidComment(String comment, String expectedText) {
         String text = "SELECT val FROM state WHERE uid = 'k' /* " + comment + " */";
-        var bad = assertThrows(IllegalArgumentException.class, () -> KeyValueStatement.parse(text.getBytes(UTF_8)));
-        assertTrue(bad.getMessage().contains(named), bad.getMessage());
+        var error = assertThrows(IllegalArgumentException.class, () -> KeyValueStatement.parse(text.getBytes(UTF_8)));
+        assertTrue(error.getMessage().contains(expectedText), error.getMessage());
     }
 
     @ParameterizedTest
@@ -195,22 +195,22 @@
     }
 
     @Test
-    void longStatementsOfAllClientsShareOneMemoryBudgetAndAreSkippedWhereItIsSpent() {
-        var allowance = new MemoryBudget(200_000);
-        ByteBuf most = Unpooled.wrappedBuffer(
+    void longStatementsShareOneMemoryBudgetAndAreSkippedIfItIsExhausted() {
+        var memoryBudget = new MemoryBudget(200_000);
+        ByteBuf incomplete = Unpooled.wrappedBuffer(
                 MessageEncoder.startupMessage("client", "core"),
                 message('Q', 50_000),
                 Unpooled.buffer(10).writeZero(9));
-        var first = new EmbeddedChannel(new ClientMessageDecoder(allowance));
-        first.writeInbound(most.retainedDuplicate());
-        ByteBuf whole = Unpooled.wrappedBuffer(
-                most.retainedDuplicate(),
+        var firstClient = new EmbeddedChannel(new ClientMessageDecoder(memoryBudget));
+        firstClient.writeInbound(incomplete.retainedDuplicate());
+        ByteBuf completedThenNext = Unpooled.wrappedBuffer(
+                incomplete.retainedDuplicate(),
                 Unpooled.buffer(50_000).writeZero(50_000 - 4 - 9),
                 MessageEncoder.query(READ.getBytes(UTF_8)));
         assertEquals(
                 List.of("Startup", "SkippedQuery", "Query"),
-                decodedTypes(new ClientMessageDecoder(allowance), whole, 99));
-        first.finishAndReleaseAll();
-        assertEquals(List.of("Startup"), decodedTypes(new ClientMessageDecoder(allowance), most, 99));
+                decodedTypes(new ClientMessageDecoder(memoryBudget), completedThenNext, 99));
+        firstClient.finishAndReleaseAll();
+        assertEquals(List.of("Startup"), decodedTypes(new ClientMessageDecoder(memoryBudget), incomplete, 99));
     }
 }
