--- a/daemon/src/test/java/clayhook/transport/EventLoopStall.java
+++ b/daemon/src/test/java/clayhook/transport/EventLoopStall.java
@@ -5,27 +5,27 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.Future;
 
-/** Stalls an event loop for a test, as one whose process gets no processor time. */
+/** Stalls an event loop in a test, which simulates a process that gets no processor time. */
 public final class EventLoopStall {
     private EventLoopStall() {}
 
-    /** Runs a step on the calling thread while the loop stalls. */
+    /** Runs a step on the calling thread while the event loop is stalled. */
     public static void during(EventLoop loop, Callable<?> step) throws Exception {
         during(loop, step, () -> {});
     }
 
     /**
-     * Runs a step on the calling thread while the loop stalls.
+     * Runs a step on the calling thread while the event loop is stalled.
      *
-     * @param afterwards runs on the loop once the step is done, before the loop reads anything that came meanwhile
+     * @param afterStep runs on the event loop after the step, before the loop reads input received during the stall
      */
-    public static void during(EventLoop loop, Callable<?> step, Runnable afterwards) throws Exception {
+    public static void during(EventLoop loop, Callable<?> step, Runnable afterStep) throws Exception {
         var stalled = new CountDownLatch(1);
         var stepDone = new CountDownLatch(1);
         Future<?> stall = loop.submit(() -> {
             stalled.countDown();
             stepDone.await();
-            afterwards.run();
+            afterStep.run();
             return null;
         });
         stalled.await();
--- a/daemon/src/test/java/clayhook/transport/ProcessorTimeTest.java
+++ b/daemon/src/test/java/clayhook/transport/ProcessorTimeTest.java
@@ -7,7 +7,7 @@
 
 class ProcessorTimeTest {
     @Test
-    void addsUserAndSystemTimeWhateverTheProgramIsCalled() {
+    void addsUserAndSystemTimeForNameWithSpaceAndParenthesis() {
         String status = "42 (a b) c) S 1 42 42 0 -1 4194560 900 0 0 0 123 77 0 0 20 0 1 0 100 1 1";
         assertEquals(2.0, ProcessorTime.parse(status), 1e-9);
     }
--- a/daemon/src/test/java/clayhook/transport/TransportTest.java
+++ b/daemon/src/test/java/clayhook/transport/TransportTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Failure and shutdown of the transport. */
+/** Tests connection failures and the shutdown of the transport. */
 class TransportTest {
     private final LinkedBlockingQueue<String> events = new LinkedBlockingQueue<>();
     private final Transport transport = Transport.tcp(() -> {
@@ -31,7 +31,7 @@
         transport.close();
     }
 
-    /** The callbacks change state that belongs to the event loop: on another thread they would race with it. */
+    /** Guards against callbacks on another thread, which would race with the event loop for the state they change. */
     @Test
     void reportsMissingDescriptorOnEventLoopAfterConnectReturns() throws Exception {
         transport
@@ -53,7 +53,7 @@
         assertTrue(events.isEmpty());
     }
 
-    /** The sockets of a warm-up would otherwise count against the descriptors of the process that serves. */
+    /** Guards against leaked sockets of a warm-up, which count against the descriptor limit of the serving process. */
     @Test
     void closeFromEventLoopLeavesNoChannelOpen() throws Exception {
         Transport closing = Transport.tcp();
