--- a/daemon/src/main/java/clayhook/backend/AnswerReader.java
+++ b/daemon/src/main/java/clayhook/backend/AnswerReader.java
@@ -48,7 +48,7 @@
     /** At least one result has ended. */
     private boolean resultComplete;
     /** The one row of the fixed form, or null. */
-    private NodeMessage.Part dataRow;
+    private NodeMessage.ResultMessage dataRow;
     /** Code of the error in this answer, or null. */
     private String sqlState;
 
@@ -73,7 +73,7 @@
     }
 
     private Progress readFixedForm(Object message) {
-        if (message instanceof NodeMessage.Part part && isExpected(part)) {
+        if (message instanceof NodeMessage.ResultMessage part && isExpected(part)) {
             messages.add(part.message());
             dataRow = part.type() == 'D' ? part : dataRow;
             expected = afterPart();
@@ -88,7 +88,7 @@
         return message instanceof NodeMessage.Notice ? Progress.INCOMPLETE : Progress.OUT_OF_ORDER;
     }
 
-    private boolean isExpected(NodeMessage.Part part) {
+    private boolean isExpected(NodeMessage.ResultMessage part) {
         return switch (expected) {
             case ROW_DESCRIPTION -> part.type() == 'T';
             case DATA_ROW -> part.type() == 'D';
@@ -106,7 +106,7 @@
     }
 
     private Progress readFreeForm(Object message) {
-        if (message instanceof NodeMessage.Part part && fitsResult(part)) {
+        if (message instanceof NodeMessage.ResultMessage part && fitsResult(part)) {
             boolean describesColumns = part.type() == 'T' || part.type() == 'D';
             columnCount = describesColumns ? part.columnCount() : NO_ROW_DESCRIPTION;
             resultComplete |= !describesColumns;
@@ -124,7 +124,7 @@
     }
 
     /** A DataRow has the columns that were described; what begins a result comes between two results only. */
-    private boolean fitsResult(NodeMessage.Part part) {
+    private boolean fitsResult(NodeMessage.ResultMessage part) {
         return switch (part.type()) {
             case 'D' -> part.columnCount() == columnCount;
             case 'C' -> true;
--- a/daemon/src/main/java/clayhook/backend/NodeConnection.java
+++ b/daemon/src/main/java/clayhook/backend/NodeConnection.java
@@ -216,7 +216,7 @@
         } else if (message instanceof NodeMessage.ParameterStatus status
                 && !profile.acceptsParameter(status.name(), status.value())) {
             failProtocol(status.name() + " '" + status.value() + "', which contradicts the operator's file");
-        } else if (message instanceof NodeMessage.Part) {
+        } else if (message instanceof NodeMessage.ResultMessage) {
             failProtocol("a row before any query");
         }
     }
@@ -233,7 +233,7 @@
     }
 
     private static boolean isPartOfSettingsAnswer(Object message) {
-        return (message instanceof NodeMessage.Part part && part.type() == 'C')
+        return (message instanceof NodeMessage.ResultMessage part && part.type() == 'C')
                 || message instanceof NodeMessage.Notice
                 || message instanceof NodeMessage.ParameterStatus;
     }
@@ -279,7 +279,7 @@
     private boolean answersUnsentRequest(Object message) {
         return !requestWritten
                 && ChannelInspector.hasUnsentBytes(context.channel())
-                && (message instanceof NodeMessage.Part || message instanceof NodeMessage.ReadyForQuery);
+                && (message instanceof NodeMessage.ResultMessage || message instanceof NodeMessage.ReadyForQuery);
     }
 
     /** The statement has run although its answer is not forwarded; the client gets an error that says so. */
--- a/daemon/src/main/java/clayhook/protocol/NodeMessage.java
+++ b/daemon/src/main/java/clayhook/protocol/NodeMessage.java
@@ -12,7 +12,7 @@
 
     /** A RowDescription, DataRow, CommandComplete or EmptyQueryResponse message, distinguished by its type byte. */
     @SuppressWarnings("ArrayRecordComponent") // raw bytes, which are forwarded and never compared
-    record Part(char type, byte[] message) implements NodeMessage {
+    record ResultMessage(char type, byte[] message) implements NodeMessage {
         private static final int HEADER_BYTES = 1 + 4;
         /** Offset of the column count in a RowDescription or DataRow. */
         private static final int COLUMN_COUNT_OFFSET = HEADER_BYTES;
--- a/daemon/src/main/java/clayhook/protocol/NodeMessageDecoder.java
+++ b/daemon/src/main/java/clayhook/protocol/NodeMessageDecoder.java
@@ -93,7 +93,7 @@
             case 'C' -> readString(body);
             default -> {} // an EmptyQueryResponse has no body
         }
-        return new NodeMessage.Part(type, message);
+        return new NodeMessage.ResultMessage(type, message);
     }
 
     private void checkRowDescription(ByteBuf body) {
--- a/daemon/src/main/java/clayhook/warmup/StubClient.java
+++ b/daemon/src/main/java/clayhook/warmup/StubClient.java
@@ -61,7 +61,7 @@
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
-            if (message instanceof NodeMessage.Part part && part.type() == 'D') {
+            if (message instanceof NodeMessage.ResultMessage part && part.type() == 'D') {
                 answer = part.firstColumn();
             } else if (message instanceof NodeMessage.ErrorResponse error) {
                 answer = error.sqlState();
--- a/daemon/src/test/java/clayhook/backend/AnswerReaderTest.java
+++ b/daemon/src/test/java/clayhook/backend/AnswerReaderTest.java
@@ -29,7 +29,7 @@
             case 'N' -> new NodeMessage.Notice(bytes('N'));
             case 'A' -> new NodeMessage.Notification();
             case 'Z' -> new NodeMessage.ReadyForQuery();
-            default -> new NodeMessage.Part(letter, bytes(letter));
+            default -> new NodeMessage.ResultMessage(letter, bytes(letter));
         };
     }
 
--- a/daemon/src/test/java/clayhook/protocol/MessageDecodersTest.java
+++ b/daemon/src/test/java/clayhook/protocol/MessageDecodersTest.java
@@ -113,7 +113,7 @@
                         "ReadyForQuery",
                         "ErrorResponse",
                         "ReadyForQuery",
-                        "Part",
+                        "ResultMessage",
                         "ReadyForQuery"),
                 decodedTypes(new NodeMessageDecoder(new MemoryBudget(1 << 20)), bytes, pieceBytes));
     }
--- a/lab/src/main/java/clayhook/lab/model/LoopbackFleet.java
+++ b/lab/src/main/java/clayhook/lab/model/LoopbackFleet.java
@@ -303,7 +303,7 @@
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             if (message instanceof NodeMessage.ErrorResponse error) {
                 verdict = error.sqlState().equals("53300") ? RoutingAction.REJECT : RoutingAction.FAIL;
-            } else if (message instanceof NodeMessage.Part part && part.type() == 'D') {
+            } else if (message instanceof NodeMessage.ResultMessage part && part.type() == 'D') {
                 position = Double.parseDouble(part.firstColumn());
             } else if (message instanceof NodeMessage.ReadyForQuery && !welcomed) {
                 welcomed = true;
