--- a/daemon/src/main/java/clayhook/discovery/EndpointList.java
+++ b/daemon/src/main/java/clayhook/discovery/EndpointList.java
@@ -65,8 +65,7 @@
         if (!(json instanceof Map<?, ?> map)
                 || !(map.get("targets") instanceof List<?> targets)
                 || !(map.get("all") instanceof Boolean complete)) {
-            throw new MalformedEndpointListException(
-                    "endpoint list: rev, all or targets is missing or has the wrong type");
+            throw new MalformedEndpointListException("list of nodes: expected an object with rev, all and targets");
         }
         var endpoints = new ArrayList<DiscoveredEndpoint>();
         for (Object target : targets) {
