--- a/daemon/src/main/java/clayhook/discovery/DiscoveryClient.java
+++ b/daemon/src/main/java/clayhook/discovery/DiscoveryClient.java
@@ -13,7 +13,7 @@
 /**
  * Watches one discovery service with long polls. Each poll follows the answer to the previous one, on the same
  * connection as long as that answers. A liveness check periodically polls without waiting on a separate connection,
- * because a dead watch cannot be told from a watch without changes. Confined to the event loop.
+ * because a dead watch is indistinguishable from one without changes. Confined to the event loop.
  */
 final class DiscoveryClient implements PollConnection.Listener {
     private static final int OK = 200;
--- a/daemon/src/main/java/clayhook/discovery/EndpointWatcher.java
+++ b/daemon/src/main/java/clayhook/discovery/EndpointWatcher.java
@@ -61,8 +61,8 @@
     }
 
     /**
-     * The watch on the service at one address; it reports lists always, but failures and events only while it is the
-     * current one.
+     * The watch on the service at one address; it always reports lists, but reports failures and events only while it
+     * is the current one.
      */
     private final class ServiceWatch implements Listener {
         private final DiscoveryClient client;
--- a/daemon/src/main/java/clayhook/discovery/WatchLivenessCheck.java
+++ b/daemon/src/main/java/clayhook/discovery/WatchLivenessCheck.java
@@ -3,8 +3,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Schedule of the liveness checks of a watch, without I/O or a clock of its own. A dead watch cannot be told from a
- * watch without changes, and a change counts as missed after six seconds; a check is a separate poll that does not wait
+ * Schedule of the liveness checks of a watch, without I/O or a clock of its own. A dead watch is indistinguishable from
+ * one without changes, and a change counts as missed after six seconds; a check is a separate poll that does not wait
  * and therefore detects a dead watch. Confined to the event loop.
  */
 final class WatchLivenessCheck {
@@ -40,7 +40,10 @@
     /** Largest jitter as a fraction of the delay; keeps routers from polling all at once after each change. */
     private static final double JITTER_FRACTION = 0.2;
 
-    /** Answers that take longer are slow; most of the time for which an overloaded service queues a rejected call. */
+    /**
+     * Time in seconds above which an answer is slow. It is most of the time for which an overloaded service queues a
+     * call before rejecting it.
+     */
     private static final double SLOW_ANSWER_SECONDS = 1.4;
 
     /**
--- a/daemon/src/main/java/clayhook/transport/Transport.java
+++ b/daemon/src/main/java/clayhook/transport/Transport.java
@@ -195,7 +195,7 @@
     }
 
     /**
-     * Starts connecting to an address like {@link #connect}, but passes the cause of a failure on.
+     * Starts connecting to an address like {@link #connect}, but reports the cause of a failure.
      *
      * @param onFailure receives the cause, which is null if no file descriptor was available
      */
@@ -249,7 +249,7 @@
     /**
      * Closes all connections and ends the event loop asynchronously; has no effect after the first call. Netty closes
      * connections only in an iteration that starts after the shutdown request. Without a quiet period, an event loop
-     * that receives the request in the middle of an iteration ends in it, and the connections stay open.
+     * that receives the request during an iteration ends with that iteration, and the connections stay open.
      */
     public void close() {
         if (!closed.getAndSet(true)) {
