--- a/daemon/src/main/java/clayhook/config/ConfigurationException.java
+++ b/daemon/src/main/java/clayhook/config/ConfigurationException.java
@@ -1,6 +1,9 @@
 package clayhook.config;
 
-/** A configuration is invalid; the message names the key, and for the operator's file also file and line. */
+/**
+ * Thrown when a configuration is invalid. The message names the key and, for the operator's file, also the file and the
+ * line.
+ */
 public final class ConfigurationException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/daemon/src/main/java/clayhook/config/LoadReport.java
+++ b/daemon/src/main/java/clayhook/config/LoadReport.java
@@ -3,42 +3,45 @@
 import clayhook.Role;
 
 /**
- * What a node reports of itself. The simulator and the sockets use the same fields, some under two names.
+ * The load report of a node: its role, applied position and load. The simulator and nodes on sockets send the same
+ * fields, of which the load has several names.
  *
- * @param role that the node claims
- * @param position its applied log position in clock seconds; 0 for none
- * @param load the requests that run or wait at the node; below 0 for none
+ * @param role the role that the node reports, or {@link Role#UNKNOWN}
+ * @param position the applied log position, as clock time in seconds; 0 if not reported
+ * @param load the number of requests that run or wait at the node; negative if not reported
  */
 public record LoadReport(Role role, double position, double load) {
-    /** A load beyond this is taken for an error in the report. */
+    /** The highest load that is plausible; a report with a higher one is invalid. */
     private static final double MAX_LOAD = 1e6;
 
-    /** Reports nothing. */
+    /** A report without any value. */
     public static final LoadReport NONE = new LoadReport(Role.UNKNOWN, 0, -1);
 
     /**
-     * Parses name and value pairs that are separated by commas. Unknown names are ignored.
+     * Parses a comma-separated list of name and value pairs. Unknown names are ignored.
      *
-     * @param separator between a name and its value
-     * @param origin the clock time of position 0, in seconds
-     * @throws IllegalArgumentException with the fault, to follow the name of what holds the report
+     * @param text the report; null or empty for none
+     * @param separator the character between a name and its value
+     * @param originTime the clock time of position 0, in seconds
+     * @throws IllegalArgumentException if a value is malformed or out of range; the message is a predicate that the
+     *     caller appends to the name of the report's source
      */
-    public static LoadReport parse(String text, char separator, double origin) {
+    public static LoadReport parse(String text, char separator, double originTime) {
         if (text == null || text.isEmpty()) {
             return NONE;
         }
         Role role = Role.UNKNOWN;
         double position = 0;
         double load = -1;
-        // Limit 0: a trailing comma is ignored.
+        // Limit 0 drops the empty string after a trailing comma.
         for (String pair : text.split(",", 0)) {
-            int at = pair.indexOf(separator);
-            if (at < 0) {
+            int separatorIndex = pair.indexOf(separator);
+            if (separatorIndex < 0) {
                 throw new IllegalArgumentException("has a report value '" + pair + "' without a name");
             }
-            double value = parseFinite(pair.substring(at + 1));
-            switch (pair.substring(0, at).trim()) {
-                case "x0" -> position = origin + value;
+            double value = parseFinite(pair.substring(separatorIndex + 1));
+            switch (pair.substring(0, separatorIndex).trim()) {
+                case "x0" -> position = originTime + value;
                 case "x1" -> role = value > 0.5 ? Role.PRIMARY : Role.REPLICA;
                 case "rif", "inflight", "q", "queue" -> {
                     if (value < 0 || value > MAX_LOAD) {
