--- a/daemon/src/main/java/clayhook/config/OperatorConfiguration.java
+++ b/daemon/src/main/java/clayhook/config/OperatorConfiguration.java
@@ -3,32 +3,37 @@
 import clayhook.statements.StatementRules;
 
 /**
- * What the operator's own file says, beside the platform's configuration. Immutable.
+ * The configuration from the operator's file, which complements the platform's configuration. Immutable.
  *
- * @param statements null where SQL statements are not served, only the two key-value forms
- * @param user as which the router connects to nodes
- * @param database that it connects to
- * @param sharing null where nothing is shared with peers
+ * @param statements the settings of SQL statements; null if the router serves only the two key-value statements
+ * @param user the user name with which the router connects to nodes
+ * @param database the name of the database on the nodes
+ * @param sharing the settings of sharing with peers; null if sharing is disabled
  */
 public record OperatorConfiguration(
         StatementSettings statements, String user, String database, SharingSettings sharing) {
-    /** Without a file. */
+    /** The configuration that applies if the operator has no file. */
     public static final OperatorConfiguration DEFAULTS = new OperatorConfiguration(null, "clayhook", "core", null);
 
     /**
-     * How SQL statements are served.
+     * The settings of SQL statements.
      *
-     * @param rules by which statements are classified
-     * @param trustComments whether a comment may name the request class, as long as it makes no read of a write
-     * @param timeout seconds that a client waits where neither rule nor client says so; 0 for its request class's time
-     * @param maxAnswerBytes bytes of an answer that are passed on
+     * @param rules the rules that classify statements
+     * @param trustComments whether a comment in a statement may name the request class; a comment never turns a write
+     *     into a read
+     * @param timeout the client timeout in seconds if neither a rule nor the client sets one; 0 for that of the request
+     *     class
+     * @param maxAnswerBytes the size of the largest answer that is forwarded to a client
      */
     public record StatementSettings(StatementRules rules, boolean trustComments, double timeout, int maxAnswerBytes) {}
 
-    /** Names what differs from another configuration and takes a restart to apply; empty for nothing. */
+    /**
+     * Returns the names of the settings that differ from those of another configuration and take effect only after a
+     * restart, separated by commas; empty if there are none.
+     */
     public String restartOnlyDifferences(OperatorConfiguration other) {
         String differences = sameBackendSettings(other) ? "" : "statements.enabled, statements.answer_bytes or nodes";
-        if (sameSharingBesidesSeeds(other)) {
+        if (sameSharingExceptSeeds(other)) {
             return differences;
         }
         return differences + (differences.isEmpty() ? "" : ", ") + "sharing but its seeds";
@@ -41,8 +46,8 @@
                 && (statements == null || statements.maxAnswerBytes() == other.statements.maxAnswerBytes());
     }
 
-    private boolean sameSharingBesidesSeeds(OperatorConfiguration other) {
+    private boolean sameSharingExceptSeeds(OperatorConfiguration other) {
         return (sharing == null) == (other.sharing == null)
-                && (sharing == null || !other.sharing.differsBeyondSeeds(sharing));
+                && (sharing == null || !other.sharing.differsExceptInSeeds(sharing));
     }
 }
--- a/daemon/src/main/java/clayhook/config/SharingSettings.java
+++ b/daemon/src/main/java/clayhook/config/SharingSettings.java
@@ -4,24 +4,25 @@
 import java.util.List;
 
 /**
- * The operator's settings of what a router shares with its peers. Times are seconds. Immutable.
+ * The operator's settings of the state that a router shares with its peers. All times are in seconds. Immutable.
  *
- * @param listen where datagrams are received; port 0 for any that is free
- * @param advertise where peers send them to; null for the address of {@code listen}
- * @param name of this router among its peers; null for the name in the platform's configuration
- * @param seeds addresses of some of the peers
- * @param maxClockSkew of a peer from whom values that depend on a clock are accepted
- * @param deadAfter a peer that has been gone for so long counts as one that serves no more
- * @param sessionRoamDelay no session moves to another router sooner than this after its write was answered
- * @param gossipBytesPerSecond that this router sends of its own and of forwarded changes at most
- * @param antiEntropyBytesPerSecond by which a router that was away is brought up to date at most
- * @param logInterval between two summaries in the log
- * @param shareObservations of nodes
- * @param shareEndpointLists changes of the endpoint list
- * @param shareSessionWrites the last write positions of sessions
- * @param shareWriteOutcomes of writes in doubt
- * @param writeOutcomeRetention how long outcomes of writes are kept
- * @param shareQuotas the use of quotas that all routers have together
+ * @param listen the local address that receives datagrams; port 0 for any free port
+ * @param advertise the address to which peers send datagrams; null for the address of {@code listen}
+ * @param name the name of this router among its peers; null for the name in the platform's configuration
+ * @param seeds the addresses of some of the peers, which this router contacts to join
+ * @param maxClockSkew the largest clock skew of a peer at which values that depend on its clock are accepted
+ * @param deadAfter the time after which a peer that is gone is assumed to serve no clients any more
+ * @param sessionRoamDelay the minimum time between the answer to a session's write and the session's first request at
+ *     another router
+ * @param gossipBytesPerSecond the maximum rate at which this router sends its own and forwarded changes
+ * @param antiEntropyBytesPerSecond the maximum rate at which a router that was disconnected is brought up to date
+ * @param logInterval the time between two summaries in the log
+ * @param shareObservations whether observations of nodes are shared
+ * @param shareEndpointLists whether changes of the endpoint list are shared
+ * @param shareSessionWrites whether the last-write positions of sessions are shared
+ * @param shareWriteOutcomes whether the outcomes of in-doubt writes are shared
+ * @param writeOutcomeRetention the time for which write outcomes are kept
+ * @param shareQuotas whether the use of fleet-wide quotas is shared
  */
 public record SharingSettings(
         InetSocketAddress listen,
@@ -40,19 +41,19 @@
         boolean shareWriteOutcomes,
         double writeOutcomeRetention,
         boolean shareQuotas) {
-    /** Reachable from this machine only, as datagrams are not authenticated. */
+    /** The default of {@code listen}: a loopback address, because datagrams are not authenticated. */
     static final String DEFAULT_LISTEN = "127.0.0.1:7400";
 
     private static final double SECONDS_PER_DAY = 86_400;
-    /** With a greater skew, deleted entries could come back. */
+    /** The upper bound of {@code maxClockSkew} in seconds. With a larger skew, deleted entries could reappear. */
     private static final double MAX_CLOCK_SKEW_LIMIT = 2;
-    /** The limit of the packet format. */
+    /** The longest router name that the packet format can hold, in characters. */
     private static final int MAX_NAME_LENGTH = 100;
 
     /**
-     * Reads the table {@code sharing}, whether or not it is enabled.
+     * Reads and validates the table {@code sharing}, even if sharing is disabled.
      *
-     * @throws ConfigurationException naming file, line and key
+     * @throws ConfigurationException if a value is invalid; the message names file, line and key
      */
     static SharingSettings read(TomlSection table) throws ConfigurationException {
         InetSocketAddress listen = table.getAddress("listen", DEFAULT_LISTEN);
@@ -84,8 +85,8 @@
                 table.getBoolean("limits", true));
     }
 
-    /** Whether they differ in what takes a restart to apply, which is all but the seeds. */
-    public boolean differsBeyondSeeds(SharingSettings other) {
+    /** Whether any setting except the seeds differs. Such a change takes effect only after a restart. */
+    public boolean differsExceptInSeeds(SharingSettings other) {
         return !equals(new SharingSettings(
                 other.listen,
                 other.advertise,
