--- a/daemon/src/main/java/clayhook/config/OperatorConfigurationReader.java
+++ b/daemon/src/main/java/clayhook/config/OperatorConfigurationReader.java
@@ -11,9 +11,9 @@
 import java.util.Set;
 import java.util.regex.Pattern;
 
-/** Reads the operator's file; {@code deploy/clayhook.toml} holds every key with its default. */
+/** Reads the operator's file, a TOML file. {@code deploy/clayhook.toml} lists every key with its default. */
 public final class OperatorConfigurationReader {
-    /** The longest timeout that a file may set. */
+    /** The upper bound of timeouts and of the lower cost limit of a rule. */
     private static final double SECONDS_PER_DAY = 86_400;
 
     private static final int DEFAULT_MAX_ANSWER_BYTES = 1 << 20;
@@ -23,8 +23,8 @@
     /**
      * Reads and validates a file.
      *
-     * @param requestClasses that the file may name; null to accept any name
-     * @throws ConfigurationException naming file, line and key
+     * @param requestClasses the request classes that the file may name; null to accept any name
+     * @throws ConfigurationException if the file is invalid; the message names file, line and key
      */
     public static OperatorConfiguration read(Path file, List<RequestClass> requestClasses)
             throws ConfigurationException {
@@ -32,13 +32,13 @@
     }
 
     /**
-     * Reads the settings of statements, whether or not they are enabled, for tools that do not serve.
+     * Reads the settings of statements even if they are disabled, for tools that serve no clients.
      *
-     * @throws ConfigurationException naming file, line and key
+     * @throws ConfigurationException if the file is invalid; the message names file, line and key
      */
     public static OperatorConfiguration.StatementSettings readStatements(Path file) throws ConfigurationException {
         TomlSection toml = TomlSection.read(file);
-        read(toml, null); // validates the other tables as well
+        read(toml, null); // validates the whole file
         return readStatements(toml.getTable("statements"), new RequestClassValidator(null));
     }
 
--- a/daemon/src/main/java/clayhook/config/RequestClassValidator.java
+++ b/daemon/src/main/java/clayhook/config/RequestClassValidator.java
@@ -5,21 +5,27 @@
 import clayhook.RequestClass.Idempotency;
 import java.util.List;
 
-/** Checks that keys of the operator's file name request classes that fit their use. Immutable. */
+/** Checks that each request class named in the operator's file exists and is suitable for its use. Immutable. */
 final class RequestClassValidator {
     private final List<RequestClass> requestClasses;
 
-    /** {@code requestClasses}: null where they are not known, as in tools; then any name is accepted. */
+    /**
+     * Creates a validator.
+     *
+     * @param requestClasses the configured request classes; null if they are unknown, as in tools that read only the
+     *     operator's file, so that any name is accepted
+     */
     RequestClassValidator(List<RequestClass> requestClasses) {
         this.requestClasses = requestClasses;
     }
 
     /**
-     * Checks the request class that a key names.
+     * Checks the request class that the value of a key names.
      *
-     * @param writes whether it is used for writes
-     * @param hasOutcomeKey whether those writes carry a key by which their outcome is known
-     * @throws ConfigurationException naming file, line and key where the class is unknown or does not fit
+     * @param writes whether the request class is used for writes
+     * @param hasOutcomeKey whether those writes carry a key that identifies their outcome
+     * @throws ConfigurationException if the request class is unknown or unsuitable; the message names file, line and
+     *     key
      */
     void validate(TomlSection section, String key, boolean writes, boolean hasOutcomeKey, String name)
             throws ConfigurationException {
@@ -45,7 +51,7 @@
         return null;
     }
 
-    /** How a request class does not fit its use, or null. */
+    /** Returns the reason why a request class is unsuitable for its use, or null if it is suitable. */
     private static String mismatch(RequestClass requestClass, boolean writes, boolean hasOutcomeKey) {
         boolean keyed = requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY;
         if (writes != (requestClass.consistency() == ConsistencyLevel.WRITE)) {
