--- a/daemon/src/main/java/clayhook/config/RouterConfiguration.java
+++ b/daemon/src/main/java/clayhook/config/RouterConfiguration.java
@@ -13,18 +13,19 @@
 import java.util.Map;
 
 /**
- * The platform's configuration of a router: a JSON file that the environment variable LB_CONFIG names; LB_NAME,
- * LB_LISTEN and LB_DISCOVERY stand in for keys that it lacks. Immutable.
+ * The platform's configuration of a router, a JSON file whose path is in the environment variable LB_CONFIG. LB_NAME,
+ * LB_LISTEN and LB_DISCOVERY provide the keys {@code name}, {@code listen} and {@code discovery} if the file lacks
+ * them. Immutable.
  *
- * @param name of this router, unique in its fleet
- * @param listen the address that clients connect to
+ * @param name the name of this router, unique in its fleet
+ * @param listen the address to which clients connect
  * @param discovery the address of the discovery service
- * @param seed of all random draws of this router
- * @param memoryBytes limit of the whole process
- * @param maxDescriptors that the process may hold
- * @param knownEndpoints the endpoint list as this router last had it, perhaps stale
- * @param settings for the routing policy
- * @param connectTimeout of connections to nodes, in seconds
+ * @param seed the seed of this router's random number generators
+ * @param memoryBytes the memory limit of the whole process
+ * @param maxDescriptors the limit of the process on open file descriptors
+ * @param knownEndpoints the endpoint list that this router received last, possibly stale
+ * @param settings the settings of the routing policy
+ * @param connectTimeout the timeout of connecting to a node, in seconds
  */
 public record RouterConfiguration(
         String name,
@@ -37,16 +38,18 @@
         RoutingSettings settings,
         double connectTimeout) {
 
-    /** What the platform grants at least, for a file that states no limits. */
+    /** The minimum that the platform grants; applies if the file sets no memory limit. */
     private static final double DEFAULT_MEMORY_MB = 192;
 
+    /** The minimum that the platform grants; applies if the file sets no limit on descriptors. */
     private static final double DEFAULT_MAX_DESCRIPTORS = 1024;
+
     private static final double BYTES_PER_MB = 1024 * 1024;
 
     /**
-     * Reads the file that the environment names.
+     * Reads the file that the environment variable LB_CONFIG names.
      *
-     * @throws ConfigurationException naming the variable or key that is invalid
+     * @throws ConfigurationException if the configuration is invalid; the message names the variable or the key
      */
     public static RouterConfiguration fromEnvironment(Map<String, String> environment) throws ConfigurationException {
         String file = environment.get("LB_CONFIG");
@@ -62,7 +65,11 @@
         }
     }
 
-    /** The same from the parsed content of the file. */
+    /**
+     * Creates a configuration from the parsed content of the file.
+     *
+     * @throws ConfigurationException if the configuration is invalid; the message names the key
+     */
     public static RouterConfiguration fromJson(Object json, Map<String, String> environment)
             throws ConfigurationException {
         if (!(json instanceof Map<?, ?> map)) {
@@ -73,7 +80,7 @@
         }
         Map<String, String> values = new HashMap<>();
         flatten("", settings, values);
-        // On sockets the endpoint list must be polled, even where the simulator pushes it.
+        // On sockets the endpoint list must always be polled; only the simulator may push it.
         values.put("discovery", "subscribe");
         var reader = new SettingsReader(values);
         RoutingSettings routingSettings = reader.readSettings();
@@ -92,14 +99,18 @@
                 reader.connectTimeoutSeconds());
     }
 
-    /** Whether this is a restart, for which clients may wait: a new deployment's endpoint list has no version yet. */
+    /**
+     * Whether this router has served before, so that this start is a restart and clients may be waiting for it. The
+     * endpoint list of a new deployment still has version 0.
+     */
     public boolean hasServedBefore() {
         return knownEndpoints.version() > 0;
     }
 
     /**
-     * Names the keys in which another configuration differs and that take a restart to apply, joined by commas; empty
-     * for none. The seed and the known endpoints only matter at a start and are not compared.
+     * Returns the keys whose values differ from those of another configuration and take effect only after a restart,
+     * separated by commas; empty if there are none. The seed and the known endpoints are used only at startup and are
+     * not compared.
      */
     public String restartOnlyDifferences(RouterConfiguration other) {
         var keys = new ArrayList<String>();
@@ -118,7 +129,10 @@
         return String.join(", ", keys);
     }
 
-    /** Flattens to one value a path: lists of scalars are joined by commas, those of objects get a count. */
+    /**
+     * Flattens a JSON value into one entry for each path. A list of scalars becomes one entry, joined by commas; a list
+     * of objects gets an additional entry {@code PATH.count}.
+     */
     private static void flatten(String path, Object json, Map<String, String> values) {
         if (json instanceof Map<?, ?> map) {
             String start = path.isEmpty() ? "" : path + ".";
--- a/daemon/src/main/java/clayhook/config/SettingsReader.java
+++ b/daemon/src/main/java/clayhook/config/SettingsReader.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 
 /**
- * Reads the platform's settings: validates them, applies defaults, and maps the words of their keys and values to the
- * names of the code. Unknown keys are ignored.
+ * Reads the platform's settings: validates them, applies defaults, and maps their keys and values to the types of the
+ * routing policy. Unknown keys are ignored.
  */
 public final class SettingsReader {
     private static final double NANOS_PER_SECOND = 1e9;
@@ -20,7 +20,11 @@
 
     private final Map<String, String> values;
 
-    /** {@code values}: one a path, such as {@code rules.warm_after}; lists are joined by commas. */
+    /**
+     * Creates a reader of flattened settings.
+     *
+     * @param values the values by path, such as {@code rules.warm_after}; lists of scalars are joined by commas
+     */
     public SettingsReader(Map<String, String> values) {
         this.values = values;
     }
@@ -28,7 +32,7 @@
     /**
      * Reads the settings of the routing policy.
      *
-     * @throws ConfigurationException naming the key that is invalid
+     * @throws ConfigurationException if a setting is invalid; the message names the key
      */
     public RoutingSettings readSettings() throws ConfigurationException {
         return new RoutingSettings(
@@ -53,12 +57,12 @@
                 number("limits.conn_idle", DEFAULT_IDLE_SECONDS * NANOS_PER_SECOND) / NANOS_PER_SECOND);
     }
 
-    /** The clock time of position 0 in the simulator, in nanoseconds. */
+    /** Returns the clock time of log position 0 in the simulator, in nanoseconds. */
     public long originTimeNanos() throws ConfigurationException {
         return (long) number("domain.origin_time", 0);
     }
 
-    /** After so many seconds an attempt to connect has failed. */
+    /** Returns the timeout of connecting to a node, in seconds. */
     public double connectTimeoutSeconds() throws ConfigurationException {
         return number("limits.dial_timeout", DEFAULT_CONNECT_TIMEOUT_SECONDS * NANOS_PER_SECOND) / NANOS_PER_SECOND;
     }
@@ -155,7 +159,7 @@
                 return parsed;
             }
         } catch (NumberFormatException e) {
-            // reported below, as infinite values are
+            // falls through to the exception below, as infinite values and NaN do
         }
         throw new ConfigurationException(key + ": '" + value + "' is not a number");
     }
