--- a/daemon/src/main/java/clayhook/config/TomlSection.java
+++ b/daemon/src/main/java/clayhook/config/TomlSection.java
@@ -17,14 +17,14 @@
 import org.tomlj.TomlTable;
 
 /**
- * One table of a TOML file, read key by key. Every getter throws a {@link ConfigurationException} that names file, line
- * and key where a value has the wrong type or is out of range. Not thread-safe.
+ * One table of a TOML file, read key by key. If a value has the wrong type or is out of range, its getter throws a
+ * {@link ConfigurationException} that names file, line and key. Not thread-safe.
  */
 public final class TomlSection {
     private final String file;
     private final String path;
     private final TomlTable table;
-    /** Of the table itself, for keys that are missing; null for the file. */
+    /** The position of the table itself, which errors about missing keys report; null for the top level. */
     private final TomlPosition position;
 
     private final Set<String> readKeys = new HashSet<>();
@@ -38,7 +38,7 @@
         this.position = position;
     }
 
-    /** Parses a file; the section returned is its top level. */
+    /** Parses a file and returns its top-level table. */
     public static TomlSection read(Path file) throws ConfigurationException {
         TomlParseResult result;
         try {
@@ -53,10 +53,11 @@
         return new TomlSection(file.toString(), "", result, null);
     }
 
-    /** Makes the error that a key is invalid, or that a missing one is. */
-    public ConfigurationException invalid(String key, String why) {
-        TomlPosition at = positionOf(key);
-        return new ConfigurationException(file + (at == null ? "" : ":" + at.line()) + ": " + path + key + ": " + why);
+    /** Creates an exception for a key that is invalid or missing; the message names file, line, key and reason. */
+    public ConfigurationException invalid(String key, String reason) {
+        TomlPosition keyPosition = positionOf(key);
+        return new ConfigurationException(
+                file + (keyPosition == null ? "" : ":" + keyPosition.line()) + ": " + path + key + ": " + reason);
     }
 
     private TomlPosition positionOf(String key) {
@@ -72,12 +73,12 @@
         return value == null ? defaultValue : type.cast(value);
     }
 
-    /** A boolean. */
+    /** Returns a boolean. */
     public boolean getBoolean(String key, boolean defaultValue) throws ConfigurationException {
         return typedValue(key, Boolean.class, "true or false", defaultValue);
     }
 
-    /** A string that is not blank. */
+    /** Returns a string, which must not be blank. */
     public String getString(String key, String defaultValue) throws ConfigurationException {
         String text = typedValue(key, String.class, "text", defaultValue);
         if (text != null && text.isBlank()) {
@@ -86,7 +87,7 @@
         return text;
     }
 
-    /** A string that must be there. */
+    /** Returns a string that must be present and not blank. */
     public String getRequiredString(String key) throws ConfigurationException {
         String text = getString(key, null);
         if (text == null) {
@@ -95,7 +96,7 @@
         return text;
     }
 
-    /** A number within inclusive bounds. */
+    /** Returns a number, which must be within the inclusive bounds. */
     public double getNumber(String key, double defaultValue, double minimum, double maximum)
             throws ConfigurationException {
         Number number = typedValue(key, Number.class, "number", defaultValue);
@@ -105,7 +106,7 @@
         return number.doubleValue();
     }
 
-    /** A whole number within inclusive bounds. */
+    /** Returns an integer, which must be within the inclusive bounds. */
     public int getInt(String key, int defaultValue, int minimum, int maximum) throws ConfigurationException {
         double number = getNumber(key, defaultValue, minimum, maximum);
         if (number != Math.rint(number)) {
@@ -118,7 +119,7 @@
         return number == Math.rint(number) ? Long.toString((long) number) : Double.toString(number);
     }
 
-    /** One of the given words. */
+    /** Returns a string that must be one of {@code words}. */
     public String getChoice(String key, String defaultValue, Set<String> words) throws ConfigurationException {
         String word = getString(key, defaultValue);
         if (word != null && !words.contains(word)) {
@@ -127,7 +128,7 @@
         return word;
     }
 
-    /** A list of strings, each kept once; empty if it is missing. */
+    /** Returns a list of strings without duplicates; empty if the key is missing. */
     public Set<String> getStringSet(String key) throws ConfigurationException {
         var texts = new HashSet<String>();
         for (Object text : getList(key)) {
@@ -139,13 +140,13 @@
         return Set.copyOf(texts);
     }
 
-    /** A numeric address with a port, such as {@code 127.0.0.1:7400}. */
+    /** Returns a numeric address with a port, such as {@code 127.0.0.1:7400}. */
     public InetSocketAddress getAddress(String key, String defaultValue) throws ConfigurationException {
         String text = getString(key, defaultValue);
         return text == null ? null : parseNumericAddress(key, text);
     }
 
-    /** A list of numeric addresses, sorted by their text, each kept once. */
+    /** Returns a list of numeric addresses without duplicates, sorted by their text; empty if the key is missing. */
     public List<InetSocketAddress> getAddresses(String key) throws ConfigurationException {
         var addresses = new ArrayList<InetSocketAddress>();
         for (String text : new TreeSet<>(getStringSet(key))) {
@@ -162,7 +163,7 @@
         return address;
     }
 
-    /** A list of whole numbers of at least 0; empty if it is missing. */
+    /** Returns a list of non-negative integers; empty if the key is missing. */
     public List<Integer> getIntList(String key) throws ConfigurationException {
         var numbers = new ArrayList<Integer>();
         for (Object number : getList(key)) {
@@ -179,7 +180,7 @@
         return array == null ? List.of() : array.toList();
     }
 
-    /** The table of that name; an empty one if it is missing. */
+    /** Returns the table of that name; an empty one if the key is missing. */
     public TomlSection getTable(String key) throws ConfigurationException {
         TomlTable found = typedValue(key, TomlTable.class, "table", org.tomlj.Toml.parse(""));
         TomlSection section = subsectionsByKey.get(key);
@@ -191,7 +192,7 @@
         return section;
     }
 
-    /** An array of tables; empty if it is missing. */
+    /** Returns an array of tables; empty if the key is missing. */
     public List<TomlSection> getTables(String key) throws ConfigurationException {
         TomlArray array = typedValue(key, TomlArray.class, "list of tables", null);
         var tables = new ArrayList<TomlSection>();
@@ -205,7 +206,7 @@
         return tables;
     }
 
-    /** Rejects keys that no getter has asked for, in this table and in those read from it. */
+    /** Throws an exception for a key that no getter has read, in this table or in a table read from it. */
     public void rejectUnknownKeys() throws ConfigurationException {
         for (String key : table.keySet()) {
             if (!readKeys.contains(key)) {
