--- a/daemon/src/main/java/clayhook/warmup/WarmUp.java
+++ b/daemon/src/main/java/clayhook/warmup/WarmUp.java
@@ -21,29 +21,32 @@
 import java.util.function.Function;
 
 /**
- * Runs the whole router against stubs within the process before it serves: the first request of a cold process takes
- * tens of milliseconds, many times that on a shared core, and clients would wait for it.
+ * Runs the whole router against stubs within the process before it serves clients. Without the warm-up the first
+ * request of a process takes tens of milliseconds, or many times as long on a shared core, and its client would wait.
  *
- * <p>Runs on a thread of its own, which the caller waits for; the router and its stubs run on the event loop of a
- * transport that is closed at the end.
+ * <p>The warm-up runs on its own thread, for which the caller waits. The router and the stubs run on the event loop of
+ * a transport that is closed at the end.
  */
 public final class WarmUp {
-    /** Clients at once. */
+    /** The number of clients that send requests at the same time. */
     private static final int CONCURRENT_CLIENTS = 6;
 
-    /** After so many of each client the runtime has compiled what is used most. */
+    /** The number of requests after which the JVM has compiled the most used methods. */
     private static final int REQUESTS_PER_CLIENT = 80;
 
-    /** Requests that a client sends before another takes its place, so that opening and closing is warmed up too. */
+    /** The number of requests after which a client reconnects, so that opening and closing is warmed up too. */
     private static final int REQUESTS_PER_CONNECTION = 2;
 
-    /** Until all that is used is compiled, on half a core. */
+    /** The time limit of a warm-up, enough to compile all methods in use on half a core. */
     private static final double MAX_SECONDS = 3;
 
-    /** A router that restarts is waited for, and its clients come back one by one. */
+    /**
+     * The time limit of the warm-up of a restarted router. It is shorter because clients wait for the restart, and
+     * their requests arrive gradually because they reconnect one by one.
+     */
     private static final double MAX_RESTART_SECONDS = 1.4;
 
-    /** The run ends by itself as soon as its time is over; one that takes so much longer hangs. */
+    /** A warm-up ends by itself at its time limit; if it exceeds the limit by this time, it is considered hung. */
     private static final double GRACE_SECONDS = 0.5;
 
     private static final double NANOS_PER_SECOND = 1e9;
@@ -52,15 +55,15 @@
     private static final int MAX_DESCRIPTORS = 1000;
     private static final double CONNECT_TIMEOUT_SECONDS = 1;
 
-    /** The version of the list that the stub discovery serves. */
+    /** The version of the endpoint list that the stub of the discovery service sends. */
     private static final int LIST_VERSION = 2;
 
     private final RoutingSettings settings;
-    /** Carries the router, its nodes and its discovery. */
+    /** The transport of the router, its nodes and its discovery service. */
     private final Transport transport;
-    /** Carries the clients. */
+    /** The transport of the clients. */
     private final Transport clientTransport;
-    /** When to end, in seconds of the system's monotonic clock. */
+    /** The time at which the warm-up ends, in seconds of the monotonic clock. */
     private final double deadline;
 
     private final List<StubClient> clients = new ArrayList<>();
@@ -73,10 +76,10 @@
     }
 
     /**
-     * Warms the process up, and closes the transport.
+     * Warms up the process and closes the transport. Blocks until the warm-up has finished or timed out.
      *
-     * @param restart whether the router has served before, so that less time is taken
-     * @return false where the transport carries nothing, so that nothing was warmed up
+     * @param restart whether the router has served before; a restart has a shorter time limit
+     * @return false if the warm-up failed or the transport delivers no data
      */
     public static boolean run(RoutingSettings settings, Transport transport, boolean restart)
             throws InterruptedException {
@@ -94,16 +97,16 @@
         try {
             return task.get((long) ((seconds + GRACE_SECONDS) * NANOS_PER_SECOND), TimeUnit.NANOSECONDS);
         } catch (TimeoutException e) {
-            // An event loop that hangs must not keep the process from serving.
+            // A hung event loop of the warm-up must not prevent the process from serving clients.
             Log.warn("warm-up", "the warm-up timed out");
             return true;
         } catch (ExecutionException e) {
-            // The warm-up may fail in ways in which serving does not: the start goes on without it.
+            // A failed warm-up does not imply that serving fails, so startup continues without it.
             Log.warn("warm-up", "no warm-up: " + e.getCause());
             return false;
         } finally {
             transport.close();
-            // The sockets count against the descriptors of the process, which serving needs.
+            // Open sockets of the warm-up would use up file descriptors that the router needs to serve clients.
             transport.awaitClosed(GRACE_SECONDS);
         }
     }
@@ -123,9 +126,9 @@
         var discovery = new StubDiscovery(
                 transport, transport.ephemeralAddress(4), call -> call.contains("after=" + LIST_VERSION) ? null : list);
         var server = new Server(transport, configuration(discovery.address()));
-        boolean carried = sendRequests(server.address());
+        boolean allAnswered = sendRequests(server.address());
         server.close();
-        return carried || isOver();
+        return allAnswered || isOver();
     }
 
     private RouterConfiguration configuration(InetSocketAddress discovery) {
@@ -141,44 +144,44 @@
                 CONNECT_TIMEOUT_SECONDS);
     }
 
-    /** Sends rounds of one request a client; false once an answer failed to come. */
+    /** Sends one request per client in each round; returns false as soon as an answer is missing. */
     private boolean sendRequests(InetSocketAddress router) throws InterruptedException {
-        boolean carried = true;
-        for (int i = 0; carried && i < REQUESTS_PER_CLIENT && !isOver(); i++) {
-            boolean opens = i % REQUESTS_PER_CONNECTION == 0;
+        boolean allAnswered = true;
+        for (int i = 0; allAnswered && i < REQUESTS_PER_CLIENT && !isOver(); i++) {
+            boolean connect = i % REQUESTS_PER_CONNECTION == 0;
             for (int j = 0; j < CONCURRENT_CLIENTS; j++) {
-                sendRequest(j, opens, router);
+                sendRequest(j, connect, router);
             }
-            carried = receiveAnswers(opens);
+            allAnswered = receiveAnswers(connect);
             if (i % REQUESTS_PER_CONNECTION == REQUESTS_PER_CONNECTION - 1) {
                 clients.forEach(StubClient::close);
                 clients.clear();
             }
         }
-        return carried;
+        return allAnswered;
     }
 
-    private void sendRequest(int number, boolean opens, InetSocketAddress router) {
+    private void sendRequest(int clientIndex, boolean connect, InetSocketAddress router) {
         List<RequestClass> requestClasses = settings.requestClasses();
-        RequestClass requestClass = requestClasses.get(number % requestClasses.size());
+        RequestClass requestClass = requestClasses.get(clientIndex % requestClasses.size());
         ByteBuf statement = StubClient.statement(
                 requestClass.consistency() == ConsistencyLevel.WRITE,
-                "id=" + number + ",c=" + requestClass.name() + ",d=400,k=2,cluster=1");
-        if (opens) {
+                "id=" + clientIndex + ",c=" + requestClass.name() + ",d=400,k=2,cluster=1");
+        if (connect) {
             clients.add(new StubClient(clientTransport, router));
-            clients.get(number).send(StubClient.startupAndFirst(statement));
+            clients.get(clientIndex).send(StubClient.startupAndFirst(statement));
         } else {
-            clients.get(number).send(statement);
+            clients.get(clientIndex).send(statement);
         }
     }
 
     /**
-     * Waits for an answer to each client, and for the end of its startup where it has just connected. Stops at the
-     * first that does not come, since the platform may have sockets that carry nothing.
+     * Waits for an answer to each client, and before it for the response to the startup message of a client that has
+     * just connected. Returns false at the first missing answer, since on some platforms sockets deliver no data.
      */
-    private boolean receiveAnswers(boolean opened) throws InterruptedException {
+    private boolean receiveAnswers(boolean connected) throws InterruptedException {
         for (StubClient client : clients) {
-            if ((opened && !receivedAnswer(client)) || !receivedAnswer(client)) {
+            if ((connected && !receivedAnswer(client)) || !receivedAnswer(client)) {
                 return false;
             }
         }
@@ -194,7 +197,7 @@
         return monotonicSeconds() >= deadline;
     }
 
-    /** A replica's answers, with an error of each kind and a lost connection among them. */
+    /** The responses of a replica: two errors of different kinds, one closed connection, otherwise rows. */
     private static Function<KeyValueStatement, StubNode.StubResponse> occasionalFaults() {
         var count = new AtomicInteger();
         return any -> switch (count.incrementAndGet()) {
--- a/daemon/src/main/java/clayhook/warmup/package-info.java
+++ b/daemon/src/main/java/clayhook/warmup/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Warms the process up before it serves, and the stubs of nodes, discovery and clients that this takes, which tests and
- * benchmarks use as well. The build records the classes that a warm-up loads.
+ * Warm-up of the process before it serves clients, with stubs of nodes, the discovery service and clients. Tests and
+ * benchmarks use the stubs as well. The build records the classes that a warm-up loads.
  *
- * <p>Uses the whole server ({@code clayhook.serve}) and the transport; nothing that serves uses it. Start with
- * {@link clayhook.warmup.WarmUp}.
+ * <p>The package uses the whole server ({@code clayhook.serve}) and the transport; no package that serves clients uses
+ * it. Start reading at {@link clayhook.warmup.WarmUp}.
  */
 package clayhook.warmup;
