--- a/daemon/src/main/java/clayhook/warmup/StubClient.java
+++ b/daemon/src/main/java/clayhook/warmup/StubClient.java
@@ -21,17 +21,17 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A client that sends statements, and reduces each answer to a text: the value of its row, the SQLSTATE of its error,
- * or {@value #READY} where it had neither. Any thread may use it; it runs on the event loop of its transport.
+ * A client that sends statements and converts each answer to a string: the value of its row, the SQLSTATE of its error,
+ * or {@value #READY} if it has neither. Thread-safe; its channel runs on the event loop of its transport.
  */
 @SuppressWarnings("FutureReturnValueIgnored") // a failed write or close ends in channelInactive
 public final class StubClient {
-    /** More than any answer here takes. */
+    /** The timeout of connecting and of waiting for an answer; longer than any answer of a stub takes. */
     private static final int TIMEOUT_SECONDS = 20;
-    /** The only answer of a client whose connection was not established. */
+    /** The only answer that a client returns if its connection could not be established. */
     public static final String NO_CONNECTION = "no connection";
 
-    /** The answer to a startup, and to a statement with neither a row nor an error. */
+    /** The answer to a startup message, and to a statement that yields neither a row nor an error. */
     private static final String READY = "ready";
 
     private static final double NANOS_PER_SECOND = 1e9;
@@ -40,7 +40,7 @@
     private final List<ByteBuf> queuedBeforeConnect = new ArrayList<>();
     private final Channel channel;
 
-    /** Begins to connect. */
+    /** Starts to connect to a router; returns at once. */
     public StubClient(Transport transport, InetSocketAddress router) {
         channel = transport.connect(
                 router,
@@ -82,7 +82,7 @@
         }
     }
 
-    /** Sends bytes at once, or as soon as the connection is established. */
+    /** Sends bytes as soon as the connection is established. */
     public void send(ByteBuf bytes) {
         channel.eventLoop().execute(() -> {
             if (channel.isActive()) {
@@ -93,12 +93,18 @@
         });
     }
 
-    /** A query with a key-value statement on one key, whose comment holds these fields. */
+    /** Encodes a query with a key-value statement on the key {@code k}; its comment contains the given fields. */
     public static ByteBuf statement(boolean writes, String fields) {
         return statement(writes, "k", fields);
     }
 
-    /** A query with a key-value statement on the given key, which names the session, and these comment fields. */
+    /**
+     * Encodes a query with a key-value statement.
+     *
+     * @param writes whether the statement is a write
+     * @param key the key that is read or written, which also identifies the session
+     * @param fields the fields of the statement's comment
+     */
     public static ByteBuf statement(boolean writes, String key, String fields) {
         String text = writes
                 ? "INSERT INTO state (uid, val) VALUES ('" + key + "', '\\x9f03') RETURNING val"
@@ -106,20 +112,20 @@
         return MessageEncoder.query((text + " /* " + fields + " */").getBytes(UTF_8));
     }
 
-    /** A startup message and a first query in one buffer. */
-    public static ByteBuf startupAndFirst(ByteBuf first) {
-        return Unpooled.wrappedBuffer(MessageEncoder.startupMessage("client", "core"), first);
+    /** Encodes a startup message and appends the first query to it. */
+    public static ByteBuf startupAndFirst(ByteBuf query) {
+        return Unpooled.wrappedBuffer(MessageEncoder.startupMessage("client", "core"), query);
     }
 
     /**
-     * Waits for the next answer, which is {@code closed} once the router has closed the connection; null after
-     * {@value #TIMEOUT_SECONDS} seconds.
+     * Waits for the next answer, which is {@code closed} if the router has closed the connection. Returns null if none
+     * arrives within {@value #TIMEOUT_SECONDS} seconds.
      */
     public String nextAnswer() throws InterruptedException {
         return nextAnswer(TIMEOUT_SECONDS);
     }
 
-    /** Waits for the next answer; null where none came within so many seconds. */
+    /** Waits for the next answer; returns null if none arrives within the given time. */
     public String nextAnswer(double seconds) throws InterruptedException {
         return answers.poll((long) (seconds * NANOS_PER_SECOND), TimeUnit.NANOSECONDS);
     }
--- a/daemon/src/main/java/clayhook/warmup/StubDiscovery.java
+++ b/daemon/src/main/java/clayhook/warmup/StubDiscovery.java
@@ -13,26 +13,26 @@
 import java.util.function.Function;
 import java.util.function.Predicate;
 
-/** A discovery service whose answers its user gives. Its threads are those of {@link StubServer}. */
+/** A discovery service whose answers the caller provides. Its threads are those of {@link StubServer}. */
 public final class StubDiscovery extends StubServer {
 
     /**
-     * Answers calls at once.
+     * Creates a service that answers each call immediately.
      *
-     * @param answers gives the answer to a request line, on the event loop: the JSON of a list, a complete HTTP
-     *     response, or null to leave the call waiting
+     * @param answers called on the event loop with the request line; returns the JSON of an endpoint list, a complete
+     *     HTTP response, or null to leave the call unanswered
      */
-    @SuppressWarnings("ReturnValueIgnored") // an answer to a caller that has gone is of no interest
+    @SuppressWarnings("ReturnValueIgnored") // false only if the caller has disconnected and needs no answer
     public StubDiscovery(Transport transport, InetSocketAddress address, Function<String, String> answers)
             throws InterruptedException {
         this(transport, address, (requestLine, answer) -> answer.test(answers.apply(requestLine)));
     }
 
     /**
-     * Leaves it to its user when to answer.
+     * Creates a service whose answers may be sent later.
      *
-     * @param requestListener hears the request line of each call on the event loop, with what takes the answer: once,
-     *     on any thread, false where the caller's connection is closed
+     * @param requestListener called on the event loop for each call, with the request line and a function that sends
+     *     the answer; the function may be called once, on any thread, and returns false if the caller has disconnected
      */
     public StubDiscovery(
             Transport transport, InetSocketAddress address, BiConsumer<String, Predicate<String>> requestListener)
@@ -40,7 +40,7 @@
         super(transport, address, () -> new ChannelHandler[] {new StubDiscoveryHandler(requestListener)});
     }
 
-    @SuppressWarnings("FutureReturnValueIgnored") // a failed write shows as a closed channel
+    @SuppressWarnings("FutureReturnValueIgnored") // a failed write closes the channel
     private static final class StubDiscoveryHandler extends ChannelInboundHandlerAdapter {
         private static final String END_OF_HEADERS = "\r\n\r\n";
 
--- a/daemon/src/main/java/clayhook/warmup/StubNode.java
+++ b/daemon/src/main/java/clayhook/warmup/StubNode.java
@@ -17,15 +17,15 @@
 import java.util.Map;
 import java.util.function.Function;
 
-/** A node that responds to each statement as its user says. Its threads are those of {@link StubServer}. */
+/** A node whose responses to statements the caller provides. Its threads are those of {@link StubServer}. */
 public final class StubNode extends StubServer {
     /**
-     * What a node does with a statement.
+     * The response of a node to a statement. If all components are null or false, the node never answers.
      *
-     * @param value of the row that answers it, or null
-     * @param errorCode SQLSTATE of the error that answers it, or null
-     * @param closesConnection whether it closes the connection instead
-     * @param bytes what it writes instead, or null
+     * @param value the value of the row that answers the statement, or null
+     * @param errorCode the SQLSTATE of the error that answers the statement, or null
+     * @param closesConnection whether the node closes the connection instead of answering
+     * @param bytes the bytes that the node writes instead of an encoded answer, or null
      */
     public record StubResponse(String value, String errorCode, boolean closesConnection, ByteBuf bytes) {
         private StubResponse(String value, String errorCode, boolean closesConnection) {
@@ -37,7 +37,7 @@
             return new StubResponse(value, null, false);
         }
 
-        /** Writes bytes as they are; the buffer may be used for several responses. */
+        /** Writes the given bytes unchanged. The buffer is not released, so it may be used for several responses. */
         public static StubResponse bytes(ByteBuf bytes) {
             return new StubResponse(null, null, false, bytes);
         }
@@ -58,23 +58,23 @@
         }
     }
 
-    /** The role of a node that does not answer health checks. */
+    /** The role to pass for a node that does not answer health checks. */
     public static final String UNRESPONSIVE = "mute";
 
     private static final byte[] COLUMN_NAME = "val\0".getBytes(UTF_8);
     private static final byte[] COMMAND_TAG = "SELECT 1\0".getBytes(UTF_8);
-    /** Bytes of the length of a message or a value. */
+    /** The size of the length field of a message or a value. */
     private static final int LENGTH_BYTES = 4;
-    /** Bytes of the number of columns. */
+    /** The size of the field that holds the number of columns. */
     private static final int COUNT_BYTES = 2;
-    /** What describes a column after its name: table, number, type, size, modifier and format. */
+    /** The size of the column description after the name: table, number, type, size, modifier and format. */
     private static final int COLUMN_DESCRIPTION_BYTES = 18;
 
     /**
-     * Starts a node.
+     * Starts a node; blocks until it listens.
      *
-     * @param role reported with each row: {@code primary} or {@code replica}, or {@link #UNRESPONSIVE}
-     * @param responses gives the response to a statement, on the event loop
+     * @param role the role that each answer reports, {@code primary} or {@code replica}, or {@link #UNRESPONSIVE}
+     * @param responses called on the event loop with each statement; returns the response to it
      */
     public StubNode(
             Transport transport,
@@ -88,10 +88,10 @@
     }
 
     /**
-     * The bytes of an answer of one row, and of what a node reports with it.
+     * Encodes an answer that consists of one row and of the node's role, applied position and load report.
      *
      * @param appliedMillis the node's applied position in milliseconds
-     * @param load its load report
+     * @param load the node's load report
      */
     public static ByteBuf row(String value, String role, long appliedMillis, String load) {
         byte[] bytes = value.getBytes(UTF_8);
@@ -118,7 +118,7 @@
         out.writeByte('S').writeInt(LENGTH_BYTES + text.length).writeBytes(text);
     }
 
-    @SuppressWarnings("FutureReturnValueIgnored") // a failed write closes the channel, which its peer notices
+    @SuppressWarnings("FutureReturnValueIgnored") // a failed write closes the channel
     private static final class StubNodeHandler extends ChannelInboundHandlerAdapter {
         private static final double MILLIS_PER_SECOND = 1000;
 
--- a/daemon/src/main/java/clayhook/warmup/StubServer.java
+++ b/daemon/src/main/java/clayhook/warmup/StubServer.java
@@ -6,17 +6,15 @@
 import java.net.InetSocketAddress;
 import java.util.function.Supplier;
 
-/**
- * A small server in the place of an outside system. It runs on the event loop of its transport; any thread may call it.
- */
+/** A server that replaces an external system. Thread-safe; its channels run on the event loop of its transport. */
 abstract class StubServer {
     private final InetSocketAddress requestedAddress;
     private final Channel serverChannel;
 
     /**
-     * Listens at an address; blocks until it does.
+     * Starts to listen at an address; blocks until the server listens.
      *
-     * @param handlers makes the handlers of each connection
+     * @param handlers creates the channel handlers of each connection
      */
     StubServer(Transport transport, InetSocketAddress address, Supplier<ChannelHandler[]> handlers)
             throws InterruptedException {
@@ -24,12 +22,12 @@
         serverChannel = transport.listen(address, handlers);
     }
 
-    /** Where it listens: the port that was assigned where any was asked for. */
+    /** The address at which the server listens, with the assigned port if port 0 was requested. */
     public final InetSocketAddress address() {
         return serverChannel.localAddress() instanceof InetSocketAddress assigned ? assigned : requestedAddress;
     }
 
-    /** Accepts no more connections; those that are open stay. */
+    /** Stops accepting connections; open connections stay open. */
     public final void close() throws InterruptedException {
         serverChannel.close().sync();
     }
