--- a/daemon/src/main/java/clayhook/simulator/SimulatedRouter.java
+++ b/daemon/src/main/java/clayhook/simulator/SimulatedRouter.java
@@ -19,19 +19,20 @@
 import java.util.Map;
 
 /**
- * One router in the simulator: maps the ids of requests and nodes on the wire to objects, and passes events to its
- * routing policy. Times on the wire are nanoseconds of the simulator's clock, seconds here. Not thread-safe.
+ * A router in the simulator. It maps the ids of requests and nodes in the protocol to objects, passes events to its
+ * routing policy and encodes the decisions of the policy. Times in the protocol are nanoseconds of the simulator's
+ * clock; the policy uses seconds. Not thread-safe.
  */
 final class SimulatedRouter {
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
     private static final long NANOS_PER_MILLI = 1_000_000;
     private static final double MILLIS_PER_SECOND = 1000;
 
-    /** The {@code stand} of a response holds four times the applied position in milliseconds, plus the role. */
-    private static final int STAND_ROLES = 4;
+    /** The field {@code stand} of a response is four times the applied position in milliseconds, plus the role code. */
+    private static final int ROLE_CODES = 4;
 
-    private static final int STAND_PRIMARY = 1;
-    private static final int STAND_REPLICA = 2;
+    private static final int PRIMARY_CODE = 1;
+    private static final int REPLICA_CODE = 2;
 
     private static final class SimulatedRequest extends Request {
         private final String id;
@@ -55,13 +56,13 @@
     private final RoutingSettings settings;
     private final Map<String, RequestClass> requestClasses = new HashMap<>();
     private final Map<String, Node> nodes = new HashMap<>();
-    /** Each leaves with its final answer and the last outcome of its attempts. */
+    /** Requests by id. A request is removed once it has its final answer and all its attempts have an outcome. */
     private final Map<String, SimulatedRequest> requests = new HashMap<>();
 
     private final RoutingPolicy policy;
     private final InFlightRequests inFlight;
 
-    /** Reads the rest of a CONFIGURE line: a seed and settings. */
+    /** Creates a router from the remaining fields of a CONFIGURE line, a seed and settings. */
     SimulatedRouter(InputLine line) throws SimulatorProtocolException {
         long seed = line.nextLong("seed");
         var configured = new SimulatorSettings(line);
@@ -121,7 +122,7 @@
         double elapsedSeconds = toSeconds(line.nextLong("time_taken"));
         AttemptResult result = parseResult(line, parseOutcome(line), elapsedSeconds, 0);
         if (node == null) {
-            throw line.error("tells of a node that no list named");
+            throw line.error("names a node that no endpoint list contains");
         }
         policy.onHealthCheck(node, result, toSeconds(now));
     }
@@ -151,7 +152,7 @@
 
     // ---- decisions ----
 
-    /** Writes what was decided in this batch, and the next timer. */
+    /** Appends the decisions, health checks and polls of this batch and the next timer to {@code out}. */
     void tick(long now, StringBuilder out) {
         InFlightRequests.DecisionBatch batch = inFlight.tick(toSeconds(now));
         for (InFlightRequests.RoutedRequest routed : batch.routedRequests()) {
@@ -206,7 +207,7 @@
         }
     }
 
-    // ---- fields of the wire ----
+    // ---- fields of the protocol ----
 
     private static AttemptOutcome parseOutcome(InputLine line) throws SimulatorProtocolException {
         int verdict = (int) line.nextLong("verdict");
@@ -224,15 +225,16 @@
         };
     }
 
-    private AttemptResult parseResult(InputLine line, AttemptOutcome outcome, double elapsedSeconds, long stand)
+    private AttemptResult parseResult(
+            InputLine line, AttemptOutcome outcome, double elapsedSeconds, long roleAndPosition)
             throws SimulatorProtocolException {
         Role role =
-                switch ((int) (stand % STAND_ROLES)) {
-                    case STAND_PRIMARY -> Role.PRIMARY;
-                    case STAND_REPLICA -> Role.REPLICA;
+                switch ((int) (roleAndPosition % ROLE_CODES)) {
+                    case PRIMARY_CODE -> Role.PRIMARY;
+                    case REPLICA_CODE -> Role.REPLICA;
                     default -> Role.UNKNOWN;
                 };
-        long positionMillis = stand / STAND_ROLES;
+        long positionMillis = roleAndPosition / ROLE_CODES;
         double position = positionMillis > 0 ? toSeconds(originNanos + positionMillis * NANOS_PER_MILLI) : 0;
         String metrics = line.nextOrNull("metrics");
         try {
