--- a/daemon/src/main/java/clayhook/simulator/SimulatorAdapter.java
+++ b/daemon/src/main/java/clayhook/simulator/SimulatorAdapter.java
@@ -9,34 +9,36 @@
 import java.util.Map;
 
 /**
- * Lets the simulator drive many routers over its line protocol: decodes its lines into calls of
- * {@link SimulatedRouter}, encodes what these decide. The clock is the simulator's. Not thread-safe; reads and writes
- * block.
+ * Connects any number of routers to the simulator over its line protocol: decodes each line into a call of a
+ * {@link SimulatedRouter} and writes the decisions of the routers. All times are those of the simulator's clock. Not
+ * thread-safe; reads and writes block.
  *
- * <p>The input is a sequence of batches: BATCH with a clock time, lines for the routers that SWITCH_TO names, GO. The
- * reply to each is what each router has decided, and NEXT.
+ * <p>The input is a sequence of batches. A batch consists of a BATCH line with the clock time and the batch number,
+ * lines for the routers that SWITCH_TO lines select, and a GO line. The reply to a batch consists of the decisions of
+ * each router and a NEXT line.
  */
 public final class SimulatorAdapter {
-    /** Numbered endpoint lists that POOL lines fill. */
+    /** The number of endpoint lists that POOL lines can set; the lists are numbered from 0. */
     private static final int MAX_LISTS = 16;
 
     private static final long NO_ROUTER = -1;
 
-    /** The scopes of a DISCOVERY line: changes, two kinds of complete list, and a failed poll. */
+    /** The scope of a DISCOVERY line with changes. The scopes 1 and 2 are two kinds of complete list. */
     private static final int CHANGES_SCOPE = 0;
 
+    /** The scope of a DISCOVERY line that reports a failed poll. */
     private static final int FAILED_SCOPE = 3;
 
     private final BufferedReader in;
     private final PrintWriter out;
     private final Map<Long, SimulatedRouter> routers = new LinkedHashMap<>();
-    /** Replies of the routers in the current batch, in the order in which they were first named. */
+    /** Replies of the routers in the current batch by router id, in the order in which the batch first names them. */
     private final Map<Long, StringBuilder> replies = new LinkedHashMap<>();
 
     private final List<List<SimulatedEndpoint>> endpointLists = new ArrayList<>();
     private int lineNumber;
 
-    /** Reads from and writes to streams that the caller closes. */
+    /** Creates an adapter that reads from {@code in} and writes to {@code out}; the caller closes both. */
     public SimulatorAdapter(BufferedReader in, PrintWriter out) {
         this.in = in;
         this.out = out;
@@ -46,9 +48,9 @@
     }
 
     /**
-     * Answers batch after batch until the input ends.
+     * Replies to batches until the input ends.
      *
-     * @throws SimulatorProtocolException for the first line that cannot be understood
+     * @throws SimulatorProtocolException for the first line that is malformed
      */
     public void run() throws SimulatorProtocolException, IOException {
         for (InputLine line = nextLine(); line != null; line = nextLine()) {
@@ -96,13 +98,13 @@
                     if (routerId < 0) {
                         throw line.error("speaks to no instance");
                     }
-                    onEvent(routerId, word, line, now);
+                    handleEvent(routerId, word, line, now);
                 }
             }
         }
     }
 
-    private void onEvent(long routerId, String word, InputLine line, long now) throws SimulatorProtocolException {
+    private void handleEvent(long routerId, String word, InputLine line, long now) throws SimulatorProtocolException {
         switch (word) {
             case "CONFIGURE" -> runGuarded(routerId, () -> routers.put(routerId, new SimulatedRouter(line)));
             case "DOWN" -> {
@@ -114,26 +116,26 @@
                 if (router == null) {
                     throw line.error("speaks to an instance that was not configured");
                 }
-                runGuarded(routerId, () -> onRouterEvent(router, word, line, now));
+                runGuarded(routerId, () -> handleRouterEvent(router, word, line, now));
             }
         }
     }
 
-    private void onRouterEvent(SimulatedRouter router, String word, InputLine line, long now)
+    private void handleRouterEvent(SimulatedRouter router, String word, InputLine line, long now)
             throws SimulatorProtocolException {
         switch (word) {
             case "ARRIVAL" -> router.onArrival(line, now);
             case "RESPONSE" -> router.onAttemptFinished(line, now);
             case "HEALTH" -> router.onHealthCheck(line, now);
             case "GONE" -> router.onClientGone(line.nextText("id"));
-            case "DISCOVERY" -> onDiscovery(router, line, now);
-            case "DUE" -> line.nextText("tag"); // a timer: every batch ends with a tick of each router that it names
+            case "DISCOVERY" -> handleDiscovery(router, line, now);
+            case "DUE" -> line.nextText("tag"); // a timer; each router that a batch names is ticked at its end anyway
             case "FIRST", "PEER_DATA" -> {}
             default -> throw line.error("has an unknown word");
         }
     }
 
-    private void onDiscovery(SimulatedRouter router, InputLine line, long now) throws SimulatorProtocolException {
+    private void handleDiscovery(SimulatedRouter router, InputLine line, long now) throws SimulatorProtocolException {
         int scope = (int) line.nextLong("scope");
         line.nextLong("stamp");
         long list = line.nextLong("buffer", 0);
@@ -172,7 +174,10 @@
         void run() throws SimulatorProtocolException;
     }
 
-    /** An exception of the routing policy ends the router's day with its text instead of ending the process. */
+    /**
+     * Runs a task of one router. If it throws a runtime exception, the exception is written to standard error and sent
+     * to the simulator, which ends this router's run; the process continues.
+     */
     private void runGuarded(long routerId, RouterTask task) throws SimulatorProtocolException {
         try {
             task.run();
@@ -192,7 +197,7 @@
         return line;
     }
 
-    /** The next line that is not empty, or null at the end of the input. */
+    /** Returns the next non-empty line, or null at the end of the input. */
     private InputLine nextLine() throws IOException {
         String text = in.readLine();
         lineNumber++;
