--- a/daemon/src/main/java/clayhook/simulator/InputLine.java
+++ b/daemon/src/main/java/clayhook/simulator/InputLine.java
@@ -1,17 +1,17 @@
 package clayhook.simulator;
 
 /**
- * One line from the simulator, read field by field. Fields are separated by single spaces; an absent value is
- * {@code -}. Each method that reads a field is given its name, which an error message states. Not thread-safe.
+ * One line from the simulator, read field by field. Fields are separated by single spaces; {@code -} marks an absent
+ * value. Every method that reads a field takes the name of the field for its error message. Not thread-safe.
  */
 final class InputLine {
     private static final String ABSENT = "-";
-    /** Characters of a line that an error message shows. */
-    private static final int MAX_SHOWN = 120;
+    /** The number of characters of a line that an error message quotes. */
+    private static final int MAX_QUOTED_LENGTH = 120;
 
     private final int lineNumber;
     private final String text;
-    /** Where the next field begins. */
+    /** The index of the first character of the next field. */
     private int position;
 
     InputLine(int lineNumber, String text) {
@@ -19,7 +19,7 @@
         this.text = text;
     }
 
-    /** The next field, or null where its value is absent. */
+    /** Returns the next field, or null if its value is absent. */
     String nextOrNull(String name) throws SimulatorProtocolException {
         if (position > text.length()) {
             throw error("lacks its " + name);
@@ -31,7 +31,7 @@
         return field.equals(ABSENT) ? null : field;
     }
 
-    /** The next field, which must not be absent. */
+    /** Returns the next field, whose value must be present. */
     String nextText(String name) throws SimulatorProtocolException {
         String field = nextOrNull(name);
         if (field == null || field.isEmpty()) {
@@ -40,7 +40,7 @@
         return field;
     }
 
-    /** The next field as a whole number; it must not be absent. */
+    /** Returns the next field as an integer; its value must be present. */
     long nextLong(String name) throws SimulatorProtocolException {
         String field = nextText(name);
         try {
@@ -50,7 +50,7 @@
         }
     }
 
-    /** The next field as a whole number, or the default where its value is absent. */
+    /** Returns the next field as an integer, or the default if its value is absent. */
     long nextLong(String name, long defaultValue) throws SimulatorProtocolException {
         int start = position;
         if (nextOrNull(name) == null) {
@@ -60,7 +60,7 @@
         return nextLong(name);
     }
 
-    /** The next field as a number, or the default where its value is absent. */
+    /** Returns the next field as a number, or the default if its value is absent. */
     double nextDouble(String name, double defaultValue) throws SimulatorProtocolException {
         String field = nextOrNull(name);
         if (field == null) {
@@ -73,14 +73,14 @@
         }
     }
 
-    /** All fields that have not been read, as text. */
+    /** Returns the unread rest of the line. */
     String remainder() {
         return position > text.length() ? "" : text.substring(position);
     }
 
-    /** An error that names this line. */
+    /** Creates an exception whose message names this line, states the reason and quotes the line. */
     SimulatorProtocolException error(String reason) {
-        String shown = text.length() > MAX_SHOWN ? text.substring(0, MAX_SHOWN) + "..." : text;
-        return new SimulatorProtocolException("line " + lineNumber + " " + reason + ": " + shown);
+        String quoted = text.length() > MAX_QUOTED_LENGTH ? text.substring(0, MAX_QUOTED_LENGTH) + "..." : text;
+        return new SimulatorProtocolException("line " + lineNumber + " " + reason + ": " + quoted);
     }
 }
--- a/daemon/src/main/java/clayhook/simulator/SimulatedEndpoint.java
+++ b/daemon/src/main/java/clayhook/simulator/SimulatedEndpoint.java
@@ -3,9 +3,9 @@
 import clayhook.Endpoint.State;
 
 /**
- * One endpoint of a numbered list, as the simulator sends it in a ROW line.
+ * An endpoint of a numbered endpoint list, as the simulator sends it in a ROW line.
  *
- * @param startedAtNanos when the node's process last started; 0 for long ago
+ * @param startedAtNanos the simulator's clock time at which the node's process last started; 0 if long ago
  */
 record SimulatedEndpoint(
         String nodeId, String zone, boolean primary, int replicaSetId, State state, long startedAtNanos) {
--- a/daemon/src/main/java/clayhook/simulator/SimulatorProtocolException.java
+++ b/daemon/src/main/java/clayhook/simulator/SimulatorProtocolException.java
@@ -1,6 +1,6 @@
 package clayhook.simulator;
 
-/** A line from the simulator that cannot be understood; the message names the line and what is wrong with it. */
+/** Thrown when a line from the simulator is malformed. The message names the line and the fault. */
 public final class SimulatorProtocolException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/daemon/src/main/java/clayhook/simulator/SimulatorSettings.java
+++ b/daemon/src/main/java/clayhook/simulator/SimulatorSettings.java
@@ -9,7 +9,7 @@
 /** The settings of a CONFIGURE line. Immutable. */
 final class SimulatorSettings {
     private final RoutingSettings settings;
-    /** The clock time from which positions are counted. */
+    /** The simulator's clock time of log position 0. */
     private final long originNanos;
 
     SimulatorSettings(InputLine line) throws SimulatorProtocolException {
