--- a/daemon/src/main/java/clayhook/peers/ConflatingQueue.java
+++ b/daemon/src/main/java/clayhook/peers/ConflatingQueue.java
@@ -10,16 +10,16 @@
 import java.util.function.Consumer;
 
 /**
- * A queue from any thread to the event loop that keeps only the latest value of each key and has at most one task
- * waiting on the loop. A loop that is late thus finds no backlog of outdated values.
+ * A queue from any thread to the event loop that keeps only the latest value of each key and schedules at most one task
+ * on the event loop at a time. A delayed event loop therefore never processes a backlog of outdated values.
  */
 final class ConflatingQueue<K, V> {
-    /** Values handed over in one task, which takes tens of microseconds; the rest follow in the next task. */
+    /** Values delivered in one task, which takes tens of microseconds; the rest are delivered in the next task. */
     static final int MAX_BATCH = 256;
 
     private final Executor eventLoop;
     private final Consumer<Map<K, V>> consumer;
-    /** Bounded by the number of keys in use; emptied on the event loop. */
+    /** Values not yet delivered, by key. Bounded by the number of keys in use; drained on the event loop. */
     private final Map<K, V> latest = new ConcurrentHashMap<>();
 
     private final AtomicBoolean drainScheduled = new AtomicBoolean();
@@ -30,7 +30,7 @@
         this.consumer = consumer;
     }
 
-    /** Replaces the value of that key where it has not been handed over. For any thread. */
+    /** Adds a value, or replaces the value of that key if it has not been delivered yet. For any thread. */
     void put(K key, V value) {
         latest.put(key, value);
         scheduleDrain();
@@ -49,7 +49,7 @@
     private void drain() {
         drainScheduled.set(false);
         var batch = new HashMap<K, V>();
-        // The iterator is weakly consistent: it tolerates puts of other threads and the removals below.
+        // The iterator is weakly consistent: it tolerates concurrent puts by other threads and the removals below.
         for (Iterator<K> keys = latest.keySet().iterator(); keys.hasNext(); ) {
             if (batch.size() == MAX_BATCH) {
                 scheduleDrain();
--- a/daemon/src/main/java/clayhook/peers/EventQueue.java
+++ b/daemon/src/main/java/clayhook/peers/EventQueue.java
@@ -8,17 +8,17 @@
 import org.jctools.queues.MpscChunkedArrayQueue;
 
 /**
- * A bounded queue from the event loop to the gossip thread. The producer never blocks: an event that finds no room is
+ * A bounded queue from the event loop to the gossip thread. Producers never block: if the queue is full, an event is
  * dropped and counted. The gossip thread drains the queue on each iteration.
  */
 final class EventQueue {
-    /** Room for replaceable events: some seconds of answers at the highest rate. */
+    /** Capacity for replaceable events: several seconds of answers at the highest rate. */
     static final int REPLACEABLE_CAPACITY = 1 << 13;
-    /** Room for events that are never repeated: some minutes of them. Grows on demand up to this. */
+    /** Capacity for events that are never repeated: several minutes of them. The queue grows on demand up to it. */
     static final int ESSENTIAL_CAPACITY = 1 << 17;
 
     private static final int ESSENTIAL_INITIAL_CAPACITY = 1 << 8;
-    /** Events drained at once, which takes a few milliseconds. */
+    /** Events drained per call of {@link #drain}, which takes a few milliseconds. */
     private static final int MAX_BATCH = 1 << 12;
 
     private final Queue<LocalEvent> replaceable = new MpscArrayQueue<>(REPLACEABLE_CAPACITY);
@@ -27,15 +27,15 @@
     private final LongAdder droppedReplaceable = new LongAdder();
     private final LongAdder droppedEssential = new LongAdder();
     private final Runnable wakeUp;
-    /** Set while the consumer waits, so that a producer wakes it only then. */
+    /** Whether the consumer waits; producers wake it only then. */
     private volatile boolean consumerWaiting;
 
-    /** {@code wakeUp} ends the wait of the consumer; it is called by producers. */
+    /** {@code wakeUp} ends the wait of the consumer; it is called on the threads of producers. */
     EventQueue(Runnable wakeUp) {
         this.wakeUp = wakeUp;
     }
 
-    /** Adds an event, or drops and counts it where there is no room. For any thread; never blocks. */
+    /** Adds an event, or drops and counts it if the queue is full. For any thread; never blocks. */
     void add(LocalEvent event) {
         boolean isReplaceable = event instanceof LocalEvent.AttemptFinished || event instanceof LocalEvent.QuotaUsed;
         if (!(isReplaceable ? replaceable : essential).offer(event)) {
@@ -46,7 +46,7 @@
         }
     }
 
-    /** Hands over a batch, essential events first; returns how many. For the consumer. */
+    /** Passes a batch to {@code consumer}, essential events first; returns its size. For the consumer's thread. */
     int drain(Consumer<LocalEvent> consumer) {
         int count = 0;
         for (Queue<LocalEvent> queue : List.of(essential, replaceable)) {
@@ -57,24 +57,27 @@
         return count;
     }
 
-    /** Announces that the consumer is about to wait; false where events are left and it must not. For the consumer. */
+    /**
+     * Announces that the consumer is about to wait; returns false if events are left, so that it must not wait. For the
+     * consumer's thread.
+     */
     boolean beginWait() {
-        consumerWaiting = true; // before the queues are read, so that an event added after that sees it
+        consumerWaiting = true; // set before the queues are read, so that a producer that adds an event later sees it
         consumerWaiting = replaceable.isEmpty() && essential.isEmpty();
         return consumerWaiting;
     }
 
-    /** The consumer waits no more. */
+    /** Announces that the consumer has stopped waiting. For the consumer's thread. */
     void endWait() {
         consumerWaiting = false;
     }
 
-    /** Replaceable events dropped since the start. */
+    /** The number of replaceable events dropped since the start. */
     long droppedReplaceable() {
         return droppedReplaceable.sum();
     }
 
-    /** Essential events dropped since the start: what peers may lack for good. */
+    /** The number of essential events dropped since the start; peers may never receive their content. */
     long droppedEssential() {
         return droppedEssential.sum();
     }
