--- a/daemon/src/main/java/clayhook/peers/LocalEvent.java
+++ b/daemon/src/main/java/clayhook/peers/LocalEvent.java
@@ -7,34 +7,36 @@
 import clayhook.sharing.PeerSharing;
 import java.util.List;
 
-/** What the event loop reports to the gossip thread. Times are seconds since 1970 on the event loop's clock. */
+/**
+ * An event that the event loop reports to the gossip thread. Times are seconds since 1970 on the event loop's clock.
+ */
 public sealed interface LocalEvent {
-    /** An attempt or a health check has finished. Replaceable: the next one of the same node tells as much. */
+    /** An attempt or a health check has finished. Replaceable: the next result of the same node supersedes it. */
     record AttemptFinished(Node node, AttemptResult result, double finishedAt) implements LocalEvent {}
 
     /**
-     * Discovery has sent an endpoint list or a change of it.
+     * Discovery has sent a complete endpoint list or changes of it.
      *
      * @param source host and port of the discovery service
      */
     record EndpointListReceived(String source, EndpointList list) implements LocalEvent {}
 
     /**
-     * The router reads from another discovery service from now on.
+     * The router has switched to another discovery service.
      *
      * @param source host and port of the discovery service
      */
     record DiscoveryMoved(String source) implements LocalEvent {}
 
-    /** A write of that session was committed at that log position of its replica set. */
+    /** A write of a session was committed at a log position of a replica set. */
     record SessionWriteCommitted(String session, int replicaSet, double position) implements LocalEvent {}
 
     /**
-     * A write has got its final answer.
+     * A write has its final answer.
      *
      * @param sentAt when its first attempt was sent
-     * @param executed whether it is known to have been executed; otherwise it may have been
-     * @param nodeId where it was executed; empty if unknown
+     * @param executed whether the write is known to have been executed; if false, it may have been
+     * @param nodeId the id of the node that executed the write; empty if unknown
      */
     record WriteFinished(
             String writeKey,
@@ -46,9 +48,9 @@
             double finishedAt)
             implements LocalEvent {}
 
-    /** This router has used units of a fleet-wide quota. Replaceable: a lost one makes the usage too low. */
-    record QuotaUsed(PeerSharing.SharedQuota limit, double units) implements LocalEvent {}
+    /** This router has used units of a fleet-wide quota. Replaceable: a lost event only makes the usage too low. */
+    record QuotaUsed(PeerSharing.SharedQuota quota, double units) implements LocalEvent {}
 
-    /** The operator's file was reloaded and names these seeds. */
+    /** The operator's file was reloaded and contains these seeds. */
     record SeedsChanged(List<Address> seeds) implements LocalEvent {}
 }
