--- a/daemon/src/main/java/clayhook/peers/GossipTransport.java
+++ b/daemon/src/main/java/clayhook/peers/GossipTransport.java
@@ -23,15 +23,15 @@
 import java.util.concurrent.Executor;
 
 /**
- * Sharing with peers over UDP: builds the gossip protocols, runs them on a thread of their own, and passes what the
- * event loop reports to that thread through a bounded queue. A failure or stall behind it never delays or fails a
- * request.
+ * Exchange of state with peers over UDP. It builds the gossip protocols, runs them on their own thread, and passes
+ * events of the event loop to that thread through a bounded queue. A failure or stall of that thread never delays or
+ * fails a request.
  *
- * <p>Called on the event loop, except {@link #leave} and {@link #close}, which are for any thread.
+ * <p>Methods are called on the event loop, except {@link #leave} and {@link #close}, which are for any thread.
  */
 public final class GossipTransport implements PeerSharing {
     private static final String THREAD_NAME = "clayhook-peers";
-    /** Milliseconds; a little longer than the leave announcement takes. */
+    /** The longest wait for the end of the gossip thread; slightly longer than the leave announcement takes. */
     private static final long MAX_STOP_WAIT_MS = 150;
 
     private final SharingSettings settings;
@@ -42,7 +42,7 @@
     private final SlewedClock clock = new SlewedClock();
     private final StopRequest stopRequest = new StopRequest();
     private final EventQueue eventQueue;
-    /** Null until {@link #attach}, as the three that follow; requests may come before. */
+    /** Null until {@link #attach}, like the three fields below; requests may arrive before it. */
     private volatile StateBridge bridge;
 
     private Member self;
@@ -63,12 +63,16 @@
         eventQueue = new EventQueue(endpoint::wakeUp);
     }
 
-    /** Binds the socket; throws IOException naming the address where that fails. */
+    /**
+     * Binds the socket.
+     *
+     * @throws IOException if that fails; the message names the address
+     */
     public static PeerSharing open(SharingSettings settings, RouterConfiguration configuration) throws IOException {
         return open(settings, configuration, StateSettings.DEFAULT);
     }
 
-    /** As {@link #open(SharingSettings, RouterConfiguration)}, with other defaults than the usual ones. */
+    /** Same as {@link #open(SharingSettings, RouterConfiguration)}, with the given defaults of the state settings. */
     static GossipTransport open(
             SharingSettings settings, RouterConfiguration configuration, StateSettings stateDefaults)
             throws IOException {
@@ -91,7 +95,7 @@
         return discovery.getHostString() + ":" + discovery.getPort();
     }
 
-    /** Where peers send to. */
+    /** The address to which peers send datagrams. */
     Address address() {
         return advertisedAddress;
     }
@@ -103,7 +107,7 @@
         double now = clock.now();
         String name = settings.name() == null ? configuration.name() : settings.name();
         self = new Member(name, (long) (now * 1000));
-        // Each incarnation draws other numbers, whatever the configured seed.
+        // Each incarnation draws different random numbers, even with the same configured seed.
         var random = new SplittableRandom(configuration.seed() ^ self.incarnation());
         var membership = new Membership(
                 GossipSettings.membership(settings),
@@ -144,7 +148,7 @@
                 settings.shareQuotas());
     }
 
-    /** Session writes need no sharing where each request carries the last write of its session. */
+    /** Session writes need not be shared if each request carries the last write of its session. */
     private boolean sharesSessionWrites() {
         return settings.shareSessionWrites() && !configuration.settings().requestsCarryLastWrite();
     }
@@ -206,16 +210,16 @@
     }
 
     @Override
-    public void reload(SharingSettings fresh) {
-        eventQueue.add(new LocalEvent.SeedsChanged(seedAddresses(fresh)));
+    public void reload(SharingSettings newSettings) {
+        eventQueue.add(new LocalEvent.SeedsChanged(seedAddresses(newSettings)));
     }
 
-    // ---- questions of the event loop ----
+    // ---- queries of the event loop ----
 
     @Override
     public double requiredPosition(String session, double now) {
         StateBridge attached = bridge;
-        // Before attach nothing is known of the peers' writes, so a read must cover all that may have been written.
+        // Before attach the writes at peers are unknown, so a read must cover every write that may have happened.
         return attached == null ? now - settings.sessionRoamDelay() : attached.requiredPosition(session, now);
     }
 
@@ -225,7 +229,7 @@
         return attached == null ? 0 : attached.remainingQuota(quota);
     }
 
-    // ---- end ----
+    // ---- shutdown ----
 
     @Override
     public void leave() {
@@ -248,7 +252,7 @@
                 thread.join(MAX_STOP_WAIT_MS);
             }
         } catch (IOException e) {
-            Log.error("sharing did not close", e);
+            Log.error("sharing: cannot close the socket", e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
