--- a/daemon/src/main/java/clayhook/peers/DatagramEndpoint.java
+++ b/daemon/src/main/java/clayhook/peers/DatagramEndpoint.java
@@ -14,19 +14,22 @@
 import java.nio.channels.Selector;
 import java.util.function.BiConsumer;
 
-/** A non-blocking UDP socket and the wait for datagrams. For one thread, except {@link #wakeUp}. */
+/** A non-blocking UDP socket with a selector that waits for datagrams. For one thread, except {@link #wakeUp}. */
 final class DatagramEndpoint implements AutoCloseable {
-    /** Size of the kernel buffers. Datagrams that arrive while the thread is busy and find no room are lost. */
+    /**
+     * The size of the kernel's send and receive buffers. While the thread is busy, the kernel drops datagrams that
+     * exceed the receive buffer.
+     */
     private static final int SOCKET_BUFFER_BYTES = 1 << 20;
-    /** Datagrams received in one go, so that a flood leaves time for the rest of the thread's work. */
+    /** Datagrams received per call of {@link #receive}, so that a flood does not starve the thread's other work. */
     static final int MAX_DATAGRAMS_PER_RECEIVE = 64;
-    /** The longest wait; bounds the delay where a wake-up is missed. */
+    /** The longest wait; bounds the delay if a wake-up is missed. */
     private static final double MAX_WAIT_SECONDS = 1;
 
     private final DatagramChannel channel;
     private final Selector selector;
     private final SelectionKey selectionKey;
-    /** One byte larger than a packet may be, so that a longer datagram is recognized. */
+    /** One byte larger than the largest packet, so that oversized datagrams are detected. */
     private final ByteBuffer receiveBuffer = ByteBuffer.allocateDirect(Packet.MAX_BYTES + 1);
 
     private final ByteBuffer sendBuffer = ByteBuffer.allocateDirect(Packet.MAX_BYTES);
@@ -40,7 +43,11 @@
         selectionKey = channel.register(selector, SelectionKey.OP_READ);
     }
 
-    /** Opens a socket bound to the address; throws IOException naming the address where that fails. */
+    /**
+     * Opens a socket and binds it to an address.
+     *
+     * @throws IOException if that fails; the message names the address
+     */
     static DatagramEndpoint bind(InetSocketAddress address) throws IOException {
         var channel = DatagramChannel.open(
                 address.getAddress() instanceof Inet4Address
@@ -65,7 +72,7 @@
         return ((InetSocketAddress) channel.getLocalAddress()).getPort();
     }
 
-    /** Hands received datagrams and their senders to {@code consumer}; returns whether there may be more. */
+    /** Passes received datagrams and their senders to {@code consumer}; returns whether there may be more. */
     boolean receive(BiConsumer<Address, byte[]> consumer) throws IOException {
         for (int i = 0; i < MAX_DATAGRAMS_PER_RECEIVE; i++) {
             receiveBuffer.clear();
@@ -85,7 +92,7 @@
         return true;
     }
 
-    /** Sends a datagram; one that cannot be sent is dropped and counted, as it might have been lost on the network. */
+    /** Sends a datagram. If that fails, the datagram is dropped and counted, since the network may lose it anyway. */
     void send(Address to, byte[] bytes) {
         InetSocketAddress address = EndpointList.parseAddress(to.toString());
         try {
@@ -94,14 +101,14 @@
                 unsentPackets++;
             }
         } catch (IOException | RuntimeException e) {
-            unsentPackets++; // unreachable, or an invalid address: peers may advertise any
+            unsentPackets++; // the address is unreachable or invalid: a peer may advertise any address
         }
     }
 
     /**
-     * Waits until a datagram arrives, {@link #wakeUp} is called or the time is over.
+     * Waits until a datagram arrives, {@link #wakeUp} is called or the given time has passed.
      *
-     * @param ignoreDatagrams whether datagrams leave the wait as it is and stay in the kernel's buffer
+     * @param ignoreDatagrams whether arriving datagrams stay in the kernel's buffer and do not end the wait
      */
     void await(double seconds, boolean ignoreDatagrams) throws IOException {
         selectionKey.interestOps(ignoreDatagrams ? 0 : SelectionKey.OP_READ);
@@ -114,17 +121,17 @@
         selector.selectedKeys().clear();
     }
 
-    /** Ends the current wait, or the next one. For any thread. */
+    /** Ends the current wait, or the next one if the thread is not waiting. For any thread. */
     void wakeUp() {
         selector.wakeup();
     }
 
-    /** Received datagrams that were longer than a packet may be. */
+    /** The number of received datagrams that exceeded the maximum packet size. */
     long oversizedDatagrams() {
         return oversizedDatagrams;
     }
 
-    /** Packets that could not be sent. */
+    /** The number of packets that could not be sent. */
     long unsentPackets() {
         return unsentPackets;
     }
--- a/daemon/src/main/java/clayhook/peers/GossipLoop.java
+++ b/daemon/src/main/java/clayhook/peers/GossipLoop.java
@@ -10,13 +10,17 @@
 import java.util.List;
 
 /**
- * The body of the gossip thread: applies local events, receives datagrams, ticks the protocols, and waits. Owns the
- * datagram endpoint once it runs. An exception costs the event, datagram or tick that threw it, never the thread.
+ * The main loop of the gossip thread: applies local events, receives datagrams, ticks the protocols, and waits. It
+ * closes the datagram endpoint when it ends. A runtime exception aborts only the event, datagram or tick that threw it
+ * and never ends the thread.
  */
 final class GossipLoop implements Runnable {
-    /** Seconds to wait where there was work or a flood; short beside the interval of gossip rounds. */
+    /** Seconds to wait after work or during a flood of datagrams; short compared to the interval of gossip rounds. */
     private static final double SHORT_WAIT = 0.02;
-    /** Seconds in which the leave announcement is sent repeatedly, as datagrams get lost; part of the shutdown time. */
+    /**
+     * Seconds for which the leave announcement is sent repeatedly, since datagrams may be lost; part of the shutdown
+     * time.
+     */
     private static final double LEAVE_DURATION = 0.1;
 
     private final DatagramEndpoint endpoint;
@@ -30,7 +34,7 @@
     private double nextLogAt;
     private long failures;
 
-    /** {@code logInterval}: seconds between two summaries in the log, of which the first comes after one interval. */
+    /** {@code logInterval}: seconds between two summaries in the log, and before the first one. */
     GossipLoop(
             DatagramEndpoint endpoint,
             EventQueue eventQueue,
@@ -51,7 +55,7 @@
         nextLogAt = now + logInterval;
         Member self = membership.self().member();
         var leaveAnnouncer = new LeaveAnnouncer(stopRequest, membership, bridge);
-        // The state comes last, so that what the bridge publishes is sent in the same tick.
+        // The state is ticked last, so that values that the bridge publishes are sent in the same tick.
         dispatcher = new MessageDispatcher(self, List.of(membership, leaveAnnouncer, bridge, state), endpoint::send);
     }
 
@@ -103,7 +107,7 @@
         }
     }
 
-    /** Returns when the next tick is due, in seconds since 1970; soon after one that failed. */
+    /** Ticks the protocols; returns when the next tick is due, in seconds since 1970, soon if this one failed. */
     private double tick(double now) {
         var next = new double[] {now + SHORT_WAIT};
         runGuarded(() -> next[0] = dispatcher.tick(now));
