--- a/daemon/src/main/java/clayhook/peers/EndpointListSharing.java
+++ b/daemon/src/main/java/clayhook/peers/EndpointListSharing.java
@@ -15,27 +15,30 @@
 import java.util.stream.Collectors;
 
 /**
- * Publishes this router's endpoint lists, and delivers changes that peers heard from discovery to the event loop.
- * Confined to the gossip thread.
+ * Publishes the endpoint lists that this router receives from discovery, and delivers changes that peers received to
+ * the event loop. Confined to the gossip thread.
  */
 final class EndpointListSharing {
-    /** Characters. A longer id would be truncated in the key, so that peers could not tell which node is meant. */
+    /**
+     * The length in characters of the longest node id that is published. A longer id would be truncated in the key, so
+     * that peers could not identify the node.
+     */
     private static final int MAX_ID_LENGTH = 100;
 
     private final EndpointListMerge listMerge;
-    /** By node id; each value is a list of that one endpoint. */
+    /** Changes for the event loop by node id; each value is a list of that one endpoint. */
     private final ConflatingQueue<String, EndpointList> toEventLoop;
 
     private long rejectedValues;
 
-    /** {@code source} names this router's discovery service as host and port. */
+    /** {@code source}: host and port of this router's discovery service. */
     EndpointListSharing(
             String source, ReplicatedStore store, Executor eventLoop, Consumer<Collection<EndpointList>> listener) {
         toEventLoop = new ConflatingQueue<>(eventLoop, changes -> listener.accept(changes.values()));
         listMerge = new EndpointListMerge(source, store);
     }
 
-    /** Publishes a list that the discovery service {@code source} has sent. */
+    /** Publishes a list that the discovery service at {@code source} has sent, and delivers the resulting changes. */
     void onEndpointList(String source, EndpointList list, double now) {
         var updates = new ArrayList<EndpointListMerge.EndpointUpdate>();
         boolean allValid = true;
@@ -47,12 +50,12 @@
                 rejectedValues++;
             }
         }
-        // A node that is absent from a complete list counts as gone, so a list that lacks a rejected endpoint must not
+        // A node that is absent from a complete list is considered gone, so a list without a rejected endpoint must not
         // be published as complete.
         listMerge.onDiscoveryUpdate(source, list.version(), list.complete() && allValid, updates, now);
         Set<String> listed =
                 updates.stream().map(EndpointListMerge.EndpointUpdate::id).collect(Collectors.toSet());
-        // The event loop has got everything in this list from discovery itself.
+        // The event loop has already received everything in this list from discovery, so it is not delivered again.
         listMerge.takeChanges().stream()
                 .filter(change -> change.endpoint().revision() != list.version()
                         || !(list.complete() || listed.contains(change.id())))
@@ -78,12 +81,12 @@
                         now));
     }
 
-    /** The router reads from another discovery service from now on. */
+    /** Handles a change of this router's discovery service to the one at {@code source}. */
     void onDiscoveryMoved(String source) {
         listMerge.onSourceChanged(source);
     }
 
-    /** Publishes again what is about to expire. */
+    /** Republishes entries that are about to expire. */
     void renew(double now) {
         listMerge.renew(now);
     }
@@ -110,12 +113,12 @@
         toEventLoop.put(change.id(), new EndpointList(endpoint.revision(), false, List.of(discovered)));
     }
 
-    /** Revisions that peers have heard and this router's own watch has not. */
+    /** The number of revisions that peers have received from discovery and this router's own watch has not. */
     long revisionsBehind() {
         return listMerge.revisionsBehind();
     }
 
-    /** Endpoints, own and of peers, that could not be passed on since the start. */
+    /** The number of endpoints, own and from peers, that were invalid and have been dropped since the start. */
     long rejectedValues() {
         return rejectedValues;
     }
--- a/daemon/src/main/java/clayhook/peers/SessionWriteSharing.java
+++ b/daemon/src/main/java/clayhook/peers/SessionWriteSharing.java
@@ -7,32 +7,37 @@
 import java.util.Map;
 
 /**
- * Publishes the last write of each session, and answers which position a read of a session must cover. Confined to the
- * gossip thread, except {@link #requiredPosition}.
+ * Publishes the last write of each session, and computes the position that a read of a session must cover. Confined to
+ * the gossip thread, except {@link #requiredPosition}.
  */
 final class SessionWriteSharing {
     /**
-     * Seconds between two publications and two snapshots, short beside the time in which a session comes to another
-     * router. Without this batching, sessions that write all the time would publish faster than gossip can carry.
+     * Seconds between two publications and two snapshots; short compared to the time after which a session may move to
+     * another router. Without this batching, sessions that write continuously would exceed the capacity of gossip.
      */
     private static final double PUBLISH_INTERVAL = 0.05;
 
     private final ReplicatedStore store;
     private final SessionConsistency consistency;
-    /** Own writes not yet published, by session key; emptied with each publication. */
+    /** Own writes not yet published, by session key; cleared with each publication. */
     private final Map<String, SessionWrite> pendingWrites = new LinkedHashMap<>();
 
     private double nextPublishAt;
 
     /**
-     * {@code roamDelay}: seconds; a session reaches another router no sooner than that after its write was answered.
+     * {@code roamDelay}: the minimum time in seconds between the answer to a session's write and the session's first
+     * request at another router.
      */
     SessionWriteSharing(ReplicatedStore store, double roamDelay) {
         this.store = store;
         consistency = new SessionConsistency(store, roamDelay);
     }
 
-    /** Throws IllegalArgumentException for a position or replica set that cannot be published. */
+    /**
+     * Records a write for the next publication.
+     *
+     * @throws IllegalArgumentException if the position or the replica set cannot be published
+     */
     void record(LocalEvent.SessionWriteCommitted event) {
         pendingWrites.merge(
                 SessionWrite.key(event.session()),
@@ -40,7 +45,7 @@
                 SessionWrite.TYPE::merge);
     }
 
-    /** Publishes if it is due; returns when to call it next, in seconds since 1970. */
+    /** Publishes pending writes if due; returns when to call this method next, in seconds since 1970. */
     double tick(double now) {
         if (now >= nextPublishAt) {
             nextPublishAt = now + PUBLISH_INTERVAL;
@@ -55,7 +60,7 @@
         nextPublishAt = Double.NEGATIVE_INFINITY;
     }
 
-    /** The position that a read of that session must cover, in seconds since 1970; 0 for none. For any thread. */
+    /** The position that a read of the session must cover, in seconds since 1970; 0 for none. For any thread. */
     double requiredPosition(String session, double now) {
         return session == null ? 0 : Math.max(0, consistency.requiredPosition(SessionWrite.key(session), now));
     }
--- a/daemon/src/main/java/clayhook/peers/StateBridge.java
+++ b/daemon/src/main/java/clayhook/peers/StateBridge.java
@@ -18,22 +18,22 @@
 import java.util.concurrent.Executor;
 
 /**
- * Connects the event loop with the replicated store: distributes local events to the part that publishes each of them,
- * and ticks these parts, which deliver what peers have published. Confined to the gossip thread, except
- * {@link #requiredPosition} and {@link #remainingQuota}.
+ * Connects the event loop with the replicated store: passes each local event to the component that publishes it, and
+ * ticks these components, which deliver values published by peers to the event loop. Confined to the gossip thread,
+ * except {@link #requiredPosition} and {@link #remainingQuota}.
  */
 public final class StateBridge implements ProtocolHandler {
-    /** Seconds between two computations of quotas, and two renewals of published endpoint lists. */
+    /** Seconds between two computations of quotas, and between two renewals of published endpoint lists. */
     private static final double SLOW_INTERVAL = 0.25;
 
-    /** The replicated types that the operator has enabled; {@code writeOutcomes} is null where these are disabled. */
+    /** The replicated types that the operator has enabled; {@code writeOutcomes} is null if it is disabled. */
     public record EnabledTypes(
             boolean observations,
             boolean endpointLists,
             boolean sessionWrites,
             ReplicatedType<WriteOutcome> writeOutcomes,
             boolean quotas) {
-        /** Those that are enabled, in the order of their numbers on the wire. */
+        /** The enabled types, in the order of their numbers on the wire. */
         public List<ReplicatedType<?>> types() {
             var types = new ArrayList<ReplicatedType<?>>();
             if (observations) {
@@ -57,7 +57,7 @@
 
     private final ReplicatedStore store;
     private final EnabledTypes enabledTypes;
-    // Each of these is null where its type is disabled.
+    // Each of the following components is null if its type is disabled.
     private final ObservationSharing observations;
     private final EndpointListSharing endpointLists;
     private final SessionWriteSharing sessionWrites;
@@ -67,12 +67,13 @@
     private long rejectedEvents;
 
     /**
-     * Registers with the store; call it before the store receives anything.
+     * Creates the components and registers them with the store. Must be called before the store receives any messages.
      *
-     * @param roamDelay seconds; a session reaches another router no sooner than that after its write was answered
-     * @param configuredRouters routers that the operator's file counts, at least 1
+     * @param roamDelay the minimum time in seconds between the answer to a session's write and the session's first
+     *     request at another router
+     * @param configuredRouters the configured number of routers in the fleet, at least 1
      * @param discoveryName host and port of this router's discovery service
-     * @param eventLoop runs {@code listener}
+     * @param eventLoop the executor that calls {@code listener}
      */
     public StateBridge(
             EnabledTypes enabledTypes,
@@ -99,7 +100,7 @@
         quotas = enabledTypes.quotas() ? new QuotaSharing(store, membership, configuredRouters) : null;
     }
 
-    /** Applies an event of the event loop; one that holds a value which cannot be published is counted and dropped. */
+    /** Applies an event of the event loop. An event with a value that cannot be published is dropped and counted. */
     public void accept(LocalEvent event, double now) {
         try {
             apply(event, now);
@@ -131,7 +132,7 @@
         }
     }
 
-    /** Learns which nodes exist without publishing the list, as for one that was only read from this router's disk. */
+    /** Updates the known nodes without publishing the list, such as one read from this router's configuration file. */
     public void updateKnownNodes(EndpointList list) {
         if (observations != null) {
             observations.updateKnownNodes(list);
@@ -163,24 +164,24 @@
         }
     }
 
-    /** Publishes pending session writes on the next tick, however short the time since the last publication. */
+    /** Requests the publication of pending session writes on the next tick, regardless of the last publication. */
     void publishOnNextTick() {
         if (sessionWrites != null) {
             sessionWrites.publishOnNextTick();
         }
     }
 
-    /** The position that a read of that session must cover, in seconds since 1970; 0 for none. For any thread. */
+    /** The position that a read of the session must cover, in seconds since 1970; 0 for none. For any thread. */
     public double requiredPosition(String session, double now) {
         return sessionWrites == null ? 0 : sessionWrites.requiredPosition(session, now);
     }
 
-    /** Units of the quota that remain for this router; infinite where quotas are not shared. For any thread. */
+    /** The units of a quota that remain for this router; infinite if quotas are not shared. For any thread. */
     double remainingQuota(PeerSharing.SharedQuota quota) {
         return quotas == null ? Double.POSITIVE_INFINITY : quotas.remaining(quota);
     }
 
-    /** For the log: digest and size of each replicated type, completeness of the store, and counts of each part. */
+    /** A summary for the log: digest and size of each replicated type, completeness of the store, and counters. */
     String summary(double now) {
         var text = new StringBuilder("digests");
         for (ReplicatedType<?> type : enabledTypes.types()) {
