--- a/daemon/src/main/java/clayhook/peers/InDoubtWrites.java
+++ b/daemon/src/main/java/clayhook/peers/InDoubtWrites.java
@@ -9,21 +9,25 @@
 import java.util.Set;
 
 /**
- * Selects which write outcomes are published: every write in doubt, and an executed write only if some router holds it
- * in doubt. Publishing each executed write would make traffic grow with the write rate. Confined to the gossip thread.
+ * Selects the write outcomes to publish: every in-doubt write, and an executed write only if some router has published
+ * it as in doubt. Publishing every executed write would make traffic grow with the write rate. Confined to the gossip
+ * thread.
  */
 final class InDoubtWrites {
     /**
-     * Executed writes remembered. A client without an answer retries at another router within seconds, sooner than
-     * that.
+     * The number of executed writes that are kept. A client without an answer retries at another router within seconds,
+     * before the router has executed that many further writes.
      */
     static final int MAX_EXECUTED = 20_000;
 
     private final ReplicatedStore store;
     private final ReplicatedType<WriteOutcome> type;
-    /** By key, oldest first. At the bound the oldest are forgotten; a doubt published later than that remains. */
+    /**
+     * Executed writes by key, oldest first. Above the bound the oldest is removed; if it is published as in doubt
+     * later, it stays in doubt.
+     */
     private final Map<String, WriteOutcome> executedWrites = new LinkedHashMap<>();
-    /** Keys in doubt at some router that were executed here; emptied by {@link #publishResolved}. */
+    /** Keys of executed writes that some router has published as in doubt; cleared by {@link #publishResolved}. */
     private final Set<String> resolvableKeys = new LinkedHashSet<>();
 
     InDoubtWrites(ReplicatedStore store, ReplicatedType<WriteOutcome> type) {
@@ -36,7 +40,7 @@
         });
     }
 
-    /** Publishes an outcome in doubt at once, and remembers an executed write. */
+    /** Publishes an in-doubt write at once, and stores an executed write. */
     void recordOutcome(String key, WriteOutcome outcome, double now) {
         if (outcome.ran() == null) {
             store.merge(type, key, outcome, now);
@@ -51,7 +55,7 @@
         }
     }
 
-    /** Publishes the executed writes that some router holds in doubt. */
+    /** Publishes the executed writes that some router has published as in doubt. */
     void publishResolved(double now) {
         for (String key : Set.copyOf(resolvableKeys)) {
             WriteOutcome outcome = executedWrites.get(key);
--- a/daemon/src/main/java/clayhook/peers/WriteOutcomeSharing.java
+++ b/daemon/src/main/java/clayhook/peers/WriteOutcomeSharing.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 
 /**
- * Publishes the outcomes of in-doubt writes, and logs where routers contradict each other. Confined to the gossip
+ * Publishes the outcomes of in-doubt writes, and logs conflicting outcomes of two routers. Confined to the gossip
  * thread.
  */
 final class WriteOutcomeSharing {
@@ -23,7 +23,11 @@
         writeOutcomes = new WriteOutcomes(store, type);
     }
 
-    /** Throws IllegalArgumentException for a time or replica set that cannot be published. */
+    /**
+     * Records the outcome of a write.
+     *
+     * @throws IllegalArgumentException if a time or the replica set cannot be published
+     */
     void record(LocalEvent.WriteFinished event, double now) {
         inDoubtWrites.recordOutcome(WriteOutcome.key(event.writeKey()), toOutcome(event), now);
     }
@@ -50,7 +54,7 @@
                         + conflict.outcome().notRun().source().router());
     }
 
-    /** How many known outcomes have each status. */
+    /** The number of known outcomes by status. */
     Map<WriteOutcome.OutcomeStatus, Integer> counts() {
         return writeOutcomes.counts();
     }
