--- a/daemon/src/main/java/clayhook/peers/GossipSettings.java
+++ b/daemon/src/main/java/clayhook/peers/GossipSettings.java
@@ -5,10 +5,10 @@
 import clayhook.fleet.state.StateSettings;
 
 /**
- * Derives the settings of the gossip protocols from the operator's: defaults, with what the operator may set in place.
+ * Derives the settings of the gossip protocols: the defaults, overridden by the values that the operator's file sets.
  */
 final class GossipSettings {
-    /** Seconds by which a measured clock skew may be wrong, so that an allowed skew may seem larger by as much. */
+    /** The error of a measured clock skew in seconds; the tolerance is larger by it to accept every allowed skew. */
     private static final double CLOCK_MEASUREMENT_ERROR = 0.5;
 
     private GossipSettings() {}
--- a/daemon/src/main/java/clayhook/peers/LeaveAnnouncer.java
+++ b/daemon/src/main/java/clayhook/peers/LeaveAnnouncer.java
@@ -4,7 +4,7 @@
 import clayhook.fleet.ProtocolHandler;
 import clayhook.fleet.members.Membership;
 
-/** Announces to the peers that this router leaves, once it has been asked to. Confined to the gossip thread. */
+/** Announces to the peers that this router leaves, once that is requested. Confined to the gossip thread. */
 final class LeaveAnnouncer implements ProtocolHandler {
     private final StopRequest stopRequest;
     private final Membership membership;
--- a/daemon/src/main/java/clayhook/peers/MembershipLogger.java
+++ b/daemon/src/main/java/clayhook/peers/MembershipLogger.java
@@ -4,7 +4,7 @@
 import clayhook.fleet.members.MembershipListener;
 import clayhook.log.Log;
 
-/** Logs changes of the membership; at most one line a second of each kind. */
+/** Logs membership changes, at most one line per second of each kind. */
 final class MembershipLogger implements MembershipListener {
     private static String describe(Peer peer) {
         return "sharing: " + peer.member().name() + " at " + peer.address();
--- a/daemon/src/main/java/clayhook/peers/StopRequest.java
+++ b/daemon/src/main/java/clayhook/peers/StopRequest.java
@@ -1,16 +1,16 @@
 package clayhook.peers;
 
-/** What the gossip thread has been asked to end with. Set by any thread, never taken back. */
+/** Requests to the gossip thread to leave or to close. Set by any thread and never reset. */
 final class StopRequest {
     private volatile boolean closing;
     private volatile boolean leaving;
 
-    /** Asks the thread to announce that this router leaves, and then to end. */
+    /** Requests that the thread announces that this router leaves, and then ends. */
     void leave() {
         leaving = true;
     }
 
-    /** Asks the thread to end at once. */
+    /** Requests that the thread ends at once. */
     void close() {
         closing = true;
     }
