--- a/daemon/src/main/java/clayhook/sharing/PeerSharing.java
+++ b/daemon/src/main/java/clayhook/sharing/PeerSharing.java
@@ -12,62 +12,73 @@
 import java.util.concurrent.Executor;
 
 /**
- * Exchange of state with the other routers of the fleet. All methods but {@link #leave} and {@link #close} are called
- * on the event loop, or before it runs; each returns at once, and a failure behind it does not affect requests.
+ * Exchange of state with the other routers of the fleet. All methods except {@link #leave} and {@link #close} are
+ * called on the event loop, or before it runs. They return at once, and a failure of the exchange does not affect
+ * requests.
  */
 public interface PeerSharing {
-    /** Receives what peers share; called on the event loop. */
+    /** Receives the state that peers share. Called on the event loop. */
     interface PeerListener {
-        /** Peers have observed these nodes, by their ids. */
+        /** Called when peers have published observations of nodes; the keys are node ids. */
         void onPeerUpdate(Map<String, PeerObservation> observations);
 
         /**
-         * Lists that the discovery service this router uses now has sent, perhaps to peers only; or those of another
-         * service for endpoints that it does not list.
+         * Called with endpoint lists that this router's current discovery service has sent, possibly only to peers, or
+         * that another discovery service has sent for endpoints that the current one does not list.
          */
         void onPeerUpdate(Collection<EndpointList> changes);
     }
 
-    /** What all routers together may use a limited amount of: health checks, and attempts beyond a request's first. */
+    /** A fleet-wide quota, of health checks or of attempts beyond a request's first. */
     enum SharedQuota {
         HEALTH_CHECKS,
         FURTHER_ATTEMPTS
     }
 
-    /** Prepares for the calls below. {@code discovery} is where the endpoint list comes from. */
+    /**
+     * Prepares the exchange; must be called before the methods below.
+     *
+     * @param loop the executor that calls the listener
+     * @param discovery the address of the discovery service that sends the endpoint list
+     */
     void attach(Executor loop, InetSocketAddress discovery, PeerListener listener);
 
-    /** Begins to send to peers and to receive from them. */
+    /** Starts to send to and receive from peers. */
     void start();
 
-    /** An attempt or a health check at a node has ended, at {@code now} in seconds since 1970. */
+    /** Records that an attempt or a health check at a node has ended at {@code now}, in seconds since 1970. */
     void recordObservation(Node node, AttemptResult result, double now);
 
-    /** The discovery service at that address has sent a list. */
+    /** Records that the discovery service at the given address has sent an endpoint list. */
     void recordEndpointList(InetSocketAddress discovery, EndpointList list);
 
-    /** The discovery service is at that address from now on. */
+    /** Records that the router has switched to the discovery service at the given address. */
     void discoveryMoved(InetSocketAddress discovery);
 
-    /** The position that a read of the session must cover, in seconds since 1970; 0 for none. */
+    /** Returns the position that a read of the session must cover, in seconds since 1970; 0 for none. */
     double requiredPosition(String session, double now);
 
-    /** A write of the session was committed in a replica set at that position, in seconds since 1970. */
+    /** Records that a write of the session was committed in a replica set at a position, in seconds since 1970. */
     void recordSessionWrite(String session, int replicaSetId, double position);
 
-    /** A write has run at that node; null where it has its final answer and may or may not have run. */
-    void recordWriteOutcome(ClientRequest request, Node ranAt, double now);
+    /**
+     * Records the outcome of a write that has its final answer.
+     *
+     * @param executedAt the node that executed the write; null if it is in doubt whether the write was executed
+     * @param now in seconds since 1970
+     */
+    void recordWriteOutcome(ClientRequest request, Node executedAt, double now);
 
-    /** This router has used so many units of a quota. */
+    /** Records that this router has used units of a quota. */
     void recordQuotaUse(SharedQuota quota, int units);
 
-    /** This router's remaining units as computed last; infinite where the quota is not shared. */
+    /** Returns this router's remaining units as last computed; infinite if the quota is not shared. */
     double remainingQuota(SharedQuota quota);
 
-    /** Applies the seeds of reloaded settings; the others take a restart. */
+    /** Applies the seeds of reloaded settings; the other settings take effect only after a restart. */
     void reload(SharingSettings settings);
 
-    /** Tells peers that this router leaves, and closes; takes at most 0.2 s. For any thread. */
+    /** Announces to peers that this router leaves, and closes; takes at most 0.2 s. For any thread. */
     void leave();
 
     /** Closes at once. For any thread. */
