--- a/daemon/src/main/java/clayhook/json/Json.java
+++ b/daemon/src/main/java/clayhook/json/Json.java
@@ -5,12 +5,14 @@
 import java.util.List;
 import java.util.Map;
 
-/** A parser of JSON: objects become maps, arrays lists, the rest strings, doubles, booleans and null. */
+/**
+ * A JSON parser. Objects become maps, arrays become lists, and other values become strings, doubles, booleans and null.
+ */
 public final class Json {
-    /** Deeper than any message of the platform; bounds the stack. */
+    /** The maximum nesting depth, which bounds the stack; larger than that of any message of the platform. */
     private static final int MAX_DEPTH = 32;
 
-    private static final int HEX = 16;
+    private static final int HEX_RADIX = 16;
 
     private final String text;
     private int position;
@@ -20,23 +22,23 @@
     }
 
     /**
-     * Parses a text that holds one value.
+     * Parses a text that contains a single value.
      *
-     * @throws IllegalArgumentException with the position of a syntax error
+     * @throws IllegalArgumentException if the syntax is invalid; the message states the position
      */
     public static Object parse(String text) {
         var json = new Json(text);
         Object value = json.parseValue(0);
         json.skipWhitespace();
         if (json.position < text.length()) {
-            throw json.syntaxError("something follows the end");
+            throw json.syntaxError("unexpected text after the end of the value");
         }
         return value;
     }
 
     private Object parseValue(int depth) {
         if (depth > MAX_DEPTH) {
-            throw syntaxError("too deep");
+            throw syntaxError("nested too deeply");
         }
         skipWhitespace();
         char c = peek();
@@ -55,7 +57,7 @@
         } else if (consumeLiteral("null")) {
             return null;
         }
-        throw syntaxError("no value");
+        throw syntaxError("a value was expected");
     }
 
     private Map<String, Object> parseObject(int depth) {
@@ -69,7 +71,7 @@
         do {
             skipWhitespace();
             if (peek() != '"') {
-                throw syntaxError("no name");
+                throw syntaxError("a name in quotes was expected");
             }
             String name = parseString();
             skipWhitespace();
@@ -93,7 +95,7 @@
         return array;
     }
 
-    /** Whether another element follows; otherwise the end of the object or array is consumed. */
+    /** Consumes a comma and returns true, or consumes the end of the object or array and returns false. */
     private boolean consumeSeparator(char end) {
         skipWhitespace();
         if (peek() == ',') {
@@ -110,7 +112,7 @@
         while (peek() != '"') {
             char c = text.charAt(position++);
             if (c < ' ') {
-                throw syntaxError("a control character in a string");
+                throw syntaxError("unescaped control character in a string");
             }
             out.append(c == '\\' ? parseEscape() : c);
         }
@@ -129,30 +131,30 @@
             case 'r' -> '\r';
             case 't' -> '\t';
             case 'u' -> parseUnicodeEscape();
-            default -> throw syntaxError("an unknown escape");
+            default -> throw syntaxError("unknown escape sequence");
         };
     }
 
     private char parseUnicodeEscape() {
         int code = 0;
         for (int i = 0; i < 4; i++) {
-            int digit = Character.digit(peek(), HEX);
+            int digit = Character.digit(peek(), HEX_RADIX);
             if (digit < 0) {
-                throw syntaxError("a faulty escape");
+                throw syntaxError("malformed Unicode escape");
             }
-            code = code * HEX + digit;
+            code = code * HEX_RADIX + digit;
             position++;
         }
         return (char) code;
     }
 
     private Double parseNumber() {
-        int from = position;
+        int start = position;
         while (position < text.length() && "+-.eE0123456789".indexOf(text.charAt(position)) >= 0) {
             position++;
         }
         try {
-            return Double.valueOf(text.substring(from, position));
+            return Double.valueOf(text.substring(start, position));
         } catch (NumberFormatException e) {
             throw syntaxError("no number");
         }
@@ -179,12 +181,12 @@
 
     private char peek() {
         if (position >= text.length()) {
-            throw syntaxError("the text ends early");
+            throw syntaxError("unexpected end of the text");
         }
         return text.charAt(position);
     }
 
-    private IllegalArgumentException syntaxError(String why) {
-        return new IllegalArgumentException(why + " at character " + position);
+    private IllegalArgumentException syntaxError(String reason) {
+        return new IllegalArgumentException(reason + " at character " + position);
     }
 }
--- a/daemon/src/main/java/clayhook/json/package-info.java
+++ b/daemon/src/main/java/clayhook/json/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Reads JSON documents into maps, lists, strings, numbers and booleans. It uses the JDK only and is for any thread.
- * Start reading at {@link clayhook.json.Json}.
+ * JSON parser that returns maps, lists, strings, numbers and booleans. The package uses only the JDK, and any thread
+ * may call it. Start reading at {@link clayhook.json.Json}.
  */
 package clayhook.json;
