--- a/daemon/src/main/java/clayhook/log/NettyLogHandler.java
+++ b/daemon/src/main/java/clayhook/log/NettyLogHandler.java
@@ -5,16 +5,17 @@
 import java.util.logging.Logger;
 
 /**
- * Adds Netty's lines to our own, each logger rate limited. The runtime's handler opens a file for the time zone at its
- * first line: with no descriptor left that fails and would end an event loop that reports just that. Thread-safe.
+ * Writes Netty's log lines through {@link Log}, rate-limited per logger. The JDK's default handler opens a time zone
+ * file when it writes its first line. If no file descriptor is left, that fails and ends the event loop that is
+ * reporting the lack of descriptors. Thread-safe.
  */
 public final class NettyLogHandler extends Handler {
-    /** Referenced here, as the runtime only keeps weak references to loggers. */
+    /** A strong reference, because the JDK keeps only weak references to loggers. */
     private static final Logger NETTY = Logger.getLogger("io.netty");
 
     private NettyLogHandler() {}
 
-    /** Replaces the runtime's handlers for Netty's lines. To be called before the first event loop. */
+    /** Replaces the JDK's handlers for Netty's log lines. Must be called before the first event loop starts. */
     public static void install() {
         NETTY.setUseParentHandlers(false);
         NETTY.addHandler(new NettyLogHandler());
--- a/daemon/src/main/java/clayhook/log/StandardErrorLoggerFinder.java
+++ b/daemon/src/main/java/clayhook/log/StandardErrorLoggerFinder.java
@@ -5,9 +5,9 @@
 import java.util.ResourceBundle;
 
 /**
- * Makes the loggers of the process, which write one line an entry to standard error. The runtime's own logger takes a
- * tenth of a second for its first line, during which no client is served. Thread-safe. The runtime finds this class by
- * its name in {@code META-INF/services}.
+ * Provides the loggers of the process, which write one line per entry to standard error. The JDK's default logger takes
+ * 0.1 s for its first line, during which no client is served. The JDK finds this class by its name in
+ * {@code META-INF/services}. Thread-safe.
  */
 public final class StandardErrorLoggerFinder extends System.LoggerFinder {
     @Override
--- a/daemon/src/main/java/clayhook/log/package-info.java
+++ b/daemon/src/main/java/clayhook/log/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Log lines and their rate limit, on top of {@code System.Logger}.
+ * Rate-limited logging on top of {@code System.Logger}.
  *
- * <p>{@link clayhook.log.Log} is what the other packages call. {@link clayhook.log.StandardErrorLoggerFinder} writes
- * the lines unless another provider takes its place, and {@link clayhook.log.NettyLogHandler} adds the lines of Netty.
- * The package uses nothing of the project and may be used by every other package.
+ * <p>The other packages call {@link clayhook.log.Log}. {@link clayhook.log.StandardErrorLoggerFinder} writes the lines
+ * unless another provider replaces it, and {@link clayhook.log.NettyLogHandler} adds the log lines of Netty. The
+ * package depends on no other package of the project, and every package may use it.
  */
 package clayhook.log;
