--- a/daemon/src/main/java/clayhook/metrics/EventCounters.java
+++ b/daemon/src/main/java/clayhook/metrics/EventCounters.java
@@ -4,18 +4,18 @@
 import java.util.TreeMap;
 
 /**
- * Counts of events by name since the last {@link #takeSummary}. Names come from the code and the configuration, never
- * from clients, which bounds their number. Event loop only.
+ * Counts events by name since the last {@link #takeSummary}. Names come from the code and the configuration and never
+ * from clients, so their number is bounded. For use on the event loop only.
  */
 public final class EventCounters {
     private final Map<String, Integer> counts = new TreeMap<>();
 
-    /** Counts one event of that name. */
+    /** Adds 1 to the count of the event with the given name. */
     public void increment(String name) {
         counts.merge(name, 1, Integer::sum);
     }
 
-    /** Returns the names with their counts, sorted by name, and resets them. */
+    /** Returns the counts by event name, sorted by name, and clears them. */
     public String takeSummary() {
         String summary = counts.toString();
         counts.clear();
