--- a/daemon/src/main/java/clayhook/peers/NodeObservations.java
+++ b/daemon/src/main/java/clayhook/peers/NodeObservations.java
@@ -31,7 +31,7 @@
      * of ten are not all lost.
      */
     private static final int URGENT_PUBLISHERS = 10;
-    /** The shortest timeout in seconds that counts as a failure of the node; a shorter one is due to the client. */
+    /** The shortest timeout in seconds that counts as a failure of the node; a shorter one reflects the client more. */
     private static final double MIN_SIGNIFICANT_TIMEOUT = 0.2;
     /** The number of routers whose failures at a node are published; those of further routers add no information. */
     private static final int MAX_FAILURE_SOURCES = 3;
--- a/daemon/src/main/java/clayhook/sharing/PeerSharing.java
+++ b/daemon/src/main/java/clayhook/sharing/PeerSharing.java
@@ -36,7 +36,7 @@
     }
 
     /**
-     * Prepares the exchange; must be called before the methods below.
+     * Prepares the exchange; called before {@link #start}.
      *
      * @param loop the executor that calls the listener
      * @param discovery the address of the discovery service that sends the endpoint list
