--- a/daemon/src/test/java/clayhook/config/OperatorConfigurationReaderTest.java
+++ b/daemon/src/test/java/clayhook/config/OperatorConfigurationReaderTest.java
@@ -29,8 +29,8 @@
     @TempDir
     Path folder;
 
-    private static RequestClass requestClass(String name, Idempotency effect, ConsistencyLevel level) {
-        return new RequestClass(name, effect, level, 1, 1, 1, 0, DeduplicationScope.REPLICA_SET, 1, 0);
+    private static RequestClass requestClass(String name, Idempotency idempotency, ConsistencyLevel consistency) {
+        return new RequestClass(name, idempotency, consistency, 1, 1, 1, 0, DeduplicationScope.REPLICA_SET, 1, 0);
     }
 
     private OperatorConfiguration read(String text) throws Exception {
@@ -40,16 +40,16 @@
     }
 
     @Test
-    void theExampleFileHoldsEveryKeyWithItsDefault() throws Exception {
+    void exampleFileContainsEveryKeyWithItsDefault() throws Exception {
         Path example = Path.of("..", "deploy", "clayhook.toml");
         assertEquals(OperatorConfiguration.DEFAULTS, OperatorConfigurationReader.read(example, REQUEST_CLASSES));
-        OperatorConfiguration on = read(Files.readString(example).replace("enabled = false", "enabled = true"));
-        assertEquals(StatementRules.DEFAULT, on.statements().rules());
+        OperatorConfiguration enabled = read(Files.readString(example).replace("enabled = false", "enabled = true"));
+        assertEquals(StatementRules.DEFAULT, enabled.statements().rules());
         assertEquals(
                 SharingSettings.DEFAULT_LISTEN,
-                on.sharing().listen().getHostString() + ":"
-                        + on.sharing().listen().getPort());
-        // The rule of the example is valid once uncommented, so that the example holds every key.
+                enabled.sharing().listen().getHostString() + ":"
+                        + enabled.sharing().listen().getPort());
+        // The commented-out rule in the example file is valid once uncommented, and shows the keys of a rule.
         String rule = Files.readString(example)
                 .replaceAll("(?m)^# (\\[\\[|[a-z_]+ = )", "$1")
                 .replace("mark = \"id\"", "")
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void disabledTablesAreValidatedButNeedNoRequestClasses() throws Exception {
+    void disabledStatementsAreReadWithoutCheckingRequestClasses() throws Exception {
         assertNull(read("[statements]\\nread_group = \"elsewhere\"").statements());
         assertNotNull(read(RULE + "mark = \"id\"\\ngroup = \"keyed\"")
                 .statements()
@@ -106,12 +106,15 @@
                 RULE + "group = \"write\"\\nnodes = [-1]|:6: statements.rule.nodes: is no list of whole numbers",
                 RULE + "group = \"write\"\\ncost_from = 2\\ncost_to = 1|:7: statements.rule.cost_to: 1 is not from 2"
             })
-    void anErrorNamesFileLineAndKey(String text, String fault) {
+    void errorNamesFileLineAndKey(String text, String messageAfterFile) {
         ConfigurationException error = assertThrows(ConfigurationException.class, () -> read(text));
         assertEquals(
-                folder.resolve("c.toml") + fault,
+                folder.resolve("c.toml") + messageAfterFile,
                 error.getMessage()
                         .substring(
-                                0, Math.min(error.getMessage().length(), (folder.resolve("c.toml") + fault).length())));
+                                0,
+                                Math.min(
+                                        error.getMessage().length(),
+                                        (folder.resolve("c.toml") + messageAfterFile).length())));
     }
 }
--- a/daemon/src/test/java/clayhook/config/RouterConfigurationTest.java
+++ b/daemon/src/test/java/clayhook/config/RouterConfigurationTest.java
@@ -35,7 +35,7 @@
 
     @Test
     void settingsAreReadWithTheirDocumentedKeysAndUnits() throws ConfigurationException {
-        RouterConfiguration read = read(TEXT);
+        RouterConfiguration configuration = read(TEXT);
         assertEquals(
                 List.of(
                         new RequestClass(
@@ -60,35 +60,35 @@
                                 DeduplicationScope.REPLICA_SET,
                                 5,
                                 0)),
-                read.settings().requestClasses());
-        assertEquals(0x8c1f30d27a5be964L, read.seed());
+                configuration.settings().requestClasses());
+        assertEquals(0x8c1f30d27a5be964L, configuration.seed());
         assertEquals(
                 List.of(8500, 1024, 0.25, 18.0, true),
                 List.of(
-                        read.discovery().getPort(),
-                        read.maxDescriptors(),
-                        read.connectTimeout(),
-                        read.settings().slowStartSeconds(),
-                        read.settings().replicasRejectStaleReads()));
+                        configuration.discovery().getPort(),
+                        configuration.maxDescriptors(),
+                        configuration.connectTimeout(),
+                        configuration.settings().slowStartSeconds(),
+                        configuration.settings().replicasRejectStaleReads()));
     }
 
     @Test
     void twoThousandNodesAndRoutersAreAccepted() throws ConfigurationException {
         String node =
                 ",{\"uid\":\"s\",\"endpoint\":\"127.1.0.1:6543\",\"az\":\"a\",\"pod_group\":1,\"state\":\"up\",\"boot_ms\":0}";
-        RouterConfiguration read = read(TEXT.replace(
+        RouterConfiguration configuration = read(TEXT.replace(
                         "\"targets\":[]", "\"targets\":[" + node.repeat(2000).substring(1) + "]")
                 .replace("\"balancers\":3", "\"balancers\":2000"));
         assertEquals(
                 List.of(2000, 2000),
                 List.of(
-                        read.knownEndpoints().endpoints().size(),
-                        read.settings().routerCount()));
+                        configuration.knownEndpoints().endpoints().size(),
+                        configuration.settings().routerCount()));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"subscribe", "automatic"})
-    void theEndpointListIsAlwaysPolledOnSockets(String discovery) throws ConfigurationException {
+    void endpointListIsAlwaysPolledOnSockets(String discovery) throws ConfigurationException {
         assertEquals(true, read(TEXT.replace("subscribe", discovery)).settings().endpointListMustBePolled());
     }
 
@@ -109,10 +109,11 @@
                 "\"grades\" | \"gradez\" | settings.grades",
                 "\"settings\" | \"setting\" | settings"
             })
-    void theMessageNamesTheInvalidKey(String part, String by, String key) {
-        assertTrue(TEXT.contains(part));
-        ConfigurationException bad = assertThrows(ConfigurationException.class, () -> read(TEXT.replace(part, by)));
-        assertTrue(bad.getMessage().startsWith(key + ":"), bad.getMessage());
+    void errorNamesTheInvalidKey(String original, String replacement, String key) {
+        assertTrue(TEXT.contains(original));
+        ConfigurationException error =
+                assertThrows(ConfigurationException.class, () -> read(TEXT.replace(original, replacement)));
+        assertTrue(error.getMessage().startsWith(key + ":"), error.getMessage());
     }
 
     @ParameterizedTest
@@ -127,24 +128,26 @@
                 "\"rev\":41 | \"rev\":42 | ''",
                 "8c1f30d27a5be964 | 1 | ''"
             })
-    void changesThatNeedARestartAreNamed(String part, String by, String keys) throws ConfigurationException {
-        assertTrue(TEXT.contains(part));
-        assertEquals(keys, read(TEXT).restartOnlyDifferences(read(TEXT.replace(part, by))));
+    void changesThatRequireARestartAreNamed(String original, String replacement, String keys)
+            throws ConfigurationException {
+        assertTrue(TEXT.contains(original));
+        assertEquals(keys, read(TEXT).restartOnlyDifferences(read(TEXT.replace(original, replacement))));
     }
 
     @ParameterizedTest
     @CsvSource({"41, true", "0, false"})
-    void aKnownEndpointListVersionMarksARestart(String version, boolean awaited) throws ConfigurationException {
+    void nonzeroVersionOfKnownEndpointsIndicatesARestart(String version, boolean restart)
+            throws ConfigurationException {
         assertEquals(
-                awaited, read(TEXT.replace("\"rev\":41", "\"rev\":" + version)).hasServedBefore());
+                restart, read(TEXT.replace("\"rev\":41", "\"rev\":" + version)).hasServedBefore());
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "/nowhere/config.json"})
-    void aMissingFileIsReported(String file) {
-        ConfigurationException bad = assertThrows(
+    void missingFileIsReported(String file) {
+        ConfigurationException error = assertThrows(
                 ConfigurationException.class, () -> RouterConfiguration.fromEnvironment(Map.of("LB_CONFIG", file)));
-        assertTrue(bad.getMessage().startsWith("LB_CONFIG:"), bad.getMessage());
+        assertTrue(error.getMessage().startsWith("LB_CONFIG:"), error.getMessage());
     }
 
     @Test
@@ -177,7 +180,7 @@
     }
 
     @Test
-    void aLoadReportMayUseEitherFieldName() {
+    void loadReportIsParsedWithAnyNameOfTheLoadField() {
         assertEquals(new LoadReport(Role.PRIMARY, 12.5, 7), LoadReport.parse("x0=2.5,x1=1,rif=7,busy=0.5", '=', 10));
         assertEquals(new LoadReport(Role.REPLICA, 2.5, 9), LoadReport.parse("x0:2.5,x1:0,inflight:9", ':', 0));
         assertThrows(IllegalArgumentException.class, () -> LoadReport.parse("x0=NaN", '=', 0));
