--- a/daemon/src/test/java/clayhook/log/StandardErrorLoggerFinderTest.java
+++ b/daemon/src/test/java/clayhook/log/StandardErrorLoggerFinderTest.java
@@ -5,9 +5,9 @@
 import org.junit.jupiter.api.Test;
 
 class StandardErrorLoggerFinderTest {
-    /** The runtime passes over a provider that it cannot load, and logs in its own, slower way. */
+    /** The JDK ignores a provider that it cannot load and falls back to its own, slower logger. */
     @Test
-    void isTheProviderThatTheRuntimeFinds() {
+    void isFoundAsTheLoggerProvider() {
         assertInstanceOf(StandardErrorLoggerFinder.class, System.LoggerFinder.getLoggerFinder());
     }
 }
--- a/daemon/src/test/java/clayhook/metrics/EventCountersTest.java
+++ b/daemon/src/test/java/clayhook/metrics/EventCountersTest.java
@@ -6,7 +6,7 @@
 
 class EventCountersTest {
     @Test
-    void aSummaryIsSortedByNameAndResetsTheCounts() {
+    void summaryIsSortedByNameAndResetsTheCounts() {
         var counters = new EventCounters();
         counters.increment("SEND read");
         counters.increment("ANSWERED");
