--- a/daemon/src/test/java/clayhook/warmup/WarmUpTest.java
+++ b/daemon/src/test/java/clayhook/warmup/WarmUpTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class WarmUpTest {
-    /** Far more than a warm-up that ends in time takes. */
+    /** The upper bound of a warm-up's duration, far longer than its time limit. */
     private static final double TIMEOUT_SECONDS = 10;
 
     private static final RoutingSettings SETTINGS = settings(new RequestClass(
@@ -41,23 +41,25 @@
                 1, "a", List.of(requestClass), true, true, true, true, true, true, true, true, 1, 3, 1, 0, 1, 0, 1, 15);
     }
 
-    /** Where sockets carry nothing, waiting for each answer would take minutes before serving. */
+    /** If sockets deliver no data, waiting for each answer would delay the start of serving by minutes. */
     @ParameterizedTest
     @CsvSource({"false, true", "true, true", "false, false"})
-    void warmUpEndsInTimeAndReportsWhetherItsSocketsWork(boolean inProcess, boolean carried) throws Exception {
+    void warmUpEndsInTimeAndReportsWhetherItsSocketsWork(boolean inProcess, boolean connected) throws Exception {
         Transport transport = inProcess ? Transport.inProcess() : Transport.unixSockets();
-        Transport clientTransport = carried ? transport : Transport.unixSockets();
+        Transport clientTransport = connected ? transport : Transport.unixSockets();
         long startedAt = System.nanoTime();
-        assertEquals(carried, WarmUp.run(SETTINGS, transport, clientTransport, false));
-        assertTrue((System.nanoTime() - startedAt) / 1e9 < TIMEOUT_SECONDS, "it waited for answers that cannot come");
-        if (!carried) {
+        assertEquals(connected, WarmUp.run(SETTINGS, transport, clientTransport, false));
+        assertTrue(
+                (System.nanoTime() - startedAt) / 1e9 < TIMEOUT_SECONDS,
+                "the warm-up waited for answers that cannot arrive");
+        if (!connected) {
             clientTransport.close();
         }
     }
 
-    /** The loop runs no task from the start on, so that the router never listens. */
+    /** A task blocks the event loop before the warm-up starts, so that the router of the warm-up never listens. */
     @Test
-    void blockedEventLoopDoesNotDelayTheStart() throws Exception {
+    void warmUpEndsInTimeWhenItsEventLoopIsBlocked() throws Exception {
         Transport transport = Transport.inProcess();
         var release = new CountDownLatch(1);
         transport.eventLoop().execute(() -> {
@@ -77,7 +79,7 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void warmUpIsSkippedWhenItsSocketsCannotBeCreated(boolean inProcess) throws Exception {
+    void warmUpFailsWhenItsAddressIsInUse(boolean inProcess) throws Exception {
         Transport transport = inProcess ? Transport.inProcess() : Transport.unixSockets();
         transport.listen(transport.ephemeralAddress(5), () -> new ChannelHandler[0]);
         assertFalse(run(transport));
@@ -91,25 +93,25 @@
         }
     }
 
-    /** Open sockets would count against the descriptors of the process, which serves by then. */
+    /** Open sockets of the warm-up would use up file descriptors that the router needs to serve clients. */
     @Test
-    void everySocketIsClosedAfterWarmUp() throws Exception {
+    void transportIsClosedAfterWarmUp() throws Exception {
         Transport transport = Transport.unixSockets();
         WarmUp.run(SETTINGS, transport, true);
         assertTrue(transport.eventLoop().isTerminated());
     }
 
     /**
-     * Over these an answer may come before the write of its request is reported; it answers a request that was fully
-     * written.
+     * Over in-process channels an answer may arrive before the completion of its request's write is reported. Such a
+     * request must count as fully written, so that its answer is accepted.
      */
     @Test
-    void everyAnswerCountsOverInProcessChannels() throws Exception {
+    void answersBeforeWriteCompletionAreAcceptedOverInProcessChannels() throws Exception {
         Transport transport = Transport.inProcess();
         var node = new StubNode(
                 transport, transport.ephemeralAddress(1), "primary", any -> StubNode.StubResponse.answer("p"));
         var discovery = new StubDiscovery(transport, transport.ephemeralAddress(2), call -> null);
-        var posts = new RequestClass(
+        var requestClass = new RequestClass(
                 "posts",
                 RequestClass.Idempotency.NON_IDEMPOTENT,
                 RequestClass.ConsistencyLevel.WRITE,
@@ -120,7 +122,7 @@
                 null,
                 0,
                 0);
-        var settings = settings(posts);
+        var settings = settings(requestClass);
         String list = "{\"rev\":2,\"all\":true,\"targets\":[{\"uid\":\"p\",\"endpoint\":\"127.0.0.1:"
                 + node.address().getPort()
                 + "\",\"az\":\"a\",\"pod_group\":1,\"state\":\"up\",\"role\":\"primary\",\"boot_ms\":0}]}";
