--- a/daemon/src/test/java/clayhook/simulator/SimulatorAdapterTest.java
+++ b/daemon/src/test/java/clayhook/simulator/SimulatorAdapterTest.java
@@ -37,18 +37,18 @@
     }
 
     @Test
-    void emptyBatchGetsAnEmptyReply() throws Exception {
+    void replyToEmptyBatchHasNoDecisions() throws Exception {
         assertEquals("NEXT 1\n", reply("BATCH 8412250000 1\nGO\n"));
     }
 
     @Test
-    void writeIsSentToTheListedPrimaryWithALimitBeforeTheDeadline() throws Exception {
+    void writeIsSentToTheListedPrimaryWithATimeoutBeforeTheDeadline() throws Exception {
         assertTrue(reply(SETUP).startsWith("SOURCE 3\nCALL_OUT 00000000000000aa 5970000000 10.0.0.1:1\n"));
     }
 
     @ParameterizedTest
     @CsvSource({"100, 1, false", "303, 0, true", "305, 0, true"})
-    void nonIdempotentRequestIsAnsweredOnce(int verdict, int terminal, boolean fails) throws Exception {
+    void nonIdempotentRequestIsNotRetried(int verdict, int terminal, boolean fails) throws Exception {
         String out = reply(SETUP + "BATCH 1100000000 2\nSWITCH_TO 3\nRESPONSE 00000000000000aa 0 10.0.0.1:1 " + verdict
                 + " 100000000 " + terminal + " 4405 -\nGO\n");
         assertEquals(fails, out.contains("REPORT_FAILURE 00000000000000aa"));
@@ -57,7 +57,7 @@
 
     @ParameterizedTest
     @CsvSource({"DOWN", "GONE 00000000000000aa"})
-    void finishedRequestGetsNoFurtherReply(String event) throws Exception {
+    void noDecisionFollowsWhenRouterIsDownOrClientIsGone(String event) throws Exception {
         String out = reply(SETUP + "BATCH 7000000000 2\nSWITCH_TO 3\n" + event + "\nGO\n");
         assertEquals(1, out.split("00000000000000aa", -1).length - 1);
     }
@@ -71,7 +71,7 @@
         "'BATCH 1 1\nPOOL 0 1\nROW a b c 1 2 7 1 -', 'line 3 has an unknown stage_state 7'",
         "'BATCH 1 1', 'the input ends within a batch'"
     })
-    void malformedLineIsNamedInTheError(String input, String message) {
+    void errorNamesTheMalformedLine(String input, String message) {
         SimulatorProtocolException error = assertThrows(SimulatorProtocolException.class, () -> reply(input + "\n"));
         assertTrue(error.getMessage().startsWith(message), error.getMessage());
     }
