--- a/daemon/src/test/java/clayhook/peers/GossipTransportTest.java
+++ b/daemon/src/test/java/clayhook/peers/GossipTransportTest.java
@@ -37,9 +37,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class GossipTransportTest {
-    /** Seconds; far longer than any condition takes. */
+    /** The longest wait for a condition in seconds; far longer than any condition takes. */
     private static final double WAIT_LIMIT = 20;
-    /** Seconds; shorter than by default, as no router of a test has more state than those that start with it. */
+    /** Seconds; shorter than the default, since the routers of a test start with little state. */
     private static final double BOOTSTRAP_TIMEOUT = 0.5;
 
     private static final InetSocketAddress DISCOVERY = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
@@ -105,7 +105,7 @@
                         defaults.stallThreshold(),
                         defaults.maxSweptEntries()));
         openTransports.add(transport);
-        assertEquals(999.5, transport.requiredPosition("s", 1000), "a request may come before attach");
+        assertEquals(999.5, transport.requiredPosition("s", 1000), "a request may arrive before attach");
         transport.attach(Runnable::run, DISCOVERY, new PeerSharing.PeerListener() {
             @Override
             public void onPeerUpdate(Map<String, PeerObservation> nodes) {
@@ -118,34 +118,36 @@
                         change -> change.endpoints().forEach(entry -> endpoints.put(name + " " + entry.id(), entry)));
             }
         });
-        assertTrue(transport.requiredPosition("s", now()) > now() - 1, "without any state all may have been written");
+        assertTrue(
+                transport.requiredPosition("s", now()) > now() - 1,
+                "without state a read must cover every write that may have happened");
         transport.start();
         return transport;
     }
 
-    private static EndpointList list() {
+    private static EndpointList endpointList() {
         return EndpointList.parse(
                 "{\"rev\":7,\"all\":true,\"targets\":[{\"uid\":\"n\",\"endpoint\":\"127.0.0.1:9\",\"az\":\"a\","
                         + "\"pod_group\":1,\"state\":\"up\",\"role\":\"primary\",\"boot_ms\":0}]}");
     }
 
-    private static void assertReceivesWritesOf(GossipTransport first, GossipTransport second)
+    private static void assertSessionWriteReaches(GossipTransport sender, GossipTransport receiver)
             throws InterruptedException {
         double position = now() - 10;
-        first.recordSessionWrite("s", 1, position);
-        await(() -> second.requiredPosition("s", now()) == position);
+        sender.recordSessionWrite("s", 1, position);
+        await(() -> receiver.requiredPosition("s", now()) == position);
     }
 
     @ParameterizedTest
     @ValueSource(ints = {2, 3})
-    void sharesEventsWithAllRoutersAndWithOneThatRestarts(int routers) throws Exception {
+    void sharesEventsWithAllRoutersAndWithARestartedOne(int routers) throws Exception {
         GossipTransport first = start("r0", 0);
         int seed = first.address().port();
         var others = new ArrayList<GossipTransport>();
         for (int i = 1; i < routers; i++) {
             others.add(start("r" + i, 0, seed));
         }
-        first.recordEndpointList(DISCOVERY, list());
+        first.recordEndpointList(DISCOVERY, endpointList());
         double position = now() - 10;
         first.recordSessionWrite("s", 1, position);
         for (int i = 1; i < routers; i++) {
@@ -154,7 +156,7 @@
             await(() -> other.requiredPosition("s", now()) == position
                     && other.requiredPosition("t", now()) < position
                     && endpoints.containsKey(node));
-            other.recordEndpointList(DISCOVERY, list());
+            other.recordEndpointList(DISCOVERY, endpointList());
             await(() -> {
                 first.recordObservation(new Node("n", "a", 1), ANSWER, now());
                 return observations.containsKey(node);
@@ -165,7 +167,7 @@
                             observations.get(node).appliedPosition(),
                             observations.get(node).load()));
         }
-        // One is killed and restarts at once, without state, at the same address, which nobody is told.
+        // One router is closed without announcing it, and restarts at once at the same address without state.
         others.get(0).close();
         GossipTransport restarted = start("r1", others.get(0).address().port(), seed);
         await(() -> restarted.requiredPosition("s", now()) == position);
@@ -186,15 +188,15 @@
             }
         }
         GossipTransport second = start("r1", 0, first.address().port());
-        assertReceivesWritesOf(first, second);
+        assertSessionWriteReaches(first, second);
     }
 
     @Test
-    void findsSeedAddedByReload() throws Exception {
+    void contactsSeedAddedByReload() throws Exception {
         GossipTransport first = start("r0", 0);
         GossipTransport second = start("r1", 0);
         second.reload(settings(0, List.of(at(first.address().port()))));
-        assertReceivesWritesOf(first, second);
+        assertSessionWriteReaches(first, second);
     }
 
     @Test
@@ -205,9 +207,9 @@
     }
 
     @Test
-    void fullEventQueueDropsCountsAndWakesConsumerOnce() {
-        var wakes = new AtomicInteger();
-        var queue = new EventQueue(wakes::incrementAndGet);
+    void fullEventQueueDropsAndCountsEventsAndWakesConsumerOnce() {
+        var wakeUps = new AtomicInteger();
+        var queue = new EventQueue(wakeUps::incrementAndGet);
         assertTrue(queue.beginWait());
         for (int i = 0; i < EventQueue.REPLACEABLE_CAPACITY + 10; i++) {
             queue.add(new LocalEvent.AttemptFinished(new Node("n", "a", 1), ANSWER, 0));
@@ -215,12 +217,13 @@
         for (int i = 0; i < EventQueue.ESSENTIAL_CAPACITY + 10; i++) {
             queue.add(new LocalEvent.SessionWriteCommitted("s", 1, i));
         }
-        assertEquals(List.of(10L, 10L, 1), List.of(queue.droppedReplaceable(), queue.droppedEssential(), wakes.get()));
-        int taken = 0;
-        for (int batch = 1; batch > 0; taken += batch) {
+        assertEquals(
+                List.of(10L, 10L, 1), List.of(queue.droppedReplaceable(), queue.droppedEssential(), wakeUps.get()));
+        int drained = 0;
+        for (int batch = 1; batch > 0; drained += batch) {
             batch = queue.drain(event -> {});
         }
-        assertEquals(EventQueue.REPLACEABLE_CAPACITY + EventQueue.ESSENTIAL_CAPACITY, taken);
+        assertEquals(EventQueue.REPLACEABLE_CAPACITY + EventQueue.ESSENTIAL_CAPACITY, drained);
     }
 
     @Test
--- a/daemon/src/test/java/clayhook/peers/ObservationPublishingTest.java
+++ b/daemon/src/test/java/clayhook/peers/ObservationPublishingTest.java
@@ -24,8 +24,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Which observations and write outcomes a router publishes. In virtual time and with one router, where every
- * probability of publishing is one, so that random draws do not matter.
+ * Tests which observations and write outcomes a router publishes. Runs in virtual time with a single router, whose
+ * probability of publishing is always 1, so that the results do not depend on random numbers.
  */
 class ObservationPublishingTest {
     private static final double START = 1e9;
--- a/daemon/src/test/java/clayhook/peers/RecordedDatagramsTest.java
+++ b/daemon/src/test/java/clayhook/peers/RecordedDatagramsTest.java
@@ -39,32 +39,32 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Plays a fixed conversation of two routers in virtual time and compares every datagram, in both directions, with the
- * recorded bytes. Each router receives the recorded bytes and never the ones just encoded, so that the decoder is held
- * to the record as well as the encoder. All that {@link StateBridge} sends is in it: each local event once at least,
- * and the farewell.
+ * Runs a fixed exchange between two routers in virtual time and compares every datagram, in both directions, with
+ * recorded bytes. Each router receives the recorded bytes instead of the encoded ones, so that the test covers the
+ * decoder as well as the encoder. The exchange contains everything that {@link StateBridge} sends: every type of local
+ * event at least once, and the leave announcement.
  */
 class RecordedDatagramsTest {
-    /** Every datagram in order: the sender's name, then the bytes in hex. */
+    /** The resource with one datagram per line, in order of sending: the sender's name and the bytes in hex. */
     private static final String DATAGRAMS = "recorded-datagrams.txt";
 
     private static final HexFormat HEX = HexFormat.of();
     private static final double START = 1.7e9;
-    private static final int STEPS_A_SECOND = 100;
+    private static final int STEPS_PER_SECOND = 100;
     private static final double END = 3;
     private static final String DISCOVERY = "10.0.0.8:8080";
     private static final Node PRIMARY = new Node("n1", "zone-a", 1);
     private static final Node REPLICA = new Node("n2", "zone-b", 1);
-    private static final EndpointList FIRST_LIST = list(7, true, "up", "up");
+    private static final EndpointList FIRST_LIST = endpointList(7, true, "up", "up");
     private static final double POSITION = START - 5;
     private static final ReplicatedType<WriteOutcome> WRITE_OUTCOMES = WriteOutcome.typeWithRetention(86_400);
 
-    private final List<String> recorded = recorded();
+    private final List<String> recorded = readRecordedDatagrams();
     private final List<String> sent = new ArrayList<>();
-    private final Queue<Runnable> underWay = new ArrayDeque<>();
+    private final Queue<Runnable> deliveries = new ArrayDeque<>();
     private final Map<Address, Router> routers = new HashMap<>();
 
-    private static List<String> recorded() {
+    private static List<String> readRecordedDatagrams() {
         try (InputStream in = RecordedDatagramsTest.class.getResourceAsStream(DATAGRAMS)) {
             return new String(in.readAllBytes(), StandardCharsets.US_ASCII)
                     .lines()
@@ -74,17 +74,18 @@
         }
     }
 
-    private static EndpointList list(long revision, boolean complete, String first, String second) {
+    private static EndpointList endpointList(
+            long revision, boolean complete, String primaryState, String replicaState) {
         return EndpointList.parse("{\"rev\":" + revision + ",\"all\":" + complete + ",\"targets\":["
                 + "{\"uid\":\"n1\",\"endpoint\":\"10.0.1.1:5432\",\"az\":\"zone-a\",\"pod_group\":1,\"state\":\""
-                + first
+                + primaryState
                 + "\",\"role\":\"primary\",\"boot_ms\":1600000000000},"
                 + "{\"uid\":\"n2\",\"endpoint\":\"10.0.1.2:5432\",\"az\":\"zone-b\",\"pod_group\":1,\"state\":\""
-                + second
+                + replicaState
                 + "\",\"role\":\"replica\",\"boot_ms\":1600000000000}]}");
     }
 
-    /** One router: what {@link GossipTransport} builds, without its socket, thread and clock. */
+    /** A router with the components that {@link GossipTransport} builds, without its socket, thread and clock. */
     private final class Router implements PeerSharing.PeerListener, ProtocolHandler {
         private final Peer self;
         private final Membership membership;
@@ -121,7 +122,7 @@
             String expected = recorded.get(sent.size() - 1);
             assertEquals(expected, line, () -> "datagram " + sent.size());
             byte[] datagram = HEX.parseHex(expected.substring(expected.indexOf(' ') + 1));
-            underWay.add(() -> {
+            deliveries.add(() -> {
                 if (routers.containsKey(to)) {
                     routers.get(to).dispatcher.onDatagram(self.address(), datagram, now);
                 }
@@ -151,14 +152,14 @@
 
     private double now = START;
 
-    private void playUntil(double seconds, Router... ticked) {
-        for (int step = (int) Math.round((now - START) * STEPS_A_SECOND); step < seconds * STEPS_A_SECOND; step++) {
-            now = START + (double) step / STEPS_A_SECOND;
-            for (Router router : ticked) {
+    private void runUntil(double seconds, Router... tickedRouters) {
+        for (int step = (int) Math.round((now - START) * STEPS_PER_SECOND); step < seconds * STEPS_PER_SECOND; step++) {
+            now = START + (double) step / STEPS_PER_SECOND;
+            for (Router router : tickedRouters) {
                 router.dispatcher.tick(now);
             }
-            for (int pending = underWay.size(); pending > 0; pending--) {
-                underWay.remove().run();
+            for (int pending = deliveries.size(); pending > 0; pending--) {
+                deliveries.remove().run();
             }
         }
         now = START + seconds;
@@ -168,15 +169,15 @@
         return new AttemptResult(AttemptOutcome.ANSWERED, 0.002, role, position, role, position - 0.25, load);
     }
 
-    private static LocalEvent.WriteFinished written(String writeKey, boolean executed, double now) {
+    private static LocalEvent.WriteFinished writeFinished(String writeKey, boolean executed, double now) {
         return new LocalEvent.WriteFinished(writeKey, now - 0.5, 1, "post", executed, executed ? "n1" : "", now);
     }
 
     @Test
-    void bothRoutersSendAndUnderstandTheRecordedDatagrams() {
+    void bothRoutersSendAndDecodeTheRecordedDatagrams() {
         var sender = new Router("sender", 7401, List.of(), 1);
         var receiver = new Router("receiver", 7402, List.of(sender.self.address()), 2);
-        playUntil(1, sender, receiver);
+        runUntil(1, sender, receiver);
 
         sender.bridge.accept(new LocalEvent.EndpointListReceived(DISCOVERY, FIRST_LIST), now);
         sender.bridge.accept(new LocalEvent.AttemptFinished(PRIMARY, answer(Role.PRIMARY, now - 0.01, 3), now), now);
@@ -185,25 +186,27 @@
                         REPLICA, AttemptResult.withoutReport(AttemptOutcome.TIMED_OUT, 0.5), now),
                 now);
         sender.bridge.accept(new LocalEvent.SessionWriteCommitted("session", 1, POSITION), now);
-        sender.bridge.accept(written("in doubt", false, now), now);
-        sender.bridge.accept(written("resolved", false, now), now);
+        sender.bridge.accept(writeFinished("in doubt", false, now), now);
+        sender.bridge.accept(writeFinished("resolved", false, now), now);
         sender.bridge.accept(new LocalEvent.QuotaUsed(PeerSharing.SharedQuota.FURTHER_ATTEMPTS, 2), now);
         sender.bridge.accept(new LocalEvent.QuotaUsed(PeerSharing.SharedQuota.HEALTH_CHECKS, 3.5), now);
-        playUntil(2, sender, receiver);
+        runUntil(2, sender, receiver);
         assertEquals(1, receiver.observations.get("n2").failedRouterCount());
         double granted = receiver.bridge.remainingQuota(PeerSharing.SharedQuota.FURTHER_ATTEMPTS);
 
-        sender.bridge.accept(new LocalEvent.EndpointListReceived(DISCOVERY, list(8, false, "up", "draining")), now);
+        sender.bridge.accept(
+                new LocalEvent.EndpointListReceived(DISCOVERY, endpointList(8, false, "up", "draining")), now);
         sender.bridge.accept(new LocalEvent.AttemptFinished(REPLICA, answer(Role.REPLICA, now - 1, 0), now), now);
-        sender.bridge.accept(written("resolved", true, now), now);
-        sender.bridge.accept(written("only here", true, now), now);
-        playUntil(2.5, sender, receiver);
+        sender.bridge.accept(writeFinished("resolved", true, now), now);
+        sender.bridge.accept(writeFinished("only here", true, now), now);
+        runUntil(2.5, sender, receiver);
 
         sender.bridge.accept(new LocalEvent.DiscoveryMoved("10.0.0.9:8080"), now);
-        sender.bridge.accept(new LocalEvent.EndpointListReceived("10.0.0.9:8080", list(3, true, "up", "removed")), now);
-        playUntil(END - 0.2, sender, receiver);
+        sender.bridge.accept(
+                new LocalEvent.EndpointListReceived("10.0.0.9:8080", endpointList(3, true, "up", "removed")), now);
+        runUntil(END - 0.2, sender, receiver);
         sender.leaving = true;
-        playUntil(END, sender, receiver);
+        runUntil(END, sender, receiver);
 
         assertEquals(recorded, sent);
         PeerObservation primary = receiver.observations.get("n1");
