--- a/daemon/src/main/java/clayhook/warmup/WarmUp.java
+++ b/daemon/src/main/java/clayhook/warmup/WarmUp.java
@@ -31,7 +31,7 @@
     /** The number of clients that send requests at the same time. */
     private static final int CONCURRENT_CLIENTS = 6;
 
-    /** The number of requests after which the JVM has compiled the most used methods. */
+    /** The number of requests per client, after which the JVM has compiled the most used methods. */
     private static final int REQUESTS_PER_CLIENT = 80;
 
     /** The number of requests after which a client reconnects, so that opening and closing is warmed up too. */
