--- a/core/src/main/java/clayhook/AttemptGate.java
+++ b/core/src/main/java/clayhook/AttemptGate.java
@@ -1,20 +1,21 @@
 package clayhook;
 
 /**
- * Decides whether a node may get a new attempt at all, as far as the endpoint list says and can be relied on. Asked
- * when a node is chosen and again before the first byte of an attempt is written.
+ * Admits or refuses new attempts on a node according to the endpoint list and the lease on it. The policy consults the
+ * gate when it chooses a node and again before the first byte of an attempt is written.
  *
- * <p>While the lease on the list has lapsed, a node may be draining without this router knowing. Then the node has to
- * show by itself that it is not: it gets attempts only for some time after it passed a health check, and none once it
- * has rejected anything since. A draining node fails health checks at once; it may go on to execute attempts for a
- * while, so that an answered attempt proves less, and counts only where health checks are not allowed.
+ * <p>After the lease has expired, a node may be draining without this router being notified. A node then gets attempts
+ * only for a limited time after it passed a health check, and none if it has rejected anything since that check was
+ * sent. A draining node fails health checks at once but may execute attempts for a while, so an answered attempt is
+ * weaker evidence and counts only where health checks are not allowed.
  *
- * <p>Pure: no clock. Times are clock times in seconds. Not thread-safe: confined to the event loop.
+ * <p>Reads no clock; all times are clock times in seconds. Not thread-safe: confined to the event loop.
  */
 final class AttemptGate {
     /**
-     * Without a valid list a node gets attempts for so long after the check was sent that it passed: two thirds of the
-     * time after which a change counts as notified. The rest is for nodes that are slow to notice that they drain.
+     * How long a node gets attempts without a valid list, counted from when its last passed health check was sent: two
+     * thirds of the time after which a change counts as notified. The other third allows for nodes that start to fail
+     * health checks late after they have begun to drain.
      */
     private static final double CONFIRMATION_VALIDITY_SECONDS = 4;
 
@@ -26,12 +27,12 @@
         this.healthChecksAllowed = healthChecksAllowed;
     }
 
-    /** Why the node may not get an attempt now, or {@link AttemptRefusal#NONE}. */
-    AttemptRefusal refusalBy(NodeState node, double now) {
+    /** Returns the reason why the node may not get an attempt now, or {@link AttemptRefusal#NONE}. */
+    AttemptRefusal refusalFor(NodeState node, double now) {
         if (node.isDrainingOrGone()) {
             return AttemptRefusal.NODE_DRAINING;
         }
-        return reliesOnList(now) || isConfirmed(node, now) ? AttemptRefusal.NONE : AttemptRefusal.NODE_UNCONFIRMED;
+        return isListValid(now) || isConfirmed(node, now) ? AttemptRefusal.NONE : AttemptRefusal.NODE_UNCONFIRMED;
     }
 
     private boolean isConfirmed(NodeState node, double now) {
@@ -39,12 +40,13 @@
         return healthChecksAllowed ? node.hasPassedCheckSince(since) : node.hasAnsweredSince(since);
     }
 
-    /** Whether the endpoint list alone says which nodes may get attempts; otherwise each node has to confirm it. */
-    boolean reliesOnList(double now) {
+    /** Whether the lease on the endpoint list is valid; if not, each node needs a recent confirmation of its own. */
+    boolean isListValid(double now) {
         return lease.isValid(now);
     }
 
+    /** Whether the node may get an attempt now. */
     boolean admits(NodeState node, double now) {
-        return refusalBy(node, now) == AttemptRefusal.NONE;
+        return refusalFor(node, now) == AttemptRefusal.NONE;
     }
 }
--- a/core/src/main/java/clayhook/EndpointListLease.java
+++ b/core/src/main/java/clayhook/EndpointListLease.java
@@ -1,59 +1,66 @@
 package clayhook;
 
 /**
- * How long a router may rely on its endpoint list. A change of the list counts as notified some seconds after the
- * discovery service had it and could be reached, whether or not it arrived; so the list is a lease that each sign of
- * being up to date renews, and that lapses where none comes although the service may be reachable. An open watch alone
- * is no such sign: a silent one, and one that waits in the queue of a crowded service, looks like one with nothing to
- * report.
+ * The lease on a router's endpoint list, which limits how long the router may rely on the list. A change of the list
+ * counts as notified a fixed time after the discovery service has it and is reachable, even if the change never
+ * arrives. Each confirmation that the list is up to date therefore renews the lease; the lease expires if no
+ * confirmation arrives although the service may be reachable. An open watch alone is no confirmation: a broken watch,
+ * or one that waits in the queue of an overloaded service, cannot be told apart from a watch without changes.
  *
- * <p>Pure: no clock. All times are clock times in seconds of the caller. Not thread-safe: confined to the event loop.
+ * <p>Reads no clock; all times are clock times in seconds, passed by the caller. Not thread-safe: confined to the event
+ * loop.
  */
 public final class EndpointListLease {
-    /** A change that has not arrived counts as notified so long after the service had it. */
+    /** The time after which a change that the service has counts as notified, even if it has not arrived. */
     private static final double NOTIFIED_AFTER_SECONDS = 6;
 
-    /** The same for what a service at a new address has to tell, counted from the reload that named the address. */
+    /** The same time for changes at a service with a new address, counted from the reload that set the address. */
     private static final double NOTIFIED_AFTER_RELOAD_SECONDS = 4;
 
-    /** For a stall between the question and the write; the grace for draining nodes covers what is longer. */
+    /**
+     * Allows for a stall between the check of the lease and the write; the draining grace period covers longer ones.
+     */
     private static final double MARGIN_SECONDS = 0.1;
 
-    /** No change from before this time can be unknown here and count as notified within the term. */
-    private double currentAt;
+    /** The start of the lease term: no change from before this time can be missing here and yet count as notified. */
+    private double leaseStartAt;
 
-    /** A list that is at most as old as the router; {@code startedAt} is when its process started. */
+    /** Creates the lease on a list that was fetched after {@code startedAt}, the start of the router's process. */
     public EndpointListLease(double startedAt) {
-        currentAt = startedAt;
+        leaseStartAt = startedAt;
     }
 
-    /** Never lapses: for lists that are pushed without omission. */
+    /** Returns a lease that never expires, for lists whose changes are all pushed. */
     public static EndpointListLease unlimited() {
         return new EndpointListLease(Double.POSITIVE_INFINITY);
     }
 
-    /** All changes from before this time are known. */
+    /** Renews the lease: the list includes all changes from before this time. */
     public void onConfirmed(double at) {
-        currentAt = Math.max(currentAt, at);
+        leaseStartAt = Math.max(leaseStartAt, at);
     }
 
-    /** The service has rejected the watch that was asked for then; what seemed confirmed since then is not. */
+    /**
+     * Revokes all confirmations since {@code polledAt}, when the watch was opened that the service has now rejected.
+     */
     public void onWatchRejected(double polledAt) {
-        currentAt = Math.min(currentAt, polledAt);
+        leaseStartAt = Math.min(leaseStartAt, polledAt);
     }
 
-    /** The service could not be reached at this time, so that nothing from before can count as notified yet. */
+    /** Restarts the term: the service was unreachable at this time, so no earlier change counts as notified yet. */
     public void onUnreachable(double at) {
-        currentAt = Math.max(currentAt, at);
+        leaseStartAt = Math.max(leaseStartAt, at);
     }
 
-    /** From now on the service at another address counts; what the former one confirmed does not. */
+    /**
+     * Shortens the term after a reload to a new service address; confirmations by the former service no longer count.
+     */
     public void onReload(double at) {
-        currentAt = Math.min(currentAt, at + NOTIFIED_AFTER_RELOAD_SECONDS - NOTIFIED_AFTER_SECONDS);
+        leaseStartAt = Math.min(leaseStartAt, at + NOTIFIED_AFTER_RELOAD_SECONDS - NOTIFIED_AFTER_SECONDS);
     }
 
-    /** Whether the list may be relied on. */
+    /** Whether the lease has not expired, so that the list may be relied on. */
     public boolean isValid(double now) {
-        return now < currentAt + NOTIFIED_AFTER_SECONDS - MARGIN_SECONDS;
+        return now < leaseStartAt + NOTIFIED_AFTER_SECONDS - MARGIN_SECONDS;
     }
 }
--- a/core/src/main/java/clayhook/RoutingPolicy.java
+++ b/core/src/main/java/clayhook/RoutingPolicy.java
@@ -176,7 +176,7 @@
         boolean outstanding = !request.outstandingAttempts().isEmpty();
         boolean arriving = now == request.arrivedAt && request.attempts.isEmpty();
         if (arriving) {
-            double earned = gate.reliesOnList(now) ? HEALTH_CHECKS_PER_REQUEST : UNCONFIRMED_CHECKS_PER_REQUEST;
+            double earned = gate.isListValid(now) ? HEALTH_CHECKS_PER_REQUEST : UNCONFIRMED_CHECKS_PER_REQUEST;
             double saved = healthCheckBudget + earned;
             healthCheckBudget = Math.min(HEALTH_CHECK_BUDGET_CAP, saved);
             requestCounts.merge(request.requestClass, 1L, Long::sum);
@@ -334,7 +334,7 @@
         } else if (now >= attempt.timeoutAt) {
             return AttemptRefusal.NO_TIME_LEFT;
         } else if (!gate.admits(node, now)) {
-            return gate.refusalBy(node, now);
+            return gate.refusalFor(node, now);
         } else if (request.firstPossiblyExecutedAttempt() != attempt && !mayRetry(request, now)) {
             return AttemptRefusal.RETRY_FORBIDDEN;
         } else if (lacksSlowStartToken(attempt, node, now)) {
@@ -429,7 +429,7 @@
     /** Whether too little is known of a replica for the read; stale ones pass while checks are scarce. */
     private boolean needsHealthCheck(NodeState replica, Request request, double now) {
         return (hasPlentyOfHealthChecks() && isStale(replica, now))
-                || gate.refusalBy(replica, now) == AttemptRefusal.NODE_UNCONFIRMED
+                || gate.refusalFor(replica, now) == AttemptRefusal.NODE_UNCONFIRMED
                 || (!satisfiesRead(replica, request, now) && !likelySatisfiesRead(replica, request, now));
     }
 
@@ -622,7 +622,7 @@
 
     /** Whether a request has to wait for a check of a stale or unconfirmed node, which is requested here. */
     private boolean mustAwaitHealthCheck(NodeState node, Request request, double now) {
-        boolean unconfirmed = isStale(node, now) || gate.refusalBy(node, now) == AttemptRefusal.NODE_UNCONFIRMED;
+        boolean unconfirmed = isStale(node, now) || gate.refusalFor(node, now) == AttemptRefusal.NODE_UNCONFIRMED;
         boolean checkable = unconfirmed && mayCheck(node, request, now);
         awaitingHealthCheck =
                 unconfirmed && (isHealthCheckPending(node, now) || (checkable && requestHealthCheck(node, now)));
@@ -631,7 +631,7 @@
 
     /** Checks a node that a read passed over: now and then, or, where it has to confirm itself, while checks last. */
     private void checkPassedOver(NodeState node, Request request, double now) {
-        boolean unconfirmed = node != null && gate.refusalBy(node, now) == AttemptRefusal.NODE_UNCONFIRMED;
+        boolean unconfirmed = node != null && gate.refusalFor(node, now) == AttemptRefusal.NODE_UNCONFIRMED;
         if (!unconfirmed) {
             sampleHealthCheck(node, request, now);
         } else if (hasPlentyOfHealthChecks()) {
--- a/core/src/test/java/clayhook/AttemptGateTest.java
+++ b/core/src/test/java/clayhook/AttemptGateTest.java
@@ -29,7 +29,7 @@
     @Test
     void admitsAnyListedNodeWhileTheListIsValid() {
         check(AttemptOutcome.ERROR, 101);
-        assertEquals(AttemptRefusal.NONE, gate.refusalBy(state, 101.5));
+        assertEquals(AttemptRefusal.NONE, gate.refusalFor(state, 101.5));
     }
 
     @Test
@@ -37,21 +37,21 @@
         finish(AttemptOutcome.ANSWERED, 101);
         check(AttemptOutcome.ANSWERED, 101);
         state.endpoint = new Endpoint(node, Endpoint.State.DRAINING, false, 0);
-        assertEquals(AttemptRefusal.NODE_DRAINING, gate.refusalBy(state, 101));
+        assertEquals(AttemptRefusal.NODE_DRAINING, gate.refusalFor(state, 101));
     }
 
     @Test
     void admitsANodeForFourSecondsAfterACheckThatItPassedOnceTheListHasLapsed() {
-        assertEquals(AttemptRefusal.NODE_UNCONFIRMED, gate.refusalBy(state, LAPSED_AT));
+        assertEquals(AttemptRefusal.NODE_UNCONFIRMED, gate.refusalFor(state, LAPSED_AT));
         check(AttemptOutcome.ANSWERED, LAPSED_AT - 1);
-        assertEquals(AttemptRefusal.NONE, gate.refusalBy(state, LAPSED_AT));
-        assertEquals(AttemptRefusal.NODE_UNCONFIRMED, gate.refusalBy(state, LAPSED_AT + 3));
+        assertEquals(AttemptRefusal.NONE, gate.refusalFor(state, LAPSED_AT));
+        assertEquals(AttemptRefusal.NODE_UNCONFIRMED, gate.refusalFor(state, LAPSED_AT + 3));
     }
 
     @Test
     void admitsAllListedNodesAgainOnceTheListIsRenewed() {
         lease.onConfirmed(LAPSED_AT);
-        assertEquals(AttemptRefusal.NONE, gate.refusalBy(state, LAPSED_AT + 1));
+        assertEquals(AttemptRefusal.NONE, gate.refusalFor(state, LAPSED_AT + 1));
     }
 
     /** A draining node may go on to execute attempts. */
@@ -59,7 +59,7 @@
     @EnumSource(AttemptOutcome.class)
     void takesNoAttemptForASignWhereHealthChecksAreAllowed(AttemptOutcome outcome) {
         finish(outcome, LAPSED_AT);
-        assertEquals(AttemptRefusal.NODE_UNCONFIRMED, gate.refusalBy(state, LAPSED_AT + 0.5));
+        assertEquals(AttemptRefusal.NODE_UNCONFIRMED, gate.refusalFor(state, LAPSED_AT + 0.5));
     }
 
     @ParameterizedTest
@@ -69,8 +69,8 @@
         boolean answered = outcome == AttemptOutcome.ANSWERED;
         assertEquals(
                 answered ? AttemptRefusal.NONE : AttemptRefusal.NODE_UNCONFIRMED,
-                gateWithoutChecks.refusalBy(state, LAPSED_AT + 3.9));
-        assertEquals(AttemptRefusal.NODE_UNCONFIRMED, gateWithoutChecks.refusalBy(state, LAPSED_AT + 4));
+                gateWithoutChecks.refusalFor(state, LAPSED_AT + 3.9));
+        assertEquals(AttemptRefusal.NODE_UNCONFIRMED, gateWithoutChecks.refusalFor(state, LAPSED_AT + 4));
     }
 
     /** A node that rejects attempts unseen may have begun to drain. */
@@ -81,9 +81,10 @@
         finish(outcome, LAPSED_AT + 0.5);
         boolean rejected = outcome == AttemptOutcome.OVERLOADED || outcome == AttemptOutcome.CONNECT_FAILED;
         assertEquals(
-                rejected ? AttemptRefusal.NODE_UNCONFIRMED : AttemptRefusal.NONE, gate.refusalBy(state, LAPSED_AT + 1));
+                rejected ? AttemptRefusal.NODE_UNCONFIRMED : AttemptRefusal.NONE,
+                gate.refusalFor(state, LAPSED_AT + 1));
         check(AttemptOutcome.ANSWERED, LAPSED_AT + 1);
-        assertEquals(AttemptRefusal.NONE, gate.refusalBy(state, LAPSED_AT + 1.1));
+        assertEquals(AttemptRefusal.NONE, gate.refusalFor(state, LAPSED_AT + 1.1));
     }
 
     @ParameterizedTest
@@ -95,7 +96,7 @@
                 || outcome == AttemptOutcome.OVERLOADED
                 || outcome == AttemptOutcome.CONNECT_FAILED;
         assertEquals(
-                failed ? AttemptRefusal.NODE_UNCONFIRMED : AttemptRefusal.NONE, gate.refusalBy(state, LAPSED_AT + 1));
+                failed ? AttemptRefusal.NODE_UNCONFIRMED : AttemptRefusal.NONE, gate.refusalFor(state, LAPSED_AT + 1));
     }
 
     /** A stalled router may see the answer to an early check after a rejection. */
@@ -103,7 +104,7 @@
     void aCheckThatWasSentBeforeARejectionProvesNothing() {
         finish(AttemptOutcome.OVERLOADED, LAPSED_AT + 0.5);
         state.onHealthCheckResult(LAPSED_AT + 0.4, AttemptOutcome.ANSWERED, LAPSED_AT + 0.6);
-        assertEquals(AttemptRefusal.NODE_UNCONFIRMED, gate.refusalBy(state, LAPSED_AT + 0.6));
+        assertEquals(AttemptRefusal.NODE_UNCONFIRMED, gate.refusalFor(state, LAPSED_AT + 0.6));
     }
 
     @Test
@@ -111,6 +112,6 @@
         state.reportedLoad = 5;
         state.claimPrimary(LAPSED_AT);
         state.lastSeenAt = LAPSED_AT;
-        assertEquals(AttemptRefusal.NODE_UNCONFIRMED, gate.refusalBy(state, LAPSED_AT + 0.1));
+        assertEquals(AttemptRefusal.NODE_UNCONFIRMED, gate.refusalFor(state, LAPSED_AT + 0.1));
     }
 }
