--- a/core/src/main/java/clayhook/NodeState.java
+++ b/core/src/main/java/clayhook/NodeState.java
@@ -3,39 +3,39 @@
 import java.util.ArrayDeque;
 
 /**
- * What one router knows of one node: plain observations, kept from the first endpoint list that names the node until it
- * is removed from the list and no attempt is outstanding. {@link RoutingPolicy} owns it and draws the conclusions.
- * Times are clock times in seconds. Not thread-safe: confined to the event loop.
+ * The state of one node as observed by one router. It exists from the first endpoint list that contains the node until
+ * the node is removed from the list and has no outstanding attempt. {@link RoutingPolicy} owns it and makes all
+ * decisions that depend on it. Times are clock times in seconds. Not thread-safe: confined to the event loop.
  */
 final class NodeState {
-    /** The time of what has not happened yet; earlier than any clock time. */
+    /** The time of an event that has not occurred; earlier than any clock time. */
     static final double NEVER = Double.NEGATIVE_INFINITY;
 
     final Node node;
     final ReplicaSet replicaSet;
 
-    /** The node's entry in the endpoint list, or null if it was removed from the list. */
+    /** The node's entry in the endpoint list, or null if the node was removed from the list. */
     Endpoint endpoint;
 
-    /** The newest log position that the node is known to have applied; 0 if none was reported. Never decreases. */
+    /** The newest log position that the node has reported as applied; 0 if it reported none. Never decreases. */
     double appliedPosition;
 
-    /** How many seconds the node was behind its primary when it last reported a position. */
+    /** The lag behind the primary, in seconds, when the node last reported a position. */
     double lagSeconds;
 
-    /** When the lag was measured. */
+    /** When {@link #lagSeconds} was measured. */
     double lagMeasuredAt = NEVER;
 
     /** When the node last responded to an attempt or a health check. */
     double lastSeenAt = NEVER;
 
-    /** When the newest attempt was sent that the node answered. */
+    /** When the newest attempt that the node has answered was sent. */
     private double answeredAttemptSentAt = NEVER;
 
-    /** When the newest health check was sent that the node passed. */
+    /** When the newest health check that the node has passed was sent. */
     private double passedCheckSentAt = NEVER;
 
-    /** When the node last rejected an attempt unseen or a health check, or refused a connection. */
+    /** When the node last rejected an attempt unexecuted, failed a health check, or refused a connection. */
     private double rejectedAt = NEVER;
 
     /** When the node last responded to an attempt; health checks do not count. */
@@ -50,43 +50,43 @@
     /** Attempts without a result, oldest first. */
     final ArrayDeque<Attempt> outstandingAttempts = new ArrayDeque<>();
 
-    /** Attempts given up without a response, on which the node may still be working. */
+    /** Attempts that were abandoned without a response, which the node may still execute. */
     final ArrayDeque<Attempt> abandonedAttempts = new ArrayDeque<>();
 
-    /** How many attempts this router may have at the node; it adapts to the response times. */
+    /** The maximum number of outstanding attempts of this router on the node; adapts to the response times. */
     double concurrencyLimit;
 
-    /** The moving average of response time over latency objective. */
+    /** The moving average of the ratio of response time to latency objective. */
     double latencyRatio;
 
-    /** The requests that the node last reported to hold; 0 until it reports. */
+    /** The number of requests in the node's last load report; 0 before the first report. */
     double reportedLoad;
 
-    /** The connections that are presumably open to the node. */
+    /** The estimated number of open connections to the node. */
     int expectedConnections;
 
     /** When an attempt was last sent to the node. */
     double lastUsedAt = NEVER;
 
-    /** Failures since the last answer to an attempt; a successful health check leaves one. */
+    /** The failures since the last answered attempt; a passed health check reduces them to one. */
     int consecutiveFailures;
 
-    /** When the node, as a replica that lagged too far, last rejected a read. */
+    /** When the node last rejected a read, as a replica that lagged too far. */
     double readRejectedAt = NEVER;
 
     /** When the last health check was sent. */
     double healthCheckSentAt = NEVER;
 
-    /** Whether the result of the last health check is still to come. */
+    /** Whether the last health check has no result yet. */
     boolean healthCheckPending;
 
-    /** The node gets no attempt before this time. */
+    /** The end of the current or last backoff; the node gets no attempts before. */
     double backoffUntil = NEVER;
 
-    /** Backoffs since the last answer to an attempt. */
+    /** The number of backoffs since the last answered attempt. */
     int backoffCount;
 
-    /** What this router may send to the node while that is in slow start. */
+    /** Limits the work that this router sends to the node while the node is in slow start. */
     final SlowStartBudget slowStartBudget;
 
     NodeState(Node node, ReplicaSet replicaSet, double concurrencyLimit, double overloadWindowSeconds) {
@@ -96,35 +96,35 @@
         slowStartBudget = new SlowStartBudget(overloadWindowSeconds);
     }
 
-    /** Whether the endpoint list says that the node is draining, or lacks it. */
+    /** Whether the node is draining or missing according to the endpoint list. */
     boolean isDrainingOrGone() {
         return endpoint == null || endpoint.state() == Endpoint.State.DRAINING;
     }
 
-    /** Records whether the node takes attempts; one that rejects them unseen may be overloaded or draining. */
+    /** Records whether the node accepts attempts; a node that rejects them unexecuted may be overloaded or draining. */
     void onAttemptResult(Attempt attempt, AttemptOutcome outcome, double now) {
         switch (outcome) {
             case ANSWERED -> answeredAttemptSentAt = Math.max(answeredAttemptSentAt, attempt.sentAt);
             case OVERLOADED, CONNECT_FAILED -> rejectedAt = now;
-            default -> {} // proves nothing
+            default -> {} // no evidence
         }
     }
 
-    /** Records whether the node passed a health check; a draining node answers it with an error. */
+    /** Records the result of a health check; a draining node answers health checks with an error. */
     void onHealthCheckResult(double sentAt, AttemptOutcome outcome, double now) {
         switch (outcome) {
             case ANSWERED -> passedCheckSentAt = Math.max(passedCheckSentAt, sentAt);
             case ERROR, OVERLOADED, CONNECT_FAILED -> rejectedAt = now;
-            default -> {} // proves nothing
+            default -> {} // no evidence
         }
     }
 
-    /** Whether the node answered an attempt that was sent after a time, and has rejected nothing since then. */
+    /** Whether the node answered an attempt that was sent after the given time and after its last rejection. */
     boolean hasAnsweredSince(double time) {
         return answeredAttemptSentAt > Math.max(time, rejectedAt);
     }
 
-    /** Whether the node passed a health check that was sent after a time, and has rejected nothing since then. */
+    /** Whether the node passed a health check that was sent after the given time and after its last rejection. */
     boolean hasPassedCheckSince(double time) {
         return passedCheckSentAt > Math.max(time, rejectedAt);
     }
@@ -133,7 +133,7 @@
         return node.zone().equals(zone);
     }
 
-    /** Whether the node was removed from the endpoint list and no result of an attempt is to come. */
+    /** Whether the node was removed from the endpoint list and has no outstanding attempt. */
     boolean isUnused() {
         return endpoint == null && outstandingAttempts.isEmpty();
     }
@@ -143,14 +143,14 @@
         return appliedPosition > 0 ? lagSeconds : unknown;
     }
 
-    /** When the node's process started, as the endpoint list says; 0 for long ago or unknown. */
+    /** Returns when the node's process started according to the endpoint list; 0 for long ago or unknown. */
     double startedAt() {
         return endpoint == null ? 0 : endpoint.startedAt();
     }
 
     /**
-     * Whether the newest evidence shows the node as primary. The endpoint list counts only until the node itself or a
-     * peer has shown its role, because the list is late.
+     * Whether the node is primary according to the newest evidence. The endpoint list is used only until the node or a
+     * peer has reported the role, because the list is late.
      */
     boolean claimsPrimary() {
         if (primaryClaimedAt == NEVER && replicaClaimedAt == NEVER) {
@@ -159,28 +159,28 @@
         return primaryClaimedAt > replicaClaimedAt;
     }
 
-    /** Records evidence that the node was primary at a time. */
+    /** Records evidence that the node was primary at the given time. */
     void claimPrimary(double at) {
         primaryClaimedAt = Math.max(primaryClaimedAt, at);
     }
 
-    /** Records evidence that the node was a replica at a time. */
+    /** Records evidence that the node was a replica at the given time. */
     void claimReplica(double at) {
         replicaClaimedAt = Math.max(replicaClaimedAt, at);
     }
 
-    /** Records a position that the node has applied. */
+    /** Records a log position that the node has applied; older positions are ignored. */
     void raiseAppliedPosition(double position) {
         appliedPosition = Math.max(appliedPosition, position);
     }
 
-    /** Whether an attempt has to open a connection, as far as this router can tell. */
+    /** Whether an attempt sent now is expected to open a connection. */
     boolean needsConnection(RoutingSettings settings, double now) {
         return outstandingAttempts.size() >= expectedConnections * settings.connectionConcurrency()
                 || now - lastUsedAt > settings.connectionIdleTimeoutSeconds();
     }
 
-    /** Records that an attempt is sent, and returns whether it has to open a connection. */
+    /** Records that an attempt is sent, and returns whether it is expected to open a connection. */
     boolean useConnection(RoutingSettings settings, double now) {
         boolean opens = needsConnection(settings, now);
         if (opens) {
@@ -190,12 +190,12 @@
         return opens;
     }
 
-    /** Whether the node's process has started anew since a peer observed it. */
+    /** Whether the node's process has restarted since the observed incarnation. */
     boolean hasRestartedSince(PeerObservation observation) {
         return endpoint != null && endpoint.startedAt() > observation.incarnationStartedAt();
     }
 
-    /** Takes over what a peer observed, where that is newer; failures are left to the policy. */
+    /** Merges the newer parts of a peer's observation, except failures, which the policy handles. */
     void merge(PeerObservation observation) {
         raiseAppliedPosition(observation.appliedPosition());
         claimPrimary(observation.primaryClaimedAt());
