--- a/core/src/main/java/clayhook/ReplicaSet.java
+++ b/core/src/main/java/clayhook/ReplicaSet.java
@@ -6,36 +6,36 @@
 import java.util.List;
 
 /**
- * What one router knows of a set of nodes that hold the same data: a primary and its replicas. Plain state owned by
+ * The state of one replica set, a primary and replicas that hold the same data, as observed by one router. Owned by
  * {@link RoutingPolicy}. Not thread-safe: confined to the event loop.
  */
 final class ReplicaSet {
-    /** All members in the order in which they were first listed. */
+    /** All members, in the order of their first appearance in the endpoint list. */
     final List<NodeState> members = new ArrayList<>();
 
-    /** The index of the member that the last read in rotation was sent to. */
+    /** The index of the member that got the last read by round robin. */
     int roundRobinIndex;
 
-    /** Load of the replicas as seen by eventual reads. */
+    /** The load of the replicas, estimated from the latency of eventual reads. */
     final LoadEstimate eventualReadLoad;
 
-    /** Load of the replicas as seen by all other reads. */
+    /** The load of the replicas, estimated from the latency of all other reads. */
     final LoadEstimate consistentReadLoad;
 
-    /** Load of the primary. */
+    /** The load of the primary, estimated from the latency of all its requests. */
     final LoadEstimate primaryLoad;
 
-    /** The newest position that a primary reported. */
+    /** The newest log position that a primary reported. */
     double newestPrimaryPosition;
 
-    /** The newest position of a session write that is no longer remembered; every session read has to see it. */
-    double forgottenWritePosition;
+    /** The newest position of a session write that was evicted; every session read has to see it. */
+    double evictedWritePosition;
 
     /**
      * Creates an empty set.
      *
-     * @param roundRobinIndex where the rotation starts
-     * @param overall holds the load estimates of all replica sets, towards which those of this one decay; or null
+     * @param roundRobinIndex the index after which the rotation starts
+     * @param overall the load estimates of all replica sets, towards which those of this set decay; or null
      */
     ReplicaSet(int roundRobinIndex, LoadEstimate.Smoothing smoothing, ReplicaSet overall) {
         this.roundRobinIndex = roundRobinIndex;
@@ -44,7 +44,7 @@
         primaryLoad = new LoadEstimate(smoothing, overall == null ? null : overall.primaryLoad);
     }
 
-    /** Returns the load of the replicas that counts for a class of reads. */
+    /** Returns the load estimate of the replicas for the consistency level of a class of reads. */
     LoadEstimate readLoad(RequestClass requestClass) {
         return requestClass.consistency() == ConsistencyLevel.EVENTUAL ? eventualReadLoad : consistentReadLoad;
     }
@@ -57,7 +57,7 @@
                 .orElse(null);
     }
 
-    /** Returns the average load that the replicas report; 0 without replicas. */
+    /** Returns the average reported load of the replicas; 0 without replicas. */
     double averageReplicaLoad() {
         return members.stream()
                 .filter(member -> !member.claimsPrimary())
@@ -66,7 +66,7 @@
                 .orElse(0);
     }
 
-    /** Takes over the position of a member if it is primary. */
+    /** Raises the newest primary position to that of a member if the member is primary. */
     void raisePrimaryPosition(NodeState member) {
         if (member.claimsPrimary()) {
             newestPrimaryPosition = Math.max(newestPrimaryPosition, member.appliedPosition);
--- a/core/src/main/java/clayhook/RoutingPolicy.java
+++ b/core/src/main/java/clayhook/RoutingPolicy.java
@@ -14,101 +14,103 @@
 import java.util.Random;
 
 /**
- * All decisions of one router: where a request goes, whether it is retried, hedged, held, shed or failed.
+ * Makes all decisions of one router: which node serves a request, and whether it is retried, hedged, held, shed or
+ * failed.
  *
- * <p>For replica sets with one primary and lagging replicas it does what a proxy such as Envoy calls:
+ * <p>For replica sets with one primary and lagging replicas it provides, in the terms of proxies such as Envoy:
  *
  * <ul>
  *   <li>load balancing: round robin over the replicas that are fresh enough for a read;
  *   <li>load shedding, adaptive concurrency limits and a retry budget;
- *   <li>outlier detection, with health checks on demand, and slow start.
+ *   <li>outlier detection with on-demand health checks, and slow start.
  * </ul>
  *
- * <p>The caller asks {@link #route} about each new request and reports results to {@link #onAttemptFinished}.
+ * <p>The caller passes each new request to {@link #route} and each result to {@link #onAttemptFinished}.
  *
- * <p>After each batch of events it calls {@link #tick}; after the time returned it routes all requests again.
+ * <p>After each batch of events it calls {@link #tick}, and after the returned time it routes all uncompleted requests
+ * again.
  *
- * <p>Pure: no I/O and no clock; the same seed and the same calls give the same decisions.
+ * <p>Performs no I/O and reads no clock: the same seed and the same calls give the same decisions.
  *
- * <p>Not thread-safe: confined to the event loop. All times are seconds; log positions are commit times.
+ * <p>Not thread-safe: confined to the event loop. All times are in seconds; log positions are commit times.
  */
 public final class RoutingPolicy {
-    // ---- tuned values; "objective" is the latency objective of the request class ----
+    // ---- tuned constants; "objective" is the latency objective of the request class ----
 
-    private static final double MAX_DEADLINE_MARGIN = 0.03; // before the deadline, as the router may stall
+    private static final double MAX_DEADLINE_MARGIN = 0.03; // before the deadline, for stalls of the router
     private static final double DEADLINE_MARGIN_FRACTION = 0.1; // of the timeout, for short timeouts
-    /** The gate refuses an attempt at least this many seconds before a rule would forbid it, but at short bounds. */
+    /** The least number of seconds by which an attempt is refused before a rule forbids it, except at short bounds. */
     public static final double MIN_STALL_MARGIN = 0.1;
 
-    private static final double STALL_MARGIN = 0.15; // the router may be held up so long before it writes
-    private static final double STALENESS_MARGIN_FRACTION = 0.1; // of the bound, for short bounds
-    private static final double INITIAL_SERVICE_TIME_FRACTION = 0.25; // of the objective, before any response
-    private static final double SERVICE_TIME_SMOOTHING = 0.02; // weight of a response
-    private static final double MIN_SERVICE_TIME_FRACTION = 0.25; // a quarter of responses come by then
-    private static final double MAX_SERVICE_TIME_FRACTION = 0.5; // of the objective: more is not asked for
-    private static final double SHEDDING_STARTS_AT = 0.4; // load above that of work without queues
-    private static final double SHEDDING_FULL_AT = 0.65; // load below that at which most responses are late
-    private static final double MAX_SHED_PROBABILITY = 0.9; // the rest shows whether the load has fallen
-    // A burst lasts seconds; a sample weighs a tenth among many, and more the longer none has come.
+    private static final double STALL_MARGIN = 0.15; // the longest expected stall of the router before it writes
+    private static final double STALENESS_MARGIN_FRACTION = 0.1; // of the staleness bound, for short bounds
+    private static final double INITIAL_SERVICE_TIME_FRACTION = 0.25; // of the objective, until the first response
+    private static final double SERVICE_TIME_SMOOTHING = 0.02; // weight of one response
+    private static final double MIN_SERVICE_TIME_FRACTION = 0.25; // a quarter of responses arrive within it
+    private static final double MAX_SERVICE_TIME_FRACTION = 0.5; // of the objective: cap of the required time
+    private static final double SHEDDING_START_LOAD = 0.4; // above the load of nodes without queues
+    private static final double SHEDDING_FULL_LOAD = 0.65; // below the load at which most responses are late
+    private static final double MAX_SHED_PROBABILITY = 0.9; // admitted reads show when the load has fallen
+    // Bursts last seconds. A sample has weight 0.1 among many, and up to 0.25 after a time without samples.
     private static final LoadEstimate.Smoothing LOAD_SMOOTHING = new LoadEstimate.Smoothing(3, 0.1, 0.25);
 
-    private static final double READ_HOLD_FRACTION = 0.08; // of the objective: a client does better to retry
+    private static final double READ_HOLD_FRACTION = 0.08; // of the objective: beyond it a client retry is better
     private static final double WRITE_HOLD_FRACTION = 0.5; // of the objective: only one node takes writes
-    private static final double ELECTION_HOLD_FRACTION = 0.45; // of the timeout: clients may retry elsewhere
+    private static final double ELECTION_HOLD_FRACTION = 0.45; // of the timeout: leaves time to retry elsewhere
     private static final double RETRY_BUDGET_RATIO = 0.2; // retries and hedged requests per request
-    private static final double RETRY_BUDGET_FLEET_CAP = 90; // saved up by all routers together
-    private static final double MIN_RETRY_AFTER_FRACTION = 0.1; // of the objective: a retry is still in time
-    private static final double RETRY_AFTER_JITTER_FRACTION = 0.2; // of the objective: spreads the retries
-
-    private static final double LAG_GATE_FRACTION = 0.75; // of the staleness bound; a half did a little worse
-    private static final double TIME_GATE = 1; // a node not seen for so long is stale
-    private static final double LAG_VALIDITY = 5; // lag comes and goes with load, over seconds
-    private static final double READ_REJECTION_EJECTION_TIME = 10; // unless a newer position ends it
+    private static final double RETRY_BUDGET_FLEET_CAP = 90; // upper bound of the budgets of all routers together
+    private static final double MIN_RETRY_AFTER_FRACTION = 0.1; // of the objective: leaves time for the retry
+    private static final double RETRY_AFTER_JITTER_FRACTION = 0.2; // of the objective: spreads client retries
+
+    private static final double LAG_GATE_FRACTION = 0.75; // of the staleness bound; 0.5 was slightly worse
+    private static final double TIME_GATE = 1; // a node not seen for longer is stale
+    private static final double LAG_VALIDITY = 5; // lag follows the load and changes within seconds
+    private static final double READ_REJECTION_EJECTION_TIME = 10; // at most; a newer position ends it earlier
     private static final double CARRIED_POSITION_PRECISION = 0.001; // positions in requests are rounded down
-    private static final int MAX_REMEMBERED_SESSIONS = 20_000; // more than write while replicas usually lag
-    private static final double MAX_REPORT_AGE = 5; // of load reports that arrive late
-    private static final double TYPICAL_REPORT_AGE = 0.25; // load reports are renewed a few times a second
-
-    private static final int EJECTION_THRESHOLD = 2; // consecutive failures: a single one may be chance
-    private static final double MIN_SILENCE_TIMEOUT = 0.2; // above ordinary stalls, below short objectives
-    private static final double SILENCE_FACTOR = 3; // of the expected service time: about its 95th percentile
-    private static final double MIN_BACKOFF = 0.05; // doubles with each further failure
-    private static final double MAX_BACKOFF = 1; // a node that has recovered is soon used again
-    private static final double HEALTH_CHECKS_PER_REQUEST = 0.45; // most reads find nodes seen lately
-    private static final double UNCONFIRMED_CHECKS_PER_REQUEST = 1; // while each node has to confirm itself
+    private static final int MAX_RECORDED_SESSIONS = 20_000; // above the sessions that write within a usual lag
+    private static final double MAX_REPORT_AGE = 5; // the assumed maximum age of late load reports
+    private static final double TYPICAL_REPORT_AGE = 0.25; // nodes renew them a few times a second
+
+    private static final int EJECTION_THRESHOLD = 2; // consecutive failures: one may be random
+    private static final double MIN_SILENCE_TIMEOUT = 0.2; // above usual stalls, below short objectives
+    private static final double SILENCE_FACTOR = 3; // times the expected service time: about its 95th percentile
+    private static final double MIN_BACKOFF = 0.05; // doubles with each consecutive failure
+    private static final double MAX_BACKOFF = 1; // bounds the delay until a recovered node is used
+    private static final double HEALTH_CHECKS_PER_REQUEST = 0.45; // most reads find a node that is not stale
+    private static final double EXPIRED_LEASE_CHECKS_PER_REQUEST = 1; // while each node needs its own confirmation
     private static final double HEALTH_CHECK_BUDGET_CAP = 15; // two or three per member of a replica set
-    private static final double HEALTH_CHECK_TIMEOUT = 0.02; // a few round trips
-    private static final double HEALTH_CHECK_INTERVAL = 0.15; // load reports are renewed about as often
-    private static final double REFRESH_PROBABILITY = 0.1; // enough to find that a node has recovered
+    private static final double HEALTH_CHECK_TIMEOUT = 0.02; // a few network round trips
+    private static final double HEALTH_CHECK_INTERVAL = 0.15; // about the interval between load reports
+    private static final double REFRESH_PROBABILITY = 0.1; // enough to detect the recovery of a node
 
     private static final double INITIAL_FLEET_CONCURRENCY = 10; // of all routers: a few per core of a node
-    private static final double MIN_FLEET_CONCURRENCY = 4; // of all routers: any node does that much
-    private static final double LOW_LATENCY_RATIO = 0.25; // below, limits rise and the primary takes reads
-    private static final double HIGH_LATENCY_RATIO = 0.32; // above, limits fall: service times spread widely
-    private static final double LATENCY_RATIO_SMOOTHING = 0.1; // weight of an attempt
-    private static final double MAX_LATENCY_RATIO = 2; // the most that one attempt counts
-    private static final double LIMIT_INCREASE = 0.5; // additive, per limit's worth of responses
-    private static final double LIMIT_IN_USE_FRACTION = 0.7; // a limit that is not in use does not rise
+    private static final double MIN_FLEET_CONCURRENCY = 4; // of all routers: every node can serve that many
+    private static final double LOW_LATENCY_RATIO = 0.25; // below it limits rise and the primary takes reads
+    private static final double HIGH_LATENCY_RATIO = 0.32; // above it limits fall; service times vary widely
+    private static final double LATENCY_RATIO_SMOOTHING = 0.1; // weight of one attempt
+    private static final double MAX_LATENCY_RATIO = 2; // cap of a single sample
+    private static final double LIMIT_INCREASE = 0.5; // additive, per number of responses equal to the limit
+    private static final double LIMIT_IN_USE_FRACTION = 0.7; // a limit rises only while this part of it is in use
     private static final double SLOW_LIMIT_DECREASE = 0.97; // multiplicative, per response of a slow node
     private static final double OVERLOAD_LIMIT_DECREASE = 0.8; // multiplicative, per overload response
-    private static final double PRIMARY_READ_FRACTION = 0.5; // of its limit; the rest is for writes
-    private static final double ABANDONED_FOR_OBJECTIVES = 2; // then an abandoned attempt has left the queue
-    private static final double MIN_CONNECT_TIME = 0.02; // a few round trips and some work
-    private static final double CONNECT_TIME_SMOOTHING = 0.1; // weight of an attempt
-
-    private static final double MIN_FLEET_WORK_RATE = 0.15; // of all routers: a part of one core of a node
-    private static final double WORK_RATE_DECAY = 4; // some rotations over the nodes, little of a slow start
-    private static final double SERVING_NODE_COUNT_INTERVAL = 0.1; // a count per response costs too much
-
-    private static final double HEALTH_CHECK_TICK = 0.004; // a round trip
-    private static final double BUSY_TICK = 0.01; // a small part of short objectives
-    private static final double IDLE_TICK = 1; // nothing is due but the poll of the endpoint list
-    private static final double STALL_THRESHOLD = 0.1; // lateness of a tick: half the silence timeout
-    private static final double POLL_TIMEOUT = 5; // after neither a list nor a failure
-    private static final double MIN_POLL_RETRY_DELAY = 0.5; // up to a second more spreads the routers
-    private static final double MIN_WATCH_TIMEOUT = 7; // long beside the cost of a poll
-    private static final double MAX_WATCH_TIMEOUT = 10; // short beside what a broken watch misses
-    private static final int MAX_DESCRIBED_NODES = 20; // in a log line; a fleet may have thousands
+    private static final double PRIMARY_READ_CAPACITY_FRACTION = 0.5; // of its limit; the rest is reserved for writes
+    private static final double ABANDONED_ATTEMPT_OBJECTIVES = 2; // after it an abandoned attempt has left the queue
+    private static final double MIN_CONNECT_TIME = 0.02; // a few network round trips and some processing
+    private static final double CONNECT_TIME_SMOOTHING = 0.1; // weight of one attempt
+
+    private static final double MIN_FLEET_WORK_RATE = 0.15; // of all routers: a fraction of one core of a node
+    private static final double WORK_RATE_DECAY = 4; // several rotations, a small part of a slow start
+    private static final double SERVING_NODE_COUNT_INTERVAL = 0.1; // counting at every response is too expensive
+
+    private static final double HEALTH_CHECK_TICK = 0.004; // one network round trip
+    private static final double BUSY_TICK = 0.01; // a small fraction of short objectives
+    private static final double IDLE_TICK = 1; // only the poll of the endpoint list may be due
+    private static final double STALL_THRESHOLD = 0.1; // delay of a tick; half the minimum silence timeout
+    private static final double POLL_TIMEOUT = 5; // without a list or a failure
+    private static final double MIN_POLL_RETRY_DELAY = 0.5; // plus up to 1 s of jitter, to spread the routers
+    private static final double MIN_WATCH_TIMEOUT = 7; // long enough to make the cost of a poll negligible
+    private static final double MAX_WATCH_TIMEOUT = 10; // bounds how long a broken watch misses changes
+    private static final int MAX_DESCRIBED_NODES = 20; // per log line; a fleet may have thousands of nodes
 
     // ---- state ----
 
@@ -119,7 +121,7 @@
     private final ReplicaSet overall = new ReplicaSet(0, LOAD_SMOOTHING, null); // only the load of all sets
     private final Map<RequestClass, Double> expectedServiceTimes = new LinkedHashMap<>();
     private final Map<RequestClass, Long> requestCounts = new LinkedHashMap<>();
-    private final SessionWrites sessionWrites = new SessionWrites(MAX_REMEMBERED_SESSIONS);
+    private final SessionWrites sessionWrites = new SessionWrites(MAX_RECORDED_SESSIONS);
     private final DecayingRate completedWorkRate = new DecayingRate(WORK_RATE_DECAY); // s/s per serving node
     private final List<Node> healthChecksToSend = new ArrayList<>();
     private final double tightestLagGate;
@@ -127,8 +129,8 @@
     private final double retryBudgetCap;
     private double retryBudget;
     private double healthCheckBudget = HEALTH_CHECK_BUDGET_CAP;
-    private boolean awaitingHealthCheck; // by the request that was routed last
-    private boolean requestsWaiting; // since the last tick
+    private boolean awaitingHealthCheck; // whether the last routed request waits for a check
+    private boolean requestsWaiting; // whether any request waited since the last tick
     private int outstandingAttemptCount;
     private double connectTimeEstimate = MIN_CONNECT_TIME;
     private long servingNodeCount;
@@ -136,18 +138,18 @@
     private double nextTickAt = Double.POSITIVE_INFINITY;
     private double lastStallEndedAt;
     private double nextPollAt;
-    private boolean endpointListLate; // since the last list arrived
+    private boolean endpointListLate; // whether a watch timed out since the last list
     private final AttemptGate gate;
 
-    /** Creates the policy of a router whose endpoint list is pushed without omission, so that it never lapses. */
+    /** Creates the policy of a router to which all endpoint list changes are pushed; its lease never expires. */
     public RoutingPolicy(RoutingSettings settings, long seed) {
         this(settings, seed, EndpointListLease.unlimited());
     }
 
     /**
-     * Creates the policy of one router; each router needs a seed of its own, to choose unlike the others.
+     * Creates the policy of one router. Each router needs its own seed, so that routers choose independently.
      *
-     * @param lease says how long the endpoint list may be relied on; its owner renews it
+     * @param lease limits how long the endpoint list may be relied on; the caller renews it
      */
     public RoutingPolicy(RoutingSettings settings, long seed, EndpointListLease lease) {
         this.settings = settings;
@@ -170,13 +172,13 @@
 
     // ---- admission ----
 
-    /** Decides what to do with a request now: on arrival, and at each tick until it is completed. */
+    /** Decides how to proceed with a request; called on its arrival and at each tick until it is completed. */
     public Decision route(Request request, double now) {
         lastStallEndedAt = now > nextTickAt + STALL_THRESHOLD ? now : lastStallEndedAt;
         boolean outstanding = !request.outstandingAttempts().isEmpty();
         boolean arriving = now == request.arrivedAt && request.attempts.isEmpty();
         if (arriving) {
-            double earned = gate.isListValid(now) ? HEALTH_CHECKS_PER_REQUEST : UNCONFIRMED_CHECKS_PER_REQUEST;
+            double earned = gate.isListValid(now) ? HEALTH_CHECKS_PER_REQUEST : EXPIRED_LEASE_CHECKS_PER_REQUEST;
             double saved = healthCheckBudget + earned;
             healthCheckBudget = Math.min(HEALTH_CHECK_BUDGET_CAP, saved);
             requestCounts.merge(request.requestClass, 1L, Long::sum);
@@ -191,7 +193,7 @@
             return outstanding ? Decision.waitForNextTick() : rejectOrFail(request);
         }
         awaitingHealthCheck = false;
-        NodeState node = request.requiresPrimary() ? choosePrimary(request, now) : chooseReader(request, now);
+        NodeState node = request.requiresPrimary() ? choosePrimary(request, now) : chooseNodeForRead(request, now);
         if (node != null) {
             return send(request, node, now);
         }
@@ -202,16 +204,16 @@
         return Decision.waitForNextTick();
     }
 
-    /** Whether no response can be expected in time; at low load many need less than the expected time. */
+    /** Whether no response is likely in time. At low load many responses take less than the expected service time. */
     private boolean cannotFinishInTime(Request request, boolean outstanding, double now) {
         double load = replicaSet(request).readLoad(request.requestClass).value(now);
-        double fraction = Math.max(MIN_SERVICE_TIME_FRACTION, Math.min(1, load / SHEDDING_STARTS_AT));
+        double fraction = Math.max(MIN_SERVICE_TIME_FRACTION, Math.min(1, load / SHEDDING_START_LOAD));
         double longest = request.latencyObjectiveSeconds() * MAX_SERVICE_TIME_FRACTION;
         double needed = Math.min(expectedServiceTimes.get(request.requestClass), longest) * fraction;
         return now + (outstanding ? 0 : needed) >= latestUsefulTime(request);
     }
 
-    /** The time after which a response is worth nothing to the client. */
+    /** Returns the time after which a response has no value for the client. */
     private static double latestUsefulTime(Request request) {
         double margin = Math.min(MAX_DEADLINE_MARGIN, DEADLINE_MARGIN_FRACTION * request.timeoutSeconds());
         double latest = request.deadline - margin;
@@ -219,24 +221,24 @@
         return lateIsUseful ? latest : Math.min(latest, request.latencyObjectiveAt());
     }
 
-    /** Sheds arriving reads at random, by load: limits per node fail where many routers send little each. */
+    /** Whether to shed an arriving read, at random by load: per-node limits fail if many routers send little each. */
     private boolean shouldShed(Request request, double now) {
         if (request.requiresPrimary()) {
             return false;
         }
         double load = replicaSet(request).readLoad(request.requestClass).value(now);
-        double probability = (load - SHEDDING_STARTS_AT) / (SHEDDING_FULL_AT - SHEDDING_STARTS_AT);
+        double probability = (load - SHEDDING_START_LOAD) / (SHEDDING_FULL_LOAD - SHEDDING_START_LOAD);
         return random.nextDouble() < Math.min(MAX_SHED_PROBABILITY, probability);
     }
 
-    /** Whether there may be another attempt; one that may repeat an execution takes retry budget. */
+    /** Whether another attempt is allowed; an attempt that may execute a request twice needs retry budget. */
     private boolean mayAttempt(Request request, double now) {
         boolean retry = request.firstPossiblyExecutedAttempt() != null;
         return request.attempts.size() < settings.maxAttempts()
                 && (!retry || (retryBudget >= 1 && mayRetry(request, now)));
     }
 
-    /** Whether a request has waited so long for capacity, or a write for an election, that it is rejected. */
+    /** Whether a request has waited longer than allowed for capacity, or a write for an election of a primary. */
     private boolean exceedsHoldTime(Request request, double now) {
         boolean write = request.requiresPrimary();
         if (write && !isPrimaryHealthy(request, now)) {
@@ -248,6 +250,7 @@
         return request.attempts.isEmpty() && now > request.arrivedAt + holdTime;
     }
 
+    /** Creates an attempt on the node and charges it to the retry budget and the slow-start budget. */
     private Decision send(Request request, NodeState node, double now) {
         if (request.firstPossiblyExecutedAttempt() != null) {
             retryBudget--;
@@ -265,9 +268,9 @@
         return Decision.send(attempt);
     }
 
-    /** Ends a request that is not served: rejects it with a Retry-After if a retry is safe, else fails it. */
+    /** Ends a request that is not served: rejects it with a Retry-After if a retry is safe, otherwise fails it. */
     public Decision rejectOrFail(Request request) {
-        // A client may retry what is idempotent, was not executed, or has a key that every node knows.
+        // Safe: idempotent requests, requests that were not executed, and keys that all nodes deduplicate.
         boolean safe = request.idempotency() == Idempotency.IDEMPOTENT
                 || request.firstPossiblyExecutedAttempt() == null
                 || (request.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
@@ -285,7 +288,7 @@
 
     // ---- retries and hedging ----
 
-    /** Whether a request that may have been executed may be sent again: only where nodes drop a duplicate. */
+    /** Whether a request that may have been executed may be sent again: only if a duplicate has no effect. */
     private static boolean mayRetry(Request request, double now) {
         if (request.idempotency() != Idempotency.IDEMPOTENT_WITH_KEY) {
             return request.idempotency() == Idempotency.IDEMPOTENT;
@@ -294,7 +297,7 @@
         return now + STALL_MARGIN < windowStart + request.requestClass.deduplicationWindowSeconds();
     }
 
-    /** Whether the node, one of the same replica set, drops a duplicate of what may have been executed. */
+    /** Whether the node, of the same replica set, would drop a duplicate of an attempt that may have been executed. */
     private static boolean deduplicatesRetry(Request request, NodeState node) {
         boolean keyed = request.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY;
         Attempt first = keyed ? request.firstPossiblyExecutedAttempt() : null;
@@ -303,7 +306,7 @@
                 || first.node.zone().equals(node.node.zone());
     }
 
-    /** Hedges reads of silent nodes, and writes of former primaries; lateness alone is not worth the work. */
+    /** Hedges reads on silent nodes and writes on former primaries; hedging every late request would cost too much. */
     private boolean isHedgeDue(Request request, double now) {
         Attempt last = request.attempts.get(request.attempts.size() - 1);
         boolean allowed = settings.hedgingAllowed() && request.idempotency() != Idempotency.NON_IDEMPOTENT;
@@ -320,12 +323,12 @@
         return isSilent(node, now) || isEjected(node);
     }
 
-    /** Whether an attempt that waited for its connection may be sent; if not, it ends as NOT_SENT. */
+    /** Whether an attempt that waited for its connection may still be sent; otherwise it ends as NOT_SENT. */
     public boolean mayStillSend(Attempt attempt, double now) {
         return refusalOf(attempt, now) == AttemptRefusal.NONE;
     }
 
-    /** Why an attempt may not be sent now, or not any more; asked before its first byte is written. */
+    /** Returns why an attempt may not be sent now; the caller checks it before the first byte is written. */
     public AttemptRefusal refusalOf(Attempt attempt, double now) {
         Request request = attempt.request;
         NodeState node = nodeStates.get(attempt.node);
@@ -347,14 +350,14 @@
 
     // ---- choice of the primary ----
 
-    /** Returns the primary if it can take the request now, else null; checks all members if there is none. */
+    /** Returns the primary if it can take the request now, else null; health-checks all members if there is none. */
     private NodeState choosePrimary(Request request, double now) {
         NodeState primary = replicaSet(request).primary();
         if (!isPrimaryHealthy(request, now)) {
             replicaSet(request).members.forEach(member -> requestHealthCheck(member, now));
             return null;
         }
-        // Without a check, each router would send its first write after a failover to the former primary.
+        // Without a health check each router would send its first write after a failover to the former primary.
         boolean usable = !mustAwaitHealthCheck(primary, request, now)
                 && isUsable(primary, now)
                 && deduplicatesRetry(request, primary)
@@ -362,18 +365,18 @@
         return usable ? primary : null;
     }
 
-    /** Whether a primary responds; if not, writes wait for an election instead of failing at a dead node. */
+    /** Whether there is a responsive primary; without one, writes wait for an election instead of failing. */
     private boolean isPrimaryHealthy(Request request, double now) {
         NodeState node = replicaSet(request).primary();
         return node != null && !node.isDrainingOrGone() && !isEjected(node) && !isOverdue(node, now);
     }
 
-    // ---- choice of a reader ----
+    // ---- choice of a node for a read ----
 
-    /** Returns the node for a read, or null if it has to wait. */
-    private NodeState chooseReader(Request request, double now) {
-        // First the next replica in rotation that passes all gates; then, where replicas reject stale reads
-        // themselves, the one that lags least; then the primary.
+    /** Returns the node for a read, or null if the read has to wait. */
+    private NodeState chooseNodeForRead(Request request, double now) {
+        // In order of preference: the next replica in rotation that passes all gates; if replicas reject stale
+        // reads, the replica with the least lag; the primary.
         ReplicaSet replicaSet = replicaSet(request);
         NodeState primary = replicaSet(request).primary();
         NodeState dedicated = longReadReplica(request, replicaSet, primary, now);
@@ -381,19 +384,19 @@
             boolean usable = !mustAwaitHealthCheck(dedicated, request, now) && isUsableFor(request, dedicated, now);
             return usable ? dedicated : null;
         }
-        NodeState reader = nextInRotation(request, replicaSet, primary, now);
-        if (reader != null || (awaitingHealthCheck && !settings.replicasRejectStaleReads())) {
-            return reader;
+        NodeState chosen = nextInRotation(request, replicaSet, primary, now);
+        if (chosen != null || (awaitingHealthCheck && !settings.replicasRejectStaleReads())) {
+            return chosen;
         }
         if (settings.replicasRejectStaleReads()) {
-            reader = leastLagging(request, replicaSet, primary, now);
+            chosen = leastLagging(request, replicaSet, primary, now);
         }
-        return reader == null && canTakeRead(primary, replicaSet, request, now) ? primary : reader;
+        return chosen == null && canServeRead(primary, replicaSet, request, now) ? primary : chosen;
     }
 
-    /** Round robin over the replicas; those of which too little is known are passed over and checked. */
+    /** Selects a replica by round robin; replicas with outdated state are skipped and health-checked. */
     private NodeState nextInRotation(Request request, ReplicaSet replicaSet, NodeState primary, double now) {
-        // Eventual reads try replicas outside the tightest lag gate first, which spares the others.
+        // Eventual reads first try replicas outside the tightest lag gate, which unloads the up-to-date ones.
         int size = replicaSet.members.size();
         NodeState toCheck = null;
         for (int i = prefersLaggingReplicas(request, replicaSet, now) ? 1 : size + 1; i <= 2 * size; i++) {
@@ -407,11 +410,11 @@
                 sampleHealthCheck(replica, request, now);
             } else if (needsHealthCheck(replica, request, now)) {
                 awaitingHealthCheck |= isHealthCheckPending(replica, now);
-                toCheck = preferredToCheck(toCheck, replica, request, now);
+                toCheck = preferredForHealthCheck(toCheck, replica, request, now);
             } else if (isEligible(replica, request, now) && acceptsTurn(replica, now)) {
                 replicaSet.roundRobinIndex = index;
                 awaitingHealthCheck = false;
-                checkPassedOver(toCheck, request, now);
+                healthCheckSkippedReplica(toCheck, request, now);
                 return replica;
             }
         }
@@ -419,30 +422,30 @@
         return null;
     }
 
-    /** For eventual reads, while these are not slow there. */
+    /** Whether a read tries lagging replicas first: eventual reads do while the latency of eventual reads is low. */
     private static boolean prefersLaggingReplicas(Request request, ReplicaSet replicaSet, double now) {
         double load = replicaSet.eventualReadLoad.value(now);
         return request.consistency() == ConsistencyLevel.EVENTUAL
                 && load <= Math.max(LOW_LATENCY_RATIO, replicaSet.consistentReadLoad.value(now));
     }
 
-    /** Whether too little is known of a replica for the read; stale ones pass while checks are scarce. */
+    /** Whether the replica's state is too old for the read; staleness is ignored while the check budget is low. */
     private boolean needsHealthCheck(NodeState replica, Request request, double now) {
-        return (hasPlentyOfHealthChecks() && isStale(replica, now))
+        return (hasAmpleHealthCheckBudget() && isStale(replica, now))
                 || gate.refusalFor(replica, now) == AttemptRefusal.NODE_UNCONFIRMED
                 || (!satisfiesRead(replica, request, now) && !likelySatisfiesRead(replica, request, now));
     }
 
-    /** Of two replicas that were passed over, the one to check: the first, or the first in the own zone. */
-    private NodeState preferredToCheck(NodeState current, NodeState replica, Request request, double now) {
+    /** Returns which of two skipped replicas to health-check: the first, or the first in this router's zone. */
+    private NodeState preferredForHealthCheck(NodeState current, NodeState replica, Request request, double now) {
         String zone = settings.zone();
         boolean preferred = current == null || (replica.isInZone(zone) && !current.isInZone(zone));
         boolean due = now >= replica.healthCheckSentAt + HEALTH_CHECK_INTERVAL;
-        boolean checkable = due && !replica.isDrainingOrGone() && mayCheck(replica, request, now);
+        boolean checkable = due && !replica.isDrainingOrGone() && mayHealthCheck(replica, request, now);
         return preferred && checkable ? replica : current;
     }
 
-    /** Whether the replica is not ejected, can take the read now, and passes the lag gate. */
+    /** Whether the replica is not ejected for staleness, can take the read now, and passes the lag gate. */
     private boolean isEligible(NodeState replica, Request request, double now) {
         return !isEjectedForStaleness(replica, request, now)
                 && isUsableFor(request, replica, now)
@@ -450,10 +453,10 @@
                         || replica.lagSeconds <= lagGate(request.requestClass));
     }
 
-    /** Whether the replica takes its turn; it passes some up at random, but none for good. */
+    /** Whether the replica takes its turn in the rotation; replicas skip turns at random, but never all turns. */
     private boolean acceptsTurn(NodeState replica, double now) {
-        // Less often in slow start, while it reports more load than its peers, which other routers may
-        // cause, and while it needs a connection and connecting takes long.
+        // Turns are skipped in slow start, while the replica reports more load than its peers, which other
+        // routers may cause, and while it needs a new connection and connecting is slow.
         double averageLoad = replica.replicaSet.averageReplicaLoad();
         double byLoad = (averageLoad + 1) / (replica.reportedLoad + 1);
         double probability = Math.min(settings.capacityFraction(replica.startedAt(), now), byLoad);
@@ -463,30 +466,31 @@
         return probability >= 1 || random.nextDouble() < probability;
     }
 
-    /** The replica, the same for all routers, that takes rare long reads; null for other reads. */
+    /** Returns the replica, the same for all routers, that serves rare long reads; null for other reads. */
     private NodeState longReadReplica(Request request, ReplicaSet replicaSet, NodeState primary, double now) {
-        // A long read may hold up replication where it runs; spread over all replicas, each of them lags.
+        // A long read may delay replication on its node; spread over all replicas it would make each of them lag.
         double serviceTime = expectedServiceTimes.get(request.requestClass);
         boolean eventual = request.consistency() == ConsistencyLevel.EVENTUAL;
-        if (!eventual || serviceTime <= tightestLagGate || !isRare(request.requestClass, replicaSet)) {
+        if (!eventual || serviceTime <= tightestLagGate || !isRareRequestClass(request.requestClass, replicaSet)) {
             return null;
         }
         boolean mayWait = now + 2 * serviceTime < request.latencyObjectiveAt();
         return replicaSet.members.stream()
                 .filter(member -> member != primary)
-                .filter(member -> mayWait ? isUndisturbed(member, now) : isUsableFor(request, member, now))
+                .filter(member -> mayWait ? isHealthy(member, now) : isUsableFor(request, member, now))
                 .min(Comparator.comparing(member -> member.node.id()))
                 .orElse(null);
     }
 
-    /** At most one member's share of requests: more would only form a queue at a single replica. */
-    private boolean isRare(RequestClass requestClass, ReplicaSet replicaSet) {
+    /** Whether the class has at most one member's share of all requests; more would overload a single replica. */
+    private boolean isRareRequestClass(RequestClass requestClass, ReplicaSet replicaSet) {
         long all = requestCounts.values().stream().mapToLong(Long::longValue).sum();
         return requestCounts.getOrDefault(requestClass, 0L) * replicaSet.members.size() <= all;
     }
 
+    /** Returns the usable replica with the least lag, or null. */
     private NodeState leastLagging(Request request, ReplicaSet replicaSet, NodeState primary, double now) {
-        // A replica that never reported a position is as likely to be within the bound as not.
+        // A replica without a reported position is about as likely to be within the bound as outside.
         double unknownLag = request.maxStalenessSeconds();
         return replicaSet.members.stream()
                 .filter(member -> member != primary && !isEjectedForStaleness(member, request, now))
@@ -495,18 +499,18 @@
                 .orElse(null);
     }
 
-    /** Whether the primary is fast and has capacity beyond what it keeps for writes. */
-    private boolean canTakeRead(NodeState primary, ReplicaSet replicaSet, Request request, double now) {
+    /** Whether the primary is fast and has capacity beyond the part reserved for writes. */
+    private boolean canServeRead(NodeState primary, ReplicaSet replicaSet, Request request, double now) {
         boolean healthy = primary != null && primary.consecutiveFailures == 0;
         return healthy
                 && replicaSet.primaryLoad.value(now) < LOW_LATENCY_RATIO
-                && hasCapacity(primary, PRIMARY_READ_FRACTION, now)
+                && hasCapacity(primary, PRIMARY_READ_CAPACITY_FRACTION, now)
                 && isUsableFor(request, primary, now);
     }
 
     // ---- consistency ----
 
-    /** Whether the node is known to have applied all that the read has to see; positions never decrease. */
+    /** Whether the node has provably applied all writes that the read must see; positions never decrease. */
     private boolean satisfiesRead(NodeState node, Request request, double now) {
         return switch (request.consistency()) {
             case EVENTUAL -> true;
@@ -519,16 +523,19 @@
         };
     }
 
-    /** The last write of the request's session, as the request, peers or this router know it. */
+    /** Returns the newest known last-write position of the session: from the request, peers or this router's record. */
     private double requiredSessionPosition(Request request) {
         double known = request.lastWritePosition;
         double carried = known > 0 ? known + CARRIED_POSITION_PRECISION : 0;
         boolean remembers = request.sessionId != null && !settings.requestsCarryLastWrite();
         double remembered = remembers ? sessionWrites.position(request.sessionId) : 0;
-        return Math.max(carried, Math.max(replicaSet(request).forgottenWritePosition, remembered));
+        return Math.max(carried, Math.max(replicaSet(request).evictedWritePosition, remembered));
     }
 
-    /** A replica that checks reads itself may be tried: what one of many routers knows of it is often old. */
+    /**
+     * Whether a replica that rejects stale reads itself may be tried on the evidence of its last measured lag; the
+     * positions known to one of many routers are often old.
+     */
     private boolean likelySatisfiesRead(NodeState replica, Request request, double now) {
         return settings.replicasRejectStaleReads()
                 && request.consistency() == ConsistencyLevel.BOUNDED_STALENESS
@@ -540,7 +547,7 @@
         return requestClass.maxStalenessSeconds() * LAG_GATE_FRACTION;
     }
 
-    /** After the replica rejected a read, until it reports a position which shows that it has caught up. */
+    /** Whether the replica rejected a read and has not reported a position since that shows it has caught up. */
     private static boolean isEjectedForStaleness(NodeState replica, Request request, double now) {
         return now < replica.readRejectedAt + READ_REJECTION_EJECTION_TIME
                 && request.consistency() != ConsistencyLevel.EVENTUAL
@@ -556,14 +563,14 @@
                 && withinSlowStartBudget(node, request.requestClass, now);
     }
 
-    /** Whether the node may get an attempt now; one that has failed gets one at a time. */
+    /** Whether the node may get an attempt now; a node that has failed gets one attempt at a time. */
     private boolean isUsable(NodeState node, double now) {
-        boolean onTrial = node.consecutiveFailures > 0 && !node.outstandingAttempts.isEmpty();
+        boolean probeOutstanding = node.consecutiveFailures > 0 && !node.outstandingAttempts.isEmpty();
         boolean available = gate.admits(node, now) && now >= node.backoffUntil && !isEjected(node);
-        return available && !onTrial && !isSilent(node, now) && hasCapacity(node, 1, now);
+        return available && !probeOutstanding && !isSilent(node, now) && hasCapacity(node, 1, now);
     }
 
-    private boolean isUndisturbed(NodeState node, double now) {
+    private boolean isHealthy(NodeState node, double now) {
         return node.consecutiveFailures == 0 && !node.isDrainingOrGone() && !isSilent(node, now);
     }
 
@@ -575,13 +582,13 @@
         return now - node.lastSeenAt > TIME_GATE;
     }
 
-    /** Whether the node no longer responds: an attempt is overdue, and so is another or a health check. */
+    /** Whether the node no longer responds: an attempt is overdue, and another is outstanding or a check is overdue. */
     private boolean isSilent(NodeState node, double now) {
         boolean checkOverdue = node.healthCheckPending && now > node.healthCheckSentAt + HEALTH_CHECK_TIMEOUT;
         return isOverdue(node, now) && (node.outstandingAttempts.size() > 1 || checkOverdue);
     }
 
-    /** Whether the oldest attempt is overdue; time before a stall of this router does not count. */
+    /** Whether the oldest attempt is overdue; the time before the end of a stall of this router does not count. */
     private boolean isOverdue(NodeState node, double now) {
         Attempt oldest = node.outstandingAttempts.peek();
         if (oldest == null) {
@@ -595,7 +602,10 @@
         return Math.max(MIN_SILENCE_TIMEOUT, SILENCE_FACTOR * expectedServiceTimes.get(requestClass));
     }
 
-    /** Schedules a health check; requests pay for them, as periodic ones cost large fleets too much. */
+    /**
+     * Schedules a health check if one is allowed and due, and returns whether it did. The budget for health checks
+     * grows with requests, because periodic checks cost large fleets too much.
+     */
     private boolean requestHealthCheck(NodeState node, double now) {
         boolean due = now >= node.healthCheckSentAt + HEALTH_CHECK_INTERVAL;
         if (!settings.healthChecksAllowed() || node.isDrainingOrGone() || healthCheckBudget < 1 || !due) {
@@ -609,10 +619,11 @@
     }
 
     /**
-     * Whether a read may have the node checked: in slow start only with a token. Without one nothing may be sent to it
-     * anyway, and the check of each of many routers opens a connection, which costs the node as much as part of a read.
+     * Whether a read may trigger a health check of the node: in slow start only with a token. Without a token nothing
+     * may be sent to the node anyway, and the check by each of many routers opens a connection, which costs the node as
+     * much as part of a read.
      */
-    private boolean mayCheck(NodeState node, Request request, double now) {
+    private boolean mayHealthCheck(NodeState node, Request request, double now) {
         return withinSlowStartBudget(node, request.requestClass, now);
     }
 
@@ -620,39 +631,39 @@
         return node.healthCheckPending && now < node.healthCheckSentAt + HEALTH_CHECK_TIMEOUT;
     }
 
-    /** Whether a request has to wait for a check of a stale or unconfirmed node, which is requested here. */
+    /** Whether a request must wait for a health check of a stale or unconfirmed node; requests the check if needed. */
     private boolean mustAwaitHealthCheck(NodeState node, Request request, double now) {
         boolean unconfirmed = isStale(node, now) || gate.refusalFor(node, now) == AttemptRefusal.NODE_UNCONFIRMED;
-        boolean checkable = unconfirmed && mayCheck(node, request, now);
+        boolean checkable = unconfirmed && mayHealthCheck(node, request, now);
         awaitingHealthCheck =
                 unconfirmed && (isHealthCheckPending(node, now) || (checkable && requestHealthCheck(node, now)));
         return awaitingHealthCheck;
     }
 
-    /** Checks a node that a read passed over: now and then, or, where it has to confirm itself, while checks last. */
-    private void checkPassedOver(NodeState node, Request request, double now) {
+    /** Health-checks a skipped node: a sample of the times, or, if unconfirmed, while the check budget is ample. */
+    private void healthCheckSkippedReplica(NodeState node, Request request, double now) {
         boolean unconfirmed = node != null && gate.refusalFor(node, now) == AttemptRefusal.NODE_UNCONFIRMED;
         if (!unconfirmed) {
             sampleHealthCheck(node, request, now);
-        } else if (hasPlentyOfHealthChecks()) {
+        } else if (hasAmpleHealthCheckBudget()) {
             requestHealthCheck(node, now);
-        } // else the checks that are left are for requests that find no node
+        } // otherwise the remaining checks are reserved for requests that find no node
     }
 
-    private boolean hasPlentyOfHealthChecks() {
+    private boolean hasAmpleHealthCheckBudget() {
         return settings.healthChecksAllowed() && healthCheckBudget > HEALTH_CHECK_BUDGET_CAP / 2;
     }
 
-    /** Checks a node that reads pass over now and then, as no attempt would show its recovery. */
+    /** Health-checks a node that reads skip, with a small probability: no attempt would reveal its recovery. */
     private void sampleHealthCheck(NodeState node, Request request, double now) {
-        if (node != null && random.nextDouble() < REFRESH_PROBABILITY && mayCheck(node, request, now)) {
+        if (node != null && random.nextDouble() < REFRESH_PROBABILITY && mayHealthCheck(node, request, now)) {
             requestHealthCheck(node, now);
         }
     }
 
     // ---- capacity ----
 
-    /** Whether that part of the limit is free; the node may still work on attempts that were abandoned. */
+    /** Whether less than the fraction of the limit is in use, counting abandoned attempts that may still be queued. */
     private static boolean hasCapacity(NodeState node, double fraction, double now) {
         node.abandonedAttempts.removeIf(abandoned -> hasLeftQueue(abandoned, now));
         int inUse = node.outstandingAttempts.size() + node.abandonedAttempts.size();
@@ -661,14 +672,14 @@
 
     private static boolean hasLeftQueue(Attempt abandoned, double now) {
         double objective = abandoned.request.latencyObjectiveSeconds();
-        return now > abandoned.sentAt + ABANDONED_FOR_OBJECTIVES * objective;
+        return now > abandoned.sentAt + ABANDONED_ATTEMPT_OBJECTIVES * objective;
     }
 
     private ReplicaSet replicaSet(Request request) {
         return replicaSet(request.replicaSetId);
     }
 
-    /** Rotations start at random, so that routers do not all send their first reads to the same member. */
+    /** Returns the replica set; its rotation starts at random, so that routers begin at different members. */
     private ReplicaSet replicaSet(int id) {
         return replicaSets.computeIfAbsent(
                 id, unknown -> new ReplicaSet(random.nextInt(1 << 16), LOAD_SMOOTHING, overall));
@@ -680,7 +691,7 @@
         return settings.capacityFraction(node.startedAt(), now) < 1;
     }
 
-    /** Whether a node may get a request: always, but in slow start only within this router's budget for it. */
+    /** Whether the node may get a request: in slow start only if this router has a slow-start token for it. */
     private boolean withinSlowStartBudget(NodeState node, RequestClass requestClass, double now) {
         if (!isInSlowStart(node, now)) {
             return true;
@@ -688,7 +699,7 @@
         SlowStartBudget budget = node.slowStartBudget;
         double requestWork = expectedServiceTimes.get(requestClass);
         if (budget.isOlderThan(node.startedAt())) {
-            // The random debt spreads the first requests of many routers.
+            // The random initial debt spreads the first requests of many routers over time.
             budget.restart(random.nextDouble() * requestWork, now);
         } else {
             budget.refill(toleratedWorkRate(node, now), requestWork, now);
@@ -696,7 +707,7 @@
         return budget.hasToken();
     }
 
-    /** This router's part of the work that a node in slow start tolerates, by the work that warm nodes do for it. */
+    /** Returns the work rate that a node in slow start tolerates of this router, based on what warm nodes complete. */
     private double toleratedWorkRate(NodeState node, double now) {
         double minWorkRate = MIN_FLEET_WORK_RATE / settings.routerCount();
         double workRate = Math.max(minWorkRate, completedWorkRate.value(now));
@@ -704,15 +715,15 @@
     }
 
     /**
-     * Whether an attempt that waited, for its connection say, has lost the right to a node in slow start: its token has
-     * expired, or the node has started since. Otherwise all that waited together would arrive together.
+     * Whether an attempt that waited, for example for its connection, has no valid token for a node in slow start: the
+     * token has expired, or the node has restarted since. Otherwise all attempts that waited would arrive together.
      */
     private boolean lacksSlowStartToken(Attempt attempt, NodeState node, double now) {
         boolean startedSince = attempt.sentAt < node.startedAt();
         return isInSlowStart(node, now) && (startedSince || now > attempt.slowStartTokenExpiresAt);
     }
 
-    /** Counts a response as work done; what was sent to hung or overloaded nodes does not count. */
+    /** Adds the work of an answered request to the rate; requests to hung or overloaded nodes do not count. */
     private void addCompletedWork(RequestClass requestClass, double now) {
         if (now > servingNodesCountedAt + SERVING_NODE_COUNT_INTERVAL) {
             servingNodesCountedAt = now;
@@ -726,7 +737,11 @@
 
     // ---- results of attempts ----
 
-    /** Learns from a result and decides what is next; {@code completed}: answered, or the client has gone. */
+    /**
+     * Updates all state with the result of an attempt and decides how to proceed with its request.
+     *
+     * @param completed whether the request has its final answer, or its client has gone
+     */
     public Decision onAttemptFinished(Attempt attempt, AttemptResult result, boolean completed, double now) {
         Request request = attempt.request;
         AttemptOutcome outcome = result.outcome();
@@ -743,7 +758,7 @@
         node.onAttemptResult(attempt, outcome, now);
         updateHealthAndLoad(node, attempt, result, now);
         if (outcome == AttemptOutcome.ANSWERED) {
-            rememberWrite(request, result, now);
+            recordSessionWrite(request, result, now);
         }
         if (!completed && outcome != AttemptOutcome.ANSWERED) {
             return route(request, now);
@@ -751,7 +766,7 @@
         return Decision.end(RoutingAction.DONE, 0, cancellableAttempts(request));
     }
 
-    /** What an attempt that opened a connection took beyond the expected service time is connect time. */
+    /** Estimates connect time as the time beyond the expected service time of attempts that opened a connection. */
     private void updateConnectTime(Attempt attempt, AttemptResult result) {
         AttemptOutcome outcome = result.outcome();
         boolean responded = outcome == AttemptOutcome.ANSWERED || outcome == AttemptOutcome.CONNECT_FAILED;
@@ -762,7 +777,8 @@
         }
     }
 
-    private void rememberWrite(Request request, AttemptResult result, double now) {
+    /** Records the last-write position of the session of an answered write, unless requests carry it. */
+    private void recordSessionWrite(Request request, AttemptResult result, double now) {
         boolean write = request.consistency() == ConsistencyLevel.WRITE;
         if (write && request.sessionId != null && !settings.requestsCarryLastWrite()) {
             double position = result.appliedPosition() > 0 ? result.appliedPosition() : now;
@@ -770,7 +786,7 @@
         }
     }
 
-    /** Takes over what a node said of itself with the result of an attempt or a health check. */
+    /** Updates the node's state with what it reported in the response to an attempt or a health check. */
     private void updateNodeState(NodeState node, AttemptResult result, double now) {
         if (result.outcome() == AttemptOutcome.ANSWERED || result.role() != Role.UNKNOWN) {
             node.lastSeenAt = now;
@@ -782,10 +798,10 @@
         updateLag(node, result, now);
     }
 
-    /** Takes over the role that a response shows, and the older one in the load report. */
+    /** Records the role shown by the response, and the role in the load report, which is older. */
     private static void updateRole(NodeState node, AttemptResult result, double now) {
-        // A load report is as old as its position, though a replica's position may be older. A former
-        // primary that is back, its position unchanged, would otherwise still be taken for the primary.
+        // A load report is dated by its position; as a replica's position may be older than its report, that age
+        // is bounded. Otherwise a former primary that returns with an unchanged position would still count as primary.
         if (result.role() == Role.PRIMARY) {
             node.claimPrimary(now - result.elapsedSeconds() / 2);
         } else if (result.role() == Role.REPLICA) {
@@ -798,11 +814,11 @@
         }
     }
 
-    /** Lag counts as of the last report: a replica that was not asked for a while has not fallen behind. */
+    /** Updates the lag if a position was reported; a replica without recent requests keeps its last measured lag. */
     private void updateLag(NodeState node, AttemptResult result, double now) {
         if (result.appliedPosition() > 0 || result.reportedPosition() > 0) {
             double reportedAt = result.appliedPosition() > 0 ? now : now - TYPICAL_REPORT_AGE;
-            // The log has gone on since the primary was last heard.
+            // The log has grown since the primary last reported its position.
             double newest = Math.max(node.replicaSet.newestPrimaryPosition, reportedAt);
             node.lagSeconds = newest - node.appliedPosition;
             node.lagMeasuredAt = now;
@@ -834,13 +850,13 @@
             case ERROR -> backOff(node, 0, now);
             case CONNECT_FAILED -> backOff(node, 1, now);
             case RESET -> {
-                // Connections break for other reasons than dead nodes, and those accept no new connections.
+                // A reset alone does not show a dead node; a dead node also refuses new connections.
                 if (node.lastAttemptResponseAt < attempt.sentAt) {
                     backOff(node, 0, now);
                 }
             }
             case TIMED_OUT, CANCELLED -> {
-                // A client's shorter wait says nothing of the node.
+                // A shorter client timeout is no evidence against the node.
                 boolean longWait = attempt.timeoutAt > attempt.request.arrivedAt + objective / 2;
                 boolean late = longWait && result.outcome() == AttemptOutcome.TIMED_OUT;
                 load.addSample(late ? 1 : latencyRatio, now);
@@ -856,7 +872,7 @@
 
     private void onAnswered(NodeState node, Attempt attempt, double elapsedSeconds, double now) {
         node.lastAttemptResponseAt = now;
-        // Queues are first in, first out: what was sent before this attempt has left the queue too.
+        // Queues are first in, first out: attempts sent before this one have left the queue too.
         node.abandonedAttempts.removeIf(abandoned -> abandoned.sentAt <= attempt.sentAt);
         node.consecutiveFailures = 0;
         node.backoffCount = 0;
@@ -870,15 +886,15 @@
         return average + weight * (sample - average);
     }
 
-    /** Leaves the node alone, twice as long after each failure since its last answer. */
+    /** Starts a backoff of the node; its length doubles with each backoff since the last answer, up to a maximum. */
     private void backOff(NodeState node, int failures, double now) {
-        // Without health checks only another attempt can show a recovery, so that failures do not eject.
+        // Without health checks only another attempt can show a recovery, so failures must not eject the node.
         int maxFailures = settings.healthChecksAllowed() ? Integer.MAX_VALUE : EJECTION_THRESHOLD - 1;
         node.consecutiveFailures = Math.min(node.consecutiveFailures + failures, maxFailures);
         node.backoffUntil = now + Math.min(MAX_BACKOFF, MIN_BACKOFF * Math.pow(2, node.backoffCount++));
     }
 
-    /** Keeps responses within a third of the objective: longer queues make all requests late for long. */
+    /** Keeps latency below about a third of the objective: longer queues would delay all requests for long. */
     private void lowerLimitIfSlow(NodeState node, double latencyRatio) {
         double sample = Math.min(latencyRatio, MAX_LATENCY_RATIO);
         node.latencyRatio = smooth(node.latencyRatio, sample, LATENCY_RATIO_SMOOTHING);
@@ -900,7 +916,7 @@
 
     // ---- ticks ----
 
-    /** Returns when to ask again about all requests that are not completed, and what else is due now. */
+    /** Returns when to route all uncompleted requests again, and the health checks and the poll that are due now. */
     public TickResult tick(double now) {
         boolean pollEndpoints = now >= nextPollAt;
         nextPollAt = pollEndpoints ? now + POLL_TIMEOUT : nextPollAt;
@@ -916,7 +932,7 @@
 
     // ---- endpoint list ----
 
-    /** Takes over the endpoint list: all of it if it is complete, otherwise what changed. */
+    /** Applies an endpoint list: it replaces the known list if it is complete, otherwise it contains the changes. */
     public void onEndpointList(List<Endpoint> endpoints, boolean complete, double now) {
         if (complete) {
             nodeStates.values().forEach(node -> node.endpoint = endpointAfterRemoval(node));
@@ -926,7 +942,7 @@
             node.endpoint = endpoint.state() == Endpoint.State.GONE ? endpointAfterRemoval(node) : endpoint;
         }
         nodeStates.values().removeIf(node -> node.isUnused() && node.replicaSet.members.remove(node));
-        // The first list is a cached one, from before any poll; a later one shows that the watch works.
+        // The first list is cached and precedes any poll; each later list shows that the watch works.
         nextPollAt = nextPollAt > 0 ? Double.POSITIVE_INFINITY : nextPollAt;
         endpointListLate = false;
     }
@@ -938,32 +954,32 @@
         return state;
     }
 
-    /** Where being gone from the list is not binding, it counts only for a node that was draining. */
+    /** Returns the endpoint of a node that is gone from the list: null if that is binding or the node was draining. */
     private Endpoint endpointAfterRemoval(NodeState node) {
         return settings.goneIsBinding() || node.isDrainingOrGone() ? null : node.endpoint;
     }
 
-    /** A poll of the endpoint list failed or its watch broke: polls again, after a random delay. */
+    /** Schedules another poll after a random delay, as a poll of the endpoint list failed or its watch broke. */
     public void onEndpointListFailed(double now) {
         if (settings.endpointListMustBePolled()) {
             nextPollAt = now + MIN_POLL_RETRY_DELAY + random.nextDouble();
         }
     }
 
-    /** A watch did not answer in time: polls at once, but only once until a list arrives. */
+    /** Schedules a poll at once, as a watch was not answered in time; does so only once until a list arrives. */
     public void onEndpointListLate(double now) {
         nextPollAt = endpointListLate ? nextPollAt : now;
         endpointListLate = true;
     }
 
-    /** Draws the time that a watch may stay open, so that routers do not renew their watches all at once. */
+    /** Returns a random time that a watch may stay open, so that routers do not renew their watches all at once. */
     public double nextWatchTimeoutSeconds() {
         return MIN_WATCH_TIMEOUT + (MAX_WATCH_TIMEOUT - MIN_WATCH_TIMEOUT) * random.nextDouble();
     }
 
     // ---- health check results and peers ----
 
-    /** Takes over the result of a health check. Success leaves one failure: hung nodes answer checks too. */
+    /** Applies the result of a health check; success leaves one failure, as hung nodes pass health checks too. */
     public void onHealthCheck(Node node, AttemptResult result, double now) {
         NodeState state = nodeStates.get(node);
         if (state == null) {
@@ -979,7 +995,7 @@
         }
     }
 
-    /** Takes over what peers observed; failures count as one, as their way to the node may be broken. */
+    /** Applies an observation of peers; their failures count as one, as only their network path may be broken. */
     public void onPeerObservation(Node node, PeerObservation observation, double now) {
         NodeState state = nodeStates.get(node);
         if (state == null || state.hasRestartedSince(observation)) {
@@ -995,12 +1011,12 @@
 
     // ---- inspection ----
 
-    /** Whether the node is listed, or has an attempt outstanding. */
+    /** Whether the node is in the endpoint list or has an attempt outstanding. */
     public boolean isKnown(Node node) {
         return nodeStates.containsKey(node);
     }
 
-    /** Describes the nodes for the log: counts, and the first that are unusable or have attempts. */
+    /** Describes the nodes for the log: their counts, and the first ones that are unusable or have attempts. */
     public String describeNodes(double now) {
         var summary = new NodeSummary(MAX_DESCRIBED_NODES);
         nodeStates.values().forEach(node -> summary.add(node, isStale(node, now), isUsable(node, now), now));
--- a/core/src/main/java/clayhook/SessionWrites.java
+++ b/core/src/main/java/clayhook/SessionWrites.java
@@ -24,8 +24,8 @@
         lastWrites.merge(sessionId, write, (old, added) -> old.position > added.position ? old : added);
         if (lastWrites.size() > maxSessions) {
             LastWrite evicted = lastWrites.remove(lastWrites.keySet().iterator().next());
-            evicted.replicaSet.forgottenWritePosition =
-                    Math.max(evicted.replicaSet.forgottenWritePosition, evicted.position);
+            evicted.replicaSet.evictedWritePosition =
+                    Math.max(evicted.replicaSet.evictedWritePosition, evicted.position);
         }
     }
 
