--- a/core/src/main/java/clayhook/RoutingPolicy.java
+++ b/core/src/main/java/clayhook/RoutingPolicy.java
@@ -27,7 +27,7 @@
  *
  * <p>The caller passes each new request to {@link #route} and each result to {@link #onAttemptFinished}.
  *
- * <p>After each batch of events it calls {@link #tick}, and after the returned time it routes all uncompleted requests
+ * <p>After each batch of events it calls {@link #tick}, and after the returned time it routes all unfinished requests
  * again.
  *
  * <p>Performs no I/O and reads no clock: the same seed and the same calls give the same decisions.
@@ -270,7 +270,7 @@
 
     /** Ends a request that is not served: rejects it with a Retry-After if a retry is safe, otherwise fails it. */
     public Decision rejectOrFail(Request request) {
-        // Safe: idempotent requests, requests that were not executed, and keys that all nodes deduplicate.
+        // Safe: idempotent requests, requests that were not executed, and requests with a key that all nodes know.
         boolean safe = request.idempotency() == Idempotency.IDEMPOTENT
                 || request.firstPossiblyExecutedAttempt() == null
                 || (request.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
@@ -547,7 +547,7 @@
         return requestClass.maxStalenessSeconds() * LAG_GATE_FRACTION;
     }
 
-    /** Whether the replica rejected a read and has not reported a position since that shows it has caught up. */
+    /** Whether the replica lately rejected a read, without a reported position since that shows it has caught up. */
     private static boolean isEjectedForStaleness(NodeState replica, Request request, double now) {
         return now < replica.readRejectedAt + READ_REJECTION_EJECTION_TIME
                 && request.consistency() != ConsistencyLevel.EVENTUAL
@@ -640,7 +640,7 @@
         return awaitingHealthCheck;
     }
 
-    /** Health-checks a skipped node: a sample of the times, or, if unconfirmed, while the check budget is ample. */
+    /** Health-checks a skipped node: with a small probability or, if unconfirmed, while the check budget is ample. */
     private void healthCheckSkippedReplica(NodeState node, Request request, double now) {
         boolean unconfirmed = node != null && gate.refusalFor(node, now) == AttemptRefusal.NODE_UNCONFIRMED;
         if (!unconfirmed) {
@@ -916,7 +916,7 @@
 
     // ---- ticks ----
 
-    /** Returns when to route all uncompleted requests again, and the health checks and the poll that are due now. */
+    /** Returns when to route all unfinished requests again, and the health checks and the poll that are due now. */
     public TickResult tick(double now) {
         boolean pollEndpoints = now >= nextPollAt;
         nextPollAt = pollEndpoints ? now + POLL_TIMEOUT : nextPollAt;
