--- a/core/src/main/java/clayhook/inflight/InFlightRequests.java
+++ b/core/src/main/java/clayhook/inflight/InFlightRequests.java
@@ -15,34 +15,34 @@
 import java.util.function.Supplier;
 
 /**
- * The table of requests in flight, and the time at which the {@link RoutingPolicy} is asked about them again. It
- * decides nothing itself: it passes events to the policy, collects the decisions until {@link #tick}, and forgets a
- * request once it is completed and no attempt is outstanding. It holds one request a client that waits, and completed
- * ones until their last attempt ends, at its timeout at the latest. Not thread-safe: confined to the event loop. Times
- * are clock times in seconds.
+ * The requests in flight and the time at which the {@link RoutingPolicy} routes them again. This class makes no routing
+ * decisions: it passes events to the policy, collects the decisions until {@link #tick}, and removes a request once it
+ * is completed and has no outstanding attempt. It holds one request per waiting client, and completed requests until
+ * their last attempt ends, at its timeout at the latest. Times are clock times in seconds. Not thread-safe: confined to
+ * the event loop.
  */
 public final class InFlightRequests {
-    /** More than the rounding error of a double that holds seconds since 1970. */
+    /** An upper bound of the rounding error of seconds since 1970 in a double. */
     private static final double CLOCK_ROUNDING_SECONDS = 1e-6;
 
     /** A decision of the policy on a request, to be carried out. */
     public record RoutedRequest(Request request, Decision decision) {}
 
     /**
-     * What is to be carried out now.
+     * The decisions and other actions to be carried out now.
      *
      * @param routedRequests the decisions since the last batch, in the order in which they were made
-     * @param tickResult what else the policy wants done now
-     * @param wakeAfterSeconds when {@link #tick} is to be called again; 0 if an earlier batch already asked for that in
-     *     time
+     * @param tickResult the other actions that are due
+     * @param wakeAfterSeconds the time until {@link #tick} must be called again; 0 if an earlier batch already
+     *     requested a call that is early enough
      */
     public record DecisionBatch(List<RoutedRequest> routedRequests, TickResult tickResult, double wakeAfterSeconds) {}
 
     private final RoutingPolicy policy;
     private final Set<Request> requests = new LinkedHashSet<>();
-    private final Consumer<RuntimeException> faultHandler;
+    private final Consumer<RuntimeException> exceptionHandler;
     private List<RoutedRequest> routedRequests = new ArrayList<>();
-    /** No outstanding attempt times out earlier. */
+    /** A lower bound of the timeouts of all outstanding attempts. */
     private double earliestTimeoutAt = Double.POSITIVE_INFINITY;
 
     private double nextTickAt = Double.POSITIVE_INFINITY;
@@ -50,39 +50,39 @@
     /**
      * Creates an empty table.
      *
-     * @param faultHandler is told of exceptions of the policy; if it returns, the request concerned is failed
+     * @param exceptionHandler receives the exceptions that the policy throws; if it returns, the affected request fails
      */
-    public InFlightRequests(RoutingPolicy policy, Consumer<RuntimeException> faultHandler) {
+    public InFlightRequests(RoutingPolicy policy, Consumer<RuntimeException> exceptionHandler) {
         this.policy = policy;
-        this.faultHandler = faultHandler;
+        this.exceptionHandler = exceptionHandler;
     }
 
-    /** Adds a request that has arrived and routes it. */
+    /** Adds an arriving request and routes it. */
     public void admit(Request request, double now) {
         requests.add(request);
-        decide(request, () -> policy.route(request, now));
+        applyDecision(request, () -> policy.route(request, now));
     }
 
-    /** Adds a request that arrived when nothing is sent any more: it is rejected or failed at once. */
+    /** Adds a request that arrives after routing has stopped, and rejects or fails it at once. */
     public void rejectOrFail(Request request) {
         requests.add(request);
-        decide(request, () -> policy.rejectOrFail(request));
+        applyDecision(request, () -> policy.rejectOrFail(request));
     }
 
-    /** Takes the result of an attempt; {@code completed} tells that it gave the request its final answer. */
+    /** Processes the result of an attempt; {@code completed} says whether it gave the request its final answer. */
     public void onAttemptFinished(Attempt attempt, AttemptResult result, boolean completed, double now) {
         Request request = attempt.request;
         request.completed |= completed;
-        decide(request, () -> policy.onAttemptFinished(attempt, result, request.completed, now));
+        applyDecision(request, () -> policy.onAttemptFinished(attempt, result, request.completed, now));
     }
 
-    /** The client has gone: the request needs no answer any more. */
+    /** Marks a request as completed because its client has gone and needs no answer. */
     public void onClientGone(Request request) {
         request.completed = true;
-        removeIfSettled(request);
+        removeIfPossible(request);
     }
 
-    /** Returns the outstanding attempts of a request that needs no answer any more, if they may be cancelled. */
+    /** Returns the outstanding attempts of a request that needs no answer, or none if they may not be cancelled. */
     public List<Attempt> cancellableAttempts(Request request) {
         return policy.rejectOrFail(request).attemptsToCancel();
     }
@@ -91,12 +91,12 @@
     public void rejectOrFailAll() {
         for (Request request : List.copyOf(requests)) {
             if (!request.completed) {
-                decide(request, () -> policy.rejectOrFail(request));
+                applyDecision(request, () -> policy.rejectOrFail(request));
             }
         }
     }
 
-    /** Returns the outstanding attempts whose time limit has passed. */
+    /** Returns the outstanding attempts whose timeout has passed. */
     public List<Attempt> timedOutAttempts(double now) {
         if (now < earliestTimeoutAt) {
             return List.of();
@@ -115,9 +115,7 @@
         return timedOut;
     }
 
-    /**
-     * Routes all requests that are not completed again, if it is time, and returns all decisions since the last call.
-     */
+    /** Routes all unfinished requests again if that is due, and returns all decisions since the last call. */
     public DecisionBatch tick(double now) {
         if (now >= nextTickAt - CLOCK_ROUNDING_SECONDS) {
             nextTickAt = Double.POSITIVE_INFINITY;
@@ -134,27 +132,28 @@
     private void routeAll(double now) {
         for (Request request : List.copyOf(requests)) {
             if (!request.completed) {
-                decide(request, () -> policy.route(request, now));
+                applyDecision(request, () -> policy.route(request, now));
             }
         }
     }
 
-    /** Returns the time until requests are routed again; a clock that was corrected may reach it late. */
+    /** Returns the time until requests are routed again, which is longer if the clock was set back meanwhile. */
     public double secondsUntilNextTick(double now) {
         return Math.max(0, nextTickAt - now);
     }
 
-    /** Returns how many requests wait or have attempts outstanding. */
+    /** Returns the number of requests that are waiting or have outstanding attempts. */
     public int size() {
         return requests.size();
     }
 
-    private void decide(Request request, Supplier<Decision> policyCall) {
+    /** Calls the policy and records its decision on the request; fails the request if the policy throws. */
+    private void applyDecision(Request request, Supplier<Decision> policyCall) {
         Decision decision;
         try {
             decision = policyCall.get();
         } catch (RuntimeException e) {
-            faultHandler.accept(e);
+            exceptionHandler.accept(e);
             decision = new Decision(RoutingAction.FAIL, null, 0, List.of());
         }
         if (decision.action() == RoutingAction.SEND) {
@@ -166,10 +165,10 @@
         if (decision.action() != RoutingAction.WAIT) {
             routedRequests.add(new RoutedRequest(request, decision));
         }
-        removeIfSettled(request);
+        removeIfPossible(request);
     }
 
-    private void removeIfSettled(Request request) {
+    private void removeIfPossible(Request request) {
         if (request.isRemovable()) {
             requests.remove(request);
         }
--- a/core/src/main/java/clayhook/package-info.java
+++ b/core/src/main/java/clayhook/package-info.java
@@ -1,10 +1,10 @@
 /**
- * The routing decisions of one router, free of any wire format, I/O and clock.
+ * The routing decisions of one router, independent of wire formats, I/O and clocks.
  *
- * <p>{@link clayhook.RoutingPolicy} decides; start there. A {@link clayhook.Request} with its {@link clayhook.Attempt}s
- * goes in; a {@link clayhook.Decision} or a {@link clayhook.TickResult} comes out. What happened is reported as
- * {@link clayhook.AttemptResult}, {@link clayhook.Endpoint} and {@link clayhook.PeerObservation}. The package uses only
- * the JDK. Nothing in it is thread-safe: each router calls it from its event loop. Times are double seconds of one
- * clock.
+ * <p>{@link clayhook.RoutingPolicy} is the entry point. It takes a {@link clayhook.Request} with its
+ * {@link clayhook.Attempt}s and returns a {@link clayhook.Decision} or a {@link clayhook.TickResult}. Events are passed
+ * to it as {@link clayhook.AttemptResult}, {@link clayhook.Endpoint} and {@link clayhook.PeerObservation}. The package
+ * depends only on the JDK. Nothing in it is thread-safe: each router calls it from its event loop. Times are seconds of
+ * a single clock, as doubles.
  */
 package clayhook;
