--- a/core/src/main/java/clayhook/Attempt.java
+++ b/core/src/main/java/clayhook/Attempt.java
@@ -1,23 +1,24 @@
 package clayhook;
 
 /**
- * One attempt at a request: that it is sent to one node. Times are clock times in seconds. Confined to the event loop.
+ * One attempt to execute a request on one node. Times are clock times in seconds. Not thread-safe: confined to the
+ * event loop.
  */
 public final class Attempt {
-    /** The request that is attempted. */
+    /** The request to execute. */
     public final Request request;
     /** The node that the request is sent to. */
     public final Node node;
-    /** Whether a connection had to be opened, as far as the policy could tell. */
+    /** Whether the policy expects that a connection has to be opened. */
     public final boolean opensConnection;
 
-    /** When the attempt was made; the request may have waited for a connection after that. */
+    /** When the attempt was created; it may have waited for a connection after that. */
     public final double sentAt;
-    /** When the attempt is abandoned. */
+    /** When the attempt times out and is abandoned. */
     public final double timeoutAt;
-    /** When the right to send it to a node in slow start expires; infinite for other nodes. */
+    /** When the slow-start token of the attempt expires; infinite for a node that was not in slow start. */
     public final double slowStartTokenExpiresAt;
-    /** How the attempt ended, or null while it is outstanding. */
+    /** The outcome of the attempt, or null while it is outstanding. */
     public AttemptOutcome outcome;
 
     /** Creates an outstanding attempt on a node that is not in slow start. */
--- a/core/src/main/java/clayhook/AttemptOutcome.java
+++ b/core/src/main/java/clayhook/AttemptOutcome.java
@@ -1,14 +1,14 @@
 package clayhook;
 
-/** How an attempt or a health check ended. The names appear as counters in the log summary. */
+/** The outcome of an attempt or a health check. The names of the constants appear as counters in the log summary. */
 public enum AttemptOutcome {
     /** The node answered the request. */
     ANSWERED(false),
-    /** The node answered with an error of its own, or with what cannot be understood. */
+    /** The node answered with an internal error or with a malformed response. */
     ERROR(false),
-    /** The node is overloaded and did not take the request. */
+    /** The node is overloaded and did not accept the request. */
     OVERLOADED(true),
-    /** No response came by the time limit. */
+    /** No response arrived before the timeout. */
     TIMED_OUT(false),
     /** No connection to the node could be opened. */
     CONNECT_FAILED(true),
@@ -16,12 +16,12 @@
     RESET(false),
     /** The attempt was cancelled after the request was written. */
     CANCELLED(false),
-    /** The attempt was given up before the request was written. */
+    /** The attempt was abandoned before the request was written. */
     NOT_SENT(true),
-    /** The node does not serve such a request: a replica that lags too far, or one that was sent a write. */
+    /** The node cannot serve the request: it is a replica that lags too far, or a replica that was sent a write. */
     REJECTED(true);
 
-    /** Whether the request was certainly not executed. */
+    /** Whether the node certainly did not execute the request. */
     public final boolean notExecuted;
 
     AttemptOutcome(boolean notExecuted) {
--- a/core/src/main/java/clayhook/AttemptRefusal.java
+++ b/core/src/main/java/clayhook/AttemptRefusal.java
@@ -1,23 +1,23 @@
 package clayhook;
 
-/** Why an attempt may not be sent now. The names appear as counters in the log summary. */
+/** The reason why an attempt may not be sent now. The names of the constants appear as counters in the log summary. */
 public enum AttemptRefusal {
-    /** It may be sent. */
+    /** The attempt may be sent. */
     NONE,
     /** The request has its final answer. */
     REQUEST_COMPLETED,
     /** The client has closed its connection or cancelled the request. */
     CLIENT_GONE,
-    /** No time is left for an answer. */
+    /** No time is left for a response. */
     NO_TIME_LEFT,
-    /** The endpoint list says that the node drains, or lacks it. */
+    /** The node is draining or missing according to the endpoint list. */
     NODE_DRAINING,
-    /** The endpoint list can no longer be relied on, and the node has not passed a health check lately. */
+    /** The lease on the endpoint list has expired, and the node has not passed a health check recently. */
     NODE_UNCONFIRMED,
-    /** The request may have been executed and may not be executed again, or not any more. */
+    /** The request may have been executed, and must not be executed again or can no longer be deduplicated. */
     RETRY_FORBIDDEN,
-    /** The node is in slow start, and this router's token for it has expired or belongs to an earlier process. */
+    /** The node is in slow start, and this router's token has expired or belongs to an earlier process of the node. */
     NO_SLOW_START_TOKEN,
-    /** The node no longer satisfies the read. */
+    /** The node is not known to have applied everything that the read must see. */
     READ_TOO_STALE
 }
