--- a/core/src/main/java/clayhook/Decision.java
+++ b/core/src/main/java/clayhook/Decision.java
@@ -3,27 +3,27 @@
 import java.util.List;
 
 /**
- * What the {@link RoutingPolicy} wants done with a request now.
+ * The decision of the {@link RoutingPolicy} on how to proceed with a request now.
  *
- * @param attempt what to send, with {@link RoutingAction#SEND}; otherwise null
- * @param retryAfterSeconds how long the client should wait before it retries, with {@link RoutingAction#REJECT}; 0 for
- *     no advice
+ * @param attempt the attempt to send if the action is {@link RoutingAction#SEND}; otherwise null
+ * @param retryAfterSeconds how long the client should wait before it retries if the action is
+ *     {@link RoutingAction#REJECT}; 0 for no advice
  * @param attemptsToCancel outstanding attempts of the request whose results are no longer needed
  */
 public record Decision(
         RoutingAction action, Attempt attempt, double retryAfterSeconds, List<Attempt> attemptsToCancel) {
 
-    /** What to do with a request. */
+    /** The action on a request. */
     public enum RoutingAction {
         /** Send an attempt. */
         SEND,
-        /** Ask again at the next tick, or when the result of an attempt is known. */
+        /** Route the request again at the next tick or after the result of an attempt. */
         WAIT,
-        /** Answer that the client should retry later: the request was not executed, or may safely be repeated. */
+        /** Tell the client to retry later: the request was not executed, or repeating it is safe. */
         REJECT,
-        /** Answer that the request failed; it may have been executed. */
+        /** Tell the client that the request failed; it may have been executed. */
         FAIL,
-        /** Nothing: the request already has its final answer, or its client has gone. */
+        /** Send nothing: the request already has its final answer, or its client has gone. */
         DONE
     }
 
--- a/core/src/main/java/clayhook/Request.java
+++ b/core/src/main/java/clayhook/Request.java
@@ -6,29 +6,29 @@
 import java.util.List;
 
 /**
- * A request that is in flight, with its attempts. Each frontend extends it by what it needs itself. Times are clock
- * times in seconds since 1970. Not thread-safe: confined to the event loop.
+ * A request in flight with its attempts. Frontends add their own state in subclasses. Times are clock times in seconds
+ * since 1970. Not thread-safe: confined to the event loop.
  */
 public class Request {
-    /** The service class. */
+    /** The request class. */
     public final RequestClass requestClass;
     /** The replica set that holds the data. */
     public final int replicaSetId;
     /** The client session that the request belongs to, or null. */
     public final String sessionId;
-    /** The log position of the session's last write, where requests carry it or peers know it; 0 for none. */
+    /** The last-write position of the session, if the request carries it or peers know it; 0 for none. */
     public final double lastWritePosition;
 
     /** When the request arrived at this router. */
     public final double arrivedAt;
-    /** When the client gives up. */
+    /** The time at which the client stops waiting. */
     public final double deadline;
     /** All attempts, in the order in which they were sent. */
     public final List<Attempt> attempts = new ArrayList<>();
     /** Whether the request has its final answer, or its client has gone. */
     public boolean completed;
 
-    /** Creates a request without attempts; {@code sessionId} may be null, {@code lastWritePosition} 0. */
+    /** Creates a request without attempts; {@code sessionId} may be null and {@code lastWritePosition} may be 0. */
     public Request(
             RequestClass requestClass,
             int replicaSetId,
@@ -44,12 +44,12 @@
         this.deadline = deadline;
     }
 
-    /** Whether the request is completed and no result of an attempt is to come, so that it can be forgotten. */
+    /** Whether the request is completed and has no outstanding attempt, so that it can be removed. */
     public boolean isRemovable() {
         return completed && outstandingAttempts().isEmpty();
     }
 
-    /** Returns the attempts whose outcome is not known yet. */
+    /** Returns the attempts without an outcome. */
     List<Attempt> outstandingAttempts() {
         return attempts.stream().filter(attempt -> attempt.outcome == null).toList();
     }
@@ -58,7 +58,7 @@
         return attempts.stream().anyMatch(attempt -> attempt.node.equals(node));
     }
 
-    /** Returns the first attempt that was executed or may have been or may still be, or null. */
+    /** Returns the first attempt that a node may have executed or may still execute, or null. */
     Attempt firstPossiblyExecutedAttempt() {
         return attempts.stream()
                 .filter(attempt -> attempt.outcome == null || !attempt.outcome.notExecuted)
@@ -86,12 +86,12 @@
         return requestClass.maxStalenessSeconds();
     }
 
-    /** The time by which a response meets the latency objective. */
+    /** Returns the time until which a response meets the latency objective. */
     double latencyObjectiveAt() {
         return arrivedAt + requestClass.latencyObjectiveSeconds();
     }
 
-    /** How long the client waits in all. */
+    /** Returns the total time that the client waits. */
     double timeoutSeconds() {
         return deadline - arrivedAt;
     }
--- a/core/src/main/java/clayhook/RequestClass.java
+++ b/core/src/main/java/clayhook/RequestClass.java
@@ -1,18 +1,18 @@
 package clayhook;
 
 /**
- * The service class of a request: what the {@link RoutingPolicy} needs to know of requests of one kind. Durations are
- * seconds.
+ * The request class of a request: the properties of similar requests that the {@link RoutingPolicy} uses. Durations are
+ * in seconds.
  *
  * @param name the name in the configuration
- * @param latencyObjectiveSeconds responses within this time count in full
- * @param clientTimeoutSeconds how long clients wait at most
- * @param priorityWeight what a response in time is worth
+ * @param latencyObjectiveSeconds the time within which a response earns the full weight
+ * @param clientTimeoutSeconds the longest time that clients wait for a response
+ * @param priorityWeight the value of a response within the latency objective
  * @param lateWeightFraction the fraction of the weight that a response after the latency objective still earns
- * @param deduplicationScope which nodes drop a duplicate of a request with an idempotency key, beside the one that
- *     executed it
- * @param deduplicationWindowSeconds how long they drop it, counted from the first attempt that may have been executed
- * @param maxStalenessSeconds the greatest age of the data that a bounded read may see, when it is sent
+ * @param deduplicationScope the nodes that drop a duplicate of a request with an idempotency key, in addition to the
+ *     node that executed it
+ * @param deduplicationWindowSeconds how long they drop it after the first attempt that may have been executed
+ * @param maxStalenessSeconds the staleness bound: the maximum age of the data of a bounded read when the read is sent
  */
 public record RequestClass(
         String name,
@@ -26,17 +26,17 @@
         double deduplicationWindowSeconds,
         double maxStalenessSeconds) {
 
-    /** Whether executing a request twice differs from executing it once. */
+    /** Whether executing a request twice has a different effect from executing it once. */
     public enum Idempotency {
-        /** A duplicate has no effect of its own. */
+        /** A duplicate has no additional effect. */
         IDEMPOTENT,
-        /** Nodes recognize a duplicate by its key, within a scope and a time window. */
+        /** Nodes detect and drop a duplicate by its key, within the deduplication scope and window. */
         IDEMPOTENT_WITH_KEY,
-        /** A duplicate would be executed once more. */
+        /** A duplicate is executed again. */
         NON_IDEMPOTENT
     }
 
-    /** The nodes that know an idempotency key once one of them has executed the request. */
+    /** The nodes that deduplicate an idempotency key after one of them has executed the request. */
     public enum DeduplicationScope {
         /** All nodes. */
         ALL,
@@ -46,7 +46,7 @@
         REPLICA_SET
     }
 
-    /** What a request has to see, in the usual terms of replicated databases. */
+    /** The consistency level of a request, in the usual terms of replicated databases. */
     public enum ConsistencyLevel {
         /** A write: only the primary executes it. */
         WRITE,
@@ -54,13 +54,13 @@
         STRONG,
         /** A read that sees all earlier writes of its session (read your writes). */
         SESSION,
-        /** A read of data of a bounded age. */
+        /** A read of data of at most a maximum age. */
         BOUNDED_STALENESS,
         /** A read of data of any age. */
         EVENTUAL
     }
 
-    /** Whether only the primary can take such a request. */
+    /** Whether only the primary can execute requests of this class. */
     public boolean requiresPrimary() {
         return consistency == ConsistencyLevel.WRITE || consistency == ConsistencyLevel.STRONG;
     }
