--- a/core/src/main/java/clayhook/Endpoint.java
+++ b/core/src/main/java/clayhook/Endpoint.java
@@ -1,20 +1,20 @@
 package clayhook;
 
 /**
- * The endpoint list's entry for one node.
+ * The entry of one node in the endpoint list.
  *
- * @param primary whether the list calls the node the primary of its replica set; the list is late
+ * @param primary whether the node is the primary of its replica set according to the list, which may be out of date
  * @param startedAt when the node's process last started, in seconds since 1970; 0 for long ago
  */
 public record Endpoint(Node node, State state, boolean primary, double startedAt) {
 
-    /** The state of an endpoint; the order of the constants is that of the simulator's wire. */
+    /** The state of an endpoint; the ordinals of the constants are wire values of the simulator. */
     public enum State {
-        /** It takes requests. */
+        /** The node accepts requests. */
         READY,
-        /** It is shutting down gracefully: it finishes what it has and gets nothing new. */
+        /** The node is shutting down gracefully: it finishes its requests and must get no new ones. */
         DRAINING,
-        /** It was removed from the list. */
+        /** The node was removed from the list. */
         GONE
     }
 }
--- a/core/src/main/java/clayhook/Node.java
+++ b/core/src/main/java/clayhook/Node.java
@@ -1,7 +1,7 @@
 package clayhook;
 
 /**
- * One member of a replica set; a frontend keeps one object for each node.
+ * The identity of one member of a replica set; a frontend keeps one object per node.
  *
  * @param id the name of the node in the endpoint list
  * @param zone the zone in which the node runs
--- a/core/src/main/java/clayhook/Role.java
+++ b/core/src/main/java/clayhook/Role.java
@@ -1,11 +1,11 @@
 package clayhook;
 
-/** The role that a node says it has in its replica set. */
+/** The role in its replica set that a node reports. */
 public enum Role {
-    /** The node has said nothing of its role. */
+    /** The node has not reported its role. */
     UNKNOWN,
-    /** The node takes writes. */
+    /** The node executes writes. */
     PRIMARY,
-    /** The node follows the log of a primary. */
+    /** The node applies the log of a primary. */
     REPLICA
 }
--- a/core/src/main/java/clayhook/RoutingSettings.java
+++ b/core/src/main/java/clayhook/RoutingSettings.java
@@ -3,25 +3,26 @@
 import java.util.List;
 
 /**
- * What a router is told at its start of its fleet and of the rules that hold there. Durations are seconds.
+ * The settings of a router: its fleet and the rules that apply in the fleet. Fixed at startup. Durations are in
+ * seconds.
  *
- * @param routerCount how many routers share the nodes, this one included
+ * @param routerCount the number of routers that share the nodes, including this one
  * @param zone the zone of this router
- * @param endpointListMustBePolled whether the endpoint list comes only to routers that poll or watch it
- * @param goneIsBinding whether a node that is gone from the list must not be sent anything new; otherwise only draining
- *     binds
- * @param replicasRejectStaleReads whether a replica that lags too far for a read rejects it unexecuted
- * @param requestsCarryLastWrite whether a session read carries the position of its session's last write; otherwise the
- *     router remembers it
+ * @param endpointListMustBePolled whether a router receives the endpoint list only by polling or watching it
+ * @param goneIsBinding whether a node that is gone from the list must not get new attempts; otherwise only a draining
+ *     node must not
+ * @param replicasRejectStaleReads whether a replica that lags too far for a read rejects the read without executing it
+ * @param requestsCarryLastWrite whether a session read carries the last-write position of its session; otherwise the
+ *     router records it
  * @param hedgingAllowed whether a request may have two attempts outstanding
- * @param clientsHonorRetryAfter whether clients wait as long as a Retry-After says
- * @param maxAttempts the most attempts for one request
- * @param initialCapacityFraction the least fraction of its capacity that a node has when its process starts
- * @param slowStartSeconds how long after its start a node reaches its full capacity
- * @param overloadFactor a node in slow start fails when it is sent more than this multiple of its capacity
- * @param overloadWindowSeconds the time over which that is measured
- * @param connectionConcurrency how many attempts a connection carries at once
- * @param connectionIdleTimeoutSeconds an unused connection is closed after this time
+ * @param clientsHonorRetryAfter whether clients wait for the time given by Retry-After
+ * @param maxAttempts the maximum number of attempts for one request
+ * @param initialCapacityFraction the least fraction of its full capacity that a node has when its process starts
+ * @param slowStartSeconds the time from the start of a node's process until it reaches full capacity
+ * @param overloadFactor a node in slow start fails if it gets more work than this multiple of its capacity
+ * @param overloadWindowSeconds the time window over which that work is measured
+ * @param connectionConcurrency the number of attempts that a connection carries concurrently
+ * @param connectionIdleTimeoutSeconds the time after which an unused connection is closed
  */
 public record RoutingSettings(
         int routerCount,
@@ -45,7 +46,7 @@
         double connectionIdleTimeoutSeconds) {
 
     /**
-     * Returns the least fraction of its full capacity that a node has now; it grows linearly during slow start.
+     * Returns the least fraction of its full capacity that a node has; it grows linearly during slow start.
      *
      * @param startedAt when the node's process started; 0 for long ago
      */
