--- a/core/src/main/java/clayhook/NodeSummary.java
+++ b/core/src/main/java/clayhook/NodeSummary.java
@@ -1,9 +1,10 @@
 package clayhook;
 
 /**
- * Builds the log line on all nodes: how many there are and how many were seen lately, and of the first ones that are
- * unusable or have attempts outstanding: id, outstanding attempts of the concurrency limit, tenths of a second since
- * the node was seen (-1 for never), and flags. Free of format strings, as it is built on the event loop.
+ * Builds the log line about all nodes. It contains the number of nodes, the number that responded lately and, for the
+ * first nodes that are unusable or have outstanding attempts, the id, the outstanding attempts and the concurrency
+ * limit, the tenths of a second since the node was last seen (-1 for never), and flags. Uses no format strings, because
+ * the line is built on the event loop.
  */
 final class NodeSummary {
     private final int maxDescribedNodes;
@@ -13,12 +14,12 @@
     private int describedCount;
     private int omittedCount;
 
-    /** Creates an empty summary that describes at most so many nodes. */
+    /** Creates an empty summary that describes at most {@code maxDescribedNodes} nodes. */
     NodeSummary(int maxDescribedNodes) {
         this.maxDescribedNodes = maxDescribedNodes;
     }
 
-    /** Adds a node; {@code usable}: it may get an attempt now. */
+    /** Adds a node; {@code usable} says whether it may get an attempt now. */
     void add(NodeState node, boolean stale, boolean usable, double now) {
         nodeCount++;
         seenLatelyCount += stale ? 0 : 1;
@@ -43,7 +44,7 @@
                 .append(node.isDrainingOrGone() ? " closed" : usable ? "" : " out");
     }
 
-    /** Returns the line. */
+    /** Returns the log line. */
     String text() {
         return nodeCount + " known, " + seenLatelyCount + " heard in the last second" + described
                 + (omittedCount > 0 ? ", and " + omittedCount + " more" : "");
--- a/core/src/main/java/clayhook/PeerObservation.java
+++ b/core/src/main/java/clayhook/PeerObservation.java
@@ -1,22 +1,22 @@
 package clayhook;
 
 /**
- * What other routers observed of one incarnation of a node, as far as this router can trust it. Times are seconds since
- * 1970 on this router's clock, negative infinity for never; an observation does not become younger by being passed on.
+ * The trusted observations that other routers made of one incarnation of a node. Times are seconds since 1970 on this
+ * router's clock, negative infinity for never; forwarding an observation does not change its times.
  *
- * @param incarnationStartedAt when the node's process started, as the endpoint list says; 0 for long ago
- * @param appliedPosition the newest log position that the node has applied; it stays valid whatever its age; 0 for none
+ * @param incarnationStartedAt when the node's process started according to the endpoint list; 0 for long ago
+ * @param appliedPosition the newest log position that the node has applied, valid at any age; 0 for none
  * @param appliedPositionAt when that position was observed
- * @param lagSeconds how far the node was behind its primary at {@code lagMeasuredAt}
- * @param primaryClaimedAt when the node last said that it is primary
- * @param replicaClaimedAt when the node last said that it is a replica
+ * @param lagSeconds the lag behind the primary at {@code lagMeasuredAt}
+ * @param primaryClaimedAt when the node last reported that it is primary
+ * @param replicaClaimedAt when the node last reported that it is a replica
  * @param lastSeenAt when the node last responded to any router
- * @param lastFailureAt when the node last failed a router that it has not answered since
- * @param failedRouterCount how many other routers the node has failed since it last responded
- * @param latencyRatio response time over latency objective
- * @param latencyRatioWeight how much that counts beside an own measurement, 0 to 1
- * @param load requests that the node reported to hold
- * @param loadWeight how much that counts beside an own measurement, 0 to 1
+ * @param lastFailureAt the time of the last failure at a router that the node has not answered since
+ * @param failedRouterCount the number of other routers at which the node has failed since it last responded to them
+ * @param latencyRatio the ratio of response time to latency objective
+ * @param latencyRatioWeight the weight of {@code latencyRatio} relative to an own measurement, 0 to 1
+ * @param load the number of requests in the node's load report
+ * @param loadWeight the weight of {@code load} relative to an own measurement, 0 to 1
  */
 public record PeerObservation(
         double incarnationStartedAt,
