--- a/core/src/main/java/clayhook/LoadEstimate.java
+++ b/core/src/main/java/clayhook/LoadEstimate.java
@@ -2,22 +2,23 @@
 
 /**
  * A moving average of recent samples of load, each from 0 to 1, that decays with time instead of with the number of
- * samples. An estimate with a parent decays towards the parent's estimate and passes each sample on, so that a router
- * that rarely hears of one replica set falls back on what it knows of all. Times are seconds. Not thread-safe.
+ * samples. An estimate with a parent decays towards the parent's estimate and passes each sample on to it, so that a
+ * router with few samples of one replica set falls back on the estimate for all sets. Times are in seconds. Not
+ * thread-safe.
  */
 final class LoadEstimate {
     /**
-     * How fast an estimate follows its samples.
+     * The parameters of how fast an estimate follows its samples.
      *
      * @param decaySeconds the time in which the distance to the parent's estimate falls to 1/e
-     * @param minSampleWeight the weight of a sample that follows immediately on another one
-     * @param maxSampleWeight the weight of a sample after a long silence
+     * @param minSampleWeight the weight of a sample immediately after another one
+     * @param maxSampleWeight the weight of a sample after a long time without samples
      */
     record Smoothing(double decaySeconds, double minSampleWeight, double maxSampleWeight) {}
 
     private final Smoothing smoothing;
 
-    /** The estimate that this one decays towards, or null. */
+    /** The estimate towards which this one decays, or null. */
     private final LoadEstimate parent;
 
     private double lastValue;
@@ -29,16 +30,16 @@
         this.parent = parent;
     }
 
-    /** Returns the estimate at a time. */
+    /** Returns the estimate at the given time. */
     double value(double now) {
         double target = parent == null ? lastValue : parent.lastValue;
-        return target + (lastValue - target) * remaining(now);
+        return target + (lastValue - target) * remainingFraction(now);
     }
 
-    /** Adds a sample; one above 1 counts as 1. */
+    /** Adds a sample; samples above 1 count as 1. */
     void addSample(double sample, double now) {
-        double weight =
-                Math.max(smoothing.minSampleWeight(), Math.min(smoothing.maxSampleWeight(), 1 - remaining(now)));
+        double weight = Math.max(
+                smoothing.minSampleWeight(), Math.min(smoothing.maxSampleWeight(), 1 - remainingFraction(now)));
         double current = value(now);
         lastValue = current + weight * (Math.min(1, sample) - current);
         lastUpdatedAt = now;
@@ -47,8 +48,8 @@
         }
     }
 
-    /** The part of the last value's distance to the parent that is left after the time since. */
-    private double remaining(double now) {
+    /** Returns the fraction of the last value's distance to the parent that has not decayed yet. */
+    private double remainingFraction(double now) {
         return Math.exp((lastUpdatedAt - now) / smoothing.decaySeconds());
     }
 }
