--- a/core/src/test/java/clayhook/SlowStartBudgetTest.java
+++ b/core/src/test/java/clayhook/SlowStartBudgetTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The budget of one router, and the sum over many of them. Times are seconds; a request is one second of work. */
+/** Tests the budget of one router and the sum over many routers. Times are seconds; a request is one second of work. */
 class SlowStartBudgetTest {
     private static final double WINDOW = 3;
     private static final double TOKEN_LIFETIME = 1;
@@ -20,7 +20,7 @@
     private static final double STEP = 0.01;
     private static final double START = 1000;
 
-    /** With this tolerated rate a token becomes available every twenty seconds. */
+    /** The tolerated work rate at which a token becomes available every twenty seconds. */
     private static final double SLOW_RATE = 1 / 0.75 / 20;
 
     private final SlowStartBudget budget = new SlowStartBudget(WINDOW);
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void firstTokenIsAvailableOnceTheDebtIsWorkedOff() {
+    void firstTokenIsAvailableOnceDebtIsRefilled() {
         budget.restart(REQUEST_WORK / 2, START);
         assertFalse(budget.hasToken());
         assertFalse(hasToken(SLOW_RATE, START + 9.9));
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void unusedTokenExpiresAndTheNextOneComesAtItsOwnTime() {
+    void expiredTokenDoesNotDelayOrAdvanceTheNextOne() {
         budget.restart(REQUEST_WORK, START);
         assertTrue(hasToken(SLOW_RATE, START + 20.1));
         assertTrue(hasToken(SLOW_RATE, START + 20.9));
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void tokenThatBecameAvailableUnseenExpiresAsWell() {
+    void tokenThatBecameAvailableBetweenRefillsExpires() {
         budget.restart(REQUEST_WORK, START);
         assertFalse(hasToken(SLOW_RATE, START + 35));
         assertTrue(hasToken(SLOW_RATE, START + 100.5));
@@ -64,9 +64,11 @@
         assertFalse(hasToken(SLOW_RATE, START + 39.9));
     }
 
-    /** Where the next token comes before this one expires, a router has one at any time, and never two. */
+    /**
+     * If the next token becomes available before the last one expires, a router holds one at any time, and never two.
+     */
     @Test
-    void routerWithMuchTrafficHasOneTokenAfterARest() {
+    void routerWithHighRateHasOneTokenAfterIdleTime() {
         double rate = 2 / 0.75;
         budget.restart(REQUEST_WORK, START);
         assertTrue(hasToken(rate, START + 60));
@@ -86,7 +88,7 @@
     }
 
     @Test
-    void budgetBelongsToAnEarlierProcessOnceTheNodeHasStarted() {
+    void budgetIsOlderThanProcessStartedAfterLastRefill() {
         assertTrue(budget.isOlderThan(START));
         budget.restart(REQUEST_WORK, START + 1);
         assertFalse(budget.isOlderThan(START));
@@ -95,8 +97,8 @@
     }
 
     /**
-     * After a rest all routers send as soon as they may. What goes out in one window has to stay within what the node
-     * tolerates, with its allowance for random variation, whatever the number of routers.
+     * After idle time all routers send as soon as they have a token. The work sent in one window must stay within the
+     * tolerated work, with its allowance for random variation, for any number of routers.
      */
     @ParameterizedTest
     @CsvSource({
@@ -110,17 +112,17 @@
         "1000, 200, 10",
         "3200, 14, 10"
     })
-    void allRoutersTogetherStayWithinWhatTheNodeToleratesAfterARest(
-            int routers, double tolerable, double trafficFactor) {
+    void allRoutersTogetherStayWithinToleratedWorkAfterIdleTime(int routers, double tolerable, double trafficFactor) {
         for (int seed = 0; seed < 20; seed++) {
-            double sent = sentTogetherAfterARest(routers, tolerable / WINDOW, trafficFactor, new Random(seed));
+            double sent =
+                    workSentByAllRoutersAfterIdleTime(routers, tolerable / WINDOW, trafficFactor, new Random(seed));
             double limit = tolerable + 2 * Math.sqrt(tolerable) + 2;
             assertTrue(sent <= limit, sent + " sent, " + limit + " tolerable, seed " + seed);
         }
     }
 
-    /** Every tenth router has a multiple of the traffic of the others; each has its part of the tolerable rate. */
-    private static double sentTogetherAfterARest(
+    /** Returns the work sent in one window; every tenth router has {@code trafficFactor} times the traffic and rate. */
+    private static double workSentByAllRoutersAfterIdleTime(
             int routers, double tolerableRate, double trafficFactor, Random random) {
         double[] traffic =
                 random.doubles(routers).map(value -> 0.2 + 1.6 * value).toArray();
--- a/core/src/test/java/clayhook/SlowStartTest.java
+++ b/core/src/test/java/clayhook/SlowStartTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What all routers together send to a node in slow start stays below what would overload it. */
+/** Tests that all routers together do not send enough work to a node in slow start to overload it. */
 class SlowStartTest {
     @ParameterizedTest
     @CsvSource({
@@ -26,7 +26,7 @@
         assertEquals(0, violations);
     }
 
-    /** Other sizes of fleets and nodes, and what else could make routers send together; see the test below. */
+    /** Varies the sizes of fleets and nodes, and the events that could make routers send at the same time. */
     @ParameterizedTest
     @CsvSource({
         "3, 8, 0.9, DRAIN_IN_BURST, 3",
@@ -51,15 +51,15 @@
     }
 
     /**
-     * 120 routers share 24 small nodes and see a request or two a second each. A node joins, some seconds later its
-     * peers drain in a burst, and the routers that know of its start send it up to 1.26 times what overloads it.
+     * Guards against slow-start tokens that never expire. 120 routers share 24 small nodes and get one or two requests
+     * per second each. A node joins; some seconds later its peers drain during a burst, and the routers that were
+     * notified of its start sent it up to 1.26 times the work that overloads it.
      *
-     * <p>The sum of their rates was right: 0.75 of what the node can take. But a router that had no request for the
-     * node kept one in its budget for any time, and so did all 120. What they could send at once was 120, where the
-     * node takes 14 in its window of 3 s, and 23 with the allowance for random variation. The figures that showed it:
-     * with the same rates, and tokens that expire after 1 s instead of never, 14 overloaded nodes in these 15 seeds
-     * became none and the worst multiple 0.81; on ten other seeds it was 0.91 with 30 routers, which can hold 30
-     * requests at most.
+     * <p>The sum of the rates was correct, 0.75 of the tolerated work. But each of the 120 routers kept an unused token
+     * for any time, so that together they could send 120 requests at once. The node tolerates 14 in its window of 3 s,
+     * and 23 with the allowance for random variation. With the same rates and tokens that expire after 1 s, the number
+     * of overloaded nodes in these 15 seeds fell from 14 to none, and the worst ratio was 0.81. On ten other seeds it
+     * was 0.91 with 30 routers, which can hold at most 30 tokens.
      */
     @Test
     void manyRoutersWithLittleTrafficDoNotOverloadNodesInSlowStart() {
