--- a/core/src/test/java/clayhook/SlowStartSimulation.java
+++ b/core/src/test/java/clayhook/SlowStartSimulation.java
@@ -14,22 +14,22 @@
 import java.util.Random;
 
 /**
- * A fleet in virtual time: real {@link RoutingPolicy} instances with unequal traffic, and nodes that serve one request
- * after another, some of them in slow start. It sums up what all routers together send to each node in slow start.
- * Times are seconds.
+ * Simulates a fleet in virtual time: routers with real {@link RoutingPolicy} instances and unequal traffic, and nodes
+ * that serve requests one at a time, some of them in slow start. It sums up the work that all routers together send to
+ * each node in slow start. Times are seconds.
  */
 final class SlowStartSimulation {
     private static final double SLOW_START_SECONDS = 18;
     private static final double INITIAL_CAPACITY_FRACTION = 0.29;
     private static final double OVERLOAD_WINDOW_SECONDS = 3;
     private static final double WRITE_FRACTION = 0.08;
-    /** The work of a write, in reads. */
+    /** The work of a write, as a multiple of a read. */
     private static final double WRITE_WORK = 1.6;
-    /** The mean work of all requests, in reads. */
+    /** The mean work of all requests, as a multiple of a read. */
     private static final double MEAN_WORK = 1 + WRITE_FRACTION * (WRITE_WORK - 1);
-    /** What opening a connection costs a node, in reads. */
+    /** The work of a node to open a connection, as a multiple of a read. */
     private static final double CONNECT_WORK = 0.1;
-    /** What a health check costs a node, in reads, beside a connection where there is none. */
+    /** The work of a health check, as a multiple of a read, in addition to opening a connection if none is idle. */
     private static final double HEALTH_CHECK_WORK = 0.01;
 
     private static final double CONNECTION_IDLE_TIMEOUT = 15;
@@ -44,32 +44,34 @@
     private static final double CONNECTIONS_HANG_SECONDS = 2.5;
     private static final double TRAFFIC_SHIFT_FACTOR = 10;
 
-    /** What happens. Where nothing else is said, one node in each set joins, and the rest follows soon after. */
+    /**
+     * The events of a run. Unless stated otherwise, one node joins each set, and the other events follow soon after.
+     */
     enum Scenario {
         NONE,
-        /** No node joins: a third of the nodes were dead and restart, all at once. */
+        /** No node joins; a third of the replicas die and later restart at the same time. */
         ZONE_RESTART,
         /** All other replicas drain. */
         DRAIN,
         /** All other replicas crash. */
         CRASH,
-        /** Twice the requests for five seconds. */
+        /** The request rate doubles for five seconds. */
         BURST,
-        /** All other replicas drain, and twice the requests arrive for five seconds. */
+        /** All other replicas drain, and the request rate doubles for five seconds. */
         DRAIN_IN_BURST,
-        /** The other replicas of one set drain, and three times the requests arrive for it for five seconds. */
+        /** The other replicas of one set drain, and the request rate of that set triples for five seconds. */
         DRAIN_ONE_SET_IN_BURST,
-        /** Seven in ten routers are killed and restart at once. */
+        /** 70% of the routers are killed and restart at the same time. */
         ROUTER_RESTART,
-        /** The same, and all other replicas drain. */
+        /** All other replicas drain, and 70% of the routers are killed and restart at the same time. */
         DRAIN_AND_ROUTER_RESTART,
-        /** The primary dies, and the node in slow start takes over. */
+        /** The primary dies, and the node in slow start becomes primary. */
         PRIMARY_FAILOVER,
-        /** All other replicas drain, and every tenth router gets ten times its traffic from then on. */
+        /** All other replicas drain, and every tenth router permanently gets ten times its traffic. */
         DRAIN_AND_TRAFFIC_SHIFT,
-        /** All other replicas drain; meanwhile no new connection to the joining nodes comes up, and then all do. */
+        /** All other replicas drain; new connections to the joining nodes hang for a time and then open at once. */
         DRAIN_WHILE_CONNECTIONS_HANG,
-        /** All other replicas drain, and the joining nodes restart at that moment, in the midst of their slow start. */
+        /** All other replicas drain, and at the same time the joining nodes restart during their slow start. */
         DRAIN_AND_SECOND_RESTART
     }
 
@@ -96,10 +98,10 @@
         boolean dead;
         boolean primary;
         boolean draining;
-        /** When the node will have done all work that it has. */
+        /** When the node will have finished all its queued work. */
         double idleAt;
 
-        /** New connections come up at this time, where it is not over. */
+        /** The time until which new connections to the node hang. */
         double connectsAt;
 
         final List<ReceivedWork> workInSlowStart = new ArrayList<>();
@@ -126,23 +128,23 @@
             return new AttemptResult(outcome, elapsed, role, position, role, position, 1);
         }
 
-        /** Adds up what the node got during slow start, and finds windows in which it got more than it can take. */
+        /** Sums up the work received in slow start, and finds windows in which it exceeds the tolerable work. */
         void evaluate() {
             var window = new ArrayDeque<ReceivedWork>();
             double sum = 0;
-            double informed = 0; // from routers that knew of the node's start
+            double workFromNotifiedRouters = 0; // from routers that were notified of the node's start
             boolean overloaded = false;
             for (ReceivedWork work : workInSlowStart) {
                 window.add(work);
                 sum += work.amount;
-                informed += work.senderKnewIncarnation ? work.amount : 0;
+                workFromNotifiedRouters += work.senderKnewIncarnation ? work.amount : 0;
                 while (window.peek().at <= work.at - OVERLOAD_WINDOW_SECONDS) {
                     ReceivedWork old = window.poll();
                     sum -= old.amount;
-                    informed -= old.senderKnewIncarnation ? old.amount : 0;
+                    workFromNotifiedRouters -= old.senderKnewIncarnation ? old.amount : 0;
                 }
                 double ratio = sum / tolerableWork(work.at - OVERLOAD_WINDOW_SECONDS);
-                boolean violation = informed > sum * 2 / 3;
+                boolean violation = workFromNotifiedRouters > sum * 2 / 3;
                 worstOverloadRatio = violation ? Math.max(worstOverloadRatio, ratio) : worstOverloadRatio;
                 if (ratio > 1 && !overloaded) {
                     overloaded = true;
@@ -156,7 +158,7 @@
             slowStartCapacity += startedAt == 0 ? 0 : capacity * (END - startedAt) * meanFraction;
         }
 
-        /** The work that the node can take in the window from a time on, and what chance may add. */
+        /** Returns the tolerable work of the node in the window from a time, with an allowance for random variation. */
         private double tolerableWork(double from) {
             double tolerable =
                     overloadFactor * OVERLOAD_WINDOW_SECONDS * capacity * capacityFraction(Math.max(startedAt, from));
@@ -167,12 +169,12 @@
     private final class SlowStartRouter {
         RoutingPolicy policy;
         final List<SlowStartRequest> waitingRequests = new ArrayList<>();
-        /** The start of the last incarnation of each node that the router was told of. */
+        /** The start time of the last incarnation of each node that the router was notified of. */
         final Map<SlowStartNode, Double> knownIncarnations = new HashMap<>();
-        /** When a connection to each node was last used; the key holds the process that it leads to. */
+        /** When a connection to each process of a node was last used. */
         final Map<NodeProcess, Double> connectionsUsedAt = new HashMap<>();
 
-        /** Results of attempts of an earlier incarnation are dropped. */
+        /** The incarnation of this router; results of attempts of an earlier one are dropped. */
         int incarnation;
 
         private long tickNumber;
@@ -219,20 +221,21 @@
         private void send(Attempt attempt) {
             SlowStartNode node = nodesByIdentity.get(attempt.node);
             double work = attempt.request.requestClass.consistency() == ConsistencyLevel.WRITE ? WRITE_WORK : 1;
-            int sentBy = incarnation;
+            int sendingIncarnation = incarnation;
             if (node.dead) {
                 schedule(
-                        CONNECT_TIMEOUT, () -> onAttemptFinished(attempt, sentBy, AttemptOutcome.CONNECT_FAILED, node));
+                        CONNECT_TIMEOUT,
+                        () -> onAttemptFinished(attempt, sendingIncarnation, AttemptOutcome.CONNECT_FAILED, node));
                 return;
             }
             if (attempt.opensConnection && now < node.connectsAt) {
-                schedule(node.connectsAt - now, () -> sendOnLateConnection(attempt, sentBy, node));
+                schedule(node.connectsAt - now, () -> sendOnLateConnection(attempt, sendingIncarnation, node));
                 return;
             }
             node.receive(work + (attempt.opensConnection ? CONNECT_WORK : 0), this);
             connectionsUsedAt.put(new NodeProcess(node, node.startedAt), now);
             if (node.idleAt - now > 1) {
-                schedule(0.001, () -> onAttemptFinished(attempt, sentBy, AttemptOutcome.OVERLOADED, node));
+                schedule(0.001, () -> onAttemptFinished(attempt, sendingIncarnation, AttemptOutcome.OVERLOADED, node));
                 return;
             }
             node.idleAt = Math.max(now, node.idleAt) + work / MEAN_WORK / (capacity * node.capacityFraction(now));
@@ -241,28 +244,33 @@
             schedule(
                     late ? attempt.timeoutAt - now : elapsed,
                     () -> onAttemptFinished(
-                            attempt, sentBy, late ? AttemptOutcome.TIMED_OUT : AttemptOutcome.ANSWERED, node));
+                            attempt,
+                            sendingIncarnation,
+                            late ? AttemptOutcome.TIMED_OUT : AttemptOutcome.ANSWERED,
+                            node));
         }
 
-        /** Like a server: asks again before the first byte of an attempt that waited for its connection. */
-        private void sendOnLateConnection(Attempt attempt, int sentBy, SlowStartNode node) {
-            if (sentBy != incarnation) {
+        /** Like a server, checks that an attempt that waited for its connection may still be sent. */
+        private void sendOnLateConnection(Attempt attempt, int sendingIncarnation, SlowStartNode node) {
+            if (sendingIncarnation != incarnation) {
                 return;
             } else if (policy.mayStillSend(attempt, now)) {
                 send(attempt);
             } else {
-                onAttemptFinished(attempt, sentBy, AttemptOutcome.NOT_SENT, node);
+                onAttemptFinished(attempt, sendingIncarnation, AttemptOutcome.NOT_SENT, node);
             }
         }
 
-        private void onAttemptFinished(Attempt attempt, int sentBy, AttemptOutcome outcome, SlowStartNode node) {
-            if (sentBy != incarnation) {
+        private void onAttemptFinished(
+                Attempt attempt, int sendingIncarnation, AttemptOutcome outcome, SlowStartNode node) {
+            if (sendingIncarnation != incarnation) {
                 return;
             }
             SlowStartRequest request = (SlowStartRequest) attempt.request;
             double elapsed = now - attempt.sentAt;
-            boolean spoke = (outcome == AttemptOutcome.ANSWERED || outcome == AttemptOutcome.OVERLOADED) && !node.dead;
-            AttemptResult reply = spoke
+            boolean responded =
+                    (outcome == AttemptOutcome.ANSWERED || outcome == AttemptOutcome.OVERLOADED) && !node.dead;
+            AttemptResult reply = responded
                     ? node.result(outcome, elapsed)
                     : AttemptResult.withoutReport(
                             outcome == AttemptOutcome.ANSWERED ? AttemptOutcome.RESET : outcome, elapsed);
@@ -277,16 +285,18 @@
             tick();
         }
 
-        /** What it costs the node that a health check uses a connection: a new one is opened where none is idle. */
+        /** Returns the connect work of a health check, which opens a new connection if none is idle. */
         private double connectWork(SlowStartNode node) {
             Double usedAt = connectionsUsedAt.put(new NodeProcess(node, node.startedAt), now);
             return usedAt == null || now - usedAt > CONNECTION_IDLE_TIMEOUT ? CONNECT_WORK : 0;
         }
 
-        /** Like a server: asks for the next tick, sends health checks, and then routes all waiting requests again. */
+        /**
+         * Like a server, ticks the policy, sends health checks, and routes all waiting requests again at the next tick.
+         */
         void tick() {
             TickResult tickResult = policy.tick(now);
-            int asked = incarnation;
+            int checkingIncarnation = incarnation;
             for (Node identity : tickResult.healthChecks()) {
                 SlowStartNode node = nodesByIdentity.get(identity);
                 boolean dead = node.dead;
@@ -294,7 +304,7 @@
                     node.receive(HEALTH_CHECK_WORK + connectWork(node), this);
                 }
                 schedule(dead ? CONNECT_TIMEOUT : 0.002, () -> {
-                    if (asked == incarnation) {
+                    if (checkingIncarnation == incarnation) {
                         policy.onHealthCheck(
                                 identity,
                                 dead
@@ -304,9 +314,9 @@
                     }
                 });
             }
-            long mine = ++tickNumber;
+            long scheduledTick = ++tickNumber;
             schedule(tickResult.nextTickSeconds(), () -> {
-                if (mine == tickNumber) {
+                if (scheduledTick == tickNumber) {
                     List<SlowStartRequest> all = List.copyOf(waitingRequests);
                     waitingRequests.clear();
                     all.forEach(request -> carryOut(request, policy.route(request, now)));
@@ -326,37 +336,38 @@
     private final List<SlowStartNode> nodes = new ArrayList<>();
     private final Map<Node, SlowStartNode> nodesByIdentity = new HashMap<>();
     private final List<SlowStartRouter> routers = new ArrayList<>();
-    /** The share of the traffic of all routers up to each one. */
+    /** The cumulative traffic of all routers up to each router. */
     private final double[] cumulativeTraffic;
 
     private final List<RequestClass> requestClasses;
     private double now = START;
     private double requestRate;
-    /** The traffic of the first replica set over that of any other. */
+    /** The ratio of the traffic of the first replica set to that of any other set. */
     private double firstSetTrafficFactor = 1;
 
     private long nextEventOrder;
     int offeredRequests;
-    /** Requests that were answered within the latency objective. */
+    /** The number of requests answered within the latency objective. */
     int servedInTime;
-    /** Nodes in slow start that were overloaded. */
+    /** The number of nodes overloaded in slow start. */
     int overloadedNodes;
-    /** Those of them that were overloaded by routers which knew of their start. */
+    /** The number of nodes overloaded in slow start mainly by routers that were notified of their start. */
     int violations;
-    /** The largest multiple of what a node can take that such routers sent within a window. */
+    /** The largest ratio of received to tolerable work in a window whose work is mainly from such routers. */
     double worstOverloadRatio;
-    /** The work that nodes in slow start were sent. */
+    /** The work that nodes received in slow start. */
     double slowStartWork;
-    /** The work that nodes in slow start could have done. */
+    /** The work that nodes in slow start had capacity for. */
     double slowStartCapacity;
 
     /**
-     * Plays a scenario to its end.
+     * Runs a scenario to its end.
      *
-     * @param capacity the requests of mean work that a warm node can do in a second
-     * @param load the arriving work as a fraction of the capacity of all nodes at the start
-     * @param overloadFactor the multiple of its capacity that a node in slow start can take
-     * @param endpointListSpreadSeconds routers are told of each change at some time within so many seconds
+     * @param capacity the number of requests of mean work that a warm node can serve per second
+     * @param load the arriving work as a fraction of the initial capacity of all nodes
+     * @param overloadFactor the multiple of its capacity that a node in slow start tolerates
+     * @param endpointListSpreadSeconds each router is notified of a change after a random delay of up to this many
+     *     seconds
      */
     SlowStartSimulation(
             int routerCount,
@@ -370,7 +381,7 @@
         this.overloadFactor = overloadFactor;
         this.endpointListSpreadSeconds = endpointListSpreadSeconds;
         random = new Random(seed);
-        // Long beside the work, so that little is shed and nodes in slow start get as much as possible.
+        // Much longer than the work, so that few requests are shed and nodes in slow start get as many as possible.
         double target = 20 / capacity;
         requestClasses = List.of(
                 requestClass("any", Idempotency.IDEMPOTENT, ConsistencyLevel.EVENTUAL, target, 2, 2, 0),
@@ -473,7 +484,7 @@
         routers.get(i).admit(new SlowStartRequest(requestClass, replicaSetId, now, retries));
     }
 
-    /** Tells each router of an endpoint at a time of its own. */
+    /** Publishes an endpoint to each router after a random delay of its own. */
     private void publishEndpoint(SlowStartNode node) {
         for (SlowStartRouter router : routers) {
             schedule(endpointListSpreadSeconds * random.nextDouble(), () -> {
@@ -490,32 +501,33 @@
             scheduleZoneRestart(joinAfter);
             return;
         }
-        List<SlowStartNode> old = List.copyOf(nodes);
+        List<SlowStartNode> initialNodes = List.copyOf(nodes);
         List<SlowStartNode> joining = new ArrayList<>();
         schedule(joinAfter, () -> joinOneNodePerSet(joining));
         switch (scenario) {
-            case DRAIN, DRAIN_IN_BURST, DRAIN_AND_ROUTER_RESTART -> schedule(faultAfter, () -> drainReplicas(old));
+            case DRAIN, DRAIN_IN_BURST, DRAIN_AND_ROUTER_RESTART ->
+                schedule(faultAfter, () -> drainReplicas(initialNodes));
             case CRASH ->
-                schedule(
-                        faultAfter,
-                        () -> old.stream().filter(node -> !node.primary).forEach(node -> node.dead = true));
-            case PRIMARY_FAILOVER -> schedulePrimaryFailover(faultAfter, old, joining);
+                schedule(faultAfter, () -> initialNodes.stream()
+                        .filter(node -> !node.primary)
+                        .forEach(node -> node.dead = true));
+            case PRIMARY_FAILOVER -> schedulePrimaryFailover(faultAfter, initialNodes, joining);
             case DRAIN_AND_TRAFFIC_SHIFT ->
                 schedule(faultAfter, () -> {
-                    drainReplicas(old);
+                    drainReplicas(initialNodes);
                     shiftTraffic();
                 });
             case DRAIN_WHILE_CONNECTIONS_HANG ->
                 schedule(faultAfter, () -> {
-                    drainReplicas(old);
+                    drainReplicas(initialNodes);
                     joining.forEach(node -> node.connectsAt = now + CONNECTIONS_HANG_SECONDS);
                 });
             case DRAIN_AND_SECOND_RESTART ->
                 schedule(faultAfter, () -> {
-                    drainReplicas(old);
+                    drainReplicas(initialNodes);
                     joining.forEach(this::restart);
                 });
-            case DRAIN_ONE_SET_IN_BURST -> scheduleDrainOfFirstSetInBurst(faultAfter, old);
+            case DRAIN_ONE_SET_IN_BURST -> scheduleDrainOfFirstSetInBurst(faultAfter, initialNodes);
             default -> {}
         }
         if (scenario == Scenario.BURST || scenario == Scenario.DRAIN_IN_BURST) {
@@ -560,14 +572,16 @@
         });
     }
 
-    /** The node's process starts anew; what it got before does not count against the new one. */
+    /** Restarts the node's process; work received before does not count against the new process. */
     private void restart(SlowStartNode node) {
         node.startedAt = now;
         node.workInSlowStart.clear();
         publishEndpoint(node);
     }
 
-    /** Every tenth router, of those with little traffic, gets ten times as much; the whole grows by that. */
+    /**
+     * Multiplies by ten the traffic of every tenth router, all with little traffic, and raises the total accordingly.
+     */
     private void shiftTraffic() {
         double before = cumulativeTraffic[cumulativeTraffic.length - 1];
         double previous = 0;
@@ -581,17 +595,17 @@
         requestRate *= sum / before;
     }
 
-    private void schedulePrimaryFailover(double after, List<SlowStartNode> old, List<SlowStartNode> joining) {
-        schedule(after, () -> old.stream().filter(node -> node.primary).forEach(node -> {
+    private void schedulePrimaryFailover(double after, List<SlowStartNode> initialNodes, List<SlowStartNode> joining) {
+        schedule(after, () -> initialNodes.stream().filter(node -> node.primary).forEach(node -> {
             node.dead = true;
             node.primary = false;
         }));
         schedule(after + 3, () -> joining.forEach(node -> node.primary = true));
     }
 
-    private void scheduleDrainOfFirstSetInBurst(double after, List<SlowStartNode> old) {
+    private void scheduleDrainOfFirstSetInBurst(double after, List<SlowStartNode> initialNodes) {
         schedule(after, () -> {
-            drainReplicas(old.stream()
+            drainReplicas(initialNodes.stream()
                     .filter(node -> node.identity.replicaSetId() == 0)
                     .toList());
             requestRate *= (REPLICA_SETS + 2.0) / REPLICA_SETS;
