--- a/core/src/test/java/clayhook/inflight/InFlightRequestsTest.java
+++ b/core/src/test/java/clayhook/inflight/InFlightRequestsTest.java
@@ -22,6 +22,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Tests timeouts, removal, tick times and exceptions of the policy for requests in flight. */
 class InFlightRequestsTest {
     private static final RequestClass REQUEST_CLASS = new RequestClass(
             "post",
@@ -35,7 +36,7 @@
             5,
             0);
     private final Node node = new Node("p", "a", 1);
-    private final List<RuntimeException> faults = new ArrayList<>();
+    private final List<RuntimeException> exceptions = new ArrayList<>();
     private final InFlightRequests inFlight;
     private final Request request = new Request(REQUEST_CLASS, 1, null, 0, 1000, 1002);
 
@@ -63,7 +64,7 @@
                         15),
                 1);
         policy.onEndpointList(List.of(new Endpoint(node, State.READY, true, 0)), true, 1000);
-        inFlight = new InFlightRequests(policy, faults::add);
+        inFlight = new InFlightRequests(policy, exceptions::add);
     }
 
     private static AttemptResult result(AttemptOutcome outcome) {
@@ -85,7 +86,7 @@
     }
 
     @Test
-    void requestOfGoneClientStaysUntilItsAttemptFinishes() {
+    void requestOfGoneClientIsHeldUntilItsAttemptFinishes() {
         inFlight.admit(request, 1000);
         Attempt attempt = inFlight.tick(1000).routedRequests().get(0).decision().attempt();
         inFlight.onClientGone(request);
@@ -110,7 +111,7 @@
                 result(AttemptOutcome.RESET),
                 false,
                 1000);
-        assertEquals(1, faults.size());
+        assertEquals(1, exceptions.size());
         InFlightRequests.RoutedRequest routed =
                 inFlight.tick(1000).routedRequests().get(0);
         assertSame(request, routed.request());
