--- a/core/src/test/java/clayhook/EndpointListOutOfDateTest.java
+++ b/core/src/test/java/clayhook/EndpointListOutOfDateTest.java
@@ -8,11 +8,11 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Routing by a list that was confirmed at 1000 s, the time at which the fixture begins, and that lapses at 1006 s. */
+/** Routing after the lease on the endpoint list, last renewed at 1000 s when the fixture starts, expires at 1006 s. */
 class EndpointListOutOfDateTest {
-    private static final double LAPSED = 1006;
-    /** Longer than a passed health check counts. */
-    private static final double CHECK_LAPSES_AFTER = 5;
+    private static final double LEASE_EXPIRED_AT = 1006;
+    /** Longer than a passed health check confirms a node. */
+    private static final double CHECK_EXPIRED_AFTER = 5;
 
     private final EndpointListLease lease = new EndpointListLease(1000);
     private final RoutingFixture fixture = RoutingFixture.builder().lease(lease).build();
@@ -22,51 +22,51 @@
     }
 
     @Test
-    void onlyNodesThatPassedAHealthCheckLatelyGetReads() {
-        fixture.now = LAPSED + 2;
-        fixture.report(fixture.replica, Role.REPLICA, fixture.now);
+    void onlyNodesThatRecentlyPassedAHealthCheckGetReads() {
+        fixture.now = LEASE_EXPIRED_AT + 2;
+        fixture.reportPosition(fixture.replica, Role.REPLICA, fixture.now);
         assertEquals(Set.of(fixture.replica), fixture.nodesChosenFor(fixture.eventual, 20));
-        fixture.now += CHECK_LAPSES_AFTER;
+        fixture.now += CHECK_EXPIRED_AFTER;
         assertEquals(Set.of(), fixture.nodesChosenFor(fixture.eventual, 20));
     }
 
     @Test
-    void aReadWaitsForACheckAndIsSentWhereItPasses() {
-        fixture.now = LAPSED + 2;
+    void readWaitsForHealthCheckAndIsSentToNodeThatPasses() {
+        fixture.now = LEASE_EXPIRED_AT + 2;
         Request read = fixture.request(fixture.eventual, 0);
         assertEquals(RoutingAction.WAIT, fixture.policy.route(read, fixture.now).action());
         assertTrue(!fixture.policy.tick(fixture.now).healthChecks().isEmpty());
-        fixture.report(fixture.otherReplica, Role.REPLICA, fixture.now);
+        fixture.reportPosition(fixture.otherReplica, Role.REPLICA, fixture.now);
         assertEquals(
                 fixture.otherReplica, fixture.policy.route(read, fixture.now).attempt().node);
     }
 
     @Test
-    void aWriteWaitsForACheckOfThePrimaryAndIsNotSentWhereItFails() {
-        fixture.now = LAPSED + 2;
+    void writeWaitsForHealthCheckOfPrimaryAndIsNotSentIfItFails() {
+        fixture.now = LEASE_EXPIRED_AT + 2;
         Request write = write();
         assertEquals(
                 RoutingAction.WAIT, fixture.policy.route(write, fixture.now).action());
         assertTrue(fixture.policy.tick(fixture.now).healthChecks().contains(fixture.primary));
-        fixture.failCheck(fixture.primary);
+        fixture.failHealthCheck(fixture.primary);
         assertEquals(
                 RoutingAction.WAIT, fixture.policy.route(write, fixture.now).action());
     }
 
     @Test
-    void aWriteIsSentOnceThePrimaryPassesACheck() {
-        fixture.now = LAPSED + 2;
+    void writeIsSentOncePrimaryPassesHealthCheck() {
+        fixture.now = LEASE_EXPIRED_AT + 2;
         Request write = write();
         fixture.policy.route(write, fixture.now);
-        fixture.report(fixture.primary, Role.PRIMARY, fixture.now);
+        fixture.reportPosition(fixture.primary, Role.PRIMARY, fixture.now);
         assertEquals(fixture.primary, fixture.policy.route(write, fixture.now).attempt().node);
     }
 
-    /** A router with little traffic checks a node for each request, as what it knew has lapsed by the next one. */
+    /** With little traffic the confirmation of a node has expired at the next request, which needs another check. */
     @Test
-    void eachRequestOfARouterWithLittleTrafficMayCheckANode() {
+    void everyRequestOfRouterWithLittleTrafficMayHealthCheckANode() {
         for (int i = 0; i < 60; i++) {
-            fixture.now = LAPSED + i * CHECK_LAPSES_AFTER;
+            fixture.now = LEASE_EXPIRED_AT + i * CHECK_EXPIRED_AFTER;
             Request read = fixture.request(fixture.eventual, 0);
             fixture.policy.route(read, fixture.now);
             fixture.now += 0.001; // a request that is routed again does not arrive again
@@ -78,21 +78,21 @@
     }
 
     @Test
-    void anAttemptThatWaitedForItsConnectionIsRefusedOnceItsNodeFailsACheck() {
-        fixture.now = LAPSED - 0.2;
-        fixture.reportAll(fixture.now);
+    void attemptWaitingForConnectionIsRefusedOnceNodeFailsHealthCheck() {
+        fixture.now = LEASE_EXPIRED_AT - 0.2;
+        fixture.reportAllPositions(fixture.now);
         Attempt attempt = fixture.send(fixture.bounded);
-        fixture.now = LAPSED;
+        fixture.now = LEASE_EXPIRED_AT;
         assertEquals(AttemptRefusal.NONE, fixture.policy.refusalOf(attempt, fixture.now));
-        fixture.failCheck(attempt.node);
-        assertEquals(AttemptRefusal.NODE_UNCONFIRMED, fixture.policy.refusalOf(attempt, LAPSED + 0.1));
+        fixture.failHealthCheck(attempt.node);
+        assertEquals(AttemptRefusal.NODE_UNCONFIRMED, fixture.policy.refusalOf(attempt, LEASE_EXPIRED_AT + 0.1));
     }
 
     @Test
-    void allListedNodesGetReadsAgainOnceTheListIsConfirmed() {
-        fixture.now = LAPSED;
-        fixture.reportAll(LAPSED);
-        lease.onConfirmed(LAPSED);
+    void allListedNodesGetReadsAgainOnceListIsConfirmed() {
+        fixture.now = LEASE_EXPIRED_AT;
+        fixture.reportAllPositions(LEASE_EXPIRED_AT);
+        lease.onConfirmed(LEASE_EXPIRED_AT);
         assertTrue(fixture.nodesChosenFor(fixture.eventual, 20).size() >= 2);
     }
 }
--- a/core/src/test/java/clayhook/RoutingFixture.java
+++ b/core/src/test/java/clayhook/RoutingFixture.java
@@ -13,8 +13,8 @@
 import java.util.Set;
 
 /**
- * A primary and two replicas, all seen just now, and the policy of a router that decides for them. Tests move the time
- * by setting {@link #now}, in seconds.
+ * A replica set with a primary and two replicas, all of which have just reported, and the policy of one router. Tests
+ * advance the clock by setting {@link #now}, in seconds.
  */
 final class RoutingFixture {
     final Node primary = new Node("c", "north", 1);
@@ -24,7 +24,7 @@
             requestClass("bounded", Idempotency.IDEMPOTENT, ConsistencyLevel.BOUNDED_STALENESS, 0.4, 0);
     final RequestClass session = requestClass("session", Idempotency.IDEMPOTENT, ConsistencyLevel.SESSION, 0.4, 0);
     final RequestClass eventual = requestClass("any", Idempotency.IDEMPOTENT, ConsistencyLevel.EVENTUAL, 0.4, 0);
-    final RequestClass report = requestClass("report", Idempotency.IDEMPOTENT, ConsistencyLevel.EVENTUAL, 4, 0);
+    final RequestClass longRead = requestClass("report", Idempotency.IDEMPOTENT, ConsistencyLevel.EVENTUAL, 4, 0);
     final RequestClass write = requestClass("write", Idempotency.IDEMPOTENT_WITH_KEY, ConsistencyLevel.WRITE, 0.4, 0.5);
     private final RequestClass nonIdempotentWrite =
             requestClass("mutating", Idempotency.NON_IDEMPOTENT, ConsistencyLevel.WRITE, 0.4, 0.5);
@@ -32,14 +32,14 @@
             requestClass("fresh", Idempotency.IDEMPOTENT, ConsistencyLevel.STRONG, 0.4, 0.5);
     final RoutingPolicy policy;
     double now = 1000;
-    /** The result of a health check of each node: what it reported last. */
+    /** The result of the next health check of each node: the result that it last reported. */
     private final Map<Node, AttemptResult> healthCheckResults = new HashMap<>();
 
     private RoutingFixture(Builder builder) {
         var settings = new RoutingSettings(
                 builder.routerCount,
                 "north",
-                List.of(bounded, session, eventual, report, write, nonIdempotentWrite, strong),
+                List.of(bounded, session, eventual, longRead, write, nonIdempotentWrite, strong),
                 builder.endpointListMustBePolled,
                 builder.goneIsBinding,
                 builder.replicasRejectStaleReads,
@@ -64,15 +64,15 @@
                         new Endpoint(otherReplica, Endpoint.State.READY, false, 0)),
                 true,
                 now);
-        reportAll(now);
+        reportAllPositions(now);
     }
 
-    /** Returns a builder with the settings that most tests use. */
+    /** Returns a builder with the default settings of the tests. */
     static Builder builder() {
         return new Builder();
     }
 
-    /** The settings that tests vary. */
+    /** Builds a fixture with the settings that tests vary. */
     static final class Builder {
         private long seed = 1;
         private int routerCount = 3;
@@ -143,7 +143,7 @@
                 0.3);
     }
 
-    /** Returns a class of requests that only the primary takes. */
+    /** Returns a request class with the given idempotency that only the primary executes. */
     RequestClass primaryClass(Idempotency idempotency) {
         return switch (idempotency) {
             case IDEMPOTENT -> strong;
@@ -156,24 +156,24 @@
         policy.onEndpointList(List.of(new Endpoint(node, state, false, startedAt)), false, now);
     }
 
-    /** Passes the load report of a node to the policy, as the result of a health check. */
-    void report(Node node, Role role, double position) {
+    /** Passes a load report with the role and log position of a node to the policy, as the result of a health check. */
+    void reportPosition(Node node, Role role, double position) {
         var result = new AttemptResult(AttemptOutcome.ANSWERED, 0.001, Role.UNKNOWN, 0, role, position, -1);
         healthCheckResults.put(node, result);
         policy.onHealthCheck(node, result, now);
     }
 
-    /** A health check of a node fails, as it drains. */
-    void failCheck(Node node) {
+    /** Passes a failed health check of a draining node to the policy. */
+    void failHealthCheck(Node node) {
         var result = AttemptResult.withoutReport(AttemptOutcome.ERROR, 0.001);
         healthCheckResults.put(node, result);
         policy.onHealthCheck(node, result, now);
     }
 
-    void reportAll(double position) {
-        report(primary, Role.PRIMARY, position);
-        report(replica, Role.REPLICA, position);
-        report(otherReplica, Role.REPLICA, position);
+    void reportAllPositions(double position) {
+        reportPosition(primary, Role.PRIMARY, position);
+        reportPosition(replica, Role.REPLICA, position);
+        reportPosition(otherReplica, Role.REPLICA, position);
     }
 
     Request request(RequestClass requestClass, double lastWritePosition) {
@@ -181,7 +181,7 @@
         return new Request(requestClass, 1, "s", lastWritePosition, now, deadline);
     }
 
-    /** Routes a request until it no longer waits for a health check; health checks are answered at once. */
+    /** Routes a request until it no longer waits; health checks are answered at once, at most nine times. */
     Decision route(Request request) {
         Decision decision = policy.route(request, now);
         for (int i = 0; i < 9 && decision.action() == RoutingAction.WAIT; i++) {
@@ -191,12 +191,12 @@
         return decision;
     }
 
-    /** Answers the health checks that are due as each node last did. */
+    /** Answers the due health checks with the last result of each node. */
     void answerHealthChecks() {
         policy.tick(now).healthChecks().forEach(node -> policy.onHealthCheck(node, healthCheckResults.get(node), now));
     }
 
-    /** Routes a new request, which has to be sent, and returns the attempt. */
+    /** Routes a new request, asserts that it is sent, and returns the attempt. */
     Attempt send(RequestClass requestClass) {
         Decision decision = route(request(requestClass, 0));
         assertEquals(RoutingAction.SEND, decision.action());
@@ -204,7 +204,7 @@
         return decision.attempt();
     }
 
-    /** Routes requests until one is not sent; returns how many were sent. */
+    /** Routes requests until one is not sent, and returns the number of requests sent. */
     int sendUntilFull(RequestClass requestClass) {
         int count = 0;
         while (policy.route(request(requestClass, 0), now).action() == RoutingAction.SEND) {
@@ -213,7 +213,7 @@
         return count;
     }
 
-    /** Routes requests and returns the nodes that they are sent to. */
+    /** Routes requests and returns the nodes to which they are sent. */
     Set<Node> nodesChosenFor(RequestClass requestClass, int requests) {
         var nodes = new HashSet<Node>();
         for (int i = 0; i < requests; i++) {
@@ -225,7 +225,7 @@
         return nodes;
     }
 
-    /** Routes requests and returns how many of them are sent to a node. */
+    /** Routes requests and returns the number of them that are sent to the given node. */
     int countSentTo(Node node, RequestClass requestClass, int requests) {
         int count = 0;
         for (int i = 0; i < requests; i++) {
@@ -236,14 +236,14 @@
         return count;
     }
 
-    /** Ends an attempt that took from its start until now. */
+    /** Finishes an attempt that took from when it was sent until now. */
     Decision finish(Attempt attempt, AttemptOutcome outcome, Role role, double position) {
         double elapsed = now - attempt.sentAt;
         var result = new AttemptResult(outcome, elapsed, role, position, Role.UNKNOWN, 0, -1);
         return policy.onAttemptFinished(attempt, result, outcome == AttemptOutcome.ANSWERED, now);
     }
 
-    /** Answers an attempt as if it had taken so many seconds, and completes its request. */
+    /** Answers an attempt with the given elapsed time, and completes its request. */
     void answer(Attempt attempt, double elapsedSeconds, Role role, double position) {
         var result = new AttemptResult(AttemptOutcome.ANSWERED, elapsedSeconds, role, position, Role.UNKNOWN, 0, -1);
         policy.onAttemptFinished(attempt, result, true, now);
--- a/core/src/test/java/clayhook/RoutingPolicyEndpointListTest.java
+++ b/core/src/test/java/clayhook/RoutingPolicyEndpointListTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** What the endpoint list says of nodes, and when it is polled. */
+/** Tests how the endpoint list limits the choice of nodes, and when it is polled. */
 class RoutingPolicyEndpointListTest {
     private final RoutingFixture fixture = RoutingFixture.builder().build();
 
@@ -38,30 +38,30 @@
 
     @ParameterizedTest
     @CsvSource({"true, 0", "false, 2"})
-    void onlyDrainingIsObeyedWhereGoneIsNotBinding(boolean goneIsBinding, int serving) {
-        RoutingFixture advisory =
+    void goneNodeGetsAttemptsIfGoneIsNotBindingUnlessItWasDraining(boolean goneIsBinding, int expectedReplicas) {
+        RoutingFixture goneFixture =
                 RoutingFixture.builder().goneIsBinding(goneIsBinding).build();
-        advisory.updateEndpoint(advisory.replica, State.GONE, 0);
-        advisory.updateEndpoint(advisory.otherReplica, State.GONE, 0);
-        Set<Node> nodes = advisory.nodesChosenFor(advisory.eventual, 4);
-        nodes.remove(advisory.primary);
-        assertEquals(serving, nodes.size());
-        advisory.updateEndpoint(advisory.replica, State.DRAINING, 0);
-        advisory.updateEndpoint(advisory.replica, State.GONE, 0);
-        assertFalse(advisory.nodesChosenFor(advisory.eventual, 4).contains(advisory.replica));
+        goneFixture.updateEndpoint(goneFixture.replica, State.GONE, 0);
+        goneFixture.updateEndpoint(goneFixture.otherReplica, State.GONE, 0);
+        Set<Node> nodes = goneFixture.nodesChosenFor(goneFixture.eventual, 4);
+        nodes.remove(goneFixture.primary);
+        assertEquals(expectedReplicas, nodes.size());
+        goneFixture.updateEndpoint(goneFixture.replica, State.DRAINING, 0);
+        goneFixture.updateEndpoint(goneFixture.replica, State.GONE, 0);
+        assertFalse(goneFixture.nodesChosenFor(goneFixture.eventual, 4).contains(goneFixture.replica));
     }
 
     @ParameterizedTest
     @CsvSource({"true, 0.49, false", "true, 1.51, true", "false, 1.51, false"})
-    void failedEndpointListPollIsRetriedAfterADelay(boolean mustBePolled, double later, boolean polls) {
+    void failedEndpointListPollIsRetriedAfterADelay(boolean mustBePolled, double secondsLater, boolean expectPoll) {
         RoutingFixture polling =
                 RoutingFixture.builder().endpointListMustBePolled(mustBePolled).build();
         assertEquals(mustBePolled, polling.policy.tick(polling.now).pollEndpoints());
         polling.policy.onEndpointListFailed(polling.now);
-        assertEquals(polls, polling.policy.tick(polling.now + later).pollEndpoints());
+        assertEquals(expectPoll, polling.policy.tick(polling.now + secondsLater).pollEndpoints());
     }
 
-    /** An idle router ticks again by then, not a second later. */
+    /** An idle router schedules its next tick for the due poll, not after the idle interval of 1 s. */
     @Test
     void endpointListIsPolledWhenDueOnAnIdleRouter() {
         RoutingFixture polling =
--- a/core/src/test/java/clayhook/RoutingPolicyHealthTest.java
+++ b/core/src/test/java/clayhook/RoutingPolicyHealthTest.java
@@ -13,18 +13,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** How the policy finds out that nodes have failed or recovered. */
+/** Tests how the policy detects that nodes have failed or recovered. */
 class RoutingPolicyHealthTest {
     private final RoutingFixture fixture = RoutingFixture.builder().build();
 
     @Test
     void readWaitsForHealthCheckOfReplicaNotSeenForOneSecond() {
         fixture.now += 1.1;
-        fixture.report(fixture.primary, Role.PRIMARY, fixture.now);
+        fixture.reportPosition(fixture.primary, Role.PRIMARY, fixture.now);
         Request read = fixture.request(fixture.eventual, 0);
         assertEquals(RoutingAction.WAIT, fixture.policy.route(read, fixture.now).action());
         Node checked = fixture.policy.tick(fixture.now).healthChecks().get(0);
-        fixture.report(checked, Role.REPLICA, fixture.now);
+        fixture.reportPosition(checked, Role.REPLICA, fixture.now);
         assertEquals(checked, fixture.policy.route(read, fixture.now).attempt().node);
     }
 
@@ -43,7 +43,7 @@
     @Test
     void writeWaitsForHealthCheckOfPrimaryNotSeenForOneSecond() {
         fixture.now += 1;
-        fixture.report(fixture.otherReplica, Role.PRIMARY, fixture.now);
+        fixture.reportPosition(fixture.otherReplica, Role.PRIMARY, fixture.now);
         fixture.now += 1.1;
         Request write = fixture.request(fixture.write, 0);
         assertEquals(
@@ -53,13 +53,13 @@
     }
 
     @Test
-    void healthChecksPreferTheOwnZone() {
+    void healthChecksPreferReplicasInTheRoutersZone() {
         for (int i = 0; i < 6; i++) {
             fixture.now += 2;
             fixture.policy.route(fixture.request(fixture.session, 0), fixture.now);
             assertEquals(
                     List.of(fixture.replica), fixture.policy.tick(fixture.now).healthChecks());
-            fixture.report(fixture.replica, Role.REPLICA, fixture.now);
+            fixture.reportPosition(fixture.replica, Role.REPLICA, fixture.now);
         }
     }
 
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void readOnASilentReplicaIsHedgedElsewhere() {
+    void readOnSilentReplicaIsHedgedOnAnotherReplica() {
         Attempt read = fixture.send(fixture.bounded);
         fixture.policy.tick(fixture.now);
         for (int i = 0; i < 32; i++) {
@@ -85,13 +85,13 @@
             fixture.policy.tick(fixture.now);
         }
         fixture.now += 0.05;
-        fixture.report(
+        fixture.reportPosition(
                 read.node.equals(fixture.otherReplica) ? fixture.replica : fixture.otherReplica,
                 Role.REPLICA,
                 fixture.now);
-        Decision copy = fixture.policy.route(read.request, fixture.now);
-        assertEquals(RoutingAction.SEND, copy.action());
-        assertNotEquals(read.node, copy.attempt().node);
+        Decision hedge = fixture.policy.route(read.request, fixture.now);
+        assertEquals(RoutingAction.SEND, hedge.action());
+        assertNotEquals(read.node, hedge.attempt().node);
     }
 
     @Test
@@ -100,7 +100,7 @@
         fixture.now += 0.35;
         fixture.policy.route(read.request, fixture.now);
         assertEquals(List.of(read.node), fixture.policy.tick(fixture.now).healthChecks());
-        fixture.reportAll(fixture.now);
+        fixture.reportAllPositions(fixture.now);
         assertEquals(
                 RoutingAction.WAIT,
                 fixture.policy.route(read.request, fixture.now).action());
@@ -111,14 +111,14 @@
         fixture.send(fixture.write);
         fixture.policy.tick(fixture.now);
         fixture.now += 1.5;
-        fixture.reportAll(fixture.now);
+        fixture.reportAllPositions(fixture.now);
         assertEquals(fixture.primary, fixture.send(fixture.write).node);
     }
 
     @ParameterizedTest
     @CsvSource({"RESET, true, true", "RESET, false, false", "CONNECT_FAILED, true, false", "ERROR, true, false"})
-    void connectionResetIsIgnoredIfTheNodeRespondedSince(AttemptOutcome outcome, boolean answered, boolean serves) {
-        for (int i = 0; i < (serves ? 3 : 1); i++) {
+    void connectionResetIsIgnoredIfTheNodeRespondedSince(AttemptOutcome outcome, boolean answered, boolean expectSent) {
+        for (int i = 0; i < (expectSent ? 3 : 1); i++) {
             Attempt broken = fixture.send(fixture.write);
             Attempt other = fixture.send(fixture.write);
             fixture.now += 0.01;
@@ -128,7 +128,7 @@
             fixture.finish(broken, outcome, Role.UNKNOWN, 0);
         }
         assertEquals(
-                serves,
+                expectSent,
                 fixture.policy
                                 .route(fixture.request(fixture.write, 0), fixture.now)
                                 .action()
@@ -141,14 +141,14 @@
         Attempt read = fixture.send(fixture.eventual);
         fixture.finish(read, AttemptOutcome.CONNECT_FAILED, Role.UNKNOWN, 0);
         fixture.updateEndpoint(fixture.primary, State.DRAINING, 0);
-        String beliefs = fixture.policy.describeNodes(fixture.now);
-        assertTrue(beliefs.contains("c 1/3 0 primary closed"), beliefs);
-        assertTrue(beliefs.contains(read.node.id() + " 0/3 0 out"), beliefs);
+        String description = fixture.policy.describeNodes(fixture.now);
+        assertTrue(description.contains("c 1/3 0 primary closed"), description);
+        assertTrue(description.contains(read.node.id() + " 0/3 0 out"), description);
         for (int i = 0; i < 2000; i++) {
             fixture.updateEndpoint(new Node("n" + i, "north", 2 + i / 7), State.DRAINING, 0);
         }
-        String longer = fixture.policy.describeNodes(fixture.now);
-        assertTrue(longer.matches("2003 known, 3 heard.{1,1000}, and 1983 more"), longer);
+        String longDescription = fixture.policy.describeNodes(fixture.now);
+        assertTrue(longDescription.matches("2003 known, 3 heard.{1,1000}, and 1983 more"), longDescription);
     }
 
     @Test
@@ -174,32 +174,32 @@
         assertEquals(Set.of(fixture.otherReplica), fixture.nodesChosenFor(fixture.eventual, 4));
     }
 
-    /** Where health checks are allowed, such replicas are checked first. */
+    /** If health checks are allowed, such replicas are health-checked first. */
     @Test
-    void withoutHealthChecksReadsGoToReplicasNotSeenForLong() {
-        RoutingFixture unchecked =
+    void withoutHealthChecksReadsAreSentToStaleReplicas() {
+        RoutingFixture withoutChecks =
                 RoutingFixture.builder().healthChecksAllowed(false).build();
-        unchecked.now += 30;
-        assertEquals(0, unchecked.countSentTo(unchecked.primary, unchecked.eventual, 2));
+        withoutChecks.now += 30;
+        assertEquals(0, withoutChecks.countSentTo(withoutChecks.primary, withoutChecks.eventual, 2));
     }
 
-    /** Otherwise a node that failed twice would stay ejected: no health check would find that it recovered. */
+    /** Otherwise a node that failed twice would stay ejected, because no health check would detect its recovery. */
     @Test
     void withoutHealthChecksAFailedNodeIsRetriedAfterItsBackoff() {
-        RoutingFixture unchecked =
+        RoutingFixture withoutChecks =
                 RoutingFixture.builder().healthChecksAllowed(false).build();
         for (int i = 0; i < 12; i++) {
-            Request request = unchecked.request(unchecked.eventual, 0);
-            Decision sent = unchecked.route(request);
+            Request request = withoutChecks.request(withoutChecks.eventual, 0);
+            Decision sent = withoutChecks.route(request);
             while (sent.action() == RoutingAction.SEND) {
                 request.attempts.add(sent.attempt());
-                sent = unchecked.finish(sent.attempt(), AttemptOutcome.CONNECT_FAILED, Role.UNKNOWN, 0);
+                sent = withoutChecks.finish(sent.attempt(), AttemptOutcome.CONNECT_FAILED, Role.UNKNOWN, 0);
             }
-            unchecked.now += 0.2;
+            withoutChecks.now += 0.2;
         }
-        unchecked.now += 2;
-        Decision trial = unchecked.route(unchecked.request(unchecked.eventual, 0));
-        assertEquals(RoutingAction.SEND, trial.action());
-        assertNotEquals(unchecked.primary, trial.attempt().node);
+        withoutChecks.now += 2;
+        Decision probe = withoutChecks.route(withoutChecks.request(withoutChecks.eventual, 0));
+        assertEquals(RoutingAction.SEND, probe.action());
+        assertNotEquals(withoutChecks.primary, probe.attempt().node);
     }
 }
--- a/core/src/test/java/clayhook/RoutingPolicyLoadTest.java
+++ b/core/src/test/java/clayhook/RoutingPolicyLoadTest.java
@@ -9,25 +9,25 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Concurrency limits, load shedding and slow start. */
+/** Tests concurrency limits, load shedding, slow-start budgets and the distribution of reads by load. */
 class RoutingPolicyLoadTest {
     private final RoutingFixture fixture = RoutingFixture.builder().build();
 
     @ParameterizedTest
     @CsvSource({"0, false", "9, true"})
     void loadEstimateDecaysTowardsTheOverallEstimate(double idle, boolean expectShedding) {
-        Node far = new Node("d", "north", 2);
-        fixture.updateEndpoint(far, State.READY, 0);
-        fixture.report(far, Role.REPLICA, fixture.now);
+        Node otherSetReplica = new Node("d", "north", 2);
+        fixture.updateEndpoint(otherSetReplica, State.READY, 0);
+        fixture.reportPosition(otherSetReplica, Role.REPLICA, fixture.now);
         for (int i = 0; i < 3; i++) {
-            Decision calm = fixture.policy.route(
+            Decision fast = fixture.policy.route(
                     new Request(fixture.eventual, 2, null, 0, fixture.now, fixture.now + 4), fixture.now);
-            fixture.answer(calm.attempt(), 0.04, Role.REPLICA, fixture.now);
+            fixture.answer(fast.attempt(), 0.04, Role.REPLICA, fixture.now);
         }
         for (int i = 0; i < 60; i++) {
-            Decision crowded = fixture.route(fixture.request(fixture.eventual, 0));
-            if (crowded.action() == RoutingAction.SEND) {
-                fixture.answer(crowded.attempt(), 0.36, Role.REPLICA, fixture.now);
+            Decision slow = fixture.route(fixture.request(fixture.eventual, 0));
+            if (slow.action() == RoutingAction.SEND) {
+                fixture.answer(slow.attempt(), 0.36, Role.REPLICA, fixture.now);
             }
         }
         fixture.now += idle;
@@ -54,20 +54,20 @@
         assertTrue(sent <= 1, "sent " + sent);
     }
 
-    /** Returns the work in seconds that one of so many routers sends a replica in three seconds after its start. */
+    /** Returns the seconds of work that one of {@code routers} routers sends to a replica within 3 s of its start. */
     private static double workSentInSlowStart(int routers) {
         RoutingFixture many = RoutingFixture.builder().routerCount(routers).build();
         many.updateEndpoint(many.otherReplica, State.DRAINING, 0);
         for (int i = 0; i < 50; i++) {
             many.now += 0.1;
-            many.reportAll(many.now);
+            many.reportAllPositions(many.now);
             many.finish(many.send(many.eventual), AttemptOutcome.ANSWERED, Role.REPLICA, many.now);
         }
         many.updateEndpoint(many.replica, State.READY, many.now);
         double sent = 0;
         for (int i = 0; i < 100; i++) {
             many.now += 0.03;
-            many.reportAll(many.now);
+            many.reportAllPositions(many.now);
             sent += 0.1 * many.countSentTo(many.replica, many.eventual, 1);
         }
         return sent;
@@ -80,15 +80,15 @@
 
     @Test
     void slowStartBudgetBelowOneRequestIsEnforced() {
-        double all = 0;
+        double sent = 0;
         for (int seed = 0; seed < 100; seed++) {
             RoutingFixture idle =
                     RoutingFixture.builder().seed(seed).routerCount(100).build();
             idle.updateEndpoint(idle.replica, State.READY, idle.now);
             idle.updateEndpoint(idle.otherReplica, State.DRAINING, 0);
-            all += idle.countSentTo(idle.replica, idle.eventual, 1);
+            sent += idle.countSentTo(idle.replica, idle.eventual, 1);
         }
-        assertEquals(0, all);
+        assertEquals(0, sent);
     }
 
     @Test
@@ -96,7 +96,7 @@
         fixture.updateEndpoint(fixture.otherReplica, State.DRAINING, 0);
         for (int i = 0; i < 50; i++) {
             fixture.now += 2;
-            fixture.reportAll(fixture.now);
+            fixture.reportAllPositions(fixture.now);
             Decision decision = fixture.route(fixture.request(fixture.eventual, 0));
             if (decision.action() == RoutingAction.SEND) {
                 fixture.finish(decision.attempt(), AttemptOutcome.OVERLOADED, Role.REPLICA, fixture.now);
@@ -104,30 +104,31 @@
         }
         fixture.updateEndpoint(fixture.replica, State.READY, fixture.now);
         fixture.now += 2;
-        fixture.reportAll(fixture.now);
+        fixture.reportAllPositions(fixture.now);
         assertTrue(fixture.countSentTo(fixture.replica, fixture.eventual, 50) <= 1);
     }
 
     @ParameterizedTest
     @CsvSource({"0.1, 100, SEND", "0.9, 60, REJECT"})
-    void readsAreShedWhileLatencyIsCloseToTheObjective(double latencyRatio, int answers, RoutingAction verdict) {
-        answerReadsWithLatencyRatio(latencyRatio, answers);
-        int kept = 0;
+    void readsAreShedWhileLatencyIsCloseToTheObjective(
+            double latencyRatio, int answerCount, RoutingAction expectedAction) {
+        answerReadsWithLatencyRatio(latencyRatio, answerCount);
+        int matching = 0;
         for (int i = 0; i < 20; i++) {
-            kept += fixture.policy
+            matching += fixture.policy
                                     .route(fixture.request(fixture.eventual, 0), fixture.now)
                                     .action()
-                            == verdict
+                            == expectedAction
                     ? 1
                     : 0;
         }
-        assertTrue(kept >= 10, "only " + kept);
+        assertTrue(matching >= 10, "only " + matching);
     }
 
-    private void answerReadsWithLatencyRatio(double latencyRatio, int answers) {
-        for (int i = 0; i < answers; i++) {
+    private void answerReadsWithLatencyRatio(double latencyRatio, int answerCount) {
+        for (int i = 0; i < answerCount; i++) {
             fixture.now += 0.05;
-            fixture.reportAll(fixture.now);
+            fixture.reportAllPositions(fixture.now);
             Decision decision = fixture.route(fixture.request(fixture.eventual, 0));
             if (decision.action() == RoutingAction.SEND) {
                 fixture.answer(decision.attempt(), 0.4 * latencyRatio, Role.REPLICA, fixture.now);
@@ -145,20 +146,20 @@
                 fixture.otherReplica,
                 new AttemptResult(AttemptOutcome.ANSWERED, 0.001, Role.UNKNOWN, 0, Role.REPLICA, fixture.now, 0),
                 fixture.now);
-        int crowded = 0;
+        int sentToLoaded = 0;
         for (int i = 0; i < 40; i++) {
             Attempt read = fixture.send(fixture.eventual);
-            crowded += read.node.equals(fixture.replica) ? 1 : 0;
+            sentToLoaded += read.node.equals(fixture.replica) ? 1 : 0;
             fixture.finish(read, AttemptOutcome.ANSWERED, Role.REPLICA, fixture.now);
         }
-        assertTrue(crowded > 0 && crowded < 18, "sent " + crowded);
+        assertTrue(sentToLoaded > 0 && sentToLoaded < 18, "sent " + sentToLoaded);
     }
 
     @Test
     void replicasWithAnIdleConnectionArePreferredWhileConnectingIsSlow() {
         for (int i = 0; i < 30; i++) {
             fixture.now += 20;
-            fixture.reportAll(fixture.now);
+            fixture.reportAllPositions(fixture.now);
             Attempt write = fixture.send(fixture.write);
             fixture.answer(write, 0.39, Role.PRIMARY, fixture.now);
         }
@@ -176,24 +177,25 @@
 
     @ParameterizedTest
     @CsvSource({"0.06, 0.1, SEND", "0.06, 0.9, REJECT", "0.01, 0.1, REJECT"})
-    void shortClientTimeoutIsServedUnlessLoadIsHigh(double wait, double latencyRatio, RoutingAction verdict) {
+    void shortClientTimeoutIsServedUnlessLoadIsHigh(
+            double clientTimeout, double latencyRatio, RoutingAction expectedAction) {
         answerReadsWithLatencyRatio(latencyRatio, 100);
-        fixture.reportAll(fixture.now);
-        int kept = 0;
+        fixture.reportAllPositions(fixture.now);
+        int matching = 0;
         for (int i = 0; i < 20; i++) {
-            Request read = new Request(fixture.eventual, 1, null, 0, fixture.now, fixture.now + wait);
-            kept += fixture.policy.route(read, fixture.now).action() == verdict ? 1 : 0;
+            Request read = new Request(fixture.eventual, 1, null, 0, fixture.now, fixture.now + clientTimeout);
+            matching += fixture.policy.route(read, fixture.now).action() == expectedAction ? 1 : 0;
         }
-        assertTrue(kept >= 10, "only " + kept);
+        assertTrue(matching >= 10, "only " + matching);
     }
 
     @ParameterizedTest
     @CsvSource({"0.06, true", "4, false"})
-    void timeoutsOfShortClientTimeoutsRaiseLoadByElapsedTime(double wait, boolean serves) {
+    void timeoutsOfShortClientTimeoutsRaiseLoadByElapsedTime(double clientTimeout, boolean expectServed) {
         for (int i = 0; i < 60; i++) {
             fixture.now += 0.5;
-            fixture.reportAll(fixture.now);
-            Request read = new Request(fixture.eventual, 1, null, 0, fixture.now, fixture.now + wait);
+            fixture.reportAllPositions(fixture.now);
+            Request read = new Request(fixture.eventual, 1, null, 0, fixture.now, fixture.now + clientTimeout);
             Decision decision = fixture.route(read);
             if (decision.action() == RoutingAction.SEND) {
                 read.attempts.add(decision.attempt());
@@ -208,10 +210,10 @@
         int sent = 0;
         for (int i = 0; i < 6; i++) {
             fixture.now += 0.2;
-            fixture.reportAll(fixture.now);
+            fixture.reportAllPositions(fixture.now);
             sent += fixture.route(fixture.request(fixture.eventual, 0)).action() == RoutingAction.SEND ? 1 : 0;
         }
-        assertEquals(serves, sent > 3, "sent " + sent);
+        assertEquals(expectServed, sent > 3, "sent " + sent);
     }
 
     @Test
--- a/core/src/test/java/clayhook/RoutingPolicyPrimaryTest.java
+++ b/core/src/test/java/clayhook/RoutingPolicyPrimaryTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Which node writes go to, and what happens while there is no primary. */
+/** Tests which node gets writes, and how writes are held while there is no primary. */
 class RoutingPolicyPrimaryTest {
     private final RoutingFixture fixture = RoutingFixture.builder().build();
 
@@ -26,43 +26,46 @@
 
     @ParameterizedTest
     @CsvSource({"false, 0.1, WAIT", "false, 0.3, REJECT", "true, 0.3, WAIT"})
-    void writesWithoutCapacityWaitBrieflyUnlessThereIsNoPrimary(boolean unwell, double held, RoutingAction verdict) {
+    void writesWithoutCapacityAreRejectedSoonUnlessThereIsNoPrimary(
+            boolean primaryDraining, double secondsHeld, RoutingAction expectedAction) {
         fixture.sendUntilFull(fixture.write);
         Request waiting = fixture.request(fixture.write, 0);
-        if (unwell) {
+        if (primaryDraining) {
             fixture.updateEndpoint(fixture.primary, State.DRAINING, 0);
         }
-        assertEquals(verdict, fixture.policy.route(waiting, fixture.now + held).action());
+        assertEquals(
+                expectedAction,
+                fixture.policy.route(waiting, fixture.now + secondsHeld).action());
     }
 
     @Test
-    void writesFollowTheNewestPrimaryClaim() {
+    void writesAreSentToNodeWithNewestPrimaryClaim() {
         fixture.now += 1;
-        fixture.report(fixture.otherReplica, Role.PRIMARY, fixture.now);
+        fixture.reportPosition(fixture.otherReplica, Role.PRIMARY, fixture.now);
         assertEquals(fixture.otherReplica, fixture.send(fixture.write).node);
     }
 
     @ParameterizedTest
     @CsvSource({"3, SEND", "8, WAIT"})
-    void replicaReportEndsAPrimaryClaimOnceOlderReportsHaveExpired(double later, RoutingAction verdict) {
+    void replicaReportEndsAPrimaryClaimOnceOlderReportsHaveExpired(double secondsLater, RoutingAction expectedAction) {
         fixture.now += 1;
-        fixture.report(fixture.primary, Role.PRIMARY, fixture.now);
-        fixture.now += later;
-        fixture.report(fixture.primary, Role.REPLICA, fixture.now - later - 0.5);
+        fixture.reportPosition(fixture.primary, Role.PRIMARY, fixture.now);
+        fixture.now += secondsLater;
+        fixture.reportPosition(fixture.primary, Role.REPLICA, fixture.now - secondsLater - 0.5);
         assertEquals(
-                verdict,
+                expectedAction,
                 fixture.policy
                         .route(fixture.request(fixture.write, 0), fixture.now)
                         .action());
     }
 
     @Test
-    void writeRejectedByAFormerPrimaryWaitsForItsSuccessor() {
+    void writeRejectedByFormerPrimaryWaitsForNewPrimary() {
         Decision decision =
                 fixture.finish(fixture.send(fixture.write), AttemptOutcome.REJECTED, Role.REPLICA, fixture.now);
         assertEquals(RoutingAction.WAIT, decision.action());
         fixture.now += 0.1;
-        fixture.report(fixture.otherReplica, Role.PRIMARY, fixture.now);
+        fixture.reportPosition(fixture.otherReplica, Role.PRIMARY, fixture.now);
         assertEquals(fixture.otherReplica, fixture.send(fixture.write).node);
     }
 }
--- a/core/src/test/java/clayhook/RoutingPolicyRetryTest.java
+++ b/core/src/test/java/clayhook/RoutingPolicyRetryTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Retries, hedging, waiting and the end of requests. */
+/** Tests retries, hold times, attempt timeouts and the final answers of requests. */
 class RoutingPolicyRetryTest {
     private final RoutingFixture fixture = RoutingFixture.builder().build();
 
@@ -27,17 +27,17 @@
         "NON_IDEMPOTENT, ERROR, 0.1, FAIL"
     })
     void possiblyExecutedRequestIsRetriedOnlyAsItsIdempotencyAllows(
-            Idempotency effect, AttemptOutcome outcome, double later, RoutingAction verdict) {
-        Attempt first = fixture.send(fixture.primaryClass(effect));
-        fixture.now += later;
-        fixture.reportAll(fixture.now);
+            Idempotency idempotency, AttemptOutcome outcome, double secondsLater, RoutingAction expectedAction) {
+        Attempt first = fixture.send(fixture.primaryClass(idempotency));
+        fixture.now += secondsLater;
+        fixture.reportAllPositions(fixture.now);
         Decision next = fixture.finish(first, outcome, Role.PRIMARY, fixture.now);
-        if (verdict == RoutingAction.SEND) {
-            fixture.reportAll(fixture.now + 0.01);
+        if (expectedAction == RoutingAction.SEND) {
+            fixture.reportAllPositions(fixture.now + 0.01);
             fixture.finish(fixture.send(fixture.session), AttemptOutcome.ANSWERED, Role.REPLICA, fixture.now);
             assertFalse(next.action() == RoutingAction.REJECT || next.action() == RoutingAction.FAIL);
         } else {
-            assertEquals(verdict, next.action());
+            assertEquals(expectedAction, next.action());
         }
     }
 
@@ -45,7 +45,7 @@
     void nonIdempotentRequestInFlightIsNeverResent() {
         Attempt write = fixture.send(fixture.primaryClass(Idempotency.NON_IDEMPOTENT));
         fixture.now += 3;
-        fixture.reportAll(fixture.now);
+        fixture.reportAllPositions(fixture.now);
         assertEquals(
                 RoutingAction.WAIT,
                 fixture.policy.route(write.request, fixture.now).action());
@@ -53,10 +53,10 @@
 
     @ParameterizedTest
     @CsvSource({"IDEMPOTENT, REJECT", "NON_IDEMPOTENT, FAIL", "IDEMPOTENT_WITH_KEY, FAIL"})
-    void requestIsAnsweredAtItsDeadlineWithoutAnAttemptResult(Idempotency effect, RoutingAction verdict) {
-        Attempt write = fixture.send(fixture.primaryClass(effect));
+    void requestIsAnsweredAtItsDeadlineWithoutAnAttemptResult(Idempotency idempotency, RoutingAction expectedAction) {
+        Attempt write = fixture.send(fixture.primaryClass(idempotency));
         assertEquals(
-                verdict,
+                expectedAction,
                 fixture.policy.route(write.request, write.request.deadline).action());
     }
 
@@ -70,10 +70,12 @@
 
     @ParameterizedTest
     @CsvSource({"0.02, WAIT", "0.2, REJECT"})
-    void readWaitsForASmallFractionOfItsLatencyObjective(double held, RoutingAction verdict) {
+    void readWaitsForASmallFractionOfItsLatencyObjective(double secondsHeld, RoutingAction expectedAction) {
         Request read = fixture.request(fixture.bounded, 0);
         fixture.policy.onEndpointList(List.of(), true, fixture.now);
-        assertEquals(verdict, fixture.policy.route(read, fixture.now + held).action());
+        assertEquals(
+                expectedAction,
+                fixture.policy.route(read, fixture.now + secondsHeld).action());
     }
 
     @ParameterizedTest
@@ -85,43 +87,44 @@
         "READY, 0.05, true, false"
     })
     void attemptThatWaitedForAConnectionIsSentOnlyIfStillAllowed(
-            State state, double later, boolean completed, boolean goes) {
+            State state, double secondsLater, boolean completed, boolean expectedSent) {
         Attempt attempt = fixture.send(fixture.bounded);
-        fixture.now += later;
+        fixture.now += secondsLater;
         fixture.updateEndpoint(attempt.node, state, 0);
         attempt.request.completed = completed;
-        assertEquals(goes, fixture.policy.mayStillSend(attempt, fixture.now));
+        assertEquals(expectedSent, fixture.policy.mayStillSend(attempt, fixture.now));
     }
 
     @ParameterizedTest
     @CsvSource({"0.44, WAIT", "0.46, REJECT"})
-    void writeWithoutAPrimaryIsRejectedBeforeHalfItsTimeout(double share, RoutingAction verdict) {
+    void writeWithoutAPrimaryIsRejectedBeforeHalfItsTimeout(double timeoutFraction, RoutingAction expectedAction) {
         fixture.updateEndpoint(fixture.primary, State.DRAINING, 0);
         Request write = fixture.request(fixture.write, 0);
         assertEquals(
                 RoutingAction.WAIT, fixture.policy.route(write, fixture.now).action());
-        fixture.now += share * fixture.write.clientTimeoutSeconds();
-        assertEquals(verdict, fixture.policy.route(write, fixture.now).action());
+        fixture.now += timeoutFraction * fixture.write.clientTimeoutSeconds();
+        assertEquals(expectedAction, fixture.policy.route(write, fixture.now).action());
     }
 
     @ParameterizedTest
     @CsvSource({"0.09, 0.071", "0.25, 0.22", "10, 0.4"})
-    void attemptTimesOutShortlyBeforeTheClientDeadline(double wait, double limit) {
-        Request read = new Request(fixture.eventual, 1, null, 0, fixture.now, fixture.now + 0.1 + wait);
-        assertEquals(Math.min(0.1 + limit, 0.4), fixture.route(read).attempt().timeoutAt - fixture.now, 1e-9);
+    void attemptTimesOutShortlyBeforeTheClientDeadline(double remainingSeconds, double expectedTimeout) {
+        Request read = new Request(fixture.eventual, 1, null, 0, fixture.now, fixture.now + 0.1 + remainingSeconds);
+        assertEquals(Math.min(0.1 + expectedTimeout, 0.4), fixture.route(read).attempt().timeoutAt - fixture.now, 1e-9);
     }
 
     @ParameterizedTest
     @CsvSource({"1.0, true", "1.1, false", "1.25, false"})
-    void retryThatWaitedForAConnectionIsSentOnlyWithinTheDeduplicationWindow(double later, boolean goes) {
+    void retryThatWaitedForAConnectionIsSentOnlyWithinTheDeduplicationWindow(
+            double secondsLater, boolean expectedSent) {
         Attempt first = fixture.send(fixture.write);
         Decision again = fixture.finish(first, AttemptOutcome.RESET, Role.UNKNOWN, 0);
         for (int i = 0; i < 20 && again.action() == RoutingAction.WAIT; i++) {
             fixture.now += 0.05;
-            fixture.report(fixture.primary, Role.PRIMARY, fixture.now);
+            fixture.reportPosition(fixture.primary, Role.PRIMARY, fixture.now);
             again = fixture.route(first.request);
         }
         first.request.attempts.add(again.attempt());
-        assertEquals(goes, fixture.policy.mayStillSend(again.attempt(), 1000 + later));
+        assertEquals(expectedSent, fixture.policy.mayStillSend(again.attempt(), 1000 + secondsLater));
     }
 }
--- a/core/src/test/java/clayhook/RoutingPolicySlowStartTest.java
+++ b/core/src/test/java/clayhook/RoutingPolicySlowStartTest.java
@@ -9,24 +9,24 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Attempts on a node in slow start that wait for a connection. Tokens live for a third of the window of 3 s. */
+/** Attempts and health checks on a node in slow start. A token lives for a third of the overload window of 3 s. */
 class RoutingPolicySlowStartTest {
     private static final double TOKEN_LIFETIME = 1;
 
     private final RoutingFixture fixture = RoutingFixture.builder().build();
 
     @BeforeEach
-    void replicaStartsAndTheOtherDrains() {
+    void startReplicaAndDrainTheOther() {
         fixture.updateEndpoint(fixture.replica, State.READY, fixture.now);
         fixture.updateEndpoint(fixture.otherReplica, State.DRAINING, 0);
     }
 
-    /** Asks until a read that may wait gets the token for the replica in slow start. */
+    /** Routes long reads until one is sent to the replica in slow start, and returns its attempt. */
     private Attempt attemptInSlowStart() {
         for (int i = 0; i < 10_000; i++) {
             fixture.now += 0.01;
-            fixture.reportAll(fixture.now);
-            Request read = fixture.request(fixture.report, 0);
+            fixture.reportAllPositions(fixture.now);
+            Request read = fixture.request(fixture.longRead, 0);
             Decision decision = fixture.policy.route(read, fixture.now);
             if (decision.action() == RoutingAction.SEND
                     && decision.attempt().node.equals(fixture.replica)) {
@@ -42,22 +42,22 @@
     }
 
     @Test
-    void anAttemptThatWaitsForItsConnectionIsRefusedOnceItsTokenHasExpired() {
+    void attemptWaitingForConnectionIsRefusedOnceTokenHasExpired() {
         Attempt attempt = attemptInSlowStart();
         assertEquals(AttemptRefusal.NONE, refusalAfter(attempt, TOKEN_LIFETIME / 2));
         assertEquals(AttemptRefusal.NO_SLOW_START_TOKEN, refusalAfter(attempt, TOKEN_LIFETIME + 0.1));
     }
 
     @Test
-    void anAttemptThatWaitsForItsConnectionIsRefusedOnceItsNodeHasStartedAgain() {
+    void attemptWaitingForConnectionIsRefusedOnceNodeHasRestarted() {
         Attempt attempt = attemptInSlowStart();
         fixture.updateEndpoint(fixture.replica, State.READY, attempt.sentAt + 0.01);
         assertEquals(AttemptRefusal.NO_SLOW_START_TOKEN, refusalAfter(attempt, 0.1));
     }
 
-    /** Else all requests that waited for a dead node would reach it together when it is back. */
+    /** Otherwise all requests that waited for a dead node would reach it at the same time after its restart. */
     @Test
-    void anAttemptOnAWarmNodeIsRefusedOnceTheNodeHasStartedAgain() {
+    void attemptOnWarmNodeIsRefusedOnceNodeHasRestarted() {
         fixture.updateEndpoint(fixture.replica, State.READY, 0);
         Attempt attempt = attemptInSlowStart();
         assertEquals(AttemptRefusal.NONE, refusalAfter(attempt, TOKEN_LIFETIME + 0.1));
@@ -66,13 +66,13 @@
     }
 
     /**
-     * The same fault as in {@link SlowStartTest}, by health checks: each router that had a read for a node in slow
-     * start checked it first, also where its budget let nothing be sent, and each first check opens a connection, which
-     * may cost a tenth of a read. In the simulation, once it counted that, 1,000 routers sent up to 1.28 times what
-     * overloads the node, and 300 up to 1.10, with the requests themselves within their budgets.
+     * Guards against overload by health checks, the same failure as in {@link SlowStartTest}. Each router with a read
+     * for a node in slow start checked it first, even without a token, and each first check opens a connection, which
+     * may cost a tenth of a read. With that cost in the simulation, 1,000 routers sent up to 1.28 times the work that
+     * overloads the node, and 300 routers up to 1.10 times, although the requests were within their budgets.
      */
     @Test
-    void readsHaveANodeInSlowStartCheckedOnlyWithATokenForIt() {
+    void readsHealthCheckNodeInSlowStartOnlyWithToken() {
         int checks = 0;
         int checksOfOthers = 0;
         for (int seed = 0; seed < 100; seed++) {
