--- a/core/src/main/java/clayhook/EndpointListLease.java
+++ b/core/src/main/java/clayhook/EndpointListLease.java
@@ -5,7 +5,7 @@
  * counts as notified a fixed time after the discovery service has it and is reachable, even if the change never
  * arrives. Each confirmation that the list is up to date therefore renews the lease; the lease expires if no
  * confirmation arrives although the service may be reachable. An open watch alone is no confirmation: a broken watch,
- * or one that waits in the queue of an overloaded service, cannot be told apart from a watch without changes.
+ * or one that waits in the queue of an overloaded service, cannot be distinguished from a watch without changes.
  *
  * <p>Reads no clock; all times are clock times in seconds, passed by the caller. Not thread-safe: confined to the event
  * loop.
--- a/core/src/main/java/clayhook/RoutingPolicy.java
+++ b/core/src/main/java/clayhook/RoutingPolicy.java
@@ -527,9 +527,9 @@
     private double requiredSessionPosition(Request request) {
         double known = request.lastWritePosition;
         double carried = known > 0 ? known + CARRIED_POSITION_PRECISION : 0;
-        boolean remembers = request.sessionId != null && !settings.requestsCarryLastWrite();
-        double remembered = remembers ? sessionWrites.position(request.sessionId) : 0;
-        return Math.max(carried, Math.max(replicaSet(request).evictedWritePosition, remembered));
+        boolean usesRecord = request.sessionId != null && !settings.requestsCarryLastWrite();
+        double recorded = usesRecord ? sessionWrites.position(request.sessionId) : 0;
+        return Math.max(carried, Math.max(replicaSet(request).evictedWritePosition, recorded));
     }
 
     /**
