--- a/daemon/src/main/java/clayhook/backend/AnswerReader.java
+++ b/daemon/src/main/java/clayhook/backend/AnswerReader.java
@@ -6,29 +6,29 @@
 import java.util.List;
 
 /**
- * Checks the messages of one answer for their order and collects them; no I/O and no clock.
+ * Validates the message order of a node's answer and collects its messages. Uses neither I/O nor a clock.
  *
  * <p>A key-value statement and a health check are answered in the fixed form: RowDescription, one DataRow,
- * CommandComplete, ReadyForQuery, or an ErrorResponse before the first of them. A statement of any kind is answered in
- * the free form, whose messages are bounded in bytes and reserve memory. An object serves one connection and is reused
- * for each of its answers; event loop only.
+ * CommandComplete and ReadyForQuery; or ErrorResponse and ReadyForQuery. A statement of any kind is answered in the
+ * free form: any number of results, limited in total bytes, whose messages reserve memory. Each connection has one
+ * instance and reuses it for all answers. Event loop only.
  */
 final class AnswerReader {
-    /** The column count before a RowDescription and after the end of its rows. */
+    /** The column count while no RowDescription is in effect: before the first one and after each CommandComplete. */
     private static final int NO_ROW_DESCRIPTION = -1;
 
-    /** State of the answer after a message. */
+    /** The state of the answer after a message was read. */
     enum Progress {
         INCOMPLETE,
         COMPLETE,
         OUT_OF_ORDER,
-        /** Longer than the operator forwards; the statement has run. */
+        /** The answer exceeds the configured maximum length; the statement has run. */
         TOO_LONG,
-        /** No memory is left to hold it; the statement has run. */
+        /** The memory budget cannot hold the answer; the statement has run. */
         OUT_OF_MEMORY
     }
 
-    /** What may come next. */
+    /** The messages that are valid next. */
     private enum Expected {
         FREE_FORM_RESULT,
         ROW_DESCRIPTION,
@@ -41,15 +41,15 @@
     private final ConnectionProfile profile;
     private Expected expected = Expected.READY_FOR_QUERY;
     private List<byte[]> messages = List.of();
-    /** Reserved in {@link #memory} for the messages held here. */
+    /** Bytes reserved in {@link #memory} for {@link #messages}. */
     private int reservedBytes;
-    /** Columns of the rows that may come now. */
+    /** The column count of the current RowDescription, or {@link #NO_ROW_DESCRIPTION}. */
     private int columnCount;
-    /** At least one result has ended. */
+    /** Whether at least one result of this answer is complete. */
     private boolean resultComplete;
-    /** The one row of the fixed form, or null. */
-    private NodeMessage.ResultMessage dataRow;
-    /** Code of the error in this answer, or null. */
+    /** The single row of a fixed-form answer, or null. */
+    private NodeMessage.Part dataRow;
+    /** The SQLSTATE of the error in this answer, or null. */
     private String sqlState;
 
     AnswerReader(MemoryBudget memory, ConnectionProfile profile) {
@@ -57,7 +57,7 @@
         this.profile = profile;
     }
 
-    /** Starts a new answer. */
+    /** Discards the messages of the previous answer and starts a new one. */
     void begin(boolean freeForm) {
         expected = freeForm ? Expected.FREE_FORM_RESULT : Expected.ROW_DESCRIPTION;
         messages = new ArrayList<>();
@@ -67,7 +67,7 @@
         sqlState = null;
     }
 
-    /** Takes the next message; ParameterStatus messages are no part of an answer and are not passed here. */
+    /** Reads the next message of the answer. The caller handles ParameterStatus, which is not part of an answer. */
     Progress read(Object message) {
         return expected == Expected.FREE_FORM_RESULT ? readFreeForm(message) : readFixedForm(message);
     }
@@ -123,8 +123,11 @@
         return message instanceof NodeMessage.Notification ? Progress.INCOMPLETE : Progress.OUT_OF_ORDER;
     }
 
-    /** A DataRow has the columns that were described; what begins a result comes between two results only. */
-    private boolean fitsResult(NodeMessage.ResultMessage part) {
+    /**
+     * Whether a message is valid at this point of a free-form answer: a DataRow must have the column count of its
+     * RowDescription, and a new result must not start before the rows of the previous one are complete.
+     */
+    private boolean fitsResult(NodeMessage.Part part) {
         return switch (part.type()) {
             case 'D' -> part.columnCount() == columnCount;
             case 'C' -> true;
@@ -147,23 +150,23 @@
         return Progress.INCOMPLETE;
     }
 
-    /** Releases the memory reserved for this answer; the messages stay until the next one begins. */
+    /** Releases the memory reserved for this answer. Its messages remain available until {@link #begin}. */
     void releaseMemory() {
         memory.release(reservedBytes);
         reservedBytes = 0;
     }
 
-    /** The messages for the client, as they came. */
+    /** The messages to forward to the client, in the order in which the node sent them. */
     List<byte[]> messages() {
         return messages;
     }
 
-    /** The value of the one row of the fixed form, or null where none has come. */
+    /** The first column of the single row of a fixed-form answer, or null if no row was received. */
     String rowValue() {
         return dataRow == null ? null : dataRow.firstColumn();
     }
 
-    /** Code of the error in this answer, or null. */
+    /** The SQLSTATE of the error in this answer, or null. */
     String sqlState() {
         return sqlState;
     }
