--- a/daemon/src/main/java/clayhook/backend/AttemptCompletion.java
+++ b/daemon/src/main/java/clayhook/backend/AttemptCompletion.java
@@ -4,27 +4,30 @@
 import java.util.List;
 import java.util.Set;
 
-/** How a request to a node ended. */
+/** The way in which a request to a node ended. */
 sealed interface AttemptCompletion {
     /** SQLSTATE too_many_connections: the node is overloaded. */
     String TOO_MANY_CONNECTIONS = "53300";
 
-    /** SQLSTATE query_canceled, by a time limit of the node for one; the statement has had no effect. */
+    /** SQLSTATE query_canceled, for example after a statement timeout of the node; the statement had no effect. */
     String QUERY_CANCELED = "57014";
 
-    /** The node is read-only or behind; these are refusals of this very node. */
+    /** SQLSTATEs of a node that is read-only or lags behind: another node may accept the same statement. */
     Set<String> NODE_STATE_ERRORS = Set.of("25006", "72000");
 
-    /** Connections, resources, operator intervention, system errors, configuration file, internal errors. */
+    /**
+     * SQLSTATE classes of errors of the node rather than of the statement: connection, insufficient resources, operator
+     * intervention, system, configuration file and internal errors.
+     */
     Set<String> NODE_FAULT_CLASSES = Set.of("08", "53", "57", "58", "F0", "XX");
 
-    /** Characters of an SQLSTATE that name its class. */
+    /** The number of leading characters of an SQLSTATE that identify its class. */
     int CLASS_LENGTH = 2;
 
-    /** The outcome as the routing policy sees it. */
+    /** The outcome that is reported to the routing policy. */
     AttemptOutcome outcome();
 
-    /** The node's answer is complete. */
+    /** The node sent a complete answer. */
     record Answered() implements AttemptCompletion {
         @Override
         public AttemptOutcome outcome() {
@@ -32,7 +35,9 @@
         }
     }
 
-    /** The node answered with an error; before the startup is complete, it rejects the connection. */
+    /**
+     * The node answered with an error; an error before the startup is complete means that it rejected the connection.
+     */
     record NodeError(String sqlState) implements AttemptCompletion {
         @Override
         public AttemptOutcome outcome() {
@@ -43,7 +48,7 @@
         }
     }
 
-    /** The router answers in the node's place, which has nothing more to tell: a final answer of these messages. */
+    /** The router itself provides the final answer, which consists of {@code messages}. */
     record LocalAnswer(List<byte[]> messages) implements AttemptCompletion {
         @Override
         public AttemptOutcome outcome() {
@@ -51,7 +56,7 @@
         }
     }
 
-    /** What came cannot be understood; the node works, and the statement may have run. */
+    /** The node sent data that violates the protocol; the node is up, and the statement may have run. */
     record ProtocolViolation() implements AttemptCompletion {
         @Override
         public AttemptOutcome outcome() {
@@ -59,7 +64,7 @@
         }
     }
 
-    /** The connection was refused, broke or ended. */
+    /** The connection was refused, reset or closed. */
     record ConnectionLost(AttemptPhase phase) implements AttemptCompletion {
         @Override
         public AttemptOutcome outcome() {
@@ -67,7 +72,7 @@
         }
     }
 
-    /** The attempt's timeout has passed. */
+    /** The timeout of the attempt expired. */
     record TimedOut(AttemptPhase phase) implements AttemptCompletion {
         @Override
         public AttemptOutcome outcome() {
@@ -75,7 +80,7 @@
         }
     }
 
-    /** The router needs it no longer, or may not send it any more. */
+    /** The router cancelled the request because its result is no longer needed or it may no longer be sent. */
     record Cancelled(AttemptPhase phase) implements AttemptCompletion {
         @Override
         public AttemptOutcome outcome() {
@@ -84,13 +89,13 @@
     }
 
     /**
-     * How a complete answer ends that holds an error, or none. Most errors of statements of any kind say what is wrong
-     * with the statement, which has had no effect, and are answers; those that speak of the node are not.
+     * Returns the completion for a complete answer with or without an error. Most errors of statements of any kind
+     * concern the statement, which had no effect; they count as answers. Errors that concern the node do not.
      *
-     * @param sqlState code of the error in the answer, or null
-     * @param freeForm the answer is to a statement of any kind
-     * @param mayChangeSession the statement may run transactions of its own, so that no error proves that nothing ran
-     *     before it
+     * @param sqlState the SQLSTATE of the error in the answer, or null
+     * @param freeForm whether the answer belongs to a statement of any kind
+     * @param mayChangeSession whether the statement may run transactions of its own, in which case an error does not
+     *     prove that nothing ran before it
      */
     static AttemptCompletion ofAnswer(String sqlState, boolean freeForm, boolean mayChangeSession) {
         if (mayChangeSession && TOO_MANY_CONNECTIONS.equals(sqlState)) {
--- a/daemon/src/main/java/clayhook/backend/AttemptPhase.java
+++ b/daemon/src/main/java/clayhook/backend/AttemptPhase.java
@@ -1,17 +1,17 @@
 package clayhook.backend;
 
-/** How far a request to a node has come; it decides whether a failure proves that nothing ran. */
+/** The progress of a request to a node; it determines whether a failure proves that the statement did not run. */
 enum AttemptPhase {
-    /** It waits for a connection. */
+    /** The request waits for a connection. */
     NOT_CONNECTED,
-    /** It was handed to a connection; its last byte has not gone out yet. */
+    /** The request was passed to a connection; its last byte has not been written to the socket yet. */
     PARTLY_WRITTEN,
-    /** Its last byte has gone out. */
+    /** The last byte of the request was written to the socket. */
     WRITTEN,
-    /** Part of the answer has come. */
+    /** Part of the answer was received. */
     ANSWERING;
 
-    /** Whether the last byte of the request has gone out, so that the node may have run it. */
+    /** Whether the last byte of the request was written, so that the node may have run it. */
     boolean mayHaveRun() {
         return this == WRITTEN || this == ANSWERING;
     }
