--- a/daemon/src/main/java/clayhook/backend/BackendClient.java
+++ b/daemon/src/main/java/clayhook/backend/BackendClient.java
@@ -21,47 +21,54 @@
 import java.util.TreeMap;
 
 /**
- * Sends attempts and health checks to nodes over pooled connections and reports how each ended. Decides nothing: what
- * to send where, and until when, is the routing policy's.
+ * Sends attempts and health checks to nodes over pooled connections and reports their results. The routing policy
+ * decides which request is sent to which node, and its timeout.
  *
- * <p>Event loop only, but for the constructor. Each attempt that was sent completes exactly once, be it from within
- * {@link #send} or any other method here; each listener call may call back into this object.
+ * <p>All methods must be called on the event loop; the constructor may be called on any thread. Each attempt that was
+ * sent completes exactly once, possibly from within {@link #send} or another method of this class; a listener may call
+ * back into this class.
  */
 public final class BackendClient {
-    /** Connections are closed after this part of the time at which nodes do so at the latest. */
+    /** The fraction of the longest idle timeout of a node after which the router closes an idle connection itself. */
     private static final double IDLE_TIMEOUT_FRACTION = 0.6;
 
-    /** Reads the load report; it is a health check, as is the plain query where nodes do not report. */
+    /**
+     * The query of a health check, which requests the load report; for nodes without load reports it is an ordinary
+     * query.
+     */
     private static final byte[] HEALTH_CHECK_QUERY = "SHOW load".getBytes(StandardCharsets.UTF_8);
 
-    /** An eighth of the memory is for answers that are coming in, as clients' statements may take another. */
+    /** Answers being received may use one eighth of the memory; clients' statements may use another eighth. */
     private static final int MEMORY_DIVISOR = 8;
 
-    /** SQLSTATE protocol_violation. */
+    /** SQLSTATE protocol_violation, with which a node rejects a malformed statement. */
     private static final String MALFORMED_STATEMENT = "08P01";
 
-    /** Hears how attempts ended, and is asked what may be sent. Called on the event loop. */
+    /** Receives the results of attempts and decides whether waiting attempts may be sent. Called on the event loop. */
     public interface Listener {
         /**
-         * An attempt ended.
+         * Called once for each attempt when it has ended.
          *
-         * @param result the outcome, and what the node reported of itself
-         * @param answer the messages for the client after an answer, and the node's error where it sent one to a
-         *     statement of any kind; or null
-         * @param sqlState the code of that error, or null
+         * @param result the outcome and the values that the node reported about itself
+         * @param answer the messages to forward to the client: the node's answer, or its error to a statement of any
+         *     kind; null if there are none
+         * @param sqlState the SQLSTATE of that error, or null
          */
         void onAttemptFinished(Attempt attempt, AttemptResult result, List<byte[]> answer, String sqlState);
 
-        /** A health check ended. */
+        /** Called when a health check has ended. */
         void onHealthCheck(Node node, AttemptResult result);
 
-        /** Whether an attempt that waited for its connection may still be sent; asked also while it goes on waiting. */
+        /**
+         * Whether an attempt that waits for a connection may still be sent. Called right before it is written, and by
+         * each sweep while it waits.
+         */
         boolean mayStillSend(Attempt attempt);
 
-        /** An attempt was handed to the system for sending, right after {@link #mayStillSend} allowed it. */
+        /** Called after an attempt was written to its connection, right after {@link #mayStillSend} allowed it. */
         default void onAttemptWritten(Attempt attempt) {}
 
-        /** Whether the routing policy may send anything to a node yet. */
+        /** Whether the routing policy still has the node and may send requests to it. */
         boolean isKnown(Node node);
     }
 
@@ -74,17 +81,18 @@
     private final double connectTimeoutSeconds;
     private final double idleTimeoutSeconds;
     private final Transport transport;
-    /** By node id; a node leaves once the policy knows it no more and its last connection has ended. */
+    /** Pools by node id; removed once the routing policy no longer has the node and its last connection is closed. */
     private final Map<String, ConnectionPool> pools = new HashMap<>();
-    /** Each leaves with its completion. */
+    /** The attempts that have not completed. */
     private final Map<Attempt, BackendRequest> requests = new HashMap<>();
 
     /**
-     * Registers itself with {@code descriptors} as the side that closes idle connections to nodes.
+     * Creates a client without nodes, and registers it with {@code descriptors} to close idle connections to nodes when
+     * descriptors run out.
      *
-     * @param memoryBytes memory of the process, of which answers take a part
-     * @param connectTimeoutSeconds for a connection from its opening until its startup is complete
-     * @param idleSeconds after which nodes close idle connections
+     * @param memoryBytes the memory of the process, one eighth of which is available for answers
+     * @param connectTimeoutSeconds the time limit from opening a connection until its startup is complete
+     * @param idleSeconds the time after which nodes close idle connections
      * @param counters counts the connections opened
      */
     public BackendClient(
@@ -111,7 +119,7 @@
 
     // ---- nodes ----
 
-    /** The node of an id, which is at this address from now on; registers it where it is new. */
+    /** Registers the node with this id, or updates the address of the registered one, and returns the node. */
     public Node registerNode(String id, String zone, int replicaSetId, InetSocketAddress address) {
         ConnectionPool pool =
                 pools.computeIfAbsent(id, any -> new ConnectionPool(this, new Node(id, zone, replicaSetId), address));
@@ -119,7 +127,7 @@
         return pool.node;
     }
 
-    /** The node of an id, or null where none is registered. */
+    /** The registered node with this id, or null. */
     public Node findNode(String id) {
         ConnectionPool pool = pools.get(id);
         return pool == null ? null : pool.node;
@@ -132,20 +140,20 @@
 
     // ---- requests ----
 
-    /** Sends an attempt to its node, as soon as a connection is idle. */
+    /** Sends an attempt to its node as soon as a connection is available. */
     public void send(Attempt attempt, OutboundStatement statement) {
         BackendRequest request = BackendRequest.forAttempt(attempt, statement, clock.now());
         requests.put(attempt, request);
         ConnectionPool pool = pools.get(attempt.node.id());
         if (pool == null) {
-            // The node was forgotten; without this the attempt would never complete.
+            // The node is no longer registered; without this the attempt would never complete.
             complete(request, new AttemptCompletion.Cancelled(request.phase), null);
         } else {
             pool.submit(request);
         }
     }
 
-    /** Sends a health check, unless one is under way at the node or the node is not registered. */
+    /** Sends a health check unless one is in flight at the node or the node is not registered. */
     public void startHealthCheck(Node node) {
         ConnectionPool pool = pools.get(node.id());
         if (pool != null) {
@@ -153,7 +161,7 @@
         }
     }
 
-    /** The attempt's timeout has passed: completes it without waiting for its answer. No-op once it is complete. */
+    /** Completes an attempt as timed out without waiting for its answer. No-op if it is already complete. */
     public void expire(Attempt attempt) {
         BackendRequest request = requests.get(attempt);
         if (request != null) {
@@ -161,7 +169,7 @@
         }
     }
 
-    /** Completes an attempt that is not needed any more without waiting for its answer. No-op once it is complete. */
+    /** Completes an attempt as cancelled without waiting for its answer. No-op if it is already complete. */
     public void cancel(Attempt attempt) {
         BackendRequest request = requests.get(attempt);
         if (request != null) {
@@ -169,7 +177,7 @@
         }
     }
 
-    /** Cancels an attempt only if it waits for its connection; once written it keeps its connection until it ends. */
+    /** Cancels an attempt if it still waits for a connection; one already passed to a connection is left running. */
     public void cancelIfUnsent(Attempt attempt) {
         BackendRequest request = requests.get(attempt);
         if (request != null && request.connection == null) {
@@ -181,9 +189,12 @@
         return pools.get(request.node.id());
     }
 
-    // ---- upkeep ----
+    // ---- maintenance and metrics ----
 
-    /** Ends what has been connecting, in a health check or idle for too long; forgets unknown nodes. */
+    /**
+     * Cancels waiting attempts that may no longer be sent, closes connections that took too long to start up or were
+     * idle for too long, fails overdue health checks, and removes nodes that the routing policy no longer has.
+     */
     public void sweep() {
         double startedBefore = clock.now() - connectTimeoutSeconds;
         for (ConnectionPool pool : pools.values()) {
@@ -192,7 +203,7 @@
         pools.values().removeIf(pool -> pool.isUnused() && !listener.isKnown(pool.node));
     }
 
-    /** Closes the longest idle connection of all nodes; false where none is idle. */
+    /** Closes the connection that has been idle longest, of all nodes; returns false if none is idle. */
     private boolean closeLongestIdle() {
         ConnectionPool oldest = null;
         for (ConnectionPool pool : pools.values()) {
@@ -203,35 +214,35 @@
                 && oldest.closeIdleBefore(Math.nextUp(oldest.oldestIdleSince())) > 0;
     }
 
-    /** The attempts under way at each node, written or waiting, as text for the log. */
+    /** The number of attempts in flight at each node, including those waiting for a connection, as text for the log. */
     public String inFlightByNode() {
         var counts = new TreeMap<String, Integer>();
         requests.values().forEach(request -> counts.merge(request.node.id(), 1, Integer::sum));
         return counts.toString();
     }
 
-    /** Connections to nodes that are open or being opened. */
+    /** The number of connections to nodes that are open or being opened. */
     public int connectionCount() {
         return descriptors.nodeCount();
     }
 
-    /** Connections to nodes that wait for a request. */
+    /** The number of idle connections to nodes. */
     public int idleCount() {
         return pools.values().stream().mapToInt(ConnectionPool::idleCount).sum();
     }
 
-    // ---- for the pools ----
+    // ---- called by the connection pools ----
 
     double now() {
         return clock.now();
     }
 
-    /** Connections idle since before this time, in clock seconds, are not written to. */
+    /** The time, in clock seconds, before which a connection must not have become idle to still be used. */
     double idleCutoff() {
         return clock.now() - idleTimeoutSeconds;
     }
 
-    /** Whether a request that waited may still be sent. */
+    /** Whether a waiting request may still be sent; always true for a health check. */
     boolean mayStillSend(BackendRequest request) {
         return request.isHealthCheck() || listener.mayStillSend(request.attempt);
     }
@@ -242,19 +253,22 @@
         }
     }
 
-    /** Whether a request may not be sent any more, but for its timeout, which is a completion of its own. */
+    /**
+     * Whether a waiting request may no longer be sent although its timeout has not passed. One whose timeout has passed
+     * is completed by {@link #expire} instead.
+     */
     boolean isCancelled(BackendRequest request) {
         return !mayStillSend(request) && clock.now() < request.attempt.timeoutAt;
     }
 
-    /** The text to write for a request now. */
+    /** The query text of a request, with the time that now remains until its timeout. */
     byte[] queryText(BackendRequest request) {
         return request.isHealthCheck()
                 ? HEALTH_CHECK_QUERY
                 : request.statement.textWithTimeout(request.attempt.timeoutAt - clock.now());
     }
 
-    /** Takes a descriptor for one more connection; false where none is left. */
+    /** Acquires a file descriptor for one more connection; returns false if none is left. */
     boolean reserveDescriptor() {
         return descriptors.tryAcquireForNode();
     }
@@ -279,7 +293,11 @@
         counters.increment("opened");
     }
 
-    /** Reports a completion; {@code connection} has the answer, null where the request was never written. */
+    /**
+     * Reports a completion to the listener.
+     *
+     * @param connection the connection that received the answer, or null if the request was never written
+     */
     void complete(BackendRequest request, AttemptCompletion completion, NodeConnection connection) {
         double sentAt = request.isHealthCheck() ? request.startedAt : request.attempt.sentAt;
         double elapsedSeconds = clock.now() - sentAt;
