--- a/daemon/src/main/java/clayhook/backend/ConnectionPool.java
+++ b/daemon/src/main/java/clayhook/backend/ConnectionPool.java
@@ -11,25 +11,26 @@
 import java.util.Set;
 
 /**
- * The connections to one node, and the requests that wait for one. A request takes the first connection that becomes
- * idle, opened for it or not; connections are opened while more requests wait than connections are being prepared.
+ * The connections to one node and the requests waiting for one of them. A waiting request takes the first connection
+ * that becomes idle, whether or not it was opened for that request. Connections are opened while more requests wait
+ * than connections are being prepared.
  *
- * <p>Event loop only. Completions are reported from within its methods and may call back into them, which is why every
- * loop here runs over a copy.
+ * <p>Event loop only. Completions are reported from within the methods of this class and may call back into it, so
+ * every loop iterates over a copy.
  */
 final class ConnectionPool {
     final Node node;
     private InetSocketAddress address;
     private final BackendClient client;
-    /** Newest first. */
+    /** Idle connections, the most recently used first. */
     private final ArrayDeque<NodeConnection> idle = new ArrayDeque<>();
-    /** Connections that start up or change their settings. */
+    /** Connections that are starting up or changing their session settings. */
     private final Set<NodeConnection> preparing = new LinkedHashSet<>();
 
     private final ArrayDeque<BackendRequest> waiting = new ArrayDeque<>();
-    /** Connections that are idle, being prepared or carry a request. */
+    /** The number of connections that are idle, being prepared or in use. */
     private int connectionCount;
-    /** The health check that is under way, or null. */
+    /** The health check in flight, or null. */
     private BackendRequest healthCheck;
 
     ConnectionPool(BackendClient client, Node node, InetSocketAddress address) {
@@ -40,7 +41,7 @@
 
     // ---- requests ----
 
-    /** Sends a health check unless one is under way. */
+    /** Sends a health check unless one is in flight. */
     void startHealthCheck() {
         if (healthCheck == null) {
             healthCheck = BackendRequest.healthCheck(node, client.now());
@@ -48,15 +49,15 @@
         }
     }
 
-    /** Sends a request as soon as a connection is idle. */
+    /** Sends a request as soon as a connection is available. */
     void submit(BackendRequest request) {
-        // A node may close idle connections more often than sweeps come: an expired one must not be written to.
+        // Nodes may close idle connections sooner than the next sweep: an expired one must not be written to.
         closeIdleBefore(client.idleCutoff());
         waiting.add(request);
         assignConnections();
     }
 
-    /** Completes a request without waiting for its answer. */
+    /** Completes a request without waiting for its answer, and closes the connection that it was written to. */
     void abandon(BackendRequest request, AttemptCompletion completion) {
         if (request.connection != null) {
             request.connection.abandon(completion);
@@ -66,7 +67,11 @@
         }
     }
 
-    /** Reports how a request ended, once; {@code connection} has its answer, null where it was never written. */
+    /**
+     * Reports the completion of a request unless one was reported before.
+     *
+     * @param connection the connection that received the answer, or null if the request was never written
+     */
     void complete(BackendRequest request, AttemptCompletion completion, NodeConnection connection) {
         if (request.completed) {
             return;
@@ -104,7 +109,10 @@
         }
     }
 
-    /** An idle connection that a request may be written to, or null; closes those found to be ended or not quiet. */
+    /**
+     * Returns an idle connection to which a request can be written, or null. Closes those found to be closed by the
+     * node or to have received unsolicited bytes.
+     */
     private NodeConnection findIdle(BackendRequest request) {
         for (NodeConnection connection : List.copyOf(idle)) {
             if (request.canUse(connection) && connection.isQuiet()) {
@@ -116,7 +124,7 @@
         return null;
     }
 
-    /** Gives the longest idle connection the settings that a request needs. */
+    /** Changes the session settings of the connection that has been idle longest to those that a request needs. */
     private void changeSettingsOfIdle(BackendRequest request) {
         NodeConnection connection = idle.pollLast();
         if (connection.isQuiet()) {
@@ -129,7 +137,7 @@
 
     private void openConnection() {
         if (!client.reserveDescriptor()) {
-            // Nothing was asked of the node: a lack of descriptors here must not count as its failure.
+            // Nothing was sent to the node: a lack of local descriptors must not count as a failure of the node.
             complete(waiting.poll(), new AttemptCompletion.Cancelled(AttemptPhase.NOT_CONNECTED), null);
             return;
         }
@@ -139,18 +147,20 @@
         client.connect(connection);
     }
 
-    // ---- what connections report ----
+    // ---- events from the connections ----
 
-    /** A connection has started up. */
+    /** Called when the startup of a connection is complete. */
     void onStarted(NodeConnection connection) {
         client.countOpened();
         onReady(connection);
     }
 
     /**
-     * A connection was given other settings, or its node refused them: then so is one request that asks for them.
+     * Called when a connection has changed its session settings or the node has rejected the change. A rejection
+     * completes one waiting request that needs the same settings.
      *
-     * @param refusal the node's error, or null
+     * @param refusal the node's error, or null if the settings were changed
+     * @param asked the requested settings
      */
     void onSettingsChanged(
             NodeConnection connection, AttemptCompletion.LocalAnswer refusal, Map<String, String> asked) {
@@ -171,8 +181,8 @@
     }
 
     /**
-     * A connection that ends as soon as it is ready counts as one that failed, and takes a waiting request with it;
-     * else a node that does so would be connected to in an endless loop.
+     * Makes a connection idle. One that the node closed as soon as it became ready counts as failed and completes a
+     * waiting request; otherwise the router would reconnect to such a node in an endless loop.
      */
     private void onReady(NodeConnection connection) {
         if (connection.isQuiet()) {
@@ -183,7 +193,7 @@
         }
     }
 
-    /** A connection may carry the next request. */
+    /** Called when a connection is available for the next request. Closes it if the node's address has changed. */
     void onIdle(NodeConnection connection) {
         if (connection.address.equals(address)) {
             connection.idleSince = client.now();
@@ -195,10 +205,11 @@
     }
 
     /**
-     * A connection ended; one that was being prepared completes the request that has waited longest.
+     * Called when a connection was closed. If it was being prepared and the remaining ones in preparation are fewer
+     * than the waiting requests, completes the request that has waited longest.
      *
-     * @param started its startup was complete
-     * @param startupSqlState code of an error before that, or null
+     * @param started whether its startup was complete
+     * @param startupSqlState the SQLSTATE of an error during startup, or null
      */
     void onClosed(NodeConnection connection, boolean started, String startupSqlState) {
         connectionCount--;
@@ -215,16 +226,17 @@
         }
     }
 
-    // ---- upkeep ----
+    // ---- maintenance ----
 
-    /** The node has another address: its old connections finish what they carry and get nothing new. */
+    /** Sets the node's address. If it differs, connections to the old one finish their requests and get no new ones. */
     void updateAddress(InetSocketAddress newAddress) {
         if (newAddress.equals(address)) {
             return;
         }
         address = newAddress;
         closeIdleBefore(Double.POSITIVE_INFINITY);
-        // Emptied first: a failure to connect to the old address must not fail requests, which count against the node.
+        // Cleared before closing: a failed connection to the old address must not fail a request, which would count
+        // against the node.
         List<NodeConnection> outdated = List.copyOf(preparing);
         preparing.clear();
         outdated.forEach(NodeConnection::close);
@@ -232,13 +244,15 @@
     }
 
     /**
-     * Ends what has taken too long or is not needed any more. Times are clock seconds.
+     * Cancels waiting requests that may no longer be sent, closes overdue connections and fails an overdue health
+     * check.
      *
-     * @param startedBefore closes connections prepared, and fails a health check sent, since before then
-     * @param idleBefore closes connections idle since before then
+     * @param startedBefore connections in preparation and health checks that started before this time are overdue;
+     *     clock seconds
+     * @param idleBefore connections idle since before this time are closed; clock seconds
      */
     void sweep(double startedBefore, double idleBefore) {
-        // A request whose client, node or retry limits have cancelled it must not wait on for a connection.
+        // A request that its client, its node's state or a retry limit has cancelled must not keep waiting.
         for (BackendRequest request : List.copyOf(waiting)) {
             if (client.isCancelled(request)) {
                 abandon(request, new AttemptCompletion.Cancelled(request.phase));
@@ -253,7 +267,7 @@
         closeIdleBefore(idleBefore);
     }
 
-    /** Closes the connections idle since before a time; returns how many. */
+    /** Closes the connections idle since before a time, in clock seconds; returns their number. */
     int closeIdleBefore(double time) {
         var expired = new ArrayList<NodeConnection>();
         while (!idle.isEmpty() && idle.peekLast().idleSince < time) {
@@ -263,7 +277,7 @@
         return expired.size();
     }
 
-    /** Whether no connection and no request is left. */
+    /** Whether the pool has neither connections nor waiting requests. */
     boolean isUnused() {
         return connectionCount == 0 && waiting.isEmpty();
     }
@@ -272,12 +286,12 @@
         return idle.size();
     }
 
-    /** Since when the longest idle connection has been idle, in clock seconds; infinite where none is. */
+    /** The time since which the longest idle connection has been idle, in clock seconds; infinite if none is idle. */
     double oldestIdleSince() {
         return idle.isEmpty() ? Double.POSITIVE_INFINITY : idle.peekLast().idleSince;
     }
 
-    // ---- for its connections ----
+    // ---- called by the connections ----
 
     double now() {
         return client.now();
