--- a/daemon/src/main/java/clayhook/backend/NodeConnection.java
+++ b/daemon/src/main/java/clayhook/backend/NodeConnection.java
@@ -15,14 +15,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One connection to a node; it carries one {@link BackendRequest} at a time. It starts up, is idle, answers or changes
- * its settings; what an answer holds is left to {@link AnswerReader}. Event loop only.
+ * A connection to a node, with at most one {@link BackendRequest} in flight. Handles the startup, changes of session
+ * settings and the order of requests and answers; {@link AnswerReader} validates the messages of an answer. Event loop
+ * only.
  */
-@SuppressWarnings("FutureReturnValueIgnored") // a failed write or close ends in channelInactive
+@SuppressWarnings("FutureReturnValueIgnored") // a failed write or close leads to channelInactive
 final class NodeConnection extends ChannelInboundHandlerAdapter {
     /**
-     * A connection stays reserved for so long after an answer: a few times what passes between two writes of one peer,
-     * so that surplus bytes are noticed before the next request is written.
+     * The time in milliseconds for which a connection stays unavailable after an answer. It is a few times the interval
+     * between two successive writes of a node, so that surplus bytes after the answer are detected before the next
+     * request is written.
      */
     private static final int QUIET_PERIOD_MS = 2;
 
@@ -41,9 +43,9 @@
 
     final NodeMessageDecoder decoder;
     final InetSocketAddress address;
-    /** Clock seconds since which it has been starting up or changing its settings. */
+    /** The time at which the startup or the last change of session settings began, in clock seconds. */
     double preparingSince;
-    /** Clock seconds since which it has been idle. */
+    /** The time at which the connection last became idle, in clock seconds. */
     double idleSince;
 
     private final ConnectionPool pool;
@@ -54,21 +56,21 @@
     private State state = State.STARTING;
     private boolean startupComplete;
     private boolean closed;
-    /** Runs once all messages of one read have been handled, or null: the connection got ready or answered. */
+    /** The action to run once all messages of the current read have been handled, or null. */
     private Runnable onReadComplete;
-    /** A statement that it ran may have changed its session, which then serves no other. */
+    /** Whether the last statement may have changed the node's session, which must then not be reused. */
     private boolean closeAfterAnswer;
-    /** The request that it carries, or null. */
+    /** The request in flight, or null. */
     private BackendRequest request;
-    /** The last byte of {@link #request} has gone out. */
+    /** Whether the last byte of {@link #request} was written to the socket. */
     private boolean requestWritten;
-    /** What the node's session was given, as text of SQL. */
+    /** The current settings of the node's session: values, as SQL text, by name. */
     private Map<String, String> settings = Map.of();
-    /** What it is being given. */
+    /** The settings of the change in progress. */
     private Map<String, String> requestedSettings = Map.of();
-    /** The node's refusal of {@link #requestedSettings}, or null. */
+    /** The error message with which the node rejected {@link #requestedSettings}, or null. */
     private byte[] settingsError;
-    /** Code of an error before the startup was complete, or null. */
+    /** The SQLSTATE of an error during startup, or null. */
     private String startupSqlState;
 
     NodeConnection(
@@ -86,18 +88,25 @@
         preparingSince = openedAt;
     }
 
-    // ---- what the pool asks for ----
+    // ---- called by the pool ----
 
     Map<String, String> settings() {
         return settings;
     }
 
-    /** Whether neither an end nor a byte has come to this idle connection, also since the loop last polled it. */
+    /**
+     * Whether this idle connection is open and has received nothing, neither data nor end of stream; also detects what
+     * arrived since the event loop last polled it. The connection must be closed if the result is false.
+     */
     boolean isQuiet() {
         return ChannelInspector.isQuiet(context.channel());
     }
 
-    /** Gives the node's session other settings; the connection must be idle, and tells the pool when it is done. */
+    /**
+     * Changes the settings of the node's session and notifies the pool of the result. The connection must be idle.
+     *
+     * @param now clock time in seconds
+     */
     void changeSettings(Map<String, String> newSettings, double now) {
         preparingSince = now;
         requestedSettings = newSettings;
@@ -107,7 +116,7 @@
         context.writeAndFlush(MessageEncoder.query(statements.getBytes(StandardCharsets.UTF_8)));
     }
 
-    /** Writes a request; the connection must be idle. */
+    /** Writes a request. The connection must be idle. */
     void send(BackendRequest newRequest, byte[] queryText) {
         request = newRequest;
         newRequest.connection = this;
@@ -132,20 +141,22 @@
         }
     }
 
-    /** Ends the request without waiting for its answer; the connection closes, so that a late answer is never read. */
+    /**
+     * Completes the request without waiting for its answer, and closes the connection so that no late answer is read.
+     */
     void abandon(AttemptCompletion completion) {
         completeRequest(completion);
         close();
     }
 
-    /** Closes the connection, from either side; the request that it carries has failed. */
+    /** Closes the connection, or handles its close by the node; fails the request in flight. */
     void close() {
         if (closed) {
             return;
         }
         closed = true;
         if (request != null) {
-            // A fatal error ends the connection with no ReadyForQuery after it.
+            // After a fatal error the node closes the connection without sending ReadyForQuery.
             completeRequest(
                     answer.sqlState() != null
                             ? new AttemptCompletion.NodeError(answer.sqlState())
@@ -157,9 +168,9 @@
         pool.onClosed(this, startupComplete, startupSqlState);
     }
 
-    // ---- what came with the last answer ----
+    // ---- the last answer ----
 
-    /** The result of a request that ended so; what the node reported counts only with a complete answer. */
+    /** The result of a request with this completion. Values reported by the node count only with a complete answer. */
     AttemptResult result(AttemptCompletion completion, double elapsedSeconds) {
         boolean answered =
                 completion instanceof AttemptCompletion.Answered || completion instanceof AttemptCompletion.NodeError;
@@ -168,17 +179,17 @@
                 : AttemptResult.withoutReport(completion.outcome(), elapsedSeconds);
     }
 
-    /** The messages of the last answer, as they came. */
+    /** The messages of the last answer, in the order in which the node sent them. */
     List<byte[]> answerMessages() {
         return answer.messages();
     }
 
-    /** Code of the error in the last answer, or null. */
+    /** The SQLSTATE of the error in the last answer, or null. */
     String sqlState() {
         return answer.sqlState();
     }
 
-    // ---- what the channel delivers ----
+    // ---- channel events ----
 
     @Override
     public void handlerAdded(ChannelHandlerContext ctx) {
@@ -221,7 +232,7 @@
         }
     }
 
-    /** An error undoes all settings that were asked for with it. */
+    /** Handles a message of the answer to a change of session settings. An error reverts all settings of the change. */
     private void onSettingsMessage(Object message) {
         if (message instanceof NodeMessage.ErrorResponse error) {
             settingsError = error.message();
@@ -272,9 +283,9 @@
     }
 
     /**
-     * Whether the node answers a request that is not fully written; the rest would go out after the request was counted
-     * as answered. Between channels of one process an answer may come before the write is reported, so that the report
-     * alone does not tell.
+     * Whether the node answers a request that is not fully written, the rest of which would be sent after the request
+     * was counted as answered. The unsent bytes are checked as well because, between channels of one process, an answer
+     * can arrive before the write completion is reported.
      */
     private boolean answersUnsentRequest(Object message) {
         return !requestWritten
@@ -282,7 +293,7 @@
                 && (message instanceof NodeMessage.ResultMessage || message instanceof NodeMessage.ReadyForQuery);
     }
 
-    /** The statement has run although its answer is not forwarded; the client gets an error that says so. */
+    /** Abandons an answer that cannot be forwarded; the client gets an error stating that the statement has run. */
     private void abandonOversized(String sqlState, String reason) {
         byte[] error = MessageEncoder.errorMessage(sqlState, "the statement has run, but " + reason);
         abandon(new AttemptCompletion.LocalAnswer(List.of(error)));
@@ -306,13 +317,15 @@
         completeRequest(AttemptCompletion.ofAnswer(answer.sqlState(), freeForm, closeAfterAnswer));
     }
 
-    /** Nothing that was reported with this answer counts, and the connection is of no further use. */
+    /**
+     * Closes the connection after a protocol violation; values that the node reported with this answer are discarded.
+     */
     private void failProtocol(String reason) {
         pool.logWarning("protocol violation by node " + pool.node.id() + ": " + reason);
         abandon(new AttemptCompletion.ProtocolViolation());
     }
 
-    /** All messages of one read have been handled; part of a message that is left over belongs to no request. */
+    /** Called when all messages of one read have been handled; an incomplete message while idle is a violation. */
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
         if (!closed && state == State.IDLE && decoder.hasPartialMessage()) {
