--- a/daemon/src/main/java/clayhook/backend/BackendRequest.java
+++ b/daemon/src/main/java/clayhook/backend/BackendRequest.java
@@ -4,20 +4,20 @@
 import clayhook.Node;
 import clayhook.protocol.OutboundStatement;
 
-/** An attempt or a health check on its way to a node. Event loop only. */
+/** An attempt or a health check that waits for a connection to a node or is in flight on one. Event loop only. */
 final class BackendRequest {
     final Node node;
     /** Null for a health check. */
     final Attempt attempt;
     /** Null for a health check. */
     final OutboundStatement statement;
-    /** Clock seconds. */
+    /** The time at which the request was submitted, in clock seconds. */
     final double startedAt;
 
     AttemptPhase phase = AttemptPhase.NOT_CONNECTED;
-    /** Its completion was reported; there is no other, and it is not written any more. */
+    /** Whether the completion was reported; if so, the request is neither written nor completed again. */
     boolean completed;
-    /** The connection that it was written to, or null. */
+    /** The connection to which the request was written, or null. */
     NodeConnection connection;
 
     private BackendRequest(Node node, Attempt attempt, OutboundStatement statement, double startedAt) {
@@ -39,12 +39,12 @@
         return attempt == null;
     }
 
-    /** Whether its answer may have any columns, rows and results. */
+    /** Whether the answer may have any number of columns, rows and results. */
     boolean hasFreeFormResult() {
         return statement != null && statement.hasFreeFormResult();
     }
 
-    /** Whether it may be sent on a connection without changing the settings there first; a health check on any. */
+    /** Whether the request can be sent on a connection without changing its session settings; a health check always. */
     boolean canUse(NodeConnection candidate) {
         return statement == null || statement.settings().equals(candidate.settings());
     }
--- a/daemon/src/main/java/clayhook/backend/ChannelInspector.java
+++ b/daemon/src/main/java/clayhook/backend/ChannelInspector.java
@@ -7,19 +7,20 @@
 import java.nio.ByteBuffer;
 import java.nio.channels.SocketChannel;
 
-/** Questions to a channel that Netty answers only later, if at all. Event loop only. */
+/** Reads the state of a channel that Netty's own API reports only later or not at all. Event loop only. */
 final class ChannelInspector {
     private ChannelInspector() {}
 
-    /** Whether bytes that were written to the channel have not all gone out to its socket yet. */
+    /** Whether some of the bytes written to the channel have not been written to its socket yet. */
     static boolean hasUnsentBytes(Channel channel) {
         ChannelOutboundBuffer outbound = channel.unsafe().outboundBuffer();
         return outbound != null && !outbound.isEmpty();
     }
 
     /**
-     * Whether neither an end nor a byte has come on a channel on which nothing is due, also since the loop last polled
-     * its socket. Reads a byte if there is one, so that a channel that is not quiet is of no further use.
+     * Whether the channel is open and its socket has no unread input and no end of stream. Polls the socket itself, so
+     * that it also detects what arrived since the event loop last polled. May consume a byte; the channel must be
+     * closed if the result is false.
      */
     static boolean isQuiet(Channel channel) {
         if (!channel.isActive()) {
--- a/daemon/src/main/java/clayhook/backend/ConnectionProfile.java
+++ b/daemon/src/main/java/clayhook/backend/ConnectionProfile.java
@@ -4,7 +4,7 @@
 import clayhook.protocol.MessageEncoder;
 import io.netty.buffer.ByteBuf;
 
-/** What every connection to a node asks for and accepts, as the operator's file says. Immutable. */
+/** The startup parameters and limits of all connections to nodes, from the operator's configuration. Immutable. */
 final class ConnectionProfile {
     private final OperatorConfiguration operator;
 
@@ -12,7 +12,7 @@
         this.operator = operator;
     }
 
-    /** The first message of a connection. */
+    /** Creates the startup message, which is the first message on a connection. */
     ByteBuf startupMessage() {
         return operator.statements() == null
                 ? MessageEncoder.startupMessage(operator.user(), operator.database())
@@ -20,8 +20,8 @@
     }
 
     /**
-     * Whether a node that reports this parameter tokenizes statements as this router does. Text that is a string
-     * literal here could be executed there otherwise.
+     * Whether a node with this parameter value tokenizes statements in the same way as this router. Otherwise text that
+     * the router takes for a string literal could be executed by the node.
      */
     boolean acceptsParameter(String name, String value) {
         if (operator.statements() == null) {
@@ -35,7 +35,7 @@
         };
     }
 
-    /** The most bytes of a free-form answer that are forwarded; only where statements of any kind are accepted. */
+    /** The maximum length in bytes of a free-form answer. Valid only if statements of any kind are enabled. */
     int maxAnswerBytes() {
         return operator.statements().maxAnswerBytes();
     }
