--- a/daemon/src/main/java/clayhook/backend/NodeReport.java
+++ b/daemon/src/main/java/clayhook/backend/NodeReport.java
@@ -7,11 +7,14 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * What a node has reported of itself with one answer: its role, its applied position and its load report. A value that
- * cannot be true costs only itself. Event loop only.
+ * The values that a node reported about itself with one answer: its role, its applied position and its load report. An
+ * implausible value is rejected without affecting the others. Event loop only.
  */
 final class NodeReport {
-    /** No node has data of the future; the clocks agree but for the correction of this one. */
+    /**
+     * The tolerance for reported positions later than this router's clock. No node has data from the future, and the
+     * clocks agree except for the gradual correction of this router's clock.
+     */
     private static final double MAX_CLOCK_SKEW_SECONDS = 1;
 
     private static final double MILLIS_PER_SECOND = 1000.0;
@@ -21,19 +24,23 @@
     private double position;
     private LoadReport load = LoadReport.NONE;
 
-    /** {@code clock}: seconds since 1970, compared with reported positions. */
+    /**
+     * Creates an empty report.
+     *
+     * @param clock the time in seconds since 1970, against which reported positions are checked
+     */
     NodeReport(DoubleSupplier clock) {
         this.clock = clock;
     }
 
-    /** Forgets what came with the last answer. */
+    /** Discards the values reported with the previous answer. */
     void reset() {
         role = Role.UNKNOWN;
         position = 0;
         load = LoadReport.NONE;
     }
 
-    /** Takes one reported value; unknown names are ignored. False for a value that cannot be true. */
+    /** Records a reported value; ignores unknown names. Returns false if the value is malformed or implausible. */
     boolean accept(String name, String value) {
         try {
             switch (name) {
@@ -67,7 +74,7 @@
         return reportedPosition;
     }
 
-    /** The result of an attempt that ended with this report. */
+    /** Creates the result of an attempt from these reported values. */
     AttemptResult toResult(AttemptOutcome outcome, double elapsedSeconds) {
         return new AttemptResult(outcome, elapsedSeconds, role, position, load.role(), load.position(), load.load());
     }
--- a/daemon/src/main/java/clayhook/backend/package-info.java
+++ b/daemon/src/main/java/clayhook/backend/package-info.java
@@ -1,10 +1,11 @@
 /**
- * Connections to the nodes: pools, attempts and health checks on their way, and what the nodes' answers report. It
- * decides nothing; the routing policy says what is sent where, and hears how it ended.
+ * Connections to the nodes: connection pools, attempts and health checks in flight, and the values that nodes report
+ * with their answers. The routing policy decides which request is sent to which node and receives the results; this
+ * package makes no routing decisions.
  *
- * <p>Uses the wire codecs ({@code clayhook.protocol}), the transport and the operator's configuration. All of it runs
- * on one event loop. Start with {@link clayhook.backend.BackendClient}, then {@code ConnectionPool} (which request gets
- * which connection), {@code NodeConnection} (one connection) and {@code AnswerReader} (the order of an answer's
- * messages).
+ * <p>Uses the wire codecs ({@code clayhook.protocol}), the transport and the operator's configuration. All classes run
+ * on one event loop. Start with {@link clayhook.backend.BackendClient}, then {@code ConnectionPool} (assigns requests
+ * to connections), {@code NodeConnection} (a single connection) and {@code AnswerReader} (the message order of an
+ * answer).
  */
 package clayhook.backend;
