--- a/daemon/src/main/java/clayhook/backend/AnswerReader.java
+++ b/daemon/src/main/java/clayhook/backend/AnswerReader.java
@@ -76,7 +76,7 @@
         if (message instanceof NodeMessage.ResultMessage part && isExpected(part)) {
             messages.add(part.message());
             dataRow = part.type() == 'D' ? part : dataRow;
-            expected = afterPart();
+            expected = expectedAfterPart();
             return Progress.INCOMPLETE;
         } else if (message instanceof NodeMessage.ErrorResponse error && expected == Expected.ROW_DESCRIPTION) {
             expected = Expected.READY_FOR_QUERY;
@@ -97,7 +97,7 @@
         };
     }
 
-    private Expected afterPart() {
+    private Expected expectedAfterPart() {
         return switch (expected) {
             case ROW_DESCRIPTION -> Expected.DATA_ROW;
             case DATA_ROW -> Expected.COMMAND_COMPLETE;
@@ -106,7 +106,7 @@
     }
 
     private Progress readFreeForm(Object message) {
-        if (message instanceof NodeMessage.ResultMessage part && fitsResult(part)) {
+        if (message instanceof NodeMessage.Part part && isValidInResult(part)) {
             boolean describesColumns = part.type() == 'T' || part.type() == 'D';
             columnCount = describesColumns ? part.columnCount() : NO_ROW_DESCRIPTION;
             resultComplete |= !describesColumns;
@@ -117,7 +117,7 @@
             expected = Expected.READY_FOR_QUERY;
             sqlState = error.sqlState();
             return append(error.message());
-        } else if (message instanceof NodeMessage.ReadyForQuery && resultComplete && !inRows()) {
+        } else if (message instanceof NodeMessage.ReadyForQuery && resultComplete && !isReadingRows()) {
             return Progress.COMPLETE;
         }
         return message instanceof NodeMessage.Notification ? Progress.INCOMPLETE : Progress.OUT_OF_ORDER;
@@ -127,15 +127,15 @@
      * Whether a message is valid at this point of a free-form answer: a DataRow must have the column count of its
      * RowDescription, and a new result must not start before the rows of the previous one are complete.
      */
-    private boolean fitsResult(NodeMessage.Part part) {
+    private boolean isValidInResult(NodeMessage.Part part) {
         return switch (part.type()) {
             case 'D' -> part.columnCount() == columnCount;
             case 'C' -> true;
-            default -> !inRows();
+            default -> !isReadingRows();
         };
     }
 
-    private boolean inRows() {
+    private boolean isReadingRows() {
         return columnCount != NO_ROW_DESCRIPTION;
     }
 
