--- a/daemon/src/main/java/clayhook/backend/ChannelInspector.java
+++ b/daemon/src/main/java/clayhook/backend/ChannelInspector.java
@@ -22,7 +22,7 @@
      * that it also detects what arrived since the event loop last polled. May consume a byte; the channel must be
      * closed if the result is false.
      */
-    static boolean isQuiet(Channel channel) {
+    static boolean isOpenWithoutInput(Channel channel) {
         if (!channel.isActive()) {
             return false;
         }
--- a/daemon/src/main/java/clayhook/backend/ConnectionPool.java
+++ b/daemon/src/main/java/clayhook/backend/ConnectionPool.java
@@ -115,7 +115,7 @@
      */
     private NodeConnection findIdle(BackendRequest request) {
         for (NodeConnection connection : List.copyOf(idle)) {
-            if (request.canUse(connection) && connection.isQuiet()) {
+            if (request.canUse(connection) && connection.isReusable()) {
                 return connection;
             } else if (request.canUse(connection)) {
                 connection.close();
@@ -127,7 +127,7 @@
     /** Changes the session settings of the connection that has been idle longest to those that a request needs. */
     private void changeSettingsOfIdle(BackendRequest request) {
         NodeConnection connection = idle.pollLast();
-        if (connection.isQuiet()) {
+        if (connection.isReusable()) {
             preparing.add(connection);
             connection.changeSettings(request.statement.settings(), client.now());
         } else {
@@ -160,11 +160,11 @@
      * completes one waiting request that needs the same settings.
      *
      * @param refusal the node's error, or null if the settings were changed
-     * @param asked the requested settings
+     * @param requestedSettings the requested settings
      */
     void onSettingsChanged(
-            NodeConnection connection, AttemptCompletion.LocalAnswer refusal, Map<String, String> asked) {
-        BackendRequest refused = refusal == null ? null : firstWaitingFor(asked);
+            NodeConnection connection, AttemptCompletion.LocalAnswer refusal, Map<String, String> requestedSettings) {
+        BackendRequest refused = refusal == null ? null : firstWaitingFor(requestedSettings);
         if (refused != null) {
             waiting.remove(refused);
             complete(refused, refusal, null);
@@ -185,7 +185,7 @@
      * waiting request; otherwise the router would reconnect to such a node in an endless loop.
      */
     private void onReady(NodeConnection connection) {
-        if (connection.isQuiet()) {
+        if (connection.isReusable()) {
             preparing.remove(connection);
             onIdle(connection);
         } else {
--- a/daemon/src/main/java/clayhook/backend/NodeConnection.java
+++ b/daemon/src/main/java/clayhook/backend/NodeConnection.java
@@ -98,8 +98,8 @@
      * Whether this idle connection is open and has received nothing, neither data nor end of stream; also detects what
      * arrived since the event loop last polled it. The connection must be closed if the result is false.
      */
-    boolean isQuiet() {
-        return ChannelInspector.isQuiet(context.channel());
+    boolean isReusable() {
+        return ChannelInspector.isOpenWithoutInput(context.channel());
     }
 
     /**
@@ -251,11 +251,11 @@
 
     private void onSettingsAnswered() {
         state = State.IDLE;
-        Map<String, String> asked = requestedSettings;
+        Map<String, String> requested = requestedSettings;
         AttemptCompletion.LocalAnswer refusal =
                 settingsError == null ? null : new AttemptCompletion.LocalAnswer(List.of(settingsError));
-        settings = refusal == null ? asked : settings;
-        onReadComplete = () -> pool.onSettingsChanged(this, refusal, asked);
+        settings = refusal == null ? requested : settings;
+        onReadComplete = () -> pool.onSettingsChanged(this, refusal, requested);
     }
 
     private void onAnswerMessage(Object message) {
