--- a/daemon/src/main/java/clayhook/serve/AttemptResults.java
+++ b/daemon/src/main/java/clayhook/serve/AttemptResults.java
@@ -15,9 +15,9 @@
 import clayhook.transport.SlewedClock;
 import java.util.List;
 
-/** Passes the results of attempts and health checks on to the routing policy and to peers. Event loop only. */
+/** Reports the results of attempts and health checks to the routing policy and to peers. Event loop only. */
 final class AttemptResults implements BackendClient.Listener {
-    /** The SQLSTATE of a node that must not run a statement because it writes. */
+    /** SQLSTATE read_only_sql_transaction, with which a read-only node rejects a statement that writes. */
     private static final String READ_ONLY = "25006";
 
     private final EventInbox inbox;
@@ -72,7 +72,7 @@
         inFlight.onAttemptFinished(attempt, result, answers, now);
     }
 
-    /** An SQL statement that was classified as a read writes after all, so that a replica refused to run it. */
+    /** Whether a replica rejected an SQL statement that was classified as a read but writes. */
     private static boolean needsRestartAsWrite(ClientRequest request, String error) {
         return request.classification != null
                 && READ_ONLY.equals(error)
@@ -104,8 +104,9 @@
     }
 
     /**
-     * Asks once more after the write: a stall between the question and the write that is longer than the gate's margins
-     * breaks a rule, and shows here.
+     * Repeats the check of {@link #mayStillSend} after the write. If the process stalled between the check and the
+     * write for longer than the margins of the attempt gate, the attempt was sent against a rule; it is counted and
+     * logged.
      */
     @Override
     public void onAttemptWritten(Attempt attempt) {
--- a/daemon/src/main/java/clayhook/serve/ClientResponder.java
+++ b/daemon/src/main/java/clayhook/serve/ClientResponder.java
@@ -9,16 +9,23 @@
 import java.util.List;
 import java.util.Map;
 
-/** Gives clients the final answers to their requests. Event loop only. */
+/** Sends clients the final answers to their requests. Event loop only. */
 final class ClientResponder {
     private final OpenRequests openRequests;
     private final PeerReporter peers;
     private final EventCounters counters;
     private final boolean clientsHonorRetryAfter;
-    /** Answers of nodes that are passed on once the policy has seen the attempt; each leaves at the end of its tick. */
+    /**
+     * Answers of nodes by request, held until the routing policy has processed the attempt. Each is removed at the end
+     * of the tick in which it was added.
+     */
     private final Map<ClientRequest, List<byte[]>> answers = new HashMap<>();
 
-    /** {@code clientsHonorRetryAfter}: whether a rejection tells the client how long to wait. */
+    /**
+     * Creates a responder.
+     *
+     * @param clientsHonorRetryAfter whether a rejection contains Retry-After
+     */
     ClientResponder(
             OpenRequests openRequests, PeerReporter peers, EventCounters counters, boolean clientsHonorRetryAfter) {
         this.openRequests = openRequests;
@@ -27,12 +34,12 @@
         this.clientsHonorRetryAfter = clientsHonorRetryAfter;
     }
 
-    /** Keeps the messages of a node's answer until the request is concluded. */
+    /** Stores the messages of a node's answer until {@link #conclude} is called for the request. */
     void holdAnswer(ClientRequest request, List<byte[]> answer) {
         answers.put(request, answer);
     }
 
-    /** Answers a request whose decision is final, which is any but {@link RoutingAction#SEND}. */
+    /** Answers a request whose decision is final: any action other than {@link RoutingAction#SEND}. */
     void conclude(ClientRequest request, Decision decision) {
         RoutingAction action = decision.action();
         if (action != RoutingAction.DONE) {
