--- a/daemon/src/main/java/clayhook/serve/EndpointUpdates.java
+++ b/daemon/src/main/java/clayhook/serve/EndpointUpdates.java
@@ -19,12 +19,12 @@
 import java.util.Random;
 
 /**
- * Owns the watch on the discovery service and applies endpoint lists, its own and those of peers, to the routing
+ * Owns the watch on the discovery service and applies endpoint lists from discovery and from peers to the routing
  * policy. Event loop only after construction.
  */
 final class EndpointUpdates implements EndpointWatcher.Listener {
     private static final long NO_VERSION = -1;
-    /** Renewals of the lease are logged for so long after a start, a reload or a fault of the discovery service. */
+    /** The time for which lease renewals are logged after a start, a reload or a fault of the discovery service. */
     private static final double LOGGED_AFTER_FAULT_SECONDS = 12;
 
     private final EventInbox inbox;
@@ -34,14 +34,14 @@
     private final EndpointListLease lease;
     private final SlewedClock clock;
     private final EndpointWatcher watcher;
-    /** Renewals of the lease are logged until then; clock time in seconds. */
+    /** The time until which lease renewals are logged, in clock seconds. */
     private double logsRenewalsUntil;
 
     private boolean leaseWasValid = true;
-    /** The newest version that discovery has sent to this router itself. */
+    /** The newest version that this router received from discovery itself, not from peers. */
     private long ownVersion = NO_VERSION;
 
-    /** Starts from the endpoints that the configuration knows. Renews {@code lease}, which the policy asks. */
+    /** Applies the known endpoints of the configuration. Renews {@code lease}, on which the routing policy relies. */
     EndpointUpdates(
             Transport transport,
             RouterConfiguration configuration,
@@ -76,7 +76,7 @@
         inbox.addEndpointEvent(now -> policy.onEndpointList(endpoints(list), list.complete(), now));
     }
 
-    /** Takes effect after the lists that came before it. */
+    /** Updates the lease after the endpoint lists that were received before the event have been applied. */
     @Override
     public void onWatchEvent(WatchEvent event) {
         double at = clock.now();
@@ -94,7 +94,7 @@
         }
     }
 
-    /** While the service answers without a fault, renewals leave no line. */
+    /** Logs a watch event; renewals only for a limited time after a start, a reload or a fault. */
     private void logLeaseEvent(WatchEvent event, double at) {
         if (!(event instanceof WatchEvent.Confirmed)) {
             logsRenewalsUntil = at + LOGGED_AFTER_FAULT_SECONDS;
@@ -104,7 +104,7 @@
         }
     }
 
-    /** Logs when the list can no longer be relied on, and when it can again. */
+    /** Logs the expiry of the lease, after which the endpoint list is out of date, and its renewal. */
     void onTick(double now) {
         boolean valid = lease.isValid(now);
         if (valid != leaseWasValid) {
@@ -128,7 +128,10 @@
         inbox.addEndpointEvent(policy::onEndpointListLate);
     }
 
-    /** A change that this router's own discovery has superseded is applied only where it closes nodes. */
+    /**
+     * Applies endpoint list changes from peers. A change older than the newest version from this router's own discovery
+     * is applied only if none of its endpoints is ready.
+     */
     void onPeerLists(Collection<EndpointList> changes) {
         inbox.addEndpointEvent(now -> {
             var changed = new ArrayList<Endpoint>();
@@ -138,7 +141,7 @@
                 }
             }
             policy.onEndpointList(changed, false, now);
-            // A peer's list must not count as a sign that this router's own watch is alive.
+            // A list from a peer must not count as proof that this router's own watch works.
             policy.onEndpointListFailed(now);
         });
     }
@@ -156,12 +159,12 @@
         return endpoints;
     }
 
-    /** Watches for changes from now on, if it does not yet. */
+    /** Starts the watch on the endpoint list unless it is running. */
     void ensureWatching() {
         watcher.ensureWatching();
     }
 
-    /** Follows the discovery service to another address, whose versions may start anew. */
+    /** Switches to a discovery service at another address, whose versions may start again from the beginning. */
     void moveTo(InetSocketAddress discovery) {
         watcher.moveTo(discovery);
         double at = clock.now();
--- a/daemon/src/main/java/clayhook/serve/PeerUpdates.java
+++ b/daemon/src/main/java/clayhook/serve/PeerUpdates.java
@@ -10,7 +10,7 @@
 import java.util.Collection;
 import java.util.Map;
 
-/** Applies what peers share: their observations of nodes and their endpoint lists. Event loop only. */
+/** Applies the observations of nodes and the endpoint lists that peers share. Event loop only. */
 final class PeerUpdates implements PeerSharing.PeerListener {
     private final EventInbox inbox;
     private final RoutingPolicy policy;
@@ -37,7 +37,7 @@
         endpoints.onPeerLists(changes);
     }
 
-    /** Observations of nodes that this router's endpoint list lacks are dropped. */
+    /** Applies observations of peers; drops those of nodes that are not registered at this router. */
     @Override
     public void onPeerUpdate(Map<String, PeerObservation> observations) {
         counters.increment("peer observations");
