--- a/daemon/src/main/java/clayhook/serve/EventInbox.java
+++ b/daemon/src/main/java/clayhook/serve/EventInbox.java
@@ -6,9 +6,9 @@
 import java.util.function.DoubleConsumer;
 
 /**
- * Events that wait for the next tick of the event loop; each receives the tick's clock time in seconds. Events of the
- * endpoint list run before all others of the same tick, so that requests are routed by the newest list. An event that
- * is added while events run waits for the tick after. Event loop only.
+ * The queue of events for the next tick of the event loop; each event receives the clock time of the tick in seconds.
+ * Events that concern the endpoint list run before all others of the same tick, so that requests are routed by the
+ * newest list. An event that is added while events run is deferred to the following tick. Event loop only.
  */
 final class EventInbox {
     private final Executor loop;
@@ -17,7 +17,7 @@
     private List<DoubleConsumer> events = new ArrayList<>();
     private boolean tickScheduled;
 
-    /** {@code tick} is executed on {@code loop} once for all events that were added since the last one. */
+    /** Creates an empty inbox, which executes {@code tick} on {@code loop} once for all events added since the last. */
     EventInbox(Executor loop, Runnable tick) {
         this.loop = loop;
         this.tick = tick;
@@ -40,18 +40,18 @@
         }
     }
 
-    /** Schedules a tick, whether or not there are events. */
+    /** Schedules a tick even if there are no events. */
     void scheduleTick() {
         tickScheduled = true;
         loop.execute(tick);
     }
 
-    /** A tick begins: events that are added from now on schedule another one. */
+    /** Called at the start of a tick; events that are added later schedule another tick. */
     void onTickStarted() {
         tickScheduled = false;
     }
 
-    /** Runs the events that are here now; one that fails is logged and the others run all the same. */
+    /** Runs the events added so far. The failure of an event is logged and does not prevent the others from running. */
     void runAll(double now) {
         List<DoubleConsumer> first = endpointEvents;
         List<DoubleConsumer> then = events;
--- a/daemon/src/main/java/clayhook/serve/FaultBarrier.java
+++ b/daemon/src/main/java/clayhook/serve/FaultBarrier.java
@@ -2,11 +2,14 @@
 
 import clayhook.log.Log;
 
-/** Confines a failure to the step in which it happens. Thread-safe. */
+/** Isolates failures, so that a failed step does not prevent the following ones from running. Thread-safe. */
 final class FaultBarrier {
     private FaultBarrier() {}
 
-    /** Runs a step; logs what it throws. Errors too: one step may run out of memory while the next does not. */
+    /**
+     * Runs a step and logs any exception that it throws. Also catches errors, because one step may run out of memory
+     * while the next does not.
+     */
     static void run(Runnable step) {
         try {
             step.run();
