--- a/daemon/src/main/java/clayhook/serve/OpenRequests.java
+++ b/daemon/src/main/java/clayhook/serve/OpenRequests.java
@@ -11,15 +11,15 @@
 import java.util.Set;
 
 /**
- * The requests whose clients wait for an answer, at most one a session. A request leaves with its final answer, its
- * cancellation or the end of its session; attempts of it may stay in flight longer. Event loop only.
+ * The requests whose clients wait for an answer, at most one for each session. A request is removed with its final
+ * answer, its cancellation or the end of its session; its attempts may remain in flight longer. Event loop only.
  */
 final class OpenRequests {
     private final InFlightRequests inFlight;
     private final EventCounters counters;
     private final Map<ClientSession, ClientRequest> bySession = new HashMap<>();
     private final Set<String> ids = new HashSet<>();
-    /** Pending requests were failed, and later ones are as well. */
+    /** Whether requests are failed on admission because all pending ones were failed. */
     private boolean failing;
 
     OpenRequests(InFlightRequests inFlight, EventCounters counters) {
@@ -31,14 +31,14 @@
         return ids.contains(requestId);
     }
 
-    /** Reserves the id of a request that {@link #admit} takes in a later tick. */
+    /** Reserves the id of a request that is passed to {@link #admit} in a later tick. */
     void reserveId(String requestId) {
         ids.add(requestId);
     }
 
-    /** Hands a request to the routing policy, unless its client has gone. */
+    /** Passes a request to the routing policy unless its client has disconnected. */
     void admit(ClientRequest request, double now) {
-        // A close that was read together with the request would otherwise cost a node work that nobody waits for.
+        // If a close was read together with the request, no client waits for the node's work.
         if (request.clientSession.isClientGone()) {
             ids.remove(request.requestId);
             counters.increment("disconnected");
@@ -52,12 +52,12 @@
         }
     }
 
-    /** The request that a session waits for, or null. */
+    /** The request whose answer a session waits for, or null. */
     ClientRequest find(ClientSession session) {
         return bySession.get(session);
     }
 
-    /** Removes the request that a session waits for and returns it, or null. */
+    /** Removes and returns the request whose answer a session waits for, or returns null. */
     ClientRequest remove(ClientSession session) {
         ClientRequest request = bySession.remove(session);
         if (request != null) {
@@ -66,7 +66,7 @@
         return request;
     }
 
-    /** Removes a request; false where its session no longer waits for it. */
+    /** Removes a request; returns false if its session no longer waits for its answer. */
     boolean remove(ClientRequest request) {
         boolean open = bySession.remove(request.clientSession, request);
         if (open) {
@@ -75,18 +75,18 @@
         return open;
     }
 
-    /** Removes a request that another one replaces in its session. */
+    /** Removes the request of a session that is about to be replaced by another one, without releasing its id. */
     void release(ClientSession session) {
         bySession.remove(session);
     }
 
-    /** Gives every pending request its final answer, and every later one as soon as it is admitted. */
+    /** Rejects or fails all pending requests, and from now on each request on admission. */
     void failAll() {
         failing = true;
         inFlight.rejectOrFailAll();
     }
 
-    /** Whether an attempt of the request may have been executed by a node. */
+    /** Whether a node may have executed an attempt of the request. */
     static boolean mayHaveRun(Request request) {
         return request.attempts.stream().anyMatch(attempt -> attempt.outcome == null || !attempt.outcome.notExecuted);
     }
--- a/daemon/src/main/java/clayhook/serve/RequestAdmission.java
+++ b/daemon/src/main/java/clayhook/serve/RequestAdmission.java
@@ -16,9 +16,9 @@
 import java.util.Map;
 import java.util.concurrent.Executor;
 
-/** Validates and admits what clients send, and withdraws what they no longer want. Event loop only. */
+/** Validates and admits the statements of clients, and cancels requests on request or disconnect. Event loop only. */
 final class RequestAdmission implements ClientSession.RequestHandler {
-    /** The reasons are sent to clients, so that their wording is part of the protocol. */
+    /** The reasons of this class are sent to clients, so their wording is part of the protocol. */
     static final String UNKNOWN_REPLICA_SET = "unknown group of nodes";
 
     private static final String UNKNOWN_REQUEST_CLASS = "unknown command group";
@@ -78,7 +78,7 @@
         });
     }
 
-    /** Why the statement is invalid, or null. */
+    /** The reason for which a statement is invalid, or null if it is valid. */
     private String rejectionReason(RequestClass requestClass, KeyValueStatement statement) {
         if (requestClass == null) {
             return UNKNOWN_REQUEST_CLASS;
@@ -117,7 +117,10 @@
         });
     }
 
-    /** Sends no further attempt and cancels those in flight; the client is answered once their outcome is known. */
+    /**
+     * Sends no further attempts and cancels those in flight. The client gets its answer once the outcomes of the
+     * attempts are known.
+     */
     @Override
     public void onCancelRequest(ClientSession session) {
         inbox.add(now -> {
@@ -128,12 +131,12 @@
             openRequests.remove(session);
             counters.increment("cancelled");
             inFlight.onClientGone(request);
-            // One tick later: what was decided in this one is carried out at its end, and must be cancelled as well.
+            // One tick later: an attempt decided in this tick is sent at its end, and must be cancelled as well.
             inbox.add(next -> cancelAttempts(request));
         });
     }
 
-    /** The answer follows another tick later, when the results of the cancelled attempts have been handled. */
+    /** Cancels the attempts, and answers one tick later, when the results of the cancelled attempts were handled. */
     private void cancelAttempts(ClientRequest request) {
         inFlight.cancellableAttempts(request).forEach(backend::cancel);
         inbox.add(now -> {
