--- a/daemon/src/main/java/clayhook/serve/PeerReporter.java
+++ b/daemon/src/main/java/clayhook/serve/PeerReporter.java
@@ -18,14 +18,14 @@
 import java.util.concurrent.Executor;
 
 /**
- * Selects what this router shares with its peers of what it learns itself. Does nothing where sharing is disabled.
- * Event loop only, but for {@link #attach} and {@link #start}.
+ * Reports this router's own observations, write outcomes, endpoint lists and quota use to its peers. Does nothing if
+ * sharing is disabled. Event loop only, except {@link #attach} and {@link #start}.
  */
 final class PeerReporter {
-    /** The type byte of a server message that holds an error. */
+    /** The type byte of an ErrorResponse message. */
     private static final byte ERROR_MESSAGE = 'E';
 
-    /** Null where sharing is disabled. */
+    /** Null if sharing is disabled. */
     private final PeerSharing sharing;
 
     private final SlewedClock clock;
@@ -35,7 +35,10 @@
         this.clock = clock;
     }
 
-    /** To be called before the first request, which may ask for a session's last write. */
+    /**
+     * Connects this reporter with its peers. Must be called before the first request, which may need the last write of
+     * its session.
+     */
     void attach(Executor loop, InetSocketAddress discovery, PeerSharing.PeerListener listener) {
         if (sharing != null) {
             sharing.attach(loop, discovery, listener);
@@ -48,14 +51,21 @@
         }
     }
 
-    /** The position in seconds that a session's read must cover as far as peers know; 0 for none. */
+    /**
+     * The position that a read of a session must cover according to the last writes reported by peers, in seconds; 0 if
+     * there is none.
+     */
     double requiredPosition(RequestClass requestClass, String session, double now) {
         return sharing == null || requestClass.consistency() != ConsistencyLevel.SESSION
                 ? 0
                 : sharing.requiredPosition(session, now);
     }
 
-    /** {@code answer}: the messages of the node's answer; null where it gave none. */
+    /**
+     * Reports the result of an attempt.
+     *
+     * @param answer the messages of the node's answer; null if there was none
+     */
     void onAttemptFinished(Attempt attempt, AttemptResult result, List<byte[]> answer, double now) {
         if (sharing == null) {
             return;
@@ -74,7 +84,7 @@
         }
     }
 
-    /** The answer to an SQL statement may be an error of the database, after which nothing has been committed. */
+    /** Whether an answer contains an error of the database, which means that the SQL statement committed nothing. */
     private static boolean containsError(List<byte[]> answer) {
         for (byte[] message : answer) {
             if (message[0] == ERROR_MESSAGE) {
@@ -91,7 +101,8 @@
     }
 
     /**
-     * A request ends without an answer of a node: where it is a write that may have run, peers record it as in doubt.
+     * Reports a request that ends without an answer of a node. If it is a write that may have run, peers record it as
+     * in doubt.
      */
     void onRequestAbandoned(Request request) {
         if (sharing != null
@@ -102,7 +113,11 @@
         }
     }
 
-    /** {@code discovery}: the address that answered with this list. */
+    /**
+     * Reports an endpoint list from discovery.
+     *
+     * @param discovery the address of the discovery service that sent the list
+     */
     void onEndpointList(InetSocketAddress discovery, EndpointList list) {
         if (sharing != null) {
             sharing.recordEndpointList(discovery, list);
@@ -115,7 +130,7 @@
         }
     }
 
-    /** An attempt was sent: the first of a request uses none of the quota. */
+    /** Reports a sent attempt; the first attempt of a request uses no quota. */
     void onAttemptSent(Request request) {
         if (sharing != null && request.attempts.size() > 1) {
             sharing.recordQuotaUse(PeerSharing.SharedQuota.FURTHER_ATTEMPTS, 1);
@@ -128,7 +143,11 @@
         }
     }
 
-    /** {@code settings}: null where the reloaded file disables sharing, which takes a restart. */
+    /**
+     * Applies reloaded settings.
+     *
+     * @param settings null if the reloaded file disables sharing, which changes nothing until a restart
+     */
     void reload(SharingSettings settings) {
         if (sharing != null && settings != null) {
             sharing.reload(settings);
