--- a/daemon/src/main/java/clayhook/serve/Router.java
+++ b/daemon/src/main/java/clayhook/serve/Router.java
@@ -23,14 +23,14 @@
 import java.net.InetSocketAddress;
 
 /**
- * The event loop of a router. Each tick applies the events that came in since the last one, asks the routing policy
- * what to do, and carries that out; what the events mean is the job of the classes that it wires together. Event loop
- * only, but for the constructor, {@link #address()} and {@link #close()}.
+ * The event loop of a router. Each tick applies the events received since the last one, requests the decisions of the
+ * routing policy and carries them out. The events are interpreted by the classes that this class connects. Event loop
+ * only, except the constructor, {@link #address()} and {@link #close()}.
  */
 public final class Router {
-    /** Between two sweeps over connections that open or stand idle; short beside their time limits. */
+    /** The interval between sweeps over connections being opened or idle; short compared with their time limits. */
     private static final double SWEEP_INTERVAL_SECONDS = 0.05;
-    /** Waits at least so long where a slewed clock has not reached the scheduled time yet. */
+    /** The minimum delay of the next tick, for a slewed clock that has not reached the scheduled time yet. */
     private static final double MIN_WAKE_SECONDS = 0.001;
 
     private final RouterConfiguration configuration;
@@ -50,7 +50,7 @@
     private final SummaryLog summaryLog;
     private double nextSweepAt;
 
-    /** Starts right at the start of the process. */
+    /** Starts a router at the start of the process. */
     public Router(
             Transport transport, RouterConfiguration configuration, OperatorConfiguration operator, PeerSharing sharing)
             throws InterruptedException {
@@ -58,10 +58,10 @@
     }
 
     /**
-     * Starts to listen for clients and to watch the endpoint list.
+     * Starts a router, which listens for clients and watches the endpoint list.
      *
-     * @param sharing null where nothing is shared with peers
-     * @param secondsSinceStart of the process, which is as old as the known endpoint list at least
+     * @param sharing null if sharing with peers is disabled
+     * @param secondsSinceStart the time since the start of the process; the known endpoint list is at least this old
      */
     public Router(
             Transport transport,
@@ -171,7 +171,7 @@
         }
     }
 
-    /** Applies a reloaded configuration as far as that needs no restart; the log names what does. */
+    /** Applies the settings of a reloaded configuration that need no restart, and logs the changed ones that do. */
     void reload(RouterConfiguration reloaded, OperatorConfiguration reloadedOperator) {
         String restartNeeded = joinNonEmpty(
                 configuration.restartOnlyDifferences(reloaded), operator.restartOnlyDifferences(reloadedOperator));
@@ -186,17 +186,17 @@
         return first + (first.isEmpty() || second.isEmpty() ? "" : ", ") + second;
     }
 
-    /** The address that clients connect to; for any thread. */
+    /** The address that clients connect to. Thread-safe. */
     InetSocketAddress address() {
         return frontend.address();
     }
 
-    /** Stops watching the endpoint list; for any thread. */
+    /** Stops the watch on the endpoint list. Thread-safe. */
     void close() {
         loop.execute(endpoints::close);
     }
 
-    /** Takes no more connections and ends each session once the requests that it admitted are answered. */
+    /** Accepts no more connections, and ends each session once the requests that it admitted are answered. */
     void drain() {
         Log.info("shutting down: ends sessions, " + openWork());
         frontend.drain();
@@ -206,13 +206,13 @@
         return frontend.sessionCount() + " clients, " + inFlight.size() + " requests in flight";
     }
 
-    /** Gives all pending requests their final answer, and those that still arrive as well. */
+    /** Rejects or fails all pending requests and those that arrive later. */
     void failPendingRequests() {
         Log.info("shutting down: fails pending requests, " + openWork());
         inbox.add(now -> openRequests.failAll());
     }
 
-    /** Ends all sessions that are still open and logs what the router did since the last summary. */
+    /** Ends all open sessions and logs a summary of the time since the last one. */
     void finish() {
         frontend.endSessionsBeforeExit();
         summaryLog.write(clock.now());
