--- a/daemon/src/main/java/clayhook/serve/ReloadSignal.java
+++ b/daemon/src/main/java/clayhook/serve/ReloadSignal.java
@@ -2,13 +2,16 @@
 
 import java.lang.reflect.Proxy;
 
-/** Handles SIGHUP, the request to reload the configuration; without a handler it ends the process. Thread-safe. */
+/**
+ * Handles SIGHUP, which requests a reload of the configuration. Without a handler, SIGHUP ends the process.
+ * Thread-safe.
+ */
 public final class ReloadSignal {
     private ReloadSignal() {}
 
     /**
-     * Runs {@code handler} at each SIGHUP, on a thread of the runtime. Uses reflection, as the compiler warns about
-     * {@code sun.misc.Signal} and warnings are errors here.
+     * Runs {@code handler} on each SIGHUP, on a thread of the Java runtime. Uses reflection because the compiler warns
+     * about {@code sun.misc.Signal}, and this build treats warnings as errors.
      */
     public static void install(Runnable handler) throws ReflectiveOperationException {
         Class<?> signalClass = Class.forName("sun.misc.Signal");
--- a/daemon/src/main/java/clayhook/serve/Server.java
+++ b/daemon/src/main/java/clayhook/serve/Server.java
@@ -12,35 +12,35 @@
 import java.util.List;
 import java.util.concurrent.Callable;
 
-/** One router from its start to its end. Thread-safe. */
+/** A router with its transport and its sharing with peers, from start to shutdown. Thread-safe. */
 public final class Server {
     private static final long POLL_INTERVAL_MS = 20;
     private static final double NANOS_PER_SECOND = 1e9;
 
     private final Transport transport;
     private final Router router;
-    /** Null where nothing is shared with peers. */
+    /** Null if sharing with peers is disabled. */
     private final PeerSharing sharing;
 
     private final ShutdownSchedule shutdownSchedule;
     private boolean closed;
 
-    /** Starts with the operator's defaults. */
+    /** Starts a server with the defaults of the operator's configuration. */
     public Server(Transport transport, RouterConfiguration configuration) throws InterruptedException {
         this(transport, configuration, OperatorConfiguration.DEFAULTS, null, 0);
     }
 
-    /** Starts right at the start of the process. */
+    /** Starts a server at the start of the process. */
     public Server(Transport transport, RouterConfiguration configuration, OperatorConfiguration operator)
             throws IOException, InterruptedException {
         this(transport, configuration, operator, 0);
     }
 
     /**
-     * Starts; the server listens for clients on return.
+     * Starts a server, which listens for clients when this constructor returns.
      *
-     * @param secondsSinceStart of the process, for which the known endpoint list has been growing older
-     * @throws IOException naming the address where datagrams of peers cannot be received
+     * @param secondsSinceStart the time since the start of the process; the known endpoint list is at least this old
+     * @throws IOException if datagrams of peers cannot be received; its message contains the address
      */
     public Server(
             Transport transport,
@@ -70,7 +70,7 @@
                 longestClientTimeout(configuration.settings().requestClasses()));
     }
 
-    /** In seconds; infinite where there are no request classes. */
+    /** The longest client timeout of all request classes in seconds; infinite if there are no request classes. */
     private static double longestClientTimeout(List<RequestClass> requestClasses) {
         return requestClasses.stream()
                 .mapToDouble(RequestClass::clientTimeoutSeconds)
@@ -83,14 +83,17 @@
         return router.address();
     }
 
-    /** Applies a reloaded configuration as far as that needs no restart. Returns at once. */
+    /** Applies the settings of a reloaded configuration that need no restart, asynchronously on the event loop. */
     public synchronized void reload(RouterConfiguration configuration, OperatorConfiguration operator) {
         if (!closed) {
             transport.eventLoop().execute(() -> router.reload(configuration, operator));
         }
     }
 
-    /** Shuts down gracefully by the {@link ShutdownSchedule}; returns when it is done, not on the event loop. */
+    /**
+     * Shuts down gracefully according to the {@link ShutdownSchedule}. Blocks until the shutdown is complete; must not
+     * be called on the event loop.
+     */
     public void shutDown() throws Exception {
         Log.info("shutting down: admits requests for " + Math.round(shutdownSchedule.acceptUntil() * 1000) + " ms");
         long startNanos = System.nanoTime();
@@ -108,7 +111,7 @@
         Log.info("ended");
     }
 
-    /** Waits until so many seconds after the start, or until no client is connected. */
+    /** Blocks until no client is connected or until {@code seconds} have passed since {@code startNanos}. */
     private void awaitNoClients(long startNanos, double seconds) throws Exception {
         Callable<Boolean> hasNoClients = router::hasNoClients;
         while ((System.nanoTime() - startNanos) / NANOS_PER_SECOND < seconds
@@ -117,7 +120,7 @@
         }
     }
 
-    /** Closes at once, whatever is in flight. */
+    /** Closes the server immediately, without waiting for requests in flight. */
     public synchronized void close() {
         if (!closed) {
             closed = true;
--- a/daemon/src/main/java/clayhook/serve/ServerLifecycle.java
+++ b/daemon/src/main/java/clayhook/serve/ServerLifecycle.java
@@ -3,8 +3,9 @@
 import java.util.concurrent.Callable;
 
 /**
- * Orders a server's start and its shutdown, which may be requested while the server starts: it then either does not
- * start or is shut down once it has, as connections that its listener has accepted are owed an answer. Thread-safe.
+ * Serializes the start and the shutdown of a server. If shutdown is requested before or during the start, the server
+ * either does not start or is shut down once it has started, because connections that its listener has accepted must be
+ * answered. Thread-safe.
  */
 public final class ServerLifecycle {
     /** Null before the start. */
@@ -12,7 +13,7 @@
 
     private boolean shutdownRequested;
 
-    /** Returns the started server; null where shutdown was requested first, so that none was started. */
+    /** Starts and returns a server; returns null without starting one if shutdown was requested before. */
     public synchronized Server start(Callable<Server> starter) throws Exception {
         if (!shutdownRequested) {
             server = starter.call();
@@ -20,7 +21,7 @@
         return server;
     }
 
-    /** Shuts the server down and returns when that is done; waits for a start that has begun. */
+    /** Shuts the server down and blocks until the shutdown is complete. Waits for a start in progress. */
     public void shutDown() throws Exception {
         Server started;
         synchronized (this) {
