--- a/daemon/src/main/java/clayhook/serve/SqlRequests.java
+++ b/daemon/src/main/java/clayhook/serve/SqlRequests.java
@@ -13,7 +13,8 @@
 import java.util.concurrent.Executor;
 
 /**
- * Requests that are SQL statements: their admission, their restart as writes, and what answers tell. Event loop only.
+ * Admits SQL statements as requests, restarts misclassified ones as writes, and evaluates their answers. Event loop
+ * only.
  */
 final class SqlRequests {
     private final Executor loop;
@@ -35,7 +36,7 @@
         this.counters = counters;
     }
 
-    /** Classifies a statement and checks it against the operator's rules. */
+    /** Classifies a statement and validates it against the operator's rules. */
     AdmissionResult classify(ClientSession session, byte[] text) {
         return sql.admission()
                 .admit(
@@ -45,7 +46,7 @@
                         session.settings().values());
     }
 
-    /** Admits a statement whose client waits for so many seconds. */
+    /** Admits a statement whose client waits for {@code timeoutSeconds} at most. */
     void admit(AdmissionResult.Admitted admitted, ClientSession session, double timeoutSeconds, double now) {
         openRequests.admit(
                 new ClientRequest(
@@ -60,7 +61,9 @@
                 now);
     }
 
-    /** Answers a statement with an error: the reason of its rejection, or that there is no such replica set. */
+    /**
+     * Answers a statement with the error of its rejection, or with that of an unknown replica set if it was admitted.
+     */
     void refuse(ClientSession session, AdmissionResult result) {
         var rejected = result instanceof AdmissionResult.Rejected given
                 ? given
@@ -70,7 +73,7 @@
         loop.execute(() -> session.respondWithError(rejected.sqlState(), rejected.reason()));
     }
 
-    /** Ends a request that a node refused to run as a read, without an answer, and begins it again as a write. */
+    /** Ends a request that a node refused to run as a read, without answering it, and admits it again as a write. */
     void restartAsWrite(ClientRequest request, Attempt attempt, AttemptResult result, double now) {
         ClientSession session = request.clientSession;
         AdmissionResult admission = sql.admission()
@@ -89,7 +92,10 @@
         }
     }
 
-    /** The node is sound: the policy must not take this refusal for a replica that is too far behind. */
+    /**
+     * Copies a result with the outcome ANSWERED: the node is healthy, and the routing policy must not treat its refusal
+     * as that of a replica that lags too far behind.
+     */
     private static AttemptResult asAnswered(AttemptResult result) {
         return new AttemptResult(
                 AttemptOutcome.ANSWERED,
@@ -101,7 +107,7 @@
                 result.reportedLoad());
     }
 
-    /** Learns the service time of a statement, and the position that later reads of its session must cover. */
+    /** Records the service time of a statement, and after a write the position that later reads of its session need. */
     void onAnswered(ClientRequest request, AttemptResult result, double now) {
         sql.admission().recordServiceTime(request.classification, result.elapsedSeconds());
         if (request.requestClass.consistency() == ConsistencyLevel.WRITE) {
--- a/daemon/src/main/java/clayhook/serve/SqlSupport.java
+++ b/daemon/src/main/java/clayhook/serve/SqlSupport.java
@@ -8,16 +8,20 @@
 import java.util.function.Supplier;
 
 /**
- * The current admission of SQL statements, which a reload replaces; disabled where the operator's file does not enable
- * statements. Whether it is enabled is fixed at the start. Event loop only.
+ * Holds the current {@link SqlAdmission}, which a reload replaces. Disabled unless the operator's configuration enables
+ * SQL statements; enabling or disabling needs a restart. Event loop only.
  */
 final class SqlSupport {
     private final List<RequestClass> requestClasses;
     private final long seed;
-    /** Null where only the two key-value forms of statement are served. */
+    /** Null if SQL statements are disabled, so that only the two key-value statements are served. */
     private SqlAdmission admission;
 
-    /** {@code settings}: null to disable it. */
+    /**
+     * Creates the admission.
+     *
+     * @param settings null to disable SQL statements
+     */
     SqlSupport(OperatorConfiguration.StatementSettings settings, List<RequestClass> requestClasses, long seed) {
         this.requestClasses = requestClasses;
         this.seed = seed;
@@ -28,12 +32,12 @@
         return admission != null;
     }
 
-    /** Only where it is enabled. */
+    /** The current admission; null if SQL statements are disabled. */
     SqlAdmission admission() {
         return admission;
     }
 
-    /** Makes the settings of a new client session; null where it is disabled. */
+    /** A factory for the settings of new client sessions; null if SQL statements are disabled. */
     Supplier<SessionSettings> sessionSettings() {
         return admission == null ? null : () -> admission.newSessionSettings();
     }
@@ -44,7 +48,7 @@
         }
     }
 
-    /** Applies reloaded settings; enabling or disabling takes a restart, so that null changes nothing. */
+    /** Applies reloaded settings. Changes nothing if SQL statements are disabled in the old or the new settings. */
     void reload(OperatorConfiguration.StatementSettings settings) {
         if (admission != null && settings != null) {
             admission = new SqlAdmission(settings, requestClasses, seed);
