--- a/daemon/src/main/java/clayhook/serve/SummaryLog.java
+++ b/daemon/src/main/java/clayhook/serve/SummaryLog.java
@@ -8,7 +8,7 @@
 import clayhook.metrics.EventCounters;
 import clayhook.transport.DescriptorBudget;
 
-/** Writes a summary of the router to the log at fixed intervals. Event loop only. */
+/** Logs a summary of the router's activity at fixed intervals. Event loop only. */
 final class SummaryLog {
     private static final double INTERVAL_SECONDS = 10;
 
@@ -43,7 +43,7 @@
         nextAt = startedAt + INTERVAL_SECONDS;
     }
 
-    /** Writes the summary if it is due; each figure covers the time since the last one. */
+    /** Logs the summary if its interval has elapsed. */
     void onTick(double now) {
         if (now >= nextAt) {
             nextAt = now + INTERVAL_SECONDS;
@@ -51,7 +51,7 @@
         }
     }
 
-    /** Writes the summary of the time since the last one. */
+    /** Logs the current state and the counters since the last summary. */
     void write(double now) {
         Log.info("summary: clients " + frontend.sessionCount() + ", connections to nodes "
                 + backend.connectionCount() + ", in flight " + inFlight.size() + ", descriptors at most "
--- a/daemon/src/main/java/clayhook/serve/TickTimer.java
+++ b/daemon/src/main/java/clayhook/serve/TickTimer.java
@@ -6,9 +6,11 @@
 import io.netty.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
 
-/** Schedules the event loop's next tick and measures how late ticks run. Times are clock seconds. Event loop only. */
+/**
+ * Schedules the next tick of the event loop and measures the delay of ticks. Times are clock seconds. Event loop only.
+ */
 final class TickTimer {
-    /** A tick that runs this much later than it was scheduled is logged as a stall of the process. */
+    /** The delay after which a late tick is logged as a stall. */
     private static final double STALL_SECONDS = 0.1;
 
     private static final double NANOS_PER_SECOND = 1e9;
@@ -16,12 +18,12 @@
 
     private final EventLoop loop;
     private final Runnable tick;
-    /** Null where none is scheduled. */
+    /** The next tick, or null if none is scheduled. */
     private ScheduledFuture<?> scheduled;
 
     private double scheduledAt = Double.POSITIVE_INFINITY;
     private double maxDelay;
-    /** Used by this process up to {@link #sampledAt}, in seconds. */
+    /** The processor time that this process had used at {@link #sampledAt}, in seconds. */
     private double processorTime;
 
     private double sampledAt;
@@ -35,7 +37,7 @@
         return scheduled != null;
     }
 
-    /** Replaces the scheduled tick, if there is one. */
+    /** Schedules a tick after {@code seconds}; replaces the scheduled one, if any. */
     void schedule(double now, double seconds) {
         if (scheduled != null) {
             scheduled.cancel(false);
@@ -49,7 +51,7 @@
         tick.run();
     }
 
-    /** Records by how much a tick at {@code now} is later than scheduled, and logs a stall. */
+    /** Records the delay of a tick that starts at {@code now}, and logs a stall if the delay is too long. */
     void onTickStarted(double now) {
         maxDelay = Math.max(maxDelay, now - scheduledAt);
         if (now > scheduledAt + STALL_SECONDS) {
@@ -68,13 +70,16 @@
         return Math.round(seconds * MILLIS_PER_SECOND);
     }
 
-    /** To be called some times a second, so that a stall can be told from the time before it. */
+    /**
+     * Samples the processor time. Must be called several times a second, so that the time logged with a stall covers
+     * little more than the stall.
+     */
     void sampleProcessorTime(double now) {
         processorTime = ProcessorTime.usedSeconds();
         sampledAt = now;
     }
 
-    /** The greatest delay in seconds since the last call of {@link #resetMaxDelay()}. */
+    /** The maximum delay of a tick in seconds since the last call of {@link #resetMaxDelay()}. */
     double maxDelay() {
         return maxDelay;
     }
