--- a/daemon/src/main/java/clayhook/serve/AttemptResults.java
+++ b/daemon/src/main/java/clayhook/serve/AttemptResults.java
@@ -49,33 +49,33 @@
     }
 
     @Override
-    public void onAttemptFinished(Attempt attempt, AttemptResult result, List<byte[]> answer, String error) {
+    public void onAttemptFinished(Attempt attempt, AttemptResult result, List<byte[]> answer, String sqlState) {
         counters.increment(result.outcome().toString());
-        inbox.add(now -> handle(attempt, result, answer, error, now));
+        inbox.add(now -> handle(attempt, result, answer, sqlState, now));
     }
 
-    private void handle(Attempt attempt, AttemptResult result, List<byte[]> answer, String error, double now) {
+    private void handle(Attempt attempt, AttemptResult result, List<byte[]> answer, String sqlState, double now) {
         var request = (ClientRequest) attempt.request;
-        if (needsRestartAsWrite(request, error)) {
+        if (needsRestartAsWrite(request, sqlState)) {
             sqlRequests.restartAsWrite(request, attempt, result, now);
             return;
         }
-        boolean answers = result.outcome() == AttemptOutcome.ANSWERED && !request.completed;
-        request.lastNodeError = answers ? null : answer;
-        if (answers) {
+        boolean isAnswer = result.outcome() == AttemptOutcome.ANSWERED && !request.completed;
+        request.lastNodeError = isAnswer ? null : answer;
+        if (isAnswer) {
             responder.holdAnswer(request, answer);
         }
-        if (request.classification != null && answers) {
+        if (request.classification != null && isAnswer) {
             sqlRequests.onAnswered(request, result, now);
         }
         peers.onAttemptFinished(attempt, result, answer, now);
-        inFlight.onAttemptFinished(attempt, result, answers, now);
+        inFlight.onAttemptFinished(attempt, result, isAnswer, now);
     }
 
     /** Whether a replica rejected an SQL statement that was classified as a read but writes. */
-    private static boolean needsRestartAsWrite(ClientRequest request, String error) {
+    private static boolean needsRestartAsWrite(ClientRequest request, String sqlState) {
         return request.classification != null
-                && READ_ONLY.equals(error)
+                && READ_ONLY.equals(sqlState)
                 && request.requestClass.consistency() != ConsistencyLevel.WRITE
                 && !request.completed;
     }
