--- a/daemon/src/main/java/clayhook/serve/EndpointUpdates.java
+++ b/daemon/src/main/java/clayhook/serve/EndpointUpdates.java
@@ -25,7 +25,7 @@
 final class EndpointUpdates implements EndpointWatcher.Listener {
     private static final long NO_VERSION = -1;
     /** The time for which lease renewals are logged after a start, a reload or a fault of the discovery service. */
-    private static final double LOGGED_AFTER_FAULT_SECONDS = 12;
+    private static final double RENEWAL_LOG_SECONDS = 12;
 
     private final EventInbox inbox;
     private final RoutingPolicy policy;
@@ -35,7 +35,7 @@
     private final SlewedClock clock;
     private final EndpointWatcher watcher;
     /** The time until which lease renewals are logged, in clock seconds. */
-    private double logsRenewalsUntil;
+    private double logRenewalsUntil;
 
     private boolean leaseWasValid = true;
     /** The newest version that this router received from discovery itself, not from peers. */
@@ -66,7 +66,7 @@
                 new Random(configuration.seed()),
                 this);
         policy.onEndpointList(endpoints(known), true, clock.now());
-        logsRenewalsUntil = clock.now() + LOGGED_AFTER_FAULT_SECONDS;
+        logRenewalsUntil = clock.now() + RENEWAL_LOG_SECONDS;
     }
 
     @Override
@@ -79,27 +79,27 @@
     /** Updates the lease after the endpoint lists that were received before the event have been applied. */
     @Override
     public void onWatchEvent(WatchEvent event) {
-        double at = clock.now();
-        inbox.addEndpointEvent(now -> updateLease(event, at));
+        double receivedAt = clock.now();
+        inbox.addEndpointEvent(now -> updateLease(event, receivedAt));
     }
 
-    private void updateLease(WatchEvent event, double at) {
-        logLeaseEvent(event, at);
+    private void updateLease(WatchEvent event, double receivedAt) {
+        logLeaseEvent(event, receivedAt);
         if (event instanceof WatchEvent.Confirmed confirmed) {
-            lease.onConfirmed(at - confirmed.secondsAgo());
+            lease.onConfirmed(receivedAt - confirmed.secondsAgo());
         } else if (event instanceof WatchEvent.Rejected rejected) {
-            lease.onWatchRejected(at - rejected.polledSecondsAgo());
+            lease.onWatchRejected(receivedAt - rejected.polledSecondsAgo());
         } else if (event instanceof WatchEvent.Unreachable unreachable) {
-            lease.onUnreachable(at - unreachable.begunSecondsAgo());
+            lease.onUnreachable(receivedAt - unreachable.begunSecondsAgo());
         }
     }
 
     /** Logs a watch event; renewals only for a limited time after a start, a reload or a fault. */
-    private void logLeaseEvent(WatchEvent event, double at) {
+    private void logLeaseEvent(WatchEvent event, double receivedAt) {
         if (!(event instanceof WatchEvent.Confirmed)) {
-            logsRenewalsUntil = at + LOGGED_AFTER_FAULT_SECONDS;
+            logRenewalsUntil = receivedAt + RENEWAL_LOG_SECONDS;
         }
-        if (at < logsRenewalsUntil) {
+        if (receivedAt < logRenewalsUntil) {
             Log.info("lease " + event.getClass().getSimpleName(), "endpoint list lease: " + event);
         }
     }
@@ -136,7 +136,7 @@
         inbox.addEndpointEvent(now -> {
             var changed = new ArrayList<Endpoint>();
             for (EndpointList change : changes) {
-                if (closesAll(change) || change.version() >= ownVersion) {
+                if (hasNoReadyEndpoint(change) || change.version() >= ownVersion) {
                     changed.addAll(endpoints(change));
                 }
             }
@@ -146,7 +146,7 @@
         });
     }
 
-    private static boolean closesAll(EndpointList list) {
+    private static boolean hasNoReadyEndpoint(EndpointList list) {
         return list.endpoints().stream().allMatch(endpoint -> endpoint.state() != Endpoint.State.READY);
     }
 
@@ -167,9 +167,9 @@
     /** Switches to a discovery service at another address, whose versions may start again from the beginning. */
     void moveTo(InetSocketAddress discovery) {
         watcher.moveTo(discovery);
-        double at = clock.now();
-        logsRenewalsUntil = at + LOGGED_AFTER_FAULT_SECONDS;
-        inbox.addEndpointEvent(now -> lease.onReload(at));
+        double movedAt = clock.now();
+        logRenewalsUntil = movedAt + RENEWAL_LOG_SECONDS;
+        inbox.addEndpointEvent(now -> lease.onReload(movedAt));
         ownVersion = NO_VERSION;
         peers.onDiscoveryMoved(discovery);
     }
