--- a/daemon/src/main/java/clayhook/serve/ReloadableSqlAdmission.java
+++ b/daemon/src/main/java/clayhook/serve/ReloadableSqlAdmission.java
@@ -11,7 +11,7 @@
  * Holds the current {@link SqlAdmission}, which a reload replaces. Disabled unless the operator's configuration enables
  * SQL statements; enabling or disabling needs a restart. Event loop only.
  */
-final class SqlSupport {
+final class ReloadableSqlAdmission {
     private final List<RequestClass> requestClasses;
     private final long seed;
     /** Null if SQL statements are disabled, so that only the two key-value statements are served. */
@@ -22,7 +22,8 @@
      *
      * @param settings null to disable SQL statements
      */
-    SqlSupport(OperatorConfiguration.StatementSettings settings, List<RequestClass> requestClasses, long seed) {
+    ReloadableSqlAdmission(
+            OperatorConfiguration.StatementSettings settings, List<RequestClass> requestClasses, long seed) {
         this.requestClasses = requestClasses;
         this.seed = seed;
         admission = settings == null ? null : new SqlAdmission(settings, requestClasses, seed);
--- a/daemon/src/main/java/clayhook/serve/Router.java
+++ b/daemon/src/main/java/clayhook/serve/Router.java
@@ -41,7 +41,7 @@
     private final TickTimer timer;
     private final InFlightRequests inFlight;
     private final OpenRequests openRequests;
-    private final SqlSupport sql;
+    private final ReloadableSqlAdmission sql;
     private final PeerReporter peers;
     private final ClientResponder responder;
     private final BackendClient backend;
@@ -83,7 +83,7 @@
         var policy = new RoutingPolicy(settings, configuration.seed(), lease);
         inFlight = new InFlightRequests(policy, FaultBarrier::logFault);
         openRequests = new OpenRequests(inFlight, counters);
-        sql = new SqlSupport(operator.statements(), settings.requestClasses(), configuration.seed());
+        sql = new ReloadableSqlAdmission(operator.statements(), settings.requestClasses(), configuration.seed());
         peers = new PeerReporter(sharing, clock);
         responder = new ClientResponder(openRequests, peers, counters, settings.clientsHonorRetryAfter());
         var sqlRequests = new SqlRequests(loop, sql, inFlight, openRequests, counters);
--- a/daemon/src/main/java/clayhook/serve/SqlRequests.java
+++ b/daemon/src/main/java/clayhook/serve/SqlRequests.java
@@ -18,14 +18,14 @@
  */
 final class SqlRequests {
     private final Executor loop;
-    private final SqlSupport sql;
+    private final ReloadableSqlAdmission sql;
     private final InFlightRequests inFlight;
     private final OpenRequests openRequests;
     private final EventCounters counters;
 
     SqlRequests(
             Executor loop,
-            SqlSupport sql,
+            ReloadableSqlAdmission sql,
             InFlightRequests inFlight,
             OpenRequests openRequests,
             EventCounters counters) {
--- a/daemon/src/main/java/clayhook/serve/SummaryLog.java
+++ b/daemon/src/main/java/clayhook/serve/SummaryLog.java
@@ -18,7 +18,7 @@
     private final DescriptorBudget descriptors;
     private final TickTimer timer;
     private final RoutingPolicy policy;
-    private final SqlSupport sql;
+    private final ReloadableSqlAdmission sql;
     private final EventCounters counters;
     private double nextAt;
 
@@ -29,7 +29,7 @@
             DescriptorBudget descriptors,
             TickTimer timer,
             RoutingPolicy policy,
-            SqlSupport sql,
+            ReloadableSqlAdmission sql,
             EventCounters counters,
             double startedAt) {
         this.frontend = frontend;
