--- a/daemon/src/main/java/clayhook/serve/Router.java
+++ b/daemon/src/main/java/clayhook/serve/Router.java
@@ -198,17 +198,17 @@
 
     /** Accepts no more connections, and ends each session once the requests that it admitted are answered. */
     void drain() {
-        Log.info("shutting down: ends sessions, " + openWork());
+        Log.info("shutting down: ends sessions, " + describeOpenWork());
         frontend.drain();
     }
 
-    private String openWork() {
+    private String describeOpenWork() {
         return frontend.sessionCount() + " clients, " + inFlight.size() + " requests in flight";
     }
 
     /** Rejects or fails all pending requests and those that arrive later. */
     void failPendingRequests() {
-        Log.info("shutting down: fails pending requests, " + openWork());
+        Log.info("shutting down: fails pending requests, " + describeOpenWork());
         inbox.add(now -> openRequests.failAll());
     }
 
--- a/daemon/src/main/java/clayhook/serve/SqlRequests.java
+++ b/daemon/src/main/java/clayhook/serve/SqlRequests.java
@@ -84,7 +84,7 @@
                         session.settings().timeout(),
                         session.settings().values());
         openRequests.release(session);
-        inFlight.onAttemptFinished(attempt, asAnswered(result), true, now);
+        inFlight.onAttemptFinished(attempt, withAnsweredOutcome(result), true, now);
         if (admission instanceof AdmissionResult.Admitted admitted) {
             admit(admitted, session, request.deadline - now, now);
         } else {
@@ -96,7 +96,7 @@
      * Copies a result with the outcome ANSWERED: the node is healthy, and the routing policy must not treat its refusal
      * as that of a replica that lags too far behind.
      */
-    private static AttemptResult asAnswered(AttemptResult result) {
+    private static AttemptResult withAnsweredOutcome(AttemptResult result) {
         return new AttemptResult(
                 AttemptOutcome.ANSWERED,
                 result.elapsedSeconds(),
