--- a/daemon/src/test/java/clayhook/backend/AnswerReaderTest.java
+++ b/daemon/src/test/java/clayhook/backend/AnswerReaderTest.java
@@ -22,7 +22,10 @@
         return new OperatorConfiguration(statements, "user", "database", null);
     }
 
-    /** T, D and C are parts of a result, E an error, N a notice, A a notification, Z ReadyForQuery. */
+    /**
+     * The message for a letter: T, D and C are parts of a result, E is an ErrorResponse, N a notice, A a notification
+     * and Z ReadyForQuery.
+     */
     private static Object message(char letter) {
         return switch (letter) {
             case 'E' -> new NodeMessage.ErrorResponse("XX000", "text", bytes('E'));
@@ -33,7 +36,7 @@
         };
     }
 
-    /** A message of one column whose value is {@code v}. */
+    /** Encodes a message with one column, whose value is {@code v}. */
     private static byte[] bytes(char type) {
         return (type + "\0\0\0\13\0\1\0\0\0\1v").getBytes(ISO_8859_1);
     }
@@ -57,7 +60,7 @@
         "Z, OUT_OF_ORDER, 0",
         "A, OUT_OF_ORDER, 0"
     })
-    void fixedFormIsOneRowOrAnError(String letters, Progress progress, int messages) {
+    void fixedFormAcceptsOnlyOneRowOrAnError(String letters, Progress progress, int messages) {
         answer.begin(false);
         assertEquals(progress, readAll(letters));
         assertEquals(messages, answer.messages().size());
@@ -75,7 +78,7 @@
         "Z, OUT_OF_ORDER, 0",
         "TDDDDDDDD, TOO_LONG, 8"
     })
-    void freeFormIsAnyNumberOfResultsWithinItsBound(String letters, Progress progress, int messages) {
+    void freeFormAcceptsAnyNumberOfResultsUpToItsMaximumLength(String letters, Progress progress, int messages) {
         answer.begin(true);
         assertEquals(progress, readAll(letters));
         assertEquals(messages, answer.messages().size());
@@ -83,7 +86,8 @@
 
     @ParameterizedTest
     @CsvSource({"false, TDCZ, v,", "false, EZ, , XX000", "true, TDEZ, , XX000"})
-    void valueAndErrorOfTheAnswerAreKept(boolean freeForm, String letters, String value, String sqlState) {
+    void valueAndErrorOfTheAnswerAreAvailableUntilTheNextAnswerBegins(
+            boolean freeForm, String letters, String value, String sqlState) {
         answer.begin(freeForm);
         assertEquals(Progress.COMPLETE, readAll(letters));
         assertEquals(value, answer.rowValue());
--- a/daemon/src/test/java/clayhook/backend/AttemptCompletionTest.java
+++ b/daemon/src/test/java/clayhook/backend/AttemptCompletionTest.java
@@ -14,7 +14,7 @@
         "WRITTEN, RESET, TIMED_OUT, CANCELLED",
         "ANSWERING, RESET, TIMED_OUT, CANCELLED"
     })
-    void phaseDecidesWhetherTheRequestMayHaveRun(
+    void outcomeOfAFailureDependsOnWhetherTheRequestMayHaveRun(
             AttemptPhase phase, AttemptOutcome lost, AttemptOutcome timedOut, AttemptOutcome cancelled) {
         assertEquals(lost, new AttemptCompletion.ConnectionLost(phase).outcome());
         assertEquals(timedOut, new AttemptCompletion.TimedOut(phase).outcome());
@@ -23,7 +23,7 @@
 
     @ParameterizedTest
     @CsvSource({"25006, REJECTED", "72000, REJECTED", "53300, OVERLOADED", "XX000, ERROR", "08P01, ERROR"})
-    void sqlStateDecidesTheOutcome(String sqlState, AttemptOutcome outcome) {
+    void outcomeOfANodeErrorDependsOnItsSqlState(String sqlState, AttemptOutcome outcome) {
         assertEquals(outcome, new AttemptCompletion.NodeError(sqlState).outcome());
     }
 }
--- a/daemon/src/test/java/clayhook/backend/NodeReportTest.java
+++ b/daemon/src/test/java/clayhook/backend/NodeReportTest.java
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void resultHoldsWhatWasReportedSinceTheLastReset() {
+    void resultContainsTheValuesReportedSinceTheLastReset() {
         report.accept("role", "replica");
         report.accept("applied_ms", "999500");
         report.accept("load", "x0=999,x1=1,rif=3");
