--- a/daemon/src/test/java/clayhook/backend/BackendClientFixture.java
+++ b/daemon/src/test/java/clayhook/backend/BackendClientFixture.java
@@ -21,25 +21,25 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.function.Predicate;
 
-/** A client of nodes on an event loop of its own, and what it has reported. */
+/** A {@link BackendClient} with its own event loop, which records the results that the client reports. */
 final class BackendClientFixture implements BackendClient.Listener, AutoCloseable {
-    /** Longer than any test takes. */
+    /** A time limit that no test reaches. */
     static final double LONG_SECONDS = 60;
 
     private static final int MEMORY_BYTES = 1 << 24;
     private static final int DESCRIPTORS = 1024;
-    /** Where the value stands in a DataRow of one column. */
+    /** The offset of the value in a DataRow with one column. */
     private static final int VALUE_OFFSET = 11;
 
     /**
-     * An attempt or a health check that has ended.
+     * The result of an attempt or a health check.
      *
      * @param attempt null for a health check
-     * @param value of the one row of its answer, or null
+     * @param value the value of the single row of the answer, or null
      */
     record FinishedAttempt(Attempt attempt, AttemptOutcome outcome, String value) {}
 
-    /** A step that a test takes on the event loop. */
+    /** A step of a test that runs on the event loop. */
     interface Step {
         void run() throws Exception;
     }
@@ -47,20 +47,20 @@
     final Transport transport = Transport.tcp();
     final SlewedClock clock = new SlewedClock();
     final BlockingQueue<FinishedAttempt> finished = new LinkedBlockingQueue<>();
-    /** The result of what finished last. */
+    /** The result of the attempt or health check that finished last. */
     volatile AttemptResult lastResult;
-    /** What the listener answers. */
+    /** The result of {@link #mayStillSend(Attempt)}. */
     volatile Predicate<Attempt> mayStillSend = attempt -> true;
 
     volatile boolean nodesKnown = true;
     BackendClient client;
 
-    /** With time limits that no test reaches. */
+    /** Creates a fixture whose client has time limits that no test reaches. */
     BackendClientFixture() {
         open(LONG_SECONDS, LONG_SECONDS);
     }
 
-    /** Puts a client with other time limits in the place of the one before. */
+    /** Replaces the client by one with other time limits. */
     void open(double connectTimeoutSeconds, double idleSeconds) {
         open(connectTimeoutSeconds, idleSeconds, DESCRIPTORS);
     }
@@ -83,7 +83,7 @@
         transport.close();
     }
 
-    // ---- steps ----
+    // ---- actions ----
 
     <T> T onLoop(Callable<T> step) throws Exception {
         return transport.eventLoop().submit(step).get();
@@ -96,7 +96,7 @@
         });
     }
 
-    /** Registers the node that the tests use, at this address. */
+    /** Registers the single node of the tests at an address. */
     Node register(InetSocketAddress address) throws Exception {
         return onLoop(() -> client.registerNode("n", "a", 1, address));
     }
@@ -133,7 +133,7 @@
         runOnLoop(() -> client.expire(attempt));
     }
 
-    // ---- what is waited for ----
+    // ---- waiting for results ----
 
     void await(Callable<Boolean> condition) throws Exception {
         while (!onLoop(condition)) {
@@ -149,7 +149,7 @@
         return onLoop(client::connectionCount);
     }
 
-    /** Sweeps until something has finished. */
+    /** Sweeps repeatedly until an attempt or a health check has finished, and returns it. */
     FinishedAttempt sweepUntilFinished() throws Exception {
         while (finished.isEmpty()) {
             sweep();
@@ -157,7 +157,7 @@
         return finished.take();
     }
 
-    // ---- what the client reports and asks ----
+    // ---- listener calls ----
 
     @Override
     public void onAttemptFinished(Attempt attempt, AttemptResult result, List<byte[]> answer, String sqlState) {
--- a/daemon/src/test/java/clayhook/backend/ScriptedNode.java
+++ b/daemon/src/test/java/clayhook/backend/ScriptedNode.java
@@ -9,16 +9,16 @@
 import java.net.ServerSocket;
 import java.net.Socket;
 
-/** A node whose every step a test takes itself, over blocking sockets. */
+/** A node that a test controls step by step, over blocking sockets. */
 final class ScriptedNode implements AutoCloseable {
-    /** What a node sends once it has accepted the startup message: AuthenticationOk and ReadyForQuery. */
+    /** The answer to a startup message: AuthenticationOk and ReadyForQuery. */
     static final String STARTUP_ANSWER = message('R', "\0\0\0\0") + message('Z', "I");
 
-    /** Blocking reads cannot be interrupted: this ends a test that would wait for ever. */
+    /** Ends a test that would otherwise block forever, because blocking reads cannot be interrupted. */
     private static final int READ_TIMEOUT_MS = 50_000;
 
     private static final int BACKLOG = 50;
-    /** Until the other side has acknowledged all that was written. */
+    /** The maximum time that a close waits until the other side has acknowledged all written data. */
     private static final int LINGER_SECONDS = 30;
 
     private final ServerSocket serverSocket;
@@ -32,12 +32,12 @@
         return new InetSocketAddress(serverSocket.getInetAddress(), serverSocket.getLocalPort());
     }
 
-    /** The next connection, with its startup message read and nothing written yet. */
+    /** Accepts the next connection and reads its startup message; writes nothing. */
     ScriptedConnection accept() throws IOException {
         return new ScriptedConnection(serverSocket.accept());
     }
 
-    /** The next connection, with its startup answered. */
+    /** Accepts the next connection and answers its startup message. */
     ScriptedConnection acceptAndStart() throws IOException {
         ScriptedConnection connection = accept();
         connection.write(STARTUP_ANSWER);
@@ -49,7 +49,7 @@
         serverSocket.close();
     }
 
-    /** An answer of one row, and ReadyForQuery after it. */
+    /** Encodes an answer of one row, including ReadyForQuery. */
     static String answer(String value) {
         return answerWithoutReady(value) + message('Z', "I");
     }
@@ -60,14 +60,14 @@
                 + message('C', "SELECT 1\0");
     }
 
-    /** One message of the wire, a character a byte. */
+    /** Encodes a protocol message; each character stands for one byte. */
     static String message(char type, String body) {
         int length = 4 + body.length();
         return type + "" + (char) (length >> 24 & 0xff) + (char) (length >> 16 & 0xff) + (char) (length >> 8 & 0xff)
                 + (char) (length & 0xff) + body;
     }
 
-    /** The node's side of one connection. */
+    /** The node's side of a connection. */
     static final class ScriptedConnection {
         private final Socket socket;
         private final DataInputStream in;
@@ -84,23 +84,23 @@
             socket.getOutputStream().write(bytes.getBytes(ISO_8859_1));
         }
 
-        /** The text of the next query, or null at the end of the connection. */
+        /** Reads the text of the next query; returns null at the end of the stream. */
         String readQuery() throws IOException {
             int type = in.read();
             return type < 0 ? null : new String(in.readNBytes(in.readInt() - 4), ISO_8859_1);
         }
 
-        /** Waits until the first byte of a query has come, and reads no more. */
+        /** Reads the first byte of a query, and no more. */
         void awaitFirstByte() throws IOException {
             in.readByte();
         }
 
-        /** Reads up to the end of the connection; returns how many bytes came. */
+        /** Reads up to the end of the stream and returns the number of bytes read. */
         long skipToEnd() throws IOException {
             return in.skip(Long.MAX_VALUE);
         }
 
-        /** Closes the connection, and returns once the other side has received all that was written and the end. */
+        /** Closes the connection; returns once the other side has received all written data and the end of stream. */
         void close() throws IOException {
             socket.setSoLinger(true, LINGER_SECONDS);
             socket.close();
