--- a/daemon/src/test/java/clayhook/backend/BackendClientTest.java
+++ b/daemon/src/test/java/clayhook/backend/BackendClientTest.java
@@ -37,7 +37,10 @@
         backend.close();
     }
 
-    /** A node that answers its first statement with one response, and all others with another. */
+    /**
+     * Starts and registers a node that answers its first statement with {@code first} and all others with
+     * {@code others}.
+     */
     private Node stubNode(String role, StubResponse first, StubResponse others) throws Exception {
         var stub = new StubNode(
                 backend.transport,
@@ -63,7 +66,8 @@
 
     @ParameterizedTest
     @CsvSource({"mute, 0.5, TIMED_OUT", "replica, 60, ANSWERED"})
-    void healthCheckTimesOutAndTheNextOneIsSent(String role, double timeout, AttemptOutcome outcome) throws Exception {
+    void healthCheckAfterAFinishedOrTimedOutOneIsSent(String role, double timeout, AttemptOutcome outcome)
+            throws Exception {
         backend.open(timeout, BackendClientFixture.LONG_SECONDS);
         Node node = stubNode(role, null, null);
         for (int i = 0; i < 2; i++) {
@@ -83,7 +87,7 @@
     }
 
     @Test
-    void lackOfLocalDescriptorsIsNotANodeFailure() throws Exception {
+    void lackOfLocalDescriptorsIsNotReportedAsNodeFailure() throws Exception {
         backend.open(1, 9, 1);
         Node node = stubNode("replica", StubResponse.silence(), StubResponse.silence());
         send(node);
@@ -151,7 +155,10 @@
         assertEquals(left, backend.connectionCount());
     }
 
-    /** T, D, C, S, E and Z are good messages; a small letter is one whose inside does not fit. */
+    /**
+     * Encodes the messages for some letters. T, D, C, S, E and Z are well-formed messages, r is a load report with an
+     * implausible value; other lower-case letters are messages with a malformed body.
+     */
     private static ByteBuf messages(String letters) {
         ByteBuf out = Unpooled.buffer();
         for (int i = 0; i < letters.length(); i++) {
@@ -202,7 +209,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"TDCZTDCZ", "TDCZq", "TDCZT", "TDCZS", "TDSCZZ", "EZTDCZ"})
-    void bytesAfterACompleteAnswerAreNotTheNextAnswer(String letters) throws Exception {
+    void bytesAfterACompleteAnswerAreNotReadAsTheNextAnswer(String letters) throws Exception {
         ByteBuf bytes = messages(letters);
         for (int cut : new int[] {0, 1, 5}) {
             receivedStatements.set(0);
@@ -219,7 +226,7 @@
 
     @ParameterizedTest
     @CsvSource({"TDrCZ, 0", "TDrSCZ, 1"})
-    void implausibleLoadReportIsIgnoredAndTheAnswerStands(String letters, double position) throws Exception {
+    void implausibleLoadReportIsIgnoredAndTheAnswerIsForwarded(String letters, double position) throws Exception {
         send(stubNode("replica", StubResponse.bytes(messages(letters)), null));
         assertEquals(AttemptOutcome.ANSWERED, nextOutcome());
         AttemptResult result = backend.lastResult;
@@ -231,7 +238,7 @@
 
     @ParameterizedTest
     @CsvSource({"true, 0, true", "false, 60, true", "false, 0, false"})
-    void nodeIsForgottenOnceUnknownAndWithoutConnections(boolean known, double idleSeconds, boolean left)
+    void nodeIsRemovedOnceUnknownAndWithoutConnections(boolean known, double idleSeconds, boolean left)
             throws Exception {
         backend.open(BackendClientFixture.LONG_SECONDS, idleSeconds);
         send(stubNode("replica", StubResponse.answer("a"), null));
