--- a/daemon/src/test/java/clayhook/backend/ConnectionRaceTest.java
+++ b/daemon/src/test/java/clayhook/backend/ConnectionRaceTest.java
@@ -18,10 +18,13 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Events that race at a node's connection; each test forces one order of them. */
+/** Races between events on a connection to a node; each test enforces one order of the events. */
 @Timeout(60)
 class ConnectionRaceTest {
-    /** More than the socket buffers of both sides hold together, so that only a part goes out unless it is read. */
+    /**
+     * A length in bytes that exceeds the socket buffers of both sides, so that a request of this length is written only
+     * partly unless the node reads it.
+     */
     private static final int BEYOND_SOCKET_BUFFERS = 1 << 26;
 
     private final BackendClientFixture backend = new BackendClientFixture();
@@ -40,13 +43,13 @@
         scriptedNode.close();
     }
 
-    /** Puts a client with other time limits in the place of the one before. */
+    /** Replaces the client by one with other time limits. */
     private void reopen(double connectTimeoutSeconds, double idleSeconds) throws Exception {
         backend.open(connectTimeoutSeconds, idleSeconds);
         node = backend.register(scriptedNode.address());
     }
 
-    /** A connection that has carried one attempt and is idle. */
+    /** Opens a connection, runs one attempt on it, and returns it when it is idle. */
     private ScriptedConnection idleConnection() throws Exception {
         backend.send(node, "before");
         ScriptedConnection connection = scriptedNode.acceptAndStart();
@@ -58,7 +61,7 @@
         return connection;
     }
 
-    /** The waiting attempt is written to a connection of its own, and its answer is the one to it. */
+    /** Asserts that the waiting attempt is written to a new connection and gets the answer sent on it. */
     private void assertAnsweredOnNewConnection() throws Exception {
         ScriptedConnection fresh = scriptedNode.acceptAndStart();
         assertEquals("new\0", fresh.readQuery());
@@ -68,9 +71,9 @@
         assertEquals("new", finished.value());
     }
 
-    // ---- before anything is written ----
+    // ---- before the request is written ----
 
-    /** The end, and what came before it, are in the socket buffer and not yet read by the loop. */
+    /** The event loop has not yet read the end of stream, and the bytes before it, from the socket buffer. */
     @ParameterizedTest
     @ValueSource(strings = {"", "T", "stale"})
     void idleConnectionWithPendingCloseOrUnsolicitedBytesIsNotWrittenTo(String bytes) throws Exception {
@@ -83,7 +86,7 @@
         assertAnsweredOnNewConnection();
     }
 
-    /** No sweep comes between; the first request after a quiet time finds the expired connection. */
+    /** The first request after an idle period finds the expired connection, as no sweep has closed it yet. */
     @Test
     void connectionPastItsIdleTimeoutIsNotWrittenToEvenBeforeASweep() throws Exception {
         reopen(BackendClientFixture.LONG_SECONDS, 0);
@@ -95,7 +98,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"stale", "T"})
-    void bytesAfterTheStartupAreNotTheAnswerToAWaitingRequest(String stale) throws Exception {
+    void bytesAfterTheStartupAreNotReadAsTheAnswerToAWaitingRequest(String stale) throws Exception {
         backend.send(node, "new");
         ScriptedConnection connection = scriptedNode.accept();
         connection.write(ScriptedNode.STARTUP_ANSWER + (stale.equals("stale") ? ScriptedNode.answer(stale) : stale));
@@ -104,7 +107,7 @@
         assertEquals(0, backend.connectionCount());
     }
 
-    /** A connection that ends at once is one that failed: whether to open another is the policy's decision. */
+    /** A connection that is closed right after its startup counts as failed; the routing policy decides on a retry. */
     @Test
     void nodeThatClosesAfterStartupIsNotReconnectedInALoop() throws Exception {
         backend.send(node, "new");
@@ -145,7 +148,7 @@
         assertEquals(0, backend.connectionCount());
     }
 
-    // ---- an answer that breaks or never ends ----
+    // ---- truncated and endless answers ----
 
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 20, 40, 59, 64})
@@ -165,7 +168,7 @@
         assertEquals(0, backend.connectionCount());
     }
 
-    /** What a node sends before it falls silent. */
+    /** The bytes that a node sends before it stops sending; one element for each case. */
     private static List<String> partialConversations() {
         return List.of(
                 "",
--- a/daemon/src/test/java/clayhook/backend/WaitingAttemptTest.java
+++ b/daemon/src/test/java/clayhook/backend/WaitingAttemptTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Events that race with attempts that wait for a connection; each test forces one order of them. */
+/** Races between events and attempts waiting for a connection; each test enforces one order of the events. */
 @Timeout(60)
 class WaitingAttemptTest {
     private final BackendClientFixture backend = new BackendClientFixture();
@@ -38,7 +38,7 @@
         scriptedNode.close();
     }
 
-    /** Every attempt has finished, none twice, and nothing is under way. */
+    /** Asserts that each sent attempt has finished exactly once and none is in flight. */
     private void assertEachFinishedOnce(List<Attempt> sent) throws Exception {
         Set<Attempt> finished = new HashSet<>();
         while (!backend.finished.isEmpty()) {
@@ -51,7 +51,7 @@
     // ---- attempts that end while they wait ----
 
     @Test
-    void waitingAttemptThatMayNoLongerBeSentEndsAtTheNextSweep() throws Exception {
+    void waitingAttemptThatMayNoLongerBeSentIsCancelledByTheNextSweep() throws Exception {
         Attempt cancelled = backend.send(node, "gone");
         Attempt wanted = backend.send(node, "wanted");
         ScriptedConnection connection = scriptedNode.accept();
@@ -65,7 +65,7 @@
         assertTrue(backend.finished.isEmpty());
     }
 
-    /** Its timeout is another completion: the node did not accept the connection in time. */
+    /** A timeout is a different completion from a cancellation: the node did not accept the connection in time. */
     @Test
     void sweepLeavesAnExpiredAttemptToItsDeadline() throws Exception {
         Attempt expired = backend.newAttempt(node, 0);
@@ -79,7 +79,7 @@
         assertTrue(backend.finished.isEmpty());
     }
 
-    /** A listener may end other attempts while it is asked about one; none of those is written afterwards. */
+    /** A listener may end other attempts during {@code mayStillSend}; none of them may be written afterwards. */
     @Test
     void attemptCancelledWhileConnectionsAreAssignedIsNotSent() throws Exception {
         List<Attempt> sent = new ArrayList<>();
@@ -105,7 +105,10 @@
         assertEachFinishedOnce(sent);
     }
 
-    /** Each connection in turn fails, comes up late or in time, while attempts end: none is lost or written twice. */
+    /**
+     * Connections fail before or after an attempt is written to them, while attempts expire; no attempt may be lost or
+     * written twice.
+     */
     @Test
     void everyAttemptFinishesExactlyOnceUnderRandomConnectionFaults() throws Exception {
         var random = new Random(1);
@@ -144,10 +147,10 @@
         assertEachFinishedOnce(sent);
     }
 
-    // ---- nodes that move or are forgotten ----
+    // ---- nodes that move or are removed ----
 
     @Test
-    void waitingAttemptsFollowANodeToItsNewAddressWithoutFailing() throws Exception {
+    void waitingAttemptIsSentToTheNewAddressOfAMovedNode() throws Exception {
         backend.send(node, "q");
         ScriptedConnection old = scriptedNode.accept();
         ScriptedNode oldNode = scriptedNode;
@@ -163,7 +166,7 @@
     }
 
     @Test
-    void attemptAtAForgottenNodeEndsAtOnce() throws Exception {
+    void attemptAtARemovedNodeEndsImmediately() throws Exception {
         backend.nodesKnown = false;
         backend.runOnLoop(() -> {
             backend.client.sweep();
