--- a/daemon/src/test/java/clayhook/serve/ClientDisconnectTest.java
+++ b/daemon/src/test/java/clayhook/serve/ClientDisconnectTest.java
@@ -38,7 +38,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** No attempt starts for a client that has closed or cancelled: a whole router on loopback, between stub servers. */
+/**
+ * Tests with a complete router on loopback, between stub servers, that no attempt starts for a client that has
+ * disconnected or cancelled its request.
+ */
 class ClientDisconnectTest {
     private final Transport transport = Transport.tcp();
     private final Transport routerTransport = Transport.tcp();
@@ -47,7 +50,8 @@
     private SlowNode slowNode;
 
     /**
-     * A node that holds back connections and its error answer to statement 1 until released; answers others at once.
+     * A node that delays the startup of connections and its error answer to statement 1 until the test permits them;
+     * answers other statements immediately.
      */
     private final class SlowNode implements Runnable {
         private final ServerSocket listening = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
@@ -74,7 +78,7 @@
                     startDaemon(() -> serve(socket));
                 }
             } catch (IOException e) {
-                // closed
+                // the test has closed the listening socket
             }
         }
 
@@ -98,7 +102,7 @@
                     }
                 }
             } catch (IOException | InterruptedException e) {
-                // the router has closed
+                // the router has closed the connection
             }
         }
 
@@ -107,8 +111,8 @@
         }
     }
 
-    private static RequestClass group(String name, Idempotency effect, ConsistencyLevel level) {
-        return new RequestClass(name, effect, level, 20, 60, 1, 0, DeduplicationScope.REPLICA_SET, 60, 0);
+    private static RequestClass requestClass(String name, Idempotency idempotency, ConsistencyLevel consistency) {
+        return new RequestClass(name, idempotency, consistency, 20, 60, 1, 0, DeduplicationScope.REPLICA_SET, 60, 0);
     }
 
     private void start(InetSocketAddress primary) throws InterruptedException {
@@ -120,8 +124,8 @@
                 1,
                 "a",
                 List.of(
-                        group("any", Idempotency.IDEMPOTENT, ConsistencyLevel.EVENTUAL),
-                        group("mutating", Idempotency.NON_IDEMPOTENT, ConsistencyLevel.WRITE)),
+                        requestClass("any", Idempotency.IDEMPOTENT, ConsistencyLevel.EVENTUAL),
+                        requestClass("mutating", Idempotency.NON_IDEMPOTENT, ConsistencyLevel.WRITE)),
                 true,
                 true,
                 false,
@@ -152,10 +156,10 @@
                         60));
     }
 
-    private void start(Function<KeyValueStatement, StubResponse> deeds) throws InterruptedException {
+    private void start(Function<KeyValueStatement, StubResponse> behaviour) throws InterruptedException {
         start(new StubNode(transport, transport.ephemeralAddress(0), "primary", statement -> {
                     sent.add(statement);
-                    return deeds.apply(statement);
+                    return behaviour.apply(statement);
                 })
                 .address());
     }
@@ -181,7 +185,7 @@
         return sent.stream().map(statement -> statement.requestId).toList();
     }
 
-    /** Shuts down a client's sending side and waits until the router has closed the connection. */
+    /** Shuts down the output of a client's socket and waits until the router has closed the connection. */
     private static void disconnect(SocketClient client) throws IOException {
         if (!client.socket.isOutputShutdown()) {
             client.socket.shutdownOutput();
@@ -220,7 +224,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 30})
-    void aCloseReadTogetherWithRequestsIsHandledBeforeTheyAreSent(int commands) throws Exception {
+    void requestsReadTogetherWithACloseAreNotSent(int requests) throws Exception {
         start(any -> StubResponse.answer("v"));
         SocketClient other = client().sendStartup(read(1));
         assertEquals("ready", other.readResponse());
@@ -228,7 +232,7 @@
         SocketClient client = client().sendStartup();
         assertEquals("ready", client.readResponse());
         whileLoopIsBlocked(() -> {
-            for (int i = 0; i < commands; i++) {
+            for (int i = 0; i < requests; i++) {
                 client.send(read(10 + i));
             }
             client.socket.close();
@@ -241,10 +245,11 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 40})
-    void noAttemptStartsForAClientThatDisconnectedWhileItsFirstWaitedForAConnection(int commands) throws Exception {
+    void noAttemptStartsForAClientThatDisconnectsWhileItsFirstAttemptWaitsForAConnection(int requests)
+            throws Exception {
         startSlow();
         SocketClient client = client().sendStartup();
-        for (int i = 0; i < commands; i++) {
+        for (int i = 0; i < requests; i++) {
             client.send(write(10 + i));
         }
         slowNode.connected.acquire();
@@ -258,7 +263,8 @@
 
     @ParameterizedTest
     @CsvSource({"false, false", "true, false", "true, true"})
-    void noFurtherAttemptStartsForAClientThatDisconnected(boolean together, boolean errorFirst) throws Exception {
+    void noFurtherAttemptStartsForAClientThatDisconnectsDuringTheFirst(boolean together, boolean errorFirst)
+            throws Exception {
         startSlow();
         slowNode.mayConnect.countDown();
         SocketClient client = client().sendStartup(write(1));
@@ -286,15 +292,15 @@
 
     @ParameterizedTest
     @CsvSource({"false, it is not known whether the statement has run", "true, the statement has not run"})
-    void aCancelledRequestGetsOneAnswerThatSaysWhetherItMayHaveRun(boolean waits, String text) throws Exception {
-        if (waits) {
+    void cancelledRequestGetsOneAnswerThatStatesWhetherItMayHaveRun(boolean waiting, String text) throws Exception {
+        if (waiting) {
             startSlow();
         } else {
             start(statement -> statement.requestId.equals("1") ? StubResponse.silence() : StubResponse.answer("s"));
         }
         SocketClient client = client().sendStartup(write(1));
         assertEquals("ready", client.readResponse());
-        if (waits) {
+        if (waiting) {
             slowNode.connected.acquire();
         } else {
             assertEquals("1", sent.take().requestId);
@@ -304,7 +310,7 @@
                 client().send(SocketClient.cancelRequest(client.cancelKey)).readResponse());
         assertEquals("57014", client.readResponse());
         assertEquals("cancelled; " + text, client.lastErrorMessage);
-        if (waits) {
+        if (waiting) {
             slowNode.mayConnect.countDown();
         }
         client.send(write(2), write(3));
