--- a/daemon/src/test/java/clayhook/serve/EndpointListDelayTest.java
+++ b/daemon/src/test/java/clayhook/serve/EndpointListDelayTest.java
@@ -27,23 +27,28 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** A change must be known within six seconds once discovery is reachable, whatever happens to the watch. */
+/**
+ * Tests that a router receives a change of the endpoint list within six seconds once discovery is reachable, for each
+ * fault of the watch.
+ */
 class EndpointListDelayTest {
-    /** The rest up to six seconds is for a busy machine. */
+    /** The maximum delay of a change; the remainder up to six seconds is a margin for a machine under load. */
     private static final double MAX_DELAY_SECONDS = 5.5;
-    /** Each draws its own random intervals. */
+    /** The number of routers, each of which uses its own random poll intervals. */
     private static final int ROUTERS = 6;
 
-    /** What happens to the first watch, which is open when the change is made, and to calls after it. */
+    /**
+     * The fault of the first watch, which is open when the change is made; some faults affect the next call as well.
+     */
     private enum WatchFault {
         NONE,
         SILENT,
         SILENT_TWICE,
         BUSY_TWICE,
         RESET,
-        CUT,
-        HALF_AN_ANSWER,
-        HALF_AND_RESET,
+        PARTIAL_ANSWER_THEN_CLOSE,
+        PARTIAL_ANSWER,
+        PARTIAL_ANSWER_THEN_RESET,
         REFUSED
     }
 
@@ -52,18 +57,19 @@
     private final List<FaultyDiscovery> services = new ArrayList<>();
 
     /**
-     * A discovery service whose list changes when the first watch arrives; that one fails, later calls are answered.
+     * A discovery service whose list changes when it receives the first watch. That watch fails, and with some faults
+     * also the next call; later calls are answered.
      */
     private static final class FaultyDiscovery {
         private final WatchFault fault;
         private final int port;
         private final AtomicInteger calls = new AtomicInteger();
-        private final CompletableFuture<Double> learnedAfter = new CompletableFuture<>();
+        private final CompletableFuture<Double> receivedAfter = new CompletableFuture<>();
         private ServerSocket listening;
         private volatile double changedAt;
 
-        FaultyDiscovery(WatchFault trouble) throws IOException {
-            this.fault = trouble;
+        FaultyDiscovery(WatchFault fault) throws IOException {
+            this.fault = fault;
             listening = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
             port = listening.getLocalPort();
             accept(listening);
@@ -89,7 +95,7 @@
                 if (number == 0) {
                     answer(socket, 2);
                 } else if ((number > 1 && number > faultyCalls()) || fault == WatchFault.NONE) {
-                    learnedAfter.complete(now() - changedAt);
+                    receivedAfter.complete(now() - changedAt);
                     answer(socket, 3);
                 } else if (!injectFault(socket)) {
                     return;
@@ -101,12 +107,12 @@
             return fault == WatchFault.SILENT_TWICE || fault == WatchFault.BUSY_TWICE ? 2 : 1;
         }
 
-        /** Whether the connection is still open afterwards. */
+        /** Applies the fault to a connection; returns whether the connection is still open. */
         private boolean injectFault(Socket socket) throws Exception {
             switch (fault) {
                 case BUSY_TWICE -> write(socket, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
-                case HALF_AN_ANSWER -> write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n{\"rev\":3,");
-                case HALF_AND_RESET -> {
+                case PARTIAL_ANSWER -> write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n{\"rev\":3,");
+                case PARTIAL_ANSWER_THEN_RESET -> {
                     write(socket, "HTTP/1.1 200 OK\r\n\r\n{\"rev\":3,");
                     socket.setSoLinger(true, 0);
                     socket.close();
@@ -115,7 +121,7 @@
                     socket.setSoLinger(true, 0);
                     socket.close();
                 }
-                case CUT -> {
+                case PARTIAL_ANSWER_THEN_CLOSE -> {
                     write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n{\"rev\":3,");
                     socket.close();
                 }
@@ -123,7 +129,7 @@
                     listening.close();
                     socket.close();
                     TimeUnit.SECONDS.sleep(2);
-                    changedAt = now(); // from when the service is reachable
+                    changedAt = now(); // the delay counts from when the service is reachable
                     listening = new ServerSocket(port, 50, InetAddress.getByName("127.0.0.1"));
                     accept(listening);
                 }
@@ -152,7 +158,7 @@
             try {
                 work.run();
             } catch (Exception e) {
-                // its socket was closed
+                // the socket was closed
             }
         });
         thread.setDaemon(true);
@@ -194,13 +200,13 @@
 
     @ParameterizedTest
     @EnumSource
-    void aChangeIsLearnedInTimeWhateverHappensToTheWatch(WatchFault trouble) throws Exception {
+    void changeIsReceivedInTimeDespiteAFaultOfTheWatch(WatchFault fault) throws Exception {
         for (int i = 0; i < ROUTERS; i++) {
-            services.add(new FaultyDiscovery(trouble));
+            services.add(new FaultyDiscovery(fault));
             start(services.get(i), i);
         }
         for (FaultyDiscovery service : services) {
-            double age = service.learnedAfter.get(30, TimeUnit.SECONDS);
+            double age = service.receivedAfter.get(30, TimeUnit.SECONDS);
             assertTrue(age < MAX_DELAY_SECONDS, age + " s");
         }
     }
--- a/daemon/src/test/java/clayhook/serve/PeerSharingTest.java
+++ b/daemon/src/test/java/clayhook/serve/PeerSharingTest.java
@@ -25,20 +25,21 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Whole routers on loopback that share what one of them has learned. */
+/** Tests with complete routers on loopback that share a change of the endpoint list that only one of them received. */
 class PeerSharingTest {
     private static final int ROUTERS = 3;
     /**
-     * Reads in a row that must avoid a draining node; a router that does not know of the drain sends every one there.
+     * The number of successive reads that must not reach a draining node; a router that has not received the drain
+     * sends all reads to that node.
      */
     private static final int READS = 20;
-    /** Far more than the test takes. */
+    /** The time limit for a router to stop using the draining node; far longer than needed. */
     private static final double TIMEOUT_SECONDS = 20;
 
     private final Transport transport = Transport.tcp();
     private final List<Server> servers = new ArrayList<>();
     private final List<InetSocketAddress> peerAddresses = new ArrayList<>();
-    /** Answers of discovery that contain the drain: one, to one router. */
+    /** The number of polls that could be answered with the drain; only the first one is, so that one router gets it. */
     private final AtomicInteger drainAnswers = new AtomicInteger();
 
     private StubDiscovery discovery;
@@ -57,7 +58,7 @@
     }
 
     private Server start(int number) throws Exception {
-        var group = new RequestClass(
+        var requestClass = new RequestClass(
                 "any",
                 Idempotency.IDEMPOTENT,
                 ConsistencyLevel.EVENTUAL,
@@ -71,7 +72,7 @@
         var settings = new RoutingSettings(
                 ROUTERS,
                 "a",
-                List.of(group),
+                List.of(requestClass),
                 true,
                 true,
                 false,
@@ -121,7 +122,7 @@
     }
 
     @Test
-    void aDrainLearnedByOneRouterStopsTrafficAtAllIncludingOneThatRestarted() throws Exception {
+    void drainReceivedByOneRouterStopsTrafficOfAllRoutersIncludingARestartedOne() throws Exception {
         var primary = new StubNode(
                 transport, transport.ephemeralAddress(0), "primary", any -> StubNode.StubResponse.answer("primary"));
         var replica = new StubNode(
