--- a/daemon/src/test/java/clayhook/serve/ServerTest.java
+++ b/daemon/src/test/java/clayhook/serve/ServerTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A whole router on loopback, between stub servers. */
+/** Tests with a complete router on loopback, between stub servers. */
 class ServerTest {
     private static final String READ = "id=1,c=any,d=30000,cluster=1";
     private static final String WRITE = "id=2,c=write,d=30000,k=7,cluster=1";
@@ -41,31 +41,39 @@
     private Server server;
     private StubClient client;
 
-    /** Latency objectives far exceed what a busy machine takes; only requests of the class "brief" are to time out. */
-    private static RequestClass group(String name, Idempotency effect, ConsistencyLevel level, double target) {
-        return new RequestClass(name, effect, level, target, 60, 1, 0, DeduplicationScope.REPLICA_SET, 60, 0);
+    /**
+     * Creates a request class. Latency objectives are much longer than requests take on a machine under load, except
+     * that of the class "brief", whose requests are expected to time out.
+     */
+    private static RequestClass requestClass(
+            String name, Idempotency idempotency, ConsistencyLevel consistency, double latencyObjective) {
+        return new RequestClass(
+                name, idempotency, consistency, latencyObjective, 60, 1, 0, DeduplicationScope.REPLICA_SET, 60, 0);
     }
 
-    /** Starts a router that knows a primary and a replica with these behaviours, and a client of it. */
+    /**
+     * Starts a primary and a replica that answer with these functions, a router for them and a client of the router.
+     */
     private void start(
             Function<KeyValueStatement, StubResponse> primary,
             Function<KeyValueStatement, StubResponse> replica,
-            int sockets)
+            int descriptors)
             throws InterruptedException {
-        start(node("primary", primary).address(), node("replica", replica).address(), sockets);
+        start(node("primary", primary).address(), node("replica", replica).address(), descriptors);
     }
 
-    private void start(InetSocketAddress primary, InetSocketAddress replica, int sockets) throws InterruptedException {
+    private void start(InetSocketAddress primary, InetSocketAddress replica, int descriptors)
+            throws InterruptedException {
         String list = "{\"rev\":2,\"all\":true,\"targets\":[" + entry("p", primary) + "," + entry("r", replica) + "]}";
         var discovery = new StubDiscovery(transport, transport.ephemeralAddress(0), call -> null);
         var settings = new RoutingSettings(
                 1,
                 "a",
                 List.of(
-                        group("any", Idempotency.IDEMPOTENT, ConsistencyLevel.EVENTUAL, 20),
-                        group("write", Idempotency.IDEMPOTENT_WITH_KEY, ConsistencyLevel.WRITE, 20),
-                        group("mutating", Idempotency.NON_IDEMPOTENT, ConsistencyLevel.WRITE, 20),
-                        group("brief", Idempotency.NON_IDEMPOTENT, ConsistencyLevel.WRITE, 0.6)),
+                        requestClass("any", Idempotency.IDEMPOTENT, ConsistencyLevel.EVENTUAL, 20),
+                        requestClass("write", Idempotency.IDEMPOTENT_WITH_KEY, ConsistencyLevel.WRITE, 20),
+                        requestClass("mutating", Idempotency.NON_IDEMPOTENT, ConsistencyLevel.WRITE, 20),
+                        requestClass("brief", Idempotency.NON_IDEMPOTENT, ConsistencyLevel.WRITE, 0.6)),
                 true,
                 true,
                 false,
@@ -90,17 +98,18 @@
                         discovery.address(),
                         1,
                         1 << 24,
-                        sockets,
+                        descriptors,
                         EndpointList.parse(list),
                         settings,
                         2));
         client = new StubClient(transport, server.address());
     }
 
-    private StubNode node(String role, Function<KeyValueStatement, StubResponse> deeds) throws InterruptedException {
+    private StubNode node(String role, Function<KeyValueStatement, StubResponse> behaviour)
+            throws InterruptedException {
         return new StubNode(transport, transport.ephemeralAddress(0), role, statement -> {
             sent.add(statement);
-            return deeds.apply(statement);
+            return behaviour.apply(statement);
         });
     }
 
@@ -110,16 +119,16 @@
                 + (id.equals("p") ? "primary" : "replica") + "\",\"boot_ms\":0}";
     }
 
-    private static Function<KeyValueStatement, StubResponse> always(StubResponse deed) {
-        return any -> deed;
+    private static Function<KeyValueStatement, StubResponse> always(StubResponse response) {
+        return any -> response;
     }
 
-    /** Only the request class "any" is for reads. */
+    /** Creates a read for the request class "any" and a write for any other. */
     private static ByteBuf statement(String fields) {
         return StubClient.statement(!fields.contains("c=any"), fields);
     }
 
-    private void greet(String fields) throws InterruptedException {
+    private void startSession(String fields) throws InterruptedException {
         client.send(StubClient.startupAndFirst(statement(fields)));
         assertEquals("ready", client.nextAnswer());
     }
@@ -132,16 +141,16 @@
 
     @ParameterizedTest
     @CsvSource({READ_CSV + ", replica", WRITE_CSV + ", primary"})
-    void aRequestIsRoutedToAnEligibleNodeAndItsValueIsReturned(String fields, String value) throws Exception {
+    void requestIsRoutedToAnEligibleNodeAndItsValueIsReturned(String fields, String value) throws Exception {
         start(always(StubResponse.answer("primary")), always(StubResponse.answer("replica")), 1024);
-        greet(fields);
+        startSession(fields);
         assertEquals(value, client.nextAnswer());
         assertTrue(sent.take().timeoutSeconds < 30);
     }
 
-    /** A process may be held up for so long; answers may be that late and are not lost. */
+    /** A stall of the event loop may delay an answer by the length of the stall, but must not lose it. */
     @Test
-    void aRequestThatCameWhileTheProcessWasHeldUpIsAnsweredInTime() throws Exception {
+    void requestReceivedDuringAStallIsAnsweredInTime() throws Exception {
         start(always(StubResponse.silence()), always(StubResponse.silence()), 1024);
         client.send(MessageEncoder.startupMessage("client", "core"));
         assertEquals("ready", client.nextAnswer());
@@ -167,45 +176,46 @@
 
     @ParameterizedTest
     @CsvSource({NON_IDEMPOTENT_CSV + ", 1, 40003", WRITE_CSV + ", 2, ok", READ_CSV + ", 1, ok"})
-    void aResetAfterTheSendIsRetriedOnlyWhereTheEffectAllows(String fields, int sends, String word) throws Exception {
+    void resetAfterTheSendIsRetriedOnlyForIdempotentRequests(String fields, int sends, String expected)
+            throws Exception {
         start(
                 statement -> sent.size() < 2 ? StubResponse.closeConnection() : StubResponse.answer("ok"),
                 always(StubResponse.answer("ok")),
                 1024);
-        greet(fields);
-        assertEquals(word, client.nextAnswer());
+        startSession(fields);
+        assertEquals(expected, client.nextAnswer());
         assertEquals(sends, sent.size());
     }
 
     @ParameterizedTest
     @CsvSource({"53300, 53300", "25006, 53300"})
-    void aNonIdempotentRequestThatNeverRanMayBeRejected(String code, String word) throws Exception {
+    void nonIdempotentRequestThatWasNotExecutedIsRejected(String code, String expected) throws Exception {
         start(always(StubResponse.error(code)), always(StubResponse.answer("r")), 1024);
-        greet("id=1,c=brief,d=1500,cluster=1");
-        assertEquals(word, client.nextAnswer());
+        startSession("id=1,c=brief,d=1500,cluster=1");
+        assertEquals(expected, client.nextAnswer());
     }
 
     @Test
-    void aSilentNodeTimesOutAndItsConnectionIsNeverReused() throws Exception {
+    void requestAtASilentNodeTimesOutAndItsConnectionIsNotReused() throws Exception {
         start(
                 statement -> sent.size() == 1 ? StubResponse.silence() : StubResponse.answer("late"),
                 always(StubResponse.answer("r")),
                 1024);
-        greet("id=1,c=brief,d=1500,cluster=1");
+        startSession("id=1,c=brief,d=1500,cluster=1");
         assertEquals("40003", client.nextAnswer());
         client.send(statement(READ));
         assertEquals("r", client.nextAnswer());
     }
 
     @Test
-    void aRequestGoesToAnotherNodeWhenOneRefusesConnections() throws Exception {
-        StubNode gone = node("replica", always(StubResponse.answer("x")));
-        gone.close();
+    void requestIsSentToAnotherNodeIfOneRefusesConnections() throws Exception {
+        StubNode closed = node("replica", always(StubResponse.answer("x")));
+        closed.close();
         start(
-                gone.address(),
+                closed.address(),
                 node("replica", always(StubResponse.answer("here"))).address(),
                 1024);
-        greet(READ);
+        startSession(READ);
         assertEquals("here", client.nextAnswer());
         for (int i = 0; i < 4; i++) {
             client.send(statement(READ));
@@ -223,8 +233,7 @@
         "false, 'id=1,c=mutating,d=30000,cluster=1'",
         "true, 'id=1,c=write,d=30000,cluster=1'"
     })
-    void anInvalidRequestGetsAnErrorReachesNoNodeAndLeavesTheSessionOpen(boolean writes, String fields)
-            throws Exception {
+    void invalidRequestGetsAnErrorReachesNoNodeAndLeavesTheSessionOpen(boolean writes, String fields) throws Exception {
         start(always(StubResponse.answer("served")), always(StubResponse.answer("served")), 1024);
         client.send(StubClient.startupAndFirst(StubClient.statement(writes, fields)));
         assertEquals("ready", client.nextAnswer());
@@ -236,9 +245,9 @@
     }
 
     @Test
-    void aSecondRequestWithTheIdOfAnOpenOneIsRefusedUntilTheFirstIsAnswered() throws Exception {
+    void requestWithTheIdOfAnOpenOneIsRefusedUntilThatOneIsAnswered() throws Exception {
         start(always(StubResponse.silence()), always(StubResponse.answer("r")), 1024);
-        greet("id=2,c=brief,d=1500,cluster=1");
+        startSession("id=2,c=brief,d=1500,cluster=1");
         sent.take();
         var other = new StubClient(transport, server.address());
         other.send(StubClient.startupAndFirst(statement("id=2,c=any,d=30000,cluster=1")));
@@ -250,9 +259,9 @@
     }
 
     @Test
-    void answersComeInTheOrderOfTheRequests() throws Exception {
+    void answersAreSentInTheOrderOfTheRequests() throws Exception {
         start(always(StubResponse.answer("p")), always(StubResponse.answer("r")), 1024);
-        greet(READ);
+        startSession(READ);
         client.send(Unpooled.wrappedBuffer(
                 statement(WRITE),
                 MessageEncoder.query(new byte[] {' '}),
@@ -260,8 +269,8 @@
                 extended('B'),
                 extended('S'),
                 statement(READ)));
-        for (String word : List.of("r", "p", "ready", "0A000", "r")) {
-            assertEquals(word, client.nextAnswer());
+        for (String expected : List.of("r", "p", "ready", "0A000", "r")) {
+            assertEquals(expected, client.nextAnswer());
         }
     }
 
@@ -271,27 +280,27 @@
 
     @ParameterizedTest
     @CsvSource({"j, 4", "Q, 2147483647"})
-    void aMalformedMessageEndsOnlyItsOwnSession(char type, int length) throws Exception {
+    void malformedMessageEndsOnlyItsOwnSession(char type, int length) throws Exception {
         start(always(StubResponse.answer("p")), always(StubResponse.answer("r")), 1024);
         var other = new StubClient(transport, server.address());
         other.send(StubClient.startupAndFirst(Unpooled.buffer().writeByte(type).writeInt(length)));
         assertEquals("ready", other.nextAnswer());
         assertEquals("08P01 closed", other.nextAnswer());
-        greet(READ);
+        startSession(READ);
         assertEquals("r", client.nextAnswer());
     }
 
     @Test
-    void theOldestIdleClientIsClosedWhenDescriptorsRunOut() throws Exception {
+    void longestIdleClientIsClosedWhenDescriptorsRunOut() throws Exception {
         start(always(StubResponse.answer("p")), always(StubResponse.answer("r")), 48 + 2 * 3);
-        greet(READ);
+        startSession(READ);
         assertEquals("r", client.nextAnswer());
         for (int i = 0; i < 4; i++) {
             var next = new StubClient(transport, server.address());
             next.send(StubClient.startupAndFirst(statement(READ)));
             assertEquals("ready", next.nextAnswer());
             assertEquals("r", next.nextAnswer());
-            Thread.sleep(400); // a client may not have read an answer that was just sent, and is not closed yet
+            Thread.sleep(400); // the router spares a client that may not have read a recent answer yet
         }
         assertEquals("57P03 closed", client.nextAnswer());
     }
@@ -310,18 +319,19 @@
 
     @ParameterizedTest
     @CsvSource({NON_IDEMPOTENT_CSV + ", 40003", READ_CSV + ", 53300"})
-    void requestsAdmittedBeforeAndDuringShutdownAreAnsweredBeforeItEnds(String fields, String word) throws Exception {
+    void requestsAdmittedBeforeAndDuringShutdownAreAnsweredBeforeItEnds(String fields, String expected)
+            throws Exception {
         start(
                 always(StubResponse.silence()),
                 statement -> sent.size() < 3 ? StubResponse.answer("r") : StubResponse.silence(),
                 1024);
-        greet(READ);
+        startSession(READ);
         assertEquals("r", client.nextAnswer());
         Thread shutdown = shutDownInBackground();
         client.send(statement(READ));
         assertEquals("r", client.nextAnswer());
         client.send(statement(fields));
-        assertEquals(word + " closed", client.nextAnswer());
+        assertEquals(expected + " closed", client.nextAnswer());
         shutdown.join();
     }
 }
