--- a/daemon/src/test/java/clayhook/serve/ReloadSignalTest.java
+++ b/daemon/src/test/java/clayhook/serve/ReloadSignalTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 class ReloadSignalTest {
-    /** Without the handler SIGHUP ends the process, and this test with it. */
+    /** Without the handler, SIGHUP would end the process that runs this test. */
     @Test
     void everySighupReachesTheHandler() throws Exception {
         var signals = new Semaphore(0);
@@ -25,7 +25,10 @@
         }
     }
 
-    /** Each shape of concatenation would define classes at its first use, while requests wait. */
+    /**
+     * String concatenation compiled to {@code makeConcatWithConstants} defines classes at the first use of each form,
+     * which would delay requests.
+     */
     @Test
     void stringConcatenationOfTheServingPathDefinesNoClassesAtRunTime() throws Exception {
         Path folder = Path.of(Router.class.getResource("Router.class").toURI()).getParent();
--- a/daemon/src/test/java/clayhook/serve/ServerLifecycleTest.java
+++ b/daemon/src/test/java/clayhook/serve/ServerLifecycleTest.java
@@ -32,11 +32,11 @@
     void noServerStartsAfterShutdownWasRequested() throws Exception {
         lifecycle.shutDown();
         assertNull(lifecycle.start(() -> {
-            throw new IllegalStateException("a server started that nobody will shut down");
+            throw new IllegalStateException("a server started after shutdown was requested");
         }));
     }
 
-    /** Shutdown is requested when the listener has accepted a client and the start has not returned yet. */
+    /** Shutdown is requested after the listener has accepted a client and before the start has returned. */
     @Test
     void shutdownDuringStartupWaitsForTheServerAndAnswersItsClients() throws Exception {
         var listening = new CompletableFuture<Server>();
@@ -76,7 +76,7 @@
         }
     }
 
-    /** A server without a reachable node. */
+    /** Starts a server without a reachable node. */
     private Server server() throws InterruptedException {
         var discovery = new StubDiscovery(transport, transport.ephemeralAddress(0), call -> null);
         var settings = new RoutingSettings(
--- a/daemon/src/test/java/clayhook/serve/ShutdownTest.java
+++ b/daemon/src/test/java/clayhook/serve/ShutdownTest.java
@@ -28,17 +28,17 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** The steps of a graceful shutdown, each at a moment that the test chooses. */
+/** Tests of the steps of a graceful shutdown, each of which the test itself triggers. */
 class ShutdownTest {
     private final Transport transport = Transport.tcp();
     private final Transport routerTransport = Transport.tcp();
     private final LinkedBlockingQueue<KeyValueStatement> sent = new LinkedBlockingQueue<>();
     private Router router;
 
-    private void start(Function<KeyValueStatement, StubNode.StubResponse> deeds) throws InterruptedException {
+    private void start(Function<KeyValueStatement, StubNode.StubResponse> behaviour) throws InterruptedException {
         var node = new StubNode(transport, transport.ephemeralAddress(0), "primary", statement -> {
             sent.add(statement);
-            return deeds.apply(statement);
+            return behaviour.apply(statement);
         });
         var discovery = new StubDiscovery(transport, transport.ephemeralAddress(0), call -> null);
         var settings = new RoutingSettings(
@@ -102,8 +102,9 @@
                 null);
     }
 
-    private static ByteBuf statement(int id, String group) {
-        return StubClient.statement(!group.equals("any"), "id=" + id + ",c=" + group + ",d=30000,cluster=1");
+    private static ByteBuf statement(int id, String requestClass) {
+        return StubClient.statement(
+                !requestClass.equals("any"), "id=" + id + ",c=" + requestClass + ",d=30000,cluster=1");
     }
 
     private StubClient client(ByteBuf... statements) throws InterruptedException {
@@ -119,7 +120,7 @@
     }
 
     @Test
-    void pipelinedRequestsAreAnsweredWhenPendingOnesFail() throws Exception {
+    void pipelinedRequestsAreAnsweredWhenPendingOnesAreFailed() throws Exception {
         start(any -> StubNode.StubResponse.silence());
         StubClient client = client(statement(1, "mutating"), statement(2, "any"), statement(3, "mutating"));
         sent.take();
@@ -133,7 +134,7 @@
     }
 
     @Test
-    void aRequestThatArrivesAfterPendingOnesFailedIsRejectedAndReachesNoNode() throws Exception {
+    void requestReceivedAfterPendingOnesWereFailedIsRejectedAndReachesNoNode() throws Exception {
         start(any -> StubNode.StubResponse.answer("served"));
         StubClient client = client(statement(1, "any"));
         assertEquals(List.of("ready", "served"), List.of(client.nextAnswer(), client.nextAnswer()));
@@ -143,7 +144,7 @@
         assertEquals(1, sent.size());
     }
 
-    /** The event loop is blocked until the kernel has accepted all connections, and draining is its next step. */
+    /** The event loop is blocked until the kernel has accepted all connections; its next step is the drain. */
     @Test
     void connectionsInTheAcceptBacklogAreServedBeforeTheListenerCloses() throws Exception {
         start(any -> StubNode.StubResponse.answer("served"));
