--- a/daemon/src/main/java/clayhook/backend/AnswerReader.java
+++ b/daemon/src/main/java/clayhook/backend/AnswerReader.java
@@ -48,7 +48,7 @@
     /** Whether at least one result of this answer is complete. */
     private boolean resultComplete;
     /** The single row of a fixed-form answer, or null. */
-    private NodeMessage.Part dataRow;
+    private NodeMessage.ResultMessage dataRow;
     /** The SQLSTATE of the error in this answer, or null. */
     private String sqlState;
 
@@ -106,7 +106,7 @@
     }
 
     private Progress readFreeForm(Object message) {
-        if (message instanceof NodeMessage.Part part && isValidInResult(part)) {
+        if (message instanceof NodeMessage.ResultMessage part && isValidInResult(part)) {
             boolean describesColumns = part.type() == 'T' || part.type() == 'D';
             columnCount = describesColumns ? part.columnCount() : NO_ROW_DESCRIPTION;
             resultComplete |= !describesColumns;
@@ -127,7 +127,7 @@
      * Whether a message is valid at this point of a free-form answer: a DataRow must have the column count of its
      * RowDescription, and a new result must not start before the rows of the previous one are complete.
      */
-    private boolean isValidInResult(NodeMessage.Part part) {
+    private boolean isValidInResult(NodeMessage.ResultMessage part) {
         return switch (part.type()) {
             case 'D' -> part.columnCount() == columnCount;
             case 'C' -> true;
