--- a/daemon/src/main/java/clayhook/frontend/ClientSession.java
+++ b/daemon/src/main/java/clayhook/frontend/ClientSession.java
@@ -15,40 +15,46 @@
 import java.util.function.Function;
 
 /**
- * The state machine of one client connection. Requests are handled in order, one at a time: each is answered before the
- * next one begins.
+ * The state machine of one client connection. Requests are handled in order, one at a time: the response to a request
+ * is written before the next request starts.
  *
- * <p>{@link ClientMessageDecoder} parses the bytes, {@link ClientConnection} reads, writes and closes,
- * {@link PendingMessages} holds what the client sent ahead, and {@link SessionActivity} knows the time limits.
+ * <p>{@link ClientMessageDecoder} parses the bytes, {@link ClientConnection} reads, writes and closes the connection,
+ * {@link PendingMessages} holds pipelined messages, and {@link SessionActivity} computes the time limits.
  *
- * <p>Event loop only: all methods are called on the event loop of the connection.
+ * <p>All methods must be called on the event loop of the connection.
  */
 public final class ClientSession {
     /** Receives the requests of all sessions, on the event loop. */
     public interface RequestHandler {
-        /** A statement of one of the two fixed forms arrived; it must get exactly one response. */
+        /** Handles a key-value statement, to which exactly one response must be sent. */
         void onKeyValueStatement(ClientSession session, KeyValueStatement statement);
 
-        /** A statement of any kind arrived, as the bytes that the client sent; it must get exactly one response. */
+        /** Handles an SQL statement, given as the client's bytes, to which exactly one response must be sent. */
         void onSqlStatement(ClientSession session, byte[] text);
 
-        /** The client closed its connection before its request was answered; no response is due any more. */
+        /**
+         * Handles the end of a session whose current request has no response yet; a response is no longer needed. The
+         * client closed the connection, or the session failed with an exception.
+         */
         void onClientGone(ClientSession session);
 
-        /** The client cancels its request, which gets {@link #respondCancelled} unless its response was sent first. */
+        /**
+         * Handles a cancel request for the current request of the session. {@link #respondCancelled} must be called,
+         * unless another response is sent first.
+         */
         void onCancelRequest(ClientSession session);
     }
 
     private enum State {
-        /** No start-up message has arrived. */
+        /** No start-up message has been received. */
         STARTUP,
-        /** The next message is handled as soon as it arrives. */
+        /** The next message is handled as soon as it is received. */
         READY,
-        /** A request is being handled; later messages wait. */
+        /** A request is in flight; later messages are queued. */
         AWAITING_RESPONSE,
-        /** A message of the extended query protocol was rejected: everything up to the next Sync is skipped. */
+        /** A message of the extended query protocol was rejected; all messages up to the next Sync are skipped. */
         SKIPPING_TO_SYNC,
-        /** The connection is closing or closed; no message is handled any more. */
+        /** The connection is closing or closed; further messages are not handled. */
         CLOSING
     }
 
@@ -57,7 +63,7 @@
     private final CancelKeyRegistry cancelKeys;
     private final ConnectionEnds ends;
     private final DoubleSupplier clock;
-    /** Null where only the two fixed forms of statement are accepted. */
+    /** The settings of the client; null if only key-value statements are accepted. */
     private final SessionSettings settings;
 
     private final PendingMessages pendingMessages = new PendingMessages();
@@ -65,31 +71,31 @@
     private final ClientConnection connection;
     private State state = State.STARTUP;
     private long cancelKey = ClientMessageDecoder.NO_CANCEL_KEY;
-    /** Clock time in seconds. */
+    /** The clock time in seconds at which the client connected. */
     private final double connectedAt;
-    /** When the current request began; clock time in seconds. */
+    /** The clock time in seconds at which the current request started. */
     private double requestStartedAt;
-    /** Log position in seconds; 0 for no write. */
+    /** The log position, in seconds, of the last write of this session; 0 if there was none. */
     private double lastWritePosition;
-    /** The session closes as soon as everything received has been answered. */
+    /** Whether the session closes as soon as all requests received are answered. */
     private boolean draining;
-    /** While draining: everything that arrived before has been read, and requests that still come are refused. */
+    /** Whether a draining session has read all input that was received before the drain, and refuses later requests. */
     private boolean admissionOver;
 
     private boolean endScheduled;
-    /** Why the router drains this session. */
+    /** The reason for which the router drains this session; null before that. */
     private EndCause drainCause;
-    /** Why the connection ends; the client has left unless the router ended it before. */
+    /** The reason for the end of the connection; {@code CLIENT_LEFT} unless the router closes it first. */
     private EndCause endCause = EndCause.CLIENT_LEFT;
-    /** Messages that had been decoded and not handled when the router ended the connection. */
+    /** The number of messages that were decoded but not handled when the router closed the connection. */
     private int unansweredMessages;
 
     /**
      * Creates the session of a new connection.
      *
-     * @param settings null where only the two fixed forms of statement are accepted
+     * @param settings the settings of the client; null if only key-value statements are accepted
      * @param ends records the end of the connection
-     * @param clock the time in seconds
+     * @param clock returns the current time in seconds
      * @param onClosed called once the connection is closed
      */
     ClientSession(
@@ -111,41 +117,43 @@
         activity = new SessionActivity(connectedAt);
     }
 
-    /** The channel handler of the connection; it stands behind the decoder. */
+    /** The channel handler of the connection, which follows the decoder in the pipeline. */
     ClientConnection connection() {
         return connection;
     }
 
-    // ---- what the request handler asks ----
+    // ---- methods for the request handler ----
 
-    /** Whether the client has closed its connection, which may not have been reported to the request handler yet. */
+    /** Whether the connection is closed; {@link RequestHandler#onClientGone} may not have been called yet. */
     public boolean isClientGone() {
         return !connection.isOpen();
     }
 
-    /** An id that is unique among the sessions of this router. */
+    /** The id of this session, unique among the sessions of this router. */
     public String id() {
         return connection.id();
     }
 
-    /** The log position in seconds that reads of this session must cover to see its own writes; 0 for none. */
+    /**
+     * The log position, in seconds, that a node must have applied for reads to see the session's writes; 0 for none.
+     */
     public double lastWritePosition() {
         return lastWritePosition;
     }
 
-    /** Records that a write of this session was committed at a log position, in seconds. */
+    /** Records the log position, in seconds, at which a write of this session was committed. */
     public void recordWrite(double position) {
         lastWritePosition = Math.max(lastWritePosition, position);
     }
 
-    /** The settings that the client has made; null where only the two fixed forms of statement are accepted. */
+    /** The settings that the client has set; null if only key-value statements are accepted. */
     public SessionSettings settings() {
         return settings;
     }
 
     // ---- events of the connection ----
 
-    /** A message arrived. */
+    /** Queues a decoded message, and handles it if the session is ready. */
     void onMessage(Object message) {
         activity.onMessage();
         boolean accepted = pendingMessages.add(message);
@@ -154,26 +162,32 @@
         }
         if (!admissionOver) {
             processPendingMessages();
-        } // else once all that has arrived is read: the last answer ends the connection
+        } // else handled in onReadComplete, when it is known which request is the last one and closes the connection
     }
 
-    /** Everything that had arrived is read, and passed to {@link #onMessage} but for a partial message. */
+    /**
+     * Handles the end of a series of socket reads: all complete messages have been passed to {@link #onMessage}, and
+     * only part of a message may remain in the decoder.
+     */
     void onReadComplete() {
         activity.onReadComplete(connection.hasPartialMessage(), clock);
         processPendingMessages();
     }
 
-    /** The client reads its responses again, or no longer; while it does not, no further request is handled. */
+    /**
+     * Handles a change of the connection's writability. While the connection is not writable, because the client does
+     * not read its responses, no further message is handled.
+     */
     void onWritabilityChanged() {
         processPendingMessages();
     }
 
-    /** A write has completed or failed. */
+    /** Handles the completion or failure of a write. */
     void onWritten() {
         closeIfDrained();
     }
 
-    /** The connection is closed, by either side. */
+    /** Handles the end of the connection, whichever side closed it. */
     void onDisconnect() {
         boolean responseDue = state == State.AWAITING_RESPONSE;
         state = State.CLOSING;
@@ -186,7 +200,10 @@
         onClosed.accept(this);
     }
 
-    /** Handling an event of the connection threw an exception: the request in hand, if any, gets an error. */
+    /**
+     * Handles an exception that was thrown while an event of the connection was handled: sends an error to the client,
+     * which also answers the current request, and closes the connection.
+     */
     void onFault() {
         if (state == State.CLOSING) {
             connection.closeNow();
@@ -232,7 +249,7 @@
             if (target != null) {
                 target.cancelRequestStartedBy(connectedAt);
             }
-            // No response: it would tell whether the key was right.
+            // No response, because it would disclose whether the key is valid.
             closeAfter(EndCause.CANCEL_REQUEST, Unpooled.EMPTY_BUFFER);
         }
     }
@@ -250,7 +267,10 @@
                 startup.minorVersion(), cancelKey, ReportedParameters.atStartup(settings, startup.parameters())));
     }
 
-    /** Does nothing if the current request began later: the cancel request was then meant for an earlier one. */
+    /**
+     * Cancels the current request if it started at or before the given clock time in seconds. A request that started
+     * later is not cancelled, because the cancel request was meant for an earlier one.
+     */
     private void cancelRequestStartedBy(double requestedAt) {
         if (state == State.AWAITING_RESPONSE && requestStartedAt <= requestedAt) {
             requestHandler.onCancelRequest(this);
@@ -289,7 +309,7 @@
         } else if (message instanceof ClientMessage.FunctionCall) {
             writeAnswer(ClientResponses.functionCallRejected());
         } else if (message instanceof ClientMessage.Terminate) {
-            // As at a server, the requests before it have been answered.
+            // All requests before this message have been answered, as a PostgreSQL server does.
             closeAfter(EndCause.TERMINATE, Unpooled.EMPTY_BUFFER);
         } else if (message instanceof ClientMessage.Malformed malformed) {
             rejectMalformed(malformed);
@@ -302,7 +322,7 @@
                 || message instanceof ClientMessage.SkippedQuery;
     }
 
-    /** Refuses a request that came too late; the connection ends with it unless more has been read. */
+    /** Refuses a request received too late during a drain, and closes the connection if no further input was read. */
     private void refuse() {
         if (mayEndWithAnswer()) {
             closeAfter(drainCause, ClientResponses.connectionEnds(drainCause));
@@ -312,7 +332,7 @@
         }
     }
 
-    /** Whether nothing has been read behind the request whose answer is due, while the session drains. */
+    /** Whether the session is draining and no input has been read after the current request. */
     private boolean mayEndWithAnswer() {
         return draining && pendingMessages.isEmpty() && !connection.hasPartialMessage();
     }
@@ -348,36 +368,39 @@
 
     // ---- responses ----
 
-    /** Answers with the messages of a node's response, unchanged. */
+    /** Responds with the unchanged messages of a node's response. */
     public void respondWithResult(List<byte[]> messages) {
         respond(MessageEncoder.response(messages));
     }
 
     /**
-     * Answers that the request was rejected and may safely be sent again.
+     * Responds that the request was rejected and may safely be retried.
      *
-     * @param retryAfter seconds after which the client should retry; 0 for no advice
+     * @param retryAfter the delay in seconds after which the client should retry; 0 for no advice
      */
     public void respondRejected(double retryAfter) {
         respondWithFailure(fatal -> ClientResponses.rejected(retryAfter, fatal));
     }
 
-    /** Answers that the statement may or may not have run. */
+    /** Responds that it is not known whether the statement was executed. */
     public void respondInDoubt() {
         respondWithFailure(ClientResponses::inDoubt);
     }
 
-    /** Answers that the request was cancelled on behalf of the client. */
+    /** Responds that the request was cancelled by the client; {@code mayHaveRun} if it may have been executed. */
     public void respondCancelled(boolean mayHaveRun) {
         respond(ClientResponses.cancelled(mayHaveRun));
     }
 
-    /** Answers that the statement could not be accepted, and why. */
+    /** Responds with an error of the given SQLSTATE code and reason. */
     public void respondWithError(String sqlState, String reason) {
         respond(ClientResponses.error(sqlState, reason));
     }
 
-    /** While draining, an error of the router's own ends the connection, so that no later request crosses the end. */
+    /**
+     * Responds with an error that the router itself generates. If the session is draining and no further input was
+     * read, the error closes the connection, so that the client does not send a request while the connection closes.
+     */
     private void respondWithFailure(Function<Boolean, ByteBuf> failure) {
         if (draining && !admissionOver) {
             connection.afterPendingReads(() -> respondOrEnd(failure));
@@ -405,7 +428,10 @@
         processPendingMessages();
     }
 
-    /** Right behind an answer the connection must not end, as its last error could be taken for a second answer. */
+    /**
+     * Writes a response and records the time. The connection must not be closed immediately afterwards, because the
+     * client could take the error sent on closing for a second response.
+     */
     private void writeAnswer(ByteBuf bytes) {
         activity.onAnswer(clock.getAsDouble());
         connection.write(bytes);
@@ -417,17 +443,22 @@
         return mayHandleMessage() && pendingMessages.isEmpty();
     }
 
-    /** Between requests: all responses have been written, and no part of the next request has arrived. */
+    /**
+     * Whether the session is between requests: all responses are written, and no part of a next message is received.
+     */
     private boolean isQuiescent() {
         return isIdle() && connection.isFlushed() && !connection.hasPartialMessage();
     }
 
-    /** Whether the client has had a request answered and has sent no further one. */
+    /** Whether the client has sent a request, all responses are written, and no further message is received. */
     boolean isIdleAfterRequest() {
         return activity.hasSentRequest() && isQuiescent();
     }
 
-    /** Whether the client is owed a response, or may not have read all of one, or is in the middle of a request. */
+    /**
+     * Whether a response is outstanding or may not have been read by the client, or part of a request is received. A
+     * closing session is busy only until its last bytes are written.
+     */
     boolean isBusy() {
         return !connection.isFlushed() || (state != State.CLOSING && !(isQuiescent() && isAnswerSettled()));
     }
@@ -436,23 +467,26 @@
         return activity.secondsUntilAnswerSettles(clock.getAsDouble()) <= 0;
     }
 
-    /** Whether the connection has ended for the client, and all that it is owed has been written. */
+    /** Whether the session is closing or closed and all of its responses are written. */
     boolean isEnded() {
         return state == State.CLOSING && connection.isFlushed();
     }
 
-    /** The order in which sessions that are not busy are evicted, lowest first: closing ones, then the longest idle. */
+    /**
+     * The rank by which sessions that are not busy are evicted, lowest first: closing sessions, then the sessions that
+     * have been idle for the longest time.
+     */
     double evictionRank() {
         return state == State.CLOSING ? 0 : activity.evictionRank();
     }
 
-    /** Closes the connection of a client that has exceeded a time limit; {@code now} is clock time in seconds. */
+    /** Closes the connection if the client has exceeded a time limit at {@code now}, a clock time in seconds. */
     void closeIfIdleTooLong(double now) {
         if (state != State.AWAITING_RESPONSE && !connection.isFlushed() && activity.isResponseUnreadTooLong(now)) {
             endCause = EndCause.UNREAD_RESPONSE;
             connection.closeNow();
         } else if (idleTimeout(now).isPresent()) {
-            // Reads what arrived first: a stall of this process must not count as silence of the client.
+            // Reads pending input first, so that a stall of this process does not count as inactivity of the client.
             connection.afterPendingReads(() -> idleTimeout(now).ifPresent(reason -> {
                 Log.warn("client", reason);
                 closeAfter(EndCause.IDLE_TIMEOUT, ClientResponses.idleTimeout());
@@ -466,14 +500,14 @@
 
     // ---- closing ----
 
-    /** Answers what has arrived by now, then closes the connection. */
+    /** Closes the connection after all requests received so far are answered. */
     void drain(EndCause cause) {
         draining = true;
         drainCause = cause;
         closeIfDrained();
     }
 
-    /** Closes the connection at once, to free its descriptor; only for a session that is not busy. */
+    /** Closes the connection immediately to free its descriptor. The session must not be busy. */
     void evict() {
         if (state != State.CLOSING) {
             closeAfter(EndCause.EVICTION, ClientResponses.connectionEnds(EndCause.EVICTION));
@@ -481,7 +515,10 @@
         connection.inNextIteration(connection::closeNow);
     }
 
-    /** Ends the connection at once, as the process does: whatever has not been read or answered by now is answered. */
+    /**
+     * Closes the connection because the process is about to exit. A request in flight is answered as in-doubt;
+     * otherwise the client gets an error, which also refuses a request that has not been read.
+     */
     void endBeforeExit() {
         if (state == State.AWAITING_RESPONSE) {
             closeAfter(EndCause.SHUTDOWN, ClientResponses.inDoubt(true));
@@ -491,8 +528,9 @@
     }
 
     /**
-     * Requests that are read are answered; a later one stays unread, and its client finds that it was refused. Right
-     * behind an answer that error could be taken for a second one, so the connection stays open for a while.
+     * Closes a draining session once it is quiescent. Requests that have been read are answered; a later request is
+     * left unread, and the error sent on closing tells its client that it was refused. The connection stays open for a
+     * while after a response, because the client could take an error that follows immediately for a second response.
      */
     private void closeIfDrained() {
         if (!draining || !isQuiescent()) {
