--- a/daemon/src/main/java/clayhook/frontend/ClientListener.java
+++ b/daemon/src/main/java/clayhook/frontend/ClientListener.java
@@ -19,19 +19,23 @@
 import java.util.function.Supplier;
 
 /**
- * Accepts client connections and owns their sessions: it admits them within the descriptor budget, closes idle ones and
- * drains all at shutdown. Event loop only, but for the constructor and {@link #address}.
+ * Accepts client connections and owns their sessions: accepts connections within the file descriptor budget, closes
+ * idle sessions, and drains all sessions at shutdown.
+ *
+ * <p>All methods must be called on the event loop, except the constructor and {@link #address}.
  */
 public final class ClientListener {
-    /** An eighth of the memory is for long statements of clients; the runtime itself takes half. */
+    /** Long client statements may occupy an eighth of the process memory; the runtime itself needs half. */
     private static final int MEMORY_DIVISOR = 8;
     /**
-     * Above this share of the clients that fit, idle ones are closed: whoever distributes the connections over the
-     * routers may grant this router fewer than it has descriptors for.
+     * The maximum number of idle sessions, as a fraction of the descriptors for clients. Sessions beyond it are closed,
+     * because the component that distributes connections over the routers may allow this router fewer connections
+     * than it has descriptors.
      */
     private static final double CROWDED_FRACTION = 0.5;
     /**
-     * While draining, for the first request of a client that has just connected; short beside the time that is left.
+     * How long a draining session waits for the first request of a client that has just connected; short compared to
+     * the time that is left for the shutdown.
      */
     private static final int FIRST_REQUEST_GRACE_MS = 50;
 
@@ -39,7 +43,7 @@
     private final InetSocketAddress requestedAddress;
     private final DescriptorBudget descriptors;
     private final MemoryBudget memoryBudget;
-    /** Null where only the two fixed forms of statement are accepted. */
+    /** Creates the settings of a new session; null if only key-value statements are accepted. */
     private final Supplier<SessionSettings> settingsFactory;
 
     private final DoubleSupplier clock;
@@ -47,7 +51,7 @@
     private final EventCounters counters;
     private final ConnectionEnds ends;
     private final Channel serverChannel;
-    /** In the order of their connects. */
+    /** All sessions that hold a descriptor, in the order in which the clients connected. */
     private final Set<ClientSession> sessions = new LinkedHashSet<>();
 
     private final CancelKeyRegistry cancelKeys = new CancelKeyRegistry();
@@ -55,13 +59,12 @@
     private boolean draining;
 
     /**
-     * Listens at an address.
+     * Binds the address and starts to accept connections.
      *
-     * @param memory bytes that the process may use; a part of it is the limit for long statements
-     * @param settingsFactory makes the settings of a new session; null where only the two fixed forms of statement are
-     *     accepted
-     * @param clock the time in seconds
-     * @param counters counts rejected clients and closed sessions
+     * @param memory the bytes that the process may use, an eighth of which limits the long statements of clients
+     * @param settingsFactory creates the settings of a new session; null if only key-value statements are accepted
+     * @param clock returns the current time in seconds
+     * @param counters counts the rejected clients and the closed sessions
      * @throws InterruptedException if the thread is interrupted before the socket is bound
      */
     public ClientListener(
@@ -109,24 +112,33 @@
         }
     }
 
-    /** The address of the listening socket, with the actual port if an ephemeral one was requested. Any thread. */
+    /**
+     * The address of the listening socket, with the actual port if an ephemeral port was requested. May be called on
+     * any thread.
+     */
     public InetSocketAddress address() {
         return serverChannel.localAddress() instanceof InetSocketAddress bound ? bound : requestedAddress;
     }
 
-    /** Accepts no more connections and closes each session once what has arrived on it is answered. */
+    /** Stops accepting connections, and closes each session once all requests received on it are answered. */
     public void drain() {
         draining = true;
         transport.stopListening(serverChannel);
         List.copyOf(sessions).forEach(this::drain);
     }
 
-    /** Ends all sessions that are still open, whatever they wait for: the process ends. */
+    /**
+     * Ends all sessions that are still open, because the process is about to exit; pending requests are answered as
+     * in-doubt.
+     */
     public void endSessionsBeforeExit() {
         List.copyOf(sessions).forEach(ClientSession::endBeforeExit);
     }
 
-    /** A client that has sent no request yet may have its first one in transit, and gets a short grace period. */
+    /**
+     * Drains a session; one whose client has not sent a request yet is drained after a short grace period, because its
+     * first request may be in transit.
+     */
     @SuppressWarnings("FutureReturnValueIgnored") // nothing waits for the scheduled drain
     private void drain(ClientSession session) {
         if (session.isIdleAfterRequest() || session.isBusy()) {
@@ -139,8 +151,10 @@
     }
 
     /**
-     * Closes sessions that have exceeded a time limit and, where there are many, those that had a request answered and
-     * stay idle; {@code now} is clock time in seconds.
+     * Closes the sessions that have exceeded a time limit. If too many sessions are idle after a request, also closes
+     * as many of them as exceed the maximum, in the order of {@link ClientSession#evictionRank}.
+     *
+     * @param now the clock time in seconds
      */
     public void closeIdleSessions(double now) {
         List.copyOf(sessions).forEach(session -> session.closeIfIdleTooLong(now));
@@ -156,7 +170,10 @@
         });
     }
 
-    /** Closes the session of lowest rank that is not busy, to free its descriptor; false if there is none. */
+    /**
+     * Closes the session with the lowest eviction rank among those that are not busy, to free its descriptor. Returns
+     * false if all sessions are busy.
+     */
     private boolean evictSession() {
         Optional<ClientSession> lowest = sessions.stream()
                 .filter(session -> !session.isBusy())
@@ -168,17 +185,17 @@
         return lowest.isPresent();
     }
 
-    /** Whether any session may still answer a request; those whose last bytes are written only linger. */
+    /** Whether any session may still send a response; a session whose last bytes are written only lingers. */
     public boolean hasOpenSessions() {
         return sessions.stream().anyMatch(session -> !session.isEnded());
     }
 
-    /** The number of sessions, with those that linger. */
+    /** The number of sessions, including lingering ones. */
     public int sessionCount() {
         return sessions.size();
     }
 
-    /** The number of sessions whose current request could be cancelled. */
+    /** The number of sessions with a registered cancel key. */
     int cancelKeyCount() {
         return cancelKeys.size();
     }
