--- a/daemon/src/main/java/clayhook/frontend/ClientConnection.java
+++ b/daemon/src/main/java/clayhook/frontend/ClientConnection.java
@@ -13,16 +13,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The I/O of one client connection: passes decoded messages and events of the connection to its {@link ClientSession},
- * writes, and closes. Decides nothing. Event loop only.
+ * The I/O of one client connection: passes decoded messages and channel events to the {@link ClientSession}, writes
+ * responses and closes the channel. Makes no decisions of its own. All methods must be called on the event loop.
  */
-@SuppressWarnings("FutureReturnValueIgnored") // closes end in channelInactive, and nothing waits for scheduled steps
+@SuppressWarnings("FutureReturnValueIgnored") // closes end in channelInactive, and no code waits for scheduled tasks
 final class ClientConnection extends ChannelInboundHandlerAdapter {
-    /** Socket reads per event loop iteration: two for a long statement, and one that finds the close behind it. */
+    /** Socket reads per event loop iteration: two for a long statement, and one that detects a close after it. */
     private static final int READS_PER_TICK = 3;
     /**
-     * Reads until the socket is empty, so that the close of a client that left while the process stalled is read
-     * together with its requests, before any of these is handled.
+     * Reads until the socket is empty. If a client disconnects during a stall of this process, its close is then read
+     * together with its requests, before any of them is handled.
      */
     private static final RecvByteBufAllocator READ_UNTIL_EMPTY =
             new AdaptiveRecvByteBufAllocator().respectMaybeMoreData(false).maxMessagesPerRead(READS_PER_TICK);
@@ -33,9 +33,9 @@
     private final ClientSession session;
     private final ChannelFutureListener onWritten;
     private ChannelHandlerContext context;
-    /** Writes that are not completely in the socket buffer yet. */
+    /** The number of writes that are not completely in the socket buffer yet. */
     private int pendingWrites;
-    /** Null until input is discarded. */
+    /** Discards the input; null before that. */
     private LingeringClose lingeringClose;
 
     ClientConnection(ClientMessageDecoder decoder, ClientSession session) {
@@ -47,7 +47,7 @@
         };
     }
 
-    // ---- events ----
+    // ---- channel events ----
 
     @Override
     public void handlerAdded(ChannelHandlerContext ctx) {
@@ -87,14 +87,16 @@
         }
     }
 
-    // ---- what the session asks ----
+    // ---- methods for the session ----
 
-    /** An id that is unique among the connections of this process. */
+    /** The id of this connection, unique among the connections of this process. */
     String id() {
         return context.channel().id().asLongText();
     }
 
-    /** False once either side has closed the connection, also before {@link ClientSession#onDisconnect} is called. */
+    /**
+     * Whether the connection is open; false after a close, even before {@link ClientSession#onDisconnect} is called.
+     */
     boolean isOpen() {
         return context.channel().isActive();
     }
@@ -104,12 +106,12 @@
         return String.valueOf(context.channel().remoteAddress());
     }
 
-    /** How many bytes were read and dropped so far. */
+    /** The number of bytes that have been read and discarded. */
     int discardedBytes() {
         return lingeringClose == null ? 0 : lingeringClose.discardedBytes();
     }
 
-    /** Whether the client may be sent more; false while it does not read its responses. */
+    /** Whether more bytes may be written; false while the client does not read its responses. */
     boolean isWritable() {
         return context.channel().isWritable();
     }
@@ -119,17 +121,20 @@
         return pendingWrites == 0;
     }
 
-    /** Whether part of a message has arrived. */
+    /** Whether part of a message has been received. */
     boolean hasPartialMessage() {
         return decoder.hasPartialMessage();
     }
 
-    /** Returns the memory of all messages that have arrived; the session is done with them. */
+    /** Releases the memory reserved for the messages received so far, which the session no longer needs. */
     void releaseMemory() {
         decoder.releaseMemory();
     }
 
-    /** Runs a step after everything that has arrived by now is read: scheduled tasks run after a round of reads. */
+    /**
+     * Runs a task after all input in the socket buffer has been read. Scheduled tasks run after the reads of an event
+     * loop iteration.
+     */
     void afterPendingReads(Runnable step) {
         EventExecutor loop = context.executor();
         loop.execute(() -> loop.schedule(step, 0, TimeUnit.NANOSECONDS));
@@ -137,13 +142,13 @@
 
     // ---- output ----
 
-    /** Writes bytes, of which this takes ownership, behind all earlier ones. */
+    /** Writes bytes after all earlier ones, and takes ownership of the buffer. */
     void write(ByteBuf bytes) {
         pendingWrites++;
         context.writeAndFlush(bytes).addListener(onWritten);
     }
 
-    /** Reads and drops all input from now on; responses may still be written. */
+    /** Reads and discards all further input; responses may still be written. */
     void discardInput() {
         if (lingeringClose == null) {
             lingeringClose = LingeringClose.begin(context.channel());
@@ -151,7 +156,10 @@
         }
     }
 
-    /** Discards input, writes the last bytes, ends the sending side, and closes once the client has done so too. */
+    /**
+     * Discards further input, writes the last bytes, shuts down the output, and closes the connection once the client
+     * has closed its side or after a time limit.
+     */
     void closeAfter(ByteBuf lastBytes) {
         discardInput();
         releaseMemory();
@@ -159,7 +167,7 @@
         lingeringClose.finish(lastBytes, () -> pendingWrites--);
     }
 
-    /** Reads no more, writes the last bytes, ends the sending side, and closes the connection a moment later. */
+    /** Stops reading, writes the last bytes, shuts down the output, and closes the connection after a short delay. */
     void closeUnread(ByteBuf lastBytes) {
         decoder.discardInput();
         releaseMemory();
@@ -167,17 +175,17 @@
         UnreadClose.begin(context.channel(), lastBytes, () -> pendingWrites--);
     }
 
-    /** Runs a step after so many seconds. */
+    /** Runs a task after a delay in seconds. */
     void afterSeconds(double seconds, Runnable step) {
         context.executor().schedule(step, (long) Math.ceil(seconds * NANOS_PER_SECOND), TimeUnit.NANOSECONDS);
     }
 
-    /** Runs a step in the next event loop iteration. */
+    /** Runs a task in the next event loop iteration. */
     void inNextIteration(Runnable step) {
         context.executor().execute(step);
     }
 
-    /** Closes the connection, and drops what has not been written. */
+    /** Closes the connection immediately and discards pending writes. */
     void closeNow() {
         context.close();
     }
