--- a/daemon/src/main/java/clayhook/frontend/SessionActivity.java
+++ b/daemon/src/main/java/clayhook/frontend/SessionActivity.java
@@ -3,32 +3,43 @@
 import java.util.Optional;
 import java.util.function.DoubleSupplier;
 
-/** When one client was last active, and which time limits follow. Clock times in seconds. Event loop only. */
+/**
+ * The times of the last activity on one client session, and the time limits that depend on them. Clock times are in
+ * seconds. All methods must be called on the event loop.
+ */
 final class SessionActivity {
-    /** For a first request, or the rest of a message; the platform closes clients after 2 s without a request. */
+    /**
+     * The time limit for the first request of a client, and for the rest of a partially received message. The platform
+     * closes clients after 2 s without a request.
+     */
     private static final double IDLE_TIMEOUT_SECONDS = 2.2;
     /**
-     * A response that the client does not read for so long is dropped with its connection; above any client timeout.
+     * The time limit for a client to read a response, after which the connection is closed; longer than any client
+     * timeout.
      */
     private static final double UNREAD_RESPONSE_TIMEOUT_SECONDS = 10;
     /**
-     * By how much a client that has sent a request outranks one that has not when a session is evicted. Bounded, so
-     * that a client that sent one request and stays cannot bar new ones.
+     * The addition to the eviction rank of a client that has sent a request. It is bounded, so that a client that has
+     * sent one request and stays connected cannot keep out new clients.
      */
     private static final double ACTIVE_CLIENT_BONUS_SECONDS = 2;
 
-    /** A client has read a response after this time, as a rule: above the delay of networks and of busy clients. */
+    /**
+     * The time after which a client has usually read a response; longer than the delay of networks and busy clients.
+     */
     private static final double ANSWER_SETTLE_SECONDS = 0.3;
 
     private static final double NONE = 0;
 
-    /** When it connected, was last answered, or began to close. */
+    /**
+     * The time of the connect, of the last response to a request, or of the start of the close; the latest of these.
+     */
     private double quietSince;
-    /** Since when part of a message has been waiting for its rest, or {@link #NONE}. */
+    /** The time since which a message has been partially received, or {@link #NONE}. */
     private double partialMessageSince = NONE;
 
     private boolean hasSentRequest;
-    /** When the last answer was written, whoever gave it. */
+    /** The time at which the last response was written, whether from a node or from the router itself. */
     private double answeredAt = Double.NEGATIVE_INFINITY;
 
     SessionActivity(double connectedAt) {
@@ -51,12 +62,15 @@
         hasSentRequest = true;
     }
 
-    /** The client has been answered, or its connection begins to close. */
+    /** Records that a response to a request is written, or that the connection starts to close. */
     void onQuiet(double now) {
         quietSince = now;
     }
 
-    /** An answer is written, also one to what is no request: an empty query, a setting, an invalid statement. */
+    /**
+     * Records that a response is written, including responses to messages that are not requests: an empty query, a
+     * setting, an invalid statement.
+     */
     void onAnswer(double now) {
         answeredAt = now;
     }
@@ -65,17 +79,22 @@
         return hasSentRequest;
     }
 
-    /** How long until the client has read its last answer, as a rule; not above 0 once it has, or there was none. */
+    /**
+     * The time in seconds until the client is expected to have read the last response; 0 or negative if that time has
+     * passed or there was no response.
+     */
     double secondsUntilAnswerSettles(double now) {
         return answeredAt + ANSWER_SETTLE_SECONDS - now;
     }
 
-    /** Whether the last response has been waiting too long for the client to read it, if it is not fully written. */
+    /**
+     * Whether the time limit for reading a response has passed; relevant only while a response is not fully written.
+     */
     boolean isResponseUnreadTooLong(double now) {
         return now > quietSince + UNREAD_RESPONSE_TIMEOUT_SECONDS;
     }
 
-    /** Why an idle client is to be disconnected, for the log; empty if it is within its time limits. */
+    /** The time limit that an idle client has exceeded, as a text for the log; empty if it is within its limits. */
     Optional<String> idleTimeout(double now) {
         if (partialMessageSince > NONE && now > partialMessageSince + IDLE_TIMEOUT_SECONDS) {
             return Optional.of("incomplete message from a client");
@@ -86,7 +105,7 @@
         return Optional.empty();
     }
 
-    /** Sessions with a lower rank are evicted first. */
+    /** The eviction rank of this session; sessions with a lower rank are evicted first. */
     double evictionRank() {
         return quietSince + (hasSentRequest ? ACTIVE_CLIENT_BONUS_SECONDS : 0);
     }
