--- a/daemon/src/main/java/clayhook/frontend/HalfClose.java
+++ b/daemon/src/main/java/clayhook/frontend/HalfClose.java
@@ -6,8 +6,11 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 
-/** The end of the sending side of a connection, and its close after a time limit. Event loop only. */
-@SuppressWarnings("FutureReturnValueIgnored") // a failed write, end of output or close ends in channelInactive
+/**
+ * Shuts down the output of a connection, and closes the connection after a time limit. All methods must be called on
+ * the event loop.
+ */
+@SuppressWarnings("FutureReturnValueIgnored") // a failed write, shutdown or close ends in channelInactive
 final class HalfClose {
     private final Channel channel;
     private Future<?> timeLimit;
@@ -17,10 +20,10 @@
     }
 
     /**
-     * Writes the last bytes behind all earlier ones, ends the sending side, and closes the connection after the time
-     * limit; at once where the bytes cannot be written.
+     * Writes the last bytes after all earlier ones, shuts down the output, and closes the connection after the time
+     * limit. Closes the connection immediately if the write fails.
      *
-     * @param onWritten runs once the bytes are written or have failed
+     * @param onWritten called once the write has completed or failed
      */
     void begin(ByteBuf lastBytes, int timeLimitMs, Runnable onWritten) {
         channel.writeAndFlush(lastBytes).addListener(done -> {
@@ -34,7 +37,7 @@
         });
     }
 
-    /** The connection is closed. */
+    /** Cancels the time limit, because the connection is closed. */
     void onClosed() {
         if (timeLimit != null) {
             timeLimit.cancel(false);
--- a/daemon/src/main/java/clayhook/frontend/LingeringClose.java
+++ b/daemon/src/main/java/clayhook/frontend/LingeringClose.java
@@ -7,14 +7,15 @@
 
 /**
  * Closes a client connection without losing the last response. Closing a socket that holds unread bytes resets the
- * connection, and the reset may discard bytes that the client has not read. So this handler stands first in the
- * pipeline, reads and drops all input, ends the sending side, and waits for the client's close. Event loop only.
+ * connection, and the reset may discard bytes that the client has not read. This handler is therefore the first one of
+ * the pipeline, reads and discards all input, shuts down the output, and waits until the client closes its side. All
+ * methods must be called on the event loop.
  */
-@SuppressWarnings("FutureReturnValueIgnored") // a failed write, end of output or close ends in channelInactive
+@SuppressWarnings("FutureReturnValueIgnored") // a failed write, shutdown or close ends in channelInactive
 final class LingeringClose extends ChannelInboundHandlerAdapter {
-    /** From the end of the sending side; many times the round trip of bytes that cross it, also on a busy machine. */
+    /** The time limit after the shutdown of the output; many times a network round trip, even on a busy machine. */
     private static final int LINGER_MS = 1000;
-    /** More than a client has in transit when it learns of the close; one that sends more is reset. */
+    /** More than a client has in transit when it detects the close; a connection that receives more is reset. */
     private static final int MAX_DISCARDED_BYTES = 1 << 20;
 
     private final HalfClose halfClose;
@@ -24,7 +25,7 @@
         halfClose = new HalfClose(channel);
     }
 
-    /** Discards all input from now on; responses may still be written. */
+    /** Discards all further input of the channel; responses may still be written. */
     static LingeringClose begin(Channel channel) {
         var close = new LingeringClose(channel);
         channel.pipeline().addFirst(close);
@@ -32,10 +33,10 @@
     }
 
     /**
-     * Ends the sending side once everything before and these bytes are written, and closes the connection when the
-     * client has done so too, or after the time limit.
+     * Writes the last bytes after all earlier ones, shuts down the output, and closes the connection when the client
+     * closes its side or after the time limit.
      *
-     * @param onWritten runs once the bytes are written or have failed
+     * @param onWritten called once the write has completed or failed
      */
     void finish(ByteBuf lastBytes, Runnable onWritten) {
         halfClose.begin(lastBytes, LINGER_MS, onWritten);
@@ -46,7 +47,7 @@
         var bytes = (ByteBuf) message;
         discardedBytes += bytes.readableBytes();
         bytes.release();
-        // A client that sends without end would otherwise be read for ever.
+        // Bounds the bytes read from a client that keeps sending.
         if (discardedBytes > MAX_DISCARDED_BYTES) {
             ctx.close();
         }
@@ -58,7 +59,7 @@
         ctx.fireChannelInactive();
     }
 
-    /** How many bytes were read and dropped. */
+    /** The number of bytes that have been read and discarded. */
     int discardedBytes() {
         return discardedBytes;
     }
--- a/daemon/src/main/java/clayhook/frontend/UnreadClose.java
+++ b/daemon/src/main/java/clayhook/frontend/UnreadClose.java
@@ -6,13 +6,13 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 
 /**
- * Closes a client connection without reading any more of it. A request that crosses the close is not taken, and its
- * client finds the last bytes, an error that answers it. The connection stays half open for a moment: closing a socket
- * that holds unread bytes resets the connection, and on the way to the client the reset may overtake the last bytes.
- * Event loop only.
+ * Closes a client connection without reading further input. A request that is in transit during the close is not
+ * handled, and its client receives the last bytes, an error that answers it. The connection stays half open for a short
+ * time, because closing a socket that holds unread bytes resets the connection, and the reset may reach the client
+ * before the last bytes do. All methods must be called on the event loop.
  */
 final class UnreadClose extends ChannelInboundHandlerAdapter {
-    /** From the end of the sending side; several times what a busy client takes to notice it. */
+    /** The delay after the shutdown of the output; several times as long as a busy client needs to detect it. */
     private static final int LINGER_MS = 300;
 
     private final HalfClose halfClose;
@@ -22,10 +22,10 @@
     }
 
     /**
-     * Stops reading, writes the last bytes behind all earlier ones, ends the sending side, and closes the connection a
-     * moment later.
+     * Stops reading, writes the last bytes after all earlier ones, shuts down the output, and closes the connection
+     * after a short delay.
      *
-     * @param onWritten runs once the bytes are written or have failed
+     * @param onWritten called once the write has completed or failed
      */
     static void begin(Channel channel, ByteBuf lastBytes, Runnable onWritten) {
         var close = new UnreadClose(channel);
