--- a/daemon/src/main/java/clayhook/frontend/ConnectionEnds.java
+++ b/daemon/src/main/java/clayhook/frontend/ConnectionEnds.java
@@ -4,8 +4,8 @@
 import clayhook.metrics.EventCounters;
 
 /**
- * Records why each client connection ended, and whether anything that was read on it got no answer: a request that was
- * read is owed one. Event loop only.
+ * Counts the ends of client connections by cause, and logs connections on which input was read but not answered, since
+ * every request that was read must be answered. All methods must be called on the event loop.
  */
 final class ConnectionEnds {
     private final EventCounters counters;
@@ -18,8 +18,8 @@
      * Records the end of one connection.
      *
      * @param client the address of the client
-     * @param unansweredMessages messages that were decoded and got no answer
-     * @param discardedBytes bytes that were read and not decoded
+     * @param unansweredMessages the number of messages that were decoded but not answered
+     * @param discardedBytes the number of bytes that were read but not decoded
      */
     void record(EndCause cause, String client, int unansweredMessages, long discardedBytes) {
         counters.increment("ended " + cause);
--- a/daemon/src/main/java/clayhook/frontend/EndCause.java
+++ b/daemon/src/main/java/clayhook/frontend/EndCause.java
@@ -1,36 +1,38 @@
 package clayhook.frontend;
 
-/** Why a client connection ends. The names are part of counters and log lines. */
+/** The reason for the end of a client connection. The names are part of counter names and log lines. */
 enum EndCause {
-    /** The client closed or reset it. */
+    /** The client closed or reset the connection. */
     CLIENT_LEFT,
-    /** The router shuts down. */
+    /** The router is shutting down. */
     SHUTDOWN,
-    /** Idle, while clients hold a large share of the descriptors. */
+    /** The session was idle, and the number of idle sessions exceeded its maximum. */
     CROWDED,
-    /** Idle, and its descriptor is needed for a new client. */
+    /** The session was idle, and a new client needed its descriptor. */
     EVICTION,
-    /** No complete request within the time limit. */
+    /** The client did not send a complete request within the time limit. */
     IDLE_TIMEOUT,
-    /** The client does not read its response. */
+    /** The client did not read a response within the time limit. */
     UNREAD_RESPONSE,
-    /** The client broke the protocol or a limit. */
+    /** The client violated the protocol or exceeded a limit. */
     MALFORMED_INPUT,
-    /** The client said that it ends. */
+    /** The client sent a Terminate message. */
     TERMINATE,
-    /** It carried a cancel request, which gets no answer. */
+    /** The connection was used for a cancel request, which gets no response. */
     CANCEL_REQUEST,
-    /** The parameters of its start-up message were refused. */
+    /** The parameters of the start-up message were refused. */
     STARTUP_REJECTED,
-    /** An exception in the session. */
+    /** The session failed with an exception. */
     SESSION_FAULT;
 
-    /** Whether what the client has sent behind its last answered message is owed no answer. */
+    /** Whether input that follows the last answered message of the client needs no response. */
     boolean excusesUnansweredInput() {
         return this == CLIENT_LEFT || this == TERMINATE || this == CANCEL_REQUEST;
     }
 
-    /** Whether the client may have a request in transit, which must then be left unread. */
+    /**
+     * Whether the client may have a request in transit, which must be left unread so that the last error answers it.
+     */
     boolean leavesInputUnread() {
         return this == SHUTDOWN || this == CROWDED || this == EVICTION || this == IDLE_TIMEOUT || this == SESSION_FAULT;
     }
