--- a/daemon/src/main/java/clayhook/frontend/ClientResponses.java
+++ b/daemon/src/main/java/clayhook/frontend/ClientResponses.java
@@ -6,8 +6,8 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * The responses to clients that the router gives itself. Codes and texts are part of its interface to clients and must
- * not change. Stateless; the caller owns the returned buffers.
+ * The responses that the router itself generates for clients. Their codes and texts are part of the client interface
+ * and must not change. Stateless; the caller owns the returned buffers.
  */
 final class ClientResponses {
     private static final int MILLIS_PER_SECOND = 1000;
@@ -15,10 +15,10 @@
     private ClientResponses() {}
 
     /**
-     * The request was rejected and may safely be sent again.
+     * Reports that the request was rejected and may safely be retried.
      *
-     * @param retryAfter in seconds, 0 for no advice
-     * @param fatal whether the connection ends with this answer
+     * @param retryAfter the delay in seconds after which the client should retry; 0 for no advice
+     * @param fatal whether the connection is closed after this response
      */
     static ByteBuf rejected(double retryAfter, boolean fatal) {
         String detail = retryAfter > 0 ? Long.toString(Math.round(retryAfter * MILLIS_PER_SECOND)) : null;
@@ -42,7 +42,7 @@
         return error(SqlState.SYNTAX_ERROR, reason);
     }
 
-    /** The request was rejected and may safely be sent again. */
+    /** Reports that no memory is available for the request, which may safely be retried. */
     static ByteBuf noMemoryLeft(String reason) {
         return error(SqlState.TOO_MANY_CONNECTIONS, reason);
     }
@@ -55,7 +55,7 @@
         return error(SqlState.FEATURE_NOT_SUPPORTED, "there are no functions to call");
     }
 
-    /** No readiness follows: the client gets that in response to its Sync. */
+    /** Rejects an extended query, without ReadyForQuery, which the client receives in response to its Sync. */
     static ByteBuf extendedQueryRejected() {
         return MessageEncoder.errorWithoutReadiness(SqlState.FEATURE_NOT_SUPPORTED, "only simple queries are taken");
     }
@@ -74,12 +74,12 @@
         return fatal(malformed.sqlState(), malformed.reason());
     }
 
-    /** Answers a request that comes as its connection ends, or crosses the end: it has not run. */
+    /** Refuses a request that is received or in transit while the connection closes; it has not been executed. */
     static ByteBuf connectionEnds(EndCause cause) {
         return fatal(SqlState.CANNOT_CONNECT_NOW, reason(cause));
     }
 
-    /** Answers one of several requests that come as their connection ends; more answers follow. */
+    /** Refuses one of several requests received while the connection closes; further responses follow. */
     static ByteBuf connectionEndsSoon(EndCause cause) {
         return error(SqlState.CANNOT_CONNECT_NOW, reason(cause));
     }
--- a/daemon/src/main/java/clayhook/frontend/RejectionHandler.java
+++ b/daemon/src/main/java/clayhook/frontend/RejectionHandler.java
@@ -6,13 +6,18 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 
 /**
- * Tells a client that no descriptor is left for it, and closes its connection without reading what it sent. Event loop
- * only.
+ * Rejects a client for which no file descriptor is available: sends an error and closes the connection without reading
+ * its input. All methods must be called on the event loop.
  */
 final class RejectionHandler extends ChannelInboundHandlerAdapter {
-    /** The rejected connections of one listener that are closing. Event loop only. */
+    /**
+     * Limits the number of rejected connections of one listener that linger until their clients have read the error.
+     * All methods must be called on the event loop.
+     */
     static final class Lingering {
-        /** Their descriptors come from the reserve of {@link clayhook.transport.DescriptorBudget}. */
+        /**
+         * The descriptors of these connections are part of the reserve of {@link clayhook.transport.DescriptorBudget}.
+         */
         private static final int MAX_LINGERING = 16;
 
         private int count;
@@ -31,7 +36,7 @@
     }
 
     private final Lingering lingering;
-    /** This connection counts among the lingering ones. */
+    /** Whether this connection is counted as a lingering one. */
     private boolean lingers;
 
     RejectionHandler(Lingering lingering) {
@@ -43,7 +48,10 @@
         ctx.channel().config().setAutoRead(false);
     }
 
-    /** Where too many rejected clients linger, the connection is closed at once, and the client may miss the reason. */
+    /**
+     * Sends the error and closes the connection after a short delay. If too many rejected connections linger, closes it
+     * right after the write instead, in which case the client may not receive the error.
+     */
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
         ByteBuf error = ClientResponses.noDescriptorLeft();
