--- a/daemon/src/main/java/clayhook/frontend/ClientRequest.java
+++ b/daemon/src/main/java/clayhook/frontend/ClientRequest.java
@@ -7,27 +7,29 @@
 import clayhook.statements.Classification;
 import java.util.List;
 
-/** A request for which a client session awaits the response. Event loop only. */
+/** A request to which a client session awaits the response. Must be accessed on the event loop only. */
 public final class ClientRequest extends Request {
-    /** The session that gets the response. */
+    /** The session that receives the response. */
     public final ClientSession clientSession;
-    /** What is sent to nodes. */
+    /** The statement as it is sent to nodes. */
     public final OutboundStatement outboundStatement;
-    /** Unique among the open requests of this router; null for a statement of any kind, which has no id. */
+    /** The request id, unique among the open requests of this router; null for an SQL statement, which has no id. */
     public final String requestId;
-    /** How the statement was classified; null for one of the two fixed forms, whose routing comment says it. */
+    /**
+     * The classification of an SQL statement; null for a key-value statement, whose comment names its request class.
+     */
     public final Classification classification;
-    /** The key under which routers share whether it has run; null if it has none. */
+    /** The key under which routers share the write outcome of the request; null if it has none. */
     public final String outcomeKey;
-    /** The last error of a node, which the client gets if there is no other response; null if there was none. */
+    /** The last error of a node, which is sent to the client if there is no other response; null if there was none. */
     public List<byte[]> lastNodeError;
 
     /**
-     * Creates the request of a statement in one of the two fixed forms.
+     * Creates the request of a key-value statement.
      *
-     * @param sessionWritePosition the log position in seconds that a read of its session must cover, as far as other
-     *     routers reported it; 0 for none
-     * @param now clock time in seconds
+     * @param sessionWritePosition the log position in seconds that a node must have applied for reads of the session,
+     *     as reported by other routers; 0 for none
+     * @param now the clock time in seconds
      */
     public ClientRequest(
             RequestClass requestClass,
@@ -50,11 +52,11 @@
     }
 
     /**
-     * Creates the request of a statement of any kind.
+     * Creates the request of an SQL statement.
      *
-     * @param sessionWritePosition the log position in seconds that a read must cover; 0 for none
-     * @param now clock time in seconds
-     * @param timeoutSeconds how long the client waits; at most that of the request class counts
+     * @param sessionWritePosition the log position in seconds that a node must have applied for a read; 0 for none
+     * @param now the clock time in seconds
+     * @param timeoutSeconds the client timeout; limited to the timeout of the request class
      */
     public ClientRequest(
             RequestClass requestClass,
--- a/daemon/src/main/java/clayhook/frontend/PendingMessages.java
+++ b/daemon/src/main/java/clayhook/frontend/PendingMessages.java
@@ -4,19 +4,23 @@
 import clayhook.protocol.SqlState;
 import java.util.ArrayDeque;
 
-/** Messages that one client has sent ahead of the responses to its earlier ones. Event loop only. */
+/**
+ * The messages that one client has pipelined, in the order received, and that are not handled yet. All methods must be
+ * called on the event loop.
+ */
 final class PendingMessages {
     /**
-     * A client that sends more ahead is disconnected after these are answered: what it sent beyond is read and not
-     * answered, so the bound is far above what clients pipeline. The decoder bounds their memory.
+     * The maximum number of queued messages. A client that pipelines more is disconnected after these are answered, and
+     * the messages beyond the limit are read but not answered, so the limit is far above what clients pipeline. The
+     * decoder limits the memory of the messages.
      */
     private static final int MAX_PENDING_MESSAGES = 1024;
 
     private final ArrayDeque<Object> messages = new ArrayDeque<>();
 
     /**
-     * Appends a message. False if there are too many: an error that closes the session is appended in its place, and
-     * nothing may be added after it.
+     * Appends a message and returns true. If the queue is full, appends an error that closes the session instead and
+     * returns false; no message may be added after that.
      */
     boolean add(Object message) {
         boolean accepted = messages.size() < MAX_PENDING_MESSAGES;
@@ -25,7 +29,7 @@
         return accepted;
     }
 
-    /** Removes the oldest message; null if there is none. */
+    /** Removes and returns the oldest message; null if there is none. */
     Object poll() {
         return messages.poll();
     }
