--- a/daemon/src/main/java/clayhook/frontend/CancelKeyRegistry.java
+++ b/daemon/src/main/java/clayhook/frontend/CancelKeyRegistry.java
@@ -5,14 +5,17 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The keys by which clients cancel the current request of a session, one for each open session. Event loop only. */
+/**
+ * The keys that authorize clients to cancel the current request of a session, one for each open session. All methods
+ * must be called on the event loop.
+ */
 final class CancelKeyRegistry {
-    /** Secure, as a client that guesses the key of another can cancel its requests. */
+    /** Cryptographically secure, because a client that guesses the key of another client can cancel its requests. */
     private final SecureRandom random = new SecureRandom();
 
     private final Map<Long, ClientSession> sessions = new HashMap<>();
 
-    /** Assigns a new unique key to a session. */
+    /** Registers a session under a new unique key and returns the key. */
     long register(ClientSession session) {
         long key = random.nextLong();
         while (key == ClientMessageDecoder.NO_CANCEL_KEY || sessions.putIfAbsent(key, session) != null) {
@@ -21,7 +24,7 @@
         return key;
     }
 
-    /** The session with that key, or null. */
+    /** The session that is registered under a key, or null if there is none. */
     ClientSession find(long key) {
         return sessions.get(key);
     }
--- a/daemon/src/main/java/clayhook/frontend/ReportedParameters.java
+++ b/daemon/src/main/java/clayhook/frontend/ReportedParameters.java
@@ -5,18 +5,19 @@
 import java.util.List;
 import java.util.Map;
 
-/** The settings whose values a server reports to its client in ParameterStatus messages. Stateless. */
+/** The settings whose values are reported to clients in ParameterStatus messages. Stateless. */
 final class ReportedParameters {
-    /** Settings that a client may make, spelled as servers report them. */
+    /** The reported settings that a client may set, in the spelling of PostgreSQL servers. */
     private static final List<String> SETTABLE = List.of("application_name", "DateStyle", "IntervalStyle", "TimeZone");
 
     private ReportedParameters() {}
 
     /**
-     * What is reported in response to a start-up message, beyond what every session reports.
+     * The parameters that the response to a start-up message reports in addition to those of every session.
      *
-     * @param settings null where only the two fixed forms of statement are accepted: nothing is reported then
-     * @param requested the parameters of the start-up message, in the order of the client
+     * @param settings the settings of the client; null if only key-value statements are accepted, in which case the
+     *     result is empty
+     * @param requested the parameters of the start-up message, in the order in which the client sent them
      */
     static Map<String, String> atStartup(SessionSettings settings, Map<String, String> requested) {
         Map<String, String> reported = new LinkedHashMap<>();
@@ -34,7 +35,7 @@
         return reported;
     }
 
-    /** The spelling in which a changed setting is reported; null if it is not reported. {@code setting} may be null. */
+    /** The spelling in which a setting is reported; null if it is not reported. {@code setting} may be null. */
     static String reportedName(String setting) {
         return SETTABLE.stream()
                 .filter(name -> name.equalsIgnoreCase(setting))
