--- a/daemon/src/main/java/clayhook/sql/SqlAdmission.java
+++ b/daemon/src/main/java/clayhook/sql/SqlAdmission.java
@@ -18,10 +18,10 @@
 import java.util.Map;
 
 /**
- * Admits client statements of any kind: finds the request class, replica set and timeout of each, or rejects it. The
- * routing policy learns no more of a statement than of the platform's own ones.
+ * Admits the SQL statements of clients: determines the request class, replica set and timeout of each statement, or
+ * rejects it. The routing policy gets the same information about an SQL statement as about a key-value statement.
  *
- * <p>Event loop only. Pure: does no I/O and reads no clock.
+ * <p>All methods must be called on the event loop. Does no I/O and reads no clock.
  */
 public final class SqlAdmission {
     private static final int BYTES_PER_KIB = 1024;
@@ -30,14 +30,14 @@
     private final Classifier classifier;
     private final Map<String, RequestClass> requestClasses = new HashMap<>();
 
-    /** Whether a statement is handled, and how. */
+    /** The result of the admission of one statement. */
     public sealed interface AdmissionResult {
         /**
-         * The statement becomes a request.
+         * A statement that was admitted and becomes a request.
          *
-         * @param timeoutSeconds how long the client waits for the response
-         * @param requiredPosition the log position in seconds that a read must cover, as stated in the routing comment;
-         *     0 for none
+         * @param timeoutSeconds the client timeout
+         * @param requiredPosition the log position in seconds that a node must have applied for a read, as given in the
+         *     routing comment; 0 for none
          */
         record Admitted(
                 RequestClass requestClass,
@@ -48,14 +48,15 @@
                 Classification classification)
                 implements AdmissionResult {}
 
-        /** The statement is sent to no node; code and reason are for the client. */
+        /** A statement that is not sent to any node; the client receives the SQLSTATE code and the reason. */
         record Rejected(String sqlState, String reason) implements AdmissionResult {}
     }
 
     /**
      * Creates the admission of one router.
      *
-     * @param seed of this router; clients must not know it, as it protects the statement cache from hash collisions
+     * @param seed the hash seed of this router, which must be unknown to clients, because it protects the statement
+     *     cache against hash collisions
      */
     public SqlAdmission(
             OperatorConfiguration.StatementSettings operator, List<RequestClass> requestClasses, long seed) {
@@ -64,12 +65,12 @@
         requestClasses.forEach(requestClass -> this.requestClasses.put(requestClass.name(), requestClass));
     }
 
-    /** Begins an event loop iteration, which has a limit for statements of unknown shape. */
+    /** Starts an event loop iteration and renews the limit on parsing statements of unknown shape. */
     public void beginTick() {
         classifier.turn();
     }
 
-    /** The settings of a new client session. */
+    /** Creates the settings of a new client session. */
     public SessionSettings newSessionSettings() {
         return new SessionSettings(operator.rules().conforming());
     }
@@ -77,9 +78,9 @@
     /**
      * Admits a statement or rejects it.
      *
-     * @param text the bytes of the client, without the closing zero
-     * @param clientTimeout seconds that the client has set for its statements; 0 where it set none
-     * @param settings of the client's session: names, and values as SQL text
+     * @param text the bytes that the client sent, without the terminating zero
+     * @param clientTimeout the statement timeout in seconds that the client has set; 0 if it has set none
+     * @param settings the settings of the client session: the values, as SQL text, by name
      */
     public AdmissionResult admit(
             byte[] text, ClientIdentity client, double clientTimeout, Map<String, String> settings) {
@@ -106,7 +107,7 @@
         }
     }
 
-    /** The first that is set: by the rule that matched, by the client, by the operator, for the request class. */
+    /** The client timeout in seconds: the first one set of the matching rule, client, operator and request class. */
     private double timeoutSeconds(Classification classification, double clientTimeout, RequestClass requestClass) {
         if (classification.timeout() > 0) {
             return classification.timeout();
@@ -120,7 +121,7 @@
     private AdmissionResult.Admitted withComment(AdmissionResult.Admitted admitted, RoutingComment comment) {
         RequestClass named = requestClasses.get(comment.field(RoutingComment.REQUEST_CLASS));
         boolean replaces = mayReplaceClass(named, admitted.classification(), comment);
-        // The order matters: the client gets the error of the first invalid field.
+        // The order matters, because the client receives the error of the first invalid field.
         int replicaSetId = comment.replicaSetIdOr(admitted.replicaSetId());
         double requiredPosition = comment.secondsOr(RoutingComment.REQUIRED_POSITION, admitted.requiredPosition());
         double timeoutSeconds = comment.secondsOr(RoutingComment.TIMEOUT, admitted.timeoutSeconds());
@@ -134,10 +135,10 @@
     }
 
     /**
-     * Admits a statement that a node has refused to run as a read: it has not run, and its shape counts as a write from
-     * now on.
+     * Admits a statement as a write after a node refused to execute it as a read. The node has not executed it.
+     * Statements of the same shape are classified as writes from then on.
      *
-     * @param refused the classification under which it was sent
+     * @param refused the classification with which the statement was sent
      */
     public AdmissionResult readmitAsWrite(
             Classification refused,
@@ -156,8 +157,8 @@
     }
 
     /**
-     * Whether the request class in a comment replaces that of the classification. A comment may make a write of a read,
-     * but no read of a write, and it needs an idempotency key to make a write idempotent.
+     * Whether the request class of a comment replaces that of the classification. A comment may turn a read into a
+     * write, but not a write into a read, and it must contain an idempotency key to make a write idempotent.
      */
     private static boolean mayReplaceClass(RequestClass named, Classification classification, RoutingComment comment) {
         if (named == null) {
@@ -170,12 +171,12 @@
                 || (named.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY && comment.hasIdempotencyKey());
     }
 
-    /** Records that a statement was answered after so many seconds, for the cost estimates of its shape. */
+    /** Records the time in seconds until a statement was answered, for the cost estimate of its shape. */
     public void recordServiceTime(Classification classification, double seconds) {
         classifier.took(classification, seconds);
     }
 
-    /** The counters since the last call, for the log. */
+    /** Formats the counters since the previous call as a text for the log. */
     public String summary() {
         Classifier.Counts counts = classifier.counts();
         return "shapes cached " + classifier.size() + " in " + classifier.weight() / BYTES_PER_KIB
