--- a/daemon/src/test/java/clayhook/frontend/ClientListenerFixture.java
+++ b/daemon/src/test/java/clayhook/frontend/ClientListenerFixture.java
@@ -20,11 +20,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A client listener on loopback with an event loop of its own. A test takes the place of the router: it reads the
- * requests from queues, answers them, and sets the clock.
+ * A client listener on loopback with its own event loop. The test acts as the router: it takes the requests from
+ * queues, answers them and sets the clock.
  */
 final class ClientListenerFixture implements ClientSession.RequestHandler, AutoCloseable {
-    /** Descriptors that {@link DescriptorBudget} keeps for other purposes. */
+    /** The number of descriptors that {@link DescriptorBudget} reserves for other purposes. */
     private static final int RESERVED_DESCRIPTORS = 48;
 
     private static final long MEMORY_BYTES = 1 << 28;
@@ -32,23 +32,25 @@
     private static final int LONG_VALUE_BYTES = 1000;
 
     final Transport transport = Transport.tcp();
-    /** The sessions whose requests, cancel requests and disconnects came, in order. */
+    /** The sessions whose requests were received, in order; a session appears once per request. */
     final BlockingQueue<ClientSession> receivedRequests = new LinkedBlockingQueue<>();
 
+    /** The sessions for whose current request a cancel request was received, in order. */
     final BlockingQueue<ClientSession> cancelRequests = new LinkedBlockingQueue<>();
-    final BlockingQueue<ClientSession> goneClients = new LinkedBlockingQueue<>();
-    /** Clock time in seconds. */
+    /** The sessions that ended before their request was answered, in order. */
+    final BlockingQueue<ClientSession> goneSessions = new LinkedBlockingQueue<>();
+    /** The clock time of the listener, in seconds. */
     volatile double now = 1000;
 
     private final EventCounters counters = new EventCounters();
     private ClientListener listener;
 
-    /** Listens for at most so many clients at a time. */
+    /** Starts the listener with descriptors for a maximum number of clients. */
     void start(int maxClients) throws InterruptedException {
         start(maxClients, MEMORY_BYTES);
     }
 
-    /** The same with so much memory for the process. */
+    /** Starts the listener with a maximum number of clients and a number of bytes that the process may use. */
     void start(int maxClients, long memoryBytes) throws InterruptedException {
         var descriptors = new DescriptorBudget(RESERVED_DESCRIPTORS + 2 * maxClients);
         listener = new ClientListener(
@@ -71,7 +73,7 @@
 
     @Override
     public void onClientGone(ClientSession session) {
-        goneClients.add(session);
+        goneSessions.add(session);
     }
 
     @Override
@@ -79,12 +81,12 @@
         cancelRequests.add(session);
     }
 
-    /** A read request; the listener does not look at what it is for. */
+    /** A read request; the listener ignores its contents. */
     static ByteBuf request() {
         return StubClient.statement(false, "id=1,c=a,d=5000,cluster=1");
     }
 
-    /** A write request of more than a KiB, for which memory has to be left. */
+    /** A write request of more than 1 KiB, which is accepted only if memory is available for it. */
     static ByteBuf longRequest() {
         String value = "9f".repeat(LONG_VALUE_BYTES);
         String text = "INSERT INTO state (uid, val) VALUES ('k', '\\x" + value + "') RETURNING val"
@@ -92,7 +94,7 @@
         return MessageEncoder.query(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** That many read requests, one after the other. */
+    /** A number of consecutive read requests. */
     static ByteBuf requests(int count) {
         ByteBuf all = Unpooled.buffer();
         for (int i = 0; i < count; i++) {
@@ -101,12 +103,12 @@
         return all;
     }
 
-    /** A client that is connected and has sent nothing. */
+    /** Connects a client, which sends nothing. */
     SocketClient connect() throws Exception {
         return new SocketClient(listener.address());
     }
 
-    /** A client that has had its first request answered. */
+    /** Connects a client, and answers its first request. */
     SocketClient connectWithFirstResponse() throws Exception {
         SocketClient client = connect().sendStartup(request());
         respondToNextRequest();
@@ -115,19 +117,19 @@
         return client;
     }
 
-    /** The oldest of a queue; fails if none comes. */
-    static <T> T take(BlockingQueue<T> queue) throws InterruptedException {
+    /** Takes the oldest element of a queue; fails if none is added within the time limit. */
+    static <T> T takeNext(BlockingQueue<T> queue) throws InterruptedException {
         T next = queue.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         assertNotNull(next);
         return next;
     }
 
-    /** Answers the oldest request with 40003. */
+    /** Answers the oldest request with SQLSTATE 40003, in doubt. */
     void respondToNextRequest() throws Exception {
-        runOnLoop(take(receivedRequests)::respondInDoubt);
+        runOnLoop(takeNext(receivedRequests)::respondInDoubt);
     }
 
-    /** Moves the clock of the sessions on. */
+    /** Advances the clock of the listener. */
     synchronized void advanceClock(double seconds) {
         now += seconds;
     }
@@ -146,16 +148,16 @@
     }
 
     int sessionCount() throws Exception {
-        return onLoop(listener::sessionCount);
+        return callOnLoop(listener::sessionCount);
     }
 
-    /** Everything that was read on connections that have ended was answered. */
-    void assertNothingReadIsUnanswered() throws Exception {
-        String summary = onLoop(counters::takeSummary);
+    /** Asserts that all input that was read on connections that have ended was answered. */
+    void assertAllReadInputAnswered() throws Exception {
+        String summary = callOnLoop(counters::takeSummary);
         assertFalse(summary.contains("unanswered input"), summary);
     }
 
-    <T> T onLoop(Callable<T> step) throws Exception {
+    <T> T callOnLoop(Callable<T> step) throws Exception {
         return transport.eventLoop().submit(step).get();
     }
 
@@ -164,7 +166,8 @@
     }
 
     /**
-     * Runs a step of a client while the event loop stalls, and then one of the router before the loop reads anything.
+     * Runs a client step while the event loop is stalled, and then a router step on the event loop before it reads any
+     * input.
      */
     void duringLoopStall(Callable<?> clientStep, Runnable routerStep) throws Exception {
         EventLoopStall.during(transport.eventLoop(), clientStep, routerStep);
--- a/daemon/src/test/java/clayhook/frontend/ClientListenerTest.java
+++ b/daemon/src/test/java/clayhook/frontend/ClientListenerTest.java
@@ -3,7 +3,7 @@
 import static clayhook.frontend.ClientListenerFixture.longRequest;
 import static clayhook.frontend.ClientListenerFixture.request;
 import static clayhook.frontend.ClientListenerFixture.requests;
-import static clayhook.frontend.ClientListenerFixture.take;
+import static clayhook.frontend.ClientListenerFixture.takeNext;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -19,11 +19,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Limits on clients: time, messages sent ahead, and descriptors. */
+/** Tests the limits on clients: time, pipelined messages, memory and descriptors. */
 class ClientListenerTest {
-    /** More than any of these tests connects. */
+    /** More clients than any of these tests connects. */
     private static final int MANY_CLIENTS = 488;
-    /** Bytes of the process; an eighth is for long statements, each of whose bytes takes four. */
+    /** Bytes of the process; long statements may occupy an eighth, and each of their bytes counts as four. */
     private static final long MEMORY_FOR_ONE_LONG_REQUEST = 100_000;
 
     private final ClientListenerFixture fixture = new ClientListenerFixture();
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void closesClientThatPipelinesTooManyRequestsAfterAnsweringTheFirst() throws Exception {
+    void answersAcceptedRequestsThenClosesClientThatPipelinesTooMany() throws Exception {
         fixture.start(MANY_CLIENTS);
         var client = client(StubClient.startupAndFirst(requests(1301)));
         assertEquals("ready", client.nextAnswer());
@@ -85,49 +85,49 @@
     }
 
     /**
-     * The connection ended with the error to the first one, and what had been sent behind it was read and not answered:
-     * a client that sends ahead while others hold the memory lost requests. Found by reading; the second answer was
-     * {@code 53300 closed} here.
+     * Guards against the loss of pipelined requests while other clients hold the memory. The rejection of the first
+     * request closed the connection, so that the second response was {@code 53300 closed}, and the requests after the
+     * rejected one were read but not answered.
      */
     @Test
     @Timeout(60)
-    void answersRequestsBehindOneForWhichNoMemoryIsLeft() throws Exception {
+    void answersRequestsAfterOneRejectedForLackOfMemory() throws Exception {
         fixture.start(MANY_CLIENTS, MEMORY_FOR_ONE_LONG_REQUEST);
         var first = client(StubClient.startupAndFirst(longRequest()));
         assertEquals("ready", first.nextAnswer());
-        ClientSession holdsMemory = take(fixture.receivedRequests);
+        ClientSession memoryHolder = takeNext(fixture.receivedRequests);
         var second = client(StubClient.startupAndFirst(Unpooled.wrappedBuffer(longRequest(), request())));
         assertEquals("ready", second.nextAnswer());
         assertEquals("53300", second.nextAnswer());
         fixture.respondToNextRequest();
         assertEquals("40003", second.nextAnswer());
-        fixture.runOnLoop(holdsMemory::respondInDoubt);
+        fixture.runOnLoop(memoryHolder::respondInDoubt);
         assertEquals("40003", first.nextAnswer());
         second.send(longRequest());
         fixture.respondToNextRequest();
         assertEquals("40003", second.nextAnswer());
-        fixture.assertNothingReadIsUnanswered();
+        fixture.assertAllReadInputAnswered();
     }
 
-    /** A session is not taken for idle while the rest of such a statement is on its way. */
+    /** A session must not count as idle while the rest of a rejected statement is in transit. */
     @Test
     @Timeout(60)
-    void drainingSessionAnswersAStatementWithoutMemoryOfWhichPartHasArrived() throws Exception {
+    void drainingSessionAnswersPartiallyReceivedStatementRejectedForLackOfMemory() throws Exception {
         fixture.start(MANY_CLIENTS, MEMORY_FOR_ONE_LONG_REQUEST);
         var first = client(StubClient.startupAndFirst(longRequest()));
         assertEquals("ready", first.nextAnswer());
-        take(fixture.receivedRequests);
+        takeNext(fixture.receivedRequests);
         ByteBuf rest = longRequest();
         var second = client(StubClient.startupAndFirst(rest.readRetainedSlice(rest.readableBytes() / 2)));
         assertEquals("ready", second.nextAnswer());
         fixture.runOnLoop(() -> fixture.listener().drain());
         second.send(rest);
         assertEquals("53300", second.nextAnswer());
-        fixture.assertNothingReadIsUnanswered();
+        fixture.assertAllReadInputAnswered();
     }
 
     @Test
-    void evictsSilentClientsBeforeActiveOnes() throws Exception {
+    void evictsClientsWithoutRequestBeforeActiveOnes() throws Exception {
         fixture.start(2);
         var active = client(StubClient.startupAndFirst(request()));
         fixture.respondToNextRequest();
@@ -163,7 +163,7 @@
 
     @ParameterizedTest
     @CsvSource({"2, 1", "3, 1", "5, 2"})
-    void closesIdleClientsAboveCrowdedLimit(int maxClients, int remaining) throws Exception {
+    void closesIdleClientsAboveIdleLimit(int maxClients, int remaining) throws Exception {
         fixture.start(maxClients);
         for (int i = 0; i < 2; i++) {
             var idle = client(StubClient.startupAndFirst(request()));
@@ -178,7 +178,7 @@
     void rejectsClientWhenNoSessionCanBeEvicted() throws Exception {
         fixture.start(1);
         client(StubClient.startupAndFirst(request()));
-        take(fixture.receivedRequests);
+        takeNext(fixture.receivedRequests);
         assertTrue(client(StubClient.startupAndFirst(request())).nextAnswer().endsWith("closed"));
     }
 }
--- a/daemon/src/test/java/clayhook/frontend/ClientSessionRaceTest.java
+++ b/daemon/src/test/java/clayhook/frontend/ClientSessionRaceTest.java
@@ -2,7 +2,7 @@
 
 import static clayhook.frontend.ClientListenerFixture.request;
 import static clayhook.frontend.ClientListenerFixture.requests;
-import static clayhook.frontend.ClientListenerFixture.take;
+import static clayhook.frontend.ClientListenerFixture.takeNext;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -20,9 +20,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Races between what a client does and what the router does with its session at the same time. */
+/** Tests races between actions of a client and concurrent actions of the router on its session. */
 class ClientSessionRaceTest {
-    /** More than the system buffers for a connection. */
+    /** More than the operating system buffers for a connection. */
     private static final int LONG_RESULT_BYTES = 16 << 20;
 
     private final ClientListenerFixture fixture = new ClientListenerFixture();
@@ -32,7 +32,7 @@
         fixture.close();
     }
 
-    /** A response of one row of that length. */
+    /** A response with one row of a given length in bytes. */
     private static List<byte[]> resultRow(int length) {
         byte[] row = new byte[length + 11];
         Unpooled.wrappedBuffer(row)
@@ -70,13 +70,13 @@
         fixture.start(9);
         SocketClient client =
                 fixture.connect().sendStartup(requests(requestCount), request().slice(0, partialBytes));
-        ClientSession session = take(fixture.receivedRequests);
+        ClientSession session = takeNext(fixture.receivedRequests);
         assertEquals("ready", client.readResponse());
         if (draining) {
             fixture.runOnLoop(this::drain);
         }
         client.socket.close();
-        assertEquals(session, take(fixture.goneClients));
+        assertEquals(session, takeNext(fixture.goneSessions));
         fixture.awaitSessionCount(0);
         fixture.runOnLoop(session::respondInDoubt);
         assertEquals(0, fixture.receivedRequests.size());
@@ -86,28 +86,28 @@
     void treatsHalfCloseAsClose() throws Exception {
         fixture.start(9);
         SocketClient client = fixture.connect().sendStartup(requests(40));
-        ClientSession session = take(fixture.receivedRequests);
+        ClientSession session = takeNext(fixture.receivedRequests);
         client.socket.shutdownOutput();
-        assertEquals(session, take(fixture.goneClients));
+        assertEquals(session, takeNext(fixture.goneSessions));
         assertEquals(0, fixture.receivedRequests.size());
     }
 
     @Test
-    void closesClientThatFloodsWithoutEnd() throws Exception {
+    void closesClientThatKeepsSendingAfterTooManyPipelinedRequests() throws Exception {
         fixture.start(9);
         SocketClient client = fixture.connect().sendStartup(requests(40));
-        take(fixture.receivedRequests);
+        takeNext(fixture.receivedRequests);
         var writing = new Thread(() -> {
             try {
                 while (true) {
                     client.send(requests(100));
                 }
             } catch (Exception e) {
-                // the router has closed
+                // the router has closed the connection
             }
         });
         writing.start();
-        take(fixture.goneClients);
+        takeNext(fixture.goneSessions);
         writing.join();
     }
 
@@ -117,7 +117,7 @@
     @ValueSource(strings = {"drain", "idle", "malformed", "flooding", "terminate", "evict"})
     void deliversUnreadResponseBeforeAnyKindOfClose(String cause) throws Exception {
         fixture.start(1);
-        ByteBuf behind =
+        ByteBuf inputAfterRequest =
                 switch (cause) {
                     case "malformed" ->
                         Unpooled.buffer().writeByte('j').writeInt(4).writeZero(100_000);
@@ -125,8 +125,8 @@
                     case "terminate" -> Unpooled.buffer().writeByte('X').writeInt(4);
                     default -> Unpooled.EMPTY_BUFFER;
                 };
-        SocketClient client = fixture.connect().sendStartup(request(), behind);
-        ClientSession session = take(fixture.receivedRequests);
+        SocketClient client = fixture.connect().sendStartup(request(), inputAfterRequest);
+        ClientSession session = takeNext(fixture.receivedRequests);
         fixture.runOnLoop(() -> session.respondWithResult(resultRow(LONG_RESULT_BYTES)));
         if (cause.equals("drain")) {
             fixture.runOnLoop(this::drain);
@@ -135,7 +135,7 @@
         } else if (cause.equals("evict")) {
             assertEquals("53300 closed", fixture.connect().sendStartup().readResponse());
         }
-        Thread.sleep(300); // longer than a close takes that does not wait for its responses
+        Thread.sleep(300); // longer than a close that does not wait until the responses are read
         fixture.advanceClock(0.5);
         assertEquals("ready", client.readResponse());
         assertEquals("" + (LONG_RESULT_BYTES + 6), client.readResponse());
@@ -171,18 +171,19 @@
         client.socket.close();
         fixture.awaitSessionCount(0);
         assertEquals(0, fixture.receivedRequests.size());
-        assertEquals(0, fixture.goneClients.size());
-        fixture.assertNothingReadIsUnanswered();
+        assertEquals(0, fixture.goneSessions.size());
+        fixture.assertAllReadInputAnswered();
     }
 
-    /** A request that is sent as its connection ends is not read, and its client finds that it was refused. */
+    /** A request that is sent while the router closes the connection is not read, and its client gets an error. */
     @ParameterizedTest
     @ValueSource(strings = {"drain", "idle", "evict", "no request"})
-    void refusesRequestThatCrossesTheEnd(String cause) throws Exception {
+    void refusesRequestSentWhileConnectionCloses(String cause) throws Exception {
         fixture.start(1);
-        boolean usesFirstRequest = cause.equals("no request");
-        SocketClient client = usesFirstRequest ? fixture.connect().sendStartup() : fixture.connectWithFirstResponse();
-        if (usesFirstRequest) {
+        boolean sendsNoFirstRequest = cause.equals("no request");
+        SocketClient client =
+                sendsNoFirstRequest ? fixture.connect().sendStartup() : fixture.connectWithFirstResponse();
+        if (sendsNoFirstRequest) {
             assertEquals("ready", client.readResponse());
         }
         fixture.advanceClock(0.5);
@@ -192,16 +193,16 @@
             case "evict" -> fixture.connect().sendStartup();
             default -> fixture.closeIdleSessionsAfter(2.5);
         }
-        Thread.sleep(100); // the connection has ended, and the client has not looked
+        Thread.sleep(100); // the router has closed the connection, and the client has not detected it
         try {
             client.send(request());
         } catch (IOException e) {
-            // reset: the answer is still there
+            // connection reset; the response can still be read
         }
-        String answer = usesFirstRequest ? "57P05" : "57P03";
-        assertTrue(client.readResponse().startsWith(answer));
+        String expectedCode = sendsNoFirstRequest ? "57P05" : "57P03";
+        assertTrue(client.readResponse().startsWith(expectedCode));
         assertEquals(0, fixture.receivedRequests.size());
-        fixture.assertNothingReadIsUnanswered();
+        fixture.assertAllReadInputAnswered();
     }
 
     @Test
@@ -216,14 +217,14 @@
         assertEquals("57P03 closed", late[0].readResponse());
     }
 
-    /** Right behind an answer, an error that nobody asked for could be taken for a second answer. */
+    /** A client could takeNext an unsolicited error immediately after a response for a second response. */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 3})
-    void keepsDrainingSessionOpenUntilItsLastAnswerIsRead(int laterRequests) throws Exception {
+    void keepsDrainingSessionOpenUntilLastResponseIsRead(int laterRequests) throws Exception {
         fixture.start(9);
         SocketClient client = fixture.connectWithFirstResponse();
         fixture.runOnLoop(this::drain);
-        Thread.sleep(100); // everything that had arrived is read
+        Thread.sleep(100); // all input received so far is read
         if (laterRequests == 0) {
             client.socket.setSoTimeout(400);
             assertTrue(client.readResponse().contains("SocketTimeoutException"));
@@ -236,16 +237,17 @@
         client.socket.setSoTimeout(20_000);
         assertEquals("57P03 closed", client.readResponse());
         assertEquals(0, fixture.receivedRequests.size());
-        fixture.assertNothingReadIsUnanswered();
+        fixture.assertAllReadInputAnswered();
     }
 
     /**
-     * An answer that no node gave counts as well. Before, the router shut down right behind the error of an invalid
-     * statement, and its client, which had sent one request, found two errors: the second 0 ms behind the first.
+     * The delay after a response also applies to responses that the router generates itself. Without it, the router
+     * shut down immediately after the error of an invalid statement, and a client that had sent one request received
+     * two errors, the second 0 ms after the first.
      */
     @ParameterizedTest
     @ValueSource(strings = {"empty query", "invalid statement", "extended query", "function call"})
-    void keepsDrainingSessionOpenUntilAnAnswerWithoutARequestIsRead(String kind) throws Exception {
+    void keepsDrainingSessionOpenUntilResponseToNonRequestIsRead(String kind) throws Exception {
         fixture.start(9);
         SocketClient client = fixture.connectWithFirstResponse();
         fixture.advanceClock(0.5);
@@ -275,7 +277,7 @@
         fixture.start(9);
         SocketClient client = fixture.connectWithFirstResponse();
         fixture.duringLoopStall(() -> client.send(request()), this::drain);
-        ClientSession session = take(fixture.receivedRequests);
+        ClientSession session = takeNext(fixture.receivedRequests);
         fixture.duringLoopStall(() -> client.send(request()), () -> session.respondWithResult(resultRow(1)));
         assertEquals("\0", client.readResponse());
         assertEquals("57P03 closed", client.readResponse());
@@ -286,7 +288,7 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void doesNotTimeOutClientForStallOfTheRouter(boolean partialRequest) throws Exception {
+    void doesNotTimeOutClientBecauseOfRouterStall(boolean partialRequest) throws Exception {
         fixture.start(9);
         SocketClient client = partialRequest
                 ? fixture.connectWithFirstResponse()
@@ -321,7 +323,7 @@
     void deliversRejectionToClientThatSentRequestAtOnce() throws Exception {
         fixture.start(1);
         fixture.connect().sendStartup(request());
-        take(fixture.receivedRequests);
+        takeNext(fixture.receivedRequests);
         var rejected = new SocketClient[1];
         fixture.duringLoopStall(() -> rejected[0] = fixture.connect().sendStartup(requests(9)), () -> {});
         assertEquals("53300 closed", rejected[0].readResponse());
@@ -347,7 +349,7 @@
         assertEquals("ready", other[0].readResponse());
         assertEquals("40003", other[0].readResponse());
         assertEquals(0, fixture.receivedRequests.size());
-        fixture.assertNothingReadIsUnanswered();
+        fixture.assertAllReadInputAnswered();
     }
 
     // ---- cancelling ----
@@ -362,10 +364,10 @@
     void cancelsOnlyTheRequestOfTheSessionWithThatKey() throws Exception {
         fixture.start(9);
         SocketClient client = fixture.connect().sendStartup(request());
-        ClientSession session = take(fixture.receivedRequests);
+        ClientSession session = takeNext(fixture.receivedRequests);
         assertEquals("ready", client.readResponse());
         SocketClient other = fixture.connect().sendStartup(request());
-        ClientSession second = take(fixture.receivedRequests);
+        ClientSession second = takeNext(fixture.receivedRequests);
         assertEquals("ready", other.readResponse());
         assertNotEquals(client.cancelKey, other.cancelKey);
         assertNotEquals(client.cancelKey >>> 32, other.cancelKey >>> 32);
@@ -376,15 +378,15 @@
         }
         assertNull(fixture.cancelRequests.poll());
         sendCancelRequest(other.cancelKey);
-        assertEquals(second, take(fixture.cancelRequests));
+        assertEquals(second, takeNext(fixture.cancelRequests));
         fixture.runOnLoop(() -> second.respondCancelled(true));
         assertEquals("57014", other.readResponse());
         sendCancelRequest(client.cancelKey);
-        assertEquals(session, take(fixture.cancelRequests));
+        assertEquals(session, takeNext(fixture.cancelRequests));
         client.socket.close();
         other.socket.close();
         fixture.awaitSessionCount(0);
-        assertEquals(0, fixture.onLoop(fixture.listener()::cancelKeyCount));
+        assertEquals(0, fixture.callOnLoop(fixture.listener()::cancelKeyCount));
     }
 
     @Test
@@ -397,10 +399,10 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void lateCancelDoesNotHitNextRequest(boolean pipelined) throws Exception {
+    void lateCancelDoesNotCancelNextRequest(boolean pipelined) throws Exception {
         fixture.start(9);
         SocketClient client = fixture.connect().sendStartup(requests(pipelined ? 2 : 1));
-        ClientSession session = take(fixture.receivedRequests);
+        ClientSession session = takeNext(fixture.receivedRequests);
         assertEquals("ready", client.readResponse());
         SocketClient cancelling = fixture.connect();
         fixture.awaitSessionCount(2);
@@ -410,7 +412,7 @@
         if (!pipelined) {
             client.send(request());
         }
-        take(fixture.receivedRequests);
+        takeNext(fixture.receivedRequests);
         assertEquals(
                 "closed",
                 cancelling.send(SocketClient.cancelRequest(client.cancelKey)).readResponse());
