--- a/daemon/src/test/java/clayhook/frontend/SocketClient.java
+++ b/daemon/src/test/java/clayhook/frontend/SocketClient.java
@@ -11,21 +11,21 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A client over a blocking socket. A write is in the router's socket buffer when it returns, and nothing is read before
- * a test asks for it.
+ * A client over a blocking socket. When a write returns, the bytes are in the router's socket buffer. The client reads
+ * only when the test requests a response.
  */
 public final class SocketClient {
     private static final int READ_TIMEOUT_MS = 20_000;
-    /** Longer values are summed up by their length. */
+    /** The message length above which a value is represented by its length. */
     private static final int LONG_VALUE_BYTES = 1000;
 
     private static final int CANCEL_REQUEST_CODE = 80877102;
 
     public final Socket socket;
     private final DataInputStream in;
-    /** The key for cancel requests, once the session is ready. */
+    /** The key for cancel requests; set once the session is ready. */
     public long cancelKey;
-    /** The text of the last error. */
+    /** The message of the last error. */
     public String lastErrorMessage;
 
     /** Connects to a router. */
@@ -36,26 +36,27 @@
         in = new DataInputStream(socket.getInputStream());
     }
 
-    /** Sends the parts in one piece. */
+    /** Sends all parts as one sequence of bytes. */
     public SocketClient send(ByteBuf... parts) throws IOException {
         ByteBuf all = Unpooled.wrappedBuffer(parts);
         all.readBytes(socket.getOutputStream(), all.readableBytes());
         return this;
     }
 
-    /** The message that cancels the request of another session. */
+    /** The message that cancels the current request of another session. */
     public static ByteBuf cancelRequest(long key) {
         return Unpooled.buffer().writeInt(16).writeInt(CANCEL_REQUEST_CODE).writeLong(key);
     }
 
-    /** Sends a start-up message, and other messages right behind it. */
+    /** Sends a start-up message, followed immediately by other messages. */
     public SocketClient sendStartup(ByteBuf... after) throws IOException {
         return send(MessageEncoder.startupMessage("client", "core")).send(after);
     }
 
     /**
-     * Reads one response and sums it up: the value, or its length if that is long; the code of the error; or "ready" if
-     * it has neither. If the connection ends instead, "closed" or "reset" stands behind that.
+     * Reads one response and returns a summary: the value, or its length if it is long; the SQLSTATE code of an error;
+     * or "ready" if the response has neither. If the connection ends during the response, "closed", "reset" or the
+     * exception is appended.
      */
     public String readResponse() throws IOException {
         String summary = "";
