--- a/daemon/src/test/java/clayhook/sql/ScriptedSqlNode.java
+++ b/daemon/src/test/java/clayhook/sql/ScriptedSqlNode.java
@@ -19,10 +19,13 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.function.Function;
 
-/** A node that accepts any statement, records what it ran, and reacts to each statement as a test says. */
-@SuppressWarnings("FutureReturnValueIgnored") // a write or close that fails shows as the end of its channel
+/** A node that accepts any statement, records the executed statements, and reacts to each as defined by the test. */
+@SuppressWarnings("FutureReturnValueIgnored") // a failed write or close ends in the close of the channel
 final class ScriptedSqlNode {
-    /** What the node does to a statement: answer, fail, or reset the connection before or after running it. */
+    /**
+     * The reaction of the node to a statement: a response, an error, or a connection reset before or after the
+     * execution of the statement.
+     */
     record Reaction(Kind kind, ByteBuf response, String sqlState) {
         enum Kind {
             ANSWER,
@@ -73,15 +76,15 @@
         }
     }
 
-    /** The statements that it ran, in order. */
+    /** The statements that the node executed, in order. */
     final Queue<String> executedStatements = new ConcurrentLinkedQueue<>();
 
-    /** The statements by which it was given settings, in order. */
+    /** The SET and RESET statements that the node received, in order. */
     final Queue<String> settingStatements = new ConcurrentLinkedQueue<>();
 
     final Queue<Channel> connections = new ConcurrentLinkedQueue<>();
 
-    /** Closes all connections, as a node that fails does. */
+    /** Closes all connections, which simulates a failure of the node. */
     void closeConnections() {
         connections.forEach(Channel::close);
     }
--- a/daemon/src/test/java/clayhook/sql/SqlClient.java
+++ b/daemon/src/test/java/clayhook/sql/SqlClient.java
@@ -10,9 +10,9 @@
 import java.net.Socket;
 import java.nio.ByteBuffer;
 
-/** A blocking client that reads the response to a statement before it sends the next one. */
+/** A blocking client that reads the response to each statement before it sends the next statement. */
 final class SqlClient implements AutoCloseable {
-    /** Far longer than any response takes: a test that waits so long has failed. */
+    /** Far longer than any response takes, so that only a failed test reaches this limit. */
     private static final int READ_TIMEOUT_MS = 60_000;
 
     private final Socket socket = new Socket();
@@ -41,7 +41,10 @@
                 .array());
     }
 
-    /** The types of the messages of one response, with tags and codes: {@code "TDC(SELECT 1)"}, {@code "E(42601)"}. */
+    /**
+     * Reads one response and returns its message types with command tags and SQLSTATE codes, such as {@code "TDC(SELECT
+     * 1)"} or {@code "E(42601)"}.
+     */
     String readResponse() throws IOException {
         var summary = new StringBuilder();
         while (true) {
@@ -75,7 +78,7 @@
         return readResponse();
     }
 
-    /** Ends the session; false if the router sent more than was asked for. */
+    /** Ends the session; returns false if the router sent an unexpected message before it closed the connection. */
     boolean terminate() throws IOException {
         out.write(new byte[] {'X', 0, 0, 0, 4});
         try {
--- a/daemon/src/test/java/clayhook/sql/SqlRoutingTest.java
+++ b/daemon/src/test/java/clayhook/sql/SqlRoutingTest.java
@@ -46,7 +46,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Routes statements of any kind through a whole router on loopback, between nodes that record what they ran. */
+/** Tests the routing of SQL statements by a complete router on loopback, with nodes that record what they execute. */
 class SqlRoutingTest {
     private static final String RULES =
             """
@@ -95,7 +95,7 @@
                     + "\",\"az\":\"a\",\"pod_group\":1,\"state\":\"up\",\"role\":\""
                     + (entries.isEmpty() ? "primary" : "replica") + "\",\"boot_ms\":0}");
         }
-        // Checks are answered: a service that answers nothing for six seconds leaves the router without a valid list.
+        // Responds to discovery checks: without responses, the endpoint list of the router expires after six seconds.
         var discovery = new StubDiscovery(
                 transport,
                 transport.ephemeralAddress(0),
@@ -159,11 +159,11 @@
                 "delete from t /* id=1,c=any,d=30000,cluster=1 */|C(DELETE 3)|true",
                 "select 1 /* id=1,c=mutating,d=30000,cluster=1 */|C(DELETE 3)|true"
             })
-    void routesStatementByClassAndReturnsCompleteResponse(String text, String answer, boolean primary)
+    void routesStatementByClassAndReturnsCompleteResponse(String text, String expectedResponse, boolean primary)
             throws Exception {
         start(always(Reaction.tag("DELETE 3")), always(Reaction.rows("x", "y")));
         try (SqlClient client = client()) {
-            assertEquals(answer, client.query(text));
+            assertEquals(expectedResponse, client.query(text));
             assertEquals(1, executionCount(text));
             assertEquals(primary ? 1 : 0, nodes.get(0).executedStatements.size());
         }
@@ -185,8 +185,8 @@
     void rejectsSessionDependentStatementWithoutSendingIt(String text) throws Exception {
         start(always(Reaction.tag("X")), always(Reaction.tag("X")));
         try (SqlClient client = client()) {
-            String answer = client.query(text);
-            assertTrue(answer.matches("E\\((0A000|42601)\\)"), answer);
+            String response = client.query(text);
+            assertTrue(response.matches("E\\((0A000|42601)\\)"), response);
             assertEquals("C(X)", client.query("select 1"));
             assertEquals(0, executionCount(text));
         }
@@ -200,20 +200,21 @@
         "XX000, E(XX000), 1",
         "53300, C(OK), 2"
     })
-    void forwardsNodeErrorAndDoesNotRetryWriteInDoubt(String code, String answer, int sends) throws Exception {
+    void forwardsNodeErrorAndDoesNotRetryWriteInDoubt(String code, String expectedResponse, int sends)
+            throws Exception {
         var sent = new AtomicInteger();
         start(
                 text -> sent.incrementAndGet() == 1 ? Reaction.error(code) : Reaction.tag("OK"),
                 always(Reaction.tag("R")));
         try (SqlClient client = client()) {
-            assertEquals(answer, client.query("delete from t"));
+            assertEquals(expectedResponse, client.query("delete from t"));
             assertEquals(sends, sent.get());
         }
     }
 
-    /** A procedure may have ended transactions before its error. */
+    /** A procedure may have committed transactions before its error, so a rejected call may have had effects. */
     @Test
-    void reportsProcedureRejectedByNodeAsInDoubt() throws Exception {
+    void reportsRejectedProcedureCallAsInDoubt() throws Exception {
         var sent = new AtomicInteger();
         start(
                 text -> sent.incrementAndGet() == 1 ? Reaction.error("53300") : Reaction.tag("OK"),
@@ -226,9 +227,11 @@
 
     @Test
     void retriesOnlyWritesWithIdempotencyKey() throws Exception {
-        var seen = ConcurrentHashMap.<String>newKeySet();
+        var executedBefore = ConcurrentHashMap.<String>newKeySet();
         start(
-                text -> seen.add(text) ? new Reaction(Reaction.Kind.RESET_AFTER, null, null) : Reaction.tag("OK"),
+                text -> executedBefore.add(text)
+                        ? new Reaction(Reaction.Kind.RESET_AFTER, null, null)
+                        : Reaction.tag("OK"),
                 always(Reaction.tag("R")));
         try (SqlClient client = client()) {
             assertEquals("C(OK)", client.query("insert into posts (id, a) values (1, 2)"));
@@ -238,9 +241,9 @@
         }
     }
 
-    /** The view calls a function that writes: the text does not show that, only the replica's error does. */
+    /** The view calls a function that writes, which only the error of the replica reveals, not the statement text. */
     @Test
-    void reclassifiesReadThatReplicaRefusesAsWrite() throws Exception {
+    void reclassifiesStatementAsWriteAfterReplicaRefusesIt() throws Exception {
         var refusals = new AtomicInteger();
         start(always(Reaction.tag("W")), text -> {
             if (text.contains("v_next")) {
@@ -259,7 +262,10 @@
         }
     }
 
-    /** Where the router and a node disagree on escapes, text that is a string to one is code to the other. */
+    /**
+     * If the router and a node parse escapes in string literals differently, text that the router takes for a string
+     * literal may be executed as SQL by the node.
+     */
     @Test
     void doesNotUseNodeWithOtherStringLiteralSetting() throws Exception {
         start(
@@ -356,20 +362,20 @@
     void forwardsNoticesEmptyResponsesAndSeveralResults() throws Exception {
         ByteBuf notice = MessageEncoder.error(false, "01000", "w", null);
         notice.setByte(0, 'N');
-        ByteBuf several = Unpooled.wrappedBuffer(
+        ByteBuf severalResults = Unpooled.wrappedBuffer(
                 notice.slice(0, notice.readableBytes() - 6),
                 message('I', Unpooled.EMPTY_BUFFER),
                 Reaction.rows("x").response(),
                 message('T', Unpooled.buffer().writeShort(0)),
                 message('C', ScriptedSqlNode.cString("SELECT 0")));
-        start(always(Reaction.bytes(several)), always(Reaction.bytes(several)));
+        start(always(Reaction.bytes(severalResults)), always(Reaction.bytes(severalResults)));
         try (SqlClient client = client()) {
             assertEquals("N(01000)ITDC(SELECT 1)TC(SELECT 0)", client.query("select 1"));
             assertEquals("N(01000)ITDC(SELECT 1)TC(SELECT 0)", client.query("call p(); select 1"));
         }
     }
 
-    // ---- many statements under faults ----
+    // ---- concurrent statements under faults ----
 
     private static final String[] READS = {
         "select a, b from t where c = %d",
@@ -393,7 +399,7 @@
     };
 
     @Test
-    void underFaultsWritesReachOnlyThePrimaryRunOnceAndEveryStatementIsAnsweredOnce() throws Exception {
+    void underFaultsPrimaryRunsWritesOnceAndEveryStatementIsAnsweredOnce() throws Exception {
         var random = new Random(5);
         int[] draws = random.ints(100_000, 0, 100).toArray();
         var nextDraw = new AtomicInteger();
@@ -407,17 +413,18 @@
         start(faults, faults);
         int clients = 8;
         int statementsPerClient = 2500;
-        Map<String, String> answers = runClients(clients, statementsPerClient);
-        assertEquals(clients * statementsPerClient, answers.size());
-        Map<String, Integer> executions = assertReplicasRanOnlyTheirShareOfReads();
-        answers.forEach((text, answer) -> assertAnswerFitsExecutions(text, answer, executions.getOrDefault(text, 0)));
-        long failed = answers.values().stream()
-                .filter(answer -> answer.startsWith("E"))
+        Map<String, String> responses = runClients(clients, statementsPerClient);
+        assertEquals(clients * statementsPerClient, responses.size());
+        Map<String, Integer> executions = assertReplicasExecutedOnlyBalancedReads();
+        responses.forEach(
+                (text, response) -> assertResponseMatchesExecutions(text, response, executions.getOrDefault(text, 0)));
+        long failed = responses.values().stream()
+                .filter(response -> response.startsWith("E"))
                 .count();
         assertTrue(failed < clients * statementsPerClient / 20, failed + " failed");
     }
 
-    /** Runs different statements from many clients at the same time; the answers by statement. */
+    /** Runs distinct statements from concurrent clients, and returns the responses by statement. */
     private Map<String, String> runClients(int clients, int statementsPerClient) throws Exception {
         var pool = Executors.newFixedThreadPool(clients);
         var results = new ArrayList<Future<Map<String, String>>>();
@@ -425,34 +432,37 @@
             int number = c;
             results.add(pool.submit(() -> runClient(number, statementsPerClient)));
         }
-        var answers = new HashMap<String, String>();
+        var responses = new HashMap<String, String>();
         for (Future<Map<String, String>> result : results) {
-            answers.putAll(result.get());
+            responses.putAll(result.get());
         }
         pool.shutdown();
-        return answers;
+        return responses;
     }
 
     private Map<String, String> runClient(int number, int statements) throws Exception {
         var random = new Random(number);
-        var answers = new HashMap<String, String>();
+        var responses = new HashMap<String, String>();
         try (SqlClient client = client("user", "u", "application_name", "c" + number % 2)) {
             for (int i = 0; i < statements; i++) {
                 String[] forms = random.nextInt(3) == 0 ? WRITES : READS;
                 String text =
                         forms[random.nextInt(forms.length)].replace("%d", Integer.toString(number * statements + i));
-                answers.put(text, client.query(text));
+                responses.put(text, client.query(text));
                 if (i % 500 == 499) { // a node loses all its connections
                     nodes.get(random.nextInt(3)).closeConnections();
                 }
             }
             assertTrue(client.terminate());
         }
-        return answers;
+        return responses;
     }
 
-    /** Returns how often each statement ran, at all nodes together. */
-    private Map<String, Integer> assertReplicasRanOnlyTheirShareOfReads() {
+    /**
+     * Asserts that replicas executed only reads, and that these are balanced; returns the number of executions of each
+     * statement over all nodes.
+     */
+    private Map<String, Integer> assertReplicasExecutedOnlyBalancedReads() {
         var executions = new HashMap<String, Integer>();
         var reads = new ArrayList<Long>();
         for (ScriptedSqlNode node : nodes) {
@@ -463,7 +473,7 @@
                     .filter(text -> !isWrite(text))
                     .count());
         }
-        // Reads are balanced over the replicas; the primary gets those that neither could take.
+        // Reads are balanced over the replicas; the primary receives only reads that neither replica could accept.
         assertTrue(
                 reads.get(0) < reads.get(1)
                         && reads.get(0) < reads.get(2)
@@ -473,13 +483,13 @@
         return executions;
     }
 
-    private static void assertAnswerFitsExecutions(String text, String answer, int executions) {
+    private static void assertResponseMatchesExecutions(String text, String response, int executions) {
         boolean hasIdempotencyKey = text.startsWith("insert into posts");
         assertTrue(!isWrite(text) || executions <= 1 || hasIdempotencyKey, text + " ran " + executions + " times");
-        boolean succeeded = answer.endsWith(")") && !answer.startsWith("E");
+        boolean succeeded = response.endsWith(")") && !response.startsWith("E");
         assertTrue(!succeeded || executions >= 1, text + " was answered but never ran");
-        assertTrue(succeeded || answer.matches("E\\((53300|40003|XX000)\\)"), answer);
-        assertTrue(!answer.equals("E(53300)") || executions == 0 || !isWrite(text), text + " ran and was rejected");
+        assertTrue(succeeded || response.matches("E\\((53300|40003|XX000)\\)"), response);
+        assertTrue(!response.equals("E(53300)") || executions == 0 || !isWrite(text), text + " ran and was rejected");
     }
 
     private static boolean isWrite(String text) {
