--- a/daemon/src/main/java/clayhook/frontend/ClientListener.java
+++ b/daemon/src/main/java/clayhook/frontend/ClientListener.java
@@ -29,8 +29,8 @@
     private static final int MEMORY_DIVISOR = 8;
     /**
      * The maximum number of idle sessions, as a fraction of the descriptors for clients. Sessions beyond it are closed,
-     * because the component that distributes connections over the routers may allow this router fewer connections
-     * than it has descriptors.
+     * because the component that distributes connections over the routers may allow this router fewer connections than
+     * it has descriptors.
      */
     private static final double CROWDED_FRACTION = 0.5;
     /**
