--- a/daemon/src/main/java/clayhook/frontend/ClientConnection.java
+++ b/daemon/src/main/java/clayhook/frontend/ClientConnection.java
@@ -160,7 +160,7 @@
      * Discards further input, writes the last bytes, shuts down the output, and closes the connection once the client
      * has closed its side or after a time limit.
      */
-    void closeAfter(ByteBuf lastBytes) {
+    void closeDiscardingInput(ByteBuf lastBytes) {
         discardInput();
         releaseMemory();
         pendingWrites++;
@@ -168,11 +168,11 @@
     }
 
     /** Stops reading, writes the last bytes, shuts down the output, and closes the connection after a short delay. */
-    void closeUnread(ByteBuf lastBytes) {
+    void closeWithoutReading(ByteBuf lastBytes) {
         decoder.discardInput();
         releaseMemory();
         pendingWrites++;
-        UnreadClose.begin(context.channel(), lastBytes, () -> pendingWrites--);
+        CloseWithoutReading.begin(context.channel(), lastBytes, () -> pendingWrites--);
     }
 
     /** Runs a task after a delay in seconds. */
--- a/daemon/src/main/java/clayhook/frontend/ClientListener.java
+++ b/daemon/src/main/java/clayhook/frontend/ClientListener.java
@@ -49,7 +49,7 @@
     private final DoubleSupplier clock;
     private final ClientSession.RequestHandler requestHandler;
     private final EventCounters counters;
-    private final ConnectionEnds ends;
+    private final ConnectionEndRecorder endRecorder;
     private final Channel serverChannel;
     /** All sessions that hold a descriptor, in the order in which the clients connected. */
     private final Set<ClientSession> sessions = new LinkedHashSet<>();
@@ -85,7 +85,7 @@
         this.clock = clock;
         this.requestHandler = requestHandler;
         this.counters = counters;
-        ends = new ConnectionEnds(counters);
+        endRecorder = new ConnectionEndRecorder(counters);
         descriptors.setClientEvictor(this::evictSession);
         serverChannel = transport.listen(address, this::handlersOfNewConnection);
     }
@@ -97,8 +97,8 @@
         }
         var decoder = new ClientMessageDecoder(memoryBudget, settingsFactory != null);
         SessionSettings settings = settingsFactory == null ? null : settingsFactory.get();
-        var session =
-                new ClientSession(requestHandler, decoder, settings, cancelKeys, ends, clock, this::onSessionClosed);
+        var session = new ClientSession(
+                requestHandler, decoder, settings, cancelKeys, endRecorder, clock, this::onSessionClosed);
         sessions.add(session);
         if (draining) {
             drain(session);
--- a/daemon/src/main/java/clayhook/frontend/ClientSession.java
+++ b/daemon/src/main/java/clayhook/frontend/ClientSession.java
@@ -61,7 +61,7 @@
     private final RequestHandler requestHandler;
     private final Consumer<ClientSession> onClosed;
     private final CancelKeyRegistry cancelKeys;
-    private final ConnectionEnds ends;
+    private final ConnectionEndRecorder endRecorder;
     private final DoubleSupplier clock;
     /** The settings of the client; null if only key-value statements are accepted. */
     private final SessionSettings settings;
@@ -94,7 +94,7 @@
      * Creates the session of a new connection.
      *
      * @param settings the settings of the client; null if only key-value statements are accepted
-     * @param ends records the end of the connection
+     * @param endRecorder records the end of the connection
      * @param clock returns the current time in seconds
      * @param onClosed called once the connection is closed
      */
@@ -103,13 +103,13 @@
             ClientMessageDecoder decoder,
             SessionSettings settings,
             CancelKeyRegistry cancelKeys,
-            ConnectionEnds ends,
+            ConnectionEndRecorder endRecorder,
             DoubleSupplier clock,
             Consumer<ClientSession> onClosed) {
         this.requestHandler = requestHandler;
         this.settings = settings;
         this.cancelKeys = cancelKeys;
-        this.ends = ends;
+        this.endRecorder = endRecorder;
         this.clock = clock;
         this.onClosed = onClosed;
         connection = new ClientConnection(decoder, this);
@@ -193,7 +193,7 @@
         state = State.CLOSING;
         pendingMessages.clear();
         cancelKeys.remove(cancelKey);
-        ends.record(endCause, connection.clientAddress(), unansweredMessages, connection.discardedBytes());
+        endRecorder.record(endCause, connection.clientAddress(), unansweredMessages, connection.discardedBytes());
         if (responseDue) {
             requestHandler.onClientGone(this);
         }
@@ -210,7 +210,7 @@
             return;
         }
         boolean responseDue = state == State.AWAITING_RESPONSE;
-        closeAfter(EndCause.SESSION_FAULT, ClientResponses.internalError());
+        closeAfterWriting(EndCause.SESSION_FAULT, ClientResponses.internalError());
         if (responseDue) {
             requestHandler.onClientGone(this);
         }
@@ -250,7 +250,7 @@
                 target.cancelRequestStartedBy(connectedAt);
             }
             // No response, because it would disclose whether the key is valid.
-            closeAfter(EndCause.CANCEL_REQUEST, Unpooled.EMPTY_BUFFER);
+            closeAfterWriting(EndCause.CANCEL_REQUEST, Unpooled.EMPTY_BUFFER);
         }
     }
 
@@ -259,7 +259,7 @@
         String fault = settings == null ? null : settings.introduced(startup.parameters());
         if (fault != null) {
             Log.warn("client", fault);
-            closeAfter(EndCause.STARTUP_REJECTED, ClientResponses.startupRejected(fault));
+            closeAfterWriting(EndCause.STARTUP_REJECTED, ClientResponses.startupRejected(fault));
             return;
         }
         cancelKey = cancelKeys.register(this);
@@ -310,7 +310,7 @@
             writeAnswer(ClientResponses.functionCallRejected());
         } else if (message instanceof ClientMessage.Terminate) {
             // All requests before this message have been answered, as a PostgreSQL server does.
-            closeAfter(EndCause.TERMINATE, Unpooled.EMPTY_BUFFER);
+            closeAfterWriting(EndCause.TERMINATE, Unpooled.EMPTY_BUFFER);
         } else if (message instanceof ClientMessage.Malformed malformed) {
             rejectMalformed(malformed);
         }
@@ -325,7 +325,7 @@
     /** Refuses a request received too late during a drain, and closes the connection if no further input was read. */
     private void refuse() {
         if (mayEndWithAnswer()) {
-            closeAfter(drainCause, ClientResponses.connectionEnds(drainCause));
+            closeAfterWriting(drainCause, ClientResponses.connectionEnds(drainCause));
         } else {
             activity.onQuiet(clock.getAsDouble());
             writeAnswer(ClientResponses.connectionEndsSoon(drainCause));
@@ -363,7 +363,7 @@
 
     private void rejectMalformed(ClientMessage.Malformed malformed) {
         Log.warn("client", "malformed client message: " + malformed.reason());
-        closeAfter(EndCause.MALFORMED_INPUT, ClientResponses.malformedMessage(malformed));
+        closeAfterWriting(EndCause.MALFORMED_INPUT, ClientResponses.malformedMessage(malformed));
     }
 
     // ---- responses ----
@@ -411,7 +411,7 @@
 
     private void respondOrEnd(Function<Boolean, ByteBuf> failure) {
         if (state == State.AWAITING_RESPONSE && mayEndWithAnswer()) {
-            closeAfter(drainCause, failure.apply(true));
+            closeAfterWriting(drainCause, failure.apply(true));
         } else {
             respond(failure.apply(false));
         }
@@ -489,7 +489,7 @@
             // Reads pending input first, so that a stall of this process does not count as inactivity of the client.
             connection.afterPendingReads(() -> idleTimeout(now).ifPresent(reason -> {
                 Log.warn("client", reason);
-                closeAfter(EndCause.IDLE_TIMEOUT, ClientResponses.idleTimeout());
+                closeAfterWriting(EndCause.IDLE_TIMEOUT, ClientResponses.idleTimeout());
             }));
         }
     }
@@ -510,7 +510,7 @@
     /** Closes the connection immediately to free its descriptor. The session must not be busy. */
     void evict() {
         if (state != State.CLOSING) {
-            closeAfter(EndCause.EVICTION, ClientResponses.connectionEnds(EndCause.EVICTION));
+            closeAfterWriting(EndCause.EVICTION, ClientResponses.connectionEnds(EndCause.EVICTION));
         }
         connection.inNextIteration(connection::closeNow);
     }
@@ -521,9 +521,9 @@
      */
     void endBeforeExit() {
         if (state == State.AWAITING_RESPONSE) {
-            closeAfter(EndCause.SHUTDOWN, ClientResponses.inDoubt(true));
+            closeAfterWriting(EndCause.SHUTDOWN, ClientResponses.inDoubt(true));
         } else if (state != State.CLOSING) {
-            closeAfter(EndCause.SHUTDOWN, ClientResponses.connectionEnds(EndCause.SHUTDOWN));
+            closeAfterWriting(EndCause.SHUTDOWN, ClientResponses.connectionEnds(EndCause.SHUTDOWN));
         }
     }
 
@@ -543,7 +543,7 @@
                 closeIfDrained();
             });
         } else if (unsettled <= 0) {
-            closeAfter(drainCause, ClientResponses.connectionEnds(drainCause));
+            closeAfterWriting(drainCause, ClientResponses.connectionEnds(drainCause));
         } else if (!endScheduled) {
             endScheduled = true;
             connection.afterSeconds(unsettled, () -> {
@@ -553,16 +553,16 @@
         }
     }
 
-    private void closeAfter(EndCause cause, ByteBuf lastBytes) {
+    private void closeAfterWriting(EndCause cause, ByteBuf lastBytes) {
         state = State.CLOSING;
         endCause = cause;
         unansweredMessages = pendingMessages.size();
         pendingMessages.clear();
         activity.onQuiet(clock.getAsDouble());
         if (cause.leavesInputUnread()) {
-            connection.closeUnread(lastBytes);
+            connection.closeWithoutReading(lastBytes);
         } else {
-            connection.closeAfter(lastBytes);
+            connection.closeDiscardingInput(lastBytes);
         }
     }
 }
--- a/daemon/src/main/java/clayhook/frontend/UnreadClose.java
+++ b/daemon/src/main/java/clayhook/frontend/CloseWithoutReading.java
@@ -11,13 +11,13 @@
  * time, because closing a socket that holds unread bytes resets the connection, and the reset may reach the client
  * before the last bytes do. All methods must be called on the event loop.
  */
-final class UnreadClose extends ChannelInboundHandlerAdapter {
+final class CloseWithoutReading extends ChannelInboundHandlerAdapter {
     /** The delay after the shutdown of the output; several times as long as a busy client needs to detect it. */
     private static final int LINGER_MS = 300;
 
     private final HalfClose halfClose;
 
-    private UnreadClose(Channel channel) {
+    private CloseWithoutReading(Channel channel) {
         halfClose = new HalfClose(channel);
     }
 
@@ -28,7 +28,7 @@
      * @param onWritten called once the write has completed or failed
      */
     static void begin(Channel channel, ByteBuf lastBytes, Runnable onWritten) {
-        var close = new UnreadClose(channel);
+        var close = new CloseWithoutReading(channel);
         channel.config().setAutoRead(false);
         channel.pipeline().addFirst(close);
         close.halfClose.begin(lastBytes, LINGER_MS, onWritten);
--- a/daemon/src/main/java/clayhook/frontend/ConnectionEnds.java
+++ b/daemon/src/main/java/clayhook/frontend/ConnectionEndRecorder.java
@@ -7,10 +7,10 @@
  * Counts the ends of client connections by cause, and logs connections on which input was read but not answered, since
  * every request that was read must be answered. All methods must be called on the event loop.
  */
-final class ConnectionEnds {
+final class ConnectionEndRecorder {
     private final EventCounters counters;
 
-    ConnectionEnds(EventCounters counters) {
+    ConnectionEndRecorder(EventCounters counters) {
         this.counters = counters;
     }
 
@@ -23,7 +23,7 @@
      */
     void record(EndCause cause, String client, int unansweredMessages, long discardedBytes) {
         counters.increment("ended " + cause);
-        if (cause.excusesUnansweredInput() || (unansweredMessages == 0 && discardedBytes == 0)) {
+        if (cause.allowsUnansweredInput() || (unansweredMessages == 0 && discardedBytes == 0)) {
             return;
         }
         counters.increment("unanswered input " + cause);
--- a/daemon/src/main/java/clayhook/frontend/EndCause.java
+++ b/daemon/src/main/java/clayhook/frontend/EndCause.java
@@ -26,7 +26,7 @@
     SESSION_FAULT;
 
     /** Whether input that follows the last answered message of the client needs no response. */
-    boolean excusesUnansweredInput() {
+    boolean allowsUnansweredInput() {
         return this == CLIENT_LEFT || this == TERMINATE || this == CANCEL_REQUEST;
     }
 
--- a/daemon/src/main/java/clayhook/frontend/RejectionHandler.java
+++ b/daemon/src/main/java/clayhook/frontend/RejectionHandler.java
@@ -57,7 +57,7 @@
         ByteBuf error = ClientResponses.noDescriptorLeft();
         lingers = lingering.tryAcquire();
         if (lingers) {
-            UnreadClose.begin(ctx.channel(), error, () -> {});
+            CloseWithoutReading.begin(ctx.channel(), error, () -> {});
         } else {
             ctx.writeAndFlush(error).addListener(ChannelFutureListener.CLOSE);
         }
