--- a/daemon/src/main/java/clayhook/frontend/ClientSession.java
+++ b/daemon/src/main/java/clayhook/frontend/ClientSession.java
@@ -293,21 +293,21 @@
             activity.onRequest();
             handleSql(query.text());
         } else if (message instanceof ClientMessage.EmptyQuery) {
-            writeAnswer(MessageEncoder.emptyQueryResponse());
+            writeResponse(MessageEncoder.emptyQueryResponse());
         } else if (message instanceof ClientMessage.UnreadableQuery unreadable) {
             Log.warn("client", "invalid statement: " + unreadable.reason());
-            writeAnswer(ClientResponses.invalidStatement(unreadable.reason()));
+            writeResponse(ClientResponses.invalidStatement(unreadable.reason()));
         } else if (message instanceof ClientMessage.SkippedQuery skipped) {
             activity.onRequest();
-            writeAnswer(ClientResponses.noMemoryLeft(skipped.reason()));
+            writeResponse(ClientResponses.noMemoryLeft(skipped.reason()));
         } else if (message instanceof ClientMessage.Extended) {
             state = State.SKIPPING_TO_SYNC;
-            writeAnswer(ClientResponses.extendedQueryRejected());
+            writeResponse(ClientResponses.extendedQueryRejected());
         } else if (message instanceof ClientMessage.Sync) {
             state = State.READY;
-            writeAnswer(MessageEncoder.readyForQuery());
+            writeResponse(MessageEncoder.readyForQuery());
         } else if (message instanceof ClientMessage.FunctionCall) {
-            writeAnswer(ClientResponses.functionCallRejected());
+            writeResponse(ClientResponses.functionCallRejected());
         } else if (message instanceof ClientMessage.Terminate) {
             // All requests before this message have been answered, as a PostgreSQL server does.
             closeAfterWriting(EndCause.TERMINATE, Unpooled.EMPTY_BUFFER);
@@ -324,16 +324,16 @@
 
     /** Refuses a request received too late during a drain, and closes the connection if no further input was read. */
     private void refuse() {
-        if (mayEndWithAnswer()) {
+        if (mayCloseWithResponse()) {
             closeAfterWriting(drainCause, ClientResponses.connectionEnds(drainCause));
         } else {
-            activity.onQuiet(clock.getAsDouble());
-            writeAnswer(ClientResponses.connectionEndsSoon(drainCause));
+            activity.onIdle(clock.getAsDouble());
+            writeResponse(ClientResponses.connectionEndsSoon(drainCause));
         }
     }
 
     /** Whether the session is draining and no input has been read after the current request. */
-    private boolean mayEndWithAnswer() {
+    private boolean mayCloseWithResponse() {
         return draining && pendingMessages.isEmpty() && !connection.hasPartialMessage();
     }
 
@@ -346,10 +346,10 @@
     private void handleSql(byte[] text) {
         SessionSettings.Reply reply = settings.asked(text);
         if (reply instanceof SessionSettings.Reply.Refused refused) {
-            writeAnswer(ClientResponses.settingRejected(refused.why()));
+            writeResponse(ClientResponses.settingRejected(refused.why()));
         } else if (reply instanceof SessionSettings.Reply.Done done) {
             String reported = ReportedParameters.reportedName(done.name());
-            writeAnswer(MessageEncoder.commandComplete(done.tag(), reported, done.value()));
+            writeResponse(MessageEncoder.commandComplete(done.tag(), reported, done.value()));
         } else {
             beginRequest();
             requestHandler.onSqlStatement(this, text);
@@ -410,7 +410,7 @@
     }
 
     private void respondOrEnd(Function<Boolean, ByteBuf> failure) {
-        if (state == State.AWAITING_RESPONSE && mayEndWithAnswer()) {
+        if (state == State.AWAITING_RESPONSE && mayCloseWithResponse()) {
             closeAfterWriting(drainCause, failure.apply(true));
         } else {
             respond(failure.apply(false));
@@ -423,8 +423,8 @@
             return;
         }
         state = State.READY;
-        activity.onQuiet(clock.getAsDouble());
-        writeAnswer(bytes);
+        activity.onIdle(clock.getAsDouble());
+        writeResponse(bytes);
         processPendingMessages();
     }
 
@@ -432,8 +432,8 @@
      * Writes a response and records the time. The connection must not be closed immediately afterwards, because the
      * client could take the error sent on closing for a second response.
      */
-    private void writeAnswer(ByteBuf bytes) {
-        activity.onAnswer(clock.getAsDouble());
+    private void writeResponse(ByteBuf bytes) {
+        activity.onResponse(clock.getAsDouble());
         connection.write(bytes);
     }
 
@@ -460,11 +460,11 @@
      * closing session is busy only until its last bytes are written.
      */
     boolean isBusy() {
-        return !connection.isFlushed() || (state != State.CLOSING && !(isQuiescent() && isAnswerSettled()));
+        return !connection.isFlushed() || (state != State.CLOSING && !(isQuiescent() && isLastResponsePresumedRead()));
     }
 
-    private boolean isAnswerSettled() {
-        return activity.secondsUntilAnswerSettles(clock.getAsDouble()) <= 0;
+    private boolean isLastResponsePresumedRead() {
+        return activity.secondsUntilResponsePresumedRead(clock.getAsDouble()) <= 0;
     }
 
     /** Whether the session is closing or closed and all of its responses are written. */
@@ -485,17 +485,17 @@
         if (state != State.AWAITING_RESPONSE && !connection.isFlushed() && activity.isResponseUnreadTooLong(now)) {
             endCause = EndCause.UNREAD_RESPONSE;
             connection.closeNow();
-        } else if (idleTimeout(now).isPresent()) {
+        } else if (exceededTimeLimit(now).isPresent()) {
             // Reads pending input first, so that a stall of this process does not count as inactivity of the client.
-            connection.afterPendingReads(() -> idleTimeout(now).ifPresent(reason -> {
+            connection.afterPendingReads(() -> exceededTimeLimit(now).ifPresent(reason -> {
                 Log.warn("client", reason);
                 closeAfterWriting(EndCause.IDLE_TIMEOUT, ClientResponses.idleTimeout());
             }));
         }
     }
 
-    private Optional<String> idleTimeout(double now) {
-        return isIdle() ? activity.idleTimeout(now) : Optional.empty();
+    private Optional<String> exceededTimeLimit(double now) {
+        return isIdle() ? activity.exceededTimeLimit(now) : Optional.empty();
     }
 
     // ---- closing ----
@@ -536,17 +536,17 @@
         if (!draining || !isQuiescent()) {
             return;
         }
-        double unsettled = activity.secondsUntilAnswerSettles(clock.getAsDouble());
+        double secondsUntilRead = activity.secondsUntilResponsePresumedRead(clock.getAsDouble());
         if (!admissionOver) {
             connection.afterPendingReads(() -> {
                 admissionOver = true;
                 closeIfDrained();
             });
-        } else if (unsettled <= 0) {
+        } else if (secondsUntilRead <= 0) {
             closeAfterWriting(drainCause, ClientResponses.connectionEnds(drainCause));
         } else if (!endScheduled) {
             endScheduled = true;
-            connection.afterSeconds(unsettled, () -> {
+            connection.afterSeconds(secondsUntilRead, () -> {
                 endScheduled = false;
                 closeIfDrained();
             });
@@ -558,7 +558,7 @@
         endCause = cause;
         unansweredMessages = pendingMessages.size();
         pendingMessages.clear();
-        activity.onQuiet(clock.getAsDouble());
+        activity.onIdle(clock.getAsDouble());
         if (cause.leavesInputUnread()) {
             connection.closeWithoutReading(lastBytes);
         } else {
--- a/daemon/src/main/java/clayhook/frontend/SessionActivity.java
+++ b/daemon/src/main/java/clayhook/frontend/SessionActivity.java
@@ -27,23 +27,23 @@
     /**
      * The time after which a client has usually read a response; longer than the delay of networks and busy clients.
      */
-    private static final double ANSWER_SETTLE_SECONDS = 0.3;
+    private static final double RESPONSE_READ_ALLOWANCE_SECONDS = 0.3;
 
     private static final double NONE = 0;
 
     /**
      * The time of the connect, of the last response to a request, or of the start of the close; the latest of these.
      */
-    private double quietSince;
+    private double idleSince;
     /** The time since which a message has been partially received, or {@link #NONE}. */
     private double partialMessageSince = NONE;
 
     private boolean hasSentRequest;
     /** The time at which the last response was written, whether from a node or from the router itself. */
-    private double answeredAt = Double.NEGATIVE_INFINITY;
+    private double respondedAt = Double.NEGATIVE_INFINITY;
 
     SessionActivity(double connectedAt) {
-        quietSince = connectedAt;
+        idleSince = connectedAt;
     }
 
     void onMessage() {
@@ -63,16 +63,16 @@
     }
 
     /** Records that a response to a request is written, or that the connection starts to close. */
-    void onQuiet(double now) {
-        quietSince = now;
+    void onIdle(double now) {
+        idleSince = now;
     }
 
     /**
      * Records that a response is written, including responses to messages that are not requests: an empty query, a
      * setting, an invalid statement.
      */
-    void onAnswer(double now) {
-        answeredAt = now;
+    void onResponse(double now) {
+        respondedAt = now;
     }
 
     boolean hasSentRequest() {
@@ -83,23 +83,23 @@
      * The time in seconds until the client is expected to have read the last response; 0 or negative if that time has
      * passed or there was no response.
      */
-    double secondsUntilAnswerSettles(double now) {
-        return answeredAt + ANSWER_SETTLE_SECONDS - now;
+    double secondsUntilResponsePresumedRead(double now) {
+        return respondedAt + RESPONSE_READ_ALLOWANCE_SECONDS - now;
     }
 
     /**
      * Whether the time limit for reading a response has passed; relevant only while a response is not fully written.
      */
     boolean isResponseUnreadTooLong(double now) {
-        return now > quietSince + UNREAD_RESPONSE_TIMEOUT_SECONDS;
+        return now > idleSince + UNREAD_RESPONSE_TIMEOUT_SECONDS;
     }
 
     /** The time limit that an idle client has exceeded, as a text for the log; empty if it is within its limits. */
-    Optional<String> idleTimeout(double now) {
+    Optional<String> exceededTimeLimit(double now) {
         if (partialMessageSince > NONE && now > partialMessageSince + IDLE_TIMEOUT_SECONDS) {
             return Optional.of("incomplete message from a client");
         }
-        if (!hasSentRequest && now > quietSince + IDLE_TIMEOUT_SECONDS) {
+        if (!hasSentRequest && now > idleSince + IDLE_TIMEOUT_SECONDS) {
             return Optional.of("no request from a client");
         }
         return Optional.empty();
@@ -107,6 +107,6 @@
 
     /** The eviction rank of this session; sessions with a lower rank are evicted first. */
     double evictionRank() {
-        return quietSince + (hasSentRequest ? ACTIVE_CLIENT_BONUS_SECONDS : 0);
+        return idleSince + (hasSentRequest ? ACTIVE_CLIENT_BONUS_SECONDS : 0);
     }
 }
