--- a/daemon/src/main/java/clayhook/frontend/ClientConnection.java
+++ b/daemon/src/main/java/clayhook/frontend/ClientConnection.java
@@ -83,7 +83,7 @@
             ctx.close();
         } else {
             Log.error("a client session failed", cause);
-            session.onFault();
+            session.onException();
         }
     }
 
@@ -135,9 +135,9 @@
      * Runs a task after all input in the socket buffer has been read. Scheduled tasks run after the reads of an event
      * loop iteration.
      */
-    void afterPendingReads(Runnable step) {
+    void runAfterPendingReads(Runnable task) {
         EventExecutor loop = context.executor();
-        loop.execute(() -> loop.schedule(step, 0, TimeUnit.NANOSECONDS));
+        loop.execute(() -> loop.schedule(task, 0, TimeUnit.NANOSECONDS));
     }
 
     // ---- output ----
@@ -176,13 +176,13 @@
     }
 
     /** Runs a task after a delay in seconds. */
-    void afterSeconds(double seconds, Runnable step) {
-        context.executor().schedule(step, (long) Math.ceil(seconds * NANOS_PER_SECOND), TimeUnit.NANOSECONDS);
+    void runAfterDelay(double seconds, Runnable task) {
+        context.executor().schedule(task, (long) Math.ceil(seconds * NANOS_PER_SECOND), TimeUnit.NANOSECONDS);
     }
 
     /** Runs a task in the next event loop iteration. */
-    void inNextIteration(Runnable step) {
-        context.executor().execute(step);
+    void runInNextIteration(Runnable task) {
+        context.executor().execute(task);
     }
 
     /** Closes the connection immediately and discards pending writes. */
--- a/daemon/src/main/java/clayhook/frontend/ClientSession.java
+++ b/daemon/src/main/java/clayhook/frontend/ClientSession.java
@@ -80,9 +80,9 @@
     /** Whether the session closes as soon as all requests received are answered. */
     private boolean draining;
     /** Whether a draining session has read all input that was received before the drain, and refuses later requests. */
-    private boolean admissionOver;
+    private boolean refusesNewRequests;
 
-    private boolean endScheduled;
+    private boolean closeScheduled;
     /** The reason for which the router drains this session; null before that. */
     private EndCause drainCause;
     /** The reason for the end of the connection; {@code CLIENT_LEFT} unless the router closes it first. */
@@ -160,7 +160,7 @@
         if (!accepted) {
             connection.discardInput();
         }
-        if (!admissionOver) {
+        if (!refusesNewRequests) {
             processPendingMessages();
         } // else handled in onReadComplete, when it is known which request is the last one and closes the connection
     }
@@ -204,7 +204,7 @@
      * Handles an exception that was thrown while an event of the connection was handled: sends an error to the client,
      * which also answers the current request, and closes the connection.
      */
-    void onFault() {
+    void onException() {
         if (state == State.CLOSING) {
             connection.closeNow();
             return;
@@ -247,7 +247,7 @@
         } else if (message instanceof ClientMessage.CancelRequest request) {
             ClientSession target = cancelKeys.find(request.key());
             if (target != null) {
-                target.cancelRequestStartedBy(connectedAt);
+                target.cancelIfStartedBy(connectedAt);
             }
             // No response, because it would disclose whether the key is valid.
             closeAfterWriting(EndCause.CANCEL_REQUEST, Unpooled.EMPTY_BUFFER);
@@ -256,10 +256,10 @@
 
     private void completeStartup(ClientMessage.Startup startup) {
         state = State.READY;
-        String fault = settings == null ? null : settings.introduced(startup.parameters());
-        if (fault != null) {
-            Log.warn("client", fault);
-            closeAfterWriting(EndCause.STARTUP_REJECTED, ClientResponses.startupRejected(fault));
+        String rejection = settings == null ? null : settings.introduced(startup.parameters());
+        if (rejection != null) {
+            Log.warn("client", rejection);
+            closeAfterWriting(EndCause.STARTUP_REJECTED, ClientResponses.startupRejected(rejection));
             return;
         }
         cancelKey = cancelKeys.register(this);
@@ -271,7 +271,7 @@
      * Cancels the current request if it started at or before the given clock time in seconds. A request that started
      * later is not cancelled, because the cancel request was meant for an earlier one.
      */
-    private void cancelRequestStartedBy(double requestedAt) {
+    private void cancelIfStartedBy(double requestedAt) {
         if (state == State.AWAITING_RESPONSE && requestStartedAt <= requestedAt) {
             requestHandler.onCancelRequest(this);
         }
@@ -280,18 +280,18 @@
     // ---- requests ----
 
     private void handleMessage(Object message) {
-        if (state == State.SKIPPING_TO_SYNC && !endsSkipping(message)) {
+        if (state == State.SKIPPING_TO_SYNC && !endsSkippingToSync(message)) {
             return;
         }
-        if (admissionOver && isRequest(message)) {
-            refuse();
+        if (refusesNewRequests && isRequest(message)) {
+            refuseLateRequest();
         } else if (message instanceof ClientMessage.Query query) {
             beginRequest();
             activity.onRequest();
             requestHandler.onKeyValueStatement(this, query.statement());
         } else if (message instanceof ClientMessage.SqlQuery query) {
             activity.onRequest();
-            handleSql(query.text());
+            handleSqlStatement(query.text());
         } else if (message instanceof ClientMessage.EmptyQuery) {
             writeResponse(MessageEncoder.emptyQueryResponse());
         } else if (message instanceof ClientMessage.UnreadableQuery unreadable) {
@@ -323,7 +323,7 @@
     }
 
     /** Refuses a request received too late during a drain, and closes the connection if no further input was read. */
-    private void refuse() {
+    private void refuseLateRequest() {
         if (mayCloseWithResponse()) {
             closeAfterWriting(drainCause, ClientResponses.connectionEnds(drainCause));
         } else {
@@ -337,13 +337,13 @@
         return draining && pendingMessages.isEmpty() && !connection.hasPartialMessage();
     }
 
-    private static boolean endsSkipping(Object message) {
+    private static boolean endsSkippingToSync(Object message) {
         return message instanceof ClientMessage.Sync
                 || message instanceof ClientMessage.Terminate
                 || message instanceof ClientMessage.Malformed;
     }
 
-    private void handleSql(byte[] text) {
+    private void handleSqlStatement(byte[] text) {
         SessionSettings.Reply reply = settings.asked(text);
         if (reply instanceof SessionSettings.Reply.Refused refused) {
             writeResponse(ClientResponses.settingRejected(refused.why()));
@@ -379,12 +379,12 @@
      * @param retryAfter the delay in seconds after which the client should retry; 0 for no advice
      */
     public void respondRejected(double retryAfter) {
-        respondWithFailure(fatal -> ClientResponses.rejected(retryAfter, fatal));
+        respondWithRouterError(fatal -> ClientResponses.rejected(retryAfter, fatal));
     }
 
     /** Responds that it is not known whether the statement was executed. */
     public void respondInDoubt() {
-        respondWithFailure(ClientResponses::inDoubt);
+        respondWithRouterError(ClientResponses::inDoubt);
     }
 
     /** Responds that the request was cancelled by the client; {@code mayHaveRun} if it may have been executed. */
@@ -401,19 +401,19 @@
      * Responds with an error that the router itself generates. If the session is draining and no further input was
      * read, the error closes the connection, so that the client does not send a request while the connection closes.
      */
-    private void respondWithFailure(Function<Boolean, ByteBuf> failure) {
-        if (draining && !admissionOver) {
-            connection.afterPendingReads(() -> respondOrEnd(failure));
+    private void respondWithRouterError(Function<Boolean, ByteBuf> errorFactory) {
+        if (draining && !refusesNewRequests) {
+            connection.runAfterPendingReads(() -> respondOrClose(errorFactory));
         } else {
-            respondOrEnd(failure);
+            respondOrClose(errorFactory);
         }
     }
 
-    private void respondOrEnd(Function<Boolean, ByteBuf> failure) {
+    private void respondOrClose(Function<Boolean, ByteBuf> errorFactory) {
         if (state == State.AWAITING_RESPONSE && mayCloseWithResponse()) {
-            closeAfterWriting(drainCause, failure.apply(true));
+            closeAfterWriting(drainCause, errorFactory.apply(true));
         } else {
-            respond(failure.apply(false));
+            respond(errorFactory.apply(false));
         }
     }
 
@@ -487,7 +487,7 @@
             connection.closeNow();
         } else if (exceededTimeLimit(now).isPresent()) {
             // Reads pending input first, so that a stall of this process does not count as inactivity of the client.
-            connection.afterPendingReads(() -> exceededTimeLimit(now).ifPresent(reason -> {
+            connection.runAfterPendingReads(() -> exceededTimeLimit(now).ifPresent(reason -> {
                 Log.warn("client", reason);
                 closeAfterWriting(EndCause.IDLE_TIMEOUT, ClientResponses.idleTimeout());
             }));
@@ -512,7 +512,7 @@
         if (state != State.CLOSING) {
             closeAfterWriting(EndCause.EVICTION, ClientResponses.connectionEnds(EndCause.EVICTION));
         }
-        connection.inNextIteration(connection::closeNow);
+        connection.runInNextIteration(connection::closeNow);
     }
 
     /**
@@ -537,17 +537,17 @@
             return;
         }
         double secondsUntilRead = activity.secondsUntilResponsePresumedRead(clock.getAsDouble());
-        if (!admissionOver) {
-            connection.afterPendingReads(() -> {
-                admissionOver = true;
+        if (!refusesNewRequests) {
+            connection.runAfterPendingReads(() -> {
+                refusesNewRequests = true;
                 closeIfDrained();
             });
         } else if (secondsUntilRead <= 0) {
             closeAfterWriting(drainCause, ClientResponses.connectionEnds(drainCause));
-        } else if (!endScheduled) {
-            endScheduled = true;
-            connection.afterSeconds(secondsUntilRead, () -> {
-                endScheduled = false;
+        } else if (!closeScheduled) {
+            closeScheduled = true;
+            connection.runAfterDelay(secondsUntilRead, () -> {
+                closeScheduled = false;
                 closeIfDrained();
             });
         }
