--- a/daemon/src/main/java/clayhook/frontend/ClientListener.java
+++ b/daemon/src/main/java/clayhook/frontend/ClientListener.java
@@ -32,7 +32,7 @@
      * because the component that distributes connections over the routers may allow this router fewer connections than
      * it has descriptors.
      */
-    private static final double CROWDED_FRACTION = 0.5;
+    private static final double MAX_IDLE_FRACTION = 0.5;
     /**
      * How long a draining session waits for the first request of a client that has just connected; short compared to
      * the time that is left for the shutdown.
@@ -55,7 +55,7 @@
     private final Set<ClientSession> sessions = new LinkedHashSet<>();
 
     private final CancelKeyRegistry cancelKeys = new CancelKeyRegistry();
-    private final RejectionHandler.Lingering lingeringRejections = new RejectionHandler.Lingering();
+    private final RejectionHandler.LingeringLimit rejectionLingeringLimit = new RejectionHandler.LingeringLimit();
     private boolean draining;
 
     /**
@@ -87,13 +87,13 @@
         this.counters = counters;
         endRecorder = new ConnectionEndRecorder(counters);
         descriptors.setClientEvictor(this::evictSession);
-        serverChannel = transport.listen(address, this::handlersOfNewConnection);
+        serverChannel = transport.listen(address, this::createConnectionHandlers);
     }
 
-    private ChannelHandler[] handlersOfNewConnection() {
+    private ChannelHandler[] createConnectionHandlers() {
         if (!descriptors.tryAcquireForClient()) {
             counters.increment("clients rejected");
-            return new ChannelHandler[] {new RejectionHandler(lingeringRejections)};
+            return new ChannelHandler[] {new RejectionHandler(rejectionLingeringLimit)};
         }
         var decoder = new ClientMessageDecoder(memoryBudget, settingsFactory != null);
         SessionSettings settings = settingsFactory == null ? null : settingsFactory.get();
@@ -163,7 +163,7 @@
                 .filter(session -> !session.isBusy())
                 .sorted(Comparator.comparingDouble(ClientSession::evictionRank))
                 .toList();
-        int excess = idle.size() - (int) (descriptors.limitPerSide() * CROWDED_FRACTION);
+        int excess = idle.size() - (int) (descriptors.limitPerSide() * MAX_IDLE_FRACTION);
         idle.stream().limit(Math.max(0, excess)).forEach(session -> {
             counters.increment("idle clients closed");
             session.drain(EndCause.CROWDED);
--- a/daemon/src/main/java/clayhook/frontend/RejectionHandler.java
+++ b/daemon/src/main/java/clayhook/frontend/RejectionHandler.java
@@ -14,7 +14,7 @@
      * Limits the number of rejected connections of one listener that linger until their clients have read the error.
      * All methods must be called on the event loop.
      */
-    static final class Lingering {
+    static final class LingeringLimit {
         /**
          * The descriptors of these connections are part of the reserve of {@link clayhook.transport.DescriptorBudget}.
          */
@@ -35,12 +35,12 @@
         }
     }
 
-    private final Lingering lingering;
+    private final LingeringLimit lingeringLimit;
     /** Whether this connection is counted as a lingering one. */
-    private boolean lingers;
+    private boolean holdsLingeringSlot;
 
-    RejectionHandler(Lingering lingering) {
-        this.lingering = lingering;
+    RejectionHandler(LingeringLimit lingeringLimit) {
+        this.lingeringLimit = lingeringLimit;
     }
 
     @Override
@@ -55,8 +55,8 @@
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
         ByteBuf error = ClientResponses.noDescriptorLeft();
-        lingers = lingering.tryAcquire();
-        if (lingers) {
+        holdsLingeringSlot = lingeringLimit.tryAcquire();
+        if (holdsLingeringSlot) {
             CloseWithoutReading.begin(ctx.channel(), error, () -> {});
         } else {
             ctx.writeAndFlush(error).addListener(ChannelFutureListener.CLOSE);
@@ -65,8 +65,8 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        if (lingers) {
-            lingering.release();
+        if (holdsLingeringSlot) {
+            lingeringLimit.release();
         }
     }
 
