--- a/daemon/src/main/java/clayhook/frontend/ClientRequest.java
+++ b/daemon/src/main/java/clayhook/frontend/ClientRequest.java
@@ -81,7 +81,7 @@
         outcomeKey = classification.mark();
     }
 
-    private static double deadline(RequestClass requestClass, double sentAt, double timeoutSeconds) {
-        return sentAt + Math.min(timeoutSeconds, requestClass.clientTimeoutSeconds());
+    private static double deadline(RequestClass requestClass, double now, double timeoutSeconds) {
+        return now + Math.min(timeoutSeconds, requestClass.clientTimeoutSeconds());
     }
 }
--- a/daemon/src/main/java/clayhook/frontend/ClientResponses.java
+++ b/daemon/src/main/java/clayhook/frontend/ClientResponses.java
@@ -75,16 +75,16 @@
     }
 
     /** Refuses a request that is received or in transit while the connection closes; it has not been executed. */
-    static ByteBuf connectionEnds(EndCause cause) {
-        return fatal(SqlState.CANNOT_CONNECT_NOW, reason(cause));
+    static ByteBuf connectionClosing(EndCause cause) {
+        return fatal(SqlState.CANNOT_CONNECT_NOW, closeReason(cause));
     }
 
     /** Refuses one of several requests received while the connection closes; further responses follow. */
-    static ByteBuf connectionEndsSoon(EndCause cause) {
-        return error(SqlState.CANNOT_CONNECT_NOW, reason(cause));
+    static ByteBuf connectionClosingSoon(EndCause cause) {
+        return error(SqlState.CANNOT_CONNECT_NOW, closeReason(cause));
     }
 
-    private static String reason(EndCause cause) {
+    private static String closeReason(EndCause cause) {
         return switch (cause) {
             case SHUTDOWN -> "the router is shutting down";
             case CROWDED -> "too many idle connections";
--- a/daemon/src/main/java/clayhook/frontend/ClientSession.java
+++ b/daemon/src/main/java/clayhook/frontend/ClientSession.java
@@ -325,10 +325,10 @@
     /** Refuses a request received too late during a drain, and closes the connection if no further input was read. */
     private void refuseLateRequest() {
         if (mayCloseWithResponse()) {
-            closeAfterWriting(drainCause, ClientResponses.connectionEnds(drainCause));
+            closeAfterWriting(drainCause, ClientResponses.connectionClosing(drainCause));
         } else {
             activity.onIdle(clock.getAsDouble());
-            writeResponse(ClientResponses.connectionEndsSoon(drainCause));
+            writeResponse(ClientResponses.connectionClosingSoon(drainCause));
         }
     }
 
@@ -510,7 +510,7 @@
     /** Closes the connection immediately to free its descriptor. The session must not be busy. */
     void evict() {
         if (state != State.CLOSING) {
-            closeAfterWriting(EndCause.EVICTION, ClientResponses.connectionEnds(EndCause.EVICTION));
+            closeAfterWriting(EndCause.EVICTION, ClientResponses.connectionClosing(EndCause.EVICTION));
         }
         connection.runInNextIteration(connection::closeNow);
     }
@@ -523,7 +523,7 @@
         if (state == State.AWAITING_RESPONSE) {
             closeAfterWriting(EndCause.SHUTDOWN, ClientResponses.inDoubt(true));
         } else if (state != State.CLOSING) {
-            closeAfterWriting(EndCause.SHUTDOWN, ClientResponses.connectionEnds(EndCause.SHUTDOWN));
+            closeAfterWriting(EndCause.SHUTDOWN, ClientResponses.connectionClosing(EndCause.SHUTDOWN));
         }
     }
 
@@ -543,7 +543,7 @@
                 closeIfDrained();
             });
         } else if (secondsUntilRead <= 0) {
-            closeAfterWriting(drainCause, ClientResponses.connectionEnds(drainCause));
+            closeAfterWriting(drainCause, ClientResponses.connectionClosing(drainCause));
         } else if (!closeScheduled) {
             closeScheduled = true;
             connection.runAfterDelay(secondsUntilRead, () -> {
