--- a/daemon/src/main/java/clayhook/sql/SqlAdmission.java
+++ b/daemon/src/main/java/clayhook/sql/SqlAdmission.java
@@ -26,7 +26,7 @@
 public final class SqlAdmission {
     private static final int BYTES_PER_KIB = 1024;
 
-    private final OperatorConfiguration.StatementSettings operator;
+    private final OperatorConfiguration.StatementSettings statementSettings;
     private final Classifier classifier;
     private final Map<String, RequestClass> requestClasses = new HashMap<>();
 
@@ -59,9 +59,9 @@
      *     cache against hash collisions
      */
     public SqlAdmission(
-            OperatorConfiguration.StatementSettings operator, List<RequestClass> requestClasses, long seed) {
-        this.operator = operator;
-        classifier = new Classifier(operator.rules(), seed);
+            OperatorConfiguration.StatementSettings statementSettings, List<RequestClass> requestClasses, long seed) {
+        this.statementSettings = statementSettings;
+        classifier = new Classifier(statementSettings.rules(), seed);
         requestClasses.forEach(requestClass -> this.requestClasses.put(requestClass.name(), requestClass));
     }
 
@@ -72,7 +72,7 @@
 
     /** Creates the settings of a new client session. */
     public SessionSettings newSessionSettings() {
-        return new SessionSettings(operator.rules().conforming());
+        return new SessionSettings(statementSettings.rules().conforming());
     }
 
     /**
@@ -96,12 +96,12 @@
                 0,
                 new SqlStatement(text, settings, classification.opaque()),
                 classification);
-        RoutingComment comment = operator.trustComments() ? RoutingComment.parseTrailing(text) : null;
+        RoutingComment comment = statementSettings.trustComments() ? RoutingComment.parseTrailing(text) : null;
         if (comment == null) {
             return admitted;
         }
         try {
-            return withComment(admitted, comment);
+            return applyComment(admitted, comment);
         } catch (InvalidStatementException e) {
             return new AdmissionResult.Rejected(SqlState.SYNTAX_ERROR, e.getMessage());
         }
@@ -115,18 +115,18 @@
         if (clientTimeout > 0) {
             return clientTimeout;
         }
-        return operator.timeout() > 0 ? operator.timeout() : requestClass.clientTimeoutSeconds();
+        return statementSettings.timeout() > 0 ? statementSettings.timeout() : requestClass.clientTimeoutSeconds();
     }
 
-    private AdmissionResult.Admitted withComment(AdmissionResult.Admitted admitted, RoutingComment comment) {
-        RequestClass named = requestClasses.get(comment.field(RoutingComment.REQUEST_CLASS));
-        boolean replaces = mayReplaceClass(named, admitted.classification(), comment);
+    private AdmissionResult.Admitted applyComment(AdmissionResult.Admitted admitted, RoutingComment comment) {
+        RequestClass commentClass = requestClasses.get(comment.field(RoutingComment.REQUEST_CLASS));
+        boolean replacesClass = commentMayReplaceClass(commentClass, admitted.classification(), comment);
         // The order matters, because the client receives the error of the first invalid field.
         int replicaSetId = comment.replicaSetIdOr(admitted.replicaSetId());
         double requiredPosition = comment.secondsOr(RoutingComment.REQUIRED_POSITION, admitted.requiredPosition());
         double timeoutSeconds = comment.secondsOr(RoutingComment.TIMEOUT, admitted.timeoutSeconds());
         return new AdmissionResult.Admitted(
-                replaces ? named : admitted.requestClass(),
+                replacesClass ? commentClass : admitted.requestClass(),
                 replicaSetId,
                 timeoutSeconds,
                 requiredPosition,
@@ -138,19 +138,19 @@
      * Admits a statement as a write after a node refused to execute it as a read. The node has not executed it.
      * Statements of the same shape are classified as writes from then on.
      *
-     * @param refused the classification with which the statement was sent
+     * @param refusedClassification the classification with which the statement was sent
      */
     public AdmissionResult readmitAsWrite(
-            Classification refused,
+            Classification refusedClassification,
             byte[] text,
             ClientIdentity client,
             double clientTimeout,
             Map<String, String> settings) {
-        classifier.wrote(refused);
+        classifier.wrote(refusedClassification);
         AdmissionResult result = admit(text, client, clientTimeout, settings);
-        boolean isWrite = result instanceof AdmissionResult.Admitted admitted
+        boolean admittedAsWrite = result instanceof AdmissionResult.Admitted admitted
                 && admitted.classification().verdict() == StatementEffect.WRITE;
-        return isWrite
+        return admittedAsWrite
                 ? result
                 : new AdmissionResult.Rejected(
                         SqlState.READ_ONLY_TRANSACTION, "the statement writes, which its text does not show");
@@ -160,15 +160,16 @@
      * Whether the request class of a comment replaces that of the classification. A comment may turn a read into a
      * write, but not a write into a read, and it must contain an idempotency key to make a write idempotent.
      */
-    private static boolean mayReplaceClass(RequestClass named, Classification classification, RoutingComment comment) {
-        if (named == null) {
+    private static boolean commentMayReplaceClass(
+            RequestClass commentClass, Classification classification, RoutingComment comment) {
+        if (commentClass == null) {
             return false;
         }
-        if (named.consistency() != ConsistencyLevel.WRITE) {
+        if (commentClass.consistency() != ConsistencyLevel.WRITE) {
             return classification.verdict() == StatementEffect.READ;
         }
-        return named.idempotency() == Idempotency.NON_IDEMPOTENT
-                || (named.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY && comment.hasIdempotencyKey());
+        return commentClass.idempotency() == Idempotency.NON_IDEMPOTENT
+                || (commentClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY && comment.hasIdempotencyKey());
     }
 
     /** Records the time in seconds until a statement was answered, for the cost estimate of its shape. */
