--- a/daemon/src/test/java/clayhook/frontend/ClientSessionRaceTest.java
+++ b/daemon/src/test/java/clayhook/frontend/ClientSessionRaceTest.java
@@ -217,7 +217,7 @@
         assertEquals("57P03 closed", late[0].readResponse());
     }
 
-    /** A client could takeNext an unsolicited error immediately after a response for a second response. */
+    /** A client could mistake an unsolicited error immediately after a response for a second response. */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 3})
     void keepsDrainingSessionOpenUntilLastResponseIsRead(int laterRequests) throws Exception {
--- a/daemon/src/test/java/clayhook/sql/SqlClient.java
+++ b/daemon/src/test/java/clayhook/sql/SqlClient.java
@@ -42,8 +42,8 @@
     }
 
     /**
-     * Reads one response and returns its message types with command tags and SQLSTATE codes, such as {@code "TDC(SELECT
-     * 1)"} or {@code "E(42601)"}.
+     * Reads one response and returns the types of its messages, with command tags and SQLSTATE codes:
+     * {@code "E(42601)"} for an error, or {@code "TDC(SELECT 1)"} for one row.
      */
     String readResponse() throws IOException {
         var summary = new StringBuilder();
