--- a/daemon/src/main/java/clayhook/frontend/ClientConnection.java
+++ b/daemon/src/main/java/clayhook/frontend/ClientConnection.java
@@ -35,7 +35,7 @@
     private ChannelHandlerContext context;
     /** The number of writes that are not completely in the socket buffer yet. */
     private int pendingWrites;
-    /** Discards the input; null before that. */
+    /** Discards the input of the connection; null until {@link #discardInput} is called. */
     private LingeringClose lingeringClose;
 
     ClientConnection(ClientMessageDecoder decoder, ClientSession session) {
--- a/daemon/src/main/java/clayhook/frontend/ClientSession.java
+++ b/daemon/src/main/java/clayhook/frontend/ClientSession.java
@@ -83,7 +83,7 @@
     private boolean refusesNewRequests;
 
     private boolean closeScheduled;
-    /** The reason for which the router drains this session; null before that. */
+    /** The reason for which the router drains this session; null until the drain starts. */
     private EndCause drainCause;
     /** The reason for the end of the connection; {@code CLIENT_LEFT} unless the router closes it first. */
     private EndCause endCause = EndCause.CLIENT_LEFT;
@@ -162,7 +162,7 @@
         }
         if (!refusesNewRequests) {
             processPendingMessages();
-        } // else handled in onReadComplete, when it is known which request is the last one and closes the connection
+        } // else handled in onReadComplete, once all input is read: the last response closes the connection
     }
 
     /**
@@ -309,7 +309,7 @@
         } else if (message instanceof ClientMessage.FunctionCall) {
             writeResponse(ClientResponses.functionCallRejected());
         } else if (message instanceof ClientMessage.Terminate) {
-            // All requests before this message have been answered, as a PostgreSQL server does.
+            // All earlier requests have been answered, as they would be by a PostgreSQL server.
             closeAfterWriting(EndCause.TERMINATE, Unpooled.EMPTY_BUFFER);
         } else if (message instanceof ClientMessage.Malformed malformed) {
             rejectMalformed(malformed);
@@ -430,7 +430,7 @@
 
     /**
      * Writes a response and records the time. The connection must not be closed immediately afterwards, because the
-     * client could take the error sent on closing for a second response.
+     * client could mistake the error sent on closing for a second response.
      */
     private void writeResponse(ByteBuf bytes) {
         activity.onResponse(clock.getAsDouble());
--- a/daemon/src/main/java/clayhook/frontend/RejectionHandler.java
+++ b/daemon/src/main/java/clayhook/frontend/RejectionHandler.java
@@ -11,8 +11,8 @@
  */
 final class RejectionHandler extends ChannelInboundHandlerAdapter {
     /**
-     * Limits the number of rejected connections of one listener that linger until their clients have read the error.
-     * All methods must be called on the event loop.
+     * Limits the number of rejected connections of one listener that stay half open so that the error reaches the
+     * client. All methods must be called on the event loop.
      */
     static final class LingeringLimit {
         /**
