--- a/fleet/src/main/java/clayhook/fleet/state/ReplicatedState.java
+++ b/fleet/src/main/java/clayhook/fleet/state/ReplicatedState.java
@@ -15,37 +15,41 @@
 import java.util.function.Function;
 
 /**
- * This router's replica of the values that routers share. A change is broadcast to a few members a round, a bounded
- * number of times. What that misses is found by anti-entropy: about once a second the replica compares hash trees with
- * some member. A replica that lacks much, such as that of a router that has just started, is filled by the same
- * comparison.
+ * This router's replica of the values that routers share. Changes are broadcast to a few members per round, in a
+ * bounded number of rounds. Anti-entropy repairs what broadcasts miss: about once a second the replica compares its
+ * hash trees with those of a member. The same comparison fills a replica that lacks many entries, such as that of a
+ * router that has just started.
  *
- * <p><b>Expiry and eviction.</b> Expired values are removed and never accepted again, so nothing comes back and no
- * tombstones are needed; a router that was away for longer than a type's retention brings none of its values back. When
- * a table is full, its oldest entries are evicted, with all others of the same timestamp, and the eviction floor rises
- * to them; floors spread, and the higher one wins.
+ * <p><b>Expiry and eviction.</b> Expired values are removed and never accepted again, so that removed values cannot be
+ * replicated back and no tombstones are needed. This also holds for the values of a router that was unreachable for
+ * longer than the retention of a type. When a table is full, its oldest entries are evicted together with all entries
+ * of the same timestamp, and the eviction floor is raised to this timestamp. Eviction floors are replicated; the
+ * highest one applies.
  *
- * <p><b>What {@link #completeUpTo} guarantees.</b> Of each member that may be serving according to the membership,
- * every value that it merged before that time (on this router's clock, as far as the offset was measured) was merged
- * into this replica, or is expired, about to expire, or at or below the eviction floor. That is known from the sequence
- * numbers of updates: all of them arrived by broadcast, or this replica was compared completely with one that held
- * them. It is negative infinity until this replica is bootstrapped, while this router has recently stalled, and while a
- * member may be serving whose clock is off. It guarantees nothing about
+ * <p><b>What {@link #completeUpTo} guarantees.</b> The guarantee covers every value that a member merged before the
+ * returned time (on this router's clock, as far as the clock offset was measured), for each member that may be serving
+ * according to the membership. Each such value was merged into this replica, has expired, expires soon, or is at or
+ * below the eviction floor. The guarantee is based on the sequence numbers of updates: all of them were received by
+ * broadcast, or this replica was compared completely with one that had them. The time is negative infinity until this
+ * replica is bootstrapped, while this router has recently stalled, and while the clock of a member that may be serving
+ * is off by more than the bound. The guarantee does not cover
  *
  * <ul>
- *   <li>members that the membership does not know or takes for dead, though they may live beyond a partition;
- *   <li>values that are still queued before {@link #merge};
- *   <li>values of a member that restarted, if all routers that held them restarted too;
- *   <li>a router that started in a partition and met no other for {@link StateSettings#bootstrapTimeout}: it takes
- *       itself for the only one.
+ *   <li>members that the membership does not list or considers dead, although they may be alive on the other side of a
+ *       partition;
+ *   <li>values for which {@link #merge} was not called yet, such as queued ones;
+ *   <li>values of a restarted member, if all routers that had them restarted too;
+ *   <li>a router that started in a partition and found no other router within {@link StateSettings#bootstrapTimeout}:
+ *       it assumes that it is the only one.
  * </ul>
  *
- * <p>Not thread-safe. Call {@link #tick} right after merging a value of an urgent type.
+ * <p>Not thread-safe. Call {@link #tick} directly after merging a value of an urgent type, so that it is broadcast
+ * immediately.
  */
 public final class ReplicatedState implements ProtocolHandler, ReplicatedStore {
-    /** Seconds between two removals of departed members from the version vector. */
+    /** Time in seconds between two removals of departed members from the version vector. */
     private static final double CLEANUP_INTERVAL_SECONDS = 5;
-    /** While requests wait for bandwidth, there are so many ticks in each broadcast interval. */
+    /** Number of ticks per broadcast interval while requests of other members wait for bandwidth. */
     private static final int BUSY_TICKS_PER_INTERVAL = 10;
 
     private final MembershipView membership;
@@ -63,9 +67,10 @@
     private double nextCleanupAt;
 
     /**
-     * @param types at most 32, with distinct numbers below 256; others throw {@link IllegalArgumentException}
-     * @param seed of all random choices
-     * @param now seconds since 1970, as in all methods
+     * @param types replicated types; throws {@link IllegalArgumentException} if there are more than 32 or their numbers
+     *     are not distinct and below 256
+     * @param seed seed of all random choices
+     * @param now current time in seconds since 1970, as in all methods
      */
     public ReplicatedState(
             MembershipView membership, List<ReplicatedType<?>> types, StateSettings settings, long seed, double now) {
@@ -85,13 +90,14 @@
         lastTickAt = now;
     }
 
-    /** What this replica has done since its start; to be read by the thread that calls {@link #tick}. */
+    /** The counters of this replica since its start; they must be read by the thread that calls {@link #tick}. */
     public StateCounters counters() {
         return counters;
     }
 
     /**
-     * Whether this replica holds what the fleet held when it started; until then, absence of an entry means nothing.
+     * Whether this replica has the entries that the fleet had when it started. Before that, the absence of an entry
+     * does not imply that it was never written.
      */
     public boolean isBootstrapped(double now) {
         return bootstrap.isBootstrapped(now);
@@ -102,8 +108,8 @@
     /**
      * {@inheritDoc}
      *
-     * <p>Null also for a value from further in the future than clocks may be off, and for one that is too long together
-     * with its key (1,000 bytes). Rejections are counted by reason.
+     * <p>Also returns null for a value whose timestamp is further in the future than the maximum clock skew, and for a
+     * value that exceeds 1,000 bytes together with its key. Rejections are counted by reason.
      */
     @Override
     public <V> V merge(ReplicatedType<V> type, String key, V value, double now) {
@@ -192,7 +198,8 @@
             nextCleanupAt = now + CLEANUP_INTERVAL_SECONDS;
             versionVector.removeDeparted(now);
         }
-        // At most one interval, since what is received or merged until then must be broadcast in time too.
+        // The next tick is at most one broadcast interval away,
+        // since values that are received or merged before it must be broadcast in time too.
         double latest = now + settings.broadcastInterval() / (responder.isIdle() ? 1 : BUSY_TICKS_PER_INTERVAL);
         return Math.max(now, Math.min(latest, Math.min(nextSessionTick, versionGossip.nextAt())));
     }
