--- a/fleet/src/main/java/clayhook/fleet/state/AntiEntropyRequest.java
+++ b/fleet/src/main/java/clayhook/fleet/state/AntiEntropyRequest.java
@@ -6,14 +6,14 @@
 import java.util.List;
 
 /**
- * A request of an anti-entropy session. The responder keeps nothing of a session, so a request says all that its
- * response depends on, and may be repeated.
+ * A request of an anti-entropy session. The responder keeps no session state: a request contains all parameters of its
+ * response and can be retransmitted safely.
  */
 sealed interface AntiEntropyRequest extends StateMessage {
-    /** Identifies the session; chosen at random by the requester, never 0. */
+    /** The identifier of the session; chosen at random by the requester, never 0. */
     long sessionId();
 
-    /** Identifies the request within its session. */
+    /** The identifier of the request within its session. */
     int requestId();
 
     private static int readRequestId(FieldReader in) {
@@ -21,13 +21,16 @@
     }
 
     /**
-     * Asks up to which update the responder has those members' updates.
+     * Requests the responder's version vector entries of the given origins.
      *
-     * @param originIds of the members, at most {@link #MAX_REQUESTED_ORIGINS}
+     * @param originIds origin ids, see {@link StableHash#ofMember}; at most {@link #MAX_REQUESTED_ORIGINS}
      */
     record VersionVectorRequest(long sessionId, int requestId, List<Long> originIds) implements AntiEntropyRequest {
         static final int TYPE_NUMBER = 22;
-        /** The response fits into a packet whatever its numbers are. */
+        /**
+         * Maximum number of origins in a request; limits the response to one packet even if each of its numbers has the
+         * maximum encoded size.
+         */
         static final int MAX_REQUESTED_ORIGINS = 40;
 
         @Override
@@ -55,9 +58,10 @@
     }
 
     /**
-     * Asks for the responder's root digests.
+     * Requests the responder's root digests.
      *
-     * @param roots the requester's own, whose cut-offs and floors the responder adopts
+     * @param roots the requester's root digests; the responder adopts their cut-offs and eviction floors if higher and
+     *     plausible
      */
     record RootDigestsRequest(long sessionId, int requestId, List<RootDigest> roots) implements AntiEntropyRequest {
         static final int TYPE_NUMBER = 23;
@@ -84,12 +88,13 @@
     }
 
     /**
-     * Asks for the digests of the children of one node of a type's hash tree.
+     * Requests the digests of the children of one node of a replicated type's hash tree.
      *
      * @param replicatedType number of the type
-     * @param digestCutoff the requester's cut-off, which the responder adopts if it is the later one
-     * @param level of the node; 0 is the root, and leaves have no children
-     * @param index of the node within its level
+     * @param digestCutoff the requester's digest cut-off, which the responder adopts if it is later than its own and
+     *     plausible
+     * @param level level of the node; 0 is the root, and leaves are excluded since they have no children
+     * @param index index of the node within its level
      */
     record TreeNodeRequest(long sessionId, int requestId, int replicatedType, double digestCutoff, int level, int index)
             implements AntiEntropyRequest {
@@ -127,12 +132,13 @@
     }
 
     /**
-     * Asks for the entries of a range of key hashes that the requester lacks.
+     * Requests the entries in a range of key hashes that the requester does not have.
      *
      * @param replicatedType number of the type
      * @param firstHash lowest key hash of the range, as an unsigned number
      * @param lastHash highest key hash of the range, as an unsigned number
-     * @param fingerprints of the entries that the requester has in the range, at most {@link #MAX_FINGERPRINTS}
+     * @param fingerprints fingerprints of the entries that the requester has in the range, at most
+     *     {@link #MAX_FINGERPRINTS}
      */
     record RangeRequest(
             long sessionId,
@@ -143,7 +149,9 @@
             List<Integer> fingerprints)
             implements AntiEntropyRequest {
         static final int TYPE_NUMBER = 27;
-        /** The response has a bit for each of them in one signed 64-bit integer. */
+        /**
+         * Maximum number of fingerprints in a request; the response has one bit for each in a signed 64-bit integer.
+         */
         static final int MAX_FINGERPRINTS = 62;
 
         @Override
