--- a/fleet/src/main/java/clayhook/fleet/state/AntiEntropyResponse.java
+++ b/fleet/src/main/java/clayhook/fleet/state/AntiEntropyResponse.java
@@ -6,18 +6,18 @@
 import java.util.stream.IntStream;
 
 /**
- * The response to an {@link AntiEntropyRequest}. It repeats the identifiers of its request and can be applied by
- * itself, however late it arrives. Two of these messages are also sent unasked, with the session id
- * {@link #NO_SESSION}.
+ * A response to an {@link AntiEntropyRequest}. It repeats the identifiers of its request and can be applied
+ * independently of the session and at any later time. {@link VersionVectorUpdate} and {@link RangeEntries} are also
+ * sent without a request, with the session id {@link #NO_SESSION}.
  */
 sealed interface AntiEntropyResponse extends StateMessage {
-    /** The session id of a message that answers no request. */
+    /** The session id of a message that does not answer a request. */
     long NO_SESSION = 0;
 
-    /** The session that asked, or {@link #NO_SESSION}. */
+    /** The session id of the request, or {@link #NO_SESSION}. */
     long sessionId();
 
-    /** The request of that session. */
+    /** The identifier of the request within its session. */
     int requestId();
 
     private static int readRequestId(FieldReader in) {
@@ -25,8 +25,7 @@
     }
 
     /**
-     * Up to which update the sender has the updates of each of those members. Unasked, it gossips a part of the
-     * sender's version vector.
+     * Entries of the sender's version vector. Sent without a request, it gossips a part of the version vector.
      *
      * @param now seconds since 1970 on the sender's clock; the times of the versions are written relative to it
      */
@@ -34,7 +33,7 @@
             implements AntiEntropyResponse {
         static final int TYPE_NUMBER = 21;
 
-        /** A part of the sender's version vector that nobody asked for. */
+        /** Creates an update that does not answer a request. */
         static VersionVectorUpdate unsolicited(double now, List<OriginVersion> versions) {
             return new VersionVectorUpdate(NO_SESSION, 0, now, versions);
         }
@@ -66,9 +65,9 @@
     }
 
     /**
-     * The responder's root digests, of the types that both replicas hold.
+     * The responder's root digests of the replicated types that both replicas have.
      *
-     * @param bootstrapped whether the responder's own replica is complete
+     * @param bootstrapped whether the responder's replica is bootstrapped
      */
     record RootDigestsResponse(long sessionId, int requestId, boolean bootstrapped, List<RootDigest> roots)
             implements AntiEntropyResponse {
@@ -98,9 +97,10 @@
     /**
      * The digests of the children of one node of the responder's hash tree.
      *
-     * @param digestCutoff of the responder, as of now
-     * @param evictionFloor of the responder, as of now: entries evicted since the request are at or below it
-     * @param children the {@link HashTree#FANOUT} children in order
+     * @param digestCutoff the responder's digest cut-off at the time of the response
+     * @param evictionFloor the responder's eviction floor at the time of the response; entries evicted since the
+     *     request are at or below it
+     * @param children the {@link HashTree#FANOUT} children in the order of their indexes
      */
     record TreeNodeResponse(
             long sessionId, int requestId, double digestCutoff, double evictionFloor, List<ChildDigest> children)
@@ -117,7 +117,7 @@
             return EncodedSizes.HEADER_BYTES + EncodedSizes.TREE_CHILD_BYTES * HashTree.FANOUT;
         }
 
-        /** The children are written as one list of sums and one of counts. */
+        /** Writes the children as one list of hash sums and one list of entry counts. */
         @Override
         public void write(FieldWriter out) {
             out.writeLong(sessionId)
@@ -146,15 +146,15 @@
         }
     }
 
-    /** The sum of the hashes and the number of the entries in the range of a tree node. */
+    /** The sum of the entry hashes and the number of entries in the range of a tree node. */
     record ChildDigest(long hashSum, long entryCount) {}
 
     /**
-     * Entries of a range of key hashes. Unasked, it pushes entries that the receiver was seen to lack.
+     * Entries in a range of key hashes. Sent without a request, it pushes entries that the receiver was found to lack.
      *
      * @param replicatedType number of the type
-     * @param evictionFloor as in {@link TreeNodeResponse}
-     * @param coveredTo the entries are all that were asked for up to this key hash, as an unsigned number
+     * @param evictionFloor the responder's eviction floor at the time of the response
+     * @param coveredTo key hash, as an unsigned number, up to which the response contains all requested entries
      * @param presentMask bit i is set if the responder has the entry of the request's fingerprint i
      */
     record RangeEntries(
@@ -168,7 +168,7 @@
             implements AntiEntropyResponse {
         static final int TYPE_NUMBER = 28;
 
-        /** Entries that nobody asked for. */
+        /** Creates a message that pushes entries without a request. */
         static RangeEntries unsolicited(int replicatedType, double evictionFloor, List<RangeEntry> entries) {
             return new RangeEntries(NO_SESSION, 0, replicatedType, evictionFloor, 0, 0, entries);
         }
@@ -209,10 +209,10 @@
         }
     }
 
-    /** An entry of the type that its message names. */
+    /** An entry of the replicated type that the enclosing message names. */
     @SuppressWarnings("ArrayRecordComponent") // the encoded value is never changed, and entries are never compared
     record RangeEntry(String key, byte[] value) {
-        /** Upper bound of the bytes that the entry takes in a message. */
+        /** Returns an upper bound of the encoded size of the entry in a message. */
         int maxEncodedBytes() {
             return EncodedSizes.ENTRY_OVERHEAD_BYTES + EncodedSizes.utf8Length(key) + value.length;
         }
