--- a/fleet/src/main/java/clayhook/fleet/state/AntiEntropyScheduler.java
+++ b/fleet/src/main/java/clayhook/fleet/state/AntiEntropyScheduler.java
@@ -10,22 +10,27 @@
 
 /** Starts anti-entropy sessions, one at a time, and chooses their peers. Not thread-safe. */
 final class AntiEntropyScheduler {
-    /** An update may be missing for so many seconds before it is asked for, since its broadcast may be under way. */
+    /**
+     * Time in seconds for which an update may be missing before it is requested, since its broadcast may still arrive.
+     */
     private static final double DELTA_GRACE_SECONDS = 0.3;
-    /** Seconds between two sessions while this replica is not bootstrapped. */
+    /**
+     * Minimum pause in seconds between two sessions while this replica is not bootstrapped; also the retry interval
+     * while there are no live peers.
+     */
     private static final double BOOTSTRAP_INTERVAL_SECONDS = 0.1;
     /**
-     * The pause after a session that used much bandwidth is longer, up to that many intervals; while this replica is
-     * not bootstrapped, it is shorter by this factor.
+     * Maximum pause after a session that used much bandwidth, as a multiple of the anti-entropy interval. While this
+     * replica is not bootstrapped, the pause that the bandwidth requires is divided by this number.
      */
     private static final double MAX_PAUSE_INTERVALS = 4;
-    /** A pause is multiplied by a random factor from this one up, 1 on average. */
+    /** Lower bound of the random factor by which a pause is multiplied; the factor is 1 on average. */
     private static final double MIN_JITTER_FACTOR = 0.75;
 
     private static final double JITTER_RANGE = 0.5;
-    /** While a session is active, it is given so many ticks in each broadcast interval. */
+    /** Number of ticks per broadcast interval while a session is active. */
     private static final int SESSION_TICKS_PER_INTERVAL = 4;
-    /** Further attempts to choose a peer that is not to be avoided. */
+    /** Maximum number of further random choices if the chosen peer is to be avoided. */
     private static final int CHOICE_RETRIES = 3;
 
     private final MembershipView membership;
@@ -36,11 +41,11 @@
     private final StateCounters counters;
     private final SplittableRandom random;
     private final TokenBucket byteBudget;
-    /** Null between two sessions. */
+    /** The active session; null between two sessions. */
     private AntiEntropySession session;
 
     private double nextSessionAt;
-    /** The peer that last timed out or knew no more than this replica; null for none. */
+    /** The peer of the last session if that session timed out or its peer was not bootstrapped; null otherwise. */
     private Member avoidedMember;
 
     AntiEntropyScheduler(
@@ -64,8 +69,8 @@
     }
 
     /**
-     * Abandons the session and starts another one at once, since this router has stalled: responses that waited in a
-     * queue are out of date, and the peer may have left.
+     * Abandons the active session and schedules a new one immediately, since after a stall of this router queued
+     * responses are out of date and the peer may have left.
      */
     void onStall(double now) {
         if (session != null) {
@@ -74,7 +79,10 @@
         nextSessionAt = now;
     }
 
-    /** Returns when the next tick is wanted, seconds since 1970. */
+    /**
+     * Advances the active session or starts a new one if it is due. Returns the time at which the next tick is due, in
+     * seconds since 1970.
+     */
     double tick(double now, Outbox outbox) {
         if (session != null && session.isTimedOut(now)) {
             avoidedMember = session.peer.member();
@@ -88,7 +96,7 @@
         return session != null ? now + settings.broadcastInterval() / SESSION_TICKS_PER_INTERVAL : nextSessionAt;
     }
 
-    /** See {@link AntiEntropySession#onResponse}. */
+    /** Passes a response to the active session, see {@link AntiEntropySession#onResponse}. */
     void onResponse(Peer from, AntiEntropyResponse response, boolean settled, double now, Outbox outbox) {
         if (session != null) {
             session.onResponse(from, response, settled, now, outbox);
@@ -112,7 +120,9 @@
     }
 
     /**
-     * Any peer at random, or, half of the time, a member of whose updates some are missing: that one has them for sure.
+     * Chooses a random peer. Once this replica was bootstrapped from a peer, half of the choices prefer a live member
+     * some of whose updates are missing, since the origin of an update always has it. Tries not to choose a peer that
+     * is to be avoided.
      */
     private Peer choosePeer(List<Peer> peers, List<Member> incomplete) {
         if (bootstrap.isBootstrappedFromPeer() && !incomplete.isEmpty() && random.nextBoolean()) {
@@ -157,13 +167,13 @@
             session.peerVersions().forEach(version -> versionVector.markComplete(version, now));
             bootstrap.onReplicaComplete(session.isPeerBootstrapped(), now);
         }
-        // Routers that started together must not all go on to compare together.
+        // Jitter spreads the sessions of routers that started at the same time.
         double jitter = MIN_JITTER_FACTOR + random.nextDouble() * JITTER_RANGE;
         nextSessionAt = now + pauseSeconds(session.transferredBytes(), now) * jitter;
         session = null;
     }
 
-    /** The pause after a session, so that sessions keep within their average bandwidth. */
+    /** Returns the pause in seconds after a session, which keeps sessions within their average bandwidth. */
     private double pauseSeconds(double transferredBytes, double now) {
         double interval = settings.antiEntropyInterval();
         double paidOff = transferredBytes / settings.antiEntropyBytesPerSecond();
