--- a/fleet/src/main/java/clayhook/fleet/state/AntiEntropySession.java
+++ b/fleet/src/main/java/clayhook/fleet/state/AntiEntropySession.java
@@ -23,13 +23,16 @@
 import java.util.Optional;
 
 /**
- * One comparison with one peer, from the root digests down to the entries that differ; afterwards this replica holds
- * all that the peer held. Several requests are outstanding at a time. Each is repeated until it is answered, and each
- * response can be applied by itself, so late, duplicated or reordered ones do no harm. What was fetched before a
- * session is abandoned is kept: the next session, with any peer, finds those ranges equal. Not thread-safe.
+ * One comparison of this replica with that of a peer, from the root digests down to the entries that differ. After a
+ * complete session this replica has all entries that the peer had at its start. Several requests are outstanding at a
+ * time. Each is retried until it is answered, and each response can be applied independently, so late, duplicated or
+ * reordered responses are harmless. Entries fetched by an abandoned session are kept, so that the next session, with
+ * any peer, does not fetch them again. Not thread-safe.
  */
 final class AntiEntropySession {
-    /** A range with no more entries than this on either side is fetched instead of split further. */
+    /**
+     * Maximum number of entries on either side of a range that is fetched instead of compared on the next tree level.
+     */
     private static final int SMALL_RANGE_ENTRIES = 24;
 
     final Peer peer;
@@ -38,26 +41,31 @@
     private final StateSettings settings;
     private final StateCounters counters;
     private final TokenBucket byteBudget;
-    /** Last in, first out, so that no more than a few ranges of each tree level are queued. */
+    /**
+     * Steps that still have to be done, last in, first out, so that at most a few ranges of each tree level are queued.
+     */
     private final Deque<SyncStep> pendingSteps = new ArrayDeque<>();
 
     private final RequestWindow requests;
     private final EntryPusher pusher;
-    /** What the peer had before the root digests were compared. */
+    /** The peer's versions of the origins with missing updates, received before the root digests were compared. */
     private final List<OriginVersion> peerVersions = new ArrayList<>();
 
     private boolean rootsRequested;
     private boolean peerBootstrapped;
-    /** All types were compared, and no entry that belongs into this replica was rejected. */
+    /**
+     * Whether all types were compared and no fetched entry was rejected, except expired entries and entries at or below
+     * the eviction floor.
+     */
     private boolean complete = true;
 
     private boolean done;
     private double transferredBytes;
 
     /**
-     * @param sessionId not 0
-     * @param incomplete members of whose updates some are missing here
-     * @param byteBudget shared by all sessions, one after the other
+     * @param sessionId session id; not 0
+     * @param incomplete members some of whose updates are missing in this replica
+     * @param byteBudget bandwidth limit, shared by consecutive sessions
      */
     AntiEntropySession(
             Peer peer,
@@ -90,34 +98,39 @@
         return done;
     }
 
-    /** Whether the session is done and this replica now holds all that the peer held. */
+    /** Whether the session is done and this replica has all entries that the peer had. */
     boolean isComplete() {
         return done && complete;
     }
 
-    /** Whether the peer said that its own replica is bootstrapped. */
+    /** Whether the peer reported that its replica is bootstrapped. */
     boolean isPeerBootstrapped() {
         return peerBootstrapped;
     }
 
-    /** What the peer had as the session began; this replica has it too once the session is complete. */
+    /**
+     * The peer's versions at the start of the session. This replica has their updates too once the session is complete.
+     */
     List<OriginVersion> peerVersions() {
         return peerVersions;
     }
 
-    /** Bytes sent and received by this session. */
+    /** The number of bytes sent and received by this session. */
     double transferredBytes() {
         return transferredBytes;
     }
 
-    /** Whether the peer has stopped to answer. */
+    /** Whether the peer has not answered for {@link StateSettings#peerTimeout}. */
     boolean isTimedOut(double now) {
         return requests.isTimedOut(now);
     }
 
     // ---- requests ----
 
-    /** Repeats requests whose retry timeout has passed and starts new ones as far as window and bandwidth allow. */
+    /**
+     * Retries requests whose retry timeout has elapsed and sends new ones as far as the request window and the
+     * bandwidth allow.
+     */
     void sendDueRequests(double now, Outbox outbox) {
         requests.retryDue(now, request -> transmit(request, now, outbox));
         while (!done && requests.hasRoom() && byteBudget.hasTokens(now)) {
@@ -164,7 +177,10 @@
         return new RootDigestsRequest(sessionId, requestId, roots);
     }
 
-    /** Requests the range, or as much of it as the fingerprints in one request can cover; the rest is queued. */
+    /**
+     * Creates a request for the range, or for the part of it whose fingerprints fit into one request, and queues the
+     * rest.
+     */
     private OutstandingRequest createRangeRequest(FetchRange range, int requestId) {
         EntryTable<?> table = range.table();
         var fingerprints = new ArrayList<Integer>();
@@ -206,10 +222,11 @@
     // ---- responses ----
 
     /**
-     * Takes a response whose entries or versions were applied already; ignores one that answers no outstanding request
-     * of this session.
+     * Processes a response whose entries or versions were already applied. Ignores a response that does not answer an
+     * outstanding request of this session.
      *
-     * @param settled whether all entries that came with it are in this replica now, or belong to none any more
+     * @param settled whether each entry of the response is in this replica now, has expired or is at or below the
+     *     eviction floor
      */
     void onResponse(Peer from, AntiEntropyResponse response, boolean settled, double now, Outbox outbox) {
         boolean fromThisSession =
