--- a/fleet/src/main/java/clayhook/fleet/state/AntiEntropyResponder.java
+++ b/fleet/src/main/java/clayhook/fleet/state/AntiEntropyResponder.java
@@ -18,13 +18,15 @@
 import java.util.List;
 
 /**
- * Answers the requests of other members' anti-entropy sessions, within a bandwidth. Keeps no state of a session, only
- * requests that wait for bandwidth. Not thread-safe.
+ * Answers requests of other members' anti-entropy sessions within a bandwidth limit. Keeps no session state, only a
+ * queue of requests that wait for bandwidth. Not thread-safe.
  */
 final class AntiEntropyResponder {
-    /** Requests that wait for bandwidth; further ones are dropped, and their senders repeat them. */
+    /** Maximum number of requests that wait for bandwidth. Requests beyond it are dropped; their senders retry them. */
     private static final int MAX_QUEUED_REQUESTS = 256;
-    /** Bounds the time of a tick; a response holds some 30 entries. */
+    /**
+     * Maximum number of responses per tick, which bounds the duration of a tick; a response contains about 30 entries.
+     */
     private static final int MAX_RESPONSES_PER_TICK = 32;
 
     private record QueuedRequest(Peer from, AntiEntropyRequest request) {}
@@ -35,7 +37,10 @@
     private final StateSettings settings;
     private final StateCounters counters;
     private final TokenBucket byteBudget;
-    /** At most {@link #MAX_QUEUED_REQUESTS}; emptied by {@link #tick}. */
+    /**
+     * Requests that wait for bandwidth, at most {@link #MAX_QUEUED_REQUESTS}; {@link #tick} removes those that it
+     * answers.
+     */
     private final ArrayDeque<QueuedRequest> queuedRequests = new ArrayDeque<>();
 
     AntiEntropyResponder(
@@ -53,12 +58,15 @@
         byteBudget = new TokenBucket(settings.catchUpBytesPerSecond(), now);
     }
 
-    /** Whether no request waits. */
+    /** Whether no request waits for bandwidth. */
     boolean isIdle() {
         return queuedRequests.isEmpty();
     }
 
-    /** Answers a request at once, or queues it until there is bandwidth. */
+    /**
+     * Answers a request immediately if bandwidth is available and no earlier request waits; otherwise queues it, or
+     * drops it if the queue is full.
+     */
     void onRequest(Peer from, AntiEntropyRequest request, double now, Outbox outbox) {
         if (queuedRequests.isEmpty() && byteBudget.hasTokens(now)) {
             respond(from, request, now, outbox);
@@ -69,7 +77,7 @@
         }
     }
 
-    /** Answers queued requests. */
+    /** Answers queued requests as far as bandwidth and {@link #MAX_RESPONSES_PER_TICK} allow. */
     void tick(double now, Outbox outbox) {
         int responses = 0;
         while (responses < MAX_RESPONSES_PER_TICK && !queuedRequests.isEmpty() && byteBudget.hasTokens(now)) {
@@ -103,7 +111,10 @@
         return new VersionVectorUpdate(request.sessionId(), request.requestId(), now, versions);
     }
 
-    /** Of all types that both know and for which the requester's clock is good enough. */
+    /**
+     * Returns the root digests of the types that both replicas have. Clock-dependent types are left out if the
+     * requester's clock is off by more than the bound.
+     */
     private RootDigestsResponse rootDigests(Peer from, RootDigestsRequest request, double now) {
         var roots = new ArrayList<RootDigest>();
         for (RootDigest root : request.roots()) {
@@ -129,7 +140,7 @@
                 request.sessionId(), request.requestId(), table.digestCutoff(), table.evictionFloor(), children);
     }
 
-    /** All entries of the range that the requester lacks, as far as they fit into one message. */
+    /** Returns the entries of the range that the requester does not have, as many as fit into one message. */
     private static RangeEntries rangeEntries(RangeRequest request, EntryTable<?> table) {
         var entries = new ArrayList<RangeEntry>();
         int bytesLeft = Packet.MAX_MESSAGE_BYTES - EncodedSizes.HEADER_BYTES;
