--- a/fleet/src/main/java/clayhook/fleet/state/VersionVector.java
+++ b/fleet/src/main/java/clayhook/fleet/state/VersionVector.java
@@ -10,14 +10,17 @@
 import java.util.Optional;
 
 /**
- * Up to which update this replica has the updates of each member, and the numbers of this router's own updates. An
- * origin is one incarnation of a member, identified by a hash of 64 bits, which saves its name on the wire. Not
- * thread-safe.
+ * The version vector of this replica: for each origin the sequence number up to which its updates were received, and
+ * the sequence numbers of this router's own updates. An origin is one incarnation of a member. A 64-bit hash identifies
+ * it, which takes less space in messages than its name. Not thread-safe.
  */
 final class VersionVector {
-    /** Origins kept that the membership does not list: membership messages may arrive later than state messages. */
+    /**
+     * Maximum number of origins that the membership does not list. They are kept since membership messages may arrive
+     * later than state messages.
+     */
     private static final int MAX_UNLISTED_ORIGINS = 1024;
-    /** An unlisted origin is kept for that long after its last activity. */
+    /** Time in seconds for which an unlisted origin is kept after its last activity. */
     private static final double RETENTION_SECONDS = 60;
 
     private static final double MILLIS_PER_SECOND = 1000;
@@ -25,16 +28,22 @@
     private final MembershipView membership;
     private final StateSettings settings;
     private final long selfId;
-    /** Emptied by {@link #removeDeparted}; at most {@link #MAX_UNLISTED_ORIGINS} more than {@link #byMember}. */
+    /**
+     * The progress of all origins by origin id, at most {@link #MAX_UNLISTED_ORIGINS} more than {@link #byMember}.
+     * {@link #removeDeparted} removes inactive unlisted origins.
+     */
     private final Map<Long, OriginProgress> byId = new HashMap<>();
-    /** Emptied by {@link #removeDeparted} of members that cannot be serving any more. */
+    /** The progress of the members that may be serving. {@link #removeDeparted} removes all other members. */
     private final Map<Member, OriginProgress> byMember = new HashMap<>();
 
     private long lastSequence;
     private double lastAsOf;
     private int nextMemberIndex;
 
-    /** @param firstMemberIndex where gossip starts among the members; chosen at random, so that routers differ */
+    /**
+     * @param firstMemberIndex index of the member at which gossip starts; chosen at random, so that routers gossip
+     *     different parts
+     */
     VersionVector(MembershipView membership, StateSettings settings, int firstMemberIndex, double now) {
         this.membership = membership;
         this.settings = settings;
@@ -45,18 +54,21 @@
 
     // ---- this router's own updates ----
 
-    /** Numbers a new update of this router. */
+    /** Assigns the next sequence number to a new update of this router. */
     UpdateId nextUpdate() {
         lastSequence++;
         return new UpdateId(selfId, lastSequence);
     }
 
-    /** The number of this router's last update. */
+    /** The sequence number of this router's last update. */
     long lastSequence() {
         return lastSequence;
     }
 
-    /** The time of statements about this router's own updates; never goes back. */
+    /**
+     * Returns the time to announce with this router's last sequence number; never earlier than a previously returned
+     * time.
+     */
     double asOf(double now) {
         lastAsOf = Math.max(lastAsOf, now);
         return lastAsOf;
@@ -68,20 +80,20 @@
 
     // ---- updates of others ----
 
-    /** Notes that an update is here. Returns whether it was missing. */
+    /** Records that an update was received. Returns whether it was missing before. */
     boolean markReceived(UpdateId update, double now) {
         return update.originId() != selfId
                 && findOrCreate(update.originId(), now).markReceived(update.sequence());
     }
 
-    /** Notes what some member states about an origin's updates. */
+    /** Processes an announcement of an origin's last sequence number, received from any member. */
     void observe(OriginVersion version, double now) {
         if (version.originId() != selfId) {
             findOrCreate(version.originId(), now).observe(version.sequence(), version.asOf(), now);
         }
     }
 
-    /** Notes that all updates of that version are here. */
+    /** Records that all updates up to a version were received. */
     void markComplete(OriginVersion version, double now) {
         if (version.originId() != selfId) {
             findOrCreate(version.originId(), now).markComplete(version.sequence(), version.asOf());
@@ -113,7 +125,10 @@
 
     // ---- queries ----
 
-    /** The versions to gossip next, as many as fit into that many bytes; this router's own is always among them. */
+    /**
+     * Returns the versions to gossip next, as many as fit into {@code maxBytes}. This router's own version is always
+     * included.
+     */
     List<OriginVersion> nextGossipSlice(int maxBytes, double now) {
         List<Member> members = membership.possiblyServing(now);
         var slice = new ArrayList<OriginVersion>();
@@ -132,7 +147,7 @@
         return slice;
     }
 
-    /** The versions of those origins, as far as they are known here. */
+    /** Returns the versions of the given origins; origins without a confirmed version are left out. */
     List<OriginVersion> knownVersions(List<Long> originIds, double now) {
         var versions = new ArrayList<OriginVersion>();
         for (long originId : originIds) {
@@ -155,7 +170,8 @@
     }
 
     /**
-     * The members that may be serving of whose updates some have been missing here for longer than that many seconds.
+     * Returns the members that may be serving and some of whose updates have been missing for longer than the given
+     * number of seconds.
      */
     List<Member> membersWithGaps(double seconds, double now) {
         return membership.possiblyServing(now).stream()
@@ -164,8 +180,9 @@
     }
 
     /**
-     * Up to when, on this router's clock, all updates are here of all members that may be serving. Negative infinity
-     * while the clock of such a member is off, since its values are rejected.
+     * Returns the time on this router's clock up to which the updates of all members that may be serving were received.
+     * Negative infinity if the clock of such a member is off by more than the bound, since its clock-dependent values
+     * are rejected.
      */
     double completeUpTo(double now) {
         double least = now;
@@ -180,7 +197,10 @@
         return least;
     }
 
-    /** Forgets members that cannot be serving any more. */
+    /**
+     * Removes members that cannot be serving any more, and unlisted origins without activity for
+     * {@link #RETENTION_SECONDS}.
+     */
     void removeDeparted(double now) {
         byMember.keySet().retainAll(new HashSet<>(membership.possiblyServing(now)));
         var listed = new HashSet<>(byMember.values());
