--- a/fleet/src/main/java/clayhook/fleet/state/OriginProgress.java
+++ b/fleet/src/main/java/clayhook/fleet/state/OriginProgress.java
@@ -1,29 +1,36 @@
 package clayhook.fleet.state;
 
 /**
- * Which updates of one origin, that is of one incarnation of one member, have arrived here. The origin numbers its
- * updates from 1 on and states from time to time what its last sequence number was at which time. Once all updates up
- * to that number are here, the statement is confirmed: the replica is complete for this origin up to that time.
+ * Tracks which updates of one origin this replica has received. An origin is one incarnation of a member. It numbers
+ * its updates from 1 and regularly announces its last sequence number together with the time. An announcement is
+ * confirmed once all updates up to its sequence number were received: the replica is then complete for this origin up
+ * to the announced time.
  *
- * <p>Times are seconds since 1970; those of statements are on the origin's clock, all others on this router's. Takes
- * 100 bytes, and 128 more once an update arrived out of order. Not thread-safe.
+ * <p>Times are in seconds since 1970: those of announcements on the origin's clock, all others on this router's clock.
+ * Takes 100 bytes, and 128 more after the first update that arrives out of order. Not thread-safe.
  */
 final class OriginProgress {
-    /** An update that is further ahead of a missing one counts as missing too. */
+    /**
+     * Maximum distance of an update from the last contiguous one at which it is recorded. An update further ahead
+     * counts as missing.
+     */
     private static final int OUT_OF_ORDER_WINDOW = 1024;
 
     final long originId;
-    /** All updates up to this one are here. */
+    /** The sequence number up to which all updates were received. */
     private long contiguousSequence;
-    /** A bit for each update of the window behind it, by the last ten bits of its number; null until one is needed. */
+    /**
+     * A bit for each received update after {@link #contiguousSequence}, indexed by the last ten bits of its sequence
+     * number; null before the first update that arrives out of order.
+     */
     private long[] outOfOrder;
-    /** The latest confirmed statement. */
+    /** The sequence number of the latest confirmed announcement. */
     private long confirmedSequence;
 
     private double confirmedAsOf = Double.NEGATIVE_INFINITY;
     /**
-     * The first statement that is not confirmed yet, with NaN for none, and the latest one. To wait for the latest
-     * alone would never end while new updates keep coming.
+     * The first unconfirmed announcement, whose time is NaN if there is none. The latest announcement is kept in
+     * addition. Waiting only for the latest one could take forever while new updates continue to be announced.
      */
     private long pendingSequence;
 
@@ -32,30 +39,31 @@
     private long latestSequence;
     private double latestAsOf;
     private double latestSince;
-    /** When anything of this origin was asked for or arrived last. */
+    /** The time at which information about this origin was last received or the membership began to list it. */
     double lastActivityAt;
 
     OriginProgress(long originId) {
         this.originId = originId;
     }
 
-    /** The origin made no update before that time. */
+    /** Records that the origin made no update before the start of its incarnation. */
     void onIncarnationStart(double startedAt) {
         confirmedAsOf = Math.max(confirmedAsOf, startedAt);
     }
 
-    /** Up to when all updates of the origin are here; negative infinity while that is unknown. */
+    /** The time up to which all updates of the origin were received; negative infinity if unknown. */
     double confirmedAsOf() {
         return confirmedAsOf;
     }
 
-    /** The last sequence number at {@link #confirmedAsOf()}. */
+    /** The origin's last sequence number at {@link #confirmedAsOf()}. */
     long confirmedSequence() {
         return confirmedSequence;
     }
 
     /**
-     * Whether a statement has waited for missing updates for longer than that many seconds, or none was ever confirmed.
+     * Whether an announcement has been unconfirmed for longer than the given number of seconds, or none was ever
+     * confirmed.
      */
     boolean hasGapLongerThan(double seconds, double now) {
         return confirmedAsOf == Double.NEGATIVE_INFINITY || (hasPending() && now - pendingSince > seconds);
@@ -65,7 +73,7 @@
         return !Double.isNaN(pendingAsOf);
     }
 
-    /** Notes that an update is here. Returns whether it was missing. */
+    /** Records that an update was received. Returns whether it was missing before. */
     boolean markReceived(long sequence) {
         if (sequence <= contiguousSequence || sequence > contiguousSequence + OUT_OF_ORDER_WINDOW) {
             return false;
@@ -82,7 +90,7 @@
         return true;
     }
 
-    /** Notes what the origin states to have been its last sequence number at that time. */
+    /** Processes an announcement: {@code sequence} was the origin's last sequence number at {@code asOf}. */
     void observe(long sequence, double asOf, double now) {
         if (sequence <= contiguousSequence) {
             confirm(sequence, asOf);
@@ -98,7 +106,10 @@
         }
     }
 
-    /** Notes that all updates up to that one are here, since this replica now holds all that one with them held. */
+    /**
+     * Records that all updates up to a sequence number were received, since this replica now has all entries of a
+     * replica that had these updates.
+     */
     void markComplete(long sequence, double asOf) {
         if (sequence > contiguousSequence) {
             clearOutOfOrderUpTo(sequence);
@@ -108,7 +119,7 @@
         confirm(sequence, asOf);
     }
 
-    // ---- statements ----
+    // ---- announcements ----
 
     private void confirm(long sequence, double asOf) {
         if (asOf > confirmedAsOf) {
@@ -163,7 +174,10 @@
         }
     }
 
-    /** Closes the gap as far as the updates behind it are here, and confirms what then can be. */
+    /**
+     * Advances the contiguous sequence number over updates that arrived out of order, and confirms announcements that
+     * it reaches.
+     */
     private void absorbOutOfOrder() {
         while (isReceivedOutOfOrder(contiguousSequence + 1)) {
             contiguousSequence++;
