--- a/fleet/src/main/java/clayhook/fleet/state/EntryTable.java
+++ b/fleet/src/main/java/clayhook/fleet/state/EntryTable.java
@@ -9,25 +9,30 @@
 import java.util.function.Consumer;
 
 /**
- * The entries of one replicated type. Holds at most {@link ReplicatedType#maxEntries()} of them; they are removed when
- * they expire, or, oldest first, when there are too many. A value that is expired or at or below the eviction floor is
- * never accepted, so nothing that was removed comes back, and no tombstones are needed.
+ * The entries of one replicated type, at most {@link ReplicatedType#maxEntries()}. Entries are removed when they
+ * expire; if there are too many, the oldest ones are evicted. Values that have expired or are at or below the eviction
+ * floor are rejected, so that removed entries cannot be replicated back and no tombstones are needed.
  *
- * <p>An entry takes some 56 bytes beside its key and value, measured with 100,000 entries, and up to half as much again
- * right after the arrays have grown. Not thread-safe.
+ * <p>In a table of 100,000 entries, an entry takes about 56 bytes in addition to its key and value, and up to half as
+ * much again directly after the arrays have grown. Not thread-safe.
  */
 final class EntryTable<V> {
-    /** Bytes of key and value at most; a message that holds just this one entry fits into a packet. */
+    /**
+     * Maximum total size in bytes of the key and the encoded value; a message with one entry of this size fits into a
+     * packet.
+     */
     static final int MAX_ENTRY_BYTES = 1000;
-    /** The digest exclusion margin is at most this part of the type's retention. */
+    /** Maximum digest exclusion margin as a fraction of the type's retention. */
     private static final double MAX_MARGIN_OF_RETENTION = 0.25;
-    /** The cut-off moves in steps of this part of the margin, or of a second if that is less. */
+    /**
+     * Step of the digest cut-off as a fraction of the exclusion margin, limited by {@link #MAX_CUTOFF_STEP_SECONDS}.
+     */
     private static final double CUTOFF_STEP_OF_MARGIN = 0.5;
 
     private static final double MAX_CUTOFF_STEP_SECONDS = 1;
 
     final ReplicatedType<V> type;
-    /** Bounded by callers, which add a listener once at the start. */
+    /** Listeners for changes; bounded, since callers add listeners only at startup. */
     private final List<ReplicatedStore.ChangeListener<V>> listeners = new ArrayList<>();
 
     private final double maxClockSkew;
@@ -41,7 +46,7 @@
     EntryTable(ReplicatedType<V> type, StateSettings settings) {
         this.type = type;
         maxClockSkew = settings.maxClockSkew();
-        // Otherwise entries of a type that is retained for seconds would never be in the digest.
+        // Without this limit, entries of a type with a retention of seconds would never be in the digest.
         exclusionMargin = Math.min(settings.digestExclusionMargin(), type.retentionSeconds() * MAX_MARGIN_OF_RETENTION);
         cutoffStep = Math.min(MAX_CUTOFF_STEP_SECONDS, exclusionMargin * CUTOFF_STEP_OF_MARGIN);
     }
@@ -50,7 +55,7 @@
         listeners.add(listener);
     }
 
-    /** {@code listener} receives the key of each entry that is removed. */
+    /** Sets the listener that receives the key of each removed entry. */
     void setRemovalListener(Consumer<String> listener) {
         removalListener = listener;
     }
@@ -61,13 +66,13 @@
         return slots.size();
     }
 
-    /** The value under that key, or null. */
+    /** Returns the value of a key, or null if there is no entry. */
     V get(String key) {
         int slot = slots.find(key, StableHash.ofKey(key));
         return slot < 0 ? null : slots.value(slot);
     }
 
-    /** The encoded value under that key, or null. */
+    /** Returns the encoded value of a key, or null if there is no entry. */
     byte[] encodedValue(String key, long keyHash) {
         int slot = slots.find(key, keyHash);
         return slot < 0 ? null : encodedValue(slot);
@@ -99,25 +104,28 @@
         return slots.value(slot);
     }
 
-    /** The first slot in order of key hashes; negative if there is none. */
+    /** Returns the first slot in unsigned order of key hashes; negative if the table is empty. */
     int firstSlot() {
         return slots.firstFrom(0);
     }
 
-    /** The slot after that one in order of key hashes; negative if there is none. */
+    /** Returns the slot after the given one in unsigned order of key hashes; negative if there is none. */
     int nextSlot(int slot) {
         return slots.next(slot);
     }
 
     /**
-     * The first slot of an entry of the digest whose key hash is in that range, both ends included, in unsigned order;
-     * negative if there is none.
+     * Returns the first slot, in unsigned order of key hashes, of an entry that is in the digest and whose key hash is
+     * in the given range, both bounds included; negative if there is none.
      */
     int firstDigestedSlot(long firstHash, long lastHash) {
         return digestedFrom(slots.firstFrom(firstHash), lastHash);
     }
 
-    /** As {@link #firstDigestedSlot}, after that slot. */
+    /**
+     * Returns the next slot after the given one of an entry that is in the digest and whose key hash is at most
+     * {@code lastHash}; negative if there is none.
+     */
     int nextDigestedSlot(int slot, long lastHash) {
         return digestedFrom(slots.next(slot), lastHash);
     }
@@ -135,7 +143,7 @@
 
     // ---- merging ----
 
-    /** Decodes a value and merges it; does neither if the table holds just that value. */
+    /** Decodes a value and merges it, unless the table already has exactly this value. */
     ApplyResult mergeEncoded(String key, long keyHash, byte[] encodedValue, double now) {
         if (containsValue(key, keyHash, encodedValue)) {
             return ApplyResult.UNCHANGED;
@@ -149,13 +157,13 @@
         return merge(key, keyHash, value, now);
     }
 
-    /** Whether the table holds just that value under that key, as far as hashes can show. */
+    /** Whether the hash of the stored entry equals that of the given key and value. */
     private boolean containsValue(String key, long keyHash, byte[] encodedValue) {
         int slot = slots.find(key, keyHash);
         return slot >= 0 && slots.entryHash(slot) == StableHash.ofEntry(keyHash, encodedValue);
     }
 
-    /** Merges a value into the one under that key. */
+    /** Merges a value into the stored value of the key. */
     ApplyResult merge(String key, long keyHash, V value, double now) {
         double timestamp = type.timestamp(value);
         if (isFromFuture(timestamp, now)) {
@@ -185,7 +193,7 @@
         return ApplyResult.CHANGED;
     }
 
-    /** Also true for a timestamp that is no finite number. */
+    /** Whether a timestamp is further in the future than the maximum clock skew, or not a finite number. */
     private boolean isFromFuture(double timestamp, double now) {
         return !Double.isFinite(timestamp) || (type.clockDependent() && timestamp > now + maxClockSkew);
     }
@@ -197,7 +205,7 @@
                 && keyBytes + encodedValue.length <= MAX_ENTRY_BYTES;
     }
 
-    /** @param slot of the present value; negative if there is none */
+    /** @param slot slot of the existing entry; negative if there is none */
     private void store(int slot, String key, long keyHash, V value, byte[] encoded) {
         int target = slot;
         if (slot >= 0) {
@@ -215,7 +223,9 @@
         return digest.hashTree();
     }
 
-    /** Entries whose timestamp is at or before it are not in the digest; seconds since 1970. */
+    /**
+     * The digest cut-off in seconds since 1970; entries with a timestamp at or before it are left out of the digest.
+     */
     double digestCutoff() {
         return digest.cutoff();
     }
@@ -225,14 +235,20 @@
                 type.typeNumber(), digest.cutoff(), evictionFloor, hashTree().rootSum());
     }
 
-    /** Adopts the cut-off of another replica if it is the later one and can be right. */
+    /**
+     * Adopts the digest cut-off of another replica if it is later than that of this table and plausible for this
+     * router's clock, as far as {@code maxEntries} removals from the digest allow.
+     */
     void raiseCutoff(double cutoff, double now, int maxEntries) {
         if (cutoff <= targetCutoff(now) + maxClockSkew + cutoffStep) {
             digest.advanceCutoff(cutoff, maxEntries);
         }
     }
 
-    /** Moves in steps, so that two replicas that compare at slightly different times leave out the same entries. */
+    /**
+     * Returns the digest cut-off for a time. It advances in steps, so that two replicas that compare at slightly
+     * different times leave out the same entries.
+     */
     private double targetCutoff(double now) {
         return Double.isInfinite(type.retentionSeconds())
                 ? Double.NEGATIVE_INFINITY
@@ -241,12 +257,18 @@
 
     // ---- expiry and eviction ----
 
-    /** Entries at or before it were evicted, here or elsewhere; seconds since 1970, negative infinity for none. */
+    /**
+     * The eviction floor: entries with a timestamp at or below it were evicted by this or another replica. In seconds
+     * since 1970; negative infinity if nothing was evicted.
+     */
     double evictionFloor() {
         return evictionFloor;
     }
 
-    /** Adopts the eviction floor of another replica if it is the higher one and can be right. */
+    /**
+     * Adopts the eviction floor of another replica if it is higher than that of this table and plausible for this
+     * router's clock. Removes at most {@code maxEntries} entries; later sweeps remove the rest.
+     */
     void raiseFloor(double floor, double now, int maxEntries) {
         boolean plausible = !type.clockDependent() || floor <= now + maxClockSkew;
         if (floor > evictionFloor && plausible && floor < Double.POSITIVE_INFINITY) {
@@ -255,13 +277,19 @@
         }
     }
 
-    /** Removes expired entries and takes those that expire soon out of the digest, up to so many entries in all. */
+    /**
+     * Removes expired and evicted entries, and removes those that expire soon from the digest, at most about
+     * {@code maxEntries} entries in total.
+     */
     void sweep(double now, int maxEntries) {
         int remaining = removeUpTo(Math.max(evictionFloor, now - type.retentionSeconds()), maxEntries);
         digest.advanceCutoff(targetCutoff(now), remaining);
     }
 
-    /** Removes the oldest entries, all of one timestamp together, so that the floor alone says what was evicted. */
+    /**
+     * Evicts the oldest entries. All entries with the same timestamp are evicted together, so that the eviction floor
+     * alone determines which entries were evicted.
+     */
     private void evictBeyondMaxEntries() {
         while (slots.size() > type.maxEntries()) {
             evictionFloor = digest.timestamp(digest.oldest());
@@ -269,7 +297,10 @@
         }
     }
 
-    /** Removes entries whose timestamp is at or before {@code limit}; returns how many more it might have removed. */
+    /**
+     * Removes at most {@code maxEntries} entries whose timestamp is at or before {@code limit}. Returns the unused part
+     * of {@code maxEntries}.
+     */
     private int removeUpTo(double limit, int maxEntries) {
         int remaining = maxEntries;
         int slot = digest.oldest();
