--- a/fleet/src/main/java/clayhook/fleet/state/EntrySlots.java
+++ b/fleet/src/main/java/clayhook/fleet/state/EntrySlots.java
@@ -3,14 +3,14 @@
 import java.util.Arrays;
 
 /**
- * The storage of an {@link EntryTable}: entries in parallel arrays, each at a slot, found by the hash of their key and
- * listed in unsigned order of these hashes. Buckets divide the hash space by its leading bits; each is a linked list in
- * order of hashes. An empty slot has the number {@link #NO_SLOT}.
+ * The storage of an {@link EntryTable}. Entries are stored in parallel arrays, each entry at one index, its slot. They
+ * are looked up by the hash of their key and iterated in unsigned order of these hashes. The leading bits of a hash
+ * select a bucket, which is a linked list in the order of the hashes.
  *
- * <p>Arrays grow by half when they are full, so that little of them is unused, and never shrink. Not thread-safe.
+ * <p>The arrays grow by half when they are full, which limits their unused part, and never shrink. Not thread-safe.
  */
 final class EntrySlots<V> {
-    /** Stands for no slot; every negative number does. */
+    /** The result of a lookup that finds no slot. Callers treat all negative numbers as no slot. */
     static final int NO_SLOT = -1;
 
     private static final int MIN_BUCKET_BITS = 6;
@@ -20,13 +20,13 @@
     private Object[] values = new Object[0];
     private long[] keyHashes = new long[0];
     private long[] entryHashes = new long[0];
-    /** The next slot in the bucket, or of the free slots. */
+    /** The next slot in the bucket of each used slot, and the next free slot of each free slot. */
     private int[] nextSlots = new int[0];
 
     private int firstFreeSlot = NO_SLOT;
     private int size;
     private int bucketBits = MIN_BUCKET_BITS;
-    /** The first slot of each bucket. */
+    /** The first slot of each bucket; negative if the bucket is empty. */
     private int[] bucketHeads = emptyBuckets(MIN_BUCKET_BITS);
 
     private static int[] emptyBuckets(int bits) {
@@ -35,12 +35,12 @@
         return heads;
     }
 
-    /** Entries stored. */
+    /** The number of stored entries. */
     int size() {
         return size;
     }
 
-    /** Slots allocated; every slot number is below it. */
+    /** The number of allocated slots; every slot is below it. */
     int capacity() {
         return keys.length;
     }
@@ -67,7 +67,7 @@
         entryHashes[slot] = entryHash;
     }
 
-    /** The slot of that key, or {@link #NO_SLOT}. */
+    /** Returns the slot of a key, or {@link #NO_SLOT}. */
     int find(String key, long keyHash) {
         int slot = bucketHeads[bucketOf(keyHash)];
         while (slot >= 0 && !(keyHashes[slot] == keyHash && keys[slot].equals(key))) {
@@ -76,7 +76,7 @@
         return slot;
     }
 
-    /** The first slot whose key hash is at least {@code hash}, or {@link #NO_SLOT}. */
+    /** Returns the first slot in unsigned order whose key hash is at least {@code hash}, or {@link #NO_SLOT}. */
     int firstFrom(long hash) {
         int slot = firstInBuckets(bucketOf(hash));
         while (slot >= 0 && Long.compareUnsigned(keyHashes[slot], hash) < 0) {
@@ -85,7 +85,7 @@
         return slot;
     }
 
-    /** The slot after that one in order of key hashes, or {@link #NO_SLOT}. */
+    /** Returns the slot after the given one in unsigned order of key hashes, or {@link #NO_SLOT}. */
     int next(int slot) {
         return nextSlots[slot] >= 0 ? nextSlots[slot] : firstInBuckets(bucketOf(keyHashes[slot]) + 1);
     }
@@ -103,7 +103,7 @@
         return (int) (hash >>> (Long.SIZE - bucketBits));
     }
 
-    /** Adds a key that is not stored yet, still without a value, and returns its slot. */
+    /** Adds a key that is not stored yet and returns its slot. The caller sets the value afterwards. */
     int insert(String key, long keyHash) {
         if (firstFreeSlot < 0) {
             grow();
@@ -117,7 +117,7 @@
         return slot;
     }
 
-    /** Removes an entry; its slot is free then. */
+    /** Removes an entry and frees its slot. */
     void remove(int slot) {
         unlink(slot);
         keys[slot] = null;
