--- a/fleet/src/main/java/clayhook/fleet/state/EntryTimestamps.java
+++ b/fleet/src/main/java/clayhook/fleet/state/EntryTimestamps.java
@@ -3,25 +3,25 @@
 import java.util.Arrays;
 
 /**
- * The timestamp of each slot of a table, and heaps of slots with the oldest first. An entry is in one heap at most, so
- * the heaps share one array of positions. Takes 16 bytes an entry. Not thread-safe.
+ * The timestamps of the entries of a table, and min-heaps of slots ordered by these timestamps. Each slot is in at most
+ * one heap, so that all heaps share one array of positions. Takes 16 bytes per entry. Not thread-safe.
  */
 final class EntryTimestamps {
     private double[] timestamps = new double[0];
-    /** The index of each slot in its heap. */
+    /** The index of each slot in its heap; undefined for slots that are in no heap. */
     private int[] heapPositions = new int[0];
 
-    /** Seconds since 1970. */
+    /** Returns the timestamp of a slot, in seconds since 1970. */
     double timestamp(int slot) {
         return timestamps[slot];
     }
 
-    /** Sets the timestamp of a slot that is in no heap. */
+    /** Sets the timestamp of a slot; the slot must not be in a heap, since the order would be violated. */
     void setTimestamp(int slot, double timestamp) {
         timestamps[slot] = timestamp;
     }
 
-    /** Makes room for all slots below {@code capacity}. */
+    /** Ensures that timestamps of all slots below {@code capacity} can be stored. */
     void ensureCapacity(int capacity) {
         if (timestamps.length < capacity) {
             timestamps = Arrays.copyOf(timestamps, capacity);
@@ -29,14 +29,14 @@
         }
     }
 
-    /** A binary min-heap of slots by their timestamps. Bounded by its table, which removes entries from it. */
+    /** A binary min-heap of slots, ordered by their timestamps. Its size is bounded by that of the table. */
     final class AgeHeap {
         private static final int INITIAL_CAPACITY = 16;
 
         private int[] slots = new int[INITIAL_CAPACITY];
         private int size;
 
-        /** The slot with the least timestamp; negative if the heap is empty. */
+        /** Returns the slot with the lowest timestamp; negative if the heap is empty. */
         int oldest() {
             return size == 0 ? EntrySlots.NO_SLOT : slots[0];
         }
--- a/fleet/src/main/java/clayhook/fleet/state/TableDigest.java
+++ b/fleet/src/main/java/clayhook/fleet/state/TableDigest.java
@@ -1,17 +1,18 @@
 package clayhook.fleet.state;
 
 /**
- * The digest of an {@link EntryTable}: a {@link HashTree} of all entries that are younger than a cut-off, and the order
- * in which entries age. Entries that are about to expire are left out, so that two replicas whose clocks differ a
- * little do not exchange entries that one of them has dropped already. Not thread-safe.
+ * The digest of an {@link EntryTable}: a {@link HashTree} of all entries with a timestamp after the digest cut-off, and
+ * heaps that order all entries by timestamp. Entries that expire soon are left out of the hash tree, so that two
+ * replicas with slightly different clocks do not exchange entries that one of them has already removed. Not
+ * thread-safe.
  */
 final class TableDigest {
     private final EntrySlots<?> slots;
     private final HashTree hashTree = new HashTree();
     private final EntryTimestamps timestamps = new EntryTimestamps();
-    /** Entries in the digest: those younger than the cut-off. */
+    /** Entries in the digest: those with a timestamp after the cut-off. */
     private final EntryTimestamps.AgeHeap digestedEntries = timestamps.new AgeHeap();
-    /** All other entries. */
+    /** Entries that are left out of the digest since they expire soon. */
     private final EntryTimestamps.AgeHeap expiringEntries = timestamps.new AgeHeap();
 
     private double cutoff = Double.NEGATIVE_INFINITY;
@@ -24,7 +25,9 @@
         return hashTree;
     }
 
-    /** Entries whose timestamp is at or before it are left out; seconds since 1970. */
+    /**
+     * The digest cut-off in seconds since 1970; entries with a timestamp at or before it are left out of the digest.
+     */
     double cutoff() {
         return cutoff;
     }
@@ -37,13 +40,13 @@
         return timestamps.timestamp(slot);
     }
 
-    /** The slot of the oldest entry, in the digest or not; negative if there is none. */
+    /** Returns the slot of the oldest entry, whether or not it is in the digest; negative if there is none. */
     int oldest() {
         int slot = expiringEntries.oldest();
         return slot >= 0 ? slot : digestedEntries.oldest();
     }
 
-    /** Adds an entry whose hash is set. */
+    /** Adds an entry whose hash is already set in the slots. */
     void add(int slot, double timestamp) {
         timestamps.ensureCapacity(slots.capacity());
         timestamps.setTimestamp(slot, timestamp);
@@ -55,7 +58,7 @@
         }
     }
 
-    /** Removes an entry whose hash has not been changed since it was added. */
+    /** Removes an entry; its hash must not have changed since it was added. */
     void remove(int slot) {
         if (contains(slot)) {
             digestedEntries.remove(slot);
@@ -65,7 +68,10 @@
         }
     }
 
-    /** Advances the cut-off to {@code target}, or as far as it gets by taking out about {@code maxEntries} entries. */
+    /**
+     * Advances the cut-off to {@code target}, or as far as the removal of about {@code maxEntries} entries from the
+     * digest allows.
+     */
     void advanceCutoff(double target, int maxEntries) {
         for (int remaining = maxEntries; target > cutoff; remaining--) {
             int slot = digestedEntries.oldest();
@@ -81,7 +87,8 @@
     }
 
     /**
-     * Takes out all entries with the oldest timestamp at once, since the cut-off alone decides which entries are in.
+     * Removes all entries with the oldest timestamp from the digest together, since the cut-off alone determines which
+     * entries are in the digest.
      */
     private void excludeAllAt(double timestamp) {
         for (int slot = digestedEntries.oldest();
