--- a/fleet/src/main/java/clayhook/fleet/state/DeltaBroadcastQueue.java
+++ b/fleet/src/main/java/clayhook/fleet/state/DeltaBroadcastQueue.java
@@ -8,18 +8,18 @@
 import java.util.Map;
 
 /**
- * The entries that changed lately and are being broadcast: those that were broadcast in the fewest rounds first, and of
- * these the ones that changed last. An entry leaves the queue after a number of rounds, when it is too old, when it is
- * removed from its table, or when there are too many; anti-entropy spreads what was not broadcast often enough. Not
- * thread-safe.
+ * The queue of recently changed entries that are being broadcast. Entries that were broadcast in the fewest rounds come
+ * first, and among these the ones that changed last. An entry leaves the queue after a number of rounds, when its
+ * change is too old, when it is removed from its table, or when the queue is full. Anti-entropy replicates entries that
+ * left the queue too early. Not thread-safe.
  */
 final class DeltaBroadcastQueue {
-    /** An entry is broadcast in so many rounds at most; enough for any fleet. */
+    /** Maximum number of rounds in which an entry is broadcast; sufficient for a fleet of any size. */
     private static final int MAX_ROUNDS = 15;
 
-    /** By table and key; at most {@link #maxPending} in all, which leave as described above. */
+    /** The pending deltas by table and key, at most {@link #maxPending} in total. */
     private final Map<EntryTable<?>, Map<String, PendingDelta>> byKey = new HashMap<>();
-    /** A ring for each number of completed rounds, the latest change first. */
+    /** One circular list for each number of completed rounds, the latest change first. */
     private final PendingDelta[] ringsByRounds = new PendingDelta[MAX_ROUNDS];
 
     private final int maxPending;
@@ -38,7 +38,7 @@
     private void addTable(EntryTable<?> table) {
         var deltas = new HashMap<String, PendingDelta>();
         byKey.put(table, deltas);
-        // An entry that is written anew under the same key does not include the updates of the one that was removed.
+        // A new entry with the same key does not include the updates of the removed one.
         table.setRemovalListener(key -> removeIfPending(deltas.get(key)));
     }
 
@@ -53,9 +53,10 @@
     }
 
     /**
-     * Queues an entry that has changed, or is known only now to include those updates.
+     * Queues an entry that has changed or was found to include the given updates. If the queue is full, drops the entry
+     * that was broadcast in the most rounds.
      *
-     * @param newUpdates updates that the value includes and that were not known to be here before
+     * @param newUpdates updates that the value includes and that were not recorded as received before
      */
     void enqueue(EntryTable<?> table, String key, long keyHash, List<UpdateId> newUpdates, double now) {
         PendingDelta delta = byKey.get(table).get(key);
@@ -72,7 +73,7 @@
         }
     }
 
-    /** Counts a round for an entry that another member broadcast just as it is here. */
+    /** Counts a round for an entry of which another member broadcast the same value. */
     void onDuplicate(EntryTable<?> table, String key, int rounds) {
         PendingDelta delta = byKey.get(table).get(key);
         if (delta != null) {
@@ -80,7 +81,7 @@
         }
     }
 
-    /** Removes entries that changed too long ago. */
+    /** Removes entries whose last change is longer ago than {@link StateSettings#deltaLifetime}. */
     void removeExpired(double now) {
         for (PendingDelta head : ringsByRounds) {
             while (head.previous() != head && head.previous().changedAt() + lifetimeSeconds < now) {
@@ -90,10 +91,10 @@
     }
 
     /**
-     * Takes the entries to broadcast next, and counts a round for each.
+     * Returns the entries to broadcast next, in batches, and counts a round for each.
      *
-     * @param maxBytes of the entries of a batch
-     * @param rounds in which each entry is broadcast
+     * @param maxBytes maximum encoded size of the entries of a batch
+     * @param rounds number of rounds in which each entry is broadcast
      */
     List<List<DeltaEntry>> nextBatches(int maxBatches, int maxBytes, int rounds) {
         var batches = new BatchBuilder(maxBatches, maxBytes);
@@ -107,7 +108,7 @@
         return batches.batches;
     }
 
-    /** Returns false if the batches are full. */
+    /** Adds the entries of one list to the batches. Returns false if the batches are full. */
     private static boolean takeRing(PendingDelta head, BatchBuilder batches, List<PendingDelta> taken) {
         for (PendingDelta delta = head.next(); delta != head; delta = delta.next()) {
             if (!batches.add(delta.toEntry())) {
@@ -128,7 +129,7 @@
         }
     }
 
-    /** Of the entries that were broadcast in the most rounds, the one that changed first. */
+    /** Returns the entry that was broadcast in the most rounds; among several, the one with the oldest change. */
     private PendingDelta mostBroadcast() {
         for (int rounds = MAX_ROUNDS - 1; rounds >= 0; rounds--) {
             PendingDelta head = ringsByRounds[rounds];
@@ -150,7 +151,7 @@
         size--;
     }
 
-    /** Fills batches one after the other. */
+    /** Fills up to {@code maxBatches} batches, one after the other. */
     private static final class BatchBuilder {
         private final List<List<DeltaEntry>> batches = new ArrayList<>();
         private final int maxBatches;
