--- a/fleet/src/main/java/clayhook/fleet/state/DeltaBroadcaster.java
+++ b/fleet/src/main/java/clayhook/fleet/state/DeltaBroadcaster.java
@@ -10,12 +10,14 @@
 import java.util.SplittableRandom;
 
 /**
- * Broadcasts changed entries as an epidemic protocol does: in each round to a few random members, in so many rounds
- * that all members hear of a change with high probability. Entries of urgent types go out at once. Not thread-safe.
+ * Broadcasts changed entries with an epidemic protocol: each round sends them to a few random members, and the number
+ * of rounds is chosen so that all members receive a change with high probability. Entries of urgent types are sent
+ * immediately. Not thread-safe.
  */
 final class DeltaBroadcaster {
     /**
-     * Rounds beyond those in which all members would be reached if no message were lost or sent twice to one member.
+     * Number of rounds in addition to those that would reach all members if no message were lost or sent to a member
+     * that already has the change.
      */
     private static final int EXTRA_ROUNDS = 2;
 
@@ -29,7 +31,7 @@
     private final TokenBucket byteBudget;
     private final DeltaBroadcastQueue urgentDeltas;
     private final DeltaBroadcastQueue regularDeltas;
-    /** Entries of urgent types were queued since the last broadcast of these. */
+    /** Whether entries of urgent types were queued since the last broadcast of these types. */
     private boolean urgentPending;
 
     private double nextRoundAt;
@@ -52,13 +54,16 @@
         regularDeltas = new DeltaBroadcastQueue(replica.tables(false), settings, counters);
     }
 
-    /** Queues a changed entry, see {@link DeltaBroadcastQueue#enqueue}. */
+    /** Queues a changed entry for broadcast, see {@link DeltaBroadcastQueue#enqueue}. */
     void enqueue(EntryTable<?> table, String key, long keyHash, List<UpdateId> newUpdates, double now) {
         queueOf(table).enqueue(table, key, keyHash, newUpdates, now);
         urgentPending |= table.type.urgent();
     }
 
-    /** Another member broadcast an entry just as it is here, so this router need not do so once more. */
+    /**
+     * Counts a round for an entry of which another member broadcast the same value, so that this router broadcasts it
+     * once less.
+     */
     void onDuplicate(EntryTable<?> table, String key) {
         queueOf(table).onDuplicate(table, key, roundsPerDelta());
     }
@@ -67,7 +72,7 @@
         return table.type.urgent() ? urgentDeltas : regularDeltas;
     }
 
-    /** Broadcasts what is urgent, and takes the next round if it is due. */
+    /** Broadcasts newly queued entries of urgent types, and starts the next round if it is due. */
     void tick(double now, Outbox outbox) {
         broadcastUrgent(now, outbox);
         if (now >= nextRoundAt && !(urgentDeltas.isEmpty() && regularDeltas.isEmpty())) {
@@ -79,7 +84,7 @@
         }
     }
 
-    /** Broadcasts entries of urgent types that were queued since the last broadcast of these. */
+    /** Broadcasts entries of urgent types if any were queued since the last broadcast of these types. */
     void broadcastUrgent(double now, Outbox outbox) {
         if (urgentPending) {
             urgentPending = false;
@@ -108,7 +113,10 @@
         }
     }
 
-    /** The rounds in which each change is broadcast: each round multiplies the members that know it by fanout + 1. */
+    /**
+     * Returns the number of rounds in which each change is broadcast. Each round multiplies the number of members that
+     * have the change by at most fanout + 1.
+     */
     private int roundsPerDelta() {
         double members = membership.livePeers().size() + 1;
         return (int) Math.ceil(Math.log(members) / Math.log(settings.fanout() + 1)) + EXTRA_ROUNDS;
