--- a/fleet/src/main/java/clayhook/fleet/state/DeltaBroadcast.java
+++ b/fleet/src/main/java/clayhook/fleet/state/DeltaBroadcast.java
@@ -5,21 +5,21 @@
 import java.util.List;
 
 /**
- * Entries that changed lately, sent unasked to a few members.
+ * Recently changed entries, sent to a few members without a request.
  *
- * @param sequence the last sequence number of the sender
- * @param asOf seconds since 1970 on the sender's clock when that was so
+ * @param sequence the sequence number of the sender's last update
+ * @param asOf time at which {@code sequence} was the last one, in seconds since 1970 on the sender's clock
  */
 record DeltaBroadcast(long sequence, double asOf, List<DeltaEntry> entries) implements StateMessage {
     static final int TYPE_NUMBER = 20;
-    /** Update ids of one entry at most; with more, the oldest are dropped. */
+    /** Maximum number of update ids of an entry; if there are more, the oldest are left out. */
     static final int MAX_UPDATES_PER_DELTA = 8;
 
     /**
-     * The present value of a changed entry.
+     * The current value of a changed entry.
      *
      * @param replicatedType number of the type
-     * @param updateIds the updates that the value includes, as far as they are still being broadcast
+     * @param updateIds the updates that the value includes and that are still being broadcast
      */
     @SuppressWarnings("ArrayRecordComponent") // the encoded value is never changed, and entries are never compared
     record DeltaEntry(int replicatedType, String key, byte[] value, List<UpdateId> updateIds) {
--- a/fleet/src/main/java/clayhook/fleet/state/PendingDelta.java
+++ b/fleet/src/main/java/clayhook/fleet/state/PendingDelta.java
@@ -5,11 +5,12 @@
 import java.util.List;
 
 /**
- * A changed entry that is still being broadcast, and its links in a ring of such entries. Broadcasts always carry the
- * entry's present value, so an entry is pending at most once however often it changes. Not thread-safe.
+ * A changed entry that is being broadcast, with its links in a circular list of such entries. A broadcast always
+ * contains the current value of the entry, so an entry is pending at most once even if it changes repeatedly. Not
+ * thread-safe.
  */
 final class PendingDelta {
-    /** An update that the entry's value includes. */
+    /** An update that the entry's value includes, with the number of rounds in which it was broadcast. */
     private static final class PendingUpdate {
         private final UpdateId id;
         private int completedRounds;
@@ -36,12 +37,12 @@
         this.keyHash = keyHash;
     }
 
-    /** An empty ring, represented by an element that stands before the first one. */
+    /** Creates an empty circular list, represented by a sentinel before the first element. */
     static PendingDelta ringHead() {
         return new PendingDelta(null, null, 0);
     }
 
-    // ---- ring ----
+    // ---- circular list ----
 
     PendingDelta next() {
         return next;
@@ -51,7 +52,7 @@
         return previous;
     }
 
-    /** Takes this element out of its ring. */
+    /** Removes this element from its list. */
     void unlink() {
         previous.next = next;
         next.previous = previous;
@@ -59,7 +60,7 @@
         next = this;
     }
 
-    /** Puts this element, which is in no ring, first into the ring of that head. */
+    /** Inserts this element, which must not be in a list, as the first element of the list with the given head. */
     void linkAfter(PendingDelta head) {
         previous = head;
         next = head.next;
@@ -69,7 +70,7 @@
 
     // ---- broadcast ----
 
-    /** Starts over, since the entry has changed. */
+    /** Restarts the broadcast after the entry has changed. */
     void onChange(List<UpdateId> newUpdates, double now) {
         newUpdates.forEach(this::addUpdate);
         completedRounds = 0;
@@ -83,18 +84,22 @@
         updates.add(new PendingUpdate(id));
     }
 
-    /** When the entry changed last, seconds since 1970. */
+    /** The time of the entry's last change, in seconds since 1970. */
     double changedAt() {
         return changedAt;
     }
 
-    /** Rounds since the last change in which the entry was broadcast, by this router or by others that sent it here. */
+    /**
+     * The number of rounds since the last change in which the entry was broadcast by this router or received from other
+     * routers.
+     */
     int completedRounds() {
         return completedRounds;
     }
 
     /**
-     * Counts a round, and drops the updates that were broadcast in {@code maxRounds}: later rounds can do without them.
+     * Counts a round and removes the updates that were broadcast in {@code maxRounds} rounds, since later rounds need
+     * not repeat them.
      */
     void completeRound(int maxRounds) {
         completedRounds++;
@@ -107,7 +112,7 @@
         }
     }
 
-    /** The entry as it is now. */
+    /** Returns the entry with its current value. */
     DeltaEntry toEntry() {
         var updateIds = new ArrayList<UpdateId>(updates.size());
         for (PendingUpdate update : updates) {
