--- a/fleet/src/main/java/clayhook/fleet/state/RemoteUpdates.java
+++ b/fleet/src/main/java/clayhook/fleet/state/RemoteUpdates.java
@@ -9,8 +9,8 @@
 import java.util.List;
 
 /**
- * Applies what other members send to the replica and the version vector, and passes on what must spread further. Not
- * thread-safe.
+ * Applies entries and versions received from other members to the replica and the version vector, and queues changed
+ * entries for further broadcast. Not thread-safe.
  */
 final class RemoteUpdates {
     private final Replica replica;
@@ -41,7 +41,7 @@
     private void applyDelta(Peer from, DeltaEntry delta, double now) {
         EntryTable<?> table = replica.table(delta.replicatedType());
         if (table == null) {
-            // The updates count as received, since this release keeps nothing of that type.
+            // The updates count as received, since this release does not store entries of the type.
             counters.unknownTypes++;
             receiveUpdates(delta.updateIds(), now);
             return;
@@ -62,7 +62,7 @@
         }
     }
 
-    /** Returns those of the updates that were missing. */
+    /** Records updates as received. Returns those that were missing before. */
     private List<UpdateId> receiveUpdates(List<UpdateId> updates, double now) {
         var missing = new ArrayList<UpdateId>(updates.size());
         for (UpdateId update : updates) {
@@ -74,9 +74,10 @@
     }
 
     /**
-     * Applies what a response of an anti-entropy session carries, whether or not the session is still active.
+     * Applies the entries or versions of an anti-entropy response, whether or not its session is still active.
      *
-     * @return whether all entries that came with it are in the replica now, or belong to none any more
+     * @return whether each entry of the response is in the replica now, has expired or is at or below the eviction
+     *     floor
      */
     boolean applyResponse(Peer from, AntiEntropyResponse response, double now) {
         if (response instanceof RangeEntries range) {
@@ -107,8 +108,8 @@
         ApplyResult result = replica.applyRemote(from.member(), table, entry.key(), keyHash, entry.value(), now);
         if (result == ApplyResult.CHANGED) {
             counters.antiEntropyRepairs++;
-            // After a partition heals, urgent entries spread at once; the others are left to each member's own
-            // sessions.
+            // Broadcasts urgent entries immediately after a partition has healed.
+            // Anti-entropy sessions of the other members replicate all other entries.
             if (table.type.urgent() && bootstrap.isBootstrapped(now)) {
                 broadcaster.enqueue(table, entry.key(), keyHash, List.of(), now);
             }
--- a/fleet/src/main/java/clayhook/fleet/state/Replica.java
+++ b/fleet/src/main/java/clayhook/fleet/state/Replica.java
@@ -9,21 +9,22 @@
 import java.util.TreeMap;
 
 /**
- * The tables of all replicated types of this router, and what is accepted into them from other members. Not
+ * The tables of all replicated types of this router, and the checks of values received from other members. Not
  * thread-safe.
  */
 final class Replica {
-    /** The root digests of so many types fit into one packet. */
+    /** Maximum number of replicated types; their root digests fit into one packet. */
     private static final int MAX_TYPES = 32;
 
     private final MembershipView membership;
     private final StateSettings settings;
     private final StateCounters counters;
-    /** By type number; filled at construction only. */
+    /** The tables by type number; not changed after construction. */
     private final Map<Integer, EntryTable<?>> tables = new TreeMap<>();
 
     /**
-     * Throws {@link IllegalArgumentException} for more than 32 types, or a type number that is used twice or above 255.
+     * Throws {@link IllegalArgumentException} if there are more than 32 types, or if a type number is used twice or not
+     * in the range from 0 to 255.
      */
     Replica(MembershipView membership, List<ReplicatedType<?>> types, StateSettings settings, StateCounters counters) {
         this.membership = membership;
@@ -40,24 +41,24 @@
         }
     }
 
-    /** In order of type numbers. */
+    /** Returns all tables in the order of their type numbers. */
     Collection<EntryTable<?>> tables() {
         return tables.values();
     }
 
-    /** The tables of all urgent types, or of all others. */
+    /** Returns the tables of all urgent types or those of all other types. */
     List<EntryTable<?>> tables(boolean urgent) {
         return tables.values().stream()
                 .filter(table -> table.type.urgent() == urgent)
                 .toList();
     }
 
-    /** The table of the type with that number; null for a type that this release does not know. */
+    /** Returns the table of a type number; null if this release does not support the type. */
     EntryTable<?> table(int typeNumber) {
         return tables.get(typeNumber);
     }
 
-    /** The table of that type; throws {@link IllegalArgumentException} if there is none. */
+    /** Returns the table of a type; throws {@link IllegalArgumentException} if there is none. */
     @SuppressWarnings("unchecked") // a table is stored under the number of its own type
     <V> EntryTable<V> table(ReplicatedType<V> type) {
         EntryTable<?> table = tables.get(type.typeNumber());
@@ -67,12 +68,15 @@
         return (EntryTable<V>) table;
     }
 
-    /** Whether values of that type are accepted from that member: its clock must be right if they depend on clocks. */
+    /**
+     * Whether values of a table are accepted from a member: if the type is clock-dependent, the member's clock must be
+     * within the bound.
+     */
     boolean accepts(Member from, EntryTable<?> table) {
         return !table.type.clockDependent() || membership.clockWithinBound(from);
     }
 
-    /** Merges a value that another member sent. */
+    /** Merges a value that was received from another member. */
     ApplyResult applyRemote(
             Member from, EntryTable<?> table, String key, long keyHash, byte[] encodedValue, double now) {
         ApplyResult result =
@@ -80,7 +84,7 @@
         return countRejection(result);
     }
 
-    /** Merges a value that was written here. */
+    /** Merges a value that was written by this router. */
     <V> ApplyResult applyLocal(EntryTable<V> table, String key, long keyHash, V value, double now) {
         return countRejection(table.merge(key, keyHash, value, now));
     }
@@ -92,7 +96,10 @@
         return result;
     }
 
-    /** Adopts what another replica has evicted or left out of its digest already. */
+    /**
+     * Adopts the digest cut-off and the eviction floor of another replica, each only if it is higher than that of the
+     * table and plausible.
+     */
     void adoptBounds(Member from, EntryTable<?> table, double digestCutoff, double evictionFloor, double now) {
         if (accepts(from, table)) {
             table.raiseFloor(evictionFloor, now, settings.maxSweptEntries());
