--- a/fleet/src/main/java/clayhook/fleet/state/StateCounters.java
+++ b/fleet/src/main/java/clayhook/fleet/state/StateCounters.java
@@ -3,31 +3,34 @@
 import java.util.EnumMap;
 import java.util.Map;
 
-/** What a replica has done since its start. Not thread-safe: written and read by the thread that ticks the replica. */
+/** Counters of a replica since its start. Not thread-safe: written and read by the thread that ticks the replica. */
 public final class StateCounters {
-    /** Entries broadcast, once for each member that they were sent to. */
+    /** Entries broadcast, counted once for each member to which they were sent. */
     public long deltasSent;
-    /** Entries that arrived by broadcast and changed this replica. */
+    /** Entries received by broadcast that changed this replica. */
     public long deltasApplied;
-    /** Entries that arrived by broadcast and did not change this replica. */
+    /** Entries received by broadcast that did not change this replica. */
     public long duplicateDeltas;
-    /** Entries that arrived by anti-entropy and changed this replica. */
+    /** Entries received by anti-entropy that changed this replica. */
     public long antiEntropyRepairs;
-    /** Changed entries whose broadcast was cut short for want of time or room; they are left to anti-entropy. */
+    /**
+     * Changed entries whose broadcast was ended early because it took too long or the queue was full; anti-entropy
+     * replicates them.
+     */
     public long deltasAbandoned;
     /** Rejected values by reason. */
     public final Map<ApplyResult, Long> rejections = new EnumMap<>(ApplyResult.class);
-    /** Values of types that this release does not know. */
+    /** Received values of types that this release does not support. */
     public long unknownTypes;
     /** Anti-entropy sessions started. */
     public long sessionsStarted;
-    /** Anti-entropy sessions that were carried through. */
+    /** Anti-entropy sessions completed. */
     public long sessionsCompleted;
     /** Anti-entropy sessions abandoned because the peer timed out or this router stalled. */
     public long sessionsAborted;
-    /** Anti-entropy requests repeated. */
+    /** Anti-entropy requests retried. */
     public long requestsRetried;
-    /** Anti-entropy requests of other members dropped because too many were queued. */
+    /** Anti-entropy requests of other members dropped because the queue was full. */
     public long requestsDropped;
     /** Bytes of broadcasts sent, without packet headers. */
     public long deltaBytes;
--- a/fleet/src/main/java/clayhook/fleet/state/StateMessage.java
+++ b/fleet/src/main/java/clayhook/fleet/state/StateMessage.java
@@ -8,20 +8,20 @@
 import java.util.stream.LongStream;
 
 /**
- * A message between replicas of the shared state; the message types 20 to 28 of the fleet protocol. Decoders throw
- * {@link IllegalArgumentException} for fields that are missing, malformed or out of bounds, and ignore further fields,
+ * A message between replicas of the shared state; these are the message types 20 to 28 of the fleet protocol. Decoders
+ * throw {@link IllegalArgumentException} for missing, malformed or out-of-bounds fields, and ignore additional fields,
  * which a later release may append.
  */
 sealed interface StateMessage extends Message permits DeltaBroadcast, AntiEntropyRequest, AntiEntropyResponse {
-    /** Entries in a message at most; a packet holds fewer. */
+    /** Maximum number of entries in a message that a decoder accepts; a packet has room for fewer. */
     int MAX_ENTRIES = 256;
-    /** The numbers of replicated types are below this. */
+    /** Exclusive upper bound of the numbers of replicated types. */
     int REPLICATED_TYPE_LIMIT = 256;
 
-    /** Upper bound of the bytes that the encoded message takes. */
+    /** Returns an upper bound of the encoded size of the message in bytes. */
     int maxEncodedBytes();
 
-    /** The decoder of each message type, by its number on the wire. */
+    /** Returns the decoder of each message type by its type number. */
     static Map<Integer, Function<FieldReader, ? extends Message>> messageReaders() {
         return Map.of(
                 DeltaBroadcast.TYPE_NUMBER, DeltaBroadcast::read,
