--- a/fleet/src/main/java/clayhook/fleet/state/ApplyResult.java
+++ b/fleet/src/main/java/clayhook/fleet/state/ApplyResult.java
@@ -1,31 +1,34 @@
 package clayhook.fleet.state;
 
-/** What became of a value that was written here or received from another member. */
+/** The result of merging a value that was written by this router or received from another member. */
 public enum ApplyResult {
-    /** It changed the replica. */
+    /** The value changed the replica. */
     CHANGED,
-    /** The replica held it, or a value that includes it, already. */
+    /** The replica already had the value or one that includes it. */
     UNCHANGED,
-    /** Rejected: its retention is over. */
+    /** Rejected because the retention of the value has elapsed. */
     EXPIRED,
-    /** Rejected: it is at or below the eviction floor of its type. */
+    /** Rejected because the timestamp of the value is at or below the eviction floor of its type. */
     BELOW_FLOOR,
-    /** Rejected: its timestamp is further in the future than clocks may be off, or is no finite number. */
+    /** Rejected because the timestamp is further in the future than the maximum clock skew, or not a finite number. */
     FUTURE,
-    /** Rejected: its key is empty or no valid text, or the key or the entry is too long. */
+    /**
+     * Rejected because the key is empty or contains an unpaired surrogate, or because the key or the entry is too long.
+     */
     INVALID_ENTRY,
-    /** Rejected: it could not be decoded. */
+    /** Rejected because the value could not be decoded. */
     MALFORMED,
-    /** Rejected: its type depends on clocks, and the clock of the member that sent it is off. */
+    /** Rejected because the type is clock-dependent and the sender's clock is off by more than the bound. */
     CLOCK_SKEWED;
 
-    /** Whether the replica holds the value now. */
+    /** Whether the replica now contains the value. */
     boolean isAccepted() {
         return this == CHANGED || this == UNCHANGED;
     }
 
     /**
-     * Whether the replica lacks nothing that it should hold: a value that expired or was evicted belongs to no replica.
+     * Whether the value was accepted or is obsolete. An expired or evicted value is obsolete: no replica has to contain
+     * it.
      */
     boolean isSettled() {
         return isAccepted() || this == EXPIRED || this == BELOW_FLOOR;
--- a/fleet/src/main/java/clayhook/fleet/state/BootstrapStatus.java
+++ b/fleet/src/main/java/clayhook/fleet/state/BootstrapStatus.java
@@ -3,18 +3,20 @@
 import clayhook.fleet.MembershipView;
 
 /**
- * Whether this replica holds what the fleet held when this router started. Until then, the absence of an entry means
- * nothing. Not thread-safe.
+ * Tracks whether this replica has the entries that the fleet had when this router started. Before that, the absence of
+ * an entry does not imply that it was never written. Not thread-safe.
  */
 final class BootstrapStatus {
     private final MembershipView membership;
     private final double timeout;
     private final double startedAt;
     private boolean bootstrappedFromPeer;
-    /** A session with some peer was done, though the peer may have known no more than this replica. */
+    /** Whether any session was done, even if its peer was not bootstrapped. */
     private boolean sessionDone;
 
-    /** @param timeout seconds after which a replica that found no bootstrapped peer counts as bootstrapped */
+    /**
+     * @param timeout seconds after the start at which a replica that found no bootstrapped peer counts as bootstrapped
+     */
     BootstrapStatus(MembershipView membership, double timeout, double now) {
         this.membership = membership;
         this.timeout = timeout;
@@ -22,8 +24,8 @@
     }
 
     /**
-     * Whether the replica got everything from a peer that was bootstrapped itself, or found no such peer for the
-     * timeout and has either compared with a peer that knew no more, or has no peers at all.
+     * Whether the replica received all entries of a bootstrapped peer. Once the timeout has elapsed, a session with any
+     * peer, or the absence of any peer that may be serving, is sufficient.
      */
     boolean isBootstrapped(double now) {
         return bootstrappedFromPeer || (isTimeoutOver(now) && (sessionDone || isAlone(now)));
@@ -46,7 +48,7 @@
         sessionDone = true;
     }
 
-    /** The replica now holds all that a peer held, which may be bootstrapped itself. */
+    /** Records that the replica now has all entries of a peer. */
     void onReplicaComplete(boolean peerBootstrapped, double now) {
         bootstrappedFromPeer |= peerBootstrapped || isTimeoutOver(now);
     }
