--- a/fleet/src/main/java/clayhook/fleet/state/EncodedSizes.java
+++ b/fleet/src/main/java/clayhook/fleet/state/EncodedSizes.java
@@ -1,28 +1,28 @@
 package clayhook.fleet.state;
 
 /**
- * Upper bounds, in bytes, of what the parts of a state message take once encoded. Senders use them to fill a packet
- * without encoding twice, and to charge bandwidth.
+ * Upper bounds, in bytes, of the encoded sizes of the parts of a state message. Senders use them to fill a packet
+ * without encoding twice and to charge bandwidth.
  */
 final class EncodedSizes {
-    /** All fields of a message beside the entries that it lists. */
+    /** Size of all fields of a message except the list elements. */
     static final int HEADER_BYTES = 72;
-    /** An entry beside its key, its value and its update ids. */
+    /** Size of an entry without its key, value and update ids. */
     static final int ENTRY_OVERHEAD_BYTES = 13;
-    /** A number of any size. */
+    /** Size of an integer or floating-point number of any value. */
     static final int NUMBER_BYTES = 9;
-    /** Two numbers of any size. */
+    /** Size of two numbers of any value. */
     static final int NUMBER_PAIR_BYTES = 2 * NUMBER_BYTES;
-    /** The digest of one replicated type. */
+    /** Size of the root digest of one replicated type. */
     static final int ROOT_DIGEST_BYTES = 31;
-    /** A sum of hashes with a count of entries; the count is small. */
+    /** Size of a hash sum with an entry count; assumes a small count. */
     static final int TREE_CHILD_BYTES = 12;
-    /** The fingerprint of an entry. */
+    /** Size of the fingerprint of an entry. */
     static final int FINGERPRINT_BYTES = 5;
 
     private EncodedSizes() {}
 
-    /** The bytes that {@code value} takes as an integer. */
+    /** Returns the encoded size of an integer. */
     static int integerBytes(long value) {
         if (value < 0) {
             return NUMBER_BYTES;
@@ -36,7 +36,10 @@
         return value < 1L << Integer.SIZE ? 1 + Integer.BYTES : NUMBER_BYTES;
     }
 
-    /** The bytes of {@code key} in UTF-8; negative if it is empty or holds an unpaired surrogate. */
+    /**
+     * Returns the size of {@code key} in UTF-8, or a negative number if the key is empty or contains an unpaired
+     * surrogate.
+     */
     static int utf8Length(String key) {
         int bytes = key.isEmpty() ? -1 : 0;
         for (int i = 0; i < key.length(); i++) {
--- a/fleet/src/main/java/clayhook/fleet/state/EntryPusher.java
+++ b/fleet/src/main/java/clayhook/fleet/state/EntryPusher.java
@@ -7,22 +7,24 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Pushes entries that the peer of a session lacks, up to a number of bytes a session. Not thread-safe. */
+/**
+ * Pushes entries that the peer of an anti-entropy session lacks, up to a number of bytes per session. Not thread-safe.
+ */
 final class EntryPusher {
     private static final int MAX_ENTRIES_BYTES = Packet.MAX_MESSAGE_BYTES - EncodedSizes.HEADER_BYTES;
 
     private final double maxBytes;
     private double pushedBytes;
 
-    /** @param maxBytes no further message is begun once so many bytes were pushed */
+    /** @param maxBytes number of pushed bytes from which on no further entry is added to a message */
     EntryPusher(double maxBytes) {
         this.maxBytes = maxBytes;
     }
 
     /**
-     * Sends the entries under those keys that the peer lacks, in as many messages as they need.
+     * Sends the entries of the given keys that the peer lacks, in as many messages as needed.
      *
-     * @param presentMask bit i is set if the peer has the entry under the key i
+     * @param presentMask bit i is set if the peer has the entry of key i
      */
     void pushMissing(EntryTable<?> table, List<String> keys, long presentMask, Consumer<RangeEntries> send) {
         var batch = new ArrayList<RangeEntry>();
