--- a/fleet/src/main/java/clayhook/fleet/state/OutstandingRequest.java
+++ b/fleet/src/main/java/clayhook/fleet/state/OutstandingRequest.java
@@ -2,9 +2,9 @@
 
 import java.util.List;
 
-/** A request that has not been answered yet, with its retry timer. */
+/** An anti-entropy request that has not been answered yet, with its retry timer. */
 final class OutstandingRequest {
-    /** The retry timeout doubles with each attempt, but no more often than this. */
+    /** Maximum number of times that the retry timeout doubles; it doubles with each attempt. */
     private static final int MAX_BACKOFF_DOUBLINGS = 6;
 
     private final SyncStep step;
@@ -13,7 +13,7 @@
     private int attempts;
     private double retryAt;
 
-    /** @param fingerprintedKeys keys of the entries whose fingerprints the request carries, in the same order */
+    /** @param fingerprintedKeys keys of the entries whose fingerprints the request contains, in the same order */
     OutstandingRequest(SyncStep step, AntiEntropyRequest message, List<String> fingerprintedKeys) {
         this.step = step;
         this.message = message;
@@ -36,7 +36,9 @@
         return retryAt <= now;
     }
 
-    /** Starts the timer of the next retry, with exponential backoff from {@code retryTimeout} seconds. */
+    /**
+     * Starts the timer of the next retry with exponential backoff; the first timeout is {@code retryTimeout} seconds.
+     */
     void onSent(double retryTimeout, double now) {
         retryAt = now + retryTimeout * (1 << Math.min(attempts, MAX_BACKOFF_DOUBLINGS));
         attempts++;
--- a/fleet/src/main/java/clayhook/fleet/state/RequestWindow.java
+++ b/fleet/src/main/java/clayhook/fleet/state/RequestWindow.java
@@ -6,7 +6,7 @@
 import java.util.function.Consumer;
 
 /**
- * The outstanding requests of one anti-entropy session. Their number is limited by a window that grows by one with each
+ * The outstanding requests of one anti-entropy session. A window limits their number; it grows by one with each
  * response and is halved with each retry. Not thread-safe.
  */
 final class RequestWindow {
@@ -15,7 +15,10 @@
 
     private final StateSettings settings;
     private final StateCounters counters;
-    /** At most {@link StateSettings#maxOutstandingRequests}; emptied by responses, and with the session. */
+    /**
+     * The outstanding requests by request id, at most {@link StateSettings#maxOutstandingRequests}. A response removes
+     * its request; the rest is discarded with the session.
+     */
     private final Map<Integer, OutstandingRequest> outstanding = new HashMap<>();
 
     private int size = INITIAL_SIZE;
@@ -28,7 +31,7 @@
         lastResponseAt = now;
     }
 
-    /** A new request id, unique in the session. */
+    /** Returns a new request id, unique in the session. */
     int nextRequestId() {
         return ++lastRequestId;
     }
@@ -43,13 +46,13 @@
 
     void add(OutstandingRequest request, double now) {
         if (outstanding.isEmpty()) {
-            // A pause for want of bandwidth is not a silence of the peer.
+            // Time without outstanding requests, such as a wait for bandwidth, does not count towards the peer timeout.
             lastResponseAt = now;
         }
         outstanding.put(request.message().requestId(), request);
     }
 
-    /** Removes and returns the request that a response answers; empty if it was answered before. */
+    /** Removes and returns the request that a response answers; empty if the request was answered before. */
     Optional<OutstandingRequest> complete(int requestId, double now) {
         OutstandingRequest request = outstanding.remove(requestId);
         if (request == null) {
@@ -60,7 +63,7 @@
         return Optional.of(request);
     }
 
-    /** Sends each request again whose retry timeout has passed. */
+    /** Passes each request whose retry timeout has elapsed to {@code send} and halves the window for each. */
     void retryDue(double now, Consumer<OutstandingRequest> send) {
         for (OutstandingRequest request : outstanding.values()) {
             if (request.isRetryDue(now)) {
--- a/fleet/src/main/java/clayhook/fleet/state/SyncStep.java
+++ b/fleet/src/main/java/clayhook/fleet/state/SyncStep.java
@@ -3,17 +3,17 @@
 import clayhook.fleet.Member;
 import java.util.List;
 
-/** A step of an anti-entropy session that is still to be done; each takes one request. */
+/** A pending step of an anti-entropy session; each step takes one request. */
 sealed interface SyncStep {
-    /** Fetch up to which update the peer has those members' updates, before anything is compared. */
+    /** Fetches the peer's versions of the given members before root digests are compared. */
     record FetchVersions(List<Member> members) implements SyncStep {}
 
-    /** Compare the root digests of all types. */
+    /** Compares the root digests of all replicated types. */
     record CompareRoots() implements SyncStep {}
 
-    /** Compare the children of one node of a hash tree. */
+    /** Compares the digests of the children of one node of a hash tree. */
     record CompareTreeNode(EntryTable<?> table, int level, int index) implements SyncStep {}
 
-    /** Fetch the entries of a range of key hashes, both ends included, that differ. */
+    /** Fetches the entries that differ in a range of key hashes, both bounds included. */
     record FetchRange(EntryTable<?> table, long firstHash, long lastHash) implements SyncStep {}
 }
