--- a/fleet/src/main/java/clayhook/fleet/state/OriginVersion.java
+++ b/fleet/src/main/java/clayhook/fleet/state/OriginVersion.java
@@ -4,20 +4,21 @@
 import clayhook.fleet.FieldWriter;
 
 /**
- * One entry of a version vector: all updates of one member incarnation up to a sequence number are present, and that
- * was the incarnation's last sequence number at a point in time.
+ * An entry of a version vector: all updates of one member incarnation up to a sequence number are present, and this was
+ * the incarnation's last sequence number at a given time.
  *
  * @param originId hash of the member incarnation, see {@link StableHash#ofMember}
- * @param sequence last sequence number included
- * @param asOf seconds since 1970 on the origin's clock
+ * @param sequence sequence number of the last included update
+ * @param asOf time at which {@code sequence} was the last one, in seconds since 1970 on the origin's clock
  */
 record OriginVersion(long originId, long sequence, double asOf) {
     private static final double MILLIS_PER_SECOND = 1000;
-    /** Begin and end of the list, and the marker byte of a 64-bit integer. */
+    /** Size of the start and the end of the list and of the marker byte of a 64-bit integer. */
     private static final int FRAMING_BYTES = 3;
 
     /**
-     * The time is written as whole milliseconds before {@code now}, rounded up so that it is never later than it was.
+     * Writes the version. The time is written as an age in whole milliseconds relative to {@code now}, rounded up so
+     * that the decoded time is never later than the original one.
      */
     void write(double now, FieldWriter out) {
         long ageMillis = (long) Math.ceil((now - asOf) * MILLIS_PER_SECOND);
@@ -32,7 +33,7 @@
         return new OriginVersion(in.readLong(), in.readLong(), now - in.readLong() / MILLIS_PER_SECOND);
     }
 
-    /** Upper bound of the bytes that this version takes in a message written at {@code now}. */
+    /** Returns an upper bound of the encoded size of this version in a message written at {@code now}. */
     int maxEncodedBytes(double now) {
         return FRAMING_BYTES
                 + Long.BYTES
--- a/fleet/src/main/java/clayhook/fleet/state/RootDigest.java
+++ b/fleet/src/main/java/clayhook/fleet/state/RootDigest.java
@@ -7,9 +7,10 @@
 /**
  * The digest of all entries of one replicated type.
  *
- * @param replicatedType number of the type
- * @param digestCutoff entries whose timestamp is at or before it are left out of the digest, since they expire soon
- * @param evictionFloor entries at or before it were evicted
+ * @param replicatedType number of the replicated type
+ * @param digestCutoff time in seconds since 1970; entries with a timestamp at or before it are left out of the digest,
+ *     since they expire soon
+ * @param evictionFloor time in seconds since 1970; entries with a timestamp at or before it were evicted
  * @param hashSum sum of the hashes of all entries in the digest
  */
 record RootDigest(int replicatedType, double digestCutoff, double evictionFloor, long hashSum) {
--- a/fleet/src/main/java/clayhook/fleet/state/UpdateId.java
+++ b/fleet/src/main/java/clayhook/fleet/state/UpdateId.java
@@ -6,13 +6,13 @@
 import java.util.List;
 
 /**
- * Identifies one update: the member incarnation that made it and that member's sequence number.
+ * The identifier of an update: the member incarnation that made it and its sequence number there.
  *
  * @param originId hash of the member incarnation, see {@link StableHash#ofMember}
- * @param sequence from 1 on
+ * @param sequence sequence number, starting at 1
  */
 record UpdateId(long originId, long sequence) {
-    /** Writes the ids as one flat list: origin and sequence number in turn. */
+    /** Writes the ids as one flat list that alternates between origin id and sequence number. */
     static void writeList(List<UpdateId> ids, FieldWriter out) {
         out.beginList();
         for (UpdateId id : ids) {
@@ -21,7 +21,7 @@
         out.endList();
     }
 
-    /** Reads what {@link #writeList} wrote; a last number without its counterpart is ignored. */
+    /** Reads a list written by {@link #writeList}; ignores a last origin id without a sequence number. */
     static List<UpdateId> readList(FieldReader in, int maxIds) {
         long[] numbers = in.readLongs(2 * maxIds);
         var ids = new ArrayList<UpdateId>(numbers.length / 2);
