--- a/fleet/src/main/java/clayhook/fleet/state/TokenBucket.java
+++ b/fleet/src/main/java/clayhook/fleet/state/TokenBucket.java
@@ -1,11 +1,14 @@
 package clayhook.fleet.state;
 
 /**
- * A limit on bandwidth. Tokens are bytes; they accrue at a fixed rate up to a small burst. The bucket may go below
- * zero, and then yields nothing until the debt is paid off. Not thread-safe.
+ * A bandwidth limit. Tokens are bytes; they accrue at a fixed rate up to a small burst. The number of tokens may become
+ * negative; the bucket then has no tokens until enough have accrued. Not thread-safe.
  */
 final class TokenBucket {
-    /** Tokens of that time can be stored: a few ticks, so that a late tick costs no bandwidth. */
+    /**
+     * Time in seconds in which the maximum number of tokens accrues. It covers a few ticks, so that a late tick does
+     * not waste bandwidth.
+     */
     private static final double BURST_SECONDS = 0.1;
 
     private final double bytesPerSecond;
@@ -18,7 +21,7 @@
         lastRefillAt = now;
     }
 
-    /** Adds the tokens that have accrued since the last call; returns whether there are any. */
+    /** Adds the tokens that have accrued since the last call. Returns whether tokens are available. */
     boolean hasTokens(double now) {
         tokens = Math.min(bytesPerSecond * BURST_SECONDS, tokens + bytesPerSecond * Math.max(0, now - lastRefillAt));
         lastRefillAt = Math.max(lastRefillAt, now);
--- a/fleet/src/main/java/clayhook/fleet/state/VersionGossip.java
+++ b/fleet/src/main/java/clayhook/fleet/state/VersionGossip.java
@@ -8,7 +8,10 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Sends a random member a part of the version vector at regular intervals, the members in turn. Not thread-safe. */
+/**
+ * Sends a part of the version vector to a random member at regular intervals. Consecutive messages cover the origins in
+ * turn. Not thread-safe.
+ */
 final class VersionGossip {
     private static final int MAX_VERSIONS_BYTES = Packet.MAX_MESSAGE_BYTES - EncodedSizes.HEADER_BYTES;
 
@@ -19,7 +22,7 @@
     private final double interval;
     private double nextAt;
 
-    /** @param interval in seconds; the first message is sent after a random part of it */
+    /** @param interval time between two messages in seconds; the first message is sent after a random part of it */
     VersionGossip(
             MembershipView membership,
             VersionVector versionVector,
@@ -35,7 +38,7 @@
         nextAt = now + interval * random.nextDouble();
     }
 
-    /** When the next message is due, seconds since 1970. */
+    /** The time at which the next message is due, in seconds since 1970. */
     double nextAt() {
         return nextAt;
     }
