--- a/fleet/src/test/java/clayhook/fleet/state/FaultScenario.java
+++ b/fleet/src/test/java/clayhook/fleet/state/FaultScenario.java
@@ -8,9 +8,14 @@
 import java.util.List;
 import java.util.Map;
 
-/** Writes and faults on a few routers, a record of all that was written, and checks of what the replicas must hold. */
+/**
+ * A scenario of writes and faults on a few routers. Records all writes and checks which of them the replicas must have.
+ */
 final class FaultScenario {
-    /** One write or fault; {@code actionIndex} selects it and the meaning of the other numbers. */
+    /**
+     * One write or fault. {@code actionIndex} selects the kind of action and determines the meaning of the other
+     * numbers.
+     */
     record Action(int actionIndex, int memberIndex, int key, int value) {
         static final int ACTION_COUNT = 13;
     }
@@ -19,7 +24,10 @@
 
     private record RecordedWrite(TypedKey key, TimestampedNumber value, Member writer, double writtenAt) {}
 
-    /** The clock skew and a step of the cut-off: replicas leave out the same entries at slightly different times. */
+    /**
+     * Clock skew plus one step of the digest cut-off: replicas leave the same entry out of the digest at slightly
+     * different times.
+     */
     private static final double TIMING_SLACK_SECONDS = 2;
 
     private static final double CLOCK_PRECISION_SECONDS = 0.002;
@@ -29,7 +37,7 @@
     private final List<RecordedWrite> writes = new ArrayList<>();
     /** The merge of all writes. */
     private final Map<TypedKey, TimestampedNumber> allWrites = new HashMap<>();
-    /** The merge of all writes that some running router holds. */
+    /** The merge of all writes that at least one running router has. */
     private final Map<TypedKey, TimestampedNumber> guaranteedWrites = new HashMap<>();
 
     FaultScenario(long seed, int size, List<TimestampedNumberType> types) {
@@ -72,7 +80,10 @@
         }
     }
 
-    /** Now and then an expired value, or one from the future. */
+    /**
+     * Returns the age of the written value in seconds: for some actions that of an expired value, or a negative one for
+     * a value from the future.
+     */
     private static double age(Action action) {
         if (action.value % 11 == 0) {
             return 30;
@@ -80,7 +91,10 @@
         return action.value % 13 == 0 ? -30 : action.value % 10 * 0.3;
     }
 
-    /** What only this router held is lost, which no replication can prevent. */
+    /**
+     * Restarts a router. Writes that only this router had are lost, which replication cannot prevent; they are no
+     * longer guaranteed.
+     */
     private void restart(SimulatedMember member) {
         guaranteedWrites.clear();
         network.members.stream()
@@ -90,7 +104,7 @@
         member.start();
     }
 
-    /** Checks that a replica holds all that was written before the time up to which it calls itself complete. */
+    /** Checks that a replica has all writes of other live members from before its {@code completeUpTo} time. */
     private void checkCertainty(SimulatedMember member) {
         double upTo = member.state.completeUpTo(member.clock()) + member.clockLag;
         for (RecordedWrite write : writes) {
@@ -116,7 +130,10 @@
         }
     }
 
-    /** Ends all faults, and checks that all replicas converge to the merge of all writes. */
+    /**
+     * Ends all faults and checks that all replicas become equal and complete, with all guaranteed writes and no value
+     * that was not written.
+     */
     void healAndCheck() {
         setLinkFaults(0.05, 0.05, 0.01);
         network.members.forEach(member -> member.partition = 0);
@@ -133,7 +150,7 @@
         network.members.forEach(this::checkCertainty);
     }
 
-    /** Checks that a replica holds all guaranteed writes, and nothing that was not written. */
+    /** Checks that a replica has all guaranteed writes, and no value that was not written. */
     private void checkHeldValues(SimulatedMember member) {
         guaranteedWrites.forEach((key, value) -> expect(member, key, value, "at the end"));
         types.forEach(type -> member.state.forEach(type, (key, value) -> {
