--- a/fleet/src/test/java/clayhook/fleet/state/ReplicatedStateTest.java
+++ b/fleet/src/test/java/clayhook/fleet/state/ReplicatedStateTest.java
@@ -49,7 +49,9 @@
                 .ofMaxSize(80);
     }
 
-    /** Writes, lost, duplicated and reordered packets, partitions, restarts and frozen routers, in any order. */
+    /**
+     * Runs random sequences of writes, lost, duplicated and reordered packets, partitions, restarts and frozen routers.
+     */
     @Property(tries = 60, seed = "27")
     void replicasConvergeToTheMergeOfAllWritesAndAreCertainOnlyOfWhatTheyHold(
             @ForAll("actions") List<Action> actions, @ForAll @IntRange(min = 5, max = 20) int size, @ForAll long seed) {
@@ -58,7 +60,10 @@
         scenario.healAndCheck();
     }
 
-    /** The same scenarios pass with a correct merge and fail with one that depends on the order of arrival. */
+    /**
+     * Verifies that fault scenarios detect defects: they pass with a correct merge and fail with one that depends on
+     * the order of arrival.
+     */
     @ParameterizedTest
     @CsvSource({"true", "false"})
     void anOrderDependentMergeIsDetected(boolean correct) {
@@ -143,8 +148,8 @@
     }
 
     /**
-     * There are no tombstones: a replica that was stalled removes expired entries itself and does not spread them
-     * again.
+     * Guards against the replication of expired entries by a replica that was stalled while they expired. Since there
+     * are no tombstones, the stalled replica has to remove them itself.
      */
     @Test
     void expiredEntriesAreNotRevivedByAStalledReplica() {
@@ -167,8 +172,8 @@
     }
 
     /**
-     * Replicas whose clocks differ a little remove the same entries at different times, which must not start a
-     * transfer.
+     * Replicas with slightly different clocks remove the same entry at different times. This must not cause a transfer
+     * of the entry by anti-entropy.
      */
     @Test
     void expiringEntriesCauseNoRangeTransfers() {
@@ -229,8 +234,8 @@
     }
 
     /**
-     * From a member whose clock is off only values of types without a clock are accepted, and nothing is certain any
-     * more.
+     * From a member whose clock is off by more than the bound, only values of types that are not clock-dependent are
+     * accepted. As long as the member may be serving, no replica reports that it is complete.
      */
     @Test
     void rejectsTimedValuesFromMembersWithSkewedClocks() {
@@ -250,7 +255,7 @@
         }
     }
 
-    /** Half of the fleet runs a release that knows one more type. */
+    /** Half of the routers run a release that supports one more replicated type. */
     @Test
     void skipsAndCountsUnknownTypes() {
         StateTestNetwork network = new StateTestNetwork(1, 4, List.of(REGISTERS, SETS), StateSettings.DEFAULT);
@@ -286,8 +291,8 @@
     }
 
     /**
-     * A router that lacks everything is bootstrapped even if the peer that it asks is cut off, frozen or restarted half
-     * way.
+     * A router without any entries is bootstrapped even if its peer is partitioned, frozen or restarted during the
+     * transfer.
      */
     @ParameterizedTest
     @CsvSource({"cut", "frozen", "killed"})
