--- a/fleet/src/test/java/clayhook/fleet/state/StatePerformanceTest.java
+++ b/fleet/src/test/java/clayhook/fleet/state/StatePerformanceTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Measures what the documentation quotes, prints it, and checks its bounds. */
+/** Measures the performance figures that the documentation quotes, prints them and checks their bounds. */
 class StatePerformanceTest {
-    /** Measures the processor time of this thread, whatever else the machine does. */
+    /** Measures the processor time of this thread, which does not include that of other processes and threads. */
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
     private static final TimestampedNumberType REGISTERS =
