--- a/fleet/src/test/java/clayhook/fleet/state/StateTestNetwork.java
+++ b/fleet/src/test/java/clayhook/fleet/state/StateTestNetwork.java
@@ -16,17 +16,17 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Routers with a fixed membership on a simulated network in virtual time, which loses, duplicates, delays and reorders
- * packets, and can be partitioned. Members can be frozen and restarted.
+ * Routers with a fixed membership on a simulated network in virtual time. The network can lose, duplicate, delay and
+ * reorder packets, and can be partitioned. Members can be frozen and restarted.
  */
 final class StateTestNetwork {
-    /** Packets that wait for a frozen member at most, as in the receive buffer of a socket. */
+    /** Maximum number of packets queued for a frozen member, as in the receive buffer of a socket. */
     private static final int RECEIVE_QUEUE_LIMIT = 200;
-    /** Seconds after which a tick of a frozen member is due again. */
+    /** Time in seconds after which a tick of a frozen member is rescheduled. */
     private static final double FROZEN_TICK_INTERVAL = 0.05;
-    /** Seconds between two ticks at least, so that virtual time goes on. */
+    /** Minimum time in seconds between two ticks, which ensures that virtual time advances. */
     private static final double MIN_TICK_INTERVAL = 1e-4;
-    /** Seconds between two checks of a condition at least. */
+    /** Minimum time in seconds between two checks of a condition. */
     private static final double CHECK_INTERVAL = 0.005;
 
     private record ScheduledAction(double time, long sequence, Runnable action) implements Comparable<ScheduledAction> {
@@ -36,20 +36,20 @@
         }
     }
 
-    /** One router, whose membership lists all that were ever started. */
+    /** A router whose membership lists all routers that were ever started. */
     final class SimulatedMember implements MembershipView {
         final Address address;
-        /** Seconds by which its clock is behind virtual time. */
+        /** Time in seconds by which the member's clock is behind virtual time. */
         double clockLag;
 
         Peer self;
         private long incarnation;
-        /** The types that its release knows. */
+        /** The replicated types that the member's release supports. */
         List<ReplicatedType<?>> supportedTypes = types;
 
         MessageDispatcher dispatcher;
         ReplicatedState state;
-        /** Members reach each other only if their partitions are equal. */
+        /** The partition of the member; only members of the same partition receive each other's packets. */
         int partition;
 
         boolean frozen;
@@ -65,7 +65,7 @@
             return now - clockLag;
         }
 
-        /** Starts a new incarnation; what was in memory is lost. */
+        /** Starts a new incarnation; the state of the previous one is lost. */
         void start() {
             frozen = false;
             missedPackets.clear();
@@ -93,7 +93,7 @@
             }
         }
 
-        /** Ends the freeze; packets that wait are received now. */
+        /** Ends the freeze and delivers the queued packets. */
         void thaw() {
             frozen = false;
             missedPackets.forEach(Runnable::run);
@@ -157,9 +157,9 @@
     double now = 1_000_000;
     double lossProbability;
     double duplicationProbability;
-    /** Seconds that a packet takes at least. */
+    /** Minimum delay of a packet in seconds. */
     double delay = 0.0005;
-    /** Seconds that a packet takes beyond that at most. */
+    /** Maximum random delay of a packet in seconds, added to {@link #delay}. */
     double jitter;
 
     StateTestNetwork(long seed, int size, List<ReplicatedType<?>> types, StateSettings settings) {
@@ -178,7 +178,7 @@
         return this;
     }
 
-    /** Runs until all replicas are bootstrapped and know up to when they are complete. */
+    /** Runs until the {@code completeUpTo} time of each replica is less than 20 s ago, but for at most 30 s. */
     StateTestNetwork awaitCertainty() {
         runUntil(30, () -> members.stream().allMatch(member -> member.state.completeUpTo(member.clock()) > now - 20));
         return this;
@@ -209,7 +209,10 @@
         runUntil(seconds, () -> false);
     }
 
-    /** Runs until the condition holds; returns the seconds that took, or infinity if the limit passed before. */
+    /**
+     * Runs until the condition is met, but for at most {@code limit} seconds. Returns the elapsed virtual time in
+     * seconds, or infinity if the condition was not met.
+     */
     double runUntil(double limit, BooleanSupplier condition) {
         double start = now;
         double lastCheckedAt = now;
@@ -228,7 +231,7 @@
         return condition.getAsBoolean() ? limit : Double.POSITIVE_INFINITY;
     }
 
-    /** Whether all replicas have the same digest and eviction floor of each type. */
+    /** Whether all replicas have the same digest and eviction floor for each type. */
     boolean replicasAreEqual() {
         return types.stream().allMatch(type -> digestsAreEqual(type) && floorsAreEqual(type));
     }
