--- a/fleet/src/test/java/clayhook/fleet/state/TimestampedNumberType.java
+++ b/fleet/src/test/java/clayhook/fleet/state/TimestampedNumberType.java
@@ -5,7 +5,7 @@
 import clayhook.fleet.ReplicatedType;
 import java.util.function.BinaryOperator;
 
-/** A replicated type for tests: numbers with a timestamp, and a merge rule of choice. */
+/** A replicated type for tests: numbers with a timestamp and a configurable merge rule. */
 record TimestampedNumberType(
         int typeNumber,
         double retentionSeconds,
@@ -15,13 +15,13 @@
         implements ReplicatedType<TimestampedNumberType.TimestampedNumber> {
     record TimestampedNumber(long value, double at) {}
 
-    /** The later value wins, and of two with the same timestamp the greater one. */
+    /** Selects the value with the later timestamp; for equal timestamps, the greater value. */
     static final BinaryOperator<TimestampedNumber> LATEST =
             (a, b) -> a.at > b.at || (a.at == b.at && a.value >= b.value) ? a : b;
-    /** A set of small numbers that only grows, as bits. */
+    /** Merges grow-only sets of small numbers, represented as bits. */
     static final BinaryOperator<TimestampedNumber> UNION =
             (a, b) -> new TimestampedNumber(a.value | b.value, Math.max(a.at, b.at));
-    /** Not commutative: the value that arrives last wins. Tests must detect this defect. */
+    /** Selects the value that is merged last. This rule is not commutative; tests must detect the defect. */
     static final BinaryOperator<TimestampedNumber> LAST_RECEIVED = (a, b) -> b;
 
     @Override
@@ -39,7 +39,7 @@
         return value.at;
     }
 
-    /** Values that never expire need no clock. */
+    /** Types whose values never expire are not clock-dependent. */
     @Override
     public boolean clockDependent() {
         return retentionSeconds < Double.POSITIVE_INFINITY;
