--- a/fleet/src/test/java/clayhook/fleet/state/RecordedStateMessagesTest.java
+++ b/fleet/src/test/java/clayhook/fleet/state/RecordedStateMessagesTest.java
@@ -36,15 +36,15 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Routers of two releases exchange state messages during a rolling upgrade, so the bytes of every message, and the
- * hashes that the messages carry, must stay what they were. Each message was recorded once, as hex of its encoded
- * fields.
+ * Guards the compatibility of releases. During a rolling upgrade, routers of two releases exchange state messages, so
+ * the encoding of each message and the hashes in it must not change. Each recording is the hexadecimal form of the
+ * encoded fields of a message.
  */
 class RecordedStateMessagesTest {
     private static final double NOW = 1_700_000_000.5;
     private static final double FOREVER = Double.POSITIVE_INFINITY;
 
-    /** One message and the bytes that were recorded for it; {@code number} chooses its decoder on the wire. */
+    /** A message and its recorded encoding; {@code number} is the message type number, which selects the decoder. */
     private record Recording(String name, int number, StateMessage message, String hex) {
         byte[] bytes() {
             return HexFormat.of().parseHex(hex.replace(" ", ""));
@@ -237,7 +237,7 @@
                 new UpdateId(5, 0));
     }
 
-    /** The ages are whole milliseconds, so that decoding restores the same times. */
+    /** Returns an update whose version ages are whole milliseconds, so that decoding restores the same times. */
     private static VersionVectorUpdate versions() {
         return new VersionVectorUpdate(
                 -27,
@@ -288,7 +288,7 @@
         return StateMessage.messageReaders().get(number).apply(new FieldReader(bytes));
     }
 
-    /** The message as nested lists, since records compare arrays by identity. */
+    /** Converts a message to nested lists for comparison, since records compare arrays by identity. */
     private static Object plain(Object value) throws ReflectiveOperationException {
         var out = new ArrayList<Object>();
         if (value instanceof Record) {
@@ -325,7 +325,7 @@
         assertEquals(plain(recording.message), plain(decoded));
     }
 
-    /** The bytes of a message are a list, 9f ... ff; later releases append fields to it. */
+    /** An encoded message is a list (9f ... ff) to which later releases append fields. */
     @ParameterizedTest
     @MethodSource("recordings")
     void ignoresFieldsOfALaterRelease(Recording recording) throws ReflectiveOperationException {
@@ -347,7 +347,7 @@
         }
     }
 
-    /** Fails if a message type is added without a recording, or removed. */
+    /** Guards against message types that are removed or added without a recording. */
     @Test
     void everyMessageTypeIsRecorded() {
         Set<Integer> recorded =
@@ -356,7 +356,7 @@
         assertEquals(recorded, new TreeSet<>(StateMessage.messageReaders().keySet()));
     }
 
-    /** An age is rounded up, so that a receiver never takes a version for newer than it is. */
+    /** Ages are rounded up, so that a receiver never decodes a later time than the original one. */
     @Test
     void encodesAgesInMillisecondsRoundedUp() {
         var exact = new VersionVectorUpdate(0, 0, NOW, List.of(new OriginVersion(1, 2, NOW - 0.25)));
@@ -394,7 +394,7 @@
         return longs(out.writeLong(replicatedType).writeNullableString(key).writeBytes(new byte[1]), updateIds);
     }
 
-    /** Bytes at a bound of the decoder, and the same just beyond it, which it must reject. */
+    /** An encoded message at a bound of the decoder and one just beyond it, which the decoder must reject. */
     private record Bound(String name, int number, FieldWriter within, FieldWriter beyond) {
         @Override
         public String toString() {
@@ -578,7 +578,9 @@
         assertThrows(IllegalArgumentException.class, () -> decode(bound.number, beyond));
     }
 
-    /** These hashes travel in messages or decide what is compared, so two releases must agree on them. */
+    /**
+     * These hashes are sent in messages or determine which ranges are compared, so they must be equal in all releases.
+     */
     @Test
     void hashesAreAsRecorded() {
         assertEquals(
@@ -598,7 +600,9 @@
                         "member", StableHash.ofMember(new Member("router-1", 1_700_000_000_123L))));
     }
 
-    /** Sums of nodes and the bounds of their ranges travel in messages. */
+    /**
+     * Hash sums of nodes and the bounds of their ranges are sent in messages, so they must be equal in all releases.
+     */
     @Test
     void nodesOfTheHashTreeAreAsRecorded() {
         var tree = new HashTree();
