--- a/fleet/src/main/java/clayhook/fleet/state/AntiEntropyScheduler.java
+++ b/fleet/src/main/java/clayhook/fleet/state/AntiEntropyScheduler.java
@@ -97,9 +97,9 @@
     }
 
     /** Passes a response to the active session, see {@link AntiEntropySession#onResponse}. */
-    void onResponse(Peer from, AntiEntropyResponse response, boolean settled, double now, Outbox outbox) {
+    void onResponse(Peer from, AntiEntropyResponse response, boolean allAcceptedOrObsolete, double now, Outbox outbox) {
         if (session != null) {
-            session.onResponse(from, response, settled, now, outbox);
+            session.onResponse(from, response, allAcceptedOrObsolete, now, outbox);
             advanceSession(now, outbox);
         }
     }
--- a/fleet/src/main/java/clayhook/fleet/state/AntiEntropySession.java
+++ b/fleet/src/main/java/clayhook/fleet/state/AntiEntropySession.java
@@ -225,10 +225,10 @@
      * Processes a response whose entries or versions were already applied. Ignores a response that does not answer an
      * outstanding request of this session.
      *
-     * @param settled whether each entry of the response is in this replica now, has expired or is at or below the
+     * @param allAcceptedOrObsolete whether each entry of the response is in this replica now, has expired or is at or below the
      *     eviction floor
      */
-    void onResponse(Peer from, AntiEntropyResponse response, boolean settled, double now, Outbox outbox) {
+    void onResponse(Peer from, AntiEntropyResponse response, boolean allAcceptedOrObsolete, double now, Outbox outbox) {
         boolean fromThisSession =
                 response.sessionId() == sessionId && from.member().equals(peer.member());
         Optional<OutstandingRequest> answered =
@@ -245,7 +245,7 @@
         } else if (response instanceof TreeNodeResponse node && request.step() instanceof CompareTreeNode step) {
             compareChildren(step, node, now);
         } else if (response instanceof RangeEntries entries && request.step() instanceof FetchRange step) {
-            complete &= settled;
+            complete &= allAcceptedOrObsolete;
             finishRange(step, request.fingerprintedKeys(), entries, outbox);
         }
     }
--- a/fleet/src/main/java/clayhook/fleet/state/ApplyResult.java
+++ b/fleet/src/main/java/clayhook/fleet/state/ApplyResult.java
@@ -30,7 +30,7 @@
      * Whether the value was accepted or is obsolete. An expired or evicted value is obsolete: no replica has to contain
      * it.
      */
-    boolean isSettled() {
+    boolean isAcceptedOrObsolete() {
         return isAccepted() || this == EXPIRED || this == BELOW_FLOOR;
     }
 }
--- a/fleet/src/main/java/clayhook/fleet/state/RemoteUpdates.java
+++ b/fleet/src/main/java/clayhook/fleet/state/RemoteUpdates.java
@@ -48,7 +48,7 @@
         }
         long keyHash = StableHash.ofKey(delta.key());
         ApplyResult result = replica.applyRemote(from.member(), table, delta.key(), keyHash, delta.value(), now);
-        List<UpdateId> newUpdates = result.isSettled() ? receiveUpdates(delta.updateIds(), now) : List.of();
+        List<UpdateId> newUpdates = result.isAcceptedOrObsolete() ? receiveUpdates(delta.updateIds(), now) : List.of();
         if (result == ApplyResult.CHANGED) {
             counters.deltasApplied++;
             broadcaster.enqueue(table, delta.key(), keyHash, newUpdates, now);
@@ -96,11 +96,11 @@
             return true;
         }
         replica.adoptBounds(from.member(), table, Double.NEGATIVE_INFINITY, range.evictionFloor(), now);
-        boolean settled = true;
+        boolean allAcceptedOrObsolete = true;
         for (RangeEntry entry : range.entries()) {
-            settled &= applyRangeEntry(from, table, entry, now).isSettled();
+            allAcceptedOrObsolete &= applyRangeEntry(from, table, entry, now).isAcceptedOrObsolete();
         }
-        return settled;
+        return allAcceptedOrObsolete;
     }
 
     private ApplyResult applyRangeEntry(Peer from, EntryTable<?> table, RangeEntry entry, double now) {
--- a/fleet/src/main/java/clayhook/fleet/state/ReplicatedState.java
+++ b/fleet/src/main/java/clayhook/fleet/state/ReplicatedState.java
@@ -177,8 +177,8 @@
         } else if (message instanceof AntiEntropyRequest request) {
             responder.onRequest(from, request, now, outbox);
         } else if (message instanceof AntiEntropyResponse response) {
-            boolean settled = remoteUpdates.applyResponse(from, response, now);
-            antiEntropy.onResponse(from, response, settled, now, outbox);
+            boolean allAcceptedOrObsolete = remoteUpdates.applyResponse(from, response, now);
+            antiEntropy.onResponse(from, response, allAcceptedOrObsolete, now, outbox);
         }
         broadcaster.broadcastUrgent(now, outbox);
     }
