--- a/fleet/src/main/java/clayhook/fleet/state/RemoteUpdates.java
+++ b/fleet/src/main/java/clayhook/fleet/state/RemoteUpdateApplier.java
@@ -12,14 +12,14 @@
  * Applies entries and versions received from other members to the replica and the version vector, and queues changed
  * entries for further broadcast. Not thread-safe.
  */
-final class RemoteUpdates {
+final class RemoteUpdateApplier {
     private final Replica replica;
     private final VersionVector versionVector;
     private final BootstrapStatus bootstrap;
     private final DeltaBroadcaster broadcaster;
     private final StateCounters counters;
 
-    RemoteUpdates(
+    RemoteUpdateApplier(
             Replica replica,
             VersionVector versionVector,
             BootstrapStatus bootstrap,
@@ -43,12 +43,12 @@
         if (table == null) {
             // The updates count as received, since this release does not store entries of the type.
             counters.unknownTypes++;
-            receiveUpdates(delta.updateIds(), now);
+            markReceived(delta.updateIds(), now);
             return;
         }
         long keyHash = StableHash.ofKey(delta.key());
         ApplyResult result = replica.applyRemote(from.member(), table, delta.key(), keyHash, delta.value(), now);
-        List<UpdateId> newUpdates = result.isAcceptedOrObsolete() ? receiveUpdates(delta.updateIds(), now) : List.of();
+        List<UpdateId> newUpdates = result.isAcceptedOrObsolete() ? markReceived(delta.updateIds(), now) : List.of();
         if (result == ApplyResult.CHANGED) {
             counters.deltasApplied++;
             broadcaster.enqueue(table, delta.key(), keyHash, newUpdates, now);
@@ -63,7 +63,7 @@
     }
 
     /** Records updates as received. Returns those that were missing before. */
-    private List<UpdateId> receiveUpdates(List<UpdateId> updates, double now) {
+    private List<UpdateId> markReceived(List<UpdateId> updates, double now) {
         var missing = new ArrayList<UpdateId>(updates.size());
         for (UpdateId update : updates) {
             if (versionVector.markReceived(update, now)) {
--- a/fleet/src/main/java/clayhook/fleet/state/ReplicatedState.java
+++ b/fleet/src/main/java/clayhook/fleet/state/ReplicatedState.java
@@ -61,7 +61,7 @@
     private final AntiEntropyScheduler antiEntropy;
     private final AntiEntropyResponder responder;
     private final DeltaBroadcaster broadcaster;
-    private final RemoteUpdates remoteUpdates;
+    private final RemoteUpdateApplier remoteUpdateApplier;
     private final VersionGossip versionGossip;
     private double lastTickAt;
     private double nextCleanupAt;
@@ -84,7 +84,7 @@
                 membership, replica, versionVector, bootstrap, settings, counters, random.split(), now);
         responder = new AntiEntropyResponder(replica, versionVector, bootstrap, settings, counters, now);
         broadcaster = new DeltaBroadcaster(membership, replica, versionVector, settings, counters, random, now);
-        remoteUpdates = new RemoteUpdates(replica, versionVector, bootstrap, broadcaster, counters);
+        remoteUpdateApplier = new RemoteUpdateApplier(replica, versionVector, bootstrap, broadcaster, counters);
         versionGossip =
                 new VersionGossip(membership, versionVector, counters, random, settings.versionGossipInterval(), now);
         lastTickAt = now;
@@ -173,11 +173,11 @@
     @Override
     public void onMessage(Peer from, Message message, double now, Outbox outbox) {
         if (message instanceof DeltaBroadcast broadcast) {
-            remoteUpdates.applyBroadcast(from, broadcast, now);
+            remoteUpdateApplier.applyBroadcast(from, broadcast, now);
         } else if (message instanceof AntiEntropyRequest request) {
             responder.onRequest(from, request, now, outbox);
         } else if (message instanceof AntiEntropyResponse response) {
-            boolean allAcceptedOrObsolete = remoteUpdates.applyResponse(from, response, now);
+            boolean allAcceptedOrObsolete = remoteUpdateApplier.applyResponse(from, response, now);
             antiEntropy.onResponse(from, response, allAcceptedOrObsolete, now, outbox);
         }
         broadcaster.broadcastUrgent(now, outbox);
