--- a/fleet/src/main/java/clayhook/fleet/state/BootstrapStatus.java
+++ b/fleet/src/main/java/clayhook/fleet/state/BootstrapStatus.java
@@ -28,7 +28,7 @@
      * peer, or the absence of any peer that may be serving, is sufficient.
      */
     boolean isBootstrapped(double now) {
-        return bootstrappedFromPeer || (isTimeoutOver(now) && (sessionDone || isAlone(now)));
+        return bootstrappedFromPeer || (isTimeoutOver(now) && (sessionDone || hasNoPeers(now)));
     }
 
     boolean isBootstrappedFromPeer() {
@@ -39,7 +39,7 @@
         return now - startedAt >= timeout;
     }
 
-    private boolean isAlone(double now) {
+    private boolean hasNoPeers(double now) {
         return membership.livePeers().isEmpty()
                 && membership.possiblyServing(now).isEmpty();
     }
