--- a/fleet/src/main/java/clayhook/fleet/state/OriginProgress.java
+++ b/fleet/src/main/java/clayhook/fleet/state/OriginProgress.java
@@ -35,10 +35,10 @@
     private long pendingSequence;
 
     private double pendingAsOf = Double.NaN;
-    private double pendingSince;
+    private double pendingReceivedAt;
     private long latestSequence;
     private double latestAsOf;
-    private double latestSince;
+    private double latestReceivedAt;
     /** The time at which information about this origin was last received or the membership began to list it. */
     double lastActivityAt;
 
@@ -66,7 +66,7 @@
      * confirmed.
      */
     boolean hasGapLongerThan(double seconds, double now) {
-        return confirmedAsOf == Double.NEGATIVE_INFINITY || (hasPending() && now - pendingSince > seconds);
+        return confirmedAsOf == Double.NEGATIVE_INFINITY || (hasPending() && now - pendingReceivedAt > seconds);
     }
 
     private boolean hasPending() {
@@ -83,7 +83,7 @@
         }
         if (sequence == contiguousSequence + 1) {
             contiguousSequence = sequence;
-            absorbOutOfOrder();
+            advanceOverOutOfOrder();
         } else {
             markOutOfOrder(sequence);
         }
@@ -99,9 +99,9 @@
         if (asOf > confirmedAsOf && (!hasPending() || asOf > latestAsOf)) {
             latestSequence = sequence;
             latestAsOf = asOf;
-            latestSince = now;
+            latestReceivedAt = now;
             if (!hasPending()) {
-                awaitLatest();
+                makeLatestPending();
             }
         }
     }
@@ -114,7 +114,7 @@
         if (sequence > contiguousSequence) {
             clearOutOfOrderUpTo(sequence);
             contiguousSequence = sequence;
-            absorbOutOfOrder();
+            advanceOverOutOfOrder();
         }
         confirm(sequence, asOf);
     }
@@ -137,14 +137,14 @@
         if (latestSequence <= contiguousSequence) {
             confirm(latestSequence, latestAsOf);
         } else {
-            awaitLatest();
+            makeLatestPending();
         }
     }
 
-    private void awaitLatest() {
+    private void makeLatestPending() {
         pendingSequence = latestSequence;
         pendingAsOf = latestAsOf;
-        pendingSince = latestSince;
+        pendingReceivedAt = latestReceivedAt;
     }
 
     // ---- updates that arrived out of order ----
@@ -178,7 +178,7 @@
      * Advances the contiguous sequence number over updates that arrived out of order, and confirms announcements that
      * it reaches.
      */
-    private void absorbOutOfOrder() {
+    private void advanceOverOutOfOrder() {
         while (isReceivedOutOfOrder(contiguousSequence + 1)) {
             contiguousSequence++;
             clearOutOfOrder(contiguousSequence);
