--- a/fleet/src/main/java/clayhook/fleet/state/EntryTable.java
+++ b/fleet/src/main/java/clayhook/fleet/state/EntryTable.java
@@ -23,11 +23,11 @@
      */
     static final int MAX_ENTRY_BYTES = 1000;
     /** Maximum digest exclusion margin as a fraction of the type's retention. */
-    private static final double MAX_MARGIN_OF_RETENTION = 0.25;
+    private static final double MAX_MARGIN_FRACTION_OF_RETENTION = 0.25;
     /**
      * Step of the digest cut-off as a fraction of the exclusion margin, limited by {@link #MAX_CUTOFF_STEP_SECONDS}.
      */
-    private static final double CUTOFF_STEP_OF_MARGIN = 0.5;
+    private static final double CUTOFF_STEP_FRACTION_OF_MARGIN = 0.5;
 
     private static final double MAX_CUTOFF_STEP_SECONDS = 1;
 
@@ -47,8 +47,8 @@
         this.type = type;
         maxClockSkew = settings.maxClockSkew();
         // Without this limit, entries of a type with a retention of seconds would never be in the digest.
-        exclusionMargin = Math.min(settings.digestExclusionMargin(), type.retentionSeconds() * MAX_MARGIN_OF_RETENTION);
-        cutoffStep = Math.min(MAX_CUTOFF_STEP_SECONDS, exclusionMargin * CUTOFF_STEP_OF_MARGIN);
+        exclusionMargin = Math.min(settings.digestExclusionMargin(), type.retentionSeconds() * MAX_MARGIN_FRACTION_OF_RETENTION);
+        cutoffStep = Math.min(MAX_CUTOFF_STEP_SECONDS, exclusionMargin * CUTOFF_STEP_FRACTION_OF_MARGIN);
     }
 
     void addListener(ReplicatedStore.ChangeListener<V> listener) {
@@ -119,7 +119,7 @@
      * in the given range, both bounds included; negative if there is none.
      */
     int firstDigestedSlot(long firstHash, long lastHash) {
-        return digestedFrom(slots.firstFrom(firstHash), lastHash);
+        return firstDigestedFrom(slots.firstFrom(firstHash), lastHash);
     }
 
     /**
@@ -127,10 +127,10 @@
      * {@code lastHash}; negative if there is none.
      */
     int nextDigestedSlot(int slot, long lastHash) {
-        return digestedFrom(slots.next(slot), lastHash);
+        return firstDigestedFrom(slots.next(slot), lastHash);
     }
 
-    private int digestedFrom(int firstSlot, long lastHash) {
+    private int firstDigestedFrom(int firstSlot, long lastHash) {
         int slot = firstSlot;
         while (slot >= 0 && Long.compareUnsigned(slots.keyHash(slot), lastHash) <= 0) {
             if (digest.contains(slot)) {
@@ -273,7 +273,7 @@
         boolean plausible = !type.clockDependent() || floor <= now + maxClockSkew;
         if (floor > evictionFloor && plausible && floor < Double.POSITIVE_INFINITY) {
             evictionFloor = floor;
-            removeUpTo(evictionFloor, maxEntries);
+            removeAtOrBefore(evictionFloor, maxEntries);
         }
     }
 
@@ -282,7 +282,7 @@
      * {@code maxEntries} entries in total.
      */
     void sweep(double now, int maxEntries) {
-        int remaining = removeUpTo(Math.max(evictionFloor, now - type.retentionSeconds()), maxEntries);
+        int remaining = removeAtOrBefore(Math.max(evictionFloor, now - type.retentionSeconds()), maxEntries);
         digest.advanceCutoff(targetCutoff(now), remaining);
     }
 
@@ -293,7 +293,7 @@
     private void evictBeyondMaxEntries() {
         while (slots.size() > type.maxEntries()) {
             evictionFloor = digest.timestamp(digest.oldest());
-            removeUpTo(evictionFloor, Integer.MAX_VALUE);
+            removeAtOrBefore(evictionFloor, Integer.MAX_VALUE);
         }
     }
 
@@ -301,7 +301,7 @@
      * Removes at most {@code maxEntries} entries whose timestamp is at or before {@code limit}. Returns the unused part
      * of {@code maxEntries}.
      */
-    private int removeUpTo(double limit, int maxEntries) {
+    private int removeAtOrBefore(double limit, int maxEntries) {
         int remaining = maxEntries;
         int slot = digest.oldest();
         while (slot >= 0 && digest.timestamp(slot) <= limit && remaining > 0) {
