--- a/fleet/src/main/java/clayhook/fleet/state/EntryTable.java
+++ b/fleet/src/main/java/clayhook/fleet/state/EntryTable.java
@@ -292,7 +292,7 @@
      */
     private void evictBeyondMaxEntries() {
         while (slots.size() > type.maxEntries()) {
-            evictionFloor = digest.timestamp(digest.oldest());
+            evictionFloor = digest.timestamp(digest.oldestSlot());
             removeAtOrBefore(evictionFloor, Integer.MAX_VALUE);
         }
     }
@@ -303,11 +303,11 @@
      */
     private int removeAtOrBefore(double limit, int maxEntries) {
         int remaining = maxEntries;
-        int slot = digest.oldest();
+        int slot = digest.oldestSlot();
         while (slot >= 0 && digest.timestamp(slot) <= limit && remaining > 0) {
             remove(slot);
             remaining--;
-            slot = digest.oldest();
+            slot = digest.oldestSlot();
         }
         return remaining;
     }
--- a/fleet/src/main/java/clayhook/fleet/state/EntryTimestamps.java
+++ b/fleet/src/main/java/clayhook/fleet/state/EntryTimestamps.java
@@ -30,14 +30,14 @@
     }
 
     /** A binary min-heap of slots, ordered by their timestamps. Its size is bounded by that of the table. */
-    final class AgeHeap {
+    final class TimestampHeap {
         private static final int INITIAL_CAPACITY = 16;
 
         private int[] slots = new int[INITIAL_CAPACITY];
         private int size;
 
         /** Returns the slot with the lowest timestamp; negative if the heap is empty. */
-        int oldest() {
+        int oldestSlot() {
             return size == 0 ? EntrySlots.NO_SLOT : slots[0];
         }
 
@@ -51,11 +51,11 @@
 
         /** Removes a slot that is in this heap. */
         void remove(int slot) {
-            int hole = heapPositions[slot];
+            int freePosition = heapPositions[slot];
             size--;
             int last = slots[size];
             if (last != slot) {
-                siftUp(hole, last);
+                siftUp(freePosition, last);
                 siftDown(heapPositions[last], last);
             }
         }
--- a/fleet/src/main/java/clayhook/fleet/state/TableDigest.java
+++ b/fleet/src/main/java/clayhook/fleet/state/TableDigest.java
@@ -11,9 +11,9 @@
     private final HashTree hashTree = new HashTree();
     private final EntryTimestamps timestamps = new EntryTimestamps();
     /** Entries in the digest: those with a timestamp after the cut-off. */
-    private final EntryTimestamps.AgeHeap digestedEntries = timestamps.new AgeHeap();
+    private final EntryTimestamps.TimestampHeap digestedEntries = timestamps.new TimestampHeap();
     /** Entries that are left out of the digest since they expire soon. */
-    private final EntryTimestamps.AgeHeap expiringEntries = timestamps.new AgeHeap();
+    private final EntryTimestamps.TimestampHeap expiringEntries = timestamps.new TimestampHeap();
 
     private double cutoff = Double.NEGATIVE_INFINITY;
 
@@ -41,9 +41,9 @@
     }
 
     /** Returns the slot of the oldest entry, whether or not it is in the digest; negative if there is none. */
-    int oldest() {
-        int slot = expiringEntries.oldest();
-        return slot >= 0 ? slot : digestedEntries.oldest();
+    int oldestSlot() {
+        int slot = expiringEntries.oldestSlot();
+        return slot >= 0 ? slot : digestedEntries.oldestSlot();
     }
 
     /** Adds an entry whose hash is already set in the slots. */
@@ -74,7 +74,7 @@
      */
     void advanceCutoff(double target, int maxEntries) {
         for (int remaining = maxEntries; target > cutoff; remaining--) {
-            int slot = digestedEntries.oldest();
+            int slot = digestedEntries.oldestSlot();
             if (slot < 0 || timestamps.timestamp(slot) > target) {
                 cutoff = target;
                 return;
@@ -91,9 +91,9 @@
      * entries are in the digest.
      */
     private void excludeAllAt(double timestamp) {
-        for (int slot = digestedEntries.oldest();
+        for (int slot = digestedEntries.oldestSlot();
                 slot >= 0 && timestamps.timestamp(slot) == timestamp;
-                slot = digestedEntries.oldest()) {
+                slot = digestedEntries.oldestSlot()) {
             digestedEntries.remove(slot);
             hashTree.remove(slots.keyHash(slot), slots.entryHash(slot));
             expiringEntries.add(slot);
