--- a/fleet/src/main/java/clayhook/fleet/state/EntrySlots.java
+++ b/fleet/src/main/java/clayhook/fleet/state/EntrySlots.java
@@ -77,7 +77,7 @@
     }
 
     /** Returns the first slot in unsigned order whose key hash is at least {@code hash}, or {@link #NO_SLOT}. */
-    int firstFrom(long hash) {
+    int firstAtOrAfter(long hash) {
         int slot = firstInBuckets(bucketOf(hash));
         while (slot >= 0 && Long.compareUnsigned(keyHashes[slot], hash) < 0) {
             slot = next(slot);
--- a/fleet/src/main/java/clayhook/fleet/state/EntryTable.java
+++ b/fleet/src/main/java/clayhook/fleet/state/EntryTable.java
@@ -106,7 +106,7 @@
 
     /** Returns the first slot in unsigned order of key hashes; negative if the table is empty. */
     int firstSlot() {
-        return slots.firstFrom(0);
+        return slots.firstAtOrAfter(0);
     }
 
     /** Returns the slot after the given one in unsigned order of key hashes; negative if there is none. */
@@ -119,7 +119,7 @@
      * in the given range, both bounds included; negative if there is none.
      */
     int firstDigestedSlot(long firstHash, long lastHash) {
-        return firstDigestedFrom(slots.firstFrom(firstHash), lastHash);
+        return firstDigestedFrom(slots.firstAtOrAfter(firstHash), lastHash);
     }
 
     /**
