--- a/fleet/src/main/java/clayhook/fleet/state/DeltaBroadcastQueue.java
+++ b/fleet/src/main/java/clayhook/fleet/state/DeltaBroadcastQueue.java
@@ -20,7 +20,7 @@
     /** The pending deltas by table and key, at most {@link #maxPending} in total. */
     private final Map<EntryTable<?>, Map<String, PendingDelta>> byKey = new HashMap<>();
     /** One circular list for each number of completed rounds, the latest change first. */
-    private final PendingDelta[] ringsByRounds = new PendingDelta[MAX_ROUNDS];
+    private final PendingDelta[] listsByRounds = new PendingDelta[MAX_ROUNDS];
 
     private final int maxPending;
     private final double lifetimeSeconds;
@@ -31,7 +31,7 @@
         maxPending = settings.maxPendingDeltas();
         lifetimeSeconds = settings.deltaLifetime();
         this.counters = counters;
-        Arrays.setAll(ringsByRounds, rounds -> PendingDelta.ringHead());
+        Arrays.setAll(listsByRounds, rounds -> PendingDelta.listHead());
         tables.forEach(this::addTable);
     }
 
@@ -67,9 +67,9 @@
         }
         delta.onChange(newUpdates, now);
         delta.unlink();
-        delta.linkAfter(ringsByRounds[0]);
+        delta.linkAfter(listsByRounds[0]);
         if (size > maxPending) {
-            abandon(mostBroadcast());
+            abandon(mostBroadcastDelta());
         }
     }
 
@@ -83,7 +83,7 @@
 
     /** Removes entries whose last change is longer ago than {@link StateSettings#deltaLifetime}. */
     void removeExpired(double now) {
-        for (PendingDelta head : ringsByRounds) {
+        for (PendingDelta head : listsByRounds) {
             while (head.previous() != head && head.previous().changedAt() + lifetimeSeconds < now) {
                 abandon(head.previous());
             }
@@ -98,23 +98,23 @@
      */
     List<List<DeltaEntry>> nextBatches(int maxBatches, int maxBytes, int rounds) {
         var batches = new BatchBuilder(maxBatches, maxBytes);
-        var taken = new ArrayList<PendingDelta>();
-        for (PendingDelta head : ringsByRounds) {
-            if (!takeRing(head, batches, taken)) {
+        var batched = new ArrayList<PendingDelta>();
+        for (PendingDelta head : listsByRounds) {
+            if (!addToBatches(head, batches, batched)) {
                 break;
             }
         }
-        taken.forEach(delta -> completeRound(delta, rounds));
+        batched.forEach(delta -> completeRound(delta, rounds));
         return batches.batches;
     }
 
     /** Adds the entries of one list to the batches. Returns false if the batches are full. */
-    private static boolean takeRing(PendingDelta head, BatchBuilder batches, List<PendingDelta> taken) {
+    private static boolean addToBatches(PendingDelta head, BatchBuilder batches, List<PendingDelta> batched) {
         for (PendingDelta delta = head.next(); delta != head; delta = delta.next()) {
             if (!batches.add(delta.toEntry())) {
                 return false;
             }
-            taken.add(delta);
+            batched.add(delta);
         }
         return true;
     }
@@ -125,14 +125,14 @@
             remove(delta);
         } else {
             delta.unlink();
-            delta.linkAfter(ringsByRounds[delta.completedRounds()]);
+            delta.linkAfter(listsByRounds[delta.completedRounds()]);
         }
     }
 
     /** Returns the entry that was broadcast in the most rounds; among several, the one with the oldest change. */
-    private PendingDelta mostBroadcast() {
+    private PendingDelta mostBroadcastDelta() {
         for (int rounds = MAX_ROUNDS - 1; rounds >= 0; rounds--) {
-            PendingDelta head = ringsByRounds[rounds];
+            PendingDelta head = listsByRounds[rounds];
             if (head.previous() != head) {
                 return head.previous();
             }
--- a/fleet/src/main/java/clayhook/fleet/state/PendingDelta.java
+++ b/fleet/src/main/java/clayhook/fleet/state/PendingDelta.java
@@ -38,7 +38,7 @@
     }
 
     /** Creates an empty circular list, represented by a sentinel before the first element. */
-    static PendingDelta ringHead() {
+    static PendingDelta listHead() {
         return new PendingDelta(null, null, 0);
     }
 
