--- a/fleet/src/main/java/clayhook/fleet/state/AntiEntropyScheduler.java
+++ b/fleet/src/main/java/clayhook/fleet/state/AntiEntropyScheduler.java
@@ -31,7 +31,7 @@
     /** Number of ticks per broadcast interval while a session is active. */
     private static final int SESSION_TICKS_PER_INTERVAL = 4;
     /** Maximum number of further random choices if the chosen peer is to be avoided. */
-    private static final int CHOICE_RETRIES = 3;
+    private static final int MAX_CHOICE_RETRIES = 3;
 
     private final MembershipView membership;
     private final Replica replica;
@@ -111,12 +111,12 @@
             return;
         }
         counters.sessionsStarted++;
-        List<Member> incomplete = bootstrap.isBootstrappedFromPeer()
+        List<Member> incompleteMembers = bootstrap.isBootstrappedFromPeer()
                 ? versionVector.membersWithGaps(DELTA_GRACE_SECONDS, now)
                 : membership.possiblyServing(now);
         long sessionId = random.nextLong() | 1; // never AntiEntropyResponse.NO_SESSION
-        Peer peer = choosePeer(peers, incomplete);
-        session = new AntiEntropySession(peer, sessionId, incomplete, replica, settings, counters, byteBudget, now);
+        Peer peer = choosePeer(peers, incompleteMembers);
+        session = new AntiEntropySession(peer, sessionId, incompleteMembers, replica, settings, counters, byteBudget, now);
     }
 
     /**
@@ -124,17 +124,17 @@
      * some of whose updates are missing, since the origin of an update always has it. Tries not to choose a peer that
      * is to be avoided.
      */
-    private Peer choosePeer(List<Peer> peers, List<Member> incomplete) {
-        if (bootstrap.isBootstrappedFromPeer() && !incomplete.isEmpty() && random.nextBoolean()) {
-            Member wanted = incomplete.get(random.nextInt(incomplete.size()));
+    private Peer choosePeer(List<Peer> peers, List<Member> incompleteMembers) {
+        if (bootstrap.isBootstrappedFromPeer() && !incompleteMembers.isEmpty() && random.nextBoolean()) {
+            Member incompleteMember = incompleteMembers.get(random.nextInt(incompleteMembers.size()));
             Optional<Peer> origin =
-                    peers.stream().filter(peer -> peer.member().equals(wanted)).findFirst();
-            if (origin.isPresent() && !wanted.equals(avoidedMember)) {
+                    peers.stream().filter(peer -> peer.member().equals(incompleteMember)).findFirst();
+            if (origin.isPresent() && !incompleteMember.equals(avoidedMember)) {
                 return origin.get();
             }
         }
         Peer peer = peers.get(random.nextInt(peers.size()));
-        for (int i = 0; i < CHOICE_RETRIES && isAvoided(peer.member()); i++) {
+        for (int i = 0; i < MAX_CHOICE_RETRIES && isAvoided(peer.member()); i++) {
             peer = peers.get(random.nextInt(peers.size()));
         }
         return peer;
@@ -176,9 +176,9 @@
     /** Returns the pause in seconds after a session, which keeps sessions within their average bandwidth. */
     private double pauseSeconds(double transferredBytes, double now) {
         double interval = settings.antiEntropyInterval();
-        double paidOff = transferredBytes / settings.antiEntropyBytesPerSecond();
+        double secondsAtAverageBandwidth = transferredBytes / settings.antiEntropyBytesPerSecond();
         return bootstrap.isBootstrapped(now)
-                ? Math.min(MAX_PAUSE_INTERVALS * interval, Math.max(interval, paidOff))
-                : Math.min(interval, Math.max(BOOTSTRAP_INTERVAL_SECONDS, paidOff / MAX_PAUSE_INTERVALS));
+                ? Math.min(MAX_PAUSE_INTERVALS * interval, Math.max(interval, secondsAtAverageBandwidth))
+                : Math.min(interval, Math.max(BOOTSTRAP_INTERVAL_SECONDS, secondsAtAverageBandwidth / MAX_PAUSE_INTERVALS));
     }
 }
--- a/fleet/src/main/java/clayhook/fleet/state/AntiEntropySession.java
+++ b/fleet/src/main/java/clayhook/fleet/state/AntiEntropySession.java
@@ -64,13 +64,13 @@
 
     /**
      * @param sessionId session id; not 0
-     * @param incomplete members some of whose updates are missing in this replica
+     * @param incompleteMembers members some of whose updates are missing in this replica
      * @param byteBudget bandwidth limit, shared by consecutive sessions
      */
     AntiEntropySession(
             Peer peer,
             long sessionId,
-            List<Member> incomplete,
+            List<Member> incompleteMembers,
             Replica replica,
             StateSettings settings,
             StateCounters counters,
@@ -84,7 +84,7 @@
         this.byteBudget = byteBudget;
         requests = new RequestWindow(settings, counters, now);
         pusher = new EntryPusher(settings.maxPushBytes());
-        queueVersionSteps(incomplete);
+        queueVersionSteps(incompleteMembers);
     }
 
     private void queueVersionSteps(List<Member> members) {
