--- a/fleet/src/main/java/clayhook/fleet/state/VersionVector.java
+++ b/fleet/src/main/java/clayhook/fleet/state/VersionVector.java
@@ -29,12 +29,12 @@
     private final StateSettings settings;
     private final long selfId;
     /**
-     * The progress of all origins by origin id, at most {@link #MAX_UNLISTED_ORIGINS} more than {@link #byMember}.
+     * The progress of all origins by origin id, at most {@link #MAX_UNLISTED_ORIGINS} more than {@link #progressByMember}.
      * {@link #removeDeparted} removes inactive unlisted origins.
      */
-    private final Map<Long, OriginProgress> byId = new HashMap<>();
+    private final Map<Long, OriginProgress> progressByOriginId = new HashMap<>();
     /** The progress of the members that may be serving. {@link #removeDeparted} removes all other members. */
-    private final Map<Member, OriginProgress> byMember = new HashMap<>();
+    private final Map<Member, OriginProgress> progressByMember = new HashMap<>();
 
     private long lastSequence;
     private double lastAsOf;
@@ -101,26 +101,26 @@
     }
 
     private OriginProgress findOrCreate(long originId, double now) {
-        OriginProgress progress = byId.get(originId);
+        OriginProgress progress = progressByOriginId.get(originId);
         if (progress == null) {
-            if (byId.size() >= byMember.size() + MAX_UNLISTED_ORIGINS) {
-                byId.values().retainAll(new HashSet<>(byMember.values()));
+            if (progressByOriginId.size() >= progressByMember.size() + MAX_UNLISTED_ORIGINS) {
+                progressByOriginId.values().retainAll(new HashSet<>(progressByMember.values()));
             }
             progress = new OriginProgress(originId);
-            byId.put(originId, progress);
+            progressByOriginId.put(originId, progress);
         }
         progress.lastActivityAt = now;
         return progress;
     }
 
     private OriginProgress progressOf(Member member, double now) {
-        OriginProgress known = byMember.get(member);
-        if (known == null) {
-            known = findOrCreate(StableHash.ofMember(member), now);
-            known.onIncarnationStart(member.incarnation() / MILLIS_PER_SECOND);
-            byMember.put(member, known);
+        OriginProgress progress = progressByMember.get(member);
+        if (progress == null) {
+            progress = findOrCreate(StableHash.ofMember(member), now);
+            progress.onIncarnationStart(member.incarnation() / MILLIS_PER_SECOND);
+            progressByMember.put(member, progress);
         }
-        return known;
+        return progress;
     }
 
     // ---- queries ----
@@ -160,7 +160,7 @@
         if (originId == selfId) {
             return Optional.of(ownVersion(now));
         }
-        return Optional.ofNullable(byId.get(originId))
+        return Optional.ofNullable(progressByOriginId.get(originId))
                 .map(VersionVector::confirmedVersion)
                 .filter(version -> version.asOf() > Double.NEGATIVE_INFINITY);
     }
@@ -185,16 +185,16 @@
      * are rejected.
      */
     double completeUpTo(double now) {
-        double least = now;
+        double completeUpTo = now;
         for (Member member : membership.possiblyServing(now)) {
             if (!membership.clockWithinBound(member)) {
                 return Double.NEGATIVE_INFINITY;
             }
             double offset = membership.clockOffset(member);
             double maxOffset = Double.isNaN(offset) ? settings.maxClockSkew() : offset;
-            least = Math.min(least, progressOf(member, now).confirmedAsOf() - maxOffset);
+            completeUpTo = Math.min(completeUpTo, progressOf(member, now).confirmedAsOf() - maxOffset);
         }
-        return least;
+        return completeUpTo;
     }
 
     /**
@@ -202,9 +202,9 @@
      * {@link #RETENTION_SECONDS}.
      */
     void removeDeparted(double now) {
-        byMember.keySet().retainAll(new HashSet<>(membership.possiblyServing(now)));
-        var listed = new HashSet<>(byMember.values());
-        byId.values()
+        progressByMember.keySet().retainAll(new HashSet<>(membership.possiblyServing(now)));
+        var listed = new HashSet<>(progressByMember.values());
+        progressByOriginId.values()
                 .removeIf(progress -> !listed.contains(progress) && progress.lastActivityAt + RETENTION_SECONDS < now);
     }
 }
