--- a/fleet/src/test/java/clayhook/fleet/state/FaultScenario.java
+++ b/fleet/src/test/java/clayhook/fleet/state/FaultScenario.java
@@ -57,7 +57,7 @@
             default -> setLinkFaults(action.value % 4 * 0.1, action.key % 3 * 0.1, action.value % 5 * 0.01);
         }
         network.run(action.value % 7 * 0.1);
-        network.members.stream().filter(each -> !each.frozen).forEach(this::checkCertainty);
+        network.members.stream().filter(each -> !each.frozen).forEach(this::checkCompleteness);
     }
 
     private void setLinkFaults(double lossProbability, double duplicationProbability, double jitter) {
@@ -105,7 +105,7 @@
     }
 
     /** Checks that a replica has all writes of other live members from before its {@code completeUpTo} time. */
-    private void checkCertainty(SimulatedMember member) {
+    private void checkCompleteness(SimulatedMember member) {
         double upTo = member.state.completeUpTo(member.clock()) + member.clockLag;
         for (RecordedWrite write : writes) {
             boolean covered = write.writtenAt < upTo - CLOCK_PRECISION_SECONDS;
@@ -147,7 +147,7 @@
         if (seconds > 20) {
             throw new AssertionError("replicas are not complete after 20 s");
         }
-        network.members.forEach(this::checkCertainty);
+        network.members.forEach(this::checkCompleteness);
     }
 
     /** Checks that a replica has all guaranteed writes, and no value that was not written. */
--- a/fleet/src/test/java/clayhook/fleet/state/ReplicatedStateTest.java
+++ b/fleet/src/test/java/clayhook/fleet/state/ReplicatedStateTest.java
@@ -53,7 +53,7 @@
      * Runs random sequences of writes, lost, duplicated and reordered packets, partitions, restarts and frozen routers.
      */
     @Property(tries = 60, seed = "27")
-    void replicasConvergeToTheMergeOfAllWritesAndAreCertainOnlyOfWhatTheyHold(
+    void replicasConvergeUnderFaultsAndNeverOverstateCompleteness(
             @ForAll("actions") List<Action> actions, @ForAll @IntRange(min = 5, max = 20) int size, @ForAll long seed) {
         var scenario = new FaultScenario(seed, size, List.of(REGISTERS, SETS, BOUNDED_REGISTERS));
         actions.forEach(scenario::perform);
@@ -119,7 +119,7 @@
 
     @Test
     void evictsOldestEntriesAtTheBoundAndRaisesTheFloorOnAllReplicas() {
-        StateTestNetwork network = startedNetwork(3, BOUNDED_REGISTERS).awaitCertainty();
+        StateTestNetwork network = startedNetwork(3, BOUNDED_REGISTERS).awaitCompleteness();
         SimulatedMember member = network.members.get(0);
         double start = member.clock();
         for (int i = 0; i < 20; i++) {
@@ -153,7 +153,7 @@
      */
     @Test
     void expiredEntriesAreNotRevivedByAStalledReplica() {
-        StateTestNetwork network = startedNetwork(4, REGISTERS).awaitCertainty();
+        StateTestNetwork network = startedNetwork(4, REGISTERS).awaitCompleteness();
         write(network.members.get(0), REGISTERS, "gone", 0);
         network.run(2);
         network.members.get(3).frozen = true;
@@ -177,7 +177,7 @@
      */
     @Test
     void expiringEntriesCauseNoRangeTransfers() {
-        StateTestNetwork network = startedNetwork(4, REGISTERS).awaitCertainty();
+        StateTestNetwork network = startedNetwork(4, REGISTERS).awaitCompleteness();
         for (int i = 0; i < 180; i++) {
             write(network.members.get(i % 4), REGISTERS, "key " + i, 0);
             network.run(0.1);
@@ -203,7 +203,7 @@
     }
 
     @Test
-    void certaintyIsNeverOverstated() {
+    void completeUpToIsNeverOverstated() {
         StateTestNetwork network = startedNetwork(3, REGISTERS);
         SimulatedMember first = network.members.get(0);
         network.members.get(1).partition = 1;
@@ -215,7 +215,7 @@
         network.members.forEach(SimulatedMember::start);
         network.run(5);
         assertEquals(-FOREVER, first.state.completeUpTo(first.clock()), "its peers are not bootstrapped either");
-        network.awaitCertainty();
+        network.awaitCompleteness();
         network.run(5);
         assertEquals(first.clock(), first.state.completeUpTo(first.clock()), 1.5);
         network.members.get(1).partition = 1;
@@ -260,7 +260,7 @@
     void skipsAndCountsUnknownTypes() {
         StateTestNetwork network = new StateTestNetwork(1, 4, List.of(REGISTERS, SETS), StateSettings.DEFAULT);
         network.members.subList(0, 2).forEach(member -> member.supportedTypes = List.of(REGISTERS));
-        network.startAll().awaitCertainty();
+        network.startAll().awaitCompleteness();
         network.members.forEach(member -> write(member, REGISTERS, member.address.host(), 0));
         write(network.members.get(3), SETS, "new", 0);
         network.run(5);
@@ -297,7 +297,7 @@
     @ParameterizedTest
     @CsvSource({"cut", "frozen", "killed"})
     void catchUpContinuesFromAnotherPeer(String failure) {
-        StateTestNetwork network = startedNetwork(4, SETS).awaitCertainty();
+        StateTestNetwork network = startedNetwork(4, SETS).awaitCompleteness();
         for (int i = 0; i < 1000; i++) {
             write(network.members.get(i % 3), SETS, "key " + i, 0);
         }
--- a/fleet/src/test/java/clayhook/fleet/state/StateTestNetwork.java
+++ b/fleet/src/test/java/clayhook/fleet/state/StateTestNetwork.java
@@ -179,7 +179,7 @@
     }
 
     /** Runs until the {@code completeUpTo} time of each replica is less than 20 s ago, but for at most 30 s. */
-    StateTestNetwork awaitCertainty() {
+    StateTestNetwork awaitCompleteness() {
         runUntil(30, () -> members.stream().allMatch(member -> member.state.completeUpTo(member.clock()) > now - 20));
         return this;
     }
