--- a/fleet/src/test/java/clayhook/fleet/state/FaultScenario.java
+++ b/fleet/src/test/java/clayhook/fleet/state/FaultScenario.java
@@ -52,7 +52,7 @@
             case 7 -> member.partition ^= 1;
             case 8 -> network.members.forEach(each -> each.partition = 0);
             case 9 -> member.frozen = true;
-            case 10 -> member.thaw();
+            case 10 -> member.unfreeze();
             case 11 -> restart(member);
             default -> setLinkFaults(action.value % 4 * 0.1, action.key % 3 * 0.1, action.value % 5 * 0.01);
         }
@@ -71,7 +71,7 @@
             return;
         }
         var key = new TypedKey(types.get(action.value % types.size()), "key " + action.key % 15);
-        var value = new TimestampedNumber(1L << action.value % 60, member.clock() - age(action));
+        var value = new TimestampedNumber(1L << action.value % 60, member.clock() - valueAge(action));
         TimestampedNumber merged = member.state.merge(key.type, key.key, value, member.clock());
         if (merged != null) {
             writes.add(new RecordedWrite(key, value, member.self.member(), network.now));
@@ -84,7 +84,7 @@
      * Returns the age of the written value in seconds: for some actions that of an expired value, or a negative one for
      * a value from the future.
      */
-    private static double age(Action action) {
+    private static double valueAge(Action action) {
         if (action.value % 11 == 0) {
             return 30;
         }
@@ -111,12 +111,12 @@
             boolean covered = write.writtenAt < upTo - CLOCK_PRECISION_SECONDS;
             boolean byOther = !write.writer.equals(member.self.member());
             if (covered && byOther && member.isLive(write.writer)) {
-                expect(member, write.key, write.value, "complete up to " + (network.now - upTo) + " s ago");
+                requireValue(member, write.key, write.value, "complete up to " + (network.now - upTo) + " s ago");
             }
         }
     }
 
-    private void expect(SimulatedMember member, TypedKey key, TimestampedNumber value, String reason) {
+    private void requireValue(SimulatedMember member, TypedKey key, TimestampedNumber value, String reason) {
         double excludedAt = value.at()
                 + key.type.retentionSeconds()
                 - StateSettings.DEFAULT.digestExclusionMargin()
@@ -134,10 +134,10 @@
      * Ends all faults and checks that all replicas become equal and complete, with all guaranteed writes and no value
      * that was not written.
      */
-    void healAndCheck() {
+    void healAndCheckConvergence() {
         setLinkFaults(0.05, 0.05, 0.01);
         network.members.forEach(member -> member.partition = 0);
-        network.members.forEach(SimulatedMember::thaw);
+        network.members.forEach(SimulatedMember::unfreeze);
         if (network.runUntil(30, network::replicasAreEqual) > 30) {
             throw new AssertionError("replicas differ after 30 s");
         }
@@ -152,7 +152,7 @@
 
     /** Checks that a replica has all guaranteed writes, and no value that was not written. */
     private void checkHeldValues(SimulatedMember member) {
-        guaranteedWrites.forEach((key, value) -> expect(member, key, value, "at the end"));
+        guaranteedWrites.forEach((key, value) -> requireValue(member, key, value, "at the end"));
         types.forEach(type -> member.state.forEach(type, (key, value) -> {
             TimestampedNumber written = allWrites.get(new TypedKey(type, key));
             if (written == null || !type.merge(value, written).equals(written)) {
--- a/fleet/src/test/java/clayhook/fleet/state/ReplicatedStateTest.java
+++ b/fleet/src/test/java/clayhook/fleet/state/ReplicatedStateTest.java
@@ -57,7 +57,7 @@
             @ForAll("actions") List<Action> actions, @ForAll @IntRange(min = 5, max = 20) int size, @ForAll long seed) {
         var scenario = new FaultScenario(seed, size, List.of(REGISTERS, SETS, BOUNDED_REGISTERS));
         actions.forEach(scenario::perform);
-        scenario.healAndCheck();
+        scenario.healAndCheckConvergence();
     }
 
     /**
@@ -79,7 +79,7 @@
                     scenario.perform(
                             new Action(random.nextInt(8), random.nextInt(6), random.nextInt(15), random.nextInt(1000)));
                 }
-                scenario.healAndCheck();
+                scenario.healAndCheckConvergence();
             } catch (AssertionError e) {
                 detected++;
             }
@@ -87,7 +87,7 @@
         assertEquals(correct ? 0 : 8, detected);
     }
 
-    private static StateTestNetwork startedNetwork(int size, TimestampedNumberType... types) {
+    private static StateTestNetwork startNetwork(int size, TimestampedNumberType... types) {
         return new StateTestNetwork(1, size, List.<ReplicatedType<?>>of(types), StateSettings.DEFAULT).startAll();
     }
 
@@ -107,7 +107,7 @@
         "NaN, 1, FUTURE"
     })
     void rejectsExpiredAndFutureValuesAndInvalidKeys(double age, int length, ApplyResult reason) {
-        SimulatedMember alone = startedNetwork(1, REGISTERS).members.get(0);
+        SimulatedMember alone = startNetwork(1, REGISTERS).members.get(0);
         String key = "k".repeat(length);
         TimestampedNumber merged = write(alone, REGISTERS, key, age);
         assertEquals(reason == null, merged != null);
@@ -119,7 +119,7 @@
 
     @Test
     void evictsOldestEntriesAtTheBoundAndRaisesTheFloorOnAllReplicas() {
-        StateTestNetwork network = startedNetwork(3, BOUNDED_REGISTERS).awaitCompleteness();
+        StateTestNetwork network = startNetwork(3, BOUNDED_REGISTERS).awaitCompleteness();
         SimulatedMember member = network.members.get(0);
         double start = member.clock();
         for (int i = 0; i < 20; i++) {
@@ -153,12 +153,12 @@
      */
     @Test
     void expiredEntriesAreNotRevivedByAStalledReplica() {
-        StateTestNetwork network = startedNetwork(4, REGISTERS).awaitCompleteness();
+        StateTestNetwork network = startNetwork(4, REGISTERS).awaitCompleteness();
         write(network.members.get(0), REGISTERS, "gone", 0);
         network.run(2);
         network.members.get(3).frozen = true;
         network.run(19);
-        network.members.get(3).thaw();
+        network.members.get(3).unfreeze();
         var changedKeys = new ArrayList<String>();
         network.members.forEach(
                 member -> member.state.addListener(REGISTERS, (key, value, now) -> changedKeys.add(key)));
@@ -177,7 +177,7 @@
      */
     @Test
     void expiringEntriesCauseNoRangeTransfers() {
-        StateTestNetwork network = startedNetwork(4, REGISTERS).awaitCompleteness();
+        StateTestNetwork network = startNetwork(4, REGISTERS).awaitCompleteness();
         for (int i = 0; i < 180; i++) {
             write(network.members.get(i % 4), REGISTERS, "key " + i, 0);
             network.run(0.1);
@@ -204,7 +204,7 @@
 
     @Test
     void completeUpToIsNeverOverstated() {
-        StateTestNetwork network = startedNetwork(3, REGISTERS);
+        StateTestNetwork network = startNetwork(3, REGISTERS);
         SimulatedMember first = network.members.get(0);
         network.members.get(1).partition = 1;
         network.members.get(2).partition = 1;
@@ -227,7 +227,7 @@
                 "a member that may be serving is not reachable");
         first.recentlyStalled = true;
         assertEquals(-FOREVER, first.state.completeUpTo(first.clock()), "stalled itself");
-        SimulatedMember alone = startedNetwork(1, REGISTERS).members.get(0);
+        SimulatedMember alone = startNetwork(1, REGISTERS).members.get(0);
         assertEquals(
                 -FOREVER, alone.state.completeUpTo(alone.clock() + 9.9), "too early to take itself for the only one");
         assertEquals(alone.clock() + 10.1, alone.state.completeUpTo(alone.clock() + 10.1));
@@ -284,7 +284,7 @@
         assertTrue(
                 isolated.state.completeUpTo(isolated.clock()) + isolated.clockLag < before,
                 "members that do not know the type cannot confirm that it is complete");
-        source.thaw();
+        source.unfreeze();
         assertTrue(network.runUntil(5, () -> isolated.state.completeUpTo(isolated.clock()) + isolated.clockLag > before)
                 < 5);
         assertNotNull(isolated.state.get(SETS, "newer"));
@@ -297,7 +297,7 @@
     @ParameterizedTest
     @CsvSource({"cut", "frozen", "killed"})
     void catchUpContinuesFromAnotherPeer(String failure) {
-        StateTestNetwork network = startedNetwork(4, SETS).awaitCompleteness();
+        StateTestNetwork network = startNetwork(4, SETS).awaitCompleteness();
         for (int i = 0; i < 1000; i++) {
             write(network.members.get(i % 3), SETS, "key " + i, 0);
         }
--- a/fleet/src/test/java/clayhook/fleet/state/StatePerformanceTest.java
+++ b/fleet/src/test/java/clayhook/fleet/state/StatePerformanceTest.java
@@ -22,7 +22,7 @@
     private static final TimestampedNumberType REGISTERS =
             new TimestampedNumberType(1, 3600, 200_000, false, TimestampedNumberType.LATEST);
 
-    private static StateTestNetwork startedNetwork(int size, TimestampedNumberType type) {
+    private static StateTestNetwork startNetwork(int size, TimestampedNumberType type) {
         StateTestNetwork network =
                 new StateTestNetwork(27, size, List.of(type), StateSettings.DEFAULT.withBootstrapTimeout(2)).startAll();
         network.jitter = 0.002;
@@ -39,7 +39,7 @@
     @ParameterizedTest
     @CsvSource({"0, 0.5", "0.2, 1.5"})
     void deltasReachNinetyNineOfAHundredRoutersInTime(double loss, double maxSeconds) {
-        StateTestNetwork network = startedNetwork(100, REGISTERS);
+        StateTestNetwork network = startNetwork(100, REGISTERS);
         network.lossProbability = loss;
         double[] times = new double[40];
         for (int i = 0; i < times.length; i++) {
@@ -63,7 +63,7 @@
     @ParameterizedTest
     @ValueSource(ints = {10, 100, 1000})
     void idleTrafficDoesNotGrowWithFleetSize(int size) {
-        StateTestNetwork network = startedNetwork(size, REGISTERS);
+        StateTestNetwork network = startNetwork(size, REGISTERS);
         double seconds = size > 100 ? 2 : 5;
         for (int updates : size > 100 ? new int[] {0, 20} : new int[] {0, 20, 500, 1000}) {
             double bytes = -sentBytes(network);
@@ -98,7 +98,7 @@
 
     @Test
     void catchesUpOnAHundredThousandEntriesInTwoSeconds() {
-        StateTestNetwork network = startedNetwork(3, REGISTERS);
+        StateTestNetwork network = startNetwork(3, REGISTERS);
         network.jitter = 0;
         var random = new SplittableRandom(27);
         for (int i = 0; i < 100_000; i++) {
--- a/fleet/src/test/java/clayhook/fleet/state/StateTestNetwork.java
+++ b/fleet/src/test/java/clayhook/fleet/state/StateTestNetwork.java
@@ -27,7 +27,7 @@
     /** Minimum time in seconds between two ticks, which ensures that virtual time advances. */
     private static final double MIN_TICK_INTERVAL = 1e-4;
     /** Minimum time in seconds between two checks of a condition. */
-    private static final double CHECK_INTERVAL = 0.005;
+    private static final double MIN_CHECK_INTERVAL = 0.005;
 
     private record ScheduledAction(double time, long sequence, Runnable action) implements Comparable<ScheduledAction> {
         @Override
@@ -94,7 +94,7 @@
         }
 
         /** Ends the freeze and delivers the queued packets. */
-        void thaw() {
+        void unfreeze() {
             frozen = false;
             missedPackets.forEach(Runnable::run);
             missedPackets.clear();
@@ -220,7 +220,7 @@
             ScheduledAction next = schedule.poll();
             now = next.time;
             next.action.run();
-            if (now - lastCheckedAt > CHECK_INTERVAL) {
+            if (now - lastCheckedAt > MIN_CHECK_INTERVAL) {
                 lastCheckedAt = now;
                 if (condition.getAsBoolean()) {
                     return now - start;
