--- a/fleet/src/test/java/clayhook/fleet/state/RecordedStateMessagesTest.java
+++ b/fleet/src/test/java/clayhook/fleet/state/RecordedStateMessagesTest.java
@@ -582,7 +582,7 @@
      * These hashes are sent in messages or determine which ranges are compared, so they must be equal in all releases.
      */
     @Test
-    void hashesAreAsRecorded() {
+    void hashesMatchRecording() {
         assertEquals(
                 Map.of(
                         "key", -8853014096565276663L,
@@ -604,7 +604,7 @@
      * Hash sums of nodes and the bounds of their ranges are sent in messages, so they must be equal in all releases.
      */
     @Test
-    void nodesOfTheHashTreeAreAsRecorded() {
+    void hashTreeNodesMatchRecording() {
         var tree = new HashTree();
         tree.add(0xfedc_ba98_7654_3210L, 5);
         tree.add(0xfedc_0000_0000_0000L, -7);
--- a/fleet/src/test/java/clayhook/fleet/state/ReplicatedStateTest.java
+++ b/fleet/src/test/java/clayhook/fleet/state/ReplicatedStateTest.java
@@ -66,7 +66,7 @@
      */
     @ParameterizedTest
     @CsvSource({"true", "false"})
-    void anOrderDependentMergeIsDetected(boolean correct) {
+    void scenariosDetectOrderDependentMerge(boolean correct) {
         BinaryOperator<TimestampedNumber> rule =
                 correct ? TimestampedNumberType.LATEST : TimestampedNumberType.LAST_RECEIVED;
         int detected = 0;
@@ -118,7 +118,7 @@
     }
 
     @Test
-    void evictsOldestEntriesAtTheBoundAndRaisesTheFloorOnAllReplicas() {
+    void fullTableEvictsOldestEntriesAndRaisesFloorOnAllReplicas() {
         StateTestNetwork network = startNetwork(3, BOUNDED_REGISTERS).awaitCompleteness();
         SimulatedMember member = network.members.get(0);
         double start = member.clock();
@@ -137,7 +137,7 @@
     }
 
     @Test
-    void rejectsValuesAtOrBelowAnAdoptedFloor() {
+    void rejectsValuesAtOrBelowAdoptedFloor() {
         var table = new EntryTable<TimestampedNumber>(BOUNDED_REGISTERS, StateSettings.DEFAULT);
         table.merge("a", StableHash.ofKey("a"), new TimestampedNumber(1, 4), 9);
         table.merge("b", StableHash.ofKey("b"), new TimestampedNumber(1, 6), 9);
@@ -152,7 +152,7 @@
      * are no tombstones, the stalled replica has to remove them itself.
      */
     @Test
-    void expiredEntriesAreNotRevivedByAStalledReplica() {
+    void stalledReplicaDoesNotReplicateExpiredEntries() {
         StateTestNetwork network = startNetwork(4, REGISTERS).awaitCompleteness();
         write(network.members.get(0), REGISTERS, "gone", 0);
         network.run(2);
@@ -238,7 +238,7 @@
      * accepted. As long as the member may be serving, no replica reports that it is complete.
      */
     @Test
-    void rejectsTimedValuesFromMembersWithSkewedClocks() {
+    void rejectsClockDependentValuesOfMembersWithSkewedClocks() {
         StateTestNetwork network = new StateTestNetwork(1, 3, List.of(REGISTERS, SETS), StateSettings.DEFAULT);
         SimulatedMember skewed = network.members.get(2);
         skewed.clockLag = 5;
@@ -296,7 +296,7 @@
      */
     @ParameterizedTest
     @CsvSource({"cut", "frozen", "killed"})
-    void catchUpContinuesFromAnotherPeer(String failure) {
+    void bootstrapContinuesWithAnotherPeerIfPeerFails(String failure) {
         StateTestNetwork network = startNetwork(4, SETS).awaitCompleteness();
         for (int i = 0; i < 1000; i++) {
             write(network.members.get(i % 3), SETS, "key " + i, 0);
--- a/fleet/src/test/java/clayhook/fleet/state/StatePerformanceTest.java
+++ b/fleet/src/test/java/clayhook/fleet/state/StatePerformanceTest.java
@@ -38,7 +38,7 @@
 
     @ParameterizedTest
     @CsvSource({"0, 0.5", "0.2, 1.5"})
-    void deltasReachNinetyNineOfAHundredRoutersInTime(double loss, double maxSeconds) {
+    void deltasReach99Of100RoutersInTime(double loss, double maxSeconds) {
         StateTestNetwork network = startNetwork(100, REGISTERS);
         network.lossProbability = loss;
         double[] times = new double[40];
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void catchesUpOnAHundredThousandEntriesInTwoSeconds() {
+    void catchesUpOn100000EntriesInTwoSeconds() {
         StateTestNetwork network = startNetwork(3, REGISTERS);
         network.jitter = 0;
         var random = new SplittableRandom(27);
