--- a/fleet/src/test/java/clayhook/fleet/state/RecordedStateMessagesTest.java
+++ b/fleet/src/test/java/clayhook/fleet/state/RecordedStateMessagesTest.java
@@ -66,7 +66,7 @@
                 new Recording(
                         "delta broadcast",
                         20,
-                        deltas(),
+                        deltaBroadcast(),
                         "9f1a00011170fb41d954fc402000009f9f00616b409fffff9f176f72c3bc74657220e282ac20f09f98804500"
                                 + "017f80ff9f2001ffff9f18186973657373696f6e2031439f01ff9f3b7fffffffffffffff171b7fffffffffff"
                                 + "ffff18180018ff011901000219ffff031a00010000041b00000001000000000500ffff9f18ff790100"
@@ -82,7 +82,7 @@
                 new Recording(
                         "version vector update",
                         21,
-                        versions(),
+                        versionVectorUpdate(),
                         "9f381a181cfb41d954fc402000009f9f000000ff9f200118faff9f3b7fffffffffffffff18ff3901f3ff9f1b"
                                 + "7fffffffffffffff1b00000100000000001a05265c00ffffff"),
                 new Recording(
@@ -118,7 +118,7 @@
                 new Recording(
                         "root digests request",
                         23,
-                        new RootDigestsRequest(Long.MAX_VALUE, 7, roots()),
+                        new RootDigestsRequest(Long.MAX_VALUE, 7, rootDigests()),
                         "9f1b7fffffffffffffff079f9f00fbfff0000000000000fbfff000000000000000ff9f01fb41d954fc3c2000"
                                 + "00fb41d954fc3b20000020ff9f18fffb0000000000000000fbbfe00000000000003b7fffffffffffffffffff"
                                 + "ff"),
@@ -130,7 +130,7 @@
                 new Recording(
                         "root digests response",
                         24,
-                        new RootDigestsResponse(Long.MIN_VALUE, 10, true, roots()),
+                        new RootDigestsResponse(Long.MIN_VALUE, 10, true, rootDigests()),
                         "9f3b7fffffffffffffff0af59f9f00fbfff0000000000000fbfff000000000000000ff9f01fb41d954fc3c20"
                                 + "0000fb41d954fc3b20000020ff9f18fffb0000000000000000fbbfe00000000000003b7fffffffffffffffff"
                                 + "ffff"),
@@ -206,7 +206,7 @@
                         "9f000004fbfff000000000000000009f9f616b40ffffff"));
     }
 
-    private static DeltaBroadcast deltas() {
+    private static DeltaBroadcast deltaBroadcast() {
         return new DeltaBroadcast(
                 70_000,
                 NOW,
@@ -238,7 +238,7 @@
     }
 
     /** Returns an update whose version ages are whole milliseconds, so that decoding restores the same times. */
-    private static VersionVectorUpdate versions() {
+    private static VersionVectorUpdate versionVectorUpdate() {
         return new VersionVectorUpdate(
                 -27,
                 28,
@@ -250,7 +250,7 @@
                         new OriginVersion(Long.MAX_VALUE, 1L << 40, NOW - 86_400)));
     }
 
-    private static List<RootDigest> roots() {
+    private static List<RootDigest> rootDigests() {
         return List.of(
                 new RootDigest(0, -FOREVER, -FOREVER, 0),
                 new RootDigest(1, NOW - 16, NOW - 20, -1),
@@ -289,16 +289,16 @@
     }
 
     /** Converts a message to nested lists for comparison, since records compare arrays by identity. */
-    private static Object plain(Object value) throws ReflectiveOperationException {
+    private static Object toNestedLists(Object value) throws ReflectiveOperationException {
         var out = new ArrayList<Object>();
         if (value instanceof Record) {
             for (RecordComponent component : value.getClass().getRecordComponents()) {
                 component.getAccessor().setAccessible(true);
-                out.add(plain(component.getAccessor().invoke(value)));
+                out.add(toNestedLists(component.getAccessor().invoke(value)));
             }
         } else if (value instanceof List<?> list) {
             for (Object each : list) {
-                out.add(plain(each));
+                out.add(toNestedLists(each));
             }
         } else if (value.getClass().isArray()) {
             for (int i = 0; i < Array.getLength(value); i++) {
@@ -322,7 +322,7 @@
     void decodesTheRecordedBytes(Recording recording) throws ReflectiveOperationException {
         Message decoded = decode(recording.number, recording.bytes());
         assertEquals(recording.message.getClass(), decoded.getClass());
-        assertEquals(plain(recording.message), plain(decoded));
+        assertEquals(toNestedLists(recording.message), toNestedLists(decoded));
     }
 
     /** An encoded message is a list (9f ... ff) to which later releases append fields. */
@@ -333,7 +333,7 @@
         byte[] more = HexFormat.of().parseHex("187b" + "9f0102ff" + "fb4059000000000000" + "f5" + "6161" + "ff");
         byte[] longer = Arrays.copyOf(known, known.length - 1 + more.length);
         System.arraycopy(more, 0, longer, known.length - 1, more.length);
-        assertEquals(plain(recording.message), plain(decode(recording.number, longer)));
+        assertEquals(toNestedLists(recording.message), toNestedLists(decode(recording.number, longer)));
     }
 
     @ParameterizedTest
@@ -364,19 +364,19 @@
         assertEquals(encode(exact), encode(rounded));
     }
 
-    private static FieldWriter fields(long... values) {
+    private static FieldWriter writeFields(long... values) {
         var out = new FieldWriter();
         Arrays.stream(values).forEach(out::writeLong);
         return out;
     }
 
-    private static FieldWriter longs(FieldWriter out, int size) {
+    private static FieldWriter writeLongList(FieldWriter out, int size) {
         out.beginList();
         IntStream.range(0, size).forEach(out::writeLong);
         return out.endList();
     }
 
-    private static FieldWriter lists(FieldWriter out, int size, Runnable fields) {
+    private static FieldWriter writeLists(FieldWriter out, int size, Runnable fields) {
         out.beginList();
         for (int i = 0; i < size; i++) {
             out.beginList();
@@ -386,12 +386,12 @@
         return out.endList();
     }
 
-    private static FieldWriter rootDigest(FieldWriter out, int replicatedType) {
+    private static FieldWriter writeRootDigest(FieldWriter out, int replicatedType) {
         return out.writeLong(replicatedType).writeDouble(1).writeDouble(2).writeLong(3);
     }
 
-    private static FieldWriter delta(FieldWriter out, int replicatedType, String key, int updateIds) {
-        return longs(out.writeLong(replicatedType).writeNullableString(key).writeBytes(new byte[1]), updateIds);
+    private static FieldWriter writeDelta(FieldWriter out, int replicatedType, String key, int updateIds) {
+        return writeLongList(out.writeLong(replicatedType).writeNullableString(key).writeBytes(new byte[1]), updateIds);
     }
 
     /** An encoded message at a bound of the decoder and one just beyond it, which the decoder must reject. */
@@ -411,51 +411,51 @@
                 new Bound(
                         "type of a delta",
                         20,
-                        lists(out[0].writeLong(1).writeDouble(2), 1, () -> delta(out[0], 255, "k", 0)),
-                        lists(out[1].writeLong(1).writeDouble(2), 1, () -> delta(out[1], 256, "k", 0))),
+                        writeLists(out[0].writeLong(1).writeDouble(2), 1, () -> writeDelta(out[0], 255, "k", 0)),
+                        writeLists(out[1].writeLong(1).writeDouble(2), 1, () -> writeDelta(out[1], 256, "k", 0))),
                 new Bound(
                         "key of a delta",
                         20,
-                        lists(out[2].writeLong(1).writeDouble(2), 1, () -> delta(out[2], 1, "k".repeat(4096), 0)),
-                        lists(out[3].writeLong(1).writeDouble(2), 1, () -> delta(out[3], 1, "", 0))),
+                        writeLists(out[2].writeLong(1).writeDouble(2), 1, () -> writeDelta(out[2], 1, "k".repeat(4096), 0)),
+                        writeLists(out[3].writeLong(1).writeDouble(2), 1, () -> writeDelta(out[3], 1, "", 0))),
                 new Bound(
                         "update ids of a delta",
                         20,
-                        lists(out[4].writeLong(1).writeDouble(2), 1, () -> delta(out[4], 1, "k", 16)),
-                        lists(out[5].writeLong(1).writeDouble(2), 1, () -> delta(out[5], 1, "k", 17))),
+                        writeLists(out[4].writeLong(1).writeDouble(2), 1, () -> writeDelta(out[4], 1, "k", 16)),
+                        writeLists(out[5].writeLong(1).writeDouble(2), 1, () -> writeDelta(out[5], 1, "k", 17))),
                 new Bound(
                         "entries of a delta broadcast",
                         20,
-                        lists(out[6].writeLong(1).writeDouble(2), 256, () -> delta(out[6], 1, "k", 0)),
-                        lists(out[7].writeLong(1).writeDouble(2), 257, () -> delta(out[7], 1, "k", 0))),
+                        writeLists(out[6].writeLong(1).writeDouble(2), 256, () -> writeDelta(out[6], 1, "k", 0)),
+                        writeLists(out[7].writeLong(1).writeDouble(2), 257, () -> writeDelta(out[7], 1, "k", 0))),
                 new Bound(
                         "version vector update",
                         21,
-                        lists(out[8].writeLong(1).writeLong(2).writeDouble(3), 256, () -> out[8].writeLong(1)
+                        writeLists(out[8].writeLong(1).writeLong(2).writeDouble(3), 256, () -> out[8].writeLong(1)
                                 .writeLong(2)
                                 .writeLong(250)),
-                        lists(out[9].writeLong(1).writeLong(2).writeDouble(3), 257, () -> out[9].writeLong(1)
+                        writeLists(out[9].writeLong(1).writeLong(2).writeDouble(3), 257, () -> out[9].writeLong(1)
                                 .writeLong(2)
                                 .writeLong(250))),
                 new Bound(
                         "id of a request",
                         22,
-                        longs(fields(1, Integer.MAX_VALUE - 1), 1),
-                        longs(fields(1, Integer.MAX_VALUE), 1)),
-                new Bound("members of a version vector request", 22, longs(fields(1, 2), 40), longs(fields(1, 2), 41)),
+                        writeLongList(writeFields(1, Integer.MAX_VALUE - 1), 1),
+                        writeLongList(writeFields(1, Integer.MAX_VALUE), 1)),
+                new Bound("members of a version vector request", 22, writeLongList(writeFields(1, 2), 40), writeLongList(writeFields(1, 2), 41)),
                 new Bound(
                         "digests of a root digests request",
                         23,
-                        lists(out[10].writeLong(1).writeLong(2), 256, () -> rootDigest(out[10], 255)),
-                        lists(out[11].writeLong(1).writeLong(2), 257, () -> rootDigest(out[11], 255))),
+                        writeLists(out[10].writeLong(1).writeLong(2), 256, () -> writeRootDigest(out[10], 255)),
+                        writeLists(out[11].writeLong(1).writeLong(2), 257, () -> writeRootDigest(out[11], 255))),
                 new Bound(
                         "type of a root digest",
                         24,
-                        lists(
+                        writeLists(
                                 out[12].writeLong(1).writeLong(2).writeBoolean(true),
                                 256,
-                                () -> rootDigest(out[12], 255)),
-                        lists(out[13].writeLong(1).writeLong(2).writeBoolean(true), 1, () -> rootDigest(out[13], 256))),
+                                () -> writeRootDigest(out[12], 255)),
+                        writeLists(out[13].writeLong(1).writeLong(2).writeBoolean(true), 1, () -> writeRootDigest(out[13], 256))),
                 new Bound(
                         "level of a node",
                         25,
@@ -489,16 +489,16 @@
                 new Bound(
                         "sums of a node, fewer",
                         26,
-                        longs(
-                                longs(
+                        writeLongList(
+                                writeLongList(
                                         out[18].writeLong(1)
                                                 .writeLong(2)
                                                 .writeDouble(3)
                                                 .writeDouble(4),
                                         16),
                                 16),
-                        longs(
-                                longs(
+                        writeLongList(
+                                writeLongList(
                                         out[19].writeLong(1)
                                                 .writeLong(2)
                                                 .writeDouble(3)
@@ -508,27 +508,27 @@
                 new Bound(
                         "counts of a node, more",
                         26,
-                        longs(
-                                longs(
+                        writeLongList(
+                                writeLongList(
                                         out[20].writeLong(1)
                                                 .writeLong(2)
                                                 .writeDouble(3)
                                                 .writeDouble(4),
                                         16),
                                 16),
-                        longs(
-                                longs(
+                        writeLongList(
+                                writeLongList(
                                         out[21].writeLong(1)
                                                 .writeLong(2)
                                                 .writeDouble(3)
                                                 .writeDouble(4),
                                         16),
                                 17)),
-                new Bound("fingerprints", 27, longs(fields(1, 2, 255, 4, 5), 62), longs(fields(1, 2, 255, 4, 5), 63)),
+                new Bound("fingerprints", 27, writeLongList(writeFields(1, 2, 255, 4, 5), 62), writeLongList(writeFields(1, 2, 255, 4, 5), 63)),
                 new Bound(
                         "range of entries",
                         28,
-                        lists(
+                        writeLists(
                                 out[22].writeLong(1)
                                         .writeLong(2)
                                         .writeLong(3)
@@ -537,7 +537,7 @@
                                         .writeLong(6),
                                 256,
                                 () -> out[22].writeNullableString("k").writeBytes(new byte[1])),
-                        lists(
+                        writeLists(
                                 out[23].writeLong(1)
                                         .writeLong(2)
                                         .writeLong(3)
@@ -549,7 +549,7 @@
                 new Bound(
                         "floor that is no number",
                         28,
-                        lists(
+                        writeLists(
                                 out[24].writeLong(1)
                                         .writeLong(2)
                                         .writeLong(3)
@@ -558,7 +558,7 @@
                                         .writeLong(6),
                                 0,
                                 () -> {}),
-                        lists(
+                        writeLists(
                                 out[25].writeLong(1)
                                         .writeLong(2)
                                         .writeLong(3)
