--- a/fleet/src/main/java/clayhook/fleet/state/AntiEntropyScheduler.java
+++ b/fleet/src/main/java/clayhook/fleet/state/AntiEntropyScheduler.java
@@ -116,7 +116,8 @@
                 : membership.possiblyServing(now);
         long sessionId = random.nextLong() | 1; // never AntiEntropyResponse.NO_SESSION
         Peer peer = choosePeer(peers, incompleteMembers);
-        session = new AntiEntropySession(peer, sessionId, incompleteMembers, replica, settings, counters, byteBudget, now);
+        session = new AntiEntropySession(
+                peer, sessionId, incompleteMembers, replica, settings, counters, byteBudget, now);
     }
 
     /**
@@ -127,8 +128,9 @@
     private Peer choosePeer(List<Peer> peers, List<Member> incompleteMembers) {
         if (bootstrap.isBootstrappedFromPeer() && !incompleteMembers.isEmpty() && random.nextBoolean()) {
             Member incompleteMember = incompleteMembers.get(random.nextInt(incompleteMembers.size()));
-            Optional<Peer> origin =
-                    peers.stream().filter(peer -> peer.member().equals(incompleteMember)).findFirst();
+            Optional<Peer> origin = peers.stream()
+                    .filter(peer -> peer.member().equals(incompleteMember))
+                    .findFirst();
             if (origin.isPresent() && !incompleteMember.equals(avoidedMember)) {
                 return origin.get();
             }
@@ -179,6 +181,8 @@
         double secondsAtAverageBandwidth = transferredBytes / settings.antiEntropyBytesPerSecond();
         return bootstrap.isBootstrapped(now)
                 ? Math.min(MAX_PAUSE_INTERVALS * interval, Math.max(interval, secondsAtAverageBandwidth))
-                : Math.min(interval, Math.max(BOOTSTRAP_INTERVAL_SECONDS, secondsAtAverageBandwidth / MAX_PAUSE_INTERVALS));
+                : Math.min(
+                        interval,
+                        Math.max(BOOTSTRAP_INTERVAL_SECONDS, secondsAtAverageBandwidth / MAX_PAUSE_INTERVALS));
     }
 }
--- a/fleet/src/main/java/clayhook/fleet/state/AntiEntropySession.java
+++ b/fleet/src/main/java/clayhook/fleet/state/AntiEntropySession.java
@@ -225,8 +225,8 @@
      * Processes a response whose entries or versions were already applied. Ignores a response that does not answer an
      * outstanding request of this session.
      *
-     * @param allAcceptedOrObsolete whether each entry of the response is in this replica now, has expired or is at or below the
-     *     eviction floor
+     * @param allAcceptedOrObsolete whether each entry of the response is in this replica now, has expired or is at or
+     *     below the eviction floor
      */
     void onResponse(Peer from, AntiEntropyResponse response, boolean allAcceptedOrObsolete, double now, Outbox outbox) {
         boolean fromThisSession =
--- a/fleet/src/main/java/clayhook/fleet/state/EntryTable.java
+++ b/fleet/src/main/java/clayhook/fleet/state/EntryTable.java
@@ -47,7 +47,8 @@
         this.type = type;
         maxClockSkew = settings.maxClockSkew();
         // Without this limit, entries of a type with a retention of seconds would never be in the digest.
-        exclusionMargin = Math.min(settings.digestExclusionMargin(), type.retentionSeconds() * MAX_MARGIN_FRACTION_OF_RETENTION);
+        exclusionMargin =
+                Math.min(settings.digestExclusionMargin(), type.retentionSeconds() * MAX_MARGIN_FRACTION_OF_RETENTION);
         cutoffStep = Math.min(MAX_CUTOFF_STEP_SECONDS, exclusionMargin * CUTOFF_STEP_FRACTION_OF_MARGIN);
     }
 
--- a/fleet/src/main/java/clayhook/fleet/state/VersionVector.java
+++ b/fleet/src/main/java/clayhook/fleet/state/VersionVector.java
@@ -29,8 +29,8 @@
     private final StateSettings settings;
     private final long selfId;
     /**
-     * The progress of all origins by origin id, at most {@link #MAX_UNLISTED_ORIGINS} more than {@link #progressByMember}.
-     * {@link #removeDeparted} removes inactive unlisted origins.
+     * The progress of all origins by origin id, at most {@link #MAX_UNLISTED_ORIGINS} more than
+     * {@link #progressByMember}. {@link #removeDeparted} removes inactive unlisted origins.
      */
     private final Map<Long, OriginProgress> progressByOriginId = new HashMap<>();
     /** The progress of the members that may be serving. {@link #removeDeparted} removes all other members. */
@@ -204,7 +204,8 @@
     void removeDeparted(double now) {
         progressByMember.keySet().retainAll(new HashSet<>(membership.possiblyServing(now)));
         var listed = new HashSet<>(progressByMember.values());
-        progressByOriginId.values()
+        progressByOriginId
+                .values()
                 .removeIf(progress -> !listed.contains(progress) && progress.lastActivityAt + RETENTION_SECONDS < now);
     }
 }
--- a/fleet/src/test/java/clayhook/fleet/state/RecordedStateMessagesTest.java
+++ b/fleet/src/test/java/clayhook/fleet/state/RecordedStateMessagesTest.java
@@ -391,7 +391,8 @@
     }
 
     private static FieldWriter writeDelta(FieldWriter out, int replicatedType, String key, int updateIds) {
-        return writeLongList(out.writeLong(replicatedType).writeNullableString(key).writeBytes(new byte[1]), updateIds);
+        return writeLongList(
+                out.writeLong(replicatedType).writeNullableString(key).writeBytes(new byte[1]), updateIds);
     }
 
     /** An encoded message at a bound of the decoder and one just beyond it, which the decoder must reject. */
@@ -416,7 +417,10 @@
                 new Bound(
                         "key of a delta",
                         20,
-                        writeLists(out[2].writeLong(1).writeDouble(2), 1, () -> writeDelta(out[2], 1, "k".repeat(4096), 0)),
+                        writeLists(
+                                out[2].writeLong(1).writeDouble(2),
+                                1,
+                                () -> writeDelta(out[2], 1, "k".repeat(4096), 0)),
                         writeLists(out[3].writeLong(1).writeDouble(2), 1, () -> writeDelta(out[3], 1, "", 0))),
                 new Bound(
                         "update ids of a delta",
@@ -442,7 +446,11 @@
                         22,
                         writeLongList(writeFields(1, Integer.MAX_VALUE - 1), 1),
                         writeLongList(writeFields(1, Integer.MAX_VALUE), 1)),
-                new Bound("members of a version vector request", 22, writeLongList(writeFields(1, 2), 40), writeLongList(writeFields(1, 2), 41)),
+                new Bound(
+                        "members of a version vector request",
+                        22,
+                        writeLongList(writeFields(1, 2), 40),
+                        writeLongList(writeFields(1, 2), 41)),
                 new Bound(
                         "digests of a root digests request",
                         23,
@@ -455,7 +463,10 @@
                                 out[12].writeLong(1).writeLong(2).writeBoolean(true),
                                 256,
                                 () -> writeRootDigest(out[12], 255)),
-                        writeLists(out[13].writeLong(1).writeLong(2).writeBoolean(true), 1, () -> writeRootDigest(out[13], 256))),
+                        writeLists(
+                                out[13].writeLong(1).writeLong(2).writeBoolean(true),
+                                1,
+                                () -> writeRootDigest(out[13], 256))),
                 new Bound(
                         "level of a node",
                         25,
@@ -524,7 +535,11 @@
                                                 .writeDouble(4),
                                         16),
                                 17)),
-                new Bound("fingerprints", 27, writeLongList(writeFields(1, 2, 255, 4, 5), 62), writeLongList(writeFields(1, 2, 255, 4, 5), 63)),
+                new Bound(
+                        "fingerprints",
+                        27,
+                        writeLongList(writeFields(1, 2, 255, 4, 5), 62),
+                        writeLongList(writeFields(1, 2, 255, 4, 5), 63)),
                 new Bound(
                         "range of entries",
                         28,
