--- a/fleet/src/main/java/clayhook/fleet/state/AntiEntropyResponse.java
+++ b/fleet/src/main/java/clayhook/fleet/state/AntiEntropyResponse.java
@@ -137,8 +137,9 @@
             long[] hashSums = in.readLongs(HashTree.FANOUT);
             long[] entryCounts = in.readLongs(HashTree.FANOUT);
             if (hashSums.length != HashTree.FANOUT || entryCounts.length != HashTree.FANOUT) {
-                throw new IllegalArgumentException("a tree node has " + HashTree.FANOUT + " children, not "
-                        + hashSums.length + " sums and " + entryCounts.length + " counts");
+                throw new IllegalArgumentException(
+                        "expected " + HashTree.FANOUT + " hash sums and as many entry counts of a tree node, got "
+                                + hashSums.length + " and " + entryCounts.length);
             }
             return IntStream.range(0, HashTree.FANOUT)
                     .mapToObj(child -> new ChildDigest(hashSums[child], entryCounts[child]))
