--- a/fleet/src/main/java/clayhook/fleet/state/Replica.java
+++ b/fleet/src/main/java/clayhook/fleet/state/Replica.java
@@ -37,7 +37,8 @@
         int number = type.typeNumber();
         boolean fits = number >= 0 && number < StateMessage.REPLICATED_TYPE_LIMIT && tables.size() < MAX_TYPES;
         if (!fits || tables.put(number, new EntryTable<>(type, settings)) != null) {
-            throw new IllegalArgumentException("no room for the type " + type.name() + " with number " + number);
+            throw new IllegalArgumentException("cannot add replicated type " + type.name() + " with number " + number
+                    + ": expected at most " + MAX_TYPES + " types with distinct numbers from 0 to 255");
         }
     }
 
