--- a/fleet/src/main/java/clayhook/fleet/state/OriginProgress.java
+++ b/fleet/src/main/java/clayhook/fleet/state/OriginProgress.java
@@ -29,8 +29,9 @@
 
     private double confirmedAsOf = Double.NEGATIVE_INFINITY;
     /**
-     * The first unconfirmed announcement, whose time is NaN if there is none. The latest announcement is kept in
-     * addition. Waiting only for the latest one could take forever while new updates continue to be announced.
+     * The sequence number of the first unconfirmed announcement; {@link #pendingAsOf} is NaN if there is none. It is
+     * kept in addition to the latest announcement, since waiting only for the latest one would not end while new
+     * updates are announced.
      */
     private long pendingSequence;
 
--- a/fleet/src/main/java/clayhook/fleet/state/OriginVersion.java
+++ b/fleet/src/main/java/clayhook/fleet/state/OriginVersion.java
@@ -13,7 +13,7 @@
  */
 record OriginVersion(long originId, long sequence, double asOf) {
     private static final double MILLIS_PER_SECOND = 1000;
-    /** Size of the start and the end of the list and of the marker byte of a 64-bit integer. */
+    /** Size in bytes of the start and end of the list and of the marker of a 64-bit integer. */
     private static final int FRAMING_BYTES = 3;
 
     /**
--- a/fleet/src/main/java/clayhook/fleet/state/RemoteUpdateApplier.java
+++ b/fleet/src/main/java/clayhook/fleet/state/RemoteUpdateApplier.java
@@ -108,8 +108,8 @@
         ApplyResult result = replica.applyRemote(from.member(), table, entry.key(), keyHash, entry.value(), now);
         if (result == ApplyResult.CHANGED) {
             counters.antiEntropyRepairs++;
-            // Broadcasts urgent entries immediately after a partition has healed.
-            // Anti-entropy sessions of the other members replicate all other entries.
+            // Urgent entries found by anti-entropy, such as after a healed partition, are broadcast immediately.
+            // All other entries are left to the anti-entropy sessions of the other members.
             if (table.type.urgent() && bootstrap.isBootstrapped(now)) {
                 broadcaster.enqueue(table, entry.key(), keyHash, List.of(), now);
             }
