--- a/fleet/src/test/java/clayhook/fleet/state/RecordedStateMessagesTest.java
+++ b/fleet/src/test/java/clayhook/fleet/state/RecordedStateMessagesTest.java
@@ -498,7 +498,7 @@
                                 .writeLong(1)
                                 .writeLong(16)),
                 new Bound(
-                        "sums of a node, fewer",
+                        "minimum of hash sums of a node",
                         26,
                         writeLongList(
                                 writeLongList(
@@ -517,7 +517,7 @@
                                         15),
                                 16)),
                 new Bound(
-                        "counts of a node, more",
+                        "maximum of entry counts of a node",
                         26,
                         writeLongList(
                                 writeLongList(
@@ -562,7 +562,7 @@
                                 257,
                                 () -> out[23].writeNullableString("k").writeBytes(new byte[1]))),
                 new Bound(
-                        "floor that is no number",
+                        "eviction floor that is not a number",
                         28,
                         writeLists(
                                 out[24].writeLong(1)
--- a/fleet/src/test/java/clayhook/fleet/state/ReplicatedStateTest.java
+++ b/fleet/src/test/java/clayhook/fleet/state/ReplicatedStateTest.java
@@ -209,7 +209,10 @@
         network.members.get(1).partition = 1;
         network.members.get(2).partition = 1;
         network.run(15);
-        assertEquals(-FOREVER, first.state.completeUpTo(first.clock()), "has peers and was bootstrapped by none");
+        assertEquals(
+                -FOREVER,
+                first.state.completeUpTo(first.clock()),
+                "has peers, but was not bootstrapped by any of them");
         network.members.get(1).partition = 0;
         network.members.get(2).partition = 0;
         network.members.forEach(SimulatedMember::start);
@@ -226,10 +229,9 @@
                 1.5,
                 "a member that may be serving is not reachable");
         first.recentlyStalled = true;
-        assertEquals(-FOREVER, first.state.completeUpTo(first.clock()), "stalled itself");
+        assertEquals(-FOREVER, first.state.completeUpTo(first.clock()), "the router itself stalled recently");
         SimulatedMember alone = startNetwork(1, REGISTERS).members.get(0);
-        assertEquals(
-                -FOREVER, alone.state.completeUpTo(alone.clock() + 9.9), "too early to take itself for the only one");
+        assertEquals(-FOREVER, alone.state.completeUpTo(alone.clock() + 9.9), "the bootstrap timeout has not elapsed");
         assertEquals(alone.clock() + 10.1, alone.state.completeUpTo(alone.clock() + 10.1));
     }
 
@@ -283,7 +285,7 @@
         network.run(3);
         assertTrue(
                 isolated.state.completeUpTo(isolated.clock()) + isolated.clockLag < before,
-                "members that do not know the type cannot confirm that it is complete");
+                "members that do not support the type cannot confirm that it is complete");
         source.unfreeze();
         assertTrue(network.runUntil(5, () -> isolated.state.completeUpTo(isolated.clock()) + isolated.clockLag > before)
                 < 5);
