--- a/clustertests/src/main/java/clayhook/clustertests/AttemptAudit.java
+++ b/clustertests/src/main/java/clayhook/clustertests/AttemptAudit.java
@@ -7,20 +7,21 @@
 import java.util.Map;
 
 /**
- * Judges what routers send to nodes for a client: nothing that begins later than a moment after the client left, at
- * most the time that the client still waits, and the client's own idempotency key. Times are seconds on the clock of
- * {@link HistoryRecorder}. Requests are kept for as long as the run. Thread-safe.
+ * Checks the attempts that routers send to nodes: none begins more than a grace period after the client disconnected,
+ * the timeout sent to the node does not exceed the client's remaining time, and a request with an idempotency key keeps
+ * the client's key. Times are seconds on the clock of {@link HistoryRecorder}. Requests are retained for the whole run.
+ * Thread-safe.
  */
 final class AttemptAudit {
-    /** An attempt may begin so long after its client has left. */
+    /** Seconds after the client's disconnect during which an attempt may still begin. */
     private static final double LEFT_GRACE_SECONDS = 0.1;
-    /** By which the time that a node is told may exceed what is left to the client. */
+    /** Seconds by which the timeout sent to a node may exceed the client's remaining time. */
     private static final double TIMEOUT_SLACK_SECONDS = 0.15;
 
     private static final class ClientRequest {
         final double sentAt;
         final double deadlineAt;
-        /** Null for a request without one. */
+        /** Idempotency key of the client, or null for a request without one. */
         final String idempotencyKey;
 
         double leftAt = Double.POSITIVE_INFINITY;
@@ -33,28 +34,31 @@
     }
 
     private final Map<String, ClientRequest> requests = new HashMap<>();
-    /** When each router's process was last continued after it had been held up. */
+    /** Time at which each router's process was last resumed after a stall, by router name. */
     private final Map<String, Double> continuedAt = new HashMap<>();
 
     private final List<String> violations = new ArrayList<>();
 
-    /** A client sends a request now; {@code idempotencyKey} is null for none. */
+    /** Records that a client sends a request now; {@code idempotencyKey} is null for a request without a key. */
     synchronized void onSent(String id, double timeoutSeconds, String idempotencyKey) {
         double now = HistoryRecorder.now();
         requests.put(id, new ClientRequest(now, now + timeoutSeconds, idempotencyKey));
     }
 
-    /** The client of a request has closed its connection. */
+    /** Records that the client of a request has closed its connection. */
     synchronized void onLeft(String id) {
         requests.get(id).leftAt = HistoryRecorder.now();
     }
 
-    /** A router that was held up for longer than the rules allow for goes on; what it missed it reads from now on. */
+    /**
+     * Records that a router resumes after a stall that is longer than the rules allow for. It reads disconnects and
+     * requests that arrived meanwhile only from now on.
+     */
     synchronized void onContinued(String router) {
         continuedAt.put(router, HistoryRecorder.now());
     }
 
-    /** A node has read an attempt. */
+    /** Checks an attempt that a node has read. */
     synchronized void onAttempt(NodeRequest attempt) {
         ClientRequest request = requests.get(attempt.statement().requestId);
         if (request == null) {
@@ -81,7 +85,7 @@
                 + attempt.node().id() + " by " + attempt.router() + " " + String.format(Locale.ROOT, how, values));
     }
 
-    /** All attempts that broke a rule, in words. */
+    /** Descriptions of all attempts that violated a rule. */
     synchronized List<String> violations() {
         return List.copyOf(violations);
     }
