--- a/clustertests/src/main/java/clayhook/clustertests/ClusterFault.java
+++ b/clustertests/src/main/java/clayhook/clustertests/ClusterFault.java
@@ -2,22 +2,20 @@
 
 import java.util.Set;
 
-/**
- * Something that goes wrong between routers or with their processes, until it is healed. Routers are numbered from 0.
- */
+/** A fault of the links between routers, or of router processes, that lasts until it is ended. Routers count from 0. */
 public sealed interface ClusterFault {
-    /** All links do this. */
+    /** Applies a fault to all links between routers. */
     record Everywhere(LinkFault fault) implements ClusterFault {}
 
-    /** Nothing gets across between these routers and the others. */
+    /** Cuts all links between these routers and the others, in both directions. */
     record Split(Set<Integer> side) implements ClusterFault {}
 
-    /** Nothing gets from one to the other; the way back is open. */
+    /** Cuts the link from one router to another; the opposite direction works. */
     record OneWay(int from, int to) implements ClusterFault {}
 
-    /** The process stands still. */
+    /** Stops a router's process by SIGSTOP; it is resumed by SIGCONT. */
     record Stopped(int router) implements ClusterFault {}
 
-    /** These processes are killed at once; healed, they come back under the same names. */
+    /** Kills these processes at the same time; at the end of the fault they are restarted under the same names. */
     record Killed(Set<Integer> routers) implements ClusterFault {}
 }
--- a/clustertests/src/main/java/clayhook/clustertests/LinkFault.java
+++ b/clustertests/src/main/java/clayhook/clustertests/LinkFault.java
@@ -1,15 +1,15 @@
 package clayhook.clustertests;
 
 /**
- * What a link does to datagrams. Shares lie between 0 and 1, times are seconds.
+ * The effects of a link on datagrams. Shares are between 0 and 1, times are in seconds.
  *
- * @param cut nothing comes through
- * @param loss the share that is lost
- * @param twice the share that comes twice
- * @param late the share that is held back, so that later ones overtake it
- * @param garbled the share of which some bytes are changed, or the end is missing
- * @param delay of each
- * @param rate bytes a second; 0 for any
+ * @param cut whether all datagrams are lost
+ * @param loss share of datagrams that are lost
+ * @param twice share of datagrams that are duplicated
+ * @param late share of datagrams that are delayed, so that later ones overtake them
+ * @param garbled share of datagrams that are corrupted: some bytes are changed, or the end is missing
+ * @param delay delay of each datagram
+ * @param rate bandwidth in bytes per second; 0 for unlimited
  */
 public record LinkFault(
         boolean cut, double loss, double twice, double late, double garbled, double delay, double rate) {
