--- a/clustertests/src/main/java/clayhook/clustertests/ClusterNode.java
+++ b/clustertests/src/main/java/clayhook/clustertests/ClusterNode.java
@@ -22,25 +22,29 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** A node on a socket that tells the history what it executes, for whom. Its state may be changed by any thread. */
-@SuppressWarnings("FutureReturnValueIgnored") // a write or close that fails shows as the end of its channel
+/**
+ * A simulated node that listens on a socket and records in the history which statements it executes for which router.
+ * Any thread may change its state.
+ */
+@SuppressWarnings("FutureReturnValueIgnored") // a write or close that fails also closes its channel
 public final class ClusterNode {
-    /** What it does with a statement. */
+    /** How the node handles statements. */
     public enum Behavior {
+        /** Executes statements and answers them. */
         WELL,
-        /** Reads it and does nothing. */
+        /** Reads statements and neither executes nor answers them. */
         HUNG,
-        /** Executes it and does not answer: the outcome of a write is known to nobody but the node. */
+        /** Executes statements and does not answer: the outcome of a write is known only to the node. */
         SILENT,
-        /** Executes it and resets the connection. */
+        /** Executes statements and closes the connection instead of answering. */
         RESETTING,
-        /** Ends each connection at once. */
+        /** Closes each connection as soon as it is accepted. */
         DEAD
     }
 
-    /** Of a request. */
+    /** Node time that one request takes, in seconds. */
     private static final double WORK_SECONDS = 0.001;
-    /** What a warm node does in a second: far more than any run asks for. */
+    /** Work in seconds that a warm node completes per second; far above the load of any run. */
     private static final double WORK_SECONDS_PER_SECOND = 2;
 
     final Node node;
@@ -52,7 +56,7 @@
     private volatile Endpoint.State state = Endpoint.State.READY;
     private volatile double stateSince;
     private volatile double startedAt;
-    /** The position at which its log has stalled; 0 while it goes on. Guarded by this. */
+    /** Applied position at which the node's log is stalled, or 0 if it is not stalled. Guarded by {@code this}. */
     private double stalledAt;
 
     ClusterNode(TestReplicaSet cluster, Node node, Transport transport) throws InterruptedException {
@@ -68,7 +72,7 @@
         return node;
     }
 
-    /** Where routers reach it. */
+    /** The port at which routers reach the node: that of its relay, or its own if it has no relay. */
     int port() {
         TcpRelay between = relay;
         return between == null ? ownAddress().getPort() : between.address().getPort();
@@ -78,12 +82,12 @@
         return (InetSocketAddress) listening.localAddress();
     }
 
-    /** Lets routers that hear of the next list reach it through a relay. */
+    /** Puts a relay in front of the node; routers use it from the next version of the endpoint list on. */
     void putBehindRelay() throws IOException {
         relay = new TcpRelay(ownAddress());
     }
 
-    /** The relay in front of it; null if there is none. */
+    /** The relay in front of the node, or null if there is none. */
     TcpRelay relay() {
         return relay;
     }
@@ -96,13 +100,13 @@
         return startedAt;
     }
 
-    /** As the list tells it from now on. */
+    /** Sets the state that the endpoint list shows, and publishes a new version of the list. */
     public void state(Endpoint.State next) {
         stateWithoutNotice(next);
         cluster.listChanged();
     }
 
-    /** As the list tells it from its next change on. */
+    /** Sets the state that the endpoint list shows from its next version on. */
     void stateWithoutNotice(Endpoint.State next) {
         stateSince = HistoryRecorder.now();
         state = next;
@@ -119,14 +123,14 @@
         }
     }
 
-    /** Comes back after its death, in slow start. */
+    /** Restarts the node after it was dead; it begins in slow start. */
     public void restart() {
         startedAt = HistoryRecorder.now();
         behavior = Behavior.WELL;
         cluster.listChanged();
     }
 
-    /** Stalls a replica's log, or lets it catch up. */
+    /** Stalls the log of a replica, or lets the replica catch up. */
     public synchronized void stall(boolean stalls) {
         stalledAt = stalls ? position() : 0;
     }
@@ -135,7 +139,10 @@
         return cluster.primary() == this;
     }
 
-    /** Where its log stands; what it had as the primary it keeps, also where its log stalled meanwhile. */
+    /**
+     * The applied position of the node. A position that the node reached as primary is never lost, even if its log is
+     * stalled meanwhile.
+     */
     synchronized double position() {
         double now = HistoryRecorder.now();
         if (leads()) {
@@ -149,7 +156,7 @@
         stalledAt = stalledAt > 0 ? Math.max(stalledAt, position) : 0;
     }
 
-    /** Records the work of a request for the history's rule on slow start, which goes by a fixed capacity. */
+    /** Records the work of a request for the history's slow-start rule, which assumes a fixed node capacity. */
     void recordSlowStartWork() {
         double age = HistoryRecorder.now() - startedAt;
         double slowStartSeconds = cluster.settings.slowStartSeconds();
@@ -162,7 +169,7 @@
 
     private ByteBuf row(String value, double position) {
         String load = "inflight=1,x0=" + position + ",x1=" + (leads() ? 1 : 0);
-        // Rounded down: nobody is told of more than there is.
+        // Rounded down, so that the reported position never exceeds the applied position.
         return StubNode.row(
                 value == null ? load : value,
                 leads() ? "primary" : "replica",
@@ -171,7 +178,7 @@
     }
 
     private final class Connection extends ChannelInboundHandlerAdapter {
-        /** The user as whom the router connects. */
+        /** User name with which the router connects; each router uses its own name. */
         private String router = "";
 
         @Override
@@ -205,7 +212,7 @@
             }
         }
 
-        /** A draining node fails health checks at once, also while it still executes statements. */
+        /** Answers a health check; a draining node fails it at once, even while it still executes statements. */
         private ByteBuf healthCheckAnswer() {
             return state == Endpoint.State.READY
                     ? row(null, position())
@@ -234,7 +241,7 @@
         }
     }
 
-    /** Null for a health check. */
+    /** Parses a statement; returns null for a health check, which has no routing comment. */
     private static KeyValueStatement statement(byte[] text) {
         try {
             return KeyValueStatement.parse(text);
