--- a/clustertests/src/main/java/clayhook/clustertests/CrowdedDiscovery.java
+++ b/clustertests/src/main/java/clayhook/clustertests/CrowdedDiscovery.java
@@ -15,25 +15,25 @@
 import java.util.regex.Pattern;
 
 /**
- * A discovery service that handles the calls of all routers in turn and rejects those that would wait too long. Each
- * router has an address of its own, so that the audit knows whom an answer went to. All methods are thread-safe.
+ * A discovery service with one queue for the calls of all routers, which rejects calls that would wait too long. Each
+ * router has its own address, so that the audits know to which router an answer was written. Thread-safe.
  */
 public final class CrowdedDiscovery implements AutoCloseable {
-    /** What becomes of calls. */
+    /** How calls are handled. */
     public enum Mode {
-        /** They are handled in turn. */
+        /** Calls are handled one after the other. */
         NORMAL,
-        /** Other callers fill the queue: each call is rejected, at once or after it has waited. */
+        /** Other callers fill the queue: every call is rejected, alternately at once and after the longest wait. */
         CROWDED,
-        /** As NORMAL, but each answer is late by a second. */
+        /** As {@link #NORMAL}, but each answer is delayed by one second. */
         SLOW,
-        /** All calls are rejected at once, and those that were open as well; no change can be heard of. */
+        /** All calls are rejected at once, also open watches; routers cannot be notified of changes. */
         DOWN,
-        /** Calls get no answer and stay open. */
+        /** Calls get no answer and remain open. */
         SILENT
     }
 
-    /** A call that would wait longer in the queue is rejected. */
+    /** Longest wait in the queue, in seconds; a call that would wait longer is rejected. */
     private static final double QUEUE_LIMIT_SECONDS = 2;
 
     private static final double SLOW_SECONDS = 1;
@@ -69,11 +69,11 @@
     private final EndpointNotifications notifications;
     private final Consumer<TestReplicaSet> changeListener;
     private final double secondsPerCall;
-    /** Two for each router, of which one is in use at a time; the other answers as well. */
+    /** Two addresses for each router. One is in use at a time; the service answers at both. */
     private final List<List<StubDiscovery>> addresses = new ArrayList<>();
 
     private final List<Integer> inUse = new ArrayList<>();
-    /** Calls that wait for a change; emptied by each change and at the end of their waits. */
+    /** Open watches. Each change of the endpoint list removes all; a watch is also removed when its wait ends. */
     private final List<Call> parked = new ArrayList<>();
 
     private Mode mode = Mode.NORMAL;
@@ -82,11 +82,11 @@
     private int answers;
 
     /**
-     * Listens at one address for each router.
+     * Starts to listen at two addresses for each router.
      *
-     * @param notifications records what is written to each router
-     * @param changeListener hears of each new version of the list
-     * @param secondsPerCall how long the service works on a call
+     * @param notifications records which versions of the list are written to each router
+     * @param changeListener receives each new version of the list, on the thread that makes it
+     * @param secondsPerCall processing time of one call, in seconds
      */
     CrowdedDiscovery(
             Transport transport,
@@ -116,22 +116,22 @@
         return addresses.get(router).get(inUse.get(router)).address();
     }
 
-    /** From now on the other address of a router is the one to configure. */
+    /** Switches to the other address of a router, which {@link #address} returns from now on. */
     synchronized void move(int router) {
         inUse.set(router, 1 - inUse.get(router));
     }
 
-    /** How many calls were rejected so far. */
+    /** Number of calls rejected so far. */
     public synchronized int rejections() {
         return rejections;
     }
 
-    /** How many calls were answered with a list so far. */
+    /** Number of calls answered with an endpoint list so far. */
     public synchronized int answers() {
         return answers;
     }
 
-    /** Changes what becomes of calls from now on. */
+    /** Sets how calls are handled from now on; open watches are ended if the new mode does not answer them. */
     public synchronized void mode(Mode next) {
         mode = next;
         notifications.onReachable(next != Mode.DOWN);
@@ -151,7 +151,7 @@
             reject(call, 0);
         } else if (mode == Mode.NORMAL || mode == Mode.SLOW) {
             enqueue(call, now);
-        } // else nobody answers
+        } // in SILENT mode the call stays open without an answer
     }
 
     private void enqueue(Call call, double now) {
@@ -164,7 +164,7 @@
         schedule(done - now + (mode == Mode.SLOW ? SLOW_SECONDS : 0), () -> handle(call));
     }
 
-    @SuppressWarnings("ReturnValueIgnored") // a rejection to a client that has gone is of no interest
+    @SuppressWarnings("ReturnValueIgnored") // the result is irrelevant: the router may have closed the connection
     private void reject(Call call, double afterSeconds) {
         rejections++;
         schedule(afterSeconds, () -> call.answer.test(REJECTION));
@@ -191,7 +191,7 @@
         call.answered = true;
         answers++;
         int version = cluster.version();
-        // Told from before the write on, as the router may act on it before this thread goes on.
+        // Read before the write, as the router may act on the list before this thread records the notification.
         if (call.answer.test(cluster.list())) {
             notifications.onWritten(call.router, version);
         }
@@ -208,7 +208,8 @@
         }
     }
 
-    @SuppressWarnings("FutureReturnValueIgnored") // a call whose task fails gets no answer, which its router reports
+    @SuppressWarnings(
+            "FutureReturnValueIgnored") // a call whose task fails gets no answer, which its router reports in its log
     private void schedule(double seconds, Runnable task) {
         timer.schedule(task, (long) (seconds * NANOS_PER_SECOND), TimeUnit.NANOSECONDS);
     }
