--- a/clustertests/src/main/java/clayhook/clustertests/DatagramRelay.java
+++ b/clustertests/src/main/java/clayhook/clustertests/DatagramRelay.java
@@ -23,16 +23,16 @@
 import java.util.stream.Stream;
 
 /**
- * Stands between routers: one socket for each, at which the others reach it. By the source of a datagram the relay
- * knows the sender, and with it the directed link; what comes through leaves from the sender's own socket here, so that
- * the receiver sees the address that it may answer to, and no datagram finds a way around.
+ * A relay of all datagrams between routers, with one socket for each router, at which the other routers reach it. The
+ * source address of a datagram identifies the sender and thereby the directed link. The relay forwards a datagram from
+ * the sender's socket, so that the receiver sees an address to which it can reply and no datagram bypasses the relay.
  */
 @SuppressWarnings("FutureReturnValueIgnored") // a datagram that cannot be sent is lost, as on a network
 public final class DatagramRelay {
     private static final int LONGEST = 1 << 16;
     /**
-     * Datagrams held back at most, over all links; what comes beyond is lost. A second of a fleet far busier than any
-     * here.
+     * Bound on the datagrams that are delayed at the same time, over all links; further ones are dropped. It holds the
+     * traffic of one second of a fleet far busier than those of the tests.
      */
     private static final int MOST_HELD = 1 << 16;
 
@@ -41,12 +41,13 @@
     private final Map<InetSocketAddress, Integer> byAddress = new HashMap<>();
     private final NetworkLink[][] links;
     private final AtomicLong strangers = new AtomicLong();
-    /** Of the loop's thread alone. */
+    /** Number of datagrams that are delayed now. Accessed by the event loop's thread only. */
     private int held;
 
     /**
-     * {@code routers} are the addresses at which they really listen and from which they send; it ends with the
-     * transport.
+     * Binds the sockets of the relay on the transport's event loop; they are closed with the transport.
+     *
+     * @param routers the addresses at which the routers actually listen and from which they send
      */
     public DatagramRelay(Transport transport, List<InetSocketAddress> routers, long seed) throws InterruptedException {
         this.routers = List.copyOf(routers);
@@ -70,12 +71,12 @@
         }
     }
 
-    /** Where the others reach that router. */
+    /** The address at which the other routers reach a router. */
     public InetSocketAddress address(int router) {
         return (InetSocketAddress) sockets.get(router).localAddress();
     }
 
-    /** Where it really listens; only the relay sends there. */
+    /** The address at which a router actually listens; only the relay sends to it. */
     public InetSocketAddress behind(int router) {
         return routers.get(router);
     }
@@ -84,7 +85,7 @@
         return links[from][to];
     }
 
-    /** Of the datagrams on all links. */
+    /** Number of datagrams with that delivery, over all links. */
     public long count(NetworkLink.Delivery fate) {
         return Stream.of(links)
                 .flatMap(Stream::of)
@@ -92,12 +93,12 @@
                 .sum();
     }
 
-    /** Datagrams that came from none of the routers; these go nowhere. */
+    /** Number of datagrams that came from none of the routers; these are dropped. */
     public long strangers() {
         return strangers.get();
     }
 
-    /** Takes what is sent to one router. */
+    /** Receives the datagrams that are sent to one router. */
     private final class Socket extends SimpleChannelInboundHandler<DatagramPacket> {
         private final int to;
 
@@ -136,7 +137,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // Guards against a router that is not there: the machine tells of it at the socket that sent to it
+            // Sending to a router that is down raises an IOException at the sending socket, which is ignored.
             if (!(cause instanceof IOException)) {
                 ctx.fireExceptionCaught(cause);
             }
