--- a/clustertests/src/main/java/clayhook/clustertests/DiscoveryServer.java
+++ b/clustertests/src/main/java/clayhook/clustertests/DiscoveryServer.java
@@ -9,21 +9,25 @@
 import java.util.function.IntSupplier;
 import java.util.function.Predicate;
 
-/** Discovery: tells routers each change of the list; or has fallen silent, or speaks to a few only. */
+/**
+ * A discovery service that answers the watches of routers at each change of the endpoint list. The number of answers
+ * can be limited, so that only some routers, or none, are notified of a change.
+ */
 public final class DiscoveryServer {
     private final TestReplicaSet cluster;
     private final IntSupplier routers;
     private final StubDiscovery service;
     /**
-     * Calls that wait for something newer than they know; emptied by each change. One a router, and a few it gave up.
+     * Calls that wait for a newer version of the list; emptied by each change. Holds one call of each router, and a few
+     * that routers abandoned.
      */
     private List<Predicate<String>> waiting = new ArrayList<>();
-    /** Calls that will be answered. */
+    /** Number of calls that will still be answered. */
     private int answers = Integer.MAX_VALUE;
 
     private int answered;
 
-    /** {@code routers} says how many are there to be told. */
+    /** {@code routers} returns the number of running routers; a change counts as notified after that many answers. */
     DiscoveryServer(Transport transport, TestReplicaSet cluster, IntSupplier routers) throws InterruptedException {
         this.cluster = cluster;
         this.routers = routers;
@@ -35,7 +39,7 @@
         return service.address();
     }
 
-    /** From now on it answers so many calls and leaves all further ones waiting. */
+    /** Limits the number of calls answered from now on; further calls stay open. */
     public synchronized void answers(int calls) {
         answers = calls;
         speak();
