--- a/clustertests/src/main/java/clayhook/clustertests/DrainAudit.java
+++ b/clustertests/src/main/java/clayhook/clustertests/DrainAudit.java
@@ -9,11 +9,11 @@
 import java.util.Map;
 
 /**
- * Judges, for each router by itself, that nothing new goes to a draining node once the router counts as notified. Times
- * are seconds on the clock of {@link HistoryRecorder}. Thread-safe.
+ * Checks, for each router separately, that it sends no new request to a draining node once it counts as notified of the
+ * drain. Times are seconds on the clock of {@link HistoryRecorder}. Thread-safe.
  */
 public final class DrainAudit {
-    /** Seconds in which a router may still send to a node after it was notified. */
+    /** Seconds after its notification during which a router may still send to a draining node. */
     private static final double GRACE_SECONDS = 0.25;
 
     private record Drain(int version, double at) {}
@@ -23,13 +23,17 @@
     private final Map<Node, Drain> drains = new HashMap<>();
     private final List<String> violations = new ArrayList<>();
 
-    /** {@code machineSeconds}: what a busy machine may add between a router's decision and the node's reading. */
+    /**
+     * Creates an audit without drains.
+     *
+     * @param machineSeconds delay that a busy machine may add between a router's decision and the node's read
+     */
     DrainAudit(EndpointNotifications notifications, double machineSeconds) {
         this.notifications = notifications;
         this.machineSeconds = machineSeconds;
     }
 
-    /** Discovery has a new version of the list. */
+    /** Records the draining nodes of a new version of the endpoint list at discovery. */
     synchronized void onChange(TestReplicaSet cluster) {
         for (ClusterNode node : cluster.nodes()) {
             if (node.state() == Endpoint.State.READY) {
@@ -40,7 +44,7 @@
         }
     }
 
-    /** A node has read a request of a router. */
+    /** Checks a request that a node has read. */
     synchronized void onRequest(NodeRequest request) {
         Drain drain = drains.get(request.node());
         if (drain == null) {
@@ -60,7 +64,7 @@
         }
     }
 
-    /** All requests that went to draining nodes too late, in words. */
+    /** Descriptions of all requests that were sent to draining nodes too late. */
     public synchronized List<String> violations() {
         return List.copyOf(violations);
     }
--- a/clustertests/src/main/java/clayhook/clustertests/EndpointNotifications.java
+++ b/clustertests/src/main/java/clayhook/clustertests/EndpointNotifications.java
@@ -6,40 +6,40 @@
 import java.util.Map;
 
 /**
- * When each router counts as notified of a version of the endpoint list: once discovery has written that version, or a
- * later one, to it, and in any case six seconds after discovery had it, could be reached and the router's process ran.
- * Times are seconds on the clock of {@link HistoryRecorder}. Thread-safe.
+ * Computes when each router counts as notified of a version of the endpoint list: once discovery has written that
+ * version, or a later one, to it, and in any case six seconds after discovery had the version, was reachable and the
+ * router's process was running. Times are seconds on the clock of {@link HistoryRecorder}. Thread-safe.
  */
 final class EndpointNotifications {
-    /** After that a change counts as notified, whether or not it arrived. */
+    /** Seconds after which a change counts as notified, whether or not it arrived. */
     static final double NOTIFIED_AFTER_SECONDS = 6;
 
-    /** What discovery has to tell counts as notified so long after a reload that moved it. */
+    /** Seconds after a reload that changed discovery's address until earlier changes count as notified. */
     private static final double NOTIFIED_AFTER_RELOAD_SECONDS = 4;
 
     private record Notification(int version, double at) {}
 
     private final Map<String, List<Notification>> written = new HashMap<>();
     private final Map<String, Double> startedAt = new HashMap<>();
-    /** Of the newest reload of a router that moved discovery. */
+    /** Time of each router's latest reload that changed discovery's address, by router name. */
     private final Map<String, Double> reloadedAt = new HashMap<>();
 
     private double reachableSince;
     private boolean reachable = true;
 
-    /** The process of a router starts; what was written to an earlier one is forgotten. */
+    /** Records that the process of a router starts; notifications of its earlier processes no longer count. */
     synchronized void onStarted(String router) {
         startedAt.put(router, HistoryRecorder.now());
         written.put(router, new ArrayList<>());
         reloadedAt.remove(router);
     }
 
-    /** A router is told by SIGHUP that discovery has moved. */
+    /** Records that a router gets SIGHUP to reload a changed address of discovery. */
     synchronized void onReload(String router) {
         reloadedAt.put(router, HistoryRecorder.now());
     }
 
-    /** Discovery can be reached from now on, or cannot. */
+    /** Records whether discovery is reachable from now on. */
     synchronized void onReachable(boolean isReachable) {
         if (isReachable && !reachable) {
             reachableSince = HistoryRecorder.now();
@@ -47,17 +47,17 @@
         reachable = isReachable;
     }
 
-    /** Discovery has written a version of the list to a router. */
+    /** Records that discovery has written a version of the list to a router. */
     synchronized void onWritten(String router, int version) {
         written.computeIfAbsent(router, any -> new ArrayList<>()).add(new Notification(version, HistoryRecorder.now()));
     }
 
     /**
-     * When a router counts as notified of a change, which may be in the future; infinite where nothing says when, or
-     * for a router that has not been started.
+     * Returns when a router counts as notified of a change, which may be in the future; infinite if that is not yet
+     * determined, or if the router has not been started.
      *
-     * @param version of the list that has the change
-     * @param changedAt when discovery had that version
+     * @param version the first version of the list with the change
+     * @param changedAt the time at which discovery had that version
      */
     synchronized double notifiedAt(String router, int version, double changedAt) {
         if (!startedAt.containsKey(router)) {
