--- a/clustertests/src/main/java/clayhook/clustertests/FaultSchedule.java
+++ b/clustertests/src/main/java/clayhook/clustertests/FaultSchedule.java
@@ -7,7 +7,7 @@
 import java.util.TreeSet;
 import java.util.stream.IntStream;
 
-/** What goes wrong in a trial, in its order: each kind of fault once, with routers and strengths by the seed. */
+/** The faults of a test run in their order: each kind once, with routers and intensities drawn from the seed. */
 public final class FaultSchedule {
     private FaultSchedule() {}
 
--- a/clustertests/src/main/java/clayhook/clustertests/FleetSpec.java
+++ b/clustertests/src/main/java/clayhook/clustertests/FleetSpec.java
@@ -3,13 +3,13 @@
 /**
  * The size and the settings of a {@link RouterFleet}.
  *
- * @param program what the processes run
- * @param allCallsSeconds how long discovery takes for one call of every router
- * @param healthChecksAllowed whether the settings allow routers to check nodes
+ * @param program the program that the processes run
+ * @param allCallsSeconds time in which discovery processes one call of every router
+ * @param healthChecksAllowed whether the settings allow health checks
  * @param clientTimeoutSeconds how long clients of all request classes wait for an answer
- * @param descriptors that each router may hold
- * @param nodesBehindRelays whether routers reach the nodes through relays, whose links may have faults
- * @param seed of the load and the routers
+ * @param descriptors limit of open file descriptors of each router
+ * @param nodesBehindRelays whether routers reach the nodes through relays, which can inject link faults
+ * @param seed random seed of the load and the routers
  */
 public record FleetSpec(
         RouterProgram program,
@@ -21,12 +21,12 @@
         int descriptors,
         boolean nodesBehindRelays,
         long seed) {
-    /** Long beside what a busy machine takes for an answer. */
+    /** Far longer than a router on a busy machine takes to answer. */
     private static final double USUAL_CLIENT_TIMEOUT_SECONDS = 2;
 
     private static final int USUAL_DESCRIPTORS = 1024;
 
-    /** A fleet whose clients wait as long as usual, and whose routers have as many descriptors as usual. */
+    /** Creates a fleet with the default client timeout and descriptor limit, and without relays. */
     public FleetSpec(
             RouterProgram program,
             int routerCount,
@@ -46,17 +46,17 @@
                 seed);
     }
 
-    /** The same fleet with another client timeout. */
+    /** Returns the same fleet with another client timeout. */
     FleetSpec withClientTimeout(double seconds) {
         return with(seconds, descriptors, nodesBehindRelays);
     }
 
-    /** The same fleet with another limit of descriptors. */
+    /** Returns the same fleet with another descriptor limit. */
     FleetSpec withDescriptors(int count) {
         return with(clientTimeoutSeconds, count, nodesBehindRelays);
     }
 
-    /** The same fleet with a relay in front of each node. */
+    /** Returns the same fleet with a relay in front of each node. */
     FleetSpec withNodesBehindRelays() {
         return with(clientTimeoutSeconds, descriptors, true);
     }
