--- a/clustertests/src/main/java/clayhook/clustertests/HistoryRecorder.java
+++ b/clustertests/src/main/java/clayhook/clustertests/HistoryRecorder.java
@@ -10,23 +10,23 @@
 import java.util.Map;
 
 /**
- * Records what clients and nodes of a run see, and judges it by the rules. Times are seconds since 1970 on one clock,
- * that of this process. Requests are kept for as long as the run. Thread-safe.
+ * Records the requests of a run as its clients and nodes see them, and checks them against the rules. Times are seconds
+ * since 1970 on the clock of this process. Requests are retained for the whole run. Thread-safe.
  */
 public final class HistoryRecorder {
-    /** For how long a machine that is shared with other work may stall a process; added to the bounds of all rules. */
+    /** Seconds for which a machine shared with other work may stall a process; added to the bounds of all rules. */
     static final double MACHINE_SECONDS = 1;
-    /** In which a router may still send to a draining node. */
+    /** Seconds after its notification during which a router may still send to a draining node. */
     private static final double DRAIN_GRACE_SECONDS = 0.25;
-    /** Between the clock of this process and those of routers, which are slewed to the machine's. */
+    /** Largest difference in seconds between this process's clock and those of routers, which slew to the machine's. */
     private static final double CLOCK_DIFFERENCE_SECONDS = 0.01;
 
     private static final double NANOS_PER_SECOND = 1e9;
     private static final double MILLIS_PER_SECOND = 1000;
 
-    /** Whether a router owes answers: not where it was down or stalled at some time while one was due. */
+    /** Status of a router: a request may go unanswered if its router was down or stalled while the answer was due. */
     private static final class RouterStatus {
-        /** How often it went down or came up. */
+        /** Number of times that the router went down or came up. */
         int changes;
 
         boolean ending;
@@ -34,11 +34,11 @@
         double upSince;
     }
 
-    /** A request of a client; {@code routerChanges} is how often its router had gone down or come up by then. */
+    /** A request of a client; {@code routerChanges} is the {@link RouterStatus#changes} of its router at that time. */
     private record SentRequest(
             RequestClass requestClass, double at, double lastWritePosition, String router, int routerChanges) {}
 
-    /** What is added to the monotonic clock for seconds since 1970. */
+    /** Offset in seconds from the monotonic clock to the time since 1970. */
     private static final double WALL_CLOCK_OFFSET =
             System.currentTimeMillis() / MILLIS_PER_SECOND - System.nanoTime() / NANOS_PER_SECOND;
 
@@ -46,7 +46,7 @@
     private final AttemptAudit attempts = new AttemptAudit();
     private final Map<String, SentRequest> requests = new HashMap<>();
     private final Map<String, RouterStatus> routers = new HashMap<>();
-    /** Since when routers know that a node drains; a router that was down then knows it from its start on. */
+    /** Time since which routers are notified that a node drains; a router that was down then, since its start. */
     private final Map<Node, Double> drainNotifiedAt = new HashMap<>();
 
     private final Map<Node, Integer> executions = new HashMap<>();
@@ -58,25 +58,28 @@
                 DRAIN_GRACE_SECONDS + MACHINE_SECONDS, settings.overloadFactor(), settings.overloadWindowSeconds());
     }
 
-    /** Seconds since 1970; never goes back. */
+    /** Seconds since 1970; never decreases. */
     static double now() {
         return WALL_CLOCK_OFFSET + System.nanoTime() / NANOS_PER_SECOND;
     }
 
     // ---- routers ----
 
-    /** From now on until {@link #up} no answer can be asked of that router, nor for what is open there. */
+    /** Records that a router is down. Until {@link #up} it owes no answers, also not to its open requests. */
     synchronized void down(String router) {
         RouterStatus status = status(router);
         status.changes++;
         status.down = true;
     }
 
-    /** A router has been told to end: it may refuse connections from now on, but owes an answer to what it takes. */
+    /**
+     * Records that a router is shutting down: it may refuse connections, but owes answers to requests that it admits.
+     */
     synchronized void ending(String router) {
         status(router).ending = true;
     }
 
+    /** Records that a router is up. */
     synchronized void up(String router) {
         RouterStatus status = status(router);
         status.changes++;
@@ -93,7 +96,7 @@
         return status(router).down;
     }
 
-    /** All routers that are up were notified whether that node drains. */
+    /** Records that all routers that are up were notified whether a node drains. */
     synchronized void notified(Node node, boolean drains) {
         if (drains) {
             drainNotifiedAt.putIfAbsent(node, now());
@@ -105,10 +108,10 @@
     // ---- clients ----
 
     /**
-     * A client sends a request.
+     * Records that a client sends a request.
      *
-     * @param lastWritePosition of its session; 0 where that does not count
-     * @param waitSeconds how long it waits for the answer
+     * @param lastWritePosition last-write position of its session; 0 if the request class does not require it
+     * @param waitSeconds time that the client waits for the answer
      */
     synchronized void sent(
             String id, RequestClass requestClass, double lastWritePosition, String router, double waitSeconds) {
@@ -119,18 +122,23 @@
         attempts.onSent(id, requestClass.clientTimeoutSeconds(), hasKey ? id : null);
     }
 
-    /** The client of a request has closed its connection: no answer is owed any more. */
+    /** Records that the client of a request has closed its connection; it is owed no answer any more. */
     synchronized void left(String id) {
         audit.excused(id);
         attempts.onLeft(id);
     }
 
-    /** Judges what routers send to nodes for the clients. */
+    /** The audit of the attempts that routers send to nodes. */
     AttemptAudit attempts() {
         return attempts;
     }
 
-    /** The answer to a request came; {@code rejected} says that it never ran, {@code served} that it has a value. */
+    /**
+     * Records the answer to a request.
+     *
+     * @param rejected whether the answer says that the request was never executed
+     * @param served whether the answer has a value
+     */
     synchronized void answered(String id, boolean rejected, boolean served) {
         audit.answered(id, now());
         if (rejected) {
@@ -141,8 +149,9 @@
     }
 
     /**
-     * No answer came, but the end of the connection, or null for nothing. Only where its router was down or stalled
-     * meanwhile is that no fault.
+     * Records that a request got no answer. This is a violation unless its router was down or stalled meanwhile.
+     *
+     * @param instead how the connection ended, or null if nothing was received
      */
     synchronized void unanswered(String id, String instead) {
         SentRequest request = requests.get(id);
@@ -158,14 +167,14 @@
 
     // ---- nodes ----
 
-    /** A node has read a statement of a router. */
+    /** Records that a node has read a statement of a router. */
     synchronized void arrived(String router, Node node) {
         if (drainNotifiedAt.containsKey(node) && routers.containsKey(router)) {
             audit.sentToDraining(node, Math.max(drainNotifiedAt.get(node), routers.get(router).upSince), now());
         }
     }
 
-    /** A node executes a request at its applied position. One that no client sent is of no interest. */
+    /** Records that a node executes a request at its applied position; requests that no client sent are ignored. */
     synchronized void executed(String id, Node node, double position) {
         SentRequest request = requests.get(id);
         if (request != null) {
@@ -174,7 +183,7 @@
         }
     }
 
-    /** The position that an answer has to cover; 0 for any. */
+    /** The applied position that the answer must include; 0 if any position is allowed. */
     private static double requiredPosition(SentRequest request) {
         return switch (request.requestClass().consistency()) {
             case BOUNDED_STALENESS ->
@@ -184,30 +193,32 @@
         };
     }
 
-    /** Work in seconds came to a node in slow start that does {@code capacity} a second. */
+    /** Records work, in seconds, of a node in slow start that completes {@code capacity} seconds of work per second. */
     synchronized void worked(Node node, double work, double capacity) {
         audit.worked(node, work, capacity, now());
     }
 
     // ---- the verdict ----
 
-    /** Requests that a router's clients got an answer with a value to. */
+    /** Number of requests that a router answered with a value. */
     public synchronized int served(String router) {
         return servedByRouter.getOrDefault(router, 0);
     }
 
-    /** Requests that a node executed. */
+    /** Number of requests that a node executed. */
     public synchronized int executions(Node node) {
         return executions.getOrDefault(node, 0);
     }
 
-    /** How often each rule was broken; empty where all are kept. For the end: all that was sent counts as over. */
+    /**
+     * Number of violations of each rule, without rules that were kept. Ends the run: open requests count as overdue.
+     */
     public synchronized Map<RuleAudit.RuleKept, Integer> broken() {
         audit.end(Double.POSITIVE_INFINITY);
         return audit.broken();
     }
 
-    /** The first break, and the first request that nobody answered, or null. */
+    /** Description of the first violation and of the first unanswered request, each null if there is none. */
     public synchronized String firstBroken() {
         return audit.first() + ", " + firstUnanswered;
     }
