--- a/clustertests/src/main/java/clayhook/clustertests/IdleCrowd.java
+++ b/clustertests/src/main/java/clayhook/clustertests/IdleCrowd.java
@@ -8,13 +8,13 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Clients that connect, send a start-up message and nothing more, and so hold a router's descriptors. */
+/** Clients that connect and send only a start-up message, and so occupy file descriptors of a router. */
 final class IdleCrowd implements AutoCloseable {
     private static final int CONNECT_TIMEOUT_MS = 1000;
 
     private final List<Socket> sockets = new ArrayList<>();
 
-    /** Connects so many clients; fewer where the router takes no more. */
+    /** Connects that number of clients, or fewer if the router accepts no more. */
     IdleCrowd(InetSocketAddress router, int count) {
         for (int i = 0; i < count; i++) {
             var socket = new Socket();
@@ -24,7 +24,7 @@
                 ByteBuf startup = MessageEncoder.startupMessage("client", "core");
                 startup.readBytes(socket.getOutputStream(), startup.readableBytes());
             } catch (IOException e) {
-                // the router is down, or rejects it
+                // the router is down or rejects the client
             }
         }
     }
