--- a/clustertests/src/main/java/clayhook/clustertests/FaultSoak.java
+++ b/clustertests/src/main/java/clayhook/clustertests/FaultSoak.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** Plays a schedule of faults on a fleet under load and judges it by the rules. */
+/** Runs a schedule of faults on a fleet under load and checks the run against the rules. */
 final class FaultSoak {
-    /** What a run showed; empty lists for a run that kept all rules. */
+    /** Result of a run; the lists are empty if no rule was violated. */
     record Verdict(
             List<String> drainViolations,
             List<String> slowStartViolations,
@@ -29,7 +29,7 @@
     }
 
     private static final double MILLIS_PER_SECOND = 1000;
-    /** After all faults each router serves within this time. */
+    /** Seconds after the last fault within which the fleet has to serve requests again. */
     private static final double RECOVERY_SECONDS = 20;
 
     private static final int SERVED_AFTERWARDS = 20;
@@ -42,7 +42,7 @@
         this.fleet = fleet;
     }
 
-    /** Runs faults and judges; the fleet's load must have begun. */
+    /** Runs the faults and returns the verdict; the fleet's load must have been started. */
     static Verdict run(RouterFleet fleet, List<TimedFault> faults) throws InterruptedException {
         var soak = new FaultSoak(fleet);
         double startedAt = HistoryRecorder.now();
@@ -99,7 +99,7 @@
         int target = fleet.answered(Answer.SERVED)
                 + SERVED_AFTERWARDS * fleet.routers().size();
         if (!fleet.await(() -> fleet.answered(Answer.SERVED) >= target, RECOVERY_SECONDS)) {
-            failed("the fleet does not serve after the faults: " + fleet.logs());
+            failed("the fleet does not serve requests after the faults: " + fleet.logs());
         }
     }
 
