--- a/clustertests/src/main/java/clayhook/clustertests/RouterFleet.java
+++ b/clustertests/src/main/java/clayhook/clustertests/RouterFleet.java
@@ -21,12 +21,12 @@
 import java.util.stream.IntStream;
 
 /**
- * A fleet of router processes that share one discovery service and one replica set, each with a little traffic of its
- * own, for faults of discovery, of nodes and of the processes. The rules are judged by {@link HistoryRecorder},
+ * A fleet of router processes with one discovery service, one replica set and a low load at each router, for tests with
+ * faults of discovery, of nodes and of the processes. The rules are checked by {@link HistoryRecorder},
  * {@link DrainAudit}, {@link SlowStartAudit} and {@link AttemptAudit}.
  */
 public final class RouterFleet implements AutoCloseable {
-    /** Times far beyond what a busy machine takes; drains are judged by {@link DrainAudit}. */
+    /** Router settings with times far longer than a busy machine needs; {@link DrainAudit} checks drains. */
     private static final String SETTINGS =
             """
             {"balancers": %1$d, "zone": "%2$s", "domain": {"read_level": ["any", "bounded", "write", "write"],
@@ -38,26 +38,26 @@
             {"name": "charge", "effect": "at_most_once", "aim": %4$s, "hard_limit": %5$s}]}""";
 
     private static final List<String> ZONES = List.of("a", "b");
-    /** Longer than any start takes, even on a busy machine. */
+    /** Longer than the start of any process takes, even on a busy machine. */
     private static final double START_SECONDS = 60;
 
     private static final double MILLIS_PER_SECOND = 1000;
     private static final double NANOS_PER_SECOND = 1e9;
-    /** Of the clients' timeouts. */
+    /** Latency objective as a fraction of the client timeout. */
     private static final double LATENCY_OBJECTIVE_SHARE = 0.5;
-    /** A client waits so long between two requests at most; a router sees a few dozen a second. */
+    /** Longest pause of a client between two requests; each router gets a few dozen requests per second. */
     private static final int MAX_THINK_MS = 150;
 
     private static final int CLIENTS_PER_ROUTER = 2;
-    /** Requests a second that a warm node does for each router at least; the load is about three. */
+    /** Lower bound of a warm node's capacity in requests per second and router; the load is about three. */
     private static final double NODE_CAPACITY_PER_ROUTER = 4;
-    /** One of so many requests is given up by its client. */
+    /** On average one in this many requests is abandoned by its client. */
     private static final int REQUESTS_PER_DEPARTURE = 10;
 
     private static final double MAX_PATIENCE_SECONDS = 0.3;
-    /** What this machine may add before a node reads a request, while it runs all processes and nodes. */
+    /** Seconds by which this machine may delay a node's read of a request while it runs all processes and nodes. */
     private static final double MACHINE_SECONDS = 0.35;
-    /** How long draining nodes go on to execute requests. */
+    /** Seconds for which draining nodes continue to execute requests. */
     private static final double DRAIN_LEAD_SECONDS = 2;
 
     private final Transport nodesLoop = Transport.tcp();
@@ -77,7 +77,7 @@
     private final List<ShutdownScenario.Result> shutdowns = new ArrayList<>();
     private volatile boolean loaded = true;
 
-    /** Starts the processes, named r0, r1 and so on; returns when all take requests. */
+    /** Starts the processes, named r0, r1 and so on; returns when all accept requests. */
     public RouterFleet(FleetSpec spec) throws IOException, InterruptedException {
         this.spec = spec;
         settings = parseSettings();
@@ -146,7 +146,7 @@
                 + spec.descriptors() + "}}";
     }
 
-    // ---- parts ----
+    // ---- components ----
 
     public List<RouterProcess> routers() {
         return processes.all();
@@ -160,7 +160,7 @@
         return replicaSet.nodes();
     }
 
-    /** The rules that were broken, but for drains; empty where all were kept. */
+    /** Violations of the rules that {@link HistoryRecorder} checks, by rule; empty if there are none. */
     public Map<?, Integer> brokenRules() {
         return history.broken();
     }
@@ -173,7 +173,7 @@
         return drains;
     }
 
-    /** What the run came to, to stand beside a verdict. */
+    /** A summary of the run, to be reported with the verdict. */
     synchronized String figures() {
         int requests =
                 shutdowns.stream().mapToInt(each -> each.records().size()).sum();
@@ -182,19 +182,19 @@
                 + ", stalls of the judge " + stalls;
     }
 
-    /** Judges what nodes in slow start get. */
+    /** The audit of the requests that nodes in slow start get. */
     SlowStartAudit slowStarts() {
         return slowStarts;
     }
 
-    /** Judges what routers send to nodes for their clients. */
+    /** The audit of the attempts that routers send to nodes for their clients. */
     AttemptAudit attempts() {
         return history.attempts();
     }
 
     // ---- processes ----
 
-    /** Starts processes with the list of their first start; returns when they take requests. */
+    /** Starts processes with the configured endpoint list of their first start; returns when they accept requests. */
     public void start(Collection<RouterProcess> some) throws IOException, InterruptedException {
         for (RouterProcess router : some) {
             notifications.onStarted(router.name());
@@ -206,7 +206,7 @@
         }
     }
 
-    /** Kills processes without notice; returns when they have ended. */
+    /** Kills processes by SIGKILL; returns when they have ended. */
     public void kill(Collection<RouterProcess> some) throws InterruptedException {
         some.forEach(router -> history.down(router.name()));
         some.forEach(RouterProcess::kill);
@@ -215,32 +215,34 @@
         }
     }
 
-    /** What a shutdown of some routers showed; its violations count for the whole run. */
+    /** Records the result of a shutdown of some routers; its violations count for the whole run. */
     synchronized void onShutdown(ShutdownScenario.Result result) {
         shutdowns.add(result);
     }
 
-    /** What all shutdowns so far showed. */
+    /** Results of all shutdowns so far. */
     synchronized List<ShutdownScenario.Result> shutdowns() {
         return List.copyOf(shutdowns);
     }
 
-    /** What the fleet was made as. */
+    /** The size and the settings of the fleet. */
     FleetSpec spec() {
         return spec;
     }
 
-    /** A router is told to end: it may refuse connections, but answers what it takes. */
+    /** Records that a router gets SIGTERM: it may refuse connections, but owes answers to requests that it admits. */
     void onEnding(RouterProcess router) {
         history.ending(router.name());
     }
 
-    /** A process has ended: from now on until its next start no answer is asked for of that router. */
+    /** Records that a process has ended: the router owes no answers until its next start. */
     void onEnded(RouterProcess router) {
         history.down(router.name());
     }
 
-    /** Tells processes that are starting to end; returns when they have ended. */
+    /**
+     * Restarts processes and sends them SIGTERM that number of seconds after their start; returns when they have ended.
+     */
     void terminateInStart(Collection<RouterProcess> some, double afterSeconds)
             throws IOException, InterruptedException {
         kill(some);
@@ -252,19 +254,20 @@
         RouterProcess.signalRunning(some, "TERM");
         for (RouterProcess router : some) {
             if (!router.ended()) {
-                throw new IOException(router.name() + " does not end, told so " + afterSeconds + " s after its start");
+                throw new IOException(
+                        router.name() + " did not end after SIGTERM, sent " + afterSeconds + " s after its start");
             }
         }
     }
 
-    /** Holds a process up, by SIGSTOP and SIGCONT. */
+    /** Stalls a process for that number of seconds, by SIGSTOP and SIGCONT. */
     public void stall(RouterProcess router, double seconds) throws IOException, InterruptedException {
         router.signal("STOP");
         Thread.sleep((long) (seconds * MILLIS_PER_SECOND));
         router.signal("CONT");
     }
 
-    /** Moves discovery to another address for one router, which is told by SIGHUP. */
+    /** Moves discovery to another address for one router and makes the router reload its files by SIGHUP. */
     public void moveDiscovery(RouterProcess router) throws IOException {
         int number = routers().indexOf(router);
         discovery.move(number);
@@ -275,12 +278,12 @@
 
     // ---- nodes ----
 
-    /** Another node takes over as primary. */
+    /** Makes another node the primary. */
     public void promote(ClusterNode node) {
         replicaSet.promote(node);
     }
 
-    /** Lets nodes drain, or end draining, in one version of the list. */
+    /** Sets the state of several nodes in one new version of the endpoint list. */
     public void state(Collection<ClusterNode> some, Endpoint.State state) {
         some.forEach(node -> node.stateWithoutNotice(state));
         replicaSet.listChanged();
@@ -288,7 +291,7 @@
 
     // ---- load ----
 
-    /** Starts the clients of all routers; one whose router is down tries it again. */
+    /** Starts the load clients of all routers; a client whose router is down retries. */
     public void startLoad() {
         for (int i = 0; i < CLIENTS_PER_ROUTER * spec.routerCount(); i++) {
             RouterProcess router = routers().get(i % spec.routerCount());
@@ -320,7 +323,10 @@
         }
     }
 
-    /** A client of its own sends a request of one of the classes, in turn, and leaves after so many seconds. */
+    /**
+     * Sends a request with a new client, which disconnects after that number of seconds; {@code number} selects the
+     * request class.
+     */
     void sendAndLeave(RouterProcess router, int number, double patienceSeconds) throws InterruptedException {
         var client = new LoadClient(clientsLoop, history, true);
         List<RequestClass> classes = settings.requestClasses();
@@ -332,12 +338,12 @@
         answers.merge(answer, 1, Integer::sum);
     }
 
-    /** How many requests got that answer so far. */
+    /** Number of requests of the load with that result so far. */
     public synchronized int answered(LoadClient.Answer answer) {
         return answers.getOrDefault(answer, 0);
     }
 
-    /** Ends the load; returns when the last request is over. */
+    /** Stops the load; returns when the last request has ended. */
     public void stopLoad() throws InterruptedException {
         loaded = false;
         for (Thread client : clients) {
@@ -346,19 +352,19 @@
         clients.clear();
     }
 
-    /** Waits until a condition holds; false where it did not in so many seconds. */
+    /** Waits until a condition holds; returns false if it does not hold within that number of seconds. */
     public boolean await(BooleanSupplier condition, double seconds) throws InterruptedException {
         return RouterProcesses.await(condition, seconds);
     }
 
-    /** Log lines by which routers report violations that they noticed themselves, or faults of their own. */
+    /** Log lines in which routers report violations that they detected, or errors of their own. */
     public List<String> reportedViolations() {
         return routers().stream()
                 .flatMap(router -> reportedViolations(router.since(0)).stream())
                 .toList();
     }
 
-    /** Without those of warm-ups, whose nodes and requests are the router's own. */
+    /** Excludes lines logged during warm-ups, whose nodes and requests are the router's own. */
     private static List<String> reportedViolations(List<String> lines) {
         var violations = new ArrayList<String>();
         boolean warmingUp = true;
@@ -375,12 +381,12 @@
         return line.contains("although") || line.contains("SEVERE") || line.contains(" ERROR ");
     }
 
-    /** The last lines that each router logged, to explain a verdict. */
+    /** The last log lines of each router, for failure messages. */
     public String logs() {
         return processes.lastLogLines();
     }
 
-    /** Writes all that the routers logged to a folder, a file for each. */
+    /** Writes the complete log of each router to a file in a folder. */
     void writeLogs(Path folder) throws IOException {
         Files.createDirectories(folder);
         for (RouterProcess router : routers()) {
