--- a/clustertests/src/main/java/clayhook/clustertests/RouterProcesses.java
+++ b/clustertests/src/main/java/clayhook/clustertests/RouterProcesses.java
@@ -12,12 +12,12 @@
 import java.util.stream.Stream;
 
 /**
- * The router processes of one test and the folder of their files. Ends the processes when it is closed, or at the
- * latest when the test's own process ends.
+ * The router processes of one test and the folder of their files. Processes that were not killed before are killed when
+ * the test's own process ends.
  */
 final class RouterProcesses {
     private static final long POLL_MS = 10;
-    /** Log lines of each router that explain a verdict. */
+    /** Number of log lines of each router in failure messages. */
     private static final int LAST_LINES = 12;
 
     private final Path folder = Files.createTempDirectory("routers");
@@ -25,19 +25,19 @@
     private final Transport clients;
     private final Thread atExit = new Thread(() -> all.forEach(RouterProcess::kill));
 
-    /** {@code clients}: the transport on which routers are asked whether they take requests. */
+    /** {@code clients}: transport of the connections that check whether routers accept requests. */
     RouterProcesses(Transport clients) throws IOException {
         this.clients = clients;
         Runtime.getRuntime().addShutdownHook(atExit);
     }
 
-    /** Adds a process, which is not started yet. */
+    /** Adds a process that has not been started yet. */
     RouterProcess add(RouterProcess router) {
         all.add(router);
         return router;
     }
 
-    /** A folder for the files of one process. */
+    /** The folder for the files of one process. */
     Path folder(String name) {
         return folder.resolve(name);
     }
@@ -46,18 +46,18 @@
         return all;
     }
 
-    /** Waits until a router takes requests; throws IllegalStateException where it ends or takes too long. */
+    /** Waits until a router accepts requests; throws IllegalStateException if it ends or does not do so in time. */
     void awaitServing(RouterProcess router, double seconds) throws InterruptedException {
         double until = HistoryRecorder.now() + seconds;
         while (!LoadClient.greeted(clients, router.address(), seconds)) {
             if (!router.runs() || HistoryRecorder.now() > until) {
-                throw new IllegalStateException(router.name() + " does not take requests: " + router.since(0));
+                throw new IllegalStateException(router.name() + " does not accept requests: " + router.since(0));
             }
             Thread.sleep(POLL_MS);
         }
     }
 
-    /** Waits until a condition holds; false where it did not in so many seconds. */
+    /** Waits until a condition holds; returns false if it does not hold within that number of seconds. */
     static boolean await(BooleanSupplier condition, double seconds) throws InterruptedException {
         double until = HistoryRecorder.now() + seconds;
         while (!condition.getAsBoolean()) {
@@ -69,7 +69,7 @@
         return true;
     }
 
-    /** The last lines that each router logged, to explain a verdict. */
+    /** The last log lines of each router, for failure messages. */
     String lastLogLines() {
         return all.stream()
                 .map(router -> router.name() + ": " + router.since(Math.max(0, router.mark() - LAST_LINES)))
@@ -87,7 +87,7 @@
         }
     }
 
-    /** Deletes the files of processes that have ended. */
+    /** Deletes the files of all processes, which must have ended. */
     void deleteFiles() throws IOException {
         Runtime.getRuntime().removeShutdownHook(atExit);
         try (Stream<Path> files = Files.walk(folder)) {
