--- a/clustertests/src/main/java/clayhook/clustertests/ShutdownScenario.java
+++ b/clustertests/src/main/java/clayhook/clustertests/ShutdownScenario.java
@@ -12,28 +12,28 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Ends routers by SIGTERM while clients of all kinds use them, and by SIGKILL at the earliest time that the protocol
- * allows, then judges each request that a client sent.
+ * Shuts routers down by SIGTERM while clients of all kinds use them, kills them by SIGKILL at the earliest time that
+ * the protocol allows, and then checks each request that a client sent.
  */
 final class ShutdownScenario {
     private static final double MAX_COUNTED_TIMEOUT_SECONDS = 3;
     private static final double KILL_MARGIN_SECONDS = 0.7;
-    /** From the start of the clients to the signal, in which all have had their first answer. */
+    /** Seconds from the start of the clients to SIGTERM, within which all clients get their first answer. */
     private static final double LEAD_SECONDS = 1.5;
 
     private static final double NANOS_PER_SECOND = 1e9;
     private static final int MAX_SHOWN_VIOLATIONS = 20;
-    /** By which a router's log names a request that it read and did not answer. */
+    /** Text in a router's log line about a request that it read and did not answer. */
     private static final String UNANSWERED_INPUT = "read and not answered";
 
     /**
-     * What a shutdown showed.
+     * The result of a shutdown.
      *
-     * @param records of all requests
-     * @param violations in words; empty where nothing was lost and each router ended by itself
+     * @param records records of all requests
+     * @param violations descriptions of all violations; empty if no request was lost and each router ended by itself
      */
     record Result(List<RequestRecord> records, List<String> violations) {
-        /** Requests by kind of client and outcome. */
+        /** Number of requests by kind of client and outcome. */
         Map<String, Integer> summary() {
             var summary = new TreeMap<String, Integer>();
             records.forEach(each -> summary.merge(each.client() + " " + each.outcome(), 1, Integer::sum));
@@ -54,7 +54,7 @@
     private final Map<RouterProcess, ShutdownClients> clients = new LinkedHashMap<>();
     private final Map<RouterProcess, Integer> logMarks = new LinkedHashMap<>();
     private final List<TcpRelay> relays = new ArrayList<>();
-    /** When the plan itself killed the routers: from then on nothing is owed. */
+    /** Time at which the plan killed the routers; from then on they owe no answers. */
     private double killedAt = Double.POSITIVE_INFINITY;
 
     private final List<String> violations = new ArrayList<>();
@@ -71,7 +71,7 @@
         return Math.min(spec.clientTimeoutSeconds(), MAX_COUNTED_TIMEOUT_SECONDS) + KILL_MARGIN_SECONDS;
     }
 
-    /** Ends some routers of a fleet, all at once. */
+    /** Shuts down some routers of a fleet at the same time. */
     static Result play(RouterFleet fleet, List<RouterProcess> routers, ShutdownPlan plan, Random random)
             throws IOException, InterruptedException {
         var scenario = new ShutdownScenario(fleet, routers, plan);
@@ -161,7 +161,7 @@
     private void kill() throws InterruptedException {
         for (RouterProcess router : routers) {
             if (router.runs()) {
-                violations.add(router.name() + " had not ended when it was killed");
+                violations.add(router.name() + " had not ended by the time of SIGKILL");
                 router.kill();
             }
         }
@@ -176,7 +176,7 @@
         for (RouterProcess router : routers) {
             ShutdownClients ofRouter = clients.get(router);
             if (!ofRouter.awaitDone(killSeconds + HistoryRecorder.MACHINE_SECONDS)) {
-                violations.add("clients of " + router.name() + " are not done");
+                violations.add("clients of " + router.name() + " have not finished");
             }
             violations.addAll(ofRouter.failures());
 
@@ -194,7 +194,7 @@
         return new Result(records, List.copyOf(violations));
     }
 
-    /** Returns at once where the time is over. */
+    /** Sleeps for a time; returns at once if it is negative. */
     private static void sleep(double seconds) throws InterruptedException {
         TimeUnit.NANOSECONDS.sleep((long) (seconds * NANOS_PER_SECOND));
     }
