--- a/clustertests/src/main/java/clayhook/clustertests/HistoryRecorder.java
+++ b/clustertests/src/main/java/clayhook/clustertests/HistoryRecorder.java
@@ -149,7 +149,8 @@
     }
 
     /**
-     * Records that a request got no answer. This is a violation unless its router was down or stalled meanwhile.
+     * Records that a request got no answer. This is a violation unless its router was down or stalled meanwhile, or
+     * refused the connection while it was shutting down.
      *
      * @param instead how the connection ended, or null if nothing was received
      */
