--- a/clustertests/src/main/java/clayhook/clustertests/LoadClient.java
+++ b/clustertests/src/main/java/clayhook/clustertests/LoadClient.java
@@ -13,28 +13,28 @@
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** A session of one client, which may roam: one request at a time, at any router. For one thread. */
+/** A session of a client that sends one request at a time, each to any router. Not thread-safe. */
 public final class LoadClient {
     private static final AtomicLong IDS = new AtomicLong();
-    /** The codes of answers that say that a request never ran. */
+    /** SQLSTATE codes of answers to requests that were never executed. */
     private static final List<String> REFUSALS = List.of("53300", "57P03");
 
     private static final String CLOSED = "closed";
-    /** Between two attempts of a client whose router does not answer. */
+    /** Pause in milliseconds before the next request after a request without an answer. */
     private static final long AGAIN_MS = 20;
 
     private final Transport transport;
     private final HistoryRecorder history;
-    /** Connections that stand, by router. */
+    /** Open connections, by router. */
     private final Map<RouterProcess, StubClient> connections = new HashMap<>();
 
     private final boolean carries;
     private final String name;
     private double wroteAt;
-    /** The id of the request that was answered last, or null. */
+    /** Id of the request that was answered last, or null. */
     private String last;
 
-    /** {@code carries}: its reads tell when it last wrote. */
+    /** {@code carries}: whether reads at the session's consistency level carry its last-write position. */
     LoadClient(Transport transport, HistoryRecorder history, boolean carries) {
         this.transport = transport;
         this.history = history;
@@ -42,7 +42,7 @@
         name = "s" + IDS.incrementAndGet();
     }
 
-    /** How a request ended. */
+    /** Result of a request for the client. */
     public enum Answer {
         SERVED,
         REJECTED,
@@ -50,7 +50,7 @@
         NONE
     }
 
-    /** Sends a request and leaves after so many seconds, unless it is answered before. */
+    /** Sends a request, and disconnects if it is not answered within that number of seconds. */
     Answer askAndLeave(RouterProcess router, RequestClass group, double patienceSeconds) throws InterruptedException {
         return ask(router, group, "c" + IDS.incrementAndGet(), patienceSeconds);
     }
@@ -60,7 +60,10 @@
         return ask(router, group, "c" + IDS.incrementAndGet());
     }
 
-    /** The same with the id of an earlier request, which for one with a key names the same write. */
+    /**
+     * Sends a request under the id of an earlier one and waits for the answer. For a request class with idempotency
+     * keys, the id is the key and identifies the same write.
+     */
     public Answer ask(RouterProcess router, RequestClass group, String id) throws InterruptedException {
         return ask(router, group, id, Double.POSITIVE_INFINITY);
     }
@@ -108,7 +111,7 @@
         return REFUSALS.stream().anyMatch(response::startsWith);
     }
 
-    /** What comes back, or null; a connection that ended while it was idle is opened anew. */
+    /** Returns the response, or null if none arrives in time; reconnects if the connection ended while it was idle. */
     private String responseTo(RouterProcess router, ByteBuf statement, double waitSeconds) throws InterruptedException {
         StubClient open = connections.get(router);
         String unsolicited = open == null ? CLOSED : open.nextAnswer(0);
@@ -116,7 +119,7 @@
             open.send(statement);
             return open.nextAnswer(waitSeconds);
         } else if (!unsolicited.endsWith(CLOSED)) {
-            history.answered(last, false, false); // a second answer, which the history counts as a violation
+            history.answered(last, false, false); // a second answer to one request, which is a violation
         }
         disconnect(router);
         var connection = new StubClient(transport, router.address());
@@ -124,7 +127,8 @@
         connection.send(StubClient.startupAndFirst(statement));
         String greeting = connection.nextAnswer(waitSeconds);
         if (CLOSED.equals(greeting)) {
-            return StubClient.NO_CONNECTION; // never accepted: the listener closed over its backlog
+            return StubClient
+                    .NO_CONNECTION; // never accepted: the listener was closed with this connection in its backlog
         }
         return "ready".equals(greeting) ? connection.nextAnswer(waitSeconds) : greeting;
     }
@@ -136,13 +140,13 @@
         }
     }
 
-    /** Ends its connections. */
+    /** Closes all connections. */
     void close() {
         connections.values().forEach(StubClient::close);
         connections.clear();
     }
 
-    /** Whether a router is ready for requests; sends none. */
+    /** Returns whether a router becomes ready for requests in time; sends a start-up message only. */
     static boolean greeted(Transport transport, InetSocketAddress router, double seconds) throws InterruptedException {
         var client = new StubClient(transport, router);
         client.send(MessageEncoder.startupMessage("client", "core"));
