--- a/clustertests/src/main/java/clayhook/clustertests/NetworkLink.java
+++ b/clustertests/src/main/java/clayhook/clustertests/NetworkLink.java
@@ -6,21 +6,21 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * One direction between two routers: says of each datagram when it leaves, how often and with which bytes. For one
- * thread.
+ * A simulated link in one direction between two routers: determines when each datagram leaves it, how many copies leave
+ * and with which bytes. Not thread-safe except where stated.
  */
 public final class NetworkLink {
-    /** A datagram held back is overtaken by what follows within this many seconds. */
+    /** Delay in seconds of a reordered datagram; later datagrams can overtake it during this time. */
     static final double HELD = 0.05;
-    /** Seconds of datagrams that wait on a slow link; what comes beyond is lost, as at any bottleneck. */
+    /** Longest wait in seconds in the queue of a slow link; further datagrams are dropped, as at any bottleneck. */
     static final double BACKLOG = 1;
-    /** Bytes changed in a garbled datagram at most. */
+    /** Bound on the bytes changed in a corrupted datagram. */
     private static final int MOST_CHANGED = 4;
 
-    /** When a datagram leaves, seconds on the client's clock, and its bytes. */
+    /** A datagram that leaves the link; {@code at} is in seconds on the caller's clock. */
     record Departure(double at, byte[] bytes) {}
 
-    /** What became of datagrams so far. */
+    /** How datagrams were delivered. One datagram may count for several values. */
     public enum Delivery {
         CAME,
         LOST,
@@ -41,12 +41,15 @@
         }
     }
 
-    /** From now on; by any thread. */
+    /** Sets the fault of the link from now on. Any thread may call it. */
     public void fault(LinkFault next) {
         fault = next;
     }
 
-    /** Of all datagrams that came this way; {@link Delivery#CAME} counts each. By any thread. */
+    /**
+     * Number of datagrams with that delivery so far; {@link Delivery#CAME} counts all datagrams. Any thread may call
+     * it.
+     */
     public long count(Delivery fate) {
         return counts[fate.ordinal()].get();
     }
@@ -59,7 +62,7 @@
         return hit;
     }
 
-    /** A datagram came; none, one or two leave for it. */
+    /** Accepts a datagram and returns the datagrams that leave for it: none, one or two. */
     List<Departure> take(byte[] bytes, double now) {
         LinkFault ruling = fault;
         counts[Delivery.CAME.ordinal()].incrementAndGet();
