--- a/clustertests/src/main/java/clayhook/clustertests/NodeRequest.java
+++ b/clustertests/src/main/java/clayhook/clustertests/NodeRequest.java
@@ -6,9 +6,9 @@
 /**
  * A statement that a node has read.
  *
- * @param router the name of the router that sent it; empty for none of the fleet
- * @param node that read it
- * @param statement with its routing comment, as it came
- * @param at when it was read, in seconds on the clock of {@link HistoryRecorder}
+ * @param router name of the router that sent it; empty if the sender is no router of the fleet
+ * @param node the node that read it
+ * @param statement the statement with its routing comment, as received
+ * @param at time of the read, in seconds on the clock of {@link HistoryRecorder}
  */
 record NodeRequest(String router, Node node, KeyValueStatement statement, double at) {}
--- a/clustertests/src/main/java/clayhook/clustertests/RequestRecord.java
+++ b/clustertests/src/main/java/clayhook/clustertests/RequestRecord.java
@@ -3,16 +3,16 @@
 import java.util.Locale;
 
 /**
- * What a client saw of one request. Times are seconds on the clock of {@link HistoryRecorder}.
+ * The outcome of one request for its client. Times are seconds on the clock of {@link HistoryRecorder}.
  *
- * @param id of the request
- * @param router its name
- * @param client what kind of client sent it
- * @param localPort of the client's connection, by which the router's log names it
- * @param sentAt when its last byte was written
- * @param timeoutSeconds how long the client waits from then on
- * @param outcome what came instead of an answer, or which kind of answer
- * @param finishedAt when that came
+ * @param id id of the request
+ * @param router name of the router
+ * @param client kind of client that sent it
+ * @param localPort local port of the client's connection, which identifies the connection in the router's log
+ * @param sentAt time at which its last byte was written
+ * @param timeoutSeconds client timeout, from {@code sentAt} on
+ * @param outcome kind of answer, or the event that took its place
+ * @param finishedAt time of the outcome
  */
 record RequestRecord(
         String id,
@@ -25,19 +25,19 @@
         double finishedAt) {
     /** How a request ended for its client. */
     enum Outcome {
-        /** A whole row of a node. */
+        /** The client received a complete row from a node. */
         SERVED,
-        /** An error that says that the request never ran. */
+        /** The client received an error that says that the request was never executed. */
         REFUSED,
-        /** Any other error. */
+        /** The client received any other error. */
         FAILED,
-        /** The connection ended in order, with no answer. */
+        /** The connection ended in an orderly way without an answer. */
         ENDED,
-        /** The connection was ended behind a fatal refusal of a request that was sent before this one. */
+        /** The connection ended after a fatal refusal of a request that was sent before this one. */
         ENDED_BEHIND_REFUSAL,
-        /** The connection was reset, with no answer. */
+        /** The connection was reset without an answer. */
         RESET,
-        /** Nothing came in time. */
+        /** Nothing was received in time. */
         SILENCE
     }
 
@@ -45,7 +45,7 @@
         return outcome == Outcome.SERVED || outcome == Outcome.REFUSED || outcome == Outcome.FAILED;
     }
 
-    /** Seconds between sending and the end. */
+    /** Seconds from sending to the outcome. */
     double seconds() {
         return finishedAt - sentAt;
     }
