--- a/clustertests/src/main/java/clayhook/clustertests/ProcessStalls.java
+++ b/clustertests/src/main/java/clayhook/clustertests/ProcessStalls.java
@@ -6,8 +6,8 @@
 import java.util.Locale;
 
 /**
- * Notes when this process, in which nodes read and are judged, did not run for a while. A late reading then need not be
- * the fault of a router. Times are seconds on the clock of {@link HistoryRecorder}. Thread-safe.
+ * Records stalls of this process, which runs the nodes and the audits. A read that is late because of a stall need not
+ * be the fault of a router. Times are seconds on the clock of {@link HistoryRecorder}. Thread-safe.
  */
 final class ProcessStalls implements AutoCloseable {
     private static final long SLEEP_MS = 10;
@@ -24,13 +24,13 @@
     private final List<Stall> stalls = new ArrayList<>();
     private final Thread monitor = new Thread(this::monitor, "process stalls");
 
-    /** Watches until {@link #close}. */
+    /** Starts to record stalls, until {@link #close}. */
     ProcessStalls() {
         monitor.setDaemon(true);
         monitor.start();
     }
 
-    /** A time as routers write it in their logs. */
+    /** Formats a time as routers do in their logs. */
     static String format(double at) {
         return Instant.ofEpochMilli((long) (at * MILLIS_PER_SECOND)).toString();
     }
@@ -55,7 +55,7 @@
         stalls.add(stall);
     }
 
-    /** All stalls so far. */
+    /** Lists all stalls so far. */
     @Override
     public synchronized String toString() {
         return stalls.toString();
