--- a/clustertests/src/main/java/clayhook/clustertests/RecordingClient.java
+++ b/clustertests/src/main/java/clayhook/clustertests/RecordingClient.java
@@ -21,22 +21,22 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A client over a blocking socket that records what became of each of its requests. It does not look for an end of its
- * connection before it sends, as a busy program does not. For one thread.
+ * A client with a blocking socket that records the outcome of each of its requests. Like a busy program, it sends
+ * without checking first whether its connection has ended. Not thread-safe.
  */
 final class RecordingClient implements AutoCloseable {
     private static final AtomicLong IDS = new AtomicLong();
-    /** The protocol counts an answer as lost so long after its time. */
+    /** Seconds after its deadline at which the protocol counts an answer as lost. */
     static final double LATE_ANSWER_SECONDS = 0.5;
 
-    /** Until a router is ready for requests, also on a busy machine; no request waits for it yet. */
+    /** Seconds within which a router is ready for requests, also on a busy machine; no request is pending meanwhile. */
     private static final double START_UP_SECONDS = 10;
 
     private static final Set<String> REFUSALS = Set.of("53300", "57P03");
     private static final double MILLIS_PER_SECOND = 1000;
     private static final int LENGTH_BYTES = 4;
     private static final String READ_CLASS = "any";
-    /** Of {@link RouterFleet}: not idempotent. */
+    /** Request class of {@link RouterFleet} that is not idempotent. */
     private static final String WRITE_CLASS = "charge";
 
     private record Sent(String id, double at) {}
@@ -55,13 +55,13 @@
     private boolean ended;
 
     /**
-     * Connects.
+     * Connects to a router.
      *
-     * @param attempts judges what becomes of its requests at nodes
-     * @param router its name, for the records
-     * @param address of the router, or of a relay to it
-     * @param kind of the client, for the records
-     * @param timeoutSeconds how long it waits for an answer
+     * @param attempts audit of the attempts that routers send to nodes for its requests
+     * @param router name of the router, for the records
+     * @param address address of the router, or of a relay to it
+     * @param kind kind of client, for the records
+     * @param timeoutSeconds client timeout of each request
      */
     RecordingClient(AttemptAudit attempts, String router, InetSocketAddress address, String kind, double timeoutSeconds)
             throws IOException {
@@ -74,14 +74,14 @@
         in = new DataInputStream(socket.getInputStream());
     }
 
-    /** Sends the start-up message and waits until the router is ready for a request. */
+    /** Sends the start-up message and waits until the router is ready for requests. */
     void startUp() throws IOException {
         write(MessageEncoder.startupMessage("client", "core"));
         readAnswer(HistoryRecorder.now() + START_UP_SECONDS);
         ended = refusedFatally;
     }
 
-    /** Sends the start-up message and a request in one piece, and waits until the request is answered. */
+    /** Sends the start-up message and a request in one write, and waits for the answer to the request. */
     void startUpAndExchange() {
         try {
             send(MessageEncoder.startupMessage("client", "core"), 1);
@@ -92,7 +92,7 @@
         awaitAnswers();
     }
 
-    /** Sends so many requests in one piece. */
+    /** Sends that number of requests in one write. */
     void send(int count) throws IOException {
         send(Unpooled.EMPTY_BUFFER, count);
     }
@@ -103,8 +103,8 @@
         for (int i = 0; i < count; i++) {
             String id = nextId();
             ids.add(id);
-            // Time spent behind earlier requests of the connection does not count, so that only the first has a
-            // deadline.
+            // A client's timeout excludes the time spent behind earlier requests of the connection, so that only the
+            // first request has a deadline that is known here.
             attempts.onSent(id, i == 0 ? timeoutSeconds : Double.POSITIVE_INFINITY, null);
             all.writeBytes(statement(id));
         }
@@ -120,7 +120,7 @@
         bytes.readBytes(socket.getOutputStream(), bytes.readableBytes());
     }
 
-    /** Sends a write that may not be repeated and waits for its answer. */
+    /** Sends a write that must not be executed twice, and waits for its answer. */
     void exchangeWrite() {
         if (ended) {
             return;
@@ -136,13 +136,13 @@
         awaitAnswers();
     }
 
-    /** Sends one request and waits for its answer; false where the connection has ended. */
+    /** Sends one request and waits for its answer; returns false if the connection has ended. */
     boolean exchange() {
         sendWithoutLooking(1);
         return awaitAnswers();
     }
 
-    /** Sends so many requests; a failure to write shows when the answers are awaited. */
+    /** Sends that number of requests; a failed write is recorded when the answers are awaited. */
     void sendWithoutLooking(int count) {
         if (ended) {
             return;
@@ -154,7 +154,7 @@
         }
     }
 
-    /** Sends a request in two parts, the second so many seconds after the first. */
+    /** Sends a request in two parts, with a pause of that number of seconds between them. */
     void sendInTwoParts(double pauseSeconds) throws InterruptedException {
         if (ended) {
             return;
@@ -172,7 +172,7 @@
         unanswered.add(new Sent(id, HistoryRecorder.now()));
     }
 
-    /** Sends a request and closes the connection without waiting; nothing is recorded of it. */
+    /** Sends a request and closes the connection without waiting for the answer; adds no record. */
     void sendAndLeave() throws IOException {
         String id = nextId();
         attempts.onSent(id, timeoutSeconds, null);
@@ -194,10 +194,12 @@
         return StubClient.statement(isWrite, "id=" + id + ",c=" + requestClass + ",cluster=1,d=" + deadline);
     }
 
-    /** Waits until all requests are answered, or the connection or their time is over; false where it is. */
+    /**
+     * Waits until all requests are answered; returns false if the connection ends or an answer does not arrive in time.
+     */
     boolean awaitAnswers() {
         while (!unanswered.isEmpty() && !ended) {
-            // Requests behind others wait for these, which does not count.
+            // The timeout of a request begins when all earlier ones are answered.
             double until =
                     HistoryRecorder.now() + timeoutSeconds + LATE_ANSWER_SECONDS + HistoryRecorder.MACHINE_SECONDS;
             try {
@@ -215,7 +217,7 @@
         return !ended;
     }
 
-    /** After a write that failed, the system tells of an end even where the connection was reset. */
+    /** After a failed write the system may report the end of the stream although the connection was reset. */
     private Outcome outcomeOfEnd(Outcome seen) {
         if (refusedFatally) {
             return Outcome.ENDED_BEHIND_REFUSAL;
@@ -274,7 +276,9 @@
         return "";
     }
 
-    /** Reads until the connection ends or so many seconds are over; true where it has ended. */
+    /**
+     * Reads until the connection ends, or no answer arrives for that number of seconds; returns whether it has ended.
+     */
     boolean awaitEnd(double seconds) {
         try {
             while (true) {
@@ -290,7 +294,7 @@
         }
     }
 
-    /** What became of the requests so far, in the order of their answers. */
+    /** Records of the requests so far, in the order of their answers. */
     List<RequestRecord> records() {
         return records;
     }
