--- a/clustertests/src/main/java/clayhook/clustertests/RequestAudit.java
+++ b/clustertests/src/main/java/clayhook/clustertests/RequestAudit.java
@@ -7,23 +7,25 @@
 import java.util.Map;
 
 /**
- * Judges what clients saw of their requests: each gets one whole answer in time. A connection that is reset over unread
- * bytes, or that ends behind a fatal refusal, crossed the request: the router has not read it, and the client sends it
- * again. An orderly end with no answer cannot be told from a request that was read and dropped, and counts as lost.
+ * Checks that each request of a client gets one complete answer in time. If a connection is reset because of unread
+ * bytes, or ends after a fatal refusal, the request was in transit: the router has not read it, and the client can send
+ * it again. An orderly end without an answer cannot be distinguished from a request that was read and dropped, and
+ * counts as lost.
  */
 final class RequestAudit {
     private RequestAudit() {}
 
     /**
-     * All lost requests, in words. The records of a connection are in the order of its answers.
+     * Describes all requests that were lost or answered late.
      *
-     * @param stallSeconds how long routers were held up meanwhile, beyond what the rules allow for
+     * @param records records of the requests; those of one connection in the order of its answers
+     * @param stallSeconds how long routers were stalled meanwhile, if longer than the rules allow for
      */
     static List<String> violations(List<RequestRecord> records, double stallSeconds) {
         var violations = new ArrayList<String>();
         Map<Integer, Double> lastAnswerAt = new HashMap<>();
         for (RequestRecord each : records) {
-            // The time spent behind earlier requests of the connection does not count.
+            // The time that a request waits behind earlier ones of its connection does not count.
             double begunAt = Math.max(each.sentAt(), lastAnswerAt.getOrDefault(each.localPort(), each.sentAt()));
             lastAnswerAt.put(each.localPort(), each.finishedAt());
             if (isLost(each)) {
@@ -35,7 +37,10 @@
         return violations;
     }
 
-    /** A new connection that the platform may still open is owed an answer, also if it is never accepted. */
+    /**
+     * Returns whether a request was lost. A connection that the platform may still open during a shutdown is owed an
+     * answer, even if the router never accepts it.
+     */
     private static boolean isLost(RequestRecord record) {
         boolean newcomer = record.client().equals(ShutdownClients.Kind.NEWCOMER.toString());
         return record.outcome() == Outcome.ENDED
