--- a/clustertests/src/main/java/clayhook/clustertests/RouterProcess.java
+++ b/clustertests/src/main/java/clayhook/clustertests/RouterProcess.java
@@ -15,11 +15,11 @@
 import java.util.stream.Collectors;
 
 /**
- * One router's process: {@code java -jar clayhook.jar serve}, its files and what it logs. It may come back after its
- * end.
+ * A router process, {@code java -jar clayhook.jar serve}, with its files and its log lines. It can be restarted after
+ * it has ended. Thread-safe.
  */
 public final class RouterProcess {
-    /** Small, since many run side by side; classes come out of the archive where the build has made one. */
+    /** Options of the virtual machine that keep it small, as many processes run at the same time. */
     private static final List<String> OPTIONS = List.of(
             "-Xms24m",
             "-Xmx64m",
@@ -31,12 +31,12 @@
             "-Xlog:disable",
             "-Xlog:all=error:stderr",
             "-Dio.netty.jfr.enabled=false");
-    /** Stands in the log before the lines of each life. */
+    /** Line that is added to the log before the output of each process. */
     static final String STARTED_MARK = "-- started";
 
-    /** Lines kept, of all lives; a trial writes some thousand. */
+    /** Bound on the retained log lines of all processes of this router; a test run writes a few thousand. */
     private static final int MOST_LINES = 100_000;
-    /** Of a process that was killed. */
+    /** Seconds to wait for the end of a process. */
     private static final int ENDS_WITHIN_S = 20;
 
     private final String name;
@@ -47,7 +47,12 @@
     private Process process;
     private double startDelaySeconds;
 
-    /** {@code address} is where it listens, {@code folder} is its own. */
+    /**
+     * Creates a router without a process.
+     *
+     * @param address the address at which it listens
+     * @param folder folder of its files, which no other router uses
+     */
     RouterProcess(String name, InetSocketAddress address, RouterProgram program, Path folder) throws IOException {
         this.name = name;
         this.address = address;
@@ -59,35 +64,38 @@
         return name;
     }
 
-    /** Where clients reach it. */
+    /** The address at which clients reach the router. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** Writes its two files; a router that runs reads them on SIGHUP. */
+    /** Writes the platform's and the operator's configuration file; a running router reloads them on SIGHUP. */
     void configure(String platform, String operator) throws IOException {
         Files.writeString(folder.resolve("config.json"), platform);
         Files.writeString(operatorFile(), operator);
     }
 
-    /** The operator's own file, for trials that change it. */
+    /** The operator's configuration file, for tests that change it. */
     public Path operatorFile() {
         return folder.resolve("clayhook.toml");
     }
 
-    /** From now on each life begins so long before its virtual machine, as where many start at once. */
+    /**
+     * Delays the virtual machine of each later process by that number of seconds after the start of the process, as a
+     * busy machine does if many processes start at the same time.
+     */
     synchronized void delayStarts(double seconds) {
         startDelaySeconds = seconds;
     }
 
-    /** Begins a life. Throws IOException where there is no such jar. */
+    /** Starts a process. Throws IOException if the jar does not exist. */
     synchronized void start() throws IOException {
         if (!Files.exists(program.jar())) {
             throw new IOException("no jar at " + program.jar() + "; mvn verify makes it");
         }
         var command = new ArrayList<String>();
         if (startDelaySeconds > 0) {
-            // The shell becomes the virtual machine: it is one process, which has started now.
+            // The shell is replaced by the virtual machine in the same process, whose start time is now.
             command.addAll(List.of("sh", "-c", "sleep " + startDelaySeconds + "; exec \"$0\" \"$@\""));
         }
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
@@ -117,21 +125,21 @@
         }
     }
 
-    /** The number of lines so far. */
+    /** Number of log lines so far. */
     public int mark() {
         synchronized (lines) {
             return lines.size();
         }
     }
 
-    /** The lines from a mark on. */
+    /** The log lines after the first {@code mark} ones. */
     public List<String> since(int mark) {
         synchronized (lines) {
             return List.copyOf(lines.subList(mark, lines.size()));
         }
     }
 
-    /** The last of that form in the lines from a mark on, or null. */
+    /** The last match of a pattern in the log lines after the first {@code mark} ones, or null. */
     public String last(int mark, Pattern form) {
         List<String> all = since(mark);
         for (int i = all.size() - 1; i >= 0; i--) {
@@ -147,7 +155,7 @@
         return process != null && process.isAlive();
     }
 
-    /** Sends it a signal by name: STOP, CONT, HUP to read its files again, TERM to leave. */
+    /** Sends the process a signal by name: STOP, CONT, HUP (reloads its files) or TERM (shuts down). */
     public void signal(String which) throws IOException {
         if (!runs()) {
             throw new IOException(name + " has ended");
@@ -158,7 +166,7 @@
         }
     }
 
-    /** Sends a signal to those of some processes that run, all at once. */
+    /** Sends a signal to those of some processes that are running, by one command. */
     static void signalRunning(Collection<RouterProcess> some, String which) throws IOException {
         String ids = some.stream()
                 .filter(RouterProcess::runs)
@@ -181,14 +189,14 @@
         return process.pid();
     }
 
-    /** Without notice; returns at once. */
+    /** Kills the process by SIGKILL without waiting for its end. */
     synchronized void kill() {
         if (process != null) {
-            process.toHandle().destroyForcibly(); // its last lines are still read, unlike with the process's own
+            process.toHandle().destroyForcibly(); // unlike Process.destroyForcibly, leaves its last output readable
         }
     }
 
-    /** Waits until this life is over; false where it is not. */
+    /** Waits for the end of the process; returns false if it does not end within {@link #ENDS_WITHIN_S} seconds. */
     public boolean ended() throws InterruptedException {
         Process life;
         synchronized (this) {
--- a/clustertests/src/main/java/clayhook/clustertests/RouterProgram.java
+++ b/clustertests/src/main/java/clayhook/clustertests/RouterProgram.java
@@ -5,19 +5,19 @@
 import java.util.List;
 
 /**
- * What a router process runs.
+ * The program that a router process runs.
  *
- * @param jar the program
- * @param replacedClasses a discovery of classes that take the place of the jar's, or null: for builds that are broken
- *     on purpose, on which a judge has to fail
+ * @param jar jar of the program
+ * @param replacedClasses folder with classes that replace those of the jar, or null. Used for deliberately broken
+ *     builds, whose violations the audits have to detect
  */
 public record RouterProgram(Path jar, Path replacedClasses) {
-    /** The jar as it is. */
+    /** Returns a program that runs the unmodified jar. */
     public static RouterProgram of(Path jar) {
         return new RouterProgram(jar, null);
     }
 
-    /** The arguments of {@code java} that start it, without those of the program. */
+    /** The arguments of {@code java} that start the program, without the program's own arguments. */
     List<String> arguments() {
         return replacedClasses == null
                 ? List.of("-jar", jar.toString())
