--- a/clustertests/src/main/java/clayhook/clustertests/ShutdownClients.java
+++ b/clustertests/src/main/java/clayhook/clustertests/ShutdownClients.java
@@ -9,17 +9,20 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The clients of one router while it shuts down: each kind sends in another state of its connection, and none looks for
- * an end before it sends. Thread-safe.
+ * The clients of one router during its shutdown. Each kind of client sends in a different state of its connection, and
+ * none checks first whether the connection has ended. Thread-safe.
  */
 final class ShutdownClients {
-    /** Connections that wait without a request are closed by routers a little after two seconds. */
+    /**
+     * Seconds before its first request at which a client connects; routers close connections without a request a little
+     * after two seconds.
+     */
     private static final double FIRST_REQUEST_LEAD_SECONDS = 0.5;
-    /** From the signal on; a router may be sent new connections for so long. */
+    /** Seconds after the signal during which the platform may open new connections to the router. */
     private static final double NEW_CONNECTIONS_SECONDS = 0.4;
-    /** How late a busy client notices that its connection has ended. */
+    /** Longest time in seconds after which a busy client notices that its connection has ended. */
     private static final double MAX_NOTICE_SECONDS = 0.1;
-    /** Resting clients send from so long after the signal on. */
+    /** Seconds after the signal from which on idle clients send. */
     private static final double SWEEP_BEGINS_SECONDS = 0.2;
 
     private static final int MIN_PIPELINED = 2;
@@ -31,33 +34,33 @@
     private static final double MILLIS_PER_SECOND = 1000;
     private static final double NANOS_PER_SECOND = 1e9;
 
-    /** Kinds of clients, by what they do while their router shuts down. */
+    /** Kinds of clients, by their behavior while their router shuts down. */
     enum Kind {
-        /** Notices the first end of a connection, for the others. */
+        /** Detects the first end of a connection, for the clients that wait for it. */
         OBSERVER,
-        /** Had an answer, rests, and sends once at some time of the shutdown. */
+        /** Is idle after an answer, and sends one request at a random time during the shutdown. */
         RESTING,
-        /** The same, within a tenth of a second after the router has begun to end connections. */
+        /** As {@link #RESTING}, but sends within 0.1 s after the router has begun to end connections. */
         RESTING_TO_THE_END,
-        /** Sent its start-up message only. */
+        /** Has sent only its start-up message, and sends one request during the shutdown. */
         STARTED,
-        /** Connected and sent nothing. */
+        /** Has connected and sent nothing, and sends its start-up message and a request during the shutdown. */
         CONNECTED,
-        /** Sends requests one after the other. */
+        /** Sends requests one after the other without pauses. */
         BUSY,
-        /** The same with pauses. */
+        /** Sends requests one after the other with pauses. */
         THINKING,
-        /** Sends many requests at once. */
+        /** Sends many requests in one write. */
         PIPELINING,
-        /** Stops in the middle of a statement and goes on a moment later. */
+        /** Sends a statement in two parts with a pause between them. */
         HALTING,
-        /** Reads its answers late. */
+        /** Reads its answers after a pause. */
         READING_LATE,
-        /** Leaves while its request is open. */
+        /** Disconnects while its request is pending. */
         LEAVING,
         /** Connects after the signal. */
         NEWCOMER,
-        /** Sends a write that may not be repeated, which no router gives up early. */
+        /** Sends a write that must not be executed twice, which routers never abandon early. */
         WRITING
     }
 
@@ -65,7 +68,7 @@
     private final String router;
     private final InetSocketAddress address;
     private final double timeoutSeconds;
-    /** From the signal to the earliest kill. */
+    /** Seconds from the signal to the earliest SIGKILL. */
     private final double killSeconds;
 
     private final CountDownLatch signalled = new CountDownLatch(1);
@@ -88,7 +91,7 @@
         this.killSeconds = killSeconds;
     }
 
-    /** Starts one observer and so many clients of each other kind. */
+    /** Starts one observer, and that number of clients of each other kind. */
     void start(int clientsOfEachKind, Random random) {
         start(Kind.OBSERVER, new Random(random.nextLong()));
         for (int i = 0; i < clientsOfEachKind; i++) {
@@ -107,7 +110,7 @@
         threads.add(thread);
     }
 
-    /** The router has been sent SIGTERM. */
+    /** Records that SIGTERM has been sent to the router. */
     void onSignalled(double at) {
         signalledAt = at;
         signalled.countDown();
@@ -130,7 +133,7 @@
                 }
             }
         } catch (IOException e) {
-            // Refused or reset before a request was sent: the client goes to another router.
+            // The connection was refused or reset before a request was sent; a real client uses another router.
             if (signalled.getCount() > 0) {
                 fail(kind + " at " + router + ": " + e);
             }
@@ -236,7 +239,7 @@
         failures.add(text);
     }
 
-    /** Waits until all clients are done; false where some are not within so many seconds. */
+    /** Waits until all clients have finished; returns false if some have not within that number of seconds. */
     boolean awaitDone(double seconds) throws InterruptedException {
         double until = HistoryRecorder.now() + seconds;
         for (Thread thread : threads) {
@@ -249,7 +252,7 @@
         return List.copyOf(records);
     }
 
-    /** Clients that could not be set up before the signal. */
+    /** Descriptions of clients that failed to connect before the signal. */
     synchronized List<String> failures() {
         return List.copyOf(failures);
     }
