--- a/clustertests/src/main/java/clayhook/clustertests/ShutdownPlan.java
+++ b/clustertests/src/main/java/clayhook/clustertests/ShutdownPlan.java
@@ -4,39 +4,44 @@
 import java.util.Random;
 
 /**
- * What happens in a shutdown beside its SIGTERM.
+ * The events of a shutdown in addition to SIGTERM.
  *
- * @param clientsOfEachKind at each router
- * @param linkDelaySeconds between clients and routers, in each direction; 0 for no relay between them
- * @param signals that are sent to each router, in the order of their times
- * @param hungNodes numbers of the nodes that hang through the whole shutdown
+ * @param clientsOfEachKind number of clients of each kind at each router
+ * @param linkDelaySeconds delay between clients and routers in each direction; 0 for no relay between them
+ * @param signals signals that are sent to each router, in the order of their times
+ * @param hungNodes numbers of the nodes that hang during the whole shutdown
  */
 record ShutdownPlan(
         int clientsOfEachKind, double linkDelaySeconds, List<TimedSignal> signals, List<Integer> hungNodes) {
     /**
-     * A signal and when it is sent, in seconds after SIGTERM.
+     * A signal that is sent to routers.
      *
-     * @param name as the system's {@code kill} takes it
+     * @param after seconds after SIGTERM at which it is sent; negative for a signal before SIGTERM
+     * @param name name of the signal, as the command {@code kill} accepts it
      */
     record TimedSignal(double after, String name) {}
 
     private static final double MAX_LINK_DELAY_SECONDS = 0.1;
-    /** SIGHUP comes this long before or after SIGTERM at most. */
+    /** Longest time in seconds between SIGHUP and SIGTERM, in either order. */
     private static final double RELOAD_WITHIN_SECONDS = 0.1;
 
     private static final double MIN_STALL_SECONDS = 0.1;
     private static final double MAX_STALL_SECONDS = 1;
-    /** What the operators allow a router to be held up while all rules hold. */
+    /** Longest stall of a router in seconds during which all rules still apply, by the operators' rules. */
     private static final double ALLOWED_STALL_SECONDS = 0.15;
 
     private static final int SERIES = 6;
 
-    /** A shutdown with nothing beside it. */
+    /** Returns a plan without additional events. */
     static ShutdownPlan plain(int clientsOfEachKind) {
         return new ShutdownPlan(clientsOfEachKind, 0, List.of(), List.of());
     }
 
-    /** Draws a series of signals, a delay of links and hung nodes; {@code killSeconds} is when SIGKILL may come. */
+    /**
+     * Returns a plan with random signals, link delay and hung nodes.
+     *
+     * @param killSeconds seconds from SIGTERM to the earliest SIGKILL
+     */
     static ShutdownPlan random(int clientsOfEachKind, double killSeconds, int nodes, Random random) {
         double delay = random.nextBoolean() ? 0 : MAX_LINK_DELAY_SECONDS * random.nextDouble();
         List<Integer> hung = random.nextInt(3) > 0
@@ -62,7 +67,10 @@
         };
     }
 
-    /** How long the routers are held up beyond what the rules allow for; answers and ends may be late by as much. */
+    /**
+     * Seconds for which routers are stalled, or 0 if that is within what the rules allow for; answers and the ends of
+     * processes may be late by this time.
+     */
     double excessStallSeconds() {
         double stalled = 0;
         double stoppedAt = 0;
