--- a/clustertests/src/main/java/clayhook/clustertests/SlowStartAudit.java
+++ b/clustertests/src/main/java/clayhook/clustertests/SlowStartAudit.java
@@ -15,17 +15,21 @@
 import java.util.TreeMap;
 
 /**
- * Judges that routers together do not overload a node in slow start: in no window of the settings' length it gets more
- * requests than they allow it, with an allowance for random variation, of which over two thirds come from routers that
- * count as notified of its start. What a warm node can do is what the warm nodes bear, as routers have to guess it too.
- * Times are seconds on the clock of {@link HistoryRecorder}. Thread-safe.
+ * Checks that all routers together do not overload a node in slow start. A violation is a window of the length in the
+ * settings in which the node gets more requests than the settings allow, plus an allowance for random variation, and
+ * over two thirds of them come from routers that count as notified of its start. The capacity of a warm node is taken
+ * from the load of the warm nodes, as routers have to estimate it too. Times are seconds on the clock of
+ * {@link HistoryRecorder}. Thread-safe.
  */
 final class SlowStartAudit {
-    /** A burst of requests counts for routers for some seconds; the busiest second of so many counts here. */
+    /**
+     * Number of seconds of which the busiest determines the capacity of a warm node; routers consider a burst of
+     * requests for some seconds too.
+     */
     private static final int LOAD_MEMORY_SECONDS = 12;
 
     private static final double NOTIFIED_FRACTION = 2.0 / 3;
-    /** Below so many requests the allowance for random variation is larger. */
+    /** Budget in requests below which the allowance for random variation is larger. */
     private static final double SMALL_BUDGET = 30;
 
     private static final double SMALL_BUDGET_DEVIATIONS = 3;
@@ -35,7 +39,7 @@
 
     private record Arrival(double at, boolean senderNotified) {}
 
-    /** The requests that warm nodes read in one second, and which nodes read any. */
+    /** The requests that warm nodes read in one second, and the nodes that read any. */
     private static final class WarmLoad {
         final Set<Node> nodes = new HashSet<>();
         int requests;
@@ -46,21 +50,25 @@
     private final double minNodeCapacity;
     private final Map<Node, Start> starts = new HashMap<>();
     private final Map<Node, Deque<Arrival>> windows = new HashMap<>();
-    /** By second; emptied after {@link #LOAD_MEMORY_SECONDS}. */
+    /** Load of the warm nodes by second; entries are removed after {@link #LOAD_MEMORY_SECONDS}. */
     private final NavigableMap<Long, WarmLoad> warmLoads = new TreeMap<>();
 
     private final List<String> violations = new ArrayList<>();
     private double largestUse;
     private String largestWindow = "no node was in slow start";
 
-    /** {@code minNodeCapacity}: the requests that a warm node does in a second at least. */
+    /**
+     * Creates an audit without nodes in slow start.
+     *
+     * @param minNodeCapacity lower bound of the capacity of a warm node, in requests per second
+     */
     SlowStartAudit(EndpointNotifications notifications, RoutingSettings settings, double minNodeCapacity) {
         this.notifications = notifications;
         this.settings = settings;
         this.minNodeCapacity = minNodeCapacity;
     }
 
-    /** Discovery has a new version of the list. */
+    /** Records the nodes that start with a new version of the endpoint list at discovery. */
     synchronized void onChange(TestReplicaSet cluster) {
         for (ClusterNode node : cluster.nodes()) {
             Start known = starts.get(node.node());
@@ -71,7 +79,7 @@
         }
     }
 
-    /** A node has read a request of a router. */
+    /** Checks a request that a node has read. */
     synchronized void onRequest(NodeRequest request) {
         Start start = starts.get(request.node());
         if (start == null || request.at() >= start.at() + settings.slowStartSeconds()) {
@@ -117,7 +125,11 @@
         warmLoads.headMap(second - LOAD_MEMORY_SECONDS).clear();
     }
 
-    /** The requests that a node of that age may get in a window, with the allowance for random variation. */
+    /**
+     * Returns the number of requests that a node may get in a window, with the allowance for random variation.
+     *
+     * @param age seconds since the node's start
+     */
     private double tolerableRequests(double age) {
         double initial = settings.initialCapacityFraction();
         double fraction = Math.min(1, initial + (1 - initial) * age / settings.slowStartSeconds());
@@ -134,12 +146,12 @@
         return Math.max(minNodeCapacity, busiest);
     }
 
-    /** The window in which a node in slow start got most beside what it tolerates, in words. */
+    /** Description of the window with the most requests in proportion to what the node in slow start tolerates. */
     synchronized String largestWindow() {
         return largestWindow;
     }
 
-    /** All nodes that were overloaded, in words. */
+    /** Descriptions of all windows in which a node was overloaded. */
     synchronized List<String> violations() {
         return List.copyOf(violations);
     }
