--- a/clustertests/src/main/java/clayhook/clustertests/SoakFault.java
+++ b/clustertests/src/main/java/clayhook/clustertests/SoakFault.java
@@ -6,12 +6,12 @@
 import java.util.List;
 import java.util.Random;
 
-/** One fault of a soak run. It begins and ends at times of its own, so that faults overlap. */
+/** A fault of a soak run. Each fault has its own begin and end, so that faults can overlap. */
 sealed interface SoakFault {
-    /** Begins; blocks for as long as its parts take. */
+    /** Begins the fault; blocks until all its steps are done. */
     void begin(RouterFleet fleet) throws IOException, InterruptedException;
 
-    /** Ends, and leaves everything as it was before. */
+    /** Ends the fault and restores the previous state. */
     void end(RouterFleet fleet) throws IOException, InterruptedException;
 
     private static List<RouterProcess> processes(RouterFleet fleet, List<Integer> numbers) {
@@ -22,7 +22,7 @@
         return numbers.stream().map(number -> fleet.nodes().get(number)).toList();
     }
 
-    /** Discovery is crowded, slow, down or silent. */
+    /** Switches discovery to another mode: crowded, slow, down or silent. */
     record DiscoveryFault(CrowdedDiscovery.Mode mode) implements SoakFault {
         @Override
         public void begin(RouterFleet fleet) {
@@ -35,7 +35,7 @@
         }
     }
 
-    /** Discovery moves to another address for some routers, which get SIGHUP. */
+    /** Moves discovery to another address for some routers, which reload their files by SIGHUP. */
     record DiscoveryMove(List<Integer> routers) implements SoakFault {
         @Override
         public void begin(RouterFleet fleet) throws IOException {
@@ -50,7 +50,7 @@
         public void end(RouterFleet fleet) {}
     }
 
-    /** Nodes drain, and are replaced by ones at the same address. */
+    /** Drains nodes, and ends with replacement nodes at the same addresses. */
     record Drain(List<Integer> nodes) implements SoakFault {
         @Override
         public void begin(RouterFleet fleet) {
@@ -63,7 +63,7 @@
         }
     }
 
-    /** A node hangs, resets connections under requests, or is dead. */
+    /** Makes a node hang, close connections with pending requests, or be dead. */
     record NodeFault(int node, ClusterNode.Behavior behavior) implements SoakFault {
         @Override
         public void begin(RouterFleet fleet) {
@@ -76,7 +76,7 @@
         }
     }
 
-    /** A node dies and comes back in slow start. */
+    /** Makes a node die, and ends with its restart in slow start. */
     record NodeRestart(int node) implements SoakFault {
         @Override
         public void begin(RouterFleet fleet) {
@@ -89,7 +89,7 @@
         }
     }
 
-    /** A replica stops applying its log, and answers as quickly as ever. */
+    /** Makes a replica stop applying its log while it answers as quickly as before. */
     record LogStall(int node) implements SoakFault {
         @Override
         public void begin(RouterFleet fleet) {
@@ -102,7 +102,7 @@
         }
     }
 
-    /** Another node becomes primary. */
+    /** Makes another node the primary. */
     record Failover(int node) implements SoakFault {
         @Override
         public void begin(RouterFleet fleet) {
@@ -113,7 +113,7 @@
         public void end(RouterFleet fleet) {}
     }
 
-    /** Routers are killed and started again later. */
+    /** Kills routers, and ends with their restart. */
     record Kill(List<Integer> routers) implements SoakFault {
         @Override
         public void begin(RouterFleet fleet) throws IOException, InterruptedException {
@@ -126,7 +126,7 @@
         }
     }
 
-    /** Routers are told to end under clients of all kinds, killed at the earliest, and started again later. */
+    /** Shuts routers down under clients of all kinds, kills them at the earliest time, and restarts them later. */
     record Shutdown(List<Integer> routers, ShutdownPlan plan, boolean restartsAtOnce, long seed) implements SoakFault {
         @Override
         public void begin(RouterFleet fleet) throws IOException, InterruptedException {
@@ -145,7 +145,7 @@
         }
     }
 
-    /** Routers are killed, started again, told to end while they start, and then started for good. */
+    /** Restarts routers and sends them SIGTERM while they start; ends with another restart. */
     record TerminateInStart(List<Integer> routers, double afterSeconds) implements SoakFault {
         @Override
         public void begin(RouterFleet fleet) throws IOException, InterruptedException {
@@ -158,7 +158,7 @@
         }
     }
 
-    /** Idle clients fill the descriptors of routers. */
+    /** Occupies the file descriptors of routers with idle clients. */
     record Crowd(List<Integer> routers, int clients, List<IdleCrowd> crowds) implements SoakFault {
         Crowd(List<Integer> routers, int clients) {
             this(routers, clients, new ArrayList<>());
@@ -177,7 +177,7 @@
         }
     }
 
-    /** Clients send requests of all classes to routers and leave a moment later, unless they are answered before. */
+    /** Sends requests of all classes to routers from clients that disconnect if they get no answer shortly. */
     record Departures(List<Integer> routers, int clients) implements SoakFault {
         private static final double PATIENCE_SECONDS = 0.05;
 
@@ -194,9 +194,9 @@
         public void end(RouterFleet fleet) {}
     }
 
-    /** The links to a node delay what passes, reset all connections, or pass nothing on and reset them at the end. */
+    /** Delays the bytes on all links to a node, resets its connections, or cuts them off until a reset at the end. */
     record NodeLinkFault(int node, Kind kind, double delaySeconds) implements SoakFault {
-        /** What becomes of bytes. */
+        /** How the links handle bytes. */
         enum Kind {
             DELAY,
             RESET,
@@ -224,7 +224,7 @@
         }
     }
 
-    /** A router's process is held up, for less than the grace for draining nodes covers. */
+    /** Stalls a router's process for less than the grace period for requests to draining nodes. */
     record Stall(int router, double seconds) implements SoakFault {
         @Override
         public void begin(RouterFleet fleet) throws IOException, InterruptedException {
