--- a/clustertests/src/main/java/clayhook/clustertests/SoakSchedule.java
+++ b/clustertests/src/main/java/clayhook/clustertests/SoakSchedule.java
@@ -24,22 +24,24 @@
 import java.util.stream.IntStream;
 
 /**
- * The faults of a soak run and when each begins and ends. Faults of one lane come one after the other, those of several
- * lanes overlap; the same seed gives the same schedule.
+ * The faults of a soak run with their begin and end. Faults of one lane run one after the other, those of different
+ * lanes overlap. The same seed gives the same schedule.
  */
 final class SoakSchedule {
     /**
-     * A fault, when it begins in seconds from the start of the run, and how long it lasts.
+     * A fault with its time.
      *
-     * @param lane faults of one lane never overlap: a late one delays those after it
+     * @param lane number of its lane; faults of one lane never overlap: a late one delays those after it
+     * @param begins seconds from the start of the run to the begin of the fault
+     * @param seconds duration of the fault
      */
     record TimedFault(int lane, double begins, double seconds, SoakFault fault) {}
 
-    /** Seconds between two faults of a lane at most. */
+    /** Longest pause in seconds between two faults of a lane. */
     private static final double MAX_PAUSE_SECONDS = 2;
 
     private static final double MIN_SECONDS = 1;
-    /** Longer than the time after which a change counts as notified. */
+    /** Longer than the time in seconds after which a change counts as notified. */
     private static final double MAX_DISCOVERY_SECONDS = 11;
 
     private static final double MAX_DRAIN_SECONDS = 10;
@@ -48,19 +50,19 @@
     private static final double MAX_DEPARTURES_SECONDS = 3;
     private static final int MAX_ROUTERS_WITH_DEPARTURES = 3;
     private static final int DEPARTING_CLIENTS = 8;
-    /** Several times the age that reads allow. */
+    /** Several times the staleness bound of reads. */
     private static final double MAX_LOG_STALL_SECONDS = 5;
-    /** What the operators allow a router to be held up. */
+    /** Longest stall of a router in seconds that the operators' rules allow for. */
     private static final double MAX_STALL_SECONDS = 0.15;
 
-    /** Clients of each kind at all routers that shut down. */
+    /** Number of clients of each kind, over all routers that shut down together. */
     private static final int SHUTDOWN_CLIENTS = 8;
 
     private static final double MAX_CROWD_SECONDS = 5;
     private static final double MAX_LINK_DELAY_SECONDS = 0.1;
     private static final double MAX_START_SECONDS = 2;
     private static final int ROUTER_FAULTS = 6;
-    /** Routers with no more than these are crowded by idle clients. */
+    /** Descriptor limit up to which routers also get idle clients that occupy descriptors. */
     private static final int CROWDED_DESCRIPTORS = 256;
 
     private static final List<Mode> DISCOVERY_FAULTS = List.of(Mode.CROWDED, Mode.SLOW, Mode.DOWN, Mode.SILENT);
@@ -81,7 +83,7 @@
         nodes = spec.nodeCount();
     }
 
-    /** Draws the faults of a run; the first two nodes never drain, so that there is always one to serve. */
+    /** Draws the faults of a run. The first two nodes never drain, so that some node can always serve requests. */
     static List<TimedFault> random(FleetSpec spec, double seconds) {
         var schedule = new SoakSchedule(spec);
         int nodes = spec.nodeCount();
@@ -115,7 +117,7 @@
         return spec.descriptors() <= CROWDED_DESCRIPTORS;
     }
 
-    /** Enough to take all descriptors of clients. */
+    /** Returns a fault with enough idle clients to occupy all descriptors that a router has for clients. */
     private SoakFault crowd() {
         return new Crowd(some(0, routers, routers), spec.descriptors() / 2);
     }
@@ -132,7 +134,7 @@
         return new Departures(some(0, MAX_ROUTERS_WITH_DEPARTURES, routers), DEPARTING_CLIENTS);
     }
 
-    /** One that is a replica at first. */
+    /** Returns the number of a random node that is a replica at the start of the run. */
     private int replica() {
         return 1 + random.nextInt(nodes - 1);
     }
@@ -158,7 +160,7 @@
         };
     }
 
-    /** Of one router, of some or of all. */
+    /** Returns a shutdown of one router, of up to a tenth of the routers, or of up to all of them. */
     private SoakFault shutdown() {
         int most = List.of(1, (routers + 9) / 10, routers).get(random.nextInt(3));
         List<Integer> some = some(0, most, routers);
@@ -167,7 +169,7 @@
         return new Shutdown(some, plan, random.nextBoolean(), random.nextLong());
     }
 
-    /** At least one and at most so many of the numbers from {@code first} up to {@code end}. */
+    /** Returns a random, non-empty subset of at most {@code most} numbers of the range from first to end, exclusive. */
     private List<Integer> some(int first, int most, int end) {
         var numbers = new ArrayList<>(IntStream.range(first, end).boxed().toList());
         Collections.shuffle(numbers, random);
