--- a/clustertests/src/main/java/clayhook/clustertests/SparePorts.java
+++ b/clustertests/src/main/java/clayhook/clustertests/SparePorts.java
@@ -7,20 +7,20 @@
 import java.net.ServerSocket;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Ports on loopback for processes that a test starts. Thread-safe. */
+/** Allocates unused loopback ports for processes that a test starts. Thread-safe. */
 final class SparePorts {
-    /** Below the ports that systems give to connections, so that a router that returns finds its own still free. */
+    /** Below the range of ephemeral ports, so that the port of a router is still free when the router is restarted. */
     private static final int FIRST_PORT = 20_000;
 
     private static final int PORT_COUNT = 12_000;
     private static final int SPREAD = 97;
-    /** Test processes that run side by side start at different ports. */
+    /** Offset of the next port; test processes that run at the same time begin at different offsets. */
     private static final AtomicInteger NEXT =
             new AtomicInteger((int) (ProcessHandle.current().pid() * SPREAD % PORT_COUNT));
 
     private SparePorts() {}
 
-    /** An address for both datagrams and connections that nobody uses now. */
+    /** Returns an address that is currently unused both for datagrams and for connections. */
     static InetSocketAddress next() {
         while (true) {
             int port = FIRST_PORT + NEXT.getAndIncrement() % PORT_COUNT;
@@ -30,7 +30,7 @@
                 connections.bind(datagrams.getLocalSocketAddress());
                 return address;
             } catch (IOException e) {
-                // taken; the next one
+                // the port is in use; try the next one
             }
         }
     }
--- a/clustertests/src/main/java/clayhook/clustertests/package-info.java
+++ b/clustertests/src/main/java/clayhook/clustertests/package-info.java
@@ -1,2 +1,2 @@
-/** Fleets of real router processes with faults between them, and an audit of what nodes and clients saw. */
+/** Tests of fleets of real router processes under faults, with audits of the requests that nodes and clients see. */
 package clayhook.clustertests;
