--- a/clustertests/src/main/java/clayhook/clustertests/TcpRelay.java
+++ b/clustertests/src/main/java/clayhook/clustertests/TcpRelay.java
@@ -15,20 +15,20 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A relay of TCP connections to one address, which delays bytes in both directions, cuts connections off in silence or
- * resets them. It passes the end of a sending side on as it is, and a reset as a reset, behind the bytes before it.
- * Thread-safe.
+ * A relay of TCP connections to one address that can delay bytes in both directions, stop forwarding without closing
+ * connections, and reset connections. It forwards the end of one direction as such, and a reset as a reset after the
+ * bytes that were received before it. Thread-safe.
  */
 final class TcpRelay implements AutoCloseable {
     private static final int BACKLOG = 1024;
     private static final int BUFFER_BYTES = 65536;
-    /** Chunks that wait in one direction of a connection; the sender waits beyond that. */
+    /** Bound on the chunks queued in one direction of a connection; the relay stops reading when it is reached. */
     private static final int MAX_QUEUED_CHUNKS = 1024;
 
     private static final double NANOS_PER_SECOND = 1e9;
-    /** Stands for the end of the sending side. */
+    /** Marker chunk for the end of a direction. */
     private static final byte[] END = {};
-    /** Stands for a reset. */
+    /** Marker chunk for a reset. */
     private static final byte[] RESET = {0};
 
     private record Chunk(byte[] bytes, long dueNanos) {}
@@ -39,7 +39,7 @@
     private volatile double delaySeconds;
     private volatile boolean cut;
 
-    /** Relays connections from a port of its own to an address. */
+    /** Starts to relay connections from an ephemeral port to an address. */
     TcpRelay(InetSocketAddress target) throws IOException {
         this.target = target;
         listening = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
@@ -56,12 +56,12 @@
         return (InetSocketAddress) listening.getLocalSocketAddress();
     }
 
-    /** Delays what comes from now on by so many seconds, in each direction. */
+    /** Delays bytes that are received from now on by that number of seconds, in each direction. */
     void delay(double seconds) {
         delaySeconds = seconds;
     }
 
-    /** Passes nothing on, or again what comes from now on. What comes meanwhile is passed on afterwards. */
+    /** Stops or resumes forwarding; bytes that are received meanwhile are forwarded when it resumes. */
     void cut(boolean isCut) {
         cut = isCut;
     }
@@ -76,7 +76,7 @@
             socket.setSoLinger(true, 0);
             socket.close();
         } catch (IOException e) {
-            // it has been closed
+            // the socket is already closed
         }
     }
 
@@ -151,7 +151,7 @@
                 out.write(chunk.bytes());
             }
         } catch (IOException e) {
-            // The receiver has reset the connection. Its reader passes that on, behind what it sent before.
+            // The receiver has reset the connection. Its reader forwards the reset after the bytes received before it.
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -178,7 +178,7 @@
         try {
             socket.close();
         } catch (IOException e) {
-            // it is closed
+            // the socket is already closed
         }
     }
 
