--- a/clustertests/src/main/java/clayhook/clustertests/TestCluster.java
+++ b/clustertests/src/main/java/clayhook/clustertests/TestCluster.java
@@ -19,12 +19,13 @@
 import java.util.stream.IntStream;
 
 /**
- * A fleet of router processes with nodes, discovery, clients and the relay between routers: begun, troubled, judged.
+ * A fleet of router processes with nodes, discovery, clients and a relay between routers, on which tests inject faults
+ * and check the recorded history.
  */
 public final class TestCluster implements AutoCloseable {
     /**
-     * As the platform's file says it; times far beyond what a busy machine takes, so that no verdict hangs on its
-     * speed.
+     * Router settings in the platform's format, with times far longer than a busy machine needs, so that no result
+     * depends on the speed of the machine.
      */
     private static final String SETTINGS =
             """
@@ -43,14 +44,17 @@
     public static final RequestClass WRITE = READ.requestClasses().get(3);
     public static final RequestClass CHARGE = READ.requestClasses().get(4);
     private static final List<String> ZONES = List.of("a", "b");
-    /** Longer than any start or answer takes, even where several such trials share a machine. */
+    /** Longer than any start or answer takes in seconds, even if several such tests share a machine. */
     public static final double PATIENCE = 60;
 
-    /** No session comes to another router sooner than this after its write: a little more than routers count on. */
+    /**
+     * Shortest time in milliseconds after a write until a session uses another router; a little longer than routers
+     * assume.
+     */
     public static final long ROAM_MS = 600;
-    /** Datagrams by which a fault of links has shown. */
+    /** Number of datagrams after which a link fault counts as effective. */
     private static final int ENOUGH = 300;
-    /** What a router logs of its members and of each kind of what it shares: its hash and size. */
+    /** Log line of a router with the number of its members, and the digest and size of each replicated type. */
     private static final Pattern FIGURES = Pattern.compile("members \\d+ alive \\d+, digests( \\S+=\\w+/\\d+)+");
 
     private final Transport nodesLoop = Transport.tcp();
@@ -80,12 +84,13 @@
     }
 
     /**
-     * Begins the processes, named r0, r1 and so on, and returns when all take commands.
+     * Starts the processes, named r0, r1 and so on; returns when all accept requests.
      *
-     * @param jar the program
-     * @param sharing keys of that table in the operator's file beside what says who and where; null leaves sharing off
-     * @param carried sessions tell when they last wrote; otherwise routers remember it
-     * @param seed of the relay, the load and the routers
+     * @param jar jar of the program
+     * @param count number of routers
+     * @param sharing additional keys of the table {@code sharing} in the operator's file; null disables sharing
+     * @param carried whether sessions carry their last-write position; otherwise routers store it
+     * @param seed random seed of the relay, the load and the routers
      */
     public TestCluster(Path jar, int count, String sharing, boolean carried, long seed)
             throws IOException, InterruptedException {
@@ -131,7 +136,7 @@
                         + text(relay.address(router)) + "\nseeds = [" + seeds + "]\n" + sharing;
     }
 
-    // ---- its parts ----
+    // ---- components ----
 
     public List<RouterProcess> routers() {
         return routers;
@@ -153,13 +158,14 @@
         return history;
     }
 
-    /** A new session. */
+    /** Creates a client with a new session. */
     public LoadClient newClient() {
         return new LoadClient(clientsLoop, history, carried);
     }
 
     // ---- faults ----
 
+    /** Begins a fault; returns when processes that it kills have ended. */
     public void begin(ClusterFault fault) throws IOException, InterruptedException {
         if (fault instanceof ClusterFault.Stopped stopped) {
             history.down(routers.get(stopped.router()).name());
@@ -175,7 +181,7 @@
         }
     }
 
-    /** Ends it; returns when those that had gone take commands again. */
+    /** Ends a fault; returns when processes that it killed accept requests again. */
     public void end(ClusterFault fault) throws IOException, InterruptedException {
         if (fault instanceof ClusterFault.Stopped stopped) {
             routers.get(stopped.router()).signal("CONT");
@@ -204,7 +210,7 @@
         }
     }
 
-    /** What it does to that link; null for nothing. */
+    /** Returns the effect of a fault on a link; null if the link is not affected. */
     private static LinkFault linkFault(ClusterFault fault, int from, int to) {
         if (fault instanceof ClusterFault.Everywhere everywhere) {
             return everywhere.fault();
@@ -218,7 +224,7 @@
 
     // ---- load ----
 
-    /** Clients that ask all kinds of commands without a break: two at each router, and two that roam. */
+    /** Starts clients that send requests of all classes continuously: two at each router, and two that roam. */
     public void load() {
         loaded = true;
         for (int i = 0; i < 2 * routers.size() + 2; i++) {
@@ -231,7 +237,11 @@
         }
     }
 
-    /** {@code home}: the number of its router; one beyond them all roams. */
+    /**
+     * Sends requests until the load ends.
+     *
+     * @param home number of the client's router; the client roams if it is the number of routers or higher
+     */
     private void work(LoadClient client, int home, Random random) {
         try {
             RouterProcess router = routers.get(home % routers.size());
@@ -244,7 +254,7 @@
                             router,
                             READ.requestClasses()
                                     .get(random.nextInt(READ.requestClasses().size())));
-                    Thread.sleep(1 + random.nextInt(5)); // a client's own work, which leaves the machine to others
+                    Thread.sleep(1 + random.nextInt(5)); // the client's own work between requests
                 }
             }
         } catch (InterruptedException e) {
@@ -254,7 +264,7 @@
         }
     }
 
-    /** Ends the load; returns when the last command is over. */
+    /** Stops the load; returns when the last request has ended. */
     public void stopLoad() throws InterruptedException {
         loaded = false;
         for (Thread client : load) {
@@ -265,12 +275,12 @@
 
     // ---- conditions ----
 
-    /** Waits until that holds; false where it did not within {@link #PATIENCE}. */
+    /** Waits until a condition holds; returns false if it does not hold within {@link #PATIENCE}. */
     public boolean await(BooleanSupplier condition) throws InterruptedException {
         return RouterProcesses.await(condition, PATIENCE);
     }
 
-    /** Waits until each of those routers has answered that many more commands of the load with a value. */
+    /** Waits until each of the routers has answered that many more requests of the load with a value. */
     public boolean serve(List<RouterProcess> those, int more) throws InterruptedException {
         List<Integer> before =
                 those.stream().map(router -> history.served(router.name())).toList();
@@ -278,20 +288,21 @@
                 .allMatch(i -> history.served(those.get(i).name()) >= before.get(i) + more));
     }
 
-    /** The routers that neither stand still nor are gone. */
+    /** The routers that are neither stopped nor killed. */
     public List<RouterProcess> up() {
         return routers.stream().filter(router -> !history.isDown(router.name())).toList();
     }
 
     /**
-     * What a router said last of members and of its copies, of all lines or those from a mark on; empty for nothing.
+     * The last log line of a router on its members and replicated types, after the first {@code mark} lines; empty if
+     * there is none.
      */
     private static String figures(RouterProcess router, int mark) {
         String figures = router.last(mark, FIGURES);
         return figures == null ? "" : figures;
     }
 
-    /** Waits until routers, or datagrams, have felt it; for trials with sharing. */
+    /** Waits until a fault has an effect on routers or datagrams; for tests with sharing. */
     public boolean felt(ClusterFault fault) throws InterruptedException {
         boolean parts = !(fault instanceof ClusterFault.Everywhere || fault instanceof ClusterFault.OneWay);
         long came = relay.count(NetworkLink.Delivery.CAME) + ENOUGH;
@@ -302,7 +313,7 @@
                 : relay.count(NetworkLink.Delivery.CAME) > came);
     }
 
-    /** Waits until all routers see each other and have equal copies of all that they share. */
+    /** Waits until all routers are alive for each other and have equal copies of all replicated types. */
     public boolean agree() throws InterruptedException {
         int[] marks = routers.stream().mapToInt(RouterProcess::mark).toArray();
         String whole = "members " + marks.length + " alive " + marks.length + ",";
@@ -314,7 +325,7 @@
         });
     }
 
-    /** What each router logged last, to explain a verdict. */
+    /** The last log lines of each router, for failure messages. */
     public String logs() {
         return processes.lastLogLines();
     }
