--- a/clustertests/src/main/java/clayhook/clustertests/TestReplicaSet.java
+++ b/clustertests/src/main/java/clayhook/clustertests/TestReplicaSet.java
@@ -14,31 +14,29 @@
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
 
-/**
- * One group of nodes that hold the same data: who is primary, what was written, and what the list of nodes says of it.
- */
+/** A simulated replica set: its nodes, its primary, its committed writes and its endpoint list. */
 public final class TestReplicaSet {
-    /** From a commit until replicas hold it, in seconds. */
+    /** Time from a commit until replicas have applied it, in seconds. */
     static final double LAG = 0.02;
 
     final HistoryRecorder history;
     private final List<ClusterNode> nodes = new ArrayList<>();
     final RoutingSettings settings;
     private final Map<String, RequestClass> groups;
-    /** Positions of writes by their key, whose repeats are dropped; a trial writes some thousand. */
+    /** Positions of writes by idempotency key, for deduplication; a test run writes a few thousand. */
     private final Map<String, Double> written = new HashMap<>();
 
     private volatile Runnable watcher = () -> {};
-    /** Hear of each statement that a router sent to a node. */
+    /** Receive each statement that a node has read. */
     private final List<Consumer<NodeRequest>> requestListeners = new CopyOnWriteArrayList<>();
-    /** From so long after the list says that they drain, nodes reject statements; infinite for never. */
+    /** Seconds after the list shows them as draining until nodes reject statements; infinite for never. */
     private volatile double drainLeadSeconds = Double.POSITIVE_INFINITY;
 
     private ClusterNode primary;
     private double head;
     private int version = 1;
 
-    /** The first node is primary. All listen on one loop. */
+    /** Starts the nodes on one event loop; the first is the primary. */
     TestReplicaSet(Transport transport, int size, List<String> zones, RoutingSettings settings, HistoryRecorder history)
             throws InterruptedException {
         this.history = history;
@@ -58,7 +56,7 @@
         return primary;
     }
 
-    /** Another node takes over at once; the old one refuses writes from then on. */
+    /** Makes another node the primary at once; the previous one rejects writes from then on. */
     public void promote(ClusterNode next) {
         synchronized (this) {
             primary = next;
@@ -66,19 +64,24 @@
         listChanged();
     }
 
-    /** From now on the history judges what nodes in slow start get, whichever routers know of their start. */
+    /**
+     * Records the work of nodes in slow start in the history from now on, whichever routers are notified of their
+     * start.
+     */
     void recordSlowStartWork() {
         onRequests(request -> nodes.stream()
                 .filter(each -> each.node().equals(request.node()))
                 .forEach(ClusterNode::recordSlowStartWork));
     }
 
-    /** Null for one that is not known. */
+    /** The request class with that name, or null if there is none. */
     RequestClass group(String name) {
         return groups.get(name);
     }
 
-    /** A write: its position, the same again for a repeat of a key, which changes nothing. */
+    /**
+     * Commits a write and returns its position; a write with a known key has no effect and returns its first position.
+     */
     synchronized double write(RequestClass group, String key) {
         Double before = group.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY ? written.get(key) : null;
         if (before == null) {
@@ -89,7 +92,7 @@
         return before;
     }
 
-    /** Reports each statement from now on, on the event loop of the nodes. */
+    /** Adds a listener for each statement that a node reads, called on the event loop of the nodes. */
     void onRequests(Consumer<NodeRequest> listener) {
         requestListeners.add(listener);
     }
@@ -99,7 +102,7 @@
         requestListeners.forEach(listener -> listener.accept(request));
     }
 
-    /** Lets draining nodes reject statements, from so many seconds after the list says that they drain. */
+    /** Makes draining nodes reject statements that number of seconds after the list shows them as draining. */
     void rejectWhileDraining(double leadSeconds) {
         drainLeadSeconds = leadSeconds;
     }
@@ -108,9 +111,9 @@
         return drainLeadSeconds;
     }
 
-    // ---- the list ----
+    // ---- the endpoint list ----
 
-    /** Hears of each change of the list, on the thread that makes it. */
+    /** Sets the listener for changes of the endpoint list, called on the thread that makes the change. */
     void watch(Runnable hears) {
         watcher = hears;
     }
@@ -126,7 +129,7 @@
         return version;
     }
 
-    /** As discovery tells it. */
+    /** The endpoint list in the JSON format of discovery. */
     synchronized String list() {
         return "{\"rev\":" + version + ",\"all\":true,\"targets\":["
                 + nodes.stream().map(this::entry).collect(Collectors.joining(",")) + "]}";
