--- a/clustertests/src/test/java/clayhook/clustertests/BrokenBuild.java
+++ b/clustertests/src/test/java/clayhook/clustertests/BrokenBuild.java
@@ -17,12 +17,12 @@
 import javax.tools.SimpleJavaFileObject;
 import javax.tools.ToolProvider;
 
-/** A build of the router with faults on purpose, on which a judge has to fail. */
+/** A deliberately broken build of the router, whose violations the audits have to detect. */
 final class BrokenBuild {
-    /** The texts that differ from the real build, by source file. */
+    /** Modified texts by source file. */
     private final Map<String, String> texts = new LinkedHashMap<>();
 
-    /** Replaces one place in a source file; fails where it is not there exactly once. */
+    /** Replaces a text in a source file; fails unless the file contains the text exactly once. */
     BrokenBuild replace(String module, String sourceFile, String from, String to) throws IOException {
         Path path = Path.of("..", module, "src", "main", "java").resolve(sourceFile);
         String text = texts.containsKey(sourceFile) ? texts.get(sourceFile) : Files.readString(path);
@@ -30,7 +30,7 @@
         return withSource(sourceFile, text.replace(from, to));
     }
 
-    /** Replaces a whole source file. */
+    /** Replaces the whole text of a source file. */
     BrokenBuild withSource(String sourceFile, String text) {
         texts.put(sourceFile, text);
         return this;
@@ -45,7 +45,7 @@
         };
     }
 
-    /** Compiles the replaced classes into a folder, against the jar whose place they take. */
+    /** Compiles the modified source files into a folder, against the jar whose classes they replace. */
     RouterProgram compile(Path folder) {
         JavaCompiler compiler = ToolProvider.getSystemJavaCompiler();
         var messages = new StringWriter();
