--- a/clustertests/src/test/java/clayhook/clustertests/ClusterTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/ClusterTest.java
@@ -11,12 +11,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Five processes of the jar. */
+/** Runs five router processes without sharing under faults of processes and nodes. */
 @Tag("processes")
 class ClusterTest {
     static final Path JAR = Path.of(System.getProperty("clayhook.jar"));
     static final int ROUTERS = 5;
-    /** Commands with an answer that each router must give before the next thing happens. */
+    /** Requests that each router must answer with a value before the next step. */
     static final int SOME = 20;
 
     static void verdict(TestCluster fleet) throws InterruptedException {
@@ -25,7 +25,8 @@
     }
 
     /**
-     * Nothing new comes to what drains once routers know; and what is dead, deposed, behind or in doubt breaks no rule.
+     * Injects faults of nodes under load. A draining node must get no new requests once routers are notified; nodes
+     * that are dead, demoted, behind or leave writes in doubt must cause no violation.
      */
     private static void troubleNodes(TestCluster fleet) throws InterruptedException {
         TestReplicaSet cluster = fleet.cluster();
