--- a/clustertests/src/test/java/clayhook/clustertests/CrowdedDiscoveryTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/CrowdedDiscoveryTest.java
@@ -12,24 +12,24 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Real router processes, most of which are restarted while discovery rejects their polls and nodes drain.
+ * Runs router processes, most of which are restarted while discovery rejects their polls and nodes drain.
  *
- * <p>It failed once in four runs of CI: ten seconds after discovery was back fewer of its answers had come than there
- * are routers. A trace of all calls (seed 1 without health checks, beside a soak) showed why. The four routers that
- * were not restarted had the newest version; their watches, opened 0.3 to 2.1 s after the return, were taken up and
- * waited for a change for 9.1 s ({@code call r11 after=2 wait=9.1}, {@code park r11}); and after the rejections their
- * next checks were up to 14 seconds away. Until an answer their lists were out of date, though discovery was well. Now
- * a watch that is opened after two rejections waits three seconds, and all are answered after 4.7 to 7.3 s.
+ * <p>It also guards against lists that remain out of date after discovery has recovered. That failed one of four runs
+ * of CI: ten seconds after the recovery fewer calls had been answered than there are routers. The four routers that
+ * were not restarted had the newest version, so their watches, opened 0.3 to 2.1 s after the recovery, waited 9.1 s for
+ * a change, and after the rejections their next checks were up to 14 s away (trace of seed 1 without health checks, run
+ * beside a soak). A watch that is opened after two rejections now waits three seconds, and all calls are answered after
+ * 4.7 to 7.3 s.
  */
 class CrowdedDiscoveryTest {
     private static final int ROUTERS = Integer.getInteger("clayhook.routers", 12);
     private static final int NODES = 9;
     private static final int DRAINING_NODES = 3;
-    /** Seven in ten are killed at once. */
+    /** Fraction of the routers that are killed at the same time. */
     private static final double KILLED_FRACTION = 0.7;
 
     private static final double ALL_CALLS_SECONDS = 3;
-    /** Past the time at which the change counts as notified to every router. */
+    /** Longer than the time in milliseconds after which every router counts as notified of the change. */
     private static final long CROWDED_MS = 10_000;
 
     private static final double RECOVERY_SECONDS = 10;
