--- a/clustertests/src/test/java/clayhook/clustertests/DatagramRelayTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/DatagramRelayTest.java
@@ -28,7 +28,7 @@
         from.send(new DatagramPacket(new byte[] {(byte) what}, 1, to));
     }
 
-    /** From where this one came. */
+    /** Receives a datagram with the expected content and returns its source address. */
     private static InetSocketAddress receive(DatagramSocket at, int what) throws IOException {
         var packet = new DatagramPacket(new byte[8], 8);
         at.receive(packet);
@@ -61,7 +61,7 @@
             });
             relay.link(0, 1).fault(LinkFault.NONE);
             send(a, 6, relay.address(1));
-            receive(b, 6); // neither the one that was cut off nor the stranger's
+            receive(b, 6); // the datagrams of the cut link and of the unknown sender do not arrive
             assertEquals(1, relay.link(0, 1).count(NetworkLink.Delivery.LOST));
             assertEquals(0, relay.link(1, 0).count(NetworkLink.Delivery.LOST));
             assertEquals(1, relay.strangers());
