--- a/clustertests/src/test/java/clayhook/clustertests/FaultSoakTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/FaultSoakTest.java
@@ -19,24 +19,24 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Random, overlapping faults of discovery, nodes and router processes, judged by the rules. A build plays one short
- * seed; {@code -Dclayhook.soak.seeds=1-20 -Dclayhook.soak.routers=30 -Dclayhook.soak.seconds=60} plays more. Every
- * third seed has no health checks.
+ * Runs router processes under random, overlapping faults of discovery, nodes and processes, and checks the run against
+ * the rules. A build runs one short seed; {@code -Dclayhook.soak.seeds=1-20 -Dclayhook.soak.routers=30
+ * -Dclayhook.soak.seconds=60} runs more. Every third seed has no health checks.
  */
 class FaultSoakTest {
     private static final int ROUTERS = Integer.getInteger("clayhook.soak.routers", 10);
     private static final int SECONDS = Integer.getInteger("clayhook.soak.seconds", 20);
-    /** Where the logs of the routers of failed seeds go, or null for nowhere. */
+    /** Folder for the router logs of failed seeds, or null to discard them. */
     private static final String LOGS = System.getProperty("clayhook.soak.logs");
 
     private static final int NODES = 8;
     private static final double ALL_CALLS_SECONDS = 3;
-    /** Seconds; the platform counts at most three of them at a shutdown. */
+    /** Client timeouts in seconds; at a shutdown the platform counts at most three seconds. */
     private static final List<Double> CLIENT_TIMEOUTS = List.of(2.0, 1.0, 0.4, 6.0);
 
     private static final int CROWDED_DESCRIPTORS = 160;
 
-    /** A lease that never lapses: what the router did before there was one. */
+    /** A lease that never expires, which is equivalent to a router without leases. */
     private static final String LEASE_THAT_NEVER_LAPSES =
             """
             package clayhook;
@@ -68,7 +68,10 @@
         }
     }
 
-    /** Every third seed has no health checks, another third has crowds; timeouts and relays differ as well. */
+    /**
+     * The fleet of a seed. One third of the seeds has no health checks, another third has few descriptors, which idle
+     * clients occupy; the client timeout and the relays depend on the seed too.
+     */
     private static FleetSpec spec(RouterProgram program, long seed) {
         var spec = new FleetSpec(program, ROUTERS, NODES, ALL_CALLS_SECONDS, seed % 3 != 0, seed)
                 .withClientTimeout(CLIENT_TIMEOUTS.get((int) (seed % CLIENT_TIMEOUTS.size())));
@@ -82,12 +85,12 @@
         FleetSpec spec = spec(RouterProgram.of(ClusterTest.JAR), seed);
         List<TimedFault> faults = SoakSchedule.random(spec, SECONDS);
         Verdict verdict = play(spec, faults);
-        // A run of many seeds reports failures at its very end only.
+        // The test framework reports failures only after the last seed.
         System.out.println("soak seed " + seed + ": " + (verdict.isClean() ? verdict.figures() : "FAILED, " + verdict));
         assertTrue(verdict.isClean(), () -> verdict + "\n" + faults);
     }
 
-    /** Without health checks, as a node that fails them gets few attempts even so. */
+    /** Runs without health checks, as a draining node fails them and then gets few attempts in any build. */
     @Test
     void judgeFailsOnABuildWhoseListNeverGrowsOld(@TempDir Path classes) throws Exception {
         List<TimedFault> faults = List.of(
