--- a/clustertests/src/test/java/clayhook/clustertests/GracefulShutdownTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/GracefulShutdownTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Real router processes that all get SIGTERM at once while clients of all kinds use them up to SIGKILL. */
+/** Runs router processes that all get SIGTERM at the same time while clients of all kinds use them until SIGKILL. */
 class GracefulShutdownTest {
     private static final int ROUTERS = 4;
     private static final int NODES = 4;
@@ -30,7 +30,7 @@
         }
     }
 
-    /** What the router did before: it read and dropped what crossed the end of a session. */
+    /** An earlier router read and dropped requests that arrived while it ended the session. */
     @Test
     void judgeFailsOnABuildThatDropsWhatItReads(@TempDir Path classes) throws Exception {
         String frontend = "clayhook/frontend/";
@@ -61,10 +61,10 @@
         assertLost(play(program), "");
     }
 
-    /** All nodes hang from the signal on, so that requests are pending until the router gives them up. */
+    /** All nodes hang from the signal on, so that requests are pending until the router fails them. */
     private static final ShutdownPlan HUNG_NODES = new ShutdownPlan(3, 0, List.of(), List.of(0, 1, 2, 3));
 
-    /** Longer than the router has until the kill. */
+    /** Longer than the time from SIGTERM to SIGKILL. */
     private static final double LONG_TIMEOUT_SECONDS = 6;
 
     @Test
@@ -73,7 +73,10 @@
         assertTrue(result.violations().isEmpty(), result::toString);
     }
 
-    /** Two places answer them: the one that fails pending requests, and the end of the sessions before the exit. */
+    /**
+     * Removes both places that answer pending requests: the one that fails them, and the end of sessions before the
+     * exit.
+     */
     @Test
     void judgeFailsOnABuildThatFailsNoPendingRequests(@TempDir Path classes) throws Exception {
         RouterProgram program = new BrokenBuild()
@@ -83,7 +86,7 @@
         assertLost(play(program, HUNG_NODES, LONG_TIMEOUT_SECONDS), "");
     }
 
-    /** The router is held up from before the last clients connect until it stops to listen. */
+    /** The router is stalled from before the last clients connect until it stops listening. */
     private static final ShutdownPlan STALLED_UNTIL_IT_STOPS_LISTENING =
             new ShutdownPlan(10, 0, List.of(new TimedSignal(0.01, "STOP"), new TimedSignal(1.4, "CONT")), List.of());
 
