--- a/clustertests/src/test/java/clayhook/clustertests/HistoryRecorderTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/HistoryRecorderTest.java
@@ -7,7 +7,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Each rule broken once is told, and what nobody could help is not. */
+/**
+ * Checks that the recorder reports each violation of a rule, and does not report requests that routers could not answer
+ * because they were down or stalled.
+ */
 class HistoryRecorderTest {
     private static final Node FIRST = new Node("n0", "a", 1), SECOND = new Node("n1", "a", 1);
 
