--- a/clustertests/src/test/java/clayhook/clustertests/JarContentTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/JarContentTest.java
@@ -17,12 +17,11 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The jar that process tests and operators run holds the classes of this build.
+ * Checks that the jar that process tests and operators run contains the classes of this build.
  *
- * <p>A build in a tree that had been built before left it out of date: the jar plugin of the module {@code cli} found
- * its jar newer than the module's own classes and kept it, though by then it was the last build's jar with all modules
- * in it. Shading put that first and the new classes of the other modules behind it, and the first of two equal names
- * counts. What showed it: {@code javap} found fields of the day before in the jar, right after a build without errors.
+ * <p>A second build in the same tree used to leave outdated classes in the jar, without an error: the jar plugin of the
+ * module {@code cli} kept the shaded jar of the previous build because it was newer than the module's own classes.
+ * Shading then added the new classes of the other modules after the old ones, and the first of two equal names wins.
  */
 class JarContentTest {
     @ParameterizedTest
