--- a/clustertests/src/test/java/clayhook/clustertests/NetworkLinkTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/NetworkLinkTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A hundred bytes a millisecond for a second, each datagram with its number. */
+/** Sends 1000 numbered datagrams of 100 bytes through a link, one per millisecond. */
 class NetworkLinkTest {
     private static final int SENT = 1000, BYTES = 100;
 
