--- a/clustertests/src/test/java/clayhook/clustertests/SharingClusterTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/SharingClusterTest.java
@@ -21,14 +21,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Five processes that share what they know, all datagrams between them through the relay. */
+/** Runs five router processes with sharing, whose datagrams all pass through a relay that injects faults. */
 @Tag("processes")
 class SharingClusterTest {
     private static final String SHARING = "report = 0.2\n";
     private static final Pattern GONE = Pattern.compile("sharing: .* is gone");
     private static final Pattern FATES = Pattern.compile("fates \\{[^}]*}");
 
-    /** Losing, doubling, garbling links, splits, stops and kills: no command is lost for any of it. */
+    /** No request is lost because of lossy, duplicating or corrupting links, splits, stopped or killed processes. */
     @ParameterizedTest
     @ValueSource(longs = 2)
     void withSharingCopiesAreEqualAfterEveryHealAndTheRulesAreKept(long seed) throws Exception {
@@ -42,7 +42,9 @@
                 assertTrue(fleet.serve(fleet.up(), SOME), () -> fault + "\n" + fleet.logs());
                 if (fault instanceof ClusterFault.OneWay) {
                     for (int i = 0; i < ROUTERS; i++) {
-                        assertNull(fleet.routers().get(i).last(marks.get(i), GONE)); // others vouch for it
+                        assertNull(fleet.routers()
+                                .get(i)
+                                .last(marks.get(i), GONE)); // other routers still reach it and confirm that it is alive
                     }
                 }
                 fleet.end(fault);
@@ -77,7 +79,7 @@
         }
     }
 
-    /** Replicas stand still meanwhile, so that a read that does not know of the write misses it. */
+    /** Logs of replicas are stalled, so that a read misses the write unless its router has the last-write position. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void aSessionThatRoamsReadsItsOwnWriteWithSharingInAndAfterASplit(boolean shares) throws Exception {
@@ -92,7 +94,7 @@
                     var session = fleet.newClient();
                     fleet.cluster().nodes().subList(1, 3).forEach(node -> node.stall(true));
                     assertEquals(Answer.SERVED, session.ask(fleet.routers().get(0), TestCluster.WRITE));
-                    Thread.sleep(TestCluster.ROAM_MS); // the session's own way to another router
+                    Thread.sleep(TestCluster.ROAM_MS); // the shortest time until a session uses another router
                     for (RouterProcess router : fleet.routers()) {
                         assertNotEquals(Answer.NONE, session.ask(router, TestCluster.SESSION), when);
                     }
