--- a/clustertests/src/test/java/clayhook/clustertests/SlowProcessStartTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/SlowProcessStartTest.java
@@ -10,14 +10,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A router whose virtual machine takes seconds to start, as those of many routers do that start at once on a busy
- * machine. What discovery has to tell counts as told six seconds after the start of the process, whenever its program
- * began.
+ * Runs a router whose virtual machine takes seconds to start, as happens if many routers start at the same time on a
+ * busy machine. Changes at discovery count as notified six seconds after the start of the process, even if the program
+ * in it begins later.
  *
- * <p>The router took one second for what its virtual machine needs, and counted from the begin of its program. In a
- * trial of {@link CrowdedDiscoveryTest} while 30 other processes started, a restarted router took over five seconds to
- * its first poll, and then sent nine requests to draining nodes, up to 1.30 s after it counted as notified of that
- * ({@code r6 sent to n6, 0.65 s after it was notified that the node drains (version 2, 6.67 s ago)}).
+ * <p>An earlier router counted from the begin of its program and assumed one second for the start of the virtual
+ * machine. In a run of {@link CrowdedDiscoveryTest} while 30 other processes started, a restarted router took over five
+ * seconds until its first poll, and then sent nine requests to draining nodes, up to 1.30 s after it counted as
+ * notified ({@code r6 sent to n6, 0.65 s after it was notified that the node drains (version 2, 6.67 s ago)}).
  */
 class SlowProcessStartTest {
     private static final double VIRTUAL_MACHINE_START_SECONDS = 3;
@@ -31,7 +31,7 @@
         try (var fleet =
                 new RouterFleet(new FleetSpec(RouterProgram.of(ClusterTest.JAR), 1, 2, ALL_CALLS_SECONDS, true, 1))) {
             RouterProcess router = fleet.routers().get(0);
-            fleet.startLoad(); // an idle router notices a second later
+            fleet.startLoad(); // an idle router detects an outdated list up to a second later
             fleet.kill(List.of(router));
             fleet.discovery().mode(Mode.SILENT);
             router.delayStarts(VIRTUAL_MACHINE_START_SECONDS);
@@ -44,7 +44,7 @@
             assertNotNull(line, fleet::logs);
             String time = line.substring(0, line.indexOf(' '));
             double outOfDateAt = Instant.parse(time).toEpochMilli() / MILLIS_PER_SECOND;
-            // One that begins to serve later only then finds out.
+            // A router that begins to serve after that time detects it at the begin of serving.
             double due = Math.max(startedAt + EndpointNotifications.NOTIFIED_AFTER_SECONDS, servingAt);
             assertTrue(
                     outOfDateAt < due + HistoryRecorder.MACHINE_SECONDS,
