--- a/clustertests/src/test/java/clayhook/clustertests/SoakJudgeTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/SoakJudgeTest.java
@@ -20,8 +20,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The judge of the soak fails on builds that are broken on purpose, each for its own rule. The same faults break no
- * rule of the real build, which {@link FaultSoakTest} plays with many others.
+ * Checks that the audits of the soak detect the violations of deliberately broken builds, each of its own rule. The
+ * same faults cause no violation with the real build, which {@link FaultSoakTest} runs under these and many other
+ * faults.
  */
 class SoakJudgeTest {
     private static final int NODES = 8;
@@ -33,16 +34,19 @@
     private static final String QUERY_TEXT =
             "request.statement.textWithTimeout(request.attempt.timeoutAt - clock.now())";
 
-    /** Longer than what judges allow for a busy machine, shorter than writes wait for a primary. */
+    /** Longer than what audits allow for a busy machine, shorter than the time for which writes wait for a primary. */
     private static final double PRIMARY_DOWN_SECONDS = 2.3;
 
     private static final double CLIENT_TIMEOUT_SECONDS = 6;
-    /** Each of them holds few writes until the primary is back: the others use up their attempts before. */
+    /** Several, as each router holds few writes until the primary is back; the other writes exhaust their attempts. */
     private static final int ROUTERS = 8;
-    /** So that a play in which no router happens to hold a write that the judge sees is out of the question. */
+    /**
+     * Begin of each outage of the primary. There are several, so that in practically every run some router holds a
+     * write that the audit checks.
+     */
     private static final List<Double> PRIMARY_DOWN_AT = List.of(1.0, 6.0, 11.0);
 
-    /** Bounded reads allow a second, and judges another one for a busy machine. */
+    /** Far longer than the staleness bound of one second plus the second that audits allow for a busy machine. */
     private static final double LOG_STALL_SECONDS = 6;
 
     private static final double DEPARTURE_SECONDS = 0.1;
@@ -69,14 +73,14 @@
         assertTrue(violations.stream().anyMatch(text -> text.contains(what)), verdict::toString);
     }
 
-    /** Writes wait for the primary, which comes back some times. */
+    /** Outages of the primary, during which writes wait for it. */
     private static List<TimedFault> primaryIsDownForAWhile() {
         return PRIMARY_DOWN_AT.stream()
                 .map(at -> new TimedFault(0, at, PRIMARY_DOWN_SECONDS, new NodeFault(0, Behavior.DEAD)))
                 .toList();
     }
 
-    /** Clients leave soon after the primary went down. */
+    /** Clients that disconnect shortly after each begin of an outage of the primary. */
     private static List<TimedFault> clientsLeaveWhilePrimaryIsDown() {
         List<Integer> allRouters = IntStream.range(0, ROUTERS).boxed().toList();
         var departures = new Departures(allRouters, DEPARTING_CLIENTS);
@@ -147,7 +151,7 @@
         assertTrue(verdict.brokenRules().containsKey(RuleKept.NO_STALE_READ), verdict::toString);
     }
 
-    /** The node is back before anyone takes it for dead, and the others drain under it. */
+    /** The node restarts before any router detects its death, while most other nodes drain. */
     @Test
     void judgeFailsOnABuildThatOverloadsNodesInSlowStart() throws Exception {
         build.replace(CORE, POLICY, "return budget.hasToken();", "return true;")
