--- a/clustertests/src/test/java/clayhook/clustertests/TcpRelayTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/TcpRelayTest.java
@@ -17,9 +17,10 @@
     private static final byte[] LAST_BYTES = {7, 8, 9};
 
     /**
-     * A client's bytes find the server's connection reset while the server's own last bytes are still delayed. The
-     * relay reset the client at once then, so that an answer that was on its way looked lost. Suspected where the soak
-     * of 30 routers lost three requests in a shutdown (seed 2, relays of 80 ms); the record of that run does not tell.
+     * A reset by the server must not overtake the server's last bytes, which the relay still delays. An earlier relay
+     * reset the client at once when it failed to write the client's bytes to the server, so that an answer in transit
+     * looked lost. It is the suspected cause of three lost requests in a shutdown in a soak with 30 routers (seed 2,
+     * relays with a delay of 80 ms); the records of that run neither confirm nor exclude it.
      */
     @Test
     @Timeout(60)
@@ -35,7 +36,7 @@
                     Thread.sleep((long) (DELAY_SECONDS / 2 * 1000));
                     connection.getOutputStream().write(LAST_BYTES);
                     Thread.sleep((long) (DELAY_SECONDS / 4 * 1000));
-                    connection.setSoLinger(true, 0); // its close is a reset
+                    connection.setSoLinger(true, 0); // makes close() reset the connection
                 }
                 assertArrayEquals(LAST_BYTES, client.getInputStream().readNBytes(LAST_BYTES.length));
                 assertThrows(IOException.class, () -> client.getInputStream().read());
