--- a/clustertests/src/main/java/clayhook/clustertests/AttemptAudit.java
+++ b/clustertests/src/main/java/clayhook/clustertests/AttemptAudit.java
@@ -14,7 +14,7 @@
  */
 final class AttemptAudit {
     /** Seconds after the client's disconnect during which an attempt may still begin. */
-    private static final double LEFT_GRACE_SECONDS = 0.1;
+    private static final double DISCONNECT_GRACE_SECONDS = 0.1;
     /** Seconds by which the timeout sent to a node may exceed the client's remaining time. */
     private static final double TIMEOUT_SLACK_SECONDS = 0.15;
 
@@ -24,7 +24,7 @@
         /** Idempotency key of the client, or null for a request without one. */
         final String idempotencyKey;
 
-        double leftAt = Double.POSITIVE_INFINITY;
+        double disconnectedAt = Double.POSITIVE_INFINITY;
 
         ClientRequest(double sentAt, double deadlineAt, String idempotencyKey) {
             this.sentAt = sentAt;
@@ -35,7 +35,7 @@
 
     private final Map<String, ClientRequest> requests = new HashMap<>();
     /** Time at which each router's process was last resumed after a stall, by router name. */
-    private final Map<String, Double> continuedAt = new HashMap<>();
+    private final Map<String, Double> resumedAt = new HashMap<>();
 
     private final List<String> violations = new ArrayList<>();
 
@@ -46,16 +46,16 @@
     }
 
     /** Records that the client of a request has closed its connection. */
-    synchronized void onLeft(String id) {
-        requests.get(id).leftAt = HistoryRecorder.now();
+    synchronized void onDisconnected(String id) {
+        requests.get(id).disconnectedAt = HistoryRecorder.now();
     }
 
     /**
      * Records that a router resumes after a stall that is longer than the rules allow for. It reads disconnects and
      * requests that arrived meanwhile only from now on.
      */
-    synchronized void onContinued(String router) {
-        continuedAt.put(router, HistoryRecorder.now());
+    synchronized void onResumed(String router) {
+        resumedAt.put(router, HistoryRecorder.now());
     }
 
     /** Checks an attempt that a node has read. */
@@ -64,23 +64,23 @@
         if (request == null) {
             return;
         }
-        double heldUpUntil = continuedAt.getOrDefault(attempt.router(), 0.0);
-        double late = attempt.at() - Math.max(request.leftAt, heldUpUntil) - LEFT_GRACE_SECONDS;
-        if (attempt.at() > request.leftAt && late > HistoryRecorder.MACHINE_SECONDS) {
-            report(attempt, "%.2f s after the client left", attempt.at() - request.leftAt);
+        double stalledUntil = resumedAt.getOrDefault(attempt.router(), 0.0);
+        double late = attempt.at() - Math.max(request.disconnectedAt, stalledUntil) - DISCONNECT_GRACE_SECONDS;
+        if (attempt.at() > request.disconnectedAt && late > HistoryRecorder.MACHINE_SECONDS) {
+            addViolation(attempt, "%.2f s after the client left", attempt.at() - request.disconnectedAt);
         }
         double excess = attempt.statement().timeoutSeconds - (request.deadlineAt - attempt.at());
-        boolean heldUp = heldUpUntil > request.sentAt;
-        if (!heldUp && excess > TIMEOUT_SLACK_SECONDS + HistoryRecorder.MACHINE_SECONDS) {
-            report(attempt, "with a timeout that is %.2f s longer than the client waits", excess);
+        boolean wasStalled = stalledUntil > request.sentAt;
+        if (!wasStalled && excess > TIMEOUT_SLACK_SECONDS + HistoryRecorder.MACHINE_SECONDS) {
+            addViolation(attempt, "with a timeout that is %.2f s longer than the client waits", excess);
         }
         boolean sameKey = attempt.statement().outcomeKey.equals(request.idempotencyKey);
         if (request.idempotencyKey != null && !sameKey) {
-            report(attempt, "under the key " + attempt.statement().outcomeKey + " in place of the client's");
+            addViolation(attempt, "under the key " + attempt.statement().outcomeKey + " in place of the client's");
         }
     }
 
-    private void report(NodeRequest attempt, String how, Object... values) {
+    private void addViolation(NodeRequest attempt, String how, Object... values) {
         violations.add(attempt.statement().requestId + " was sent to "
                 + attempt.node().id() + " by " + attempt.router() + " " + String.format(Locale.ROOT, how, values));
     }
--- a/clustertests/src/main/java/clayhook/clustertests/ClusterNode.java
+++ b/clustertests/src/main/java/clayhook/clustertests/ClusterNode.java
@@ -163,7 +163,7 @@
         if (startedAt > 0 && age < slowStartSeconds) {
             double initial = cluster.settings.initialCapacityFraction();
             double fraction = initial + (1 - initial) * age / slowStartSeconds;
-            cluster.history.worked(node, WORK_SECONDS, WORK_SECONDS_PER_SECOND * fraction);
+            cluster.history.onWork(node, WORK_SECONDS, WORK_SECONDS_PER_SECOND * fraction);
         }
     }
 
@@ -231,7 +231,7 @@
             boolean writes = group.consistency() == ConsistencyLevel.WRITE;
             double position = writes ? cluster.write(group, statement.outcomeKey) : position();
             keepApplied(position);
-            cluster.history.executed(statement.requestId, node, position);
+            cluster.history.onExecuted(statement.requestId, node, position);
             return row(Double.toString(position), writes ? position : position());
         }
 
--- a/clustertests/src/main/java/clayhook/clustertests/DiscoveryServer.java
+++ b/clustertests/src/main/java/clayhook/clustertests/DiscoveryServer.java
@@ -70,7 +70,7 @@
         }
         if (answered >= routers.getAsInt()) {
             cluster.nodes()
-                    .forEach(node -> cluster.history.notified(node.node, node.state() == Endpoint.State.DRAINING));
+                    .forEach(node -> cluster.history.onNotified(node.node, node.state() == Endpoint.State.DRAINING));
         }
     }
 }
--- a/clustertests/src/main/java/clayhook/clustertests/FaultSoak.java
+++ b/clustertests/src/main/java/clayhook/clustertests/FaultSoak.java
@@ -66,7 +66,7 @@
                 fleet.attempts().violations(),
                 fleet.brokenRules(),
                 List.copyOf(reported),
-                fleet.firstBroken(),
+                fleet.firstViolation(),
                 fleet.figures());
     }
 
--- a/clustertests/src/main/java/clayhook/clustertests/HistoryRecorder.java
+++ b/clustertests/src/main/java/clayhook/clustertests/HistoryRecorder.java
@@ -29,7 +29,7 @@
         /** Number of times that the router went down or came up. */
         int changes;
 
-        boolean ending;
+        boolean shuttingDown;
         boolean down;
         double upSince;
     }
@@ -51,7 +51,7 @@
 
     private final Map<Node, Integer> executions = new HashMap<>();
     private final Map<String, Integer> servedByRouter = new HashMap<>();
-    private String firstUnanswered;
+    private String firstUnansweredRequest;
 
     HistoryRecorder(RoutingSettings settings) {
         audit = new RuleAudit(
@@ -65,8 +65,8 @@
 
     // ---- routers ----
 
-    /** Records that a router is down. Until {@link #up} it owes no answers, also not to its open requests. */
-    synchronized void down(String router) {
+    /** Records that a router is down. Until {@link #onUp} it owes no answers, also not to its open requests. */
+    synchronized void onDown(String router) {
         RouterStatus status = status(router);
         status.changes++;
         status.down = true;
@@ -75,15 +75,15 @@
     /**
      * Records that a router is shutting down: it may refuse connections, but owes answers to requests that it admits.
      */
-    synchronized void ending(String router) {
-        status(router).ending = true;
+    synchronized void onShuttingDown(String router) {
+        status(router).shuttingDown = true;
     }
 
     /** Records that a router is up. */
-    synchronized void up(String router) {
+    synchronized void onUp(String router) {
         RouterStatus status = status(router);
         status.changes++;
-        status.ending = false;
+        status.shuttingDown = false;
         status.down = false;
         status.upSince = now();
     }
@@ -97,7 +97,7 @@
     }
 
     /** Records that all routers that are up were notified whether a node drains. */
-    synchronized void notified(Node node, boolean drains) {
+    synchronized void onNotified(Node node, boolean drains) {
         if (drains) {
             drainNotifiedAt.putIfAbsent(node, now());
         } else {
@@ -113,7 +113,7 @@
      * @param lastWritePosition last-write position of its session; 0 if the request class does not require it
      * @param waitSeconds time that the client waits for the answer
      */
-    synchronized void sent(
+    synchronized void onSent(
             String id, RequestClass requestClass, double lastWritePosition, String router, double waitSeconds) {
         double now = now();
         requests.put(id, new SentRequest(requestClass, now, lastWritePosition, router, status(router).changes));
@@ -123,9 +123,9 @@
     }
 
     /** Records that the client of a request has closed its connection; it is owed no answer any more. */
-    synchronized void left(String id) {
+    synchronized void onDisconnected(String id) {
         audit.excused(id);
-        attempts.onLeft(id);
+        attempts.onDisconnected(id);
     }
 
     /** The audit of the attempts that routers send to nodes. */
@@ -139,7 +139,7 @@
      * @param rejected whether the answer says that the request was never executed
      * @param served whether the answer has a value
      */
-    synchronized void answered(String id, boolean rejected, boolean served) {
+    synchronized void onAnswered(String id, boolean rejected, boolean served) {
         audit.answered(id, now());
         if (rejected) {
             audit.throttled(id, now());
@@ -154,14 +154,14 @@
      *
      * @param instead how the connection ended, or null if nothing was received
      */
-    synchronized void unanswered(String id, String instead) {
+    synchronized void onUnanswered(String id, String instead) {
         SentRequest request = requests.get(id);
         RouterStatus status = routers.get(request.router());
-        boolean notTaken = status.ending && StubClient.NO_CONNECTION.equals(instead);
-        if (notTaken || status.down || status.changes != request.routerChanges()) {
+        boolean connectionRefused = status.shuttingDown && StubClient.NO_CONNECTION.equals(instead);
+        if (connectionRefused || status.down || status.changes != request.routerChanges()) {
             audit.excused(id);
-        } else if (firstUnanswered == null) {
-            firstUnanswered = id + " of " + request.requestClass().name() + " at " + request.router() + ", sent at "
+        } else if (firstUnansweredRequest == null) {
+            firstUnansweredRequest = id + " of " + request.requestClass().name() + " at " + request.router() + ", sent at "
                     + ProcessStalls.format(request.at()) + ", got after " + (now() - request.at()) + " s: " + instead;
         }
     }
@@ -169,14 +169,14 @@
     // ---- nodes ----
 
     /** Records that a node has read a statement of a router. */
-    synchronized void arrived(String router, Node node) {
+    synchronized void onRequest(String router, Node node) {
         if (drainNotifiedAt.containsKey(node) && routers.containsKey(router)) {
             audit.sentToDraining(node, Math.max(drainNotifiedAt.get(node), routers.get(router).upSince), now());
         }
     }
 
     /** Records that a node executes a request at its applied position; requests that no client sent are ignored. */
-    synchronized void executed(String id, Node node, double position) {
+    synchronized void onExecuted(String id, Node node, double position) {
         SentRequest request = requests.get(id);
         if (request != null) {
             audit.ran(id, node, position, requiredPosition(request), now());
@@ -195,7 +195,7 @@
     }
 
     /** Records work, in seconds, of a node in slow start that completes {@code capacity} seconds of work per second. */
-    synchronized void worked(Node node, double work, double capacity) {
+    synchronized void onWork(Node node, double work, double capacity) {
         audit.worked(node, work, capacity, now());
     }
 
@@ -214,13 +214,13 @@
     /**
      * Number of violations of each rule, without rules that were kept. Ends the run: open requests count as overdue.
      */
-    public synchronized Map<RuleAudit.RuleKept, Integer> broken() {
+    public synchronized Map<RuleAudit.RuleKept, Integer> brokenRules() {
         audit.end(Double.POSITIVE_INFINITY);
         return audit.broken();
     }
 
     /** Description of the first violation and of the first unanswered request, each null if there is none. */
-    public synchronized String firstBroken() {
-        return audit.first() + ", " + firstUnanswered;
+    public synchronized String firstViolation() {
+        return audit.first() + ", " + firstUnansweredRequest;
     }
 }
--- a/clustertests/src/main/java/clayhook/clustertests/LoadClient.java
+++ b/clustertests/src/main/java/clayhook/clustertests/LoadClient.java
@@ -73,7 +73,7 @@
         boolean writes = group.consistency() == ConsistencyLevel.WRITE;
         boolean own = group.consistency() == ConsistencyLevel.SESSION && wroteAt > 0;
         double waitSeconds = group.clientTimeoutSeconds() + HistoryRecorder.MACHINE_SECONDS;
-        history.sent(id, group, own ? wroteAt : 0, router.name(), waitSeconds);
+        history.onSent(id, group, own ? wroteAt : 0, router.name(), waitSeconds);
         ByteBuf statement = StubClient.statement(
                 writes,
                 name,
@@ -84,7 +84,7 @@
         String response = responseTo(router, statement, Math.min(waitSeconds, patienceSeconds));
         if (response == null && patienceSeconds < waitSeconds) {
             disconnect(router);
-            history.left(id);
+            history.onDisconnected(id);
             return Answer.NONE;
         }
         boolean value = response != null && response.indexOf('.') > 0;
@@ -92,14 +92,14 @@
                 || response.equals(StubClient.NO_CONNECTION)
                 || response.equals(CLOSED)
                 || (value && response.endsWith(CLOSED))) {
-            history.unanswered(id, response);
+            history.onUnanswered(id, response);
             disconnect(router);
             Thread.sleep(AGAIN_MS);
             return Answer.NONE;
         }
         last = id;
         boolean refused = isRefusal(response);
-        history.answered(id, refused, value);
+        history.onAnswered(id, refused, value);
         if (response.endsWith(CLOSED)) {
             disconnect(router);
         }
@@ -119,7 +119,7 @@
             open.send(statement);
             return open.nextAnswer(waitSeconds);
         } else if (!unsolicited.endsWith(CLOSED)) {
-            history.answered(last, false, false); // a second answer to one request, which is a violation
+            history.onAnswered(last, false, false); // a second answer to one request, which is a violation
         }
         disconnect(router);
         var connection = new StubClient(transport, router.address());
--- a/clustertests/src/main/java/clayhook/clustertests/RecordingClient.java
+++ b/clustertests/src/main/java/clayhook/clustertests/RecordingClient.java
@@ -178,7 +178,7 @@
         attempts.onSent(id, timeoutSeconds, null);
         write(statement(id));
         socket.close();
-        attempts.onLeft(id);
+        attempts.onDisconnected(id);
     }
 
     private static String nextId() {
--- a/clustertests/src/main/java/clayhook/clustertests/RouterFleet.java
+++ b/clustertests/src/main/java/clayhook/clustertests/RouterFleet.java
@@ -162,11 +162,11 @@
 
     /** Violations of the rules that {@link HistoryRecorder} checks, by rule; empty if there are none. */
     public Map<?, Integer> brokenRules() {
-        return history.broken();
+        return history.brokenRules();
     }
 
-    public String firstBroken() {
-        return history.firstBroken();
+    public String firstViolation() {
+        return history.firstViolation();
     }
 
     public DrainAudit drains() {
@@ -202,13 +202,13 @@
         }
         for (RouterProcess router : some) {
             processes.awaitServing(router, START_SECONDS);
-            history.up(router.name());
+            history.onUp(router.name());
         }
     }
 
     /** Kills processes by SIGKILL; returns when they have ended. */
     public void kill(Collection<RouterProcess> some) throws InterruptedException {
-        some.forEach(router -> history.down(router.name()));
+        some.forEach(router -> history.onDown(router.name()));
         some.forEach(RouterProcess::kill);
         for (RouterProcess router : some) {
             router.ended();
@@ -232,12 +232,12 @@
 
     /** Records that a router gets SIGTERM: it may refuse connections, but owes answers to requests that it admits. */
     void onEnding(RouterProcess router) {
-        history.ending(router.name());
+        history.onShuttingDown(router.name());
     }
 
     /** Records that a process has ended: the router owes no answers until its next start. */
     void onEnded(RouterProcess router) {
-        history.down(router.name());
+        history.onDown(router.name());
     }
 
     /**
--- a/clustertests/src/main/java/clayhook/clustertests/ShutdownScenario.java
+++ b/clustertests/src/main/java/clayhook/clustertests/ShutdownScenario.java
@@ -154,7 +154,7 @@
         }
         RouterProcess.signalRunning(routers, signal);
         if (signal.equals("CONT")) {
-            routers.forEach(router -> fleet.attempts().onContinued(router.name()));
+            routers.forEach(router -> fleet.attempts().onResumed(router.name()));
         }
     }
 
--- a/clustertests/src/main/java/clayhook/clustertests/TestCluster.java
+++ b/clustertests/src/main/java/clayhook/clustertests/TestCluster.java
@@ -168,10 +168,10 @@
     /** Begins a fault; returns when processes that it kills have ended. */
     public void begin(ClusterFault fault) throws IOException, InterruptedException {
         if (fault instanceof ClusterFault.Stopped stopped) {
-            history.down(routers.get(stopped.router()).name());
+            history.onDown(routers.get(stopped.router()).name());
             routers.get(stopped.router()).signal("STOP");
         } else if (fault instanceof ClusterFault.Killed killed) {
-            killed.routers().forEach(i -> history.down(routers.get(i).name()));
+            killed.routers().forEach(i -> history.onDown(routers.get(i).name()));
             killed.routers().forEach(i -> routers.get(i).kill());
             for (int router : killed.routers()) {
                 routers.get(router).ended();
@@ -185,14 +185,14 @@
     public void end(ClusterFault fault) throws IOException, InterruptedException {
         if (fault instanceof ClusterFault.Stopped stopped) {
             routers.get(stopped.router()).signal("CONT");
-            history.up(routers.get(stopped.router()).name());
+            history.onUp(routers.get(stopped.router()).name());
         } else if (fault instanceof ClusterFault.Killed killed) {
             for (int router : killed.routers()) {
                 routers.get(router).start();
             }
             for (int router : killed.routers()) {
                 processes.awaitServing(routers.get(router), PATIENCE);
-                history.up(routers.get(router).name());
+                history.onUp(routers.get(router).name());
             }
         } else {
             links(fault, false);
--- a/clustertests/src/main/java/clayhook/clustertests/TestReplicaSet.java
+++ b/clustertests/src/main/java/clayhook/clustertests/TestReplicaSet.java
@@ -98,7 +98,7 @@
     }
 
     void requestArrived(NodeRequest request) {
-        history.arrived(request.router(), request.node());
+        history.onRequest(request.router(), request.node());
         requestListeners.forEach(listener -> listener.accept(request));
     }
 
--- a/clustertests/src/test/java/clayhook/clustertests/ClusterTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/ClusterTest.java
@@ -21,7 +21,7 @@
 
     static void verdict(TestCluster fleet) throws InterruptedException {
         fleet.stopLoad();
-        assertEquals(Map.of(), fleet.history().broken(), () -> fleet.history().firstBroken() + "\n" + fleet.logs());
+        assertEquals(Map.of(), fleet.history().brokenRules(), () -> fleet.history().firstViolation() + "\n" + fleet.logs());
     }
 
     /**
--- a/clustertests/src/test/java/clayhook/clustertests/CrowdedDiscoveryTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/CrowdedDiscoveryTest.java
@@ -57,7 +57,7 @@
             assertTrue(fleet.await(() -> fleet.discovery().answers() >= answers + ROUTERS, RECOVERY_SECONDS));
             fleet.stopLoad();
             assertEquals(List.of(), fleet.drains().violations());
-            assertEquals(Map.of(), fleet.brokenRules(), fleet::firstBroken);
+            assertEquals(Map.of(), fleet.brokenRules(), fleet::firstViolation);
             assertTrue(
                     servedWhileCrowded > rejectedWhileCrowded,
                     servedWhileCrowded + " served, " + rejectedWhileCrowded + " rejected");
--- a/clustertests/src/test/java/clayhook/clustertests/HistoryRecorderTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/HistoryRecorderTest.java
@@ -15,7 +15,7 @@
     private static final Node FIRST = new Node("n0", "a", 1), SECOND = new Node("n1", "a", 1);
 
     private static void ask(HistoryRecorder history, RequestClass group) {
-        history.sent("id", group, HistoryRecorder.now(), "r0", 1);
+        history.onSent("id", group, HistoryRecorder.now(), "r0", 1);
     }
 
     @ParameterizedTest
@@ -39,10 +39,10 @@
         var history = new HistoryRecorder(TestCluster.settings());
         boolean writes = what.contains("charge") || what.contains("keyed");
         if (what.startsWith("stopped")) {
-            history.down("r0");
+            history.onDown("r0");
         }
         if (what.endsWith("back before")) {
-            history.up("r0");
+            history.onUp("r0");
         }
         ask(
                 history,
@@ -52,27 +52,27 @@
                                 ? TestCluster.CHARGE
                                 : what.contains("session") ? TestCluster.SESSION : TestCluster.BOUNDED);
         if (what.endsWith("router") || what.equals("killed")) {
-            history.down("r0");
-            history.up("r0");
+            history.onDown("r0");
+            history.onUp("r0");
         }
         double age = what.startsWith("older") ? 1.1 : what.startsWith("within") ? 0.9 : 0;
-        history.executed("id", FIRST, writes ? 0 : HistoryRecorder.now() - age);
+        history.onExecuted("id", FIRST, writes ? 0 : HistoryRecorder.now() - age);
         if (what.contains("twice")) {
-            history.executed("id", SECOND, 0);
+            history.onExecuted("id", SECOND, 0);
         }
         if ((rule.equals("ONE_ANSWER") && !what.startsWith("two"))
                 || what.startsWith("killed")
                 || what.startsWith("stopped")) {
-            history.unanswered("id", null);
+            history.onUnanswered("id", null);
         } else {
-            history.answered("id", what.startsWith("throttled"), true);
+            history.onAnswered("id", what.startsWith("throttled"), true);
         }
         if (what.startsWith("two")) {
-            history.answered("id", false, true);
+            history.onAnswered("id", false, true);
         }
         assertEquals(
                 rule,
                 String.join(
-                        ",", history.broken().keySet().stream().map(Enum::name).toList()));
+                        ",", history.brokenRules().keySet().stream().map(Enum::name).toList()));
     }
 }
--- a/clustertests/src/test/java/clayhook/clustertests/SharingClusterTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/SharingClusterTest.java
@@ -110,7 +110,7 @@
             }
             assertEquals(
                     shares ? Set.of() : Set.of(RuleKept.NO_STALE_READ),
-                    fleet.history().broken().keySet(),
+                    fleet.history().brokenRules().keySet(),
                     fleet::logs);
         }
     }
