--- a/clustertests/src/main/java/clayhook/clustertests/ClusterNode.java
+++ b/clustertests/src/main/java/clayhook/clustertests/ClusterNode.java
@@ -43,13 +43,13 @@
     }
 
     /** Node time that one request takes, in seconds. */
-    private static final double WORK_SECONDS = 0.001;
+    private static final double REQUEST_WORK_SECONDS = 0.001;
     /** Work in seconds that a warm node completes per second; far above the load of any run. */
-    private static final double WORK_SECONDS_PER_SECOND = 2;
+    private static final double WARM_CAPACITY = 2;
 
     final Node node;
-    private final TestReplicaSet cluster;
-    private final Channel listening;
+    private final TestReplicaSet replicaSet;
+    private final Channel serverChannel;
     private final Set<Channel> connections = ConcurrentHashMap.newKeySet();
     private volatile TcpRelay relay;
     private volatile Behavior behavior = Behavior.WELL;
@@ -57,12 +57,12 @@
     private volatile double stateSince;
     private volatile double startedAt;
     /** Applied position at which the node's log is stalled, or 0 if it is not stalled. Guarded by {@code this}. */
-    private double stalledAt;
+    private double stalledPosition;
 
-    ClusterNode(TestReplicaSet cluster, Node node, Transport transport) throws InterruptedException {
-        this.cluster = cluster;
+    ClusterNode(TestReplicaSet replicaSet, Node node, Transport transport) throws InterruptedException {
+        this.replicaSet = replicaSet;
         this.node = node;
-        listening =
+        serverChannel =
                 transport.listen(transport.ephemeralAddress(0), () -> new ChannelHandler[] {
                     new ClientMessageDecoder(new MemoryBudget(Long.MAX_VALUE), true), new Connection()
                 });
@@ -74,12 +74,12 @@
 
     /** The port at which routers reach the node: that of its relay, or its own if it has no relay. */
     int port() {
-        TcpRelay between = relay;
-        return between == null ? ownAddress().getPort() : between.address().getPort();
+        TcpRelay currentRelay = relay;
+        return currentRelay == null ? ownAddress().getPort() : currentRelay.address().getPort();
     }
 
     private InetSocketAddress ownAddress() {
-        return (InetSocketAddress) listening.localAddress();
+        return (InetSocketAddress) serverChannel.localAddress();
     }
 
     /** Puts a relay in front of the node; routers use it from the next version of the endpoint list on. */
@@ -101,22 +101,22 @@
     }
 
     /** Sets the state that the endpoint list shows, and publishes a new version of the list. */
-    public void state(Endpoint.State next) {
-        stateWithoutNotice(next);
-        cluster.listChanged();
+    public void setState(Endpoint.State next) {
+        setStateWithoutPublishing(next);
+        replicaSet.publishList();
     }
 
     /** Sets the state that the endpoint list shows from its next version on. */
-    void stateWithoutNotice(Endpoint.State next) {
+    void setStateWithoutPublishing(Endpoint.State next) {
         stateSince = HistoryRecorder.now();
         state = next;
     }
 
     private boolean rejectsAsDraining() {
-        return state != Endpoint.State.READY && HistoryRecorder.now() > stateSince + cluster.drainLeadSeconds();
+        return state != Endpoint.State.READY && HistoryRecorder.now() > stateSince + replicaSet.drainLeadSeconds();
     }
 
-    public void behavior(Behavior next) {
+    public void setBehavior(Behavior next) {
         behavior = next;
         if (next == Behavior.DEAD) {
             connections.forEach(Channel::close);
@@ -127,16 +127,16 @@
     public void restart() {
         startedAt = HistoryRecorder.now();
         behavior = Behavior.WELL;
-        cluster.listChanged();
+        replicaSet.publishList();
     }
 
     /** Stalls the log of a replica, or lets the replica catch up. */
-    public synchronized void stall(boolean stalls) {
-        stalledAt = stalls ? position() : 0;
+    public synchronized void setLogStalled(boolean isStalled) {
+        stalledPosition = isStalled ? position() : 0;
     }
 
-    private boolean leads() {
-        return cluster.primary() == this;
+    private boolean isPrimary() {
+        return replicaSet.primary() == this;
     }
 
     /**
@@ -145,34 +145,34 @@
      */
     synchronized double position() {
         double now = HistoryRecorder.now();
-        if (leads()) {
-            stalledAt = stalledAt > 0 ? now : 0;
+        if (isPrimary()) {
+            stalledPosition = stalledPosition > 0 ? now : 0;
             return now;
         }
-        return stalledAt > 0 ? stalledAt : now - TestReplicaSet.LAG;
+        return stalledPosition > 0 ? stalledPosition : now - TestReplicaSet.REPLICATION_LAG_SECONDS;
     }
 
-    private synchronized void keepApplied(double position) {
-        stalledAt = stalledAt > 0 ? Math.max(stalledAt, position) : 0;
+    private synchronized void raiseStalledPosition(double position) {
+        stalledPosition = stalledPosition > 0 ? Math.max(stalledPosition, position) : 0;
     }
 
     /** Records the work of a request for the history's slow-start rule, which assumes a fixed node capacity. */
     void recordSlowStartWork() {
         double age = HistoryRecorder.now() - startedAt;
-        double slowStartSeconds = cluster.settings.slowStartSeconds();
+        double slowStartSeconds = replicaSet.settings.slowStartSeconds();
         if (startedAt > 0 && age < slowStartSeconds) {
-            double initial = cluster.settings.initialCapacityFraction();
+            double initial = replicaSet.settings.initialCapacityFraction();
             double fraction = initial + (1 - initial) * age / slowStartSeconds;
-            cluster.history.onWork(node, WORK_SECONDS, WORK_SECONDS_PER_SECOND * fraction);
+            replicaSet.history.onWork(node, REQUEST_WORK_SECONDS, WARM_CAPACITY * fraction);
         }
     }
 
     private ByteBuf row(String value, double position) {
-        String load = "inflight=1,x0=" + position + ",x1=" + (leads() ? 1 : 0);
+        String load = "inflight=1,x0=" + position + ",x1=" + (isPrimary() ? 1 : 0);
         // Rounded down, so that the reported position never exceeds the applied position.
         return StubNode.row(
                 value == null ? load : value,
-                leads() ? "primary" : "replica",
+                isPrimary() ? "primary" : "replica",
                 (long) Math.floor(position * 1000),
                 load);
     }
@@ -202,8 +202,8 @@
                 router = startup.parameters().getOrDefault("user", "");
                 ctx.writeAndFlush(MessageEncoder.startupResponse(0, Map.of()));
             } else if (message instanceof ClientMessage.SqlQuery sql) {
-                KeyValueStatement statement = statement(sql.text());
-                ByteBuf answer = statement == null ? healthCheckAnswer() : run(statement);
+                KeyValueStatement statement = parseStatement(sql.text());
+                ByteBuf answer = statement == null ? healthCheckAnswer() : execute(statement);
                 if (statement == null || behavior == Behavior.WELL) {
                     ctx.writeAndFlush(answer);
                 } else if (behavior != Behavior.SILENT) {
@@ -219,20 +219,20 @@
                     : MessageEncoder.error(false, "57P03", "draining", null);
         }
 
-        private ByteBuf run(KeyValueStatement statement) {
-            cluster.requestArrived(new NodeRequest(router, node, statement, HistoryRecorder.now()));
+        private ByteBuf execute(KeyValueStatement statement) {
+            replicaSet.onRequest(new NodeRequest(router, node, statement, HistoryRecorder.now()));
             if (rejectsAsDraining()) {
                 return MessageEncoder.error(false, "53300", "draining", null);
             }
-            RequestClass group = cluster.group(statement.requestClassName);
-            if (group == null || (group.requiresPrimary() && !leads())) {
+            RequestClass requestClass = replicaSet.requestClass(statement.requestClassName);
+            if (requestClass == null || (requestClass.requiresPrimary() && !isPrimary())) {
                 return MessageEncoder.error(false, "25006", "not here", null);
             }
-            boolean writes = group.consistency() == ConsistencyLevel.WRITE;
-            double position = writes ? cluster.write(group, statement.outcomeKey) : position();
-            keepApplied(position);
-            cluster.history.onExecuted(statement.requestId, node, position);
-            return row(Double.toString(position), writes ? position : position());
+            boolean isWrite = requestClass.consistency() == ConsistencyLevel.WRITE;
+            double position = isWrite ? replicaSet.commitWrite(requestClass, statement.outcomeKey) : position();
+            raiseStalledPosition(position);
+            replicaSet.history.onExecuted(statement.requestId, node, position);
+            return row(Double.toString(position), isWrite ? position : position());
         }
 
         @Override
@@ -242,7 +242,7 @@
     }
 
     /** Parses a statement; returns null for a health check, which has no routing comment. */
-    private static KeyValueStatement statement(byte[] text) {
+    private static KeyValueStatement parseStatement(byte[] text) {
         try {
             return KeyValueStatement.parse(text);
         } catch (IllegalArgumentException e) {
--- a/clustertests/src/main/java/clayhook/clustertests/CrowdedDiscovery.java
+++ b/clustertests/src/main/java/clayhook/clustertests/CrowdedDiscovery.java
@@ -65,7 +65,7 @@
         thread.setDaemon(true);
         return thread;
     });
-    private final TestReplicaSet cluster;
+    private final TestReplicaSet replicaSet;
     private final EndpointNotifications notifications;
     private final Consumer<TestReplicaSet> changeListener;
     private final double secondsPerCall;
@@ -90,13 +90,13 @@
      */
     CrowdedDiscovery(
             Transport transport,
-            TestReplicaSet cluster,
+            TestReplicaSet replicaSet,
             EndpointNotifications notifications,
             Consumer<TestReplicaSet> changeListener,
             List<String> routers,
             double secondsPerCall)
             throws InterruptedException {
-        this.cluster = cluster;
+        this.replicaSet = replicaSet;
         this.notifications = notifications;
         this.changeListener = changeListener;
         this.secondsPerCall = secondsPerCall;
@@ -104,7 +104,7 @@
             addresses.add(List.of(listen(transport, router), listen(transport, router)));
             inUse.add(0);
         }
-        cluster.watch(this::onChange);
+        replicaSet.setListChangeListener(this::onChange);
     }
 
     private StubDiscovery listen(Transport transport, String router) throws InterruptedException {
@@ -173,7 +173,7 @@
     private synchronized void handle(Call call) {
         if (call.answered || mode == Mode.DOWN || mode == Mode.SILENT) {
             return;
-        } else if (call.after < cluster.version() || call.waitSeconds == 0) {
+        } else if (call.after < replicaSet.version() || call.waitSeconds == 0) {
             write(call);
             return;
         }
@@ -190,15 +190,15 @@
     private void write(Call call) {
         call.answered = true;
         answers++;
-        int version = cluster.version();
+        int version = replicaSet.version();
         // Read before the write, as the router may act on the list before this thread records the notification.
-        if (call.answer.test(cluster.list())) {
+        if (call.answer.test(replicaSet.endpointListJson())) {
             notifications.onWritten(call.router, version);
         }
     }
 
     private synchronized void onChange() {
-        changeListener.accept(cluster);
+        changeListener.accept(replicaSet);
         double now = HistoryRecorder.now();
         List<Call> all = List.copyOf(parked);
         parked.clear();
--- a/clustertests/src/main/java/clayhook/clustertests/DiscoveryServer.java
+++ b/clustertests/src/main/java/clayhook/clustertests/DiscoveryServer.java
@@ -14,7 +14,7 @@
  * can be limited, so that only some routers, or none, are notified of a change.
  */
 public final class DiscoveryServer {
-    private final TestReplicaSet cluster;
+    private final TestReplicaSet replicaSet;
     private final IntSupplier routers;
     private final StubDiscovery service;
     /**
@@ -28,11 +28,11 @@
     private int answered;
 
     /** {@code routers} returns the number of running routers; a change counts as notified after that many answers. */
-    DiscoveryServer(Transport transport, TestReplicaSet cluster, IntSupplier routers) throws InterruptedException {
-        this.cluster = cluster;
+    DiscoveryServer(Transport transport, TestReplicaSet replicaSet, IntSupplier routers) throws InterruptedException {
+        this.replicaSet = replicaSet;
         this.routers = routers;
         service = new StubDiscovery(transport, transport.ephemeralAddress(0), this::called);
-        cluster.watch(this::changed);
+        replicaSet.setListChangeListener(this::changed);
     }
 
     InetSocketAddress address() {
@@ -47,7 +47,7 @@
 
     private synchronized void called(String call, Predicate<String> answer) {
         waiting.add(answer);
-        if (!call.contains("after=" + cluster.version() + "&")) {
+        if (!call.contains("after=" + replicaSet.version() + "&")) {
             speak();
         }
     }
@@ -63,14 +63,14 @@
         for (Predicate<String> answer : all) {
             if (answers == 0) {
                 waiting.add(answer);
-            } else if (answer.test(cluster.list())) {
+            } else if (answer.test(replicaSet.endpointListJson())) {
                 answers--;
                 answered++;
             }
         }
         if (answered >= routers.getAsInt()) {
-            cluster.nodes()
-                    .forEach(node -> cluster.history.onNotified(node.node, node.state() == Endpoint.State.DRAINING));
+            replicaSet.nodes()
+                    .forEach(node -> replicaSet.history.onNotified(node.node, node.state() == Endpoint.State.DRAINING));
         }
     }
 }
--- a/clustertests/src/main/java/clayhook/clustertests/DrainAudit.java
+++ b/clustertests/src/main/java/clayhook/clustertests/DrainAudit.java
@@ -34,12 +34,12 @@
     }
 
     /** Records the draining nodes of a new version of the endpoint list at discovery. */
-    synchronized void onChange(TestReplicaSet cluster) {
-        for (ClusterNode node : cluster.nodes()) {
+    synchronized void onChange(TestReplicaSet replicaSet) {
+        for (ClusterNode node : replicaSet.nodes()) {
             if (node.state() == Endpoint.State.READY) {
                 drains.remove(node.node());
             } else {
-                drains.computeIfAbsent(node.node(), any -> new Drain(cluster.version(), HistoryRecorder.now()));
+                drains.computeIfAbsent(node.node(), any -> new Drain(replicaSet.version(), HistoryRecorder.now()));
             }
         }
     }
--- a/clustertests/src/main/java/clayhook/clustertests/RouterFleet.java
+++ b/clustertests/src/main/java/clayhook/clustertests/RouterFleet.java
@@ -90,9 +90,9 @@
         }
         replicaSet.rejectWhileDraining(DRAIN_LEAD_SECONDS);
         slowStarts = new SlowStartAudit(notifications, settings, NODE_CAPACITY_PER_ROUTER * spec.routerCount());
-        replicaSet.onRequests(drains::onRequest);
-        replicaSet.onRequests(slowStarts::onRequest);
-        replicaSet.onRequests(history.attempts()::onAttempt);
+        replicaSet.addRequestListener(drains::onRequest);
+        replicaSet.addRequestListener(slowStarts::onRequest);
+        replicaSet.addRequestListener(history.attempts()::onAttempt);
         List<String> names =
                 IntStream.range(0, spec.routerCount()).mapToObj(i -> "r" + i).toList();
         discovery = new CrowdedDiscovery(
@@ -141,7 +141,7 @@
     private String platformFile(RouterProcess router, int number) {
         return "{\"name\": \"" + router.name() + "\", \"listen\": " + quoted(router.address()) + ", \"discovery\": "
                 + quoted(discovery.address(number)) + ", \"seed\": \"" + Long.toHexString(spec.seed() * 1000 + number)
-                + "\", \"known\": " + replicaSet.list() + ", \"settings\": "
+                + "\", \"known\": " + replicaSet.endpointListJson() + ", \"settings\": "
                 + settingsText(ZONES.get(number % ZONES.size())) + ", \"limits\": {\"sockets\": "
                 + spec.descriptors() + "}}";
     }
@@ -284,9 +284,9 @@
     }
 
     /** Sets the state of several nodes in one new version of the endpoint list. */
-    public void state(Collection<ClusterNode> some, Endpoint.State state) {
-        some.forEach(node -> node.stateWithoutNotice(state));
-        replicaSet.listChanged();
+    public void setState(Collection<ClusterNode> some, Endpoint.State state) {
+        some.forEach(node -> node.setStateWithoutPublishing(state));
+        replicaSet.publishList();
     }
 
     // ---- load ----
--- a/clustertests/src/main/java/clayhook/clustertests/ShutdownScenario.java
+++ b/clustertests/src/main/java/clayhook/clustertests/ShutdownScenario.java
@@ -115,7 +115,7 @@
     }
 
     private void hang(ClusterNode.Behavior behavior) {
-        plan.hungNodes().forEach(number -> fleet.nodes().get(number).behavior(behavior));
+        plan.hungNodes().forEach(number -> fleet.nodes().get(number).setBehavior(behavior));
     }
 
     private void signalAll() throws IOException, InterruptedException {
--- a/clustertests/src/main/java/clayhook/clustertests/SlowStartAudit.java
+++ b/clustertests/src/main/java/clayhook/clustertests/SlowStartAudit.java
@@ -69,11 +69,11 @@
     }
 
     /** Records the nodes that start with a new version of the endpoint list at discovery. */
-    synchronized void onChange(TestReplicaSet cluster) {
-        for (ClusterNode node : cluster.nodes()) {
+    synchronized void onChange(TestReplicaSet replicaSet) {
+        for (ClusterNode node : replicaSet.nodes()) {
             Start known = starts.get(node.node());
             if (node.startedAt() > 0 && (known == null || known.at() < node.startedAt())) {
-                starts.put(node.node(), new Start(cluster.version(), node.startedAt()));
+                starts.put(node.node(), new Start(replicaSet.version(), node.startedAt()));
                 windows.put(node.node(), new ArrayDeque<>());
             }
         }
--- a/clustertests/src/main/java/clayhook/clustertests/SoakFault.java
+++ b/clustertests/src/main/java/clayhook/clustertests/SoakFault.java
@@ -54,12 +54,12 @@
     record Drain(List<Integer> nodes) implements SoakFault {
         @Override
         public void begin(RouterFleet fleet) {
-            fleet.state(members(fleet, nodes), Endpoint.State.DRAINING);
+            fleet.setState(members(fleet, nodes), Endpoint.State.DRAINING);
         }
 
         @Override
         public void end(RouterFleet fleet) {
-            fleet.state(members(fleet, nodes), Endpoint.State.READY);
+            fleet.setState(members(fleet, nodes), Endpoint.State.READY);
         }
     }
 
@@ -67,12 +67,12 @@
     record NodeFault(int node, ClusterNode.Behavior behavior) implements SoakFault {
         @Override
         public void begin(RouterFleet fleet) {
-            fleet.nodes().get(node).behavior(behavior);
+            fleet.nodes().get(node).setBehavior(behavior);
         }
 
         @Override
         public void end(RouterFleet fleet) {
-            fleet.nodes().get(node).behavior(ClusterNode.Behavior.WELL);
+            fleet.nodes().get(node).setBehavior(ClusterNode.Behavior.WELL);
         }
     }
 
@@ -80,7 +80,7 @@
     record NodeRestart(int node) implements SoakFault {
         @Override
         public void begin(RouterFleet fleet) {
-            fleet.nodes().get(node).behavior(ClusterNode.Behavior.DEAD);
+            fleet.nodes().get(node).setBehavior(ClusterNode.Behavior.DEAD);
         }
 
         @Override
@@ -93,12 +93,12 @@
     record LogStall(int node) implements SoakFault {
         @Override
         public void begin(RouterFleet fleet) {
-            fleet.nodes().get(node).stall(true);
+            fleet.nodes().get(node).setLogStalled(true);
         }
 
         @Override
         public void end(RouterFleet fleet) {
-            fleet.nodes().get(node).stall(false);
+            fleet.nodes().get(node).setLogStalled(false);
         }
     }
 
--- a/clustertests/src/main/java/clayhook/clustertests/TestCluster.java
+++ b/clustertests/src/main/java/clayhook/clustertests/TestCluster.java
@@ -120,7 +120,7 @@
     private String platform(RouterProcess router, int number) {
         return "{\"name\": \"" + router.name() + "\", \"listen\": " + text(router.address()) + ", \"discovery\": "
                 + text(discovery.address()) + ", \"seed\": \"" + Long.toHexString(seed + number) + "\", \"known\": "
-                + cluster.list()
+                + cluster.endpointListJson()
                 + ", \"settings\": "
                 + SETTINGS.formatted(ZONES.get(number % ZONES.size()), carried ? "carried" : "remembered") + "}";
     }
--- a/clustertests/src/main/java/clayhook/clustertests/TestReplicaSet.java
+++ b/clustertests/src/main/java/clayhook/clustertests/TestReplicaSet.java
@@ -17,23 +17,23 @@
 /** A simulated replica set: its nodes, its primary, its committed writes and its endpoint list. */
 public final class TestReplicaSet {
     /** Time from a commit until replicas have applied it, in seconds. */
-    static final double LAG = 0.02;
+    static final double REPLICATION_LAG_SECONDS = 0.02;
 
     final HistoryRecorder history;
     private final List<ClusterNode> nodes = new ArrayList<>();
     final RoutingSettings settings;
-    private final Map<String, RequestClass> groups;
+    private final Map<String, RequestClass> requestClasses;
     /** Positions of writes by idempotency key, for deduplication; a test run writes a few thousand. */
-    private final Map<String, Double> written = new HashMap<>();
+    private final Map<String, Double> writePositions = new HashMap<>();
 
-    private volatile Runnable watcher = () -> {};
+    private volatile Runnable listChangeListener = () -> {};
     /** Receive each statement that a node has read. */
     private final List<Consumer<NodeRequest>> requestListeners = new CopyOnWriteArrayList<>();
     /** Seconds after the list shows them as draining until nodes reject statements; infinite for never. */
     private volatile double drainLeadSeconds = Double.POSITIVE_INFINITY;
 
     private ClusterNode primary;
-    private double head;
+    private double lastPosition;
     private int version = 1;
 
     /** Starts the nodes on one event loop; the first is the primary. */
@@ -41,7 +41,7 @@
             throws InterruptedException {
         this.history = history;
         this.settings = settings;
-        groups = settings.requestClasses().stream().collect(Collectors.toMap(RequestClass::name, group -> group));
+        requestClasses = settings.requestClasses().stream().collect(Collectors.toMap(RequestClass::name, requestClass -> requestClass));
         for (int i = 0; i < size; i++) {
             nodes.add(new ClusterNode(this, new Node("n" + i, zones.get(i % zones.size()), 1), transport));
         }
@@ -61,7 +61,7 @@
         synchronized (this) {
             primary = next;
         }
-        listChanged();
+        publishList();
     }
 
     /**
@@ -69,35 +69,35 @@
      * start.
      */
     void recordSlowStartWork() {
-        onRequests(request -> nodes.stream()
+        addRequestListener(request -> nodes.stream()
                 .filter(each -> each.node().equals(request.node()))
                 .forEach(ClusterNode::recordSlowStartWork));
     }
 
     /** The request class with that name, or null if there is none. */
-    RequestClass group(String name) {
-        return groups.get(name);
+    RequestClass requestClass(String name) {
+        return requestClasses.get(name);
     }
 
     /**
      * Commits a write and returns its position; a write with a known key has no effect and returns its first position.
      */
-    synchronized double write(RequestClass group, String key) {
-        Double before = group.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY ? written.get(key) : null;
-        if (before == null) {
-            head = Math.max(Math.nextUp(head), HistoryRecorder.now());
-            written.put(key, head);
-            return head;
+    synchronized double commitWrite(RequestClass requestClass, String key) {
+        Double knownPosition = requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY ? writePositions.get(key) : null;
+        if (knownPosition == null) {
+            lastPosition = Math.max(Math.nextUp(lastPosition), HistoryRecorder.now());
+            writePositions.put(key, lastPosition);
+            return lastPosition;
         }
-        return before;
+        return knownPosition;
     }
 
     /** Adds a listener for each statement that a node reads, called on the event loop of the nodes. */
-    void onRequests(Consumer<NodeRequest> listener) {
+    void addRequestListener(Consumer<NodeRequest> listener) {
         requestListeners.add(listener);
     }
 
-    void requestArrived(NodeRequest request) {
+    void onRequest(NodeRequest request) {
         history.onRequest(request.router(), request.node());
         requestListeners.forEach(listener -> listener.accept(request));
     }
@@ -114,15 +114,15 @@
     // ---- the endpoint list ----
 
     /** Sets the listener for changes of the endpoint list, called on the thread that makes the change. */
-    void watch(Runnable hears) {
-        watcher = hears;
+    void setListChangeListener(Runnable listener) {
+        listChangeListener = listener;
     }
 
-    void listChanged() {
+    void publishList() {
         synchronized (this) {
             version++;
         }
-        watcher.run();
+        listChangeListener.run();
     }
 
     synchronized int version() {
@@ -130,12 +130,12 @@
     }
 
     /** The endpoint list in the JSON format of discovery. */
-    synchronized String list() {
+    synchronized String endpointListJson() {
         return "{\"rev\":" + version + ",\"all\":true,\"targets\":["
-                + nodes.stream().map(this::entry).collect(Collectors.joining(",")) + "]}";
+                + nodes.stream().map(this::endpointJson).collect(Collectors.joining(",")) + "]}";
     }
 
-    private String entry(ClusterNode node) {
+    private String endpointJson(ClusterNode node) {
         return "{\"uid\":\"" + node.node.id() + "\",\"endpoint\":\"127.0.0.1:" + node.port() + "\",\"az\":\""
                 + node.node.zone()
                 + "\",\"pod_group\":" + node.node.replicaSetId() + ",\"state\":\""
--- a/clustertests/src/test/java/clayhook/clustertests/ClusterNodeTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/ClusterNodeTest.java
@@ -22,10 +22,10 @@
         try {
             var replicaSet =
                     new TestReplicaSet(transport, 2, List.of("a", "b"), settings, new HistoryRecorder(settings));
-            replicaSet.watch(() -> {});
+            replicaSet.setListChangeListener(() -> {});
             ClusterNode node = replicaSet.nodes().get(1);
             replicaSet.promote(node);
-            node.stall(true);
+            node.setLogStalled(true);
             Thread.sleep(LEADS_MS);
             double asPrimary = node.position();
             replicaSet.promote(replicaSet.nodes().get(0));
--- a/clustertests/src/test/java/clayhook/clustertests/ClusterTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/ClusterTest.java
@@ -32,26 +32,26 @@
         TestReplicaSet cluster = fleet.cluster();
         ClusterNode old = cluster.nodes().get(0);
         ClusterNode replica = cluster.nodes().get(1);
-        replica.state(Endpoint.State.DRAINING);
+        replica.setState(Endpoint.State.DRAINING);
         assertTrue(fleet.serve(fleet.up(), 5 * SOME), fleet::logs);
         int before = fleet.history().executions(replica.node());
         assertTrue(fleet.serve(fleet.up(), 2 * SOME), fleet::logs);
         assertEquals(before, fleet.history().executions(replica.node()));
-        replica.state(Endpoint.State.READY);
+        replica.setState(Endpoint.State.READY);
         for (Behavior behavior : Behavior.values()) {
-            replica.behavior(behavior);
+            replica.setBehavior(behavior);
             assertTrue(fleet.serve(fleet.up(), SOME), fleet::logs);
-            replica.behavior(Behavior.WELL);
+            replica.setBehavior(Behavior.WELL);
         }
-        old.behavior(Behavior.RESETTING);
+        old.setBehavior(Behavior.RESETTING);
         assertTrue(fleet.serve(fleet.up(), SOME), fleet::logs);
-        old.behavior(Behavior.DEAD);
+        old.setBehavior(Behavior.DEAD);
         cluster.promote(cluster.nodes().get(2));
         assertTrue(fleet.serve(fleet.up(), SOME), fleet::logs);
         old.restart();
-        replica.stall(true);
+        replica.setLogStalled(true);
         assertTrue(fleet.serve(fleet.up(), 2 * SOME), fleet::logs);
-        replica.stall(false);
+        replica.setLogStalled(false);
     }
 
     @ParameterizedTest
--- a/clustertests/src/test/java/clayhook/clustertests/CrowdedDiscoveryTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/CrowdedDiscoveryTest.java
@@ -45,7 +45,7 @@
             List<ClusterNode> draining = fleet.nodes().subList(NODES - DRAINING_NODES, NODES);
             fleet.kill(killed);
             fleet.discovery().mode(Mode.CROWDED);
-            fleet.state(draining, Endpoint.State.DRAINING);
+            fleet.setState(draining, Endpoint.State.DRAINING);
             fleet.start(killed);
             int served = fleet.answered(Answer.SERVED);
             int rejected = fleet.answered(Answer.REJECTED);
--- a/clustertests/src/test/java/clayhook/clustertests/SharingClusterTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/SharingClusterTest.java
@@ -65,7 +65,7 @@
             assertTrue(!shares || fleet.agree(), fleet::logs);
             ClusterNode replica = fleet.cluster().nodes().get(1);
             fleet.discovery().answers(0);
-            replica.state(Endpoint.State.DRAINING);
+            replica.setState(Endpoint.State.DRAINING);
             fleet.load();
             assertTrue(fleet.serve(fleet.up(), SOME), fleet::logs);
             int before = fleet.history().executions(replica.node());
@@ -92,13 +92,13 @@
             for (String when : List.of("before", "in", "after")) {
                 for (int turn = 0; turn < 3; turn++) {
                     var session = fleet.newClient();
-                    fleet.cluster().nodes().subList(1, 3).forEach(node -> node.stall(true));
+                    fleet.cluster().nodes().subList(1, 3).forEach(node -> node.setLogStalled(true));
                     assertEquals(Answer.SERVED, session.ask(fleet.routers().get(0), TestCluster.WRITE));
                     Thread.sleep(TestCluster.ROAM_MS); // the shortest time until a session uses another router
                     for (RouterProcess router : fleet.routers()) {
                         assertNotEquals(Answer.NONE, session.ask(router, TestCluster.SESSION), when);
                     }
-                    fleet.cluster().nodes().forEach(node -> node.stall(false));
+                    fleet.cluster().nodes().forEach(node -> node.setLogStalled(false));
                 }
                 if (when.equals("before")) {
                     fleet.begin(split);
@@ -121,10 +121,10 @@
             assertTrue(fleet.agree(), fleet::logs);
             ClusterNode primary = fleet.cluster().primary();
             var session = fleet.newClient();
-            primary.behavior(Behavior.SILENT);
+            primary.setBehavior(Behavior.SILENT);
             assertEquals(Answer.FAILED, session.ask(fleet.routers().get(0), TestCluster.WRITE, "charge"));
             assertTrue(fleet.await(() -> fates(fleet, "UNKNOWN=1, RAN=0")), fleet::logs);
-            primary.behavior(Behavior.WELL);
+            primary.setBehavior(Behavior.WELL);
             assertEquals(Answer.SERVED, session.ask(fleet.routers().get(3), TestCluster.WRITE, "charge"));
             assertTrue(fleet.await(() -> fates(fleet, "UNKNOWN=0, RAN=1")), fleet::logs);
             verdict(fleet);
