--- a/clustertests/src/main/java/clayhook/clustertests/RouterFleet.java
+++ b/clustertests/src/main/java/clayhook/clustertests/RouterFleet.java
@@ -211,7 +211,7 @@
         some.forEach(router -> history.onDown(router.name()));
         some.forEach(RouterProcess::kill);
         for (RouterProcess router : some) {
-            router.ended();
+            router.awaitEnd();
         }
     }
 
@@ -253,7 +253,7 @@
         Thread.sleep((long) (afterSeconds * MILLIS_PER_SECOND));
         RouterProcess.signalRunning(some, "TERM");
         for (RouterProcess router : some) {
-            if (!router.ended()) {
+            if (!router.awaitEnd()) {
                 throw new IOException(
                         router.name() + " did not end after SIGTERM, sent " + afterSeconds + " s after its start");
             }
@@ -360,7 +360,7 @@
     /** Log lines in which routers report violations that they detected, or errors of their own. */
     public List<String> reportedViolations() {
         return routers().stream()
-                .flatMap(router -> reportedViolations(router.since(0)).stream())
+                .flatMap(router -> reportedViolations(router.linesSince(0)).stream())
                 .toList();
     }
 
@@ -369,7 +369,7 @@
         var violations = new ArrayList<String>();
         boolean warmingUp = true;
         for (String line : lines) {
-            warmingUp = line.equals(RouterProcess.STARTED_MARK) || (warmingUp && !line.contains("serving as"));
+            warmingUp = line.equals(RouterProcess.START_LINE) || (warmingUp && !line.contains("serving as"));
             if (!warmingUp && reportsViolation(line)) {
                 violations.add(line);
             }
@@ -390,7 +390,7 @@
     void writeLogs(Path folder) throws IOException {
         Files.createDirectories(folder);
         for (RouterProcess router : routers()) {
-            Files.write(folder.resolve(router.name() + ".log"), router.since(0));
+            Files.write(folder.resolve(router.name() + ".log"), router.linesSince(0));
         }
     }
 
--- a/clustertests/src/main/java/clayhook/clustertests/RouterProcess.java
+++ b/clustertests/src/main/java/clayhook/clustertests/RouterProcess.java
@@ -20,7 +20,7 @@
  */
 public final class RouterProcess {
     /** Options of the virtual machine that keep it small, as many processes run at the same time. */
-    private static final List<String> OPTIONS = List.of(
+    private static final List<String> JVM_OPTIONS = List.of(
             "-Xms24m",
             "-Xmx64m",
             "-Xss512k",
@@ -32,12 +32,12 @@
             "-Xlog:all=error:stderr",
             "-Dio.netty.jfr.enabled=false");
     /** Line that is added to the log before the output of each process. */
-    static final String STARTED_MARK = "-- started";
+    static final String START_LINE = "-- started";
 
     /** Bound on the retained log lines of all processes of this router; a test run writes a few thousand. */
-    private static final int MOST_LINES = 100_000;
+    private static final int MAX_LINES = 100_000;
     /** Seconds to wait for the end of a process. */
-    private static final int ENDS_WITHIN_S = 20;
+    private static final int END_TIMEOUT_S = 20;
 
     private final String name;
     private final InetSocketAddress address;
@@ -99,7 +99,7 @@
             command.addAll(List.of("sh", "-c", "sleep " + startDelaySeconds + "; exec \"$0\" \"$@\""));
         }
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-        command.addAll(OPTIONS);
+        command.addAll(JVM_OPTIONS);
         Path archive = program.jar().resolveSibling("clayhook.jsa");
         if (Files.exists(archive) && program.replacedClasses() == null) {
             command.addAll(List.of("-XX:SharedArchiveFile=" + archive, "-Xshare:auto"));
@@ -109,41 +109,41 @@
         command.addAll(List.of("serve", "--config", operatorFile().toString()));
         var builder = new ProcessBuilder(command).redirectErrorStream(true);
         builder.environment().put("LB_CONFIG", folder.resolve("config.json").toString());
-        logged(STARTED_MARK);
+        addLine(START_LINE);
         process = builder.start();
-        BufferedReader from = process.inputReader(StandardCharsets.UTF_8);
-        var reader = new Thread(() -> from.lines().forEach(this::logged), "log of " + name);
+        BufferedReader output = process.inputReader(StandardCharsets.UTF_8);
+        var reader = new Thread(() -> output.lines().forEach(this::addLine), "log of " + name);
         reader.setDaemon(true);
         reader.start();
     }
 
-    private void logged(String line) {
+    private void addLine(String line) {
         synchronized (lines) {
-            if (lines.size() < MOST_LINES) {
+            if (lines.size() < MAX_LINES) {
                 lines.add(line);
             }
         }
     }
 
     /** Number of log lines so far. */
-    public int mark() {
+    public int logMark() {
         synchronized (lines) {
             return lines.size();
         }
     }
 
     /** The log lines after the first {@code mark} ones. */
-    public List<String> since(int mark) {
+    public List<String> linesSince(int mark) {
         synchronized (lines) {
             return List.copyOf(lines.subList(mark, lines.size()));
         }
     }
 
     /** The last match of a pattern in the log lines after the first {@code mark} ones, or null. */
-    public String last(int mark, Pattern form) {
-        List<String> all = since(mark);
+    public String lastMatch(int mark, Pattern pattern) {
+        List<String> all = linesSince(mark);
         for (int i = all.size() - 1; i >= 0; i--) {
-            Matcher matcher = form.matcher(all.get(i));
+            Matcher matcher = pattern.matcher(all.get(i));
             if (matcher.find()) {
                 return matcher.group();
             }
@@ -151,32 +151,32 @@
         return null;
     }
 
-    public synchronized boolean runs() {
+    public synchronized boolean isRunning() {
         return process != null && process.isAlive();
     }
 
     /** Sends the process a signal by name: STOP, CONT, HUP (reloads its files) or TERM (shuts down). */
-    public void signal(String which) throws IOException {
-        if (!runs()) {
+    public void signal(String signal) throws IOException {
+        if (!isRunning()) {
             throw new IOException(name + " has ended");
         }
-        signalRunning(List.of(this), which);
-        if (!runs()) {
+        signalRunning(List.of(this), signal);
+        if (!isRunning()) {
             throw new IOException(name + " has ended");
         }
     }
 
     /** Sends a signal to those of some processes that are running, by one command. */
-    static void signalRunning(Collection<RouterProcess> some, String which) throws IOException {
+    static void signalRunning(Collection<RouterProcess> some, String signal) throws IOException {
         String ids = some.stream()
-                .filter(RouterProcess::runs)
+                .filter(RouterProcess::isRunning)
                 .map(router -> Long.toString(router.pid()))
                 .collect(Collectors.joining(" "));
         if (ids.isEmpty()) {
             return;
         }
         try {
-            new ProcessBuilder("sh", "-c", "kill -" + which + " " + ids + " 2>/dev/null")
+            new ProcessBuilder("sh", "-c", "kill -" + signal + " " + ids + " 2>/dev/null")
                     .start()
                     .waitFor();
         } catch (InterruptedException e) {
@@ -196,12 +196,12 @@
         }
     }
 
-    /** Waits for the end of the process; returns false if it does not end within {@link #ENDS_WITHIN_S} seconds. */
-    public boolean ended() throws InterruptedException {
-        Process life;
+    /** Waits for the end of the process; returns false if it does not end within {@link #END_TIMEOUT_S} seconds. */
+    public boolean awaitEnd() throws InterruptedException {
+        Process current;
         synchronized (this) {
-            life = process;
+            current = process;
         }
-        return life == null || life.waitFor(ENDS_WITHIN_S, TimeUnit.SECONDS);
+        return current == null || current.waitFor(END_TIMEOUT_S, TimeUnit.SECONDS);
     }
 }
--- a/clustertests/src/main/java/clayhook/clustertests/RouterProcesses.java
+++ b/clustertests/src/main/java/clayhook/clustertests/RouterProcesses.java
@@ -23,12 +23,12 @@
     private final Path folder = Files.createTempDirectory("routers");
     private final List<RouterProcess> all = new ArrayList<>();
     private final Transport clients;
-    private final Thread atExit = new Thread(() -> all.forEach(RouterProcess::kill));
+    private final Thread shutdownHook = new Thread(() -> all.forEach(RouterProcess::kill));
 
     /** {@code clients}: transport of the connections that check whether routers accept requests. */
     RouterProcesses(Transport clients) throws IOException {
         this.clients = clients;
-        Runtime.getRuntime().addShutdownHook(atExit);
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
     }
 
     /** Adds a process that has not been started yet. */
@@ -50,8 +50,8 @@
     void awaitServing(RouterProcess router, double seconds) throws InterruptedException {
         double until = HistoryRecorder.now() + seconds;
         while (!LoadClient.greeted(clients, router.address(), seconds)) {
-            if (!router.runs() || HistoryRecorder.now() > until) {
-                throw new IllegalStateException(router.name() + " does not accept requests: " + router.since(0));
+            if (!router.isRunning() || HistoryRecorder.now() > until) {
+                throw new IllegalStateException(router.name() + " does not accept requests: " + router.linesSince(0));
             }
             Thread.sleep(POLL_MS);
         }
@@ -72,7 +72,7 @@
     /** The last log lines of each router, for failure messages. */
     String lastLogLines() {
         return all.stream()
-                .map(router -> router.name() + ": " + router.since(Math.max(0, router.mark() - LAST_LINES)))
+                .map(router -> router.name() + ": " + router.linesSince(Math.max(0, router.logMark() - LAST_LINES)))
                 .collect(Collectors.joining("\n"));
     }
 
@@ -83,13 +83,13 @@
     /** Waits until all processes have ended. */
     void awaitEnds() throws InterruptedException {
         for (RouterProcess router : all) {
-            router.ended();
+            router.awaitEnd();
         }
     }
 
     /** Deletes the files of all processes, which must have ended. */
     void deleteFiles() throws IOException {
-        Runtime.getRuntime().removeShutdownHook(atExit);
+        Runtime.getRuntime().removeShutdownHook(shutdownHook);
         try (Stream<Path> files = Files.walk(folder)) {
             for (Path path : files.sorted(Comparator.reverseOrder()).toList()) {
                 Files.delete(path);
--- a/clustertests/src/main/java/clayhook/clustertests/ShutdownScenario.java
+++ b/clustertests/src/main/java/clayhook/clustertests/ShutdownScenario.java
@@ -92,7 +92,7 @@
 
     private void startClients(Random random) throws IOException {
         for (RouterProcess router : routers) {
-            logMarks.put(router, router.mark());
+            logMarks.put(router, router.logMark());
             var ofRouter = new ShutdownClients(
                     fleet.attempts(),
                     router.name(),
@@ -160,13 +160,13 @@
 
     private void kill() throws InterruptedException {
         for (RouterProcess router : routers) {
-            if (router.runs()) {
+            if (router.isRunning()) {
                 violations.add(router.name() + " had not ended by the time of SIGKILL");
                 router.kill();
             }
         }
         for (RouterProcess router : routers) {
-            router.ended();
+            router.awaitEnd();
             fleet.onEnded(router);
         }
     }
@@ -183,7 +183,7 @@
             ofRouter.records().stream()
                     .filter(each -> each.isAnswered() || each.finishedAt() < killedAt)
                     .forEach(records::add);
-            router.since(logMarks.get(router)).stream()
+            router.linesSince(logMarks.get(router)).stream()
                     .filter(line -> line.contains(UNANSWERED_INPUT))
                     .forEach(line -> violations.add(router.name() + " logs: " + line));
         }
--- a/clustertests/src/main/java/clayhook/clustertests/SoakFault.java
+++ b/clustertests/src/main/java/clayhook/clustertests/SoakFault.java
@@ -40,7 +40,7 @@
         @Override
         public void begin(RouterFleet fleet) throws IOException {
             for (RouterProcess router : processes(fleet, routers)) {
-                if (router.runs()) {
+                if (router.isRunning()) {
                     fleet.moveDiscovery(router);
                 }
             }
@@ -229,7 +229,7 @@
         @Override
         public void begin(RouterFleet fleet) throws IOException, InterruptedException {
             RouterProcess process = fleet.routers().get(router);
-            if (process.runs()) {
+            if (process.isRunning()) {
                 fleet.stall(process, seconds);
             }
         }
--- a/clustertests/src/main/java/clayhook/clustertests/TestCluster.java
+++ b/clustertests/src/main/java/clayhook/clustertests/TestCluster.java
@@ -174,7 +174,7 @@
             killed.routers().forEach(i -> history.onDown(routers.get(i).name()));
             killed.routers().forEach(i -> routers.get(i).kill());
             for (int router : killed.routers()) {
-                routers.get(router).ended();
+                routers.get(router).awaitEnd();
             }
         } else {
             links(fault, true);
@@ -298,7 +298,7 @@
      * there is none.
      */
     private static String figures(RouterProcess router, int mark) {
-        String figures = router.last(mark, FIGURES);
+        String figures = router.lastMatch(mark, FIGURES);
         return figures == null ? "" : figures;
     }
 
@@ -315,7 +315,7 @@
 
     /** Waits until all routers are alive for each other and have equal copies of all replicated types. */
     public boolean agree() throws InterruptedException {
-        int[] marks = routers.stream().mapToInt(RouterProcess::mark).toArray();
+        int[] marks = routers.stream().mapToInt(RouterProcess::logMark).toArray();
         String whole = "members " + marks.length + " alive " + marks.length + ",";
         return await(() -> {
             List<String> all = IntStream.range(0, marks.length)
--- a/clustertests/src/test/java/clayhook/clustertests/SharingClusterTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/SharingClusterTest.java
@@ -35,7 +35,7 @@
         try (var fleet = new TestCluster(JAR, ROUTERS, SHARING, false, seed)) {
             for (ClusterFault fault : FaultSchedule.of(seed, ROUTERS)) {
                 List<Integer> marks =
-                        fleet.routers().stream().map(RouterProcess::mark).toList();
+                        fleet.routers().stream().map(RouterProcess::logMark).toList();
                 fleet.load();
                 fleet.begin(fault);
                 assertTrue(fleet.felt(fault), () -> fault + "\n" + fleet.logs());
@@ -44,7 +44,7 @@
                     for (int i = 0; i < ROUTERS; i++) {
                         assertNull(fleet.routers()
                                 .get(i)
-                                .last(marks.get(i), GONE)); // other routers still reach it and confirm that it is alive
+                                .lastMatch(marks.get(i), GONE)); // other routers still reach it and confirm that it is alive
                     }
                 }
                 fleet.end(fault);
@@ -133,6 +133,6 @@
 
     private static boolean fates(TestCluster fleet, String counts) {
         return fleet.routers().stream()
-                .allMatch(router -> String.valueOf(router.last(0, FATES)).startsWith("fates {" + counts));
+                .allMatch(router -> String.valueOf(router.lastMatch(0, FATES)).startsWith("fates {" + counts));
     }
 }
--- a/clustertests/src/test/java/clayhook/clustertests/SlowProcessStartTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/SlowProcessStartTest.java
@@ -35,12 +35,12 @@
             fleet.kill(List.of(router));
             fleet.discovery().mode(Mode.SILENT);
             router.delayStarts(VIRTUAL_MACHINE_START_SECONDS);
-            int mark = router.mark();
+            int mark = router.logMark();
             double startedAt = HistoryRecorder.now();
             fleet.start(List.of(router));
             double servingAt = HistoryRecorder.now();
-            fleet.await(() -> router.last(mark, OUT_OF_DATE) != null, WAIT_SECONDS);
-            String line = router.last(mark, OUT_OF_DATE);
+            fleet.await(() -> router.lastMatch(mark, OUT_OF_DATE) != null, WAIT_SECONDS);
+            String line = router.lastMatch(mark, OUT_OF_DATE);
             assertNotNull(line, fleet::logs);
             String time = line.substring(0, line.indexOf(' '));
             double outOfDateAt = Instant.parse(time).toEpochMilli() / MILLIS_PER_SECOND;
