--- a/clustertests/src/main/java/clayhook/clustertests/LoadClient.java
+++ b/clustertests/src/main/java/clayhook/clustertests/LoadClient.java
@@ -17,28 +17,28 @@
 public final class LoadClient {
     private static final AtomicLong IDS = new AtomicLong();
     /** SQLSTATE codes of answers to requests that were never executed. */
-    private static final List<String> REFUSALS = List.of("53300", "57P03");
+    private static final List<String> REJECTION_CODES = List.of("53300", "57P03");
 
     private static final String CLOSED = "closed";
     /** Pause in milliseconds before the next request after a request without an answer. */
-    private static final long AGAIN_MS = 20;
+    private static final long RETRY_PAUSE_MS = 20;
 
     private final Transport transport;
     private final HistoryRecorder history;
     /** Open connections, by router. */
     private final Map<RouterProcess, StubClient> connections = new HashMap<>();
 
-    private final boolean carries;
+    private final boolean carriesLastWritePosition;
     private final String name;
-    private double wroteAt;
+    private double lastWritePosition;
     /** Id of the request that was answered last, or null. */
-    private String last;
+    private String lastAnsweredId;
 
-    /** {@code carries}: whether reads at the session's consistency level carry its last-write position. */
-    LoadClient(Transport transport, HistoryRecorder history, boolean carries) {
+    /** {@code carriesLastWritePosition}: whether reads at the session's consistency level carry its last-write position. */
+    LoadClient(Transport transport, HistoryRecorder history, boolean carriesLastWritePosition) {
         this.transport = transport;
         this.history = history;
-        this.carries = carries;
+        this.carriesLastWritePosition = carriesLastWritePosition;
         name = "s" + IDS.incrementAndGet();
     }
 
@@ -51,75 +51,75 @@
     }
 
     /** Sends a request, and disconnects if it is not answered within that number of seconds. */
-    Answer askAndLeave(RouterProcess router, RequestClass group, double patienceSeconds) throws InterruptedException {
-        return ask(router, group, "c" + IDS.incrementAndGet(), patienceSeconds);
+    Answer exchangeOrDisconnect(RouterProcess router, RequestClass requestClass, double maxWaitSeconds) throws InterruptedException {
+        return exchange(router, requestClass, "c" + IDS.incrementAndGet(), maxWaitSeconds);
     }
 
     /** Sends a request and waits for the answer. */
-    public Answer ask(RouterProcess router, RequestClass group) throws InterruptedException {
-        return ask(router, group, "c" + IDS.incrementAndGet());
+    public Answer exchange(RouterProcess router, RequestClass requestClass) throws InterruptedException {
+        return exchange(router, requestClass, "c" + IDS.incrementAndGet());
     }
 
     /**
      * Sends a request under the id of an earlier one and waits for the answer. For a request class with idempotency
      * keys, the id is the key and identifies the same write.
      */
-    public Answer ask(RouterProcess router, RequestClass group, String id) throws InterruptedException {
-        return ask(router, group, id, Double.POSITIVE_INFINITY);
+    public Answer exchange(RouterProcess router, RequestClass requestClass, String id) throws InterruptedException {
+        return exchange(router, requestClass, id, Double.POSITIVE_INFINITY);
     }
 
-    private Answer ask(RouterProcess router, RequestClass group, String id, double patienceSeconds)
+    private Answer exchange(RouterProcess router, RequestClass requestClass, String id, double maxWaitSeconds)
             throws InterruptedException {
-        boolean writes = group.consistency() == ConsistencyLevel.WRITE;
-        boolean own = group.consistency() == ConsistencyLevel.SESSION && wroteAt > 0;
-        double waitSeconds = group.clientTimeoutSeconds() + HistoryRecorder.MACHINE_SECONDS;
-        history.onSent(id, group, own ? wroteAt : 0, router.name(), waitSeconds);
+        boolean isWrite = requestClass.consistency() == ConsistencyLevel.WRITE;
+        boolean readsOwnWrites = requestClass.consistency() == ConsistencyLevel.SESSION && lastWritePosition > 0;
+        double waitSeconds = requestClass.clientTimeoutSeconds() + HistoryRecorder.MACHINE_SECONDS;
+        history.onSent(id, requestClass, readsOwnWrites ? lastWritePosition : 0, router.name(), waitSeconds);
         ByteBuf statement = StubClient.statement(
-                writes,
+                isWrite,
                 name,
-                "id=" + id + ",c=" + group.name() + ",cluster=1,d="
-                        + Math.round(group.clientTimeoutSeconds() * 1000)
-                        + (group.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY ? ",k=" + id : "")
-                        + (own && carries ? ",after=" + (long) Math.ceil(wroteAt * 1000) : ""));
-        String response = responseTo(router, statement, Math.min(waitSeconds, patienceSeconds));
-        if (response == null && patienceSeconds < waitSeconds) {
+                "id=" + id + ",c=" + requestClass.name() + ",cluster=1,d="
+                        + Math.round(requestClass.clientTimeoutSeconds() * 1000)
+                        + (requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY ? ",k=" + id : "")
+                        + (readsOwnWrites && carriesLastWritePosition ? ",after=" + (long) Math.ceil(lastWritePosition * 1000) : ""));
+        String response = exchangeStatement(router, statement, Math.min(waitSeconds, maxWaitSeconds));
+        if (response == null && maxWaitSeconds < waitSeconds) {
             disconnect(router);
             history.onDisconnected(id);
             return Answer.NONE;
         }
-        boolean value = response != null && response.indexOf('.') > 0;
+        boolean hasValue = response != null && response.indexOf('.') > 0;
         if (response == null
                 || response.equals(StubClient.NO_CONNECTION)
                 || response.equals(CLOSED)
-                || (value && response.endsWith(CLOSED))) {
+                || (hasValue && response.endsWith(CLOSED))) {
             history.onUnanswered(id, response);
             disconnect(router);
-            Thread.sleep(AGAIN_MS);
+            Thread.sleep(RETRY_PAUSE_MS);
             return Answer.NONE;
         }
-        last = id;
-        boolean refused = isRefusal(response);
-        history.onAnswered(id, refused, value);
+        lastAnsweredId = id;
+        boolean rejected = isRejection(response);
+        history.onAnswered(id, rejected, hasValue);
         if (response.endsWith(CLOSED)) {
             disconnect(router);
         }
-        wroteAt = value && writes ? Math.max(wroteAt, Double.parseDouble(response)) : wroteAt;
-        return value ? Answer.SERVED : refused ? Answer.REJECTED : Answer.FAILED;
+        lastWritePosition = hasValue && isWrite ? Math.max(lastWritePosition, Double.parseDouble(response)) : lastWritePosition;
+        return hasValue ? Answer.SERVED : rejected ? Answer.REJECTED : Answer.FAILED;
     }
 
-    private static boolean isRefusal(String response) {
-        return REFUSALS.stream().anyMatch(response::startsWith);
+    private static boolean isRejection(String response) {
+        return REJECTION_CODES.stream().anyMatch(response::startsWith);
     }
 
     /** Returns the response, or null if none arrives in time; reconnects if the connection ended while it was idle. */
-    private String responseTo(RouterProcess router, ByteBuf statement, double waitSeconds) throws InterruptedException {
+    private String exchangeStatement(RouterProcess router, ByteBuf statement, double waitSeconds) throws InterruptedException {
         StubClient open = connections.get(router);
         String unsolicited = open == null ? CLOSED : open.nextAnswer(0);
         if (unsolicited == null) {
             open.send(statement);
             return open.nextAnswer(waitSeconds);
         } else if (!unsolicited.endsWith(CLOSED)) {
-            history.onAnswered(last, false, false); // a second answer to one request, which is a violation
+            history.onAnswered(lastAnsweredId, false, false); // a second answer to one request, which is a violation
         }
         disconnect(router);
         var connection = new StubClient(transport, router.address());
@@ -147,7 +147,7 @@
     }
 
     /** Returns whether a router becomes ready for requests in time; sends a start-up message only. */
-    static boolean greeted(Transport transport, InetSocketAddress router, double seconds) throws InterruptedException {
+    static boolean acceptsRequests(Transport transport, InetSocketAddress router, double seconds) throws InterruptedException {
         var client = new StubClient(transport, router);
         client.send(MessageEncoder.startupMessage("client", "core"));
         String response = client.nextAnswer(seconds);
--- a/clustertests/src/main/java/clayhook/clustertests/RecordingClient.java
+++ b/clustertests/src/main/java/clayhook/clustertests/RecordingClient.java
@@ -32,14 +32,14 @@
     /** Seconds within which a router is ready for requests, also on a busy machine; no request is pending meanwhile. */
     private static final double START_UP_SECONDS = 10;
 
-    private static final Set<String> REFUSALS = Set.of("53300", "57P03");
+    private static final Set<String> REJECTION_CODES = Set.of("53300", "57P03");
     private static final double MILLIS_PER_SECOND = 1000;
     private static final int LENGTH_BYTES = 4;
     private static final String READ_CLASS = "any";
     /** Request class of {@link RouterFleet} that is not idempotent. */
     private static final String WRITE_CLASS = "charge";
 
-    private record Sent(String id, double at) {}
+    private record PendingRequest(String id, double at) {}
 
     private final AttemptAudit attempts;
     private final String router;
@@ -47,11 +47,11 @@
     private final double timeoutSeconds;
     private final Socket socket;
     private final DataInputStream in;
-    private final Queue<Sent> unanswered = new ArrayDeque<>();
+    private final Queue<PendingRequest> pendingRequests = new ArrayDeque<>();
     private final List<RequestRecord> records = new ArrayList<>();
     private boolean startUpPending;
     private boolean writeFailed;
-    private boolean refusedFatally;
+    private boolean rejectedFatally;
     private boolean ended;
 
     /**
@@ -78,7 +78,7 @@
     void startUp() throws IOException {
         write(MessageEncoder.startupMessage("client", "core"));
         readAnswer(HistoryRecorder.now() + START_UP_SECONDS);
-        ended = refusedFatally;
+        ended = rejectedFatally;
     }
 
     /** Sends the start-up message and a request in one write, and waits for the answer to the request. */
@@ -112,7 +112,7 @@
             write(all);
         } finally {
             double now = HistoryRecorder.now();
-            ids.forEach(id -> unanswered.add(new Sent(id, now)));
+            ids.forEach(id -> pendingRequests.add(new PendingRequest(id, now)));
         }
     }
 
@@ -132,18 +132,18 @@
         } catch (IOException e) {
             writeFailed = true;
         }
-        unanswered.add(new Sent(id, HistoryRecorder.now()));
+        pendingRequests.add(new PendingRequest(id, HistoryRecorder.now()));
         awaitAnswers();
     }
 
     /** Sends one request and waits for its answer; returns false if the connection has ended. */
     boolean exchange() {
-        sendWithoutLooking(1);
+        sendIgnoringFailure(1);
         return awaitAnswers();
     }
 
     /** Sends that number of requests; a failed write is recorded when the answers are awaited. */
-    void sendWithoutLooking(int count) {
+    void sendIgnoringFailure(int count) {
         if (ended) {
             return;
         }
@@ -169,11 +169,11 @@
         } catch (IOException e) {
             writeFailed = true;
         }
-        unanswered.add(new Sent(id, HistoryRecorder.now()));
+        pendingRequests.add(new PendingRequest(id, HistoryRecorder.now()));
     }
 
     /** Sends a request and closes the connection without waiting for the answer; adds no record. */
-    void sendAndLeave() throws IOException {
+    void sendAndDisconnect() throws IOException {
         String id = nextId();
         attempts.onSent(id, timeoutSeconds, null);
         write(statement(id));
@@ -198,20 +198,20 @@
      * Waits until all requests are answered; returns false if the connection ends or an answer does not arrive in time.
      */
     boolean awaitAnswers() {
-        while (!unanswered.isEmpty() && !ended) {
+        while (!pendingRequests.isEmpty() && !ended) {
             // The timeout of a request begins when all earlier ones are answered.
             double until =
                     HistoryRecorder.now() + timeoutSeconds + LATE_ANSWER_SECONDS + HistoryRecorder.MACHINE_SECONDS;
             try {
                 Outcome outcome = readAnswer(until);
-                record(unanswered.poll(), outcome);
-                ended = refusedFatally && unanswered.isEmpty();
+                record(pendingRequests.poll(), outcome);
+                ended = rejectedFatally && pendingRequests.isEmpty();
             } catch (SocketTimeoutException e) {
-                endAll(Outcome.SILENCE);
+                recordAllPending(Outcome.SILENCE);
             } catch (EOFException e) {
-                endAll(outcomeOfEnd(Outcome.ENDED));
+                recordAllPending(outcomeOfEnd(Outcome.ENDED));
             } catch (IOException e) {
-                endAll(outcomeOfEnd(Outcome.RESET));
+                recordAllPending(outcomeOfEnd(Outcome.RESET));
             }
         }
         return !ended;
@@ -219,25 +219,25 @@
 
     /** After a failed write the system may report the end of the stream although the connection was reset. */
     private Outcome outcomeOfEnd(Outcome seen) {
-        if (refusedFatally) {
+        if (rejectedFatally) {
             return Outcome.ENDED_BEHIND_REFUSAL;
         }
         return writeFailed ? Outcome.RESET : seen;
     }
 
-    private void endAll(Outcome outcome) {
+    private void recordAllPending(Outcome outcome) {
         ended = true;
-        unanswered.forEach(sent -> record(sent, outcome));
-        unanswered.clear();
+        pendingRequests.forEach(request -> record(request, outcome));
+        pendingRequests.clear();
     }
 
-    private void record(Sent sent, Outcome outcome) {
+    private void record(PendingRequest request, Outcome outcome) {
         records.add(new RequestRecord(
-                sent.id(),
+                request.id(),
                 router,
                 kind,
                 socket.getLocalPort(),
-                sent.at(),
+                request.at(),
                 timeoutSeconds,
                 outcome,
                 HistoryRecorder.now()));
@@ -254,9 +254,9 @@
             if (type == 'D') {
                 outcome = Outcome.SERVED;
             } else if (type == 'E') {
-                outcome = REFUSALS.contains(field(body, 'C')) ? Outcome.REFUSED : Outcome.FAILED;
+                outcome = REJECTION_CODES.contains(field(body, 'C')) ? Outcome.REFUSED : Outcome.FAILED;
                 if ("FATAL".equals(field(body, 'S'))) {
-                    refusedFatally = true;
+                    rejectedFatally = true;
                     return outcome;
                 }
             } else if (type == 'Z' && startUpPending) {
@@ -283,7 +283,7 @@
         try {
             while (true) {
                 readAnswer(HistoryRecorder.now() + seconds);
-                if (refusedFatally) {
+                if (rejectedFatally) {
                     return true;
                 }
             }
--- a/clustertests/src/main/java/clayhook/clustertests/RouterFleet.java
+++ b/clustertests/src/main/java/clayhook/clustertests/RouterFleet.java
@@ -52,9 +52,9 @@
     /** Lower bound of a warm node's capacity in requests per second and router; the load is about three. */
     private static final double NODE_CAPACITY_PER_ROUTER = 4;
     /** On average one in this many requests is abandoned by its client. */
-    private static final int REQUESTS_PER_DEPARTURE = 10;
+    private static final int REQUESTS_PER_DISCONNECT = 10;
 
-    private static final double MAX_PATIENCE_SECONDS = 0.3;
+    private static final double MAX_CLIENT_WAIT_SECONDS = 0.3;
     /** Seconds by which this machine may delay a node's read of a request while it runs all processes and nodes. */
     private static final double MACHINE_SECONDS = 0.35;
     /** Seconds for which draining nodes continue to execute requests. */
@@ -309,11 +309,11 @@
         try {
             while (loaded) {
                 RequestClass requestClass = classes.get(random.nextInt(classes.size()));
-                boolean leaves = random.nextInt(REQUESTS_PER_DEPARTURE) == 0;
+                boolean disconnects = random.nextInt(REQUESTS_PER_DISCONNECT) == 0;
                 count(
-                        leaves
-                                ? client.askAndLeave(router, requestClass, MAX_PATIENCE_SECONDS * random.nextDouble())
-                                : client.ask(router, requestClass));
+                        disconnects
+                                ? client.exchangeOrDisconnect(router, requestClass, MAX_CLIENT_WAIT_SECONDS * random.nextDouble())
+                                : client.exchange(router, requestClass));
                 Thread.sleep(1 + random.nextInt(MAX_THINK_MS));
             }
         } catch (InterruptedException e) {
@@ -327,10 +327,10 @@
      * Sends a request with a new client, which disconnects after that number of seconds; {@code number} selects the
      * request class.
      */
-    void sendAndLeave(RouterProcess router, int number, double patienceSeconds) throws InterruptedException {
+    void sendAndDisconnect(RouterProcess router, int number, double maxWaitSeconds) throws InterruptedException {
         var client = new LoadClient(clientsLoop, history, true);
         List<RequestClass> classes = settings.requestClasses();
-        client.askAndLeave(router, classes.get(number % classes.size()), patienceSeconds);
+        client.exchangeOrDisconnect(router, classes.get(number % classes.size()), maxWaitSeconds);
         client.close();
     }
 
--- a/clustertests/src/main/java/clayhook/clustertests/RouterProcesses.java
+++ b/clustertests/src/main/java/clayhook/clustertests/RouterProcesses.java
@@ -49,7 +49,7 @@
     /** Waits until a router accepts requests; throws IllegalStateException if it ends or does not do so in time. */
     void awaitServing(RouterProcess router, double seconds) throws InterruptedException {
         double until = HistoryRecorder.now() + seconds;
-        while (!LoadClient.greeted(clients, router.address(), seconds)) {
+        while (!LoadClient.acceptsRequests(clients, router.address(), seconds)) {
             if (!router.isRunning() || HistoryRecorder.now() > until) {
                 throw new IllegalStateException(router.name() + " does not accept requests: " + router.linesSince(0));
             }
--- a/clustertests/src/main/java/clayhook/clustertests/ShutdownClients.java
+++ b/clustertests/src/main/java/clayhook/clustertests/ShutdownClients.java
@@ -196,14 +196,14 @@
             }
             case READING_LATE -> {
                 do {
-                    client.sendWithoutLooking(1 + random.nextInt(MIN_PIPELINED));
+                    client.sendIgnoringFailure(1 + random.nextInt(MIN_PIPELINED));
                     Thread.sleep(random.nextInt(MAX_READ_PAUSE_MS));
                 } while (client.awaitAnswers());
             }
             case LEAVING -> {
                 client.exchange();
                 awaitSignal(sendAfter);
-                client.sendAndLeave();
+                client.sendAndDisconnect();
             }
             case BUSY -> repeat(client, 1, 0, 1, random);
             case THINKING -> repeat(client, 1, MIN_THINK_MS, MAX_THINK_MS, random);
@@ -218,7 +218,7 @@
             throws InterruptedException {
         do {
             Thread.sleep(minPauseMs + random.nextInt(maxPauseMs - minPauseMs + 1));
-            client.sendWithoutLooking(requests);
+            client.sendIgnoringFailure(requests);
         } while (client.awaitAnswers());
     }
 
--- a/clustertests/src/main/java/clayhook/clustertests/SoakFault.java
+++ b/clustertests/src/main/java/clayhook/clustertests/SoakFault.java
@@ -179,13 +179,13 @@
 
     /** Sends requests of all classes to routers from clients that disconnect if they get no answer shortly. */
     record Departures(List<Integer> routers, int clients) implements SoakFault {
-        private static final double PATIENCE_SECONDS = 0.05;
+        private static final double MAX_WAIT_SECONDS = 0.05;
 
         @Override
         public void begin(RouterFleet fleet) throws InterruptedException {
             for (int i = 0; i < clients; i++) {
                 for (RouterProcess router : processes(fleet, routers)) {
-                    fleet.sendAndLeave(router, i, PATIENCE_SECONDS);
+                    fleet.sendAndDisconnect(router, i, MAX_WAIT_SECONDS);
                 }
             }
         }
--- a/clustertests/src/main/java/clayhook/clustertests/TestCluster.java
+++ b/clustertests/src/main/java/clayhook/clustertests/TestCluster.java
@@ -250,7 +250,7 @@
                     Thread.sleep(ROAM_MS);
                     router = routers.get(random.nextInt(routers.size()));
                 } else {
-                    client.ask(
+                    client.exchange(
                             router,
                             READ.requestClasses()
                                     .get(random.nextInt(READ.requestClasses().size())));
--- a/clustertests/src/test/java/clayhook/clustertests/SharingClusterTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/SharingClusterTest.java
@@ -93,10 +93,10 @@
                 for (int turn = 0; turn < 3; turn++) {
                     var session = fleet.newClient();
                     fleet.cluster().nodes().subList(1, 3).forEach(node -> node.setLogStalled(true));
-                    assertEquals(Answer.SERVED, session.ask(fleet.routers().get(0), TestCluster.WRITE));
+                    assertEquals(Answer.SERVED, session.exchange(fleet.routers().get(0), TestCluster.WRITE));
                     Thread.sleep(TestCluster.ROAM_MS); // the shortest time until a session uses another router
                     for (RouterProcess router : fleet.routers()) {
-                        assertNotEquals(Answer.NONE, session.ask(router, TestCluster.SESSION), when);
+                        assertNotEquals(Answer.NONE, session.exchange(router, TestCluster.SESSION), when);
                     }
                     fleet.cluster().nodes().forEach(node -> node.setLogStalled(false));
                 }
@@ -122,10 +122,10 @@
             ClusterNode primary = fleet.cluster().primary();
             var session = fleet.newClient();
             primary.setBehavior(Behavior.SILENT);
-            assertEquals(Answer.FAILED, session.ask(fleet.routers().get(0), TestCluster.WRITE, "charge"));
+            assertEquals(Answer.FAILED, session.exchange(fleet.routers().get(0), TestCluster.WRITE, "charge"));
             assertTrue(fleet.await(() -> fates(fleet, "UNKNOWN=1, RAN=0")), fleet::logs);
             primary.setBehavior(Behavior.WELL);
-            assertEquals(Answer.SERVED, session.ask(fleet.routers().get(3), TestCluster.WRITE, "charge"));
+            assertEquals(Answer.SERVED, session.exchange(fleet.routers().get(3), TestCluster.WRITE, "charge"));
             assertTrue(fleet.await(() -> fates(fleet, "UNKNOWN=0, RAN=1")), fleet::logs);
             verdict(fleet);
         }
