--- a/clustertests/src/main/java/clayhook/clustertests/DatagramRelay.java
+++ b/clustertests/src/main/java/clayhook/clustertests/DatagramRelay.java
@@ -29,20 +29,20 @@
  */
 @SuppressWarnings("FutureReturnValueIgnored") // a datagram that cannot be sent is lost, as on a network
 public final class DatagramRelay {
-    private static final int LONGEST = 1 << 16;
+    private static final int MAX_DATAGRAM_BYTES = 1 << 16;
     /**
      * Bound on the datagrams that are delayed at the same time, over all links; further ones are dropped. It holds the
      * traffic of one second of a fleet far busier than those of the tests.
      */
-    private static final int MOST_HELD = 1 << 16;
+    private static final int MAX_DELAYED = 1 << 16;
 
     private final List<Channel> sockets = new ArrayList<>();
     private final List<InetSocketAddress> routers;
-    private final Map<InetSocketAddress, Integer> byAddress = new HashMap<>();
+    private final Map<InetSocketAddress, Integer> routerByAddress = new HashMap<>();
     private final NetworkLink[][] links;
-    private final AtomicLong strangers = new AtomicLong();
+    private final AtomicLong unknownSenders = new AtomicLong();
     /** Number of datagrams that are delayed now. Accessed by the event loop's thread only. */
-    private int held;
+    private int delayedCount;
 
     /**
      * Binds the sockets of the relay on the transport's event loop; they are closed with the transport.
@@ -54,7 +54,7 @@
         links = new NetworkLink[routers.size()][routers.size()];
         var random = new SplittableRandom(seed);
         for (int i = 0; i < routers.size(); i++) {
-            byAddress.put(routers.get(i), i);
+            routerByAddress.put(routers.get(i), i);
             for (int j = 0; j < routers.size(); j++) {
                 links[i][j] = new NetworkLink(random.split());
             }
@@ -64,7 +64,7 @@
                     .group(transport.eventLoop())
                     .channelFactory(NioDatagramChannel::new)
                     .handler(new Socket(i))
-                    .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(LONGEST))
+                    .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MAX_DATAGRAM_BYTES))
                     .bind(transport.ephemeralAddress(0))
                     .sync()
                     .channel());
@@ -77,7 +77,7 @@
     }
 
     /** The address at which a router actually listens; only the relay sends to it. */
-    public InetSocketAddress behind(int router) {
+    public InetSocketAddress routerAddress(int router) {
         return routers.get(router);
     }
 
@@ -86,16 +86,16 @@
     }
 
     /** Number of datagrams with that delivery, over all links. */
-    public long count(NetworkLink.Delivery fate) {
+    public long count(NetworkLink.Delivery delivery) {
         return Stream.of(links)
                 .flatMap(Stream::of)
-                .mapToLong(link -> link.count(fate))
+                .mapToLong(link -> link.count(delivery))
                 .sum();
     }
 
     /** Number of datagrams that came from none of the routers; these are dropped. */
-    public long strangers() {
-        return strangers.get();
+    public long unknownSenders() {
+        return unknownSenders.get();
     }
 
     /** Receives the datagrams that are sent to one router. */
@@ -108,21 +108,21 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-            Integer from = byAddress.get(packet.sender());
+            Integer from = routerByAddress.get(packet.sender());
             if (from == null) {
-                strangers.incrementAndGet();
+                unknownSenders.incrementAndGet();
                 return;
             }
             double now = System.nanoTime() / 1e9;
-            for (NetworkLink.Departure departure : links[from][to].take(ByteBufUtil.getBytes(packet.content()), now)) {
+            for (NetworkLink.Departure departure : links[from][to].transmit(ByteBufUtil.getBytes(packet.content()), now)) {
                 if (departure.at() <= now) {
                     send(from, departure.bytes());
-                } else if (held < MOST_HELD) {
-                    held++;
+                } else if (delayedCount < MAX_DELAYED) {
+                    delayedCount++;
                     ctx.executor()
                             .schedule(
                                     () -> {
-                                        held--;
+                                        delayedCount--;
                                         send(from, departure.bytes());
                                     },
                                     (long) ((departure.at() - now) * 1e9),
--- a/clustertests/src/main/java/clayhook/clustertests/NetworkLink.java
+++ b/clustertests/src/main/java/clayhook/clustertests/NetworkLink.java
@@ -11,22 +11,22 @@
  */
 public final class NetworkLink {
     /** Delay in seconds of a reordered datagram; later datagrams can overtake it during this time. */
-    static final double HELD = 0.05;
+    static final double REORDER_DELAY_SECONDS = 0.05;
     /** Longest wait in seconds in the queue of a slow link; further datagrams are dropped, as at any bottleneck. */
-    static final double BACKLOG = 1;
+    static final double MAX_QUEUE_SECONDS = 1;
     /** Bound on the bytes changed in a corrupted datagram. */
-    private static final int MOST_CHANGED = 4;
+    private static final int MAX_CHANGED_BYTES = 4;
 
     /** A datagram that leaves the link; {@code at} is in seconds on the caller's clock. */
     record Departure(double at, byte[] bytes) {}
 
     /** How datagrams were delivered. One datagram may count for several values. */
     public enum Delivery {
-        CAME,
+        RECEIVED,
         LOST,
-        TWICE,
-        LATE,
-        GARBLED
+        DUPLICATED,
+        DELAYED,
+        CORRUPTED
     }
 
     private final SplittableRandom random;
@@ -42,51 +42,51 @@
     }
 
     /** Sets the fault of the link from now on. Any thread may call it. */
-    public void fault(LinkFault next) {
+    public void setFault(LinkFault next) {
         fault = next;
     }
 
     /**
-     * Number of datagrams with that delivery so far; {@link Delivery#CAME} counts all datagrams. Any thread may call
+     * Number of datagrams with that delivery so far; {@link Delivery#RECEIVED} counts all datagrams. Any thread may call
      * it.
      */
-    public long count(Delivery fate) {
-        return counts[fate.ordinal()].get();
+    public long count(Delivery delivery) {
+        return counts[delivery.ordinal()].get();
     }
 
-    private boolean befalls(double share, Delivery fate) {
+    private boolean occurs(double share, Delivery delivery) {
         boolean hit = share > 0 && random.nextDouble() < share;
         if (hit) {
-            counts[fate.ordinal()].incrementAndGet();
+            counts[delivery.ordinal()].incrementAndGet();
         }
         return hit;
     }
 
     /** Accepts a datagram and returns the datagrams that leave for it: none, one or two. */
-    List<Departure> take(byte[] bytes, double now) {
-        LinkFault ruling = fault;
-        counts[Delivery.CAME.ordinal()].incrementAndGet();
-        double leaves = ruling.rate() > 0 ? Math.max(now, freeAt) + bytes.length / ruling.rate() : now;
-        boolean full = leaves > now + BACKLOG;
-        if (befalls(ruling.cut() || full ? 1 : ruling.loss(), Delivery.LOST)) {
+    List<Departure> transmit(byte[] bytes, double now) {
+        LinkFault current = fault;
+        counts[Delivery.RECEIVED.ordinal()].incrementAndGet();
+        double leavesAt = current.rate() > 0 ? Math.max(now, freeAt) + bytes.length / current.rate() : now;
+        boolean queueFull = leavesAt > now + MAX_QUEUE_SECONDS;
+        if (occurs(current.cut() || queueFull ? 1 : current.loss(), Delivery.LOST)) {
             return List.of();
         }
-        freeAt = leaves;
-        double at = leaves + ruling.delay() + (befalls(ruling.late(), Delivery.LATE) ? HELD : 0);
+        freeAt = leavesAt;
+        double at = leavesAt + current.delay() + (occurs(current.late(), Delivery.DELAYED) ? REORDER_DELAY_SECONDS : 0);
         var out = new ArrayList<Departure>();
-        out.add(new Departure(at, befalls(ruling.garbled(), Delivery.GARBLED) ? garbled(bytes) : bytes));
-        if (befalls(ruling.twice(), Delivery.TWICE)) {
-            out.add(new Departure(at + random.nextDouble(HELD), bytes));
+        out.add(new Departure(at, occurs(current.garbled(), Delivery.CORRUPTED) ? corrupt(bytes) : bytes));
+        if (occurs(current.twice(), Delivery.DUPLICATED)) {
+            out.add(new Departure(at + random.nextDouble(REORDER_DELAY_SECONDS), bytes));
         }
         return out;
     }
 
-    private byte[] garbled(byte[] bytes) {
+    private byte[] corrupt(byte[] bytes) {
         byte[] out = bytes.clone();
         if (out.length > 1 && random.nextInt(4) == 0) {
             return java.util.Arrays.copyOf(out, 1 + random.nextInt(out.length - 1));
         }
-        for (int i = 1 + random.nextInt(MOST_CHANGED); i > 0 && out.length > 0; i--) {
+        for (int i = 1 + random.nextInt(MAX_CHANGED_BYTES); i > 0 && out.length > 0; i--) {
             out[random.nextInt(out.length)] ^= (byte) (1 + random.nextInt(255));
         }
         return out;
--- a/clustertests/src/main/java/clayhook/clustertests/ShutdownScenario.java
+++ b/clustertests/src/main/java/clayhook/clustertests/ShutdownScenario.java
@@ -109,7 +109,7 @@
             return router.address();
         }
         var relay = new TcpRelay(router.address());
-        relay.delay(plan.linkDelaySeconds());
+        relay.setDelay(plan.linkDelaySeconds());
         relays.add(relay);
         return relay.address();
     }
--- a/clustertests/src/main/java/clayhook/clustertests/SoakFault.java
+++ b/clustertests/src/main/java/clayhook/clustertests/SoakFault.java
@@ -207,19 +207,19 @@
         public void begin(RouterFleet fleet) {
             TcpRelay relay = fleet.nodes().get(node).relay();
             switch (kind) {
-                case DELAY -> relay.delay(delaySeconds);
+                case DELAY -> relay.setDelay(delaySeconds);
                 case RESET -> relay.resetAll();
-                case CUT -> relay.cut(true);
+                case CUT -> relay.setCut(true);
             }
         }
 
         @Override
         public void end(RouterFleet fleet) {
             TcpRelay relay = fleet.nodes().get(node).relay();
-            relay.delay(0);
+            relay.setDelay(0);
             if (kind == Kind.CUT) {
                 relay.resetAll();
-                relay.cut(false);
+                relay.setCut(false);
             }
         }
     }
--- a/clustertests/src/main/java/clayhook/clustertests/TcpRelay.java
+++ b/clustertests/src/main/java/clayhook/clustertests/TcpRelay.java
@@ -34,7 +34,7 @@
     private record Chunk(byte[] bytes, long dueNanos) {}
 
     private final InetSocketAddress target;
-    private final ServerSocket listening;
+    private final ServerSocket serverSocket;
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
     private volatile double delaySeconds;
     private volatile boolean cut;
@@ -42,8 +42,8 @@
     /** Starts to relay connections from an ephemeral port to an address. */
     TcpRelay(InetSocketAddress target) throws IOException {
         this.target = target;
-        listening = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
-        start("relay to " + target, this::accept);
+        serverSocket = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
+        start("relay to " + target, this::acceptConnections);
     }
 
     private static void start(String name, Runnable body) {
@@ -53,16 +53,16 @@
     }
 
     InetSocketAddress address() {
-        return (InetSocketAddress) listening.getLocalSocketAddress();
+        return (InetSocketAddress) serverSocket.getLocalSocketAddress();
     }
 
     /** Delays bytes that are received from now on by that number of seconds, in each direction. */
-    void delay(double seconds) {
+    void setDelay(double seconds) {
         delaySeconds = seconds;
     }
 
     /** Stops or resumes forwarding; bytes that are received meanwhile are forwarded when it resumes. */
-    void cut(boolean isCut) {
+    void setCut(boolean isCut) {
         cut = isCut;
     }
 
@@ -80,10 +80,10 @@
         }
     }
 
-    private void accept() {
-        while (!listening.isClosed()) {
+    private void acceptConnections() {
+        while (!serverSocket.isClosed()) {
             try {
-                Socket client = listening.accept();
+                Socket client = serverSocket.accept();
                 connect(client);
             } catch (IOException e) {
                 // the relay is closed, or this connection has ended
@@ -140,7 +140,7 @@
             while (true) {
                 Chunk chunk = queue.take();
                 TimeUnit.NANOSECONDS.sleep(chunk.dueNanos() - System.nanoTime());
-                awaitUncut();
+                awaitForwarding();
                 if (chunk.bytes() == RESET) {
                     reset(to);
                     break;
@@ -155,16 +155,16 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        forgetIfEnded(from, to);
+        removeIfEnded(from, to);
     }
 
-    private void awaitUncut() throws InterruptedException {
+    private void awaitForwarding() throws InterruptedException {
         while (cut) {
             Thread.sleep(1);
         }
     }
 
-    private void forgetIfEnded(Socket from, Socket to) {
+    private void removeIfEnded(Socket from, Socket to) {
         boolean ended = to.isClosed() || (to.isOutputShutdown() && from.isOutputShutdown());
         if (ended) {
             sockets.remove(from);
@@ -185,7 +185,7 @@
     @Override
     public void close() throws IOException {
         cut = false;
-        listening.close();
+        serverSocket.close();
         resetAll();
     }
 }
--- a/clustertests/src/main/java/clayhook/clustertests/TestCluster.java
+++ b/clustertests/src/main/java/clayhook/clustertests/TestCluster.java
@@ -132,7 +132,7 @@
                 .collect(Collectors.joining(", "));
         return sharing == null
                 ? nodes
-                : nodes + "[sharing]\nenabled = true\nlisten = " + text(relay.behind(router)) + "\nadvertise = "
+                : nodes + "[sharing]\nenabled = true\nlisten = " + text(relay.routerAddress(router)) + "\nadvertise = "
                         + text(relay.address(router)) + "\nseeds = [" + seeds + "]\n" + sharing;
     }
 
@@ -204,7 +204,7 @@
             for (int to = 0; to < routers.size(); to++) {
                 LinkFault linkFault = linkFault(fault, from, to);
                 if (linkFault != null) {
-                    relay.link(from, to).fault(begins ? linkFault : LinkFault.NONE);
+                    relay.link(from, to).setFault(begins ? linkFault : LinkFault.NONE);
                 }
             }
         }
@@ -305,12 +305,12 @@
     /** Waits until a fault has an effect on routers or datagrams; for tests with sharing. */
     public boolean felt(ClusterFault fault) throws InterruptedException {
         boolean parts = !(fault instanceof ClusterFault.Everywhere || fault instanceof ClusterFault.OneWay);
-        long came = relay.count(NetworkLink.Delivery.CAME) + ENOUGH;
+        long came = relay.count(NetworkLink.Delivery.RECEIVED) + ENOUGH;
         String whole = "alive " + routers.size() + ",";
         return await(() -> parts
                 ? up().isEmpty()
                         || up().stream().anyMatch(router -> !figures(router, 0).contains(whole))
-                : relay.count(NetworkLink.Delivery.CAME) > came);
+                : relay.count(NetworkLink.Delivery.RECEIVED) > came);
     }
 
     /** Waits until all routers are alive for each other and have equal copies of all replicated types. */
--- a/clustertests/src/test/java/clayhook/clustertests/DatagramRelayTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/DatagramRelayTest.java
@@ -49,22 +49,22 @@
             send(b, 2, seen);
             assertEquals(relay.address(1), receive(a, 2));
 
-            relay.link(0, 1).fault(LinkFault.CUT);
+            relay.link(0, 1).setFault(LinkFault.CUT);
             send(a, 3, relay.address(1));
             send(stranger, 4, relay.address(1));
             send(b, 5, relay.address(0));
             receive(a, 5);
             assertTimeoutPreemptively(Duration.ofSeconds(20), () -> {
-                while (relay.link(0, 1).count(NetworkLink.Delivery.LOST) + relay.strangers() < 2) {
+                while (relay.link(0, 1).count(NetworkLink.Delivery.LOST) + relay.unknownSenders() < 2) {
                     Thread.sleep(1);
                 }
             });
-            relay.link(0, 1).fault(LinkFault.NONE);
+            relay.link(0, 1).setFault(LinkFault.NONE);
             send(a, 6, relay.address(1));
             receive(b, 6); // the datagrams of the cut link and of the unknown sender do not arrive
             assertEquals(1, relay.link(0, 1).count(NetworkLink.Delivery.LOST));
             assertEquals(0, relay.link(1, 0).count(NetworkLink.Delivery.LOST));
-            assertEquals(1, relay.strangers());
+            assertEquals(1, relay.unknownSenders());
         } finally {
             transport.close();
         }
--- a/clustertests/src/test/java/clayhook/clustertests/NetworkLinkTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/NetworkLinkTest.java
@@ -22,7 +22,7 @@
     private static List<Departure> sent(NetworkLink link) {
         var out = new ArrayList<Departure>();
         for (int i = 0; i < SENT; i++) {
-            out.addAll(link.take(ByteBuffer.allocate(BYTES).putInt(i).putInt(i).array(), i / 1000.0));
+            out.addAll(link.transmit(ByteBuffer.allocate(BYTES).putInt(i).putInt(i).array(), i / 1000.0));
         }
         out.sort(Comparator.comparingDouble(Departure::at));
         return out;
@@ -30,7 +30,7 @@
 
     private static NetworkLink link(LinkFault fault) {
         var link = new NetworkLink(new SplittableRandom(1));
-        link.fault(fault);
+        link.setFault(fault);
         return link;
     }
 
@@ -59,15 +59,15 @@
         List<Departure> left = sent(link);
         double came = SENT - link.count(Delivery.LOST);
         assertEquals(loss, 1 - came / SENT, 0.05);
-        assertEquals(twice, link.count(Delivery.TWICE) / came, 0.05);
-        assertEquals(late, link.count(Delivery.LATE) / came, 0.05);
-        assertEquals(garbled, link.count(Delivery.GARBLED) / came, 0.05);
-        assertEquals(came + link.count(Delivery.TWICE), left.size());
+        assertEquals(twice, link.count(Delivery.DUPLICATED) / came, 0.05);
+        assertEquals(late, link.count(Delivery.DELAYED) / came, 0.05);
+        assertEquals(garbled, link.count(Delivery.CORRUPTED) / came, 0.05);
+        assertEquals(came + link.count(Delivery.DUPLICATED), left.size());
         List<byte[]> whole = left.stream()
                 .map(Departure::bytes)
                 .filter(NetworkLinkTest::whole)
                 .toList();
-        assertEquals(link.count(Delivery.GARBLED), left.size() - whole.size());
+        assertEquals(link.count(Delivery.CORRUPTED), left.size() - whole.size());
         int overtaken = 0;
         for (int i = 1; i < whole.size(); i++) {
             overtaken += ByteBuffer.wrap(whole.get(i)).getInt()
@@ -76,7 +76,7 @@
                     : 0;
         }
         assertEquals(late + twice > 0, overtaken > 0);
-        assertEquals(delay, left.get(0).at(), late + twice > 0 ? NetworkLink.HELD : 1e-9);
+        assertEquals(delay, left.get(0).at(), late + twice > 0 ? NetworkLink.REORDER_DELAY_SECONDS : 1e-9);
     }
 
     @ParameterizedTest
@@ -86,9 +86,9 @@
         NetworkLink link = link(new LinkFault(cut, 0, 0, 0, 0, 0, rate));
         List<Departure> left = sent(link);
         assertTrue(
-                left.size() >= least && left.size() <= rate / BYTES * (1 + NetworkLink.BACKLOG), left.size() + " left");
+                left.size() >= least && left.size() <= rate / BYTES * (1 + NetworkLink.MAX_QUEUE_SECONDS), left.size() + " left");
         assertTrue(left.stream().allMatch(departure -> departure.at() <= end + 0.001));
-        link.fault(LinkFault.NONE);
-        assertArrayEquals(new byte[] {1}, link.take(new byte[] {1}, 5).get(0).bytes());
+        link.setFault(LinkFault.NONE);
+        assertArrayEquals(new byte[] {1}, link.transmit(new byte[] {1}, 5).get(0).bytes());
     }
 }
--- a/clustertests/src/test/java/clayhook/clustertests/SharingClusterTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/SharingClusterTest.java
@@ -52,8 +52,8 @@
                 fleet.stopLoad();
                 assertTrue(fleet.agree(), () -> fault + "\n" + fleet.logs());
             }
-            assertTrue(fleet.relay().count(NetworkLink.Delivery.GARBLED) > 0
-                    && fleet.relay().strangers() == 0);
+            assertTrue(fleet.relay().count(NetworkLink.Delivery.CORRUPTED) > 0
+                    && fleet.relay().unknownSenders() == 0);
             verdict(fleet);
         }
     }
--- a/clustertests/src/test/java/clayhook/clustertests/TcpRelayTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/TcpRelayTest.java
@@ -27,7 +27,7 @@
     void resetArrivesBehindWhatTheServerSentBefore() throws Exception {
         try (var server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 var relay = new TcpRelay((InetSocketAddress) server.getLocalSocketAddress())) {
-            relay.delay(DELAY_SECONDS);
+            relay.setDelay(DELAY_SECONDS);
             InetSocketAddress address = relay.address();
             try (var client = new Socket(address.getAddress(), address.getPort())) {
                 client.setSoTimeout(READ_TIMEOUT_MS);
