--- a/clustertests/src/main/java/clayhook/clustertests/DiscoveryServer.java
+++ b/clustertests/src/main/java/clayhook/clustertests/DiscoveryServer.java
@@ -15,24 +15,24 @@
  */
 public final class DiscoveryServer {
     private final TestReplicaSet replicaSet;
-    private final IntSupplier routers;
+    private final IntSupplier routerCount;
     private final StubDiscovery service;
     /**
      * Calls that wait for a newer version of the list; emptied by each change. Holds one call of each router, and a few
      * that routers abandoned.
      */
-    private List<Predicate<String>> waiting = new ArrayList<>();
+    private List<Predicate<String>> waitingCalls = new ArrayList<>();
     /** Number of calls that will still be answered. */
-    private int answers = Integer.MAX_VALUE;
+    private int remainingAnswers = Integer.MAX_VALUE;
 
-    private int answered;
+    private int answeredCalls;
 
-    /** {@code routers} returns the number of running routers; a change counts as notified after that many answers. */
-    DiscoveryServer(Transport transport, TestReplicaSet replicaSet, IntSupplier routers) throws InterruptedException {
+    /** {@code routerCount} returns the number of running routers; a change counts as notified after that many answers. */
+    DiscoveryServer(Transport transport, TestReplicaSet replicaSet, IntSupplier routerCount) throws InterruptedException {
         this.replicaSet = replicaSet;
-        this.routers = routers;
-        service = new StubDiscovery(transport, transport.ephemeralAddress(0), this::called);
-        replicaSet.setListChangeListener(this::changed);
+        this.routerCount = routerCount;
+        service = new StubDiscovery(transport, transport.ephemeralAddress(0), this::onCall);
+        replicaSet.setListChangeListener(this::onChange);
     }
 
     InetSocketAddress address() {
@@ -40,35 +40,35 @@
     }
 
     /** Limits the number of calls answered from now on; further calls stay open. */
-    public synchronized void answers(int calls) {
-        answers = calls;
-        speak();
+    public synchronized void setAnswerLimit(int limit) {
+        remainingAnswers = limit;
+        answerWaitingCalls();
     }
 
-    private synchronized void called(String call, Predicate<String> answer) {
-        waiting.add(answer);
+    private synchronized void onCall(String call, Predicate<String> answer) {
+        waitingCalls.add(answer);
         if (!call.contains("after=" + replicaSet.version() + "&")) {
-            speak();
+            answerWaitingCalls();
         }
     }
 
-    private synchronized void changed() {
-        answered = 0;
-        speak();
+    private synchronized void onChange() {
+        answeredCalls = 0;
+        answerWaitingCalls();
     }
 
-    private void speak() {
-        List<Predicate<String>> all = waiting;
-        waiting = new ArrayList<>();
-        for (Predicate<String> answer : all) {
-            if (answers == 0) {
-                waiting.add(answer);
+    private void answerWaitingCalls() {
+        List<Predicate<String>> calls = waitingCalls;
+        waitingCalls = new ArrayList<>();
+        for (Predicate<String> answer : calls) {
+            if (remainingAnswers == 0) {
+                waitingCalls.add(answer);
             } else if (answer.test(replicaSet.endpointListJson())) {
-                answers--;
-                answered++;
+                remainingAnswers--;
+                answeredCalls++;
             }
         }
-        if (answered >= routers.getAsInt()) {
+        if (answeredCalls >= routerCount.getAsInt()) {
             replicaSet.nodes()
                     .forEach(node -> replicaSet.history.onNotified(node.node, node.state() == Endpoint.State.DRAINING));
         }
--- a/clustertests/src/main/java/clayhook/clustertests/DrainAudit.java
+++ b/clustertests/src/main/java/clayhook/clustertests/DrainAudit.java
@@ -34,7 +34,7 @@
     }
 
     /** Records the draining nodes of a new version of the endpoint list at discovery. */
-    synchronized void onChange(TestReplicaSet replicaSet) {
+    synchronized void onListChange(TestReplicaSet replicaSet) {
         for (ClusterNode node : replicaSet.nodes()) {
             if (node.state() == Endpoint.State.READY) {
                 drains.remove(node.node());
--- a/clustertests/src/main/java/clayhook/clustertests/IdleCrowd.java
+++ b/clustertests/src/main/java/clayhook/clustertests/IdleClients.java
@@ -9,13 +9,13 @@
 import java.util.List;
 
 /** Clients that connect and send only a start-up message, and so occupy file descriptors of a router. */
-final class IdleCrowd implements AutoCloseable {
+final class IdleClients implements AutoCloseable {
     private static final int CONNECT_TIMEOUT_MS = 1000;
 
     private final List<Socket> sockets = new ArrayList<>();
 
     /** Connects that number of clients, or fewer if the router accepts no more. */
-    IdleCrowd(InetSocketAddress router, int count) {
+    IdleClients(InetSocketAddress router, int count) {
         for (int i = 0; i < count; i++) {
             var socket = new Socket();
             sockets.add(socket);
--- a/clustertests/src/main/java/clayhook/clustertests/CrowdedDiscovery.java
+++ b/clustertests/src/main/java/clayhook/clustertests/QueueingDiscovery.java
@@ -18,7 +18,7 @@
  * A discovery service with one queue for the calls of all routers, which rejects calls that would wait too long. Each
  * router has its own address, so that the audits know to which router an answer was written. Thread-safe.
  */
-public final class CrowdedDiscovery implements AutoCloseable {
+public final class QueueingDiscovery implements AutoCloseable {
     /** How calls are handled. */
     public enum Mode {
         /** Calls are handled one after the other. */
@@ -34,18 +34,18 @@
     }
 
     /** Longest wait in the queue, in seconds; a call that would wait longer is rejected. */
-    private static final double QUEUE_LIMIT_SECONDS = 2;
+    private static final double MAX_QUEUE_SECONDS = 2;
 
-    private static final double SLOW_SECONDS = 1;
+    private static final double SLOW_DELAY_SECONDS = 1;
     private static final double MILLIS_PER_SECOND = 1000;
     private static final double NANOS_PER_SECOND = 1e9;
     private static final String REJECTION =
             "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
-    private static final Pattern AFTER = Pattern.compile("after=(\\d+)&wait_ms=(\\d+)");
+    private static final Pattern POLL_PARAMETERS = Pattern.compile("after=(\\d+)&wait_ms=(\\d+)");
 
     private static final class Call {
         final String router;
-        final long after;
+        final long knownVersion;
         final double waitSeconds;
         final Predicate<String> answer;
         boolean answered;
@@ -53,9 +53,9 @@
         Call(String router, String requestLine, Predicate<String> answer) {
             this.router = router;
             this.answer = answer;
-            Matcher matcher = AFTER.matcher(requestLine);
+            Matcher matcher = POLL_PARAMETERS.matcher(requestLine);
             boolean hasVersion = matcher.find();
-            after = hasVersion ? Long.parseLong(matcher.group(1)) : -1;
+            knownVersion = hasVersion ? Long.parseLong(matcher.group(1)) : -1;
             waitSeconds = hasVersion ? Double.parseDouble(matcher.group(2)) / MILLIS_PER_SECOND : 0;
         }
     }
@@ -72,9 +72,9 @@
     /** Two addresses for each router. One is in use at a time; the service answers at both. */
     private final List<List<StubDiscovery>> addresses = new ArrayList<>();
 
-    private final List<Integer> inUse = new ArrayList<>();
+    private final List<Integer> activeAddresses = new ArrayList<>();
     /** Open watches. Each change of the endpoint list removes all; a watch is also removed when its wait ends. */
-    private final List<Call> parked = new ArrayList<>();
+    private final List<Call> waitingCalls = new ArrayList<>();
 
     private Mode mode = Mode.NORMAL;
     private double busyUntil;
@@ -88,7 +88,7 @@
      * @param changeListener receives each new version of the list, on the thread that makes it
      * @param secondsPerCall processing time of one call, in seconds
      */
-    CrowdedDiscovery(
+    QueueingDiscovery(
             Transport transport,
             TestReplicaSet replicaSet,
             EndpointNotifications notifications,
@@ -102,7 +102,7 @@
         this.secondsPerCall = secondsPerCall;
         for (String router : routers) {
             addresses.add(List.of(listen(transport, router), listen(transport, router)));
-            inUse.add(0);
+            activeAddresses.add(0);
         }
         replicaSet.setListChangeListener(this::onChange);
     }
@@ -113,12 +113,12 @@
     }
 
     synchronized InetSocketAddress address(int router) {
-        return addresses.get(router).get(inUse.get(router)).address();
+        return addresses.get(router).get(activeAddresses.get(router)).address();
     }
 
     /** Switches to the other address of a router, which {@link #address} returns from now on. */
-    synchronized void move(int router) {
-        inUse.set(router, 1 - inUse.get(router));
+    synchronized void switchAddress(int router) {
+        activeAddresses.set(router, 1 - activeAddresses.get(router));
     }
 
     /** Number of calls rejected so far. */
@@ -132,21 +132,21 @@
     }
 
     /** Sets how calls are handled from now on; open watches are ended if the new mode does not answer them. */
-    public synchronized void mode(Mode next) {
+    public synchronized void setMode(Mode next) {
         mode = next;
         notifications.onReachable(next != Mode.DOWN);
         if (next == Mode.DOWN) {
-            parked.forEach(call -> reject(call, 0));
+            waitingCalls.forEach(call -> reject(call, 0));
         }
         if (next == Mode.DOWN || next == Mode.SILENT) {
-            parked.clear();
+            waitingCalls.clear();
         }
     }
 
     private synchronized void onCall(Call call) {
         double now = HistoryRecorder.now();
         if (mode == Mode.CROWDED) {
-            reject(call, rejections % 2 == 0 ? QUEUE_LIMIT_SECONDS : 0);
+            reject(call, rejections % 2 == 0 ? MAX_QUEUE_SECONDS : 0);
         } else if (mode == Mode.DOWN) {
             reject(call, 0);
         } else if (mode == Mode.NORMAL || mode == Mode.SLOW) {
@@ -156,12 +156,12 @@
 
     private void enqueue(Call call, double now) {
         double done = Math.max(now, busyUntil) + secondsPerCall;
-        if (done > now + QUEUE_LIMIT_SECONDS) {
-            reject(call, QUEUE_LIMIT_SECONDS);
+        if (done > now + MAX_QUEUE_SECONDS) {
+            reject(call, MAX_QUEUE_SECONDS);
             return;
         }
         busyUntil = done;
-        schedule(done - now + (mode == Mode.SLOW ? SLOW_SECONDS : 0), () -> handle(call));
+        schedule(done - now + (mode == Mode.SLOW ? SLOW_DELAY_SECONDS : 0), () -> handle(call));
     }
 
     @SuppressWarnings("ReturnValueIgnored") // the result is irrelevant: the router may have closed the connection
@@ -173,16 +173,16 @@
     private synchronized void handle(Call call) {
         if (call.answered || mode == Mode.DOWN || mode == Mode.SILENT) {
             return;
-        } else if (call.after < replicaSet.version() || call.waitSeconds == 0) {
+        } else if (call.knownVersion < replicaSet.version() || call.waitSeconds == 0) {
             write(call);
             return;
         }
-        parked.add(call);
+        waitingCalls.add(call);
         schedule(call.waitSeconds, () -> onWaitOver(call));
     }
 
     private synchronized void onWaitOver(Call call) {
-        if (parked.remove(call)) {
+        if (waitingCalls.remove(call)) {
             write(call);
         }
     }
@@ -200,9 +200,9 @@
     private synchronized void onChange() {
         changeListener.accept(replicaSet);
         double now = HistoryRecorder.now();
-        List<Call> all = List.copyOf(parked);
-        parked.clear();
-        for (Call call : all) {
+        List<Call> calls = List.copyOf(waitingCalls);
+        waitingCalls.clear();
+        for (Call call : calls) {
             busyUntil = Math.max(now, busyUntil) + secondsPerCall;
             schedule(busyUntil - now, () -> handle(call));
         }
--- a/clustertests/src/main/java/clayhook/clustertests/RouterFleet.java
+++ b/clustertests/src/main/java/clayhook/clustertests/RouterFleet.java
@@ -68,7 +68,7 @@
     private final DrainAudit drains = new DrainAudit(notifications, MACHINE_SECONDS);
     private final SlowStartAudit slowStarts;
     private final TestReplicaSet replicaSet;
-    private final CrowdedDiscovery discovery;
+    private final QueueingDiscovery discovery;
     private final ProcessStalls stalls = new ProcessStalls();
     private final RouterProcesses processes = new RouterProcesses(clientsLoop);
     private final List<Thread> clients = new ArrayList<>();
@@ -95,7 +95,7 @@
         replicaSet.addRequestListener(history.attempts()::onAttempt);
         List<String> names =
                 IntStream.range(0, spec.routerCount()).mapToObj(i -> "r" + i).toList();
-        discovery = new CrowdedDiscovery(
+        discovery = new QueueingDiscovery(
                 nodesLoop, replicaSet, notifications, this::onChange, names, spec.allCallsSeconds() / names.size());
         for (String name : names) {
             var router = new RouterProcess(name, SparePorts.next(), spec.program(), processes.folder(name));
@@ -106,8 +106,8 @@
     }
 
     private void onChange(TestReplicaSet changed) {
-        drains.onChange(changed);
-        slowStarts.onChange(changed);
+        drains.onListChange(changed);
+        slowStarts.onListChange(changed);
     }
 
     private RoutingSettings parseSettings() {
@@ -152,7 +152,7 @@
         return processes.all();
     }
 
-    public CrowdedDiscovery discovery() {
+    public QueueingDiscovery discovery() {
         return discovery;
     }
 
@@ -270,7 +270,7 @@
     /** Moves discovery to another address for one router and makes the router reload its files by SIGHUP. */
     public void moveDiscovery(RouterProcess router) throws IOException {
         int number = routers().indexOf(router);
-        discovery.move(number);
+        discovery.switchAddress(number);
         configure(router, number);
         notifications.onReload(router.name());
         router.signal("HUP");
--- a/clustertests/src/main/java/clayhook/clustertests/SlowStartAudit.java
+++ b/clustertests/src/main/java/clayhook/clustertests/SlowStartAudit.java
@@ -69,7 +69,7 @@
     }
 
     /** Records the nodes that start with a new version of the endpoint list at discovery. */
-    synchronized void onChange(TestReplicaSet replicaSet) {
+    synchronized void onListChange(TestReplicaSet replicaSet) {
         for (ClusterNode node : replicaSet.nodes()) {
             Start known = starts.get(node.node());
             if (node.startedAt() > 0 && (known == null || known.at() < node.startedAt())) {
--- a/clustertests/src/main/java/clayhook/clustertests/SoakFault.java
+++ b/clustertests/src/main/java/clayhook/clustertests/SoakFault.java
@@ -23,15 +23,15 @@
     }
 
     /** Switches discovery to another mode: crowded, slow, down or silent. */
-    record DiscoveryFault(CrowdedDiscovery.Mode mode) implements SoakFault {
+    record DiscoveryFault(QueueingDiscovery.Mode mode) implements SoakFault {
         @Override
         public void begin(RouterFleet fleet) {
-            fleet.discovery().mode(mode);
+            fleet.discovery().setMode(mode);
         }
 
         @Override
         public void end(RouterFleet fleet) {
-            fleet.discovery().mode(CrowdedDiscovery.Mode.NORMAL);
+            fleet.discovery().setMode(QueueingDiscovery.Mode.NORMAL);
         }
     }
 
@@ -159,19 +159,19 @@
     }
 
     /** Occupies the file descriptors of routers with idle clients. */
-    record Crowd(List<Integer> routers, int clients, List<IdleCrowd> crowds) implements SoakFault {
+    record Crowd(List<Integer> routers, int clients, List<IdleClients> crowds) implements SoakFault {
         Crowd(List<Integer> routers, int clients) {
             this(routers, clients, new ArrayList<>());
         }
 
         @Override
         public void begin(RouterFleet fleet) {
-            processes(fleet, routers).forEach(router -> crowds.add(new IdleCrowd(router.address(), clients)));
+            processes(fleet, routers).forEach(router -> crowds.add(new IdleClients(router.address(), clients)));
         }
 
         @Override
         public void end(RouterFleet fleet) throws IOException {
-            for (IdleCrowd crowd : crowds) {
+            for (IdleClients crowd : crowds) {
                 crowd.close();
             }
         }
--- a/clustertests/src/main/java/clayhook/clustertests/SoakSchedule.java
+++ b/clustertests/src/main/java/clayhook/clustertests/SoakSchedule.java
@@ -1,6 +1,6 @@
 package clayhook.clustertests;
 
-import clayhook.clustertests.CrowdedDiscovery.Mode;
+import clayhook.clustertests.QueueingDiscovery.Mode;
 import clayhook.clustertests.SoakFault.Crowd;
 import clayhook.clustertests.SoakFault.Departures;
 import clayhook.clustertests.SoakFault.DiscoveryFault;
--- a/clustertests/src/test/java/clayhook/clustertests/CrowdedDiscoveryTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/CrowdedDiscoveryTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import clayhook.Endpoint;
-import clayhook.clustertests.CrowdedDiscovery.Mode;
+import clayhook.clustertests.QueueingDiscovery.Mode;
 import clayhook.clustertests.LoadClient.Answer;
 import java.util.List;
 import java.util.Map;
@@ -44,7 +44,7 @@
             List<RouterProcess> killed = fleet.routers().subList(0, (int) (KILLED_FRACTION * ROUTERS));
             List<ClusterNode> draining = fleet.nodes().subList(NODES - DRAINING_NODES, NODES);
             fleet.kill(killed);
-            fleet.discovery().mode(Mode.CROWDED);
+            fleet.discovery().setMode(Mode.CROWDED);
             fleet.setState(draining, Endpoint.State.DRAINING);
             fleet.start(killed);
             int served = fleet.answered(Answer.SERVED);
@@ -52,7 +52,7 @@
             Thread.sleep(CROWDED_MS);
             int servedWhileCrowded = fleet.answered(Answer.SERVED) - served;
             int rejectedWhileCrowded = fleet.answered(Answer.REJECTED) - rejected;
-            fleet.discovery().mode(Mode.NORMAL);
+            fleet.discovery().setMode(Mode.NORMAL);
             int answers = fleet.discovery().answers();
             assertTrue(fleet.await(() -> fleet.discovery().answers() >= answers + ROUTERS, RECOVERY_SECONDS));
             fleet.stopLoad();
--- a/clustertests/src/test/java/clayhook/clustertests/FaultSoakTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/FaultSoakTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clayhook.clustertests.CrowdedDiscovery.Mode;
+import clayhook.clustertests.QueueingDiscovery.Mode;
 import clayhook.clustertests.FaultSoak.Verdict;
 import clayhook.clustertests.SoakFault.DiscoveryFault;
 import clayhook.clustertests.SoakFault.Drain;
--- a/clustertests/src/test/java/clayhook/clustertests/SharingClusterTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/SharingClusterTest.java
@@ -64,13 +64,13 @@
         try (var fleet = new TestCluster(JAR, ROUTERS, shares ? SHARING : null, true, 3)) {
             assertTrue(!shares || fleet.agree(), fleet::logs);
             ClusterNode replica = fleet.cluster().nodes().get(1);
-            fleet.discovery().answers(0);
+            fleet.discovery().setAnswerLimit(0);
             replica.setState(Endpoint.State.DRAINING);
             fleet.load();
             assertTrue(fleet.serve(fleet.up(), SOME), fleet::logs);
             int before = fleet.history().executions(replica.node());
             assertTrue(before > 0);
-            fleet.discovery().answers(1);
+            fleet.discovery().setAnswerLimit(1);
             assertTrue(fleet.serve(fleet.up(), 5 * SOME), fleet::logs);
             before = fleet.history().executions(replica.node());
             assertTrue(fleet.serve(fleet.up(), 2 * SOME), fleet::logs);
--- a/clustertests/src/test/java/clayhook/clustertests/SlowProcessStartTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/SlowProcessStartTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clayhook.clustertests.CrowdedDiscovery.Mode;
+import clayhook.clustertests.QueueingDiscovery.Mode;
 import java.time.Instant;
 import java.util.List;
 import java.util.regex.Pattern;
@@ -33,7 +33,7 @@
             RouterProcess router = fleet.routers().get(0);
             fleet.startLoad(); // an idle router detects an outdated list up to a second later
             fleet.kill(List.of(router));
-            fleet.discovery().mode(Mode.SILENT);
+            fleet.discovery().setMode(Mode.SILENT);
             router.delayStarts(VIRTUAL_MACHINE_START_SECONDS);
             int mark = router.logMark();
             double startedAt = HistoryRecorder.now();
