--- a/clustertests/src/main/java/clayhook/clustertests/FaultSoak.java
+++ b/clustertests/src/main/java/clayhook/clustertests/FaultSoak.java
@@ -67,7 +67,7 @@
                 fleet.brokenRules(),
                 List.copyOf(reported),
                 fleet.firstViolation(),
-                fleet.figures());
+                fleet.summary());
     }
 
     private void start(List<TimedFault> lane, double startedAt) {
--- a/clustertests/src/main/java/clayhook/clustertests/RouterFleet.java
+++ b/clustertests/src/main/java/clayhook/clustertests/RouterFleet.java
@@ -27,7 +27,7 @@
  */
 public final class RouterFleet implements AutoCloseable {
     /** Router settings with times far longer than a busy machine needs; {@link DrainAudit} checks drains. */
-    private static final String SETTINGS =
+    private static final String SETTINGS_JSON =
             """
             {"balancers": %1$d, "zone": "%2$s", "domain": {"read_level": ["any", "bounded", "write", "write"],
             "max_age": [0, 1e9, 0, 0], "when_behind": "off", "write_marks": "carried"}, "limits": {"most_tries": 3, "probing": %3$s},
@@ -60,8 +60,8 @@
     /** Seconds for which draining nodes continue to execute requests. */
     private static final double DRAIN_LEAD_SECONDS = 2;
 
-    private final Transport nodesLoop = Transport.tcp();
-    private final Transport clientsLoop = Transport.tcp();
+    private final Transport nodeTransport = Transport.tcp();
+    private final Transport clientTransport = Transport.tcp();
     private final RoutingSettings settings;
     private final HistoryRecorder history;
     private final EndpointNotifications notifications = new EndpointNotifications();
@@ -70,19 +70,19 @@
     private final TestReplicaSet replicaSet;
     private final QueueingDiscovery discovery;
     private final ProcessStalls stalls = new ProcessStalls();
-    private final RouterProcesses processes = new RouterProcesses(clientsLoop);
-    private final List<Thread> clients = new ArrayList<>();
+    private final RouterProcesses processes = new RouterProcesses(clientTransport);
+    private final List<Thread> clientThreads = new ArrayList<>();
     private final Map<LoadClient.Answer, Integer> answers = new EnumMap<>(LoadClient.Answer.class);
     private final FleetSpec spec;
     private final List<ShutdownScenario.Result> shutdowns = new ArrayList<>();
-    private volatile boolean loaded = true;
+    private volatile boolean loadRunning = true;
 
     /** Starts the processes, named r0, r1 and so on; returns when all accept requests. */
     public RouterFleet(FleetSpec spec) throws IOException, InterruptedException {
         this.spec = spec;
         settings = parseSettings();
         history = new HistoryRecorder(settings);
-        replicaSet = new TestReplicaSet(nodesLoop, spec.nodeCount(), ZONES, settings, history);
+        replicaSet = new TestReplicaSet(nodeTransport, spec.nodeCount(), ZONES, settings, history);
         if (spec.nodesBehindRelays()) {
             for (ClusterNode node : replicaSet.nodes()) {
                 node.putBehindRelay();
@@ -96,7 +96,7 @@
         List<String> names =
                 IntStream.range(0, spec.routerCount()).mapToObj(i -> "r" + i).toList();
         discovery = new QueueingDiscovery(
-                nodesLoop, replicaSet, notifications, this::onChange, names, spec.allCallsSeconds() / names.size());
+                nodeTransport, replicaSet, notifications, this::onChange, names, spec.allCallsSeconds() / names.size());
         for (String name : names) {
             var router = new RouterProcess(name, SparePorts.next(), spec.program(), processes.folder(name));
             processes.add(router);
@@ -113,16 +113,16 @@
     private RoutingSettings parseSettings() {
         try {
             String file = "{\"name\": \"any\", \"listen\": \"any:1\", \"discovery\": \"any:1\", \"seed\": \"1\","
-                    + " \"settings\": " + settingsText(ZONES.get(0)) + "}";
+                    + " \"settings\": " + settingsJson(ZONES.get(0)) + "}";
             return RouterConfiguration.fromJson(Json.parse(file), Map.of()).settings();
         } catch (ConfigurationException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    private String settingsText(String zone) {
+    private String settingsJson(String zone) {
         double timeout = spec.clientTimeoutSeconds();
-        return SETTINGS.formatted(
+        return SETTINGS_JSON.formatted(
                 spec.routerCount(),
                 zone,
                 spec.healthChecksAllowed(),
@@ -135,14 +135,14 @@
     }
 
     private void configure(RouterProcess router, int number) throws IOException {
-        router.configure(platformFile(router, number), "[nodes]\nuser = \"" + router.name() + "\"\n");
+        router.configure(platformJson(router, number), "[nodes]\nuser = \"" + router.name() + "\"\n");
     }
 
-    private String platformFile(RouterProcess router, int number) {
+    private String platformJson(RouterProcess router, int number) {
         return "{\"name\": \"" + router.name() + "\", \"listen\": " + quoted(router.address()) + ", \"discovery\": "
                 + quoted(discovery.address(number)) + ", \"seed\": \"" + Long.toHexString(spec.seed() * 1000 + number)
                 + "\", \"known\": " + replicaSet.endpointListJson() + ", \"settings\": "
-                + settingsText(ZONES.get(number % ZONES.size())) + ", \"limits\": {\"sockets\": "
+                + settingsJson(ZONES.get(number % ZONES.size())) + ", \"limits\": {\"sockets\": "
                 + spec.descriptors() + "}}";
     }
 
@@ -174,7 +174,7 @@
     }
 
     /** A summary of the run, to be reported with the verdict. */
-    synchronized String figures() {
+    synchronized String summary() {
         int requests =
                 shutdowns.stream().mapToInt(each -> each.records().size()).sum();
         return "answers " + answers + ", shutdowns " + shutdowns.size() + " with " + requests
@@ -231,7 +231,7 @@
     }
 
     /** Records that a router gets SIGTERM: it may refuse connections, but owes answers to requests that it admits. */
-    void onEnding(RouterProcess router) {
+    void onShuttingDown(RouterProcess router) {
         history.onShuttingDown(router.name());
     }
 
@@ -243,7 +243,7 @@
     /**
      * Restarts processes and sends them SIGTERM that number of seconds after their start; returns when they have ended.
      */
-    void terminateInStart(Collection<RouterProcess> some, double afterSeconds)
+    void terminateDuringStart(Collection<RouterProcess> some, double afterSeconds)
             throws IOException, InterruptedException {
         kill(some);
         for (RouterProcess router : some) {
@@ -299,18 +299,18 @@
             var thread = new Thread(() -> sendRequests(router, random), "client " + i);
             thread.setDaemon(true);
             thread.start();
-            clients.add(thread);
+            clientThreads.add(thread);
         }
     }
 
     private void sendRequests(RouterProcess router, Random random) {
-        var client = new LoadClient(clientsLoop, history, true);
+        var client = new LoadClient(clientTransport, history, true);
         List<RequestClass> classes = settings.requestClasses();
         try {
-            while (loaded) {
+            while (loadRunning) {
                 RequestClass requestClass = classes.get(random.nextInt(classes.size()));
                 boolean disconnects = random.nextInt(REQUESTS_PER_DISCONNECT) == 0;
-                count(
+                countAnswer(
                         disconnects
                                 ? client.exchangeOrDisconnect(router, requestClass, MAX_CLIENT_WAIT_SECONDS * random.nextDouble())
                                 : client.exchange(router, requestClass));
@@ -328,13 +328,13 @@
      * request class.
      */
     void sendAndDisconnect(RouterProcess router, int number, double maxWaitSeconds) throws InterruptedException {
-        var client = new LoadClient(clientsLoop, history, true);
+        var client = new LoadClient(clientTransport, history, true);
         List<RequestClass> classes = settings.requestClasses();
         client.exchangeOrDisconnect(router, classes.get(number % classes.size()), maxWaitSeconds);
         client.close();
     }
 
-    private synchronized void count(LoadClient.Answer answer) {
+    private synchronized void countAnswer(LoadClient.Answer answer) {
         answers.merge(answer, 1, Integer::sum);
     }
 
@@ -345,11 +345,11 @@
 
     /** Stops the load; returns when the last request has ended. */
     public void stopLoad() throws InterruptedException {
-        loaded = false;
-        for (Thread client : clients) {
+        loadRunning = false;
+        for (Thread client : clientThreads) {
             client.join();
         }
-        clients.clear();
+        clientThreads.clear();
     }
 
     /** Waits until a condition holds; returns false if it does not hold within that number of seconds. */
@@ -396,7 +396,7 @@
 
     @Override
     public void close() throws IOException {
-        loaded = false;
+        loadRunning = false;
         stalls.close();
         try {
             processes.killAll();
@@ -411,8 +411,8 @@
                 node.relay().close();
             }
         }
-        nodesLoop.close();
-        clientsLoop.close();
+        nodeTransport.close();
+        clientTransport.close();
         processes.deleteFiles();
     }
 }
--- a/clustertests/src/main/java/clayhook/clustertests/ShutdownScenario.java
+++ b/clustertests/src/main/java/clayhook/clustertests/ShutdownScenario.java
@@ -141,7 +141,7 @@
 
     private void terminate(double at) throws IOException, InterruptedException {
         sleep(at - HistoryRecorder.now());
-        routers.forEach(fleet::onEnding);
+        routers.forEach(fleet::onShuttingDown);
         RouterProcess.signalRunning(routers, "TERM");
         double now = HistoryRecorder.now();
         clients.values().forEach(ofRouter -> ofRouter.onSignalled(now));
--- a/clustertests/src/main/java/clayhook/clustertests/SoakFault.java
+++ b/clustertests/src/main/java/clayhook/clustertests/SoakFault.java
@@ -149,7 +149,7 @@
     record TerminateInStart(List<Integer> routers, double afterSeconds) implements SoakFault {
         @Override
         public void begin(RouterFleet fleet) throws IOException, InterruptedException {
-            fleet.terminateInStart(processes(fleet, routers), afterSeconds);
+            fleet.terminateDuringStart(processes(fleet, routers), afterSeconds);
         }
 
         @Override
--- a/clustertests/src/main/java/clayhook/clustertests/TestCluster.java
+++ b/clustertests/src/main/java/clayhook/clustertests/TestCluster.java
@@ -27,7 +27,7 @@
      * Router settings in the platform's format, with times far longer than a busy machine needs, so that no result
      * depends on the speed of the machine.
      */
-    private static final String SETTINGS =
+    private static final String SETTINGS_JSON =
             """
             {"balancers": 5, "zone": "%s", "domain": {"read_level": ["any", "bounded", "session", "write", "write"],
             "max_age": [0, 1e9, 0, 0, 0], "when_behind": "off", "write_marks": "%s"}, "limits": {"most_tries": 3},
@@ -38,14 +38,14 @@
             {"name": "write", "effect": "deduplicated", "group": "cell", "repeat_window": 2e10, "aim": 1e9, "hard_limit": 2e9},
             {"name": "charge", "effect": "at_most_once", "aim": 1e9, "hard_limit": 2e9}]}""";
 
-    private static final RoutingSettings READ = settings();
-    public static final RequestClass BOUNDED = READ.requestClasses().get(1);
-    public static final RequestClass SESSION = READ.requestClasses().get(2);
-    public static final RequestClass WRITE = READ.requestClasses().get(3);
-    public static final RequestClass CHARGE = READ.requestClasses().get(4);
+    private static final RoutingSettings SETTINGS = settings();
+    public static final RequestClass BOUNDED = SETTINGS.requestClasses().get(1);
+    public static final RequestClass SESSION = SETTINGS.requestClasses().get(2);
+    public static final RequestClass WRITE = SETTINGS.requestClasses().get(3);
+    public static final RequestClass CHARGE = SETTINGS.requestClasses().get(4);
     private static final List<String> ZONES = List.of("a", "b");
     /** Longer than any start or answer takes in seconds, even if several such tests share a machine. */
-    public static final double PATIENCE = 60;
+    public static final double MAX_WAIT_SECONDS = 60;
 
     /**
      * Shortest time in milliseconds after a write until a session uses another router; a little longer than routers
@@ -53,29 +53,29 @@
      */
     public static final long ROAM_MS = 600;
     /** Number of datagrams after which a link fault counts as effective. */
-    private static final int ENOUGH = 300;
+    private static final int MIN_AFFECTED_DATAGRAMS = 300;
     /** Log line of a router with the number of its members, and the digest and size of each replicated type. */
-    private static final Pattern FIGURES = Pattern.compile("members \\d+ alive \\d+, digests( \\S+=\\w+/\\d+)+");
+    private static final Pattern SHARING_REPORT = Pattern.compile("members \\d+ alive \\d+, digests( \\S+=\\w+/\\d+)+");
 
-    private final Transport nodesLoop = Transport.tcp();
-    private final Transport clientsLoop = Transport.tcp();
-    private final HistoryRecorder history = new HistoryRecorder(READ);
-    private final TestReplicaSet cluster;
-    private final RouterProcesses processes = new RouterProcesses(clientsLoop);
+    private final Transport nodeTransport = Transport.tcp();
+    private final Transport clientTransport = Transport.tcp();
+    private final HistoryRecorder history = new HistoryRecorder(SETTINGS);
+    private final TestReplicaSet replicaSet;
+    private final RouterProcesses processes = new RouterProcesses(clientTransport);
     private final List<RouterProcess> routers = processes.all();
     private final DiscoveryServer discovery;
     private final DatagramRelay relay;
     private final long seed;
-    private final boolean carried;
-    private final List<Thread> load = new ArrayList<>();
-    private volatile boolean loaded;
+    private final boolean carriesLastWritePosition;
+    private final List<Thread> clientThreads = new ArrayList<>();
+    private volatile boolean loadRunning;
 
     static RoutingSettings settings() {
         try {
             return RouterConfiguration.fromJson(
                             Json.parse(
                                     "{\"name\": \"any\", \"listen\": \"any:1\", \"discovery\": \"any:1\", \"seed\": \"1\","
-                                            + " \"settings\": " + SETTINGS + "}"),
+                                            + " \"settings\": " + SETTINGS_JSON + "}"),
                             Map.of())
                     .settings();
         } catch (ConfigurationException e) {
@@ -89,51 +89,51 @@
      * @param jar jar of the program
      * @param count number of routers
      * @param sharing additional keys of the table {@code sharing} in the operator's file; null disables sharing
-     * @param carried whether sessions carry their last-write position; otherwise routers store it
+     * @param carriesLastWritePosition whether sessions carry their last-write position; otherwise routers store it
      * @param seed random seed of the relay, the load and the routers
      */
-    public TestCluster(Path jar, int count, String sharing, boolean carried, long seed)
+    public TestCluster(Path jar, int count, String sharing, boolean carriesLastWritePosition, long seed)
             throws IOException, InterruptedException {
         this.seed = seed;
-        this.carried = carried;
-        cluster = new TestReplicaSet(nodesLoop, 3, ZONES, READ, history);
-        cluster.recordSlowStartWork();
+        this.carriesLastWritePosition = carriesLastWritePosition;
+        replicaSet = new TestReplicaSet(nodeTransport, 3, ZONES, SETTINGS, history);
+        replicaSet.recordSlowStartWork();
         List<InetSocketAddress> addresses =
                 IntStream.range(0, count).mapToObj(i -> SparePorts.next()).toList();
-        relay = new DatagramRelay(clientsLoop, addresses, seed);
-        discovery = new DiscoveryServer(nodesLoop, cluster, () -> up().size());
+        relay = new DatagramRelay(clientTransport, addresses, seed);
+        discovery = new DiscoveryServer(nodeTransport, replicaSet, () -> runningRouters().size());
         for (int i = 0; i < count; i++) {
             var router = new RouterProcess("r" + i, addresses.get(i), RouterProgram.of(jar), processes.folder("r" + i));
-            router.configure(platform(router, i), operator(i, count, sharing));
+            router.configure(platformJson(router, i), operatorToml(i, count, sharing));
             processes.add(router);
             router.start();
         }
         for (RouterProcess router : routers) {
-            processes.awaitServing(router, PATIENCE);
+            processes.awaitServing(router, MAX_WAIT_SECONDS);
         }
     }
 
-    private static String text(InetSocketAddress address) {
+    private static String quoted(InetSocketAddress address) {
         return '"' + address.getAddress().getHostAddress() + ':' + address.getPort() + '"';
     }
 
-    private String platform(RouterProcess router, int number) {
-        return "{\"name\": \"" + router.name() + "\", \"listen\": " + text(router.address()) + ", \"discovery\": "
-                + text(discovery.address()) + ", \"seed\": \"" + Long.toHexString(seed + number) + "\", \"known\": "
-                + cluster.endpointListJson()
+    private String platformJson(RouterProcess router, int number) {
+        return "{\"name\": \"" + router.name() + "\", \"listen\": " + quoted(router.address()) + ", \"discovery\": "
+                + quoted(discovery.address()) + ", \"seed\": \"" + Long.toHexString(seed + number) + "\", \"known\": "
+                + replicaSet.endpointListJson()
                 + ", \"settings\": "
-                + SETTINGS.formatted(ZONES.get(number % ZONES.size()), carried ? "carried" : "remembered") + "}";
+                + SETTINGS_JSON.formatted(ZONES.get(number % ZONES.size()), carriesLastWritePosition ? "carried" : "remembered") + "}";
     }
 
-    private String operator(int router, int count, String sharing) {
+    private String operatorToml(int router, int count, String sharing) {
         String nodes = "[nodes]\nuser = \"r" + router + "\"\n";
         String seeds = IntStream.of(router + 1, router + 2)
-                .mapToObj(i -> text(relay.address(i % count)))
+                .mapToObj(i -> quoted(relay.address(i % count)))
                 .collect(Collectors.joining(", "));
         return sharing == null
                 ? nodes
-                : nodes + "[sharing]\nenabled = true\nlisten = " + text(relay.routerAddress(router)) + "\nadvertise = "
-                        + text(relay.address(router)) + "\nseeds = [" + seeds + "]\n" + sharing;
+                : nodes + "[sharing]\nenabled = true\nlisten = " + quoted(relay.routerAddress(router)) + "\nadvertise = "
+                        + quoted(relay.address(router)) + "\nseeds = [" + seeds + "]\n" + sharing;
     }
 
     // ---- components ----
@@ -146,8 +146,8 @@
         return relay;
     }
 
-    public TestReplicaSet cluster() {
-        return cluster;
+    public TestReplicaSet replicaSet() {
+        return replicaSet;
     }
 
     public DiscoveryServer discovery() {
@@ -160,7 +160,7 @@
 
     /** Creates a client with a new session. */
     public LoadClient newClient() {
-        return new LoadClient(clientsLoop, history, carried);
+        return new LoadClient(clientTransport, history, carriesLastWritePosition);
     }
 
     // ---- faults ----
@@ -177,7 +177,7 @@
                 routers.get(router).awaitEnd();
             }
         } else {
-            links(fault, true);
+            setLinkFaults(fault, true);
         }
     }
 
@@ -191,15 +191,15 @@
                 routers.get(router).start();
             }
             for (int router : killed.routers()) {
-                processes.awaitServing(routers.get(router), PATIENCE);
+                processes.awaitServing(routers.get(router), MAX_WAIT_SECONDS);
                 history.onUp(routers.get(router).name());
             }
         } else {
-            links(fault, false);
+            setLinkFaults(fault, false);
         }
     }
 
-    private void links(ClusterFault fault, boolean begins) {
+    private void setLinkFaults(ClusterFault fault, boolean begins) {
         for (int from = 0; from < routers.size(); from++) {
             for (int to = 0; to < routers.size(); to++) {
                 LinkFault linkFault = linkFault(fault, from, to);
@@ -225,35 +225,35 @@
     // ---- load ----
 
     /** Starts clients that send requests of all classes continuously: two at each router, and two that roam. */
-    public void load() {
-        loaded = true;
+    public void startLoad() {
+        loadRunning = true;
         for (int i = 0; i < 2 * routers.size() + 2; i++) {
-            int home = i / 2;
+            int homeRouter = i / 2;
             var random = new Random(seed * 31 + i);
-            var thread = new Thread(() -> work(newClient(), home, random), "client " + i);
+            var thread = new Thread(() -> sendRequests(newClient(), homeRouter, random), "client " + i);
             thread.setDaemon(true);
             thread.start();
-            load.add(thread);
+            clientThreads.add(thread);
         }
     }
 
     /**
      * Sends requests until the load ends.
      *
-     * @param home number of the client's router; the client roams if it is the number of routers or higher
+     * @param homeRouter number of the client's router; the client roams if it is the number of routers or higher
      */
-    private void work(LoadClient client, int home, Random random) {
+    private void sendRequests(LoadClient client, int homeRouter, Random random) {
         try {
-            RouterProcess router = routers.get(home % routers.size());
-            while (loaded) {
-                if (home >= routers.size() && (history.isDown(router.name()) || random.nextInt(50) == 0)) {
+            RouterProcess router = routers.get(homeRouter % routers.size());
+            while (loadRunning) {
+                if (homeRouter >= routers.size() && (history.isDown(router.name()) || random.nextInt(50) == 0)) {
                     Thread.sleep(ROAM_MS);
                     router = routers.get(random.nextInt(routers.size()));
                 } else {
                     client.exchange(
                             router,
-                            READ.requestClasses()
-                                    .get(random.nextInt(READ.requestClasses().size())));
+                            SETTINGS.requestClasses()
+                                    .get(random.nextInt(SETTINGS.requestClasses().size())));
                     Thread.sleep(1 + random.nextInt(5)); // the client's own work between requests
                 }
             }
@@ -266,30 +266,30 @@
 
     /** Stops the load; returns when the last request has ended. */
     public void stopLoad() throws InterruptedException {
-        loaded = false;
-        for (Thread client : load) {
+        loadRunning = false;
+        for (Thread client : clientThreads) {
             client.join();
         }
-        load.clear();
+        clientThreads.clear();
     }
 
     // ---- conditions ----
 
-    /** Waits until a condition holds; returns false if it does not hold within {@link #PATIENCE}. */
+    /** Waits until a condition holds; returns false if it does not hold within {@link #MAX_WAIT_SECONDS}. */
     public boolean await(BooleanSupplier condition) throws InterruptedException {
-        return RouterProcesses.await(condition, PATIENCE);
+        return RouterProcesses.await(condition, MAX_WAIT_SECONDS);
     }
 
     /** Waits until each of the routers has answered that many more requests of the load with a value. */
-    public boolean serve(List<RouterProcess> those, int more) throws InterruptedException {
+    public boolean awaitServed(List<RouterProcess> targets, int requests) throws InterruptedException {
         List<Integer> before =
-                those.stream().map(router -> history.served(router.name())).toList();
-        return await(() -> IntStream.range(0, those.size())
-                .allMatch(i -> history.served(those.get(i).name()) >= before.get(i) + more));
+                targets.stream().map(router -> history.served(router.name())).toList();
+        return await(() -> IntStream.range(0, targets.size())
+                .allMatch(i -> history.served(targets.get(i).name()) >= before.get(i) + requests));
     }
 
     /** The routers that are neither stopped nor killed. */
-    public List<RouterProcess> up() {
+    public List<RouterProcess> runningRouters() {
         return routers.stream().filter(router -> !history.isDown(router.name())).toList();
     }
 
@@ -297,31 +297,31 @@
      * The last log line of a router on its members and replicated types, after the first {@code mark} lines; empty if
      * there is none.
      */
-    private static String figures(RouterProcess router, int mark) {
-        String figures = router.lastMatch(mark, FIGURES);
-        return figures == null ? "" : figures;
+    private static String lastSharingReport(RouterProcess router, int mark) {
+        String report = router.lastMatch(mark, SHARING_REPORT);
+        return report == null ? "" : report;
     }
 
     /** Waits until a fault has an effect on routers or datagrams; for tests with sharing. */
-    public boolean felt(ClusterFault fault) throws InterruptedException {
-        boolean parts = !(fault instanceof ClusterFault.Everywhere || fault instanceof ClusterFault.OneWay);
-        long came = relay.count(NetworkLink.Delivery.RECEIVED) + ENOUGH;
-        String whole = "alive " + routers.size() + ",";
-        return await(() -> parts
-                ? up().isEmpty()
-                        || up().stream().anyMatch(router -> !figures(router, 0).contains(whole))
-                : relay.count(NetworkLink.Delivery.RECEIVED) > came);
+    public boolean awaitEffect(ClusterFault fault) throws InterruptedException {
+        boolean affectsMembers = !(fault instanceof ClusterFault.Everywhere || fault instanceof ClusterFault.OneWay);
+        long minReceived = relay.count(NetworkLink.Delivery.RECEIVED) + MIN_AFFECTED_DATAGRAMS;
+        String allAlive = "alive " + routers.size() + ",";
+        return await(() -> affectsMembers
+                ? runningRouters().isEmpty()
+                        || runningRouters().stream().anyMatch(router -> !lastSharingReport(router, 0).contains(allAlive))
+                : relay.count(NetworkLink.Delivery.RECEIVED) > minReceived);
     }
 
     /** Waits until all routers are alive for each other and have equal copies of all replicated types. */
-    public boolean agree() throws InterruptedException {
+    public boolean awaitConvergence() throws InterruptedException {
         int[] marks = routers.stream().mapToInt(RouterProcess::logMark).toArray();
-        String whole = "members " + marks.length + " alive " + marks.length + ",";
+        String allAlive = "members " + marks.length + " alive " + marks.length + ",";
         return await(() -> {
             List<String> all = IntStream.range(0, marks.length)
-                    .mapToObj(i -> figures(routers.get(i), marks[i]))
+                    .mapToObj(i -> lastSharingReport(routers.get(i), marks[i]))
                     .toList();
-            return all.get(0).startsWith(whole) && all.stream().distinct().count() == 1;
+            return all.get(0).startsWith(allAlive) && all.stream().distinct().count() == 1;
         });
     }
 
@@ -339,8 +339,8 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        nodesLoop.close();
-        clientsLoop.close();
+        nodeTransport.close();
+        clientTransport.close();
         processes.deleteFiles();
     }
 }
--- a/clustertests/src/test/java/clayhook/clustertests/SharingClusterTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/SharingClusterTest.java
@@ -2,8 +2,8 @@
 
 import static clayhook.clustertests.ClusterTest.JAR;
 import static clayhook.clustertests.ClusterTest.ROUTERS;
-import static clayhook.clustertests.ClusterTest.SOME;
-import static clayhook.clustertests.ClusterTest.verdict;
+import static clayhook.clustertests.ClusterTest.STEP_REQUESTS;
+import static clayhook.clustertests.ClusterTest.assertNoViolations;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -36,10 +36,10 @@
             for (ClusterFault fault : FaultSchedule.of(seed, ROUTERS)) {
                 List<Integer> marks =
                         fleet.routers().stream().map(RouterProcess::logMark).toList();
-                fleet.load();
+                fleet.startLoad();
                 fleet.begin(fault);
-                assertTrue(fleet.felt(fault), () -> fault + "\n" + fleet.logs());
-                assertTrue(fleet.serve(fleet.up(), SOME), () -> fault + "\n" + fleet.logs());
+                assertTrue(fleet.awaitEffect(fault), () -> fault + "\n" + fleet.logs());
+                assertTrue(fleet.awaitServed(fleet.runningRouters(), STEP_REQUESTS), () -> fault + "\n" + fleet.logs());
                 if (fault instanceof ClusterFault.OneWay) {
                     for (int i = 0; i < ROUTERS; i++) {
                         assertNull(fleet.routers()
@@ -48,13 +48,13 @@
                     }
                 }
                 fleet.end(fault);
-                assertTrue(fleet.serve(fleet.up(), SOME), () -> fault + "\n" + fleet.logs());
+                assertTrue(fleet.awaitServed(fleet.runningRouters(), STEP_REQUESTS), () -> fault + "\n" + fleet.logs());
                 fleet.stopLoad();
-                assertTrue(fleet.agree(), () -> fault + "\n" + fleet.logs());
+                assertTrue(fleet.awaitConvergence(), () -> fault + "\n" + fleet.logs());
             }
             assertTrue(fleet.relay().count(NetworkLink.Delivery.CORRUPTED) > 0
                     && fleet.relay().unknownSenders() == 0);
-            verdict(fleet);
+            assertNoViolations(fleet);
         }
     }
 
@@ -62,20 +62,20 @@
     @ValueSource(booleans = {true, false})
     void oneRouterIsToldOfADrainAndWithSharingAllObeyIt(boolean shares) throws Exception {
         try (var fleet = new TestCluster(JAR, ROUTERS, shares ? SHARING : null, true, 3)) {
-            assertTrue(!shares || fleet.agree(), fleet::logs);
-            ClusterNode replica = fleet.cluster().nodes().get(1);
+            assertTrue(!shares || fleet.awaitConvergence(), fleet::logs);
+            ClusterNode replica = fleet.replicaSet().nodes().get(1);
             fleet.discovery().setAnswerLimit(0);
             replica.setState(Endpoint.State.DRAINING);
-            fleet.load();
-            assertTrue(fleet.serve(fleet.up(), SOME), fleet::logs);
+            fleet.startLoad();
+            assertTrue(fleet.awaitServed(fleet.runningRouters(), STEP_REQUESTS), fleet::logs);
             int before = fleet.history().executions(replica.node());
             assertTrue(before > 0);
             fleet.discovery().setAnswerLimit(1);
-            assertTrue(fleet.serve(fleet.up(), 5 * SOME), fleet::logs);
+            assertTrue(fleet.awaitServed(fleet.runningRouters(), 5 * STEP_REQUESTS), fleet::logs);
             before = fleet.history().executions(replica.node());
-            assertTrue(fleet.serve(fleet.up(), 2 * SOME), fleet::logs);
+            assertTrue(fleet.awaitServed(fleet.runningRouters(), 2 * STEP_REQUESTS), fleet::logs);
             assertEquals(shares, before == fleet.history().executions(replica.node()));
-            verdict(fleet);
+            assertNoViolations(fleet);
         }
     }
 
@@ -84,28 +84,28 @@
     @ValueSource(booleans = {true, false})
     void aSessionThatRoamsReadsItsOwnWriteWithSharingInAndAfterASplit(boolean shares) throws Exception {
         try (var fleet = new TestCluster(JAR, ROUTERS, shares ? SHARING : null, false, 4)) {
-            assertTrue(!shares || fleet.agree(), fleet::logs);
+            assertTrue(!shares || fleet.awaitConvergence(), fleet::logs);
             var split = new ClusterFault.Split(Set.of(0, 1));
-            fleet.load();
-            assertTrue(fleet.serve(fleet.up(), SOME), fleet::logs);
+            fleet.startLoad();
+            assertTrue(fleet.awaitServed(fleet.runningRouters(), STEP_REQUESTS), fleet::logs);
             fleet.stopLoad();
             for (String when : List.of("before", "in", "after")) {
                 for (int turn = 0; turn < 3; turn++) {
                     var session = fleet.newClient();
-                    fleet.cluster().nodes().subList(1, 3).forEach(node -> node.setLogStalled(true));
+                    fleet.replicaSet().nodes().subList(1, 3).forEach(node -> node.setLogStalled(true));
                     assertEquals(Answer.SERVED, session.exchange(fleet.routers().get(0), TestCluster.WRITE));
                     Thread.sleep(TestCluster.ROAM_MS); // the shortest time until a session uses another router
                     for (RouterProcess router : fleet.routers()) {
                         assertNotEquals(Answer.NONE, session.exchange(router, TestCluster.SESSION), when);
                     }
-                    fleet.cluster().nodes().forEach(node -> node.setLogStalled(false));
+                    fleet.replicaSet().nodes().forEach(node -> node.setLogStalled(false));
                 }
                 if (when.equals("before")) {
                     fleet.begin(split);
-                    assertTrue(!shares || fleet.felt(split), fleet::logs);
+                    assertTrue(!shares || fleet.awaitEffect(split), fleet::logs);
                 } else if (when.equals("in")) {
                     fleet.end(split);
-                    assertTrue(!shares || fleet.agree(), fleet::logs);
+                    assertTrue(!shares || fleet.awaitConvergence(), fleet::logs);
                 }
             }
             assertEquals(
@@ -118,8 +118,8 @@
     @Test
     void aChargeInDoubtAtOneRouterAndSettledAtAnotherIsOneRowEverywhere() throws Exception {
         try (var fleet = new TestCluster(JAR, ROUTERS, SHARING, true, 5)) {
-            assertTrue(fleet.agree(), fleet::logs);
-            ClusterNode primary = fleet.cluster().primary();
+            assertTrue(fleet.awaitConvergence(), fleet::logs);
+            ClusterNode primary = fleet.replicaSet().primary();
             var session = fleet.newClient();
             primary.setBehavior(Behavior.SILENT);
             assertEquals(Answer.FAILED, session.exchange(fleet.routers().get(0), TestCluster.WRITE, "charge"));
@@ -127,7 +127,7 @@
             primary.setBehavior(Behavior.WELL);
             assertEquals(Answer.SERVED, session.exchange(fleet.routers().get(3), TestCluster.WRITE, "charge"));
             assertTrue(fleet.await(() -> fates(fleet, "UNKNOWN=0, RAN=1")), fleet::logs);
-            verdict(fleet);
+            assertNoViolations(fleet);
         }
     }
 
