--- a/clustertests/src/main/java/clayhook/clustertests/FaultSoak.java
+++ b/clustertests/src/main/java/clayhook/clustertests/FaultSoak.java
@@ -35,7 +35,7 @@
     private static final int SERVED_AFTERWARDS = 20;
 
     private final RouterFleet fleet;
-    private final List<Thread> running = new ArrayList<>();
+    private final List<Thread> laneThreads = new ArrayList<>();
     private final List<String> failures = new ArrayList<>();
 
     private FaultSoak(RouterFleet fleet) {
@@ -50,7 +50,7 @@
                 .collect(Collectors.groupingBy(TimedFault::lane))
                 .values()
                 .forEach(lane -> soak.start(lane, startedAt));
-        for (Thread thread : soak.running) {
+        for (Thread thread : soak.laneThreads) {
             thread.join();
         }
         soak.awaitRecovery();
@@ -71,13 +71,13 @@
     }
 
     private void start(List<TimedFault> lane, double startedAt) {
-        var thread = new Thread(() -> lane.forEach(fault -> play(fault, startedAt)), "faults");
+        var thread = new Thread(() -> lane.forEach(fault -> execute(fault, startedAt)), "faults");
         thread.setDaemon(true);
         thread.start();
-        running.add(thread);
+        laneThreads.add(thread);
     }
 
-    private void play(TimedFault timed, double startedAt) {
+    private void execute(TimedFault timed, double startedAt) {
         try {
             sleepUntil(startedAt + timed.begins());
             double begunAt = HistoryRecorder.now();
@@ -85,13 +85,13 @@
             sleepUntil(begunAt + timed.seconds());
             timed.fault().end(fleet);
         } catch (IOException | RuntimeException e) {
-            failed(timed + ": " + e);
+            addFailure(timed + ": " + e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private synchronized void failed(String text) {
+    private synchronized void addFailure(String text) {
         failures.add(text);
     }
 
@@ -99,7 +99,7 @@
         int target = fleet.answered(Answer.SERVED)
                 + SERVED_AFTERWARDS * fleet.routers().size();
         if (!fleet.await(() -> fleet.answered(Answer.SERVED) >= target, RECOVERY_SECONDS)) {
-            failed("the fleet does not serve requests after the faults: " + fleet.logs());
+            addFailure("the fleet does not serve requests after the faults: " + fleet.logs());
         }
     }
 
--- a/clustertests/src/main/java/clayhook/clustertests/FleetSpec.java
+++ b/clustertests/src/main/java/clayhook/clustertests/FleetSpec.java
@@ -22,9 +22,9 @@
         boolean nodesBehindRelays,
         long seed) {
     /** Far longer than a router on a busy machine takes to answer. */
-    private static final double USUAL_CLIENT_TIMEOUT_SECONDS = 2;
+    private static final double DEFAULT_CLIENT_TIMEOUT_SECONDS = 2;
 
-    private static final int USUAL_DESCRIPTORS = 1024;
+    private static final int DEFAULT_DESCRIPTORS = 1024;
 
     /** Creates a fleet with the default client timeout and descriptor limit, and without relays. */
     public FleetSpec(
@@ -40,8 +40,8 @@
                 nodeCount,
                 allCallsSeconds,
                 healthChecksAllowed,
-                USUAL_CLIENT_TIMEOUT_SECONDS,
-                USUAL_DESCRIPTORS,
+                DEFAULT_CLIENT_TIMEOUT_SECONDS,
+                DEFAULT_DESCRIPTORS,
                 false,
                 seed);
     }
--- a/clustertests/src/main/java/clayhook/clustertests/RequestAudit.java
+++ b/clustertests/src/main/java/clayhook/clustertests/RequestAudit.java
@@ -30,7 +30,7 @@
             lastAnswerAt.put(each.localPort(), each.finishedAt());
             if (isLost(each)) {
                 violations.add("lost: " + each);
-            } else if (each.isAnswered() && each.finishedAt() - begunAt > latest(each) + stallSeconds) {
+            } else if (each.isAnswered() && each.finishedAt() - begunAt > maxSeconds(each) + stallSeconds) {
                 violations.add("late: " + each);
             }
         }
@@ -48,7 +48,7 @@
                 || (newcomer && record.outcome() == Outcome.RESET);
     }
 
-    private static double latest(RequestRecord record) {
+    private static double maxSeconds(RequestRecord record) {
         return record.timeoutSeconds() + RecordingClient.LATE_ANSWER_SECONDS + HistoryRecorder.MACHINE_SECONDS;
     }
 }
--- a/clustertests/src/main/java/clayhook/clustertests/ShutdownClients.java
+++ b/clustertests/src/main/java/clayhook/clustertests/ShutdownClients.java
@@ -21,9 +21,9 @@
     /** Seconds after the signal during which the platform may open new connections to the router. */
     private static final double NEW_CONNECTIONS_SECONDS = 0.4;
     /** Longest time in seconds after which a busy client notices that its connection has ended. */
-    private static final double MAX_NOTICE_SECONDS = 0.1;
+    private static final double MAX_END_DETECTION_SECONDS = 0.1;
     /** Seconds after the signal from which on idle clients send. */
-    private static final double SWEEP_BEGINS_SECONDS = 0.2;
+    private static final double FIRST_SEND_SECONDS = 0.2;
 
     private static final int MIN_PIPELINED = 2;
     private static final int MAX_PIPELINED = 40;
@@ -72,7 +72,7 @@
     private final double killSeconds;
 
     private final CountDownLatch signalled = new CountDownLatch(1);
-    private final CountDownLatch firstEnd = new CountDownLatch(1);
+    private final CountDownLatch firstConnectionEnd = new CountDownLatch(1);
     private volatile double signalledAt;
     private final List<Thread> threads = new ArrayList<>();
     private final List<RequestRecord> records = new ArrayList<>();
@@ -104,7 +104,7 @@
     }
 
     private void start(Kind kind, Random random) {
-        var thread = new Thread(() -> play(kind, random), kind + " at " + router);
+        var thread = new Thread(() -> run(kind, random), kind + " at " + router);
         thread.setDaemon(true);
         thread.start();
         threads.add(thread);
@@ -116,7 +116,7 @@
         signalled.countDown();
     }
 
-    private void play(Kind kind, Random random) {
+    private void run(Kind kind, Random random) {
         try {
             if (kind == Kind.NEWCOMER) {
                 awaitSignal(random.nextDouble() * NEW_CONNECTIONS_SECONDS);
@@ -127,15 +127,15 @@
             }
             try (var client = new RecordingClient(attempts, router, address, kind.toString(), timeoutSeconds)) {
                 try {
-                    play(kind, client, sendAfter, random);
+                    run(kind, client, sendAfter, random);
                 } finally {
-                    add(client.records());
+                    addRecords(client.records());
                 }
             }
         } catch (IOException e) {
             // The connection was refused or reset before a request was sent; a real client uses another router.
             if (signalled.getCount() > 0) {
-                fail(kind + " at " + router + ": " + e);
+                addFailure(kind + " at " + router + ": " + e);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -145,13 +145,13 @@
     private double sendAfter(Kind kind, Random random) {
         return switch (kind) {
             case RESTING, STARTED, CONNECTED, HALTING, LEAVING, WRITING ->
-                SWEEP_BEGINS_SECONDS + random.nextDouble() * (killSeconds - SWEEP_BEGINS_SECONDS);
-            case RESTING_TO_THE_END -> random.nextDouble() * MAX_NOTICE_SECONDS;
+                FIRST_SEND_SECONDS + random.nextDouble() * (killSeconds - FIRST_SEND_SECONDS);
+            case RESTING_TO_THE_END -> random.nextDouble() * MAX_END_DETECTION_SECONDS;
             default -> 0;
         };
     }
 
-    private void play(Kind kind, RecordingClient client, double sendAfter, Random random)
+    private void run(Kind kind, RecordingClient client, double sendAfter, Random random)
             throws IOException, InterruptedException {
         if (kind != Kind.CONNECTED && kind != Kind.NEWCOMER) {
             client.startUp();
@@ -160,8 +160,8 @@
             case OBSERVER -> {
                 client.exchange();
                 signalled.await();
-                client.awaitEnd(killSeconds + MAX_NOTICE_SECONDS);
-                firstEnd.countDown();
+                client.awaitEnd(killSeconds + MAX_END_DETECTION_SECONDS);
+                firstConnectionEnd.countDown();
             }
             case RESTING -> {
                 client.exchange();
@@ -170,7 +170,7 @@
             }
             case RESTING_TO_THE_END -> {
                 client.exchange();
-                firstEnd.await();
+                firstConnectionEnd.await();
                 sleep(sendAfter);
                 client.exchange();
             }
@@ -191,7 +191,7 @@
             case HALTING -> {
                 client.exchange();
                 awaitSignal(sendAfter);
-                client.sendInTwoParts(random.nextDouble() * MAX_NOTICE_SECONDS);
+                client.sendInTwoParts(random.nextDouble() * MAX_END_DETECTION_SECONDS);
                 client.awaitAnswers();
             }
             case READING_LATE -> {
@@ -231,16 +231,16 @@
         TimeUnit.NANOSECONDS.sleep((long) (seconds * NANOS_PER_SECOND));
     }
 
-    private synchronized void add(List<RequestRecord> some) {
+    private synchronized void addRecords(List<RequestRecord> some) {
         records.addAll(some);
     }
 
-    private synchronized void fail(String text) {
+    private synchronized void addFailure(String text) {
         failures.add(text);
     }
 
     /** Waits until all clients have finished; returns false if some have not within that number of seconds. */
-    boolean awaitDone(double seconds) throws InterruptedException {
+    boolean awaitFinished(double seconds) throws InterruptedException {
         double until = HistoryRecorder.now() + seconds;
         for (Thread thread : threads) {
             thread.join(Math.max(1, (long) ((until - HistoryRecorder.now()) * MILLIS_PER_SECOND)));
--- a/clustertests/src/main/java/clayhook/clustertests/ShutdownPlan.java
+++ b/clustertests/src/main/java/clayhook/clustertests/ShutdownPlan.java
@@ -30,7 +30,7 @@
     /** Longest stall of a router in seconds during which all rules still apply, by the operators' rules. */
     private static final double ALLOWED_STALL_SECONDS = 0.15;
 
-    private static final int SERIES = 6;
+    private static final int SIGNAL_SERIES_COUNT = 6;
 
     /** Returns a plan without additional events. */
     static ShutdownPlan plain(int clientsOfEachKind) {
@@ -55,7 +55,7 @@
 
     private static List<TimedSignal> randomSignals(double killSeconds, Random random) {
         double at = killSeconds * random.nextDouble();
-        return switch (random.nextInt(SERIES)) {
+        return switch (random.nextInt(SIGNAL_SERIES_COUNT)) {
             case 0 -> List.of(new TimedSignal(at, "TERM"));
             case 1 -> List.of(new TimedSignal(RELOAD_WITHIN_SECONDS * (2 * random.nextDouble() - 1), "HUP"));
             case 2 -> {
--- a/clustertests/src/main/java/clayhook/clustertests/ShutdownScenario.java
+++ b/clustertests/src/main/java/clayhook/clustertests/ShutdownScenario.java
@@ -19,7 +19,7 @@
     private static final double MAX_COUNTED_TIMEOUT_SECONDS = 3;
     private static final double KILL_MARGIN_SECONDS = 0.7;
     /** Seconds from the start of the clients to SIGTERM, within which all clients get their first answer. */
-    private static final double LEAD_SECONDS = 1.5;
+    private static final double CLIENT_LEAD_SECONDS = 1.5;
 
     private static final double NANOS_PER_SECOND = 1e9;
     private static final int MAX_SHOWN_VIOLATIONS = 20;
@@ -72,18 +72,18 @@
     }
 
     /** Shuts down some routers of a fleet at the same time. */
-    static Result play(RouterFleet fleet, List<RouterProcess> routers, ShutdownPlan plan, Random random)
+    static Result run(RouterFleet fleet, List<RouterProcess> routers, ShutdownPlan plan, Random random)
             throws IOException, InterruptedException {
         var scenario = new ShutdownScenario(fleet, routers, plan);
         try {
             scenario.startClients(random);
-            sleep(LEAD_SECONDS);
-            scenario.hang(ClusterNode.Behavior.HUNG);
-            scenario.signalAll();
+            sleep(CLIENT_LEAD_SECONDS);
+            scenario.setHungNodeBehavior(ClusterNode.Behavior.HUNG);
+            scenario.sendSignals();
             scenario.kill();
-            return scenario.judge();
+            return scenario.check();
         } finally {
-            scenario.hang(ClusterNode.Behavior.WELL);
+            scenario.setHungNodeBehavior(ClusterNode.Behavior.WELL);
             for (TcpRelay relay : scenario.relays) {
                 relay.close();
             }
@@ -114,25 +114,25 @@
         return relay.address();
     }
 
-    private void hang(ClusterNode.Behavior behavior) {
+    private void setHungNodeBehavior(ClusterNode.Behavior behavior) {
         plan.hungNodes().forEach(number -> fleet.nodes().get(number).setBehavior(behavior));
     }
 
-    private void signalAll() throws IOException, InterruptedException {
-        double begunAt = HistoryRecorder.now() - Math.min(0, firstSignalAfter());
-        boolean told = false;
+    private void sendSignals() throws IOException, InterruptedException {
+        double terminateAt = HistoryRecorder.now() - Math.min(0, firstSignalAfter());
+        boolean terminated = false;
         for (TimedSignal signal : plan.signals()) {
-            if (signal.after() >= 0 && !told) {
-                terminate(begunAt);
-                told = true;
+            if (signal.after() >= 0 && !terminated) {
+                terminate(terminateAt);
+                terminated = true;
             }
-            sleep(begunAt + signal.after() - HistoryRecorder.now());
+            sleep(terminateAt + signal.after() - HistoryRecorder.now());
             send(signal.name());
         }
-        if (!told) {
-            terminate(begunAt);
+        if (!terminated) {
+            terminate(terminateAt);
         }
-        sleep(begunAt + killSeconds - HistoryRecorder.now());
+        sleep(terminateAt + killSeconds - HistoryRecorder.now());
     }
 
     private double firstSignalAfter() {
@@ -171,11 +171,11 @@
         }
     }
 
-    private Result judge() throws InterruptedException {
+    private Result check() throws InterruptedException {
         var records = new ArrayList<RequestRecord>();
         for (RouterProcess router : routers) {
             ShutdownClients ofRouter = clients.get(router);
-            if (!ofRouter.awaitDone(killSeconds + HistoryRecorder.MACHINE_SECONDS)) {
+            if (!ofRouter.awaitFinished(killSeconds + HistoryRecorder.MACHINE_SECONDS)) {
                 violations.add("clients of " + router.name() + " have not finished");
             }
             violations.addAll(ofRouter.failures());
--- a/clustertests/src/main/java/clayhook/clustertests/SlowStartAudit.java
+++ b/clustertests/src/main/java/clayhook/clustertests/SlowStartAudit.java
@@ -26,7 +26,7 @@
      * Number of seconds of which the busiest determines the capacity of a warm node; routers consider a burst of
      * requests for some seconds too.
      */
-    private static final int LOAD_MEMORY_SECONDS = 12;
+    private static final int LOAD_WINDOW_SECONDS = 12;
 
     private static final double NOTIFIED_FRACTION = 2.0 / 3;
     /** Budget in requests below which the allowance for random variation is larger. */
@@ -50,7 +50,7 @@
     private final double minNodeCapacity;
     private final Map<Node, Start> starts = new HashMap<>();
     private final Map<Node, Deque<Arrival>> windows = new HashMap<>();
-    /** Load of the warm nodes by second; entries are removed after {@link #LOAD_MEMORY_SECONDS}. */
+    /** Load of the warm nodes by second; entries are removed after {@link #LOAD_WINDOW_SECONDS}. */
     private final NavigableMap<Long, WarmLoad> warmLoads = new TreeMap<>();
 
     private final List<String> violations = new ArrayList<>();
@@ -71,8 +71,8 @@
     /** Records the nodes that start with a new version of the endpoint list at discovery. */
     synchronized void onListChange(TestReplicaSet replicaSet) {
         for (ClusterNode node : replicaSet.nodes()) {
-            Start known = starts.get(node.node());
-            if (node.startedAt() > 0 && (known == null || known.at() < node.startedAt())) {
+            Start previous = starts.get(node.node());
+            if (node.startedAt() > 0 && (previous == null || previous.at() < node.startedAt())) {
                 starts.put(node.node(), new Start(replicaSet.version(), node.startedAt()));
                 windows.put(node.node(), new ArrayDeque<>());
             }
@@ -122,7 +122,7 @@
         WarmLoad load = warmLoads.computeIfAbsent(second, any -> new WarmLoad());
         load.requests++;
         load.nodes.add(request.node());
-        warmLoads.headMap(second - LOAD_MEMORY_SECONDS).clear();
+        warmLoads.headMap(second - LOAD_WINDOW_SECONDS).clear();
     }
 
     /**
--- a/clustertests/src/main/java/clayhook/clustertests/SoakFault.java
+++ b/clustertests/src/main/java/clayhook/clustertests/SoakFault.java
@@ -14,11 +14,11 @@
     /** Ends the fault and restores the previous state. */
     void end(RouterFleet fleet) throws IOException, InterruptedException;
 
-    private static List<RouterProcess> processes(RouterFleet fleet, List<Integer> numbers) {
+    private static List<RouterProcess> selectRouters(RouterFleet fleet, List<Integer> numbers) {
         return numbers.stream().map(number -> fleet.routers().get(number)).toList();
     }
 
-    private static List<ClusterNode> members(RouterFleet fleet, List<Integer> numbers) {
+    private static List<ClusterNode> selectNodes(RouterFleet fleet, List<Integer> numbers) {
         return numbers.stream().map(number -> fleet.nodes().get(number)).toList();
     }
 
@@ -39,7 +39,7 @@
     record DiscoveryMove(List<Integer> routers) implements SoakFault {
         @Override
         public void begin(RouterFleet fleet) throws IOException {
-            for (RouterProcess router : processes(fleet, routers)) {
+            for (RouterProcess router : selectRouters(fleet, routers)) {
                 if (router.isRunning()) {
                     fleet.moveDiscovery(router);
                 }
@@ -54,12 +54,12 @@
     record Drain(List<Integer> nodes) implements SoakFault {
         @Override
         public void begin(RouterFleet fleet) {
-            fleet.setState(members(fleet, nodes), Endpoint.State.DRAINING);
+            fleet.setState(selectNodes(fleet, nodes), Endpoint.State.DRAINING);
         }
 
         @Override
         public void end(RouterFleet fleet) {
-            fleet.setState(members(fleet, nodes), Endpoint.State.READY);
+            fleet.setState(selectNodes(fleet, nodes), Endpoint.State.READY);
         }
     }
 
@@ -117,12 +117,12 @@
     record Kill(List<Integer> routers) implements SoakFault {
         @Override
         public void begin(RouterFleet fleet) throws IOException, InterruptedException {
-            fleet.kill(processes(fleet, routers));
+            fleet.kill(selectRouters(fleet, routers));
         }
 
         @Override
         public void end(RouterFleet fleet) throws IOException, InterruptedException {
-            fleet.start(processes(fleet, routers));
+            fleet.start(selectRouters(fleet, routers));
         }
     }
 
@@ -131,16 +131,16 @@
         @Override
         public void begin(RouterFleet fleet) throws IOException, InterruptedException {
             var random = new Random(seed);
-            fleet.onShutdown(ShutdownScenario.play(fleet, processes(fleet, routers), plan, random));
+            fleet.onShutdown(ShutdownScenario.run(fleet, selectRouters(fleet, routers), plan, random));
             if (restartsAtOnce) {
-                fleet.start(processes(fleet, routers));
+                fleet.start(selectRouters(fleet, routers));
             }
         }
 
         @Override
         public void end(RouterFleet fleet) throws IOException, InterruptedException {
             if (!restartsAtOnce) {
-                fleet.start(processes(fleet, routers));
+                fleet.start(selectRouters(fleet, routers));
             }
         }
     }
@@ -149,12 +149,12 @@
     record TerminateInStart(List<Integer> routers, double afterSeconds) implements SoakFault {
         @Override
         public void begin(RouterFleet fleet) throws IOException, InterruptedException {
-            fleet.terminateDuringStart(processes(fleet, routers), afterSeconds);
+            fleet.terminateDuringStart(selectRouters(fleet, routers), afterSeconds);
         }
 
         @Override
         public void end(RouterFleet fleet) throws IOException, InterruptedException {
-            fleet.start(processes(fleet, routers));
+            fleet.start(selectRouters(fleet, routers));
         }
     }
 
@@ -166,7 +166,7 @@
 
         @Override
         public void begin(RouterFleet fleet) {
-            processes(fleet, routers).forEach(router -> crowds.add(new IdleClients(router.address(), clients)));
+            selectRouters(fleet, routers).forEach(router -> crowds.add(new IdleClients(router.address(), clients)));
         }
 
         @Override
@@ -184,7 +184,7 @@
         @Override
         public void begin(RouterFleet fleet) throws InterruptedException {
             for (int i = 0; i < clients; i++) {
-                for (RouterProcess router : processes(fleet, routers)) {
+                for (RouterProcess router : selectRouters(fleet, routers)) {
                     fleet.sendAndDisconnect(router, i, MAX_WAIT_SECONDS);
                 }
             }
--- a/clustertests/src/main/java/clayhook/clustertests/SoakSchedule.java
+++ b/clustertests/src/main/java/clayhook/clustertests/SoakSchedule.java
@@ -61,7 +61,7 @@
     private static final double MAX_CROWD_SECONDS = 5;
     private static final double MAX_LINK_DELAY_SECONDS = 0.1;
     private static final double MAX_START_SECONDS = 2;
-    private static final int ROUTER_FAULTS = 6;
+    private static final int ROUTER_FAULT_KINDS = 6;
     /** Descriptor limit up to which routers also get idle clients that occupy descriptors. */
     private static final int CROWDED_DESCRIPTORS = 256;
 
@@ -74,7 +74,7 @@
     private final int routers;
     private final int nodes;
     private final List<TimedFault> faults = new ArrayList<>();
-    private int lanes;
+    private int laneCount;
 
     private SoakSchedule(FleetSpec spec) {
         random = new Random(spec.seed());
@@ -87,30 +87,30 @@
     static List<TimedFault> random(FleetSpec spec, double seconds) {
         var schedule = new SoakSchedule(spec);
         int nodes = spec.nodeCount();
-        schedule.lane(seconds, MAX_DISCOVERY_SECONDS, schedule::discoveryFault);
-        schedule.lane(seconds, MAX_DRAIN_SECONDS, () -> new Drain(schedule.some(2, nodes / 2, nodes)));
-        schedule.lane(seconds, MAX_NODE_SECONDS, schedule::nodeFault);
-        schedule.lane(seconds, MAX_DOWN_SECONDS, schedule::routerFault);
+        schedule.addLane(seconds, MAX_DISCOVERY_SECONDS, schedule::discoveryFault);
+        schedule.addLane(seconds, MAX_DRAIN_SECONDS, () -> new Drain(schedule.randomSubset(2, nodes / 2, nodes)));
+        schedule.addLane(seconds, MAX_NODE_SECONDS, schedule::nodeFault);
+        schedule.addLane(seconds, MAX_DOWN_SECONDS, schedule::routerFault);
         if (schedule.isCrowded()) {
-            schedule.lane(seconds, MAX_CROWD_SECONDS, schedule::crowd);
+            schedule.addLane(seconds, MAX_CROWD_SECONDS, schedule::crowd);
         }
         if (spec.nodesBehindRelays()) {
-            schedule.lane(seconds, MAX_NODE_SECONDS, schedule::nodeLinkFault);
+            schedule.addLane(seconds, MAX_NODE_SECONDS, schedule::nodeLinkFault);
         }
-        schedule.lane(seconds, MAX_NODE_SECONDS, () -> new NodeRestart(schedule.replica()));
-        schedule.lane(seconds, MAX_LOG_STALL_SECONDS, () -> new LogStall(schedule.replica()));
-        schedule.lane(seconds, MAX_DEPARTURES_SECONDS, schedule::departures);
+        schedule.addLane(seconds, MAX_NODE_SECONDS, () -> new NodeRestart(schedule.randomReplica()));
+        schedule.addLane(seconds, MAX_LOG_STALL_SECONDS, () -> new LogStall(schedule.randomReplica()));
+        schedule.addLane(seconds, MAX_DEPARTURES_SECONDS, schedule::departures);
         return List.copyOf(schedule.faults);
     }
 
-    private void lane(double seconds, double longest, Supplier<SoakFault> next) {
+    private void addLane(double seconds, double maxSeconds, Supplier<SoakFault> next) {
         double at = MAX_PAUSE_SECONDS * random.nextDouble();
         while (at < seconds - MIN_SECONDS) {
-            double ends = Math.min(seconds, at + MIN_SECONDS + (longest - MIN_SECONDS) * random.nextDouble());
-            faults.add(new TimedFault(lanes, at, ends - at, next.get()));
-            at = ends + MAX_PAUSE_SECONDS * random.nextDouble();
+            double endsAt = Math.min(seconds, at + MIN_SECONDS + (maxSeconds - MIN_SECONDS) * random.nextDouble());
+            faults.add(new TimedFault(laneCount, at, endsAt - at, next.get()));
+            at = endsAt + MAX_PAUSE_SECONDS * random.nextDouble();
         }
-        lanes++;
+        laneCount++;
     }
 
     private boolean isCrowded() {
@@ -119,7 +119,7 @@
 
     /** Returns a fault with enough idle clients to occupy all descriptors that a router has for clients. */
     private SoakFault crowd() {
-        return new Crowd(some(0, routers, routers), spec.descriptors() / 2);
+        return new Crowd(randomSubset(0, routers, routers), spec.descriptors() / 2);
     }
 
     private SoakFault nodeLinkFault() {
@@ -131,11 +131,11 @@
     }
 
     private SoakFault departures() {
-        return new Departures(some(0, MAX_ROUTERS_WITH_DEPARTURES, routers), DEPARTING_CLIENTS);
+        return new Departures(randomSubset(0, MAX_ROUTERS_WITH_DEPARTURES, routers), DEPARTING_CLIENTS);
     }
 
     /** Returns the number of a random node that is a replica at the start of the run. */
-    private int replica() {
+    private int randomReplica() {
         return 1 + random.nextInt(nodes - 1);
     }
 
@@ -150,29 +150,29 @@
     }
 
     private SoakFault routerFault() {
-        return switch (random.nextInt(ROUTER_FAULTS)) {
-            case 0 -> new Kill(some(0, (routers * 7 + 9) / 10, routers));
+        return switch (random.nextInt(ROUTER_FAULT_KINDS)) {
+            case 0 -> new Kill(randomSubset(0, (routers * 7 + 9) / 10, routers));
             case 1, 2 -> shutdown();
             case 3 ->
-                new TerminateInStart(some(0, (routers + 2) / 3, routers), MAX_START_SECONDS * random.nextDouble());
-            case 4 -> new DiscoveryMove(some(0, routers, routers));
+                new TerminateInStart(randomSubset(0, (routers + 2) / 3, routers), MAX_START_SECONDS * random.nextDouble());
+            case 4 -> new DiscoveryMove(randomSubset(0, routers, routers));
             default -> new Stall(random.nextInt(routers), MAX_STALL_SECONDS * random.nextDouble());
         };
     }
 
     /** Returns a shutdown of one router, of up to a tenth of the routers, or of up to all of them. */
     private SoakFault shutdown() {
-        int most = List.of(1, (routers + 9) / 10, routers).get(random.nextInt(3));
-        List<Integer> some = some(0, most, routers);
-        int clientsOfEachKind = Math.max(1, SHUTDOWN_CLIENTS / some.size());
+        int maxCount = List.of(1, (routers + 9) / 10, routers).get(random.nextInt(3));
+        List<Integer> shutDown = randomSubset(0, maxCount, routers);
+        int clientsOfEachKind = Math.max(1, SHUTDOWN_CLIENTS / shutDown.size());
         ShutdownPlan plan = ShutdownPlan.random(clientsOfEachKind, ShutdownScenario.killSeconds(spec), nodes, random);
-        return new Shutdown(some, plan, random.nextBoolean(), random.nextLong());
+        return new Shutdown(shutDown, plan, random.nextBoolean(), random.nextLong());
     }
 
-    /** Returns a random, non-empty subset of at most {@code most} numbers of the range from first to end, exclusive. */
-    private List<Integer> some(int first, int most, int end) {
+    /** Returns a random, non-empty subset of at most {@code maxCount} numbers of the range from first to end, exclusive. */
+    private List<Integer> randomSubset(int first, int maxCount, int end) {
         var numbers = new ArrayList<>(IntStream.range(first, end).boxed().toList());
         Collections.shuffle(numbers, random);
-        return List.copyOf(numbers.subList(0, 1 + random.nextInt(Math.min(most, numbers.size()))));
+        return List.copyOf(numbers.subList(0, 1 + random.nextInt(Math.min(maxCount, numbers.size()))));
     }
 }
--- a/clustertests/src/main/java/clayhook/clustertests/SparePorts.java
+++ b/clustertests/src/main/java/clayhook/clustertests/SparePorts.java
@@ -15,7 +15,7 @@
     private static final int PORT_COUNT = 12_000;
     private static final int SPREAD = 97;
     /** Offset of the next port; test processes that run at the same time begin at different offsets. */
-    private static final AtomicInteger NEXT =
+    private static final AtomicInteger NEXT_OFFSET =
             new AtomicInteger((int) (ProcessHandle.current().pid() * SPREAD % PORT_COUNT));
 
     private SparePorts() {}
@@ -23,7 +23,7 @@
     /** Returns an address that is currently unused both for datagrams and for connections. */
     static InetSocketAddress next() {
         while (true) {
-            int port = FIRST_PORT + NEXT.getAndIncrement() % PORT_COUNT;
+            int port = FIRST_PORT + NEXT_OFFSET.getAndIncrement() % PORT_COUNT;
             var address = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
             try (var datagrams = new DatagramSocket(address);
                     var connections = new ServerSocket()) {
--- a/clustertests/src/test/java/clayhook/clustertests/GracefulShutdownTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/GracefulShutdownTest.java
@@ -23,7 +23,7 @@
     void everyRequestThatIsReadDuringAShutdownIsAnswered() throws Exception {
         var spec = new FleetSpec(RouterProgram.of(ClusterTest.JAR), ROUTERS, NODES, ALL_CALLS_SECONDS, true, 1);
         try (var fleet = new RouterFleet(spec)) {
-            Result result = ShutdownScenario.play(
+            Result result = ShutdownScenario.run(
                     fleet, fleet.routers(), ShutdownPlan.plain(CLIENTS_OF_EACH_KIND), new Random(1));
             assertTrue(result.violations().isEmpty(), result::toString);
             assertTrue(result.records().stream().anyMatch(each -> each.outcome() == Outcome.SERVED), result::toString);
@@ -115,7 +115,7 @@
     private static Result play(RouterProgram program, ShutdownPlan plan, double timeoutSeconds) throws Exception {
         var spec = new FleetSpec(program, 2, NODES, ALL_CALLS_SECONDS, true, 1).withClientTimeout(timeoutSeconds);
         try (var fleet = new RouterFleet(spec)) {
-            return ShutdownScenario.play(fleet, fleet.routers(), plan, new Random(1));
+            return ShutdownScenario.run(fleet, fleet.routers(), plan, new Random(1));
         }
     }
 
