--- a/clustertests/src/test/java/clayhook/clustertests/ClusterNodeTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/ClusterNodeTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 class ClusterNodeTest {
-    private static final long LEADS_MS = 50;
+    private static final long PRIMARY_MS = 50;
 
     /**
      * A node keeps the position that it reached as the primary. The simulated node lost it if its log was stalled
@@ -16,7 +16,7 @@
      * from 36.5 to 40.4 s, and at 38.8 s seven reads found it up to 1.5 s behind the position that it had reported.
      */
     @Test
-    void positionDoesNotGoBackWhereTheLogStallsWhileTheNodeLeads() throws Exception {
+    void positionDoesNotDecreaseIfLogStallsWhileNodeIsPrimary() throws Exception {
         RoutingSettings settings = TestCluster.settings();
         Transport transport = Transport.tcp();
         try {
@@ -26,12 +26,12 @@
             ClusterNode node = replicaSet.nodes().get(1);
             replicaSet.promote(node);
             node.setLogStalled(true);
-            Thread.sleep(LEADS_MS);
-            double asPrimary = node.position();
+            Thread.sleep(PRIMARY_MS);
+            double positionAsPrimary = node.position();
             replicaSet.promote(replicaSet.nodes().get(0));
             assertTrue(
-                    node.position() >= asPrimary,
-                    () -> "the position decreased by " + (asPrimary - node.position()) + " s");
+                    node.position() >= positionAsPrimary,
+                    () -> "the position decreased by " + (positionAsPrimary - node.position()) + " s");
         } finally {
             transport.close();
         }
--- a/clustertests/src/test/java/clayhook/clustertests/ClusterTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/ClusterTest.java
@@ -56,7 +56,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = 1)
-    void withoutSharingRoutersServeOnWhileOthersAreStoppedAndKilledAndTheRulesAreKept(long seed) throws Exception {
+    void routersWithoutSharingKeepServingWhileOthersAreStoppedOrKilled(long seed) throws Exception {
         try (var fleet = new TestCluster(JAR, ROUTERS, null, true, seed)) {
             fleet.startLoad();
             assertTrue(fleet.awaitServed(fleet.runningRouters(), STEP_REQUESTS), fleet::logs);
--- a/clustertests/src/test/java/clayhook/clustertests/CrowdedDiscoveryTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/CrowdedDiscoveryTest.java
@@ -36,7 +36,7 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void nothingNewGoesToDrainingNodesWhileDiscoveryRejectsPolls(boolean healthChecksAllowed) throws Exception {
+    void drainingNodesGetNoNewRequestsWhileDiscoveryRejectsPolls(boolean healthChecksAllowed) throws Exception {
         try (var fleet = new RouterFleet(new FleetSpec(
                 RouterProgram.of(ClusterTest.JAR), ROUTERS, NODES, ALL_CALLS_SECONDS, healthChecksAllowed, 1))) {
             fleet.startLoad();
--- a/clustertests/src/test/java/clayhook/clustertests/DatagramRelayTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/DatagramRelayTest.java
@@ -20,33 +20,33 @@
         return socket;
     }
 
-    private static InetSocketAddress at(DatagramSocket socket) {
+    private static InetSocketAddress addressOf(DatagramSocket socket) {
         return (InetSocketAddress) socket.getLocalSocketAddress();
     }
 
-    private static void send(DatagramSocket from, int what, InetSocketAddress to) throws IOException {
-        from.send(new DatagramPacket(new byte[] {(byte) what}, 1, to));
+    private static void send(DatagramSocket from, int content, InetSocketAddress to) throws IOException {
+        from.send(new DatagramPacket(new byte[] {(byte) content}, 1, to));
     }
 
     /** Receives a datagram with the expected content and returns its source address. */
-    private static InetSocketAddress receive(DatagramSocket at, int what) throws IOException {
+    private static InetSocketAddress receive(DatagramSocket socket, int content) throws IOException {
         var packet = new DatagramPacket(new byte[8], 8);
-        at.receive(packet);
-        assertEquals(what, packet.getData()[0]);
+        socket.receive(packet);
+        assertEquals(content, packet.getData()[0]);
         return (InetSocketAddress) packet.getSocketAddress();
     }
 
     @Test
-    void answersComeBackThroughTheRelayAndEachDirectionHasItsOwnTrouble() throws Exception {
+    void repliesPassThroughRelayAndEachDirectionHasItsOwnFault() throws Exception {
         Transport transport = Transport.tcp();
         try (DatagramSocket a = socket();
                 DatagramSocket b = socket();
                 DatagramSocket stranger = socket()) {
-            var relay = new DatagramRelay(transport, List.of(at(a), at(b)), 1);
+            var relay = new DatagramRelay(transport, List.of(addressOf(a), addressOf(b)), 1);
             send(a, 1, relay.address(1));
-            InetSocketAddress seen = receive(b, 1);
-            assertEquals(relay.address(0), seen);
-            send(b, 2, seen);
+            InetSocketAddress sender = receive(b, 1);
+            assertEquals(relay.address(0), sender);
+            send(b, 2, sender);
             assertEquals(relay.address(1), receive(a, 2));
 
             relay.link(0, 1).setFault(LinkFault.CUT);
--- a/clustertests/src/test/java/clayhook/clustertests/FaultSoakTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/FaultSoakTest.java
@@ -27,7 +27,7 @@
     private static final int ROUTERS = Integer.getInteger("clayhook.soak.routers", 10);
     private static final int SECONDS = Integer.getInteger("clayhook.soak.seconds", 20);
     /** Folder for the router logs of failed seeds, or null to discard them. */
-    private static final String LOGS = System.getProperty("clayhook.soak.logs");
+    private static final String LOG_FOLDER = System.getProperty("clayhook.soak.logs");
 
     private static final int NODES = 8;
     private static final double ALL_CALLS_SECONDS = 3;
@@ -57,12 +57,12 @@
         return LongStream.rangeClosed(Long.parseLong(range[0]), Long.parseLong(range[range.length - 1]));
     }
 
-    static Verdict play(FleetSpec spec, List<TimedFault> faults) throws IOException, InterruptedException {
+    static Verdict runSoak(FleetSpec spec, List<TimedFault> faults) throws IOException, InterruptedException {
         try (var fleet = new RouterFleet(spec)) {
             fleet.startLoad();
             Verdict verdict = FaultSoak.run(fleet, faults);
-            if (!verdict.isClean() && LOGS != null) {
-                fleet.writeLogs(Path.of(LOGS, "seed-" + spec.seed()));
+            if (!verdict.isClean() && LOG_FOLDER != null) {
+                fleet.writeLogs(Path.of(LOG_FOLDER, "seed-" + spec.seed()));
             }
             return verdict;
         }
@@ -72,7 +72,7 @@
      * The fleet of a seed. One third of the seeds has no health checks, another third has few descriptors, which idle
      * clients occupy; the client timeout and the relays depend on the seed too.
      */
-    private static FleetSpec spec(RouterProgram program, long seed) {
+    private static FleetSpec specOf(RouterProgram program, long seed) {
         var spec = new FleetSpec(program, ROUTERS, NODES, ALL_CALLS_SECONDS, seed % 3 != 0, seed)
                 .withClientTimeout(CLIENT_TIMEOUTS.get((int) (seed % CLIENT_TIMEOUTS.size())));
         spec = seed % 3 == 1 ? spec.withDescriptors(CROWDED_DESCRIPTORS) : spec;
@@ -81,10 +81,10 @@
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void randomOverlappingFaultsBreakNoRule(long seed) throws Exception {
-        FleetSpec spec = spec(RouterProgram.of(ClusterTest.JAR), seed);
+    void randomOverlappingFaultsCauseNoViolation(long seed) throws Exception {
+        FleetSpec spec = specOf(RouterProgram.of(ClusterTest.JAR), seed);
         List<TimedFault> faults = SoakSchedule.random(spec, SECONDS);
-        Verdict verdict = play(spec, faults);
+        Verdict verdict = runSoak(spec, faults);
         // The test framework reports failures only after the last seed.
         System.out.println("soak seed " + seed + ": " + (verdict.isClean() ? verdict.figures() : "FAILED, " + verdict));
         assertTrue(verdict.isClean(), () -> verdict + "\n" + faults);
@@ -92,7 +92,7 @@
 
     /** Runs without health checks, as a draining node fails them and then gets few attempts in any build. */
     @Test
-    void judgeFailsOnABuildWhoseListNeverGrowsOld(@TempDir Path classes) throws Exception {
+    void auditDetectsBuildWhoseEndpointListNeverExpires(@TempDir Path classes) throws Exception {
         List<TimedFault> faults = List.of(
                 new TimedFault(0, 1, 12, new DiscoveryFault(Mode.CROWDED)),
                 new TimedFault(1, 1.2, 12.8, new Drain(List.of(5, 6, 7))),
@@ -100,7 +100,7 @@
         RouterProgram program = new BrokenBuild()
                 .withSource("clayhook/EndpointListLease.java", LEASE_THAT_NEVER_LAPSES)
                 .compile(classes);
-        Verdict verdict = play(new FleetSpec(program, 5, NODES, ALL_CALLS_SECONDS, false, 1), faults);
+        Verdict verdict = runSoak(new FleetSpec(program, 5, NODES, ALL_CALLS_SECONDS, false, 1), faults);
         assertFalse(verdict.drainViolations().isEmpty(), verdict::toString);
     }
 }
--- a/clustertests/src/test/java/clayhook/clustertests/GracefulShutdownTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/GracefulShutdownTest.java
@@ -20,7 +20,7 @@
     private static final String DAEMON = "daemon";
 
     @Test
-    void everyRequestThatIsReadDuringAShutdownIsAnswered() throws Exception {
+    void requestsReadDuringShutdownAreAnswered() throws Exception {
         var spec = new FleetSpec(RouterProgram.of(ClusterTest.JAR), ROUTERS, NODES, ALL_CALLS_SECONDS, true, 1);
         try (var fleet = new RouterFleet(spec)) {
             Result result = ShutdownScenario.run(
@@ -32,7 +32,7 @@
 
     /** An earlier router read and dropped requests that arrived while it ended the session. */
     @Test
-    void judgeFailsOnABuildThatDropsWhatItReads(@TempDir Path classes) throws Exception {
+    void auditDetectsBuildThatDropsRequestsItHasRead(@TempDir Path classes) throws Exception {
         String frontend = "clayhook/frontend/";
         RouterProgram program = new BrokenBuild()
                 .replace(
@@ -46,11 +46,11 @@
                         "return fatal(SqlState.CANNOT_CONNECT_NOW, reason(cause));",
                         "return io.netty.buffer.Unpooled.EMPTY_BUFFER;")
                 .compile(classes);
-        assertLost(play(program), "ENDED");
+        assertLost(runShutdown(program), "ENDED");
     }
 
     @Test
-    void judgeFailsOnABuildThatExitsTooEarly(@TempDir Path classes) throws Exception {
+    void auditDetectsBuildThatExitsTooEarly(@TempDir Path classes) throws Exception {
         RouterProgram program = new BrokenBuild()
                 .replace(
                         DAEMON,
@@ -58,7 +58,7 @@
                         "transport.eventLoop().submit(router::drain).get();",
                         "Runtime.getRuntime().halt(0);")
                 .compile(classes);
-        assertLost(play(program), "");
+        assertLost(runShutdown(program), "");
     }
 
     /** All nodes hang from the signal on, so that requests are pending until the router fails them. */
@@ -68,8 +68,8 @@
     private static final double LONG_TIMEOUT_SECONDS = 6;
 
     @Test
-    void requestsThatArePendingAtTheEndAreAnswered() throws Exception {
-        Result result = play(RouterProgram.of(ClusterTest.JAR), HUNG_NODES, LONG_TIMEOUT_SECONDS);
+    void requestsPendingAtEndOfShutdownAreAnswered() throws Exception {
+        Result result = runShutdown(RouterProgram.of(ClusterTest.JAR), HUNG_NODES, LONG_TIMEOUT_SECONDS);
         assertTrue(result.violations().isEmpty(), result::toString);
     }
 
@@ -78,12 +78,12 @@
      * exit.
      */
     @Test
-    void judgeFailsOnABuildThatFailsNoPendingRequests(@TempDir Path classes) throws Exception {
+    void auditDetectsBuildThatDoesNotFailPendingRequests(@TempDir Path classes) throws Exception {
         RouterProgram program = new BrokenBuild()
                 .replace(DAEMON, "clayhook/serve/Router.java", "inbox.add(now -> openRequests.failAll());", "")
                 .replace(DAEMON, "clayhook/serve/Router.java", "frontend.endSessionsBeforeExit();", "")
                 .compile(classes);
-        assertLost(play(program, HUNG_NODES, LONG_TIMEOUT_SECONDS), "");
+        assertLost(runShutdown(program, HUNG_NODES, LONG_TIMEOUT_SECONDS), "");
     }
 
     /** The router is stalled from before the last clients connect until it stops listening. */
@@ -91,13 +91,13 @@
             new ShutdownPlan(10, 0, List.of(new TimedSignal(0.01, "STOP"), new TimedSignal(1.4, "CONT")), List.of());
 
     @Test
-    void clientsInTheBacklogAreServedWhenTheRouterStopsToListen() throws Exception {
-        Result result = play(RouterProgram.of(ClusterTest.JAR), STALLED_UNTIL_IT_STOPS_LISTENING, 1);
+    void clientsInBacklogAreServedWhenRouterStopsListening() throws Exception {
+        Result result = runShutdown(RouterProgram.of(ClusterTest.JAR), STALLED_UNTIL_IT_STOPS_LISTENING, 1);
         assertTrue(result.violations().isEmpty(), result::toString);
     }
 
     @Test
-    void judgeFailsOnABuildThatClosesOverItsBacklog(@TempDir Path classes) throws Exception {
+    void auditDetectsBuildThatClosesListenerWithPendingBacklog(@TempDir Path classes) throws Exception {
         RouterProgram program = new BrokenBuild()
                 .replace(
                         DAEMON,
@@ -105,23 +105,23 @@
                         "&& channel.acceptBacklog(MAX_ACCEPTS_PER_TICK)) {",
                         "&& !channel.isOpen()) {")
                 .compile(classes);
-        assertLost(play(program, STALLED_UNTIL_IT_STOPS_LISTENING, 1), "NEWCOMER");
+        assertLost(runShutdown(program, STALLED_UNTIL_IT_STOPS_LISTENING, 1), "NEWCOMER");
     }
 
-    private static Result play(RouterProgram program) throws Exception {
-        return play(program, ShutdownPlan.plain(4), 1);
+    private static Result runShutdown(RouterProgram program) throws Exception {
+        return runShutdown(program, ShutdownPlan.plain(4), 1);
     }
 
-    private static Result play(RouterProgram program, ShutdownPlan plan, double timeoutSeconds) throws Exception {
+    private static Result runShutdown(RouterProgram program, ShutdownPlan plan, double timeoutSeconds) throws Exception {
         var spec = new FleetSpec(program, 2, NODES, ALL_CALLS_SECONDS, true, 1).withClientTimeout(timeoutSeconds);
         try (var fleet = new RouterFleet(spec)) {
             return ShutdownScenario.run(fleet, fleet.routers(), plan, new Random(1));
         }
     }
 
-    private static void assertLost(Result result, String how) {
+    private static void assertLost(Result result, String expected) {
         assertTrue(
-                result.violations().stream().anyMatch(text -> text.startsWith("lost: ") && text.contains(how)),
+                result.violations().stream().anyMatch(text -> text.startsWith("lost: ") && text.contains(expected)),
                 result::toString);
     }
 }
--- a/clustertests/src/test/java/clayhook/clustertests/HistoryRecorderTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/HistoryRecorderTest.java
@@ -12,10 +12,10 @@
  * because they were down or stalled.
  */
 class HistoryRecorderTest {
-    private static final Node FIRST = new Node("n0", "a", 1), SECOND = new Node("n1", "a", 1);
+    private static final Node FIRST_NODE = new Node("n0", "a", 1), SECOND_NODE = new Node("n1", "a", 1);
 
-    private static void ask(HistoryRecorder history, RequestClass group) {
-        history.onSent("id", group, HistoryRecorder.now(), "r0", 1);
+    private static void sendRequest(HistoryRecorder history, RequestClass requestClass) {
+        history.onSent("id", requestClass, HistoryRecorder.now(), "r0", 1);
     }
 
     @ParameterizedTest
@@ -35,39 +35,39 @@
         "older than the bound, NO_STALE_READ",
         "within the bound, ''"
     })
-    void theVerdictIsThat(String what, String rule) {
+    void reportsOnlyTheExpectedViolation(String situation, String rule) {
         var history = new HistoryRecorder(TestCluster.settings());
-        boolean writes = what.contains("charge") || what.contains("keyed");
-        if (what.startsWith("stopped")) {
+        boolean isWrite = situation.contains("charge") || situation.contains("keyed");
+        if (situation.startsWith("stopped")) {
             history.onDown("r0");
         }
-        if (what.endsWith("back before")) {
+        if (situation.endsWith("back before")) {
             history.onUp("r0");
         }
-        ask(
+        sendRequest(
                 history,
-                what.contains("keyed")
+                situation.contains("keyed")
                         ? TestCluster.WRITE
-                        : writes
+                        : isWrite
                                 ? TestCluster.CHARGE
-                                : what.contains("session") ? TestCluster.SESSION : TestCluster.BOUNDED);
-        if (what.endsWith("router") || what.equals("killed")) {
+                                : situation.contains("session") ? TestCluster.SESSION : TestCluster.BOUNDED);
+        if (situation.endsWith("router") || situation.equals("killed")) {
             history.onDown("r0");
             history.onUp("r0");
         }
-        double age = what.startsWith("older") ? 1.1 : what.startsWith("within") ? 0.9 : 0;
-        history.onExecuted("id", FIRST, writes ? 0 : HistoryRecorder.now() - age);
-        if (what.contains("twice")) {
-            history.onExecuted("id", SECOND, 0);
+        double age = situation.startsWith("older") ? 1.1 : situation.startsWith("within") ? 0.9 : 0;
+        history.onExecuted("id", FIRST_NODE, isWrite ? 0 : HistoryRecorder.now() - age);
+        if (situation.contains("twice")) {
+            history.onExecuted("id", SECOND_NODE, 0);
         }
-        if ((rule.equals("ONE_ANSWER") && !what.startsWith("two"))
-                || what.startsWith("killed")
-                || what.startsWith("stopped")) {
+        if ((rule.equals("ONE_ANSWER") && !situation.startsWith("two"))
+                || situation.startsWith("killed")
+                || situation.startsWith("stopped")) {
             history.onUnanswered("id", null);
         } else {
-            history.onAnswered("id", what.startsWith("throttled"), true);
+            history.onAnswered("id", situation.startsWith("throttled"), true);
         }
-        if (what.startsWith("two")) {
+        if (situation.startsWith("two")) {
             history.onAnswered("id", false, true);
         }
         assertEquals(
--- a/clustertests/src/test/java/clayhook/clustertests/JarContentTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/JarContentTest.java
@@ -26,7 +26,7 @@
 class JarContentTest {
     @ParameterizedTest
     @ValueSource(strings = {"core", "daemon", "statements", "cli"})
-    void jarHoldsTheClassesOfThisBuild(String module) throws IOException {
+    void jarContainsClassesOfThisBuild(String module) throws IOException {
         Path classes = Path.of("..", module, "target", "classes");
         List<String> outdated = new ArrayList<>();
         int compared = 0;
--- a/clustertests/src/test/java/clayhook/clustertests/SharingClusterTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/SharingClusterTest.java
@@ -25,13 +25,13 @@
 @Tag("processes")
 class SharingClusterTest {
     private static final String SHARING = "report = 0.2\n";
-    private static final Pattern GONE = Pattern.compile("sharing: .* is gone");
-    private static final Pattern FATES = Pattern.compile("fates \\{[^}]*}");
+    private static final Pattern PEER_GONE = Pattern.compile("sharing: .* is gone");
+    private static final Pattern WRITE_OUTCOMES = Pattern.compile("fates \\{[^}]*}");
 
     /** No request is lost because of lossy, duplicating or corrupting links, splits, stopped or killed processes. */
     @ParameterizedTest
     @ValueSource(longs = 2)
-    void withSharingCopiesAreEqualAfterEveryHealAndTheRulesAreKept(long seed) throws Exception {
+    void copiesOfSharingRoutersConvergeAfterEachFaultWithoutViolation(long seed) throws Exception {
         try (var fleet = new TestCluster(JAR, ROUTERS, SHARING, false, seed)) {
             for (ClusterFault fault : FaultSchedule.of(seed, ROUTERS)) {
                 List<Integer> marks =
@@ -44,7 +44,7 @@
                     for (int i = 0; i < ROUTERS; i++) {
                         assertNull(fleet.routers()
                                 .get(i)
-                                .lastMatch(marks.get(i), GONE)); // other routers still reach it and confirm that it is alive
+                                .lastMatch(marks.get(i), PEER_GONE)); // other routers still reach it and confirm that it is alive
                     }
                 }
                 fleet.end(fault);
@@ -60,9 +60,9 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void oneRouterIsToldOfADrainAndWithSharingAllObeyIt(boolean shares) throws Exception {
-        try (var fleet = new TestCluster(JAR, ROUTERS, shares ? SHARING : null, true, 3)) {
-            assertTrue(!shares || fleet.awaitConvergence(), fleet::logs);
+    void drainNotifiedToOneRouterIsObeyedByAllWithSharingOnly(boolean isSharing) throws Exception {
+        try (var fleet = new TestCluster(JAR, ROUTERS, isSharing ? SHARING : null, true, 3)) {
+            assertTrue(!isSharing || fleet.awaitConvergence(), fleet::logs);
             ClusterNode replica = fleet.replicaSet().nodes().get(1);
             fleet.discovery().setAnswerLimit(0);
             replica.setState(Endpoint.State.DRAINING);
@@ -74,7 +74,7 @@
             assertTrue(fleet.awaitServed(fleet.runningRouters(), 5 * STEP_REQUESTS), fleet::logs);
             before = fleet.history().executions(replica.node());
             assertTrue(fleet.awaitServed(fleet.runningRouters(), 2 * STEP_REQUESTS), fleet::logs);
-            assertEquals(shares, before == fleet.history().executions(replica.node()));
+            assertEquals(isSharing, before == fleet.history().executions(replica.node()));
             assertNoViolations(fleet);
         }
     }
@@ -82,9 +82,9 @@
     /** Logs of replicas are stalled, so that a read misses the write unless its router has the last-write position. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aSessionThatRoamsReadsItsOwnWriteWithSharingInAndAfterASplit(boolean shares) throws Exception {
-        try (var fleet = new TestCluster(JAR, ROUTERS, shares ? SHARING : null, false, 4)) {
-            assertTrue(!shares || fleet.awaitConvergence(), fleet::logs);
+    void roamingSessionReadsItsOwnWriteDuringAndAfterSplitWithSharingOnly(boolean isSharing) throws Exception {
+        try (var fleet = new TestCluster(JAR, ROUTERS, isSharing ? SHARING : null, false, 4)) {
+            assertTrue(!isSharing || fleet.awaitConvergence(), fleet::logs);
             var split = new ClusterFault.Split(Set.of(0, 1));
             fleet.startLoad();
             assertTrue(fleet.awaitServed(fleet.runningRouters(), STEP_REQUESTS), fleet::logs);
@@ -102,37 +102,37 @@
                 }
                 if (when.equals("before")) {
                     fleet.begin(split);
-                    assertTrue(!shares || fleet.awaitEffect(split), fleet::logs);
+                    assertTrue(!isSharing || fleet.awaitEffect(split), fleet::logs);
                 } else if (when.equals("in")) {
                     fleet.end(split);
-                    assertTrue(!shares || fleet.awaitConvergence(), fleet::logs);
+                    assertTrue(!isSharing || fleet.awaitConvergence(), fleet::logs);
                 }
             }
             assertEquals(
-                    shares ? Set.of() : Set.of(RuleKept.NO_STALE_READ),
+                    isSharing ? Set.of() : Set.of(RuleKept.NO_STALE_READ),
                     fleet.history().brokenRules().keySet(),
                     fleet::logs);
         }
     }
 
     @Test
-    void aChargeInDoubtAtOneRouterAndSettledAtAnotherIsOneRowEverywhere() throws Exception {
+    void outcomeOfInDoubtWriteIsSettledAtAllRoutersByRepeatAtAnother() throws Exception {
         try (var fleet = new TestCluster(JAR, ROUTERS, SHARING, true, 5)) {
             assertTrue(fleet.awaitConvergence(), fleet::logs);
             ClusterNode primary = fleet.replicaSet().primary();
             var session = fleet.newClient();
             primary.setBehavior(Behavior.SILENT);
             assertEquals(Answer.FAILED, session.exchange(fleet.routers().get(0), TestCluster.WRITE, "charge"));
-            assertTrue(fleet.await(() -> fates(fleet, "UNKNOWN=1, RAN=0")), fleet::logs);
+            assertTrue(fleet.await(() -> allReportWriteOutcomes(fleet, "UNKNOWN=1, RAN=0")), fleet::logs);
             primary.setBehavior(Behavior.WELL);
             assertEquals(Answer.SERVED, session.exchange(fleet.routers().get(3), TestCluster.WRITE, "charge"));
-            assertTrue(fleet.await(() -> fates(fleet, "UNKNOWN=0, RAN=1")), fleet::logs);
+            assertTrue(fleet.await(() -> allReportWriteOutcomes(fleet, "UNKNOWN=0, RAN=1")), fleet::logs);
             assertNoViolations(fleet);
         }
     }
 
-    private static boolean fates(TestCluster fleet, String counts) {
+    private static boolean allReportWriteOutcomes(TestCluster fleet, String counts) {
         return fleet.routers().stream()
-                .allMatch(router -> String.valueOf(router.lastMatch(0, FATES)).startsWith("fates {" + counts));
+                .allMatch(router -> String.valueOf(router.lastMatch(0, WRITE_OUTCOMES)).startsWith("fates {" + counts));
     }
 }
--- a/clustertests/src/test/java/clayhook/clustertests/SlowProcessStartTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/SlowProcessStartTest.java
@@ -27,7 +27,7 @@
     private static final Pattern OUT_OF_DATE = Pattern.compile("^(\\S+) .*the endpoint list is out of date");
 
     @Test
-    void listIsOutOfDateSixSecondsAfterTheStartOfTheProcess() throws Exception {
+    void listIsOutOfDateSixSecondsAfterProcessStart() throws Exception {
         try (var fleet =
                 new RouterFleet(new FleetSpec(RouterProgram.of(ClusterTest.JAR), 1, 2, ALL_CALLS_SECONDS, true, 1))) {
             RouterProcess router = fleet.routers().get(0);
--- a/clustertests/src/test/java/clayhook/clustertests/SoakJudgeTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/SoakJudgeTest.java
@@ -58,30 +58,30 @@
     private BrokenBuild build;
 
     @BeforeEach
-    void startWithTheRealBuild() {
+    void resetBuild() {
         build = new BrokenBuild();
     }
 
-    private Verdict play(int routers, double clientTimeoutSeconds, List<TimedFault> faults) throws Exception {
+    private Verdict runBrokenBuild(int routers, double clientTimeoutSeconds, List<TimedFault> faults) throws Exception {
         RouterProgram program = build.compile(classes);
         var spec = new FleetSpec(program, routers, NODES, ALL_CALLS_SECONDS, true, 1)
                 .withClientTimeout(clientTimeoutSeconds);
-        return FaultSoakTest.play(spec, faults);
+        return FaultSoakTest.runSoak(spec, faults);
     }
 
-    private static void assertReported(List<String> violations, String what, Verdict verdict) {
-        assertTrue(violations.stream().anyMatch(text -> text.contains(what)), verdict::toString);
+    private static void assertReported(List<String> violations, String expected, Verdict verdict) {
+        assertTrue(violations.stream().anyMatch(text -> text.contains(expected)), verdict::toString);
     }
 
     /** Outages of the primary, during which writes wait for it. */
-    private static List<TimedFault> primaryIsDownForAWhile() {
+    private static List<TimedFault> primaryOutages() {
         return PRIMARY_DOWN_AT.stream()
                 .map(at -> new TimedFault(0, at, PRIMARY_DOWN_SECONDS, new NodeFault(0, Behavior.DEAD)))
                 .toList();
     }
 
     /** Clients that disconnect shortly after each begin of an outage of the primary. */
-    private static List<TimedFault> clientsLeaveWhilePrimaryIsDown() {
+    private static List<TimedFault> disconnectsDuringOutages() {
         List<Integer> allRouters = IntStream.range(0, ROUTERS).boxed().toList();
         var departures = new Departures(allRouters, DEPARTING_CLIENTS);
         return PRIMARY_DOWN_AT.stream()
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void judgeFailsOnABuildThatServesClientsThatHaveLeft() throws Exception {
+    void auditDetectsBuildThatServesDisconnectedClients() throws Exception {
         build.replace(
                         DAEMON,
                         "clayhook/serve/AttemptResults.java",
@@ -101,26 +101,26 @@
                         "clayhook/serve/RequestAdmission.java",
                         "ClientRequest request = openRequests.remove(session);",
                         "ClientRequest request = null;");
-        var faults = new ArrayList<>(primaryIsDownForAWhile());
-        faults.addAll(clientsLeaveWhilePrimaryIsDown());
-        Verdict verdict = play(ROUTERS, CLIENT_TIMEOUT_SECONDS, faults);
+        var faults = new ArrayList<>(primaryOutages());
+        faults.addAll(disconnectsDuringOutages());
+        Verdict verdict = runBrokenBuild(ROUTERS, CLIENT_TIMEOUT_SECONDS, faults);
         assertReported(verdict.attemptViolations(), "after the client left", verdict);
     }
 
     @Test
-    void judgeFailsOnABuildThatTellsNodesTheWholeTimeout() throws Exception {
+    void auditDetectsBuildThatSendsNodesTheWholeTimeout() throws Exception {
         build.replace(
                 DAEMON,
                 BACKEND,
                 QUERY_TEXT,
                 "request.statement.textWithTimeout("
                         + "request.attempt.request.deadline - request.attempt.request.arrivedAt)");
-        Verdict verdict = play(ROUTERS, CLIENT_TIMEOUT_SECONDS, primaryIsDownForAWhile());
+        Verdict verdict = runBrokenBuild(ROUTERS, CLIENT_TIMEOUT_SECONDS, primaryOutages());
         assertReported(verdict.attemptViolations(), "longer than the client waits", verdict);
     }
 
     @Test
-    void judgeFailsOnABuildThatRepeatsWritesUnderAnotherKey() throws Exception {
+    void auditDetectsBuildThatRetriesWritesUnderAnotherKey() throws Exception {
         build.replace(
                 DAEMON,
                 BACKEND,
@@ -128,12 +128,12 @@
                 "new String(" + QUERY_TEXT + ", java.nio.charset.StandardCharsets.ISO_8859_1)"
                         + ".replace(\",k=\", request.attempt.request.attempts.size() > 1 ? \",k=0\" : \",k=\")"
                         + ".getBytes(java.nio.charset.StandardCharsets.ISO_8859_1)");
-        Verdict verdict = play(3, 2, List.of(new TimedFault(0, 1, 1, new NodeFault(0, Behavior.RESETTING))));
+        Verdict verdict = runBrokenBuild(3, 2, List.of(new TimedFault(0, 1, 1, new NodeFault(0, Behavior.RESETTING))));
         assertReported(verdict.attemptViolations(), "in place of the client's", verdict);
     }
 
     @Test
-    void judgeFailsOnABuildThatReadsFromStaleReplicas() throws Exception {
+    void auditDetectsBuildThatReadsFromStaleReplicas() throws Exception {
         build.replace(
                         CORE,
                         POLICY,
@@ -147,13 +147,13 @@
         List<TimedFault> faults = IntStream.range(1, NODES)
                 .mapToObj(node -> new TimedFault(node, 1, LOG_STALL_SECONDS, new LogStall(node)))
                 .toList();
-        Verdict verdict = play(ROUTERS, 2, faults);
+        Verdict verdict = runBrokenBuild(ROUTERS, 2, faults);
         assertTrue(verdict.brokenRules().containsKey(RuleKept.NO_STALE_READ), verdict::toString);
     }
 
     /** The node restarts before any router detects its death, while most other nodes drain. */
     @Test
-    void judgeFailsOnABuildThatOverloadsNodesInSlowStart() throws Exception {
+    void auditDetectsBuildThatOverloadsNodesInSlowStart() throws Exception {
         build.replace(CORE, POLICY, "return budget.hasToken();", "return true;")
                 .replace(CORE, POLICY, "} else if (lacksSlowStartToken(attempt, node, now)) {", "} else if (false) {")
                 .replace(CORE, POLICY, "settings.capacityFraction(replica.startedAt(), now), byLoad)", "1, byLoad)");
@@ -162,7 +162,7 @@
         for (double at = 2; at < 8; at += 2) {
             faults.add(new TimedFault(1, at, 0.05, new NodeRestart(1)));
         }
-        Verdict verdict = play(8, 2, faults);
+        Verdict verdict = runBrokenBuild(8, 2, faults);
         assertReported(verdict.slowStartViolations(), "n1 got", verdict);
     }
 }
--- a/clustertests/src/test/java/clayhook/clustertests/TcpRelayTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/TcpRelayTest.java
@@ -24,7 +24,7 @@
      */
     @Test
     @Timeout(60)
-    void resetArrivesBehindWhatTheServerSentBefore() throws Exception {
+    void resetArrivesAfterBytesThatServerSentBefore() throws Exception {
         try (var server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 var relay = new TcpRelay((InetSocketAddress) server.getLocalSocketAddress())) {
             relay.setDelay(DELAY_SECONDS);
