--- a/clustertests/src/main/java/clayhook/clustertests/ClusterNode.java
+++ b/clustertests/src/main/java/clayhook/clustertests/ClusterNode.java
@@ -75,7 +75,9 @@
     /** The port at which routers reach the node: that of its relay, or its own if it has no relay. */
     int port() {
         TcpRelay currentRelay = relay;
-        return currentRelay == null ? ownAddress().getPort() : currentRelay.address().getPort();
+        return currentRelay == null
+                ? ownAddress().getPort()
+                : currentRelay.address().getPort();
     }
 
     private InetSocketAddress ownAddress() {
--- a/clustertests/src/main/java/clayhook/clustertests/DatagramRelay.java
+++ b/clustertests/src/main/java/clayhook/clustertests/DatagramRelay.java
@@ -114,7 +114,8 @@
                 return;
             }
             double now = System.nanoTime() / 1e9;
-            for (NetworkLink.Departure departure : links[from][to].transmit(ByteBufUtil.getBytes(packet.content()), now)) {
+            for (NetworkLink.Departure departure :
+                    links[from][to].transmit(ByteBufUtil.getBytes(packet.content()), now)) {
                 if (departure.at() <= now) {
                     send(from, departure.bytes());
                 } else if (delayedCount < MAX_DELAYED) {
--- a/clustertests/src/main/java/clayhook/clustertests/DiscoveryServer.java
+++ b/clustertests/src/main/java/clayhook/clustertests/DiscoveryServer.java
@@ -27,8 +27,11 @@
 
     private int answeredCalls;
 
-    /** {@code routerCount} returns the number of running routers; a change counts as notified after that many answers. */
-    DiscoveryServer(Transport transport, TestReplicaSet replicaSet, IntSupplier routerCount) throws InterruptedException {
+    /**
+     * {@code routerCount} returns the number of running routers; a change counts as notified after that many answers.
+     */
+    DiscoveryServer(Transport transport, TestReplicaSet replicaSet, IntSupplier routerCount)
+            throws InterruptedException {
         this.replicaSet = replicaSet;
         this.routerCount = routerCount;
         service = new StubDiscovery(transport, transport.ephemeralAddress(0), this::onCall);
@@ -69,7 +72,8 @@
             }
         }
         if (answeredCalls >= routerCount.getAsInt()) {
-            replicaSet.nodes()
+            replicaSet
+                    .nodes()
                     .forEach(node -> replicaSet.history.onNotified(node.node, node.state() == Endpoint.State.DRAINING));
         }
     }
--- a/clustertests/src/main/java/clayhook/clustertests/HistoryRecorder.java
+++ b/clustertests/src/main/java/clayhook/clustertests/HistoryRecorder.java
@@ -161,8 +161,9 @@
         if (connectionRefused || status.down || status.changes != request.routerChanges()) {
             audit.excused(id);
         } else if (firstUnansweredRequest == null) {
-            firstUnansweredRequest = id + " of " + request.requestClass().name() + " at " + request.router() + ", sent at "
-                    + ProcessStalls.format(request.at()) + ", got after " + (now() - request.at()) + " s: " + instead;
+            firstUnansweredRequest = id + " of " + request.requestClass().name() + " at " + request.router()
+                    + ", sent at " + ProcessStalls.format(request.at()) + ", got after " + (now() - request.at())
+                    + " s: " + instead;
         }
     }
 
--- a/clustertests/src/main/java/clayhook/clustertests/LoadClient.java
+++ b/clustertests/src/main/java/clayhook/clustertests/LoadClient.java
@@ -34,7 +34,9 @@
     /** Id of the request that was answered last, or null. */
     private String lastAnsweredId;
 
-    /** {@code carriesLastWritePosition}: whether reads at the session's consistency level carry its last-write position. */
+    /**
+     * {@code carriesLastWritePosition}: whether reads at the session's consistency level carry its last-write position.
+     */
     LoadClient(Transport transport, HistoryRecorder history, boolean carriesLastWritePosition) {
         this.transport = transport;
         this.history = history;
@@ -51,7 +53,8 @@
     }
 
     /** Sends a request, and disconnects if it is not answered within that number of seconds. */
-    Answer exchangeOrDisconnect(RouterProcess router, RequestClass requestClass, double maxWaitSeconds) throws InterruptedException {
+    Answer exchangeOrDisconnect(RouterProcess router, RequestClass requestClass, double maxWaitSeconds)
+            throws InterruptedException {
         return exchange(router, requestClass, "c" + IDS.incrementAndGet(), maxWaitSeconds);
     }
 
@@ -80,7 +83,9 @@
                 "id=" + id + ",c=" + requestClass.name() + ",cluster=1,d="
                         + Math.round(requestClass.clientTimeoutSeconds() * 1000)
                         + (requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY ? ",k=" + id : "")
-                        + (readsOwnWrites && carriesLastWritePosition ? ",after=" + (long) Math.ceil(lastWritePosition * 1000) : ""));
+                        + (readsOwnWrites && carriesLastWritePosition
+                                ? ",after=" + (long) Math.ceil(lastWritePosition * 1000)
+                                : ""));
         String response = exchangeStatement(router, statement, Math.min(waitSeconds, maxWaitSeconds));
         if (response == null && maxWaitSeconds < waitSeconds) {
             disconnect(router);
@@ -103,7 +108,8 @@
         if (response.endsWith(CLOSED)) {
             disconnect(router);
         }
-        lastWritePosition = hasValue && isWrite ? Math.max(lastWritePosition, Double.parseDouble(response)) : lastWritePosition;
+        lastWritePosition =
+                hasValue && isWrite ? Math.max(lastWritePosition, Double.parseDouble(response)) : lastWritePosition;
         return hasValue ? Answer.SERVED : rejected ? Answer.REJECTED : Answer.FAILED;
     }
 
@@ -112,7 +118,8 @@
     }
 
     /** Returns the response, or null if none arrives in time; reconnects if the connection ended while it was idle. */
-    private String exchangeStatement(RouterProcess router, ByteBuf statement, double waitSeconds) throws InterruptedException {
+    private String exchangeStatement(RouterProcess router, ByteBuf statement, double waitSeconds)
+            throws InterruptedException {
         StubClient open = connections.get(router);
         String unsolicited = open == null ? CLOSED : open.nextAnswer(0);
         if (unsolicited == null) {
@@ -147,7 +154,8 @@
     }
 
     /** Returns whether a router becomes ready for requests in time; sends a start-up message only. */
-    static boolean acceptsRequests(Transport transport, InetSocketAddress router, double seconds) throws InterruptedException {
+    static boolean acceptsRequests(Transport transport, InetSocketAddress router, double seconds)
+            throws InterruptedException {
         var client = new StubClient(transport, router);
         client.send(MessageEncoder.startupMessage("client", "core"));
         String response = client.nextAnswer(seconds);
--- a/clustertests/src/main/java/clayhook/clustertests/NetworkLink.java
+++ b/clustertests/src/main/java/clayhook/clustertests/NetworkLink.java
@@ -47,8 +47,8 @@
     }
 
     /**
-     * Number of datagrams with that delivery so far; {@link Delivery#RECEIVED} counts all datagrams. Any thread may call
-     * it.
+     * Number of datagrams with that delivery so far; {@link Delivery#RECEIVED} counts all datagrams. Any thread may
+     * call it.
      */
     public long count(Delivery delivery) {
         return counts[delivery.ordinal()].get();
--- a/clustertests/src/main/java/clayhook/clustertests/RouterFleet.java
+++ b/clustertests/src/main/java/clayhook/clustertests/RouterFleet.java
@@ -179,7 +179,7 @@
                 shutdowns.stream().mapToInt(each -> each.records().size()).sum();
         return "answers " + answers + ", shutdowns " + shutdowns.size() + " with " + requests
                 + " requests, slow start at most: " + slowStarts.largestWindow()
-                + ", stalls of the judge " + stalls;
+                + ", stalls of the test process " + stalls;
     }
 
     /** The audit of the requests that nodes in slow start get. */
@@ -312,7 +312,8 @@
                 boolean disconnects = random.nextInt(REQUESTS_PER_DISCONNECT) == 0;
                 countAnswer(
                         disconnects
-                                ? client.exchangeOrDisconnect(router, requestClass, MAX_CLIENT_WAIT_SECONDS * random.nextDouble())
+                                ? client.exchangeOrDisconnect(
+                                        router, requestClass, MAX_CLIENT_WAIT_SECONDS * random.nextDouble())
                                 : client.exchange(router, requestClass));
                 Thread.sleep(1 + random.nextInt(MAX_THINK_MS));
             }
--- a/clustertests/src/main/java/clayhook/clustertests/SoakSchedule.java
+++ b/clustertests/src/main/java/clayhook/clustertests/SoakSchedule.java
@@ -154,7 +154,8 @@
             case 0 -> new Kill(randomSubset(0, (routers * 7 + 9) / 10, routers));
             case 1, 2 -> shutdown();
             case 3 ->
-                new TerminateInStart(randomSubset(0, (routers + 2) / 3, routers), MAX_START_SECONDS * random.nextDouble());
+                new TerminateInStart(
+                        randomSubset(0, (routers + 2) / 3, routers), MAX_START_SECONDS * random.nextDouble());
             case 4 -> new DiscoveryMove(randomSubset(0, routers, routers));
             default -> new Stall(random.nextInt(routers), MAX_STALL_SECONDS * random.nextDouble());
         };
@@ -169,7 +170,9 @@
         return new Shutdown(shutDown, plan, random.nextBoolean(), random.nextLong());
     }
 
-    /** Returns a random, non-empty subset of at most {@code maxCount} numbers of the range from first to end, exclusive. */
+    /**
+     * Returns a random, non-empty subset of at most {@code maxCount} numbers of the range from first to end, exclusive.
+     */
     private List<Integer> randomSubset(int first, int maxCount, int end) {
         var numbers = new ArrayList<>(IntStream.range(first, end).boxed().toList());
         Collections.shuffle(numbers, random);
--- a/clustertests/src/main/java/clayhook/clustertests/TestCluster.java
+++ b/clustertests/src/main/java/clayhook/clustertests/TestCluster.java
@@ -101,7 +101,8 @@
         List<InetSocketAddress> addresses =
                 IntStream.range(0, count).mapToObj(i -> SparePorts.next()).toList();
         relay = new DatagramRelay(clientTransport, addresses, seed);
-        discovery = new DiscoveryServer(nodeTransport, replicaSet, () -> runningRouters().size());
+        discovery = new DiscoveryServer(
+                nodeTransport, replicaSet, () -> runningRouters().size());
         for (int i = 0; i < count; i++) {
             var router = new RouterProcess("r" + i, addresses.get(i), RouterProgram.of(jar), processes.folder("r" + i));
             router.configure(platformJson(router, i), operatorToml(i, count, sharing));
@@ -122,7 +123,9 @@
                 + quoted(discovery.address()) + ", \"seed\": \"" + Long.toHexString(seed + number) + "\", \"known\": "
                 + replicaSet.endpointListJson()
                 + ", \"settings\": "
-                + SETTINGS_JSON.formatted(ZONES.get(number % ZONES.size()), carriesLastWritePosition ? "carried" : "remembered") + "}";
+                + SETTINGS_JSON.formatted(
+                        ZONES.get(number % ZONES.size()), carriesLastWritePosition ? "carried" : "remembered")
+                + "}";
     }
 
     private String operatorToml(int router, int count, String sharing) {
@@ -132,8 +135,8 @@
                 .collect(Collectors.joining(", "));
         return sharing == null
                 ? nodes
-                : nodes + "[sharing]\nenabled = true\nlisten = " + quoted(relay.routerAddress(router)) + "\nadvertise = "
-                        + quoted(relay.address(router)) + "\nseeds = [" + seeds + "]\n" + sharing;
+                : nodes + "[sharing]\nenabled = true\nlisten = " + quoted(relay.routerAddress(router))
+                        + "\nadvertise = " + quoted(relay.address(router)) + "\nseeds = [" + seeds + "]\n" + sharing;
     }
 
     // ---- components ----
@@ -253,7 +256,8 @@
                     client.exchange(
                             router,
                             SETTINGS.requestClasses()
-                                    .get(random.nextInt(SETTINGS.requestClasses().size())));
+                                    .get(random.nextInt(
+                                            SETTINGS.requestClasses().size())));
                     Thread.sleep(1 + random.nextInt(5)); // the client's own work between requests
                 }
             }
@@ -309,7 +313,8 @@
         String allAlive = "alive " + routers.size() + ",";
         return await(() -> affectsMembers
                 ? runningRouters().isEmpty()
-                        || runningRouters().stream().anyMatch(router -> !lastSharingReport(router, 0).contains(allAlive))
+                        || runningRouters().stream().anyMatch(router -> !lastSharingReport(router, 0)
+                                .contains(allAlive))
                 : relay.count(NetworkLink.Delivery.RECEIVED) > minReceived);
     }
 
--- a/clustertests/src/main/java/clayhook/clustertests/TestReplicaSet.java
+++ b/clustertests/src/main/java/clayhook/clustertests/TestReplicaSet.java
@@ -41,7 +41,8 @@
             throws InterruptedException {
         this.history = history;
         this.settings = settings;
-        requestClasses = settings.requestClasses().stream().collect(Collectors.toMap(RequestClass::name, requestClass -> requestClass));
+        requestClasses = settings.requestClasses().stream()
+                .collect(Collectors.toMap(RequestClass::name, requestClass -> requestClass));
         for (int i = 0; i < size; i++) {
             nodes.add(new ClusterNode(this, new Node("n" + i, zones.get(i % zones.size()), 1), transport));
         }
@@ -83,7 +84,8 @@
      * Commits a write and returns its position; a write with a known key has no effect and returns its first position.
      */
     synchronized double commitWrite(RequestClass requestClass, String key) {
-        Double knownPosition = requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY ? writePositions.get(key) : null;
+        Double knownPosition =
+                requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY ? writePositions.get(key) : null;
         if (knownPosition == null) {
             lastPosition = Math.max(Math.nextUp(lastPosition), HistoryRecorder.now());
             writePositions.put(key, lastPosition);
--- a/clustertests/src/test/java/clayhook/clustertests/ClusterTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/ClusterTest.java
@@ -21,7 +21,8 @@
 
     static void assertNoViolations(TestCluster fleet) throws InterruptedException {
         fleet.stopLoad();
-        assertEquals(Map.of(), fleet.history().brokenRules(), () -> fleet.history().firstViolation() + "\n" + fleet.logs());
+        assertEquals(
+                Map.of(), fleet.history().brokenRules(), () -> fleet.history().firstViolation() + "\n" + fleet.logs());
     }
 
     /**
--- a/clustertests/src/test/java/clayhook/clustertests/CrowdedDiscoveryTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/DiscoveryOverloadTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import clayhook.Endpoint;
-import clayhook.clustertests.QueueingDiscovery.Mode;
 import clayhook.clustertests.LoadClient.Answer;
+import clayhook.clustertests.QueueingDiscovery.Mode;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -21,7 +21,7 @@
  * beside a soak). A watch that is opened after two rejections now waits three seconds, and all calls are answered after
  * 4.7 to 7.3 s.
  */
-class CrowdedDiscoveryTest {
+class DiscoveryOverloadTest {
     private static final int ROUTERS = Integer.getInteger("clayhook.routers", 12);
     private static final int NODES = 9;
     private static final int DRAINING_NODES = 3;
--- a/clustertests/src/test/java/clayhook/clustertests/FaultSoakTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/FaultSoakTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clayhook.clustertests.QueueingDiscovery.Mode;
 import clayhook.clustertests.FaultSoak.Verdict;
+import clayhook.clustertests.QueueingDiscovery.Mode;
 import clayhook.clustertests.SoakFault.DiscoveryFault;
 import clayhook.clustertests.SoakFault.Drain;
 import clayhook.clustertests.SoakFault.Kill;
--- a/clustertests/src/test/java/clayhook/clustertests/GracefulShutdownTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/GracefulShutdownTest.java
@@ -112,7 +112,8 @@
         return runShutdown(program, ShutdownPlan.plain(4), 1);
     }
 
-    private static Result runShutdown(RouterProgram program, ShutdownPlan plan, double timeoutSeconds) throws Exception {
+    private static Result runShutdown(RouterProgram program, ShutdownPlan plan, double timeoutSeconds)
+            throws Exception {
         var spec = new FleetSpec(program, 2, NODES, ALL_CALLS_SECONDS, true, 1).withClientTimeout(timeoutSeconds);
         try (var fleet = new RouterFleet(spec)) {
             return ShutdownScenario.run(fleet, fleet.routers(), plan, new Random(1));
--- a/clustertests/src/test/java/clayhook/clustertests/HistoryRecorderTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/HistoryRecorderTest.java
@@ -73,6 +73,7 @@
         assertEquals(
                 rule,
                 String.join(
-                        ",", history.brokenRules().keySet().stream().map(Enum::name).toList()));
+                        ",",
+                        history.brokenRules().keySet().stream().map(Enum::name).toList()));
     }
 }
--- a/clustertests/src/test/java/clayhook/clustertests/NetworkLinkTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/NetworkLinkTest.java
@@ -22,7 +22,8 @@
     private static List<Departure> sendAll(NetworkLink link) {
         var out = new ArrayList<Departure>();
         for (int i = 0; i < DATAGRAMS; i++) {
-            out.addAll(link.transmit(ByteBuffer.allocate(DATAGRAM_BYTES).putInt(i).putInt(i).array(), i / 1000.0));
+            out.addAll(link.transmit(
+                    ByteBuffer.allocate(DATAGRAM_BYTES).putInt(i).putInt(i).array(), i / 1000.0));
         }
         out.sort(Comparator.comparingDouble(Departure::at));
         return out;
@@ -41,7 +42,8 @@
         }
         int first = numbers.getInt();
         int second = numbers.getInt();
-        return first == second && IntStream.range(numbers.position(), DATAGRAM_BYTES).allMatch(i -> bytes[i] == 0);
+        return first == second
+                && IntStream.range(numbers.position(), DATAGRAM_BYTES).allMatch(i -> bytes[i] == 0);
     }
 
     @ParameterizedTest
@@ -86,9 +88,11 @@
         NetworkLink link = link(new LinkFault(cut, 0, 0, 0, 0, 0, rate));
         List<Departure> left = sendAll(link);
         assertTrue(
-                left.size() >= minLeft && left.size() <= rate / DATAGRAM_BYTES * (1 + NetworkLink.MAX_QUEUE_SECONDS), left.size() + " left");
+                left.size() >= minLeft && left.size() <= rate / DATAGRAM_BYTES * (1 + NetworkLink.MAX_QUEUE_SECONDS),
+                left.size() + " left");
         assertTrue(left.stream().allMatch(departure -> departure.at() <= lastAt + 0.001));
         link.setFault(LinkFault.NONE);
-        assertArrayEquals(new byte[] {1}, link.transmit(new byte[] {1}, 5).get(0).bytes());
+        assertArrayEquals(
+                new byte[] {1}, link.transmit(new byte[] {1}, 5).get(0).bytes());
     }
 }
--- a/clustertests/src/test/java/clayhook/clustertests/SharingClusterTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/SharingClusterTest.java
@@ -44,7 +44,9 @@
                     for (int i = 0; i < ROUTERS; i++) {
                         assertNull(fleet.routers()
                                 .get(i)
-                                .lastMatch(marks.get(i), PEER_GONE)); // other routers still reach it and confirm that it is alive
+                                .lastMatch(
+                                        marks.get(i),
+                                        PEER_GONE)); // other routers still reach it and confirm that it is alive
                     }
                 }
                 fleet.end(fault);
@@ -132,7 +134,7 @@
     }
 
     private static boolean allReportWriteOutcomes(TestCluster fleet, String counts) {
-        return fleet.routers().stream()
-                .allMatch(router -> String.valueOf(router.lastMatch(0, WRITE_OUTCOMES)).startsWith("fates {" + counts));
+        return fleet.routers().stream().allMatch(router -> String.valueOf(router.lastMatch(0, WRITE_OUTCOMES))
+                .startsWith("fates {" + counts));
     }
 }
--- a/clustertests/src/test/java/clayhook/clustertests/SlowProcessStartTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/SlowProcessStartTest.java
@@ -15,8 +15,8 @@
  * in it begins later.
  *
  * <p>An earlier router counted from the begin of its program and assumed one second for the start of the virtual
- * machine. In a run of {@link CrowdedDiscoveryTest} while 30 other processes started, a restarted router took over five
- * seconds until its first poll, and then sent nine requests to draining nodes, up to 1.30 s after it counted as
+ * machine. In a run of {@link DiscoveryOverloadTest} while 30 other processes started, a restarted router took over
+ * five seconds until its first poll, and then sent nine requests to draining nodes, up to 1.30 s after it counted as
  * notified ({@code r6 sent to n6, 0.65 s after it was notified that the node drains (version 2, 6.67 s ago)}).
  */
 class SlowProcessStartTest {
--- a/clustertests/src/test/java/clayhook/clustertests/SoakJudgeTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/SoakAuditTest.java
@@ -24,7 +24,7 @@
  * same faults cause no violation with the real build, which {@link FaultSoakTest} runs under these and many other
  * faults.
  */
-class SoakJudgeTest {
+class SoakAuditTest {
     private static final int NODES = 8;
     private static final double ALL_CALLS_SECONDS = 0.5;
     private static final String CORE = "core";
