--- a/clustertests/src/main/java/clayhook/clustertests/DiscoveryServer.java
+++ b/clustertests/src/main/java/clayhook/clustertests/DiscoveryServer.java
@@ -25,6 +25,7 @@
     /** Number of calls that will still be answered. */
     private int remainingAnswers = Integer.MAX_VALUE;
 
+    /** Number of calls answered since the last change of the list. */
     private int answeredCalls;
 
     /**
--- a/clustertests/src/main/java/clayhook/clustertests/FaultSoak.java
+++ b/clustertests/src/main/java/clayhook/clustertests/FaultSoak.java
@@ -80,9 +80,9 @@
     private void execute(TimedFault timed, double startedAt) {
         try {
             sleepUntil(startedAt + timed.begins());
-            double begunAt = HistoryRecorder.now();
+            double beganAt = HistoryRecorder.now();
             timed.fault().begin(fleet);
-            sleepUntil(begunAt + timed.seconds());
+            sleepUntil(beganAt + timed.seconds());
             timed.fault().end(fleet);
         } catch (IOException | RuntimeException e) {
             addFailure(timed + ": " + e);
--- a/clustertests/src/main/java/clayhook/clustertests/HistoryRecorder.java
+++ b/clustertests/src/main/java/clayhook/clustertests/HistoryRecorder.java
@@ -46,7 +46,7 @@
     private final AttemptAudit attempts = new AttemptAudit();
     private final Map<String, SentRequest> requests = new HashMap<>();
     private final Map<String, RouterStatus> routers = new HashMap<>();
-    /** Time since which routers are notified that a node drains; a router that was down then, since its start. */
+    /** Time at which routers were notified that a node drains; a router that was down then counts from its start. */
     private final Map<Node, Double> drainNotifiedAt = new HashMap<>();
 
     private final Map<Node, Integer> executions = new HashMap<>();
@@ -65,7 +65,7 @@
 
     // ---- routers ----
 
-    /** Records that a router is down. Until {@link #onUp} it owes no answers, also not to its open requests. */
+    /** Records that a router is down. Until {@link #onUp} it owes no answers, including those to its open requests. */
     synchronized void onDown(String router) {
         RouterStatus status = status(router);
         status.changes++;
@@ -200,7 +200,7 @@
         audit.worked(node, work, capacity, now());
     }
 
-    // ---- the verdict ----
+    // ---- results ----
 
     /** Number of requests that a router answered with a value. */
     public synchronized int served(String router) {
--- a/clustertests/src/main/java/clayhook/clustertests/NetworkLink.java
+++ b/clustertests/src/main/java/clayhook/clustertests/NetworkLink.java
@@ -10,7 +10,9 @@
  * and with which bytes. Not thread-safe except where stated.
  */
 public final class NetworkLink {
-    /** Delay in seconds of a reordered datagram; later datagrams can overtake it during this time. */
+    /**
+     * Delay in seconds of a reordered datagram, which later ones can overtake; also the bound for that of a duplicate.
+     */
     static final double REORDER_DELAY_SECONDS = 0.05;
     /** Longest wait in seconds in the queue of a slow link; further datagrams are dropped, as at any bottleneck. */
     static final double MAX_QUEUE_SECONDS = 1;
--- a/clustertests/src/main/java/clayhook/clustertests/QueueingDiscovery.java
+++ b/clustertests/src/main/java/clayhook/clustertests/QueueingDiscovery.java
@@ -72,12 +72,15 @@
     /** Two addresses for each router. One is in use at a time; the service answers at both. */
     private final List<List<StubDiscovery>> addresses = new ArrayList<>();
 
+    /** Index of the address in use, for each router. */
     private final List<Integer> activeAddresses = new ArrayList<>();
     /** Open watches. Each change of the endpoint list removes all; a watch is also removed when its wait ends. */
     private final List<Call> waitingCalls = new ArrayList<>();
 
     private Mode mode = Mode.NORMAL;
+    /** Time at which the service has processed all queued calls, in seconds. */
     private double busyUntil;
+
     private int rejections;
     private int answers;
 
@@ -131,7 +134,10 @@
         return answers;
     }
 
-    /** Sets how calls are handled from now on; open watches are ended if the new mode does not answer them. */
+    /**
+     * Sets how calls are handled from now on. {@link Mode#DOWN} also rejects the open watches, and {@link Mode#SILENT}
+     * leaves them without an answer.
+     */
     public synchronized void setMode(Mode next) {
         mode = next;
         notifications.onReachable(next != Mode.DOWN);
--- a/clustertests/src/main/java/clayhook/clustertests/RequestAudit.java
+++ b/clustertests/src/main/java/clayhook/clustertests/RequestAudit.java
@@ -26,11 +26,11 @@
         Map<Integer, Double> lastAnswerAt = new HashMap<>();
         for (RequestRecord each : records) {
             // The time that a request waits behind earlier ones of its connection does not count.
-            double begunAt = Math.max(each.sentAt(), lastAnswerAt.getOrDefault(each.localPort(), each.sentAt()));
+            double beganAt = Math.max(each.sentAt(), lastAnswerAt.getOrDefault(each.localPort(), each.sentAt()));
             lastAnswerAt.put(each.localPort(), each.finishedAt());
             if (isLost(each)) {
                 violations.add("lost: " + each);
-            } else if (each.isAnswered() && each.finishedAt() - begunAt > maxSeconds(each) + stallSeconds) {
+            } else if (each.isAnswered() && each.finishedAt() - beganAt > maxSeconds(each) + stallSeconds) {
                 violations.add("late: " + each);
             }
         }
--- a/clustertests/src/test/java/clayhook/clustertests/SharingClusterTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/SharingClusterTest.java
@@ -42,11 +42,8 @@
                 assertTrue(fleet.awaitServed(fleet.runningRouters(), STEP_REQUESTS), () -> fault + "\n" + fleet.logs());
                 if (fault instanceof ClusterFault.OneWay) {
                     for (int i = 0; i < ROUTERS; i++) {
-                        assertNull(fleet.routers()
-                                .get(i)
-                                .lastMatch(
-                                        marks.get(i),
-                                        PEER_GONE)); // other routers still reach it and confirm that it is alive
+                        // The other routers still reach the router and confirm that it is alive.
+                        assertNull(fleet.routers().get(i).lastMatch(marks.get(i), PEER_GONE));
                     }
                 }
                 fleet.end(fault);
