--- a/clustertests/src/main/java/clayhook/clustertests/AttemptAudit.java
+++ b/clustertests/src/main/java/clayhook/clustertests/AttemptAudit.java
@@ -80,9 +80,9 @@
         }
     }
 
-    private void addViolation(NodeRequest attempt, String how, Object... values) {
+    private void addViolation(NodeRequest attempt, String format, Object... values) {
         violations.add(attempt.statement().requestId + " was sent to "
-                + attempt.node().id() + " by " + attempt.router() + " " + String.format(Locale.ROOT, how, values));
+                + attempt.node().id() + " by " + attempt.router() + " " + String.format(Locale.ROOT, format, values));
     }
 
     /** Descriptions of all attempts that violated a rule. */
--- a/clustertests/src/main/java/clayhook/clustertests/LoadClient.java
+++ b/clustertests/src/main/java/clayhook/clustertests/LoadClient.java
@@ -29,7 +29,7 @@
     private final Map<RouterProcess, StubClient> connections = new HashMap<>();
 
     private final boolean carriesLastWritePosition;
-    private final String name;
+    private final String sessionName;
     private double lastWritePosition;
     /** Id of the request that was answered last, or null. */
     private String lastAnsweredId;
@@ -41,7 +41,7 @@
         this.transport = transport;
         this.history = history;
         this.carriesLastWritePosition = carriesLastWritePosition;
-        name = "s" + IDS.incrementAndGet();
+        sessionName = "s" + IDS.incrementAndGet();
     }
 
     /** Result of a request for the client. */
@@ -79,7 +79,7 @@
         history.onSent(id, requestClass, readsOwnWrites ? lastWritePosition : 0, router.name(), waitSeconds);
         ByteBuf statement = StubClient.statement(
                 isWrite,
-                name,
+                sessionName,
                 "id=" + id + ",c=" + requestClass.name() + ",cluster=1,d="
                         + Math.round(requestClass.clientTimeoutSeconds() * 1000)
                         + (requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY ? ",k=" + id : "")
--- a/clustertests/src/main/java/clayhook/clustertests/QueueingDiscovery.java
+++ b/clustertests/src/main/java/clayhook/clustertests/QueueingDiscovery.java
@@ -161,13 +161,13 @@
     }
 
     private void enqueue(Call call, double now) {
-        double done = Math.max(now, busyUntil) + secondsPerCall;
-        if (done > now + MAX_QUEUE_SECONDS) {
+        double doneAt = Math.max(now, busyUntil) + secondsPerCall;
+        if (doneAt > now + MAX_QUEUE_SECONDS) {
             reject(call, MAX_QUEUE_SECONDS);
             return;
         }
-        busyUntil = done;
-        schedule(done - now + (mode == Mode.SLOW ? SLOW_DELAY_SECONDS : 0), () -> handle(call));
+        busyUntil = doneAt;
+        schedule(doneAt - now + (mode == Mode.SLOW ? SLOW_DELAY_SECONDS : 0), () -> handle(call));
     }
 
     @SuppressWarnings("ReturnValueIgnored") // the result is irrelevant: the router may have closed the connection
--- a/clustertests/src/main/java/clayhook/clustertests/RecordingClient.java
+++ b/clustertests/src/main/java/clayhook/clustertests/RecordingClient.java
@@ -200,10 +200,10 @@
     boolean awaitAnswers() {
         while (!pendingRequests.isEmpty() && !ended) {
             // The timeout of a request begins when all earlier ones are answered.
-            double until =
+            double endsAt =
                     HistoryRecorder.now() + timeoutSeconds + LATE_ANSWER_SECONDS + HistoryRecorder.MACHINE_SECONDS;
             try {
-                Outcome outcome = readAnswer(until);
+                Outcome outcome = readAnswer(endsAt);
                 record(pendingRequests.poll(), outcome);
                 ended = rejectedFatally && pendingRequests.isEmpty();
             } catch (SocketTimeoutException e) {
@@ -243,11 +243,11 @@
                 HistoryRecorder.now()));
     }
 
-    private Outcome readAnswer(double until) throws IOException {
+    private Outcome readAnswer(double endsAt) throws IOException {
         Outcome outcome = Outcome.FAILED;
         while (true) {
-            double left = until - HistoryRecorder.now();
-            socket.setSoTimeout(Math.max(1, (int) (left * MILLIS_PER_SECOND)));
+            double secondsLeft = endsAt - HistoryRecorder.now();
+            socket.setSoTimeout(Math.max(1, (int) (secondsLeft * MILLIS_PER_SECOND)));
             char type = (char) in.readByte();
             byte[] body = new byte[in.readInt() - LENGTH_BYTES];
             in.readFully(body);
--- a/clustertests/src/main/java/clayhook/clustertests/RouterFleet.java
+++ b/clustertests/src/main/java/clayhook/clustertests/RouterFleet.java
@@ -195,22 +195,22 @@
     // ---- processes ----
 
     /** Starts processes with the configured endpoint list of their first start; returns when they accept requests. */
-    public void start(Collection<RouterProcess> some) throws IOException, InterruptedException {
-        for (RouterProcess router : some) {
+    public void start(Collection<RouterProcess> targets) throws IOException, InterruptedException {
+        for (RouterProcess router : targets) {
             notifications.onStarted(router.name());
             router.start();
         }
-        for (RouterProcess router : some) {
+        for (RouterProcess router : targets) {
             processes.awaitServing(router, START_SECONDS);
             history.onUp(router.name());
         }
     }
 
     /** Kills processes by SIGKILL; returns when they have ended. */
-    public void kill(Collection<RouterProcess> some) throws InterruptedException {
-        some.forEach(router -> history.onDown(router.name()));
-        some.forEach(RouterProcess::kill);
-        for (RouterProcess router : some) {
+    public void kill(Collection<RouterProcess> targets) throws InterruptedException {
+        targets.forEach(router -> history.onDown(router.name()));
+        targets.forEach(RouterProcess::kill);
+        for (RouterProcess router : targets) {
             router.awaitEnd();
         }
     }
@@ -243,16 +243,16 @@
     /**
      * Restarts processes and sends them SIGTERM that number of seconds after their start; returns when they have ended.
      */
-    void terminateDuringStart(Collection<RouterProcess> some, double afterSeconds)
+    void terminateDuringStart(Collection<RouterProcess> targets, double afterSeconds)
             throws IOException, InterruptedException {
-        kill(some);
-        for (RouterProcess router : some) {
+        kill(targets);
+        for (RouterProcess router : targets) {
             notifications.onStarted(router.name());
             router.start();
         }
         Thread.sleep((long) (afterSeconds * MILLIS_PER_SECOND));
-        RouterProcess.signalRunning(some, "TERM");
-        for (RouterProcess router : some) {
+        RouterProcess.signalRunning(targets, "TERM");
+        for (RouterProcess router : targets) {
             if (!router.awaitEnd()) {
                 throw new IOException(
                         router.name() + " did not end after SIGTERM, sent " + afterSeconds + " s after its start");
@@ -284,8 +284,8 @@
     }
 
     /** Sets the state of several nodes in one new version of the endpoint list. */
-    public void setState(Collection<ClusterNode> some, Endpoint.State state) {
-        some.forEach(node -> node.setStateWithoutPublishing(state));
+    public void setState(Collection<ClusterNode> targets, Endpoint.State state) {
+        targets.forEach(node -> node.setStateWithoutPublishing(state));
         replicaSet.publishList();
     }
 
--- a/clustertests/src/main/java/clayhook/clustertests/RouterProcess.java
+++ b/clustertests/src/main/java/clayhook/clustertests/RouterProcess.java
@@ -167,8 +167,8 @@
     }
 
     /** Sends a signal to those of some processes that are running, by one command. */
-    static void signalRunning(Collection<RouterProcess> some, String signal) throws IOException {
-        String ids = some.stream()
+    static void signalRunning(Collection<RouterProcess> routers, String signal) throws IOException {
+        String ids = routers.stream()
                 .filter(RouterProcess::isRunning)
                 .map(router -> Long.toString(router.pid()))
                 .collect(Collectors.joining(" "));
--- a/clustertests/src/main/java/clayhook/clustertests/SoakFault.java
+++ b/clustertests/src/main/java/clayhook/clustertests/SoakFault.java
@@ -171,8 +171,8 @@
 
         @Override
         public void end(RouterFleet fleet) throws IOException {
-            for (IdleClients crowd : crowds) {
-                crowd.close();
+            for (IdleClients each : crowds) {
+                each.close();
             }
         }
     }
--- a/clustertests/src/main/java/clayhook/clustertests/SoakSchedule.java
+++ b/clustertests/src/main/java/clayhook/clustertests/SoakSchedule.java
@@ -58,12 +58,12 @@
     /** Number of clients of each kind, over all routers that shut down together. */
     private static final int SHUTDOWN_CLIENTS = 8;
 
-    private static final double MAX_CROWD_SECONDS = 5;
+    private static final double MAX_IDLE_CLIENTS_SECONDS = 5;
     private static final double MAX_LINK_DELAY_SECONDS = 0.1;
     private static final double MAX_START_SECONDS = 2;
     private static final int ROUTER_FAULT_KINDS = 6;
     /** Descriptor limit up to which routers also get idle clients that occupy descriptors. */
-    private static final int CROWDED_DESCRIPTORS = 256;
+    private static final int MAX_FEW_DESCRIPTORS = 256;
 
     private static final List<Mode> DISCOVERY_FAULTS = List.of(Mode.CROWDED, Mode.SLOW, Mode.DOWN, Mode.SILENT);
     private static final List<ClusterNode.Behavior> NODE_FAULTS =
@@ -91,8 +91,8 @@
         schedule.addLane(seconds, MAX_DRAIN_SECONDS, () -> new Drain(schedule.randomSubset(2, nodes / 2, nodes)));
         schedule.addLane(seconds, MAX_NODE_SECONDS, schedule::nodeFault);
         schedule.addLane(seconds, MAX_DOWN_SECONDS, schedule::routerFault);
-        if (schedule.isCrowded()) {
-            schedule.addLane(seconds, MAX_CROWD_SECONDS, schedule::crowd);
+        if (schedule.hasFewDescriptors()) {
+            schedule.addLane(seconds, MAX_IDLE_CLIENTS_SECONDS, schedule::idleClientsFault);
         }
         if (spec.nodesBehindRelays()) {
             schedule.addLane(seconds, MAX_NODE_SECONDS, schedule::nodeLinkFault);
@@ -113,12 +113,12 @@
         laneCount++;
     }
 
-    private boolean isCrowded() {
-        return spec.descriptors() <= CROWDED_DESCRIPTORS;
+    private boolean hasFewDescriptors() {
+        return spec.descriptors() <= MAX_FEW_DESCRIPTORS;
     }
 
     /** Returns a fault with enough idle clients to occupy all descriptors that a router has for clients. */
-    private SoakFault crowd() {
+    private SoakFault idleClientsFault() {
         return new Crowd(randomSubset(0, routers, routers), spec.descriptors() / 2);
     }
 
--- a/clustertests/src/test/java/clayhook/clustertests/DiscoveryOverloadTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/DiscoveryOverloadTest.java
@@ -18,8 +18,8 @@
  * of CI: ten seconds after the recovery fewer calls had been answered than there are routers. The four routers that
  * were not restarted had the newest version, so their watches, opened 0.3 to 2.1 s after the recovery, waited 9.1 s for
  * a change, and after the rejections their next checks were up to 14 s away (trace of seed 1 without health checks, run
- * beside a soak). A watch that is opened after two rejections now waits three seconds, and all calls are answered after
- * 4.7 to 7.3 s.
+ * while a soak was running). A watch that is opened after two rejections now waits three seconds, and all calls are
+ * answered after 4.7 to 7.3 s.
  */
 class DiscoveryOverloadTest {
     private static final int ROUTERS = Integer.getInteger("clayhook.routers", 12);
--- a/clustertests/src/test/java/clayhook/clustertests/FaultSoakTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/FaultSoakTest.java
@@ -34,7 +34,7 @@
     /** Client timeouts in seconds; at a shutdown the platform counts at most three seconds. */
     private static final List<Double> CLIENT_TIMEOUTS = List.of(2.0, 1.0, 0.4, 6.0);
 
-    private static final int CROWDED_DESCRIPTORS = 160;
+    private static final int FEW_DESCRIPTORS = 160;
 
     /** A lease that never expires, which is equivalent to a router without leases. */
     private static final String LEASE_THAT_NEVER_LAPSES =
@@ -75,7 +75,7 @@
     private static FleetSpec specOf(RouterProgram program, long seed) {
         var spec = new FleetSpec(program, ROUTERS, NODES, ALL_CALLS_SECONDS, seed % 3 != 0, seed)
                 .withClientTimeout(CLIENT_TIMEOUTS.get((int) (seed % CLIENT_TIMEOUTS.size())));
-        spec = seed % 3 == 1 ? spec.withDescriptors(CROWDED_DESCRIPTORS) : spec;
+        spec = seed % 3 == 1 ? spec.withDescriptors(FEW_DESCRIPTORS) : spec;
         return seed % 2 == 0 ? spec.withNodesBehindRelays() : spec;
     }
 
