--- a/clustertests/src/test/java/clayhook/clustertests/GracefulShutdownTest.java
+++ b/clustertests/src/test/java/clayhook/clustertests/GracefulShutdownTest.java
@@ -43,7 +43,7 @@
                 .replace(
                         DAEMON,
                         frontend + "ClientResponses.java",
-                        "return fatal(SqlState.CANNOT_CONNECT_NOW, reason(cause));",
+                        "return fatal(SqlState.CANNOT_CONNECT_NOW, closeReason(cause));",
                         "return io.netty.buffer.Unpooled.EMPTY_BUFFER;")
                 .compile(classes);
         assertLost(runShutdown(program), "ENDED");
