--- a/fleet/src/main/java/clayhook/fleet/types/FieldValidation.java
+++ b/fleet/src/main/java/clayhook/fleet/types/FieldValidation.java
@@ -1,15 +1,17 @@
 package clayhook.fleet.types;
 
 /**
- * Checks of the fields of replicated values. Whatever comes from outside passes them, and is rejected with an
- * {@link IllegalArgumentException} if it is out of range.
+ * Range checks of the fields of replicated values. Every value that is received from another router passes them; a
+ * value that is out of range is rejected with an {@link IllegalArgumentException}.
  */
 final class FieldValidation {
-    /** In seconds since 1970: the year 2286. */
+    /** Latest time that is accepted, in seconds since 1970: the year 2286. */
     static final double MAX_TIME = 1e10;
-    /** Seconds by which the clocks of routers and nodes may differ before a time in the future is rejected. */
+    /**
+     * Seconds by which the clocks of routers and nodes may differ. A time further in the future than this is rejected.
+     */
     static final double MAX_CLOCK_DIFFERENCE = 10;
-    /** Replica sets are numbered from 0; far more than any fleet has. */
+    /** Exclusive bound of replica set numbers, which start at 0; far more than any fleet has. */
     static final int MAX_REPLICA_SETS = 1 << 20;
     /** Exclusive bound of port numbers. */
     static final int PORT_LIMIT = 1 << Character.SIZE;
@@ -20,13 +22,16 @@
     private FieldValidation() {}
 
     /**
-     * Returns a value that is from 0 to {@code max}, with 0 in place of minus 0. Merge functions go by order, in which
-     * the two zeros are equal although their encodings differ.
+     * Returns a value between 0 and {@code max}, with 0 in place of -0. Merge functions compare values numerically, and
+     * the two zeros compare as equal although their encodings differ.
+     *
+     * @param field the name of the field, for the message of the exception
+     * @throws IllegalArgumentException for a value out of range or NaN
      */
-    static double requireWithin(double value, double max, String what) {
+    static double requireWithin(double value, double max, String field) {
         boolean within = value >= 0 && value <= max;
         if (!within) {
-            throw new IllegalArgumentException(what + " of " + value);
+            throw new IllegalArgumentException(field + " of " + value);
         }
         return value + 0.0;
     }
@@ -35,9 +40,9 @@
         return requireWithin(value, MAX_TIME, "time");
     }
 
-    static void require(boolean condition, String what) {
+    static void require(boolean condition, String message) {
         if (!condition) {
-            throw new IllegalArgumentException(what);
+            throw new IllegalArgumentException(message);
         }
     }
 
@@ -46,16 +51,20 @@
     }
 
     /**
-     * Returns a text of at most {@code maxBytes} in UTF-8 without control characters. Unpaired surrogates are rejected
-     * too: they can be decoded from corrupted bytes, but not be encoded again.
+     * Returns a text that is valid in a value: at most {@code maxBytes} in UTF-8, and without control characters.
+     * Unpaired surrogates are rejected too: they can result from decoding corrupted bytes, but cannot be encoded again.
+     *
+     * @param field the name of the field, for the message of the exception
+     * @throws IllegalArgumentException for an invalid text
      */
-    static String requireText(String value, int maxBytes, String what) {
-        require(value != null && utf8Length(value) <= maxBytes, what);
+    static String requireText(String value, int maxBytes, String field) {
+        require(value != null && utf8Length(value) <= maxBytes, field);
         return value;
     }
 
     /**
-     * Returns the length in UTF-8; {@link Integer#MAX_VALUE} for a text with control characters or unpaired surrogates.
+     * Returns the number of bytes of a text in UTF-8; {@link Integer#MAX_VALUE} for a text with control characters or
+     * unpaired surrogates.
      */
     static int utf8Length(String text) {
         int bytes = 0;
