--- a/fleet/src/main/java/clayhook/fleet/types/FleetQuota.java
+++ b/fleet/src/main/java/clayhook/fleet/types/FleetQuota.java
@@ -8,15 +8,15 @@
 import java.util.Map;
 
 /**
- * How much this router may use of quotas that hold for the whole fleet.
+ * Calculates how much of each fleet-wide quota this router may use.
  *
- * <p>What routers that have vanished have not used of a quota is divided evenly among the routers that may still serve.
- * So routers that all see each other are never granted more than the quota together, whatever else they see. Unused
- * allocations are not lent, as on outdated information two routers could use the same one.
+ * <p>The part of a quota that departed routers have not used is divided evenly among the routers that may still serve.
+ * Routers that all see each other are therefore never granted more than the quota together, whichever other routers
+ * they see. Unused allocations are not lent: with outdated information two routers could use the same one.
  *
- * <p>The use of a vanished router counts whole for one window after its last report and fades linearly over the next,
- * as the router may go on unseen. A router that sees at most half of the routers it should is partitioned, and never
- * gets more than its configured part.
+ * <p>The usage of a departed router counts in full for one window after its last report and decreases linearly to 0
+ * over the next one, as the router may still be running without being seen. A router that sees at most half of the
+ * expected routers is partitioned, and never gets more than its configured share.
  *
  * <p>Times are in seconds since 1970 on this router's clock. Not thread-safe.
  */
@@ -24,8 +24,10 @@
     /**
      * A quota that all routers share.
      *
-     * @param name as in the keys of {@link QuotaUsage}
-     * @param amount units that all routers together may use within any {@code windowSeconds}
+     * @param name the name in the keys of {@link QuotaUsage}
+     * @param amount the units that all routers together may use within any {@code windowSeconds}
+     * @param windowSeconds the length of the sliding window; above 0, and at most half the retention of
+     *     {@link QuotaUsage#TYPE}
      */
     public record Quota(String name, double amount, double windowSeconds) {
         /** @throws IllegalArgumentException for fields out of range */
@@ -37,15 +39,22 @@
     }
 
     /**
-     * For which a router that has vanished is still expected. Forgotten earlier, it would not count against a long
-     * partition, and the remaining routers would take themselves for the whole fleet.
+     * Seconds for which a departed router still counts as expected. With a shorter time, it would no longer count in a
+     * long partition, and each remaining side would consider itself the whole fleet.
      */
     private static final double MEMBER_RETENTION_SECONDS = 3600;
-    /** More than any fleet has within the retention; further names do not count. */
+    /**
+     * Bound of the router names that are kept; more than any fleet has within the retention. Further names are ignored.
+     */
     private static final int MAX_KNOWN_NAMES = 16_384;
-    /** More than the standing quotas and the nodes in slow start; further quotas have no allocation. */
+    /**
+     * Bound of the quotas; more than the fixed ones and those of nodes in slow start. Further quotas have no
+     * allocation.
+     */
     private static final int MAX_QUOTAS = 4096;
-    /** Updates that all routers together publish for each quota; a few KB a second at each router. */
+    /**
+     * Updates per second that all routers together publish for each quota; each router receives a few KB per second.
+     */
     private static final double UPDATES_PER_SECOND = 50;
 
     private final ReplicatedStore store;
@@ -53,15 +62,15 @@
     private final int configuredRouters;
     private final Member self;
     private final Map<String, LocalQuotaUsage> localUsage = new HashMap<>();
-    /** What others have published, by quota; bounded as the replicated type is. */
+    /** Usage published by other routers, by quota and member; bounded by the entry limit of the replicated type. */
     private final Map<String, Map<Member, QuotaUsage>> remoteUsage = new HashMap<>();
-    /** When each other router was live last. */
+    /** The time at which each other router was last seen live, by name. */
     private final Map<String, Double> lastLiveByName = new HashMap<>();
 
     /**
-     * Starts to follow the use that the store holds and receives.
+     * Loads the usage that the store holds, and subscribes to its changes.
      *
-     * @param configuredRouters the number of routers by the operator's configuration, at least 1
+     * @param configuredRouters the number of routers in the operator's configuration, at least 1
      */
     public FleetQuota(ReplicatedStore store, MembershipView membership, int configuredRouters) {
         this.store = store;
@@ -76,11 +85,13 @@
     private void onUsage(String key, QuotaUsage usage) {
         QuotaUsage.UsageKey parsed = QuotaUsage.parseKey(key);
         if (parsed != null && !parsed.member().equals(self)) {
-            remoteUsage.computeIfAbsent(parsed.quota(), any -> new HashMap<>()).put(parsed.member(), usage);
+            remoteUsage
+                    .computeIfAbsent(parsed.quota(), quota -> new HashMap<>())
+                    .put(parsed.member(), usage);
         }
     }
 
-    /** Returns the units that this router may use now, from 0. */
+    /** Returns the units that this router may use now; never negative. */
     public double remaining(Quota quota, double now) {
         LocalQuotaUsage usage = localUsage(quota, now);
         return usage == null ? 0 : Math.max(0, allocation(quota, now) - usage.usedInWindow(now));
@@ -93,13 +104,13 @@
         if (isPartitioned(now)) {
             return quota.amount / Math.max(configuredRouters, members);
         }
-        return Math.max(0, quota.amount - usedByVanished(quota, serving, now)) / members;
+        return Math.max(0, quota.amount - usedByDeparted(quota, serving, now)) / members;
     }
 
     /**
-     * Whether this router sees so few others that it only gets its configured part. It should see as many routers as it
-     * knew lately, and at least as many as are configured. Otherwise a router that has just started, or the small side
-     * of a partition, would take itself for the whole fleet.
+     * Returns whether this router sees at most half of the expected routers, so that it only gets its configured share.
+     * Expected are all routers seen live within the retention, and at least the configured number. Without this check,
+     * a router that has just started, or the small side of a partition, would consider itself the whole fleet.
      */
     public boolean isPartitioned(double now) {
         recordLiveMembers(now);
@@ -119,44 +130,47 @@
     }
 
     /**
-     * Returns the other routers that may use of a quota, those included that have only fallen silent: incarnation by
-     * name.
+     * Returns the incarnations of the other routers that may use a quota, by name. Includes routers that were declared
+     * dead only recently and may still be running.
      */
     private Map<String, Long> servingIncarnations(double now) {
         var incarnations = new HashMap<String, Long>();
-        membership.possiblyServing(now).forEach(member -> addYoungest(incarnations, member));
-        membership.livePeers().forEach(peer -> addYoungest(incarnations, peer.member()));
+        membership.possiblyServing(now).forEach(member -> putNewestIncarnation(incarnations, member));
+        membership.livePeers().forEach(peer -> putNewestIncarnation(incarnations, peer.member()));
         incarnations.remove(self.name());
         return incarnations;
     }
 
-    private static void addYoungest(Map<String, Long> incarnations, Member member) {
+    private static void putNewestIncarnation(Map<String, Long> incarnations, Member member) {
         incarnations.merge(ReplicatedKeys.truncateName(member.name()), member.incarnation(), Math::max);
     }
 
     /**
-     * Returns what incarnations that are over may have used within the window: of vanished routers, and before
-     * restarts.
+     * Returns the units that ended incarnations may have used within the window: those of departed routers, and earlier
+     * ones of routers that have restarted.
      */
-    private double usedByVanished(Quota quota, Map<String, Long> serving, double now) {
+    private double usedByDeparted(Quota quota, Map<String, Long> serving, double now) {
         double sum = 0;
         for (Map.Entry<Member, QuotaUsage> entry :
                 remoteUsage.getOrDefault(quota.name, Map.of()).entrySet()) {
             Long servingIncarnation = serving.get(entry.getKey().name());
-            boolean vanished = servingIncarnation == null || entry.getKey().incarnation() < servingIncarnation;
-            if (vanished) {
-                sum += fadedUse(quota, entry.getValue(), now);
+            boolean departed = servingIncarnation == null || entry.getKey().incarnation() < servingIncarnation;
+            if (departed) {
+                sum += decayedUsage(quota, entry.getValue(), now);
             }
         }
         return sum;
     }
 
-    private static double fadedUse(Quota quota, QuotaUsage usage, double now) {
+    private static double decayedUsage(Quota quota, QuotaUsage usage, double now) {
         double windowsAgo = (now - usage.reportedAt()) / quota.windowSeconds;
         return usage.unitsPerSecond() * quota.windowSeconds * Math.max(0, Math.min(1, 2 - windowsAgo));
     }
 
-    /** Returns null at the bound of quotas. Those that were not used for long are removed then. */
+    /**
+     * Returns the usage of a quota, adding the quota if it is new. At the bound of quotas, those unused for longer than
+     * the retention are removed; returns null if the bound is still reached.
+     */
     private LocalQuotaUsage localUsage(Quota quota, double now) {
         LocalQuotaUsage usage = localUsage.get(quota.name);
         if (usage != null) {
@@ -174,7 +188,7 @@
         return added;
     }
 
-    /** Notes that this router has used that many units, whether they were granted or not. */
+    /** Records units that this router has used, whether or not they were within its allocation. */
     public void recordUse(Quota quota, double units, double now) {
         LocalQuotaUsage usage = localUsage(quota, now);
         if (usage != null && units > 0) {
@@ -182,7 +196,10 @@
         }
     }
 
-    /** Publishes what this router has used where that is due. May be called at any time. */
+    /**
+     * Publishes this router's usage of each quota that is due for it, and removes expired usage of others. May be
+     * called at any time.
+     */
     public void publish(double now) {
         double members = 1 + servingIncarnations(now).size();
         localUsage.forEach((quota, usage) -> {
@@ -190,8 +207,8 @@
                 store.merge(QuotaUsage.TYPE, QuotaUsage.key(quota, self), usage.publish(now), now);
             }
         });
-        double expired = now - QuotaUsage.TYPE.retentionSeconds();
-        remoteUsage.values().forEach(usages -> usages.values().removeIf(usage -> usage.reportedAt() < expired));
+        double expiredBefore = now - QuotaUsage.TYPE.retentionSeconds();
+        remoteUsage.values().forEach(usages -> usages.values().removeIf(usage -> usage.reportedAt() < expiredBefore));
         remoteUsage.values().removeIf(Map::isEmpty);
     }
 }
