--- a/fleet/src/main/java/clayhook/fleet/types/LocalQuotaUsage.java
+++ b/fleet/src/main/java/clayhook/fleet/types/LocalQuotaUsage.java
@@ -1,12 +1,15 @@
 package clayhook.fleet.types;
 
-/** How much of one quota this router has used since its start, counted over a sliding window. Not thread-safe. */
+/**
+ * Counts the units of one quota that this router has used since its start, in total and over a sliding window. Not
+ * thread-safe.
+ */
 final class LocalQuotaUsage {
-    /** Use is counted by slot; what falls into the oldest slot counts up to one slot too long. */
+    /** Number of slots by which the window is counted. Units in the oldest slot count for up to one slot too long. */
     private static final int SLOTS_PER_WINDOW = 16;
 
     private final double windowSeconds;
-    /** One more than a window has, as the current slot is not over. */
+    /** Units used in each slot: one slot more than the window has, as the current one is not complete. */
     private final double[] slots = new double[SLOTS_PER_WINDOW + 1];
 
     private long currentSlot;
@@ -22,12 +25,12 @@
 
     void add(double units, double now) {
         advanceTo(now);
-        slots[index(currentSlot)] += units;
+        slots[slotIndex(currentSlot)] += units;
         totalUnits += units;
         lastUsedAt = now;
     }
 
-    /** Returns the units used within the last window, or a little more. */
+    /** Returns the units used within the last window, and up to one slot before it. */
     double usedInWindow(double now) {
         advanceTo(now);
         double sum = 0;
@@ -41,12 +44,12 @@
         long slotOfNow = (long) (now * SLOTS_PER_WINDOW / windowSeconds);
         long firstExpired = Math.max(currentSlot + 1, slotOfNow - SLOTS_PER_WINDOW);
         for (long slot = firstExpired; slot <= slotOfNow; slot++) {
-            slots[index(slot)] = 0;
+            slots[slotIndex(slot)] = 0;
         }
         currentSlot = Math.max(currentSlot, slotOfNow);
     }
 
-    private int index(long slot) {
+    private int slotIndex(long slot) {
         return (int) (slot % slots.length);
     }
 
@@ -54,12 +57,15 @@
         return lastUsedAt < time;
     }
 
-    /** Whether there is use to publish, twice a window at most and not before {@code minInterval} has passed. */
+    /**
+     * Returns whether there is unpublished usage to publish now: at most twice per window, and at least
+     * {@code minInterval} seconds after the previous publication.
+     */
     boolean isPublicationDue(double minInterval, double now) {
         return totalUnits > publishedUnits && now >= publishedAt + Math.max(windowSeconds / 2, minInterval);
     }
 
-    /** Returns the value to publish, and notes that it is published. */
+    /** Returns the value to publish, and records it as published. */
     QuotaUsage publish(double now) {
         publishedUnits = totalUnits;
         publishedAt = now;
