--- a/fleet/src/main/java/clayhook/fleet/types/EndpointListMerge.java
+++ b/fleet/src/main/java/clayhook/fleet/types/EndpointListMerge.java
@@ -12,34 +12,39 @@
 import java.util.Set;
 
 /**
- * Merges the endpoint lists of this router's own discovery and of those that other routers have received.
+ * Merges the endpoint list from this router's own discovery with the lists that other routers have received.
  *
- * <p>For each node, the newest update of the current discovery source wins. Updates of other sources do not count,
- * except for drains: those in effect when the source changed, and those of nodes that the current source has not
- * mentioned, hold until the current source has a newer update of the node or its complete list. Revisions of two
- * sources cannot be compared, and a source that was given up because it is wrong must not be able to close the fleet.
+ * <p>For each node, the newest update of the current discovery source wins. Updates of other sources are ignored,
+ * except for drains: a drain that was in effect when the source changed, or that concerns a node that the current
+ * source has not listed, holds until the current source sends a newer update of the node or its complete list.
+ * Revisions of two sources cannot be compared, and a source that was replaced because it is wrong must not be able to
+ * close all nodes.
  *
  * <p>Not thread-safe. Times are in seconds since 1970 on this router's clock.
  */
 public final class EndpointListMerge {
     /**
-     * What the list says about a node.
+     * The entry of one node in the endpoint list.
      *
-     * @param id of the node, truncated as in the keys of {@link ListedEndpoint}
+     * @param id the node's id, truncated as in the keys of {@link ListedEndpoint}
+     * @param endpoint the node's state and address
      */
     public record EndpointUpdate(String id, ListedEndpoint endpoint) {}
 
-    /** The source rarely changes; what the oldest one said is dropped. */
+    /**
+     * Bound of the sources that are kept at a time. The source rarely changes; beyond the bound, the one used least
+     * recently is dropped.
+     */
     private static final int MAX_SOURCES = 4;
 
     private static final long NO_REVISION = -1;
-    /** How often within the retention it is checked whether updates need renewal. */
+    /** Number of checks for entries due for renewal within one retention period. */
     private static final int RENEWAL_CHECKS_PER_RETENTION = 8;
-    /** An update is renewed once it is older than the retention divided by this. */
+    /** Divisor of the retention that gives the age at which an entry is renewed. */
     private static final int RENEWAL_AGE_DIVISOR = 2;
 
     private static final class DiscoverySource {
-        /** By node id. Nodes that are gone are removed when there are more than a list may have. */
+        /** Endpoints by node id. At the bound of nodes in a list, those that are gone are removed. */
         final Map<String, ListedEndpoint> endpoints = new HashMap<>();
         /** The newest revision that any router has received. */
         long newestRevision = NO_REVISION;
@@ -50,30 +55,32 @@
     }
 
     /**
-     * A drain by another source.
+     * A drain reported by another source than the current one.
      *
-     * @param heldAtRevision the current source's revision of the node, which a newer one must exceed to end the drain
+     * @param heldAtRevision the current source's revision of the node when the drain was recorded; a newer revision
+     *     ends the drain
      */
     private record HeldDrain(ListedEndpoint endpoint, long heldAtRevision) {}
 
     private final ReplicatedStore store;
     /**
-     * In the order of access, so that the source not heard for longest is dropped first. The current one always stays.
+     * Sources by key in access order, so that the least recently used one is dropped first. The current source is never
+     * dropped.
      */
     private final Map<String, DiscoverySource> sources = new LinkedHashMap<>(16, 0.75f, true);
 
     private final Map<String, HeldDrain> heldDrains = new HashMap<>();
-    /** What was last decided for each node. */
-    private final Map<String, ListedEndpoint> published = new HashMap<>();
-    /** What was decided since {@link #takeChanges()}. */
-    private final Map<String, ListedEndpoint> changed = new LinkedHashMap<>();
+    /** The effective endpoint of each node, by node id: the result of merging all sources. */
+    private final Map<String, ListedEndpoint> effective = new HashMap<>();
+    /** Effective endpoints that have changed since the last {@link #takeChanges()}, by node id. */
+    private final Map<String, ListedEndpoint> changedEndpoints = new LinkedHashMap<>();
 
     private String currentSource;
     private double renewedAt = Double.NEGATIVE_INFINITY;
     private long staleUpdates;
 
     /**
-     * Starts to follow the endpoints that the store holds and receives.
+     * Loads the endpoints that the store holds, and subscribes to its changes.
      *
      * @param source the current discovery source, as host and port
      */
@@ -116,7 +123,7 @@
         DiscoverySource source = findOrAddSource(sourceName);
         source.newestRevision = Math.max(source.newestRevision, update.revision());
         if (id.isEmpty()) {
-            return; // it only states the revision
+            return; // the entry only carries the revision
         }
         ListedEndpoint known = source.endpoints.get(id);
         boolean missingFromNewerList = known == null && update.revision() <= source.completeRevision;
@@ -139,18 +146,21 @@
     }
 
     /**
-     * Returns whether a source may have another node. At the bound, nodes that are gone are removed, as they get no
-     * requests; without any, a new node is left out.
+     * Returns whether another node can be added to a source. At the bound, nodes that are gone are removed, as they
+     * receive no requests; if there are none, a new node is not added.
      */
     private boolean makeRoom(DiscoverySource source) {
         if (source.endpoints.size() < NodeObservation.TYPE.maxEntries()) {
             return true;
         }
-        published.values().removeIf(endpoint -> endpoint.state() == EndpointState.GONE);
+        effective.values().removeIf(endpoint -> endpoint.state() == EndpointState.GONE);
         return source.endpoints.values().removeIf(endpoint -> endpoint.state() == EndpointState.GONE);
     }
 
-    /** Holds a drain against what the current source has said so far; of two drains the more closed state. */
+    /**
+     * Retains a drain until the current source has a newer revision of the node than it has now. Of two drains of a
+     * node, the one with the more closed state is retained.
+     */
     private void holdDrain(String id, ListedEndpoint drain) {
         ListedEndpoint current = sources.get(currentSource).endpoints.get(id);
         var added = new HeldDrain(drain, current == null ? NO_REVISION : current.revision());
@@ -162,7 +172,7 @@
         return new HeldDrain(addedIsMoreClosed ? added.endpoint : held.endpoint, added.heldAtRevision);
     }
 
-    /** Decides what holds for a node, and records it if it has changed. */
+    /** Computes the effective endpoint of a node, and records it if it has changed. */
     private void resolve(String id) {
         ListedEndpoint endpoint = sources.get(currentSource).endpoints.get(id);
         HeldDrain drain = heldDrains.get(id);
@@ -171,22 +181,23 @@
         } else {
             heldDrains.remove(id);
         }
-        if (endpoint != null && !endpoint.describesSameAs(published.put(id, endpoint))) {
-            changed.put(id, endpoint);
+        if (endpoint != null && !endpoint.equalsIgnoringRevision(effective.put(id, endpoint))) {
+            changedEndpoints.put(id, endpoint);
         }
     }
 
     /**
-     * Applies what this router's own discovery has received, and shares it with the other routers. Late and repeated
-     * updates do no harm.
+     * Applies an update that this router's own discovery has received, and shares it with the other routers. Late and
+     * repeated updates have no effect.
      *
-     * @param from the source, which may be a former one
+     * @param sourceAddress the host and port of the source, which may be a former one
+     * @param revision the source's revision of the update
      * @param complete whether the updates are the complete list, so that nodes missing from it are gone
-     * @param updates each of that revision
+     * @param updates entries of that revision
      */
     public void onDiscoveryUpdate(
-            String from, long revision, boolean complete, List<EndpointUpdate> updates, double now) {
-        String name = sourceKey(from);
+            String sourceAddress, long revision, boolean complete, List<EndpointUpdate> updates, double now) {
+        String name = sourceKey(sourceAddress);
         DiscoverySource source = findOrAddSource(name);
         source.ownRevision = Math.max(source.ownRevision, revision);
         var endpoints = new LinkedHashMap<String, ListedEndpoint>();
@@ -215,15 +226,17 @@
 
     /** Returns the known nodes that a complete list of a source does not contain. */
     private Map<String, ListedEndpoint> missingFrom(String source, Set<String> listedIds) {
-        var missing = new HashMap<String, ListedEndpoint>(source.equals(currentSource) ? published : Map.of());
+        var missing = new HashMap<String, ListedEndpoint>(source.equals(currentSource) ? effective : Map.of());
         missing.putAll(sources.get(source).endpoints);
         missing.keySet().removeAll(listedIds);
         return missing;
     }
 
     /**
-     * Changes the current source, as discovery has another address. What was decided holds until the new source, or a
-     * router that listens to it, has an update.
+     * Switches to another discovery source after the address of discovery has changed. The effective endpoints stay in
+     * place until this router, or a peer that uses the new source, receives an update from it.
+     *
+     * @param source the new source, as host and port
      */
     public void onSourceChanged(String source) {
         String name = sourceKey(source);
@@ -233,7 +246,7 @@
         currentSource = name;
         findOrAddSource(name);
         Map<String, ListedEndpoint> currentEndpoints = sources.get(name).endpoints;
-        published.forEach((id, endpoint) -> {
+        effective.forEach((id, endpoint) -> {
             if (endpoint.isClosed()) {
                 holdDrain(id, endpoint);
             }
@@ -250,17 +263,18 @@
         ids.forEach(this::resolve);
     }
 
-    /** Returns the nodes that have changed since the last call, each once. */
+    /** Returns the nodes whose effective endpoint has changed since the last call, each once. */
     public List<EndpointUpdate> takeChanges() {
         var changes = new ArrayList<EndpointUpdate>();
-        changed.forEach((id, endpoint) -> changes.add(new EndpointUpdate(id, endpoint)));
-        changed.clear();
+        changedEndpoints.forEach((id, endpoint) -> changes.add(new EndpointUpdate(id, endpoint)));
+        changedEndpoints.clear();
         return changes;
     }
 
     /**
-     * Renews the current source's endpoints before they expire in the store, as long as this router receives them. The
-     * first router to do so spares the others. May be called at any time.
+     * Renews the entries of the current source before they expire in the store. An entry is renewed only if this router
+     * has received its revision itself; a renewal by one router makes those of the others unnecessary. May be called at
+     * any time.
      */
     public void renew(double now) {
         double retention = ListedEndpoint.TYPE.retentionSeconds();
@@ -272,22 +286,27 @@
         double renewedBefore = now - retention / RENEWAL_AGE_DIVISOR;
         var renewed = new LinkedHashMap<String, ListedEndpoint>();
         source.endpoints.forEach((id, endpoint) -> {
-            if (endpoint.revision() <= source.ownRevision && endpoint.lastHeardAt() < renewedBefore) {
-                renewed.put(id, endpoint.withLastHeardAt(now));
+            if (endpoint.revision() <= source.ownRevision && endpoint.lastReceivedAt() < renewedBefore) {
+                renewed.put(id, endpoint.withLastReceivedAt(now));
             }
         });
-        // The store calls back and changes the endpoints of the source.
+        // Merging into the store calls this class back, which modifies the map of the source's endpoints.
         renewed.forEach((id, endpoint) ->
                 store.merge(ListedEndpoint.TYPE, ListedEndpoint.key(currentSource, id), endpoint, now));
     }
 
-    /** Returns by how many revisions of the current source this router is behind other routers; 0 for none. */
+    /**
+     * Returns the number of revisions of the current source that other routers have received and this router has not.
+     */
     public long revisionsBehind() {
         DiscoverySource source = sources.get(currentSource);
         return source.newestRevision - source.ownRevision;
     }
 
-    /** Returns how many updates were older than what was known, or of nodes that a newer list does not contain. */
+    /**
+     * Returns the number of updates that were older than the known entry, or of nodes missing from a newer complete
+     * list.
+     */
     public long staleUpdates() {
         return staleUpdates;
     }
--- a/fleet/src/main/java/clayhook/fleet/types/ListedEndpoint.java
+++ b/fleet/src/main/java/clayhook/fleet/types/ListedEndpoint.java
@@ -5,15 +5,17 @@
 import java.util.List;
 
 /**
- * What a discovery source says about a node; the key is the source and the node's id, see {@link #key}. The newest
- * revision wins, so that an outdated update never undoes a drain. The value with an empty id only says which revision a
- * router has received.
+ * The entry of a node in the list of a discovery source; the key is the source and the node's id, see {@link #key}. The
+ * newest revision wins, so that an outdated update never reverts a drain. The value under an empty id is no entry of a
+ * node: it carries a revision that a router has received.
  *
- * @param revision of the source, by its own count; revisions of two sources cannot be compared
- * @param incarnationStartedAt when the node's process last started, in seconds since 1970; 0 for long ago
- * @param primary whether the list has the node as primary; counts only until the node itself has reported its role
- * @param zone of the node, for a router that has not received the list, as with the replica set, host and port
- * @param lastHeardAt when a router last received this from the source itself, in seconds since 1970
+ * @param revision the source's revision of the list; revisions of two sources cannot be compared
+ * @param incarnationStartedAt the time at which the node's process last started, in seconds since 1970; 0 for a start
+ *     that is long past
+ * @param primary whether the list has the node as primary; ignored once the node itself has reported its role
+ * @param zone the node's zone; shared, like the replica set, host and port, for routers that have not received the list
+ * @param lastReceivedAt the time at which a router last received the entry from the source itself, in seconds since
+ *     1970
  */
 public record ListedEndpoint(
         long revision,
@@ -24,9 +26,9 @@
         int replicaSet,
         String host,
         int port,
-        double lastHeardAt) {
+        double lastReceivedAt) {
     /**
-     * The state of a node in the endpoint list. Within a revision the state declared later wins: the order must not
+     * The state of a node in the endpoint list. Within a revision the later constant wins, so the order must not
      * change.
      */
     public enum EndpointState {
@@ -40,28 +42,28 @@
             this.code = code;
         }
 
-        /** Returns the number that stands for this state in replicated values. */
+        /** Returns the number that encodes this state in replicated values. */
         int code() {
             return code;
         }
 
-        /** @throws IllegalArgumentException for a number that stands for no state */
+        /** @throws IllegalArgumentException for a number that encodes no state */
         static EndpointState ofCode(long code) {
             for (EndpointState state : values()) {
                 if (state.code == code) {
                     return state;
                 }
             }
-            throw new IllegalArgumentException("an endpoint state of " + code);
+            throw new IllegalArgumentException("unknown endpoint state code " + code);
         }
     }
 
-    /** The longest name a host may have. */
+    /** Longest host name, in bytes of UTF-8. */
     private static final int MAX_HOST_BYTES = 255;
-    /** Of a source within a key: host and port. */
+    /** Longest source (host and port) in a key, in bytes of UTF-8; longer ones are truncated. */
     private static final int MAX_SOURCE_BYTES = 100;
 
-    /** By precedence; the time at which a value was received does not count. */
+    /** Orders entries by precedence. The time of receipt is not compared. */
     static final Comparator<ListedEndpoint> ORDER = Comparator.comparingLong(ListedEndpoint::revision)
             .thenComparing(ListedEndpoint::state)
             .thenComparingDouble(ListedEndpoint::incarnationStartedAt)
@@ -76,53 +78,56 @@
 
     /** @throws IllegalArgumentException for fields out of range */
     public ListedEndpoint {
-        FieldValidation.require(revision >= 0 && state != null, "revision or state");
+        FieldValidation.require(revision >= 0 && state != null, "negative revision or missing state");
         incarnationStartedAt = FieldValidation.requireTime(incarnationStartedAt);
         FieldValidation.requireText(zone, ReplicatedKeys.MAX_NAME_BYTES, "zone");
         FieldValidation.requireReplicaSet(replicaSet);
         FieldValidation.require(port >= 0 && port < FieldValidation.PORT_LIMIT, "port");
         FieldValidation.requireText(host, MAX_HOST_BYTES, "host");
-        lastHeardAt = FieldValidation.requireTime(lastHeardAt);
+        lastReceivedAt = FieldValidation.requireTime(lastReceivedAt);
     }
 
-    /** Returns the value that says that a revision was received, whatever it says about nodes. */
+    /** Returns the value that carries a received revision, independent of any node. */
     static ListedEndpoint ofRevision(long revision, double now) {
         return new ListedEndpoint(revision, EndpointState.READY, 0, false, "", 0, "", 0, now);
     }
 
-    /** Returns the key of a node, or with an empty id the key of the revision. */
+    /** Returns the key of a node; with an empty id, the key of the source's revision. */
     static String key(String source, String id) {
         return ReplicatedKeys.join(
                 ReplicatedKeys.truncate(source, MAX_SOURCE_BYTES), ReplicatedKeys.truncateKeyText(id));
     }
 
-    /** Returns the source and the id; any other number of parts for a key in the format of another release. */
+    /**
+     * Returns the parts of a key, source and id. A key in the format of another release may have another number of
+     * parts.
+     */
     static List<String> parseKey(String key) {
         return ReplicatedKeys.split(key);
     }
 
-    ListedEndpoint withLastHeardAt(double time) {
+    ListedEndpoint withLastReceivedAt(double time) {
         return new ListedEndpoint(revision, state, incarnationStartedAt, primary, zone, replicaSet, host, port, time);
     }
 
-    /** Returns the value for a node that the list of a later revision no longer contains. */
+    /** Returns the entry of this node for a later revision whose list no longer contains it. */
     ListedEndpoint asRemoved(long laterRevision, double now) {
         return new ListedEndpoint(
                 laterRevision, EndpointState.GONE, incarnationStartedAt, false, zone, replicaSet, host, port, now);
     }
 
-    /** Whether the node accepts no new requests. */
+    /** Returns whether the node accepts no new requests, as it is draining or gone. */
     public boolean isClosed() {
         return state != EndpointState.READY;
     }
 
-    /** Whether another value says the same about the node, in whichever revision. */
-    boolean describesSameAs(ListedEndpoint other) {
-        return other != null && equals(other.withRevision(revision).withLastHeardAt(lastHeardAt));
+    /** Returns whether another entry is equal except for its revision and the time of receipt. */
+    boolean equalsIgnoringRevision(ListedEndpoint other) {
+        return other != null && equals(other.withRevision(revision).withLastReceivedAt(lastReceivedAt));
     }
 
     private ListedEndpoint withRevision(long otherRevision) {
         return new ListedEndpoint(
-                otherRevision, state, incarnationStartedAt, primary, zone, replicaSet, host, port, lastHeardAt);
+                otherRevision, state, incarnationStartedAt, primary, zone, replicaSet, host, port, lastReceivedAt);
     }
 }
--- a/fleet/src/main/java/clayhook/fleet/types/ListedEndpointType.java
+++ b/fleet/src/main/java/clayhook/fleet/types/ListedEndpointType.java
@@ -5,15 +5,18 @@
 import clayhook.fleet.ReplicatedType;
 import clayhook.fleet.types.ListedEndpoint.EndpointState;
 
-/** The replicated type of {@link ListedEndpoint}: the newest revision, and within one the more closed state. */
+/**
+ * The replicated type of {@link ListedEndpoint}: merges to the newest revision, and within a revision to the more
+ * closed state.
+ */
 final class ListedEndpointType implements ReplicatedType<ListedEndpoint> {
     private static final int TYPE_NUMBER = 2;
     /**
-     * Routers that receive the list renew its values earlier, so this only bounds for how long the list outlasts a
-     * discovery service that is down.
+     * Retention in seconds. Routers that receive the list renew its entries before they expire, so this only limits how
+     * long the list is kept while the discovery service is down.
      */
     private static final double RETENTION_SECONDS = 3600;
-    /** As many nodes as a list may have, of the current and of the previous source. */
+    /** Bound of the entries: the nodes of the largest permitted list, of both the current and the previous source. */
     private static final int MAX_ENTRIES = 20_000;
 
     @Override
@@ -29,12 +32,12 @@
     @Override
     public ListedEndpoint merge(ListedEndpoint a, ListedEndpoint b) {
         ListedEndpoint winner = ListedEndpoint.ORDER.compare(a, b) >= 0 ? a : b;
-        return winner.withLastHeardAt(Math.max(a.lastHeardAt(), b.lastHeardAt()));
+        return winner.withLastReceivedAt(Math.max(a.lastReceivedAt(), b.lastReceivedAt()));
     }
 
     @Override
     public double timestamp(ListedEndpoint value) {
-        return value.lastHeardAt();
+        return value.lastReceivedAt();
     }
 
     @Override
@@ -52,7 +55,10 @@
         return true;
     }
 
-    /** False, as values are ordered by revision: a router with a skewed clock may be the first to receive a drain. */
+    /**
+     * Returns false, as values are ordered by revision: a router with a skewed clock may be the first to receive a
+     * drain.
+     */
     @Override
     public boolean clockDependent() {
         return false;
@@ -68,7 +74,7 @@
                 .writeLong(value.replicaSet())
                 .writeNullableString(value.host())
                 .writeLong(value.port())
-                .writeDouble(value.lastHeardAt());
+                .writeDouble(value.lastReceivedAt());
     }
 
     @Override
--- a/fleet/src/test/java/clayhook/fleet/types/EndpointListMergeTest.java
+++ b/fleet/src/test/java/clayhook/fleet/types/EndpointListMergeTest.java
@@ -140,11 +140,11 @@
         merge.renew(100 + ListedEndpoint.TYPE.retentionSeconds() / 4);
         assertEquals(
                 100,
-                store.get(ListedEndpoint.TYPE, ListedEndpoint.key("old:1", "a")).lastHeardAt());
+                store.get(ListedEndpoint.TYPE, ListedEndpoint.key("old:1", "a")).lastReceivedAt());
         merge.renew(101 + ListedEndpoint.TYPE.retentionSeconds() / 2);
         assertEquals(
                 101 + ListedEndpoint.TYPE.retentionSeconds() / 2,
-                store.get(ListedEndpoint.TYPE, ListedEndpoint.key("old:1", "a")).lastHeardAt());
+                store.get(ListedEndpoint.TYPE, ListedEndpoint.key("old:1", "a")).lastReceivedAt());
         assertEquals("{a=READY}", takeChanges());
         var restarted = new EndpointListMerge("old:1", store);
         assertFalse(restarted.takeChanges().isEmpty(), "a router that starts has what its peers have received");
