--- a/fleet/src/main/java/clayhook/fleet/types/NodeObservation.java
+++ b/fleet/src/main/java/clayhook/fleet/types/NodeObservation.java
@@ -8,21 +8,23 @@
 import java.util.stream.Stream;
 
 /**
- * What routers have observed of one incarnation of a node; the key is the node's id, see {@link #key}. Of two
- * incarnations the later one replaces the other; within one, each field is merged by the later observation. All times
- * are those of the observing router, so passing an observation on does not make it more recent.
+ * The observations that routers have made of one incarnation of a node; the key is the node's id, see {@link #key}. Of
+ * two incarnations the later one replaces the earlier one; within an incarnation, each field keeps its latest
+ * observation. All times are those of the observing router, so forwarding an observation does not make it more recent.
  *
- * @param incarnationStartedAt when the incarnation started by the endpoint list, in seconds since 1970; 0 for long ago
+ * @param incarnationStartedAt the start of the incarnation according to the endpoint list, in seconds since 1970; 0 for
+ *     a start that is long past
  * @param newestAt the time of the newest observation, of earlier incarnations too, in seconds since 1970
- * @param appliedPosition the reported log position in seconds since 1970; null for never, as with all that follow
- * @param lag seconds by which the node was behind its primary when it reported a position
- * @param latencyRatio its response time divided by the latency objective, smoothed by the observing router
- * @param reportedLoad the number of requests that it reported to hold
- * @param primaryClaim when it last reported to be the primary
- * @param replicaClaim when it last reported to be a replica
- * @param lastSeen when it last answered anything
- * @param failureStreaks of the routers it has failed since then; newest first, one a router, at most
- *     {@value #MAX_FAILURE_STREAKS}
+ * @param appliedPosition the log position that the node reported, in seconds since 1970; this and the following fields
+ *     are null if never observed
+ * @param lag the seconds by which the node was behind its primary when it reported a position
+ * @param latencyRatio the node's response time divided by the latency objective, smoothed by the observing router
+ * @param reportedLoad the number of requests that the node reported to hold
+ * @param primaryClaim the last report of the node that it is the primary
+ * @param replicaClaim the last report of the node that it is a replica
+ * @param lastSeen the last response of the node
+ * @param failureStreaks the routers that the node has failed since its last response; newest first, one per router, at
+ *     most {@value #MAX_FAILURE_STREAKS}
  */
 public record NodeObservation(
         double incarnationStartedAt,
@@ -35,9 +37,9 @@
         ObservationSource replicaClaim,
         ObservationSource lastSeen,
         List<FailureStreak> failureStreaks) {
-    /** Two show a fault of the node; some more show that it is no fault of a single router. */
+    /** Bound of the streaks. Two routers indicate a fault of the node; more show that no single router is the cause. */
     static final int MAX_FAILURE_STREAKS = 4;
-    /** Ten days. */
+    /** Largest lag that is accepted: more than ten days. */
     private static final double MAX_LAG_SECONDS = 1e6;
 
     private static final double MAX_LATENCY_RATIO = 1000;
@@ -47,10 +49,10 @@
     public static final ReplicatedType<NodeObservation> TYPE = new NodeObservationType();
 
     /**
-     * The failures of a node towards one router without an answer in between.
+     * Consecutive failures of a node towards one router, without a response in between.
      *
      * @param source the router, and the time of its last failure
-     * @param count from 1 to 1000
+     * @param count the number of failures, from 1 to 1000
      */
     public record FailureStreak(ObservationSource source, int count) {
         static final int MAX_COUNT = 1000;
@@ -60,7 +62,7 @@
 
         /** @throws IllegalArgumentException for a count out of range */
         public FailureStreak {
-            FieldValidation.require(count > 0 && count <= MAX_COUNT, "number of failures");
+            FieldValidation.require(count > 0 && count <= MAX_COUNT, "failure count out of range");
         }
     }
 
@@ -69,14 +71,14 @@
         incarnationStartedAt = FieldValidation.requireTime(incarnationStartedAt);
         newestAt = FieldValidation.requireTime(newestAt);
         requireAtMost(lag, MAX_LAG_SECONDS, "lag");
-        requireAtMost(latencyRatio, MAX_LATENCY_RATIO, "latency ratio");
+        requireAtMost(latencyRatio, MAX_LATENCY_RATIO, "latency ratio out of range");
         requireAtMost(reportedLoad, MAX_LOAD, "load");
         FieldValidation.require(
                 appliedPosition == null
                         || appliedPosition.value()
                                 <= appliedPosition.source().observedAt() + FieldValidation.MAX_CLOCK_DIFFERENCE,
                 "position in the future");
-        failureStreaks = streaksSince(lastSeen, failureStreaks);
+        failureStreaks = currentStreaks(lastSeen, failureStreaks);
         double newestSource = Stream.concat(
                         sourcesOf(appliedPosition, lag, latencyRatio, reportedLoad),
                         sourcesOfClaims(primaryClaim, replicaClaim, lastSeen, failureStreaks))
@@ -85,15 +87,19 @@
                 .orElse(0);
         newestAt = Math.max(newestAt, newestSource);
         FieldValidation.require(
-                incarnationStartedAt <= newestAt + FieldValidation.MAX_CLOCK_DIFFERENCE, "start in the future");
+                incarnationStartedAt <= newestAt + FieldValidation.MAX_CLOCK_DIFFERENCE,
+                "incarnation start in the future");
     }
 
-    private static void requireAtMost(TimedValue observed, double max, String what) {
-        FieldValidation.require(observed == null || observed.value() <= max, what);
+    private static void requireAtMost(TimedValue observed, double max, String message) {
+        FieldValidation.require(observed == null || observed.value() <= max, message);
     }
 
-    /** Returns the streaks that count, newest first. Those before the last answer are dropped for good. */
-    private static List<FailureStreak> streaksSince(ObservationSource lastSeen, List<FailureStreak> streaks) {
+    /**
+     * Returns the streaks after the last response, newest first, one per router. Streaks before the last response are
+     * dropped permanently.
+     */
+    private static List<FailureStreak> currentStreaks(ObservationSource lastSeen, List<FailureStreak> streaks) {
         var routers = new HashSet<String>();
         return streaks.stream()
                 .sorted(FailureStreak.NEWEST_FIRST)
@@ -103,29 +109,34 @@
                 .toList();
     }
 
-    /** Returns a value without any observation of that incarnation, given by its start in seconds since 1970. */
+    /**
+     * Returns a value without observations.
+     *
+     * @param incarnationStartedAt the start of the node's incarnation, in seconds since 1970
+     */
     public static NodeObservation empty(double incarnationStartedAt) {
         return new NodeObservation(
                 incarnationStartedAt, incarnationStartedAt, null, null, null, null, null, null, null, List.of());
     }
 
-    /** Returns the key of a node with an id of any length. */
+    /** Returns the key of a node; the id may have any length. */
     public static String key(String nodeId) {
         return ReplicatedKeys.truncateKeyText(nodeId);
     }
 
     /**
-     * Adds a reported position and the lag, both in seconds. A position in the future or an absurd lag is left out.
+     * Adds a reported log position and the lag. A position in the future, or a lag out of range, is omitted.
      *
-     * @param position in seconds since 1970; none if it is not positive
+     * @param position the applied position in seconds since 1970; not positive for none
+     * @param lagSeconds the seconds by which the node is behind its primary
      */
     public NodeObservation withPosition(double position, double lagSeconds, ObservationSource source) {
         double maxPosition = source.observedAt() + FieldValidation.MAX_CLOCK_DIFFERENCE;
-        if (!isWithin(position, maxPosition) || position <= 0) {
+        if (!isInRange(position, maxPosition) || position <= 0) {
             return this;
         }
         double lagFromZero = Math.max(0, lagSeconds);
-        TimedValue newLag = isWithin(lagFromZero, MAX_LAG_SECONDS) ? new TimedValue(lagFromZero, source) : null;
+        TimedValue newLag = isInRange(lagFromZero, MAX_LAG_SECONDS) ? new TimedValue(lagFromZero, source) : null;
         var newPosition = new TimedValue(position, source);
         return merge(withFields(newPosition, newLag, null, null, null, null, null, List.of()));
     }
@@ -133,7 +144,8 @@
     /**
      * Adds the role that the node has reported.
      *
-     * @param source with the time at which it had the role, which may be before its report arrived
+     * @param source the observing router, and the time at which the node had the role, which may be before its report
+     *     arrived
      */
     public NodeObservation withRole(boolean isPrimary, ObservationSource source) {
         ObservationSource primary = isPrimary ? source : null;
@@ -141,39 +153,39 @@
         return merge(withFields(null, null, null, null, primary, replica, null, List.of()));
     }
 
-    /** Adds that the node has answered. */
+    /** Adds a response of the node. */
     public NodeObservation withResponse(ObservationSource source) {
         return merge(withFields(null, null, null, null, null, null, source, List.of()));
     }
 
-    /** Adds that the node has failed a router {@code count} times in a row. */
+    /** Adds {@code count} consecutive failures of the node towards a router. */
     public NodeObservation withFailures(int count, ObservationSource source) {
         int bounded = Math.max(1, Math.min(FailureStreak.MAX_COUNT, count));
         var streak = new FailureStreak(source, bounded);
         return merge(withFields(null, null, null, null, null, null, null, List.of(streak)));
     }
 
-    /** Adds the response time divided by the latency objective. A ratio out of range is left out. */
+    /** Adds the response time divided by the latency objective. A ratio out of range is omitted. */
     public NodeObservation withLatencyRatio(double ratio, ObservationSource source) {
-        if (!isWithin(ratio, MAX_LATENCY_RATIO)) {
+        if (!isInRange(ratio, MAX_LATENCY_RATIO)) {
             return this;
         }
         return merge(withFields(null, null, new TimedValue(ratio, source), null, null, null, null, List.of()));
     }
 
-    /** Adds the number of requests that the node reported to hold. A number out of range is left out. */
+    /** Adds the number of requests that the node reported to hold. A number out of range is omitted. */
     public NodeObservation withLoad(double requests, ObservationSource source) {
-        if (!isWithin(requests, MAX_LOAD)) {
+        if (!isInRange(requests, MAX_LOAD)) {
             return this;
         }
         return merge(withFields(null, null, null, new TimedValue(requests, source), null, null, null, List.of()));
     }
 
-    private static boolean isWithin(double value, double max) {
+    private static boolean isInRange(double value, double max) {
         return value >= 0 && value <= max;
     }
 
-    /** Returns a value for the same incarnation with these fields instead. */
+    /** Returns a value for the same incarnation with only the given fields. */
     private NodeObservation withFields(
             TimedValue position,
             TimedValue newLag,
--- a/fleet/src/main/java/clayhook/fleet/types/NodeObservationType.java
+++ b/fleet/src/main/java/clayhook/fleet/types/NodeObservationType.java
@@ -11,13 +11,13 @@
 /** The replicated type of {@link NodeObservation}. */
 final class NodeObservationType implements ReplicatedType<NodeObservation> {
     private static final int TYPE_NUMBER = 1;
-    /** Some times as long as any reader uses an observation. */
+    /** Retention in seconds; several times as long as any reader uses an observation. */
     private static final double RETENTION_SECONDS = 30;
-    /** As many nodes as an endpoint list may have; some 400 bytes each. */
+    /** Bound of the entries: the nodes of the largest permitted endpoint list, at about 400 bytes each. */
     private static final int MAX_ENTRIES = 10_000;
-    /** Sources in one value: eleven today, with room for later releases. */
+    /** Bound of the sources in one value: a value has at most eleven; the rest is room for later releases. */
     private static final int MAX_SOURCES = 64;
-    /** Stands for an absent source; the others are numbered from 1. */
+    /** Number that encodes an absent source. Present sources are numbered from 1. */
     private static final int NO_SOURCE = 0;
 
     @Override
@@ -51,7 +51,8 @@
     }
 
     /**
-     * One answer of a node sets most fields at once: each source is written once, and the fields refer to it by number.
+     * Writes each distinct source once, and refers to it by number in the fields, as one response of a node sets most
+     * fields with the same source.
      */
     @Override
     public void write(NodeObservation value, FieldWriter out) {
@@ -111,9 +112,9 @@
                 readTimedValue(in, sources),
                 readTimedValue(in, sources),
                 readTimedValue(in, sources),
-                readSource(in, sources),
-                readSource(in, sources),
-                readSource(in, sources),
+                readSourceReference(in, sources),
+                readSourceReference(in, sources),
+                readSourceReference(in, sources),
                 in.readLists(MAX_SOURCES, each -> readStreak(each, sources)));
     }
 
@@ -122,18 +123,18 @@
     }
 
     private static TimedValue readTimedValue(FieldReader in, List<ObservationSource> sources) {
-        ObservationSource source = readSource(in, sources);
+        ObservationSource source = readSourceReference(in, sources);
         double value = in.readDouble();
         return source == null ? null : new TimedValue(value, source);
     }
 
-    private static ObservationSource readSource(FieldReader in, List<ObservationSource> sources) {
+    private static ObservationSource readSourceReference(FieldReader in, List<ObservationSource> sources) {
         int number = in.readIntBelow(1 + sources.size());
         return number == NO_SOURCE ? null : sources.get(number - 1);
     }
 
     private static FailureStreak readStreak(FieldReader in, List<ObservationSource> sources) {
-        ObservationSource source = readSource(in, sources);
+        ObservationSource source = readSourceReference(in, sources);
         FieldValidation.require(source != null, "failures without a source");
         return new FailureStreak(source, in.readIntBelow(1 + FailureStreak.MAX_COUNT));
     }
