--- a/fleet/src/main/java/clayhook/fleet/types/ObservationSource.java
+++ b/fleet/src/main/java/clayhook/fleet/types/ObservationSource.java
@@ -3,9 +3,10 @@
 import java.util.Comparator;
 
 /**
- * The router that observed something, and when. Ordered by time, then by name.
+ * The router that made an observation, and the time. Ordered by time, then by router name.
  *
- * @param observedAt in seconds since 1970 on the clock of the observing router; never changed by passing it on
+ * @param observedAt the time in seconds since 1970 on the clock of the observing router; unchanged when the observation
+ *     is forwarded
  * @param router the name of that router, truncated as by {@link #of}
  */
 public record ObservationSource(double observedAt, String router) implements Comparable<ObservationSource> {
@@ -18,7 +19,7 @@
         FieldValidation.requireText(router, ReplicatedKeys.MAX_NAME_BYTES, "name of a router");
     }
 
-    /** Creates a source for a router name of any length. */
+    /** Creates a source; the router name may have any length and is truncated. */
     public static ObservationSource of(double observedAt, String router) {
         return new ObservationSource(observedAt, ReplicatedKeys.truncateName(router));
     }
@@ -28,7 +29,7 @@
         return ORDER.compare(this, other);
     }
 
-    /** Returns the greater of two values, where null is less than any. */
+    /** Returns the greater of two values; null is less than any other value. */
     static <T extends Comparable<T>> T later(T a, T b) {
         return a == null || (b != null && b.compareTo(a) > 0) ? b : a;
     }
--- a/fleet/src/main/java/clayhook/fleet/types/PeerObservations.java
+++ b/fleet/src/main/java/clayhook/fleet/types/PeerObservations.java
@@ -9,37 +9,41 @@
 import java.util.Map;
 
 /**
- * What other routers have observed of nodes, as far as this router may rely on it: with times on this router's clock,
- * never more recent than they were, and weighted by age and source. This router's own observations, which come back
- * from others, are left out, as they would count twice. Not thread-safe.
+ * Summarizes the observations that other routers have made of nodes, as far as this router may rely on them. Times are
+ * converted to this router's clock and never made more recent, and observations are weighted by age and source. This
+ * router's own observations, which it receives back from others, are omitted, as they would count twice. Not
+ * thread-safe.
  */
 public final class PeerObservations {
-    /** Older observations have no weight. Some health check intervals of a router. */
+    /** Age in seconds from which an observation has no weight; several health check intervals of a router. */
     static final double MAX_AGE_SECONDS = 10;
-    /** The weight of a recent observation of a live member, where this router's own has 1. */
+    /** Weight of a new observation by a live member; this router's own observations have weight 1. */
     static final double LIVE_MEMBER_WEIGHT = 0.5;
-    /** The weight of a recent observation of a member that has died or left. */
+    /** Weight of a new observation by a member that has died or left. */
     static final double DEPARTED_MEMBER_WEIGHT = 0.25;
 
     private static final double NEVER = Double.NEGATIVE_INFINITY;
 
     /**
-     * A summary of what others have observed of one incarnation of a node. Times are in seconds since 1970 on this
-     * router's clock, negative infinity for never.
+     * A summary of the observations that other routers have made of one incarnation of a node. Times are in seconds
+     * since 1970 on this router's clock, negative infinity for never.
      *
-     * @param incarnationStartedAt by the endpoint list, 0 for long ago
-     * @param appliedPosition in seconds since 1970, valid at any age; 0 for never reported
-     * @param lagSeconds behind its primary, at {@code lagMeasuredAt}
-     * @param primaryClaimedAt when the node last reported to be the primary
-     * @param replicaClaimedAt when the node last reported to be a replica
-     * @param lastSeenAt when the node last answered another router
-     * @param lastFailureAt when it last failed a router without having answered any since; within
-     *     {@value #MAX_AGE_SECONDS} s
-     * @param failedRouterCount the other routers that it has failed since then
-     * @param latencyRatio its response time divided by the latency objective
-     * @param latencyRatioWeight from 0 to {@value #LIVE_MEMBER_WEIGHT}, where this router's own observation has 1
-     * @param load the number of requests that it reported to hold
-     * @param loadWeight as {@code latencyRatioWeight}
+     * @param incarnationStartedAt the start of the incarnation according to the endpoint list, 0 for a start that is
+     *     long past
+     * @param appliedPosition the log position in seconds since 1970, valid at any age; 0 if never reported
+     * @param appliedPositionAt the time at which the node reported the position
+     * @param lagSeconds the seconds by which the node was behind its primary at {@code lagMeasuredAt}
+     * @param lagMeasuredAt the time at which the lag was measured
+     * @param primaryClaimedAt the time at which the node last reported to be the primary
+     * @param replicaClaimedAt the time at which the node last reported to be a replica
+     * @param lastSeenAt the time of the node's last response to another router
+     * @param lastFailureAt the time of the last failure towards a router that the node has not responded to since; only
+     *     failures within the last {@value #MAX_AGE_SECONDS} s
+     * @param failedRouterCount the number of other routers with such a failure
+     * @param latencyRatio the node's response time divided by the latency objective
+     * @param latencyRatioWeight from 0 to {@value #LIVE_MEMBER_WEIGHT}; this router's own observation has weight 1
+     * @param load the number of requests that the node reported to hold
+     * @param loadWeight the weight of the load, in the range of {@code latencyRatioWeight}
      */
     public record NodeSummary(
             double incarnationStartedAt,
@@ -60,12 +64,12 @@
     private final ReplicatedStore store;
     private final MembershipView membership;
     private final String selfName;
-    /** The members of {@link #cachedPeers} by their names as sources hold them. */
+    /** The members of {@link #cachedPeers}, by name as truncated in observation sources. */
     private final Map<String, Member> membersByName = new HashMap<>();
-    /** The list of live peers from which the map was made; the view returns another list when it has changed. */
+    /** The list of live peers that the map was built from; the view returns another list after each change. */
     private List<Peer> cachedPeers;
 
-    /** Creates a reader of that store, which relies on members as that view has them. */
+    /** Creates a reader of a store that takes liveness and clocks of members from a view. */
     public PeerObservations(ReplicatedStore store, MembershipView membership) {
         this.store = store;
         this.membership = membership;
@@ -73,14 +77,14 @@
     }
 
     /**
-     * Returns a summary of what others have observed of a node; null if there is nothing of that incarnation or a later
-     * one.
+     * Returns a summary of the observations that other routers have made of a node; null if there are none of the given
+     * incarnation or a later one.
      *
-     * @param incarnationStartedAt when the node's incarnation started by this router's endpoint list
+     * @param incarnationStartedAt the start of the node's incarnation according to this router's endpoint list
      */
     public NodeSummary summarize(String nodeId, double incarnationStartedAt, double now) {
         NodeObservation observed = store.get(NodeObservation.TYPE, NodeObservation.key(nodeId));
-        // An earlier incarnation is over; of a later one this router's endpoint list does not know yet.
+        // An earlier incarnation has ended; a later one is not in this router's endpoint list yet.
         if (observed == null || observed.incarnationStartedAt() < incarnationStartedAt) {
             return null;
         }
@@ -98,7 +102,7 @@
                 localTime(observed.primaryClaim(), now),
                 localTime(observed.replicaClaim(), now),
                 localTime(observed.lastSeen(), now),
-                latest(recentFailures, now),
+                latestFailureAt(recentFailures, now),
                 recentFailures.size(),
                 valueOrZero(observed.latencyRatio()),
                 weight(observed.latencyRatio(), now),
@@ -116,13 +120,13 @@
         }
     }
 
-    /** Compares identities, as the list is immutable and may be long. */
+    /** Returns whether the list is the cached one. Compares identities, as the list is immutable and may be long. */
     @SuppressWarnings("ReferenceEquality")
     private boolean isCached(List<Peer> peers) {
         return cachedPeers == peers;
     }
 
-    private double latest(List<NodeObservation.FailureStreak> failures, double now) {
+    private double latestFailureAt(List<NodeObservation.FailureStreak> failures, double now) {
         return failures.stream()
                 .mapToDouble(streak -> localTime(streak.source(), now))
                 .max()
@@ -138,8 +142,8 @@
     }
 
     /**
-     * Returns the time of an observation on this router's clock, at most now; negative infinity if the observation is
-     * this router's own, its router has a skewed clock, or it lies in the future.
+     * Returns the time of an observation on this router's clock, at most {@code now}; negative infinity if the
+     * observation is this router's own, was made by a router whose clock is out of bound, or is in the future.
      */
     private double localTime(ObservationSource source, double now) {
         if (source == null || source.router().equals(selfName)) {
@@ -154,7 +158,7 @@
         return time <= now + FieldValidation.MAX_CLOCK_DIFFERENCE ? Math.min(time, now) : NEVER;
     }
 
-    /** Returns the weight of an observation, which falls linearly to 0 at the age of {@value #MAX_AGE_SECONDS} s. */
+    /** Returns the weight of an observation, which decreases linearly with age to 0 at {@value #MAX_AGE_SECONDS} s. */
     private double weight(TimedValue observed, double now) {
         double time = localTime(observed, now);
         if (time == NEVER) {
