--- a/fleet/src/main/java/clayhook/fleet/types/QuotaUsage.java
+++ b/fleet/src/main/java/clayhook/fleet/types/QuotaUsage.java
@@ -5,25 +5,25 @@
 import java.util.List;
 
 /**
- * How much of a quota one incarnation of a router has used, where all routers share the quota. The key consists of
- * quota, router and incarnation, so that only that router writes the value and a restart is never counted twice.
+ * The usage of a quota by one incarnation of a router, where all routers share the quota. The key consists of quota,
+ * router and incarnation, so that only that router writes the value and usage before a restart is never counted twice.
  *
- * @param totalUnits since the router has started; never decreases
- * @param unitsPerSecond over the quota's window before {@code reportedAt}
- * @param reportedAt in seconds since 1970 on the router's clock
+ * @param totalUnits the units used since the router started; never decreases
+ * @param unitsPerSecond the rate over the quota's window before {@code reportedAt}
+ * @param reportedAt the time of the report in seconds since 1970 on the router's clock
  */
 public record QuotaUsage(double totalUnits, double unitsPerSecond, double reportedAt) {
-    /** The quota of health checks. The text is part of the replicated key. */
+    /** Name of the quota of health checks. The text is part of the replicated key. */
     public static final String HEALTH_CHECKS = "probes";
-    /** The quota of retries and hedged requests. The text is part of the replicated key. */
+    /** Name of the quota of retries and hedged requests. The text is part of the replicated key. */
     public static final String RETRIES = "repeats";
-    /** Begins the quota of a node's slow start. The text is part of the replicated key. */
+    /** Prefix of the name of a node's slow-start quota. The text is part of the replicated key. */
     private static final String SLOW_START_PREFIX = "cold ";
 
     static final int MAX_QUOTA_NAME_BYTES = 100;
-    /** More than any quota allows. */
+    /** Largest number of units that is accepted; more than any quota allows. */
     private static final double MAX_UNITS = 1e15;
-    /** Quota, router and incarnation. */
+    /** Number of parts of a key: quota, router and incarnation. */
     private static final int KEY_PARTS = 3;
 
     /** The replicated type of these values. */
@@ -37,15 +37,19 @@
     }
 
     /**
-     * Returns the name of the quota of work for a node during slow start, in core seconds.
+     * Returns the name of the quota of work that a node may receive during slow start, in core seconds.
      *
-     * @param incarnationStartedAt of the node, in seconds since 1970
+     * @param incarnationStartedAt the start of the node's incarnation, in seconds since 1970
      */
-    public static String slowStart(String nodeId, double incarnationStartedAt) {
+    public static String slowStartQuotaName(String nodeId, double incarnationStartedAt) {
         return SLOW_START_PREFIX + ReplicatedKeys.truncateName(nodeId) + " " + incarnationStartedAt;
     }
 
-    /** @param quota the name of a {@link FleetQuota.Quota} */
+    /**
+     * Returns the key of a router's usage.
+     *
+     * @param quota the name of a {@link FleetQuota.Quota}
+     */
     static String key(String quota, Member member) {
         return ReplicatedKeys.join(
                 quota, ReplicatedKeys.truncateName(member.name()), Long.toString(member.incarnation()));
@@ -67,7 +71,8 @@
     /**
      * The parts of a key.
      *
-     * @param member with its name as keys hold it
+     * @param quota the name of the quota
+     * @param member the router, with its name truncated as in keys
      */
     record UsageKey(String quota, Member member) {}
 }
--- a/fleet/src/main/java/clayhook/fleet/types/QuotaUsageType.java
+++ b/fleet/src/main/java/clayhook/fleet/types/QuotaUsageType.java
@@ -4,12 +4,15 @@
 import clayhook.fleet.FieldWriter;
 import clayhook.fleet.ReplicatedType;
 
-/** The replicated type of {@link QuotaUsage}: the largest total, and the rate reported last. */
+/** The replicated type of {@link QuotaUsage}: merges to the largest total and the latest reported rate. */
 final class QuotaUsageType implements ReplicatedType<QuotaUsage> {
     private static final int TYPE_NUMBER = 5;
-    /** More than two windows of any quota, after which the use of a vanished router no longer counts. */
+    /**
+     * Retention in seconds; at least two windows of any quota, after which the usage of a departed router no longer
+     * counts.
+     */
     private static final double RETENTION_SECONDS = 60;
-    /** A thousand routers with the two standing quotas and some thirty nodes in slow start. */
+    /** Bound of the entries: 1000 routers, each with the two fixed quotas and about 30 nodes in slow start. */
     private static final int MAX_ENTRIES = 32_768;
 
     @Override
@@ -24,13 +27,16 @@
 
     @Override
     public QuotaUsage merge(QuotaUsage a, QuotaUsage b) {
-        QuotaUsage newest = reportedBefore(a, b) ? b : a;
+        QuotaUsage newest = isReportedBefore(a, b) ? b : a;
         double totalUnits = Math.max(a.totalUnits(), b.totalUnits());
         return new QuotaUsage(totalUnits, newest.unitsPerSecond(), newest.reportedAt());
     }
 
-    /** Of two reports of one time, the one with the lower rate counts as the earlier. */
-    private static boolean reportedBefore(QuotaUsage a, QuotaUsage b) {
+    /**
+     * Returns whether the report {@code a} precedes {@code b}. Of two reports of the same time, the one with the lower
+     * rate precedes.
+     */
+    private static boolean isReportedBefore(QuotaUsage a, QuotaUsage b) {
         int order = Double.compare(a.reportedAt(), b.reportedAt());
         return (order != 0 ? order : Double.compare(a.unitsPerSecond(), b.unitsPerSecond())) < 0;
     }
--- a/fleet/src/test/java/clayhook/fleet/types/RecordedValuesTest.java
+++ b/fleet/src/test/java/clayhook/fleet/types/RecordedValuesTest.java
@@ -170,11 +170,11 @@
                     QuotaUsage.key(QuotaUsage.HEALTH_CHECKS, new Member(name, 1_700_000_000_123L)));
             keys.put(
                     "quota-usage-slow-start-" + each.getKey(),
-                    QuotaUsage.key(QuotaUsage.slowStart(name, NOW), new Member("router-1", -1)));
+                    QuotaUsage.key(QuotaUsage.slowStartQuotaName(name, NOW), new Member("router-1", -1)));
             keys.put("source-" + each.getKey(), ObservationSource.of(NOW, name).router());
         }
         keys.put("quota-usage-retries", QuotaUsage.key(QuotaUsage.RETRIES, new Member("router-1", 0)));
-        keys.put("quota-usage-slow-start-of-long-ago", QuotaUsage.slowStart("node-1", 0));
+        keys.put("quota-usage-slow-start-of-long-ago", QuotaUsage.slowStartQuotaName("node-1", 0));
         return keys;
     }
 
--- a/fleet/src/test/java/clayhook/fleet/types/ReplicatedTypesTest.java
+++ b/fleet/src/test/java/clayhook/fleet/types/ReplicatedTypesTest.java
@@ -243,7 +243,8 @@
                                     false)
                             .length
                     + ReplicatedStore.MAX_KEY_BYTES);
-            String usageKey = QuotaUsage.key(QuotaUsage.slowStart(name, 1.7e9), new Member(name, Long.MAX_VALUE));
+            String usageKey =
+                    QuotaUsage.key(QuotaUsage.slowStartQuotaName(name, 1.7e9), new Member(name, Long.MAX_VALUE));
             List.of(ListedEndpoint.key(name, name), NodeObservation.key(name), SessionWrite.key(name), usageKey)
                     .forEach(key -> assertTrue(
                             FieldValidation.utf8Length(key.replace('\u001f', '/')) <= ReplicatedStore.MAX_KEY_BYTES,
