--- a/fleet/src/main/java/clayhook/fleet/types/ReplicatedKeys.java
+++ b/fleet/src/main/java/clayhook/fleet/types/ReplicatedKeys.java
@@ -3,18 +3,21 @@
 import com.dynatrace.hash4j.hashing.Hashing;
 import java.util.List;
 
-/** Builds keys from several texts, and truncates names to what keys and values may hold. */
+/** Builds keys from several texts, and truncates names to the length that keys and values can hold. */
 final class ReplicatedKeys {
-    /** Of a name of a router, node, zone or request class within a value; a value must have room for eleven. */
+    /**
+     * Longest name of a router, node, zone or request class within a value, in bytes of UTF-8. A value has room for
+     * eleven of them.
+     */
     static final int MAX_NAME_BYTES = 48;
     /**
-     * Of a node id, session or idempotency key as a key; the store may limit key and value to a thousand bytes
-     * together.
+     * Longest node id, session or idempotency key in a key, in bytes of UTF-8. The store may limit key and value to
+     * 1000 bytes together.
      */
     static final int MAX_KEY_TEXT_BYTES = 150;
-    /** The ASCII unit separator; a truncated name contains no control characters. */
+    /** Separates the parts of a key: the ASCII unit separator. A truncated name contains no control characters. */
     private static final String SEPARATOR = "\u001f";
-    /** Joins a truncated text and its hash. */
+    /** Separates a truncated text from its hash. */
     private static final String HASH_MARKER = "~";
 
     private static final int HASH_DIGITS = 16;
@@ -30,19 +33,19 @@
         return List.of(key.split(SEPARATOR, -1));
     }
 
-    /** Returns a name as values and keys hold it. */
+    /** Returns a name truncated to the length in values and keys. */
     static String truncateName(String name) {
         return truncate(name, MAX_NAME_BYTES);
     }
 
-    /** Returns a text as a key, or as the last part of one. */
+    /** Returns a text truncated to the length of a key, or of the last part of one. */
     static String truncateKeyText(String text) {
         return truncate(text, MAX_KEY_TEXT_BYTES);
     }
 
     /**
-     * Returns the text itself if it fits and is printable; otherwise its beginning and a hash, the same at every
-     * router.
+     * Returns the text itself if it fits and is printable; otherwise its beginning and a hash of the whole text. The
+     * result is the same at every router.
      */
     static String truncate(String text, int maxBytes) {
         if (FieldValidation.utf8Length(text) <= maxBytes) {
