--- a/fleet/src/main/java/clayhook/fleet/types/SessionWrite.java
+++ b/fleet/src/main/java/clayhook/fleet/types/SessionWrite.java
@@ -4,17 +4,19 @@
 import java.util.Comparator;
 
 /**
- * The last write of a session; the key is the session. The furthest position wins.
+ * The last write of a session; the key is the session. The highest position wins.
  *
- * @param position in the log of the replica set, as its primary reported it to the router that sent the write; in
- *     seconds since 1970
- * @param replicaSet that took the write
+ * @param position the write's position in the log of the replica set, in seconds since 1970, as the primary reported it
+ *     to the router that sent the write
+ * @param replicaSet the replica set that executed the write
  */
 public record SessionWrite(double position, int replicaSet) {
     static final Comparator<SessionWrite> ORDER =
             Comparator.comparingDouble(SessionWrite::position).thenComparingInt(SessionWrite::replicaSet);
 
-    /** Longer than the ordinary lag of any replica; a replica that lags further serves no session. */
+    /**
+     * Retention in seconds; longer than the usual lag of any replica. A replica that lags further serves no session.
+     */
     static final double RETENTION_SECONDS = 120;
 
     /** The replicated type of these values. */
@@ -26,7 +28,7 @@
         FieldValidation.requireReplicaSet(replicaSet);
     }
 
-    /** Returns the key of a session with a name of any length. */
+    /** Returns the key of a session; the name may have any length. */
     public static String key(String session) {
         return ReplicatedKeys.truncateKeyText(session);
     }
--- a/fleet/src/main/java/clayhook/fleet/types/SessionWriteType.java
+++ b/fleet/src/main/java/clayhook/fleet/types/SessionWriteType.java
@@ -4,10 +4,12 @@
 import clayhook.fleet.FieldWriter;
 import clayhook.fleet.ReplicatedType;
 
-/** The replicated type of {@link SessionWrite}: the furthest position. */
+/** The replicated type of {@link SessionWrite}: merges to the highest position. */
 final class SessionWriteType implements ReplicatedType<SessionWrite> {
     private static final int TYPE_NUMBER = 3;
-    /** All of the retention at eight hundred sessions a second that write; some 200 bytes each. */
+    /**
+     * Bound of the entries, at about 200 bytes each: the writes of the retention at 800 writing sessions per second.
+     */
     private static final int MAX_ENTRIES = 100_000;
 
     @Override
@@ -25,7 +27,7 @@
         return SessionWrite.ORDER.compare(a, b) >= 0 ? a : b;
     }
 
-    /** Returns the position, so that the eviction floor is a position too. */
+    /** Returns the position, so that the eviction floor is a position as well. */
     @Override
     public double timestamp(SessionWrite value) {
         return value.position();
@@ -41,7 +43,7 @@
         return MAX_ENTRIES;
     }
 
-    /** False, as positions come from nodes, whatever the clock of the router that passes them on. */
+    /** Returns false, as positions come from nodes and don't depend on the clock of the router that forwards them. */
     @Override
     public boolean clockDependent() {
         return false;
--- a/fleet/src/main/java/clayhook/fleet/types/TimedValue.java
+++ b/fleet/src/main/java/clayhook/fleet/types/TimedValue.java
@@ -2,7 +2,7 @@
 
 import java.util.Comparator;
 
-/** A number that a router observed. Ordered by source, then by value, so that merging keeps the latest observation. */
+/** A number that a router observed. Ordered by source, then by value, so that a merge keeps the latest observation. */
 public record TimedValue(double value, ObservationSource source) implements Comparable<TimedValue> {
     private static final Comparator<TimedValue> ORDER =
             Comparator.comparing(TimedValue::source).thenComparingDouble(TimedValue::value);
