--- a/fleet/src/main/java/clayhook/fleet/types/SessionWriteSnapshot.java
+++ b/fleet/src/main/java/clayhook/fleet/types/SessionWriteSnapshot.java
@@ -4,36 +4,37 @@
 import java.util.BitSet;
 
 /**
- * The positions of all sessions' last writes at one moment, for threads that serve requests: immutable, and read
+ * The positions of the last writes of all sessions at one moment, for threads that serve requests. Immutable, and read
  * without locks or allocation. Successive snapshots share the shards that have not changed.
  *
- * <p>Sessions are identified by a hash of 64 bits. Two with equal hashes both get the further position, which is safe.
+ * <p>Sessions are identified by a 64-bit hash. Two sessions with equal hashes both get the higher position, which is
+ * safe.
  */
 public final class SessionWriteSnapshot {
     /**
-     * At the bound of retained writes, a shard has some fifty entries: few to copy for one write, and the array of
-     * shards is short.
+     * Number of shards. At the bound of retained writes, a shard has about 50 entries: few to copy for one write, while
+     * the array of shards remains short.
      */
     static final int SHARD_COUNT = 2048;
-    /** Bounds the time to copy a shard where session names are chosen to hash into one. */
+    /** Bounds the time to copy a shard if session names are chosen so that they hash to the same shard. */
     static final int MAX_ENTRIES_PER_SHARD = 256;
 
     private static final double NONE = Double.NEGATIVE_INFINITY;
-    /** The hash in a free slot. */
+    /** Marks a free slot, in place of a hash. */
     private static final long FREE = 0;
-    /** Array elements of a slot: the hash of a session and the bits of its position. */
+    /** Number of array elements per slot: the hash of a session and the bits of its position. */
     private static final int SLOT_WIDTH = 2;
 
     private static final int MIN_SHARD_LENGTH = 16;
-    /** Array elements for each entry, so that at most half of the slots are taken. */
+    /** Minimum number of array elements per entry, so that at most half of the slots are used. */
     private static final int MIN_ELEMENTS_PER_ENTRY = 2 * SLOT_WIDTH;
 
-    /** Without any write, and complete up to no time. */
+    /** A snapshot without writes that is complete up to no time. */
     public static final SessionWriteSnapshot EMPTY = new SessionWriteSnapshot(new long[SHARD_COUNT][], NONE, NONE);
 
     /**
-     * Hash tables with open addressing, each in one array for locality, or null. An entry is in the slot of its hash or
-     * in the first free one after it.
+     * Hash tables with open addressing, one per shard; null for an empty shard. Each is one array, for locality. An
+     * entry is in the slot of its hash, or in the first free slot after it.
      */
     private final long[][] shards;
 
@@ -59,7 +60,7 @@
         return shardOf(hash(session));
     }
 
-    /** Returns the index of the hash in a shard, or of the free slot where it belongs. */
+    /** Returns the index of a hash in a shard; if it is absent, the index of the free slot to insert it at. */
     private static int slotOf(long[] shard, long hash) {
         int mask = shard.length - 1;
         int index = (int) (SLOT_WIDTH * hash) & mask;
@@ -84,33 +85,36 @@
         return shard[slot] == FREE ? NONE : positionAt(shard, slot);
     }
 
-    /** Returns the position up to which writes may be missing, in seconds since 1970. */
+    /** Returns the position up to which writes may be missing, in seconds since 1970; negative infinity for none. */
     public double evictionFloor() {
         return evictionFloor;
     }
 
-    /** Returns up to which time the writes published by other routers are included, in seconds since 1970. */
+    /** Returns the time up to which the writes published by other routers are included, in seconds since 1970. */
     public double completeUpTo() {
         return completeUpTo;
     }
 
-    /** Builds the snapshot that follows another one. For one thread, and not to be used after {@link #build}. */
+    /** Builds the successor of a snapshot. Not thread-safe; must not be used after {@link #build}. */
     static final class Builder {
         private static final long[] EMPTY_SHARD = {};
 
         private final long[][] shards;
-        /** The shards that were copied, and may be changed. */
+        /** The shards that were copied from the previous snapshot, and may therefore be modified. */
         private final BitSet ownedShards = new BitSet(SHARD_COUNT);
-        /** Entries of each owned shard. */
+        /** Number of entries of each owned shard. */
         private final int[] shardSizes = new int[SHARD_COUNT];
-        /** The newest position that was evicted from a full shard. */
+        /** Newest position evicted from a full shard; negative infinity for none. */
         private double newestDropped = NONE;
 
         Builder(SessionWriteSnapshot previous) {
             shards = previous.shards.clone();
         }
 
-        /** Raises a session's position to at least the given one. */
+        /**
+         * Raises the position of a session to at least the given one. Evicts the oldest entries of the shard if it is
+         * full.
+         */
         void raise(String session, double position) {
             long hash = hash(session);
             int shard = shardOf(hash);
@@ -129,12 +133,12 @@
             return MIN_ELEMENTS_PER_ENTRY * (shardSizes[shard] + 1) > shards[shard].length;
         }
 
-        private void put(int number, long hash, double position) {
-            long[] shard = shards[number];
+        private void put(int shardIndex, long hash, double position) {
+            long[] shard = shards[shardIndex];
             int slot = slotOf(shard, hash);
             double raised = position;
             if (shard[slot] == FREE) {
-                shardSizes[number]++;
+                shardSizes[shardIndex]++;
             } else {
                 raised = Math.max(position, positionAt(shard, slot));
             }
@@ -142,20 +146,20 @@
             shard[slot + 1] = Double.doubleToLongBits(raised);
         }
 
-        /** Copies a shard with its entries from a position on, and room for one more. */
-        private void copyShard(int number, double from) {
-            long[] old = shards[number] == null ? EMPTY_SHARD : shards[number];
-            shards[number] = new long[lengthFor(countFrom(old, from))];
-            shardSizes[number] = 0;
-            ownedShards.set(number);
+        /** Copies the entries of a shard that are at or after a position, with capacity for one more. */
+        private void copyShard(int shardIndex, double from) {
+            long[] old = shards[shardIndex] == null ? EMPTY_SHARD : shards[shardIndex];
+            shards[shardIndex] = new long[lengthFor(countFrom(old, from))];
+            shardSizes[shardIndex] = 0;
+            ownedShards.set(shardIndex);
             for (int slot = 0; slot < old.length; slot += SLOT_WIDTH) {
                 if (old[slot] != FREE && positionAt(old, slot) >= from) {
-                    put(number, old[slot], positionAt(old, slot));
+                    put(shardIndex, old[slot], positionAt(old, slot));
                 }
             }
         }
 
-        /** Returns the length of a shard for so many entries and one more: a power of 2. */
+        /** Returns the array length of a shard for the given number of entries and one more; a power of 2. */
         private static int lengthFor(int entries) {
             return Math.max(MIN_SHARD_LENGTH, MIN_ELEMENTS_PER_ENTRY * Integer.highestOneBit(2 * entries + 1));
         }
@@ -180,19 +184,19 @@
             return oldest;
         }
 
-        /** Removes the entries of one shard that are before a position, if there are any. */
-        void removeBefore(int number, double position) {
-            if (shards[number] == null || oldestPosition(shards[number]) >= position) {
+        /** Removes the entries of one shard that are before a position. */
+        void removeBefore(int shardIndex, double position) {
+            if (shards[shardIndex] == null || oldestPosition(shards[shardIndex]) >= position) {
                 return;
             }
-            copyShard(number, position);
-            if (shardSizes[number] == 0) {
-                shards[number] = null;
-                ownedShards.clear(number);
+            copyShard(shardIndex, position);
+            if (shardSizes[shardIndex] == 0) {
+                shards[shardIndex] = null;
+                ownedShards.clear(shardIndex);
             }
         }
 
-        /** Returns the newest position that was evicted from a full shard; negative infinity for none. */
+        /** Returns the newest position evicted from a full shard; negative infinity for none. */
         double newestDropped() {
             return newestDropped;
         }
