--- a/fleet/src/main/java/clayhook/fleet/types/WriteOutcome.java
+++ b/fleet/src/main/java/clayhook/fleet/types/WriteOutcome.java
@@ -4,18 +4,18 @@
 import java.util.Comparator;
 
 /**
- * What routers know about whether a non-idempotent write has run; the key is the write's idempotency key or id, see
- * {@link #key}. A witness that it ran and one that it did not are a conflict, which keeps both and is not resolved
- * here.
+ * The knowledge of routers about whether a non-idempotent write ran; the key is the write's idempotency key or id, see
+ * {@link #key}. An observation that it ran and one that it did not are a conflict; both are kept, and the conflict is
+ * not resolved here.
  *
  * @param firstSent the earliest known sending of the write
- * @param ran the earliest witness that the write ran; null for none
- * @param notRun the earliest witness that the write has not run and will not run; null for none. It is no witness that
- *     one attempt was never sent, as another router may have made another attempt
+ * @param ran the earliest observation that the write ran; null for none
+ * @param notRun the earliest observation that the write has not run and will not run; null for none. That one attempt
+ *     was never sent is no such observation, as another router may have made another attempt
  * @param newestAt the time of the newest information, in seconds since 1970
  */
 public record WriteOutcome(SentWrite firstSent, OutcomeWitness ran, OutcomeWitness notRun, double newestAt) {
-    /** What is known about a write. The names are part of the router's log. */
+    /** The known status of a write. The names are part of the router's log. */
     public enum OutcomeStatus {
         UNKNOWN,
         RAN,
@@ -23,23 +23,23 @@
         CONFLICT
     }
 
-    /** A day, within which operators look into writes in doubt. */
+    /** Default retention in seconds: one day, within which operators investigate in-doubt writes. */
     private static final double DEFAULT_RETENTION_SECONDS = 86_400;
 
     private static final int MAX_LABEL_LENGTH = 128;
-    /** Keeps a value small enough for one message. */
+    /** Longest label in bytes of UTF-8, so that a value fits into one message. */
     private static final int MAX_LABEL_BYTES = 256;
 
-    /** The replicated type of these values, with the default retention of a day. */
+    /** The replicated type of these values, with the default retention of one day. */
     public static final ReplicatedType<WriteOutcome> TYPE = typeWithRetention(DEFAULT_RETENTION_SECONDS);
 
     /**
-     * A sending of a write. Ordered by time, then by replica set, request class and label, with a missing label last;
-     * the least one is kept.
+     * A sending of a write. Ordered by time, then by replica set, request class and label, with a missing label last; a
+     * merge keeps the least one.
      *
-     * @param sentAt in seconds since 1970
-     * @param replicaSet that the write was sent to
-     * @param requestClass the name of its request class
+     * @param sentAt the time of the sending in seconds since 1970
+     * @param replicaSet the replica set that the write was sent to
+     * @param requestClass the name of the write's request class
      * @param label a short text for operators; null for none
      */
     public record SentWrite(double sentAt, int replicaSet, String requestClass, String label)
@@ -61,7 +61,7 @@
             return label.length() <= MAX_LABEL_LENGTH && FieldValidation.utf8Length(label) <= MAX_LABEL_BYTES;
         }
 
-        /** Creates a sending with texts of any length, which are truncated. */
+        /** Creates a sending; texts may have any length and are truncated. */
         public static SentWrite of(double sentAt, int replicaSet, String requestClass, String label) {
             String truncatedLabel = label == null ? null : ReplicatedKeys.truncate(label, MAX_LABEL_LENGTH);
             return new SentWrite(sentAt, replicaSet, ReplicatedKeys.truncateName(requestClass), truncatedLabel);
@@ -74,8 +74,10 @@
     }
 
     /**
-     * A router that knows the outcome, and the node it learned it from. Ordered by time, then by router and node; the
-     * least one is kept.
+     * A router's observation of the outcome. Ordered by time, then by router and node; a merge keeps the least one.
+     *
+     * @param source the router that knows the outcome, and the time at which it learned it
+     * @param nodeId the node that reported the outcome to the router
      */
     public record OutcomeWitness(ObservationSource source, String nodeId) implements Comparable<OutcomeWitness> {
         private static final Comparator<OutcomeWitness> ORDER =
@@ -86,7 +88,7 @@
             FieldValidation.requireText(nodeId, ReplicatedKeys.MAX_NAME_BYTES, "node");
         }
 
-        /** Creates a witness with names of any length, which are truncated. */
+        /** Creates an observation; names may have any length and are truncated. */
         public static OutcomeWitness of(double observedAt, String router, String nodeId) {
             return new OutcomeWitness(ObservationSource.of(observedAt, router), ReplicatedKeys.truncateName(nodeId));
         }
@@ -99,40 +101,40 @@
 
     /** @throws IllegalArgumentException for a time out of range */
     public WriteOutcome {
-        double newestWitness = Math.max(timeOf(ran), timeOf(notRun));
-        newestAt = Math.max(FieldValidation.requireTime(newestAt), Math.max(firstSent.sentAt, newestWitness));
+        double newestObservedAt = Math.max(timeOf(ran), timeOf(notRun));
+        newestAt = Math.max(FieldValidation.requireTime(newestAt), Math.max(firstSent.sentAt, newestObservedAt));
     }
 
-    private static double timeOf(OutcomeWitness witness) {
-        return witness == null ? 0 : witness.source.observedAt();
+    private static double timeOf(OutcomeWitness observation) {
+        return observation == null ? 0 : observation.source.observedAt();
     }
 
-    /** Returns the same replicated type with a retention in seconds as configured by the operator. */
+    /** Returns the replicated type with the retention in seconds that the operator has configured. */
     public static ReplicatedType<WriteOutcome> typeWithRetention(double seconds) {
         return new WriteOutcomeType(seconds);
     }
 
-    /** Returns the key of a write with an idempotency key or id of any length. */
+    /** Returns the key of a write; the idempotency key or id may have any length. */
     public static String key(String writeKey) {
         return ReplicatedKeys.truncateKeyText(writeKey);
     }
 
-    /** Returns the outcome of a write that was sent, and of which nobody knows more. */
+    /** Returns the outcome of a write that was sent, without any further information. */
     public static WriteOutcome unknown(SentWrite sent) {
         return new WriteOutcome(sent, null, null, sent.sentAt);
     }
 
     /** Returns the outcome of a write that ran. */
-    public static WriteOutcome ran(SentWrite sent, OutcomeWitness witness) {
-        return new WriteOutcome(sent, witness, null, sent.sentAt);
+    public static WriteOutcome ran(SentWrite sent, OutcomeWitness observation) {
+        return new WriteOutcome(sent, observation, null, sent.sentAt);
     }
 
     /** Returns the outcome of a write that has not run and will not run. */
-    public static WriteOutcome notRun(SentWrite sent, OutcomeWitness witness) {
-        return new WriteOutcome(sent, null, witness, sent.sentAt);
+    public static WriteOutcome notRun(SentWrite sent, OutcomeWitness observation) {
+        return new WriteOutcome(sent, null, observation, sent.sentAt);
     }
 
-    /** Returns what is known about the write. */
+    /** Returns the status that follows from the known observations. */
     public OutcomeStatus status() {
         if (ran != null) {
             return notRun != null ? OutcomeStatus.CONFLICT : OutcomeStatus.RAN;
--- a/fleet/src/main/java/clayhook/fleet/types/WriteOutcomeType.java
+++ b/fleet/src/main/java/clayhook/fleet/types/WriteOutcomeType.java
@@ -6,10 +6,13 @@
 import clayhook.fleet.types.WriteOutcome.OutcomeWitness;
 import clayhook.fleet.types.WriteOutcome.SentWrite;
 
-/** The replicated type of {@link WriteOutcome}: the earliest sending, and the earliest witness of either outcome. */
+/**
+ * The replicated type of {@link WriteOutcome}: merges to the earliest sending, and to the earliest observation of
+ * either outcome.
+ */
 final class WriteOutcomeType implements ReplicatedType<WriteOutcome> {
     private static final int TYPE_NUMBER = 4;
-    /** Some 400 bytes each. */
+    /** Bound of the entries, at about 400 bytes each. */
     private static final int MAX_ENTRIES = 50_000;
 
     private final double retentionSeconds;
@@ -37,7 +40,9 @@
                 Math.max(a.newestAt(), b.newestAt()));
     }
 
-    /** Returns the lesser of two values, where null is greater than any: any witness wins over none. */
+    /**
+     * Returns the lesser of two values; null is greater than any other value, so that any observation wins over none.
+     */
     private static <T extends Comparable<T>> T earliest(T a, T b) {
         return a == null || (b != null && b.compareTo(a) < 0) ? b : a;
     }
@@ -57,7 +62,7 @@
         return MAX_ENTRIES;
     }
 
-    /** False, as an outcome holds whatever the clock of its witness; times only order witnesses. */
+    /** Returns false, as an outcome is valid whatever the clock of its observer; times only order observations. */
     @Override
     public boolean clockDependent() {
         return false;
@@ -71,16 +76,16 @@
                 .writeNullableString(sent.requestClass())
                 .writeNullableString(sent.label())
                 .writeDouble(value.newestAt());
-        writeWitness(value.ran(), out);
-        writeWitness(value.notRun(), out);
+        writeObservation(value.ran(), out);
+        writeObservation(value.notRun(), out);
     }
 
-    private static void writeWitness(OutcomeWitness witness, FieldWriter out) {
-        out.writeBoolean(witness != null);
-        if (witness != null) {
-            out.writeDouble(witness.source().observedAt())
-                    .writeNullableString(witness.source().router())
-                    .writeNullableString(witness.nodeId());
+    private static void writeObservation(OutcomeWitness observation, FieldWriter out) {
+        out.writeBoolean(observation != null);
+        if (observation != null) {
+            out.writeDouble(observation.source().observedAt())
+                    .writeNullableString(observation.source().router())
+                    .writeNullableString(observation.nodeId());
         }
     }
 
@@ -92,10 +97,10 @@
                 in.readNullableString(),
                 in.readNullableString());
         double newestAt = in.readDouble();
-        return new WriteOutcome(sent, readWitness(in), readWitness(in), newestAt);
+        return new WriteOutcome(sent, readObservation(in), readObservation(in), newestAt);
     }
 
-    private static OutcomeWitness readWitness(FieldReader in) {
+    private static OutcomeWitness readObservation(FieldReader in) {
         if (!in.readBoolean()) {
             return null;
         }
