--- a/fleet/src/main/java/clayhook/fleet/types/WriteOutcomes.java
+++ b/fleet/src/main/java/clayhook/fleet/types/WriteOutcomes.java
@@ -10,9 +10,16 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The outcomes of writes in this router's replica, for operators who look into writes in doubt. Not thread-safe. */
+/**
+ * Reads the outcomes of writes from this router's replica, for operators who investigate in-doubt writes. Not
+ * thread-safe.
+ */
 public final class WriteOutcomes {
-    /** The outcome of one write; ordered by the time at which the write was first sent, then by key. */
+    /**
+     * The outcome of one write. Ordered by the time at which the write was first sent, then by key.
+     *
+     * @param key the key of the outcome, from {@link WriteOutcome#key}
+     */
     public record WriteOutcomeEntry(String key, WriteOutcome outcome) {
         static final Comparator<WriteOutcomeEntry> ORDER = Comparator.comparing(
                         (WriteOutcomeEntry entry) -> entry.outcome.firstSent())
@@ -20,30 +27,32 @@
     }
 
     /**
-     * More conflicts than anyone reads. Beyond it conflicts are still counted and listed, but may be reported twice.
+     * Bound of the conflicts remembered as reported; more than an operator can read. Beyond it, conflicts are still
+     * counted and listed, but may be reported twice.
      */
     private static final int MAX_REPORTED_CONFLICTS = 1000;
 
     private final ReplicatedStore store;
     private final ReplicatedType<WriteOutcome> type;
-    /** The keys of conflicts that were noticed; at the bound the oldest are dropped. */
+    /** Keys of the conflicts found so far, oldest first; at the bound the oldest are dropped. */
     private final Set<String> reportedConflicts = new LinkedHashSet<>();
-    /** Those of them that were not taken yet. */
+    /** Keys of the found conflicts that have not been returned by {@link #takeNewConflicts()} yet. */
     private final Set<String> newConflictKeys = new LinkedHashSet<>();
 
     /**
-     * Starts to follow the outcomes that the store holds and receives.
+     * Loads the outcomes that the store holds, and subscribes to its changes.
      *
-     * @param type as this router stores it: {@link WriteOutcome#TYPE} or a {@link WriteOutcome#typeWithRetention}
+     * @param type the type that this router stores outcomes as: {@link WriteOutcome#TYPE} or a
+     *     {@link WriteOutcome#typeWithRetention}
      */
     public WriteOutcomes(ReplicatedStore store, ReplicatedType<WriteOutcome> type) {
         this.store = store;
         this.type = type;
-        store.forEach(type, this::noteConflict);
-        store.addListener(type, (key, outcome, now) -> noteConflict(key, outcome));
+        store.forEach(type, this::recordConflict);
+        store.addListener(type, (key, outcome, now) -> recordConflict(key, outcome));
     }
 
-    private void noteConflict(String key, WriteOutcome outcome) {
+    private void recordConflict(String key, WriteOutcome outcome) {
         if (outcome.status() != WriteOutcome.OutcomeStatus.CONFLICT || !reportedConflicts.add(key)) {
             return;
         }
@@ -57,7 +66,7 @@
 
     /**
      * Returns the outcomes of writes first sent at {@code from} or later and before {@code before}, in seconds since
-     * 1970.
+     * 1970, in the order in which the writes were first sent.
      */
     public List<WriteOutcomeEntry> entriesSentBetween(double from, double before) {
         var entries = new ArrayList<WriteOutcomeEntry>();
@@ -76,7 +85,7 @@
         return Math.max(store.evictionFloor(type), now - type.retentionSeconds());
     }
 
-    /** Returns how many outcomes have each status, those of which there are none included. */
+    /** Returns the number of outcomes of each status, including statuses without outcomes. */
     public Map<WriteOutcome.OutcomeStatus, Integer> counts() {
         var counts = new EnumMap<WriteOutcome.OutcomeStatus, Integer>(WriteOutcome.OutcomeStatus.class);
         for (WriteOutcome.OutcomeStatus status : WriteOutcome.OutcomeStatus.values()) {
@@ -86,7 +95,7 @@
         return counts;
     }
 
-    /** Returns the conflicts that were found since the last call. */
+    /** Returns the conflicts found since the last call. */
     public List<WriteOutcomeEntry> takeNewConflicts() {
         var entries = new ArrayList<WriteOutcomeEntry>();
         for (String key : newConflictKeys) {
