--- a/daemon/src/main/java/clayhook/peers/WriteOutcomeSharing.java
+++ b/daemon/src/main/java/clayhook/peers/WriteOutcomeSharing.java
@@ -38,7 +38,7 @@
             return WriteOutcome.unknown(sent);
         }
         String router = membership.self().member().name();
-        return WriteOutcome.ran(sent, WriteOutcome.OutcomeWitness.of(event.finishedAt(), router, event.nodeId()));
+        return WriteOutcome.ran(sent, WriteOutcome.OutcomeObservation.of(event.finishedAt(), router, event.nodeId()));
     }
 
     void tick(double now) {
--- a/daemon/src/test/java/clayhook/peers/ObservationPublishingTest.java
+++ b/daemon/src/test/java/clayhook/peers/ObservationPublishingTest.java
@@ -95,7 +95,7 @@
         inDoubtWrites.recordOutcome(
                 key,
                 executed
-                        ? WriteOutcome.ran(sent, WriteOutcome.OutcomeWitness.of(START + now, "r", "n"))
+                        ? WriteOutcome.ran(sent, WriteOutcome.OutcomeObservation.of(START + now, "r", "n"))
                         : WriteOutcome.unknown(sent),
                 START + now);
         inDoubtWrites.publishResolved(START + now);
--- a/fleet/src/main/java/clayhook/fleet/types/WriteOutcome.java
+++ b/fleet/src/main/java/clayhook/fleet/types/WriteOutcome.java
@@ -14,7 +14,7 @@
  *     was never sent is no such observation, as another router may have made another attempt
  * @param newestAt the time of the newest information, in seconds since 1970
  */
-public record WriteOutcome(SentWrite firstSent, OutcomeWitness ran, OutcomeWitness notRun, double newestAt) {
+public record WriteOutcome(SentWrite firstSent, OutcomeObservation ran, OutcomeObservation notRun, double newestAt) {
     /** The known status of a write. The names are part of the router's log. */
     public enum OutcomeStatus {
         UNKNOWN,
@@ -79,22 +79,24 @@
      * @param source the router that knows the outcome, and the time at which it learned it
      * @param nodeId the node that reported the outcome to the router
      */
-    public record OutcomeWitness(ObservationSource source, String nodeId) implements Comparable<OutcomeWitness> {
-        private static final Comparator<OutcomeWitness> ORDER =
-                Comparator.comparing(OutcomeWitness::source).thenComparing(OutcomeWitness::nodeId);
+    public record OutcomeObservation(ObservationSource source, String nodeId)
+            implements Comparable<OutcomeObservation> {
+        private static final Comparator<OutcomeObservation> ORDER =
+                Comparator.comparing(OutcomeObservation::source).thenComparing(OutcomeObservation::nodeId);
 
         /** @throws IllegalArgumentException for a node id out of range */
-        public OutcomeWitness {
+        public OutcomeObservation {
             FieldValidation.requireText(nodeId, ReplicatedKeys.MAX_NAME_BYTES, "node");
         }
 
         /** Creates an observation; names may have any length and are truncated. */
-        public static OutcomeWitness of(double observedAt, String router, String nodeId) {
-            return new OutcomeWitness(ObservationSource.of(observedAt, router), ReplicatedKeys.truncateName(nodeId));
+        public static OutcomeObservation of(double observedAt, String router, String nodeId) {
+            return new OutcomeObservation(
+                    ObservationSource.of(observedAt, router), ReplicatedKeys.truncateName(nodeId));
         }
 
         @Override
-        public int compareTo(OutcomeWitness other) {
+        public int compareTo(OutcomeObservation other) {
             return ORDER.compare(this, other);
         }
     }
@@ -105,7 +107,7 @@
         newestAt = Math.max(FieldValidation.requireTime(newestAt), Math.max(firstSent.sentAt, newestObservedAt));
     }
 
-    private static double timeOf(OutcomeWitness observation) {
+    private static double timeOf(OutcomeObservation observation) {
         return observation == null ? 0 : observation.source.observedAt();
     }
 
@@ -125,12 +127,12 @@
     }
 
     /** Returns the outcome of a write that ran. */
-    public static WriteOutcome ran(SentWrite sent, OutcomeWitness observation) {
+    public static WriteOutcome ran(SentWrite sent, OutcomeObservation observation) {
         return new WriteOutcome(sent, observation, null, sent.sentAt);
     }
 
     /** Returns the outcome of a write that has not run and will not run. */
-    public static WriteOutcome notRun(SentWrite sent, OutcomeWitness observation) {
+    public static WriteOutcome notRun(SentWrite sent, OutcomeObservation observation) {
         return new WriteOutcome(sent, null, observation, sent.sentAt);
     }
 
--- a/fleet/src/main/java/clayhook/fleet/types/WriteOutcomeType.java
+++ b/fleet/src/main/java/clayhook/fleet/types/WriteOutcomeType.java
@@ -3,7 +3,7 @@
 import clayhook.fleet.FieldReader;
 import clayhook.fleet.FieldWriter;
 import clayhook.fleet.ReplicatedType;
-import clayhook.fleet.types.WriteOutcome.OutcomeWitness;
+import clayhook.fleet.types.WriteOutcome.OutcomeObservation;
 import clayhook.fleet.types.WriteOutcome.SentWrite;
 
 /**
@@ -80,7 +80,7 @@
         writeObservation(value.notRun(), out);
     }
 
-    private static void writeObservation(OutcomeWitness observation, FieldWriter out) {
+    private static void writeObservation(OutcomeObservation observation, FieldWriter out) {
         out.writeBoolean(observation != null);
         if (observation != null) {
             out.writeDouble(observation.source().observedAt())
@@ -100,11 +100,11 @@
         return new WriteOutcome(sent, readObservation(in), readObservation(in), newestAt);
     }
 
-    private static OutcomeWitness readObservation(FieldReader in) {
+    private static OutcomeObservation readObservation(FieldReader in) {
         if (!in.readBoolean()) {
             return null;
         }
         var source = new ObservationSource(in.readDouble(), in.readNonEmptyString());
-        return new OutcomeWitness(source, in.readNullableString());
+        return new OutcomeObservation(source, in.readNullableString());
     }
 }
--- a/fleet/src/test/java/clayhook/fleet/types/RecordedValuesTest.java
+++ b/fleet/src/test/java/clayhook/fleet/types/RecordedValuesTest.java
@@ -136,18 +136,19 @@
     private static Map<String, WriteOutcome> outcomes() {
         var unlabelled = WriteOutcome.SentWrite.of(NOW, 1, "pay", null);
         var labelled = WriteOutcome.SentWrite.of(NOW + 0.1, (1 << 20) - 1, WIDE_NAME, "label " + WIDE_NAME);
-        var witness = WriteOutcome.OutcomeWitness.of(NOW + 1, "router-1", "node-1");
-        var other = WriteOutcome.OutcomeWitness.of(NOW + 2, WIDE_NAME, LONG_NAME);
+        var observation = WriteOutcome.OutcomeObservation.of(NOW + 1, "router-1", "node-1");
+        var laterObservation = WriteOutcome.OutcomeObservation.of(NOW + 2, WIDE_NAME, LONG_NAME);
         var outcomes = new LinkedHashMap<String, WriteOutcome>();
         outcomes.put("unknown", WriteOutcome.unknown(unlabelled));
         outcomes.put("unknown-labelled", WriteOutcome.unknown(labelled));
         outcomes.put(
                 "unknown-of-long-names", WriteOutcome.unknown(WriteOutcome.SentWrite.of(0, 0, LONG_NAME, LONG_NAME)));
-        outcomes.put("ran", WriteOutcome.ran(unlabelled, witness));
-        outcomes.put("not-run", WriteOutcome.notRun(labelled, other));
+        outcomes.put("ran", WriteOutcome.ran(unlabelled, observation));
+        outcomes.put("not-run", WriteOutcome.notRun(labelled, laterObservation));
         outcomes.put(
                 "conflict",
-                WriteOutcome.TYPE.merge(WriteOutcome.ran(unlabelled, other), WriteOutcome.notRun(labelled, witness)));
+                WriteOutcome.TYPE.merge(
+                        WriteOutcome.ran(unlabelled, laterObservation), WriteOutcome.notRun(labelled, observation)));
         return outcomes;
     }
 
--- a/fleet/src/test/java/clayhook/fleet/types/ReplicatedReadersTest.java
+++ b/fleet/src/test/java/clayhook/fleet/types/ReplicatedReadersTest.java
@@ -177,12 +177,15 @@
         var late = WriteOutcome.SentWrite.of(200, 1, "pay", null);
         store.merge(WriteOutcome.TYPE, "k2", WriteOutcome.unknown(late), 200);
         store.merge(
-                WriteOutcome.TYPE, "k9", WriteOutcome.ran(early, WriteOutcome.OutcomeWitness.of(150, "b", "n1")), 200);
+                WriteOutcome.TYPE,
+                "k9",
+                WriteOutcome.ran(early, WriteOutcome.OutcomeObservation.of(150, "b", "n1")),
+                200);
         store.merge(WriteOutcome.TYPE, "k3", WriteOutcome.unknown(late), 200);
         store.merge(
                 WriteOutcome.TYPE,
                 "k3",
-                WriteOutcome.notRun(late, WriteOutcome.OutcomeWitness.of(220, "b", "n1")),
+                WriteOutcome.notRun(late, WriteOutcome.OutcomeObservation.of(220, "b", "n1")),
                 200);
         assertEquals(
                 List.of("k9", "k2", "k3"),
@@ -199,7 +202,7 @@
             store.merge(
                     WriteOutcome.TYPE,
                     "k9",
-                    WriteOutcome.notRun(early, WriteOutcome.OutcomeWitness.of(140 + i, "c", "n2")),
+                    WriteOutcome.notRun(early, WriteOutcome.OutcomeObservation.of(140 + i, "c", "n2")),
                     201);
         }
         var conflict = outcomes.takeNewConflicts();
@@ -211,7 +214,10 @@
                 List.of(new ObservationSource(150, "b"), new ObservationSource(140, "c")),
                 List.of(conflicting.ran().source(), conflicting.notRun().source()));
         store.merge(
-                WriteOutcome.TYPE, "k9", WriteOutcome.ran(early, WriteOutcome.OutcomeWitness.of(149, "b", "n1")), 202);
+                WriteOutcome.TYPE,
+                "k9",
+                WriteOutcome.ran(early, WriteOutcome.OutcomeObservation.of(149, "b", "n1")),
+                202);
         assertEquals(List.of(), outcomes.takeNewConflicts());
         assertEquals(List.of(1, 0, 1, 1), List.copyOf(outcomes.counts().values()));
         store.evictionFloor = 150;
--- a/fleet/src/test/java/clayhook/fleet/types/ReplicatedTypesTest.java
+++ b/fleet/src/test/java/clayhook/fleet/types/ReplicatedTypesTest.java
@@ -84,11 +84,11 @@
     private static WriteOutcome randomOutcome(Random random) {
         String label = random.nextBoolean() ? null : "toll " + random.nextInt(2);
         var sent = WriteOutcome.SentWrite.of(random.nextInt(2), random.nextInt(2), "pay" + random.nextInt(2), label);
-        var witness = WriteOutcome.OutcomeWitness.of(
+        var observation = WriteOutcome.OutcomeObservation.of(
                 random.nextInt(3), "router" + random.nextInt(2), "node" + random.nextInt(2));
         return random.nextInt(3) == 0
                 ? WriteOutcome.unknown(sent)
-                : random.nextBoolean() ? WriteOutcome.ran(sent, witness) : WriteOutcome.notRun(sent, witness);
+                : random.nextBoolean() ? WriteOutcome.ran(sent, observation) : WriteOutcome.notRun(sent, observation);
     }
 
     private static <V> byte[] encode(ReplicatedType<V> type, V value, boolean withUnknownFields) {
@@ -225,8 +225,8 @@
             sizes.add(encode(NodeObservation.TYPE, observation, false).length + ReplicatedKeys.MAX_KEY_TEXT_BYTES);
             var sent = WriteOutcome.SentWrite.of(1.7e9 + 0.1, 1 << 19, name, name);
             var outcome = WriteOutcome.TYPE.merge(
-                    WriteOutcome.ran(sent, WriteOutcome.OutcomeWitness.of(1.7e9 + 0.1, name, name)),
-                    WriteOutcome.notRun(sent, WriteOutcome.OutcomeWitness.of(1.7e9 + 0.3, name, name)));
+                    WriteOutcome.ran(sent, WriteOutcome.OutcomeObservation.of(1.7e9 + 0.1, name, name)),
+                    WriteOutcome.notRun(sent, WriteOutcome.OutcomeObservation.of(1.7e9 + 0.3, name, name)));
             sizes.add(encode(WriteOutcome.TYPE, outcome, false).length + ReplicatedKeys.MAX_KEY_TEXT_BYTES);
             sizes.add(encode(
                                     ListedEndpoint.TYPE,
--- a/lab/src/main/java/clayhook/lab/sharing/GeneratedValues.java
+++ b/lab/src/main/java/clayhook/lab/sharing/GeneratedValues.java
@@ -91,7 +91,7 @@
         return random.nextInt(3) > 0
                 ? WriteOutcome.unknown(first)
                 : ran
-                        ? WriteOutcome.ran(first, WriteOutcome.OutcomeWitness.of(by.now(), router, "n1"))
-                        : WriteOutcome.notRun(first, WriteOutcome.OutcomeWitness.of(by.now(), router, ""));
+                        ? WriteOutcome.ran(first, WriteOutcome.OutcomeObservation.of(by.now(), router, "n1"))
+                        : WriteOutcome.notRun(first, WriteOutcome.OutcomeObservation.of(by.now(), router, ""));
     }
 }
