--- a/fleet/src/main/java/clayhook/fleet/types/SessionConsistency.java
+++ b/fleet/src/main/java/clayhook/fleet/types/SessionConsistency.java
@@ -25,7 +25,7 @@
     private volatile SessionWriteSnapshot snapshot = SessionWriteSnapshot.EMPTY;
     private SessionWriteSnapshot.Builder builder = new SessionWriteSnapshot.Builder(SessionWriteSnapshot.EMPTY);
     /** Newest position evicted from a full shard of a snapshot; negative infinity for none. */
-    private double newestDropped = Double.NEGATIVE_INFINITY;
+    private double newestEvictedPosition = Double.NEGATIVE_INFINITY;
 
     private int lastSweptShard;
 
@@ -50,8 +50,8 @@
         // Expired writes raise the floor like evicted ones: a replica that lags behind them serves no session.
         double expiredBefore = now - SessionWrite.RETENTION_SECONDS;
         removeExpired(expiredBefore);
-        newestDropped = Math.max(newestDropped, builder.newestDropped());
-        double floor = Math.max(Math.max(newestDropped, store.evictionFloor(SessionWrite.TYPE)), expiredBefore);
+        newestEvictedPosition = Math.max(newestEvictedPosition, builder.newestEvictedPosition());
+        double floor = Math.max(Math.max(newestEvictedPosition, store.evictionFloor(SessionWrite.TYPE)), expiredBefore);
         SessionWriteSnapshot next = builder.build(floor, store.completeUpTo(now));
         builder = new SessionWriteSnapshot.Builder(next);
         snapshot = next;
--- a/fleet/src/main/java/clayhook/fleet/types/SessionWriteSnapshot.java
+++ b/fleet/src/main/java/clayhook/fleet/types/SessionWriteSnapshot.java
@@ -105,7 +105,7 @@
         /** Number of entries of each owned shard. */
         private final int[] shardSizes = new int[SHARD_COUNT];
         /** Newest position evicted from a full shard; negative infinity for none. */
-        private double newestDropped = NONE;
+        private double newestEvictedPosition = NONE;
 
         Builder(SessionWriteSnapshot previous) {
             shards = previous.shards.clone();
@@ -124,7 +124,7 @@
             put(shard, hash, position);
             if (shardSizes[shard] > MAX_ENTRIES_PER_SHARD) {
                 double oldest = oldestPosition(shards[shard]);
-                newestDropped = Math.max(newestDropped, oldest);
+                newestEvictedPosition = Math.max(newestEvictedPosition, oldest);
                 copyShard(shard, Math.nextUp(oldest));
             }
         }
@@ -197,8 +197,8 @@
         }
 
         /** Returns the newest position evicted from a full shard; negative infinity for none. */
-        double newestDropped() {
-            return newestDropped;
+        double newestEvictedPosition() {
+            return newestEvictedPosition;
         }
 
         SessionWriteSnapshot build(double evictionFloor, double completeUpTo) {
