--- a/fleet/src/test/java/clayhook/fleet/types/EndpointListMergeTest.java
+++ b/fleet/src/test/java/clayhook/fleet/types/EndpointListMergeTest.java
@@ -15,13 +15,13 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** How updates of several discovery sources are merged into one endpoint list. */
+/** Tests how {@link EndpointListMerge} merges the updates of several discovery sources. */
 class EndpointListMergeTest {
     private static final List<EndpointState> STATES = List.of(EndpointState.values());
 
     private final SharedMemoryStore store = new SharedMemoryStore();
     private final EndpointListMerge merge = new EndpointListMerge("old:1", store);
-    private final Map<String, EndpointState> published = new TreeMap<>();
+    private final Map<String, EndpointState> effectiveStates = new TreeMap<>();
 
     private static ListedEndpoint endpoint(long revision, EndpointState state) {
         return new ListedEndpoint(revision, state, 0, false, "z", 0, "h", 1, 100);
@@ -37,13 +37,13 @@
         var changes = new TreeMap<String, EndpointState>();
         merge.takeChanges()
                 .forEach(update -> changes.put(update.id(), update.endpoint().state()));
-        published.putAll(changes);
+        effectiveStates.putAll(changes);
         return changes.toString();
     }
 
     /**
-     * Partial and complete lists of this router's discovery and updates of peers, late and repeated: the newest
-     * revision holds after each step.
+     * Applies partial and complete lists from this router's discovery, and updates by peers, late and repeatedly; after
+     * each step the newest revision must be in effect.
      */
     @Property(tries = 500, seed = "27")
     void newestRevisionWinsInAnyOrderOfUpdates(@ForAll Random random) {
@@ -51,42 +51,42 @@
     }
 
     private void checkRandomUpdates(Random random) {
-        record Update(long revision, boolean complete, boolean byPeer, Map<String, EndpointState> states) {}
-        var truth = new HashMap<String, EndpointState>();
+        record Update(long revision, boolean complete, boolean fromPeer, Map<String, EndpointState> states) {}
+        var listedStates = new HashMap<String, EndpointState>();
         var received = new ArrayList<Update>();
         for (long revision = 1; revision <= 12; revision++) {
             String id = "n" + random.nextInt(4);
             EndpointState state = STATES.get(random.nextInt(STATES.size()));
-            truth.remove(id);
+            listedStates.remove(id);
             if (state != EndpointState.GONE) {
-                truth.put(id, state);
+                listedStates.put(id, state);
             }
             received.add(
                     random.nextInt(3) == 0
-                            ? new Update(revision, true, false, Map.copyOf(truth))
+                            ? new Update(revision, true, false, Map.copyOf(listedStates))
                             : new Update(revision, false, random.nextBoolean(), Map.of(id, state)));
         }
         received.addAll(List.copyOf(received.subList(0, 4)));
         Collections.shuffle(received, random);
-        var newest = new HashMap<String, Long>();
+        var newestRevisions = new HashMap<String, Long>();
         var expected = new HashMap<String, EndpointState>();
         for (Update update : received) {
             for (String id : List.of("n0", "n1", "n2", "n3")) {
                 if ((update.complete || update.states.containsKey(id))
-                        && update.revision > newest.getOrDefault(id, 0L)) {
-                    newest.put(id, update.revision);
+                        && update.revision > newestRevisions.getOrDefault(id, 0L)) {
+                    newestRevisions.put(id, update.revision);
                     expected.put(id, update.states.getOrDefault(id, EndpointState.GONE));
                 }
             }
-            if (update.byPeer) {
-                update.states.forEach((id, state) -> putAsPeer("old:1", id, endpoint(update.revision, state)));
+            if (update.fromPeer) {
+                update.states.forEach((id, state) -> mergePeerUpdate("old:1", id, endpoint(update.revision, state)));
             } else {
                 merge.onDiscoveryUpdate(
                         "old:1", update.revision, update.complete, updates(update.revision, update.states), 100);
             }
             takeChanges();
             expected.forEach((id, state) ->
-                    assertEquals(state, published.getOrDefault(id, EndpointState.GONE), id + " after " + update));
+                    assertEquals(state, effectiveStates.getOrDefault(id, EndpointState.GONE), id + " after " + update));
         }
     }
 
@@ -103,16 +103,16 @@
                 EndpointState.READY);
         merge.onDiscoveryUpdate("old:1", 50, true, updates(50, states), 100);
         assertEquals("{a=READY, b=DRAINING, c=READY, d=READY}", takeChanges());
-        putAsPeer("new:1", "a", endpoint(3, EndpointState.DRAINING));
-        assertEquals("{}", takeChanges(), "updates of the current source win");
+        mergePeerUpdate("new:1", "a", endpoint(3, EndpointState.DRAINING));
+        assertEquals("{}", takeChanges(), "updates of the current source take precedence");
         merge.onSourceChanged("new:1");
-        assertEquals("{a=DRAINING}", takeChanges(), "a peer that changed first has received it");
-        putAsPeer("old:1", "b", endpoint(51, EndpointState.READY));
-        putAsPeer("old:1", "c", endpoint(51, EndpointState.DRAINING));
-        putAsPeer("old:1", "d", endpoint(51, EndpointState.READY).asRemoved(51, 100));
-        assertEquals("{c=DRAINING, d=GONE}", takeChanges(), "b goes on draining");
+        assertEquals("{a=DRAINING}", takeChanges(), "the update by a peer that switched sources earlier takes effect");
+        mergePeerUpdate("old:1", "b", endpoint(51, EndpointState.READY));
+        mergePeerUpdate("old:1", "c", endpoint(51, EndpointState.DRAINING));
+        mergePeerUpdate("old:1", "d", endpoint(51, EndpointState.READY).asRemoved(51, 100));
+        assertEquals("{c=DRAINING, d=GONE}", takeChanges(), "b stays draining");
         merge.onDiscoveryUpdate("new:1", 4, false, updates(4, Map.of("c", EndpointState.READY)), 100);
-        putAsPeer("old:1", "c", endpoint(60, EndpointState.DRAINING));
+        mergePeerUpdate("old:1", "c", endpoint(60, EndpointState.DRAINING));
         assertEquals("{c=READY}", takeChanges());
         merge.onDiscoveryUpdate(
                 "new:1",
@@ -124,17 +124,20 @@
         assertEquals(
                 EndpointState.GONE,
                 store.get(ListedEndpoint.TYPE, ListedEndpoint.key("new:1", "d")).state(),
-                "what the list leaves out is shared");
+                "the removal of a node missing from the list is shared");
         merge.onSourceChanged("old:1");
-        assertEquals("{c=DRAINING}", takeChanges(), "a goes on draining: what the old source said before is older");
+        assertEquals(
+                "{c=DRAINING}",
+                takeChanges(),
+                "a stays draining: the known updates of the old source are older than the drain");
         merge.onDiscoveryUpdate("old:1", 50, true, updates(50, Map.of("a", EndpointState.READY)), 100);
-        assertEquals("{a=READY}", takeChanges(), "what the current source says now wins, even if it repeats itself");
+        assertEquals("{a=READY}", takeChanges(), "a new update of the current source wins, even with a known revision");
     }
 
     @Example
     void countsRevisionsBehindAndRenewsEntriesOnce() {
         merge.onDiscoveryUpdate("old:1", 50, true, updates(50, Map.of("a", EndpointState.READY)), 100);
-        putAsPeer("old:1", "", endpoint(53, EndpointState.READY));
+        mergePeerUpdate("old:1", "", endpoint(53, EndpointState.READY));
         store.merge(ListedEndpoint.TYPE, "a key of another release", endpoint(1, EndpointState.DRAINING), 100);
         assertEquals(3, merge.revisionsBehind());
         merge.renew(100 + ListedEndpoint.TYPE.retentionSeconds() / 4);
@@ -147,10 +150,11 @@
                 store.get(ListedEndpoint.TYPE, ListedEndpoint.key("old:1", "a")).lastReceivedAt());
         assertEquals("{a=READY}", takeChanges());
         var restarted = new EndpointListMerge("old:1", store);
-        assertFalse(restarted.takeChanges().isEmpty(), "a router that starts has what its peers have received");
+        assertFalse(
+                restarted.takeChanges().isEmpty(), "a restarted router loads the updates that its peers have received");
     }
 
-    private void putAsPeer(String source, String id, ListedEndpoint endpoint) {
+    private void mergePeerUpdate(String source, String id, ListedEndpoint endpoint) {
         store.merge(ListedEndpoint.TYPE, ListedEndpoint.key(source, id), endpoint, 100);
     }
 }
--- a/fleet/src/test/java/clayhook/fleet/types/FixedMembershipView.java
+++ b/fleet/src/test/java/clayhook/fleet/types/FixedMembershipView.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 
 /**
- * A view with fixed live members. The clocks of members named "ahead" and "off" are 3 s ahead, and that of "off" is out
- * of bound.
+ * A membership view with a fixed list of live members. The clocks of members named "ahead" and "off" are 3 s ahead, and
+ * the clock of "off" is out of bound.
  */
 record FixedMembershipView(Member selfMember, List<Peer> livePeers) implements MembershipView {
     static FixedMembershipView of(int self, Collection<Integer> live) {
--- a/fleet/src/test/java/clayhook/fleet/types/SharedMemoryStore.java
+++ b/fleet/src/test/java/clayhook/fleet/types/SharedMemoryStore.java
@@ -9,7 +9,7 @@
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 
-/** A store that all routers of a test share, so that each sees the writes of the others at once. */
+/** A store that all routers of a test share, so that each router sees the updates of the others at once. */
 final class SharedMemoryStore implements ReplicatedStore {
     double evictionFloor = Double.NEGATIVE_INFINITY;
     double completeUpTo = Double.POSITIVE_INFINITY;
