--- a/fleet/src/test/java/clayhook/fleet/types/RecordedValuesTest.java
+++ b/fleet/src/test/java/clayhook/fleet/types/RecordedValuesTest.java
@@ -20,19 +20,19 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
 
-/** Every replicated value and key is read from, and written to, the bytes that were recorded for it. */
+/** Tests that every replicated value and key is encoded to, and decoded from, the bytes recorded for it. */
 class RecordedValuesTest {
     private static final Map<String, byte[]> VALUE_BYTES = RecordedBytes.load("replicated-values.txt");
     private static final Map<String, byte[]> KEY_BYTES = RecordedBytes.load("replicated-keys.txt");
     private static final double NOW = 1_700_000_000.25;
-    private static final String WIDE_NAME = "r\u00fcter-\u20ac-\ud83d\ude00";
-    /** Longer than keys and values may hold, so that it is truncated and ends with a hash. */
+    private static final String MULTIBYTE_NAME = "r\u00fcter-\u20ac-\ud83d\ude00";
+    /** A name longer than keys and values can hold, so that it is truncated and ends with a hash. */
     private static final String LONG_NAME = "longer than a name may be \u20ac ".repeat(8);
 
     private static final Map<String, RecordedValue<?>> VALUES = values();
     private static final Map<String, String> KEYS = keys();
 
-    /** A value and the replicated type that reads and writes it. */
+    /** A value and the replicated type that encodes it. */
     private record RecordedValue<V>(ReplicatedType<V> type, V value) {
         byte[] encoded() {
             var out = new FieldWriter();
@@ -40,7 +40,7 @@
             return out.toByteArray();
         }
 
-        void assertReadFrom(byte[] bytes) {
+        void assertDecodedFrom(byte[] bytes) {
             assertEquals(value, type.read(new FieldReader(bytes)));
         }
     }
@@ -67,7 +67,7 @@
     private static Map<String, NodeObservation> observations() {
         NodeObservation none = NodeObservation.empty(NOW - 100);
         var one = ObservationSource.of(NOW, "router-1");
-        var two = ObservationSource.of(NOW + 1.1, WIDE_NAME);
+        var two = ObservationSource.of(NOW + 1.1, MULTIBYTE_NAME);
         var three = ObservationSource.of(NOW + 2, LONG_NAME);
         var observations = new LinkedHashMap<String, NodeObservation>();
         observations.put("none", none);
@@ -123,7 +123,7 @@
                         ListedEndpoint.EndpointState.DRAINING,
                         0,
                         false,
-                        WIDE_NAME,
+                        MULTIBYTE_NAME,
                         (1 << 20) - 1,
                         "node.example.org",
                         65_535,
@@ -135,9 +135,9 @@
 
     private static Map<String, WriteOutcome> outcomes() {
         var unlabelled = WriteOutcome.SentWrite.of(NOW, 1, "pay", null);
-        var labelled = WriteOutcome.SentWrite.of(NOW + 0.1, (1 << 20) - 1, WIDE_NAME, "label " + WIDE_NAME);
+        var labelled = WriteOutcome.SentWrite.of(NOW + 0.1, (1 << 20) - 1, MULTIBYTE_NAME, "label " + MULTIBYTE_NAME);
         var observation = WriteOutcome.OutcomeObservation.of(NOW + 1, "router-1", "node-1");
-        var laterObservation = WriteOutcome.OutcomeObservation.of(NOW + 2, WIDE_NAME, LONG_NAME);
+        var laterObservation = WriteOutcome.OutcomeObservation.of(NOW + 2, MULTIBYTE_NAME, LONG_NAME);
         var outcomes = new LinkedHashMap<String, WriteOutcome>();
         outcomes.put("unknown", WriteOutcome.unknown(unlabelled));
         outcomes.put("unknown-labelled", WriteOutcome.unknown(labelled));
@@ -155,7 +155,7 @@
     private static Map<String, String> keys() {
         var keys = new LinkedHashMap<String, String>();
         for (Map.Entry<String, String> each : Map.of(
-                        "plain", "node-1", "wide", WIDE_NAME, "long", LONG_NAME.repeat(2), "control", "a\u0007b")
+                        "plain", "node-1", "wide", MULTIBYTE_NAME, "long", LONG_NAME.repeat(2), "control", "a\u0007b")
                 .entrySet()
                 .stream()
                 .sorted(Map.Entry.comparingByKey())
@@ -203,7 +203,7 @@
     Stream<DynamicTest> recordedBytesAreReadAsTheValue() {
         return VALUES.entrySet().stream()
                 .map(each -> DynamicTest.dynamicTest(
-                        each.getKey(), () -> each.getValue().assertReadFrom(VALUE_BYTES.get(each.getKey()))));
+                        each.getKey(), () -> each.getValue().assertDecodedFrom(VALUE_BYTES.get(each.getKey()))));
     }
 
     @TestFactory
@@ -217,7 +217,7 @@
     @Test
     void recordedKeysAreReadAsTheirParts() {
         assertEquals(List.of("10.0.0.9:7000", "node-1"), ListedEndpoint.parseKey(recordedKey("listed-plain")));
-        assertEquals(List.of("10.0.0.9:7000", WIDE_NAME), ListedEndpoint.parseKey(recordedKey("listed-wide")));
+        assertEquals(List.of("10.0.0.9:7000", MULTIBYTE_NAME), ListedEndpoint.parseKey(recordedKey("listed-wide")));
         assertEquals(List.of("node-1", ""), ListedEndpoint.parseKey(recordedKey("listed-source-plain")));
         assertEquals(
                 new QuotaUsage.UsageKey("probes", new Member("node-1", 1_700_000_000_123L)),
@@ -235,7 +235,7 @@
     }
 
     @Test
-    void everyFormIsRecorded() {
+    void everyValueAndKeyHasRecordedBytes() {
         assertEquals(VALUES.keySet(), VALUE_BYTES.keySet());
         assertEquals(KEYS.keySet(), KEY_BYTES.keySet());
         assertEquals(
@@ -247,16 +247,16 @@
                         QuotaUsage.TYPE),
                 VALUES.values().stream().map(RecordedValue::type).collect(Collectors.toSet()));
         var states = new HashSet<ListedEndpoint.EndpointState>();
-        var knowledge = new HashSet<WriteOutcome.OutcomeStatus>();
+        var statuses = new HashSet<WriteOutcome.OutcomeStatus>();
         for (RecordedValue<?> each : VALUES.values()) {
             if (each.value() instanceof ListedEndpoint listed) {
                 states.add(listed.state());
-            } else if (each.value() instanceof WriteOutcome fate) {
-                knowledge.add(fate.status());
+            } else if (each.value() instanceof WriteOutcome outcome) {
+                statuses.add(outcome.status());
             }
         }
         assertEquals(EnumSet.allOf(ListedEndpoint.EndpointState.class), states);
-        assertEquals(EnumSet.allOf(WriteOutcome.OutcomeStatus.class), knowledge);
+        assertEquals(EnumSet.allOf(WriteOutcome.OutcomeStatus.class), statuses);
     }
 
     @Test
