--- a/fleet/src/test/java/clayhook/fleet/types/ReplicatedReadersTest.java
+++ b/fleet/src/test/java/clayhook/fleet/types/ReplicatedReadersTest.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** What this router may conclude about nodes, its allocation of quotas, and writes in doubt. */
+/** Tests the summaries of peer observations, the allocation of fleet-wide quotas, and the lists of in-doubt writes. */
 class ReplicatedReadersTest {
     private static final double NEVER = Double.NEGATIVE_INFINITY;
 
@@ -39,14 +39,22 @@
         assertEquals(
                 new PeerObservations.NodeSummary(50, 95, 96, 1, 96, NEVER, 97, NEVER, 99, 2, 0.5, 0.3, 3, 0.15),
                 peerObservations.summarize("n", 50, 100));
-        assertNull(peerObservations.summarize("n", 60, 100), "of an earlier incarnation");
+        assertNull(peerObservations.summarize("n", 60, 100), "observations of an earlier incarnation are ignored");
         assertNull(peerObservations.summarize("m", 0, 100));
-        assertEquals(50, peerObservations.summarize("n", 40, 100).incarnationStartedAt(), "the endpoint list is late");
         assertEquals(
-                0, peerObservations.summarize("n", 50, 108).failedRouterCount() - 1, "one failure is ten seconds old");
+                50,
+                peerObservations.summarize("n", 40, 100).incarnationStartedAt(),
+                "an incarnation newer than the listed one");
+        assertEquals(
+                0,
+                peerObservations.summarize("n", 50, 108).failedRouterCount() - 1,
+                "one of the two failures is too old");
     }
 
-    /** Without new observations no weight rises, and no time is later than that of the observation. */
+    /**
+     * Without new observations, no weight increases with time, and no time is later than that of the newest
+     * observation.
+     */
     @Property(tries = 300, seed = "27")
     void weightsNeverRiseWithoutNewObservations(@ForAll Random random) {
         var store = new SharedMemoryStore();
@@ -83,22 +91,22 @@
     }
 
     /**
-     * Routers use what remains of their allocations, wholly or in part, and publish it; then some of them vanish and
-     * the others start anew.
+     * Routers use all or part of their remaining allocations and publish the usage; then some of them depart and the
+     * others restart.
      */
     @Property(tries = 100, seed = "27")
     void connectedRoutersNeverExceedTheQuota(@ForAll Random random) {
         var quota = new FleetQuota.Quota(QuotaUsage.HEALTH_CHECKS, 100, 4);
-        int fleet = 2 + random.nextInt(7);
-        var members = IntStream.range(0, fleet).boxed().toList();
+        int routerCount = 2 + random.nextInt(7);
+        var members = IntStream.range(0, routerCount).boxed().toList();
         var store = new SharedMemoryStore();
         var quotas = members.stream()
-                .map(i -> new FleetQuota(store, FixedMembershipView.of(i, members), 1 + random.nextInt(fleet)))
+                .map(i -> new FleetQuota(store, FixedMembershipView.of(i, members), 1 + random.nextInt(routerCount)))
                 .toList();
         var uses = new ArrayList<double[]>();
         for (double now = 100; now < 120; now += random.nextDouble()) {
             double at = now;
-            FleetQuota fleetQuota = quotas.get(random.nextInt(fleet));
+            FleetQuota fleetQuota = quotas.get(random.nextInt(routerCount));
             double units = fleetQuota.remaining(quota, at) * (random.nextBoolean() ? 1 : random.nextDouble());
             fleetQuota.recordUse(quota, units, at);
             fleetQuota.publish(at);
@@ -109,19 +117,20 @@
                     .sum();
             assertTrue(sum <= quota.amount() * (1 + 1e-9), "used " + sum);
         }
-        int remaining = 1 + random.nextInt(fleet);
-        double granted = members.subList(0, remaining).stream()
-                .mapToDouble(i -> new FleetQuota(store, FixedMembershipView.of(i, members.subList(0, remaining)), fleet)
+        int remainingCount = 1 + random.nextInt(routerCount);
+        double granted = members.subList(0, remainingCount).stream()
+                .mapToDouble(i -> new FleetQuota(
+                                store, FixedMembershipView.of(i, members.subList(0, remainingCount)), routerCount)
                         .allocation(quota, 120))
                 .sum();
         assertTrue(granted <= quota.amount() * (1 + 1e-9), "granted " + granted);
         assertTrue(
-                2 * remaining > fleet || granted <= quota.amount() * remaining / fleet + 1e-9,
-                "a small side has its configured part");
+                2 * remainingCount > routerCount || granted <= quota.amount() * remainingCount / routerCount + 1e-9,
+                "a partitioned minority gets at most its configured share");
     }
 
     @Example
-    void allocationDependsOnLiveRoutersAndUsageOfVanishedOnesFades() {
+    void allocationDependsOnLiveRoutersAndDecayingUsageOfDepartedOnes() {
         var quota = new FleetQuota.Quota(QuotaUsage.RETRIES, 90, 10);
         var store = new SharedMemoryStore();
         var beforeRestart = new FleetQuota(
@@ -135,38 +144,41 @@
         assertEquals(0, beforeRestart.remaining(quota, 100), 1e-9);
         beforeRestart.publish(100);
         beforeRestart.recordUse(quota, 5, 100.5);
-        beforeRestart.publish(100.5); // too soon to be published
+        beforeRestart.publish(100.5); // not published, as the minimum interval has not passed
         assertEquals(
                 3,
                 store.get(QuotaUsage.TYPE, QuotaUsage.key(QuotaUsage.RETRIES, new Member("r9", 1)))
                         .unitsPerSecond(),
                 1e-9);
-        assertEquals(30, beforeRestart.remaining(quota, 120), 1e-9, "its window is over");
-        var alone = new FleetQuota(store, FixedMembershipView.of(1, List.of(2)), 3);
+        assertEquals(30, beforeRestart.remaining(quota, 120), 1e-9, "the window with the usage has passed");
+        var afterDeparture = new FleetQuota(store, FixedMembershipView.of(1, List.of(2)), 3);
         double[] ages = {5, 10, 15, 20};
         double[] allocations = {30, 30, 37.5, 45};
         IntStream.range(0, 4)
-                .forEach(i ->
-                        assertEquals(allocations[i], alone.allocation(quota, 100 + ages[i]), 1e-9, "after " + ages[i]));
+                .forEach(i -> assertEquals(
+                        allocations[i], afterDeparture.allocation(quota, 100 + ages[i]), 1e-9, "after " + ages[i]));
         var afterRestart = new FleetQuota(
                 store,
                 new FixedMembershipView(
                         new Member("r9", 2),
                         FixedMembershipView.of(9, List.of(1, 2)).livePeers()),
                 3);
-        assertEquals(20, afterRestart.remaining(quota, 105), 1e-9, "use before its own restart counts");
-        var peers = new FleetQuota(
+        assertEquals(20, afterRestart.remaining(quota, 105), 1e-9, "usage before the router's own restart counts");
+        var peerOfRestarted = new FleetQuota(
                 store,
                 new FixedMembershipView(
                         FixedMembershipView.member(1), List.of(FixedMembershipView.peer(new Member("r9", 2)))),
                 2);
         assertEquals(
-                20, peers.allocation(new FleetQuota.Quota(QuotaUsage.RETRIES, 70, 10), 105), 1e-9, "and at others");
+                20,
+                peerOfRestarted.allocation(new FleetQuota.Quota(QuotaUsage.RETRIES, 70, 10), 105),
+                1e-9,
+                "usage before the restart counts at other routers too");
         assertEquals(
                 90 / 9.0,
                 new FleetQuota(store, FixedMembershipView.of(1, List.of(2, 3, 4)), 9).allocation(quota, 200),
                 1e-9,
-                "just started");
+                "a router that sees too few others has its configured share");
     }
 
     @Example
