--- a/fleet/src/test/java/clayhook/fleet/types/ReplicatedTypesTest.java
+++ b/fleet/src/test/java/clayhook/fleet/types/ReplicatedTypesTest.java
@@ -20,11 +20,11 @@
 import net.jqwik.api.constraints.IntRange;
 
 /**
- * What holds for the merge and the fields of every replicated type. Values have few different fields, so that they
- * often collide.
+ * Tests the merge function and the field checks of every replicated type. Generated values have few distinct fields, so
+ * that fields of two values often collide.
  */
 class ReplicatedTypesTest {
-    /** A type and a generator of its values. */
+    /** A replicated type and a generator of its values. */
     private record TypeCase<V>(ReplicatedType<V> type, Function<Random, V> generator) {
         V next(Random random) {
             return generator.apply(random);
@@ -115,14 +115,19 @@
         assertEquals(ab, type.merge(b, a), type.name());
         assertEquals(type.merge(ab, c), type.merge(a, type.merge(b, c)), type.name());
         assertEquals(ab, type.merge(ab, a), type.name());
-        assertTrue(type.timestamp(ab) >= Math.max(type.timestamp(a), type.timestamp(b)), type.name() + " goes back");
+        assertTrue(
+                type.timestamp(ab) >= Math.max(type.timestamp(a), type.timestamp(b)),
+                type.name() + ": the timestamp decreased");
         for (V value : List.of(a, ab, type.merge(ab, c))) {
             assertEquals(value, type.read(new FieldReader(encode(type, value, false))), type.name());
             assertEquals(value, type.read(new FieldReader(encode(type, value, true))), type.name());
         }
     }
 
-    /** With some bytes changed or cut off, there is another valid value or an IllegalArgumentException. */
+    /**
+     * Bytes that are partly changed or truncated are decoded to a valid value, or fail with an
+     * IllegalArgumentException.
+     */
     @Property(tries = 2000, seed = "27")
     void corruptedBytesAreRejectedOrDecodeToAValidValue(
             @ForAll Random random, @ForAll @IntRange(min = 0, max = 4) int typeIndex) {
@@ -141,15 +146,15 @@
             assertEquals(
                     decoded,
                     each.type.read(new FieldReader(encode(each.type, decoded, false))),
-                    "what was decoded can be passed on");
+                    "a decoded value can be encoded again");
         } catch (IllegalArgumentException e) {
             assertTrue(true, "rejected");
         }
     }
 
     /**
-     * The first number of each type is rejected if it is NaN, negative or too large, and so are other fields out of
-     * range.
+     * The first number of each type is rejected if it is NaN, negative or too large; other fields that are out of range
+     * are rejected too.
      */
     @Example
     void rejectsFieldsOutOfRange() {
@@ -197,12 +202,12 @@
                         none.withPosition(Double.NaN, 0, new ObservationSource(0, "a")),
                         none.withLatencyRatio(-1, new ObservationSource(0, "a")),
                         none.withLoad(1e9, new ObservationSource(0, "a"))),
-                "invalid reports of a node are left out");
+                "invalid reports of a node are omitted");
     }
 
     /**
-     * For names of any kind, keys fit, values fit the store together with their longest keys, and truncation is
-     * idempotent.
+     * With names of any characters, keys are within their bound, values and their longest keys fit into the store
+     * together, and truncation is idempotent.
      */
     @Example
     void longestKeysAndValuesFitTheStore() {
--- a/fleet/src/test/java/clayhook/fleet/types/SessionConsistencyTest.java
+++ b/fleet/src/test/java/clayhook/fleet/types/SessionConsistencyTest.java
@@ -15,44 +15,44 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Which position a session's read must cover, and the snapshots from which request threads read it. */
+/** Tests which position a session's read must cover, and the snapshots from which request threads read it. */
 class SessionConsistencyTest {
     private final SharedMemoryStore store = new SharedMemoryStore();
     private final SessionConsistency consistency = new SessionConsistency(store, 2);
 
     @Example
     void readRequiresTheKnownWriteOrTheRoamWindow() {
-        assertEquals(998, consistency.requiredPosition("s", 1000), "nothing was published yet");
+        assertEquals(998, consistency.requiredPosition("s", 1000), "before the first publication");
         store.merge(SessionWrite.TYPE, "s", new SessionWrite(990, 1), 1000);
         store.completeUpTo = 998;
         consistency.publish(1000);
-        assertEquals(990, consistency.requiredPosition("s", 1000), "complete up to the roam window");
-        assertEquals(999, consistency.requiredPosition("s", 1001), "no longer complete");
+        assertEquals(990, consistency.requiredPosition("s", 1000), "the replica is complete up to the roam window");
+        assertEquals(999, consistency.requiredPosition("s", 1001), "the replica is not complete up to the roam window");
         assertEquals(
                 1000 - SessionWrite.RETENTION_SECONDS,
                 consistency.requiredPosition("t", 1000),
                 "older writes are not retained");
         assertEquals(Double.NEGATIVE_INFINITY, consistency.requiredPosition(null, 1001), "no session");
         store.evictionFloor = 995;
-        assertEquals(990, consistency.requiredPosition("s", 1000), "as published");
+        assertEquals(990, consistency.requiredPosition("s", 1000), "the last published snapshot applies");
         consistency.publish(1000.1);
         assertEquals(995, consistency.requiredPosition("s", 1000));
         store.merge(SessionWrite.TYPE, "s", new SessionWrite(999, 1), 1000);
         consistency.publish(1000.2);
         store.merge(SessionWrite.TYPE, "s", new SessionWrite(999.5, 1), 1000);
-        assertEquals(999, consistency.requiredPosition("s", 1000), "as published");
+        assertEquals(999, consistency.requiredPosition("s", 1000), "the last published snapshot applies");
     }
 
-    /** Under random raises, removals and snapshots. */
+    /** Applies random raises and removals of positions over successive snapshots. */
     @Property(tries = 30, seed = "27")
     void snapshotMatchesAPlainMap(@ForAll Random random) {
-        var plain = new HashMap<String, Double>();
+        var expected = new HashMap<String, Double>();
         SessionWriteSnapshot snapshot = SessionWriteSnapshot.EMPTY;
         double floor = 0;
         for (int round = 0; round < 10; round++) {
             var builder = new SessionWriteSnapshot.Builder(snapshot);
             SessionWriteSnapshot before = snapshot;
-            var plainBefore = new HashMap<>(plain);
+            var expectedBefore = new HashMap<>(expected);
             for (int i = random.nextInt(3000); i > 0; i--) {
                 if (random.nextInt(1000) == 0) {
                     floor = 10 * round;
@@ -60,19 +60,20 @@
                     for (int shard = 0; shard < SessionWriteSnapshot.SHARD_COUNT; shard++) {
                         builder.removeBefore(shard, from);
                     }
-                    plain.values().removeIf(position -> position < from);
+                    expected.values().removeIf(position -> position < from);
                 }
                 String session = "s" + random.nextInt(5000);
                 double position = random.nextInt(100) + 9 * round;
                 builder.raise(session, position);
-                plain.merge(session, position, Math::max);
+                expected.merge(session, position, Math::max);
             }
             snapshot = builder.build(floor, 0);
             SessionWriteSnapshot after = snapshot;
-            plain.forEach((session, position) -> assertEquals(position, after.position(session), session));
-            plainBefore.forEach((session, position) -> assertEquals(position, before.position(session), "changed"));
+            expected.forEach((session, position) -> assertEquals(position, after.position(session), session));
+            expectedBefore.forEach((session, position) ->
+                    assertEquals(position, before.position(session), "the previous snapshot has changed"));
             for (int i = 0; i < 5000; i++) {
-                assertEquals(plain.containsKey("s" + i), after.position("s" + i) > Double.NEGATIVE_INFINITY);
+                assertEquals(expected.containsKey("s" + i), after.position("s" + i) > Double.NEGATIVE_INFINITY);
             }
         }
     }
@@ -94,10 +95,10 @@
             consistency.publish(2000 + 2 * SessionWrite.RETENTION_SECONDS + 500);
         }
         assertEquals(Double.NEGATIVE_INFINITY, consistency.snapshot().position("new"), "expired");
-        assertTrue(consistency.snapshot().evictionFloor() > 2001, "the floor is above what has expired");
+        assertTrue(consistency.snapshot().evictionFloor() > 2001, "the floor is above the expired positions");
     }
 
-    /** One thread writes and publishes while others read. */
+    /** One thread writes and publishes while other threads read. */
     @Test
     @Timeout(30)
     void requiredPositionNeverDecreasesForAReader() throws InterruptedException {
@@ -105,10 +106,10 @@
         int rounds = 3000;
         int readers = 3;
         store.completeUpTo = Double.POSITIVE_INFINITY;
-        consistency.publish(1000); // while incomplete, the roam window required a higher position
+        consistency.publish(1000); // an incomplete replica would require the higher position of the roam window
         var violation = new AtomicReference<String>();
         var started = new CountDownLatch(readers);
-        Runnable reading = () -> {
+        Runnable reader = () -> {
             var last = new double[sessions];
             for (boolean first = true; last[0] < 1000 + rounds && violation.get() == null; ) {
                 for (int i = sessions - 1; i >= 0; i--) {
@@ -126,7 +127,7 @@
         };
         var threads = new Thread[readers];
         for (int i = 0; i < readers; i++) {
-            threads[i] = new Thread(reading);
+            threads[i] = new Thread(reader);
             threads[i].start();
         }
         started.await();
