--- a/fleet/src/main/java/clayhook/fleet/types/EndpointListMerge.java
+++ b/fleet/src/main/java/clayhook/fleet/types/EndpointListMerge.java
@@ -32,17 +32,19 @@
     public record EndpointUpdate(String id, ListedEndpoint endpoint) {}
 
     /**
-     * Bound of the sources that are kept at a time. The source rarely changes; beyond the bound, the one used least
-     * recently is dropped.
+     * Bound of the sources that are kept. The source rarely changes; beyond the bound, the least recently used one is
+     * dropped.
      */
     private static final int MAX_SOURCES = 4;
 
+    /** Less than any revision. */
     private static final long NO_REVISION = -1;
     /** Number of checks for entries due for renewal within one retention period. */
     private static final int RENEWAL_CHECKS_PER_RETENTION = 8;
     /** Divisor of the retention that gives the age at which an entry is renewed. */
     private static final int RENEWAL_AGE_DIVISOR = 2;
 
+    /** The endpoints and revisions that were received from one discovery source. */
     private static final class DiscoverySource {
         /** Endpoints by node id. At the bound of nodes in a list, those that are gone are removed. */
         final Map<String, ListedEndpoint> endpoints = new HashMap<>();
@@ -69,6 +71,7 @@
      */
     private final Map<String, DiscoverySource> sources = new LinkedHashMap<>(16, 0.75f, true);
 
+    /** Drains that override the current source, by node id. */
     private final Map<String, HeldDrain> heldDrains = new HashMap<>();
     /** The effective endpoint of each node, by node id: the result of merging all sources. */
     private final Map<String, ListedEndpoint> effective = new HashMap<>();
@@ -76,7 +79,7 @@
     private final Map<String, ListedEndpoint> changedEndpoints = new LinkedHashMap<>();
 
     private String currentSource;
-    private double renewedAt = Double.NEGATIVE_INFINITY;
+    private double lastRenewalCheckAt = Double.NEGATIVE_INFINITY;
     private long staleUpdates;
 
     /**
@@ -86,17 +89,17 @@
      */
     public EndpointListMerge(String source, ReplicatedStore store) {
         this.store = store;
-        currentSource = sourceKey(source);
+        currentSource = truncateSource(source);
         findOrAddSource(currentSource);
         store.forEach(ListedEndpoint.TYPE, this::onReplicatedUpdate);
         store.addListener(ListedEndpoint.TYPE, (key, endpoint, now) -> onReplicatedUpdate(key, endpoint));
     }
 
-    private static String sourceKey(String source) {
+    private static String truncateSource(String source) {
         return ListedEndpoint.parseKey(ListedEndpoint.key(source, "")).get(0);
     }
 
-    private static String idKey(String id) {
+    private static String truncateId(String id) {
         return ListedEndpoint.parseKey(ListedEndpoint.key("", id)).get(1);
     }
 
@@ -142,7 +145,7 @@
                 && !sources.get(currentSource).endpoints.containsKey(id)) {
             holdDrain(id, merged);
         }
-        resolve(id);
+        updateEffectiveEndpoint(id);
     }
 
     /**
@@ -173,7 +176,7 @@
     }
 
     /** Computes the effective endpoint of a node, and records it if it has changed. */
-    private void resolve(String id) {
+    private void updateEffectiveEndpoint(String id) {
         ListedEndpoint endpoint = sources.get(currentSource).endpoints.get(id);
         HeldDrain drain = heldDrains.get(id);
         if (drain != null && (endpoint == null || endpoint.revision() <= drain.heldAtRevision)) {
@@ -192,16 +195,16 @@
      *
      * @param sourceAddress the host and port of the source, which may be a former one
      * @param revision the source's revision of the update
-     * @param complete whether the updates are the complete list, so that nodes missing from it are gone
+     * @param complete whether the updates are the complete list; nodes missing from a complete list are gone
      * @param updates entries of that revision
      */
     public void onDiscoveryUpdate(
             String sourceAddress, long revision, boolean complete, List<EndpointUpdate> updates, double now) {
-        String name = sourceKey(sourceAddress);
+        String name = truncateSource(sourceAddress);
         DiscoverySource source = findOrAddSource(name);
         source.ownRevision = Math.max(source.ownRevision, revision);
         var endpoints = new LinkedHashMap<String, ListedEndpoint>();
-        updates.forEach(update -> endpoints.put(idKey(update.id()), update.endpoint()));
+        updates.forEach(update -> endpoints.put(truncateId(update.id()), update.endpoint()));
         if (complete) {
             missingFrom(name, endpoints.keySet())
                     .forEach((id, endpoint) -> endpoints.put(id, endpoint.asRemoved(revision, now)));
@@ -214,10 +217,10 @@
         if (complete) {
             source.completeRevision = Math.max(source.completeRevision, revision);
         }
-        share(name, revision, endpoints, now);
+        publish(name, revision, endpoints, now);
     }
 
-    private void share(String source, long revision, Map<String, ListedEndpoint> endpoints, double now) {
+    private void publish(String source, long revision, Map<String, ListedEndpoint> endpoints, double now) {
         endpoints.forEach(
                 (id, endpoint) -> store.merge(ListedEndpoint.TYPE, ListedEndpoint.key(source, id), endpoint, now));
         ListedEndpoint received = ListedEndpoint.ofRevision(revision, now);
@@ -239,7 +242,7 @@
      * @param source the new source, as host and port
      */
     public void onSourceChanged(String source) {
-        String name = sourceKey(source);
+        String name = truncateSource(source);
         if (name.equals(currentSource)) {
             return;
         }
@@ -260,7 +263,7 @@
         }
         var ids = new HashSet<>(heldDrains.keySet());
         ids.addAll(currentEndpoints.keySet());
-        ids.forEach(this::resolve);
+        ids.forEach(this::updateEffectiveEndpoint);
     }
 
     /** Returns the nodes whose effective endpoint has changed since the last call, each once. */
@@ -278,10 +281,10 @@
      */
     public void renew(double now) {
         double retention = ListedEndpoint.TYPE.retentionSeconds();
-        if (now < renewedAt + retention / RENEWAL_CHECKS_PER_RETENTION) {
+        if (now < lastRenewalCheckAt + retention / RENEWAL_CHECKS_PER_RETENTION) {
             return;
         }
-        renewedAt = now;
+        lastRenewalCheckAt = now;
         DiscoverySource source = sources.get(currentSource);
         double renewedBefore = now - retention / RENEWAL_AGE_DIVISOR;
         var renewed = new LinkedHashMap<String, ListedEndpoint>();
