--- a/fleet/src/main/java/clayhook/fleet/types/WriteOutcomes.java
+++ b/fleet/src/main/java/clayhook/fleet/types/WriteOutcomes.java
@@ -27,15 +27,15 @@
     }
 
     /**
-     * Bound of the conflicts remembered as reported; more than an operator can read. Beyond it, conflicts are still
-     * counted and listed, but may be reported twice.
+     * Bound of the conflict keys that are kept to report each conflict once; more than an operator can read. Beyond it,
+     * conflicts are still counted and listed, but may be reported twice.
      */
-    private static final int MAX_REPORTED_CONFLICTS = 1000;
+    private static final int MAX_KNOWN_CONFLICTS = 1000;
 
     private final ReplicatedStore store;
     private final ReplicatedType<WriteOutcome> type;
     /** Keys of the conflicts found so far, oldest first; at the bound the oldest are dropped. */
-    private final Set<String> reportedConflicts = new LinkedHashSet<>();
+    private final Set<String> knownConflictKeys = new LinkedHashSet<>();
     /** Keys of the found conflicts that have not been returned by {@link #takeNewConflicts()} yet. */
     private final Set<String> newConflictKeys = new LinkedHashSet<>();
 
@@ -53,13 +53,13 @@
     }
 
     private void recordConflict(String key, WriteOutcome outcome) {
-        if (outcome.status() != WriteOutcome.OutcomeStatus.CONFLICT || !reportedConflicts.add(key)) {
+        if (outcome.status() != WriteOutcome.OutcomeStatus.CONFLICT || !knownConflictKeys.add(key)) {
             return;
         }
         newConflictKeys.add(key);
-        if (reportedConflicts.size() > MAX_REPORTED_CONFLICTS) {
-            String oldest = reportedConflicts.iterator().next();
-            reportedConflicts.remove(oldest);
+        if (knownConflictKeys.size() > MAX_KNOWN_CONFLICTS) {
+            String oldest = knownConflictKeys.iterator().next();
+            knownConflictKeys.remove(oldest);
             newConflictKeys.remove(oldest);
         }
     }
