--- a/fleet/src/main/java/clayhook/fleet/types/NodeObservation.java
+++ b/fleet/src/main/java/clayhook/fleet/types/NodeObservation.java
@@ -39,7 +39,7 @@
         List<FailureStreak> failureStreaks) {
     /** Bound of the streaks. Two routers indicate a fault of the node; more show that no single router is the cause. */
     static final int MAX_FAILURE_STREAKS = 4;
-    /** Largest lag that is accepted: more than ten days. */
+    /** Largest lag that is accepted, in seconds: more than ten days. */
     private static final double MAX_LAG_SECONDS = 1e6;
 
     private static final double MAX_LATENCY_RATIO = 1000;
--- a/fleet/src/main/java/clayhook/fleet/types/SessionConsistency.java
+++ b/fleet/src/main/java/clayhook/fleet/types/SessionConsistency.java
@@ -78,8 +78,8 @@
         }
         SessionWriteSnapshot writes = snapshot;
         double required = Math.max(writes.position(session), writes.evictionFloor());
-        double roamLimit = arrivedAt - roamDelay;
-        return writes.completeUpTo() < roamLimit ? Math.max(required, roamLimit) : required;
+        double roamWindowStart = arrivedAt - roamDelay;
+        return writes.completeUpTo() < roamWindowStart ? Math.max(required, roamWindowStart) : required;
     }
 
     /** Returns the latest published snapshot. */
--- a/fleet/src/main/java/clayhook/fleet/types/SessionWriteSnapshot.java
+++ b/fleet/src/main/java/clayhook/fleet/types/SessionWriteSnapshot.java
@@ -16,7 +16,10 @@
      * the array of shards remains short.
      */
     static final int SHARD_COUNT = 2048;
-    /** Bounds the time to copy a shard if session names are chosen so that they hash to the same shard. */
+    /**
+     * Largest number of entries per shard. Bounds the time to copy a shard if session names are chosen so that they
+     * hash to the same shard.
+     */
     static final int MAX_ENTRIES_PER_SHARD = 256;
 
     private static final double NONE = Double.NEGATIVE_INFINITY;
