--- a/fleet/src/main/java/clayhook/rollout/ClassCounters.java
+++ b/fleet/src/main/java/clayhook/rollout/ClassCounters.java
@@ -4,18 +4,18 @@
 import java.util.Map;
 
 /**
- * What this router has counted in one stage and request class, for both variants side by side. Outcomes are collected
- * in an open interval, in which both variants are taken to be exposed to the same conditions, and then added to the
- * closed ones. Not thread-safe.
+ * Counters of one router for one stage and request class, kept for both variants. Outcomes are first added to an open
+ * interval, within which both variants are assumed to see the same conditions; closing the interval adds them to the
+ * totals of the closed intervals. Not thread-safe.
  */
 final class ClassCounters {
-    /** Response times of the baseline from which the threshold of slowness is taken. */
+    /** Minimum number of baseline response times from which the slow threshold is computed. */
     private static final int MIN_LATENCY_SAMPLES = 500;
 
-    /** Outcomes since the interval began, by variant. */
-    private Map<Variant, OutcomeCounters> interval = emptyCounters();
-    /** Outcomes of closed intervals, by variant. */
-    private final Map<Variant, OutcomeCounters> closed = emptyCounters();
+    /** Outcomes counted since the open interval began, by variant. */
+    private Map<Variant, OutcomeCounters> openInterval = emptyCounters();
+    /** Outcomes of all closed intervals, by variant. */
+    private final Map<Variant, OutcomeCounters> closedIntervals = emptyCounters();
 
     private final double[] evidenceSums = new double[CounterLayout.EVIDENCE_SIZE];
     private double slowThreshold = Double.NaN;
@@ -31,19 +31,19 @@
         return counters;
     }
 
-    /** Adds outcomes to the open interval. */
+    /** Adds outcomes of a variant to the open interval. */
     void add(Variant variant, OutcomeCounters outcomes) {
-        interval.get(variant).add(outcomes);
+        openInterval.get(variant).add(outcomes);
         intervalHasOutcomes = true;
     }
 
-    /** Closes the interval, if it has outcomes, and begins a new one. */
+    /** Closes the open interval and begins a new one; does nothing while the interval has no outcomes. */
     void closeInterval() {
         if (!intervalHasOutcomes) {
             return;
         }
-        OutcomeCounters baseline = interval.get(Variant.BASELINE);
-        OutcomeCounters candidate = interval.get(Variant.CANDIDATE);
+        OutcomeCounters baseline = openInterval.get(Variant.BASELINE);
+        OutcomeCounters candidate = openInterval.get(Variant.CANDIDATE);
         for (GuardMetric metric : GuardMetric.values()) {
             int compared = OutcomeCounters.comparedOffset(metric);
             int bad = OutcomeCounters.badOffset(metric);
@@ -56,19 +56,19 @@
                     candidate.sum(bad));
         }
         for (Variant variant : Variant.values()) {
-            closed.get(variant).add(interval.get(variant));
+            closedIntervals.get(variant).add(openInterval.get(variant));
         }
-        interval = emptyCounters();
+        openInterval = emptyCounters();
         intervalHasOutcomes = false;
         unpublished = true;
     }
 
     /**
-     * Seconds from which a request counts as slow: the 99th percentile of the baseline. Once known it stays for the
-     * stage.
+     * Response time in seconds from which a request counts as slow: the 99th percentile of the baseline. Computed once
+     * and then unchanged for the rest of the stage.
      *
-     * @param previousStage counters of the same class in the stage before; null for none
-     * @return NaN while there are too few response times
+     * @param previousStage counters of the same request class in the previous stage; null if there are none
+     * @return NaN while the baseline has fewer than {@link #MIN_LATENCY_SAMPLES} response times
      */
     double slowThreshold(ClassCounters previousStage) {
         if (Double.isNaN(slowThreshold)) {
@@ -77,48 +77,51 @@
         return slowThreshold;
     }
 
-    /** From closed intervals only, so that no request takes part in the decision whether it is slow itself. */
+    /**
+     * Computes the percentile from closed intervals only, so that no request affects the threshold that it is compared
+     * with.
+     */
     private double baselinePercentile99(ClassCounters previousStage) {
         var baseline = new OutcomeCounters();
-        baseline.add(closed.get(Variant.BASELINE));
+        baseline.add(closedIntervals.get(Variant.BASELINE));
         if (previousStage != null) {
-            baseline.add(previousStage.closed.get(Variant.BASELINE));
+            baseline.add(previousStage.closedIntervals.get(Variant.BASELINE));
         }
         return LatencyHistogram.total(baseline.latencies) >= MIN_LATENCY_SAMPLES
                 ? LatencyHistogram.percentile99(baseline.latencies)
                 : Double.NaN;
     }
 
-    /** Whether an interval was closed since the last {@link #markPublished()}. */
+    /** Whether an interval has been closed since the last {@link #markPublished()}. */
     boolean isUnpublished() {
         return unpublished;
     }
 
-    /** Records that the closed intervals were replicated. */
+    /** Records that the counters of all closed intervals have been replicated. */
     void markPublished() {
         unpublished = false;
     }
 
-    /** The revision for the next replicated value. */
+    /** Increments and returns the revision, for the next replicated value. */
     long nextRevision() {
         return ++revision;
     }
 
-    /** A copy of the closed intervals in the layout of {@link CounterLayout}. */
+    /** A copy of the outcome counters of closed intervals, in the layout of {@link CounterLayout}. */
     long[] outcomeCounts() {
         long[] counts = new long[CounterLayout.SIZE];
         for (int i = 0; i < CounterLayout.EVIDENCE_SIZE; i++) {
             counts[i] = SequentialTest.toFixedPoint(evidenceSums[i]);
         }
         for (Variant variant : Variant.values()) {
-            long[] outcomes = closed.get(variant).counts;
+            long[] outcomes = closedIntervals.get(variant).counts;
             System.arraycopy(outcomes, 0, counts, CounterLayout.outcomeOffset(variant), OutcomeCounters.SIZE);
         }
         return counts;
     }
 
-    /** A copy of a variant's response times in closed intervals, see {@link LatencyHistogram}. */
+    /** A copy of the {@link LatencyHistogram} of a variant's response times in closed intervals. */
     long[] latencies(Variant variant) {
-        return closed.get(variant).latencies.clone();
+        return closedIntervals.get(variant).latencies.clone();
     }
 }
