--- a/fleet/src/main/java/clayhook/rollout/ClassTotals.java
+++ b/fleet/src/main/java/clayhook/rollout/ClassTotals.java
@@ -3,17 +3,18 @@
 import java.util.EnumMap;
 import java.util.Map;
 
-/** Counters of one request class in one stage, added over all routers. Not thread-safe. */
+/** Counters of one request class in one stage, summed over all routers. Not thread-safe. */
 final class ClassTotals {
-    /** In the layout of {@link CounterLayout}. */
+    /** Sums of the outcome counters, in the layout of {@link CounterLayout}. */
     private final long[] counts = new long[CounterLayout.SIZE];
-    /** By variant, see {@link LatencyHistogram}. */
+    /** Sums of the {@link LatencyHistogram}s, by variant. */
     private final Map<Variant, long[]> latencies = new EnumMap<>(Variant.class);
 
     private final Map<GuardMetric, WeightedMean> differences = new EnumMap<>(GuardMetric.class);
 
     /**
-     * The mean over routers of a difference between the variants, weighted by how precise each router's comparison is.
+     * The mean over routers of the difference between the variants, weighted by the precision of each router's
+     * comparison.
      */
     private static final class WeightedMean {
         private double sum;
@@ -24,13 +25,13 @@
             weight += differenceWeight;
         }
 
-        /** NaN while nothing was added. */
+        /** The weighted mean; NaN before the first {@link #add}. */
         double mean() {
             return sum / weight;
         }
     }
 
-    /** Nothing was counted yet. */
+    /** Creates totals that are zero. */
     ClassTotals() {
         for (Variant variant : Variant.values()) {
             latencies.put(variant, new long[LatencyHistogram.SIZE]);
@@ -40,27 +41,27 @@
         }
     }
 
-    /** Adds the outcome counts of one router. */
-    void addOutcomes(long[] more) {
+    /** Adds the outcome counters of one router. */
+    void addOutcomes(long[] routerCounts) {
         for (int i = 0; i < counts.length; i++) {
-            counts[i] += more[i];
+            counts[i] += routerCounts[i];
         }
         for (GuardMetric metric : GuardMetric.values()) {
-            double baseline = comparedRequests(more, metric, Variant.BASELINE);
-            double candidate = comparedRequests(more, metric, Variant.CANDIDATE);
+            double baseline = comparedRequests(routerCounts, metric, Variant.BASELINE);
+            double candidate = comparedRequests(routerCounts, metric, Variant.CANDIDATE);
             if (baseline > 0 && candidate > 0) {
-                double difference = badRequests(more, metric, Variant.CANDIDATE) / candidate
-                        - badRequests(more, metric, Variant.BASELINE) / baseline;
+                double difference = badRequests(routerCounts, metric, Variant.CANDIDATE) / candidate
+                        - badRequests(routerCounts, metric, Variant.BASELINE) / baseline;
                 differences.get(metric).add(difference, baseline * candidate / (baseline + candidate));
             }
         }
     }
 
     /** Adds the latency histogram of one router. */
-    void addLatencies(Variant variant, long[] more) {
-        long[] times = latencies.get(variant);
+    void addLatencies(Variant variant, long[] routerLatencies) {
+        long[] total = latencies.get(variant);
         for (int i = 0; i < LatencyHistogram.SIZE; i++) {
-            times[i] += more[i];
+            total[i] += routerLatencies[i];
         }
     }
 
@@ -74,14 +75,14 @@
         return SequentialTest.sumBuckets(counts, CounterLayout.outcomeOffset(variant), position);
     }
 
-    /** All requests of a variant. */
+    /** Number of requests of a variant. */
     long requests(Variant variant) {
         return SequentialTest.sumBuckets(counts, CounterLayout.outcomeOffset(variant), OutcomeCounters.TOTAL);
     }
 
     /**
-     * The share of a variant's requests that the metric counts; for {@link GuardMetric#SLOW} the 99th percentile in
-     * seconds.
+     * The share of a variant's requests that the metric counts as bad; for {@link GuardMetric#SLOW} the 99th percentile
+     * of the response time in seconds. NaN without requests.
      */
     double metricValue(GuardMetric metric, Variant variant) {
         return metric == GuardMetric.SLOW
@@ -90,8 +91,9 @@
     }
 
     /**
-     * By how much the candidate's metric is higher at the same routers; for {@link GuardMetric#SLOW} as a relative
-     * increase.
+     * The amount by which the candidate's metric exceeds the baseline's: the mean of the differences at each router, or
+     * for {@link GuardMetric#SLOW} the relative increase of the merged 99th percentile. NaN while the variants cannot
+     * be compared.
      */
     double regression(GuardMetric metric) {
         return metric == GuardMetric.SLOW
@@ -99,7 +101,10 @@
                 : differences.get(metric).mean();
     }
 
-    /** Natural logarithm of the evidence that the candidate is worse. */
+    /**
+     * Natural logarithm of the evidence that the candidate is worse, divided by the dispersion between sessions; see
+     * {@link SequentialTest}.
+     */
     double logEvidence(GuardMetric metric) {
         double evidence = SequentialTest.logEvidence(counts, CounterLayout.evidenceOffset(metric));
         return evidence
