--- a/fleet/src/main/java/clayhook/rollout/CounterBatch.java
+++ b/fleet/src/main/java/clayhook/rollout/CounterBatch.java
@@ -6,29 +6,32 @@
 import java.util.function.BiConsumer;
 
 /**
- * Outcomes of requests counted by one thread, which then hands the batch to {@link RolloutController#addOutcomes} and
- * starts a new one. Owned by one thread at a time. Allocates only for the first request of a version and request class.
+ * Outcomes of requests counted by one thread, which later passes the batch to {@link RolloutController#addOutcomes} and
+ * starts a new one. Owned by one thread at a time. Allocates memory only for the first request of each version and
+ * request class.
  */
 public final class CounterBatch {
     /**
-     * Versions in a batch; more than two occur only where stages change. Requests of further versions are not counted.
+     * Maximum number of versions in a batch. More than two occur only when the stage changes. Requests of further
+     * versions are not counted.
      */
     private static final int MAX_VERSIONS = 8;
 
-    /** By version object, then by request class. */
+    /** Counters by version object, then by request class. */
     private final IdentityHashMap<RuleSetVersion, Map<String, OutcomeCounters>> countersByVersion =
             new IdentityHashMap<>();
 
     /**
-     * Counts a finished request, for its class and for all classes together.
+     * Counts a finished request for its request class and for {@link Guard#ALL_CLASSES}, if guards watch them. Ignores
+     * requests that began outside of a rollout.
      *
      * @param version the version with which the request began
      * @param requestClass the class of the request
-     * @param session the hash by which the version was selected
-     * @param failed whether it ended in an error that is not the statement's own
-     * @param late whether it was answered after its latency objective
-     * @param rejected whether it was rejected
-     * @param seconds until the response; NaN without a response
+     * @param session the hash of the session by which the version was selected
+     * @param failed whether it ended in an error that the statement itself did not cause
+     * @param late whether its response came after its latency objective
+     * @param rejected whether the router rejected it
+     * @param seconds response time in seconds; NaN without a response
      */
     public void add(
             RuleSetVersion version,
@@ -71,12 +74,12 @@
         counters.add(session, failed, late, rejected, seconds, version.slowThreshold(requestClass));
     }
 
-    /** Whether nothing was counted. */
+    /** Whether the batch has no counted requests. */
     public boolean isEmpty() {
         return countersByVersion.isEmpty();
     }
 
-    /** Hands out the counters of each version, by request class. */
+    /** Calls the action with each version and its counters by request class. */
     void forEach(BiConsumer<RuleSetVersion, Map<String, OutcomeCounters>> action) {
         countersByVersion.forEach(action);
     }
--- a/fleet/src/main/java/clayhook/rollout/CounterKey.java
+++ b/fleet/src/main/java/clayhook/rollout/CounterKey.java
@@ -3,11 +3,11 @@
 import clayhook.fleet.Member;
 
 /**
- * Under which key a router replicates its counters.
+ * The key under which a router replicates the counters of one rollout, stage and request class.
  *
  * @param rolloutId the rollout, see {@link Proposal#id()}
  * @param stage number of the stage, from 1
- * @param member the router that counted
+ * @param member the router whose counters they are
  * @param requestClass the request class, or {@link Guard#ALL_CLASSES}
  */
 record CounterKey(String rolloutId, int stage, Member member, String requestClass) {
@@ -15,7 +15,8 @@
     private static final int FIELDS = 5;
 
     /**
-     * The text form. The name's length is part of it, as both the name and the request class may contain the separator.
+     * The text form. It contains the length of the member's name because both the name and the request class may
+     * contain the separator.
      */
     String encode() {
         return rolloutId
@@ -31,7 +32,7 @@
                 + requestClass;
     }
 
-    /** Decodes the text form; null for malformed keys. */
+    /** Decodes the text form; returns null for a malformed key. */
     static CounterKey decode(String text) {
         String[] fields = text.split(String.valueOf(SEPARATOR), FIELDS);
         try {
