--- a/fleet/src/main/java/clayhook/rollout/CurrentRules.java
+++ b/fleet/src/main/java/clayhook/rollout/CurrentRules.java
@@ -4,8 +4,8 @@
 import java.util.Comparator;
 
 /**
- * The rules that this router uses without any candidate: those of its own file, or what was rolled out from there. Not
- * thread-safe.
+ * The rules that this router uses for sessions without a candidate: those of its own configuration file, or the rules
+ * that completed rollouts have put in their place. Not thread-safe.
  */
 final class CurrentRules {
     /** All known rollouts; a view. */
@@ -14,8 +14,9 @@
     private String configuredHash;
 
     /**
-     * Starts from the rules of this router's file.
+     * Starts with the rules of this router's configuration file.
      *
+     * @param configuredHash hash of those rules
      * @param rollouts a view of all known rollouts
      */
     CurrentRules(String configuredHash, Collection<LocalRollout> rollouts) {
@@ -23,17 +24,20 @@
         this.rollouts = rollouts;
     }
 
-    /** Hash of the rules in this router's own file. */
+    /** Hash of the rules in this router's own configuration file. */
     String configuredHash() {
         return configuredHash;
     }
 
-    /** Sets the hash of the rules in this router's own file. */
+    /** Sets the hash of the rules in this router's own configuration file. */
     void setConfiguredHash(String hash) {
         configuredHash = hash;
     }
 
-    /** Follows the completed rollouts from the configured rules on, one for each step. */
+    /**
+     * Hash of the current rules, found by following completed rollouts from the configured rules, each from its base
+     * rules to its candidate. Takes at most as many steps as there are rollouts, so a cycle of rollouts ends.
+     */
     String hash() {
         String hash = configuredHash;
         for (int i = 0; i < rollouts.size(); i++) {
@@ -55,7 +59,7 @@
                 .orElse(hash);
     }
 
-    /** Whether the rollout was proposed on the rules that this router uses. */
+    /** Whether the current rules of this router are the base rules of the rollout. */
     boolean areBaseOf(LocalRollout rollout) {
         return hash().equals(rollout.proposal.baseRulesHash());
     }
