--- a/fleet/src/main/java/clayhook/rollout/GuardMetric.java
+++ b/fleet/src/main/java/clayhook/rollout/GuardMetric.java
@@ -2,17 +2,17 @@
 
 import java.util.Arrays;
 
-/** What a guard watches: the share of requests that end in a certain way. */
+/** The metric that a guard watches: the share of requests that end in a certain way. */
 public enum GuardMetric {
-    /** Ended in an error that is not the statement's own. */
+    /** Requests that ended in an error that the statement itself did not cause. */
     FAILED(0, "failed"),
-    /** Answered after their latency objective. */
+    /** Requests whose response came after their latency objective. */
     LATE(1, "late"),
-    /** Rejected by the router. */
+    /** Requests that the router rejected. */
     REJECTED(2, "throttled"),
     /**
-     * Slower than the baseline's 99th percentile at the same router; shown and limited as the 99th percentile in
-     * seconds.
+     * Requests that were slower than the baseline's 99th percentile at the same router. Guard limits and reports use
+     * the 99th percentile in seconds instead of the share.
      */
     SLOW(3, "slow");
 
@@ -24,12 +24,12 @@
         this.key = key;
     }
 
-    /** The number on the wire, from 0 without gaps; also the position in replicated counters. Never changes. */
+    /** The number on the wire and the position in replicated counters. Codes are contiguous from 0 and never change. */
     int code() {
         return code;
     }
 
-    /** The metric with that code; throws IllegalArgumentException for none. */
+    /** The metric with the given code; throws IllegalArgumentException if there is none. */
     static GuardMetric ofCode(int code) {
         return Arrays.stream(values())
                 .filter(metric -> metric.code == code)
@@ -37,7 +37,9 @@
                 .orElseThrow(() -> new IllegalArgumentException("no metric " + code));
     }
 
-    /** The name of the metric in the operator's file and in the reason of a halt, which other routers receive. */
+    /**
+     * The name of the metric in the operator's file and in the reason for a halt, which is replicated to other routers.
+     */
     public String key() {
         return key;
     }
