--- a/fleet/src/main/java/clayhook/rollout/GuardEvaluator.java
+++ b/fleet/src/main/java/clayhook/rollout/GuardEvaluator.java
@@ -2,11 +2,12 @@
 
 import java.util.Locale;
 
-/** Compares the merged counters of a stage with its guards. */
+/** Compares the merged counters of a stage with the guards of that stage. */
 final class GuardEvaluator {
     /**
-     * Evidence, as a natural logarithm, from which a stage is not left although nothing is proven. Waiting costs only
-     * time, so the value may be low enough for noise to reach it.
+     * Natural logarithm of the evidence from which an exceeded regression limit holds the stage although it does not
+     * prove enough to halt the rollout. Holding a stage costs only time, so the value may be low enough for noise to
+     * reach it.
      */
     private static final double INCONCLUSIVE_LOG_EVIDENCE = 1;
 
@@ -14,15 +15,15 @@
 
     private final RolloutPlan plan;
 
-    /** Evaluates the guards of that plan. */
+    /** Creates an evaluator of the guards of a plan. */
     GuardEvaluator(RolloutPlan plan) {
         this.plan = plan;
     }
 
     /**
-     * Why the rollout must be halted, or null. The candidate must be proven worse than the baseline at the same routers
-     * at the same time, so that an incident that affects both does not halt the rollout; and it must exceed one of the
-     * guard's limits.
+     * The reason to halt the rollout in a stage; null if no guard demands it. A guard demands it if the candidate
+     * exceeds one of the guard's limits and is proven worse than the baseline at the same routers at the same time. An
+     * incident that affects both variants therefore does not halt the rollout.
      *
      * @param stageNumber from 1
      */
@@ -39,7 +40,8 @@
     }
 
     /**
-     * Why the stage must go on, or null when it has its samples and no guard is inconclusive.
+     * The reason to hold the stage; null if each guarded request class has its minimum of samples and no guard is
+     * inconclusive.
      *
      * @param stageNumber from 1
      */
@@ -75,7 +77,10 @@
         return totals.regression(guard.metric()) > guard.regressionLimit();
     }
 
-    /** The wording is part of a halt's reason, which other routers receive. */
+    /**
+     * Describes the values that a guard compares. The wording is part of the reason for a halt, which is replicated to
+     * other routers.
+     */
     private static String describe(Guard guard, ClassTotals totals) {
         GuardMetric metric = guard.metric();
         boolean isLatency = metric == GuardMetric.SLOW;
