--- a/fleet/src/main/java/clayhook/rollout/Lease.java
+++ b/fleet/src/main/java/clayhook/rollout/Lease.java
@@ -8,18 +8,22 @@
 import java.util.Map;
 
 /**
- * How long this router may run the candidate of one rollout. The lease is counted on this router's clock from the time
- * at which it sent a request, so no two clocks are compared. Not thread-safe. Not final, so that tests can break it.
+ * This router's lease to run the candidate of one rollout. Each grant lasts from the time at which this router sent the
+ * request, measured on this router's clock, so clocks of different routers are never compared. Not thread-safe. Not
+ * final, so that tests can replace it by a defective one.
  */
 class Lease {
-    /** Requests that a response may refer to; responses to older ones are ignored. */
+    /** Number of recent requests to which a response is accepted; responses to older ones are ignored. */
     private static final int MAX_REMEMBERED_REQUESTS = 16;
 
     private final Deque<Double> requestTimes = new ArrayDeque<>();
-    /** By voter, when the request was sent that it granted last; bounded by the frozen roster. */
+    /**
+     * Start of each voter's latest grant: the time at which the granted request was sent, in seconds since 1970. Has at
+     * most one entry for each member of the roster.
+     */
     private final Map<Member, Double> grantTimes = new HashMap<>();
 
-    /** Records that requests were sent to voters. */
+    /** Records that lease requests were sent to voters at time {@code now}. */
     void onRequested(double now) {
         requestTimes.addLast(now);
         if (requestTimes.size() > MAX_REMEMBERED_REQUESTS) {
@@ -27,33 +31,40 @@
         }
     }
 
-    /** Records a grant. A grant for a request that was never sent is ignored; it could extend the lease without end. */
+    /**
+     * Records a voter's grant. A grant for a request that this router never sent is ignored, because it could extend
+     * the lease indefinitely.
+     */
     void onGranted(Member voter, double requestedAt, double now) {
         if (requestTimes.contains(requestedAt)) {
-            grantTimes.merge(voter, countedFrom(requestedAt, now), Math::max);
+            grantTimes.merge(voter, grantStart(requestedAt, now), Math::max);
         }
     }
 
-    /** From when a grant counts: from the request, as the voter counts from later on. */
-    double countedFrom(double requestedAt, double now) {
+    /**
+     * The start of a grant in seconds since 1970. It is the time of the request, because the voter measures the same
+     * duration from a later time and so never ends its grant before this router does.
+     */
+    double grantStart(double requestedAt, double now) {
         return requestedAt;
     }
 
-    /** Forgets the voter's grant. */
+    /** Removes the voter's grant. */
     void onDenied(Member voter) {
         grantTimes.remove(voter);
     }
 
-    /** By voter, from when its last grant counts; for tests that compare states. */
+    /** The start of each voter's latest grant, in seconds since 1970. For tests that compare states. */
     Map<Member, Double> grantTimes() {
         return grantTimes;
     }
 
     /**
-     * When the grants of fewer than {@code majority} voters are left, in seconds since 1970; negative infinity while
-     * there never were that many.
+     * The time from which fewer than {@code majority} voters have a valid grant, in seconds since 1970; negative
+     * infinity if fewer than that have granted the lease.
      *
-     * @param duration of a grant in seconds
+     * @param majority number of grants required
+     * @param duration duration of a grant in seconds
      */
     double expiresAt(int majority, double duration) {
         if (grantTimes.size() < majority) {
--- a/fleet/src/test/java/clayhook/rollout/StateSpaceExplorerTest.java
+++ b/fleet/src/test/java/clayhook/rollout/StateSpaceExplorerTest.java
@@ -33,7 +33,7 @@
     void findsALeaseCountedFromTheResponse() {
         class LateLease extends Lease {
             @Override
-            double countedFrom(double requestedAt, double now) {
+            double grantStart(double requestedAt, double now) {
                 return now;
             }
         }
