--- a/fleet/src/main/java/clayhook/rollout/LeaseResponse.java
+++ b/fleet/src/main/java/clayhook/rollout/LeaseResponse.java
@@ -5,18 +5,17 @@
 import clayhook.fleet.Message;
 
 /**
- * Answers a {@link LeaseRequest}.
+ * Response to a {@link LeaseRequest}.
  *
  * @param rolloutId the rollout of the request
- * @param requestedAt copied from the request, so that the requester can tell which of its requests was answered
- * @param granted whether the lease is granted; if not, the requester must no longer count an earlier grant of this
- *     router
+ * @param requestedAt copied from the request, so that the requester can match the response to it
+ * @param granted whether the lease is granted; if false, an earlier grant of this router is no longer valid either
  */
 record LeaseResponse(String rolloutId, double requestedAt, boolean granted) implements Message {
     /** Message type on the wire. */
     static final int TYPE_NUMBER = 41;
 
-    /** Decodes the fields in the order of {@link #write}; throws IllegalArgumentException for malformed ones. */
+    /** Decodes the fields in the order of {@link #write}; throws IllegalArgumentException if they are malformed. */
     static LeaseResponse read(FieldReader in) {
         return new LeaseResponse(in.readNonEmptyString(), in.readDouble(), in.readBoolean());
     }
