--- a/fleet/src/main/java/clayhook/rollout/LeaseManager.java
+++ b/fleet/src/main/java/clayhook/rollout/LeaseManager.java
@@ -10,17 +10,18 @@
 import java.util.Random;
 
 /**
- * Renews this router's lease on the candidate by asking voters, and answers the lease requests of others. Not
- * thread-safe.
+ * Renews this router's lease to run the candidate by sending requests to voters, and responds to the lease requests of
+ * other routers. Not thread-safe.
  */
 final class LeaseManager {
-    /** Requests within the duration of a lease, so that a few may be lost. */
+    /** Number of requests sent within the duration of a lease, so that the lease survives the loss of a few. */
     private static final int REQUESTS_PER_LEASE = 4;
-    /** Longest time between requests while there is no lease. */
+    /** Maximum time in seconds between requests while this router has no lease. */
     private static final double MAX_RETRY_SECONDS = 1;
-    /** Voters that are asked in addition to a majority: at least this many, or one for each so many of the majority. */
+    /** Minimum number of voters to which a request is sent in addition to a majority. */
     private static final int MIN_SPARE_VOTERS = 2;
 
+    /** One spare voter for each group of this many voters of the majority, if that gives more than the minimum. */
     private static final int MAJORITY_PER_SPARE_VOTER = 4;
 
     private final RolloutRegistry registry;
@@ -32,9 +33,9 @@
     private final Member self;
 
     /**
-     * Manages the leases of a registry's rollouts.
+     * Creates the manager of the leases for a registry's rollouts.
      *
-     * @param random selects the voters that are asked
+     * @param random selects the voters to which requests are sent
      */
     LeaseManager(
             RolloutRegistry registry,
@@ -52,7 +53,7 @@
         this.self = membership.self().member();
     }
 
-    /** Answers a lease request. */
+    /** Responds to a lease request. */
     void onRequest(Peer from, LeaseRequest request, double now, Outbox out) {
         LocalRollout rollout = registry.get(request.rolloutId());
         boolean granted = rollout != null && grant(rollout, now);
@@ -60,7 +61,7 @@
     }
 
     /**
-     * Takes in the response to a lease request.
+     * Records the response to a lease request.
      *
      * @return whether the lease may have changed
      */
@@ -78,7 +79,8 @@
     }
 
     /**
-     * Grants a lease of the active rollout, or of a completed one, as the requester may not know that it is completed.
+     * Grants a lease for the active rollout or for a completed one, whose completion may not have been replicated to
+     * the requester yet.
      */
     private boolean grant(LocalRollout rollout, double now) {
         return rollout.isVoter(self)
@@ -86,12 +88,12 @@
                 && grants.tryGrant(rollout.id, now, rollout.proposal.leaseSeconds());
     }
 
-    /** When the lease of this router ends, in seconds since 1970; negative infinity while there is none. */
+    /** The time at which this router's lease ends, in seconds since 1970; negative infinity without a lease. */
     double expiresAt(LocalRollout rollout) {
         return rollout.lease.expiresAt(rollout.majoritySize(quorum), rollout.proposal.leaseSeconds());
     }
 
-    /** Sends lease requests when they are due. */
+    /** Sends lease requests to voters if they are due and this router may run the candidate. */
     void renew(LocalRollout rollout, double now, Outbox out) {
         if (!arbiter.mayRunCandidate(rollout) || now < rollout.nextLeaseRequestAt) {
             return;
@@ -106,7 +108,7 @@
         selectVoters(rollout).forEach(peer -> out.add(peer.address(), request));
     }
 
-    /** Random voters, somewhat more than a majority as some requests are lost. */
+    /** Selects random live voters: a majority and some spare ones, because requests may be lost. */
     private List<Peer> selectVoters(LocalRollout rollout) {
         List<Peer> voters = new ArrayList<>();
         for (Peer peer : membership.livePeers()) {
