--- a/fleet/src/main/java/clayhook/rollout/LocalCounters.java
+++ b/fleet/src/main/java/clayhook/rollout/LocalCounters.java
@@ -8,22 +8,22 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** What this router counts of one rollout, by stage and request class. Not thread-safe. */
+/** Counters of this router for one rollout, by stage and request class. Not thread-safe. */
 final class LocalCounters {
-    /** Seconds within which both variants are taken to be exposed to the same conditions. */
+    /** Length in seconds of an interval within which both variants are assumed to see the same conditions. */
     static final double INTERVAL_SECONDS = 1;
-    /** Stages kept: requests that began in the stage before are still finishing. */
+    /** Number of stages kept: the current one and the previous one, whose last requests are still finishing. */
     private static final int MAX_STAGES = 2;
 
     private final String rolloutId;
     private final Member self;
     private final Set<String> requestClasses;
-    /** By stage and request class; the oldest stage is removed when a third begins. */
+    /** Counters by stage and request class. The oldest stage is removed when a third one begins. */
     private final TreeMap<Integer, Map<String, ClassCounters>> byStage = new TreeMap<>();
 
     private double intervalEndsAt = Double.NEGATIVE_INFINITY;
 
-    /** Counts the given request classes of a rollout. */
+    /** Creates empty counters for the given request classes of a rollout. */
     LocalCounters(String rolloutId, Member self, Set<String> requestClasses) {
         this.rolloutId = rolloutId;
         this.self = self;
@@ -45,7 +45,7 @@
         return byClass;
     }
 
-    /** Adds outcomes of one version, by request class. Those of a stage that is no longer kept are dropped. */
+    /** Adds outcomes of one version, by request class. Ignores outcomes of a stage that is no longer kept. */
     void add(RuleSetVersion version, Map<String, OutcomeCounters> outcomes) {
         if (byStage.size() == MAX_STAGES && version.stage() < byStage.firstKey()) {
             return;
@@ -59,7 +59,7 @@
         });
     }
 
-    /** Closes the interval when it is over. */
+    /** Closes the open interval if its time is over, and begins a new one. */
     void tick(double now) {
         if (now >= intervalEndsAt) {
             byStage.values().forEach(byClass -> byClass.values().forEach(ClassCounters::closeInterval));
@@ -67,7 +67,10 @@
         }
     }
 
-    /** By request class, seconds from which a request counts as slow in that stage; NaN while unknown. */
+    /**
+     * By request class, the response time in seconds from which a request of the given stage counts as slow; NaN while
+     * unknown.
+     */
     Map<String, Double> slowThresholds(int stage) {
         var thresholds = new HashMap<String, Double>();
         classCounters(stage).forEach((requestClass, counters) -> {
@@ -78,8 +81,8 @@
     }
 
     /**
-     * Replicates what has changed, and in any case the counters of one request class of {@code stage}: their timestamp
-     * shows the other routers that this one is alive.
+     * Replicates the counters that have changed, and always those of at least one request class of {@code stage}: their
+     * timestamp shows other routers that this router's counters are fresh.
      */
     void publish(ReplicatedStore store, int stage, double now) {
         classCounters(stage);
