--- a/fleet/src/main/java/clayhook/rollout/LocalRollout.java
+++ b/fleet/src/main/java/clayhook/rollout/LocalRollout.java
@@ -9,60 +9,61 @@
 import java.util.Set;
 
 /**
- * A rollout as this router knows it: the replicated progress, what was loaded of its texts, and this router's own part
- * in it. Not thread-safe. The fields are plain state of the classes named with them; they are not used outside of the
- * package.
+ * The state of one rollout at this router: the replicated progress, the loaded terms and rules, and this router's own
+ * participation. Not thread-safe. Each mutable field is owned by the class that its comment names; nothing outside of
+ * this package uses them.
  */
 final class LocalRollout {
     private static final int DISPLAYED_HASH_DIGITS = 8;
 
     final String id;
     final Proposal proposal;
-    /** When this router first received it, in seconds since 1970. */
+    /** Time at which this router first received the rollout, in seconds since 1970. */
     final double firstSeenAt;
 
-    /** Merged progress; changed by {@link RolloutRegistry}. */
+    /** The merged progress. Set by {@link RolloutRegistry}. */
     RolloutProgress progress;
-    /** When the stage was first known here, in seconds since 1970. */
+    /** Time at which this router first received the current stage, in seconds since 1970. */
     double stageStartedAt;
-    /** Null until its chunks have arrived. */
+    /** The terms; null until all of their chunks have been received. */
     RolloutTerms terms;
-    /** The candidate; null until its chunks have arrived. */
+    /** The candidate; null until all of its chunks have been received. */
     RuleSet rules;
     /**
-     * Why this router cannot run the candidate; null while it can, or has not loaded it. Set by {@link RolloutLoader}.
+     * The reason why this router cannot run the candidate; null if it can or if the candidate is not loaded yet. Set by
+     * {@link RolloutLoader}.
      */
     String problem;
-    /** Events of which each is emitted once. */
-    final Set<String> announced = new HashSet<>();
+    /** Keys of the events that have been emitted and must not be emitted again. */
+    final Set<String> emittedEvents = new HashSet<>();
 
-    /** Null until loaded; used by {@link LeaseManager}. */
+    /** This router's lease; null until terms and rules are loaded. Used by {@link LeaseManager}. */
     Lease lease;
 
     double nextLeaseRequestAt = Double.NEGATIVE_INFINITY;
 
-    /** Null until loaded; used by {@link StageEvaluation}. */
+    /** This router's counters; null until terms and rules are loaded. Used by {@link StageEvaluation}. */
     LocalCounters counters;
 
     double nextEvaluationAt = Double.NEGATIVE_INFINITY;
-    /** Whether fewer than a majority had fresh counters at the last evaluation. */
+    /** Whether fewer than a majority of the voters had fresh counters at the last evaluation. */
     boolean lacksCounters;
-    /** Voters with fresh counters at the last evaluation. */
+    /** Number of voters with fresh counters at the last evaluation. */
     int freshMembers;
-    /** Routers that have counters and have departed, at the last evaluation. */
+    /** Number of routers with counters that had departed by the last evaluation. */
     int departedMembers;
-    /** Why the stage goes on; empty when this router votes for the next one. */
+    /** The reason why this router holds the stage; empty if it votes for the next one. */
     String holdReason = "";
 
-    /** Whether the candidate runs here; used by {@link SplitUpdater}, as are the fields below. */
+    /** Whether this router runs the candidate. Set by {@link SplitUpdater}, as are the fields below. */
     boolean running;
-    /** The versions of this stage, null until the candidate runs. */
+    /** The versions of the current stage; null until the candidate runs at this router. */
     RuleSetVersion baseline;
 
     RuleSetVersion candidate;
     Map<String, Double> slowThresholds;
 
-    /** A rollout that was received now. */
+    /** Creates the state of a rollout that this router has just received. */
     LocalRollout(String id, RolloutProgress progress, double now) {
         this.id = id;
         this.proposal = progress.proposal();
@@ -71,54 +72,56 @@
         this.stageStartedAt = now;
     }
 
-    /** Whether the rollout is over without being completed. */
+    /** Whether the rollout has ended without being completed. */
     boolean isEnded() {
         return progress.end() != null;
     }
 
-    /** The current stage: 0 before the start, one past the last when completed. */
+    /** Number of the current stage, from 1: 0 before the start, one more than the number of stages after completion. */
     int stage() {
         return progress.stage();
     }
 
-    /** The plan of the current stage, which must be one of the plan's stages. */
+    /** The current stage of the plan. The terms must be loaded and the rollout started but not completed. */
     RolloutStage currentStage() {
         return terms.plan().stages().get(stage() - 1);
     }
 
-    /** Whether all sessions have the candidate. */
+    /** Whether the rollout is completed: all sessions get the candidate. False until the terms are loaded. */
     boolean isCompleted() {
         return !isEnded() && terms != null && stage() > terms.plan().stages().size();
     }
 
     /**
-     * Whether the time to start is over. A proposal of a router that was away, or whose clock is behind, never starts.
+     * Whether the rollout has not started in time. The time counts from the proposal or its first receipt, whichever is
+     * earlier, so a proposal from a router that was disconnected or whose clock is behind never starts.
      *
-     * @param startTimeoutSeconds see {@link RolloutSettings}
+     * @param startTimeoutSeconds see {@link RolloutSettings#startTimeoutSeconds()}
      */
     boolean isPastStartDeadline(double now, double startTimeoutSeconds) {
         return stage() == 0 && now - Math.min(firstSeenAt, proposal.proposedAt()) > startTimeoutSeconds;
     }
 
-    /** Whether both texts that the proposal names are here. */
+    /** Whether both the terms and the rules that the proposal identifies are loaded. */
     boolean isLoaded() {
         return terms != null && rules != null;
     }
 
-    /** Whether that member belongs to the frozen roster; false until the terms are here. */
+    /** Whether a member belongs to the roster; false until the terms are loaded. */
     boolean isVoter(Member member) {
         return terms != null && terms.roster().contains(member);
     }
 
-    /** How many voters must agree. */
+    /** The number of voters that form a majority. */
     int majoritySize(Quorum quorum) {
         return quorum.majorityOf(terms.voterCount());
     }
 
     /**
-     * Loads the texts that the proposal names from their chunks. Throws IllegalArgumentException for malformed terms.
+     * Loads the terms and the rules that the proposal identifies from their chunks, as far as these have been received.
+     * Throws IllegalArgumentException for malformed terms.
      *
-     * @return whether the last missing text was loaded by this call
+     * @return whether this call has completed the loading
      */
     boolean loadChunks(ReplicatedStore store) {
         if (isLoaded()) {
@@ -135,7 +138,7 @@
         return isLoaded();
     }
 
-    /** How many voters have voted for that stage or a later one. */
+    /** The number of voters that have voted for the given stage or a later one. */
     int countVotes(ReplicatedStore store, int stage) {
         int votes = 0;
         for (Member member : terms.roster()) {
@@ -145,7 +148,7 @@
         return votes;
     }
 
-    /** The first live voter that has not yet confirmed that it can run the candidate; null for none. */
+    /** The first live voter that has not yet confirmed that it can run the candidate; null if there is none. */
     Member firstUnreadyMember(ReplicatedStore store, MembershipView membership) {
         for (Member member : terms.roster()) {
             boolean live = member.equals(membership.self().member()) || membership.isLive(member);
@@ -156,7 +159,7 @@
         return null;
     }
 
-    /** For logs. */
+    /** A short name of the rollout for logs and messages: the start of the candidate's hash and the proposer. */
     String displayName() {
         return proposal.rulesHash().substring(0, DISPLAYED_HASH_DIGITS) + " of "
                 + proposal.proposer().name();
--- a/fleet/src/main/java/clayhook/rollout/RolloutLoader.java
+++ b/fleet/src/main/java/clayhook/rollout/RolloutLoader.java
@@ -8,8 +8,8 @@
 import java.util.function.Supplier;
 
 /**
- * Brings the known rollouts up to date: takes in replicated progress, loads the texts of each rollout, checks whether
- * this router can run it, and renews the retention of what belongs to it. Not thread-safe.
+ * Updates the known rollouts from the replicated store: merges their progress, loads the terms and rules of each,
+ * checks whether this router can run the candidate, and renews the retention of the replicated values. Not thread-safe.
  */
 final class RolloutLoader {
     private final RolloutRegistry registry;
@@ -20,7 +20,7 @@
     private final Supplier<Lease> leaseFactory;
     private final Member self;
 
-    /** Loads the rollouts of a registry. */
+    /** Creates the loader of a registry's rollouts. */
     RolloutLoader(
             RolloutRegistry registry,
             CurrentRules currentRules,
@@ -38,7 +38,7 @@
         this.self = self;
     }
 
-    /** Brings the registry and all of its rollouts up to date. */
+    /** Updates the registry and all of its rollouts that have not ended. */
     void refresh(double now) {
         registry.refresh(now);
         for (LocalRollout rollout : registry.copyOfAll()) {
@@ -49,7 +49,10 @@
         }
     }
 
-    /** Replicates all that belongs to a rollout anew when half of its retention time is over. */
+    /**
+     * Replicates the progress, chunks and own vote of a rollout with a new retention start after half of the retention
+     * time.
+     */
     private void renewRetention(LocalRollout rollout, double now) {
         double retainedFrom = RolloutProgress.renewedRetention(rollout.proposal.proposedAt(), now);
         boolean due = retainedFrom > rollout.progress.retainedFrom();
@@ -69,7 +72,7 @@
         }
     }
 
-    /** Loads what is missing of a rollout, and ends it if this router cannot run it. */
+    /** Loads the missing terms or rules of a rollout, and ends the rollout if this router cannot run it. */
     void load(LocalRollout rollout, double now) {
         boolean justLoaded;
         try {
@@ -82,7 +85,7 @@
             onLoaded(rollout, now);
         }
         if (rollout.isLoaded() && !rollout.isCompleted() && !currentRules.areBaseOf(rollout)) {
-            onOtherBaseRules(rollout, now);
+            onBaseRulesMismatch(rollout, now);
         }
     }
 
@@ -95,13 +98,13 @@
             registry.emitCompleted(rollout);
         }
         if (rollout.problem != null && !rollout.isCompleted()) {
-            // A veto before the start; a halt after it, as no session may get another version at this router.
+            // A halt after the start, because a session must get the same version at every router.
             EndCause cause = rollout.stage() == 0 ? EndCause.VETOED : EndCause.HALTED;
             registry.end(rollout, cause, rollout.problem, now);
         }
     }
 
-    /** Why this router cannot run the candidate, or null. The text goes to other routers. */
+    /** The reason why this router cannot run the candidate, or null. The text is replicated to other routers. */
     private String findProblem(LocalRollout rollout) {
         if (rollout.proposal.leaseSeconds() > settings.leaseSeconds()) {
             return "its lease is longer than the one set here";
@@ -113,12 +116,16 @@
         return validator.validate(rollout.rules.hash(), rollout.rules.text());
     }
 
-    /** A router that has not yet received the preceding rollout is given time before it vetoes. */
-    private void onOtherBaseRules(LocalRollout rollout, double now) {
+    /**
+     * Vetoes a rollout that has not started if this router's current rules are still not its base rules after half of
+     * the start timeout. The delay gives a router time to receive the preceding rollout. After the start this router
+     * does not participate.
+     */
+    private void onBaseRulesMismatch(LocalRollout rollout, double now) {
         boolean started = rollout.stage() > 0;
         if (!started && rollout.isVoter(self) && now - rollout.firstSeenAt > settings.startTimeoutSeconds() / 2) {
             registry.end(rollout, EndCause.VETOED, self.name() + " stands on other rules", now);
-        } else if (started && rollout.announced.add("not participating")) {
+        } else if (started && rollout.emittedEvents.add("not participating")) {
             registry.emit(
                     EventType.NOT_PARTICIPATING,
                     rollout,
--- a/fleet/src/main/java/clayhook/rollout/StageEvaluation.java
+++ b/fleet/src/main/java/clayhook/rollout/StageEvaluation.java
@@ -9,15 +9,15 @@
 import java.util.Locale;
 
 /**
- * Evaluates the merged counters of the running stage: which routers have fresh counters, whether to halt, whether this
- * router votes for the next stage. Not thread-safe.
+ * Evaluates the merged counters of the current stage: which voters have fresh counters, whether the rollout must be
+ * halted, and whether this router votes for the next stage. Not thread-safe.
  */
 final class StageEvaluation {
-    /** Approximate bytes of the counters of one request class. */
+    /** Approximate size in bytes of one router's replicated counters of one request class. */
     private static final double CLASS_COUNTERS_BYTES = 1300;
-    /** Bytes a second that the counters of all routers may take. */
+    /** Maximum rate in bytes per second at which the counters of all routers together are replicated. */
     private static final double MAX_COUNTERS_BYTES_PER_SECOND = 20_000;
-    /** Counters are stale after this many intervals, and the propagation time. */
+    /** Number of share intervals after which counters are stale, in addition to the propagation time. */
     private static final double STALE_INTERVALS = 3;
 
     private static final double PROPAGATION_SECONDS = 2;
@@ -29,7 +29,7 @@
     private final Quorum quorum;
     private final Member self;
 
-    /** Evaluates the rollouts of a registry. */
+    /** Creates the evaluation of a registry's rollouts. */
     StageEvaluation(
             RolloutRegistry registry,
             MembershipView membership,
@@ -45,11 +45,11 @@
     }
 
     /**
-     * Replicates this router's counters and evaluates those of all routers, when that is due. Halts the rollout if a
-     * guard demands it; else {@link LocalRollout#holdReason} is up to date.
+     * Replicates this router's counters and evaluates those of all routers if that is due. Halts the rollout if a guard
+     * demands it, otherwise updates {@link LocalRollout#holdReason}.
      *
-     * @param leaseExpiresAt when this router's lease ends, for the status
-     * @return null if the evaluation is not due, or the rollout was halted
+     * @param leaseExpiresAt time at which this router's lease ends, for the status; in seconds since 1970
+     * @return the state of the rollout; null if the evaluation is not due or the rollout was halted
      */
     RolloutStatus evaluate(LocalRollout rollout, double leaseExpiresAt, double now) {
         rollout.counters.tick(now);
@@ -65,12 +65,15 @@
             registry.end(rollout, EndCause.HALTED, haltReason, now);
             return null;
         }
-        updateVisibility(rollout, counters, now);
+        updateFreshMembers(rollout, counters, now);
         rollout.holdReason = holdReason(rollout, evaluator, counters, now);
         return status(rollout, counters, leaseExpiresAt);
     }
 
-    /** The stage before is evaluated too, as its last requests finish only now. */
+    /**
+     * The reason to halt the rollout, or null. Also evaluates the previous stage, because its last requests are still
+     * finishing.
+     */
     private String haltReason(LocalRollout rollout, GuardEvaluator evaluator, MergedCounters counters) {
         int stage = rollout.stage();
         String reason = evaluator.haltReason(stage, counters);
@@ -80,7 +83,10 @@
         return evaluator.haltReason(stage - 1, MergedCounters.collect(store, rollout.id, stage - 1));
     }
 
-    /** Time between replicated counters, so that those of all routers together stay within their bound. */
+    /**
+     * Time in seconds between two writes of this router's counters, long enough for the counters of all routers to stay
+     * within {@link #MAX_COUNTERS_BYTES_PER_SECOND}.
+     */
     private double shareIntervalSeconds(LocalRollout rollout) {
         double bytes = CLASS_COUNTERS_BYTES
                 * rollout.terms.roster().size()
@@ -88,8 +94,11 @@
         return Math.max(settings.shareIntervalSeconds(), bytes / MAX_COUNTERS_BYTES_PER_SECOND);
     }
 
-    /** Counts the voters with fresh counters, and emits events for departed routers and a missing majority. */
-    private void updateVisibility(LocalRollout rollout, MergedCounters counters, double now) {
+    /**
+     * Counts the voters with fresh counters and the departed routers. Emits events for departed routers and when the
+     * majority of voters with fresh counters is lost or regained.
+     */
+    private void updateFreshMembers(LocalRollout rollout, MergedCounters counters, double now) {
         double staleAfter = STALE_INTERVALS * shareIntervalSeconds(rollout) + PROPAGATION_SECONDS;
         rollout.freshMembers = 0;
         rollout.departedMembers = 0;
@@ -97,14 +106,14 @@
             boolean live = member.equals(self) || membership.isLive(member);
             if (!live) {
                 rollout.departedMembers++;
-                announceDeparture(rollout, member, recordedAt);
+                emitDeparture(rollout, member, recordedAt);
             } else if (rollout.isVoter(member) && recordedAt - clockOffset(member) >= now - staleAfter) {
                 rollout.freshMembers++;
             }
         });
         int majority = rollout.majoritySize(quorum);
         boolean lacksCounters = rollout.freshMembers < majority;
-        // A stage that has just begun has no counters yet.
+        // At the start of a stage no router has replicated counters yet.
         boolean countersExpected = now - rollout.stageStartedAt > staleAfter;
         if (lacksCounters != rollout.lacksCounters && (!lacksCounters || countersExpected)) {
             rollout.lacksCounters = lacksCounters;
@@ -115,26 +124,26 @@
         }
     }
 
-    /** By how much the member's clock is ahead, in seconds; 0 while unknown. */
+    /** The amount by which the member's clock is ahead of this router's, in seconds; 0 while unknown. */
     private double clockOffset(Member member) {
         double offset = member.equals(self) ? 0 : membership.clockOffset(member);
         return Double.isNaN(offset) ? 0 : offset;
     }
 
-    private void announceDeparture(LocalRollout rollout, Member member, double recordedAt) {
-        if (rollout.announced.add("departed " + member)) {
+    private void emitDeparture(LocalRollout rollout, Member member, double recordedAt) {
+        if (rollout.emittedEvents.add("departed " + member)) {
             registry.emit(
                     EventType.MEMBER_DEPARTED,
                     rollout,
                     String.format(
                             Locale.ROOT,
-                            "%s has departed; what it replicated until %.1f counts, what it counted after that is lost",
+                            "%s has departed; its counters replicated until %.1f are included, later ones are lost",
                             member.name(),
                             recordedAt));
         }
     }
 
-    /** Why this router does not vote for the next stage; empty when it does. */
+    /** The reason why this router does not vote for the next stage; empty if it does. */
     private String holdReason(LocalRollout rollout, GuardEvaluator evaluator, MergedCounters counters, double now) {
         double secondsLeft = rollout.currentStage().minSeconds() - (now - rollout.stageStartedAt);
         if (!rollout.isVoter(self)) {
