--- a/fleet/src/main/java/clayhook/rollout/MemberCounters.java
+++ b/fleet/src/main/java/clayhook/rollout/MemberCounters.java
@@ -4,18 +4,18 @@
 import java.util.Arrays;
 
 /**
- * What one incarnation of one router has counted in one stage and request class since the stage began. Only that router
- * writes the value, each time with a higher revision, so a value that arrives twice, late or over several paths is not
- * counted twice. Immutable.
+ * Counters of one incarnation of one router for one stage and request class since the stage began. Only that router
+ * writes the value, each time with a higher revision, so a value that is received twice, late or over several paths is
+ * not counted twice. Immutable.
  */
 final class MemberCounters {
-    /** Evidence sums and outcome counters, see {@link CounterLayout}. */
+    /** Evidence sums and outcome counters, in the layout of {@link CounterLayout}. */
     static final ReplicatedType<MemberCounters> OUTCOME_COUNTS =
             new MemberCountersType(13, "rollout counts", CounterLayout.SIZE);
-    /** Latency histogram of the baseline. */
+    /** {@link LatencyHistogram} of the baseline. */
     static final ReplicatedType<MemberCounters> BASELINE_LATENCIES =
             new MemberCountersType(14, "rollout times, old version", LatencyHistogram.SIZE);
-    /** Latency histogram of the candidate. */
+    /** {@link LatencyHistogram} of the candidate. */
     static final ReplicatedType<MemberCounters> CANDIDATE_LATENCIES =
             new MemberCountersType(15, "rollout times, candidate", LatencyHistogram.SIZE);
 
@@ -26,9 +26,10 @@
     /**
      * Creates a value.
      *
-     * @param revision number of the write; the highest one counts
-     * @param recordedAt when it was written, in seconds since 1970 on the writer's clock
-     * @param counts counters in the layout of the value's type; not copied, so they must not be changed any more
+     * @param revision number of the write; the value with the highest one wins the merge
+     * @param recordedAt time of the write, in seconds since 1970 on the writer's clock
+     * @param counts counters in the layout of the value's type; not copied, so the caller must not change them
+     *     afterwards
      */
     MemberCounters(long revision, double recordedAt, long[] counts) {
         this.revision = revision;
@@ -36,17 +37,17 @@
         this.counts = counts;
     }
 
-    /** Number of the write. */
+    /** Number of the write, increased with each write. */
     long revision() {
         return revision;
     }
 
-    /** When it was written, in seconds since 1970 on the writer's clock. */
+    /** Time of the write, in seconds since 1970 on the writer's clock. */
     double recordedAt() {
         return recordedAt;
     }
 
-    /** The counters; not a copy, so they must not be changed. */
+    /** The counters. The array is not a copy and must not be changed. */
     long[] counts() {
         return counts;
     }
--- a/fleet/src/main/java/clayhook/rollout/MemberCountersType.java
+++ b/fleet/src/main/java/clayhook/rollout/MemberCountersType.java
@@ -5,11 +5,11 @@
 import clayhook.fleet.ReplicatedType;
 import java.util.Arrays;
 
-/** Merge and encoding of {@link MemberCounters} with a fixed number of counts. */
+/** Replicated type of {@link MemberCounters} with a fixed number of counts. */
 final class MemberCountersType implements ReplicatedType<MemberCounters> {
-    /** Two days; a stage that takes longer forgets routers that departed earlier than that. */
+    /** Two days. In a stage that takes longer, the counters of routers that departed before that no longer count. */
     private static final double RETENTION_SECONDS = 2 * 86_400;
-    /** 1,024 routers with eight request classes in two stages, and as many again. */
+    /** Enough for 1,024 routers with eight request classes in two stages, twice over. */
     private static final int MAX_ENTRIES = 32_768;
 
     private final int typeNumber;
@@ -19,9 +19,9 @@
     /**
      * Defines a type of counters.
      *
-     * @param typeNumber on the wire
-     * @param name for logs
-     * @param size number of counts in a value
+     * @param typeNumber number of the type on the wire
+     * @param name name of the type for logs
+     * @param size number of counts in each value
      */
     MemberCountersType(int typeNumber, String name, int size) {
         this.typeNumber = typeNumber;
@@ -75,7 +75,7 @@
     public MemberCounters read(FieldReader in) {
         var counters = new MemberCounters(in.readLong(), in.readDouble(), in.readLongs(size));
         if (counters.counts().length != size) {
-            throw new IllegalArgumentException(counters.counts().length + " counts");
+            throw new IllegalArgumentException(counters.counts().length + " counts, fewer than expected");
         }
         return counters;
     }
