--- a/fleet/src/main/java/clayhook/rollout/MergedCounters.java
+++ b/fleet/src/main/java/clayhook/rollout/MergedCounters.java
@@ -7,8 +7,8 @@
 import java.util.TreeMap;
 
 /**
- * What all routers have counted in one stage, as far as it is known here; the counters of routers that have departed
- * still count. A snapshot that does not follow the store. Not thread-safe.
+ * Counters of one stage summed over all routers whose values this router has received, including routers that have
+ * departed. A snapshot that later changes of the store do not affect. Not thread-safe.
  */
 final class MergedCounters {
     private final String rolloutId;
@@ -21,7 +21,7 @@
         this.stage = stage;
     }
 
-    /** Adds up the replicated counters of a stage. */
+    /** Sums the replicated counters of a stage. */
     static MergedCounters collect(ReplicatedStore store, String rolloutId, int stage) {
         var merged = new MergedCounters(rolloutId, stage);
         store.forEach(MemberCounters.OUTCOME_COUNTS, merged::addOutcomes);
@@ -34,33 +34,33 @@
         return merged;
     }
 
-    private void addOutcomes(String text, MemberCounters counters) {
-        CounterKey key = keyOfStage(text);
+    private void addOutcomes(String encodedKey, MemberCounters counters) {
+        CounterKey key = decodeKeyOfStage(encodedKey);
         if (key != null) {
             forRequestClass(key.requestClass()).addOutcomes(counters.counts());
             lastRecordedAt.merge(key.member(), counters.recordedAt(), Math::max);
         }
     }
 
-    private void addLatencies(String text, MemberCounters counters, Variant variant) {
-        CounterKey key = keyOfStage(text);
+    private void addLatencies(String encodedKey, MemberCounters counters, Variant variant) {
+        CounterKey key = decodeKeyOfStage(encodedKey);
         if (key != null) {
             forRequestClass(key.requestClass()).addLatencies(variant, counters.counts());
         }
     }
 
-    /** Null for malformed keys and for those of other stages. */
-    private CounterKey keyOfStage(String text) {
-        CounterKey key = CounterKey.decode(text);
+    /** The decoded key; null if it is malformed or belongs to another rollout or stage. */
+    private CounterKey decodeKeyOfStage(String encodedKey) {
+        CounterKey key = CounterKey.decode(encodedKey);
         return key != null && key.rolloutId().equals(rolloutId) && key.stage() == stage ? key : null;
     }
 
-    /** The totals of a request class; zero if nothing was counted. */
+    /** The totals of a request class; zero if no requests were counted. */
     ClassTotals forRequestClass(String requestClass) {
         return byRequestClass.computeIfAbsent(requestClass, any -> new ClassTotals());
     }
 
-    /** When each router wrote its newest counters, in seconds since 1970 on that router's clock. */
+    /** Time at which each router wrote its latest outcome counters, in seconds since 1970 on that router's clock. */
     Map<Member, Double> lastRecordedAt() {
         return lastRecordedAt;
     }
