--- a/fleet/src/main/java/clayhook/rollout/OutcomeCounters.java
+++ b/fleet/src/main/java/clayhook/rollout/OutcomeCounters.java
@@ -1,42 +1,42 @@
 package clayhook.rollout;
 
 /**
- * Outcomes of the requests of one variant and request class. Requests are also counted by a hash of their session,
- * because the spread between the buckets shows how much sessions differ from each other. Not thread-safe.
+ * Outcome counters and response times of one variant and request class. Requests are counted in buckets by a hash of
+ * their session, because the variance between buckets shows how much sessions differ from each other. Not thread-safe.
  */
 final class OutcomeCounters {
-    /** Buckets into which sessions are hashed. */
+    /** Number of buckets into which sessions are hashed. */
     static final int SESSION_BUCKETS = 12;
-    /** Position within a bucket: all requests. */
+    /** Offset within a bucket: all requests. */
     static final int TOTAL = 0;
-    /** Position within a bucket: failed requests. */
+    /** Offset within a bucket: failed requests. */
     static final int FAILED = 1;
-    /** Position within a bucket: requests answered after their latency objective. */
+    /** Offset within a bucket: requests whose response came after their latency objective. */
     static final int LATE = 2;
-    /** Position within a bucket: rejected requests. */
+    /** Offset within a bucket: rejected requests. */
     static final int REJECTED = 3;
-    /** Position within a bucket: answered requests for which the threshold of slowness was known. */
+    /** Offset within a bucket: requests with a response that were compared with a known slow threshold. */
     static final int LATENCY_COMPARED = 4;
-    /** Position within a bucket: requests above the threshold of slowness. */
+    /** Offset within a bucket: requests whose response time reached the slow threshold. */
     static final int SLOW = 5;
-    /** Counters in a bucket, which are adjacent. */
+    /** Number of counters in a bucket; they are adjacent. */
     static final int COUNTERS_PER_BUCKET = 6;
-    /** Counters in all buckets. */
+    /** Number of counters in all buckets. */
     static final int SIZE = SESSION_BUCKETS * COUNTERS_PER_BUCKET;
-    /** Makes the bucket independent of the hash that selects the variant of a session. */
+    /** Makes the bucket of a session independent of the hash that selects the session's variant. */
     private static final long BUCKET_SALT = 0x9e3779b97f4a7c15L;
 
-    /** The buckets, one after the other. */
+    /** The counters of all buckets, bucket by bucket. */
     final long[] counts = new long[SIZE];
-    /** Response times, see {@link LatencyHistogram}. */
+    /** {@link LatencyHistogram} of the response times. */
     final long[] latencies = new long[LatencyHistogram.SIZE];
 
-    /** Position within a bucket of the requests that a metric is a share of. */
+    /** Offset within a bucket of the requests that form the denominator of a metric's share. */
     static int comparedOffset(GuardMetric metric) {
         return metric == GuardMetric.SLOW ? LATENCY_COMPARED : TOTAL;
     }
 
-    /** Position within a bucket of the requests that a metric counts. */
+    /** Offset within a bucket of the requests that a metric counts as bad. */
     static int badOffset(GuardMetric metric) {
         return switch (metric) {
             case FAILED -> FAILED;
@@ -50,8 +50,8 @@
      * Counts one request.
      *
      * @param session hash of the session
-     * @param seconds until the response; NaN without a response
-     * @param slowThreshold seconds from which the request counts as slow; NaN while unknown
+     * @param seconds response time in seconds; NaN without a response
+     * @param slowThreshold response time in seconds from which the request counts as slow; NaN while unknown
      */
     void add(long session, boolean failed, boolean late, boolean rejected, double seconds, double slowThreshold) {
         int bucket = (int) Long.remainderUnsigned(TrafficSplit.mixHash(session + BUCKET_SALT), SESSION_BUCKETS);
@@ -77,7 +77,7 @@
         }
     }
 
-    /** Sum of one counter over the session buckets. */
+    /** Sum of the counter at an offset over all buckets. */
     long sum(int offset) {
         return SequentialTest.sumBuckets(counts, 0, offset);
     }
