--- a/fleet/src/main/java/clayhook/rollout/Proposal.java
+++ b/fleet/src/main/java/clayhook/rollout/Proposal.java
@@ -7,18 +7,19 @@
 import java.util.Comparator;
 
 /**
- * What a router proposes to the fleet. It never changes; the texts that it names by hash are replicated beside it as
- * {@link TextChunk}s. Proposals are ordered: of several that are open at once the smallest wins everywhere.
+ * A router's proposal of a rollout to the fleet. Immutable; the rules and terms that it identifies by hash are
+ * replicated separately as {@link TextChunk}s. Proposals have a total order: of several open ones the smallest wins at
+ * all routers.
  *
- * @param proposer the router that proposes
- * @param proposedAt when, in seconds since 1970 on the proposer's clock
- * @param baseRulesHash hash of the fleet's current rules
+ * @param proposer the router that made the proposal
+ * @param proposedAt time of the proposal, in seconds since 1970 on the proposer's clock
+ * @param baseRulesHash hash of the rules that the fleet used at the time of the proposal
  * @param rulesHash hash of the candidate
- * @param rulesLength bytes of the candidate's text in UTF-8
+ * @param rulesLength length of the candidate's text in UTF-8 bytes
  * @param termsHash hash of the encoded {@link RolloutTerms}
- * @param termsLength bytes of the encoded terms
- * @param leaseSeconds how long the candidate may run after contact with a majority
- * @param attempt of this candidate, counted from 1
+ * @param termsLength length of the encoded terms in bytes
+ * @param leaseSeconds seconds for which a router may run the candidate after a majority has granted it a lease
+ * @param attempt number of the attempt to roll out this candidate, from 1
  */
 record Proposal(
         Member proposer,
@@ -31,7 +32,7 @@
         double leaseSeconds,
         int attempt)
         implements Comparable<Proposal> {
-    /** The earlier proposal first, of simultaneous ones that with the smaller hash; the rest makes the order total. */
+    /** Orders by time of proposal, then by the candidate's hash; the other fields make the order total. */
     private static final Comparator<Proposal> ORDER = Comparator.comparingDouble(Proposal::proposedAt)
             .thenComparing(Proposal::rulesHash)
             .thenComparing(Proposal::proposer)
@@ -41,10 +42,10 @@
             .thenComparingDouble(Proposal::leaseSeconds)
             .thenComparingInt(Proposal::rulesLength)
             .thenComparingInt(Proposal::termsLength);
-    /** The longest lease. */
+    /** Upper bound of {@link #leaseSeconds()}. */
     static final double MAX_LEASE_SECONDS = 300;
 
-    /** Identifies the rollout; the key of its progress and part of the keys of its votes and counters. */
+    /** The id of the rollout: the key of its replicated progress and part of the keys of its votes and counters. */
     String id() {
         var text = proposer.name()
                 + '\n'
@@ -67,7 +68,7 @@
         return ORDER.compare(this, other);
     }
 
-    /** Encodes the proposal as a list of its own. */
+    /** Encodes the proposal as one list. */
     void write(FieldWriter out) {
         out.beginList()
                 .writeNullableString(proposer.name())
@@ -83,7 +84,9 @@
                 .endList();
     }
 
-    /** Decodes what {@link #write} encoded; throws IllegalArgumentException for malformed or invalid fields. */
+    /**
+     * Decodes the list that {@link #write} encodes; throws IllegalArgumentException for malformed or invalid fields.
+     */
     static Proposal read(FieldReader in) {
         in.beginList();
         var proposal = new Proposal(
@@ -98,7 +101,7 @@
                 in.readIntBelow(Integer.MAX_VALUE));
         in.endList();
         if (!(proposal.leaseSeconds > 0 && proposal.leaseSeconds <= MAX_LEASE_SECONDS)) {
-            throw new IllegalArgumentException("a lease of " + proposal.leaseSeconds + " s");
+            throw new IllegalArgumentException("lease out of range: " + proposal.leaseSeconds + " s");
         }
         return proposal;
     }
