--- a/fleet/src/main/java/clayhook/rollout/RolloutArbiter.java
+++ b/fleet/src/main/java/clayhook/rollout/RolloutArbiter.java
@@ -7,7 +7,10 @@
 import java.util.Comparator;
 import java.util.stream.Stream;
 
-/** Decides which of several rollouts is active, and ends those that lose or can no longer start. Not thread-safe. */
+/**
+ * Decides which of several rollouts is active, and ends those that are superseded or can no longer start. Not
+ * thread-safe.
+ */
 final class RolloutArbiter {
     private final RolloutRegistry registry;
     private final CurrentRules currentRules;
@@ -17,7 +20,7 @@
     private final Quorum quorum;
     private final Member self;
 
-    /** Decides between the rollouts of a registry. */
+    /** Creates the arbiter of a registry's rollouts. */
     RolloutArbiter(
             RolloutRegistry registry,
             CurrentRules currentRules,
@@ -38,18 +41,23 @@
         return rollout.isPastStartDeadline(now, settings.startTimeoutSeconds());
     }
 
-    /** The rollouts that go on. */
-    private Stream<LocalRollout> open(double now) {
+    /** The open rollouts: those that are neither ended nor completed and have not missed the time to start. */
+    private Stream<LocalRollout> openRollouts(double now) {
         return registry.all().stream()
                 .filter(rollout -> !rollout.isEnded() && !rollout.isCompleted() && !isPastStartDeadline(rollout, now));
     }
 
-    /** Of the rollouts that go on, the one that wins everywhere; null for none. */
+    /**
+     * The active rollout: the open one with the smallest proposal, which is the same at all routers that have received
+     * the same proposals. Null if no rollout is open.
+     */
     LocalRollout active(double now) {
-        return open(now).min(Comparator.comparing(rollout -> rollout.proposal)).orElse(null);
+        return openRollouts(now)
+                .min(Comparator.comparing(rollout -> rollout.proposal))
+                .orElse(null);
     }
 
-    /** Whether this router may run the rollout's candidate, given a lease. */
+    /** Whether this router may run the rollout's candidate while it has a lease. */
     boolean mayRunCandidate(LocalRollout rollout) {
         return rollout.isLoaded()
                 && rollout.problem == null
@@ -59,7 +67,10 @@
                 && currentRules.areBaseOf(rollout);
     }
 
-    /** Whether a rollout of that rule set with that plan goes on or is completed. */
+    /**
+     * Whether a rollout of the given rule set with the given plan is open or completed. A rollout whose terms are not
+     * loaded matches any plan.
+     */
     boolean isUnderway(RuleSet rules, RolloutPlan plan, double now) {
         return registry.all().stream()
                 .filter(rollout -> !rollout.isEnded() && !isPastStartDeadline(rollout, now))
@@ -68,10 +79,10 @@
                         rollout -> rollout.terms == null || rollout.terms.plan().equals(plan));
     }
 
-    /** Why a rollout of that rule set cannot start now, or null. */
+    /** The reason why a rollout of the given rule set cannot start now, or null. */
     RolloutProblem startProblem(RuleSet rules, RolloutPlan plan, double now) {
         if (rules.hash().equals(currentRules.hash())) {
-            return new RolloutProblem("rules", "the fleet uses them already");
+            return new RolloutProblem("rules", "the fleet already uses these rules");
         }
         LocalRollout active = active(now);
         if (active != null) {
@@ -93,10 +104,12 @@
                         + ", " + end.reason());
     }
 
-    /** Ends the rollouts that lose against the active one, and those that did not start in time. */
+    /**
+     * Ends the open rollouts that the active one supersedes, and those that did not start in time and can never start.
+     */
     void resolveConflicts(double now) {
         LocalRollout winner = active(now);
-        for (LocalRollout rollout : open(now).toList()) {
+        for (LocalRollout rollout : openRollouts(now).toList()) {
             if (rollout != winner) {
                 String reason = winner.displayName() + " was begun first";
                 registry.end(rollout, EndCause.SUPERSEDED, reason, now);
@@ -120,8 +133,8 @@
     }
 
     /**
-     * Whether a majority is live and all of its earlier votes have arrived here. As this router votes no more for the
-     * rollout, no later vote can start it.
+     * Whether a majority of the voters is live and this router has received all of its votes up to twice the start
+     * timeout. No router votes to start a rollout after its start timeout, so no later vote can start it.
      */
     private boolean canNeverStart(LocalRollout rollout, double now) {
         long liveVoters = rollout.terms.roster().stream()
