--- a/fleet/src/main/java/clayhook/rollout/RolloutController.java
+++ b/fleet/src/main/java/clayhook/rollout/RolloutController.java
@@ -20,18 +20,20 @@
 import java.util.function.Supplier;
 
 /**
- * Takes candidates through their stages, together with the other routers and without a leader: each router votes by
- * what it sees, and a stage is entered when a majority of the frozen roster has voted for it. The entry point of the
- * package for operators' requests, peers' messages and timers.
+ * Advances candidates through their stages, together with the other routers and without a leader: each router votes
+ * according to its own evaluation, and the rollout enters a stage when a majority of the roster, which is fixed at the
+ * proposal, has voted for it. The entry point of the package for operators' requests, peers' messages and timers.
  *
- * <p>For one thread, except for {@link #split()} and {@link #status()}, which any thread may call.
+ * <p>Not thread-safe, except for {@link #split()} and {@link #status()}, which any thread may call.
  */
 public final class RolloutController implements ProtocolHandler {
-    /** Time between ticks while a rollout is under way. */
+    /** Seconds between ticks while a rollout is active or waits to be proposed. */
     private static final double ACTIVE_TICK_SECONDS = 0.25;
-    /** Time between ticks while there is none. */
+    /** Seconds between ticks otherwise. */
     private static final double IDLE_TICK_SECONDS = 1;
-    /** Bytes of a router's name in UTF-8; the name is part of replicated keys, whose length is limited. */
+    /**
+     * Maximum length of a router's name in UTF-8 bytes. The name is part of replicated keys, whose length is limited.
+     */
     private static final int MAX_NAME_BYTES = 150;
 
     private final RolloutSettings settings;
@@ -46,20 +48,21 @@
     private final StageVoting voting;
     private final StageEvaluation evaluation;
     private final SplitUpdater splitUpdater;
-    /** The rule set that this router's file had last; null if this incarnation was never given one. */
+    /** Hash of the rule set that was last passed to {@link #propose}; null if there was none in this incarnation. */
     private String requestedRulesHash;
 
     private volatile RolloutStatus status;
 
     /**
-     * Starts without any rollout of its own. Throws IllegalArgumentException for a router's name that is too long.
+     * Creates a controller without a requested rollout. Throws IllegalArgumentException if this router's name is too
+     * long.
      *
      * @param membership the members of the fleet
-     * @param store the replicated values, with all {@link #replicatedTypes()}
+     * @param store the store of replicated values, in which all {@link #replicatedTypes()} are registered
      * @param validator decides whether this router can run a rule set
-     * @param seed of the random selection of voters
-     * @param now seconds since 1970
-     * @param listener receives what operators are to see
+     * @param seed seed of the random selection of voters
+     * @param now current time in seconds since 1970
+     * @param listener receives the events of rollouts
      */
     public RolloutController(
             MembershipView membership,
@@ -88,7 +91,7 @@
         this.self = membership.self().member();
         if (self.name().getBytes(StandardCharsets.UTF_8).length > MAX_NAME_BYTES) {
             throw new IllegalArgumentException(
-                    "a router's name may have " + MAX_NAME_BYTES + " bytes where rollouts are on");
+                    "with rollouts, the router's name may have at most " + MAX_NAME_BYTES + " bytes");
         }
         registry = new RolloutRegistry(store, self, listener, this::updateSplit);
         currentRules = new CurrentRules(settings.configuredRulesHash(), registry.all());
@@ -103,7 +106,7 @@
         splitUpdater = new SplitUpdater(registry, currentRules, arbiter, leases);
     }
 
-    /** The types of values that rollouts replicate. */
+    /** The replicated types of rollouts. */
     public static List<ReplicatedType<?>> replicatedTypes() {
         return List.of(
                 RolloutProgress.TYPE,
@@ -114,28 +117,29 @@
                 MemberCounters.CANDIDATE_LATENCIES);
     }
 
-    /** Which sessions get which version now; one volatile read, for any thread. */
+    /** The current split of sessions between versions. One volatile read; for any thread. */
     public TrafficSplit split() {
         return splitUpdater.split();
     }
 
-    /** The active rollout, or null; for any thread. */
+    /** The state of the active rollout as last evaluated, or null. For any thread. */
     public RolloutStatus status() {
         return status;
     }
 
-    /** For tests that compare states. */
+    /** All known rollouts, for tests that compare states. */
     Collection<LocalRollout> rollouts() {
         return registry.all();
     }
 
     /**
-     * Requests a rollout, at a start or a SIGHUP whose file has one. Requesting the one that is active changes nothing.
-     * The rollout waits until enough members are visible and the replicated state is complete here.
+     * Requests a rollout. Called at the start of this router and after a SIGHUP if the configuration file has a
+     * rollout. Requesting a rollout that is already active has no effect. The rollout is proposed once enough members
+     * are visible and this router has received the replicated state.
      *
-     * @param rules a canonical text, see {@link RuleSet}
-     * @param now seconds since 1970
-     * @return what is wrong; empty when the request was accepted
+     * @param rules the canonical text of the candidate, see {@link RuleSet}
+     * @param now current time in seconds since 1970
+     * @return the problems of the request; empty if it was accepted
      */
     public List<RolloutProblem> propose(RolloutPlan plan, String rules, double now) {
         loader.refresh(now);
@@ -164,11 +168,12 @@
     }
 
     /**
-     * Takes back a rollout, where this router's file had a candidate and no longer has one. All routers return to the
-     * baseline, also from a completed rollout that is not yet in this router's own file. A router that never requested
-     * a rollout takes back whatever is active; one whose rule set has lost to another leaves the other alone.
+     * Withdraws a rollout. Called when this router's configuration file no longer has a candidate. All routers return
+     * to the baseline, even from a completed rollout whose rules are not yet in this router's own file. A router that
+     * has requested a rollout withdraws only a rollout of the rule set that it requested last, and not one that
+     * superseded it; a router that has requested none withdraws any active rollout.
      *
-     * @return null, or why there is nothing to take back
+     * @return null, or the reason why there is nothing to withdraw
      */
     public RolloutProblem withdraw(double now) {
         loader.refresh(now);
@@ -188,9 +193,10 @@
     }
 
     /**
-     * Starts the latest rollout that has ended anew: another attempt, from the first stage, with the members of now.
+     * Requests another attempt of the latest rollout that has ended. It starts at the first stage, with the current
+     * members as its roster.
      *
-     * @return null, or why that is not possible
+     * @return null, or the reason why that is not possible
      */
     public RolloutProblem resume(double now) {
         loader.refresh(now);
@@ -207,10 +213,11 @@
     }
 
     /**
-     * Takes in that the rules in this router's own file have changed. Halts the active rollout if they are not its base
-     * rules, as a candidate is not compared with rules that change meanwhile.
+     * Notifies the controller of the rules in this router's own configuration file. Halts the active rollout if the
+     * rules have changed and are not its base rules, because a candidate cannot be compared with a baseline that
+     * changes during the rollout.
      *
-     * @param hash of the rules in the file
+     * @param hash hash of the rules in the file
      */
     public void onConfiguredRules(String hash, double now) {
         loader.refresh(now);
@@ -225,7 +232,7 @@
         updateSplit(now);
     }
 
-    /** Adds outcomes of requests. Another thread may have counted them, but must no longer use the batch. */
+    /** Adds the outcomes of finished requests. Another thread may have filled the batch, but must no longer use it. */
     public void addOutcomes(CounterBatch batch, double now) {
         batch.forEach((version, outcomes) -> {
             LocalRollout rollout = registry.get(version.rolloutId());
