--- a/fleet/src/main/java/clayhook/rollout/RolloutEnd.java
+++ b/fleet/src/main/java/clayhook/rollout/RolloutEnd.java
@@ -6,26 +6,26 @@
 import java.util.Comparator;
 
 /**
- * Why a rollout has ended. An end is never taken back; the same rule set can only be proposed again, with a higher
- * attempt.
+ * The end of a rollout and its cause. An end is permanent; the same rule set can only be proposed again with a higher
+ * attempt number.
  *
- * @param cause what kind of end
- * @param reason text for operators, shortened to 100 characters
- * @param endedBy name of the router that ended it first
- * @param endedAt when, in seconds since 1970 on that router's clock
+ * @param cause the kind of end
+ * @param reason reason for operators, truncated to 100 characters
+ * @param endedBy name of the router that ended the rollout
+ * @param endedAt time of the end, in seconds since 1970 on that router's clock
  */
 record RolloutEnd(EndCause cause, String reason, String endedBy, double endedAt) {
-    /** Kinds of ends, in the order in which one is reported where several routers end a rollout at once. */
+    /** Kinds of ends. If several routers end a rollout at once, the first of these constants is reported. */
     enum EndCause {
-        /** The counters proved that the candidate is worse, or it could not go on. */
+        /** The counters proved that the candidate is worse, or the rollout could not continue after its start. */
         HALTED(0),
         /** A router cannot run the candidate. */
         VETOED(1),
-        /** An operator took it back. */
+        /** An operator withdrew the rollout. */
         WITHDRAWN(2),
-        /** Another rollout that was proposed earlier wins. */
+        /** Another rollout was proposed earlier. */
         SUPERSEDED(3),
-        /** It did not start in time. */
+        /** The rollout did not start in time. */
         EXPIRED(4);
 
         private final int code;
@@ -34,12 +34,12 @@
             this.code = code;
         }
 
-        /** The number on the wire, from 0 without gaps. Never changes. */
+        /** The number on the wire. Codes are contiguous from 0 and never change. */
         int code() {
             return code;
         }
 
-        /** The cause with that code; throws IllegalArgumentException for none. */
+        /** The cause with the given code; throws IllegalArgumentException if there is none. */
         static EndCause ofCode(int code) {
             return Arrays.stream(values())
                     .filter(cause -> cause.code == code)
@@ -52,12 +52,15 @@
             .thenComparingDouble(RolloutEnd::endedAt)
             .thenComparing(RolloutEnd::endedBy)
             .thenComparing(RolloutEnd::reason);
-    /** Keeps the encoded value within the size of a message, whatever the characters. */
+    /**
+     * Maximum number of characters of a reason, so that the encoded value fits in a message whatever the characters
+     * are.
+     */
     private static final int MAX_REASON_LENGTH = 100;
 
     private static final String ELLIPSIS = "...";
 
-    /** Creates an end whose reason is shortened to the maximum length. */
+    /** Creates an end and truncates its reason to the maximum length. */
     static RolloutEnd of(EndCause cause, String reason, String endedBy, double endedAt) {
         String shortened = reason.length() <= MAX_REASON_LENGTH
                 ? reason
@@ -65,7 +68,7 @@
         return new RolloutEnd(cause, shortened, endedBy, endedAt);
     }
 
-    /** Which of two ends is reported; null stands for none. Commutative, associative and idempotent. */
+    /** The one of two ends that is reported; null stands for no end. Commutative, associative and idempotent. */
     static RolloutEnd merge(RolloutEnd a, RolloutEnd b) {
         if (a == null) {
             return b;
@@ -73,7 +76,7 @@
         return b == null || ORDER.compare(a, b) <= 0 ? a : b;
     }
 
-    /** Encodes the end as a list of its own. */
+    /** Encodes the end as one list. */
     void write(FieldWriter out) {
         out.beginList()
                 .writeLong(cause.code())
@@ -83,7 +86,7 @@
                 .endList();
     }
 
-    /** Decodes what {@link #write} encoded; throws IllegalArgumentException for malformed fields. */
+    /** Decodes the list that {@link #write} encodes; throws IllegalArgumentException for malformed fields. */
     static RolloutEnd read(FieldReader in) {
         in.beginList();
         EndCause cause = EndCause.ofCode(in.readIntBelow(EndCause.values().length));
--- a/fleet/src/main/java/clayhook/rollout/RolloutListener.java
+++ b/fleet/src/main/java/clayhook/rollout/RolloutListener.java
@@ -1,7 +1,7 @@
 package clayhook.rollout;
 
-/** Receives what operators are to see. */
+/** Receives the events that are reported to operators. */
 public interface RolloutListener {
-    /** Called on the thread that calls the {@link RolloutController}; must not call it back. */
+    /** Called on the thread that calls the {@link RolloutController}. Must not call the controller. */
     void onEvent(RolloutEvent event);
 }
