--- a/fleet/src/main/java/clayhook/rollout/RolloutPlan.java
+++ b/fleet/src/main/java/clayhook/rollout/RolloutPlan.java
@@ -8,26 +8,28 @@
 import java.util.TreeSet;
 
 /**
- * How a candidate gets from no session to all sessions.
+ * The plan by which the share of sessions that get a candidate grows from none to all.
  *
- * @param stages in the order in which they follow each other
- * @param alpha probability that a rollout without any difference is halted, over all its guards and stages together
- * @param attempt 1 for the first; a higher one asks for a new rollout of a rule set after one has ended
+ * @param stages the stages in order
+ * @param alpha maximum probability that a rollout whose variants do not differ is halted, over all guards and stages
+ *     together
+ * @param attempt number of the attempt, from 1; a higher number requests another rollout of a rule set after an earlier
+ *     one has ended
  */
 public record RolloutPlan(List<RolloutStage> stages, double alpha, int attempt) {
-    /** Stages of a plan at most. */
+    /** Maximum number of stages of a plan. */
     static final int MAX_STAGES = 16;
-    /** Half of the documented one in a hundred, as routers evaluate copies of the counters that differ for moments. */
+    /** Half of the documented 1%, because routers evaluate copies of the counters that differ briefly. */
     public static final double DEFAULT_ALPHA = 0.005;
-    /** The highest alpha that a plan may have. */
+    /** Upper bound of a plan's alpha. */
     static final double MAX_ALPHA = 0.01;
 
-    /** Copies the list of stages. */
+    /** Creates a plan with a copy of the list of stages. */
     public RolloutPlan {
         stages = List.copyOf(stages);
     }
 
-    /** All that is wrong with the plan, each with its key; empty for a valid plan. The list may be changed. */
+    /** Validates the plan. Returns a modifiable list of all problems, each with its key; empty for a valid plan. */
     public List<RolloutProblem> validate() {
         var problems = new ArrayList<RolloutProblem>();
         if (stages.isEmpty() || stages.size() > MAX_STAGES) {
@@ -47,7 +49,7 @@
         return problems;
     }
 
-    /** The part of alpha that each guard of a stage may use: the union bound over stages and guards. */
+    /** The share of alpha for each guard of a stage, by the union bound over stages and guards. */
     double alphaPerGuard(RolloutStage stage) {
         return alpha / stages.size() / stage.guards().size();
     }
@@ -59,19 +61,19 @@
         return classes;
     }
 
-    /** The same plan for another attempt. */
+    /** The same plan with another attempt number. */
     RolloutPlan withAttempt(int newAttempt) {
         return new RolloutPlan(stages, alpha, newAttempt);
     }
 
-    /** Encodes the plan as a list of its own. */
+    /** Encodes the plan as one list. */
     void write(FieldWriter out) {
         out.beginList().writeDouble(alpha).writeLong(attempt).beginList();
         stages.forEach(stage -> stage.write(out));
         out.endList().endList();
     }
 
-    /** Decodes what {@link #write} encoded; throws IllegalArgumentException for malformed fields. */
+    /** Decodes the list that {@link #write} encodes; throws IllegalArgumentException for malformed fields. */
     static RolloutPlan read(FieldReader in) {
         in.beginList();
         double alpha = in.readDouble();
--- a/fleet/src/main/java/clayhook/rollout/RolloutProblem.java
+++ b/fleet/src/main/java/clayhook/rollout/RolloutProblem.java
@@ -1,10 +1,10 @@
 package clayhook.rollout;
 
 /**
- * Why a plan, a rule set or a request for a rollout is not accepted.
+ * The reason why a plan, a rule set or a request for a rollout is not accepted.
  *
- * @param key of the operator's file, below the table of the rollout; empty where no key is the cause
- * @param message what is wrong, for operators
+ * @param key the invalid key of the operator's file, relative to the table of the rollout; empty if no key is the cause
+ * @param message description of the problem for operators
  */
 public record RolloutProblem(String key, String message) {
     @Override
--- a/fleet/src/main/java/clayhook/rollout/RolloutStage.java
+++ b/fleet/src/main/java/clayhook/rollout/RolloutStage.java
@@ -7,30 +7,37 @@
 import java.util.Set;
 
 /**
- * One step of a rollout.
+ * One stage of a rollout plan.
  *
- * @param share of all sessions that get the candidate, above 0 and at most 0.99
- * @param minSeconds how long the stage lasts at least
- * @param minSamples requests of the candidate that each guarded request class must have had at least
- * @param guards limits that are evaluated during the stage
+ * @param share share of all sessions that get the candidate, above 0 and at most 0.99
+ * @param minSeconds minimum duration of the stage in seconds
+ * @param minSamples minimum number of requests of the candidate in each guarded request class
+ * @param guards the guards that are evaluated during the stage
  */
 public record RolloutStage(double share, double minSeconds, long minSamples, List<Guard> guards) {
     /**
-     * With all sessions on the candidate there would be no baseline to compare with, so that every incident would halt
-     * the rollout. The last hundredth therefore follows only when the last stage is over.
+     * Upper bound of a stage's share. If all sessions had the candidate, there would be no baseline to compare it with,
+     * and every incident would halt the rollout. The remaining 1% of sessions therefore gets the candidate only after
+     * the last stage.
      */
     static final double MAX_SHARE = 0.99;
-    /** Guards of a stage at most; every router replicates counters for each guarded request class. */
+    /** Maximum number of guards of a stage, because every router replicates counters for each guarded request class. */
     static final int MAX_GUARDS = 64;
 
-    /** Copies the list of guards. */
+    /** Creates a stage with a copy of the list of guards. */
     public RolloutStage {
         guards = List.copyOf(guards);
     }
 
-    /** Adds to {@code problems} what is wrong with this stage, whose table in the operator's file is {@code key}. */
+    /**
+     * Validates this stage and its guards.
+     *
+     * @param key the stage's table in the operator's file
+     * @param previousShare share of the previous stage; 0 for the first stage
+     * @param problems receives a problem for each invalid value
+     */
     void validate(String key, double previousShare, List<RolloutProblem> problems) {
-        // Negated comparisons, so that NaN is a problem too.
+        // The comparisons are negated so that NaN is a problem too.
         if (!(share > previousShare) || share > MAX_SHARE) {
             problems.add(new RolloutProblem(
                     key + ".share",
@@ -46,18 +53,18 @@
         if (guards.isEmpty() || guards.size() > MAX_GUARDS) {
             problems.add(new RolloutProblem(key + ".guard", "needs 1 to " + MAX_GUARDS + " guards"));
         }
-        Set<List<Object>> watched = new HashSet<>();
+        Set<List<Object>> guardedMetrics = new HashSet<>();
         for (int i = 0; i < guards.size(); i++) {
             Guard guard = guards.get(i);
             String guardKey = key + ".guard[" + i + "]";
             guard.validate(guardKey, problems);
-            if (!watched.add(List.of(guard.requestClass(), guard.metric()))) {
+            if (!guardedMetrics.add(List.of(guard.requestClass(), guard.metric()))) {
                 problems.add(new RolloutProblem(guardKey, "watches what another guard of the stage watches"));
             }
         }
     }
 
-    /** Encodes the stage as a list of its own. */
+    /** Encodes the stage as one list. */
     void write(FieldWriter out) {
         out.beginList()
                 .writeDouble(share)
@@ -68,7 +75,7 @@
         out.endList().endList();
     }
 
-    /** Decodes the fields within the list; throws IllegalArgumentException for malformed ones. */
+    /** Decodes the fields within the list; throws IllegalArgumentException if they are malformed. */
     static RolloutStage read(FieldReader in) {
         return new RolloutStage(in.readDouble(), in.readDouble(), in.readLong(), in.readLists(MAX_GUARDS, Guard::read));
     }
