--- a/fleet/src/main/java/clayhook/rollout/RolloutProgress.java
+++ b/fleet/src/main/java/clayhook/rollout/RolloutProgress.java
@@ -5,46 +5,47 @@
 import clayhook.fleet.ReplicatedType;
 
 /**
- * How far a rollout has come, as far as is known here. An end wins over every stage.
+ * The replicated progress of a rollout. A progress with an end wins over one at any stage without an end.
  *
- * @param proposal what was proposed
- * @param stage the highest stage that a majority has voted for: 0 before the start, one past the last when it is
- *     completed
- * @param end null while the rollout goes on
- * @param retainedFrom from when the retention time is counted, in seconds since 1970
+ * @param proposal the proposal of the rollout
+ * @param stage the highest stage for which a majority has voted: 0 before the start, one more than the number of stages
+ *     after completion
+ * @param end the end of the rollout; null if it has not ended
+ * @param retainedFrom start of the retention time, in seconds since 1970
  */
 record RolloutProgress(Proposal proposal, int stage, RolloutEnd end, double retainedFrom) {
     /**
-     * How long a halt is remembered, and how long a router may be away before it could miss one: 14 days. Routers renew
-     * the retention of a rollout that goes on after half of this, all to the same time.
+     * Retention time of a rollout's progress: 14 days. A router that is disconnected for longer may miss a halt. For a
+     * rollout that has not ended, all routers renew the retention to the same start after half of this time.
      */
     static final double RETENTION_SECONDS = 14 * 86_400;
 
     private static final double RENEWAL_SECONDS = RETENTION_SECONDS / 2;
-    /** Rollouts are rare, so that their retention ends long before the bound is reached. */
+    /** Rollouts are rare, so their entries expire long before this bound is reached. */
     private static final int MAX_ENTRIES = 256;
 
-    /** Merge and encoding. */
+    /** The replicated type of rollout progress. */
     static final ReplicatedType<RolloutProgress> TYPE = new Type();
 
     /**
-     * The retention start of a rollout that goes on: the same at all routers, so that only one change is replicated.
+     * The start of the retention of a rollout that has not ended. It is the same at all routers, so that only one
+     * change is replicated.
      */
     static double renewedRetention(double proposedAt, double now) {
         return proposedAt + Math.max(0, Math.floor((now - proposedAt) / RENEWAL_SECONDS)) * RENEWAL_SECONDS;
     }
 
-    /** The same rollout, ended. */
+    /** The same progress with an end. */
     RolloutProgress withEnd(RolloutEnd newEnd) {
         return new RolloutProgress(proposal, stage, newEnd, retainedFrom);
     }
 
-    /** The same rollout at another stage. */
+    /** The same progress at another stage. */
     RolloutProgress withStage(int newStage) {
         return new RolloutProgress(proposal, newStage, end, retainedFrom);
     }
 
-    /** The same rollout with another start of its retention. */
+    /** The same progress with another start of the retention time. */
     RolloutProgress withRetainedFrom(double newRetainedFrom) {
         return new RolloutProgress(proposal, stage, end, newRetainedFrom);
     }
@@ -90,7 +91,7 @@
             return true;
         }
 
-        /** A halt counts whatever the clock of the router that reports it. */
+        /** False, so that a halt is accepted even from a router whose clock is wrong. */
         @Override
         public boolean clockDependent() {
             return false;
