--- a/fleet/src/main/java/clayhook/rollout/RolloutRegistry.java
+++ b/fleet/src/main/java/clayhook/rollout/RolloutRegistry.java
@@ -13,21 +13,24 @@
 import java.util.function.DoubleConsumer;
 
 /**
- * The rollouts that this router knows. Follows the replicated progress of each, emits events as stages and ends are
- * reached, and replicates this router's own changes. Not thread-safe.
+ * The rollouts whose progress this router has received. Merges the replicated progress of each, emits events when a
+ * stage or an end is reached, and replicates this router's own changes. Not thread-safe.
  */
 final class RolloutRegistry {
     private final ReplicatedStore store;
     private final Member self;
     private final RolloutListener listener;
     private final DoubleConsumer onChange;
-    /** By id. Entries leave with the replicated ones, whose number is bounded. */
+    /**
+     * Rollouts by id. Entries are removed with the replicated ones, whose number is bounded; only completed rollouts
+     * are kept.
+     */
     private final Map<String, LocalRollout> rollouts = new HashMap<>();
 
     /**
-     * Follows the progress of all rollouts in the store.
+     * Creates a registry that listens to changes of rollout progress in the store.
      *
-     * @param onChange called with the time when a rollout has reached a stage or an end
+     * @param onChange called with the current time when the progress of a known rollout has changed
      */
     RolloutRegistry(ReplicatedStore store, Member self, RolloutListener listener, DoubleConsumer onChange) {
         this.store = store;
@@ -37,7 +40,7 @@
         store.addListener(RolloutProgress.TYPE, this::onProgress);
     }
 
-    /** Null where it is not known. */
+    /** The rollout with the given id; null if this router does not know it. */
     LocalRollout get(String id) {
         return rollouts.get(id);
     }
@@ -47,13 +50,14 @@
         return Collections.unmodifiableCollection(rollouts.values());
     }
 
-    /** A copy of all known rollouts, for loops that may add or remove some. */
+    /** A copy of the list of all known rollouts, for loops that may add or remove rollouts. */
     List<LocalRollout> copyOfAll() {
         return new ArrayList<>(rollouts.values());
     }
 
     /**
-     * Takes in what is replicated, and forgets rollouts that are replicated nowhere any more, but for completed ones.
+     * Merges the progress of all rollouts in the store, and removes rollouts that are no longer in the store, except
+     * for completed ones.
      */
     void refresh(double now) {
         var replicated = new HashMap<String, RolloutProgress>();
@@ -62,7 +66,7 @@
         rollouts.values().removeIf(rollout -> !replicated.containsKey(rollout.id) && !rollout.isCompleted());
     }
 
-    /** A halt takes the candidate away at once, through {@code onChange}. */
+    /** Adds or updates a rollout. A halt stops the candidate at once, through {@code onChange}. */
     private void onProgress(String id, RolloutProgress progress, double now) {
         LocalRollout rollout = rollouts.get(id);
         if (rollout == null) {
@@ -97,7 +101,7 @@
 
     private void onStageReached(LocalRollout rollout, double now) {
         rollout.stageStartedAt = now;
-        // Versions are created anew, as they carry the number of the stage.
+        // The versions contain the number of the stage, so they are created anew.
         rollout.baseline = null;
         if (rollout.isCompleted()) {
             emitCompleted(rollout);
@@ -106,12 +110,12 @@
         }
     }
 
-    /** Replicates another state of a rollout. */
+    /** Replicates a change of a rollout's progress. */
     void publish(LocalRollout rollout, RolloutProgress progress, double now) {
         publish(rollout.id, progress, now);
     }
 
-    /** Replicates a new rollout of this router. */
+    /** Replicates a new rollout that this router proposes, and returns it. */
     LocalRollout start(RolloutProgress progress, double now) {
         String id = progress.proposal().id();
         publish(id, progress, now);
@@ -123,7 +127,7 @@
         onProgress(id, merged == null ? progress : merged, now);
     }
 
-    /** Ends a rollout everywhere, unless it has ended already. */
+    /** Ends a rollout at all routers, unless it has already ended. */
     void end(LocalRollout rollout, EndCause cause, String reason, double now) {
         if (!rollout.isEnded()) {
             publish(rollout, rollout.progress.withEnd(RolloutEnd.of(cause, reason, self.name(), now)), now);
@@ -135,9 +139,12 @@
         listener.onEvent(new RolloutEvent(type, rollout.proposal.rulesHash(), rollout.displayName() + ": " + message));
     }
 
-    /** Emits the event that all sessions have the candidate. */
+    /** Emits the event that the rollout is completed. */
     void emitCompleted(LocalRollout rollout) {
-        emit(EventType.COMPLETED, rollout, "put it into the file of every router");
+        emit(
+                EventType.COMPLETED,
+                rollout,
+                "all sessions get the candidate; add its rules to the configuration file of every router");
     }
 
     private void emitEnd(LocalRollout rollout) {
