--- a/fleet/src/main/java/clayhook/rollout/RolloutSettings.java
+++ b/fleet/src/main/java/clayhook/rollout/RolloutSettings.java
@@ -1,16 +1,18 @@
 package clayhook.rollout;
 
 /**
- * Settings of rollouts. All but the first must be the same at all routers.
+ * Settings of rollouts. All but {@code configuredRulesHash} must be the same at all routers.
  *
- * @param configuredRulesHash hash of the rules in this router's own file
- * @param fleetSize routers that the operator expects; no rollout starts while half of them or fewer are visible
- * @param leaseSeconds how long a candidate may run after contact with a majority. With about 0.03 s for each member the
- *     lease traffic stays below a packet in 10 ms
- * @param settleSeconds time between the proposal of a rollout and its start, in which another proposal or a veto may
- *     arrive
- * @param startTimeoutSeconds time within which a proposed rollout must start
- * @param shareIntervalSeconds least time between replicated counters
+ * @param configuredRulesHash hash of the rules in this router's own configuration file
+ * @param fleetSize number of routers that the operator expects; no rollout starts while half of them or fewer are
+ *     visible
+ * @param leaseSeconds seconds for which a router may run the candidate after a majority has granted it a lease. With
+ *     about 0.03 s for each member, lease traffic stays below one packet in 10 ms
+ * @param settleSeconds minimum time in seconds between the receipt of a proposal and a router's vote to start it,
+ *     during which other proposals and vetoes may be received; also the time after this router's start in which it
+ *     proposes nothing
+ * @param startTimeoutSeconds time in seconds within which a proposed rollout must start
+ * @param shareIntervalSeconds minimum time in seconds between two writes of replicated counters
  */
 public record RolloutSettings(
         String configuredRulesHash,
@@ -35,7 +37,7 @@
         }
     }
 
-    /** The default times. */
+    /** Settings with the default times. */
     public static RolloutSettings defaults(String configuredRulesHash, int fleetSize) {
         return new RolloutSettings(
                 configuredRulesHash,
--- a/fleet/src/main/java/clayhook/rollout/RolloutTerms.java
+++ b/fleet/src/main/java/clayhook/rollout/RolloutTerms.java
@@ -6,25 +6,25 @@
 import java.util.List;
 
 /**
- * What stays fixed from the proposal of a rollout to its end.
+ * The terms of a rollout, which stay fixed from its proposal to its end.
  *
  * @param plan the stages and guards
- * @param fleetSize routers that the operator expects; the majority is taken of these if the roster has fewer
- * @param roster the voters: the members at the time of the proposal. Only these vote and grant leases, and those that
- *     depart still count in the majority
+ * @param fleetSize number of routers that the operator expects; a majority of these is required if the roster has fewer
+ * @param roster the voters: the members at the time of the proposal. Only these vote and grant leases. Voters that
+ *     depart still count towards the number of which a majority is required
  */
 record RolloutTerms(RolloutPlan plan, int fleetSize, List<Member> roster) {
-    /** Routers in a roster at most. */
+    /** Maximum number of routers in a roster. */
     static final int MAX_ROUTERS = 4096;
-    /** Bytes of the encoded terms at most, enough for the longest plan and roster. */
+    /** Maximum length of the encoded terms in bytes, enough for the longest plan and roster. */
     static final int MAX_BYTES = 1024 * 1024;
 
-    /** Copies the roster. */
+    /** Creates terms with a copy of the roster. */
     RolloutTerms {
         roster = List.copyOf(roster);
     }
 
-    /** The encoded form, whose hash is part of the proposal. */
+    /** Encodes the terms. The hash of the bytes is part of the proposal. */
     byte[] encode() {
         var out = new FieldWriter();
         plan.write(out);
@@ -36,7 +36,7 @@
         return out.endList().toByteArray();
     }
 
-    /** Decodes the encoded form; throws IllegalArgumentException for malformed bytes and invalid plans. */
+    /** Decodes the terms; throws IllegalArgumentException for malformed bytes and for invalid plans. */
     static RolloutTerms decode(byte[] bytes) {
         var in = new FieldReader(bytes);
         var terms = new RolloutTerms(
@@ -50,7 +50,7 @@
         return terms;
     }
 
-    /** Of how many routers a majority is taken. */
+    /** The number of routers of which a majority is required. */
     int voterCount() {
         return Math.max(roster.size(), fleetSize);
     }
