--- a/fleet/src/main/java/clayhook/rollout/RolloutStarter.java
+++ b/fleet/src/main/java/clayhook/rollout/RolloutStarter.java
@@ -10,16 +10,16 @@
 import java.util.stream.Stream;
 
 /**
- * Holds the rollout that this router's operator has requested until it may start, then proposes it to the fleet. Not
- * thread-safe.
+ * Keeps the rollout that this router's operator has requested until it may be proposed, then proposes it to the fleet.
+ * Not thread-safe.
  */
 final class RolloutStarter {
-    /** What the operator has requested. */
+    /** A rollout that the operator has requested and that is not proposed yet. */
     private static final class PendingRollout {
         final RolloutPlan plan;
         final RuleSet rules;
-        /** The reason for waiting that was last sent to the listener. */
-        String announcedReason = "";
+        /** The reason for waiting that was last emitted; empty if there was none. */
+        String emittedReason = "";
 
         PendingRollout(RolloutPlan plan, RuleSet rules) {
             this.plan = plan;
@@ -40,9 +40,9 @@
     private PendingRollout pending;
 
     /**
-     * Starts rollouts of a registry.
+     * Creates a starter that adds its rollouts to a registry.
      *
-     * @param startedAt when this router has started, in seconds since 1970
+     * @param startedAt time at which this router started, in seconds since 1970
      */
     RolloutStarter(
             RolloutRegistry registry,
@@ -67,29 +67,29 @@
         this.startedAt = startedAt;
     }
 
-    /** Whether a rollout waits to be started. */
+    /** Whether a requested rollout waits to be proposed. */
     boolean hasPending() {
         return pending != null;
     }
 
-    /** Whether that very rollout waits to be started. */
+    /** Whether the given rollout waits to be proposed. */
     boolean isPending(RuleSet rules, RolloutPlan plan) {
         return pending != null && pending.rules.equals(rules) && pending.plan.equals(plan);
     }
 
-    /** Requests a rollout in place of one that may be waiting. */
+    /** Requests a rollout, replacing one that is waiting. */
     void request(RolloutPlan plan, RuleSet rules) {
         pending = new PendingRollout(plan, rules);
     }
 
-    /** Forgets the waiting rollout; returns whether there was one. */
+    /** Cancels the waiting rollout; returns whether there was one. */
     boolean cancel() {
         boolean canceled = pending != null;
         pending = null;
         return canceled;
     }
 
-    /** Starts the waiting rollout if it may start now. */
+    /** Proposes the waiting rollout if that is possible now; otherwise emits the reason for waiting when it changes. */
     void tick(double now) {
         if (pending == null) {
             return;
@@ -99,17 +99,17 @@
             PendingRollout requested = pending;
             pending = null;
             start(requested, now);
-        } else if (!holdReason.equals(pending.announcedReason)) {
-            pending.announcedReason = holdReason;
+        } else if (!holdReason.equals(pending.emittedReason)) {
+            pending.emittedReason = holdReason;
             listener.onEvent(new RolloutEvent(EventType.WAITING, pending.rules.hash(), holdReason));
         }
     }
 
-    /** Why no rollout may start now, or null. */
+    /** The reason why no rollout may be proposed now, or null. */
     private String holdReason(double now) {
         int members = membership.livePeers().size() + 1;
         if (now < startedAt + settings.settleSeconds()) {
-            return "this router has only started";
+            return "this router has just started";
         }
         if (store.completeUpTo(now) == Double.NEGATIVE_INFINITY) {
             return "this router has not yet received the replicated state";
