--- a/fleet/src/main/java/clayhook/rollout/RuleSet.java
+++ b/fleet/src/main/java/clayhook/rollout/RuleSet.java
@@ -9,19 +9,22 @@
 
 /**
  * Routing rules in a canonical text form that does not depend on the layout of the operator's file: TOML with sorted
- * keys and without comments. It holds routes only; neither the safety rules of the router nor the lists that tell reads
- * from writes can be staged.
+ * keys and without comments. A rule set contains routes only. The router's safety rules and the lists that distinguish
+ * reads from writes cannot be staged.
  *
  * @param text the canonical TOML text
- * @param hash 128 bits of the text in hexadecimal digits; identifies the rule set. It is no signature, as whoever may
- *     write the file is trusted
+ * @param hash 128-bit hash of the text in hexadecimal digits, which identifies the rule set. It is not cryptographic,
+ *     because everyone who can write the operator's file is trusted
  */
 public record RuleSet(String text, String hash) {
-    /** Bytes of a text in UTF-8 at most. */
+    /** Maximum length of the text in UTF-8 bytes. */
     public static final int MAX_BYTES = 256 * 1024;
-    /** Keys of {@code [statements]} that say where statements go that no rule matches. */
+    /** Keys of {@code [statements]} that define the route of statements that no rule matches. */
     private static final Set<String> DEFAULT_KEYS = Set.of("read_group", "write_group", "nodes", "timeout");
-    /** Keys of {@code [[statements.rule]]}; none of them makes a read of a statement that may write. */
+    /**
+     * Keys of {@code [[statements.rule]]} that may be staged. None of them can turn a statement that may write into a
+     * read.
+     */
     private static final Set<String> RULE_KEYS = Set.of(
             "name",
             "class",
@@ -44,19 +47,19 @@
     private static final int FIRST_PRINTABLE = ' ';
     private static final int DELETE = 127;
 
-    /** The rule set with that canonical text. */
+    /** The rule set with the given canonical text. */
     public static RuleSet of(String text) {
         return new RuleSet(text, TextChunk.contentHash(text.getBytes(StandardCharsets.UTF_8)));
     }
 
     /**
-     * The canonical form of tables as a TOML parser returns them: strings, integers, floats, booleans and lists of
+     * The rule set of tables as a TOML parser returns them. Values are strings, integers, floats, booleans and lists of
      * these.
      *
-     * @param defaults the keys of {@code [statements]} that are staged with the rules
-     * @param rules in their order, as the first one that matches wins
-     * @param problems receives whatever cannot be staged, with its key
-     * @return null if problems were added
+     * @param defaults the table {@code [statements]}: the route of statements that no rule matches
+     * @param rules the tables {@code [[statements.rule]]} in order; the first rule that matches a statement applies
+     * @param problems receives a problem for each key or value that cannot be staged
+     * @return the rule set; null if problems were added
      */
     public static RuleSet of(
             Map<String, ?> defaults, List<? extends Map<String, ?>> rules, List<RolloutProblem> problems) {
@@ -95,7 +98,7 @@
         });
     }
 
-    /** The value in TOML; null for values that no key can have. */
+    /** Formats a value in TOML; returns null for types that no key can have. */
     private static String format(Object value) {
         if (value instanceof String text) {
             return quote(text);
--- a/fleet/src/main/java/clayhook/rollout/RuleSetVersion.java
+++ b/fleet/src/main/java/clayhook/rollout/RuleSetVersion.java
@@ -3,8 +3,9 @@
 import java.util.Map;
 
 /**
- * The rules with which a request began. The frontend stores the object with the request and hands it back with the
- * outcome. For each stage at a router there is one object for the baseline and one for the candidate. Immutable.
+ * The rule set with which a request began, and its role in a rollout. The frontend stores the object with the request
+ * and passes it back with the outcome. A router has one object for the baseline and one for the candidate of each
+ * stage, which it replaces when a slow threshold becomes known. Immutable.
  */
 public final class RuleSetVersion {
     private static final int DISPLAYED_HASH_DIGITS = 8;
@@ -16,11 +17,12 @@
     private final Map<String, Double> slowThresholds;
 
     /**
-     * Describes a version.
+     * Creates a version.
      *
      * @param rolloutId null outside of rollouts
      * @param stage number of the stage, from 1; 0 outside of rollouts
-     * @param slowThresholds by guarded request class, seconds from which a request counts as slow; NaN while unknown
+     * @param slowThresholds by guarded request class, the response time in seconds from which a request counts as slow;
+     *     NaN while unknown
      */
     RuleSetVersion(
             String rulesHash, String rolloutId, int stage, boolean candidate, Map<String, Double> slowThresholds) {
@@ -31,7 +33,7 @@
         this.slowThresholds = Map.copyOf(slowThresholds);
     }
 
-    /** A version whose requests are not compared with others. */
+    /** Creates a version outside of rollouts, whose requests are not compared. */
     static RuleSetVersion outsideRollouts(String rulesHash) {
         return new RuleSetVersion(rulesHash, null, 0, false, Map.of());
     }
@@ -46,7 +48,7 @@
         return candidate;
     }
 
-    /** Null outside of rollouts: such requests are not compared. */
+    /** The id of the rollout; null outside of rollouts, where requests are not compared. */
     String rolloutId() {
         return rolloutId;
     }
@@ -56,17 +58,17 @@
         return stage;
     }
 
-    /** Which side of the comparison this is. */
+    /** The variant that this version is in the comparison. */
     Variant variant() {
         return candidate ? Variant.CANDIDATE : Variant.BASELINE;
     }
 
-    /** Whether a guard watches that request class. */
+    /** Whether a guard of the rollout watches a request class. */
     boolean isGuarded(String requestClass) {
         return slowThresholds.containsKey(requestClass);
     }
 
-    /** Seconds from which a request of a guarded class counts as slow; NaN while unknown. */
+    /** The response time in seconds from which a request of a guarded class counts as slow; NaN while unknown. */
     double slowThreshold(String requestClass) {
         return slowThresholds.get(requestClass);
     }
