--- a/fleet/src/main/java/clayhook/rollout/SplitUpdater.java
+++ b/fleet/src/main/java/clayhook/rollout/SplitUpdater.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * Derives from the active rollout and this router's lease which sessions get the candidate. {@link #split()} is for any
- * thread, the rest for the thread that owns the {@link RolloutController}.
+ * Keeps the split of sessions between versions up to date with the active rollout and this router's lease. Any thread
+ * may call {@link #split()}; all other methods are for the thread that owns the {@link RolloutController}.
  */
 final class SplitUpdater {
     private final RolloutRegistry registry;
@@ -15,7 +15,7 @@
     private RuleSetVersion currentVersion;
     private volatile TrafficSplit split;
 
-    /** Begins with the current rules for all sessions. */
+    /** Creates an updater whose split gives the current rules to all sessions. */
     SplitUpdater(RolloutRegistry registry, CurrentRules currentRules, RolloutArbiter arbiter, LeaseManager leases) {
         this.registry = registry;
         this.currentRules = currentRules;
@@ -25,13 +25,13 @@
         this.split = TrafficSplit.unsplit(currentVersion);
     }
 
-    /** Which sessions get which version now; one volatile read. */
+    /** The current split of sessions between versions; one volatile read. */
     TrafficSplit split() {
         return split;
     }
 
     /**
-     * Brings the split up to date, and emits events where the candidate starts or stops running here.
+     * Updates the split, and emits an event if this router starts or stops running a candidate.
      *
      * @param active the active rollout; null for none
      */
@@ -73,7 +73,10 @@
         }
     }
 
-    /** Keeps the version objects as long as nothing changes that is counted by them. */
+    /**
+     * Creates the version objects of the current stage, or replaces them if a slow threshold has changed. Otherwise
+     * keeps them, because outcomes are counted by version object.
+     */
     private void updateVersions(LocalRollout rollout) {
         Map<String, Double> thresholds = rollout.counters.slowThresholds(rollout.stage());
         if (rollout.baseline == null || !thresholds.equals(rollout.slowThresholds)) {
--- a/fleet/src/main/java/clayhook/rollout/TrafficSplit.java
+++ b/fleet/src/main/java/clayhook/rollout/TrafficSplit.java
@@ -1,15 +1,16 @@
 package clayhook.rollout;
 
 /**
- * Which sessions get the candidate at this router. Immutable, for any thread; reading it allocates nothing. A session
- * gets the same answer at every router that has come to the same stage, and keeps the candidate as the share grows.
+ * The split of sessions between the baseline and the candidate at this router. Immutable and thread-safe; reading it
+ * allocates nothing. A session gets the same variant at every router that runs the same stage, and keeps the candidate
+ * as the share grows.
  */
 public final class TrafficSplit {
-    /** Resolution of shares: the number of values that the used bits of a hash can have. */
+    /** Number of values of the used bits of a hash, which is the resolution of shares. */
     private static final long HASH_STEPS = 1L << 53;
 
     private static final int UNUSED_HASH_BITS = Long.SIZE - 53;
-    /** Digits of the candidate's hash that make the salt: 64 bits. */
+    /** Number of hexadecimal digits of the candidate's hash that form the 64-bit salt. */
     private static final int SALT_DIGITS = 16;
 
     private static final int HEXADECIMAL = 16;
@@ -18,7 +19,7 @@
     private final RuleSetVersion baseline;
     private final RuleSetVersion candidate;
     private final double share;
-    private final long candidateSteps;
+    private final long candidateThreshold;
     private final long salt;
     private final double validUntil;
 
@@ -33,22 +34,22 @@
         this.baseline = baseline;
         this.candidate = candidate;
         this.share = share;
-        this.candidateSteps = (long) (share * HASH_STEPS);
+        this.candidateThreshold = (long) (share * HASH_STEPS);
         this.salt = salt;
         this.validUntil = validUntil;
     }
 
-    /** All sessions get the current version. */
+    /** Creates a split in which all sessions get the current version. */
     static TrafficSplit unsplit(RuleSetVersion currentVersion) {
         return new TrafficSplit(currentVersion, null, null, 0, 0, Double.NEGATIVE_INFINITY);
     }
 
     /**
-     * Sessions are split between baseline and candidate.
+     * Creates a split of sessions between baseline and candidate.
      *
-     * @param currentVersion for all sessions from {@code validUntil} on, even if nobody replaces this split
-     * @param share of sessions that get the candidate
-     * @param validUntil seconds since 1970
+     * @param currentVersion version for all sessions from {@code validUntil} on, even if this split is not replaced
+     * @param share share of sessions that get the candidate
+     * @param validUntil end of the lease, in seconds since 1970
      */
     static TrafficSplit between(
             RuleSetVersion currentVersion,
@@ -56,12 +57,12 @@
             RuleSetVersion candidate,
             double share,
             double validUntil) {
-        // The salt depends on the rule set alone, so that another attempt begins with the same sessions.
+        // The salt depends only on the rule set, so that another attempt begins with the same sessions.
         long salt = Long.parseUnsignedLong(candidate.rulesHash().substring(0, SALT_DIGITS), HEXADECIMAL);
         return new TrafficSplit(currentVersion, baseline, candidate, share, salt, validUntil);
     }
 
-    /** Whether this split has the same version objects and end; if so, there is no need to replace it. */
+    /** Whether this split has the given version objects and end of validity, so that it need not be replaced. */
     boolean matches(
             RuleSetVersion otherCurrent, RuleSetVersion otherBaseline, RuleSetVersion otherCandidate, double otherEnd) {
         return currentVersion == otherCurrent
@@ -71,10 +72,10 @@
     }
 
     /**
-     * The version for a request that begins now.
+     * The version for a request that begins at {@code now}.
      *
-     * @param session a hash of the session that is the same at all routers
-     * @param now seconds since 1970
+     * @param session hash of the session, the same at all routers
+     * @param now current time in seconds since 1970
      */
     public RuleSetVersion versionFor(long session, double now) {
         if (!(now < validUntil)) {
@@ -83,9 +84,9 @@
         return isCandidateSession(session) ? candidate : baseline;
     }
 
-    /** Whether the session belongs to the candidate's share; it gets the candidate only while the lease lasts. */
+    /** Whether the session belongs to the candidate's share. It gets the candidate only until {@link #validUntil()}. */
     public boolean isCandidateSession(long session) {
-        return mixHash(session ^ salt) >>> UNUSED_HASH_BITS < candidateSteps;
+        return mixHash(session ^ salt) >>> UNUSED_HASH_BITS < candidateThreshold;
     }
 
     /** Hash of the fleet's current rules, without any candidate. */
@@ -93,27 +94,30 @@
         return currentVersion.rulesHash();
     }
 
-    /** Hash of the candidate, or null. */
+    /** Hash of the candidate; null without one. */
     public String candidateRulesHash() {
         return candidate == null ? null : candidate.rulesHash();
     }
 
-    /** The share of sessions that get the candidate. */
+    /** The share of sessions that get the candidate; 0 without one. */
     public double share() {
         return share;
     }
 
-    /** What is mixed into the hashes of sessions. */
+    /** The salt that is combined with the hashes of sessions; 0 without a candidate. */
     public long salt() {
         return salt;
     }
 
-    /** When the lease ends, in seconds since 1970; negative infinity without a candidate. */
+    /** The end of this router's lease, in seconds since 1970; negative infinity without a candidate. */
     public double validUntil() {
         return validUntil;
     }
 
-    /** The finalizer of MurmurHash3. Session hashes may be poor, and other uses of them must stay independent. */
+    /**
+     * The finalizer of MurmurHash3. Mixes session hashes, which may be unevenly distributed, and makes the result
+     * independent of other uses of the same hashes.
+     */
     static long mixHash(long hash) {
         long mixed = (hash ^ hash >>> 33) * 0xff51afd7ed558ccdL;
         mixed = (mixed ^ mixed >>> 33) * 0xc4ceb9fe1a85ec53L;
