--- a/fleet/src/main/java/clayhook/rollout/StageVote.java
+++ b/fleet/src/main/java/clayhook/rollout/StageVote.java
@@ -6,19 +6,20 @@
 import clayhook.fleet.ReplicatedType;
 
 /**
- * The vote of one voter in one rollout. Votes only rise.
+ * The replicated vote of one voter in one rollout. The stage of a vote never decreases.
  *
- * @param stage the highest stage that the voter agrees to enter; 0 if it has read the candidate and can run it
- * @param retainedFrom from when the retention time is counted, in seconds since 1970
+ * @param stage the highest stage that the voter agrees to enter; 0 if it has only confirmed that it can run the
+ *     candidate
+ * @param retainedFrom start of the retention time, in seconds since 1970
  */
 record StageVote(int stage, double retainedFrom) {
-    /** Room for two rollouts of the largest fleet and for earlier ones. */
+    /** Enough for two rollouts of the largest fleet and for earlier rollouts. */
     private static final int MAX_ENTRIES = 4096;
 
-    /** Merge and encoding; the highest vote wins. */
+    /** The replicated type of votes. The merge keeps the highest stage. */
     static final ReplicatedType<StageVote> TYPE = new Type();
 
-    /** The key of a voter's vote in a rollout. */
+    /** The key under which a voter's vote in a rollout is replicated. */
     static String key(String rolloutId, Member voter) {
         return rolloutId + '/' + Long.toString(voter.incarnation(), Character.MAX_RADIX) + '/' + voter.name();
     }
--- a/fleet/src/main/java/clayhook/rollout/StageVoting.java
+++ b/fleet/src/main/java/clayhook/rollout/StageVoting.java
@@ -4,7 +4,10 @@
 import clayhook.fleet.MembershipView;
 import clayhook.fleet.ReplicatedStore;
 
-/** Casts this router's votes, and advances a rollout to the stage that a majority has voted for. Not thread-safe. */
+/**
+ * Casts this router's votes, and advances a rollout to the next stage when a majority has voted for it. Not
+ * thread-safe.
+ */
 final class StageVoting {
     private final RolloutRegistry registry;
     private final CurrentRules currentRules;
@@ -14,7 +17,7 @@
     private final Quorum quorum;
     private final Member self;
 
-    /** Votes on the rollouts of a registry. */
+    /** Creates the voting on a registry's rollouts. */
     StageVoting(
             RolloutRegistry registry,
             CurrentRules currentRules,
@@ -31,7 +34,7 @@
         this.self = membership.self().member();
     }
 
-    /** Votes for a stage, unless this router has voted for it already. */
+    /** Votes for a stage, unless this router has already voted for it or for a later one. */
     void vote(LocalRollout rollout, int stage, double now) {
         String key = StageVote.key(rollout.id, self);
         StageVote previous = store.get(StageVote.TYPE, key);
@@ -40,7 +43,10 @@
         }
     }
 
-    /** Confirms that this router can run the candidate; votes to start once all live voters have confirmed it. */
+    /**
+     * Confirms that this router can run the candidate. Votes to start the rollout after the settling time, once all
+     * live voters have confirmed the same and if this router has not stalled recently.
+     */
     void voteToStart(LocalRollout rollout, double now) {
         if (rollout.problem != null || !currentRules.areBaseOf(rollout)) {
             return;
@@ -53,7 +59,7 @@
         }
     }
 
-    /** Replicates the next stage once a majority has voted for it. */
+    /** Advances the rollout to the next stage, or to completion, if a majority has voted for it. */
     void advanceOnMajority(LocalRollout rollout, double now) {
         int next = rollout.stage() + 1;
         int completed = rollout.terms.plan().stages().size() + 1;
