--- a/fleet/src/main/java/clayhook/rollout/TextChunk.java
+++ b/fleet/src/main/java/clayhook/rollout/TextChunk.java
@@ -9,16 +9,19 @@
 import java.util.Arrays;
 
 /**
- * A part of a text that is too long for one message. Chunks are keyed by the hash of the whole text, so that the same
- * text is replicated once. Immutable.
+ * A replicated part of a content, such as a rule set or terms, that is too long for one message. Chunks are keyed by
+ * the hash of the whole content, so that the same content is replicated only once. Immutable.
  */
 final class TextChunk {
-    /** Bytes of a chunk; together with its key it fits in a message. */
+    /** Maximum length of a chunk in bytes. A chunk of this length and its key fit in a message. */
     private static final int MAX_BYTES = 900;
-    /** Room for nine texts of the longest kind; older ones are evicted. */
+    /** Enough for nine contents of the longest rule set's length; older chunks are evicted. */
     private static final int MAX_ENTRIES = 3072;
 
-    /** Merge and encoding. Chunks under one key are equal but for their retention time, unless a router is at fault. */
+    /**
+     * The replicated type of chunks. Chunks with the same key differ only in their retention, unless a router is
+     * faulty.
+     */
     static final ReplicatedType<TextChunk> TYPE = new Type();
 
     private final byte[] bytes;
@@ -27,49 +30,49 @@
     /**
      * Creates a chunk.
      *
-     * @param bytes the chunk's part of the text; not copied, so they must not be changed any more
-     * @param retainedFrom from when the retention time is counted, in seconds since 1970
+     * @param bytes the bytes of the chunk; not copied, so the caller must not change them afterwards
+     * @param retainedFrom start of the retention time, in seconds since 1970
      */
     TextChunk(byte[] bytes, double retainedFrom) {
         this.bytes = bytes;
         this.retainedFrom = retainedFrom;
     }
 
-    /** The chunk's part of the text; not a copy, so they must not be changed. */
+    /** The bytes of the chunk. The array is not a copy and must not be changed. */
     byte[] bytes() {
         return bytes;
     }
 
-    /** 128 bits of the content in hexadecimal digits; also the name of a rule set. */
+    /** The 128-bit hash of a content in hexadecimal digits. The hash of a rule set's text identifies the rule set. */
     static String contentHash(byte[] content) {
         HashValue128 hash = Hashing.murmur3_128().hashBytesTo128Bits(content);
         return String.format("%016x%016x", hash.getMostSignificantBits(), hash.getLeastSignificantBits());
     }
 
-    /** Replicates a text in chunks. */
+    /** Replicates a content in chunks. */
     static void publish(ReplicatedStore store, byte[] content, double retainedFrom, double now) {
         String hash = contentHash(content);
-        for (int from = 0; from < content.length; from += MAX_BYTES) {
-            byte[] bytes = Arrays.copyOfRange(content, from, Math.min(content.length, from + MAX_BYTES));
-            store.merge(TYPE, key(hash, from), new TextChunk(bytes, retainedFrom), now);
+        for (int offset = 0; offset < content.length; offset += MAX_BYTES) {
+            byte[] bytes = Arrays.copyOfRange(content, offset, Math.min(content.length, offset + MAX_BYTES));
+            store.merge(TYPE, key(hash, offset), new TextChunk(bytes, retainedFrom), now);
         }
     }
 
-    /** The whole text, or null while chunks are missing or do not have the content that the hash names. */
+    /** The whole content, or null while chunks are missing or their content does not match the hash. */
     static byte[] assemble(ReplicatedStore store, String hash, int length) {
         byte[] content = new byte[length];
-        for (int from = 0; from < length; from += MAX_BYTES) {
-            TextChunk chunk = store.get(TYPE, key(hash, from));
-            if (chunk == null || chunk.bytes.length != Math.min(MAX_BYTES, length - from)) {
+        for (int offset = 0; offset < length; offset += MAX_BYTES) {
+            TextChunk chunk = store.get(TYPE, key(hash, offset));
+            if (chunk == null || chunk.bytes.length != Math.min(MAX_BYTES, length - offset)) {
                 return null;
             }
-            System.arraycopy(chunk.bytes, 0, content, from, chunk.bytes.length);
+            System.arraycopy(chunk.bytes, 0, content, offset, chunk.bytes.length);
         }
         return contentHash(content).equals(hash) ? content : null;
     }
 
-    private static String key(String hash, int from) {
-        return hash + '/' + from / MAX_BYTES;
+    private static String key(String hash, int offset) {
+        return hash + '/' + offset / MAX_BYTES;
     }
 
     @Override
@@ -130,7 +133,7 @@
         public TextChunk read(FieldReader in) {
             byte[] bytes = in.readBytes();
             if (bytes.length > MAX_BYTES) {
-                throw new IllegalArgumentException("a piece of " + bytes.length + " bytes");
+                throw new IllegalArgumentException("chunk too long: " + bytes.length + " bytes");
             }
             return new TextChunk(bytes, in.readDouble());
         }
