--- a/fleet/src/main/java/clayhook/rollout/Variant.java
+++ b/fleet/src/main/java/clayhook/rollout/Variant.java
@@ -1,8 +1,8 @@
 package clayhook.rollout;
 
-/** Which of the two rule sets under comparison served a request. */
+/** One of the two compared rule sets of a rollout. */
 enum Variant {
-    /** The rules that were in use when the rollout was proposed. */
+    /** The rules that the fleet used when the rollout was proposed. */
     BASELINE(0),
     /** The proposed rules. */
     CANDIDATE(1);
@@ -13,7 +13,7 @@
         this.position = position;
     }
 
-    /** The position in replicated counters; part of the wire format. */
+    /** The position of this variant in replicated counters; part of the wire format. */
     int position() {
         return position;
     }
