--- a/fleet/src/test/java/clayhook/rollout/InMemoryStore.java
+++ b/fleet/src/test/java/clayhook/rollout/InMemoryStore.java
@@ -7,7 +7,7 @@
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 
-/** A replicated store that is merged with others as a whole: slow, and easily seen to be right. */
+/** A simple {@link ReplicatedStore} for tests. Two stores are synchronized by merging all of their values. */
 final class InMemoryStore implements ReplicatedStore {
     private static final double REPLICATION_DELAY_SECONDS = 1;
 
@@ -75,7 +75,7 @@
         return entries(type).hashCode();
     }
 
-    /** Merges all values of a type from another store into this one. */
+    /** Merges all values of a type in another store into this one. */
     <V> void mergeFrom(InMemoryStore other, ReplicatedType<V> type, double now) {
         var all = new TreeMap<String, V>();
         other.forEach(type, all::put);
