--- a/fleet/src/test/java/clayhook/rollout/RecordedBytesTest.java
+++ b/fleet/src/test/java/clayhook/rollout/RecordedBytesTest.java
@@ -30,9 +30,9 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Checks every message, value and key that rollouts exchange against bytes recorded from an earlier release, in both
- * directions. Routers of different releases talk to each other, so a failure here means that the wire format has
- * changed.
+ * Compares every message, value and key that rollouts exchange with bytes recorded from an earlier release, in both
+ * directions. Routers of different releases exchange messages, so a failure means that the wire format has changed
+ * incompatibly.
  */
 class RecordedBytesTest {
     private static final Properties RECORDED = recorded();
@@ -59,7 +59,9 @@
         void write(FieldWriter out);
     }
 
-    /** A recorded form: the bytes under {@code name}, the value that they stand for, and how it is written and read. */
+    /**
+     * A recorded encoding: the key of the bytes in the resource file, the encoded value, its encoder and its decoder.
+     */
     private record Form(String name, Object value, Encoder encoder, Function<FieldReader, ?> decoder) {
         byte[] bytes() {
             var out = new FieldWriter();
@@ -88,7 +90,7 @@
         return new Form("value." + type.typeNumber() + "." + name, value, out -> type.write(value, out), type::read);
     }
 
-    /** A form that occurs in another value as an element of a list. */
+    /** A form that occurs as an element of a list within another value. */
     private static Form element(String name, Object value, Encoder encoder, Function<FieldReader, ?> decoder) {
         return new Form(
                 "element." + name,
@@ -138,7 +140,7 @@
     private static MemberCounters memberCounters(int size) {
         long[] counts = new long[size];
         for (int i = 0; i < size; i++) {
-            // One to nine bytes long, of both signs.
+            // Encodings of one to nine bytes, with both signs.
             counts[i] = i % 3 == 0 ? 0 : (1L << i % 63) * (i % 2 == 0 ? 1 : -1);
         }
         return new MemberCounters(7, TIME, counts);
@@ -194,7 +196,7 @@
     }
 
     @Test
-    void termsKeepTheirBytes() {
+    void termsMatchRecordedBytes() {
         assertEquals(RECORDED.getProperty("terms"), hex(terms().encode()));
         assertEquals(terms(), RolloutTerms.decode(bytes("terms")));
     }
@@ -219,7 +221,7 @@
         }
     }
 
-    /** Checks which constant has which code; the recorded forms alone would not notice two codes that are swapped. */
+    /** Checks which constant has which code, because the recorded forms alone would not reveal two swapped codes. */
     @Test
     void enumConstantsKeepTheirCodes() {
         assertEquals(
@@ -241,7 +243,7 @@
     }
 
     @Test
-    void keysKeepTheirText() {
+    void keysMatchRecordedText() {
         assertEquals("0fa4cf391cad9e48", proposal().id());
         assertEquals("0123456789abcdef/loyw3v5n/router/ä-1", StageVote.key(ROLLOUT_ID, MEMBER));
         var key = new CounterKey(ROLLOUT_ID, 2, MEMBER, "read/only");
@@ -250,7 +252,7 @@
     }
 
     @Test
-    void textsAreSplitIntoTheSameChunks() {
+    void contentIsSplitIntoRecordedChunks() {
         byte[] text = "0123456789".repeat(185).getBytes(StandardCharsets.UTF_8);
         String hash = "51144900af68e240bdf5b2057074d1e6";
         assertEquals(hash, TextChunk.contentHash(text));
@@ -263,7 +265,7 @@
     }
 
     @Test
-    void ruleSetsKeepTextAndHash() {
+    void ruleSetMatchesRecordedTextAndHash() {
         var problems = new ArrayList<RolloutProblem>();
         RuleSet set = RuleSet.of(
                 Map.of("timeout", 2.5, "read_group", "reads"),
@@ -285,9 +287,9 @@
         assertEquals("1eace384ecdce751dd4208e7d5d41261", set.hash());
     }
 
-    /** Routers must agree on which sessions get the candidate. */
+    /** All routers must give the candidate to the same sessions. */
     @Test
-    void sessionsKeepTheirVersion() {
+    void sessionsMatchRecordedVersions() {
         var baseline = RuleSetVersion.outsideRollouts("old");
         TrafficSplit split = TrafficSplit.between(
                 baseline, baseline, new RuleSetVersion("00000000deadbeef", null, 1, true, Map.of()), 0.25, TIME);
@@ -301,10 +303,10 @@
         assertEquals(0xdeadbeefL, split.salt());
     }
 
-    /** The positions of counters and the buckets of histograms are part of the format too. */
+    /** The positions of counters and the buckets of histograms are part of the wire format. */
     @ParameterizedTest
     @EnumSource(GuardMetric.class)
-    void countsKeepTheirPlaces(GuardMetric metric) {
+    void countersMatchRecordedPositions(GuardMetric metric) {
         var store = new InMemoryStore();
         var counters = new LocalCounters(ROLLOUT_ID, MEMBER, Set.of("read"));
         var baseline = new RuleSetVersion(BASE, ROLLOUT_ID, 1, false, Map.of("read", 0.05));
@@ -326,20 +328,22 @@
         counters.publish(store, 1, TIME);
         String key = "0123456789abcdef/1/loyw3v5n/10/router/ä-1/read";
         assertEquals(
-                RECORDED.getProperty(layout(metric, "counts")), sparse(store.get(MemberCounters.OUTCOME_COUNTS, key)));
+                RECORDED.getProperty(layout(metric, "counts")),
+                formatNonZeroCounts(store.get(MemberCounters.OUTCOME_COUNTS, key)));
         assertEquals(
-                RECORDED.getProperty(layout(metric, "old")), sparse(store.get(MemberCounters.BASELINE_LATENCIES, key)));
+                RECORDED.getProperty(layout(metric, "old")),
+                formatNonZeroCounts(store.get(MemberCounters.BASELINE_LATENCIES, key)));
         assertEquals(
                 RECORDED.getProperty(layout(metric, "candidate")),
-                sparse(store.get(MemberCounters.CANDIDATE_LATENCIES, key)));
+                formatNonZeroCounts(store.get(MemberCounters.CANDIDATE_LATENCIES, key)));
     }
 
     private static String layout(GuardMetric metric, String kind) {
         return "layout." + metric.code() + "." + kind;
     }
 
-    /** Positions and values of the counts that are not zero. */
-    private static String sparse(MemberCounters counters) {
+    /** Positions and values of the counts that are not zero, as text. */
+    private static String formatNonZeroCounts(MemberCounters counters) {
         var out = new StringBuilder();
         for (int i = 0; i < counters.counts().length; i++) {
             if (counters.counts()[i] != 0) {
