--- a/fleet/src/test/java/clayhook/rollout/RecordedRolloutTest.java
+++ b/fleet/src/test/java/clayhook/rollout/RecordedRolloutTest.java
@@ -16,19 +16,19 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Checks all messages and replicated values of whole rollouts against bytes recorded from an earlier release. A failure
- * means that the wire format or the course of a rollout has changed.
+ * Compares all messages and replicated values of complete rollouts with bytes recorded from an earlier release. A
+ * failure means that the wire format or the sequence of steps of a rollout has changed.
  */
 class RecordedRolloutTest {
-    /** A rollout at three routers that is completed and then withdrawn. */
+    /** A rollout of three routers that is completed and then withdrawn. */
     @Test
-    void aCompletedRolloutKeepsEveryByte() throws IOException {
+    void completedRolloutMatchesRecordedBytes() throws IOException {
         assertEquals(recordedRollout("completed"), rollout(0, EventType.COMPLETED));
     }
 
-    /** A rollout at three routers that is halted by its counters. */
+    /** A rollout of three routers that its counters halt. */
     @Test
-    void aHaltedRolloutKeepsEveryByte() throws IOException {
+    void haltedRolloutMatchesRecordedBytes() throws IOException {
         assertEquals(recordedRollout("halted"), rollout(0.2, EventType.HALTED));
     }
 
@@ -38,8 +38,11 @@
         }
     }
 
-    /** Each message in the order sent, then the values of a router at that event, then after a withdrawal. */
-    private static List<String> rollout(double failing, EventType last) {
+    /**
+     * Runs a rollout until the third router has the event {@code last}. Returns the messages in the order of sending,
+     * then that router's replicated values, then the messages and progress after a withdrawal.
+     */
+    private static List<String> rollout(double failureShare, EventType last) {
         var lines = new ArrayList<String>();
         var cluster = new RolloutCluster(3);
         cluster.run(5);
@@ -47,7 +50,7 @@
                 List.of(),
                 cluster.nodes[0].controller.propose(RolloutCluster.plan(1, 5), "[statements]\n", cluster.now));
         for (int i = 0; i < 80 && !cluster.nodes[2].hasEvent(last); i++) {
-            cluster.serveRequests(40, failing);
+            cluster.serveRequests(40, failureShare);
             step(cluster, lines);
         }
         assertTrue(cluster.nodes[2].hasEvent(last));
@@ -59,7 +62,7 @@
         return lines;
     }
 
-    /** Like {@link RolloutCluster#step()}, but records the messages. */
+    /** Does the same as {@link RolloutCluster#step()} and adds each message to {@code lines}. */
     private static void step(RolloutCluster cluster, List<String> lines) {
         cluster.now += 0.25;
         for (int i = 0; i < cluster.nodes.length; i++) {
