--- a/fleet/src/test/java/clayhook/rollout/RolloutAgreementTest.java
+++ b/fleet/src/test/java/clayhook/rollout/RolloutAgreementTest.java
@@ -12,8 +12,8 @@
 import net.jqwik.api.ShrinkingMode;
 
 /**
- * Random interleavings of exchanges, lost messages, partitions, crashes and operators at several routers: the
- * invariants hold, and all routers agree in the end.
+ * Runs random interleavings of exchanges, lost messages, partitions, crashes and operators' requests at several
+ * routers. Checks that the invariants hold at each step and that all routers agree in the end.
  */
 class RolloutAgreementTest {
     private static final int ACTIONS = 300;
@@ -50,33 +50,33 @@
     }
 
     private static void applyRandomAction(RolloutCluster cluster, Random random) {
-        int some = random.nextInt(cluster.nodes.length);
-        int other = random.nextInt(cluster.nodes.length);
+        int first = random.nextInt(cluster.nodes.length);
+        int second = random.nextInt(cluster.nodes.length);
         int percent = random.nextInt(100);
         if (percent < 30) {
-            cluster.exchange(some, other);
+            cluster.exchange(first, second);
         } else if (percent < 50) {
-            cluster.deliver(some, other);
+            cluster.deliver(first, second);
         } else if (percent < 60) {
-            cluster.links.get(some).get(other).pollFirst();
+            cluster.links.get(first).get(second).pollFirst();
         } else if (percent < 80) {
             cluster.now += RolloutCluster.STEP_SECONDS;
             cluster.serveRequests(20, random.nextInt(20) == 0 ? 0.5 : 0);
-            cluster.tick(some);
+            cluster.tick(first);
         } else if (percent < 92) {
             cluster.step();
         } else if (percent < 94) {
             cluster.partition(random.nextInt(cluster.nodes.length));
         } else if (percent < 95) {
-            cluster.killNode(some);
+            cluster.killNode(first);
         } else if (percent < 97) {
-            cluster.startNode(some);
-        } else if (cluster.nodes[some] != null) {
-            operate(cluster, cluster.nodes[some], percent < 99, random);
+            cluster.startNode(first);
+        } else if (cluster.nodes[first] != null) {
+            proposeOrWithdraw(cluster, cluster.nodes[first], percent < 99, random);
         }
     }
 
-    private static void operate(RolloutCluster cluster, RolloutNode node, boolean propose, Random random) {
+    private static void proposeOrWithdraw(RolloutCluster cluster, RolloutNode node, boolean propose, Random random) {
         if (propose) {
             RolloutPlan plan = RolloutCluster.plan(1, 1).withAttempt(1 + random.nextInt(3));
             node.controller.propose(plan, "set " + random.nextInt(2), cluster.now);
@@ -86,9 +86,9 @@
     }
 
     /**
-     * Checks that no router forgets an end.
+     * Checks that no router loses the end of a rollout that it has received.
      *
-     * @param ended the ends seen so far, by member and rollout; those of now are added
+     * @param ended keys of member and rollout for all ends found so far; current ends are added
      */
     private static void assertEndsArePermanent(RolloutCluster cluster, Set<String> ended) {
         for (RolloutNode node : cluster.nodes) {
