--- a/fleet/src/test/java/clayhook/rollout/RolloutCluster.java
+++ b/fleet/src/test/java/clayhook/rollout/RolloutCluster.java
@@ -15,11 +15,11 @@
 import java.util.function.Supplier;
 
 /**
- * Routers in virtual time. Replicated values are exchanged as a whole, link by link; messages wait in queues until they
- * are delivered.
+ * A cluster of routers in virtual time. An exchange copies all replicated values over one link; messages are queued
+ * until they are delivered.
  */
 final class RolloutCluster {
-    /** Seconds without contact after which a member counts as departed. */
+    /** Time in seconds without contact after which a member counts as departed. */
     static final double MEMBER_TIMEOUT_SECONDS = 3;
 
     static final double STEP_SECONDS = 0.25;
@@ -28,26 +28,26 @@
     private static final Set<ReplicatedType<?>> COUNTER_TYPES = Set.of(
             MemberCounters.OUTCOME_COUNTS, MemberCounters.BASELINE_LATENCIES, MemberCounters.CANDIDATE_LATENCIES);
 
-    /** A message on its way. */
+    /** A message in flight. */
     record SentMessage(Peer from, Message message) {}
 
     final RolloutSettings settings;
     final Quorum quorum;
     final Supplier<Lease> leaseFactory;
-    /** By number; null for a node that is down. */
+    /** Nodes by number; null for a node that is down. */
     final RolloutNode[] nodes;
-    /** By sender, then by receiver. */
+    /** Queues of messages in flight, by sender and then by receiver. */
     final List<List<Deque<SentMessage>>> links = new ArrayList<>();
 
     final RolloutInvariants invariants = new RolloutInvariants(this);
-    /** Directed links that are cut: sender * number of nodes + receiver. */
+    /** Directed links that are cut, each as {@code sender * nodes.length + receiver}. */
     private final Set<Integer> cutLinks = new HashSet<>();
 
     double now = 1_000_000;
-    /** Messages on a link at most; the oldest is lost. */
+    /** Maximum number of messages in flight on a link; if there are more, the oldest is lost. */
     int linkCapacity = DEFAULT_LINK_CAPACITY;
-    /** Whether members replicate no counters, although they have contact. */
-    boolean countersMuted;
+    /** Whether exchanges omit counters, although members have contact. */
+    boolean countersOmitted;
 
     private long incarnations;
     private long sessionsServed;
@@ -72,7 +72,7 @@
         this(size, new Quorum(), Lease::new);
     }
 
-    /** Starts a node anew; it has forgotten everything. */
+    /** Starts or restarts a node with a new incarnation and without state, and loses the messages on its links. */
     RolloutNode startNode(int i) {
         nodes[i] = new RolloutNode(this, i, ++incarnations);
         for (int j = 0; j < nodes.length; j++) {
@@ -90,33 +90,33 @@
         return nodes[from] != null && nodes[to] != null && !cutLinks.contains(from * nodes.length + to);
     }
 
-    /** Cuts the nodes below that number from the others, both ways; 0 heals the partition. */
-    void partition(int at) {
+    /** Cuts the links between nodes below a number and all others, in both directions; 0 heals the partition. */
+    void partition(int boundary) {
         cutLinks.clear();
         for (int i = 0; i < nodes.length; i++) {
             for (int j = 0; j < nodes.length; j++) {
-                if (i < at != j < at) {
+                if (i < boundary != j < boundary) {
                     cutLinks.add(i * nodes.length + j);
                 }
             }
         }
     }
 
-    /** All replicated values of one node come to another. */
+    /** Merges all replicated values of one node into another if the link is up. */
     void exchange(int from, int to) {
         if (!isLinkUp(from, to) || from == to) {
             return;
         }
         nodes[to].lastContactAt[from] = now;
         for (ReplicatedType<?> type : RolloutController.replicatedTypes()) {
-            if (!countersMuted || !COUNTER_TYPES.contains(type)) {
+            if (!countersOmitted || !COUNTER_TYPES.contains(type)) {
                 nodes[to].store.mergeFrom(nodes[from].store, type, now);
             }
         }
         invariants.recordVotes();
     }
 
-    /** Puts a message on a link. */
+    /** Adds a message to the queue of a link. */
     void send(int from, int to, SentMessage message) {
         Deque<SentMessage> link = links.get(from).get(to);
         link.addLast(message);
@@ -125,7 +125,7 @@
         }
     }
 
-    /** The oldest message on that link arrives. */
+    /** Delivers the oldest message in flight on a link, or loses it if the link is down. */
     void deliver(int from, int to) {
         SentMessage sent = links.get(from).get(to).pollFirst();
         if (sent == null || !isLinkUp(from, to)) {
@@ -145,7 +145,9 @@
         }
     }
 
-    /** A time step after which every node ticks and every link that is up delivers. */
+    /**
+     * Advances the time by one step, then ticks every node and exchanges values and messages on every link that is up.
+     */
     void step() {
         now += STEP_SECONDS;
         for (int i = 0; i < nodes.length; i++) {
@@ -167,24 +169,25 @@
         }
     }
 
-    /** The invariant that does not hold; null while all hold. */
+    /** Description of a violated invariant; null if all hold. */
     String findViolation() {
         return invariants.findViolation();
     }
 
     /**
-     * Each node serves so many requests, one of each session.
+     * Counts requests at each node, each request with a new session.
      *
-     * @param failing share of the requests of which those fail that get the candidate
+     * @param requests number of requests for each node
+     * @param failureShare share of the requests that fail if they get the candidate
      */
-    void serveRequests(int requests, double failing) {
+    void serveRequests(int requests, double failureShare) {
         for (RolloutNode node : nodes) {
             if (node != null) {
                 var batch = new CounterBatch();
                 for (int i = 0; i < requests; i++) {
                     long session = sessionsServed++;
                     RuleSetVersion version = node.controller.split().versionFor(session, now);
-                    boolean failed = version.isCandidate() && failing * requests > i;
+                    boolean failed = version.isCandidate() && failureShare * requests > i;
                     batch.add(version, "read", session, failed, false, false, 0.01);
                 }
                 node.controller.addOutcomes(batch, now);
@@ -192,7 +195,7 @@
         }
     }
 
-    /** The value after encoding and decoding; fails if it does not fit in a message. */
+    /** Encodes and decodes a value; fails if the value and its key do not fit in a message. */
     static <V> V encodeAndDecode(ReplicatedType<V> type, String key, V value) {
         var out = new FieldWriter();
         type.write(value, out);
@@ -203,7 +206,7 @@
         return type.read(new FieldReader(bytes));
     }
 
-    /** Two stages with a guard on failures. */
+    /** A plan with two stages and a guard on failures. */
     static RolloutPlan plan(double minSeconds, long minSamples) {
         List<Guard> guards = List.of(new Guard(Guard.ALL_CLASSES, GuardMetric.FAILED, Double.POSITIVE_INFINITY, 0.002));
         return new RolloutPlan(
--- a/fleet/src/test/java/clayhook/rollout/RolloutControllerTest.java
+++ b/fleet/src/test/java/clayhook/rollout/RolloutControllerTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Rollouts at five routers from the proposal to the end, and what may happen in between. */
+/** Tests rollouts of five routers from the proposal to the end, with vetoes, halts, partitions and restarts. */
 class RolloutControllerTest {
     private static final String RULES = "[statements]\n".repeat(9000);
     private static final RolloutPlan PLAN = RolloutCluster.plan(3, 20);
@@ -30,10 +30,10 @@
         cluster.run(5);
     }
 
-    private void runUntil(double seconds, double failing, BooleanSupplier done) {
+    private void runUntil(double seconds, double failureShare, BooleanSupplier done) {
         for (double end = cluster.now + seconds; !done.getAsBoolean(); ) {
             assertTrue(cluster.now < end, "too late");
-            cluster.serveRequests(200, failing);
+            cluster.serveRequests(200, failureShare);
             cluster.step();
             assertNull(cluster.findViolation());
         }
@@ -55,8 +55,8 @@
                 && !node.isRunning());
     }
 
-    /** Whether two routers that run the same stage give the same sessions the candidate. */
-    private static boolean splitsLike(RolloutNode first, RolloutNode second) {
+    /** Whether two routers give the candidate to the same sessions; true if they do not run the same stage. */
+    private static boolean haveSameSplit(RolloutNode first, RolloutNode second) {
         boolean sameStage =
                 first.latestProgress().stage() == second.latestProgress().stage();
         if (!second.isRunning() || !first.isRunning() || !sameStage) {
@@ -72,7 +72,7 @@
     void advancesThroughAllStages() {
         startRollout();
         runUntil(40, 0, () -> {
-            assertTrue(allNodes(node -> splitsLike(cluster.nodes[0], node)));
+            assertTrue(allNodes(node -> haveSameSplit(cluster.nodes[0], node)));
             return allNodes(node -> node.hasEvent(EventType.COMPLETED));
         });
         String hash = RuleSet.of(RULES).hash();
@@ -80,8 +80,8 @@
                 node.currentRulesHash().equals(hash) && node.controller.split().candidateRulesHash() == null));
         assertEquals(
                 List.of(), cluster.nodes[0].controller.propose(PLAN, RULES, cluster.now), "the same file read again");
-        RolloutNode late = cluster.startNode(2);
-        runUntil(5, 0, () -> late.currentRulesHash().equals(hash));
+        RolloutNode restarted = cluster.startNode(2);
+        runUntil(5, 0, () -> restarted.currentRulesHash().equals(hash));
         cluster.nodes[3].controller.onConfiguredRules(hash, cluster.now);
         assertNotNull(cluster.nodes[3].controller.withdraw(cluster.now), "its own file has the rules");
         assertNull(cluster.nodes[0].controller.withdraw(cluster.now));
@@ -90,7 +90,7 @@
 
     @Test
     void routerThatCannotReadTheRulesVetoesBeforeTheStart() {
-        cluster.nodes[3].unreadableRules = RULES;
+        cluster.nodes[3].invalidRules = RULES;
         cluster.nodes[0].controller.propose(PLAN, RULES, cluster.now);
         runUntil(3, 0, () -> allEnded(EndCause.VETOED));
         assertEquals("no such key", cluster.nodes[1].latestProgress().end().reason());
@@ -118,18 +118,21 @@
         assertEquals(1, cluster.nodes[0].controller.status().stage());
     }
 
-    /** The side without a majority falls back and may halt; a halt crosses the healed partition within a second. */
+    /**
+     * The routers without a majority return to the baseline and may withdraw the rollout. The withdrawal reaches all
+     * routers within a second after the partition is healed.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void partitionedMinorityFallsBackWhenItsLeaseExpires(boolean withdraws) {
         startRollout();
         cluster.partition(2);
-        double cut = cluster.now;
+        double partitionedAt = cluster.now;
         runUntil(
                 cluster.settings.leaseSeconds() + 0.5,
                 0,
                 () -> !cluster.nodes[0].isRunning() && !cluster.nodes[1].isRunning());
-        assertTrue(cluster.now - cut > 1, "the lease was still held");
+        assertTrue(cluster.now - partitionedAt > 1, "the lease was still held");
         assertTrue(cluster.nodes[0].hasEvent(EventType.LEASE_EXPIRED));
         runUntil(20, 0, () -> cluster.nodes[4].latestProgress().stage() == 2);
         assertEquals(1, cluster.nodes[0].latestProgress().stage());
@@ -145,29 +148,33 @@
 
     @ParameterizedTest
     @ValueSource(ints = {0, 2})
-    void earlierOfTwoConcurrentProposalsWins(int cut) {
-        cluster.partition(cut);
-        cluster.run(2 * cut);
+    void earlierOfTwoConcurrentProposalsWins(int partitionBoundary) {
+        cluster.partition(partitionBoundary);
+        cluster.run(2 * partitionBoundary);
         assertEquals(List.of(), cluster.nodes[4].controller.propose(PLAN, "b", cluster.now));
         cluster.tick(4);
         cluster.now += 0.1;
         assertEquals(List.of(), cluster.nodes[0].controller.propose(PLAN, "a", cluster.now));
         cluster.tick(0);
-        assertEquals(cut == 0, cluster.nodes[0].hasEvent(EventType.PROPOSED), "half of the fleet starts no rollout");
-        runUntil(cut == 0 ? 10 : 15, 0, () -> cluster.nodes[3].isRunning());
+        assertEquals(
+                partitionBoundary == 0,
+                cluster.nodes[0].hasEvent(EventType.PROPOSED),
+                "half of the fleet starts no rollout");
+        runUntil(partitionBoundary == 0 ? 10 : 15, 0, () -> cluster.nodes[3].isRunning());
         cluster.partition(0);
         runUntil(10, 0, () -> allNodes(RolloutNode::isRunning));
         assertTrue(allNodes(node -> node.controller
                 .split()
                 .candidateRulesHash()
                 .equals(RuleSet.of("b").hash())));
-        assertTrue(cluster.nodes[0].hasEvent(cut == 0 ? EventType.SUPERSEDED : EventType.REJECTED));
+        assertTrue(cluster.nodes[0].hasEvent(partitionBoundary == 0 ? EventType.SUPERSEDED : EventType.REJECTED));
         assertNotNull(cluster.nodes[0].controller.withdraw(cluster.now), "its own rule set has lost to the other");
     }
 
     /**
-     * A router that runs one candidate is partitioned with its whole lease ahead, and the others start another rollout:
-     * because an earlier proposal reaches them, or because they were restarted and know nothing of the first.
+     * Guards against two candidates that run at once. A router that runs one candidate is partitioned just after its
+     * lease was renewed, and the others start another rollout: either because they receive an earlier proposal, or
+     * because they were restarted and have no state of the first rollout.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
@@ -235,17 +242,17 @@
         assertEquals(2, cluster.nodes[0].latestProgress().stage());
     }
 
-    /** Leases are renewed, but no counters arrive: the stage neither advances nor ends. */
+    /** If leases are renewed but no counters are received, the stage neither advances nor ends. */
     @Test
     void stageHoldsWhileCountersAreMissing() {
         startRollout();
-        cluster.countersMuted = true;
+        cluster.countersOmitted = true;
         runUntil(20, 0, () -> allNodes(node -> node.hasEvent(EventType.COUNTERS_MISSING)));
         int stage = cluster.nodes[0].latestProgress().stage();
         cluster.serveRequests(200, 0);
         cluster.run(20);
         assertTrue(allNodes(node -> node.isRunning() && node.latestProgress().stage() == stage));
-        cluster.countersMuted = false;
+        cluster.countersOmitted = false;
         runUntil(
                 20,
                 0,
--- a/fleet/src/test/java/clayhook/rollout/RolloutNode.java
+++ b/fleet/src/test/java/clayhook/rollout/RolloutNode.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** One incarnation of one router in a {@link RolloutCluster}. */
+/** An incarnation of a router in a {@link RolloutCluster}. */
 final class RolloutNode implements MembershipView, Outbox {
     private final RolloutCluster cluster;
     final int number;
@@ -21,11 +21,11 @@
     final InMemoryStore store = new InMemoryStore();
     final List<RolloutEvent> events = new ArrayList<>();
     final RolloutController controller;
-    /** By node number, when this node last received replicated values from it. */
+    /** Time at which this node last received replicated values from each node, by node number. */
     final double[] lastContactAt;
-    /** Rules that this router cannot read. */
-    String unreadableRules = "";
-    /** Ground truth: by voter, when the request was sent that it granted last, as far as the response has arrived. */
+    /** Text of the rules that this router's validator rejects. */
+    String invalidRules = "";
+    /** By voter, the time at which the latest request was sent whose grant this node has received. */
     final Map<Member, Double> grantedRequestAt = new HashMap<>();
 
     RolloutNode(RolloutCluster cluster, int number, long incarnation) {
@@ -34,7 +34,7 @@
         member = new Member("r" + number, incarnation);
         lastContactAt = new double[cluster.nodes.length];
         Arrays.fill(lastContactAt, Double.NEGATIVE_INFINITY);
-        RuleSetValidator validator = (hash, rules) -> rules.equals(unreadableRules) ? "no such key" : null;
+        RuleSetValidator validator = (hash, rules) -> rules.equals(invalidRules) ? "no such key" : null;
         controller = new RolloutController(
                 this,
                 store,
@@ -51,25 +51,25 @@
         return events.stream().anyMatch(event -> event.type() == type);
     }
 
-    /** Whether sessions get a candidate here now. */
+    /** Whether sessions at this node get a candidate now. */
     boolean isRunning() {
         TrafficSplit split = controller.split();
         return split.candidateRulesHash() != null && cluster.now < split.validUntil();
     }
 
-    /** Hash of the rules that sessions get without a candidate. */
+    /** Hash of the rules for sessions without a candidate. */
     String currentRulesHash() {
         return controller.split().currentRulesHash();
     }
 
-    /** The progress of the rollout with the greatest id; null for none. */
+    /** The progress of the rollout with the greatest id; null if there is none. */
     RolloutProgress latestProgress() {
         var all = new ArrayList<RolloutProgress>();
         store.forEach(RolloutProgress.TYPE, (id, progress) -> all.add(progress));
         return all.isEmpty() ? null : all.get(all.size() - 1);
     }
 
-    /** The version that sessions of the candidate's share get. */
+    /** The version for sessions of the candidate's share. */
     RuleSetVersion candidateVersion() {
         TrafficSplit split = controller.split();
         long session = 0;
