--- a/fleet/src/test/java/clayhook/rollout/RolloutInvariants.java
+++ b/fleet/src/test/java/clayhook/rollout/RolloutInvariants.java
@@ -6,21 +6,19 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Checks the rules that must hold in a {@link RolloutCluster} whatever happens, against what has really happened. */
+/** Checks the invariants of a {@link RolloutCluster} against the votes and grants that were actually given. */
 final class RolloutInvariants {
     private final RolloutCluster cluster;
-    /**
-     * Ground truth: the highest stage that was ever voted for, by vote's key, also by routers that have departed since.
-     */
+    /** The highest stage ever voted for, by key of the vote. Includes votes of routers that have departed since. */
     final Map<String, Integer> highestVotes = new HashMap<>();
-    /** By hash; kept, as chunks may be gone from all stores later. */
+    /** Terms by hash. They are kept because their chunks may later be missing from all stores. */
     private final Map<String, RolloutTerms> terms = new HashMap<>();
 
     RolloutInvariants(RolloutCluster cluster) {
         this.cluster = cluster;
     }
 
-    /** Records the votes that are in the nodes' stores now. */
+    /** Records the votes that the nodes' stores contain now. */
     void recordVotes() {
         for (RolloutNode node : cluster.nodes) {
             if (node != null) {
@@ -29,7 +27,7 @@
         }
     }
 
-    /** The invariant that does not hold; null while all hold. */
+    /** Description of a violated invariant; null if all hold. */
     String findViolation() {
         Set<String> running = new HashSet<>();
         for (RolloutNode node : cluster.nodes) {
@@ -45,10 +43,10 @@
                 return violation;
             }
         }
-        return running.size() > 1 ? "two rollouts in force: " + running : null;
+        return running.size() > 1 ? "two rollouts run at the same time: " + running : null;
     }
 
-    /** Each stage has the votes of a majority, and no candidate runs whose rollout has ended. */
+    /** Checks that each stage has the votes of a majority, and that no candidate runs whose rollout has ended. */
     private String findProgressViolation(RolloutNode node) {
         String[] violation = {null};
         node.store.forEach(RolloutProgress.TYPE, (id, progress) -> {
@@ -58,11 +56,11 @@
                         .filter(voter -> highestVote(id, voter) >= progress.stage())
                         .count();
                 if (2 * votes <= terms.voterCount()) {
-                    violation[0] = node.member + " went on with " + votes + " votes";
+                    violation[0] = node.member + " advanced with " + votes + " votes";
                 }
             }
-            if (progress.end() != null && runs(node, progress.proposal())) {
-                violation[0] = node.member + " runs what was ended";
+            if (progress.end() != null && runsCandidateOf(node, progress.proposal())) {
+                violation[0] = node.member + " runs the candidate of a rollout that has ended";
             }
         });
         return violation[0];
@@ -72,21 +70,21 @@
         return highestVotes.getOrDefault(StageVote.key(rolloutId, voter), -1);
     }
 
-    private static boolean runs(RolloutNode node, Proposal proposal) {
+    private static boolean runsCandidateOf(RolloutNode node, Proposal proposal) {
         return node.isRunning()
                 && node.controller.split().candidateRulesHash().equals(proposal.rulesHash())
                 && node.candidateVersion().rolloutId().equals(proposal.id());
     }
 
-    /** A running candidate has had contact with a majority within the duration of a lease. */
+    /** Checks that a majority has granted the lease of a running candidate within the duration of a lease. */
     private String findLeaseViolation(RolloutNode node) {
         String rolloutId = node.candidateVersion().rolloutId();
         RolloutTerms terms = terms(node.store.get(RolloutProgress.TYPE, rolloutId));
-        long contacts = terms.roster().stream()
+        long grants = terms.roster().stream()
                 .filter(voter -> voter.equals(node.member) || hasRecentGrant(node, voter))
                 .count();
-        return 2 * contacts <= terms.voterCount()
-                ? node.member + " runs the candidate with " + contacts + " contacts within a lease"
+        return 2 * grants <= terms.voterCount()
+                ? node.member + " runs the candidate with " + grants + " grants within a lease"
                 : null;
     }
 
