--- a/fleet/src/test/java/clayhook/rollout/RolloutMergeTest.java
+++ b/fleet/src/test/java/clayhook/rollout/RolloutMergeTest.java
@@ -12,9 +12,12 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** The merge of every replicated type and its encoding, with values from small ranges, so that many are equal. */
+/**
+ * Tests the merge and the encoding of every replicated type. Values are drawn from small ranges, so that many are
+ * equal.
+ */
 class RolloutMergeTest {
-    /** As long as a router's name gets. */
+    /** A router's name of the maximum length, see {@code Packet.MAX_NAME_LENGTH}. */
     private static final String LONGEST_NAME = "n".repeat(100);
 
     private static RolloutProgress randomProgress(Random random) {
@@ -48,7 +51,7 @@
     }
 
     @Property(tries = 300, seed = "42")
-    void mergeIsLawfulAndValuesSurviveEncoding(@ForAll @IntRange(min = 0, max = 5) int type, @ForAll long seed) {
+    void mergeSatisfiesLawsAndEncodingIsLossless(@ForAll @IntRange(min = 0, max = 5) int type, @ForAll long seed) {
         switch (type) {
             case 0 -> assertMergeLaws(RolloutProgress.TYPE, RolloutMergeTest::randomProgress, seed);
             case 1 ->
@@ -94,12 +97,12 @@
         }
     }
 
-    /** Counters that arrive late, twice and over several paths count as if they had arrived once. */
+    /** Counters that are received late, twice or over several paths count only once. */
     @Property(tries = 100, seed = "42")
     void duplicateCountersAreCountedOnce(@ForAll long seed) {
         var random = new Random(seed);
         var store = new InMemoryStore();
-        var late = new InMemoryStore();
+        var delayedStore = new InMemoryStore();
         var newest = new MemberCounters[3];
         for (int i = 0; i < 30; i++) {
             int writer = random.nextInt(newest.length);
@@ -110,13 +113,13 @@
             String key = new CounterKey("rollout", 1, new Member("r/" + writer, 1), "a/b").encode();
             store.merge(MemberCounters.OUTCOME_COUNTS, key, counters, 40);
             if (random.nextBoolean()) {
-                late.merge(MemberCounters.OUTCOME_COUNTS, key, counters, 40);
+                delayedStore.merge(MemberCounters.OUTCOME_COUNTS, key, counters, 40);
             }
         }
         store.forEach(
                 MemberCounters.OUTCOME_COUNTS,
-                (key, counters) -> late.merge(MemberCounters.OUTCOME_COUNTS, key, counters, 40));
-        late.forEach(
+                (key, counters) -> delayedStore.merge(MemberCounters.OUTCOME_COUNTS, key, counters, 40));
+        delayedStore.forEach(
                 MemberCounters.OUTCOME_COUNTS,
                 (key, counters) -> store.merge(MemberCounters.OUTCOME_COUNTS, key, counters, 40));
         long sum = 0;
@@ -130,7 +133,7 @@
                         .requests(Variant.BASELINE));
         assertEquals(
                 sum,
-                MergedCounters.collect(late, "rollout", 1)
+                MergedCounters.collect(delayedStore, "rollout", 1)
                         .forRequestClass("a/b")
                         .requests(Variant.BASELINE));
     }
