--- a/fleet/src/test/java/clayhook/rollout/RolloutPlanTest.java
+++ b/fleet/src/test/java/clayhook/rollout/RolloutPlanTest.java
@@ -82,7 +82,10 @@
                 problems.stream().map(RolloutProblem::key).toList());
     }
 
-    /** A session that has the candidate at a share has it at any larger one; the share of sessions is met. */
+    /**
+     * A session that gets the candidate at one share also gets it at any larger share, and the number of such sessions
+     * matches the share.
+     */
     @Property(tries = 50, seed = "42")
     void sessionsKeepTheCandidateAsTheShareGrows(
             @ForAll long seed,
--- a/fleet/src/test/java/clayhook/rollout/RolloutSimulation.java
+++ b/fleet/src/test/java/clayhook/rollout/RolloutSimulation.java
@@ -9,15 +9,15 @@
 import java.util.stream.IntStream;
 
 /**
- * Simulates the counters of one rollout: requests are drawn second by second, then counted, replicated and evaluated by
- * the production classes, without votes and leases.
+ * Simulates the counters of one rollout without votes and leases. Random requests of each second are counted,
+ * replicated and evaluated by the production classes.
  *
  * @param routers number of routers
- * @param requestsPerSecond of all routers together
+ * @param requestsPerSecond number of requests per second of all routers together
  * @param sessions number of sessions
- * @param extraFailureRate by how much the candidate's share of failures is higher
- * @param uneven whether there are outages and bursts, some sessions send far more requests than others, and some fail
- *     far more often
+ * @param extraFailureRate difference between the candidate's share of failures and the baseline's
+ * @param uneven whether there are outages and bursts, and some sessions send far more requests or fail far more often
+ *     than others
  */
 record RolloutSimulation(int routers, int requestsPerSecond, int sessions, double extraFailureRate, boolean uneven) {
     private static final double FAILURE_RATE = 0.01;
@@ -25,14 +25,14 @@
     private static final String ROLLOUT_ID = "rollout";
 
     /**
-     * How the rollout ended.
+     * The result of a simulation.
      *
-     * @param haltedAtSecond -1 if it was not halted
-     * @param anyRouterHaltsAlone whether the counters of a single router would have halted it in that second
+     * @param haltedAtSecond second in which the rollout was halted, from 1; -1 if it was not halted
+     * @param anyRouterHaltsAlone whether the counters of any single router would have halted it in that second
      */
     record SimulationOutcome(int haltedAtSecond, boolean anyRouterHaltsAlone) {}
 
-    /** Three stages with four guards on a request class and four on all requests. */
+    /** A plan of three stages, with four guards on a request class and four on all requests. */
     static RolloutPlan plan(int seconds) {
         var guards = IntStream.range(0, 8)
                 .mapToObj(i -> new Guard(
@@ -100,7 +100,7 @@
         var baseline = new RuleSetVersion("00", ROLLOUT_ID, stage, false, thresholds);
         var candidate = new RuleSetVersion(candidateHash, ROLLOUT_ID, stage, true, thresholds);
         TrafficSplit split = TrafficSplit.between(baseline, baseline, candidate, share, Double.POSITIVE_INFINITY);
-        // An outage of a node, or a burst, in one second of ten.
+        // One second in ten has an outage of a node or a burst.
         double outage = uneven && random.nextInt(10) == 0 ? 0.3 : 0;
         var batch = new CounterBatch();
         for (int i = 0; i < requestsPerSecond / routers; i++) {
@@ -123,7 +123,7 @@
         batch.forEach(routerCounters::add);
     }
 
-    /** How many of so many simulations are halted. */
+    /** The number of simulations that are halted, out of {@code times} simulations with different seeds. */
     static long countHalted(RolloutSimulation simulation, RolloutPlan plan, int times, long seed) {
         return IntStream.range(0, times)
                 .parallel()
@@ -131,7 +131,10 @@
                 .count();
     }
 
-    /** Prints halt rates of so many rollouts without a difference, and times to halt of a tenth as many with one. */
+    /**
+     * Prints the halt rate of {@code times} rollouts whose variants do not differ, and the times to halt of a tenth as
+     * many rollouts with a worse candidate.
+     */
     static void printReport(int times) {
         RolloutPlan plan = plan(60);
         for (boolean uneven : new boolean[] {false, true}) {
--- a/fleet/src/test/java/clayhook/rollout/SequentialTestTest.java
+++ b/fleet/src/test/java/clayhook/rollout/SequentialTestTest.java
@@ -11,7 +11,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class SequentialTestTest {
-    /** Evaluated each second for a minute and a half; a fixed-sample test of this level would halt many of them. */
+    /**
+     * The rollouts are evaluated each second for a minute and a half. A fixed-sample test of this level would halt many
+     * of them.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void fewerThanOnePercentAreHaltedWithoutADifference(boolean uneven) {
@@ -32,7 +35,10 @@
         assertTrue(haltedAt[0] > 0 && haltedAt[10] < 75, "halted at " + haltedAt[0] + " to " + haltedAt[19]);
     }
 
-    /** Skipped unless {@code -Dclayhook.rollouts=10000} is set, as it takes minutes; it checks nothing. */
+    /**
+     * Prints a report and checks nothing. Skipped unless {@code -Dclayhook.rollouts=10000} is set, because it takes
+     * minutes.
+     */
     @Test
     @EnabledIfSystemProperty(named = "clayhook.rollouts", matches = "[0-9]+")
     void reportHaltRates() {
@@ -49,7 +55,7 @@
         }
     }
 
-    /** One client that always fails among the candidate's sessions proves nothing, however many requests it sends. */
+    /** One client of the candidate whose requests always fail is no proof, however many requests it sends. */
     @Test
     void oneFailingSessionIsNotProof() {
         long[] counts = new long[CounterLayout.SIZE];
