--- a/fleet/src/test/java/clayhook/rollout/StateSpaceExplorer.java
+++ b/fleet/src/test/java/clayhook/rollout/StateSpaceExplorer.java
@@ -11,15 +11,15 @@
 import java.util.stream.Stream;
 
 /**
- * Explores every order of a few steps of three routers and one rollout, breadth first; an order that leads to a known
- * state is not followed. Messages that are not delivered are late or, once more than {@link #LINK_CAPACITY} wait, lost.
- * The code itself is explored and not a model of it, so that the two cannot differ; a model checker for threads
- * (lincheck) has nothing to interleave here, and Alloy would check a second text of the rules.
+ * Explores all sequences of a few steps of three routers and one rollout, breadth first. A sequence that leads to a
+ * known state is not extended. A message that is not delivered is late, or lost once more than {@link #LINK_CAPACITY}
+ * messages are in flight on its link. The production code is explored directly, so no model can differ from it. A model
+ * checker for threads (lincheck) has nothing to interleave here, and Alloy would check a separate specification.
  */
 final class StateSpaceExplorer {
     private static final int MEMBERS = 3;
     private static final int LINK_CAPACITY = 2;
-    // Steps are numbered: exchanges and deliveries by sender and receiver, crashes by node, the passing of time, a
+    // Numbers of steps: exchanges and deliveries by sender and receiver, crashes by node, the passing of time, a
     // withdrawal.
     private static final int EXCHANGE_STEPS_END = MEMBERS * MEMBERS;
     private static final int DELIVERY_STEPS_END = 2 * MEMBERS * MEMBERS;
@@ -30,7 +30,7 @@
 
     private final Quorum quorum;
     private final Supplier<Lease> leaseFactory;
-    /** States found so far. */
+    /** Number of distinct states found so far. */
     int exploredStates;
 
     StateSpaceExplorer(Quorum quorum, Supplier<Lease> leaseFactory) {
@@ -39,11 +39,12 @@
     }
 
     /**
-     * The state from which all orders start.
+     * The state from which all sequences start.
      *
-     * @param running false: all have loaded the candidate; true: all run it, and one has asked for another lease
+     * @param running if false, all routers have loaded the candidate; if true, all run it and one has sent another
+     *     lease request
      */
-    private RolloutCluster start(boolean running) {
+    private RolloutCluster initialState(boolean running) {
         var cluster = new RolloutCluster(MEMBERS, quorum, leaseFactory);
         cluster.linkCapacity = LINK_CAPACITY;
         cluster.now += 5;
@@ -67,7 +68,7 @@
         return cluster;
     }
 
-    private static boolean isEnabled(RolloutCluster cluster, int step, List<Integer> before) {
+    private static boolean isEnabled(RolloutCluster cluster, int step, List<Integer> previousSteps) {
         int from = step / MEMBERS % MEMBERS;
         int to = step % MEMBERS;
         if (step < EXCHANGE_STEPS_END) {
@@ -76,12 +77,12 @@
         if (step < DELIVERY_STEPS_END) {
             return !cluster.links.get(from).get(to).isEmpty();
         }
-        return step == TIME_STEP || !hasFailure(before);
+        return step == TIME_STEP || !hasFailure(previousSteps);
     }
 
-    /** Whether there is a crash or a withdrawal; one is enough for an order. */
-    private static boolean hasFailure(List<Integer> order) {
-        return order.stream().anyMatch(step -> step >= DELIVERY_STEPS_END && step != TIME_STEP);
+    /** Whether a sequence contains a crash or a withdrawal; a sequence has at most one of these. */
+    private static boolean hasFailure(List<Integer> sequence) {
+        return sequence.stream().anyMatch(step -> step >= DELIVERY_STEPS_END && step != TIME_STEP);
     }
 
     private static void apply(RolloutCluster cluster, int step) {
@@ -107,7 +108,7 @@
         }
     }
 
-    /** All that the further course depends on, with times relative to now. */
+    /** A text of all state on which later steps depend, with times relative to the current time. */
     private static String fingerprint(RolloutCluster cluster) {
         var text = new StringBuilder();
         for (RolloutNode node : cluster.nodes) {
@@ -130,12 +131,12 @@
         return text.append(cluster.now).append(cluster.invariants.highestVotes).toString();
     }
 
-    /** That order with each step that may follow. */
-    private static List<List<Integer>> successors(RolloutCluster cluster, List<Integer> order) {
+    /** The given sequence, extended by each step that is possible next. */
+    private static List<List<Integer>> successors(RolloutCluster cluster, List<Integer> sequence) {
         var successors = new ArrayList<List<Integer>>();
         for (int step = 0; step < STEPS; step++) {
-            if (isEnabled(cluster, step, order)) {
-                var longer = new ArrayList<>(order);
+            if (isEnabled(cluster, step, sequence)) {
+                var longer = new ArrayList<>(sequence);
                 longer.add(step);
                 successors.add(longer);
             }
@@ -143,14 +144,17 @@
         return successors;
     }
 
-    /** The first order, shortest ones first, after which an invariant does not hold; null for none. */
+    /**
+     * A shortest sequence that violates an invariant, with the violation; null if there is none up to the given number
+     * of steps.
+     */
     String findViolation(boolean running, int depth) {
         Set<String> seen = ConcurrentHashMap.newKeySet();
-        List<List<Integer>> orders = successors(start(running), List.of());
+        List<List<Integer>> sequences = successors(initialState(running), List.of());
         for (int i = 0; i < depth; i++) {
             Queue<String> violations = new ConcurrentLinkedQueue<>();
-            orders = orders.parallelStream()
-                    .flatMap(order -> explore(running, order, seen, violations))
+            sequences = sequences.parallelStream()
+                    .flatMap(sequence -> explore(running, sequence, seen, violations))
                     .toList();
             if (!violations.isEmpty()) {
                 return violations.peek();
@@ -160,17 +164,17 @@
         return null;
     }
 
-    /** Applies an order of steps; returns its successors if it leads to a new state. */
+    /** Applies a sequence of steps and checks the invariants; returns its successors if it leads to a new state. */
     private Stream<List<Integer>> explore(
-            boolean running, List<Integer> order, Set<String> seen, Queue<String> violations) {
-        RolloutCluster cluster = start(running);
-        order.forEach(step -> apply(cluster, step));
+            boolean running, List<Integer> sequence, Set<String> seen, Queue<String> violations) {
+        RolloutCluster cluster = initialState(running);
+        sequence.forEach(step -> apply(cluster, step));
         String violation = cluster.findViolation();
         if (violation != null) {
-            violations.add(order + ": " + violation);
+            violations.add(sequence + ": " + violation);
         }
-        return seen.add(hasFailure(order) + fingerprint(cluster))
-                ? successors(cluster, order).stream()
+        return seen.add(hasFailure(sequence) + fingerprint(cluster))
+                ? successors(cluster, sequence).stream()
                 : Stream.empty();
     }
 }
--- a/fleet/src/test/java/clayhook/rollout/StateSpaceExplorerTest.java
+++ b/fleet/src/test/java/clayhook/rollout/StateSpaceExplorerTest.java
@@ -7,7 +7,10 @@
 import org.junit.jupiter.api.Test;
 
 class StateSpaceExplorerTest {
-    /** Steps after a start; one more takes ten times as long, and is tried by hand. */
+    /**
+     * Number of steps after the initial state. One more step takes ten times as long; set {@code -Dclayhook.depth} to
+     * run it manually.
+     */
     private static final int DEPTH = Integer.getInteger("clayhook.depth", 4);
 
     @Test
@@ -19,7 +22,7 @@
     }
 
     @Test
-    void findsAQuorumThatIsNoMajority() {
+    void detectsQuorumBelowMajority() {
         Quorum half = new Quorum() {
             @Override
             int majorityOf(int voters) {
@@ -30,7 +33,7 @@
     }
 
     @Test
-    void findsALeaseCountedFromTheResponse() {
+    void detectsLeaseCountedFromResponse() {
         class LateLease extends Lease {
             @Override
             double grantStart(double requestedAt, double now) {
