--- a/fleet/src/main/java/clayhook/rollout/LocalRollout.java
+++ b/fleet/src/main/java/clayhook/rollout/LocalRollout.java
@@ -19,7 +19,7 @@
     final String id;
     final Proposal proposal;
     /** Time at which this router first received the rollout, in seconds since 1970. */
-    final double firstSeenAt;
+    final double firstReceivedAt;
 
     /** The merged progress. Set by {@link RolloutRegistry}. */
     RolloutProgress progress;
@@ -40,11 +40,13 @@
     /** This router's lease; null until terms and rules are loaded. Used by {@link LeaseManager}. */
     Lease lease;
 
+    /** Time of the next lease request, in seconds since 1970. */
     double nextLeaseRequestAt = Double.NEGATIVE_INFINITY;
 
     /** This router's counters; null until terms and rules are loaded. Used by {@link StageEvaluation}. */
     LocalCounters counters;
 
+    /** Time of the next evaluation, in seconds since 1970. */
     double nextEvaluationAt = Double.NEGATIVE_INFINITY;
     /** Whether fewer than a majority of the voters had fresh counters at the last evaluation. */
     boolean lacksCounters;
@@ -61,6 +63,7 @@
     RuleSetVersion baseline;
 
     RuleSetVersion candidate;
+    /** Slow thresholds of both versions by request class, see {@link RuleSetVersion}. */
     Map<String, Double> slowThresholds;
 
     /** Creates the state of a rollout that this router has just received. */
@@ -68,11 +71,13 @@
         this.id = id;
         this.proposal = progress.proposal();
         this.progress = progress;
-        this.firstSeenAt = now;
+        this.firstReceivedAt = now;
         this.stageStartedAt = now;
     }
 
-    /** Whether the rollout has ended without being completed. */
+    /**
+     * Whether the rollout has an end, for example by a halt. A completed rollout has none unless it is withdrawn later.
+     */
     boolean isEnded() {
         return progress.end() != null;
     }
@@ -99,7 +104,7 @@
      * @param startTimeoutSeconds see {@link RolloutSettings#startTimeoutSeconds()}
      */
     boolean isPastStartDeadline(double now, double startTimeoutSeconds) {
-        return stage() == 0 && now - Math.min(firstSeenAt, proposal.proposedAt()) > startTimeoutSeconds;
+        return stage() == 0 && now - Math.min(firstReceivedAt, proposal.proposedAt()) > startTimeoutSeconds;
     }
 
     /** Whether both the terms and the rules that the proposal identifies are loaded. */
--- a/fleet/src/main/java/clayhook/rollout/RolloutArbiter.java
+++ b/fleet/src/main/java/clayhook/rollout/RolloutArbiter.java
@@ -140,7 +140,7 @@
         long liveVoters = rollout.terms.roster().stream()
                 .filter(member -> member.equals(self) || membership.isLive(member))
                 .count();
-        double votesEndAt = rollout.firstSeenAt + 2 * settings.startTimeoutSeconds();
+        double votesEndAt = rollout.firstReceivedAt + 2 * settings.startTimeoutSeconds();
         return liveVoters >= rollout.majoritySize(quorum) && store.completeUpTo(now) > votesEndAt;
     }
 }
--- a/fleet/src/main/java/clayhook/rollout/RolloutLoader.java
+++ b/fleet/src/main/java/clayhook/rollout/RolloutLoader.java
@@ -123,7 +123,7 @@
      */
     private void onBaseRulesMismatch(LocalRollout rollout, double now) {
         boolean started = rollout.stage() > 0;
-        if (!started && rollout.isVoter(self) && now - rollout.firstSeenAt > settings.startTimeoutSeconds() / 2) {
+        if (!started && rollout.isVoter(self) && now - rollout.firstReceivedAt > settings.startTimeoutSeconds() / 2) {
             registry.end(rollout, EndCause.VETOED, self.name() + " stands on other rules", now);
         } else if (started && rollout.emittedEvents.add("not participating")) {
             registry.emit(
--- a/fleet/src/main/java/clayhook/rollout/StageVoting.java
+++ b/fleet/src/main/java/clayhook/rollout/StageVoting.java
@@ -52,7 +52,7 @@
             return;
         }
         vote(rollout, 0, now);
-        if (now - rollout.firstSeenAt >= settings.settleSeconds()
+        if (now - rollout.firstReceivedAt >= settings.settleSeconds()
                 && !membership.recentlyStalled(now)
                 && rollout.firstUnreadyMember(store, membership) == null) {
             vote(rollout, 1, now);
--- a/fleet/src/test/java/clayhook/rollout/StateSpaceExplorer.java
+++ b/fleet/src/test/java/clayhook/rollout/StateSpaceExplorer.java
@@ -120,7 +120,7 @@
                     .append(node.store.digest(MemberCounters.OUTCOME_COUNTS, 0));
             node.controller.rollouts().forEach(rollout -> text.append(rollout.progress)
                     .append(rollout.running)
-                    .append(rollout.firstSeenAt - cluster.now)
+                    .append(rollout.firstReceivedAt - cluster.now)
                     .append(rollout.nextLeaseRequestAt - cluster.now)
                     .append(rollout.lease == null ? "" : new TreeMap<>(rollout.lease.grantTimes())));
             node.grantedRequestAt.forEach(
@@ -136,9 +136,9 @@
         var successors = new ArrayList<List<Integer>>();
         for (int step = 0; step < STEPS; step++) {
             if (isEnabled(cluster, step, sequence)) {
-                var longer = new ArrayList<>(sequence);
-                longer.add(step);
-                successors.add(longer);
+                var extended = new ArrayList<>(sequence);
+                extended.add(step);
+                successors.add(extended);
             }
         }
         return successors;
