--- a/fleet/src/main/java/clayhook/rollout/CurrentRules.java
+++ b/fleet/src/main/java/clayhook/rollout/CurrentRules.java
@@ -41,7 +41,7 @@
     String hash() {
         String hash = configuredHash;
         for (int i = 0; i < rollouts.size(); i++) {
-            String next = rolledOutFrom(hash);
+            String next = nextRulesHash(hash);
             if (next.equals(hash)) {
                 break;
             }
@@ -50,7 +50,7 @@
         return hash;
     }
 
-    private String rolledOutFrom(String hash) {
+    private String nextRulesHash(String hash) {
         return rollouts.stream()
                 .filter(rollout -> rollout.isCompleted() && rollout.isLoaded() && rollout.problem == null)
                 .filter(rollout -> rollout.proposal.baseRulesHash().equals(hash))
