--- a/fleet/src/main/java/clayhook/rollout/SequentialTest.java
+++ b/fleet/src/main/java/clayhook/rollout/SequentialTest.java
@@ -93,9 +93,12 @@
         int buckets = 0;
         double sum = 0;
         double sumOfSquares = 0;
-        for (int at = start; at < start + OutcomeCounters.SIZE; at += OutcomeCounters.COUNTERS_PER_BUCKET) {
-            if (counts[at + compared] > 0) {
-                double shareOfOthers = (share * requests - counts[at + bad]) / (requests - counts[at + compared]);
+        for (int bucketStart = start;
+                bucketStart < start + OutcomeCounters.SIZE;
+                bucketStart += OutcomeCounters.COUNTERS_PER_BUCKET) {
+            if (counts[bucketStart + compared] > 0) {
+                double shareOfOthers =
+                        (share * requests - counts[bucketStart + bad]) / (requests - counts[bucketStart + compared]);
                 double difference = shareOfOthers - share;
                 buckets++;
                 sum += difference;
@@ -117,8 +120,10 @@
      */
     static long sumBuckets(long[] counts, int start, int position) {
         long sum = 0;
-        for (int at = start; at < start + OutcomeCounters.SIZE; at += OutcomeCounters.COUNTERS_PER_BUCKET) {
-            sum += counts[at + position];
+        for (int bucketStart = start;
+                bucketStart < start + OutcomeCounters.SIZE;
+                bucketStart += OutcomeCounters.COUNTERS_PER_BUCKET) {
+            sum += counts[bucketStart + position];
         }
         return sum;
     }
--- a/fleet/src/test/java/clayhook/rollout/SequentialTestTest.java
+++ b/fleet/src/test/java/clayhook/rollout/SequentialTestTest.java
@@ -62,9 +62,9 @@
         double[] sums = new double[CounterLayout.EVIDENCE_SIZE];
         for (int bucket = 0; bucket < OutcomeCounters.SESSION_BUCKETS; bucket++) {
             for (Variant variant : Variant.values()) {
-                int at = CounterLayout.outcomeOffset(variant) + bucket * OutcomeCounters.COUNTERS_PER_BUCKET;
-                counts[at + OutcomeCounters.TOTAL] = 1000;
-                counts[at + OutcomeCounters.FAILED] = variant == Variant.CANDIDATE && bucket == 5 ? 1000 : 10;
+                int bucketStart = CounterLayout.outcomeOffset(variant) + bucket * OutcomeCounters.COUNTERS_PER_BUCKET;
+                counts[bucketStart + OutcomeCounters.TOTAL] = 1000;
+                counts[bucketStart + OutcomeCounters.FAILED] = variant == Variant.CANDIDATE && bucket == 5 ? 1000 : 10;
             }
         }
         SequentialTest.addInterval(sums, 0, 12_000, 120, 12_000, 1110);
