--- a/fleet/src/main/java/clayhook/rollout/RolloutSettings.java
+++ b/fleet/src/main/java/clayhook/rollout/RolloutSettings.java
@@ -6,8 +6,8 @@
  * @param configuredRulesHash hash of the rules in this router's own configuration file
  * @param fleetSize number of routers that the operator expects; no rollout starts while half of them or fewer are
  *     visible
- * @param leaseSeconds seconds for which a router may run the candidate after a majority has granted it a lease. With
- *     about 0.03 s for each member, lease traffic stays below one packet in 10 ms
+ * @param leaseSeconds seconds for which a router may run the candidate after a majority has granted it a lease. With a
+ *     lease of about 0.03 s for each member, lease traffic stays below one packet in 10 ms
  * @param settleSeconds minimum time in seconds between the receipt of a proposal and a router's vote to start it,
  *     during which other proposals and vetoes may be received; also the time after this router's start in which it
  *     proposes nothing
--- a/fleet/src/main/java/clayhook/rollout/StageEvaluation.java
+++ b/fleet/src/main/java/clayhook/rollout/StageEvaluation.java
@@ -20,6 +20,7 @@
     /** Number of share intervals after which counters are stale, in addition to the propagation time. */
     private static final double STALE_INTERVALS = 3;
 
+    /** Time in seconds allowed for replicated counters to reach this router. */
     private static final double PROPAGATION_SECONDS = 2;
 
     private final RolloutRegistry registry;
--- a/fleet/src/main/java/clayhook/rollout/TextChunk.java
+++ b/fleet/src/main/java/clayhook/rollout/TextChunk.java
@@ -9,13 +9,13 @@
 import java.util.Arrays;
 
 /**
- * A replicated part of a content, such as a rule set or terms, that is too long for one message. Chunks are keyed by
- * the hash of the whole content, so that the same content is replicated only once. Immutable.
+ * A replicated chunk of content that is too long for one message, such as a rule set or encoded terms. Chunks are keyed
+ * by the hash of the whole content, so that the same content is replicated only once. Immutable.
  */
 final class TextChunk {
     /** Maximum length of a chunk in bytes. A chunk of this length and its key fit in a message. */
     private static final int MAX_BYTES = 900;
-    /** Enough for nine contents of the longest rule set's length; older chunks are evicted. */
+    /** Enough for nine rule sets of the maximum length; older chunks are evicted. */
     private static final int MAX_ENTRIES = 3072;
 
     /**
@@ -43,13 +43,13 @@
         return bytes;
     }
 
-    /** The 128-bit hash of a content in hexadecimal digits. The hash of a rule set's text identifies the rule set. */
+    /** The 128-bit hash of the content in hexadecimal digits. The hash of a rule set's text identifies the rule set. */
     static String contentHash(byte[] content) {
         HashValue128 hash = Hashing.murmur3_128().hashBytesTo128Bits(content);
         return String.format("%016x%016x", hash.getMostSignificantBits(), hash.getLeastSignificantBits());
     }
 
-    /** Replicates a content in chunks. */
+    /** Replicates the content in chunks. */
     static void publish(ReplicatedStore store, byte[] content, double retainedFrom, double now) {
         String hash = contentHash(content);
         for (int offset = 0; offset < content.length; offset += MAX_BYTES) {
@@ -58,7 +58,7 @@
         }
     }
 
-    /** The whole content, or null while chunks are missing or their content does not match the hash. */
+    /** The whole content; null while chunks are missing or their bytes do not match the hash. */
     static byte[] assemble(ReplicatedStore store, String hash, int length) {
         byte[] content = new byte[length];
         for (int offset = 0; offset < length; offset += MAX_BYTES) {
