--- a/fleet/src/test/java/clayhook/rollout/RecordedBytesTest.java
+++ b/fleet/src/test/java/clayhook/rollout/RecordedBytesTest.java
@@ -62,7 +62,7 @@
     /**
      * A recorded encoding: the key of the bytes in the resource file, the encoded value, its encoder and its decoder.
      */
-    private record Form(String name, Object value, Encoder encoder, Function<FieldReader, ?> decoder) {
+    private record RecordedForm(String name, Object value, Encoder encoder, Function<FieldReader, ?> decoder) {
         byte[] bytes() {
             var out = new FieldWriter();
             encoder.write(out);
@@ -75,24 +75,25 @@
         }
     }
 
-    private static Form message(String name, Message message) {
+    private static RecordedForm message(String name, Message message) {
         Map<Integer, Function<FieldReader, ? extends Message>> decoders =
                 new RolloutCluster(1).nodes[0].controller.messageReaders();
         assertEquals(Set.of(40, 41), decoders.keySet());
-        return new Form(
+        return new RecordedForm(
                 "message." + message.typeNumber() + "." + name,
                 message,
                 message::write,
                 decoders.get(message.typeNumber()));
     }
 
-    private static <V> Form value(String name, ReplicatedType<V> type, V value) {
-        return new Form("value." + type.typeNumber() + "." + name, value, out -> type.write(value, out), type::read);
+    private static <V> RecordedForm value(String name, ReplicatedType<V> type, V value) {
+        return new RecordedForm(
+                "value." + type.typeNumber() + "." + name, value, out -> type.write(value, out), type::read);
     }
 
     /** A form that occurs as an element of a list within another value. */
-    private static Form element(String name, Object value, Encoder encoder, Function<FieldReader, ?> decoder) {
-        return new Form(
+    private static RecordedForm element(String name, Object value, Encoder encoder, Function<FieldReader, ?> decoder) {
+        return new RecordedForm(
                 "element." + name,
                 value,
                 out -> {
@@ -103,8 +104,8 @@
                 in -> in.readLists(1, decoder).get(0));
     }
 
-    private static Form field(String name, Object value, Encoder encoder, Function<FieldReader, ?> decoder) {
-        return new Form("field." + name, value, encoder, decoder);
+    private static RecordedForm field(String name, Object value, Encoder encoder, Function<FieldReader, ?> decoder) {
+        return new RecordedForm("field." + name, value, encoder, decoder);
     }
 
     private static Guard guard(GuardMetric metric) {
@@ -146,33 +147,33 @@
         return new MemberCounters(7, TIME, counts);
     }
 
-    static Stream<Form> forms() {
-        var forms = new ArrayList<Form>();
-        forms.add(message("ask", new LeaseRequest(ROLLOUT_ID, TIME)));
-        forms.add(message("answer.granted", new LeaseResponse(ROLLOUT_ID, TIME, true)));
-        forms.add(message("answer.refused", new LeaseResponse(ROLLOUT_ID, TIME, false)));
-        forms.add(value("round.new", RolloutProgress.TYPE, new RolloutProgress(proposal(), 0, null, TIME)));
-        forms.add(value(
+    static Stream<RecordedForm> recordedForms() {
+        var recordedForms = new ArrayList<RecordedForm>();
+        recordedForms.add(message("ask", new LeaseRequest(ROLLOUT_ID, TIME)));
+        recordedForms.add(message("answer.granted", new LeaseResponse(ROLLOUT_ID, TIME, true)));
+        recordedForms.add(message("answer.refused", new LeaseResponse(ROLLOUT_ID, TIME, false)));
+        recordedForms.add(value("round.new", RolloutProgress.TYPE, new RolloutProgress(proposal(), 0, null, TIME)));
+        recordedForms.add(value(
                 "round.ended",
                 RolloutProgress.TYPE,
                 new RolloutProgress(proposal(), 17, end(EndCause.HALTED), TIME + 2)));
-        forms.add(value("piece", TextChunk.TYPE, new TextChunk(new byte[] {0, 1, 127, -128, -1}, TIME)));
-        forms.add(value("vote", StageVote.TYPE, new StageVote(17, TIME)));
-        forms.add(value("counts", MemberCounters.OUTCOME_COUNTS, memberCounters(176)));
-        forms.add(value("times.old", MemberCounters.BASELINE_LATENCIES, memberCounters(160)));
-        forms.add(value("times.candidate", MemberCounters.CANDIDATE_LATENCIES, memberCounters(160)));
-        forms.add(field("proposal", proposal(), proposal()::write, Proposal::read));
+        recordedForms.add(value("piece", TextChunk.TYPE, new TextChunk(new byte[] {0, 1, 127, -128, -1}, TIME)));
+        recordedForms.add(value("vote", StageVote.TYPE, new StageVote(17, TIME)));
+        recordedForms.add(value("counts", MemberCounters.OUTCOME_COUNTS, memberCounters(176)));
+        recordedForms.add(value("times.old", MemberCounters.BASELINE_LATENCIES, memberCounters(160)));
+        recordedForms.add(value("times.candidate", MemberCounters.CANDIDATE_LATENCIES, memberCounters(160)));
+        recordedForms.add(field("proposal", proposal(), proposal()::write, Proposal::read));
         for (EndCause cause : EndCause.values()) {
-            forms.add(field("end." + cause.code(), end(cause), end(cause)::write, RolloutEnd::read));
+            recordedForms.add(field("end." + cause.code(), end(cause), end(cause)::write, RolloutEnd::read));
         }
-        forms.add(field("plan", plan(), plan()::write, RolloutPlan::read));
+        recordedForms.add(field("plan", plan(), plan()::write, RolloutPlan::read));
         RolloutStage stage = plan().stages().get(0);
-        forms.add(element("stage", stage, stage::write, RolloutStage::read));
+        recordedForms.add(element("stage", stage, stage::write, RolloutStage::read));
         for (GuardMetric metric : GuardMetric.values()) {
             Guard guard = guard(metric);
-            forms.add(element("guard." + metric.code(), guard, guard::write, Guard::read));
+            recordedForms.add(element("guard." + metric.code(), guard, guard::write, Guard::read));
         }
-        return forms.stream();
+        return recordedForms.stream();
     }
 
     private static byte[] bytes(String name) {
@@ -184,14 +185,14 @@
     }
 
     @ParameterizedTest
-    @MethodSource("forms")
-    void encodesToRecordedBytes(Form form) {
+    @MethodSource("recordedForms")
+    void encodesToRecordedBytes(RecordedForm form) {
         assertEquals(RECORDED.getProperty(form.name()), hex(form.bytes()));
     }
 
     @ParameterizedTest
-    @MethodSource("forms")
-    void decodesRecordedBytes(Form form) {
+    @MethodSource("recordedForms")
+    void decodesRecordedBytes(RecordedForm form) {
         assertEquals(form.value(), form.decoder().apply(new FieldReader(bytes(form.name()))));
     }
 
@@ -203,7 +204,7 @@
 
     @Test
     void everyRecordedFormIsChecked() {
-        Set<String> names = forms().map(Form::name).collect(Collectors.toCollection(TreeSet::new));
+        Set<String> names = recordedForms().map(RecordedForm::name).collect(Collectors.toCollection(TreeSet::new));
         names.add("terms");
         for (GuardMetric metric : GuardMetric.values()) {
             Stream.of("counts", "old", "candidate").forEach(kind -> names.add(layout(metric, kind)));
@@ -217,7 +218,7 @@
         for (ReplicatedType<?> type : RolloutController.replicatedTypes()) {
             assertTrue(
                     names.stream().anyMatch(name -> name.startsWith("value." + type.typeNumber() + ".")),
-                    "kind " + type.typeNumber());
+                    "no recorded value of type " + type.typeNumber());
         }
     }
 
