--- a/fleet/src/test/java/clayhook/rollout/RecordedRolloutTest.java
+++ b/fleet/src/test/java/clayhook/rollout/RecordedRolloutTest.java
@@ -23,13 +23,13 @@
     /** A rollout of three routers that is completed and then withdrawn. */
     @Test
     void completedRolloutMatchesRecordedBytes() throws IOException {
-        assertEquals(recordedRollout("completed"), rollout(0, EventType.COMPLETED));
+        assertEquals(recordedRollout("completed"), runRollout(0, EventType.COMPLETED));
     }
 
     /** A rollout of three routers that its counters halt. */
     @Test
     void haltedRolloutMatchesRecordedBytes() throws IOException {
-        assertEquals(recordedRollout("halted"), rollout(0.2, EventType.HALTED));
+        assertEquals(recordedRollout("halted"), runRollout(0.2, EventType.HALTED));
     }
 
     private static List<String> recordedRollout(String name) throws IOException {
@@ -42,7 +42,7 @@
      * Runs a rollout until the third router has the event {@code last}. Returns the messages in the order of sending,
      * then that router's replicated values, then the messages and progress after a withdrawal.
      */
-    private static List<String> rollout(double failureShare, EventType last) {
+    private static List<String> runRollout(double failureShare, EventType last) {
         var lines = new ArrayList<String>();
         var cluster = new RolloutCluster(3);
         cluster.run(5);
@@ -51,19 +51,19 @@
                 cluster.nodes[0].controller.propose(RolloutCluster.plan(1, 5), "[statements]\n", cluster.now));
         for (int i = 0; i < 80 && !cluster.nodes[2].hasEvent(last); i++) {
             cluster.serveRequests(40, failureShare);
-            step(cluster, lines);
+            stepAndRecord(cluster, lines);
         }
         assertTrue(cluster.nodes[2].hasEvent(last));
-        entries(cluster.nodes[2], lines);
+        appendEntries(cluster.nodes[2], lines);
         cluster.nodes[1].controller.withdraw(cluster.now);
-        step(cluster, lines);
+        stepAndRecord(cluster, lines);
         cluster.nodes[2].store.forEach(
-                RolloutProgress.TYPE, (key, progress) -> entry(RolloutProgress.TYPE, key, progress, lines));
+                RolloutProgress.TYPE, (key, progress) -> appendEntry(RolloutProgress.TYPE, key, progress, lines));
         return lines;
     }
 
     /** Does the same as {@link RolloutCluster#step()} and adds each message to {@code lines}. */
-    private static void step(RolloutCluster cluster, List<String> lines) {
+    private static void stepAndRecord(RolloutCluster cluster, List<String> lines) {
         cluster.now += 0.25;
         for (int i = 0; i < cluster.nodes.length; i++) {
             cluster.tick(i);
@@ -82,17 +82,17 @@
         }
     }
 
-    private static void entries(RolloutNode node, List<String> lines) {
+    private static void appendEntries(RolloutNode node, List<String> lines) {
         for (ReplicatedType<?> type : RolloutController.replicatedTypes()) {
-            entries(node, type, lines);
+            appendEntries(node, type, lines);
         }
     }
 
-    private static <V> void entries(RolloutNode node, ReplicatedType<V> type, List<String> lines) {
-        node.store.forEach(type, (key, value) -> entry(type, key, value, lines));
+    private static <V> void appendEntries(RolloutNode node, ReplicatedType<V> type, List<String> lines) {
+        node.store.forEach(type, (key, value) -> appendEntry(type, key, value, lines));
     }
 
-    private static <V> void entry(ReplicatedType<V> type, String key, V value, List<String> lines) {
+    private static <V> void appendEntry(ReplicatedType<V> type, String key, V value, List<String> lines) {
         var out = new FieldWriter();
         type.write(value, out);
         lines.add("kind " + type.typeNumber() + ": " + key + " " + hex(out.toByteArray()));
