--- a/fleet/src/test/java/clayhook/rollout/RolloutControllerTest.java
+++ b/fleet/src/test/java/clayhook/rollout/RolloutControllerTest.java
@@ -30,9 +30,9 @@
         cluster.run(5);
     }
 
-    private void runUntil(double seconds, double failureShare, BooleanSupplier done) {
-        for (double end = cluster.now + seconds; !done.getAsBoolean(); ) {
-            assertTrue(cluster.now < end, "too late");
+    private void runUntil(double seconds, double failureShare, BooleanSupplier condition) {
+        for (double end = cluster.now + seconds; !condition.getAsBoolean(); ) {
+            assertTrue(cluster.now < end, "condition not met in time");
             cluster.serveRequests(200, failureShare);
             cluster.step();
             assertNull(cluster.findViolation());
@@ -79,7 +79,9 @@
         assertTrue(allNodes(node ->
                 node.currentRulesHash().equals(hash) && node.controller.split().candidateRulesHash() == null));
         assertEquals(
-                List.of(), cluster.nodes[0].controller.propose(PLAN, RULES, cluster.now), "the same file read again");
+                List.of(),
+                cluster.nodes[0].controller.propose(PLAN, RULES, cluster.now),
+                "proposing the same file again has no effect");
         RolloutNode restarted = cluster.startNode(2);
         runUntil(5, 0, () -> restarted.currentRulesHash().equals(hash));
         cluster.nodes[3].controller.onConfiguredRules(hash, cluster.now);
@@ -202,9 +204,9 @@
         assertEquals(RuleSet.of("a").hash(), three.nodes[1].controller.split().candidateRulesHash());
     }
 
-    private static void stepUntil(RolloutCluster other, BooleanSupplier done) {
-        for (double end = other.now + 20; !done.getAsBoolean(); ) {
-            assertTrue(other.now < end, "too late");
+    private static void stepUntil(RolloutCluster other, BooleanSupplier condition) {
+        for (double end = other.now + 20; !condition.getAsBoolean(); ) {
+            assertTrue(other.now < end, "condition not met in time");
             other.step();
             assertNull(other.findViolation());
         }
--- a/fleet/src/test/java/clayhook/rollout/RolloutMergeTest.java
+++ b/fleet/src/test/java/clayhook/rollout/RolloutMergeTest.java
@@ -77,11 +77,11 @@
         }
     }
 
-    private static <V> void assertMergeLaws(ReplicatedType<V> type, Function<Random, V> values, long seed) {
+    private static <V> void assertMergeLaws(ReplicatedType<V> type, Function<Random, V> generator, long seed) {
         var random = new Random(seed);
-        V a = values.apply(random);
-        V b = values.apply(random);
-        V c = values.apply(random);
+        V a = generator.apply(random);
+        V b = generator.apply(random);
+        V c = generator.apply(random);
         V merged = type.merge(a, b);
         assertEquals(merged, type.merge(b, a));
         assertEquals(type.merge(merged, c), type.merge(a, type.merge(b, c)));
