--- a/fleet/src/main/java/clayhook/fleet/Address.java
+++ b/fleet/src/main/java/clayhook/fleet/Address.java
@@ -1,8 +1,8 @@
 package clayhook.fleet;
 
-/** The UDP address of a router, as the router advertises it; never resolved here. */
+/** The UDP address that a router advertises. This module does not resolve the host name. */
 public record Address(String host, int port) {
-    /** Returns host and port with a colon between them. */
+    /** Returns the host and the port, separated by a colon. */
     @Override
     public String toString() {
         return host + ":" + port;
