--- a/fleet/src/main/java/clayhook/fleet/FieldReader.java
+++ b/fleet/src/main/java/clayhook/fleet/FieldReader.java
@@ -9,24 +9,27 @@
 import java.util.function.Function;
 
 /**
- * Decodes a list of fields as {@link FieldWriter} encoded it. Each method reads the next field and throws
- * {@link MalformedFieldException} where that is not of the expected type or beyond a limit. Fields that a later release
- * has added at the end are left unread. Not thread-safe.
+ * Decodes a list of fields that {@link FieldWriter} encoded. Each method reads the next field and throws
+ * {@link MalformedFieldException} if the field is missing, has another type than expected or exceeds a limit. Callers
+ * ignore fields that a later release has added at the end by not reading them. Not thread-safe.
  */
 public final class FieldReader {
-    /** In characters; names and keys are far shorter. */
+    /** Maximum length of a string in characters; names and keys are far shorter. */
     private static final int MAX_TEXT_LENGTH = 4096;
 
     private static final int INITIAL_LIST_CAPACITY = 16;
 
     private final CBORParser parser;
 
-    /** Begins to read the list of fields that {@code bytes} holds. */
+    /** Creates a reader of the list of fields that is encoded in {@code bytes}. */
     public FieldReader(byte[] bytes) {
         this(bytes, 0, bytes.length);
     }
 
-    /** Begins to read the list of fields that starts at {@code from} and takes at most {@code length} bytes. */
+    /**
+     * Creates a reader of the list of fields that starts at index {@code from} and takes up at most {@code length}
+     * bytes.
+     */
     public FieldReader(byte[] bytes, int from, int length) {
         try {
             parser = FieldWriter.CBOR.createParser(bytes, from, length);
@@ -52,12 +55,12 @@
         }
     }
 
-    /** Enters the nested list that is the next field. */
+    /** Enters the nested list that is the next field; {@link #endList()} leaves it. */
     public void beginList() {
         require(nextToken() == JsonToken.START_ARRAY, "a list");
     }
 
-    /** Leaves the current list and skips what is left of it. */
+    /** Skips the remaining fields of the current list and leaves it. */
     public void endList() {
         int depth = 1;
         while (depth > 0) {
@@ -69,7 +72,10 @@
         }
     }
 
-    /** Reads a list of at most {@code most} lists; {@code readOne} reads the fields of one and need not leave it. */
+    /**
+     * Reads a list of at most {@code most} nested lists. {@code readOne} reads the fields of one nested list; it may
+     * leave fields at the end unread and does not call {@link #endList()}.
+     */
     public <T> List<T> readLists(int most, Function<FieldReader, T> readOne) {
         beginList();
         var elements = new ArrayList<T>();
@@ -142,7 +148,7 @@
         return (int) value;
     }
 
-    /** Reads a double or an integer; may return an infinity, never NaN. */
+    /** Reads a double or an integer as a double. The result may be infinite, but is never NaN. */
     public double readDouble() {
         JsonToken token = nextToken();
         require(token == JsonToken.VALUE_NUMBER_FLOAT || token == JsonToken.VALUE_NUMBER_INT, "a number");
