--- a/fleet/src/main/java/clayhook/fleet/FieldWriter.java
+++ b/fleet/src/main/java/clayhook/fleet/FieldWriter.java
@@ -6,7 +6,10 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** Encodes a list of fields as a CBOR array; {@link FieldReader} decodes it. Not thread-safe, for one use. */
+/**
+ * Encodes a list of fields as a CBOR array, which {@link FieldReader} decodes. An instance encodes one list. Not
+ * thread-safe.
+ */
 public final class FieldWriter {
     static final CBORFactory CBOR = new CBORFactory();
     private static final int INITIAL_BUFFER_BYTES = 256;
@@ -18,7 +21,7 @@
     private final ByteArrayBuilder buffer = new ByteArrayBuilder(INITIAL_BUFFER_BYTES);
     private final CBORGenerator generator;
 
-    /** Begins the list of fields. */
+    /** Creates a writer and begins the list of fields. */
     public FieldWriter() {
         try {
             generator = CBOR.createGenerator(buffer);
@@ -33,7 +36,7 @@
             call.run(generator);
             return this;
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // cannot happen: the buffer is in memory
+            throw new UncheckedIOException(e); // cannot happen, since the buffer is in memory
         }
     }
 
@@ -42,7 +45,7 @@
         return write(CBORGenerator::writeStartArray);
     }
 
-    /** Ends the nested list that was begun last. */
+    /** Ends the innermost open list. */
     public FieldWriter endList() {
         return write(CBORGenerator::writeEndArray);
     }
@@ -52,12 +55,12 @@
         return write(to -> to.writeString(value));
     }
 
-    /** Writes an integer in the fewest bytes that hold it. */
+    /** Writes an integer in the smallest CBOR encoding that holds it. */
     public FieldWriter writeLong(long value) {
         return write(to -> to.writeNumber(value));
     }
 
-    /** Writes a double in eight bytes. A reader does not accept NaN. */
+    /** Writes a double in eight bytes. {@link FieldReader} rejects NaN. */
     public FieldWriter writeDouble(double value) {
         return write(to -> to.writeNumber(value));
     }
@@ -72,7 +75,7 @@
         return write(to -> to.writeBinary(value));
     }
 
-    /** Ends the list of fields and returns its bytes; nothing can be written after. */
+    /** Ends the list of fields and returns its encoding. No field can be written afterwards. */
     public byte[] toByteArray() {
         endList();
         write(CBORGenerator::close);
