--- a/fleet/src/main/java/clayhook/fleet/MalformedFieldException.java
+++ b/fleet/src/main/java/clayhook/fleet/MalformedFieldException.java
@@ -1,6 +1,6 @@
 package clayhook.fleet;
 
-/** Encoded fields cannot be read: they are truncated, of another type than expected, or beyond a limit. */
+/** Thrown when encoded fields are truncated, have another type than expected or exceed a limit. */
 public final class MalformedFieldException extends IllegalArgumentException {
     private static final long serialVersionUID = 1;
 
