--- a/fleet/src/main/java/clayhook/fleet/MembershipView.java
+++ b/fleet/src/main/java/clayhook/fleet/MembershipView.java
@@ -2,32 +2,47 @@
 
 import java.util.List;
 
-/** The members of the fleet as this router sees them. Read-only; for the thread of the protocols. */
+/**
+ * A read-only view of the fleet members known to this router. Must be used only on the thread that runs the protocol
+ * handlers.
+ */
 public interface MembershipView {
-    /** This router itself. */
+    /** Returns this router. */
     Peer self();
 
-    /** The other routers that are alive or suspected, ordered by name, each name once. The list is immutable. */
+    /**
+     * Returns the other routers that are alive or suspected, ordered by name and without duplicate names. The list is
+     * immutable.
+     */
     List<Peer> livePeers();
 
-    /** The live peers, and the dead ones that may still serve requests as they were declared dead only lately. */
+    /**
+     * Returns the live peers, followed by the members that were declared dead so recently that they may still serve
+     * requests.
+     */
     List<Member> possiblyServing(double now);
 
-    /** Whether that incarnation of a router is one of {@link #livePeers()}. */
+    /** Returns whether this incarnation of a router is one of {@link #livePeers()}. */
     boolean isLive(Member member);
 
-    /** When this incarnation of a router was last heard, in seconds since 1970; negative infinity for never. */
+    /**
+     * Returns when this router last received a message from this incarnation of a member, in seconds since 1970;
+     * negative infinity if it never did.
+     */
     double lastHeardAt(Member member);
 
-    /** Seconds by which the member's clock is ahead of this router's, as last measured; NaN before any measurement. */
+    /**
+     * Returns the last measured offset of the member's clock from this router's clock in seconds, positive if the
+     * member's clock is ahead; NaN before the first measurement.
+     */
     double clockOffset(Member member);
 
     /**
-     * Whether the member's clock is within the bound, as far as it was measured. Values that depend on clocks are not
-     * accepted from a member whose clock is not.
+     * Returns whether the member's clock is within the clock skew bound; true if it was not measured. Clock-dependent
+     * values are not accepted from a member whose clock exceeds the bound.
      */
     boolean clockWithinBound(Member member);
 
-    /** Whether this router itself stalled lately, so that its view of the others is in doubt. */
+    /** Returns whether this router stalled so recently that its view of the other members is unreliable. */
     boolean recentlyStalled(double now);
 }
