--- a/fleet/src/main/java/clayhook/fleet/Message.java
+++ b/fleet/src/main/java/clayhook/fleet/Message.java
@@ -1,13 +1,14 @@
 package clayhook.fleet;
 
-/** A message from one router to another; a packet carries one or more. Immutable. */
+/** An immutable message from one router to another. A packet carries one or more messages. */
 public interface Message {
     /**
-     * The type of the message on the wire, never reused for another one: 1 to 19 membership, 20 to 39 state, 40 to 59
-     * rollouts. A router that does not know the type skips the message and counts it.
+     * Returns the type number of the message on the wire. Numbers 1 to 19 are for membership, 20 to 39 for state and 40
+     * to 59 for rollouts; a number is never reused for another type. A router skips and counts messages of an unknown
+     * type.
      */
     int typeNumber();
 
-    /** Writes the fields in order; a later release may only add fields at the end. */
+    /** Writes the fields in a fixed order. Later releases may only add fields at the end. */
     void write(FieldWriter out);
 }
