--- a/fleet/src/main/java/clayhook/fleet/MessageDispatcher.java
+++ b/fleet/src/main/java/clayhook/fleet/MessageDispatcher.java
@@ -8,22 +8,27 @@
 import java.util.function.Function;
 
 /**
- * Decodes received packets and passes their messages to the protocol handlers, ticks the handlers, and sends what they
- * put into the outbox. Confined to one thread.
+ * Decodes received packets, passes their messages to the protocol handlers, ticks the handlers, and sends the messages
+ * that they add to the outbox. Confined to one thread.
  */
 public final class MessageDispatcher {
-    /** Traffic since the start, for logs and metrics. Changed by the dispatcher's thread only. */
+    /**
+     * Traffic counters since the start of the process, for logs and metrics. Written only by the dispatcher's thread.
+     */
     public static final class TrafficCounters {
-        /** Packets that were decoded. */
+        /** Number of received packets that were decoded. */
         public long receivedPackets;
-        /** Messages in these whose type is unknown or whose fields are malformed. */
+        /**
+         * Number of messages in decoded packets that were skipped, because their type is unknown or their fields are
+         * malformed.
+         */
         public long skippedMessages;
-        /** Datagrams that were dropped whole. */
+        /** Number of datagrams that were dropped as a whole, by reason. */
         public final Map<Packet.DecodeResult.DropReason, Long> droppedByReason =
                 new EnumMap<>(Packet.DecodeResult.DropReason.class);
-        /** Packets handed to the transport. */
+        /** Number of packets passed to the transport. */
         public long sentPackets;
-        /** Bytes of these. */
+        /** Total size of the packets passed to the transport, in bytes. */
         public long sentBytes;
     }
 
@@ -34,10 +39,11 @@
     private final TrafficCounters counters = new TrafficCounters();
 
     /**
-     * Registers the handlers; throws IllegalArgumentException where two of them read the same message type.
+     * Creates a dispatcher for these handlers. Throws IllegalArgumentException if two of them read the same message
+     * type.
      *
-     * @param handlers are ticked in this order
-     * @param transport sends a packet to an address, and may lose it
+     * @param handlers the protocol handlers, in the order in which they are ticked
+     * @param transport sends a packet to an address, without a guarantee of delivery
      */
     public MessageDispatcher(
             Member self, List<? extends ProtocolHandler> handlers, BiConsumer<Address, byte[]> transport) {
@@ -59,7 +65,7 @@
         });
     }
 
-    /** Handles a datagram from that address and sends the replies at once. */
+    /** Handles a datagram received from the address {@code from} and sends the resulting messages before it returns. */
     public void onDatagram(Address from, byte[] bytes, double now) {
         Packet.DecodeResult result = Packet.decode(bytes, messageReaders);
         if (result instanceof Packet.DecodeResult.Dropped dropped) {
@@ -79,7 +85,7 @@
         }
     }
 
-    /** Ticks all handlers and sends what is due; returns when to call it next, in seconds since 1970. */
+    /** Ticks all handlers and sends their messages. Returns when the next tick is due, in seconds since 1970. */
     public double tick(double now) {
         double next = Double.POSITIVE_INFINITY;
         for (ProtocolHandler handler : handlers) {
@@ -89,7 +95,7 @@
         return next;
     }
 
-    /** The live counters, not a copy. */
+    /** Returns the counters themselves, not a copy. */
     public TrafficCounters counters() {
         return counters;
     }
