--- a/fleet/src/main/java/clayhook/fleet/Packet.java
+++ b/fleet/src/main/java/clayhook/fleet/Packet.java
@@ -8,52 +8,66 @@
 import java.util.function.Function;
 
 /**
- * The form of a datagram: a hash of all that follows it, then as CBOR the version, the sender, and the messages, each
- * as its type number and its encoded fields. A corrupted packet or one of another version is dropped whole; a message
- * of an unknown type or with malformed fields is skipped alone.
+ * Encodes and decodes packets, each of which is sent as one datagram. A packet starts with a hash of all bytes that
+ * follow it. The rest is CBOR: the format version, the sender, and the messages, each as a type number and its encoded
+ * fields. A corrupted packet or one of another version is dropped as a whole; a single message of an unknown type or
+ * with malformed fields is skipped.
  */
 public final class Packet {
-    /** Raised when the form of packets changes. Message types and fields may be added without. */
+    /** Version of the packet format. Message types and message fields may be added without raising it. */
     static final int VERSION = 1;
 
     private static final int HASH_BYTES = Long.BYTES;
-    /** Bytes of the largest packet, which networks carry without fragmentation; leaves room for their headers. */
+    /**
+     * Maximum size of a packet in bytes. Networks carry packets of this size and the headers of lower layers without
+     * fragmentation.
+     */
     public static final int MAX_BYTES = 1400;
-    /** Bytes of the largest encoded message, so that it fits a packet beside the sender's name. */
+    /**
+     * Maximum size of the encoded fields of a message in bytes, chosen so that the message and the sender's name fit
+     * into one packet.
+     */
     public static final int MAX_MESSAGE_BYTES = 1200;
-    /** Characters of the longest name of a router. */
+    /** Maximum length of a router name in characters. */
     public static final int MAX_NAME_LENGTH = 100;
-    /** Messages in a packet; more than fit into it. */
+    /** Maximum number of messages in a packet; more than fit into {@link #MAX_BYTES}. */
     private static final int MAX_MESSAGES = MAX_BYTES;
-    /** Bytes of a packet for begin and end of lists, version, and length of the name, rounded up. */
+    /**
+     * Upper bound of the bytes of a packet for the start and end markers of lists, the version, and the length of the
+     * name.
+     */
     private static final int MAX_MARKER_BYTES = 16;
 
     private static final int MAX_UTF8_BYTES_PER_CHAR = 4;
-    /** Bytes of a long in CBOR: a type byte and the value. */
+    /** Maximum size of a long in CBOR, in bytes: a type byte and the value. */
     private static final int MAX_LONG_BYTES = 1 + Long.BYTES;
-    /** Bytes of a message beside its fields: begin and end of a list, the type number, and the length of the fields. */
+    /**
+     * Maximum size of a message without its fields, in bytes: the start and end markers of a list, the type number, and
+     * the length of the fields.
+     */
     private static final int MAX_FRAME_BYTES = 2 + 5 + 3;
 
     /** The result of decoding a datagram. */
     public sealed interface DecodeResult {
         /**
-         * A packet that was decoded.
+         * A decoded packet.
          *
-         * @param messages those that could be read, in the order sent
-         * @param skippedMessages those of an unknown type or with malformed fields
+         * @param from the sender of the packet
+         * @param messages the decoded messages, in the order in which they were sent
+         * @param skippedMessages the number of messages of an unknown type or with malformed fields
          */
         record Decoded(Member from, List<Message> messages, int skippedMessages) implements DecodeResult {}
 
-        /** A datagram that was dropped whole. */
+        /** A datagram that was dropped as a whole. */
         record Dropped(DropReason reason) implements DecodeResult {}
 
-        /** Why a datagram was dropped. */
+        /** The reason for which a datagram was dropped. */
         enum DropReason {
-            /** The hash differs: the datagram is truncated, garbled, or no packet at all. */
+            /** The hash does not match: the datagram is truncated, corrupted, or not a packet. */
             CORRUPTED,
-            /** A release with another form of packets sent it. */
+            /** The packet was sent by a release with another version of the packet format. */
             UNSUPPORTED_VERSION,
-            /** The hash is right, yet the fields cannot be read. */
+            /** The hash matches, but the fields cannot be decoded. */
             MALFORMED
         }
     }
@@ -67,7 +81,7 @@
         return fields.toByteArray();
     }
 
-    /** The most bytes that a packet of that sender takes without its messages. */
+    /** Returns the maximum size in bytes of a packet of this sender without its messages. */
     static int maxHeaderBytes(Member from) {
         return HASH_BYTES
                 + MAX_MARKER_BYTES
@@ -75,12 +89,12 @@
                 + MAX_LONG_BYTES;
     }
 
-    /** The most bytes that an encoded message takes in a packet. */
+    /** Returns the maximum number of bytes that a message with these encoded fields takes up in a packet. */
     static int maxFramedBytes(byte[] encodedMessage) {
         return encodedMessage.length + MAX_FRAME_BYTES;
     }
 
-    /** Encodes a packet; message {@code i} has the type number {@code i} and the encoded fields {@code i}. */
+    /** Encodes a packet. Element {@code i} of each of the two lists belongs to message {@code i}. */
     static byte[] encode(Member from, List<Integer> typeNumbers, List<byte[]> encodedMessages) {
         var out = new FieldWriter()
                 .writeLong(VERSION)
@@ -101,7 +115,7 @@
     }
 
     /**
-     * Decodes a datagram from the network.
+     * Decodes a datagram that was received from the network.
      *
      * @param messageReaders the decoders of message fields, by type number
      */
@@ -138,7 +152,7 @@
         return new DecodeResult.Decoded(from, messages, decoded.size() - messages.size());
     }
 
-    /** Empty for a message of an unknown type or with malformed fields. */
+    /** Decodes a message. Returns an empty result if its type is unknown or its fields are malformed. */
     private static Optional<Message> decodeMessage(
             FieldReader in, Map<Integer, Function<FieldReader, ? extends Message>> messageReaders) {
         long typeNumber = in.readLong();
