--- a/fleet/src/main/java/clayhook/fleet/PacketAssembler.java
+++ b/fleet/src/main/java/clayhook/fleet/PacketAssembler.java
@@ -7,7 +7,8 @@
 import java.util.function.BiConsumer;
 
 /**
- * Collects messages by address and packs them into as few packets as hold them. Confined to the dispatcher's thread.
+ * Collects messages by address and sends several of them in one packet, up to the maximum size of a packet. Confined to
+ * the dispatcher's thread.
  */
 final class PacketAssembler implements Outbox {
     private static final class PendingPacket {
@@ -34,7 +35,7 @@
 
     private final Member sender;
     private final BiConsumer<Address, byte[]> transport;
-    /** In the order in which addresses were first used; emptied by each flush. */
+    /** Pending packets, in the order in which their addresses were first used. Each flush removes all of them. */
     private final Map<Address, PendingPacket> pendingByAddress = new LinkedHashMap<>();
 
     PacketAssembler(Member sender, BiConsumer<Address, byte[]> transport) {
@@ -42,7 +43,7 @@
         this.transport = transport;
     }
 
-    /** {@inheritDoc} Sends the pending packet first where the message does not fit into it. */
+    /** {@inheritDoc} If the message does not fit into the pending packet of the address, sends that packet first. */
     @Override
     public void add(Address to, Message message) {
         byte[] encoded = Packet.encode(message);
