--- a/fleet/src/main/java/clayhook/fleet/Peer.java
+++ b/fleet/src/main/java/clayhook/fleet/Peer.java
@@ -1,4 +1,4 @@
 package clayhook.fleet;
 
-/** Another router, and the address that its packets come from and go to. */
+/** Another router and the address with which this router exchanges packets with it. */
 public record Peer(Member member, Address address) {}
