--- a/fleet/src/main/java/clayhook/fleet/ProtocolHandler.java
+++ b/fleet/src/main/java/clayhook/fleet/ProtocolHandler.java
@@ -4,30 +4,32 @@
 import java.util.function.Function;
 
 /**
- * One protocol that routers speak with each other, as a state machine without threads, clocks or I/O: it is handed
- * messages and the time, and hands out messages. A handler is called by one thread.
+ * A protocol between routers, implemented as a state machine without threads, clocks or I/O: callers pass in messages
+ * and the current time, and the handler adds messages to an outbox. All methods of a handler are called on the same
+ * thread.
  */
 public interface ProtocolHandler {
     /**
-     * Decoders of the messages that this handler receives, by type number; none unless overridden. A decoder may throw
-     * IllegalArgumentException, which skips the message.
+     * Returns the decoders of the messages that this handler receives, by type number. The default implementation
+     * returns an empty map. A message is skipped if its decoder throws IllegalArgumentException.
      */
     default Map<Integer, Function<FieldReader, ? extends Message>> messageReaders() {
         return Map.of();
     }
 
     /**
-     * Handles a message from a peer. Messages of one packet come in the order sent; packets may be lost, duplicated,
-     * late and out of order. Never called for a handler without {@link #messageReaders()}.
+     * Handles a message from a peer. The messages of one packet are passed in the order in which they were sent.
+     * Packets may be lost, duplicated, delayed and reordered. Never called for a handler without
+     * {@link #messageReaders()}.
      */
     default void onMessage(Peer from, Message message, double now, Outbox out) {
         throw new IllegalArgumentException("this handler reads no messages");
     }
 
     /**
-     * Does what is due. An earlier call than requested does no harm.
+     * Performs the work that is due. The handler accepts calls before the requested time.
      *
-     * @return when to call it next, in seconds since 1970
+     * @return when the next call is due, in seconds since 1970
      */
     double tick(double now, Outbox out);
 }
