--- a/fleet/src/main/java/clayhook/fleet/ReplicatedStore.java
+++ b/fleet/src/main/java/clayhook/fleet/ReplicatedStore.java
@@ -2,48 +2,50 @@
 
 import java.util.function.BiConsumer;
 
-/** This router's replica of the shared values. Confined to one thread; readers on others get snapshots. */
+/** This router's replica of the values that routers share. Confined to one thread; other threads read snapshots. */
 public interface ReplicatedStore {
-    /** Longest key, in bytes of UTF-8. */
+    /** Maximum length of a key, in bytes of UTF-8. */
     int MAX_KEY_BYTES = 256;
 
-    /** Is told of changes of this replica. */
+    /** Receives the changes of this replica. */
     interface ChangeListener<V> {
-        /** Called after a change with the merged value; called on the store's thread. */
+        /** Called on the store's thread after a value has changed, with the merged value. */
         void onChange(String key, V value, double now);
     }
 
     /**
-     * Merges a value into this replica; a change is sent to the other routers.
+     * Merges a value into this replica and sends the result to the other routers if it changed the replica.
      *
-     * @return the merged value; null where the value is too old or at or below the eviction floor
+     * @return the merged value; null if the value is expired, or is at or below the eviction floor
      */
     <V> V merge(ReplicatedType<V> type, String key, V value, double now);
 
-    /** Returns the value of that key; null where this replica has none. */
+    /** Returns the value of the key; null if this replica has none. */
     <V> V get(ReplicatedType<V> type, String key);
 
-    /** Hands all entries of the type to {@code consumer}, which must not change the store. */
+    /** Passes all entries of the type to {@code consumer}, which must not change the store. */
     <V> void forEach(ReplicatedType<V> type, BiConsumer<String, V> consumer);
 
-    /** Adds a listener for changes of the type, both own ones and those from peers. */
+    /** Adds a listener for changes of values of the type, both by this router and by peers. */
     <V> void addListener(ReplicatedType<V> type, ChangeListener<V> listener);
 
-    /** The number of entries of the type. */
+    /** Returns the number of entries of the type. */
     int size(ReplicatedType<?> type);
 
     /**
-     * The timestamp up to which entries may have been evicted at the bound, in seconds since 1970; negative infinity
-     * for none. That a value of that age or older is absent proves nothing.
+     * Returns the latest timestamp of entries that may have been evicted because the type reached its maximum number of
+     * entries, in seconds since 1970; negative infinity if none was evicted. The absence of a value with this or an
+     * older timestamp does not mean that it was never published.
      */
     double evictionFloor(ReplicatedType<?> type);
 
     /**
-     * The time up to which this replica has all that every possibly serving member has published, in seconds since
-     * 1970; negative infinity before the replica is complete. That a younger value is absent proves nothing.
+     * Returns the time up to which this replica contains everything that the possibly serving members have published,
+     * in seconds since 1970; negative infinity before the replica is complete. The absence of a value with a later
+     * timestamp does not mean that it was never published.
      */
     double completeUpTo(double now);
 
-    /** A hash of all entries of the type that do not expire soon; equal replicas have equal digests. */
+    /** Returns a hash of all entries of the type that do not expire soon. Equal replicas have equal digests. */
     long digest(ReplicatedType<?> type, double now);
 }
