--- a/fleet/src/main/java/clayhook/fleet/package-info.java
+++ b/fleet/src/main/java/clayhook/fleet/package-info.java
@@ -1,12 +1,12 @@
 /**
- * The base of the gossip protocols between routers: packets, their field encoding, and the interfaces of protocols, of
- * the membership and of the replicated store.
+ * Foundation of the gossip protocols between routers: packets, their field encoding, and the interfaces of protocol
+ * handlers, of the membership view and of the replicated store.
  *
- * <p>Pure: time, randomness and addresses are handed in, packets are handed out. No class of this module starts a
- * thread, opens a socket or reads a clock, so that the same code runs in virtual time in the simulation and in
- * {@code serve}.
+ * <p>The module performs no I/O: callers pass in time, random seeds and addresses, and receive the packets to send. No
+ * class of this module starts a thread, opens a socket or reads a clock, so the same code runs in virtual time in the
+ * simulation and in real time in {@code serve}.
  *
- * <p>Start reading at {@link clayhook.fleet.MessageDispatcher} and {@link clayhook.fleet.ProtocolHandler}; the
- * protocols are in {@code members} and {@code state}, the replicated types in {@code types}.
+ * <p>The entry points are {@link clayhook.fleet.MessageDispatcher} and {@link clayhook.fleet.ProtocolHandler}. The
+ * packages {@code members} and {@code state} implement the protocols, the package {@code types} the replicated types.
  */
 package clayhook.fleet;
