--- a/fleet/src/main/java/clayhook/fleet/members/BroadcastQueue.java
+++ b/fleet/src/main/java/clayhook/fleet/members/BroadcastQueue.java
@@ -8,19 +8,24 @@
 import java.util.Map;
 
 /**
- * Claims waiting to be gossiped, those transmitted least first and of these the newest first. A claim is dropped once
- * it was transmitted often enough for the size of the fleet, or is too old. Not thread-safe.
+ * Queue of claims to broadcast by gossip. Claims with fewer transmissions are sent first, and newer ones first among
+ * equal numbers of transmissions. A claim is removed after a number of transmissions that depends on the fleet size, or
+ * when it exceeds its maximum age. Not thread-safe.
  */
 final class BroadcastQueue {
     /**
-     * Older claims spread by comparing tables instead. Without this bound a thousand routers that start at once would
-     * broadcast for minutes.
+     * Maximum age of a queued claim. Older claims spread by table synchronization only. Without this bound, a thousand
+     * routers that start at the same time would broadcast for minutes.
      */
     private static final double MAX_AGE_SECONDS = 3;
-    /** Transmissions beyond what the fleet size asks for, as small fleets lose packets too. */
+    /**
+     * Transmissions of a claim in addition to those that depend on the fleet size, since packets are lost in small
+     * fleets too.
+     */
     private static final int MIN_TRANSMISSIONS = 3;
     /**
-     * Transmissions per doubling of the fleet: one member of a hundred misses one claim in thirty at a loss of 20 %.
+     * Transmissions of a claim per doubling of the fleet size. With this value and a packet loss of 20 %, one in thirty
+     * claims does not reach one member of a hundred.
      */
     private static final double TRANSMISSIONS_PER_DOUBLING = 1.5;
 
@@ -35,15 +40,15 @@
         }
     }
 
-    /** One a name. */
+    /** The current broadcast of each member name. */
     private final Map<String, PendingBroadcast> byName = new HashMap<>();
     /**
-     * By number of transmissions, the newest first. Replaced broadcasts stay until they are reached, and are then
-     * skipped.
+     * Broadcasts by their number of transmissions, each queue with the newest first. Replaced broadcasts remain in
+     * their queue and are discarded when the selection reaches them.
      */
     private final List<Deque<PendingBroadcast>> queuesByTransmissions = new ArrayList<>();
 
-    /** Adds a claim in place of any other on its name. */
+    /** Adds a claim, which replaces any queued claim on the same name. */
     void enqueue(MemberClaim claim, double now) {
         var broadcast = new PendingBroadcast(claim, now + MAX_AGE_SECONDS);
         byName.put(claim.name(), broadcast);
@@ -62,9 +67,10 @@
     }
 
     /**
-     * Selects claims to transmit once, at least one if there is any.
+     * Selects claims for one transmission, at least one if the queue has a current claim.
      *
-     * @param maxBytes the encoded size of the claims; exceeded only by a single claim that is larger
+     * @param maxBytes the maximum encoded size of the selected claims in bytes; exceeded only by a single claim that is
+     *     larger
      * @param fleetSize the number of members, this router included
      */
     List<MemberClaim> select(int maxBytes, int fleetSize, double now) {
@@ -91,8 +97,8 @@
     }
 
     /**
-     * Moves broadcasts from a queue to the selected ones. Returns the bytes that are left, 0 when the next one does not
-     * fit.
+     * Moves broadcasts from a queue to the selected ones. Returns the number of bytes that remain, or 0 if the next
+     * broadcast does not fit.
      */
     private int selectFrom(Deque<PendingBroadcast> queue, int maxBytes, List<PendingBroadcast> selected, double now) {
         int bytesLeft = maxBytes;
