--- a/fleet/src/main/java/clayhook/fleet/members/ClaimProcessor.java
+++ b/fleet/src/main/java/clayhook/fleet/members/ClaimProcessor.java
@@ -5,11 +5,14 @@
 import clayhook.fleet.Peer;
 
 /**
- * Applies claims to the membership table and starts what follows from a change: broadcasts, probes, timers and events.
- * Not thread-safe.
+ * Applies claims to the membership table and triggers the broadcasts, probes, timers and events that result from a
+ * change. Not thread-safe.
  */
 final class ClaimProcessor {
-    /** A member heard that lately is not declared dead because another router says so, but probed. */
+    /**
+     * Age of the last message from a member up to which another router's claim that the member is dead causes a probe
+     * instead of being applied.
+     */
     private static final double RECENT_CONTACT_SECONDS = 1;
 
     private final Peer self;
@@ -47,7 +50,7 @@
         this.events = events;
     }
 
-    /** Whether a claim was queued for broadcast or a probe was started since {@link #clearWorkPending()}. */
+    /** Returns whether a claim was queued for broadcast or a probe was started since {@link #clearWorkPending()}. */
     boolean isWorkPending() {
         return workPending;
     }
@@ -56,7 +59,7 @@
         workPending = false;
     }
 
-    /** Notes that a message of that very incarnation has arrived. */
+    /** Records that a message from exactly this incarnation was received. */
     void recordContact(Member member, double now) {
         MemberRecord known = table.find(member);
         if (known != null) {
@@ -65,11 +68,11 @@
     }
 
     /**
-     * Adds the sender of a ping or ack as a member. Where this router holds another claim on its name, the sender is
-     * told, so that it can refute.
+     * Adds the sender of a ping or ack as a member. If this router holds a different claim on the sender's name, sends
+     * that claim to the sender, which can then refute it.
      *
-     * @param from where the message came from
-     * @param speaker the sender with the address that it states itself
+     * @param from the sender with the address from which the message was received
+     * @param advertised the sender with the address that it advertises in the message
      */
     void applySender(Peer from, Peer speaker, long refutationCount, double now, Outbox out) {
         applyBroadcast(from, MemberClaim.alive(speaker, refutationCount), now, out);
@@ -89,7 +92,7 @@
         }
     }
 
-    /** Applies a claim that was gossiped because it is new. */
+    /** Applies a claim from a broadcast, which was new to the sender. */
     void applyBroadcast(Peer from, MemberClaim claim, double now, Outbox out) {
         if (isOwnName(claim.name())) {
             applyToOwnName(from, claim, now, out);
@@ -111,9 +114,10 @@
     }
 
     /**
-     * Applies a claim from a page of another member's table, which need not be new to others.
+     * Applies a claim from a sync page of another member's table. Unlike a broadcast claim, it may be known to other
+     * members already.
      *
-     * @param statusSince when the claimed status began, as far as is known
+     * @param statusSince when the claimed status began as far as known, in seconds since 1970
      */
     void applySynced(Peer from, MemberClaim claim, double statusSince, double now, Outbox out) {
         if (isOwnName(claim.name())) {
@@ -149,9 +153,9 @@
     }
 
     /**
-     * Sends a claim of a member's death to the member instead of believing it. After a partition, each side holds the
-     * other for dead; believing that would remove half of the fleet for a moment. The member can refute, and where it
-     * is dead indeed the probe finds out.
+     * Sends a claim that a member is dead to that member instead of applying the claim. After a partition, each side
+     * claims that the other is dead; applying these claims would temporarily remove half of the fleet. A live member
+     * refutes the claim; the probe that is started here detects a dead one.
      */
     private void challenge(MemberRecord known, MemberClaim claim, double now, Outbox out) {
         sender.sendClaim(known.peer().address(), claim, out);
@@ -174,12 +178,12 @@
         }
     }
 
-    /** Merges a claim of this router itself, that a member is suspect or dead. */
+    /** Applies a claim that this router made: that a member is suspect or dead. */
     void applyLocal(MemberClaim claim, double now) {
         merge(claim, now, true, now);
     }
 
-    /** @param isNew whether the claim is new to others as well; false for a claim from another member's table */
+    /** @param isNew whether other members may not know the claim yet; false for a claim from another member's table */
     private void merge(MemberClaim claim, double statusSince, boolean isNew, double now) {
         MemberRecord existing = table.find(claim.name());
         MemberClaim before = existing == null ? null : existing.claim;
