--- a/fleet/src/main/java/clayhook/fleet/members/ClockMonitor.java
+++ b/fleet/src/main/java/clayhook/fleet/members/ClockMonitor.java
@@ -4,18 +4,21 @@
 import clayhook.fleet.Outbox;
 import clayhook.fleet.Peer;
 
-/** Measures the clocks of other members and reports those that differ by more than the bound. Not thread-safe. */
+/**
+ * Measures the clock offsets of other members and reports members whose clock exceeds the clock skew bound. Not
+ * thread-safe.
+ */
 final class ClockMonitor {
-    /** Between two pings out of turn to a member whose clock seems to be out of bound. */
+    /** Minimum interval between two additional pings to a member whose clock may exceed the bound. */
     private static final double PING_INTERVAL_SECONDS = 5;
     /**
-     * Share of the bound below which a clock has recovered; keeps a clock close to the bound from being reported over
-     * and over.
+     * Fraction of the bound below which a clock counts as recovered. The hysteresis prevents repeated reports of a
+     * clock whose offset is close to the bound.
      */
     private static final double RECOVERY_FACTOR = 0.8;
     /**
-     * Share of the bound by which the time of a ping may be off, delay included, before the clock is measured out of
-     * turn.
+     * Fraction of the bound by which the send time of a ping, which includes the network delay, may differ from the
+     * expected time before an additional ping measures the clock.
      */
     private static final double SUSPICIOUS_FACTOR = 0.5;
 
@@ -33,8 +36,8 @@
     }
 
     /**
-     * Pings a member out of turn whose ping hints at a clock out of bound. A ping alone cannot tell the offset from the
-     * delay; the ack that it causes can.
+     * Sends an additional ping to a member if the send time of its ping suggests that its clock exceeds the bound. A
+     * received ping does not distinguish clock offset from network delay; the ack to the additional ping does.
      */
     void onPing(Peer from, MembershipMessage.Ping ping, double now, Outbox out) {
         MemberRecord known = table.find(from.member());
@@ -49,7 +52,10 @@
         }
     }
 
-    /** Measures the clock of a member by an ack. */
+    /**
+     * Updates the measured clock offset of a member from an ack, and reports when the clock exceeds the bound or has
+     * recovered.
+     */
     void onAck(Member from, MembershipMessage.Ack ack, double now) {
         MemberRecord known = table.find(from);
         if (known == null) {
