--- a/fleet/src/main/java/clayhook/fleet/members/ClockSkew.java
+++ b/fleet/src/main/java/clayhook/fleet/members/ClockSkew.java
@@ -1,19 +1,20 @@
 package clayhook.fleet.members;
 
 /**
- * Estimates how far another member's clock is ahead of this router's, as an interval that contains the true offset.
+ * Estimates the offset of another member's clock from this router's clock, as an interval that contains the true
+ * offset.
  *
- * <p>The four timestamps of one ping bound the offset by half the round trip to either side, however asymmetric the
- * path is (RFC 5905, section 8). Successive intervals are widened by the possible drift and intersected. Not
- * thread-safe.
+ * <p>The timestamps of one ping and its ack bound the offset to half the round-trip time in either direction, however
+ * asymmetric the network path is (RFC 5905, section 8). The interval of earlier measurements is widened by the possible
+ * clock drift and intersected with that of each new measurement. Not thread-safe.
  */
 final class ClockSkew {
     /**
-     * Seconds a second by which two clocks may drift apart; a process slews its clock towards the wall clock by at most
-     * 1 in 200.
+     * Maximum drift between two clocks, in seconds per second. A process slews its clock towards the wall clock by at
+     * most 1 in 200.
      */
     private static final double MAX_DRIFT_RATE = 0.01;
-    /** Acks that took longer give bounds too wide to be useful. */
+    /** Maximum usable round-trip time; acks with a longer one give bounds that are too wide. */
     private static final double MAX_ROUND_TRIP_SECONDS = 10;
 
     private static final double CLOCK_RESOLUTION_SECONDS = 1e-4;
@@ -23,7 +24,8 @@
     private double measuredAt;
 
     /**
-     * Adds the timestamps of one ping and its ack.
+     * Adds a measurement: the timestamps of one ping and its ack, all in seconds since 1970. Ignores implausible
+     * timestamps and round-trip times that are too long.
      *
      * @param sentAt when the ping was sent, on this router's clock
      * @param receivedAt when the ping arrived, on the member's clock
@@ -40,8 +42,8 @@
         double oldError = errorBound(now);
         double low = Math.max(middle - half, offset - oldError);
         double high = Math.min(middle + half, offset + oldError);
-        // The intervals are disjoint when one of the clocks was set; without an earlier measurement the comparison with
-        // NaN fails.
+        // The intervals are disjoint if one of the clocks was set. Before the first measurement, the comparison with
+        // NaN is false.
         boolean overlaps = low <= high;
         offset = overlaps ? (low + high) / 2 : middle;
         errorBound = overlaps ? (high - low) / 2 : half;
@@ -49,14 +51,14 @@
     }
 
     /**
-     * Returns the estimated offset in seconds, positive when the member's clock is ahead; NaN before the first
+     * Returns the estimated offset in seconds, positive if the member's clock is ahead; NaN before the first
      * measurement.
      */
     double offset() {
         return offset;
     }
 
-    /** Returns by how many seconds {@link #offset()} may be wrong at that time. */
+    /** Returns the maximum error of {@link #offset()} at the time {@code now}, in seconds. */
     double errorBound(double now) {
         return errorBound + MAX_DRIFT_RATE * Math.max(0, now - measuredAt);
     }
