--- a/fleet/src/main/java/clayhook/fleet/members/FailureDetector.java
+++ b/fleet/src/main/java/clayhook/fleet/members/FailureDetector.java
@@ -10,24 +10,27 @@
 import java.util.function.ObjDoubleConsumer;
 
 /**
- * Probes one member after the other: pings it, and where it does not answer pings it again and asks other members to
- * ping it. A member that nobody reaches is suspected. Not thread-safe.
+ * Probes the members in turn. A probe pings the member and, if no ack arrives in time, pings it again and requests
+ * other members to ping it. A member that none of them reaches becomes suspect. Not thread-safe.
  */
 final class FailureDetector {
     /**
-     * Pings of one probe: the first alone, the others together with ping requests. At a packet loss of 20 %, one probe
-     * of a live member in five hundred fails.
+     * Maximum number of pings in one probe. Each ping after the first is accompanied by ping requests to other members.
+     * At a packet loss of 20 %, one in five hundred probes of a live member fails.
      */
     private static final int MAX_ATTEMPTS = 3;
     /**
-     * Members of the whole fleet that probe a suspect out of turn, on average; enough that three confirm a real
-     * failure.
+     * Average number of members in the whole fleet that additionally probe a new suspect; enough for three of them to
+     * confirm a real failure.
      */
     private static final double EXPECTED_CONFIRMERS = 10;
-    /** Probes out of turn at a time; further suspects of a large partition are left to the regular probes. */
+    /**
+     * Number of concurrent probes from which on no additional probe is started. After a large partition, the regular
+     * probes cover the remaining suspects.
+     */
     private static final int MAX_CONCURRENT_CONFIRMATIONS = 4;
 
-    /** The attempts to reach one incarnation of a member. */
+    /** A probe of one incarnation of a member: the pings and ping requests that it has sent, and their results. */
     private static final class MemberProbe {
         final MemberRecord target;
         final Peer peer;
@@ -52,7 +55,10 @@
             retryDelay = settings.probeRetryDelay() * timeoutMultiplier;
         }
 
-        /** Whether the member is no longer live in this incarnation, so that the outcome says nothing. */
+        /**
+         * Returns whether the probed incarnation is no longer live or has been replaced, which makes the result of the
+         * probe irrelevant.
+         */
         boolean isObsolete() {
             return !target.isLive() || !target.peer().equals(peer);
         }
@@ -72,17 +78,20 @@
     private final LocalHealth localHealth;
     private final SplittableRandom random;
     private final ObjDoubleConsumer<MemberClaim> onSuspect;
-    /** At most {@link #MAX_CONCURRENT_CONFIRMATIONS} and one or two regular probes; each ends at its deadline. */
+    /**
+     * Running probes: at most {@link #MAX_CONCURRENT_CONFIRMATIONS} and one or two regular ones. Each ends at its
+     * deadline at the latest.
+     */
     private final List<MemberProbe> probes = new ArrayList<>();
 
     private double nextProbeAt;
     /**
-     * Whether the last probe went to the successor on the ring, as every other one does. With random targets alone, one
-     * member in thirty would go unprobed by anyone for two seconds.
+     * Whether the last regular probe targeted the successor on the ring, which every second regular probe does. With
+     * random targets only, no member would probe one in thirty members for two seconds.
      */
     private boolean probeSuccessor;
 
-    /** @param onSuspect receives the claim that a member is suspected by this router, and the time */
+    /** @param onSuspect receives the claim by which this router suspects a member, and the current time */
     FailureDetector(
             MembershipSettings settings,
             MembershipTable table,
@@ -97,12 +106,12 @@
         this.localHealth = localHealth;
         this.random = random;
         this.onSuspect = onSuspect;
-        // Random, so that routers started at once do not probe in step.
+        // The random delay prevents routers that start at the same time from probing in lockstep.
         nextProbeAt = now + settings.probeInterval() * random.nextDouble();
     }
 
     /**
-     * Another router suspects that member: probes it with a probability that makes a few routers of the fleet do so.
+     * Probes a member that another router suspects, with a probability such that about ten routers of the fleet do so.
      */
     void maybeConfirm(MemberRecord suspect, double now) {
         if (random.nextDouble() * table.liveCount() < EXPECTED_CONFIRMERS) {
@@ -110,7 +119,9 @@
         }
     }
 
-    /** Probes a member out of turn, unless it is being probed or too many probes are under way. */
+    /**
+     * Starts an additional probe of a member, unless the member is already being probed or too many probes are running.
+     */
     void probeNow(MemberRecord target, double now) {
         boolean hasRoom = probes.size() < MAX_CONCURRENT_CONFIRMATIONS;
         if (hasRoom && probes.stream().noneMatch(probe -> probe.target == target)) {
@@ -122,14 +133,14 @@
         probes.add(new MemberProbe(target, sender.nextSequence(), now, settings, localHealth.timeoutMultiplier()));
     }
 
-    /** Notes that a member answered the ping of that sequence number. */
+    /** Records an ack from a member for the ping with this sequence number. */
     void onAck(Member from, long sequence) {
         for (MemberProbe probe : probes) {
             probe.answered |= probe.sequence == sequence && probe.peer.member().equals(from);
         }
     }
 
-    /** Notes the answer of a member that was asked to ping another one. */
+    /** Records the result of a ping request that was sent to another member. */
     void onPingRequestResult(MembershipMessage.PingRequestResult result) {
         for (MemberProbe probe : probes) {
             if (probe.sequence == result.sequence()) {
@@ -139,12 +150,14 @@
         }
     }
 
-    /** Abandons all probes after a stall of this router, which may have missed the answers. */
+    /** Cancels all probes after a stall of this router, since it may have missed their acks. */
     void onStall() {
         probes.clear();
     }
 
-    /** Starts, repeats and ends probes that are due. Returns when the next tick is due. */
+    /**
+     * Starts, continues and finishes the probes that are due. Returns when the next tick is due, in seconds since 1970.
+     */
     double tick(double now, Outbox out) {
         if (now >= nextProbeAt) {
             startNextProbe(now);
@@ -170,7 +183,10 @@
         nextProbeAt = now + settings.probeInterval() * localHealth.timeoutMultiplier();
     }
 
-    /** Makes the next attempt if it is due. Returns when the probe needs the next tick. */
+    /**
+     * Makes the next attempt of a probe if it is due. Returns when the probe needs the next tick, in seconds since
+     * 1970.
+     */
     private double advance(MemberProbe probe, double now, Outbox out) {
         if (probe.attemptIsDue(now)) {
             Address address = probe.peer.address();
@@ -198,7 +214,7 @@
         } else if (!probe.isObsolete() && !localHealth.recentlyStalled(now)) {
             boolean nobodyAnswered = probe.relayRequests > 0 && !probe.relayResponded;
             if (nobodyAnswered) {
-                localHealth.degrade(); // this router itself may be cut off
+                localHealth.degrade(); // this router itself may be partitioned from the fleet
             }
             long accuser = MemberClaim.accuserHash(sender.ownClaim().name());
             onSuspect.accept(probe.target.claim.withStatus(MemberStatus.SUSPECT, List.of(accuser)), now);
