--- a/fleet/src/main/java/clayhook/fleet/members/LocalHealth.java
+++ b/fleet/src/main/java/clayhook/fleet/members/LocalHealth.java
@@ -1,16 +1,19 @@
 package clayhook.fleet.members;
 
 /**
- * How far this router can trust its own view of others: the local health multiplier of Lifeguard, and the time after a
- * stall of this process in which it accuses nobody. Not thread-safe.
+ * Health of this router itself: the local health multiplier of Lifeguard, and the recovery period after a stall of this
+ * process, during which it suspects no member. Not thread-safe.
  */
 final class LocalHealth {
     /**
-     * Timeouts grow to four times. Lifeguard allows nine times, with which a partitioned fleet took half a minute to
-     * notice the partition.
+     * Maximum health score, which extends timeouts by a factor of four. Lifeguard allows a factor of nine, with which a
+     * partitioned fleet took half a minute to detect the partition.
      */
     private static final int MAX_SCORE = 3;
-    /** Bound of the recovery after a stall of any length: what queued up at the socket has been read by then. */
+    /**
+     * Maximum recovery period after a stall of any length. The packets that were queued at the socket have been read by
+     * then.
+     */
     private static final double MAX_RECOVERY_SECONDS = 5;
 
     private static final int MIN_RECOVERY_INTERVALS = 2;
@@ -26,13 +29,16 @@
         minRecoverySeconds = MIN_RECOVERY_INTERVALS * settings.probeInterval();
     }
 
-    /** Notes when the next tick is due, and returns that time. */
+    /** Records when the next tick is due, and returns that time. */
     double expectTickAt(double next) {
         expectedTickAt = next;
         return next;
     }
 
-    /** Returns whether this process was stalled until now: a tick is overdue by more than the threshold. */
+    /**
+     * Returns whether this process was stalled until now, which is the case if a tick is overdue by more than the
+     * threshold. Starts the recovery period if so.
+     */
     boolean detectStall(double now) {
         double overdue = now - expectedTickAt;
         if (overdue <= stallThreshold) {
@@ -44,22 +50,25 @@
         return true;
     }
 
-    /** Whether a stall ended so recently that silence of others proves nothing. */
+    /** Returns whether a stall ended so recently that missing messages do not indicate failures of other members. */
     boolean recentlyStalled(double now) {
         return now < recoveringUntil;
     }
 
-    /** Another member has answered. */
+    /** Decreases the health score by one after another member has answered. */
     void improve() {
         score = Math.max(0, score - 1);
     }
 
-    /** Others suspected this router, or neither a member nor any of those asked to ping it have answered. */
+    /**
+     * Increases the health score by one after a stall, after others have suspected this router, or after neither a
+     * probed member nor any member requested to ping it has answered.
+     */
     void degrade() {
         score = Math.min(MAX_SCORE, score + 1);
     }
 
-    /** Returns the factor by which this router's probe timeouts are extended, from 1. */
+    /** Returns the factor by which this router's probe timeouts are extended, at least 1. */
     double timeoutMultiplier() {
         return 1 + score;
     }
