--- a/fleet/src/main/java/clayhook/fleet/members/MemberClaim.java
+++ b/fleet/src/main/java/clayhook/fleet/members/MemberClaim.java
@@ -13,32 +13,38 @@
 import java.util.TreeSet;
 
 /**
- * The status of an incarnation of a router, as some router claims it. Claims on one name are merged: the younger
- * incarnation wins; within one incarnation {@link MemberStatus#LEFT} is final, then the higher refutation count wins,
- * then the later status.
+ * A claim of some router about the status of an incarnation of a router. Claims on the same name are merged: the later
+ * incarnation wins. Within one incarnation, {@link MemberStatus#LEFT} is final; otherwise the higher refutation count
+ * wins, and with equal counts the status that {@link MemberStatus} declares later.
  *
- * @param refutationCount how often the incarnation has refuted claims of others
- * @param accusers for a suspect, the smallest hashes of the names of its accusers in ascending order, at most
- *     {@value #MAX_ACCUSERS}; otherwise empty
+ * @param refutationCount the number of claims of other routers that the incarnation has refuted
+ * @param accusers for a suspect, the smallest hashes of its accusers' names in ascending order, at most
+ *     {@value #MAX_ACCUSERS}; empty for any other status
  */
 record MemberClaim(Peer peer, MemberStatus status, long refutationCount, List<Long> accusers) {
-    /** The first accuser and three that confirm it; more would not shorten the suspicion timeout. */
+    /**
+     * Maximum number of accusers: the first one and three that confirm the suspicion. Further accusers would not
+     * shorten the suspicion timeout.
+     */
     static final int MAX_ACCUSERS = 4;
 
     /**
-     * Orders the incarnations of one name by age. Of two that started in the same millisecond, the address decides, at
-     * every router alike.
+     * Orders the incarnations of one name by start time. If two of them started in the same millisecond, the address
+     * determines the same order at every router.
      */
     static final Comparator<Peer> INCARNATION_ORDER = Comparator.<Peer>comparingLong(
                     peer -> peer.member().incarnation())
             .thenComparing(peer -> peer.address().host())
             .thenComparingInt(peer -> peer.address().port());
 
-    /** The longest host name that DNS allows. */
+    /** Maximum length of a host name in DNS, in characters. */
     private static final int MAX_HOST_LENGTH = 253;
 
     private static final int PORT_LIMIT = 1 << Character.SIZE;
-    /** Beyond any real number of refutations, and far enough from overflow to be incremented. */
+    /**
+     * Exclusive limit of refutation counts. It exceeds any real number of refutations, and leaves room to increment a
+     * count without overflow.
+     */
     private static final long REFUTATION_COUNT_LIMIT = 1L << 50;
 
     private static final int MAX_LIST_BYTES = 2;
@@ -63,7 +69,7 @@
                 : new TreeSet<>(accusers).stream().limit(MAX_ACCUSERS).toList();
     }
 
-    /** Returns how a member of that name appears among {@link #accusers}. */
+    /** Returns the hash that represents a member of this name in {@link #accusers}. */
     static long accuserHash(String name) {
         return MemberRecord.ringPosition(name);
     }
@@ -76,7 +82,10 @@
         return status.isLive();
     }
 
-    /** Compares precedence: positive where this claim wins over the other, 0 where at most their accusers differ. */
+    /**
+     * Compares the precedence of two claims. The result is positive if this claim wins over the other, and 0 if at most
+     * their accusers differ.
+     */
     private int comparePrecedence(MemberClaim other) {
         int order = INCARNATION_ORDER.compare(peer, other.peer);
         if (order == 0) {
@@ -88,7 +97,7 @@
         return order != 0 ? order : status.compareTo(other.status);
     }
 
-    /** Merges two claims on one name. Commutative, associative and idempotent. */
+    /** Merges two claims on the same name. The operation is commutative, associative and idempotent. */
     MemberClaim merge(MemberClaim other) {
         int order = comparePrecedence(other);
         if (order != 0 || status != MemberStatus.SUSPECT) {
@@ -99,17 +108,19 @@
         return new MemberClaim(peer, status, refutationCount, allAccusers);
     }
 
-    /** Whether merging the other claim into this one leaves this one unchanged, and not the other way round. */
+    /** Returns whether this claim takes precedence over the other, so that a merge of the two results in this claim. */
     boolean supersedes(MemberClaim other) {
         return comparePrecedence(other) > 0;
     }
 
-    /** Returns a claim on the same incarnation, with the same refutation count and another status. */
+    /**
+     * Returns a claim on the same incarnation with the same refutation count, and with the given status and accusers.
+     */
     MemberClaim withStatus(MemberStatus other, List<Long> accusers) {
         return new MemberClaim(peer, other, refutationCount, accusers);
     }
 
-    /** Returns an upper bound of the encoded size in bytes. */
+    /** Returns an upper bound of the encoded size of this claim in bytes. */
     int maxEncodedBytes() {
         return MAX_LIST_BYTES
                 + maxStringBytes(name())
