--- a/fleet/src/main/java/clayhook/fleet/members/MemberRecord.java
+++ b/fleet/src/main/java/clayhook/fleet/members/MemberRecord.java
@@ -5,31 +5,39 @@
 import com.dynatrace.hash4j.hashing.Hashing;
 
 /**
- * What this router knows about one member name: the merged claim and what was measured of its incarnation. Not
+ * This router's record of one member name: the merged claim, and measurements of the incarnation in that claim. Not
  * thread-safe.
  */
 final class MemberRecord {
-    /** The merge of all claims received on this name. */
+    /** The merge of all claims on this name. */
     MemberClaim claim;
-    /** Hash of the name: the position on the ring of members, and the bucket of the table digest. */
+    /** Hash of the name, which determines the position on the ring of members and the bucket of the table digest. */
     final long ringPosition;
-    /** When this router first learned of the incarnation. */
+    /** When this router first received a claim on the incarnation, in seconds since 1970. */
     double knownSince;
-    /** When the current status began, as far as is known. */
+    /** When the current status began as far as known, in seconds since 1970. */
     double statusSince;
-    /** When a message of this very incarnation arrived last. */
+    /**
+     * When a message from exactly this incarnation was last received, in seconds since 1970; negative infinity if none
+     * was.
+     */
     double lastHeardAt;
 
     ClockSkew clockSkew;
-    /** Whether the clock was last reported to be out of bound. */
+    /** Whether the last report on the clock was that it exceeds the bound. */
     boolean clockSkewed;
-    /** When the clock was last measured out of turn. */
+    /**
+     * When an additional ping was last sent to measure the clock, in seconds since 1970; negative infinity if none was.
+     */
     double clockPingedAt;
-    /** An older incarnation that was heard after this one had become known, and was reported as a duplicate. */
+    /**
+     * The older incarnation that last sent a message after this one had become known and was reported as a duplicate;
+     * null if none was.
+     */
     Peer reportedDuplicate;
-    /** What this record contributes to the digest of the table. */
+    /** The contribution of this record to the digest of the table. */
     long digestContribution;
-    /** Index in the table's list of live or of dead members. */
+    /** Index in the table's list of live members or in that of dead members. */
     int listIndex;
 
     MemberRecord(MemberClaim claim, double statusSince, double now) {
@@ -38,12 +46,12 @@
         startIncarnation(statusSince, now);
     }
 
-    /** Returns the position on the ring for a name, the same at every router. */
+    /** Returns the position of a name on the ring, which is the same at every router. */
     static long ringPosition(String name) {
         return Hashing.komihash5_0().hashCharsToLong(name);
     }
 
-    /** Starts over for another incarnation: nothing measured of the previous one applies. */
+    /** Resets this record for another incarnation, since the measurements of the previous one do not apply to it. */
     void startIncarnation(double since, double now) {
         statusSince = since;
         knownSince = now;
@@ -58,7 +66,7 @@
         return claim.peer();
     }
 
-    /** Whether that incarnation is the one in this record. */
+    /** Returns whether this record's claim is on the given incarnation. */
     boolean isIncarnation(Member member) {
         return claim.peer().member().equals(member);
     }
