--- a/fleet/src/main/java/clayhook/fleet/members/MemberStatus.java
+++ b/fleet/src/main/java/clayhook/fleet/members/MemberStatus.java
@@ -2,7 +2,7 @@
 
 /**
  * The status of one incarnation of a router. Of two claims with equal refutation counts, the one whose status is
- * declared later wins; the order of the constants must not change.
+ * declared later here wins; the order of the constants must not change.
  */
 enum MemberStatus {
     ALIVE(0),
@@ -16,12 +16,12 @@
         this.code = code;
     }
 
-    /** Returns the number that stands for this status in messages. */
+    /** Returns the code of this status in messages. */
     int code() {
         return code;
     }
 
-    /** @throws IllegalArgumentException for a number that stands for no status */
+    /** @throws IllegalArgumentException if no status has this code */
     static MemberStatus ofCode(long code) {
         for (MemberStatus status : values()) {
             if (status.code == code) {
@@ -31,7 +31,7 @@
         throw new IllegalArgumentException("a member status of " + code);
     }
 
-    /** Whether the member is probed, gossiped to and counted. */
+    /** Returns whether members with this status are probed, receive gossip and count towards the fleet size. */
     boolean isLive() {
         return this == ALIVE || this == SUSPECT;
     }
