--- a/fleet/src/main/java/clayhook/fleet/members/Membership.java
+++ b/fleet/src/main/java/clayhook/fleet/members/Membership.java
@@ -14,14 +14,14 @@
 import java.util.function.Function;
 
 /**
- * One router's view of the fleet's members, maintained by probes and gossip: SWIM (Das, Gupta, Motivala 2002) with the
- * extensions of Lifeguard (Dadgar, Phillips, Currey 2017).
+ * The membership of the fleet as one router sees it, maintained by probes and gossip. Implements SWIM (Das, Gupta,
+ * Motivala 2002) with the extensions of Lifeguard (Dadgar, Phillips, Currey 2017).
  *
- * <p>Times are seconds since 1970 on a clock that may be wrong, but does not go back while the process runs. Not
- * thread-safe: one thread calls all methods, and the listener is called on it.
+ * <p>Times are seconds since 1970 on a clock that may be wrong, but does not go backwards while the process runs. Not
+ * thread-safe: all methods must be called on the same thread, which also calls the listener.
  */
 public final class Membership implements ProtocolHandler, MembershipView {
-    /** Between two removals of members that were retained long enough. */
+    /** Interval between two removals of dead and departed members whose retention has ended. */
     private static final double CLEANUP_INTERVAL_SECONDS = 10;
 
     private final MembershipSettings settings;
@@ -39,11 +39,12 @@
     private double nextCleanupAt;
 
     /**
-     * Creates the membership of a router that knows no other member yet.
+     * Creates a membership without other members.
      *
-     * @param seeds routers that are pinged first, and whenever none answers from there; this router itself may be among
-     *     them
-     * @param randomSeed of all random choices
+     * @param seeds the addresses of routers that are pinged at the start, and later whenever no live member is known
+     *     there; this router's own address is ignored
+     * @param randomSeed the seed of all random choices
+     * @param now the current time in seconds since 1970
      */
     public Membership(
             MembershipSettings settings,
@@ -54,7 +55,7 @@
             MembershipListener listener) {
         this.settings = settings;
         this.self = self;
-        // The order in which the parts split the generator decides all random choices of a seed.
+        // The order in which the generator is split determines all random choices that result from a seed.
         var random = new SplittableRandom(randomSeed);
         var broadcasts = new BroadcastQueue();
         table = new MembershipTable(self.member().name(), settings.maxNames(), random.split());
@@ -94,7 +95,7 @@
     @Override
     public void onMessage(Peer from, Message message, double now, Outbox out) {
         if (from.member().equals(self.member())) {
-            return; // one of the seeds is this router itself
+            return; // one of the seeds leads to this router itself
         }
         checkForStall(now);
         recordContact(from.member(), now);
@@ -166,10 +167,13 @@
     private void cleanUp(double now) {
         nextCleanupAt = now + CLEANUP_INTERVAL_SECONDS;
         table.removeDeadBefore(now - settings.deadMemberRetention());
-        table.setOwnClaim(sender.ownClaim()); // counts again once a younger incarnation of this name is forgotten
+        table.setOwnClaim(sender.ownClaim()); // counts again after a later incarnation of this name was removed
     }
 
-    /** After a stall of this process, the silence of others was its own: restarts whatever waits for their answers. */
+    /**
+     * Cancels probes and restarts suspicion timers if this process was stalled, since messages of other members may
+     * have been missed during the stall.
+     */
     private void checkForStall(double now) {
         if (localHealth.detectStall(now)) {
             failureDetector.onStall();
@@ -178,19 +182,19 @@
     }
 
     /**
-     * Announces that this router leaves the fleet, which is final for its incarnation. Ticks are needed for another
-     * second.
+     * Announces that this router leaves the fleet, which is final for its incarnation. The caller must continue to tick
+     * for one second so that the announcement spreads.
      */
     public void leave(double now, Outbox out) {
         sender.leave(now, out);
     }
 
-    /** Adds seeds to those given at the start. */
+    /** Adds seeds to those that were passed to the constructor. */
     public void addSeeds(List<Address> seeds) {
         seedReconnector.addSeeds(seeds);
     }
 
-    /** Notes that a message of that very incarnation has arrived, of whichever protocol. */
+    /** Records that a message of any protocol from exactly this incarnation was received. */
     public void recordContact(Member member, double now) {
         claims.recordContact(member, now);
     }
@@ -240,13 +244,14 @@
     }
 
     /**
-     * Whether a younger incarnation of this router's name is known, which the other members count instead of this one.
+     * Returns whether a later incarnation with this router's name is known, which replaces this one at the other
+     * members.
      */
     public boolean isSuperseded() {
         return table.find(self.member().name()) != null;
     }
 
-    /** Returns how many claims on new names were rejected since the start, because the table was full. */
+    /** Returns the number of claims on new names that were rejected since the start because the table was full. */
     public long rejectedNames() {
         return table.rejectedNames();
     }
