--- a/fleet/src/main/java/clayhook/fleet/members/MembershipEvents.java
+++ b/fleet/src/main/java/clayhook/fleet/members/MembershipEvents.java
@@ -2,18 +2,18 @@
 
 import clayhook.fleet.Peer;
 
-/** Translates changes of the membership table into calls of the {@link MembershipListener}. Not thread-safe. */
+/** Reports changes of the membership table to the {@link MembershipListener}. Not thread-safe. */
 final class MembershipEvents {
     /**
-     * Since when an incarnation must be known before an older one that speaks is no late packet, but a process that
-     * still runs.
+     * Time for which an incarnation must have been known before a message from an older one is reported as a duplicate
+     * name. Until then, the message may be a delayed packet; afterwards, the older process must still be running.
      */
     private static final double DUPLICATE_NAME_GRACE_SECONDS = 3;
 
     private final Peer self;
     private final MembershipListener listener;
     private final double startedAt;
-    /** The other incarnation of this router's own name that was reported last. */
+    /** The last reported other incarnation with this router's own name; null if none was. */
     private Peer reportedOwnDuplicate;
 
     MembershipEvents(Peer self, MembershipListener listener, double now) {
@@ -23,9 +23,9 @@
     }
 
     /**
-     * Reports what a changed claim means.
+     * Reports the events that result from a changed claim.
      *
-     * @param before the previous claim on the name, or null
+     * @param before the previous claim on the name; null if the name was unknown
      */
     void onClaimChanged(MemberRecord known, MemberClaim before, double now) {
         Peer peer = known.peer();
@@ -51,7 +51,7 @@
         }
     }
 
-    /** @param oldStatus of the same incarnation; null if it was unknown */
+    /** @param oldStatus the previous status of the same incarnation; null if the incarnation was unknown */
     private void reportIfRevived(MemberRecord known, MemberStatus oldStatus, double now) {
         if (!known.isLive()) {
             return;
@@ -64,12 +64,15 @@
         }
     }
 
-    /** A younger incarnation of this router's own name is known. */
+    /** Reports a later incarnation with this router's own name. */
     void onSuperseded(Peer younger, double now) {
         reportOwnDuplicate(younger, self, now);
     }
 
-    /** An older incarnation of this router's own name has sent a message. */
+    /**
+     * Reports an older incarnation with this router's own name that has sent a message, after the grace period that
+     * follows the start.
+     */
     void onOlderOwnIncarnation(Peer older, double now) {
         if (now - startedAt > DUPLICATE_NAME_GRACE_SECONDS) {
             reportOwnDuplicate(self, older, now);
@@ -84,8 +87,8 @@
     }
 
     /**
-     * A peer has sent a message whose name is known in another incarnation or status; reports it once if that one is
-     * younger.
+     * Handles a message from a peer whose name is known with another incarnation or status. Reports the peer once as a
+     * duplicate if the known incarnation is later and its grace period is over.
      */
     void onSupersededSender(MemberRecord known, Peer sender, double now) {
         boolean older = MemberClaim.INCARNATION_ORDER.compare(known.peer(), sender) > 0;
