--- a/fleet/src/main/java/clayhook/fleet/members/MembershipMessage.java
+++ b/fleet/src/main/java/clayhook/fleet/members/MembershipMessage.java
@@ -13,11 +13,11 @@
 import java.util.function.Function;
 
 /**
- * The messages of the membership protocol. Times are seconds since 1970 on the clock of whoever wrote them. The readers
- * throw {@link IllegalArgumentException} for fields out of range.
+ * A message of the membership protocol. Times are in seconds since 1970 on the clock of the router that took them. The
+ * readers throw {@link IllegalArgumentException} for fields out of range.
  */
 sealed interface MembershipMessage extends Message {
-    /** The readers of all messages by their type number. */
+    /** The readers of all membership messages, by type number. */
     Map<Integer, Function<FieldReader, ? extends Message>> READERS = Map.of(
             Ping.TYPE_NUMBER, Ping::read,
             Ack.TYPE_NUMBER, Ack::read,
@@ -27,16 +27,18 @@
             SyncRequest.TYPE_NUMBER, SyncRequest::read,
             SyncPage.TYPE_NUMBER, SyncPage::read);
 
-    /** Bound of the claims in one message; more than fit. */
+    /** Maximum number of claims in one message; more than fit into it. */
     int MAX_CLAIMS = Packet.MAX_MESSAGE_BYTES;
 
     /**
-     * Asks a member for an ack. It carries the sender's address and refutation count, so that one ping is enough to be
-     * discovered.
+     * Requests an ack from a member. Carries the sender's address and refutation count, so that one ping is enough for
+     * the receiver to add the sender as a member.
      *
-     * @param sequence is repeated in the ack
-     * @param sentAt is repeated in the ack
-     * @param digest of the sender's membership table
+     * @param sequence the sequence number, which the ack repeats
+     * @param sentAt when the ping was sent, which the ack repeats
+     * @param digest the digest of the sender's membership table
+     * @param address the address that the sender advertises
+     * @param refutationCount the refutation count of the sender
      */
     record Ping(long sequence, double sentAt, long digest, Address address, long refutationCount)
             implements MembershipMessage {
@@ -65,12 +67,14 @@
     }
 
     /**
-     * Answers a {@link Ping} at once.
+     * The immediate response to a {@link Ping}.
      *
-     * @param sequence of the ping
-     * @param sentAt of the ping, on the clock of the member that sent it
-     * @param receivedAt when the ping arrived, on the clock of the member that answers
-     * @param digest of the answering member's membership table
+     * @param sequence the sequence number of the ping
+     * @param sentAt when the ping was sent, on the clock of the member that sent it
+     * @param receivedAt when the ping was received, on the clock of the member that sends the ack
+     * @param digest the digest of the membership table of the member that sends the ack
+     * @param address the address that this member advertises
+     * @param refutationCount the refutation count of this member
      */
     record Ack(long sequence, double sentAt, double receivedAt, long digest, Address address, long refutationCount)
             implements MembershipMessage {
@@ -99,7 +103,7 @@
         }
     }
 
-    /** Asks a member to ping another one on the sender's behalf. */
+    /** Requests a member to ping another member on behalf of the sender. */
     record PingRequest(long sequence, Peer target) implements MembershipMessage {
         static final int TYPE_NUMBER = 3;
 
@@ -123,9 +127,10 @@
     }
 
     /**
-     * Answers a {@link PingRequest}.
+     * The response to a {@link PingRequest}.
      *
-     * @param answered whether the target has answered; if not, it still may
+     * @param sequence the sequence number of the ping request
+     * @param answered whether the target has answered; if false, a second result may follow when it does
      */
     record PingRequestResult(long sequence, boolean answered) implements MembershipMessage {
         static final int TYPE_NUMBER = 4;
@@ -145,7 +150,7 @@
         }
     }
 
-    /** Claims that are new to the sender, or that concern the receiver. */
+    /** Broadcasts claims that are new to the sender, or informs the receiver of a claim on its own name. */
     record ClaimBroadcast(List<MemberClaim> claims) implements MembershipMessage {
         static final int TYPE_NUMBER = 5;
 
@@ -171,11 +176,12 @@
     }
 
     /**
-     * Asks for the claims in all buckets of the membership table in which the receiver's digests differ from these.
+     * Requests the claims in all buckets of the membership table whose digests differ between the sender and the
+     * receiver.
      *
-     * @param bucketDigests one for each of {@link TableDigest#BUCKETS}; never changed
+     * @param bucketDigests the sender's digest of each of the {@link TableDigest#BUCKETS} buckets; must not be modified
      */
-    @SuppressWarnings("ArrayRecordComponent") // a list of boxed numbers would cost memory in each request
+    @SuppressWarnings("ArrayRecordComponent") // a list of boxed numbers would need more memory for each request
     record SyncRequest(int[] bucketDigests) implements MembershipMessage {
         static final int TYPE_NUMBER = 6;
 
@@ -202,14 +208,14 @@
         }
     }
 
-    /** A part of a membership table, in answer to a {@link SyncRequest}. */
+    /** A part of a membership table, sent in response to a {@link SyncRequest}. */
     record SyncPage(List<AgedClaim> claims) implements MembershipMessage {
         static final int TYPE_NUMBER = 7;
 
         /**
-         * A claim and how long its status has lasted.
+         * A claim and the time for which its status has lasted.
          *
-         * @param ageSeconds since the status began, as far as the sender knows; written in whole seconds
+         * @param ageSeconds seconds since the status began, as far as known to the sender; encoded in whole seconds
          */
         record AgedClaim(MemberClaim claim, double ageSeconds) {
             private static AgedClaim read(FieldReader in) {
