--- a/fleet/src/main/java/clayhook/fleet/members/MembershipSettings.java
+++ b/fleet/src/main/java/clayhook/fleet/members/MembershipSettings.java
@@ -1,26 +1,27 @@
 package clayhook.fleet.members;
 
 /**
- * Intervals and limits of the membership protocol; times are in seconds.
+ * Settings of the membership protocol. Times are in seconds.
  *
- * @param probeInterval between two probes, and the time a probe has to succeed
- * @param probeRetryDelay until an unanswered ping is repeated, then also through other members; longer than a usual
- *     round trip
- * @param indirectPings members asked to ping on this router's behalf at each repetition
- * @param gossipInterval between two gossip rounds while claims are waiting to be broadcast
- * @param gossipFanout members addressed in one gossip round
- * @param suspicionMultiplier shortest suspicion timeout, in probe intervals per binary logarithm of the fleet size; the
- *     timeout is never below two probe intervals
- * @param maxSuspicionFactor by how much the suspicion timeout is longer while only one member accuses; at least 1
- * @param reconnectInterval between two attempts to reach unresponsive seeds and dead members, right after a member has
- *     died
- * @param maxReconnectInterval to which the reconnect interval grows
- * @param deadMemberRetention for which dead and departed members are remembered, so that partition sides can find each
- *     other again
- * @param servingGracePeriod after which a dead member no longer counts as possibly serving
- * @param maxClockSkew by which a member's clock may differ from this router's
- * @param stallThreshold a tick that comes later than requested by more than this means that this router was stalled
- * @param maxNames names in the membership table; claims on further names are rejected and counted
+ * @param probeInterval the interval between two probes, which is also the timeout of a probe
+ * @param probeRetryDelay the delay after which an unanswered ping is repeated, then also through other members; must be
+ *     longer than a typical round trip
+ * @param indirectPings the number of members requested to ping on behalf of this router at each repetition
+ * @param gossipInterval the interval between two gossip rounds while claims are queued for broadcast
+ * @param gossipFanout the number of members that receive the gossip of one round
+ * @param suspicionMultiplier the shortest suspicion timeout, in probe intervals per binary logarithm of the fleet size;
+ *     the timeout is at least two probe intervals
+ * @param maxSuspicionFactor the factor by which the suspicion timeout is longer while there is only one accuser; at
+ *     least 1
+ * @param reconnectInterval the initial interval between two attempts to reach unresponsive seeds and dead members,
+ *     which also applies after a member was declared dead
+ * @param maxReconnectInterval the maximum to which the reconnect interval grows by backoff
+ * @param deadMemberRetention the time for which dead and departed members are retained, so that the sides of a
+ *     partition can reconnect
+ * @param servingGracePeriod the time after which a dead member no longer counts as possibly serving requests
+ * @param maxClockSkew the bound of the difference between a member's clock and this router's
+ * @param stallThreshold the delay of a tick beyond which this router counts as stalled
+ * @param maxNames the maximum number of names in the membership table; claims on further names are rejected and counted
  */
 public record MembershipSettings(
         double probeInterval,
@@ -38,15 +39,16 @@
         double stallThreshold,
         int maxNames) {
     /**
-     * Detects a killed member at a hundred routers within two to three seconds. Memory grows with the number of
-     * members, by some 500 bytes each.
+     * Default settings, with which a hundred routers detect a killed member within two to three seconds. The memory
+     * usage is about 500 bytes per member.
      */
     public static final MembershipSettings DEFAULT =
             new MembershipSettings(0.5, 0.15, 3, 0.1, 3, 0.4, 4, 1, 3, 3600, 60, 0.5, 0.3, 16_384);
 
     /**
-     * Probe intervals for which dead members are remembered at least. It exceeds the time a large fleet needs to agree
-     * on a death: a member forgotten earlier would be added again by those that still hold it alive, over and over.
+     * Minimum retention of dead members, in probe intervals. It exceeds the time that a large fleet needs to agree that
+     * a member is dead. A member that is removed earlier would be added again and again by claims of members that still
+     * regard it as alive.
      */
     private static final double MIN_RETENTION_INTERVALS = 60;
 
