--- a/fleet/src/main/java/clayhook/fleet/members/MembershipSync.java
+++ b/fleet/src/main/java/clayhook/fleet/members/MembershipSync.java
@@ -7,32 +7,41 @@
 import java.util.List;
 
 /**
- * Brings membership tables into agreement where gossip has not: after a member has joined or returned, after a
- * partition, and for members that missed broadcasts.
+ * Anti-entropy of membership tables: synchronizes what gossip has not spread, after a member has joined or returned,
+ * after a partition, and for members that missed broadcasts.
  *
- * <p>Pings and acks carry a digest of the sender's table. While it differs, this router requests the buckets that
- * differ. Lost messages need no repetition of their own, as the digests go on to differ. Not thread-safe.
+ * <p>Pings and acks carry a digest of the sender's table. While it differs from the digest of this router's table, this
+ * router requests the buckets that differ. Lost requests and pages need no retry, since the digests continue to differ.
+ * Not thread-safe.
  */
 final class MembershipSync {
-    /** About 400 members in one response; the next request asks for what is still missing. */
+    /**
+     * Maximum number of pages in one response, which hold about 400 members. The next request covers the members that
+     * are still missing.
+     */
     private static final int MAX_PAGES_PER_RESPONSE = 16;
-    /** Limits the responses to all members to 120 KB a second when a whole fleet starts. */
+    /**
+     * Maximum rate of pages to all members together; limits responses to 120 KB per second when a whole fleet starts.
+     */
     private static final double PAGES_PER_SECOND = 100;
 
     private static final double MAX_BURST_PAGES = 200;
-    /** For which digests may differ while broadcasts are on their way. */
+    /**
+     * Time for which digests may differ after they were equal without causing a request, since broadcasts may still be
+     * in transit.
+     */
     private static final double SETTLE_SECONDS = 1;
 
     private static final double MIN_REQUEST_INTERVAL_SECONDS = 0.25;
     private static final double MAX_REQUEST_INTERVAL_SECONDS = 4;
     private static final double REQUEST_BACKOFF_MULTIPLIER = 2;
-    /** Bytes of a page beside its claims. */
+    /** Maximum size of a page without its claims, in bytes. */
     private static final int PAGE_OVERHEAD_BYTES = 16;
-    /** Bytes of the age beside a claim. */
+    /** Maximum size of the encoded age of a claim, in bytes. */
     private static final int MAX_AGE_BYTES = 9;
     /**
-     * After the start: a fleet that starts at once agrees by these requests, instead of each member broadcasting each
-     * other.
+     * Startup period after the start of this router. A fleet whose members start at the same time converges by sync
+     * requests during this period, instead of every member broadcasting claims on every other.
      */
     private static final double STARTUP_SECONDS = 5;
 
@@ -50,14 +59,17 @@
     }
 
     /**
-     * Whether this router's table has agreed with another since the startup: from then on, what a response brings is
-     * new to this router's neighbours as well and is broadcast.
+     * Returns whether this router's table has agreed with that of another member after the startup period. From then
+     * on, new claims in sync pages are probably new to other members as well and are broadcast.
      */
     boolean isSettled() {
         return settled;
     }
 
-    /** Compares another member's table digest with this router's, and requests the difference once it persists. */
+    /**
+     * Compares the table digest of another member with that of this router, and requests the differing buckets if the
+     * difference persists.
+     */
     void onDigest(Address from, long digest, double now, Outbox out) {
         if (digest == table.digest()) {
             nextRequestAt = Math.max(nextRequestAt, now + SETTLE_SECONDS);
@@ -71,14 +83,15 @@
     }
 
     /**
-     * Allows the next request soon: a response brought something unknown or a member came back, so there may be more.
+     * Allows the next request soon, because a sync page contained a new claim or a dead member is alive again and
+     * further claims may be missing.
      */
     void requestSoon(double now) {
         requestInterval = MIN_REQUEST_INTERVAL_SECONDS;
         nextRequestAt = Math.min(nextRequestAt, now + MIN_REQUEST_INTERVAL_SECONDS);
     }
 
-    /** Answers a request with as many pages as the rate limit allows. */
+    /** Responds to a request with as many pages as the limits allow. */
     void respond(Address to, MembershipMessage.SyncRequest request, double now, Outbox out) {
         refill(now);
         List<MembershipMessage.SyncPage.AgedClaim> claims =
