--- a/fleet/src/main/java/clayhook/fleet/members/MembershipTable.java
+++ b/fleet/src/main/java/clayhook/fleet/members/MembershipTable.java
@@ -15,11 +15,11 @@
 import java.util.TreeMap;
 
 /**
- * All member names this router knows, except its own, each with the merge of all claims on it. The table does not
- * depend on the order or the number of times in which claims are merged. Not thread-safe.
+ * Table of all member names known to this router except its own, each with the merge of all claims on it. The contents
+ * do not depend on the order in which claims are merged, nor on how often. Not thread-safe.
  */
 final class MembershipTable {
-    /** The list in which a record stands, by its status. */
+    /** The list that contains a record, determined by its status. */
     private enum Placement {
         LIVE,
         DEAD,
@@ -36,25 +36,26 @@
     private final long ownRingPosition;
     private final int maxNames;
     private final SplittableRandom random;
-    /** Dead and departed members are removed once they were retained long enough; at most {@link #maxNames} entries. */
+    /**
+     * Records by name, at most {@link #maxNames}. Dead and departed members are removed when their retention has ended.
+     */
     private final Map<String, MemberRecord> byName = new HashMap<>();
 
     private final ProbeOrder live;
     private final List<MemberRecord> dead = new ArrayList<>();
     /**
-     * Live members by hash of their name: neighbours on the ring share a host or a fault no more often than others do.
+     * Live members by the hash of their names, so that neighbours on the ring are not more likely than other members to
+     * share a host or a fault.
      */
     private final NavigableMap<Long, MemberRecord> ring = new TreeMap<>();
 
     private final TableDigest digest = new TableDigest();
-    /**
-     * The claim of this router on itself; null where a younger incarnation of its name has replaced it, or it has left.
-     */
+    /** This router's claim on itself; null if a later incarnation with its name is known or this router has left. */
     private MemberClaim ownClaim;
 
     private long ownDigestContribution;
     private long rejectedNames;
-    /** Null when it must be computed anew. */
+    /** The cached result of {@link #livePeers()}; null if it must be recomputed. */
     private List<Peer> livePeers;
 
     /** @param ownName this router's own name */
@@ -65,21 +66,21 @@
         live = new ProbeOrder(random);
     }
 
-    /** Returns the record of a name, or null if it is unknown. */
+    /** Returns the record of a name; null if the name is unknown. */
     MemberRecord find(String name) {
         return byName.get(name);
     }
 
-    /** Returns the record of a member, or null unless that very incarnation is the current one. */
+    /** Returns the record of a member; null if the member is unknown or its record is on another incarnation. */
     MemberRecord find(Member member) {
         MemberRecord known = byName.get(member.name());
         return known != null && known.isIncarnation(member) ? known : null;
     }
 
     /**
-     * Merges a claim and returns the record of its name, or null if the name is new and the table is full.
+     * Merges a claim and returns the record of its name; null if the name is new and the table is full.
      *
-     * @param statusSince when the claimed status began, as far as is known
+     * @param statusSince when the claimed status began as far as known, in seconds since 1970
      */
     MemberRecord merge(MemberClaim claim, double statusSince, double now) {
         MemberRecord known = byName.get(claim.name());
@@ -127,7 +128,7 @@
         livePeers = null;
         switch (Placement.of(known.claim)) {
             case LIVE -> {
-                // Of two names with equal hashes one is not on the ring; it is still probed in each round.
+                // If two names have equal hashes, one of them is not on the ring; it is still probed in each round.
                 ring.put(known.ringPosition, known);
                 live.add(known);
             }
@@ -158,8 +159,8 @@
     }
 
     /**
-     * Sets what this router claims about itself, which other tables contain and the digests therefore include. It does
-     * not count while a younger incarnation of its name is known.
+     * Sets this router's claim on itself. The digests include it, since the tables of other members contain it. It is
+     * ignored if it is not live or a later incarnation with this router's name is known.
      */
     void setOwnClaim(MemberClaim claim) {
         long contribution = claim.isLive() && !byName.containsKey(claim.name()) ? TableDigest.hash(claim) : 0;
@@ -168,7 +169,7 @@
         ownClaim = contribution == 0 ? null : claim;
     }
 
-    /** Returns a digest that is equal for equal sets of live members with equal refutation counts. */
+    /** Returns the digest of the table. It is equal for equal sets of live members with equal refutation counts. */
     long digest() {
         return digest.total();
     }
@@ -179,8 +180,8 @@
     }
 
     /**
-     * Returns all claims in the buckets whose digests differ from those given, in random order after this router's
-     * claim on itself.
+     * Returns this router's claim on itself, followed in random order by all claims in the buckets whose digests differ
+     * from the given ones.
      */
     List<MembershipMessage.SyncPage.AgedClaim> claimsInDifferingBuckets(int[] otherBucketDigests, double now) {
         var differing = new ArrayList<MembershipMessage.SyncPage.AgedClaim>();
@@ -203,7 +204,7 @@
         }
     }
 
-    /** Returns the live member after this router on the ring; null when there is none. */
+    /** Returns the live member that follows this router on the ring; null if there is no live member. */
     MemberRecord ringSuccessor() {
         Map.Entry<Long, MemberRecord> next = ring.higherEntry(ownRingPosition);
         if (next == null) {
@@ -212,7 +213,7 @@
         return next == null ? null : next.getValue();
     }
 
-    /** Returns the live member that is next to be probed, each once a round; null when there is none. */
+    /** Returns the next live member to probe, each of them once per round; null if there is none. */
     MemberRecord nextProbeTarget() {
         return live.next();
     }
@@ -226,7 +227,7 @@
         return randomMembers(live.members(), count, excluded);
     }
 
-    /** Returns at most so many random dead members. */
+    /** Returns at most {@code count} random dead members. */
     Collection<MemberRecord> randomDeadMembers(int count) {
         return randomMembers(dead, count, null);
     }
@@ -249,12 +250,12 @@
         return live.size();
     }
 
-    /** Returns how many claims on new names were rejected because the table was full. */
+    /** Returns the number of claims on new names that were rejected because the table was full. */
     long rejectedNames() {
         return rejectedNames;
     }
 
-    /** Removes dead and departed members whose status began before that time, in seconds since 1970. */
+    /** Removes dead and departed members whose status began before {@code time}, in seconds since 1970. */
     void removeDeadBefore(double time) {
         byName.values().removeIf(known -> {
             boolean expired = !known.isLive() && known.statusSince < time;
@@ -265,7 +266,10 @@
         });
     }
 
-    /** Returns all live members in the order of their names. The list is immutable and is the same until it changes. */
+    /**
+     * Returns all live members ordered by name. The list is immutable, and the same instance is returned until the live
+     * members change.
+     */
     List<Peer> livePeers() {
         if (livePeers == null) {
             livePeers = live.members().stream()
@@ -276,7 +280,10 @@
         return livePeers;
     }
 
-    /** Returns the live members and those that died after the given time, in seconds since 1970. */
+    /**
+     * Returns the live members, followed by those that were declared dead after {@code deadSince}, in seconds since
+     * 1970.
+     */
     List<Member> possiblyServing(double deadSince) {
         var members = new ArrayList<Member>(live.size());
         livePeers().forEach(peer -> members.add(peer.member()));
