--- a/fleet/src/main/java/clayhook/fleet/members/MessageSender.java
+++ b/fleet/src/main/java/clayhook/fleet/members/MessageSender.java
@@ -8,13 +8,19 @@
 import java.util.SplittableRandom;
 
 /**
- * Sends this router's pings, acks and gossip, and holds the claim of this router on itself. Whatever is sent identifies
- * the sender and carries waiting broadcasts along. Not thread-safe.
+ * Sends this router's pings, acks and gossip, and holds this router's claim on itself. Pings and acks identify the
+ * sender and are accompanied by queued broadcasts. Not thread-safe.
  */
 final class MessageSender {
-    /** With ten gossip rounds a second to three members, this bounds broadcasts to 20 KB a second. */
+    /**
+     * Maximum size of the broadcasts in one message. With ten gossip rounds per second to three members each, this
+     * limits gossip to 20 KB per second.
+     */
     private static final int MAX_BROADCAST_BYTES = 600;
-    /** Members informed at once when this router leaves, as its process may end before the next gossip round. */
+    /**
+     * Number of members to which the announcement that this router leaves is sent immediately, since its process may
+     * end before the next gossip round.
+     */
     private static final int LEAVE_FANOUT = 12;
 
     private final MembershipSettings settings;
@@ -34,7 +40,7 @@
         this.table = table;
         this.broadcasts = broadcasts;
         ownClaim = MemberClaim.alive(self, 0);
-        // A random start keeps a restarted router from taking acks to its previous incarnation for its own.
+        // The random first number prevents a restarted router from accepting acks to pings of its previous incarnation.
         nextSequence = random.nextInt(Integer.MAX_VALUE);
         table.setOwnClaim(ownClaim);
     }
@@ -43,14 +49,14 @@
         return ownClaim;
     }
 
-    /** Whether this router has left the fleet, which is final for its incarnation. */
+    /** Returns whether this router has left the fleet, which is final for its incarnation. */
     boolean hasLeft() {
         return ownClaim.status() == MemberStatus.LEFT;
     }
 
     /**
-     * Refutes a claim on this router's incarnation. Returns false if there is nothing to refute or this router has
-     * left.
+     * Refutes a claim on this router's incarnation if it supersedes this router's claim on itself. Returns false if
+     * there is nothing to refute or this router has left.
      */
     boolean refuteIfNeeded(MemberClaim claim, double now) {
         if (hasLeft() || !claim.supersedes(ownClaim) || claim.status() == MemberStatus.LEFT) {
@@ -66,7 +72,10 @@
         broadcasts.enqueue(ownClaim, now);
     }
 
-    /** Announces that this router leaves, and informs some members at once. Has no effect the second time. */
+    /**
+     * Announces that this router leaves the fleet, and sends the announcement to some members immediately. Further
+     * calls have no effect.
+     */
     void leave(double now, Outbox out) {
         if (!hasLeft()) {
             announce(ownClaim.withStatus(MemberStatus.LEFT, List.of()), now);
@@ -74,15 +83,16 @@
         }
     }
 
-    /** Returns a sequence number for a ping. */
+    /** Returns the next sequence number for a ping. */
     long nextSequence() {
         return nextSequence++;
     }
 
     /**
-     * Sends a ping and waiting broadcasts.
+     * Sends a ping, accompanied by queued broadcasts.
      *
-     * @param known the record of the receiver, which is sent any claim it should refute; null where it is unknown
+     * @param known the record of the receiver; null if the receiver is unknown. If its status is other than alive, the
+     *     claim is sent along so that the receiver can refute it.
      */
     void sendPing(Address to, MemberRecord known, long sequence, double now, Outbox out) {
         out.add(
@@ -95,7 +105,7 @@
         sendBroadcasts(to, now, out);
     }
 
-    /** Answers a ping, and sends waiting broadcasts. */
+    /** Sends the ack to a ping, accompanied by queued broadcasts. */
     void sendAck(Address to, MembershipMessage.Ping ping, double now, Outbox out) {
         out.add(
                 to,
@@ -129,7 +139,8 @@
     }
 
     /**
-     * Gossips waiting broadcasts when a round is due. Returns when the next round is due, infinity while there is none.
+     * Runs a gossip round for the queued broadcasts if one is due. Returns when the next round is due, in seconds since
+     * 1970; infinity if there is nothing to gossip.
      */
     double gossip(double now, Outbox out) {
         if (now >= nextGossipAt && canGossip()) {
