--- a/fleet/src/main/java/clayhook/fleet/members/PingRelay.java
+++ b/fleet/src/main/java/clayhook/fleet/members/PingRelay.java
@@ -6,16 +6,16 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Pings members on behalf of others that cannot reach them, and reports the result. Not thread-safe. */
+/** Pings members on behalf of other members that cannot reach them, and reports the results. Not thread-safe. */
 final class PingRelay {
-    /** Further requests are ignored. */
+    /** Maximum number of pending relayed pings; further requests are ignored. */
     private static final int MAX_RELAYED_PINGS = 1024;
     /**
-     * Share of the requester's retry delay after which the lack of an answer is reported, so that the report is in time
-     * even if the target's answer is not.
+     * Fraction of the retry delay after which a missing ack is reported, so that the requester receives the report in
+     * time even if the target's ack is late.
      */
     private static final double NEGATIVE_RESULT_FRACTION = 0.8;
-    /** Probe intervals for which a late answer is still passed on. */
+    /** Number of probe intervals during which a late ack is still reported. */
     private static final int LIFETIME_INTERVALS = 2;
 
     private static final class RelayedPing {
@@ -23,7 +23,7 @@
         final MembershipMessage.PingRequest request;
         final long sequence;
         final double expiresAt;
-        /** Infinity once the lack of an answer was reported. */
+        /** When a missing ack is due to be reported, in seconds since 1970; infinity after it was reported. */
         double negativeResultAt;
 
         RelayedPing(
@@ -59,7 +59,7 @@
         this.sender = sender;
     }
 
-    /** Pings the target of a request at once. */
+    /** Pings the target of a request immediately. */
     void onPingRequest(Address requester, MembershipMessage.PingRequest request, double now, Outbox out) {
         if (relayedPings.size() >= MAX_RELAYED_PINGS) {
             return;
@@ -72,7 +72,7 @@
         sender.sendPing(request.target().address(), target, relayed.sequence, now, out);
     }
 
-    /** Passes an answer on to the member that asked for the ping. */
+    /** Reports an ack to the member that requested the ping. */
     void onAck(Member from, long sequence, Outbox out) {
         relayedPings.removeIf(relayed -> {
             boolean answered = relayed.isAnsweredBy(from, sequence);
@@ -83,7 +83,10 @@
         });
     }
 
-    /** Reports pings without an answer. Returns when the next tick is due. */
+    /**
+     * Reports missing acks that are due and removes expired pings. Returns when the next tick is due, in seconds since
+     * 1970; infinity if no ping is pending.
+     */
     double tick(double now, Outbox out) {
         double next = Double.POSITIVE_INFINITY;
         relayedPings.removeIf(relayed -> now >= relayed.expiresAt);
