--- a/fleet/src/main/java/clayhook/fleet/members/ProbeOrder.java
+++ b/fleet/src/main/java/clayhook/fleet/members/ProbeOrder.java
@@ -6,21 +6,21 @@
 import java.util.SplittableRandom;
 
 /**
- * The live members in the order in which they are probed: each once a round, in a random order that is shuffled after
- * each round. A record is in at most one such order, as the order is kept in {@link MemberRecord#listIndex}. Not
- * thread-safe.
+ * The live members in the order in which they are probed. Each round probes every member once, in a random order that
+ * is shuffled again for the next round. A record can be in only one such order, since {@link MemberRecord#listIndex}
+ * holds its index. Not thread-safe.
  */
 final class ProbeOrder {
     private final SplittableRandom random;
     private final List<MemberRecord> members = new ArrayList<>();
-    /** Members at lower indexes were probed in this round. */
+    /** Number of members probed in this round, which are those at lower indexes. */
     private int probedCount;
 
     ProbeOrder(SplittableRandom random) {
         this.random = random;
     }
 
-    /** Adds a member at a random place among those still to be probed in this round. */
+    /** Adds a member at a random index among those not yet probed in this round. */
     void add(MemberRecord member) {
         member.listIndex = members.size();
         members.add(member);
@@ -29,7 +29,7 @@
         }
     }
 
-    /** Removes a member without excluding any other from this round. */
+    /** Removes a member. All other members are still probed in this round. */
     void remove(MemberRecord member) {
         if (member.listIndex < probedCount) {
             swap(member.listIndex, --probedCount);
@@ -38,8 +38,8 @@
     }
 
     /**
-     * Removes a record from a list that is ordered by {@link MemberRecord#listIndex}, in constant time; the last one
-     * takes its place.
+     * Removes a record from a list in which each record is at its {@link MemberRecord#listIndex}, in constant time. The
+     * last record of the list moves to the index of the removed one.
      */
     static void removeFrom(List<MemberRecord> list, MemberRecord member) {
         MemberRecord last = list.remove(list.size() - 1);
@@ -49,7 +49,7 @@
         }
     }
 
-    /** Returns the next member to probe; null when there is none. */
+    /** Returns the next member to probe; null if there is none. */
     MemberRecord next() {
         if (probedCount >= members.size()) {
             shuffle();
@@ -73,7 +73,7 @@
         a.listIndex = other;
     }
 
-    /** Returns a view of all live members. */
+    /** Returns an unmodifiable view of all members in this order. */
     List<MemberRecord> members() {
         return Collections.unmodifiableList(members);
     }
