--- a/fleet/src/main/java/clayhook/fleet/members/SeedReconnector.java
+++ b/fleet/src/main/java/clayhook/fleet/members/SeedReconnector.java
@@ -8,24 +8,24 @@
 import java.util.SplittableRandom;
 
 /**
- * Pings seeds that do not answer and members that are dead, with backoff, for as long as this router runs. It is how a
- * new router joins and how the sides of a partition find each other. Not thread-safe.
+ * Pings unresponsive seeds and dead members with backoff for as long as this router runs. A new router joins the fleet
+ * through these pings, and the sides of a partition reconnect through them. Not thread-safe.
  */
 final class SeedReconnector {
-    /** Seeds pinged in one round while this router knows no live member. */
+    /** Maximum number of seeds pinged in one round while no live member is known. */
     private static final int MAX_SEEDS_PER_ROUND = 8;
-    /** Dead members pinged in one round; few, as most of them may be down for good. */
+    /** Maximum number of dead members pinged in one round. It is small, since most of them may be down permanently. */
     private static final int DEAD_MEMBERS_PER_ROUND = 3;
 
     private static final double BACKOFF_MULTIPLIER = 1.5;
-    /** Share of an interval over which it is spread, evenly to both sides. */
+    /** Fraction of an interval over which its random length is distributed, centred on the interval. */
     private static final double JITTER = 0.5;
 
     private static final class SeedState {
         final Address address;
-        /** Of the last ping sent there. */
+        /** Sequence number of the last ping sent to this address; -1 if none was sent. */
         long sequence = -1;
-        /** The last member that answered from there; null for none. */
+        /** The last member that answered a ping to this address; null if none did. */
         Member member;
 
         SeedState(Address address) {
@@ -37,7 +37,7 @@
     private final MembershipTable table;
     private final MessageSender sender;
     private final SplittableRandom random;
-    /** In the order of the operator's configuration. */
+    /** Seeds in the order in which they were added, which is that of the operator's configuration. */
     private final List<SeedState> seeds = new ArrayList<>();
 
     private double retryInterval;
@@ -56,7 +56,9 @@
         addSeeds(seeds);
     }
 
-    /** Adds seeds, which are pinged at the next tick; this router's own address is ignored. Seeds are never removed. */
+    /**
+     * Adds seeds, which are eligible from the next tick on. Ignores this router's own address. Seeds are never removed.
+     */
     void addSeeds(List<Address> added) {
         added.stream()
                 .distinct()
@@ -70,7 +72,7 @@
         return seeds.stream().anyMatch(seed -> seed.address.equals(address));
     }
 
-    /** Notes that a member answered the ping of that sequence number. */
+    /** Records an ack from a member for the ping with this sequence number. */
     void onAck(Member from, long sequence) {
         for (SeedState seed : seeds) {
             if (seed.sequence == sequence) {
@@ -79,7 +81,7 @@
         }
     }
 
-    /** Starts the backoff anew, as a member that was declared dead may only be partitioned. */
+    /** Resets the backoff, since a member that was declared dead may only be partitioned from this router. */
     void onMemberDead(double now) {
         retryInterval = settings.reconnectInterval();
         nextRoundAt = Math.min(nextRoundAt, now + jittered(retryInterval));
@@ -89,7 +91,10 @@
         return seconds * (1 - JITTER / 2 + random.nextDouble() * JITTER);
     }
 
-    /** Pings unresponsive seeds and dead members when a round is due. Returns when the next round is due. */
+    /**
+     * Pings unresponsive seeds and dead members if a round is due. Returns when the next round is due, in seconds since
+     * 1970.
+     */
     double tick(double now, Outbox out) {
         if (now < nextRoundAt) {
             return nextRoundAt;
