--- a/fleet/src/main/java/clayhook/fleet/members/SuspicionTimers.java
+++ b/fleet/src/main/java/clayhook/fleet/members/SuspicionTimers.java
@@ -6,8 +6,8 @@
 import java.util.function.ObjDoubleConsumer;
 
 /**
- * Declares suspects dead that do not refute in time. After Lifeguard, the timeout is longer in a large fleet and while
- * few members confirm the suspicion. Not thread-safe.
+ * Declares suspects dead that do not refute the suspicion in time. As in Lifeguard, the timeout is longer in a large
+ * fleet and while few members confirm the suspicion. Not thread-safe.
  */
 final class SuspicionTimers {
     private static final double MIN_TIMEOUT_INTERVALS = 2;
@@ -16,10 +16,13 @@
     private final MembershipTable table;
     private final LocalHealth localHealth;
     private final ObjDoubleConsumer<MemberClaim> onTimeout;
-    /** When the timer of each suspect started, in the order of the suspicions; removed with a change of status. */
+    /**
+     * Start time of each suspect's timer in seconds since 1970, in the order of the suspicions. An entry is removed
+     * when the status changes.
+     */
     private final Map<MemberRecord, Double> suspectedSince = new LinkedHashMap<>();
 
-    /** @param onTimeout receives the claim that a suspect is dead, and the time */
+    /** @param onTimeout receives the claim that a suspect is dead, and the current time */
     SuspicionTimers(
             MembershipSettings settings,
             MembershipTable table,
@@ -32,10 +35,10 @@
     }
 
     /**
-     * Starts, keeps or stops the timer of a member whose claim has changed. A suspect that refuted and is suspected
-     * anew gets the whole timeout.
+     * Starts, keeps or stops the timer of a member whose claim has changed. A member that refuted a suspicion and is
+     * suspected again has the full timeout.
      *
-     * @param before the previous claim on the name, or null
+     * @param before the previous claim on the name; null if the name was unknown
      */
     void onClaimChanged(MemberRecord known, MemberClaim before, double now) {
         if (known.claim.status() != MemberStatus.SUSPECT) {
@@ -52,12 +55,15 @@
         }
     }
 
-    /** Restarts all timers after a stall of this router, which may have missed refutations. */
+    /** Restarts all timers after a stall of this router, since it may have missed refutations. */
     void onStall(double now) {
         suspectedSince.replaceAll((known, since) -> now);
     }
 
-    /** Declares suspects dead whose timers have expired. Returns when the next tick is due. */
+    /**
+     * Declares suspects dead whose timers have expired. Returns when the next tick is due, in seconds since 1970;
+     * infinity if no timer is running.
+     */
     double tick(double now) {
         if (localHealth.recentlyStalled(now)) {
             return suspectedSince.isEmpty() ? Double.POSITIVE_INFINITY : now + settings.probeInterval();
@@ -75,7 +81,7 @@
         return next;
     }
 
-    /** Returns the timeout for a suspect, which shrinks by the logarithm of the number of accusers. */
+    /** Returns the timeout of a suspect in seconds, which decreases with the logarithm of the number of accusers. */
     private double timeoutSeconds(int accusers) {
         int members = table.liveCount() + 1;
         double scaled = settings.suspicionMultiplier() * Math.log(members + 1.0) / Math.log(2);
@@ -89,7 +95,10 @@
         return shortest * Math.max(1, factor);
     }
 
-    /** Returns how many members can be expected to confirm a suspicion: neither the suspect nor its first accuser. */
+    /**
+     * Returns the number of members that can be expected to confirm a suspicion, which excludes the suspect and its
+     * first accuser.
+     */
     private static int expectedConfirmations(int members) {
         return Math.min(MemberClaim.MAX_ACCUSERS, members - 1) - 1;
     }
