--- a/fleet/src/main/java/clayhook/fleet/members/TableDigest.java
+++ b/fleet/src/main/java/clayhook/fleet/members/TableDigest.java
@@ -4,19 +4,19 @@
 import com.dynatrace.hash4j.hashing.Hashing;
 
 /**
- * Digests of a membership table, updated incrementally: one of the whole table and one of each bucket of names. Equal
- * sets of live members with equal refutation counts have equal digests, whatever the order of the updates. Not
+ * Incrementally updated digests of a membership table: one of the whole table and one of each bucket of names. Equal
+ * sets of live members with equal refutation counts have equal digests, regardless of the order of the updates. Not
  * thread-safe.
  */
 final class TableDigest {
     private static final int BUCKET_BITS = 8;
-    /** Buckets by hash of the name; their digests fill most of a packet. */
+    /** Number of buckets, to which names are assigned by hash. The digests of all buckets fill most of a packet. */
     static final int BUCKETS = 1 << BUCKET_BITS;
 
     private final int[] bucketDigests = new int[BUCKETS];
     private long total;
 
-    /** Returns the hash that a live member adds to the digests. */
+    /** Returns the contribution of a live member to the digests. */
     static long hash(MemberClaim claim) {
         Peer peer = claim.peer();
         return Hashing.komihash5_0()
@@ -29,12 +29,12 @@
                 .getAsLong();
     }
 
-    /** Returns the bucket of a name by its position on the ring. */
+    /** Returns the bucket of a name with this position on the ring. */
     static int bucketOf(long ringPosition) {
         return (int) (ringPosition >>> (Long.SIZE - BUCKET_BITS));
     }
 
-    /** Replaces what a name contributes; 0 stands for no contribution. */
+    /** Replaces the contribution of a name; 0 means no contribution. */
     void replace(long ringPosition, long oldHash, long newHash) {
         long difference = newHash - oldHash;
         bucketDigests[bucketOf(ringPosition)] += (int) difference;
@@ -50,7 +50,10 @@
         return bucketDigests.clone();
     }
 
-    /** Whether a digest of that name's bucket differs from this one. */
+    /**
+     * Returns whether the digest of this name's bucket differs from the corresponding one in
+     * {@code otherBucketDigests}.
+     */
     boolean differs(long ringPosition, int[] otherBucketDigests) {
         int bucket = bucketOf(ringPosition);
         return otherBucketDigests[bucket] != bucketDigests[bucket];
