--- a/fleet/src/main/java/clayhook/fleet/members/package-info.java
+++ b/fleet/src/main/java/clayhook/fleet/members/package-info.java
@@ -1,10 +1,10 @@
 /**
- * Fleet membership: which routers are alive, found through seeds and gossip. The protocol is SWIM with the Lifeguard
- * extensions; {@code docs/sharing-members.md} gives the sources and the deviations.
+ * Fleet membership: detects through seeds and gossip which routers are alive. The protocol is SWIM with the Lifeguard
+ * extensions; {@code docs/sharing-members.md} lists the sources and the deviations from them.
  *
- * <p>The package is pure: it does no I/O, starts no threads and reads no clock. It may use {@code clayhook.fleet} and
- * nothing else of the project. Start with {@link clayhook.fleet.members.Membership}, which receives messages and ticks;
- * then {@code MemberClaim}, what members say about each other, and {@code ClaimProcessor}, which turns claims into
- * changes of the membership table.
+ * <p>The package does no I/O, starts no threads and reads no clock. Of the project's packages, it may depend only on
+ * {@code clayhook.fleet}. The entry point is {@link clayhook.fleet.members.Membership}, which receives messages and
+ * ticks. {@code MemberClaim} is a statement about the status of a member, and {@code ClaimProcessor} applies claims to
+ * the membership table.
  */
 package clayhook.fleet.members;
