--- a/fleet/src/main/java/clayhook/fleet/members/MembershipTable.java
+++ b/fleet/src/main/java/clayhook/fleet/members/MembershipTable.java
@@ -219,9 +219,9 @@
     }
 
     /**
-     * Returns at most so many random live members.
+     * Returns at most {@code count} random live members.
      *
-     * @param excluded a member to leave out, or null
+     * @param excluded a member that is not returned; null for none
      */
     Collection<MemberRecord> randomMembers(int count, MemberRecord excluded) {
         return randomMembers(live.members(), count, excluded);
