--- a/fleet/src/main/java/clayhook/fleet/members/ClaimProcessor.java
+++ b/fleet/src/main/java/clayhook/fleet/members/ClaimProcessor.java
@@ -74,21 +74,21 @@
      * @param from the sender with the address from which the message was received
      * @param advertised the sender with the address that it advertises in the message
      */
-    void applySender(Peer from, Peer speaker, long refutationCount, double now, Outbox out) {
-        applyBroadcast(from, MemberClaim.alive(speaker, refutationCount), now, out);
+    void applySender(Peer from, Peer advertised, long refutationCount, double now, Outbox out) {
+        applyBroadcast(from, MemberClaim.alive(advertised, refutationCount), now, out);
         recordContact(from.member(), now);
-        MemberRecord known = table.find(speaker.member().name());
+        MemberRecord known = table.find(advertised.member().name());
         if (known == null) {
-            if (isOwnName(speaker.member().name())) {
+            if (isOwnName(advertised.member().name())) {
                 sender.sendClaim(from.address(), sender.ownClaim(), out);
-                events.onOlderOwnIncarnation(speaker, now);
+                events.onOlderOwnIncarnation(advertised, now);
             }
             return;
         }
-        boolean aliveAsClaimed = known.isIncarnation(speaker.member()) && known.claim.status() == MemberStatus.ALIVE;
+        boolean aliveAsClaimed = known.isIncarnation(advertised.member()) && known.claim.status() == MemberStatus.ALIVE;
         if (!aliveAsClaimed) {
             sender.sendClaim(from.address(), known.claim, out);
-            events.onSupersededSender(known, speaker, now);
+            events.onSupersededSender(known, advertised, now);
         }
     }
 
--- a/fleet/src/main/java/clayhook/fleet/members/Membership.java
+++ b/fleet/src/main/java/clayhook/fleet/members/Membership.java
@@ -126,19 +126,19 @@
     }
 
     private void onPing(Peer from, MembershipMessage.Ping ping, double now, Outbox out) {
-        var speaker = new Peer(from.member(), ping.address());
-        claims.applySender(from, speaker, ping.refutationCount(), now, out);
+        var advertised = new Peer(from.member(), ping.address());
+        claims.applySender(from, advertised, ping.refutationCount(), now, out);
         sender.sendAck(from.address(), ping, now, out);
         sync.onDigest(from.address(), ping.digest(), now, out);
         clockMonitor.onPing(from, ping, now, out);
     }
 
     private void onAck(Peer from, MembershipMessage.Ack ack, double now, Outbox out) {
-        var speaker = new Peer(from.member(), ack.address());
+        var advertised = new Peer(from.member(), ack.address());
         failureDetector.onAck(from.member(), ack.sequence());
         pingRelay.onAck(from.member(), ack.sequence(), out);
         seedReconnector.onAck(from.member(), ack.sequence());
-        claims.applySender(from, speaker, ack.refutationCount(), now, out);
+        claims.applySender(from, advertised, ack.refutationCount(), now, out);
         sync.onDigest(from.address(), ack.digest(), now, out);
         clockMonitor.onAck(from.member(), ack, now);
     }
