--- a/fleet/src/main/java/clayhook/fleet/MembershipView.java
+++ b/fleet/src/main/java/clayhook/fleet/MembershipView.java
@@ -29,7 +29,7 @@
      * Returns when this router last received a message from this incarnation of a member, in seconds since 1970;
      * negative infinity if it never did.
      */
-    double lastHeardAt(Member member);
+    double lastContactAt(Member member);
 
     /**
      * Returns the last measured offset of the member's clock from this router's clock in seconds, positive if the
--- a/fleet/src/main/java/clayhook/fleet/members/Membership.java
+++ b/fleet/src/main/java/clayhook/fleet/members/Membership.java
@@ -221,7 +221,7 @@
     }
 
     @Override
-    public double lastHeardAt(Member member) {
+    public double lastContactAt(Member member) {
         MemberRecord known = table.find(member);
         return known == null ? Double.NEGATIVE_INFINITY : known.lastHeardAt;
     }
--- a/fleet/src/test/java/clayhook/fleet/state/StateTestNetwork.java
+++ b/fleet/src/test/java/clayhook/fleet/state/StateTestNetwork.java
@@ -125,7 +125,7 @@
         }
 
         @Override
-        public double lastHeardAt(Member member) {
+        public double lastContactAt(Member member) {
             return now;
         }
 
--- a/fleet/src/test/java/clayhook/fleet/types/FixedMembershipView.java
+++ b/fleet/src/test/java/clayhook/fleet/types/FixedMembershipView.java
@@ -47,7 +47,7 @@
     }
 
     @Override
-    public double lastHeardAt(Member member) {
+    public double lastContactAt(Member member) {
         return Double.NEGATIVE_INFINITY;
     }
 
--- a/fleet/src/test/java/clayhook/rollout/RolloutNode.java
+++ b/fleet/src/test/java/clayhook/rollout/RolloutNode.java
@@ -111,7 +111,7 @@
     }
 
     @Override
-    public double lastHeardAt(Member other) {
+    public double lastContactAt(Member other) {
         return Double.NEGATIVE_INFINITY;
     }
 
