--- a/fleet/src/main/java/clayhook/fleet/members/ClaimProcessor.java
+++ b/fleet/src/main/java/clayhook/fleet/members/ClaimProcessor.java
@@ -63,7 +63,7 @@
     void recordContact(Member member, double now) {
         MemberRecord known = table.find(member);
         if (known != null) {
-            known.lastHeardAt = Math.max(known.lastHeardAt, now);
+            known.lastContactAt = Math.max(known.lastContactAt, now);
         }
     }
 
@@ -106,7 +106,7 @@
         if (!mayChange(known, claim)) {
             return;
         }
-        if (declaresDead(known, claim) && now - known.lastHeardAt < RECENT_CONTACT_SECONDS) {
+        if (declaresDead(known, claim) && now - known.lastContactAt < RECENT_CONTACT_SECONDS) {
             challenge(known, claim, now, out);
         } else {
             merge(claim, now, true, now);
--- a/fleet/src/main/java/clayhook/fleet/members/FailureDetector.java
+++ b/fleet/src/main/java/clayhook/fleet/members/FailureDetector.java
@@ -208,7 +208,7 @@
     }
 
     private void finish(MemberProbe probe, double now) {
-        boolean heard = probe.answered || probe.target.lastHeardAt > probe.startedAt;
+        boolean heard = probe.answered || probe.target.lastContactAt > probe.startedAt;
         if (heard) {
             localHealth.improve();
         } else if (!probe.isObsolete() && !localHealth.recentlyStalled(now)) {
--- a/fleet/src/main/java/clayhook/fleet/members/MemberRecord.java
+++ b/fleet/src/main/java/clayhook/fleet/members/MemberRecord.java
@@ -21,7 +21,7 @@
      * When a message from exactly this incarnation was last received, in seconds since 1970; negative infinity if none
      * was.
      */
-    double lastHeardAt;
+    double lastContactAt;
 
     ClockSkew clockSkew;
     /** Whether the last report on the clock was that it exceeds the bound. */
@@ -55,7 +55,7 @@
     void startIncarnation(double since, double now) {
         statusSince = since;
         knownSince = now;
-        lastHeardAt = Double.NEGATIVE_INFINITY;
+        lastContactAt = Double.NEGATIVE_INFINITY;
         clockSkew = new ClockSkew();
         clockSkewed = false;
         clockPingedAt = Double.NEGATIVE_INFINITY;
--- a/fleet/src/main/java/clayhook/fleet/members/Membership.java
+++ b/fleet/src/main/java/clayhook/fleet/members/Membership.java
@@ -223,7 +223,7 @@
     @Override
     public double lastContactAt(Member member) {
         MemberRecord known = table.find(member);
-        return known == null ? Double.NEGATIVE_INFINITY : known.lastHeardAt;
+        return known == null ? Double.NEGATIVE_INFINITY : known.lastContactAt;
     }
 
     @Override
