--- a/fleet/src/main/java/clayhook/fleet/members/ClaimProcessor.java
+++ b/fleet/src/main/java/clayhook/fleet/members/ClaimProcessor.java
@@ -61,9 +61,9 @@
 
     /** Records that a message from exactly this incarnation was received. */
     void recordContact(Member member, double now) {
-        MemberRecord known = table.find(member);
-        if (known != null) {
-            known.lastContactAt = Math.max(known.lastContactAt, now);
+        MemberRecord record = table.find(member);
+        if (record != null) {
+            record.lastContactAt = Math.max(record.lastContactAt, now);
         }
     }
 
@@ -77,18 +77,19 @@
     void applySender(Peer from, Peer advertised, long refutationCount, double now, Outbox out) {
         applyBroadcast(from, MemberClaim.alive(advertised, refutationCount), now, out);
         recordContact(from.member(), now);
-        MemberRecord known = table.find(advertised.member().name());
-        if (known == null) {
+        MemberRecord record = table.find(advertised.member().name());
+        if (record == null) {
             if (isOwnName(advertised.member().name())) {
                 sender.sendClaim(from.address(), sender.ownClaim(), out);
                 events.onOlderOwnIncarnation(advertised, now);
             }
             return;
         }
-        boolean aliveAsClaimed = known.isIncarnation(advertised.member()) && known.claim.status() == MemberStatus.ALIVE;
+        boolean aliveAsClaimed =
+                record.isIncarnation(advertised.member()) && record.claim.status() == MemberStatus.ALIVE;
         if (!aliveAsClaimed) {
-            sender.sendClaim(from.address(), known.claim, out);
-            events.onSupersededSender(known, advertised, now);
+            sender.sendClaim(from.address(), record.claim, out);
+            events.onSupersededSender(record, advertised, now);
         }
     }
 
@@ -102,12 +103,12 @@
     }
 
     private void applyBroadcast(MemberClaim claim, double now, Outbox out) {
-        MemberRecord known = table.find(claim.name());
-        if (!mayChange(known, claim)) {
+        MemberRecord record = table.find(claim.name());
+        if (!mayChange(record, claim)) {
             return;
         }
-        if (declaresDead(known, claim) && now - known.lastContactAt < RECENT_CONTACT_SECONDS) {
-            challenge(known, claim, now, out);
+        if (declaresDead(record, claim) && now - record.lastContactAt < RECENT_CONTACT_SECONDS) {
+            challenge(record, claim, now, out);
         } else {
             merge(claim, now, true, now);
         }
@@ -124,12 +125,12 @@
             applyToOwnName(from, claim, now, out);
             return;
         }
-        MemberRecord known = table.find(claim.name());
-        if (!mayChange(known, claim)) {
+        MemberRecord record = table.find(claim.name());
+        if (!mayChange(record, claim)) {
             return;
         }
-        if (declaresDead(known, claim)) {
-            challenge(known, claim, now, out);
+        if (declaresDead(record, claim)) {
+            challenge(record, claim, now, out);
         } else {
             boolean suspect = claim.status() == MemberStatus.SUSPECT;
             MemberClaim merged = suspect ? MemberClaim.alive(claim.peer(), claim.refutationCount()) : claim;
@@ -141,15 +142,15 @@
         return name.equals(self.member().name());
     }
 
-    private static boolean mayChange(MemberRecord known, MemberClaim claim) {
-        return known == null || claim.supersedes(known.claim) || claim.status() == MemberStatus.SUSPECT;
+    private static boolean mayChange(MemberRecord record, MemberClaim claim) {
+        return record == null || claim.supersedes(record.claim) || claim.status() == MemberStatus.SUSPECT;
     }
 
-    private static boolean declaresDead(MemberRecord known, MemberClaim claim) {
-        return known != null
-                && known.isLive()
+    private static boolean declaresDead(MemberRecord record, MemberClaim claim) {
+        return record != null
+                && record.isLive()
                 && claim.status() == MemberStatus.DEAD
-                && known.peer().equals(claim.peer());
+                && record.peer().equals(claim.peer());
     }
 
     /**
@@ -157,10 +158,10 @@
      * claims that the other is dead; applying these claims would temporarily remove half of the fleet. A live member
      * refutes the claim; the probe that is started here detects a dead one.
      */
-    private void challenge(MemberRecord known, MemberClaim claim, double now, Outbox out) {
-        sender.sendClaim(known.peer().address(), claim, out);
-        if (known.claim.status() == MemberStatus.ALIVE) {
-            failureDetector.probeNow(known, now);
+    private void challenge(MemberRecord record, MemberClaim claim, double now, Outbox out) {
+        sender.sendClaim(record.peer().address(), claim, out);
+        if (record.claim.status() == MemberStatus.ALIVE) {
+            failureDetector.probeNow(record, now);
             workPending = true;
         }
     }
@@ -187,27 +188,27 @@
     private void merge(MemberClaim claim, double statusSince, boolean isNew, double now) {
         MemberRecord existing = table.find(claim.name());
         MemberClaim before = existing == null ? null : existing.claim;
-        MemberRecord known = table.merge(claim, statusSince, now);
-        if (known == null || known.claim.equals(before)) {
+        MemberRecord record = table.merge(claim, statusSince, now);
+        if (record == null || record.claim.equals(before)) {
             return;
         }
         if (isNew || sync.isSettled()) {
-            broadcasts.enqueue(known.claim, now);
+            broadcasts.enqueue(record.claim, now);
             workPending = true;
         }
         if (!isNew) {
             sync.requestSoon(now);
         }
-        suspicionTimers.onClaimChanged(known, before, now);
-        scheduleFollowUp(known, before, now);
-        events.onClaimChanged(known, before, now);
+        suspicionTimers.onClaimChanged(record, before, now);
+        scheduleFollowUp(record, before, now);
+        events.onClaimChanged(record, before, now);
     }
 
-    private void scheduleFollowUp(MemberRecord known, MemberClaim before, double now) {
-        switch (known.claim.status()) {
+    private void scheduleFollowUp(MemberRecord record, MemberClaim before, double now) {
+        switch (record.claim.status()) {
             case SUSPECT -> {
-                if (!isAccuser(known.claim)) {
-                    failureDetector.maybeConfirm(known, now);
+                if (!isAccuser(record.claim)) {
+                    failureDetector.maybeConfirm(record, now);
                 }
             }
             case DEAD -> seedReconnector.onMemberDead(now);
--- a/fleet/src/main/java/clayhook/fleet/members/ClockMonitor.java
+++ b/fleet/src/main/java/clayhook/fleet/members/ClockMonitor.java
@@ -40,14 +40,14 @@
      * received ping does not distinguish clock offset from network delay; the ack to the additional ping does.
      */
     void onPing(Peer from, MembershipMessage.Ping ping, double now, Outbox out) {
-        MemberRecord known = table.find(from.member());
-        if (known == null || now - known.clockPingedAt < PING_INTERVAL_SECONDS) {
+        MemberRecord record = table.find(from.member());
+        if (record == null || now - record.clockPingedAt < PING_INTERVAL_SECONDS) {
             return;
         }
-        double offset = known.clockSkew.offset();
+        double offset = record.clockSkew.offset();
         double expectedOffset = Double.isNaN(offset) ? 0 : offset;
         if (Math.abs(ping.sentAt() - now - expectedOffset) > maxClockSkew * SUSPICIOUS_FACTOR) {
-            known.clockPingedAt = now;
+            record.clockPingedAt = now;
             sender.sendPing(from.address(), null, sender.nextSequence(), now, out);
         }
     }
@@ -57,18 +57,18 @@
      * recovered.
      */
     void onAck(Member from, MembershipMessage.Ack ack, double now) {
-        MemberRecord known = table.find(from);
-        if (known == null) {
+        MemberRecord record = table.find(from);
+        if (record == null) {
             return;
         }
-        known.clockSkew.addMeasurement(ack.sentAt(), ack.receivedAt(), now);
-        double difference = Math.abs(known.clockSkew.offset());
-        if (!known.clockSkewed && difference - known.clockSkew.errorBound(now) > maxClockSkew) {
-            known.clockSkewed = true;
-            listener.onClockSkewed(known.peer(), known.clockSkew.offset(), now);
-        } else if (known.clockSkewed && difference < RECOVERY_FACTOR * maxClockSkew) {
-            known.clockSkewed = false;
-            listener.onClockRecovered(known.peer(), known.clockSkew.offset(), now);
+        record.clockSkew.addMeasurement(ack.sentAt(), ack.receivedAt(), now);
+        double difference = Math.abs(record.clockSkew.offset());
+        if (!record.clockSkewed && difference - record.clockSkew.errorBound(now) > maxClockSkew) {
+            record.clockSkewed = true;
+            listener.onClockSkewed(record.peer(), record.clockSkew.offset(), now);
+        } else if (record.clockSkewed && difference < RECOVERY_FACTOR * maxClockSkew) {
+            record.clockSkewed = false;
+            listener.onClockRecovered(record.peer(), record.clockSkew.offset(), now);
         }
     }
 }
--- a/fleet/src/main/java/clayhook/fleet/members/Membership.java
+++ b/fleet/src/main/java/clayhook/fleet/members/Membership.java
@@ -216,26 +216,26 @@
 
     @Override
     public boolean isLive(Member member) {
-        MemberRecord known = table.find(member);
-        return known != null && known.isLive();
+        MemberRecord record = table.find(member);
+        return record != null && record.isLive();
     }
 
     @Override
     public double lastContactAt(Member member) {
-        MemberRecord known = table.find(member);
-        return known == null ? Double.NEGATIVE_INFINITY : known.lastContactAt;
+        MemberRecord record = table.find(member);
+        return record == null ? Double.NEGATIVE_INFINITY : record.lastContactAt;
     }
 
     @Override
     public double clockOffset(Member member) {
-        MemberRecord known = table.find(member);
-        return known == null ? Double.NaN : known.clockSkew.offset();
+        MemberRecord record = table.find(member);
+        return record == null ? Double.NaN : record.clockSkew.offset();
     }
 
     @Override
     public boolean clockWithinBound(Member member) {
-        MemberRecord known = table.find(member);
-        return known == null || !known.clockSkewed;
+        MemberRecord record = table.find(member);
+        return record == null || !record.clockSkewed;
     }
 
     @Override
--- a/fleet/src/main/java/clayhook/fleet/members/MembershipEvents.java
+++ b/fleet/src/main/java/clayhook/fleet/members/MembershipEvents.java
@@ -27,16 +27,16 @@
      *
      * @param before the previous claim on the name; null if the name was unknown
      */
-    void onClaimChanged(MemberRecord known, MemberClaim before, double now) {
-        Peer peer = known.peer();
+    void onClaimChanged(MemberRecord record, MemberClaim before, double now) {
+        Peer peer = record.peer();
         boolean sameIncarnation = before != null && before.peer().equals(peer);
         if (before != null && !sameIncarnation && before.peer().member().equals(peer.member())) {
             listener.onDuplicateName(peer, before.peer(), now);
         }
         MemberStatus oldStatus = sameIncarnation ? before.status() : null;
-        reportIfRevived(known, oldStatus, now);
-        switch (known.claim.status()) {
-            case SUSPECT -> listener.onSuspected(peer, known.claim.accusers().size(), now);
+        reportIfRevived(record, oldStatus, now);
+        switch (record.claim.status()) {
+            case SUSPECT -> listener.onSuspected(peer, record.claim.accusers().size(), now);
             case DEAD -> {
                 if (before != null && before.isLive()) {
                     listener.onDead(peer, now);
@@ -52,15 +52,15 @@
     }
 
     /** @param oldStatus the previous status of the same incarnation; null if the incarnation was unknown */
-    private void reportIfRevived(MemberRecord known, MemberStatus oldStatus, double now) {
-        if (!known.isLive()) {
+    private void reportIfRevived(MemberRecord record, MemberStatus oldStatus, double now) {
+        if (!record.isLive()) {
             return;
         }
-        boolean refuted = oldStatus == MemberStatus.SUSPECT && known.claim.status() == MemberStatus.ALIVE;
+        boolean refuted = oldStatus == MemberStatus.SUSPECT && record.claim.status() == MemberStatus.ALIVE;
         if (oldStatus == null) {
-            listener.onJoined(known.peer(), now);
+            listener.onJoined(record.peer(), now);
         } else if (oldStatus == MemberStatus.DEAD || refuted) {
-            listener.onAlive(known.peer(), now);
+            listener.onAlive(record.peer(), now);
         }
     }
 
@@ -90,12 +90,12 @@
      * Handles a message from a peer whose name is known with another incarnation or status. Reports the peer once as a
      * duplicate if the known incarnation is later and its grace period is over.
      */
-    void onSupersededSender(MemberRecord known, Peer sender, double now) {
-        boolean older = MemberClaim.INCARNATION_ORDER.compare(known.peer(), sender) > 0;
-        boolean knownForLong = now - known.knownSince > DUPLICATE_NAME_GRACE_SECONDS;
-        if (older && knownForLong && !sender.equals(known.reportedDuplicate)) {
-            known.reportedDuplicate = sender;
-            listener.onDuplicateName(known.peer(), sender, now);
+    void onSupersededSender(MemberRecord record, Peer sender, double now) {
+        boolean older = MemberClaim.INCARNATION_ORDER.compare(record.peer(), sender) > 0;
+        boolean knownForLong = now - record.knownSince > DUPLICATE_NAME_GRACE_SECONDS;
+        if (older && knownForLong && !sender.equals(record.reportedDuplicate)) {
+            record.reportedDuplicate = sender;
+            listener.onDuplicateName(record.peer(), sender, now);
         }
     }
 }
--- a/fleet/src/main/java/clayhook/fleet/members/MembershipTable.java
+++ b/fleet/src/main/java/clayhook/fleet/members/MembershipTable.java
@@ -73,8 +73,8 @@
 
     /** Returns the record of a member; null if the member is unknown or its record is on another incarnation. */
     MemberRecord find(Member member) {
-        MemberRecord known = byName.get(member.name());
-        return known != null && known.isIncarnation(member) ? known : null;
+        MemberRecord record = byName.get(member.name());
+        return record != null && record.isIncarnation(member) ? record : null;
     }
 
     /**
@@ -83,15 +83,15 @@
      * @param statusSince when the claimed status began as far as known, in seconds since 1970
      */
     MemberRecord merge(MemberClaim claim, double statusSince, double now) {
-        MemberRecord known = byName.get(claim.name());
-        if (known == null) {
+        MemberRecord record = byName.get(claim.name());
+        if (record == null) {
             return add(claim, statusSince, now);
         }
-        MemberClaim merged = known.claim.merge(claim);
-        if (!merged.equals(known.claim)) {
-            replaceClaim(known, merged, statusSince, now);
+        MemberClaim merged = record.claim.merge(claim);
+        if (!merged.equals(record.claim)) {
+            replaceClaim(record, merged, statusSince, now);
         }
-        return known;
+        return record;
     }
 
     private MemberRecord add(MemberClaim claim, double statusSince, double now) {
@@ -106,56 +106,56 @@
         return added;
     }
 
-    private void replaceClaim(MemberRecord known, MemberClaim merged, double statusSince, double now) {
-        boolean sameIncarnation = merged.peer().equals(known.peer());
+    private void replaceClaim(MemberRecord record, MemberClaim merged, double statusSince, double now) {
+        boolean sameIncarnation = merged.peer().equals(record.peer());
         if (!sameIncarnation) {
-            known.startIncarnation(statusSince, now);
+            record.startIncarnation(statusSince, now);
             livePeers = null;
-        } else if (merged.status() != known.claim.status()) {
-            known.statusSince = statusSince;
+        } else if (merged.status() != record.claim.status()) {
+            record.statusSince = statusSince;
         }
-        if (Placement.of(merged) != Placement.of(known.claim)) {
-            removeFromList(known);
-            known.claim = merged;
-            addToList(known);
+        if (Placement.of(merged) != Placement.of(record.claim)) {
+            removeFromList(record);
+            record.claim = merged;
+            addToList(record);
         } else {
-            known.claim = merged;
+            record.claim = merged;
         }
-        updateDigest(known);
+        updateDigest(record);
     }
 
-    private void addToList(MemberRecord known) {
+    private void addToList(MemberRecord record) {
         livePeers = null;
-        switch (Placement.of(known.claim)) {
+        switch (Placement.of(record.claim)) {
             case LIVE -> {
                 // If two names have equal hashes, one of them is not on the ring; it is still probed in each round.
-                ring.put(known.ringPosition, known);
-                live.add(known);
+                ring.put(record.ringPosition, record);
+                live.add(record);
             }
             case DEAD -> {
-                known.listIndex = dead.size();
-                dead.add(known);
+                record.listIndex = dead.size();
+                dead.add(record);
             }
             case UNLISTED -> {}
         }
     }
 
-    private void removeFromList(MemberRecord known) {
+    private void removeFromList(MemberRecord record) {
         livePeers = null;
-        switch (Placement.of(known.claim)) {
+        switch (Placement.of(record.claim)) {
             case LIVE -> {
-                ring.remove(known.ringPosition, known);
-                live.remove(known);
+                ring.remove(record.ringPosition, record);
+                live.remove(record);
             }
-            case DEAD -> ProbeOrder.removeFrom(dead, known);
+            case DEAD -> ProbeOrder.removeFrom(dead, record);
             case UNLISTED -> {}
         }
     }
 
-    private void updateDigest(MemberRecord known) {
-        long contribution = known.isLive() ? TableDigest.hash(known.claim) : 0;
-        digest.replace(known.ringPosition, known.digestContribution, contribution);
-        known.digestContribution = contribution;
+    private void updateDigest(MemberRecord record) {
+        long contribution = record.isLive() ? TableDigest.hash(record.claim) : 0;
+        digest.replace(record.ringPosition, record.digestContribution, contribution);
+        record.digestContribution = contribution;
     }
 
     /**
@@ -185,10 +185,10 @@
      */
     List<MembershipMessage.SyncPage.AgedClaim> claimsInDifferingBuckets(int[] otherBucketDigests, double now) {
         var differing = new ArrayList<MembershipMessage.SyncPage.AgedClaim>();
-        for (MemberRecord known : byName.values()) {
-            if (digest.differs(known.ringPosition, otherBucketDigests)) {
+        for (MemberRecord record : byName.values()) {
+            if (digest.differs(record.ringPosition, otherBucketDigests)) {
                 differing.add(
-                        new MembershipMessage.SyncPage.AgedClaim(known.claim, Math.max(0, now - known.statusSince)));
+                        new MembershipMessage.SyncPage.AgedClaim(record.claim, Math.max(0, now - record.statusSince)));
             }
         }
         shuffle(differing);
@@ -234,13 +234,16 @@
 
     private Collection<MemberRecord> randomMembers(List<MemberRecord> from, int count, MemberRecord excluded) {
         if (from.size() <= count + (excluded == null ? 0 : 1)) {
-            return from.stream().filter(known -> known != excluded).limit(count).toList();
+            return from.stream()
+                    .filter(record -> record != excluded)
+                    .limit(count)
+                    .toList();
         }
         Set<MemberRecord> chosen = new LinkedHashSet<>();
         while (chosen.size() < count) {
-            MemberRecord known = from.get(random.nextInt(from.size()));
-            if (known != excluded) {
-                chosen.add(known);
+            MemberRecord record = from.get(random.nextInt(from.size()));
+            if (record != excluded) {
+                chosen.add(record);
             }
         }
         return chosen;
@@ -257,10 +260,10 @@
 
     /** Removes dead and departed members whose status began before {@code time}, in seconds since 1970. */
     void removeDeadBefore(double time) {
-        byName.values().removeIf(known -> {
-            boolean expired = !known.isLive() && known.statusSince < time;
+        byName.values().removeIf(record -> {
+            boolean expired = !record.isLive() && record.statusSince < time;
             if (expired) {
-                removeFromList(known);
+                removeFromList(record);
             }
             return expired;
         });
@@ -288,8 +291,8 @@
         var members = new ArrayList<Member>(live.size());
         livePeers().forEach(peer -> members.add(peer.member()));
         dead.stream()
-                .filter(known -> known.statusSince > deadSince)
-                .forEach(known -> members.add(known.peer().member()));
+                .filter(record -> record.statusSince > deadSince)
+                .forEach(record -> members.add(record.peer().member()));
         return members;
     }
 }
--- a/fleet/src/main/java/clayhook/fleet/members/MessageSender.java
+++ b/fleet/src/main/java/clayhook/fleet/members/MessageSender.java
@@ -91,16 +91,16 @@
     /**
      * Sends a ping, accompanied by queued broadcasts.
      *
-     * @param known the record of the receiver; null if the receiver is unknown. If its status is other than alive, the
-     *     claim is sent along so that the receiver can refute it.
+     * @param record the record of the receiver, or null if the receiver is unknown; its claim is sent along if the
+     *     status is other than alive, so that the receiver can refute it
      */
-    void sendPing(Address to, MemberRecord known, long sequence, double now, Outbox out) {
+    void sendPing(Address to, MemberRecord record, long sequence, double now, Outbox out) {
         out.add(
                 to,
                 new MembershipMessage.Ping(
                         sequence, now, table.digest(), ownClaim.peer().address(), ownClaim.refutationCount()));
-        if (known != null && known.claim.status() != MemberStatus.ALIVE) {
-            sendClaim(to, known.claim, out);
+        if (record != null && record.claim.status() != MemberStatus.ALIVE) {
+            sendClaim(to, record.claim, out);
         }
         sendBroadcasts(to, now, out);
     }
--- a/fleet/src/main/java/clayhook/fleet/members/SeedReconnector.java
+++ b/fleet/src/main/java/clayhook/fleet/members/SeedReconnector.java
@@ -119,8 +119,8 @@
     }
 
     private boolean isLive(Member member) {
-        MemberRecord known = member == null ? null : table.find(member);
-        return known != null && known.isLive();
+        MemberRecord record = member == null ? null : table.find(member);
+        return record != null && record.isLive();
     }
 
     private void pingSeed(SeedState seed, double now, Outbox out) {
--- a/fleet/src/main/java/clayhook/fleet/members/SuspicionTimers.java
+++ b/fleet/src/main/java/clayhook/fleet/members/SuspicionTimers.java
@@ -40,24 +40,24 @@
      *
      * @param before the previous claim on the name; null if the name was unknown
      */
-    void onClaimChanged(MemberRecord known, MemberClaim before, double now) {
-        if (known.claim.status() != MemberStatus.SUSPECT) {
-            suspectedSince.remove(known);
+    void onClaimChanged(MemberRecord record, MemberClaim before, double now) {
+        if (record.claim.status() != MemberStatus.SUSPECT) {
+            suspectedSince.remove(record);
             return;
         }
         boolean sameRefutation = before != null
-                && before.peer().equals(known.peer())
-                && before.refutationCount() == known.claim.refutationCount();
+                && before.peer().equals(record.peer())
+                && before.refutationCount() == record.claim.refutationCount();
         if (sameRefutation) {
-            suspectedSince.putIfAbsent(known, now);
+            suspectedSince.putIfAbsent(record, now);
         } else {
-            suspectedSince.put(known, now);
+            suspectedSince.put(record, now);
         }
     }
 
     /** Restarts all timers after a stall of this router, since it may have missed refutations. */
     void onStall(double now) {
-        suspectedSince.replaceAll((known, since) -> now);
+        suspectedSince.replaceAll((record, since) -> now);
     }
 
     /**
