--- a/fleet/src/main/java/clayhook/fleet/FieldReader.java
+++ b/fleet/src/main/java/clayhook/fleet/FieldReader.java
@@ -73,31 +73,31 @@
     }
 
     /**
-     * Reads a list of at most {@code most} nested lists. {@code readOne} reads the fields of one nested list; it may
-     * leave fields at the end unread and does not call {@link #endList()}.
+     * Reads a list of at most {@code maxElements} nested lists. {@code readOne} reads the fields of one nested list; it
+     * may leave fields at the end unread and does not call {@link #endList()}.
      */
-    public <T> List<T> readLists(int most, Function<FieldReader, T> readOne) {
+    public <T> List<T> readLists(int maxElements, Function<FieldReader, T> readOne) {
         beginList();
         var elements = new ArrayList<T>();
         for (JsonToken token = nextToken(); token != JsonToken.END_ARRAY; token = nextToken()) {
             require(token == JsonToken.START_ARRAY, "a list of lists");
-            require(elements.size() < most, "at most " + most + " lists");
+            require(elements.size() < maxElements, "at most " + maxElements + " lists");
             elements.add(readOne.apply(this));
             endList();
         }
         return elements;
     }
 
-    /** Reads a list of at most {@code most} integers. */
-    public long[] readLongs(int most) {
+    /** Reads a list of at most {@code maxElements} integers. */
+    public long[] readLongs(int maxElements) {
         beginList();
-        long[] values = new long[Math.min(most, INITIAL_LIST_CAPACITY)];
+        long[] values = new long[Math.min(maxElements, INITIAL_LIST_CAPACITY)];
         int size = 0;
         for (JsonToken token = nextToken(); token != JsonToken.END_ARRAY; token = nextToken()) {
             require(token == JsonToken.VALUE_NUMBER_INT, "a list of integers");
-            require(size < most, "at most " + most + " integers");
+            require(size < maxElements, "at most " + maxElements + " integers");
             if (size == values.length) {
-                values = Arrays.copyOf(values, Math.min(most, 2 * size));
+                values = Arrays.copyOf(values, Math.min(maxElements, 2 * size));
             }
             values[size++] = currentLong();
         }
