--- a/fleet/src/main/java/clayhook/fleet/FieldWriter.java
+++ b/fleet/src/main/java/clayhook/fleet/FieldWriter.java
@@ -52,27 +52,27 @@
 
     /** Writes a string or null. */
     public FieldWriter writeNullableString(String value) {
-        return write(to -> to.writeString(value));
+        return write(cbor -> cbor.writeString(value));
     }
 
     /** Writes an integer in the smallest CBOR encoding that holds it. */
     public FieldWriter writeLong(long value) {
-        return write(to -> to.writeNumber(value));
+        return write(cbor -> cbor.writeNumber(value));
     }
 
     /** Writes a double in eight bytes. {@link FieldReader} rejects NaN. */
     public FieldWriter writeDouble(double value) {
-        return write(to -> to.writeNumber(value));
+        return write(cbor -> cbor.writeNumber(value));
     }
 
     /** Writes a boolean. */
     public FieldWriter writeBoolean(boolean value) {
-        return write(to -> to.writeBoolean(value));
+        return write(cbor -> cbor.writeBoolean(value));
     }
 
     /** Writes a byte string. */
     public FieldWriter writeBytes(byte[] value) {
-        return write(to -> to.writeBinary(value));
+        return write(cbor -> cbor.writeBinary(value));
     }
 
     /** Ends the list of fields and returns its encoding. No field can be written afterwards. */
