--- a/fleet/src/main/java/clayhook/fleet/Packet.java
+++ b/fleet/src/main/java/clayhook/fleet/Packet.java
@@ -147,7 +147,7 @@
             return new DecodeResult.Dropped(DecodeResult.DropReason.MALFORMED);
         }
         var from = new Member(name, in.readLong());
-        List<Optional<Message>> decoded = in.readLists(MAX_MESSAGES, each -> decodeMessage(each, messageReaders));
+        List<Optional<Message>> decoded = in.readLists(MAX_MESSAGES, message -> decodeMessage(message, messageReaders));
         List<Message> messages = decoded.stream().flatMap(Optional::stream).toList();
         return new DecodeResult.Decoded(from, messages, decoded.size() - messages.size());
     }
