--- a/fleet/src/main/java/clayhook/fleet/PacketAssembler.java
+++ b/fleet/src/main/java/clayhook/fleet/PacketAssembler.java
@@ -51,7 +51,7 @@
             throw new IllegalArgumentException("message of " + encoded.length + " bytes: "
                     + message.getClass().getSimpleName());
         }
-        PendingPacket pending = pendingByAddress.computeIfAbsent(to, any -> new PendingPacket());
+        PendingPacket pending = pendingByAddress.computeIfAbsent(to, address -> new PendingPacket());
         int bytes = Packet.maxHeaderBytes(sender) + pending.reservedBytes + Packet.maxFramedBytes(encoded);
         if (!pending.isEmpty() && bytes > Packet.MAX_BYTES) {
             send(to, pending);
