--- a/fleet/src/main/java/clayhook/fleet/members/BroadcastQueue.java
+++ b/fleet/src/main/java/clayhook/fleet/members/BroadcastQueue.java
@@ -75,9 +75,9 @@
      */
     List<MemberClaim> select(int maxBytes, int fleetSize, double now) {
         var selected = new ArrayList<PendingBroadcast>();
-        int bytesLeft = maxBytes;
-        for (int i = 0; i < queuesByTransmissions.size() && bytesLeft > 0; i++) {
-            bytesLeft = selectFrom(queuesByTransmissions.get(i), bytesLeft, selected, now);
+        int remainingBytes = maxBytes;
+        for (int i = 0; i < queuesByTransmissions.size() && remainingBytes > 0; i++) {
+            remainingBytes = selectFrom(queuesByTransmissions.get(i), remainingBytes, selected, now);
         }
         int maxTransmissions = maxTransmissions(fleetSize);
         for (PendingBroadcast broadcast : selected) {
@@ -101,21 +101,21 @@
      * broadcast does not fit.
      */
     private int selectFrom(Deque<PendingBroadcast> queue, int maxBytes, List<PendingBroadcast> selected, double now) {
-        int bytesLeft = maxBytes;
+        int remainingBytes = maxBytes;
         for (PendingBroadcast next = queue.peekFirst(); next != null; next = queue.peekFirst()) {
-            boolean current = byName.get(next.claim.name()) == next && next.expiresAt >= now;
-            if (current) {
+            boolean isCurrent = byName.get(next.claim.name()) == next && next.expiresAt >= now;
+            if (isCurrent) {
                 int bytes = next.claim.maxEncodedBytes();
-                if (bytes > bytesLeft && !selected.isEmpty()) {
+                if (bytes > remainingBytes && !selected.isEmpty()) {
                     return 0;
                 }
-                bytesLeft -= bytes;
+                remainingBytes -= bytes;
                 selected.add(next);
             } else {
                 byName.remove(next.claim.name(), next);
             }
             queue.removeFirst();
         }
-        return bytesLeft;
+        return remainingBytes;
     }
 }
