--- a/fleet/src/main/java/clayhook/fleet/members/ClockMonitor.java
+++ b/fleet/src/main/java/clayhook/fleet/members/ClockMonitor.java
@@ -62,11 +62,11 @@
             return;
         }
         record.clockSkew.addMeasurement(ack.sentAt(), ack.receivedAt(), now);
-        double difference = Math.abs(record.clockSkew.offset());
-        if (!record.clockSkewed && difference - record.clockSkew.errorBound(now) > maxClockSkew) {
+        double skew = Math.abs(record.clockSkew.offset());
+        if (!record.clockSkewed && skew - record.clockSkew.errorBound(now) > maxClockSkew) {
             record.clockSkewed = true;
             listener.onClockSkewed(record.peer(), record.clockSkew.offset(), now);
-        } else if (record.clockSkewed && difference < RECOVERY_FACTOR * maxClockSkew) {
+        } else if (record.clockSkewed && skew < RECOVERY_FACTOR * maxClockSkew) {
             record.clockSkewed = false;
             listener.onClockRecovered(record.peer(), record.clockSkew.offset(), now);
         }
