--- a/fleet/src/main/java/clayhook/fleet/members/ClockSkew.java
+++ b/fleet/src/main/java/clayhook/fleet/members/ClockSkew.java
@@ -37,16 +37,16 @@
         if (!usable) {
             return;
         }
-        double middle = receivedAt - (sentAt + now) / 2;
-        double half = roundTrip / 2 + CLOCK_RESOLUTION_SECONDS;
-        double oldError = errorBound(now);
-        double low = Math.max(middle - half, offset - oldError);
-        double high = Math.min(middle + half, offset + oldError);
+        double midpoint = receivedAt - (sentAt + now) / 2;
+        double halfWidth = roundTrip / 2 + CLOCK_RESOLUTION_SECONDS;
+        double previousError = errorBound(now);
+        double low = Math.max(midpoint - halfWidth, offset - previousError);
+        double high = Math.min(midpoint + halfWidth, offset + previousError);
         // The intervals are disjoint if one of the clocks was set. Before the first measurement, the comparison with
         // NaN is false.
         boolean overlaps = low <= high;
-        offset = overlaps ? (low + high) / 2 : middle;
-        errorBound = overlaps ? (high - low) / 2 : half;
+        offset = overlaps ? (low + high) / 2 : midpoint;
+        errorBound = overlaps ? (high - low) / 2 : halfWidth;
         measuredAt = now;
     }
 
