--- a/fleet/src/main/java/clayhook/fleet/members/FailureDetector.java
+++ b/fleet/src/main/java/clayhook/fleet/members/FailureDetector.java
@@ -63,11 +63,11 @@
             return !target.isLive() || !target.peer().equals(peer);
         }
 
-        boolean isOver(double now) {
+        boolean isFinished(double now) {
             return answered || isObsolete() || now >= deadline;
         }
 
-        boolean attemptIsDue(double now) {
+        boolean isAttemptDue(double now) {
             return now >= nextAttemptAt && attempts < MAX_ATTEMPTS;
         }
     }
@@ -164,7 +164,7 @@
         }
         double next = nextProbeAt;
         for (MemberProbe probe : List.copyOf(probes)) {
-            if (probe.isOver(now)) {
+            if (probe.isFinished(now)) {
                 probes.remove(probe);
                 finish(probe, now);
             } else {
@@ -188,7 +188,7 @@
      * 1970.
      */
     private double advance(MemberProbe probe, double now, Outbox out) {
-        if (probe.attemptIsDue(now)) {
+        if (probe.isAttemptDue(now)) {
             Address address = probe.peer.address();
             sender.sendPing(address, probe.target, probe.sequence, now, out);
             if (probe.attempts > 0) {
@@ -208,12 +208,12 @@
     }
 
     private void finish(MemberProbe probe, double now) {
-        boolean heard = probe.answered || probe.target.lastContactAt > probe.startedAt;
-        if (heard) {
+        boolean responded = probe.answered || probe.target.lastContactAt > probe.startedAt;
+        if (responded) {
             localHealth.improve();
         } else if (!probe.isObsolete() && !localHealth.recentlyStalled(now)) {
-            boolean nobodyAnswered = probe.relayRequests > 0 && !probe.relayResponded;
-            if (nobodyAnswered) {
+            boolean noRelayResponded = probe.relayRequests > 0 && !probe.relayResponded;
+            if (noRelayResponded) {
                 localHealth.degrade(); // this router itself may be partitioned from the fleet
             }
             long accuser = MemberClaim.accuserHash(sender.ownClaim().name());
