--- a/fleet/src/main/java/clayhook/fleet/members/MemberClaim.java
+++ b/fleet/src/main/java/clayhook/fleet/members/MemberClaim.java
@@ -116,8 +116,8 @@
     /**
      * Returns a claim on the same incarnation with the same refutation count, and with the given status and accusers.
      */
-    MemberClaim withStatus(MemberStatus other, List<Long> accusers) {
-        return new MemberClaim(peer, other, refutationCount, accusers);
+    MemberClaim withStatus(MemberStatus newStatus, List<Long> accusers) {
+        return new MemberClaim(peer, newStatus, refutationCount, accusers);
     }
 
     /** Returns an upper bound of the encoded size of this claim in bytes. */
@@ -163,7 +163,7 @@
         MemberStatus status = MemberStatus.ofCode(in.readLong());
         long refutationCount = readRefutationCount(in);
         var accusers = new ArrayList<Long>();
-        for (int left = in.readIntBelow(MAX_ACCUSERS + 1); left > 0; left--) {
+        for (int remaining = in.readIntBelow(MAX_ACCUSERS + 1); remaining > 0; remaining--) {
             accusers.add(in.readLong());
         }
         return new MemberClaim(new Peer(member, address), status, refutationCount, accusers);
