--- a/fleet/src/main/java/clayhook/fleet/members/MembershipEvents.java
+++ b/fleet/src/main/java/clayhook/fleet/members/MembershipEvents.java
@@ -34,7 +34,7 @@
             listener.onDuplicateName(peer, before.peer(), now);
         }
         MemberStatus oldStatus = sameIncarnation ? before.status() : null;
-        reportIfRevived(record, oldStatus, now);
+        reportJoinedOrAlive(record, oldStatus, now);
         switch (record.claim.status()) {
             case SUSPECT -> listener.onSuspected(peer, record.claim.accusers().size(), now);
             case DEAD -> {
@@ -52,7 +52,7 @@
     }
 
     /** @param oldStatus the previous status of the same incarnation; null if the incarnation was unknown */
-    private void reportIfRevived(MemberRecord record, MemberStatus oldStatus, double now) {
+    private void reportJoinedOrAlive(MemberRecord record, MemberStatus oldStatus, double now) {
         if (!record.isLive()) {
             return;
         }
