--- a/fleet/src/main/java/clayhook/fleet/members/MembershipSync.java
+++ b/fleet/src/main/java/clayhook/fleet/members/MembershipSync.java
@@ -98,9 +98,9 @@
                 table.claimsInDifferingBuckets(request.bucketDigests(), now);
         int sent = 0;
         for (int page = 0; page < MAX_PAGES_PER_RESPONSE && availablePages >= 1 && sent < claims.size(); page++) {
-            List<MembershipMessage.SyncPage.AgedClaim> onPage = firstPage(claims.subList(sent, claims.size()));
-            out.add(to, new MembershipMessage.SyncPage(onPage));
-            sent += onPage.size();
+            List<MembershipMessage.SyncPage.AgedClaim> pageClaims = firstPage(claims.subList(sent, claims.size()));
+            out.add(to, new MembershipMessage.SyncPage(pageClaims));
+            sent += pageClaims.size();
             availablePages--;
         }
     }
@@ -114,10 +114,10 @@
     private static List<MembershipMessage.SyncPage.AgedClaim> firstPage(
             List<MembershipMessage.SyncPage.AgedClaim> claims) {
         var page = new ArrayList<MembershipMessage.SyncPage.AgedClaim>();
-        int bytesLeft = Packet.MAX_MESSAGE_BYTES - PAGE_OVERHEAD_BYTES;
+        int remainingBytes = Packet.MAX_MESSAGE_BYTES - PAGE_OVERHEAD_BYTES;
         for (MembershipMessage.SyncPage.AgedClaim aged : claims) {
-            bytesLeft -= aged.claim().maxEncodedBytes() + MAX_AGE_BYTES;
-            if (bytesLeft < 0) {
+            remainingBytes -= aged.claim().maxEncodedBytes() + MAX_AGE_BYTES;
+            if (remainingBytes < 0) {
                 break;
             }
             page.add(aged);
