--- a/fleet/src/main/java/clayhook/fleet/members/MembershipTable.java
+++ b/fleet/src/main/java/clayhook/fleet/members/MembershipTable.java
@@ -232,16 +232,16 @@
         return randomMembers(dead, count, null);
     }
 
-    private Collection<MemberRecord> randomMembers(List<MemberRecord> from, int count, MemberRecord excluded) {
-        if (from.size() <= count + (excluded == null ? 0 : 1)) {
-            return from.stream()
+    private Collection<MemberRecord> randomMembers(List<MemberRecord> candidates, int count, MemberRecord excluded) {
+        if (candidates.size() <= count + (excluded == null ? 0 : 1)) {
+            return candidates.stream()
                     .filter(record -> record != excluded)
                     .limit(count)
                     .toList();
         }
         Set<MemberRecord> chosen = new LinkedHashSet<>();
         while (chosen.size() < count) {
-            MemberRecord record = from.get(random.nextInt(from.size()));
+            MemberRecord record = candidates.get(random.nextInt(candidates.size()));
             if (record != excluded) {
                 chosen.add(record);
             }
