--- a/fleet/src/main/java/clayhook/fleet/members/ProbeOrder.java
+++ b/fleet/src/main/java/clayhook/fleet/members/ProbeOrder.java
@@ -64,13 +64,13 @@
         }
     }
 
-    private void swap(int one, int other) {
-        MemberRecord a = members.get(one);
-        MemberRecord b = members.get(other);
-        members.set(one, b);
-        members.set(other, a);
-        b.listIndex = one;
-        a.listIndex = other;
+    private void swap(int first, int second) {
+        MemberRecord a = members.get(first);
+        MemberRecord b = members.get(second);
+        members.set(first, b);
+        members.set(second, a);
+        b.listIndex = first;
+        a.listIndex = second;
     }
 
     /** Returns an unmodifiable view of all members in this order. */
