--- a/fleet/src/test/java/clayhook/fleet/RecordedBytes.java
+++ b/fleet/src/test/java/clayhook/fleet/RecordedBytes.java
@@ -9,16 +9,16 @@
 import java.util.Map;
 
 /**
- * Encoded forms that were recorded once and that every later release must read and write alike. A resource holds one
- * form a line, its name and its bytes in hexadecimal; lines that begin with {@code #} are comments.
+ * Loads recorded encodings, which every later release must read and write unchanged. Each line of a resource holds the
+ * name of a form and its bytes in hexadecimal; lines that begin with {@code #} are comments.
  */
 public final class RecordedBytes {
     private RecordedBytes() {}
 
     /**
-     * Returns the bytes by the name of their form, in the order of the lines.
+     * Returns the recorded bytes by the name of the form, in the order of the lines.
      *
-     * @param file name of a file in {@code src/test/resources/recorded}
+     * @param file the name of a file in {@code src/test/resources/recorded}
      */
     public static Map<String, byte[]> load(String file) {
         var recorded = new LinkedHashMap<String, byte[]>();
