--- a/fleet/src/test/java/clayhook/fleet/VirtualNetwork.java
+++ b/fleet/src/test/java/clayhook/fleet/VirtualNetwork.java
@@ -13,18 +13,21 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * A network of routers in virtual time whose datagrams may be lost, delayed, duplicated and blocked by partitions. The
- * same seed gives the same run.
+ * A network of routers in virtual time, which loses, delays and duplicates datagrams and has partitions. Equal seeds
+ * result in equal runs.
  */
 public final class VirtualNetwork {
-    /** Seconds since 1970, in 2023, so that arithmetic that is exact only near zero fails. */
+    /**
+     * Start of the virtual time in seconds since 1970. It is a time in 2023, so that arithmetic which is exact only
+     * near zero causes failures.
+     */
     public static final double START_TIME = 1.7e9;
-    /** Datagrams that wait at a stalled router; further ones are lost, as in a full socket buffer. */
+    /** Maximum number of datagrams queued at a stalled router. Further ones are lost, as with a full socket buffer. */
     private static final int RECEIVE_QUEUE_LIMIT = 1000;
-    /** Seconds; the resolution of timers. */
+    /** Minimum interval between two ticks in seconds, which simulates the resolution of timers. */
     private static final double MIN_TICK_INTERVAL = 0.001;
 
-    /** Seconds between two checks of the condition of {@link #runUntil}. */
+    /** Interval between two checks of the condition of {@link #runUntil}, in seconds of virtual time. */
     private static final double CHECK_INTERVAL = 0.05;
 
     private record ScheduledEvent(double time, long sequence, Runnable action) implements Comparable<ScheduledEvent> {
@@ -35,7 +38,7 @@
         }
     }
 
-    /** A router process at an address, with a clock that may be off. */
+    /** A router process with an address and a clock that may differ from the virtual time. */
     public final class Host {
         public final Address address;
         public double clockOffset;
@@ -50,7 +53,7 @@
             this.clockOffset = clockOffset;
         }
 
-        /** The time on this host's clock, in seconds since 1970. */
+        /** Returns the time on this host's clock, in seconds since 1970. */
         public double clock() {
             return now + clockOffset;
         }
@@ -87,13 +90,13 @@
             schedule(nextTickAt, this::tick);
         }
 
-        /** Ends the process at once. */
+        /** Ends the process immediately. */
         public void kill() {
             running = false;
             hosts.remove(address, this);
         }
 
-        /** Stalls the process for that many seconds, as by SIGSTOP and SIGCONT. */
+        /** Stalls the process for {@code seconds}, as SIGSTOP followed by SIGCONT does. */
         public void stall(double seconds) {
             stalledUntil = now + seconds;
             schedule(stalledUntil, () -> {
@@ -107,11 +110,14 @@
 
     public double lossProbability;
     public double duplicationProbability;
-    /** Least and greatest delay of a datagram in seconds; drawn for each, so that datagrams are reordered. */
+    /**
+     * Minimum delay of a datagram in seconds. The delay of each datagram is random between the minimum and the maximum,
+     * so that datagrams are reordered.
+     */
     public double minDelay = 0.0002;
 
     public double maxDelay = 0.002;
-    /** Whether datagrams from the first host to the second are lost. */
+    /** Tests whether all datagrams from the first host to the second are lost. */
     public BiPredicate<Host, Host> partitioned = (from, to) -> false;
 
     public double now = START_TIME;
@@ -126,11 +132,11 @@
 
     /** Creates the dispatcher of a host. */
     public interface DispatcherFactory {
-        /** Creates a dispatcher that sends by {@code transport}. */
+        /** Creates a dispatcher that sends packets through {@code transport}. */
         MessageDispatcher create(Host host, BiConsumer<Address, byte[]> transport);
     }
 
-    /** Starts a router process at that address. */
+    /** Starts a router process with the given address and clock offset in seconds. */
     public Host start(Address address, double clockOffset, DispatcherFactory factory) {
         var host = new Host(address, clockOffset);
         hosts.put(address, host);
@@ -140,23 +146,24 @@
         return host;
     }
 
-    /** The running hosts. */
+    /** Returns the running hosts. */
     public List<Host> hosts() {
         return new ArrayList<>(hosts.values());
     }
 
-    /** Runs the action at that virtual time. */
+    /** Schedules an action for the virtual time {@code time}, in seconds since 1970. */
     public void schedule(double time, Runnable action) {
         events.add(new ScheduledEvent(time, nextSequence++, action));
     }
 
-    /** Lets that many virtual seconds pass. */
+    /** Runs the network for {@code seconds} of virtual time. */
     public void run(double seconds) {
         runUntil(() -> false, seconds);
     }
 
     /**
-     * Runs until the condition holds, checked every 50 ms; false where it does not within that many virtual seconds.
+     * Runs until the condition holds, which is checked every 50 ms of virtual time. Returns false if it does not hold
+     * within {@code within} virtual seconds.
      */
     public boolean runUntil(BooleanSupplier condition, double within) {
         double end = now + within;
