--- a/fleet/src/test/java/clayhook/fleet/members/MemberClaimPropertiesTest.java
+++ b/fleet/src/test/java/clayhook/fleet/members/MemberClaimPropertiesTest.java
@@ -21,7 +21,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** Members that receive the same claims, in any order and any number of times, have the same table. */
+/** Checks that members which receive the same claims, in any order and any number of times, have equal tables. */
 class MemberClaimPropertiesTest {
     private static Arbitrary<MemberClaim> claimsOn(Arbitrary<String> names) {
         Arbitrary<Peer> peers = Combinators.combine(
@@ -47,7 +47,7 @@
         return claimsOn(Arbitraries.of("a", "b", "c")).list().ofMaxSize(20);
     }
 
-    @SuppressWarnings("ReferenceEquality") // a merge returns the winning claim itself
+    @SuppressWarnings("ReferenceEquality") // a merge returns the same instance as the winning claim
     @Property(tries = 3000, seed = "1")
     void mergeIsCommutativeAssociativeAndIdempotent(
             @ForAll("claims") MemberClaim a, @ForAll("claims") MemberClaim b, @ForAll("claims") MemberClaim c) {
@@ -82,7 +82,7 @@
         var table = new MembershipTable("self", 1024, new SplittableRandom(seed));
         claims.forEach(claim -> {
             table.merge(claim, 0, 0);
-            table.nextProbeTarget(); // probing goes on meanwhile
+            table.nextProbeTarget(); // probes are interleaved with merges
         });
         return table;
     }
