--- a/fleet/src/test/java/clayhook/fleet/members/MembershipTest.java
+++ b/fleet/src/test/java/clayhook/fleet/members/MembershipTest.java
@@ -23,10 +23,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Memberships of a whole fleet in virtual time, over a network that loses, delays, duplicates and cuts off datagrams.
+ * Runs the memberships of a whole fleet in virtual time, over a network that loses, delays and duplicates datagrams and
+ * has partitions.
  */
 class MembershipTest {
-    /** Records the events of one membership in order, each as its kind and the name of the member. */
+    /**
+     * Records the events of one membership in order, each as its kind and the name of the member; for duplicate names,
+     * the incarnations of both.
+     */
     private static final class RecordingListener implements MembershipListener {
         final List<String> events = new ArrayList<>();
 
@@ -124,7 +128,7 @@
         TestFleet startMembers(int size) {
             IntStream.range(0, size).forEach(i -> start("router-" + i, address(i), 0));
             if (size > 500 && !Boolean.getBoolean("members.join")) {
-                introduceAll(); // a million introductions would take 20 s of processor time
+                introduceAll(); // a million introductions through the protocol would take 20 s of processor time
             }
             assertTrue(
                     network.runUntil(this::isConverged, 30),
@@ -212,7 +216,7 @@
         assertTrue(fleet.network.runUntil(() -> fleet.all(member -> !member.membership.isLive(leaver.member())), 1));
         assertTrue(fleet.all(
                 member -> !member.membership.possiblyServing(fleet.network.now).contains(leaver.member())));
-        fleet.network.run(10); // it is draining and still answers
+        fleet.network.run(10); // the member that left is draining and still answers
         assertEquals(99, fleet.countEvents("left"));
         assertEquals(0, fleet.countEvents("dead") + fleet.countEvents("alive"));
         leaver.host.kill();
@@ -232,8 +236,9 @@
     }
 
     /**
-     * @param retention either so short that each side forgets the other, and only the seeds bring them together again,
-     *     or so long that they remember each other; then the seeds are killed
+     * @param retention the retention of dead members in seconds. If it is short, each side removes the records of the
+     *     other and reconnects through the seeds only. If it is long, the sides retain each other's records, and the
+     *     seeds are killed.
      */
     @ParameterizedTest
     @CsvSource({"60, 30, 1", "60, 3600, 2", "5, 3600, 3", "2, 30, 4"})
@@ -286,8 +291,8 @@
         TestMember stalled = fleet.get(9);
         stalled.host.stall(seconds);
         fleet.network.run(seconds - 0.01);
-        fleet.network.partitioned =
-                (from, to) -> deaths > 0 && (from == stalled.host || to == stalled.host); // its links recover late
+        // After a long stall, the links of the stalled member recover late.
+        fleet.network.partitioned = (from, to) -> deaths > 0 && (from == stalled.host || to == stalled.host);
         stalled.listener.events.clear();
         fleet.network.run(0.02);
         assertTrue(stalled.membership.recentlyStalled(fleet.network.now));
@@ -321,7 +326,7 @@
                         .toList());
         assertTrue(fleet.all(
                 member -> member.membership.livePeers().contains(younger.membership.self()) != member.equals(younger)));
-        assertTrue(fleet.countEvents(duplicate) > 10, "members that hear both incarnations report them");
+        assertTrue(fleet.countEvents(duplicate) > 10, "members that receive messages of both incarnations report them");
         assertTrue(fleet.all(member ->
                 member.listener.events.stream().filter(duplicate::equals).count() <= 1));
         assertFalse(younger.membership.isSuperseded());
@@ -344,7 +349,7 @@
         assertEquals(
                 outOfBound ? 20 : 0, fleet.countEvents("skewed"), "ten members report it, and it reports each of them");
         assertEquals(0, fleet.countEvents("dead"));
-        for (int i = 0; i < 1000 && Math.abs(offset) == 0.7; i++) { // slewed back, as a process does with its clock
+        for (int i = 0; i < 1000 && Math.abs(offset) == 0.7; i++) { // a process slews its clock back
             skewed.host.clockOffset -= 0.0005 * Math.signum(offset);
             fleet.network.run(0.1);
         }
