--- a/fleet/src/test/java/clayhook/fleet/members/RecordedMessagesTest.java
+++ b/fleet/src/test/java/clayhook/fleet/members/RecordedMessagesTest.java
@@ -25,7 +25,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
 
-/** Every form of membership message is read from, and written to, the bytes that were recorded for it. */
+/**
+ * Compares the encoding and decoding of every form of membership message with recorded bytes, which routers of
+ * different releases exchange.
+ */
 class RecordedMessagesTest {
     private static final Map<String, byte[]> RECORDED = RecordedBytes.load("membership-messages.txt");
     private static final double SENT_AT = 1_700_000_000.125;
@@ -97,8 +100,8 @@
         return new MemberClaim(PEER, MemberStatus.SUSPECT, 1, List.of(accusers));
     }
 
-    /** Each message's number on the wire, which chooses the reader of its bytes. */
-    private static int number(MembershipMessage message) {
+    /** Returns the type number of a message on the wire, which selects the reader of its bytes. */
+    private static int typeNumber(MembershipMessage message) {
         if (message instanceof MembershipMessage.Ping) {
             return 1;
         } else if (message instanceof MembershipMessage.Ack) {
@@ -124,25 +127,26 @@
     @TestFactory
     Stream<DynamicTest> messageIsWrittenAsRecorded() {
         return MESSAGES.entrySet().stream()
-                .map(each -> DynamicTest.dynamicTest(each.getKey(), () -> {
-                    assertEquals(number(each.getValue()), each.getValue().typeNumber());
+                .map(form -> DynamicTest.dynamicTest(form.getKey(), () -> {
+                    assertEquals(typeNumber(form.getValue()), form.getValue().typeNumber());
                     assertEquals(
-                            HexFormat.of().formatHex(RECORDED.getOrDefault(each.getKey(), new byte[0])),
-                            HexFormat.of().formatHex(encode(each.getValue())),
-                            each.getKey());
+                            HexFormat.of().formatHex(RECORDED.getOrDefault(form.getKey(), new byte[0])),
+                            HexFormat.of().formatHex(encode(form.getValue())),
+                            form.getKey());
                 }));
     }
 
     @TestFactory
     Stream<DynamicTest> recordedBytesAreReadAsTheMessage() {
         return MESSAGES.entrySet().stream()
-                .map(each -> DynamicTest.dynamicTest(each.getKey(), () -> {
-                    MembershipMessage message = each.getValue();
+                .map(form -> DynamicTest.dynamicTest(form.getKey(), () -> {
+                    MembershipMessage message = form.getValue();
                     Message read = MembershipMessage.READERS
-                            .get(number(message))
-                            .apply(new FieldReader(RECORDED.get(each.getKey())));
-                    if (message instanceof MembershipMessage.SyncRequest ask) {
-                        assertArrayEquals(ask.bucketDigests(), ((MembershipMessage.SyncRequest) read).bucketDigests());
+                            .get(typeNumber(message))
+                            .apply(new FieldReader(RECORDED.get(form.getKey())));
+                    if (message instanceof MembershipMessage.SyncRequest request) {
+                        assertArrayEquals(
+                                request.bucketDigests(), ((MembershipMessage.SyncRequest) read).bucketDigests());
                     } else {
                         assertEquals(message, read);
                     }
@@ -156,13 +160,13 @@
                 Arrays.stream(MembershipMessage.class.getPermittedSubclasses()).collect(Collectors.toSet()),
                 MESSAGES.values().stream().map(Object::getClass).collect(Collectors.toSet()));
         assertEquals(Set.of(1, 2, 3, 4, 5, 6, 7), MembershipMessage.READERS.keySet());
-        var standings = new HashSet<MemberStatus>();
+        var statuses = new HashSet<MemberStatus>();
         for (MembershipMessage message : MESSAGES.values()) {
-            if (message instanceof MembershipMessage.ClaimBroadcast news) {
-                news.claims().forEach(claim -> standings.add(claim.status()));
+            if (message instanceof MembershipMessage.ClaimBroadcast broadcast) {
+                broadcast.claims().forEach(claim -> statuses.add(claim.status()));
             }
         }
-        assertEquals(EnumSet.allOf(MemberStatus.class), standings);
+        assertEquals(EnumSet.allOf(MemberStatus.class), statuses);
     }
 
     @Test
