--- a/fleet/src/main/java/clayhook/fleet/members/MembershipEvents.java
+++ b/fleet/src/main/java/clayhook/fleet/members/MembershipEvents.java
@@ -65,8 +65,8 @@
     }
 
     /** Reports a later incarnation with this router's own name. */
-    void onSuperseded(Peer younger, double now) {
-        reportOwnDuplicate(younger, self, now);
+    void onSuperseded(Peer later, double now) {
+        reportOwnDuplicate(later, self, now);
     }
 
     /**
