--- a/fleet/src/test/java/clayhook/fleet/RecordedBytes.java
+++ b/fleet/src/test/java/clayhook/fleet/RecordedBytes.java
@@ -26,9 +26,9 @@
                 .lines()
                 .filter(line -> !line.isBlank() && !line.startsWith("#"))
                 .forEach(line -> {
-                    String[] words = line.split(" ", -1);
-                    if (words.length != 2
-                            || recorded.put(words[0], HexFormat.of().parseHex(words[1])) != null) {
+                    String[] columns = line.split(" ", -1);
+                    if (columns.length != 2
+                            || recorded.put(columns[0], HexFormat.of().parseHex(columns[1])) != null) {
                         throw new IllegalArgumentException("not a form of its own: " + line);
                     }
                 });
