--- a/fleet/src/test/java/clayhook/fleet/VirtualNetwork.java
+++ b/fleet/src/test/java/clayhook/fleet/VirtualNetwork.java
@@ -23,12 +23,12 @@
      */
     public static final double START_TIME = 1.7e9;
     /** Maximum number of datagrams queued at a stalled router. Further ones are lost, as with a full socket buffer. */
-    private static final int RECEIVE_QUEUE_LIMIT = 1000;
+    private static final int MAX_RECEIVE_QUEUE_SIZE = 1000;
     /** Minimum interval between two ticks in seconds, which simulates the resolution of timers. */
-    private static final double MIN_TICK_INTERVAL = 0.001;
+    private static final double MIN_TICK_INTERVAL_SECONDS = 0.001;
 
     /** Interval between two checks of the condition of {@link #runUntil}, in seconds of virtual time. */
-    private static final double CHECK_INTERVAL = 0.05;
+    private static final double CHECK_INTERVAL_SECONDS = 0.05;
 
     private record ScheduledEvent(double time, long sequence, Runnable action) implements Comparable<ScheduledEvent> {
         @Override
@@ -74,7 +74,7 @@
 
         private void receive(Address from, byte[] bytes) {
             if (now < stalledUntil) {
-                if (receiveQueue.size() < RECEIVE_QUEUE_LIMIT) {
+                if (receiveQueue.size() < MAX_RECEIVE_QUEUE_SIZE) {
                     receiveQueue.add(() -> receive(from, bytes));
                 }
             } else if (running) {
@@ -86,7 +86,7 @@
             if (!running || now < nextTickAt || now < stalledUntil) {
                 return;
             }
-            nextTickAt = Math.max(now + MIN_TICK_INTERVAL, dispatcher.tick(clock()) - clockOffset);
+            nextTickAt = Math.max(now + MIN_TICK_INTERVAL_SECONDS, dispatcher.tick(clock()) - clockOffset);
             schedule(nextTickAt, this::tick);
         }
 
@@ -163,11 +163,11 @@
 
     /**
      * Runs until the condition holds, which is checked every 50 ms of virtual time. Returns false if it does not hold
-     * within {@code within} virtual seconds.
+     * within {@code maxSeconds} virtual seconds.
      */
-    public boolean runUntil(BooleanSupplier condition, double within) {
-        double end = now + within;
-        for (double nextCheckAt = now; !condition.getAsBoolean(); nextCheckAt += CHECK_INTERVAL) {
+    public boolean runUntil(BooleanSupplier condition, double maxSeconds) {
+        double end = now + maxSeconds;
+        for (double nextCheckAt = now; !condition.getAsBoolean(); nextCheckAt += CHECK_INTERVAL_SECONDS) {
             while (!events.isEmpty() && events.peek().time() <= Math.min(nextCheckAt, end)) {
                 ScheduledEvent event = events.remove();
                 now = Math.max(now, event.time());
