--- a/fleet/src/test/java/clayhook/fleet/members/MembershipTest.java
+++ b/fleet/src/test/java/clayhook/fleet/members/MembershipTest.java
@@ -104,19 +104,19 @@
 
         TestMember start(String name, Address address, double clockOffset) {
             var listener = new RecordingListener();
-            var made = new Membership[1];
+            var created = new Membership[1];
             Host host = network.start(address, clockOffset, (self, transport) -> {
                 var identity = new Member(name, (long) (self.clock() * 1000));
-                made[0] = new Membership(
+                created[0] = new Membership(
                         settings,
                         new Peer(identity, address),
                         seeds,
                         seed * 7919 + address.hashCode(),
                         self.clock(),
                         listener);
-                return new MessageDispatcher(identity, List.of(made[0]), transport);
+                return new MessageDispatcher(identity, List.of(created[0]), transport);
             });
-            var member = new TestMember(host, made[0], listener);
+            var member = new TestMember(host, created[0], listener);
             members.put(name, member);
             return member;
         }
@@ -133,20 +133,21 @@
             assertTrue(
                     network.runUntil(this::isConverged, 30),
                     () -> "incomplete membership: "
-                            + all().get(size - 1).membership.livePeers().size());
+                            + allMembers().get(size - 1).membership.livePeers().size());
             return this;
         }
 
         private void introduceAll() {
-            var page = new MembershipMessage.SyncPage(all().stream()
+            var page = new MembershipMessage.SyncPage(allMembers().stream()
                     .map(member ->
                             new MembershipMessage.SyncPage.AgedClaim(MemberClaim.alive(member.membership.self(), 0), 0))
                     .toList());
-            all().forEach(member -> member.membership.onMessage(
-                    new Peer(new Member("introducer", 0), address(0)), page, network.now, (to, message) -> {}));
+            allMembers()
+                    .forEach(member -> member.membership.onMessage(
+                            new Peer(new Member("introducer", 0), address(0)), page, network.now, (to, message) -> {}));
         }
 
-        List<TestMember> all() {
+        List<TestMember> allMembers() {
             return List.copyOf(members.values());
         }
 
@@ -155,10 +156,10 @@
         }
 
         boolean isConverged() {
-            return all(member -> member.membership.livePeers().size() == members.size() - 1);
+            return allMatch(member -> member.membership.livePeers().size() == members.size() - 1);
         }
 
-        boolean all(Predicate<TestMember> condition) {
+        boolean allMatch(Predicate<TestMember> condition) {
             return members.values().stream().allMatch(condition);
         }
 
@@ -197,7 +198,7 @@
         for (int i = 10; i < 20; i++) {
             TestMember victim = fleet.kill(i);
             assertTrue(fleet.network.runUntil(
-                    () -> fleet.all(member -> !member.membership.isLive(victim.member())), within));
+                    () -> fleet.allMatch(member -> !member.membership.isLive(victim.member())), within));
             killed = victim;
         }
         assertEquals(90 * 10, fleet.countEvents("dead"));
@@ -213,8 +214,9 @@
         TestFleet fleet = TestFleet.ofSize(100, seed);
         TestMember leaver = fleet.members.remove("router-5");
         leaver.membership.leave(fleet.network.now, (to, message) -> {});
-        assertTrue(fleet.network.runUntil(() -> fleet.all(member -> !member.membership.isLive(leaver.member())), 1));
-        assertTrue(fleet.all(
+        assertTrue(
+                fleet.network.runUntil(() -> fleet.allMatch(member -> !member.membership.isLive(leaver.member())), 1));
+        assertTrue(fleet.allMatch(
                 member -> !member.membership.possiblyServing(fleet.network.now).contains(leaver.member())));
         fleet.network.run(10); // the member that left is draining and still answers
         assertEquals(99, fleet.countEvents("left"));
@@ -222,7 +224,7 @@
         leaver.host.kill();
         TestMember restarted = fleet.start("router-5", leaver.host.address, 0);
         assertTrue(fleet.network.runUntil(fleet::isConverged, 5));
-        assertTrue(fleet.all(member -> member.equals(restarted) || member.membership.isLive(restarted.member())));
+        assertTrue(fleet.allMatch(member -> member.equals(restarted) || member.membership.isLive(restarted.member())));
     }
 
     @ParameterizedTest
@@ -265,21 +267,21 @@
             fleet.kill(0);
             fleet.kill(1);
         }
-        var half = fleet.all().stream()
+        var firstSide = fleet.allMembers().stream()
                 .filter(member -> member.host.address.hashCode() % 2 == 0)
                 .map(TestMember::host)
                 .collect(Collectors.toSet());
-        fleet.network.partitioned = (from, to) -> half.contains(from) != half.contains(to);
+        fleet.network.partitioned = (from, to) -> firstSide.contains(from) != firstSide.contains(to);
         fleet.network.run(80);
-        assertTrue(fleet.all(member -> member.membership.livePeers().size()
-                == (half.contains(member.host) ? half.size() : fleet.members.size() - half.size()) - 1));
-        fleet.all().forEach(member -> member.listener.events.clear());
+        assertTrue(fleet.allMatch(member -> member.membership.livePeers().size()
+                == (firstSide.contains(member.host) ? firstSide.size() : fleet.members.size() - firstSide.size()) - 1));
+        fleet.allMembers().forEach(member -> member.listener.events.clear());
         fleet.network.partitioned = (from, to) -> false;
-        double healed = fleet.network.now;
+        double healedAt = fleet.network.now;
         assertTrue(fleet.network.runUntil(fleet::isConverged, 12));
         System.out.printf(
                 "%d members, %s: converged %.2f s after the partition healed%n",
-                size, retention > 60 ? "remembered" : "forgotten", fleet.network.now - healed);
+                size, retention > 60 ? "remembered" : "forgotten", fleet.network.now - healedAt);
         fleet.network.run(10);
         assertEquals(0, fleet.countEvents("dead"), "no member is declared dead on the way");
     }
@@ -299,7 +301,8 @@
         fleet.network.run(deaths > 0 ? 2 : 0);
         fleet.network.partitioned = (from, to) -> false;
         assertTrue(fleet.network.runUntil(
-                () -> fleet.all(member -> member.equals(stalled) || member.membership.isLive(stalled.member())), 3));
+                () -> fleet.allMatch(member -> member.equals(stalled) || member.membership.isLive(stalled.member())),
+                3));
         fleet.network.run(10);
         assertFalse(stalled.membership.recentlyStalled(fleet.network.now));
         assertEquals(List.of(), stalled.listener.events, "the stalled member suspects nobody");
@@ -324,10 +327,10 @@
                 older.listener.events.stream()
                         .filter(event -> event.startsWith("duplicate"))
                         .toList());
-        assertTrue(fleet.all(
+        assertTrue(fleet.allMatch(
                 member -> member.membership.livePeers().contains(younger.membership.self()) != member.equals(younger)));
         assertTrue(fleet.countEvents(duplicate) > 10, "members that receive messages of both incarnations report them");
-        assertTrue(fleet.all(member ->
+        assertTrue(fleet.allMatch(member ->
                 member.listener.events.stream().filter(duplicate::equals).count() <= 1));
         assertFalse(younger.membership.isSuperseded());
     }
@@ -343,9 +346,10 @@
         fleet.network.run(30);
         boolean outOfBound = Math.abs(offset) > 0.5;
         Predicate<TestMember> isSkewed = member -> member.equals(skewed);
-        assertTrue(fleet.all(
+        assertTrue(fleet.allMatch(
                 isSkewed.or(member -> Math.abs(member.membership.clockOffset(skewed.member()) - offset) < 0.05)));
-        assertTrue(fleet.all(isSkewed.or(member -> member.membership.clockWithinBound(skewed.member()) != outOfBound)));
+        assertTrue(fleet.allMatch(
+                isSkewed.or(member -> member.membership.clockWithinBound(skewed.member()) != outOfBound)));
         assertEquals(
                 outOfBound ? 20 : 0, fleet.countEvents("skewed"), "ten members report it, and it reports each of them");
         assertEquals(0, fleet.countEvents("dead"));
@@ -387,7 +391,8 @@
         TestMember killed = fleet.kill(5);
         double killedAt = fleet.network.now;
         bytesBefore = fleet.averageSentBytes();
-        assertTrue(fleet.network.runUntil(() -> fleet.all(member -> !member.membership.isLive(killed.member())), 6));
+        assertTrue(
+                fleet.network.runUntil(() -> fleet.allMatch(member -> !member.membership.isLive(killed.member())), 6));
         System.out.printf(
                 "%d members: converged after %.2f s and %.0f bytes a router; idle %.0f bytes/s; "
                         + "death detected after %.2f s, %.0f bytes/s; %.1f s of processor time%n",
