--- a/fleet/src/main/java/clayhook/fleet/members/MemberClaim.java
+++ b/fleet/src/main/java/clayhook/fleet/members/MemberClaim.java
@@ -156,7 +156,7 @@
     static MemberClaim read(FieldReader in) {
         String name = in.readNonEmptyString();
         if (name.length() > Packet.MAX_NAME_LENGTH) {
-            throw new IllegalArgumentException("a name of " + name.length() + " characters");
+            throw new IllegalArgumentException("member name is too long: " + name.length() + " characters");
         }
         var member = new Member(name, in.readLong());
         Address address = readAddress(in);
@@ -173,7 +173,7 @@
     static Address readAddress(FieldReader in) {
         String host = in.readNonEmptyString();
         if (host.length() > MAX_HOST_LENGTH) {
-            throw new IllegalArgumentException("a host of " + host.length() + " characters");
+            throw new IllegalArgumentException("host name is too long: " + host.length() + " characters");
         }
         return new Address(host, in.readIntBelow(PORT_LIMIT));
     }
@@ -182,7 +182,7 @@
     static long readRefutationCount(FieldReader in) {
         long count = in.readLong();
         if (count < 0 || count >= REFUTATION_COUNT_LIMIT) {
-            throw new IllegalArgumentException("a refutation count of " + count);
+            throw new IllegalArgumentException("refutation count is out of range: " + count);
         }
         return count;
     }
--- a/fleet/src/main/java/clayhook/fleet/members/MemberStatus.java
+++ b/fleet/src/main/java/clayhook/fleet/members/MemberStatus.java
@@ -28,7 +28,7 @@
                 return status;
             }
         }
-        throw new IllegalArgumentException("a member status of " + code);
+        throw new IllegalArgumentException("unknown code of a member status: " + code);
     }
 
     /** Returns whether members with this status are probed, receive gossip and count towards the fleet size. */
--- a/fleet/src/main/java/clayhook/fleet/members/MembershipMessage.java
+++ b/fleet/src/main/java/clayhook/fleet/members/MembershipMessage.java
@@ -201,7 +201,8 @@
             byte[] bytes = in.readBytes();
             var digests = new int[TableDigest.BUCKETS];
             if (bytes.length != Integer.BYTES * digests.length) {
-                throw new IllegalArgumentException(bytes.length + " bytes of digests");
+                throw new IllegalArgumentException(
+                        bytes.length + " bytes of bucket digests, which is not the expected length");
             }
             ByteBuffer.wrap(bytes).asIntBuffer().get(digests);
             return new SyncRequest(digests);
