--- a/fleet/src/test/java/clayhook/fleet/RecordedBytes.java
+++ b/fleet/src/test/java/clayhook/fleet/RecordedBytes.java
@@ -29,7 +29,7 @@
                     String[] columns = line.split(" ", -1);
                     if (columns.length != 2
                             || recorded.put(columns[0], HexFormat.of().parseHex(columns[1])) != null) {
-                        throw new IllegalArgumentException("not a form of its own: " + line);
+                        throw new IllegalArgumentException("malformed or duplicate form: " + line);
                     }
                 });
         return recorded;
