--- a/fleet/src/main/java/clayhook/fleet/members/FailureDetector.java
+++ b/fleet/src/main/java/clayhook/fleet/members/FailureDetector.java
@@ -11,7 +11,7 @@
 
 /**
  * Probes the members in turn. A probe pings the member and, if no ack arrives in time, pings it again and requests
- * other members to ping it. A member that none of them reaches becomes suspect. Not thread-safe.
+ * other members to ping it. A member that neither this router nor any of them reaches becomes suspect. Not thread-safe.
  */
 final class FailureDetector {
     /**
