--- a/fleet/src/main/java/clayhook/fleet/members/LocalHealth.java
+++ b/fleet/src/main/java/clayhook/fleet/members/LocalHealth.java
@@ -6,8 +6,8 @@
  */
 final class LocalHealth {
     /**
-     * Maximum health score, which extends timeouts by a factor of four. Lifeguard allows a factor of nine, with which a
-     * partitioned fleet took half a minute to detect the partition.
+     * Maximum score, which extends timeouts by a factor of four; a healthy router has score 0. Lifeguard allows a
+     * factor of nine, with which a partitioned fleet took half a minute to detect the partition.
      */
     private static final int MAX_SCORE = 3;
     /**
@@ -55,14 +55,14 @@
         return now < recoveringUntil;
     }
 
-    /** Decreases the health score by one after another member has answered. */
+    /** Decreases the score by one, to no less than 0, after another member has answered. */
     void improve() {
         score = Math.max(0, score - 1);
     }
 
     /**
-     * Increases the health score by one after a stall, after others have suspected this router, or after neither a
-     * probed member nor any member requested to ping it has answered.
+     * Increases the score by one, up to the maximum, after a stall, after others have suspected this router or claimed
+     * it dead, or after neither a probed member nor any member requested to ping it has answered.
      */
     void degrade() {
         score = Math.min(MAX_SCORE, score + 1);
