--- a/fleet/src/main/java/clayhook/fleet/members/ClockMonitor.java
+++ b/fleet/src/main/java/clayhook/fleet/members/ClockMonitor.java
@@ -17,8 +17,8 @@
      */
     private static final double RECOVERY_FACTOR = 0.8;
     /**
-     * Fraction of the bound by which the send time of a ping, which includes the network delay, may differ from the
-     * expected time before an additional ping measures the clock.
+     * Fraction of the bound. An additional ping measures a member's clock if the difference between send time and
+     * receive time of its ping, network delay included, deviates from the expected offset by more than that.
      */
     private static final double SUSPICIOUS_FACTOR = 0.5;
 
@@ -37,7 +37,7 @@
 
     /**
      * Sends an additional ping to a member if the send time of its ping suggests that its clock exceeds the bound. A
-     * received ping does not distinguish clock offset from network delay; the ack to the additional ping does.
+     * received ping alone does not distinguish clock offset from network delay; the ack to the additional ping does.
      */
     void onPing(Peer from, MembershipMessage.Ping ping, double now, Outbox out) {
         MemberRecord record = table.find(from.member());
