--- a/fleet/src/main/java/clayhook/fleet/members/FailureDetector.java
+++ b/fleet/src/main/java/clayhook/fleet/members/FailureDetector.java
@@ -25,7 +25,7 @@
      */
     private static final double EXPECTED_CONFIRMERS = 10;
     /**
-     * Number of concurrent probes from which on no additional probe is started. After a large partition, the regular
+     * No additional probe is started while this number of probes is running. After a large partition, the regular
      * probes cover the remaining suspects.
      */
     private static final int MAX_CONCURRENT_CONFIRMATIONS = 4;
