--- a/fleet/src/main/java/clayhook/fleet/members/MemberStatus.java
+++ b/fleet/src/main/java/clayhook/fleet/members/MemberStatus.java
@@ -16,7 +16,7 @@
         this.code = code;
     }
 
-    /** Returns the code of this status in messages. */
+    /** Returns the code that represents this status in messages. */
     int code() {
         return code;
     }
