--- a/benchmarks/src/main/java/clayhook/benchmarks/GatherBenchmark.java
+++ b/benchmarks/src/main/java/clayhook/benchmarks/GatherBenchmark.java
@@ -81,10 +81,10 @@
             parts.add(new GatherPart("p" + i, i));
         }
         GatherPlan plan = GatherPlan.of(MergeSpec.by(SortKey.ascending("amount"), SortKey.ascending("plate"))
-                .cut(Limit.rows(limit)));
+                .limit(Limit.rows(limit)));
         var gather = new Gather(plan, parts, MemoryPool.of(64 << 20), feed);
         gather.begin(0, 1);
-        gather.room(Integer.MAX_VALUE);
+        gather.request(Integer.MAX_VALUE);
         parts.forEach(part -> gather.described(part, COLUMNS));
         int[] given = new int[PARTS];
         while (feed.verdict == null) {
--- a/scattergather/src/main/java/clayhook/scattergather/Gather.java
+++ b/scattergather/src/main/java/clayhook/scattergather/Gather.java
@@ -293,7 +293,7 @@
     }
 
     /** The receiver of the answer takes that many rows more; at first it takes none. */
-    public void room(int rows) {
+    public void request(int rows) {
         if (!begun) {
             out.room(rows);
         } else if (!over) {
--- a/scattergather/src/main/java/clayhook/scattergather/MergeSpec.java
+++ b/scattergather/src/main/java/clayhook/scattergather/MergeSpec.java
@@ -34,7 +34,7 @@
         return new MergeSpec(order, sorted, duplicates, grouping, limit);
     }
 
-    public MergeSpec cut(Limit at) {
+    public MergeSpec limit(Limit at) {
         return new MergeSpec(order, sorted, duplicates, groups, at);
     }
 
--- a/scattergather/src/main/java/clayhook/scattergather/RowSet.java
+++ b/scattergather/src/main/java/clayhook/scattergather/RowSet.java
@@ -61,7 +61,7 @@
         var feed = new Feed(parts.size());
         var gather = new Gather(plan, parts.stream().map(Held::part).toList(), allowance, feed);
         gather.begin(0, Double.POSITIVE_INFINITY);
-        gather.room(Integer.MAX_VALUE);
+        gather.request(Integer.MAX_VALUE);
         int[] given = new int[parts.size()];
         for (Held held : parts) {
             if (feed.verdict == null && held.rows == null) {
--- a/scattergather/src/test/java/clayhook/scattergather/GatherTest.java
+++ b/scattergather/src/test/java/clayhook/scattergather/GatherTest.java
@@ -57,7 +57,7 @@
             }
         });
         gather.begin(0, 10);
-        gather.room(100);
+        gather.request(100);
         return gather;
     }
 
@@ -134,7 +134,7 @@
     @Test
     void aLimitThatIsReachedRecallsTheRest() {
         Gather gather =
-                gather(GatherPlan.of(MergeSpec.by(SortKey.ascending("k")).cut(Limit.rows(2))));
+                gather(GatherPlan.of(MergeSpec.by(SortKey.ascending("k")).limit(Limit.rows(2))));
         whole(gather, 0, 1, "1", "2");
         gather.described(parts.get(1), COLUMNS);
         gather.row(parts.get(1), RowSet.message(List.of("1", "of b")));
--- a/scattergather/src/test/java/clayhook/scattergather/Play.java
+++ b/scattergather/src/test/java/clayhook/scattergather/Play.java
@@ -92,7 +92,7 @@
         while (verdict == null && now <= DEADLINE) {
             if (random.nextInt(4) == 0) {
                 room++;
-                gather.room(1);
+                gather.request(1);
             }
             now += random.nextInt(20) == 0 ? 0.01 : 0;
             if (!step() && room > rows.size()) {
@@ -147,7 +147,7 @@
         int emitted = rows.size();
         parts.forEach(part -> gather.ended(part, 99));
         parts.forEach(part -> gather.failed(part, "late", true));
-        gather.room(5);
+        gather.request(5);
         assertEquals(Double.POSITIVE_INFINITY, gather.turn(99));
         assertEquals(before + 2L * parts.size(), gather.lateNews());
         assertEquals(emitted, rows.size());
