--- a/scattergather/src/main/java/clayhook/scattergather/AggregateGroups.java
+++ b/scattergather/src/main/java/clayhook/scattergather/AggregateGroups.java
@@ -12,7 +12,7 @@
     /** What groups count as a part of: rows of the answer are of no single one. */
     static final GatherPart ANSWER = new GatherPart("answer", 0);
     /** Of an entry of the map and what hangs on it, and of the row that is made of it at the end, about. */
-    private static final int ENTRY = 400;
+    private static final int ENTRY_BYTES = 400;
 
     /** One group. */
     private static final class Group {
@@ -20,30 +20,30 @@
          * The first row with that key, in the order of parts: what shows of equal keys written in two ways, as 1.0 and
          * 1.00.
          */
-        byte[][] shown;
+        byte[][] keyFields;
 
         GatherPart part;
         long number;
-        final Aggregator[] tallies;
+        final Aggregator[] aggregators;
 
-        Group(Aggregator[] tallies) {
-            this.tallies = tallies;
+        Group(Aggregator[] aggregators) {
+            this.aggregators = aggregators;
         }
 
         void show(byte[][] fields, GatherPart from, long row) {
             if (part == null || from.number() < part.number() || (from.number() == part.number() && row < number)) {
-                shown = fields;
+                keyFields = fields;
                 part = from;
                 number = row;
             }
         }
 
         long weight() {
-            long weight = ENTRY;
-            for (Aggregator tally : tallies) {
-                weight += tally.weight();
+            long weight = ENTRY_BYTES;
+            for (Aggregator aggregator : aggregators) {
+                weight += aggregator.weight();
             }
-            for (byte[] field : shown) {
+            for (byte[] field : keyFields) {
                 weight += field == null ? 0 : 3L * field.length;
             }
             return weight;
@@ -51,19 +51,19 @@
     }
 
     private final ColumnLayout layout;
-    private final MemoryReservation account;
-    private final long most;
-    /** Emptied by {@link #join} into another, or {@link #drop}; bounded by groups and by the account. */
+    private final MemoryReservation reservation;
+    private final long maxGroups;
+    /** Emptied by {@link #merge} into another, or {@link #release}; bounded by groups and by the account. */
     private final Map<List<ColumnValue>, Group> byKey = new HashMap<>();
 
     private final Map<String, Double> errors = new LinkedHashMap<>();
     private GatherFault fault;
-    private long held;
+    private long heldBytes;
 
-    AggregateGroups(ColumnLayout layout, MemoryReservation account, long most) {
+    AggregateGroups(ColumnLayout layout, MemoryReservation reservation, long maxGroups) {
         this.layout = layout;
-        this.account = account;
-        this.most = most;
+        this.reservation = reservation;
+        this.maxGroups = maxGroups;
     }
 
     @Override
@@ -75,10 +75,10 @@
         Group group = byKey.get(key);
         long before = group == null ? 0 : group.weight();
         if (group == null) {
-            if (byKey.size() >= most) {
+            if (byKey.size() >= maxGroups) {
                 return full(row.part, row.number);
             }
-            group = new Group(tallies());
+            group = new Group(newAggregators());
             byKey.put(List.copyOf(key), group);
         }
         if (group.part == null || row.part.number() < group.part.number()) {
@@ -88,23 +88,23 @@
             }
             group.show(fields, row.part, row.number);
         }
-        for (int i = 0; i < group.tallies.length; i++) {
-            group.tallies[i].add(row, layout.figures().get(i));
+        for (int i = 0; i < group.aggregators.length; i++) {
+            group.aggregators[i].add(row, layout.aggregates().get(i));
         }
         return take(group.weight() - before) ? null : full(row.part, row.number);
     }
 
-    private Aggregator[] tallies() {
-        return layout.figures().stream().map(AggregateColumn::tally).toArray(Aggregator[]::new);
+    private Aggregator[] newAggregators() {
+        return layout.aggregates().stream().map(AggregateColumn::newAggregator).toArray(Aggregator[]::new);
     }
 
     private boolean take(long bytes) {
         if (bytes < 0) {
-            account.give(-bytes);
-        } else if (!account.take(bytes)) {
+            reservation.release(-bytes);
+        } else if (!reservation.tryReserve(bytes)) {
             return false;
         }
-        held += bytes;
+        heldBytes += bytes;
         return true;
     }
 
@@ -113,28 +113,29 @@
                 GatherFault.Kind.FULL,
                 part,
                 row,
-                byKey.size() + " groups of " + held + " bytes have to be held for the answer, and that is the bound");
+                byKey.size() + " groups of " + heldBytes
+                        + " bytes have to be held for the answer, and that is the bound");
     }
 
     @Override
-    public GatherFault join(RowStore pool) {
-        var other = (AggregateGroups) pool;
-        held += other.held;
-        other.held = 0;
+    public GatherFault merge(RowStore store) {
+        var other = (AggregateGroups) store;
+        heldBytes += other.heldBytes;
+        other.heldBytes = 0;
         for (var entry : other.byKey.entrySet()) {
             Group group = byKey.get(entry.getKey());
             Group more = entry.getValue();
             if (group == null) {
-                if (byKey.size() >= most) {
+                if (byKey.size() >= maxGroups) {
                     return full(more.part, more.number);
                 }
                 byKey.put(entry.getKey(), more);
                 continue;
             }
             long before = group.weight() + more.weight();
-            group.show(more.shown, more.part, more.number);
-            for (int i = 0; i < group.tallies.length; i++) {
-                group.tallies[i].join(more.tallies[i]);
+            group.show(more.keyFields, more.part, more.number);
+            for (int i = 0; i < group.aggregators.length; i++) {
+                group.aggregators[i].merge(more.aggregators[i]);
             }
             if (!take(group.weight() - before)) {
                 return full(more.part, more.number);
@@ -148,8 +149,8 @@
     @Override
     public List<Row> rows() {
         if (byKey.isEmpty() && layout.groupSlots().length == 0) {
-            Group none = new Group(tallies());
-            none.shown = new byte[0][];
+            Group none = new Group(newAggregators());
+            none.keyFields = new byte[0][];
             byKey.put(List.of(), none);
         }
         List<List<ColumnValue>> keys = new ArrayList<>(byKey.keySet());
@@ -178,27 +179,27 @@
     }
 
     private Row row(Group group, long number) {
-        byte[][] fields = Arrays.copyOf(group.shown, group.shown.length + group.tallies.length);
-        for (int i = 0; i < group.tallies.length; i++) {
-            Aggregator tally = group.tallies[i];
-            String name = layout.figures().get(i).measure().name();
-            if (tally.fault() != null) {
+        byte[][] fields = Arrays.copyOf(group.keyFields, group.keyFields.length + group.aggregators.length);
+        for (int i = 0; i < group.aggregators.length; i++) {
+            Aggregator aggregator = group.aggregators[i];
+            String name = layout.aggregates().get(i).aggregate().name();
+            if (aggregator.fault() != null) {
                 fault = new GatherFault(
-                        tally.fault(),
+                        aggregator.fault(),
                         null,
                         -1,
                         name
-                                + (tally.fault() == GatherFault.Kind.FULL
+                                + (aggregator.fault() == GatherFault.Kind.FULL
                                         ? " of more than " + QuantileAggregator.EXACT + " values that are no numbers"
                                         : " is beyond its type"));
                 return null;
             }
-            if (tally.error() > 0) {
-                errors.merge(name, tally.error(), Math::max);
+            if (aggregator.error() > 0) {
+                errors.merge(name, aggregator.error(), Math::max);
             }
-            fields[group.shown.length + i] = tally.text();
+            fields[group.keyFields.length + i] = aggregator.text();
         }
-        return layout.shownReading().row(ANSWER, number, Row.message(fields));
+        return layout.answerReader().row(ANSWER, number, Row.message(fields));
     }
 
     @Override
@@ -215,9 +216,9 @@
     }
 
     @Override
-    public void drop() {
+    public void release() {
         byKey.clear();
-        account.give(held);
-        held = 0;
+        reservation.release(heldBytes);
+        heldBytes = 0;
     }
 }
--- a/scattergather/src/main/java/clayhook/scattergather/Aggregator.java
+++ b/scattergather/src/main/java/clayhook/scattergather/Aggregator.java
@@ -9,12 +9,12 @@
  */
 abstract class Aggregator {
     /** Of an object and its fields, about. */
-    static final int OBJECT = 64;
+    static final int OBJECT_BYTES = 64;
 
-    abstract void add(Row row, AggregateColumn figure);
+    abstract void add(Row row, AggregateColumn column);
 
     /** The other one is of the same figure, and is not used afterwards. */
-    abstract void join(Aggregator other);
+    abstract void merge(Aggregator other);
 
     /** The result as PostgreSQL writes it; null for no value. */
     abstract byte[] text();
@@ -41,12 +41,12 @@
         private long count;
 
         @Override
-        void add(Row row, AggregateColumn figure) {
-            count += figure.slot() < 0 || row.cell(figure.slot()) != ColumnValue.NULL ? 1 : 0;
+        void add(Row row, AggregateColumn column) {
+            count += column.slot() < 0 || row.cell(column.slot()) != ColumnValue.NULL ? 1 : 0;
         }
 
         @Override
-        void join(Aggregator other) {
+        void merge(Aggregator other) {
             count += ((CountAggregator) other).count;
         }
 
@@ -57,7 +57,7 @@
 
         @Override
         long weight() {
-            return OBJECT;
+            return OBJECT_BYTES;
         }
     }
 
@@ -72,12 +72,12 @@
         }
 
         @Override
-        void add(Row row, AggregateColumn figure) {
-            ColumnValue other = row.cell(figure.slot());
+        void add(Row row, AggregateColumn column) {
+            ColumnValue other = row.cell(column.slot());
             if (other != ColumnValue.NULL) {
                 int compared = cell == ColumnValue.NULL ? -1 : sign * other.compareTo(cell);
                 if (compared <= 0) {
-                    take(compared, other, row.raw(figure.slot()));
+                    take(compared, other, row.raw(column.slot()));
                 }
             }
         }
@@ -93,8 +93,8 @@
         }
 
         @Override
-        void join(Aggregator tally) {
-            var other = (ExtremeAggregator) tally;
+        void merge(Aggregator aggregator) {
+            var other = (ExtremeAggregator) aggregator;
             if (other.cell != ColumnValue.NULL) {
                 take(cell == ColumnValue.NULL ? -1 : sign * other.cell.compareTo(cell), other.cell, other.raw);
             }
@@ -107,7 +107,7 @@
 
         @Override
         long weight() {
-            return 2 * OBJECT + (raw == null ? 0 : 2L * raw.length);
+            return 2 * OBJECT_BYTES + (raw == null ? 0 : 2L * raw.length);
         }
     }
 }
--- a/scattergather/src/main/java/clayhook/scattergather/AnswerWriter.java
+++ b/scattergather/src/main/java/clayhook/scattergather/AnswerWriter.java
@@ -4,41 +4,41 @@
 
 /** The answer on its way out: as much as there is room for, up to its limit. */
 final class AnswerWriter {
-    private final GatherActions acts;
+    private final GatherActions actions;
     private final Limit limit;
-    private long room;
+    private long requested;
     private long rows;
     private long bytes;
     private boolean tooLong;
-    private boolean begun;
+    private boolean started;
 
-    AnswerWriter(GatherActions acts, Limit limit) {
-        this.acts = acts;
+    AnswerWriter(GatherActions actions, Limit limit) {
+        this.actions = actions;
         this.limit = limit;
     }
 
-    void room(long more) {
-        room += Math.min(more, Long.MAX_VALUE - room);
+    void request(long more) {
+        requested += Math.min(more, Long.MAX_VALUE - requested);
     }
 
-    boolean blocked() {
-        return room == 0;
+    boolean isBlocked() {
+        return requested == 0;
     }
 
     /** Nothing more belongs to the answer. */
-    boolean full() {
+    boolean isFull() {
         return tooLong || rows >= limit.rows();
     }
 
     /** How many rows still belong to it at the most. */
-    long left() {
+    long remaining() {
         return limit.rows() - rows;
     }
 
     void begin(List<Column> columns) {
-        if (!begun) {
-            begun = true;
-            acts.columns(columns);
+        if (!started) {
+            started = true;
+            actions.columns(columns);
         }
     }
 
@@ -46,10 +46,10 @@
     void emit(byte[] row) {
         tooLong = row.length > limit.bytes() - bytes;
         if (!tooLong) {
-            room--;
+            requested--;
             rows++;
             bytes += row.length;
-            acts.emit(row);
+            actions.emit(row);
         }
     }
 
--- a/scattergather/src/main/java/clayhook/scattergather/BufferedMerge.java
+++ b/scattergather/src/main/java/clayhook/scattergather/BufferedMerge.java
@@ -11,54 +11,54 @@
  * anew, or be left out, and joined once it is known to count.
  */
 final class BufferedMerge implements MergeStrategy {
-    private final MergeSpec merging;
-    private final MemoryReservation account;
-    private final BufferLimits bounds;
+    private final MergeSpec spec;
+    private final MemoryReservation reservation;
+    private final BufferLimits bufferLimits;
     private ColumnLayout layout;
     /** Emptied when the answer is made, and at the end; bounded by the account. */
-    private final Map<PartStream, RowStore> pools = new HashMap<>();
+    private final Map<PartStream, RowStore> stores = new HashMap<>();
     /** What is to go out; emptied as it goes. */
     private ArrayDeque<Row> answer;
 
-    private RowStore whole;
+    private RowStore merged;
     private GatherFault fault;
     private long conflicts;
     private Map<String, Double> errors = Map.of();
 
-    BufferedMerge(MergeSpec merging, MemoryReservation account, BufferLimits bounds) {
-        this.merging = merging;
-        this.account = account;
-        this.bounds = bounds;
+    BufferedMerge(MergeSpec spec, MemoryReservation reservation, BufferLimits bufferLimits) {
+        this.spec = spec;
+        this.reservation = reservation;
+        this.bufferLimits = bufferLimits;
     }
 
-    private RowStore pool() {
-        return merging.duplicates() == null && merging.groups() != null
-                ? new AggregateGroups(layout, account, bounds.heldRows())
-                : new RowTable(layout, account, bounds.heldRows());
+    private RowStore newStore() {
+        return spec.duplicates() == null && spec.groups() != null
+                ? new AggregateGroups(layout, reservation, bufferLimits.maxHeldRows())
+                : new RowTable(layout, reservation, bufferLimits.maxHeldRows());
     }
 
     @Override
-    public void take(PartStream from, Row row, ColumnLayout plan) {
+    public void addRow(PartStream from, Row row, ColumnLayout plan) {
         layout = plan;
-        fault = pools.computeIfAbsent(from, any -> pool()).add(row);
+        fault = stores.computeIfAbsent(from, any -> newStore()).add(row);
     }
 
     @Override
-    public void forget(PartStream from) {
-        RowStore pool = pools.remove(from);
-        if (pool != null) {
-            pool.drop();
+    public void discard(PartStream from) {
+        RowStore store = stores.remove(from);
+        if (store != null) {
+            store.release();
         }
     }
 
     @Override
     public boolean ready(PartStream part) {
-        return part.over;
+        return part.ended;
     }
 
     @Override
-    public boolean firm(PartStream part) {
-        return part.over;
+    public boolean countsForQuorum(PartStream part) {
+        return part.ended;
     }
 
     /**
@@ -68,63 +68,63 @@
     @Override
     public void begin(List<PartStream> parts, ColumnLayout plan) {
         layout = plan;
-        whole = layout == null ? null : pool();
+        merged = layout == null ? null : newStore();
         for (PartStream part : parts) {
-            part.dry = part.shortened;
-            if (merging.groups() != null && part.fall != null) {
-                forget(part);
+            part.missingRows = part.truncated;
+            if (spec.groups() != null && part.failure != null) {
+                discard(part);
             }
-            RowStore pool = pools.remove(part);
-            part.counted = pool == null ? 0 : part.rows;
-            if (pool != null && fault == null) {
-                fault = whole.join(pool);
+            RowStore store = stores.remove(part);
+            part.usedRows = store == null ? 0 : part.rows;
+            if (store != null && fault == null) {
+                fault = merged.merge(store);
             }
-            if (pool != null) {
-                pool.drop();
+            if (store != null) {
+                store.release();
             }
         }
-        List.copyOf(pools.keySet()).forEach(this::forget); // spare ones
-        answer = new ArrayDeque<>(fault == null && whole != null ? answer() : List.of());
+        List.copyOf(stores.keySet()).forEach(this::discard); // spare ones
+        answer = new ArrayDeque<>(fault == null && merged != null ? answer() : List.of());
     }
 
     private List<Row> answer() {
-        if (whole instanceof RowTable table) {
+        if (merged instanceof RowTable table) {
             conflicts = table.conflicts();
         }
-        List<Row> rows = whole.rows();
-        if (merging.groups() != null && merging.duplicates() != null) {
+        List<Row> rows = merged.rows();
+        if (spec.groups() != null && spec.duplicates() != null) {
             rows = grouped(rows);
         }
         if (fault == null) {
-            fault = whole.fault();
+            fault = merged.fault();
         }
         if (fault != null) {
             return List.of();
         }
-        if (whole instanceof AggregateGroups groups) {
+        if (merged instanceof AggregateGroups groups) {
             errors = groups.errors();
         }
         rows = new ArrayList<>(rows);
-        rows.forEach(layout.order()::mark);
+        rows.forEach(layout.order()::setSortPrefix);
         rows.sort(layout.order());
         return rows;
     }
 
     /** Groups of what duplicates have left. */
     private List<Row> grouped(List<Row> rows) {
-        RowStore table = whole;
-        whole = new AggregateGroups(layout, account, bounds.heldRows());
+        RowStore table = merged;
+        merged = new AggregateGroups(layout, reservation, bufferLimits.maxHeldRows());
         for (Row row : rows) {
-            fault = fault == null ? whole.add(row) : fault;
+            fault = fault == null ? merged.add(row) : fault;
         }
-        table.drop();
-        return fault == null ? whole.rows() : List.of();
+        table.release();
+        return fault == null ? merged.rows() : List.of();
     }
 
     @Override
-    public boolean pour(AnswerWriter out) {
-        while (fault == null && !out.full() && !answer.isEmpty()) {
-            if (out.blocked()) {
+    public boolean emitAvailable(AnswerWriter out) {
+        while (fault == null && !out.isFull() && !answer.isEmpty()) {
+            if (out.isBlocked()) {
                 return false;
             }
             out.emit(answer.poll().bytes);
@@ -133,7 +133,7 @@
     }
 
     @Override
-    public long useful(AnswerWriter out) {
+    public long usefulRows(AnswerWriter out) {
         return Long.MAX_VALUE;
     }
 
@@ -153,10 +153,10 @@
     }
 
     @Override
-    public void drop() {
-        List.copyOf(pools.keySet()).forEach(this::forget);
-        if (whole != null) {
-            whole.drop();
+    public void release() {
+        List.copyOf(stores.keySet()).forEach(this::discard);
+        if (merged != null) {
+            merged.release();
         }
         answer = new ArrayDeque<>();
     }
--- a/scattergather/src/main/java/clayhook/scattergather/ColumnLayout.java
+++ b/scattergather/src/main/java/clayhook/scattergather/ColumnLayout.java
@@ -9,82 +9,83 @@
 /** A plan for merging, for certain columns. */
 final class ColumnLayout {
     private final List<Column> columns;
-    private final ColumnReader reading;
-    private final DuplicateRanking ranks;
-    private final List<AggregateColumn> figures;
+    private final ColumnReader reader;
+    private final DuplicateRanking ranking;
+    private final List<AggregateColumn> aggregates;
     private final int[] groupSlots;
-    private List<Column> shown;
-    private final ColumnReader shownReading;
+    private List<Column> answerColumns;
+    private final ColumnReader answerReader;
     private final RowComparator order;
-    private final String misfit;
+    private final String problem;
 
-    ColumnLayout(MergeSpec merging, List<Column> columns, ToDoubleFunction<GatherPart> positions) {
+    ColumnLayout(MergeSpec spec, List<Column> columns, ToDoubleFunction<GatherPart> positions) {
         this.columns = columns;
-        reading = new ColumnReader(columns);
-        ranks = merging.duplicates() == null
-                ? null
-                : new DuplicateRanking(merging.duplicates(), columns, reading, positions);
-        Grouping grouping = merging.groups();
+        reader = new ColumnReader(columns);
+        ranking =
+                spec.duplicates() == null ? null : new DuplicateRanking(spec.duplicates(), columns, reader, positions);
+        Grouping grouping = spec.groups();
         if (grouping == null) {
-            figures = List.of();
+            aggregates = List.of();
             groupSlots = new int[0];
-            shown = columns;
-            shownReading = reading;
-            order = RowComparator.of(merging.order(), columns, reading);
+            answerColumns = columns;
+            answerReader = reader;
+            order = RowComparator.of(spec.order(), columns, reader);
         } else {
-            figures = grouping.measures().stream()
-                    .map(measure -> AggregateColumn.of(measure, columns, reading))
+            aggregates = grouping.aggregates().stream()
+                    .map(aggregate -> AggregateColumn.of(aggregate, columns, reader))
                     .toList();
             groupSlots = grouping.by().stream().mapToInt(this::slot).toArray();
-            shown = figures.stream().anyMatch(Objects::isNull) || negative(groupSlots) ? List.of() : shown(grouping);
-            shownReading = new ColumnReader(shown);
-            order = RowComparator.of(merging.order(), shown, shownReading);
+            answerColumns = aggregates.stream().anyMatch(Objects::isNull) || negative(groupSlots)
+                    ? List.of()
+                    : answerColumns(grouping);
+            answerReader = new ColumnReader(answerColumns);
+            order = RowComparator.of(spec.order(), answerColumns, answerReader);
         }
-        String lacking = ranks != null && !ranks.fit()
+        String purpose = ranking != null && !ranking.applicable()
                 ? "tell duplicates by"
-                : figures.stream().anyMatch(Objects::isNull)
+                : aggregates.stream().anyMatch(Objects::isNull)
                         ? "measure"
                         : negative(groupSlots) ? "group by" : order == null ? "order by" : null;
-        misfit = lacking == null
+        problem = purpose == null
                 ? null
-                : "a column to " + lacking + " is missing, there twice, or of a type that does not serve";
+                : "a column to " + purpose + " is missing, there twice, or of a type that does not serve";
     }
 
     private int slot(String name) {
         int column = Column.find(columns, name);
-        return column < 0 || ColumnType.of(columns.get(column).type()) == ColumnType.OPAQUE ? -1 : reading.slot(column);
+        return column < 0 || ColumnType.of(columns.get(column).type()) == ColumnType.OPAQUE ? -1 : reader.slot(column);
     }
 
     private static boolean negative(int[] slots) {
         return Arrays.stream(slots).anyMatch(slot -> slot < 0);
     }
 
-    private List<Column> shown(Grouping grouping) {
+    private List<Column> answerColumns(Grouping grouping) {
         var all = new ArrayList<Column>();
         grouping.by().forEach(name -> all.add(columns.get(Column.find(columns, name))));
-        figures.stream().filter(Objects::nonNull).forEach(figure -> all.add(figure.shown()));
+        aggregates.stream().filter(Objects::nonNull).forEach(column -> all.add(column.resultColumn()));
         return List.copyOf(all);
     }
 
     /** Why the plan cannot be carried out on these columns, or null. */
-    String misfit() {
-        return misfit;
+    String problem() {
+        return problem;
     }
 
     /** Columns of parts that differ in size or modifier, such as numeric(8,2) and numeric(9,3), are shown without. */
-    void loosen(List<Column> others) {
+    void relaxModifiers(List<Column> others) {
         for (int i = 0; i < others.size(); i++) {
-            int at = shown.indexOf(columns.get(i));
+            int at = answerColumns.indexOf(columns.get(i));
             if (at >= 0 && !others.get(i).equals(columns.get(i))) {
-                var loose = new ArrayList<>(shown);
+                var loose = new ArrayList<>(answerColumns);
                 loose.set(at, Column.of(columns.get(i).name(), columns.get(i).type()));
-                shown = List.copyOf(loose);
+                answerColumns = List.copyOf(loose);
             }
         }
     }
 
     /** What is wrong with these columns beside those of the first part, or null. */
-    String differs(List<Column> others) {
+    String difference(List<Column> others) {
         if (others.size() != columns.size()) {
             return others.size() + " columns instead of " + columns.size();
         }
@@ -103,18 +104,18 @@
     }
 
     /** The columns of the answer. */
-    List<Column> shown() {
-        return shown;
+    List<Column> answerColumns() {
+        return answerColumns;
     }
 
     /** Of rows as they come. */
-    ColumnReader reading() {
-        return reading;
+    ColumnReader reader() {
+        return reader;
     }
 
     /** Of rows of the answer. */
-    ColumnReader shownReading() {
-        return shownReading;
+    ColumnReader answerReader() {
+        return answerReader;
     }
 
     /** Of rows of the answer; the same as those that come where there are no groups. */
@@ -123,12 +124,12 @@
     }
 
     /** Null where each row counts. */
-    DuplicateRanking ranks() {
-        return ranks;
+    DuplicateRanking ranking() {
+        return ranking;
     }
 
-    List<AggregateColumn> figures() {
-        return figures;
+    List<AggregateColumn> aggregates() {
+        return aggregates;
     }
 
     int[] groupSlots() {
--- a/scattergather/src/main/java/clayhook/scattergather/ColumnType.java
+++ b/scattergather/src/main/java/clayhook/scattergather/ColumnType.java
@@ -7,69 +7,69 @@
 
 /** How the text of a column is read, by the number that PostgreSQL gives its type (pg_type.dat, fixed for ever). */
 enum ColumnType {
-    WHOLE,
+    INTEGER,
     DECIMAL,
-    SINGLE,
-    REAL,
+    FLOAT,
+    DOUBLE,
     TEXT,
-    PADDED,
-    TIME,
-    FLAG,
+    PADDED_TEXT,
+    TIMESTAMP,
+    BOOLEAN,
     BYTES,
     UUID,
     /** Passed on, but no key: its order is not known here. */
     OPAQUE;
     static final int INT2 = 21, INT4 = 23, INT8 = 20, NUMERIC = 1700, FLOAT4 = 700, FLOAT8 = 701;
     /** Longer numerics are legal, but the time to read one grows with the square of its digits. */
-    private static final int LONGEST_NUMBER = 1024;
+    private static final int MAX_NUMBER_DIGITS = 1024;
     /** This many digits fit into a long whatever they are. */
-    private static final int SURE_DIGITS = 18;
+    private static final int LONG_SAFE_DIGITS = 18;
 
     private static final int UUID_LENGTH = 36;
 
     static ColumnType of(int oid) {
         return switch (oid) {
-            case INT2, INT4, INT8, 26 -> WHOLE;
+            case INT2, INT4, INT8, 26 -> INTEGER;
             case NUMERIC -> DECIMAL;
-            case FLOAT4 -> SINGLE;
-            case FLOAT8 -> REAL;
+            case FLOAT4 -> FLOAT;
+            case FLOAT8 -> DOUBLE;
             case 25, 1043, 18, 19 -> TEXT;
-            case 1042 -> PADDED;
-            case 1082, 1114, 1184 -> TIME;
-            case 16 -> FLAG;
+            case 1042 -> PADDED_TEXT;
+            case 1082, 1114, 1184 -> TIMESTAMP;
+            case 16 -> BOOLEAN;
             case 17 -> BYTES;
             case 2950 -> UUID;
             default -> OPAQUE;
         };
     }
 
-    boolean number() {
-        return this == WHOLE || this == DECIMAL || floating();
+    boolean isNumeric() {
+        return this == INTEGER || this == DECIMAL || isFloating();
     }
 
-    boolean floating() {
-        return this == SINGLE || this == REAL;
+    boolean isFloating() {
+        return this == FLOAT || this == DOUBLE;
     }
 
     /** The value of those bytes, or null where they are none of this type. */
     ColumnValue read(byte[] in, int from, int length) {
         return switch (this) {
-            case WHOLE -> whole(in, from, length);
+            case INTEGER -> whole(in, from, length);
             case DECIMAL -> decimal(in, from, length);
-            case SINGLE, REAL -> real(in, from, length);
+            case FLOAT, DOUBLE -> real(in, from, length);
             case TEXT -> new ColumnValue.TextValue(Arrays.copyOfRange(in, from, from + length));
-            case PADDED -> padded(in, from, length);
-            case TIME -> TimestampParser.read(new String(in, from, length, ISO_8859_1));
-            case FLAG ->
+            case PADDED_TEXT -> padded(in, from, length);
+            case TIMESTAMP -> TimestampParser.read(new String(in, from, length, ISO_8859_1));
+            case BOOLEAN ->
                 length == 1 && (in[from] == 't' || in[from] == 'f')
                         ? new ColumnValue.BooleanValue(in[from] == 't')
                         : null;
             case BYTES ->
-                length >= 2 && in[from] == '\\' && in[from + 1] == 'x' && digits(in, from + 2, length - 2)
+                length >= 2 && in[from] == '\\' && in[from + 1] == 'x' && isHexOrDash(in, from + 2, length - 2)
                         ? new ColumnValue.TextValue(Arrays.copyOfRange(in, from, from + length))
                         : null;
             case UUID ->
-                length == UUID_LENGTH && digits(in, from, length)
+                length == UUID_LENGTH && isHexOrDash(in, from, length)
                         ? new ColumnValue.TextValue(Arrays.copyOfRange(in, from, from + length))
                         : null;
             case OPAQUE -> null;
@@ -77,34 +77,34 @@
     }
 
     private static ColumnValue whole(byte[] in, int from, int length) {
-        if (length > SURE_DIGITS) { // rare: with a check for overflow
+        if (length > LONG_SAFE_DIGITS) { // rare: with a check for overflow
             try {
                 return new ColumnValue.IntegerValue(Long.parseLong(new String(in, from, length, ISO_8859_1)));
             } catch (NumberFormatException e) {
                 return null;
             }
         }
-        boolean below = length > 0 && in[from] == '-';
+        boolean negative = length > 0 && in[from] == '-';
         long value = 0;
-        for (int i = from + (below ? 1 : 0); i < from + length; i++) {
+        for (int i = from + (negative ? 1 : 0); i < from + length; i++) {
             int digit = in[i] - '0';
             if (digit < 0 || digit > 9) {
                 return null;
             }
             value = 10 * value + digit;
         }
-        return length > (below ? 1 : 0) ? new ColumnValue.IntegerValue(below ? -value : value) : null;
+        return length > (negative ? 1 : 0) ? new ColumnValue.IntegerValue(negative ? -value : value) : null;
     }
 
     private static ColumnValue decimal(byte[] in, int from, int length) {
-        boolean below = length > 0 && in[from] == '-';
-        int start = from + (below ? 1 : 0);
-        int point = -1;
+        boolean negative = length > 0 && in[from] == '-';
+        int start = from + (negative ? 1 : 0);
+        int pointIndex = -1;
         long value = 0;
         for (int i = start; i < from + length; i++) {
             int digit = in[i] - '0';
-            if (in[i] == '.' && point < 0) {
-                point = i;
+            if (in[i] == '.' && pointIndex < 0) {
+                pointIndex = i;
             } else if (digit < 0
                     || digit > 9) { // no exponents either: PostgreSQL writes none, and "1e999999999" would never end
                 return special(new String(in, from, length, ISO_8859_1));
@@ -112,14 +112,14 @@
                 value = 10 * value + digit;
             }
         }
-        int digits = from + length - start - (point < 0 ? 0 : 1);
-        if (digits < 1 || digits > LONGEST_NUMBER) {
+        int digits = from + length - start - (pointIndex < 0 ? 0 : 1);
+        if (digits < 1 || digits > MAX_NUMBER_DIGITS) {
             return null;
         }
-        return digits > SURE_DIGITS
+        return digits > LONG_SAFE_DIGITS
                 ? new ColumnValue.DecimalValue(new BigDecimal(new String(in, from, length, ISO_8859_1)))
-                : new ColumnValue.DecimalValue(
-                        BigDecimal.valueOf(below ? -value : value, point < 0 ? 0 : from + length - point - 1));
+                : new ColumnValue.DecimalValue(BigDecimal.valueOf(
+                        negative ? -value : value, pointIndex < 0 ? 0 : from + length - pointIndex - 1));
     }
 
     private ColumnValue real(byte[] in, int from, int length) {
@@ -130,11 +130,11 @@
                 return special(text);
             }
         }
-        if (length > LONGEST_NUMBER) {
+        if (length > MAX_NUMBER_DIGITS) {
             return null;
         }
         try {
-            return new ColumnValue.FloatValue(this == SINGLE ? Float.parseFloat(text) : Double.parseDouble(text));
+            return new ColumnValue.FloatValue(this == FLOAT ? Float.parseFloat(text) : Double.parseDouble(text));
         } catch (NumberFormatException e) {
             return null;
         }
@@ -159,7 +159,7 @@
     }
 
     /** Only hexadecimal digits in lower case, or dashes: else the order of the text is not that of what it means. */
-    private static boolean digits(byte[] in, int from, int length) {
+    private static boolean isHexOrDash(byte[] in, int from, int length) {
         for (int i = from; i < from + length; i++) {
             if ((in[i] < '0' || in[i] > '9') && (in[i] < 'a' || in[i] > 'f') && in[i] != '-') {
                 return false;
--- a/scattergather/src/main/java/clayhook/scattergather/ColumnValue.java
+++ b/scattergather/src/main/java/clayhook/scattergather/ColumnValue.java
@@ -12,12 +12,12 @@
     ColumnValue NULL = new NullValue();
 
     /** A number that never contradicts {@link #compareTo}: of unlike ones the lesser has the lesser cell. */
-    long rough();
+    long sortPrefix();
 
     /** No value. */
     record NullValue() implements ColumnValue {
         @Override
-        public long rough() {
+        public long sortPrefix() {
             return 0;
         }
 
@@ -30,7 +30,7 @@
     /** Of int2, int4, int8 and oid. */
     record IntegerValue(long value) implements ColumnValue {
         @Override
-        public long rough() {
+        public long sortPrefix() {
             return value;
         }
 
@@ -43,8 +43,8 @@
     /** A finite numeric; 1.0 equals 1.00. */
     record DecimalValue(BigDecimal value) implements ColumnValue {
         @Override
-        public long rough() {
-            return FloatValue.rough(value.doubleValue());
+        public long sortPrefix() {
+            return FloatValue.sortPrefix(value.doubleValue());
         }
 
         @Override
@@ -70,11 +70,11 @@
         }
 
         @Override
-        public long rough() {
-            return rough(value);
+        public long sortPrefix() {
+            return sortPrefix(value);
         }
 
-        private static long rough(double value) {
+        private static long sortPrefix(double value) {
             long bits = Double.doubleToLongBits(value);
             return bits ^ (bits >> 63 & Long.MAX_VALUE); // negative ones the other way round
         }
@@ -91,7 +91,7 @@
     record TextValue(byte[] bytes) implements ColumnValue {
         /** The first eight bytes. */
         @Override
-        public long rough() {
+        public long sortPrefix() {
             long head = 0;
             for (int i = 0; i < Long.BYTES; i++) {
                 head = head << Byte.SIZE | (i < bytes.length ? bytes[i] & 0xff : 0);
@@ -120,7 +120,7 @@
      */
     record TimestampValue(long micros) implements ColumnValue {
         @Override
-        public long rough() {
+        public long sortPrefix() {
             return micros;
         }
 
@@ -132,7 +132,7 @@
 
     record BooleanValue(boolean value) implements ColumnValue {
         @Override
-        public long rough() {
+        public long sortPrefix() {
             return value ? 1 : 0;
         }
 
--- a/scattergather/src/main/java/clayhook/scattergather/DistinctAggregator.java
+++ b/scattergather/src/main/java/clayhook/scattergather/DistinctAggregator.java
@@ -22,7 +22,7 @@
      */
     public static final double ERROR = 0.782 / 64;
     /** Of an entry of a set, about. */
-    private static final int ENTRY = 80;
+    private static final int ENTRY_BYTES = 80;
 
     /** Null once there are too many. */
     private Set<ColumnValue> values = new HashSet<>();
@@ -33,8 +33,8 @@
     DistinctAggregator() {}
 
     @Override
-    void add(Row row, AggregateColumn figure) {
-        ColumnValue cell = row.cell(figure.slot());
+    void add(Row row, AggregateColumn column) {
+        ColumnValue cell = row.cell(column.slot());
         if (cell != ColumnValue.NULL) {
             add(cell);
         }
@@ -88,8 +88,8 @@
     }
 
     @Override
-    void join(Aggregator tally) {
-        var other = (DistinctAggregator) tally;
+    void merge(Aggregator aggregator) {
+        var other = (DistinctAggregator) aggregator;
         if (other.values != null) {
             other.values.forEach(this::add);
         } else if (values != null) {
@@ -113,6 +113,6 @@
 
     @Override
     long weight() {
-        return 2 * OBJECT + (values != null ? (long) values.size() * ENTRY + length : 1 << PRECISION);
+        return 2 * OBJECT_BYTES + (values != null ? (long) values.size() * ENTRY_BYTES + length : 1 << PRECISION);
     }
 }
--- a/scattergather/src/main/java/clayhook/scattergather/DuplicateGroup.java
+++ b/scattergather/src/main/java/clayhook/scattergather/DuplicateGroup.java
@@ -4,38 +4,38 @@
 
 /** Rows with one key, as far as they are needed: joined in any order they come to the same. */
 final class DuplicateGroup {
-    private final DuplicateRanking ranks;
+    private final DuplicateRanking ranking;
     private Row best;
     /** By column, the best copy that has a value there; null where no union is asked for. */
-    private final Row[] fills;
+    private final Row[] bestByColumn;
 
     private boolean conflict;
 
-    DuplicateGroup(DuplicateRanking ranks, Row row) {
-        this.ranks = ranks;
+    DuplicateGroup(DuplicateRanking ranking, Row row) {
+        this.ranking = ranking;
         best = row;
-        if (ranks != null && ranks.union()) {
+        if (ranking != null && ranking.fillNulls()) {
             byte[][] fields = row.fields();
-            fills = new Row[fields.length];
-            Arrays.setAll(fills, i -> fields[i] == null ? null : row);
+            bestByColumn = new Row[fields.length];
+            Arrays.setAll(bestByColumn, i -> fields[i] == null ? null : row);
         } else {
-            fills = null;
+            bestByColumn = null;
         }
     }
 
-    void join(DuplicateGroup other) {
-        boolean differ = ranks.differ(best, other.best);
-        conflict = ranks.outranks(best, other.best)
+    void merge(DuplicateGroup other) {
+        boolean isConflict = ranking.isConflict(best, other.best);
+        conflict = ranking.outranks(best, other.best)
                 ? conflict
-                : ranks.outranks(other.best, best) ? other.conflict : conflict || other.conflict || differ;
+                : ranking.outranks(other.best, best) ? other.conflict : conflict || other.conflict || isConflict;
         best = better(best, other.best);
-        for (int i = 0; fills != null && i < fills.length; i++) {
-            fills[i] = better(fills[i], other.fills[i]);
+        for (int i = 0; bestByColumn != null && i < bestByColumn.length; i++) {
+            bestByColumn[i] = better(bestByColumn[i], other.bestByColumn[i]);
         }
     }
 
     private Row better(Row a, Row b) {
-        return a == null || (b != null && ranks.compare(b, a) < 0) ? b : a;
+        return a == null || (b != null && ranking.compare(b, a) < 0) ? b : a;
     }
 
     Row best() {
@@ -49,11 +49,11 @@
     /** Bytes of memory, about: of all rows that are needed for the one. */
     long weight() {
         long weight = best.weight();
-        for (int i = 0; fills != null && i < fills.length; i++) {
-            Row row = fills[i];
+        for (int i = 0; bestByColumn != null && i < bestByColumn.length; i++) {
+            Row row = bestByColumn[i];
             weight += row == null
                             || row == best
-                            || Arrays.asList(fills).subList(0, i).contains(row)
+                            || Arrays.asList(bestByColumn).subList(0, i).contains(row)
                     ? 0
                     : row.weight();
         }
@@ -61,21 +61,21 @@
     }
 
     /** The one row that stands for all: the best as it came, unless columns of others or a conflict show in it. */
-    Row row(ColumnReader reading) {
+    Row row(ColumnReader reader) {
         boolean filled = false;
-        for (int i = 0; fills != null && i < fills.length; i++) {
-            filled |= fills[i] != null && fills[i] != best && best.field(i) == null;
+        for (int i = 0; bestByColumn != null && i < bestByColumn.length; i++) {
+            filled |= bestByColumn[i] != null && bestByColumn[i] != best && best.field(i) == null;
         }
         if (!filled && !conflict) {
             return best;
         }
         byte[][] fields = best.fields();
         for (int i = 0; filled && i < fields.length; i++) {
-            fields[i] = fills[i] == null ? null : fills[i].field(i);
+            fields[i] = bestByColumn[i] == null ? null : bestByColumn[i].field(i);
         }
         if (conflict) {
-            fields[reading.column(ranks.conflictSlot())] = ranks.conflict();
+            fields[reader.column(ranking.conflictSlot())] = ranking.conflict();
         }
-        return reading.row(best.part, best.number, Row.message(fields));
+        return reader.row(best.part, best.number, Row.message(fields));
     }
 }
--- a/scattergather/src/main/java/clayhook/scattergather/DuplicateRanking.java
+++ b/scattergather/src/main/java/clayhook/scattergather/DuplicateRanking.java
@@ -15,38 +15,38 @@
 final class DuplicateRanking implements Comparator<Row> {
     private final int[] key;
     private final List<Comparator<Row>> rules = new ArrayList<>();
-    private final boolean union;
+    private final boolean fillNulls;
     /** Where conflicts show; -1 for nowhere. */
     private int conflictSlot = -1;
 
     private byte[] conflict;
     private Map<ColumnValue, Integer> levels = Map.of();
-    private int named;
-    private boolean fit = true;
+    private int levelCount;
+    private boolean applicable = true;
 
     /** @param positions of parts, as known when copies are compared */
     DuplicateRanking(
-            Duplicates duplicates, List<Column> columns, ColumnReader reading, ToDoubleFunction<GatherPart> positions) {
+            Duplicates duplicates, List<Column> columns, ColumnReader reader, ToDoubleFunction<GatherPart> positions) {
         key = duplicates.key().stream()
-                .mapToInt(name -> slot(name, columns, reading))
+                .mapToInt(name -> slot(name, columns, reader))
                 .toArray();
-        union = duplicates.union();
+        fillNulls = duplicates.fillNulls();
         for (Rule rule : duplicates.rules()) {
-            rules.add(comparator(rule, columns, reading, positions));
+            rules.add(comparator(rule, columns, reader, positions));
         }
         rules.add(Comparator.comparingInt((Row row) -> row.part.number()).thenComparingLong(row -> row.number));
     }
 
-    private int slot(String name, List<Column> columns, ColumnReader reading) {
+    private int slot(String name, List<Column> columns, ColumnReader reader) {
         int column = Column.find(columns, name);
-        fit &= column >= 0 && ColumnType.of(columns.get(column).type()) != ColumnType.OPAQUE;
-        return reading.slot(Math.max(0, column));
+        applicable &= column >= 0 && ColumnType.of(columns.get(column).type()) != ColumnType.OPAQUE;
+        return reader.slot(Math.max(0, column));
     }
 
     private Comparator<Row> comparator(
-            Rule rule, List<Column> columns, ColumnReader reading, ToDoubleFunction<GatherPart> positions) {
+            Rule rule, List<Column> columns, ColumnReader reader, ToDoubleFunction<GatherPart> positions) {
         if (rule instanceof Rule.Newest newest) {
-            int slot = slot(newest.column(), columns, reading);
+            int slot = slot(newest.column(), columns, reader);
             return (a, b) -> newer(a.cell(slot), b.cell(slot));
         } else if (rule instanceof Rule.Position) {
             return (a, b) -> Double.compare(positions.applyAsDouble(b.part), positions.applyAsDouble(a.part));
@@ -56,7 +56,7 @@
                 return place < 0 ? Integer.MAX_VALUE : place;
             });
         }
-        return ranking((Rule.Ranking) rule, columns, reading);
+        return ranking((Rule.Ranking) rule, columns, reader);
     }
 
     private static int newer(ColumnValue a, ColumnValue b) {
@@ -65,8 +65,8 @@
                 : b.compareTo(a);
     }
 
-    private Comparator<Row> ranking(Rule.Ranking rule, List<Column> columns, ColumnReader reading) {
-        int slot = slot(rule.column(), columns, reading);
+    private Comparator<Row> ranking(Rule.Ranking rule, List<Column> columns, ColumnReader reader) {
+        int slot = slot(rule.column(), columns, reader);
         var ranks = new HashMap<ColumnValue, Integer>();
         for (int level = 0; level < rule.levels().size(); level++) {
             for (String text : rule.levels().get(level)) {
@@ -78,8 +78,8 @@
             conflictSlot = slot;
             conflict = rule.conflict().getBytes(UTF_8);
             levels = ranks;
-            named = last;
-            fit &= reading.type(slot) == ColumnType.TEXT;
+            levelCount = last;
+            applicable &= reader.type(slot) == ColumnType.TEXT;
         }
         return Comparator.comparingInt(row -> level(row, slot, ranks, last));
     }
@@ -90,8 +90,8 @@
     }
 
     /** Whether all columns are there and of types that can be compared. */
-    boolean fit() {
-        return fit;
+    boolean applicable() {
+        return applicable;
     }
 
     @Override
@@ -105,7 +105,7 @@
         return 0;
     }
 
-    boolean same(Row a, Row b) {
+    boolean sameKey(Row a, Row b) {
         for (int slot : key) {
             if (!a.cell(slot).equals(b.cell(slot))) {
                 return false;
@@ -122,8 +122,8 @@
         return key;
     }
 
-    boolean union() {
-        return union;
+    boolean fillNulls() {
+        return fillNulls;
     }
 
     int conflictSlot() {
@@ -135,18 +135,19 @@
     }
 
     /** Of two copies, each the best of its kind: both of one named level, and yet they differ. */
-    boolean differ(Row a, Row b) {
+    boolean isConflict(Row a, Row b) {
         if (conflictSlot < 0) {
             return false;
         }
-        int level = level(a, conflictSlot, levels, named);
-        return level < named
-                && level == level(b, conflictSlot, levels, named)
+        int level = level(a, conflictSlot, levels, levelCount);
+        return level < levelCount
+                && level == level(b, conflictSlot, levels, levelCount)
                 && !a.cell(conflictSlot).equals(b.cell(conflictSlot));
     }
 
     /** Whether the first copy is of a better level, so that conflicts among lesser ones mean nothing. */
     boolean outranks(Row a, Row b) {
-        return conflictSlot >= 0 && level(a, conflictSlot, levels, named) < level(b, conflictSlot, levels, named);
+        return conflictSlot >= 0
+                && level(a, conflictSlot, levels, levelCount) < level(b, conflictSlot, levels, levelCount);
     }
 }
--- a/scattergather/src/main/java/clayhook/scattergather/Duplicates.java
+++ b/scattergather/src/main/java/clayhook/scattergather/Duplicates.java
@@ -9,9 +9,9 @@
  * @param key columns that make rows copies of one another
  * @param rules the first that tells two copies apart decides; after all of them the part's number, then the place in
  *     the part
- * @param union whether columns without a value are filled from the best copy that has one
+ * @param fillNulls whether columns without a value are filled from the best copy that has one
  */
-public record Duplicates(List<String> key, List<Rule> rules, boolean union) {
+public record Duplicates(List<String> key, List<Rule> rules, boolean fillNulls) {
     /** One way to tell which of two copies is better. */
     public sealed interface Rule {
         /** The larger value in that column; none is the least. */
--- a/scattergather/src/main/java/clayhook/scattergather/ExactSum.java
+++ b/scattergather/src/main/java/clayhook/scattergather/ExactSum.java
@@ -15,17 +15,17 @@
      * What PostgreSQL's quotients of numerics have at least (numeric.c describes it as significant digits), and at
      * most.
      */
-    private static final int LEAST_DIGITS = 16, MOST_SCALE = 1000;
+    private static final int MIN_SIGNIFICANT_DIGITS = 16, MAX_SCALE = 1000;
     /** PostgreSQL reckons the size of a quotient in digits of that many decimal ones. */
-    private static final int GROUP = 4;
+    private static final int DIGITS_PER_GROUP = 4;
 
-    private long small;
+    private long longSum;
     /** What went beyond a long, and all that is not whole; null for none. */
-    private BigDecimal big;
+    private BigDecimal decimalSum;
     /** Sum of infinities and NaNs; 0 for none. */
-    private double special;
+    private double nonFinite;
 
-    private boolean any;
+    private boolean hasValues;
 
     void add(ColumnValue cell) {
         if (cell instanceof ColumnValue.IntegerValue whole) {
@@ -36,63 +36,63 @@
             if (Double.isFinite(real.value())) {
                 add(new BigDecimal(real.value()));
             } else {
-                special += real.value();
-                any = true;
+                nonFinite += real.value();
+                hasValues = true;
             }
         }
     }
 
     void add(long value) {
-        long sum = small + value;
-        if (((small ^ sum) & (value ^ sum)) < 0) { // beyond a long
-            add(BigDecimal.valueOf(small));
+        long sum = longSum + value;
+        if (((longSum ^ sum) & (value ^ sum)) < 0) { // beyond a long
+            add(BigDecimal.valueOf(longSum));
             sum = value;
         }
-        small = sum;
-        any = true;
+        longSum = sum;
+        hasValues = true;
     }
 
     private void add(BigDecimal value) {
-        big = big == null ? value : big.add(value);
-        any = true;
+        decimalSum = decimalSum == null ? value : decimalSum.add(value);
+        hasValues = true;
     }
 
-    void join(ExactSum other) {
-        if (other.any) {
-            add(other.small);
+    void merge(ExactSum other) {
+        if (other.hasValues) {
+            add(other.longSum);
         }
-        if (other.big != null) {
-            add(other.big);
+        if (other.decimalSum != null) {
+            add(other.decimalSum);
         }
-        special += other.special;
+        nonFinite += other.nonFinite;
     }
 
-    boolean any() {
-        return any;
+    boolean hasValues() {
+        return hasValues;
     }
 
     BigDecimal exact() {
-        BigDecimal whole = BigDecimal.valueOf(small);
-        return big == null ? whole : big.add(whole);
+        BigDecimal whole = BigDecimal.valueOf(longSum);
+        return decimalSum == null ? whole : decimalSum.add(whole);
     }
 
     /** Whether the result does not fit its type. */
     boolean overflows(int type) {
         return switch (type) {
             case ColumnType.INT8 -> exact().toBigInteger().bitLength() >= Long.SIZE;
-            case ColumnType.FLOAT4 -> special == 0 && Float.isInfinite(exact().floatValue());
-            case ColumnType.FLOAT8 -> special == 0 && Double.isInfinite(exact().doubleValue());
+            case ColumnType.FLOAT4 -> nonFinite == 0 && Float.isInfinite(exact().floatValue());
+            case ColumnType.FLOAT8 -> nonFinite == 0 && Double.isInfinite(exact().doubleValue());
             default -> false;
         };
     }
 
     /** The sum in that type, as PostgreSQL writes it; null for none. */
     byte[] text(int type) {
-        if (!any) {
+        if (!hasValues) {
             return null;
         }
-        if (special != 0) {
-            return Aggregator.bytes(text(special));
+        if (nonFinite != 0) {
+            return Aggregator.bytes(text(nonFinite));
         }
         return Aggregator.bytes(
                 switch (type) {
@@ -104,11 +104,11 @@
 
     /** The mean in that type over that many values. */
     byte[] mean(int type, BigInteger count) {
-        if (!any || count.signum() == 0) {
+        if (!hasValues || count.signum() == 0) {
             return null;
         }
-        if (special != 0) {
-            return Aggregator.bytes(text(special));
+        if (nonFinite != 0) {
+            return Aggregator.bytes(text(nonFinite));
         }
         BigDecimal divisor = new BigDecimal(count);
         return Aggregator.bytes(
@@ -120,18 +120,22 @@
 
     /** Digits after the point of a quotient, as PostgreSQL chooses them. */
     private static int scale(BigDecimal value, BigDecimal divisor) {
-        int size = place(value) - place(divisor) - (first(value) <= first(divisor) ? 1 : 0);
-        return Math.min(MOST_SCALE, Math.max(Math.max(0, LEAST_DIGITS - size * GROUP), value.scale()));
+        int size =
+                groupExponent(value) - groupExponent(divisor) - (leadingGroup(value) <= leadingGroup(divisor) ? 1 : 0);
+        return Math.min(
+                MAX_SCALE, Math.max(Math.max(0, MIN_SIGNIFICANT_DIGITS - size * DIGITS_PER_GROUP), value.scale()));
     }
 
     /** Which power of 10,000 the first digit of that base stands for. */
-    private static int place(BigDecimal value) {
-        return value.signum() == 0 ? 0 : Math.floorDiv(value.precision() - value.scale() - 1, GROUP);
+    private static int groupExponent(BigDecimal value) {
+        return value.signum() == 0 ? 0 : Math.floorDiv(value.precision() - value.scale() - 1, DIGITS_PER_GROUP);
     }
 
     /** The first digit to base 10,000. */
-    private static int first(BigDecimal value) {
-        return value.abs().scaleByPowerOfTen(-GROUP * place(value)).intValue();
+    private static int leadingGroup(BigDecimal value) {
+        return value.abs()
+                .scaleByPowerOfTen(-DIGITS_PER_GROUP * groupExponent(value))
+                .intValue();
     }
 
     /** Without the zeros that Java puts behind whole numbers. */
@@ -148,34 +152,36 @@
     }
 
     long weight() {
-        return Aggregator.OBJECT
-                + (big == null ? 0 : Aggregator.OBJECT + big.unscaledValue().bitLength() / 8L);
+        return Aggregator.OBJECT_BYTES
+                + (decimalSum == null
+                        ? 0
+                        : Aggregator.OBJECT_BYTES + decimalSum.unscaledValue().bitLength() / 8L);
     }
 
     /** A sum, or a sum of counts, which is 0 without any. */
     static final class SumAggregator extends Aggregator {
         private final ExactSum sum = new ExactSum();
         private final int type;
-        private final boolean counted;
+        private final boolean isCount;
 
-        SumAggregator(int type, boolean counted) {
+        SumAggregator(int type, boolean isCount) {
             this.type = type;
-            this.counted = counted;
+            this.isCount = isCount;
         }
 
         @Override
-        void add(Row row, AggregateColumn figure) {
-            sum.add(row.cell(figure.slot()));
+        void add(Row row, AggregateColumn column) {
+            sum.add(row.cell(column.slot()));
         }
 
         @Override
-        void join(Aggregator other) {
-            sum.join(((SumAggregator) other).sum);
+        void merge(Aggregator other) {
+            sum.merge(((SumAggregator) other).sum);
         }
 
         @Override
         byte[] text() {
-            return counted && !sum.any ? bytes("0") : sum.text(type);
+            return isCount && !sum.hasValues ? bytes("0") : sum.text(type);
         }
 
         @Override
@@ -185,7 +191,7 @@
 
         @Override
         long weight() {
-            return OBJECT + sum.weight();
+            return OBJECT_BYTES + sum.weight();
         }
     }
 
@@ -200,9 +206,9 @@
         }
 
         @Override
-        void add(Row row, AggregateColumn figure) {
-            ColumnValue value = row.cell(figure.slot());
-            ColumnValue times = figure.bySlot() < 0 ? null : row.cell(figure.bySlot());
+        void add(Row row, AggregateColumn column) {
+            ColumnValue value = row.cell(column.slot());
+            ColumnValue times = column.countSlot() < 0 ? null : row.cell(column.countSlot());
             if (value != ColumnValue.NULL && times != ColumnValue.NULL) {
                 sum.add(value);
                 count.add(times == null ? 1 : ((ColumnValue.IntegerValue) times).value());
@@ -210,10 +216,10 @@
         }
 
         @Override
-        void join(Aggregator tally) {
-            var other = (MeanAggregator) tally;
-            sum.join(other.sum);
-            count.join(other.count);
+        void merge(Aggregator aggregator) {
+            var other = (MeanAggregator) aggregator;
+            sum.merge(other.sum);
+            count.merge(other.count);
         }
 
         @Override
@@ -223,7 +229,7 @@
 
         @Override
         long weight() {
-            return OBJECT + sum.weight() + count.weight();
+            return OBJECT_BYTES + sum.weight() + count.weight();
         }
     }
 }
--- a/scattergather/src/main/java/clayhook/scattergather/Gather.java
+++ b/scattergather/src/main/java/clayhook/scattergather/Gather.java
@@ -9,7 +9,7 @@
 
 /**
  * One answer from many parts. It is told what comes and what time it is, and says what to do; it retries nothing by
- * itself. There is exactly one final answer, at the first {@link #turn} at or after the deadline at the latest,
+ * itself. There is exactly one final answer, at the first {@link #tick} at or after the deadline at the latest,
  * whatever comes in whatever order. What comes from a part after its end, its recall or the answer is ignored and
  * counted.
  *
@@ -19,40 +19,42 @@
  */
 public final class Gather {
     private final GatherPlan plan;
-    private final MergeSpec merging;
+    private final MergeSpec spec;
     private final List<PartStream> streams;
-    private final MemoryReservation account;
-    private final GatherActions acts;
-    private final MergeStrategy blend;
+    private final MemoryReservation reservation;
+    private final GatherActions actions;
+    private final MergeStrategy strategy;
     private final AnswerWriter out;
     /** The most that a row can weigh, and what is read ahead of each part. */
-    private final long heaviest;
+    private final long maxRowWeight;
 
-    private final long ahead;
+    private final long readAheadBytes;
     private ColumnLayout layout;
     private double now;
     private double deadline;
-    private boolean begun;
+    private boolean started;
     /** From when on rows become the answer, and no part is asked again. */
-    private boolean blending;
+    private boolean mergeStarted;
 
-    private boolean over;
+    private boolean finished;
     /** Whether something is being done, so that an act that calls back is noticed. */
-    private boolean busy;
+    private boolean inCall;
 
-    private long lateNews;
-    /** How many streams are so, as of {@link #note}: that is cheaper than looking at all of them at each row. */
-    private int ready;
+    private long ignoredEvents;
+    /**
+     * How many streams are so, as of {@link #updateCounts}: that is cheaper than looking at all of them at each row.
+     */
+    private int readyParts;
 
-    private int firm;
-    private int lost;
-    private int spare;
+    private int quorumParts;
+    private int lostParts;
+    private int spareParts;
 
     /** @param parts in the order of their numbers, which count from 0 */
-    public Gather(GatherPlan plan, List<GatherPart> parts, MemoryPool allowance, GatherActions acts) {
+    public Gather(GatherPlan plan, List<GatherPart> parts, MemoryPool memoryPool, GatherActions actions) {
         this.plan = plan;
-        this.acts = acts;
-        merging = plan.merging();
+        this.actions = actions;
+        spec = plan.spec();
         streams = parts.stream().map(PartStream::new).toList();
         for (int i = 0; i < parts.size(); i++) {
             if (parts.get(i).number() != i) {
@@ -60,27 +62,30 @@
                         "part " + parts.get(i) + " has number " + parts.get(i).number() + " in place " + i);
             }
         }
-        BufferLimits bounds = plan.bounds();
-        int cells = merging.order().size()
-                + (merging.duplicates() == null
+        BufferLimits bufferLimits = plan.bufferLimits();
+        int cells = spec.order().size()
+                + (spec.duplicates() == null
                         ? 0
-                        : merging.duplicates().key().size()
-                                + merging.duplicates().rules().size());
-        heaviest = Row.weight(bounds.longestRow(), cells);
-        ahead = Math.max(
-                heaviest, Math.min(bounds.bufferBytes() / Math.max(1, parts.size()), bounds.bufferRows() * heaviest));
-        account = new MemoryReservation(allowance, reserve() + bounds.heldBytes());
-        blend = merging.streams()
-                ? new SortedMerge(merging, account, bounds, this::follow)
-                : new BufferedMerge(merging, account, bounds);
-        out = new AnswerWriter(acts, merging.limit());
+                        : spec.duplicates().key().size()
+                                + spec.duplicates().rules().size());
+        maxRowWeight = Row.weight(bufferLimits.maxRowBytes(), cells);
+        readAheadBytes = Math.max(
+                maxRowWeight,
+                Math.min(
+                        bufferLimits.bufferBytes() / Math.max(1, parts.size()),
+                        bufferLimits.bufferRows() * maxRowWeight));
+        reservation = new MemoryReservation(memoryPool, initialReservation() + bufferLimits.maxHeldBytes());
+        strategy = spec.isStreaming()
+                ? new SortedMerge(spec, reservation, bufferLimits, this::updateStream)
+                : new BufferedMerge(spec, reservation, bufferLimits);
+        out = new AnswerWriter(actions, spec.limit());
     }
 
     /**
      * What is taken at once: what is read ahead, and of each part the row before, against which its order is checked.
      */
-    private long reserve() {
-        return merging.streams() ? streams.size() * (ahead + heaviest) : 0;
+    private long initialReservation() {
+        return spec.isStreaming() ? streams.size() * (readAheadBytes + maxRowWeight) : 0;
     }
 
     /**
@@ -91,14 +96,14 @@
      */
     public void begin(double time, double end) {
         enter();
-        if (begun) {
+        if (started) {
             throw new IllegalStateException("begun twice");
         }
-        begun = true;
+        started = true;
         now = time;
         deadline = end;
-        if (!account.take(reserve())) {
-            streams.forEach(stream -> stream.over = stream.spare = true);
+        if (!reservation.tryReserve(initialReservation())) {
+            streams.forEach(stream -> stream.ended = stream.spare = true);
             finish(
                     new GatherFault(
                             GatherFault.Kind.FULL,
@@ -107,29 +112,29 @@
                             "no memory is left to read ahead of " + streams.size() + " parts"),
                     true);
         } else {
-            streams.forEach(stream -> acts.ask(stream.part));
-            streams.forEach(this::follow);
-            settle();
-            streams.forEach(stream -> stream.clock(now));
+            streams.forEach(stream -> actions.ask(stream.part));
+            streams.forEach(this::updateStream);
+            advance();
+            streams.forEach(stream -> stream.updateClock(now));
         }
-        busy = false;
+        inCall = false;
     }
 
     private void enter() {
-        if (busy) {
+        if (inCall) {
             throw new IllegalStateException("an act calls back into its gather");
         }
-        busy = true;
+        inCall = true;
     }
 
     /** The part's stream, if it is still heard; then {@link #leave} must follow. */
-    private PartStream heard(GatherPart part) {
+    private PartStream enterIfActive(GatherPart part) {
         PartStream stream = streams.get(part.number());
-        if (!stream.part.equals(part) || !begun) {
-            throw new IllegalArgumentException(begun ? "no part of this gather: " + part : "not begun");
+        if (!stream.part.equals(part) || !started) {
+            throw new IllegalArgumentException(started ? "no part of this gather: " + part : "not begun");
         }
-        if (over || stream.over) {
-            lateNews++;
+        if (finished || stream.ended) {
+            ignoredEvents++;
             return null;
         }
         enter();
@@ -137,14 +142,14 @@
     }
 
     private void leave(PartStream stream) {
-        follow(stream);
-        settle();
-        busy = false;
+        updateStream(stream);
+        advance();
+        inCall = false;
     }
 
     /** A position that the part is known to have reached, told ahead of its end where that is known. */
-    public void placed(GatherPart part, double position) {
-        PartStream stream = heard(part);
+    public void positionReached(GatherPart part, double position) {
+        PartStream stream = enterIfActive(part);
         if (stream != null) {
             stream.position = Math.max(stream.position, position);
             leave(stream);
@@ -153,9 +158,9 @@
 
     /** The part's columns; of a part that cannot be described as text, null. */
     public void described(GatherPart part, List<Column> columns) {
-        PartStream stream = heard(part);
+        PartStream stream = enterIfActive(part);
         if (stream != null) {
-            GatherFault fault = describe(stream, columns);
+            GatherFault fault = acceptColumns(stream, columns);
             if (fault != null) {
                 reject(stream, fault);
             }
@@ -163,28 +168,28 @@
         }
     }
 
-    private GatherFault describe(PartStream stream, List<Column> columns) {
+    private GatherFault acceptColumns(PartStream stream, List<Column> columns) {
         stream.described = true;
         if (columns == null) {
             return new GatherFault(GatherFault.Kind.MIXED, stream.part, 0, "no columns of text");
         }
         if (layout == null) {
-            var first = new ColumnLayout(merging, List.copyOf(columns), part -> streams.get(part.number()).position);
-            layout = first.misfit() == null ? first : null;
-            return layout != null ? null : new GatherFault(GatherFault.Kind.UNFIT, stream.part, 0, first.misfit());
+            var first = new ColumnLayout(spec, List.copyOf(columns), part -> streams.get(part.number()).position);
+            layout = first.problem() == null ? first : null;
+            return layout != null ? null : new GatherFault(GatherFault.Kind.UNFIT, stream.part, 0, first.problem());
         }
-        String differs = layout.differs(columns);
-        if (differs == null) {
-            layout.loosen(columns);
+        String difference = layout.difference(columns);
+        if (difference == null) {
+            layout.relaxModifiers(columns);
         }
-        return differs == null ? null : new GatherFault(GatherFault.Kind.MIXED, stream.part, 0, differs);
+        return difference == null ? null : new GatherFault(GatherFault.Kind.MIXED, stream.part, 0, difference);
     }
 
     /** A row of the part, a whole DataRow message; it is kept as it is and must not change any more. */
     public void row(GatherPart part, byte[] message) {
-        PartStream stream = heard(part);
+        PartStream stream = enterIfActive(part);
         if (stream != null) {
-            GatherFault fault = admit(stream, message);
+            GatherFault fault = acceptRow(stream, message);
             if (fault != null) {
                 reject(stream, fault);
             }
@@ -192,23 +197,23 @@
         }
     }
 
-    private GatherFault admit(PartStream stream, byte[] message) {
+    private GatherFault acceptRow(PartStream stream, byte[] message) {
         stream.rows++;
-        stream.owed--;
-        GatherFault.Kind unfit = unfit(stream, message);
+        stream.credit--;
+        GatherFault.Kind unfit = checkLimits(stream, message);
         if (unfit != null) {
             return fault(stream, unfit, message);
         }
-        if (stream.rows > merging.limit().depth()) {
+        if (stream.rows > spec.limit().depth()) {
             stream.rows--;
             stream.end(true);
-            acts.recall(stream.part);
+            actions.recall(stream.part);
             return null;
         }
-        ColumnValue[] cells = new ColumnValue[layout.reading().size()];
-        int column = layout.reading().read(message, cells);
-        if (column != ColumnReader.READ) {
-            return column == ColumnReader.MISSHAPEN
+        ColumnValue[] cells = new ColumnValue[layout.reader().size()];
+        int column = layout.reader().read(message, cells);
+        if (column != ColumnReader.SUCCESS) {
+            return column == ColumnReader.MALFORMED
                     ? fault(stream, GatherFault.Kind.WIDTH, message)
                     : new GatherFault(
                             GatherFault.Kind.UNREADABLE,
@@ -217,27 +222,27 @@
                             "column " + layout.columns().get(column).name() + " is no value of type "
                                     + layout.columns().get(column).type());
         }
-        Row row = new Row(stream.part, stream.rows, message, layout.reading(), cells);
-        boolean ordered = merging.sorted() && merging.groups() == null;
+        Row row = new Row(stream.part, stream.rows, message, layout.reader(), cells);
+        boolean ordered = spec.sorted() && spec.groups() == null;
         if (ordered) {
-            layout.order().mark(row);
+            layout.order().setSortPrefix(row);
         }
-        if (ordered && stream.last != null && layout.order().keys(stream.last, row) > 0) {
+        if (ordered && stream.lastRow != null && layout.order().compareKeys(stream.lastRow, row) > 0) {
             return fault(stream, GatherFault.Kind.UNORDERED, message);
         }
-        stream.last = ordered ? row : null;
-        blend.take(stream, row, layout);
+        stream.lastRow = ordered ? row : null;
+        strategy.addRow(stream, row, layout);
         return null;
     }
 
-    private GatherFault.Kind unfit(PartStream stream, byte[] message) {
-        return stream.owed < 0
+    private GatherFault.Kind checkLimits(PartStream stream, byte[] message) {
+        return stream.credit < 0
                 ? GatherFault.Kind.OVERRUN
-                : message.length > plan.bounds().longestRow()
+                : message.length > plan.bufferLimits().maxRowBytes()
                         ? GatherFault.Kind.TOO_LONG
                         : !stream.described
                                 ? GatherFault.Kind.WIDTH
-                                : stream.rows > plan.bounds().partRows() ? GatherFault.Kind.ENDLESS : null;
+                                : stream.rows > plan.bufferLimits().maxPartRows() ? GatherFault.Kind.ENDLESS : null;
     }
 
     private GatherFault fault(PartStream stream, GatherFault.Kind kind, byte[] message) {
@@ -248,11 +253,12 @@
                 switch (kind) {
                     case OVERRUN -> "it was not asked for";
                     case TOO_LONG ->
-                        message.length + " bytes, more than " + plan.bounds().longestRow();
+                        message.length + " bytes, more than "
+                                + plan.bufferLimits().maxRowBytes();
                     case WIDTH ->
                         stream.described
                                 ? Row.width(message) + " columns instead of "
-                                        + layout.reading().width()
+                                        + layout.reader().width()
                                 : "no columns told";
                     case ENDLESS -> "more rows than any part may have";
                     default -> "belongs before the row before it";
@@ -265,10 +271,10 @@
      * @param position at which it was read, seconds since 1970; negative infinity where unknown
      */
     public void ended(GatherPart part, double position) {
-        PartStream stream = heard(part);
+        PartStream stream = enterIfActive(part);
         if (stream != null) {
             stream.position = Math.max(stream.position, position);
-            stream.end(stream.rows >= merging.limit().depth());
+            stream.end(stream.rows >= spec.limit().depth());
             leave(stream);
         }
     }
@@ -278,15 +284,15 @@
      *
      * @param mayAskAgain what the router decides. A part of which rows may be in the answer already is not asked again
      */
-    public void failed(GatherPart part, String why, boolean mayAskAgain) {
-        PartStream stream = heard(part);
+    public void failed(GatherPart part, String reason, boolean mayAskAgain) {
+        PartStream stream = enterIfActive(part);
         if (stream != null) {
-            if (mayAskAgain && !blending) {
-                blend.forget(stream);
+            if (mayAskAgain && !mergeStarted) {
+                strategy.discard(stream);
                 stream.reset();
-                acts.ask(part);
+                actions.ask(part);
             } else {
-                stream.fall(PartStatus.MISSING, why, null);
+                stream.fail(PartStatus.MISSING, reason, null);
             }
             leave(stream);
         }
@@ -294,22 +300,22 @@
 
     /** The receiver of the answer takes that many rows more; at first it takes none. */
     public void request(int rows) {
-        if (!begun) {
-            out.room(rows);
-        } else if (!over) {
+        if (!started) {
+            out.request(rows);
+        } else if (!finished) {
             enter();
-            out.room(rows);
-            settle();
-            busy = false;
+            out.request(rows);
+            advance();
+            inCall = false;
         }
     }
 
     /** Nobody wants the answer any more: ends it at once. */
     public void cancel() {
-        if (begun && !over) {
+        if (started && !finished) {
             enter();
             finish(null, true);
-            busy = false;
+            inCall = false;
         }
     }
 
@@ -317,141 +323,145 @@
      * It is now that late. @return when the next turn is due at the latest, infinity for none; an earlier one does no
      * harm
      */
-    public double turn(double time) {
-        if (over || !begun) {
+    public double tick(double time) {
+        if (finished || !started) {
             return Double.POSITIVE_INFINITY;
         }
         enter();
         now = Math.max(now, time);
         boolean expired = now >= deadline;
         for (PartStream stream : streams) {
-            stream.clock(now);
-            if (!stream.over && (expired || stream.late(plan.patience()))) {
-                acts.recall(stream.part);
-                stream.fall(
+            stream.updateClock(now);
+            if (!stream.ended && (expired || stream.late(plan.partTimeout()))) {
+                actions.recall(stream.part);
+                stream.fail(
                         PartStatus.LATE, expired ? "not there by the deadline" : "took longer than a part may", null);
-                note(stream);
+                updateCounts(stream);
             }
         }
-        settle();
-        if (expired && !over) { // its receiver does not take it
+        advance();
+        if (expired && !finished) { // its receiver does not take it
             finish(null, true);
         }
-        busy = false;
-        return over ? Double.POSITIVE_INFINITY : due();
+        inCall = false;
+        return finished ? Double.POSITIVE_INFINITY : due();
     }
 
     private double due() {
         double next = deadline;
         for (PartStream stream : streams) {
-            stream.clock(now);
-            next = Math.min(next, stream.due(plan.patience()));
+            stream.updateClock(now);
+            next = Math.min(next, stream.due(plan.partTimeout()));
         }
         return next;
     }
 
     /** Guards against a part whose rows cannot be trusted: those that are not in the answer yet never will be. */
     private void reject(PartStream stream, GatherFault fault) {
-        acts.recall(stream.part);
-        stream.fall(PartStatus.MISSING, fault.toString(), fault);
-        blend.forget(stream);
+        actions.recall(stream.part);
+        stream.fail(PartStatus.MISSING, fault.toString(), fault);
+        strategy.discard(stream);
     }
 
     /**
      * Something has changed about that part: it may be given more credit, and what is counted of it is brought up to
      * date.
      */
-    private void follow(PartStream stream) {
-        int more = stream.over ? 0 : stream.room(plan.bounds().bufferRows(), ahead, heaviest, blend.useful(out));
+    private void updateStream(PartStream stream) {
+        int more = stream.ended
+                ? 0
+                : stream.creditToGrant(
+                        plan.bufferLimits().bufferRows(), readAheadBytes, maxRowWeight, strategy.usefulRows(out));
         if (more > 0) {
-            stream.owed += more;
-            acts.credit(stream.part, more);
+            stream.credit += more;
+            actions.credit(stream.part, more);
         }
-        stream.rest();
-        note(stream);
+        stream.stopClockIfIdle();
+        updateCounts(stream);
     }
 
-    private void note(PartStream stream) {
-        if (blending && !stream.over) {
+    private void updateCounts(PartStream stream) {
+        if (mergeStarted && !stream.ended) {
             return; // what counts for the beginning is past
         }
-        boolean isReady = blend.ready(stream);
-        boolean isFirm = stream.over ? !stream.shortened && !old(stream) : blend.firm(stream);
-        boolean isLost = stream.over
+        boolean readyNow = strategy.ready(stream);
+        boolean countsNow = stream.ended ? !stream.truncated && !isTooOld(stream) : strategy.countsForQuorum(stream);
+        boolean lostNow = stream.ended
                 && !stream.spare
-                && ((stream.shortened && stream.buffer.isEmpty()) || (stream.fall == null && old(stream)));
-        ready += change(stream.ready, isReady);
-        firm += change(stream.firm, isFirm);
-        lost += change(stream.lost, isLost);
-        stream.ready = isReady;
-        stream.firm = isFirm;
-        stream.lost = isLost;
+                && ((stream.truncated && stream.buffer.isEmpty()) || (stream.failure == null && isTooOld(stream)));
+        readyParts += countChange(stream.ready, readyNow);
+        quorumParts += countChange(stream.countsForQuorum, countsNow);
+        lostParts += countChange(stream.lost, lostNow);
+        stream.ready = readyNow;
+        stream.countsForQuorum = countsNow;
+        stream.lost = lostNow;
     }
 
-    private static int change(boolean before, boolean after) {
+    private static int countChange(boolean before, boolean after) {
         return before == after ? 0 : after ? 1 : -1;
     }
 
-    private boolean old(PartStream stream) {
-        return stream.position < plan.oldest();
+    private boolean isTooOld(PartStream stream) {
+        return stream.position < plan.minPosition();
     }
 
     /** Does what follows from what was told. */
-    private void settle() {
-        if (blend.fault() != null || (!plan.marked() && hopeless())) {
-            finish(blend.fault(), true);
+    private void advance() {
+        if (strategy.fault() != null || (!plan.allowPartial() && cannotComplete())) {
+            finish(strategy.fault(), true);
             return;
         }
-        if (!blending && mayBegin()) {
-            blend();
+        if (!mergeStarted && canStartMerge()) {
+            startMerge();
         }
-        boolean done = blending && blend.pour(out);
-        if (blend.fault() != null || done) {
-            finish(blend.fault(), blend.fault() != null);
-        } else if (!plan.marked() && hopeless()) { // the last that came of a part that broke off went out
+        boolean done = mergeStarted && strategy.emitAvailable(out);
+        if (strategy.fault() != null || done) {
+            finish(strategy.fault(), strategy.fault() != null);
+        } else if (!plan.allowPartial() && cannotComplete()) { // the last that came of a part that broke off went out
             finish(null, true);
         }
     }
 
     /** Whether so many parts are lost that what is left cannot be enough. */
-    private boolean hopeless() {
-        return !(plan.enough() instanceof CompletionPolicy.Best) && streams.size() - spare - lost < needed();
+    private boolean cannotComplete() {
+        return !(plan.completion() instanceof CompletionPolicy.Best)
+                && streams.size() - spareParts - lostParts < requiredParts();
     }
 
-    private long needed() {
-        return plan.enough() instanceof CompletionPolicy.Quorum quorum ? quorum.parts() : streams.size();
+    private long requiredParts() {
+        return plan.completion() instanceof CompletionPolicy.Quorum quorum ? quorum.parts() : streams.size();
     }
 
-    private boolean mayBegin() {
-        return plan.enough() instanceof CompletionPolicy.Quorum quorum
-                ? firm >= quorum.parts() || streams.stream().allMatch(stream -> stream.over)
-                : ready == streams.size();
+    private boolean canStartMerge() {
+        return plan.completion() instanceof CompletionPolicy.Quorum quorum
+                ? quorumParts >= quorum.parts() || streams.stream().allMatch(stream -> stream.ended)
+                : readyParts == streams.size();
     }
 
-    private void blend() {
-        blending = true;
-        if (plan.enough() instanceof CompletionPolicy.Quorum quorum && firm >= quorum.parts()) {
+    private void startMerge() {
+        mergeStarted = true;
+        if (plan.completion() instanceof CompletionPolicy.Quorum quorum && quorumParts >= quorum.parts()) {
             List<PartStream> needed = streams.stream()
-                    .filter(stream -> stream.firm)
+                    .filter(stream -> stream.countsForQuorum)
                     .limit(quorum.parts())
                     .toList();
-            streams.stream().filter(stream -> !needed.contains(stream)).forEach(this::spare);
+            streams.stream().filter(stream -> !needed.contains(stream)).forEach(this::markSpare);
         }
-        blend.begin(streams.stream().filter(stream -> !stream.spare).toList(), layout);
+        strategy.begin(streams.stream().filter(stream -> !stream.spare).toList(), layout);
         if (layout != null) {
-            out.begin(layout.shown());
+            out.begin(layout.answerColumns());
         }
     }
 
-    private void spare(PartStream stream) {
-        if (!stream.over) {
-            acts.recall(stream.part);
+    private void markSpare(PartStream stream) {
+        if (!stream.ended) {
+            actions.recall(stream.part);
         }
-        stream.over = true;
+        stream.ended = true;
         stream.spare = true;
         stream.clear();
-        spare++;
-        note(stream);
+        spareParts++;
+        updateCounts(stream);
     }
 
     /**
@@ -460,94 +470,96 @@
      * @param broken whether the answer was not at its end
      */
     private void finish(GatherFault fault, boolean broken) {
-        over = true;
+        finished = true;
         var notes = new ArrayList<PartNote>();
         for (PartStream stream : streams) {
-            if (!stream.over) {
-                acts.recall(stream.part);
+            if (!stream.ended) {
+                actions.recall(stream.part);
             }
-            stream.dry = blending ? stream.dry : stream.shortened;
-            PartStatus standing = standing(stream, broken);
-            String why = stream.dry && stream.deeper ? "has more than the rows that it was asked for" : stream.why;
+            stream.missingRows = mergeStarted ? stream.missingRows : stream.truncated;
+            PartStatus status = status(stream, broken);
+            String reason = stream.missingRows && stream.depthReached
+                    ? "has more than the rows that it was asked for"
+                    : stream.reason;
             notes.add(new PartNote(
-                    stream.part, standing, standing == PartStatus.WHOLE ? "" : why, stream.fault, stream.position));
+                    stream.part, status, status == PartStatus.WHOLE ? "" : reason, stream.fault, stream.position));
         }
-        GatherResult verdict = verdict(fault, broken, List.copyOf(notes));
-        blend.drop();
+        GatherResult result = result(fault, broken, List.copyOf(notes));
+        strategy.release();
         streams.forEach(PartStream::clear);
-        account.close();
+        reservation.close();
         if (layout != null) {
-            out.begin(layout.shown());
+            out.begin(layout.answerColumns());
         }
-        acts.finish(verdict);
+        actions.finish(result);
     }
 
-    private GatherResult verdict(GatherFault fault, boolean broken, List<PartNote> notes) {
+    private GatherResult result(GatherFault fault, boolean broken, List<PartNote> notes) {
         List<PartNote> used = notes.stream()
-                .filter(note -> switch (note.standing()) {
+                .filter(note -> switch (note.status()) {
                     case WHOLE, OLD, CUT -> true;
                     case SPARE, MISSING, LATE -> false;
                 })
                 .toList();
         boolean complete = !broken
                 && used.stream()
-                                .filter(note -> note.standing() == PartStatus.WHOLE)
+                                .filter(note -> note.status() == PartStatus.WHOLE)
                                 .count()
-                        >= needed();
-        boolean enough = complete || (!broken && plan.enough() instanceof CompletionPolicy.Best && !used.isEmpty());
-        var cut = new Truncation(
+                        >= requiredParts();
+        boolean usable = complete || (!broken && plan.completion() instanceof CompletionPolicy.Best && !used.isEmpty());
+        var truncation = new Truncation(
                 broken && now >= deadline ? Truncation.Where.DEADLINE : out.where(),
-                !broken && streams.stream().noneMatch(stream -> stream.dry),
+                !broken && streams.stream().noneMatch(stream -> stream.missingRows),
                 streams.stream()
-                        .filter(stream -> stream.dry && stream.deeper)
+                        .filter(stream -> stream.missingRows && stream.depthReached)
                         .map(stream -> stream.part)
                         .toList());
         double position = used.stream().mapToDouble(PartNote::position).min().orElse(Double.POSITIVE_INFINITY);
         return new GatherResult(
                 fault != null ? Outcome.FAILED : complete ? Outcome.COMPLETE : Outcome.PARTIAL,
-                enough,
+                usable,
                 position,
                 notes,
-                cut,
+                truncation,
                 out.rows(),
                 fault,
-                blend.conflicts(),
-                blend.errors());
+                strategy.conflicts(),
+                strategy.errors());
     }
 
     /** A part that broke off is whole all the same where the answer ended before it would have needed more of it. */
-    private PartStatus standing(PartStream stream, boolean broken) {
-        if (stream.spare || (!stream.over && broken)) {
+    private PartStatus status(PartStream stream, boolean broken) {
+        if (stream.spare || (!stream.ended && broken)) {
             return PartStatus.SPARE;
         }
-        if (stream.dry || (stream.fall != null && broken)) {
-            return stream.fall == null || stream.counted > 0 ? PartStatus.CUT : stream.fall;
+        if (stream.missingRows || (stream.failure != null && broken)) {
+            return stream.failure == null || stream.usedRows > 0 ? PartStatus.CUT : stream.failure;
         }
-        return old(stream) ? PartStatus.OLD : PartStatus.WHOLE;
+        return isTooOld(stream) ? PartStatus.OLD : PartStatus.WHOLE;
     }
 
     /** Whether the final answer was given. */
-    public boolean over() {
-        return over;
+    public boolean finished() {
+        return finished;
     }
 
     /** News of parts that came after they, or the whole, had ended. */
-    public long lateNews() {
-        return lateNews;
+    public long ignoredEvents() {
+        return ignoredEvents;
     }
 
     /** Bytes of memory that rows read ahead take. */
-    long readAhead() {
-        return streams.stream().mapToLong(PartStream::held).sum();
+    long bufferedBytes() {
+        return streams.stream().mapToLong(PartStream::bufferedBytes).sum();
     }
 
     /** Bytes of memory taken from the allowance now. */
-    public long held() {
-        return account.used();
+    public long reservedBytes() {
+        return reservation.used();
     }
 
     /** The most that was ever taken. */
-    public long peak() {
-        return account.peak();
+    public long peakReservedBytes() {
+        return reservation.peak();
     }
 }
--- a/scattergather/src/main/java/clayhook/scattergather/GatherActions.java
+++ b/scattergather/src/main/java/clayhook/scattergather/GatherActions.java
@@ -20,5 +20,5 @@
     void emit(byte[] row);
 
     /** The end, once. */
-    void finish(GatherResult verdict);
+    void finish(GatherResult result);
 }
--- a/scattergather/src/main/java/clayhook/scattergather/GatherResult.java
+++ b/scattergather/src/main/java/clayhook/scattergather/GatherResult.java
@@ -8,7 +8,7 @@
 /**
  * What an answer is worth.
  *
- * @param enough whether it may be given out: complete, or the plan takes whatever is there
+ * @param usable whether it may be given out: complete, or the plan takes whatever is there
  * @param position of the oldest part that the answer rests on, seconds since 1970; negative infinity where one told
  *     none, positive infinity where it rests on none
  * @param notes on each part, in their order
@@ -18,10 +18,10 @@
  */
 public record GatherResult(
         Outcome outcome,
-        boolean enough,
+        boolean usable,
         double position,
         List<PartNote> notes,
-        Truncation cut,
+        Truncation truncation,
         long rows,
         GatherFault fault,
         long conflicts,
@@ -50,10 +50,10 @@
     }
 
     /** On one part. */
-    public record PartNote(GatherPart part, PartStatus standing, String why, GatherFault fault, double position) {
+    public record PartNote(GatherPart part, PartStatus status, String reason, GatherFault fault, double position) {
         @Override
         public String toString() {
-            return part + " " + standing.name().toLowerCase(Locale.ROOT) + (why.isEmpty() ? "" : " (" + why + ")");
+            return part + " " + status.name().toLowerCase(Locale.ROOT) + (reason.isEmpty() ? "" : " (" + reason + ")");
         }
     }
 
@@ -62,9 +62,9 @@
      *
      * @param exact whether the rows given are the first of the whole answer, whatever the parts may hold besides; of
      *     groups and of rows held whole it is only claimed when no part has more
-     * @param deeper parts that were asked for too few rows to know
+     * @param partsWithMore parts that were asked for too few rows to know
      */
-    public record Truncation(Where where, boolean exact, List<GatherPart> deeper) {
+    public record Truncation(Where where, boolean exact, List<GatherPart> partsWithMore) {
         /** Kinds of ends. */
         public enum Where {
             NONE,
@@ -75,9 +75,9 @@
     }
 
     /** The parts with that standing. */
-    public List<GatherPart> parts(PartStatus standing) {
+    public List<GatherPart> parts(PartStatus status) {
         return notes.stream()
-                .filter(note -> note.standing == standing)
+                .filter(note -> note.status == status)
                 .map(PartNote::part)
                 .toList();
     }
@@ -86,12 +86,12 @@
     @Override
     public String toString() {
         String parts = notes.stream()
-                .filter(note -> note.standing != PartStatus.WHOLE && note.standing != PartStatus.SPARE)
+                .filter(note -> note.status != PartStatus.WHOLE && note.status != PartStatus.SPARE)
                 .map(PartNote::toString)
                 .collect(Collectors.joining(", "));
         return outcome.name().toLowerCase(Locale.ROOT)
                 + (fault == null ? "" : ": " + fault)
                 + (parts.isEmpty() ? "" : ": " + parts)
-                + (cut.deeper.isEmpty() ? "" : "; ask deeper: " + cut.deeper);
+                + (truncation.partsWithMore.isEmpty() ? "" : "; ask deeper: " + truncation.partsWithMore);
     }
 }
--- a/scattergather/src/main/java/clayhook/scattergather/Grouping.java
+++ b/scattergather/src/main/java/clayhook/scattergather/Grouping.java
@@ -7,9 +7,9 @@
  *
  * @param by empty for one group of all rows, which is there without any row too, as in PostgreSQL
  */
-public record Grouping(List<String> by, List<Aggregate> measures) {
+public record Grouping(List<String> by, List<Aggregate> aggregates) {
     public Grouping {
         by = List.copyOf(by);
-        measures = List.copyOf(measures);
+        aggregates = List.copyOf(aggregates);
     }
 }
--- a/scattergather/src/main/java/clayhook/scattergather/LoserTree.java
+++ b/scattergather/src/main/java/clayhook/scattergather/LoserTree.java
@@ -10,34 +10,34 @@
     private final RowComparator order;
     private final Row[] heads;
     /** Of each head: most comparisons look no further. */
-    private final long[] rough;
+    private final long[] sortPrefixes;
     /** By inner node, from 1: who lost there. At 0: who won all. */
     private final int[] losers;
 
     LoserTree(RowComparator order, Row[] heads) {
         this.order = order;
         this.heads = heads;
-        rough = new long[heads.length];
+        sortPrefixes = new long[heads.length];
         for (int i = 0; i < heads.length; i++) {
-            rough[i] = heads[i] == null ? Long.MAX_VALUE : heads[i].rough;
+            sortPrefixes[i] = heads[i] == null ? Long.MAX_VALUE : heads[i].sortPrefix;
         }
         losers = new int[heads.length];
-        play();
+        rebuild();
     }
 
     private boolean before(int a, int b) {
-        if (rough[a] != rough[b]) {
-            return rough[a] < rough[b];
+        if (sortPrefixes[a] != sortPrefixes[b]) {
+            return sortPrefixes[a] < sortPrefixes[b];
         }
         if (heads[a] == null || heads[b] == null) {
             return heads[a] != null;
         }
-        int keyed = order.keys(heads[a], heads[b]);
+        int keyed = order.compareKeys(heads[a], heads[b]);
         return keyed < 0 || (keyed == 0 && a < b);
     }
 
     /** All matches anew, from the leaves up. */
-    private void play() {
+    private void rebuild() {
         int count = heads.length;
         int[] winners = new int[2 * count];
         Arrays.setAll(winners, node -> node - count); // the leaves; inner nodes are overwritten
@@ -64,9 +64,9 @@
     /** The first row of that slot is now this one; null for none. */
     void put(int slot, Row row) {
         heads[slot] = row;
-        rough[slot] = row == null ? Long.MAX_VALUE : row.rough;
+        sortPrefixes[slot] = row == null ? Long.MAX_VALUE : row.sortPrefix;
         if (slot != losers[0]) { // its path was not the winner's: rare, when a part is dropped
-            play();
+            rebuild();
             return;
         }
         int winner = slot;
--- a/scattergather/src/main/java/clayhook/scattergather/MemoryPool.java
+++ b/scattergather/src/main/java/clayhook/scattergather/MemoryPool.java
@@ -3,10 +3,10 @@
 /** Memory that all gathers of a router share. Called from the gathers' own thread. */
 public interface MemoryPool {
     /** Takes that many bytes, or nothing and returns false. */
-    boolean take(long bytes);
+    boolean tryReserve(long bytes);
 
     /** Gives back what was taken. */
-    void give(long bytes);
+    void release(long bytes);
 
     /** That many bytes in all, for gathers of one thread. */
     static MemoryPool of(long bytes) {
@@ -14,14 +14,14 @@
             private long left = bytes;
 
             @Override
-            public boolean take(long wanted) {
+            public boolean tryReserve(long wanted) {
                 boolean enough = wanted <= left;
                 left -= enough ? wanted : 0;
                 return enough;
             }
 
             @Override
-            public void give(long unused) {
+            public void release(long unused) {
                 left += unused;
             }
         };
--- a/scattergather/src/main/java/clayhook/scattergather/MemoryReservation.java
+++ b/scattergather/src/main/java/clayhook/scattergather/MemoryReservation.java
@@ -2,18 +2,18 @@
 
 /** What one gather holds, out of the router's allowance and under its own bound. */
 final class MemoryReservation {
-    private final MemoryPool allowance;
-    private final long most;
+    private final MemoryPool memoryPool;
+    private final long limit;
     private long used;
     private long peak;
 
-    MemoryReservation(MemoryPool allowance, long most) {
-        this.allowance = allowance;
-        this.most = most;
+    MemoryReservation(MemoryPool memoryPool, long limit) {
+        this.memoryPool = memoryPool;
+        this.limit = limit;
     }
 
-    boolean take(long bytes) {
-        if (bytes > most - used || !allowance.take(bytes)) {
+    boolean tryReserve(long bytes) {
+        if (bytes > limit - used || !memoryPool.tryReserve(bytes)) {
             return false;
         }
         used += bytes;
@@ -21,9 +21,9 @@
         return true;
     }
 
-    void give(long bytes) {
+    void release(long bytes) {
         used -= bytes;
-        allowance.give(bytes);
+        memoryPool.release(bytes);
     }
 
     long used() {
@@ -35,6 +35,6 @@
     }
 
     void close() {
-        give(used);
+        release(used);
     }
 }
--- a/scattergather/src/main/java/clayhook/scattergather/MergeSpec.java
+++ b/scattergather/src/main/java/clayhook/scattergather/MergeSpec.java
@@ -39,14 +39,14 @@
     }
 
     /** Whether rows go through as they come. Else all of them are held to the end. */
-    boolean streams() {
-        return groups == null && (sorted || order.isEmpty()) && (duplicates == null || adjacent());
+    boolean isStreaming() {
+        return groups == null && (sorted || order.isEmpty()) && (duplicates == null || duplicatesAreAdjacent());
     }
 
     /**
      * Copies stand side by side in the order when their key is what the order begins with, and can be judged at once.
      */
-    private boolean adjacent() {
+    private boolean duplicatesAreAdjacent() {
         int size = duplicates.key().size();
         return sorted
                 && size <= order.size()
--- a/scattergather/src/main/java/clayhook/scattergather/PartStream.java
+++ b/scattergather/src/main/java/clayhook/scattergather/PartStream.java
@@ -8,39 +8,39 @@
     /** What came and was not taken yet; emptied by the merge and at the end, bounded by credit. */
     final ArrayDeque<Row> buffer = new ArrayDeque<>();
     /** Rows that may still be handed in. */
-    int owed;
+    int credit;
     /** Rows that came. */
     long rows;
     /** Rows that are in the answer, or lost there against their copies. */
-    long counted;
+    long usedRows;
     /** The one that came last, for the order; null for none. */
-    Row last;
+    Row lastRow;
 
     boolean described;
     /** Nothing more comes, for whatever reason. */
-    boolean over;
+    boolean ended;
     /** Not all that it may have came. */
-    boolean shortened;
+    boolean truncated;
     /** The answer would have gone on with rows that never came. */
-    boolean dry;
+    boolean missingRows;
     /** It may have more than was asked for. */
-    boolean deeper;
+    boolean depthReached;
     /** Others are enough. */
     boolean spare;
     /** As counted in the gather: enough is known of it to begin, it counts for a quorum, it is lost for the answer. */
     boolean ready;
 
-    boolean firm;
+    boolean countsForQuorum;
     boolean lost;
     double position = Double.NEGATIVE_INFINITY;
     /** Why it did not come to its end. */
-    GatherResult.PartStatus fall;
+    GatherResult.PartStatus failure;
 
-    String why = "";
+    String reason = "";
     GatherFault fault;
-    private long held;
-    private double spent;
-    private double since = Double.NaN;
+    private long bufferedBytes;
+    private double elapsed;
+    private double runningSince = Double.NaN;
 
     PartStream(GatherPart part) {
         this.part = part;
@@ -49,89 +49,91 @@
     /** It is asked anew; the time that it took already stays spent. */
     void reset() {
         buffer.clear();
-        held = 0;
-        owed = 0;
+        bufferedBytes = 0;
+        credit = 0;
         rows = 0;
-        last = null;
+        lastRow = null;
         described = false;
         position = Double.NEGATIVE_INFINITY;
     }
 
     /** It takes no further part, and what is not in the answer yet never will be. */
-    void fall(GatherResult.PartStatus standing, String reason, GatherFault wrong) {
-        over = true;
-        shortened = true;
-        fall = standing;
-        why = reason;
-        fault = wrong;
+    void fail(GatherResult.PartStatus status, String message, GatherFault partFault) {
+        ended = true;
+        truncated = true;
+        failure = status;
+        reason = message;
+        fault = partFault;
     }
 
     /** It ended, or is at the depth that it was asked for. */
     void end(boolean mayHaveMore) {
-        over = true;
-        shortened = mayHaveMore;
-        deeper = mayHaveMore;
+        ended = true;
+        truncated = mayHaveMore;
+        depthReached = mayHaveMore;
     }
 
     void put(Row row) {
         buffer.add(row);
-        held += row.weight();
+        bufferedBytes += row.weight();
     }
 
     Row poll() {
         Row row = buffer.poll();
-        counted++;
-        held -= row.weight();
+        usedRows++;
+        bufferedBytes -= row.weight();
         return row;
     }
 
     void clear() {
         buffer.clear();
-        held = 0;
+        bufferedBytes = 0;
     }
 
     /** Memory of its buffer. */
-    long held() {
-        return held;
+    long bufferedBytes() {
+        return bufferedBytes;
     }
 
     /**
      * How many rows more there is room for, if each is as long as any may be; none while half of what could be is out.
      */
-    int room(int rowsAhead, long bytesAhead, long heaviest, long useful) {
-        if (owed > (rowsAhead >> 1) || owed * heaviest > ((bytesAhead - held) >> 1)) {
+    int creditToGrant(int rowsAhead, long bytesAhead, long maxRowWeight, long usefulRows) {
+        if (credit > (rowsAhead >> 1) || credit * maxRowWeight > ((bytesAhead - bufferedBytes) >> 1)) {
             return 0;
         }
         return (int) Math.max(
-                0, Math.min(Math.min(rowsAhead, useful) - buffer.size(), (bytesAhead - held) / heaviest) - owed);
+                0,
+                Math.min(Math.min(rowsAhead, usefulRows) - buffer.size(), (bytesAhead - bufferedBytes) / maxRowWeight)
+                        - credit);
     }
 
-    private boolean running() {
-        return !over && owed > 0;
+    private boolean owesRows() {
+        return !ended && credit > 0;
     }
 
     /**
      * Time runs while it owes rows. What came since the clock was told last counts as having come then: in favour of
      * the part.
      */
-    void clock(double now) {
-        if (!Double.isNaN(since)) {
-            spent += Math.max(0, now - since);
+    void updateClock(double now) {
+        if (!Double.isNaN(runningSince)) {
+            elapsed += Math.max(0, now - runningSince);
         }
-        since = running() ? now : Double.NaN;
+        runningSince = owesRows() ? now : Double.NaN;
     }
 
     /** Its time stops if it owes nothing now; it runs again when the clock is told next. */
-    void rest() {
-        since = running() ? since : Double.NaN;
+    void stopClockIfIdle() {
+        runningSince = owesRows() ? runningSince : Double.NaN;
     }
 
     /** When it will be late if nothing comes. */
-    double due(double patience) {
-        return Double.isNaN(since) ? Double.POSITIVE_INFINITY : since + patience - spent;
+    double due(double partTimeout) {
+        return Double.isNaN(runningSince) ? Double.POSITIVE_INFINITY : runningSince + partTimeout - elapsed;
     }
 
-    boolean late(double patience) {
-        return !over && spent >= patience;
+    boolean late(double partTimeout) {
+        return !ended && elapsed >= partTimeout;
     }
 }
--- a/scattergather/src/main/java/clayhook/scattergather/QuantileAggregator.java
+++ b/scattergather/src/main/java/clayhook/scattergather/QuantileAggregator.java
@@ -14,7 +14,7 @@
      */
     public static final int EXACT = 1024, EXACT_BYTES = 1 << 15;
     /** Of an entry and its bytes, about. */
-    private static final int ENTRY = 120;
+    private static final int ENTRY_BYTES = 120;
 
     private record Value(ColumnValue cell, byte[] raw) {
         private static final Comparator<Value> ORDER =
@@ -35,13 +35,13 @@
     }
 
     @Override
-    void add(Row row, AggregateColumn figure) {
-        ColumnValue cell = row.cell(figure.slot());
+    void add(Row row, AggregateColumn column) {
+        ColumnValue cell = row.cell(column.slot());
         if (cell == ColumnValue.NULL) {
             return;
         }
         if (values != null) {
-            add(new Value(cell, row.raw(figure.slot())));
+            add(new Value(cell, row.raw(column.slot())));
         } else {
             count(cell);
         }
@@ -62,7 +62,7 @@
     }
 
     private void count(ColumnValue cell) {
-        if (type.number()) {
+        if (type.isNumeric()) {
             buckets.add(
                     cell instanceof ColumnValue.IntegerValue whole
                             ? whole.value()
@@ -73,8 +73,8 @@
     }
 
     @Override
-    void join(Aggregator tally) {
-        var other = (QuantileAggregator) tally;
+    void merge(Aggregator aggregator) {
+        var other = (QuantileAggregator) aggregator;
         if (other.values != null) {
             for (Value value : other.values) {
                 if (values != null) {
@@ -87,7 +87,7 @@
             if (values != null) {
                 sketch();
             }
-            buckets.join(other.buckets);
+            buckets.merge(other.buckets);
         }
     }
 
@@ -110,9 +110,9 @@
 
     private byte[] number(double value) {
         return bytes(
-                type.floating() || !Double.isFinite(value)
+                type.isFloating() || !Double.isFinite(value)
                         ? ExactSum.text(value)
-                        : type == ColumnType.WHOLE
+                        : type == ColumnType.INTEGER
                                 ? Long.toString(Math.round(value))
                                 : BigDecimal.valueOf(value).toPlainString());
     }
@@ -122,9 +122,9 @@
     GatherFault.Kind fault() {
         return values != null
                 ? null
-                : !type.number()
+                : !type.isNumeric()
                         ? GatherFault.Kind.FULL
-                        : !type.floating() && Double.isInfinite(buckets.quantile(share))
+                        : !type.isFloating() && Double.isInfinite(buckets.quantile(share))
                                 ? GatherFault.Kind.OVERFLOW
                                 : null;
     }
@@ -136,6 +136,6 @@
 
     @Override
     long weight() {
-        return 2 * OBJECT + (values != null ? (long) values.size() * ENTRY + length : buckets.weight());
+        return 2 * OBJECT_BYTES + (values != null ? (long) values.size() * ENTRY_BYTES + length : buckets.weight());
     }
 }
--- a/scattergather/src/main/java/clayhook/scattergather/QuantileBuckets.java
+++ b/scattergather/src/main/java/clayhook/scattergather/QuantileBuckets.java
@@ -15,17 +15,17 @@
      */
     private static final double FIRST_ERROR = 0.005;
 
-    private static final double LOG = Math.log((1 + FIRST_ERROR) / (1 - FIRST_ERROR));
+    private static final double LOG_RATIO = Math.log((1 + FIRST_ERROR) / (1 - FIRST_ERROR));
     /** Of each sign. */
-    private static final int MOST = 1024;
+    private static final int MAX_BUCKETS = 1024;
     /** An entry of a tree with its boxed numbers, about. */
-    private static final int ENTRY = 88;
+    private static final int ENTRY_BYTES = 88;
 
-    private final TreeMap<Integer, Long> above = new TreeMap<>();
-    private final TreeMap<Integer, Long> below = new TreeMap<>();
+    private final TreeMap<Integer, Long> positive = new TreeMap<>();
+    private final TreeMap<Integer, Long> negative = new TreeMap<>();
     private long zeros;
-    private long lowest;
-    private long highest;
+    private long negativeInfinities;
+    private long positiveInfinities;
     private long nans;
     /** How often two buckets became one. */
     private int level;
@@ -36,54 +36,54 @@
         } else if (Double.isNaN(value)) {
             nans++;
         } else if (Double.isInfinite(value)) {
-            highest += value > 0 ? 1 : 0;
-            lowest += value < 0 ? 1 : 0;
+            positiveInfinities += value > 0 ? 1 : 0;
+            negativeInfinities += value < 0 ? 1 : 0;
         } else {
-            int index = (int) Math.ceil(Math.log(Math.abs(value)) / LOG);
+            int index = (int) Math.ceil(Math.log(Math.abs(value)) / LOG_RATIO);
             for (int i = 0; i < level; i++) {
-                index = up(index);
+                index = coarserIndex(index);
             }
-            (value > 0 ? above : below).merge(index, 1L, Long::sum);
-            fold();
+            (value > 0 ? positive : negative).merge(index, 1L, Long::sum);
+            coarsen();
         }
     }
 
-    private static int up(int index) {
+    private static int coarserIndex(int index) {
         return Math.floorDiv(index + 1, 2);
     }
 
-    private void fold() {
-        while (above.size() > MOST || below.size() > MOST) {
-            fold(above);
-            fold(below);
+    private void coarsen() {
+        while (positive.size() > MAX_BUCKETS || negative.size() > MAX_BUCKETS) {
+            coarsen(positive);
+            coarsen(negative);
             level++;
         }
     }
 
-    private static void fold(Map<Integer, Long> buckets) {
+    private static void coarsen(Map<Integer, Long> buckets) {
         var coarse = new TreeMap<Integer, Long>();
-        buckets.forEach((index, count) -> coarse.merge(up(index), count, Long::sum));
+        buckets.forEach((index, count) -> coarse.merge(coarserIndex(index), count, Long::sum));
         buckets.clear();
         buckets.putAll(coarse);
     }
 
     /** The other one is not used afterwards. */
-    void join(QuantileBuckets other) {
+    void merge(QuantileBuckets other) {
         for (; level < other.level; level++) {
-            fold(above);
-            fold(below);
+            coarsen(positive);
+            coarsen(negative);
         }
         for (; other.level < level; other.level++) {
-            fold(other.above);
-            fold(other.below);
+            coarsen(other.positive);
+            coarsen(other.negative);
         }
-        other.above.forEach((index, count) -> above.merge(index, count, Long::sum));
-        other.below.forEach((index, count) -> below.merge(index, count, Long::sum));
+        other.positive.forEach((index, count) -> positive.merge(index, count, Long::sum));
+        other.negative.forEach((index, count) -> negative.merge(index, count, Long::sum));
         zeros += other.zeros;
-        lowest += other.lowest;
-        highest += other.highest;
+        negativeInfinities += other.negativeInfinities;
+        positiveInfinities += other.positiveInfinities;
         nans += other.nans;
-        fold();
+        coarsen();
     }
 
     private static long sum(Map<Integer, Long> buckets) {
@@ -92,44 +92,46 @@
 
     /** There is at least one value. */
     double quantile(double share) {
-        long left = QuantileAggregator.rank(share, lowest + sum(below) + zeros + sum(above) + highest + nans) - lowest;
-        if (left < 0) {
+        long remaining = QuantileAggregator.rank(
+                        share, negativeInfinities + sum(negative) + zeros + sum(positive) + positiveInfinities + nans)
+                - negativeInfinities;
+        if (remaining < 0) {
             return Double.NEGATIVE_INFINITY;
         }
-        for (var bucket : below.descendingMap().entrySet()) {
-            left -= bucket.getValue();
-            if (left < 0) {
+        for (var bucket : negative.descendingMap().entrySet()) {
+            remaining -= bucket.getValue();
+            if (remaining < 0) {
                 return -middle(bucket.getKey());
             }
         }
-        left -= zeros;
-        if (left < 0) {
+        remaining -= zeros;
+        if (remaining < 0) {
             return 0;
         }
-        for (var bucket : above.entrySet()) {
-            left -= bucket.getValue();
-            if (left < 0) {
+        for (var bucket : positive.entrySet()) {
+            remaining -= bucket.getValue();
+            if (remaining < 0) {
                 return middle(bucket.getKey());
             }
         }
-        return left < highest ? Double.POSITIVE_INFINITY : Double.NaN;
+        return remaining < positiveInfinities ? Double.POSITIVE_INFINITY : Double.NaN;
     }
 
-    private double logarithm() {
-        return Math.scalb(LOG, level);
+    private double logRatio() {
+        return Math.scalb(LOG_RATIO, level);
     }
 
     /** What is off by the same share at both ends of the bucket. */
     private double middle(int index) {
-        return Math.min(Double.MAX_VALUE, Math.exp(index * logarithm()) * (1 - error()));
+        return Math.min(Double.MAX_VALUE, Math.exp(index * logRatio()) * (1 - error()));
     }
 
     /** As a share of the value: with g the ratio of a bucket's ends, (g - 1) / (g + 1). */
     double error() {
-        return Math.tanh(logarithm() / 2);
+        return Math.tanh(logRatio() / 2);
     }
 
     long weight() {
-        return 2 * Aggregator.OBJECT + (long) (above.size() + below.size()) * ENTRY;
+        return 2 * Aggregator.OBJECT_BYTES + (long) (positive.size() + negative.size()) * ENTRY_BYTES;
     }
 }
--- a/scattergather/src/main/java/clayhook/scattergather/RowComparator.java
+++ b/scattergather/src/main/java/clayhook/scattergather/RowComparator.java
@@ -8,32 +8,34 @@
     private final int[] slots;
     private final SortKey[] keys;
     /** Whether the rough place says all of the first key. */
-    private final boolean roughIsAll;
+    private final boolean prefixIsExact;
 
-    private RowComparator(List<SortKey> keys, int[] slots, ColumnReader reading) {
+    private RowComparator(List<SortKey> keys, int[] slots, ColumnReader reader) {
         this.keys = keys.toArray(SortKey[]::new);
         this.slots = slots;
-        ColumnType first = slots.length == 0 ? ColumnType.OPAQUE : reading.type(slots[0]);
-        roughIsAll =
-                first == ColumnType.WHOLE || first == ColumnType.TIME || first == ColumnType.FLAG || first.floating();
+        ColumnType first = slots.length == 0 ? ColumnType.OPAQUE : reader.type(slots[0]);
+        prefixIsExact = first == ColumnType.INTEGER
+                || first == ColumnType.TIMESTAMP
+                || first == ColumnType.BOOLEAN
+                || first.isFloating();
     }
 
     /** Null where one of the keys is no column that can be ordered. */
-    static RowComparator of(List<SortKey> keys, List<Column> columns, ColumnReader reading) {
+    static RowComparator of(List<SortKey> keys, List<Column> columns, ColumnReader reader) {
         int[] slots = new int[keys.size()];
         for (int i = 0; i < slots.length; i++) {
             int column = Column.find(columns, keys.get(i).column());
             if (column < 0 || ColumnType.of(columns.get(column).type()) == ColumnType.OPAQUE) {
                 return null;
             }
-            slots[i] = reading.slot(column);
+            slots[i] = reader.slot(column);
         }
-        return new RowComparator(keys, slots, reading);
+        return new RowComparator(keys, slots, reader);
     }
 
     @Override
     public int compare(Row a, Row b) {
-        int keyed = keys(a, b);
+        int keyed = compareKeys(a, b);
         if (keyed != 0) {
             return keyed;
         }
@@ -41,21 +43,23 @@
     }
 
     /** Gives a row its rough place, which all rows that are compared must have: most comparisons end there. */
-    void mark(Row row) {
+    void setSortPrefix(Row row) {
         if (slots.length > 0) {
             ColumnValue cell = row.cell(slots[0]);
-            row.rough = cell == ColumnValue.NULL
+            row.sortPrefix = cell == ColumnValue.NULL
                     ? keys[0].nullsFirst() ? Long.MIN_VALUE : Long.MAX_VALUE
-                    : keys[0].descending() ? ~cell.rough() : cell.rough();
+                    : keys[0].descending() ? ~cell.sortPrefix() : cell.sortPrefix();
         }
     }
 
     /** By the keys alone. */
-    int keys(Row a, Row b) {
-        if (a.rough != b.rough) {
-            return a.rough < b.rough ? -1 : 1;
+    int compareKeys(Row a, Row b) {
+        if (a.sortPrefix != b.sortPrefix) {
+            return a.sortPrefix < b.sortPrefix ? -1 : 1;
         }
-        boolean settled = roughIsAll && a.rough != Long.MIN_VALUE && a.rough != Long.MAX_VALUE; // there nulls stand too
+        boolean settled = prefixIsExact
+                && a.sortPrefix != Long.MIN_VALUE
+                && a.sortPrefix != Long.MAX_VALUE; // there nulls stand too
         for (int i = settled ? 1 : 0; i < slots.length; i++) {
             int one = compare(keys[i], a.cell(slots[i]), b.cell(slots[i]));
             if (one != 0) {
--- a/scattergather/src/main/java/clayhook/scattergather/RowSet.java
+++ b/scattergather/src/main/java/clayhook/scattergather/RowSet.java
@@ -15,17 +15,17 @@
      * What one part holds.
      *
      * @param rows null where it is out of reach
-     * @param why how it is out of reach
+     * @param reason how it is out of reach
      * @param position as of the gather, seconds since 1970
      */
-    public record Held(GatherPart part, RowSet rows, String why, double position) {}
+    public record PartRows(GatherPart part, RowSet rows, String reason, double position) {}
 
     /**
      * An answer with its verdict.
      *
      * @param columns empty where no part told any
      */
-    public record Answer(List<Column> columns, List<byte[]> rows, GatherResult verdict) {}
+    public record Answer(List<Column> columns, List<byte[]> rows, GatherResult result) {}
 
     /**
      * Encodes rows of text values.
@@ -57,38 +57,39 @@
     }
 
     /** Gathers what is at hand; at once, so that no part is late. */
-    public static Answer gather(GatherPlan plan, List<Held> parts, MemoryPool allowance) {
-        var feed = new Feed(parts.size());
-        var gather = new Gather(plan, parts.stream().map(Held::part).toList(), allowance, feed);
+    public static Answer gather(GatherPlan plan, List<PartRows> parts, MemoryPool memoryPool) {
+        var actions = new CollectingActions(parts.size());
+        var gather = new Gather(plan, parts.stream().map(PartRows::part).toList(), memoryPool, actions);
         gather.begin(0, Double.POSITIVE_INFINITY);
         gather.request(Integer.MAX_VALUE);
         int[] given = new int[parts.size()];
-        for (Held held : parts) {
-            if (feed.verdict == null && held.rows == null) {
-                gather.failed(held.part, held.why, false);
-            } else if (feed.verdict == null) {
+        for (PartRows held : parts) {
+            if (actions.result == null && held.rows == null) {
+                gather.failed(held.part, held.reason, false);
+            } else if (actions.result == null) {
                 gather.described(held.part, held.rows.columns);
             }
         }
-        List<Held> reached = parts.stream().filter(held -> held.rows != null).toList();
-        while (feed.verdict == null) {
-            for (Held held : reached) {
+        List<PartRows> reached =
+                parts.stream().filter(held -> held.rows != null).toList();
+        while (actions.result == null) {
+            for (PartRows held : reached) {
                 int part = held.part.number();
-                while (feed.credit[part] > 0 && given[part] < held.rows.messages.size()) {
-                    feed.credit[part]--;
+                while (actions.credit[part] > 0 && given[part] < held.rows.messages.size()) {
+                    actions.credit[part]--;
                     gather.row(held.part, held.rows.messages.get(given[part]++));
                 }
-                if (!feed.done[part] && given[part] == held.rows.messages.size()) {
-                    feed.end(held.part);
+                if (!actions.done[part] && given[part] == held.rows.messages.size()) {
+                    actions.end(held.part);
                     gather.ended(held.part, held.position);
                 }
             }
         }
-        return new Answer(feed.columns, feed.rows, feed.verdict);
+        return new Answer(actions.columns, actions.rows, actions.result);
     }
 
     /** Remembers what the gather wants. */
-    private static final class Feed implements GatherActions {
+    private static final class CollectingActions implements GatherActions {
         final long[] credit;
         /** Nothing more is to be fed from there. */
         final boolean[] done;
@@ -97,9 +98,9 @@
         /** The answer; bounded by what the parts hold. */
         final List<byte[]> rows = new ArrayList<>();
 
-        GatherResult verdict;
+        GatherResult result;
 
-        Feed(int parts) {
+        CollectingActions(int parts) {
             credit = new long[parts];
             done = new boolean[parts];
         }
@@ -134,7 +135,7 @@
 
         @Override
         public void finish(GatherResult end) {
-            verdict = end;
+            result = end;
         }
     }
 }
--- a/scattergather/src/main/java/clayhook/scattergather/RowTable.java
+++ b/scattergather/src/main/java/clayhook/scattergather/RowTable.java
@@ -8,49 +8,49 @@
 /** Rows held whole, one a key where duplicates are sorted out. */
 final class RowTable implements RowStore {
     /** Of an entry of the map, its key and the copies around the row, about. */
-    private static final int ENTRY = 200;
+    private static final int ENTRY_BYTES = 200;
 
     private final ColumnLayout layout;
-    private final MemoryReservation account;
-    /** Emptied by {@link #join} into another, or {@link #drop}; bounded by rows and by the account. */
+    private final MemoryReservation reservation;
+    /** Emptied by {@link #merge} into another, or {@link #release}; bounded by rows and by the account. */
     private final Map<Object, DuplicateGroup> byKey = new HashMap<>();
 
-    private final long mostRows;
-    private long held;
+    private final long maxRows;
+    private long heldBytes;
 
-    RowTable(ColumnLayout layout, MemoryReservation account, long mostRows) {
+    RowTable(ColumnLayout layout, MemoryReservation reservation, long maxRows) {
         this.layout = layout;
-        this.account = account;
-        this.mostRows = mostRows;
+        this.reservation = reservation;
+        this.maxRows = maxRows;
     }
 
     @Override
     public GatherFault add(Row row) {
-        Object key = layout.ranks() == null ? row : layout.ranks().key(row);
-        return put(key, new DuplicateGroup(layout.ranks(), row), true) ? null : full(row);
+        Object key = layout.ranking() == null ? row : layout.ranking().key(row);
+        return put(key, new DuplicateGroup(layout.ranking(), row), true) ? null : full(row);
     }
 
     private boolean put(Object key, DuplicateGroup copies, boolean fresh) {
         DuplicateGroup known = byKey.get(key);
         if (known == null) {
-            if (byKey.size() >= mostRows || (fresh && !take(copies.weight() + ENTRY))) {
+            if (byKey.size() >= maxRows || (fresh && !take(copies.weight() + ENTRY_BYTES))) {
                 return false;
             }
             byKey.put(key, copies);
             return true;
         }
-        long before = known.weight() + (fresh ? 0 : copies.weight() + ENTRY);
-        known.join(copies);
+        long before = known.weight() + (fresh ? 0 : copies.weight() + ENTRY_BYTES);
+        known.merge(copies);
         return take(known.weight() - before);
     }
 
     private boolean take(long bytes) {
         if (bytes < 0) {
-            account.give(-bytes);
-        } else if (!account.take(bytes)) {
+            reservation.release(-bytes);
+        } else if (!reservation.tryReserve(bytes)) {
             return false;
         }
-        held += bytes;
+        heldBytes += bytes;
         return true;
     }
 
@@ -59,14 +59,15 @@
                 GatherFault.Kind.FULL,
                 row.part,
                 row.number,
-                byKey.size() + " rows of " + held + " bytes have to be held for the answer, and that is the bound");
+                byKey.size() + " rows of " + heldBytes
+                        + " bytes have to be held for the answer, and that is the bound");
     }
 
     @Override
-    public GatherFault join(RowStore pool) {
-        var other = (RowTable) pool;
-        held += other.held;
-        other.held = 0;
+    public GatherFault merge(RowStore store) {
+        var other = (RowTable) store;
+        heldBytes += other.heldBytes;
+        other.heldBytes = 0;
         for (var entry : other.byKey.entrySet()) {
             if (!put(entry.getKey(), entry.getValue(), false)) {
                 return full(entry.getValue().best());
@@ -79,7 +80,7 @@
     @Override
     public List<Row> rows() {
         var rows = new ArrayList<Row>(byKey.size());
-        byKey.values().forEach(copies -> rows.add(copies.row(layout.reading())));
+        byKey.values().forEach(copies -> rows.add(copies.row(layout.reader())));
         return rows;
     }
 
@@ -94,9 +95,9 @@
     }
 
     @Override
-    public void drop() {
+    public void release() {
         byKey.clear();
-        account.give(held);
-        held = 0;
+        reservation.release(heldBytes);
+        heldBytes = 0;
     }
 }
--- a/scattergather/src/main/java/clayhook/scattergather/SortedMerge.java
+++ b/scattergather/src/main/java/clayhook/scattergather/SortedMerge.java
@@ -6,54 +6,55 @@
 
 /** Sorted parts become a sorted answer; only what is read ahead is held, and the copies of the row that is next. */
 final class SortedMerge implements MergeStrategy {
-    private final MemoryReservation account;
-    private final BufferLimits bounds;
+    private final MemoryReservation reservation;
+    private final BufferLimits bufferLimits;
     /** Hears of each part of which a row went on. */
-    private final Consumer<PartStream> taken;
+    private final Consumer<PartStream> onRowTaken;
 
     private List<PartStream> parts = List.of();
     private ColumnLayout layout;
-    private LoserTree tournament;
+    private LoserTree tree;
     /** The slot whose next row is not there yet; -1 for none. */
-    private int unknown = -1;
+    private int awaitedSlot = -1;
     /** The row that goes out when one with another key is next; null for none. */
-    private DuplicateGroup next;
+    private DuplicateGroup pending;
 
-    private long held;
+    private long heldBytes;
     private long conflicts;
-    private final boolean copies;
+    private final boolean hasDuplicates;
     private GatherFault fault;
 
-    SortedMerge(MergeSpec merging, MemoryReservation account, BufferLimits bounds, Consumer<PartStream> taken) {
-        this.account = account;
-        this.bounds = bounds;
-        this.taken = taken;
-        copies = merging.duplicates() != null;
+    SortedMerge(
+            MergeSpec spec, MemoryReservation reservation, BufferLimits bufferLimits, Consumer<PartStream> onRowTaken) {
+        this.reservation = reservation;
+        this.bufferLimits = bufferLimits;
+        this.onRowTaken = onRowTaken;
+        hasDuplicates = spec.duplicates() != null;
     }
 
     @Override
-    public void take(PartStream from, Row row, ColumnLayout plan) {
+    public void addRow(PartStream from, Row row, ColumnLayout plan) {
         from.put(row);
     }
 
     @Override
-    public void forget(PartStream from) {
+    public void discard(PartStream from) {
         from.clear();
         int slot = parts.indexOf(from);
-        if (slot >= 0 && slot != unknown) {
-            dry(from);
-            tournament.put(slot, null);
+        if (slot >= 0 && slot != awaitedSlot) {
+            updateMissingRows(from);
+            tree.put(slot, null);
         }
     }
 
     @Override
     public boolean ready(PartStream part) {
-        return part.over || !part.buffer.isEmpty();
+        return part.ended || !part.buffer.isEmpty();
     }
 
     @Override
-    public boolean firm(PartStream part) {
-        return part.over || (part.owed == 0 && !part.buffer.isEmpty());
+    public boolean countsForQuorum(PartStream part) {
+        return part.ended || (part.credit == 0 && !part.buffer.isEmpty());
     }
 
     @Override
@@ -64,91 +65,91 @@
         for (int i = 0; i < heads.length; i++) {
             heads[i] = parts.get(i).buffer.peek();
             if (heads[i] == null) {
-                dry(parts.get(i));
+                updateMissingRows(parts.get(i));
             }
         }
-        tournament = heads.length == 0 ? null : new LoserTree(layout.order(), heads);
+        tree = heads.length == 0 ? null : new LoserTree(layout.order(), heads);
     }
 
-    private static void dry(PartStream part) {
-        part.dry = part.over && part.shortened;
+    private static void updateMissingRows(PartStream part) {
+        part.missingRows = part.ended && part.truncated;
     }
 
     @Override
-    public boolean pour(AnswerWriter out) {
-        while (tournament != null && fault == null && !out.full()) {
-            if (unknown >= 0 && !know()) {
+    public boolean emitAvailable(AnswerWriter out) {
+        while (tree != null && fault == null && !out.isFull()) {
+            if (awaitedSlot >= 0 && !resolveAwaitedSlot()) {
                 return false;
             }
-            Row least = tournament.least();
-            if (out.blocked() && (least != null || next != null)) {
+            Row least = tree.least();
+            if (out.isBlocked() && (least != null || pending != null)) {
                 return false;
             }
-            if (!copies) {
+            if (!hasDuplicates) {
                 if (least == null) {
                     return true;
                 }
-                next();
+                takeWinner();
                 out.emit(least.bytes);
-            } else if (next != null && (least == null || !layout.ranks().same(next.best(), least))) {
-                give(out);
+            } else if (pending != null && (least == null || !layout.ranking().sameKey(pending.best(), least))) {
+                emitPending(out);
             } else if (least == null) {
                 return true;
             } else {
-                next();
-                hold(least);
+                takeWinner();
+                addToPending(least);
             }
         }
         return true;
     }
 
     /** Whether the part whose row went out last has shown its next one, or its end. */
-    private boolean know() {
-        PartStream part = parts.get(unknown);
+    private boolean resolveAwaitedSlot() {
+        PartStream part = parts.get(awaitedSlot);
         Row head = part.buffer.peek();
         if (head == null) {
-            if (!part.over) {
+            if (!part.ended) {
                 return false;
             }
-            dry(part);
+            updateMissingRows(part);
         }
-        tournament.put(unknown, head);
-        unknown = -1;
+        tree.put(awaitedSlot, head);
+        awaitedSlot = -1;
         return true;
     }
 
-    private void next() {
-        unknown = tournament.winner();
-        PartStream part = parts.get(unknown);
+    private void takeWinner() {
+        awaitedSlot = tree.winner();
+        PartStream part = parts.get(awaitedSlot);
         part.poll();
-        taken.accept(part);
+        onRowTaken.accept(part);
     }
 
-    private void hold(Row row) {
-        var copy = new DuplicateGroup(layout.ranks(), row);
-        long before = next == null ? 0 : next.weight();
-        if (next == null) {
-            next = copy;
+    private void addToPending(Row row) {
+        var copy = new DuplicateGroup(layout.ranking(), row);
+        long before = pending == null ? 0 : pending.weight();
+        if (pending == null) {
+            pending = copy;
         } else {
-            next.join(copy);
+            pending.merge(copy);
         }
-        long more = next.weight() - before;
+        long more = pending.weight() - before;
         if (more < 0) {
-            account.give(-more);
-        } else if (!account.take(more)) {
+            reservation.release(-more);
+        } else if (!reservation.tryReserve(more)) {
             fault = new GatherFault(
                     GatherFault.Kind.FULL, row.part, row.number, "the copies of one row are beyond the memory for it");
             return;
         }
-        held += more;
+        heldBytes += more;
     }
 
-    private void give(AnswerWriter out) {
-        conflicts += next.conflict() ? 1 : 0;
-        out.emit(next.row(layout.reading()).bytes);
-        next = null;
-        account.give(held);
-        held = 0;
+    private void emitPending(AnswerWriter out) {
+        conflicts += pending.conflict() ? 1 : 0;
+        out.emit(pending.row(layout.reader()).bytes);
+        pending = null;
+        reservation.release(heldBytes);
+        heldBytes = 0;
     }
 
     /**
@@ -156,8 +157,8 @@
      * though.
      */
     @Override
-    public long useful(AnswerWriter out) {
-        return copies ? bounds.bufferRows() : Math.max(1, out.left());
+    public long usefulRows(AnswerWriter out) {
+        return hasDuplicates ? bufferLimits.bufferRows() : Math.max(1, out.remaining());
     }
 
     @Override
@@ -176,9 +177,9 @@
     }
 
     @Override
-    public void drop() {
-        next = null;
-        account.give(held);
-        held = 0;
+    public void release() {
+        pending = null;
+        reservation.release(heldBytes);
+        heldBytes = 0;
     }
 }
--- a/scattergather/src/test/java/clayhook/scattergather/GatherTest.java
+++ b/scattergather/src/test/java/clayhook/scattergather/GatherTest.java
@@ -26,10 +26,10 @@
     private final List<String> log = new ArrayList<>();
     private final List<GatherPart> parts =
             List.of(new GatherPart("a", 0), new GatherPart("b", 1), new GatherPart("c", 2));
-    private GatherResult verdict;
+    private GatherResult result;
 
-    private Gather gather(GatherPlan plan, MemoryPool allowance) {
-        var gather = new Gather(plan, parts, allowance, new GatherActions() {
+    private Gather gather(GatherPlan plan, MemoryPool memoryPool) {
+        var gather = new Gather(plan, parts, memoryPool, new GatherActions() {
             @Override
             public void ask(GatherPart part) {
                 log.add("ask " + part);
@@ -53,7 +53,7 @@
 
             @Override
             public void finish(GatherResult end) {
-                verdict = end;
+                result = end;
             }
         });
         gather.begin(0, 10);
@@ -97,7 +97,7 @@
         Gather gather = gather((kind == GatherFault.Kind.FULL
                         ? GatherPlan.of(MergeSpec.by(SortKey.ascending("k")).unsorted())
                         : SORTED)
-                .within(bounds));
+                .bufferLimits(bounds));
         GatherPart b = parts.get(1);
         if (kind != GatherFault.Kind.UNFIT) {
             gather.described(parts.get(0), COLUMNS);
@@ -118,16 +118,16 @@
         whole(gather, 0, 1, "1");
         whole(gather, 2, 1, "9");
         GatherFault fault = kind == GatherFault.Kind.FULL
-                ? verdict.fault()
-                : verdict.notes().get(1).fault();
+                ? result.fault()
+                : result.notes().get(1).fault();
         assertEquals(kind, fault.kind());
         assertEquals(b, fault.part());
         assertEquals(row, fault.row());
         assertTrue(
                 fault.toString().startsWith("part b: " + (row == 0 ? "its columns: " : "row " + row + ": ")),
                 fault.toString());
-        assertEquals(kind == GatherFault.Kind.FULL ? FAILED : PARTIAL, verdict.outcome());
-        assertEquals(kind == GatherFault.Kind.FULL ? 0 : 2, verdict.rows(), "nothing of it is merged");
+        assertEquals(kind == GatherFault.Kind.FULL ? FAILED : PARTIAL, result.outcome());
+        assertEquals(kind == GatherFault.Kind.FULL ? 0 : 2, result.rows(), "nothing of it is merged");
         assertTrue(log.contains("recall b"));
     }
 
@@ -143,8 +143,8 @@
         gather.row(parts.get(1), RowSet.message(List.of("1", "again")));
         whole(gather, 2, 1, "4");
         assertEquals(List.of("ask a", "ask b", "ask c", "ask b", "1 of a", "1 again", "recall b", "recall c"), log);
-        assertEquals(COMPLETE, verdict.outcome());
-        assertEquals(1, gather.lateNews(), "the end of c");
+        assertEquals(COMPLETE, result.outcome());
+        assertEquals(1, gather.ignoredEvents(), "the end of c");
     }
 
     /**
@@ -160,41 +160,40 @@
         gather.row(parts.get(2), RowSet.message(List.of("0", "of c")));
         gather.failed(parts.get(2), "reset", true);
         assertEquals(List.of("0 of c", "1 of a", "2 of b", "8 of a"), log.subList(3, 7));
-        assertEquals(List.of(parts.get(2)), verdict.parts(PartStatus.CUT));
-        assertEquals("partial: c cut (reset)", verdict.toString());
+        assertEquals(List.of(parts.get(2)), result.parts(PartStatus.CUT));
+        assertEquals("partial: c cut (reset)", result.toString());
     }
 
     @ParameterizedTest
     @EnumSource(PartStatus.class)
-    void theVerdictTellsWhatBecameOfAPart(PartStatus standing) {
-        GatherPlan plan = SORTED.patience(2)
-                .notOlder(5)
-                .enough(standing == PartStatus.SPARE ? new CompletionPolicy.Quorum(2) : new CompletionPolicy.Best());
+    void theVerdictTellsWhatBecameOfAPart(PartStatus status) {
+        GatherPlan plan = SORTED.partTimeout(2)
+                .minPosition(5)
+                .completion(status == PartStatus.SPARE ? new CompletionPolicy.Quorum(2) : new CompletionPolicy.Best());
         Gather gather = gather(plan);
         gather.described(parts.get(2), COLUMNS);
-        if (standing == PartStatus.CUT) {
+        if (status == PartStatus.CUT) {
             gather.row(parts.get(2), RowSet.message(List.of("0", "of c")));
-        } else if (standing == PartStatus.MISSING) {
+        } else if (status == PartStatus.MISSING) {
             gather.failed(parts.get(2), "refused", false);
-        } else if (standing == PartStatus.WHOLE || standing == PartStatus.OLD) {
-            gather.ended(parts.get(2), standing == PartStatus.OLD ? 4.9 : 5);
+        } else if (status == PartStatus.WHOLE || status == PartStatus.OLD) {
+            gather.ended(parts.get(2), status == PartStatus.OLD ? 4.9 : 5);
         }
-        assertEquals(2, gather.turn(0.5));
+        assertEquals(2, gather.tick(0.5));
         whole(gather, 0, 8, "1");
         whole(gather, 1, 6, "2");
-        gather.turn(2);
-        assertEquals(standing, verdict.notes().get(2).standing());
+        gather.tick(2);
+        assertEquals(status, result.notes().get(2).status());
+        assertEquals(status == PartStatus.WHOLE || status == PartStatus.SPARE ? COMPLETE : PARTIAL, result.outcome());
+        assertTrue(result.usable());
         assertEquals(
-                standing == PartStatus.WHOLE || standing == PartStatus.SPARE ? COMPLETE : PARTIAL, verdict.outcome());
-        assertTrue(verdict.enough());
-        assertEquals(
-                switch (standing) {
+                switch (status) {
                     case OLD -> 4.9;
                     case WHOLE -> 5;
                     case CUT -> Double.NEGATIVE_INFINITY;
                     case SPARE, MISSING, LATE -> 6;
                 },
-                verdict.position());
+                result.position());
     }
 
     /**
@@ -202,54 +201,55 @@
      */
     @ParameterizedTest
     @CsvSource({"true, MISSING, 1", "false, CUT, 3"})
-    void whatCameOfAPartThatBrokeOff(boolean grouped, PartStatus standing, int rows) {
-        MergeSpec merging =
+    void whatCameOfAPartThatBrokeOff(boolean grouped, PartStatus status, int rows) {
+        MergeSpec spec =
                 MergeSpec.by().grouped(grouped ? new Grouping(List.of(), List.of(Aggregate.count("n"))) : null);
         Gather gather = gather(GatherPlan.of(
-                grouped ? merging : MergeSpec.by(SortKey.ascending("k")).unsorted()));
+                grouped ? spec : MergeSpec.by(SortKey.ascending("k")).unsorted()));
         whole(gather, 0, 1, "1");
         whole(gather, 1, 1, "2");
         gather.described(parts.get(2), COLUMNS);
         gather.row(parts.get(2), RowSet.message(List.of("0", "of c")));
         gather.failed(parts.get(2), "reset", false);
-        assertEquals(List.of(parts.get(2)), verdict.parts(standing));
-        assertEquals(rows, verdict.rows());
+        assertEquals(List.of(parts.get(2)), result.parts(status));
+        assertEquals(rows, result.rows());
         assertEquals(grouped ? "2" : "2 of b", log.get(log.size() - 1));
     }
 
     /** Where a partial answer is an error, nobody waits for the rest of it. */
     @Test
     void whatCannotBeEnoughEndsAtOnce() {
-        Gather gather = gather(SORTED.wholeOrError().enough(new CompletionPolicy.Quorum(2)));
+        Gather gather = gather(SORTED.wholeOrError().completion(new CompletionPolicy.Quorum(2)));
         gather.failed(parts.get(0), "gone", false);
-        assertEquals(null, verdict);
+        assertEquals(null, result);
         gather.failed(parts.get(1), "gone", false);
-        assertEquals(PARTIAL, verdict.outcome());
+        assertEquals(PARTIAL, result.outcome());
         assertEquals("recall c", log.get(log.size() - 1));
     }
 
     /** A part is not late for rows that nobody asked of it. */
     @Test
     void timeRunsOnlyWhileRowsAreOwed() {
-        Gather gather = gather(SORTED.patience(2).within(new BufferLimits(1, 1 << 20, 1000, 1000, 1000, 1000)));
+        Gather gather =
+                gather(SORTED.partTimeout(2).bufferLimits(new BufferLimits(1, 1 << 20, 1000, 1000, 1000, 1000)));
         for (GatherPart part : parts) {
             gather.described(part, COLUMNS);
         }
         gather.row(parts.get(0), RowSet.message(List.of("5", "of a")));
         gather.row(parts.get(1), RowSet.message(List.of("6", "of b")));
-        assertEquals(2, gather.turn(1));
-        gather.turn(2); // c owed for two seconds, a for what was told before the first turn only
+        assertEquals(2, gather.tick(1));
+        gather.tick(2); // c owed for two seconds, a for what was told before the first turn only
         gather.ended(parts.get(0), 1);
-        gather.turn(3.5);
+        gather.tick(3.5);
         gather.ended(parts.get(1), 1);
-        assertEquals(List.of(parts.get(2)), verdict.parts(PartStatus.LATE));
-        assertEquals(2, verdict.parts(PartStatus.WHOLE).size());
+        assertEquals(List.of(parts.get(2)), result.parts(PartStatus.LATE));
+        assertEquals(2, result.parts(PartStatus.WHOLE).size());
     }
 
     @Test
     void withoutMemoryNothingIsAskedAndAllIsTold() {
         gather(SORTED, MemoryPool.of(1000));
-        assertEquals(FAILED, verdict.outcome());
+        assertEquals(FAILED, result.outcome());
         assertEquals(List.of(), log);
     }
 
@@ -309,9 +309,9 @@
         RowSet.Answer answer = RowSet.gather(
                 plan,
                 List.of(
-                        new RowSet.Held(parts.get(0), a, "", 3),
-                        new RowSet.Held(parts.get(1), b, "", 2),
-                        new RowSet.Held(parts.get(2), null, "not heard for 12 s", 0)),
+                        new RowSet.PartRows(parts.get(0), a, "", 3),
+                        new RowSet.PartRows(parts.get(1), b, "", 2),
+                        new RowSet.PartRows(parts.get(2), null, "not heard for 12 s", 0)),
                 MemoryPool.of(1 << 20));
         assertEquals(
                 List.of(
@@ -319,9 +319,9 @@
                         Arrays.asList("k3", early, "unknown", null),
                         List.of("k1", late, "not run", "n2")),
                 answer.rows().stream().map(RowSet::values).toList());
-        assertEquals(1, answer.verdict().conflicts());
-        assertEquals("partial: c missing (not heard for 12 s)", answer.verdict().toString());
-        assertEquals(2, answer.verdict().position());
+        assertEquals(1, answer.result().conflicts());
+        assertEquals("partial: c missing (not heard for 12 s)", answer.result().toString());
+        assertEquals(2, answer.result().position());
         assertEquals(columns, answer.columns());
     }
 }
--- a/scattergather/src/test/java/clayhook/scattergather/GroupsPropertiesTest.java
+++ b/scattergather/src/test/java/clayhook/scattergather/GroupsPropertiesTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import clayhook.scattergather.Aggregate.What;
+import clayhook.scattergather.Aggregate.Function;
 import clayhook.scattergather.Sample.Line;
 import clayhook.scattergather.Sample.Value;
 import java.math.BigDecimal;
@@ -27,15 +27,15 @@
 
 /** Figures of groups: joined in any order or tree they are those of plain lists, and sketches keep to their errors. */
 class GroupsPropertiesTest {
-    private static final List<Aggregate> MEASURES = List.of(
+    private static final List<Aggregate> AGGREGATES = List.of(
             Aggregate.count("rows"),
-            Aggregate.of(What.COUNT, "n", "counted"),
-            Aggregate.of(What.SUM, "l", "sum"),
-            Aggregate.of(What.SUM, "n", "sum of decimals"),
-            Aggregate.of(What.LEAST, "at", "least"),
-            Aggregate.of(What.MOST, "t", "most"),
-            Aggregate.of(What.MEAN, "i", "mean"),
-            Aggregate.of(What.DISTINCT, "n", "distinct"),
+            Aggregate.of(Function.COUNT, "n", "counted"),
+            Aggregate.of(Function.SUM, "l", "sum"),
+            Aggregate.of(Function.SUM, "n", "sum of decimals"),
+            Aggregate.of(Function.LEAST, "at", "least"),
+            Aggregate.of(Function.MOST, "t", "most"),
+            Aggregate.of(Function.MEAN, "i", "mean"),
+            Aggregate.of(Function.DISTINCT, "n", "distinct"),
             Aggregate.quantile("d", 0.5, "median"));
 
     private static List<Value> present(List<Line> lines, String column) {
@@ -87,10 +87,10 @@
         return ((ColumnValue.TimestampValue) TimestampParser.read(text)).micros();
     }
 
-    private static Object read(int measure, String text) {
+    private static Object read(int aggregate, String text) {
         return text == null
                 ? null
-                : switch (measure) {
+                : switch (aggregate) {
                     case 0, 1 -> Integer.valueOf(text);
                     case 4 -> (micros(text) - micros("2026-03-01 12:00:00.25+00")) / 3_600_000_000L; // hours
                     case 6 -> new BigDecimal(text).movePointRight(6).longValue(); // towards zero, as the division
@@ -105,11 +105,15 @@
             @ForAll long seed, @ForAll @IntRange(min = 1, max = 4) int parts, @ForAll boolean distinct) {
         Sample sample = new Sample(seed, parts, 20).arranged(false);
         Duplicates duplicates = distinct ? sample.duplicates(false) : null;
-        var merging = new MergeSpec(
-                List.of(SortKey.descending("b")), false, duplicates, new Grouping(List.of("b"), MEASURES), Limit.NONE);
-        Play play = new Play(seed, GatherPlan.of(merging), Sample.COLUMNS, Play.texts(sample));
+        var spec = new MergeSpec(
+                List.of(SortKey.descending("b")),
+                false,
+                duplicates,
+                new Grouping(List.of("b"), AGGREGATES),
+                Limit.NONE);
+        Play play = new Play(seed, GatherPlan.of(spec), Sample.COLUMNS, Play.texts(sample));
         List<Line> lines = distinct ? sample.distinct(duplicates, part -> play.positions[part]) : sample.all();
-        play.ways.set(0, Play.Way.BREAKS_ONCE); // and nothing counts twice
+        play.behaviors.set(0, Play.PartBehavior.FAILS_ONCE); // and nothing counts twice
         assertEquals(GatherResult.Outcome.COMPLETE, play.run().outcome());
         var expected = new ArrayList<List<Object>>();
         for (Boolean flag : new Boolean[] {null, true, false}) {
@@ -134,23 +138,23 @@
     }
 
     private static Row row(ColumnLayout layout, String... values) {
-        return layout.reading().row(new GatherPart("p", 0), 1, RowSet.message(Arrays.asList(values)));
+        return layout.reader().row(new GatherPart("p", 0), 1, RowSet.message(Arrays.asList(values)));
     }
 
     /** Splits the rows at random, adds and joins them in a random tree. */
-    private static Aggregator tree(AggregateColumn figure, List<Row> rows, Random random) {
-        List<Aggregator> tallies = new ArrayList<>();
+    private static Aggregator tree(AggregateColumn column, List<Row> rows, Random random) {
+        List<Aggregator> aggregators = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
-            tallies.add(figure.tally());
+            aggregators.add(column.newAggregator());
         }
         List<Row> shuffled = new ArrayList<>(rows);
         Collections.shuffle(shuffled, random);
-        shuffled.forEach(row -> tallies.get(random.nextInt(5)).add(row, figure));
-        while (tallies.size() > 1) {
-            Aggregator one = tallies.remove(random.nextInt(tallies.size()));
-            tallies.get(random.nextInt(tallies.size())).join(one);
+        shuffled.forEach(row -> aggregators.get(random.nextInt(5)).add(row, column));
+        while (aggregators.size() > 1) {
+            Aggregator one = aggregators.remove(random.nextInt(aggregators.size()));
+            aggregators.get(random.nextInt(aggregators.size())).merge(one);
         }
-        return tallies.get(0);
+        return aggregators.get(0);
     }
 
     /**
@@ -167,12 +171,12 @@
         var grouping = new Grouping(
                 List.of(),
                 List.of(
-                        Aggregate.of(What.SUM, "x", "sum"),
-                        Aggregate.of(What.MEAN, "x", "mean"),
-                        Aggregate.of(What.DISTINCT, "x", "distinct"),
+                        Aggregate.of(Function.SUM, "x", "sum"),
+                        Aggregate.of(Function.MEAN, "x", "mean"),
+                        Aggregate.of(Function.DISTINCT, "x", "distinct"),
                         Aggregate.quantile("x", 0.9, "quantile"),
-                        Aggregate.of(What.MEAN, "n", "mean of n"),
-                        Aggregate.of(What.LEAST, "n", "least")));
+                        Aggregate.of(Function.MEAN, "n", "mean of n"),
+                        Aggregate.of(Function.LEAST, "n", "least")));
         ColumnLayout layout = new ColumnLayout(MergeSpec.by().grouped(grouping), columns, part -> 0);
         var rows = new ArrayList<Row>();
         double[] values = random.doubles(count)
@@ -182,27 +186,27 @@
             rows.add(row(
                     layout, Double.toString(value), List.of("1.0", "1.00", "1").get(random.nextInt(3))));
         }
-        for (AggregateColumn figure : layout.figures()) {
-            Aggregator one = tree(figure, rows, random);
+        for (AggregateColumn column : layout.aggregates()) {
+            Aggregator one = tree(column, rows, random);
             assertArrayEquals(
                     one.text(),
-                    tree(figure, rows, random).text(),
-                    figure.measure().name());
+                    tree(column, rows, random).text(),
+                    column.aggregate().name());
         }
         Arrays.sort(values);
-        Aggregator quantile = tree(layout.figures().get(3), rows, random);
+        Aggregator quantile = tree(layout.aggregates().get(3), rows, random);
         double exact = values[(int) QuantileAggregator.rank(0.9, count)];
         double off = Math.abs(Double.parseDouble(new String(quantile.text(), StandardCharsets.UTF_8)) - exact);
         assertTrue(off <= quantile.error() * Math.abs(exact) * (1 + 1e-9) + 1e-300, off + " of " + exact);
         assertEquals(count <= QuantileAggregator.EXACT, quantile.error() == 0);
-        Aggregator distinct = tree(layout.figures().get(2), rows, random);
+        Aggregator distinct = tree(layout.aggregates().get(2), rows, random);
         assertTrue(Math.abs(Double.parseDouble(new String(distinct.text(), StandardCharsets.UTF_8)) - count)
                 <= 6 * distinct.error() * count);
         BigDecimal sum = Arrays.stream(values).mapToObj(BigDecimal::new).reduce(BigDecimal.ZERO, BigDecimal::add);
         assertEquals(
                 sum.doubleValue(),
-                Double.parseDouble(
-                        new String(tree(layout.figures().get(0), rows, random).text(), StandardCharsets.UTF_8)));
+                Double.parseDouble(new String(
+                        tree(layout.aggregates().get(0), rows, random).text(), StandardCharsets.UTF_8)));
     }
 
     /** As PostgreSQL 16 writes them. */
@@ -232,8 +236,8 @@
                 "MOST, 17, \\x0a \\x0b, \\x0b",
                 "SUM, 700, 0.5 0.25, 0.75"
             })
-    void figuresLookAsPostgresWritesThem(What what, int type, String values, String expected) {
-        var grouping = new Grouping(List.of(), List.of(Aggregate.of(what, "x", "y")));
+    void figuresLookAsPostgresWritesThem(Function function, int type, String values, String expected) {
+        var grouping = new Grouping(List.of(), List.of(Aggregate.of(function, "x", "y")));
         var table = RowSet.table(
                 List.of(Column.of("x", type)),
                 (values == null ? List.of("null") : List.of(values.split(" ")))
@@ -242,7 +246,7 @@
                                 .toList());
         RowSet.Answer answer = RowSet.gather(
                 GatherPlan.of(MergeSpec.by().grouped(grouping)),
-                List.of(new RowSet.Held(new GatherPart("p", 0), table, "", 1)),
+                List.of(new RowSet.PartRows(new GatherPart("p", 0), table, "", 1)),
                 MemoryPool.of(1 << 20));
         assertEquals(
                 Collections.singletonList(expected), RowSet.values(answer.rows().get(0)));
@@ -262,9 +266,9 @@
                 RowSet.values(answer(Aggregate.mean("s", "c", "m"), columns.get(), rows)
                         .rows()
                         .get(0)));
-        RowSet.Answer beyond = answer(Aggregate.of(What.SUM, "x", "sum"), columns.get(), rows);
-        assertEquals(GatherFault.Kind.OVERFLOW, beyond.verdict().fault().kind());
-        assertEquals(GatherResult.Outcome.FAILED, beyond.verdict().outcome());
+        RowSet.Answer beyond = answer(Aggregate.of(Function.SUM, "x", "sum"), columns.get(), rows);
+        assertEquals(GatherFault.Kind.OVERFLOW, beyond.result().fault().kind());
+        assertEquals(GatherResult.Outcome.FAILED, beyond.result().outcome());
         assertTrue(beyond.rows().isEmpty());
         for (int i = 0; i < QuantileAggregator.EXACT; i++) {
             rows.add(List.of("1", "1", "1", "t" + i));
@@ -272,21 +276,21 @@
         assertEquals(
                 GatherFault.Kind.FULL,
                 answer(Aggregate.quantile("t", 0.5, "q"), columns.get(), rows)
-                        .verdict()
+                        .result()
                         .fault()
                         .kind());
-        GatherResult sketched = answer(Aggregate.of(What.DISTINCT, "t", "d"), columns.get(), rows)
-                .verdict();
+        GatherResult sketched = answer(Aggregate.of(Function.DISTINCT, "t", "d"), columns.get(), rows)
+                .result();
         assertNull(sketched.fault());
         assertEquals(
                 DistinctAggregator.ERROR,
                 Objects.requireNonNull(sketched.errors().get("d")));
     }
 
-    private static RowSet.Answer answer(Aggregate measure, List<Column> columns, List<List<String>> rows) {
+    private static RowSet.Answer answer(Aggregate aggregate, List<Column> columns, List<List<String>> rows) {
         return RowSet.gather(
-                GatherPlan.of(MergeSpec.by().grouped(new Grouping(List.of(), List.of(measure)))),
-                List.of(new RowSet.Held(new GatherPart("p", 0), RowSet.table(columns, rows), "", 1)),
+                GatherPlan.of(MergeSpec.by().grouped(new Grouping(List.of(), List.of(aggregate)))),
+                List.of(new RowSet.PartRows(new GatherPart("p", 0), RowSet.table(columns, rows), "", 1)),
                 MemoryPool.of(1 << 20));
     }
 }
--- a/scattergather/src/test/java/clayhook/scattergather/MergePropertiesTest.java
+++ b/scattergather/src/test/java/clayhook/scattergather/MergePropertiesTest.java
@@ -35,19 +35,19 @@
             @ForAll @IntRange(max = 25) int rows,
             @ForAll boolean sorted,
             @ForAll @IntRange(max = 2) int copies,
-            @ForAll boolean cut) {
+            @ForAll boolean hasLimit) {
         Sample sample = new Sample(seed, parts, rows).arranged(sorted);
         Duplicates duplicates = copies == 0 ? null : sample.duplicates(copies == 1);
-        Limit limit = cut ? Limit.rows(sample.random.nextInt(12)) : Limit.NONE;
-        var merging = new MergeSpec(sample.keys, sorted, duplicates, null, limit);
-        Play play = new Play(seed, GatherPlan.of(merging).within(TIGHT), Sample.COLUMNS, Play.texts(sample));
+        Limit limit = hasLimit ? Limit.rows(sample.random.nextInt(12)) : Limit.NONE;
+        var spec = new MergeSpec(sample.keys, sorted, duplicates, null, limit);
+        Play play = new Play(seed, GatherPlan.of(spec).bufferLimits(TIGHT), Sample.COLUMNS, Play.texts(sample));
         List<Line> lines =
                 duplicates == null ? sample.all() : sample.distinct(duplicates, part -> play.positions[part]);
-        GatherResult verdict = play.run();
+        GatherResult result = play.run();
         assertEquals(texts(first(limit.rows(), sample.sorted(lines))), play.rows);
-        assertEquals(COMPLETE, verdict.outcome());
-        assertTrue(verdict.cut().exact() && verdict.enough());
-        assertEquals(play.rows.size(), verdict.rows());
+        assertEquals(COMPLETE, result.outcome());
+        assertTrue(result.truncation().exact() && result.usable());
+        assertEquals(play.rows.size(), result.rows());
     }
 
     /** Bytes end the answer at the first row that goes beyond them. */
@@ -60,7 +60,7 @@
                 GatherPlan.of(new MergeSpec(sample.keys, true, null, null, limit)),
                 Sample.COLUMNS,
                 Play.texts(sample));
-        GatherResult verdict = play.run();
+        GatherResult result = play.run();
         List<List<String>> whole = texts(sample.sorted(sample.all()));
         long sum = 0;
         int fit = 0;
@@ -70,7 +70,7 @@
         assertEquals(first(fit, whole), play.rows);
         assertEquals(
                 fit < whole.size() ? GatherResult.Truncation.Where.BYTES : GatherResult.Truncation.Where.NONE,
-                verdict.cut().where());
+                result.truncation().where());
     }
 
     /**
@@ -92,19 +92,20 @@
         for (List<Line> lines : sample.parts) {
             given.add(texts(limited ? first(depth, lines) : lines));
         }
-        var merging = new MergeSpec(sample.keys, true, duplicates, null, limit);
-        Play play = new Play(seed, GatherPlan.of(merging).within(TIGHT), Sample.COLUMNS, given);
-        GatherResult verdict = play.run();
-        if (verdict.cut().exact()) {
+        var spec = new MergeSpec(sample.keys, true, duplicates, null, limit);
+        Play play = new Play(seed, GatherPlan.of(spec).bufferLimits(TIGHT), Sample.COLUMNS, given);
+        GatherResult result = play.run();
+        if (result.truncation().exact()) {
             List<Line> whole =
                     duplicates == null ? sample.all() : sample.distinct(duplicates, part -> play.positions[part]);
             assertEquals(texts(first(most, sample.sorted(whole))), play.rows);
         }
-        assertEquals(verdict.cut().exact(), verdict.cut().deeper().isEmpty());
-        assertEquals(verdict.cut().deeper(), verdict.parts(PartStatus.CUT));
+        assertEquals(
+                result.truncation().exact(), result.truncation().partsWithMore().isEmpty());
+        assertEquals(result.truncation().partsWithMore(), result.parts(PartStatus.CUT));
         for (GatherPart part : duplicates == null ? play.parts : List.<GatherPart>of()) {
             assertEquals(
-                    verdict.cut().deeper().contains(part),
+                    result.truncation().partsWithMore().contains(part),
                     oneMoreShows(sample, part.number(), depth, most),
                     part.name());
         }
@@ -129,43 +130,43 @@
             @ForAll @IntRange(min = 1, max = 5) int parts,
             @ForAll @IntRange(max = 2) int enough,
             @ForAll boolean streams,
-            @ForAll boolean marked,
-            @ForAll boolean cut) {
+            @ForAll boolean allowPartial,
+            @ForAll boolean hasLimit) {
         Sample sample = new Sample(seed, parts, 12).arranged(true);
         var random = new Random(seed);
         int quorum = 1 + random.nextInt(parts);
-        Limit limit = cut ? Limit.rows(random.nextInt(9)) : Limit.NONE;
+        Limit limit = hasLimit ? Limit.rows(random.nextInt(9)) : Limit.NONE;
         GatherPlan plan = GatherPlan.of(new MergeSpec(sample.keys, streams, null, null, limit))
-                .within(TIGHT)
-                .patience(1 + random.nextInt(9))
-                .enough(
+                .bufferLimits(TIGHT)
+                .partTimeout(1 + random.nextInt(9))
+                .completion(
                         enough == 0
                                 ? new CompletionPolicy.All()
                                 : enough == 1 ? new CompletionPolicy.Quorum(quorum) : new CompletionPolicy.Best())
-                .notOlder(random.nextBoolean() ? 1 : Double.NEGATIVE_INFINITY);
-        Play play = new Play(seed, marked ? plan : plan.wholeOrError(), Sample.COLUMNS, Play.texts(sample));
-        var plays = new ArrayList<Play.Way>();
+                .minPosition(random.nextBoolean() ? 1 : Double.NEGATIVE_INFINITY);
+        Play play = new Play(seed, allowPartial ? plan : plan.wholeOrError(), Sample.COLUMNS, Play.texts(sample));
+        var plays = new ArrayList<Play.PartBehavior>();
         for (int i = 0; i < parts; i++) {
-            play.ways.set(i, Play.Way.values()[random.nextBoolean() ? 0 : random.nextInt(4)]);
-            plays.add(play.ways.get(i));
+            play.behaviors.set(i, Play.PartBehavior.values()[random.nextBoolean() ? 0 : random.nextInt(4)]);
+            plays.add(play.behaviors.get(i));
         }
-        GatherResult verdict = play.run();
-        assertEquals(parts, verdict.notes().size());
-        List<GatherPart> whole = verdict.parts(PartStatus.WHOLE);
+        GatherResult result = play.run();
+        assertEquals(parts, result.notes().size());
+        List<GatherPart> whole = result.parts(PartStatus.WHOLE);
         int needed = enough == 1 ? quorum : parts;
-        if (verdict.outcome() == COMPLETE) {
-            assertTrue(whole.size() >= needed && verdict.enough());
+        if (result.outcome() == COMPLETE) {
+            assertTrue(whole.size() >= needed && result.usable());
             List<Line> used = sample.all().stream()
                     .filter(line -> whole.contains(play.parts.get(line.part())))
                     .toList();
             assertEquals(texts(first(limit.rows(), sample.sorted(used))), play.rows);
-            assertFalse(verdict.position() < plan.oldest());
+            assertFalse(result.position() < plan.minPosition());
         } else {
             assertTrue(
-                    whole.size() < needed || verdict.cut().where() == GatherResult.Truncation.Where.DEADLINE,
-                    verdict.toString());
+                    whole.size() < needed || result.truncation().where() == GatherResult.Truncation.Where.DEADLINE,
+                    result.toString());
         }
-        if (!plays.contains(Play.Way.BREAKS_ONCE)) {
+        if (!plays.contains(Play.PartBehavior.FAILS_ONCE)) {
             assertEquals(parts, play.asks, "asked again without being told so");
         }
         List<List<String>> plain = texts(sample.sorted(sample.all()));
@@ -177,9 +178,10 @@
             assertNotEquals(plain.size(), at++, "a row that does not follow");
         }
         for (GatherPart part : play.parts) {
-            PartStatus standing = verdict.notes().get(part.number()).standing();
-            if (plays.get(part.number()) == Play.Way.WHOLE && play.positions[part.number()] < plan.oldest()) {
-                assertNotEquals(PartStatus.WHOLE, standing);
+            PartStatus status = result.notes().get(part.number()).status();
+            if (plays.get(part.number()) == Play.PartBehavior.WHOLE
+                    && play.positions[part.number()] < plan.minPosition()) {
+                assertNotEquals(PartStatus.WHOLE, status);
             }
         }
     }
--- a/scattergather/src/test/java/clayhook/scattergather/Play.java
+++ b/scattergather/src/test/java/clayhook/scattergather/Play.java
@@ -14,66 +14,66 @@
 /** Plays parts to a gather in an order of events drawn from a seed, and watches what it may never do. */
 final class Play implements GatherActions {
     /** What a part does: to its end, never beyond some row, broken off there for good or until asked again. */
-    enum Way {
+    enum PartBehavior {
         WHOLE,
-        SILENT,
-        BREAKS,
-        BREAKS_ONCE
+        STALLS,
+        FAILS,
+        FAILS_ONCE
     }
 
     static final double DEADLINE = 10;
-    private static final long ALLOWANCE = 64 << 20;
+    private static final long POOL_BYTES = 64 << 20;
 
     final List<GatherPart> parts = new ArrayList<>();
-    final List<List<byte[]>> data;
-    final List<Way> ways = new ArrayList<>();
+    final List<List<byte[]>> messages;
+    final List<PartBehavior> behaviors = new ArrayList<>();
     final double[] positions;
     final List<List<String>> rows = new ArrayList<>();
     final Set<GatherPart> running = new HashSet<>();
     final Random random;
     final Gather gather;
     List<Column> columns;
-    GatherResult verdict;
+    GatherResult result;
     int asks;
     private final int[] credit;
     private final int[] given;
     private final boolean[] described;
     private final List<Column> source;
-    private long left = ALLOWANCE;
-    private int room;
-    private final long most;
+    private long freeBytes = POOL_BYTES;
+    private int requested;
+    private final long maxReserved;
 
-    Play(long seed, GatherPlan plan, List<Column> source, List<List<List<String>>> data) {
+    Play(long seed, GatherPlan plan, List<Column> source, List<List<List<String>>> messages) {
         random = new Random(seed);
         this.source = source;
-        this.data = data.stream()
+        this.messages = messages.stream()
                 .map(lines -> lines.stream().map(RowSet::message).toList())
                 .toList();
-        positions = random.doubles(data.size(), 0, 3).map(Math::floor).toArray();
-        credit = new int[data.size()];
-        given = new int[data.size()];
-        described = new boolean[data.size()];
-        for (int i = 0; i < data.size(); i++) {
+        positions = random.doubles(messages.size(), 0, 3).map(Math::floor).toArray();
+        credit = new int[messages.size()];
+        given = new int[messages.size()];
+        described = new boolean[messages.size()];
+        for (int i = 0; i < messages.size(); i++) {
             parts.add(new GatherPart("p" + i, i));
-            ways.add(Way.WHOLE);
+            behaviors.add(PartBehavior.WHOLE);
         }
-        most = plan.bounds().heldBytes()
-                + plan.bounds().bufferBytes()
-                + 4L * data.size() * (plan.bounds().longestRow() + 512);
+        maxReserved = plan.bufferLimits().maxHeldBytes()
+                + plan.bufferLimits().bufferBytes()
+                + 4L * messages.size() * (plan.bufferLimits().maxRowBytes() + 512);
         gather = new Gather(
                 plan,
                 parts,
                 new MemoryPool() {
                     @Override
-                    public boolean take(long bytes) {
-                        left -= bytes;
-                        assertTrue(ALLOWANCE - left <= most, "memory beyond the bound");
+                    public boolean tryReserve(long bytes) {
+                        freeBytes -= bytes;
+                        assertTrue(POOL_BYTES - freeBytes <= maxReserved, "memory beyond the bound");
                         return true;
                     }
 
                     @Override
-                    public void give(long bytes) {
-                        left += bytes;
+                    public void release(long bytes) {
+                        freeBytes += bytes;
                     }
                 },
                 this);
@@ -89,45 +89,46 @@
     GatherResult run() {
         gather.begin(0, DEADLINE);
         double now = 0;
-        while (verdict == null && now <= DEADLINE) {
+        while (result == null && now <= DEADLINE) {
             if (random.nextInt(4) == 0) {
-                room++;
+                requested++;
                 gather.request(1);
             }
             now += random.nextInt(20) == 0 ? 0.01 : 0;
-            if (!step() && room > rows.size()) {
-                now = gather.turn(now) + 0.001; // nothing happens any more: the next thing is a deadline
+            if (!step() && requested > rows.size()) {
+                now = gather.tick(now) + 0.001; // nothing happens any more: the next thing is a deadline
             }
-            gather.turn(now);
-            assertTrue(gather.readAhead() <= gather.held(), "more read ahead than was taken for it");
+            gather.tick(now);
+            assertTrue(gather.bufferedBytes() <= gather.reservedBytes(), "more read ahead than was taken for it");
         }
-        assertTrue(gather.over(), "an answer by its deadline");
-        assertEquals(ALLOWANCE, left, "all memory is given back");
+        assertTrue(gather.finished(), "an answer by its deadline");
+        assertEquals(POOL_BYTES, freeBytes, "all memory is given back");
         assertTrue(running.isEmpty(), "still running: " + running);
-        late();
-        return verdict;
+        sendLateEvents();
+        return result;
     }
 
     private boolean step() {
-        var able = parts.stream()
-                .filter(part -> running.contains(part) && able(part.number()))
+        var ready = parts.stream()
+                .filter(part -> running.contains(part) && ready(part.number()))
                 .toList();
-        if (able.isEmpty()) {
+        if (ready.isEmpty()) {
             return false;
         }
-        GatherPart part = able.get(random.nextInt(able.size()));
+        GatherPart part = ready.get(random.nextInt(ready.size()));
         int i = part.number();
         if (!described[i]) {
             described[i] = true;
             gather.described(part, source);
-        } else if (ways.get(i) != Way.WHOLE && given[i] >= data.get(i).size() / 2) {
-            boolean again = ways.get(i) == Way.BREAKS_ONCE;
-            ways.set(i, again ? Way.WHOLE : Way.BREAKS);
+        } else if (behaviors.get(i) != PartBehavior.WHOLE
+                && given[i] >= messages.get(i).size() / 2) {
+            boolean again = behaviors.get(i) == PartBehavior.FAILS_ONCE;
+            behaviors.set(i, again ? PartBehavior.WHOLE : PartBehavior.FAILS);
             running.remove(part);
             gather.failed(part, "gone", again);
-        } else if (given[i] < data.get(i).size()) {
+        } else if (given[i] < messages.get(i).size()) {
             credit[i]--;
-            gather.row(part, data.get(i).get(given[i]++));
+            gather.row(part, messages.get(i).get(given[i]++));
         } else {
             running.remove(part);
             gather.ended(part, positions[i]);
@@ -135,21 +136,24 @@
         return true;
     }
 
-    private boolean able(int i) {
-        boolean half = ways.get(i) != Way.WHOLE && given[i] >= data.get(i).size() / 2;
+    private boolean ready(int i) {
+        boolean half = behaviors.get(i) != PartBehavior.WHOLE
+                && given[i] >= messages.get(i).size() / 2;
         return !described[i]
-                || (half ? ways.get(i) != Way.SILENT : given[i] == data.get(i).size() || credit[i] > 0);
+                || (half
+                        ? behaviors.get(i) != PartBehavior.STALLS
+                        : given[i] == messages.get(i).size() || credit[i] > 0);
     }
 
     /** News after the end change nothing. */
-    private void late() {
-        long before = gather.lateNews();
+    private void sendLateEvents() {
+        long before = gather.ignoredEvents();
         int emitted = rows.size();
         parts.forEach(part -> gather.ended(part, 99));
         parts.forEach(part -> gather.failed(part, "late", true));
         gather.request(5);
-        assertEquals(Double.POSITIVE_INFINITY, gather.turn(99));
-        assertEquals(before + 2L * parts.size(), gather.lateNews());
+        assertEquals(Double.POSITIVE_INFINITY, gather.tick(99));
+        assertEquals(before + 2L * parts.size(), gather.ignoredEvents());
         assertEquals(emitted, rows.size());
     }
 
@@ -181,13 +185,13 @@
 
     @Override
     public void emit(byte[] row) {
-        assertFalse(columns == null || verdict != null || rows.size() >= room, "a row out of turn");
+        assertFalse(columns == null || result != null || rows.size() >= requested, "a row out of turn");
         rows.add(RowSet.values(row));
     }
 
     @Override
     public void finish(GatherResult end) {
-        assertNull(verdict, "two final answers");
-        verdict = end;
+        assertNull(result, "two final answers");
+        result = end;
     }
 }
--- a/scattergather/src/test/java/clayhook/scattergather/Sample.java
+++ b/scattergather/src/test/java/clayhook/scattergather/Sample.java
@@ -212,7 +212,7 @@
                     .sorted(merit.thenComparingInt(Line::part).thenComparingInt(Line::number))
                     .toList();
             var values = new ArrayList<>(ranked.get(0).values);
-            for (Line line : duplicates.union() ? ranked : List.<Line>of()) {
+            for (Line line : duplicates.fillNulls() ? ranked : List.<Line>of()) {
                 for (int i = 0; i < values.size(); i++) {
                     values.set(i, values.get(i).text == null ? line.values.get(i) : values.get(i));
                 }
