--- a/scattergather/src/main/java/clayhook/scattergather/AnswerWriter.java
+++ b/scattergather/src/main/java/clayhook/scattergather/AnswerWriter.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** The answer on its way out: as much as there is room for, up to its limit. */
+/** Emits the answer up to its limits, as fast as the receiver requests rows. */
 final class AnswerWriter {
     private final GatherActions actions;
     private final Limit limit;
@@ -25,12 +25,12 @@
         return requested == 0;
     }
 
-    /** Nothing more belongs to the answer. */
+    /** Whether the answer has reached one of its limits. */
     boolean isFull() {
         return tooLong || rows >= limit.rows();
     }
 
-    /** How many rows still belong to it at the most. */
+    /** Maximum number of rows that can still be emitted. */
     long remaining() {
         return limit.rows() - rows;
     }
@@ -42,7 +42,7 @@
         }
     }
 
-    /** Not while it is blocked or full. */
+    /** Emits a row; must not be called while the writer is blocked or full. */
     void emit(byte[] row) {
         tooLong = row.length > limit.bytes() - bytes;
         if (!tooLong) {
