--- a/scattergather/src/main/java/clayhook/scattergather/BufferedMerge.java
+++ b/scattergather/src/main/java/clayhook/scattergather/BufferedMerge.java
@@ -7,17 +7,17 @@
 import java.util.Map;
 
 /**
- * All rows are held until the parts have ended: each part in a pool of its own, so that one that fails can be asked
- * anew, or be left out, and joined once it is known to count.
+ * Merge that buffers all rows until the parts have ended. Each part has a store of its own, so that a failed part can
+ * be asked again or left out; the stores are merged once the contributing parts are known.
  */
 final class BufferedMerge implements MergeStrategy {
     private final MergeSpec spec;
     private final MemoryReservation reservation;
     private final BufferLimits bufferLimits;
     private ColumnLayout layout;
-    /** Emptied when the answer is made, and at the end; bounded by the account. */
+    /** Stores by part. Bounded by the memory reservation; emptied when the answer is built and when the gather ends. */
     private final Map<PartStream, RowStore> stores = new HashMap<>();
-    /** What is to go out; emptied as it goes. */
+    /** Rows to emit, in the order of the answer. */
     private ArrayDeque<Row> answer;
 
     private RowStore merged;
@@ -62,8 +62,8 @@
     }
 
     /**
-     * A part of groups would count for less than it is, so a part that was cut is left out of them; of rows each is
-     * true.
+     * Merges the stores of the contributing parts. A part that failed is left out of groups because its aggregates
+     * would be too small; without groups, its rows are correct and are kept.
      */
     @Override
     public void begin(List<PartStream> parts, ColumnLayout plan) {
@@ -83,7 +83,7 @@
                 store.release();
             }
         }
-        List.copyOf(stores.keySet()).forEach(this::discard); // spare ones
+        List.copyOf(stores.keySet()).forEach(this::discard); // parts that are not needed
         answer = new ArrayDeque<>(fault == null && merged != null ? answer() : List.of());
     }
 
@@ -110,7 +110,7 @@
         return rows;
     }
 
-    /** Groups of what duplicates have left. */
+    /** Groups the rows that remain after the removal of duplicates. */
     private List<Row> grouped(List<Row> rows) {
         RowStore table = merged;
         merged = new AggregateGroups(layout, reservation, bufferLimits.maxHeldRows());
