--- a/scattergather/src/main/java/clayhook/scattergather/CompletionPolicy.java
+++ b/scattergather/src/main/java/clayhook/scattergather/CompletionPolicy.java
@@ -1,17 +1,17 @@
 package clayhook.scattergather;
 
-/** Which parts an answer needs. */
+/** Which parts are required for a complete answer. */
 public sealed interface CompletionPolicy {
-    /** Every part. */
+    /** Requires every part. */
     record All() implements CompletionPolicy {}
 
     /**
-     * That many whole and fresh parts, whichever they are; the others are recalled then. Made for parts that hold the
-     * same. Rows begin to go out when so many parts are whole, or have more than is held of one: of the latter one may
-     * still fail.
+     * Requires that many whole and fresh parts, whichever they are; the others are recalled. Intended for parts that
+     * hold the same data. Emission starts when the quorum consists of parts that are whole or whose read-ahead buffer
+     * is full; a part with a full buffer can still fail afterwards.
      */
     record Quorum(int parts) implements CompletionPolicy {}
 
-    /** Whatever is there by the deadline. */
+    /** Accepts whatever has been received by the deadline. */
     record Best() implements CompletionPolicy {}
 }
