--- a/scattergather/src/main/java/clayhook/scattergather/Gather.java
+++ b/scattergather/src/main/java/clayhook/scattergather/Gather.java
@@ -8,14 +8,14 @@
 import java.util.List;
 
 /**
- * One answer from many parts. It is told what comes and what time it is, and says what to do; it retries nothing by
- * itself. There is exactly one final answer, at the first {@link #tick} at or after the deadline at the latest,
- * whatever comes in whatever order. What comes from a part after its end, its recall or the answer is ignored and
- * counted.
+ * State machine that merges the rows of several parts into one answer. The caller reports events of the parts and the
+ * time; the gather calls {@link GatherActions}. It never retries a part by itself. It gives exactly one final result,
+ * for any order of events, and no later than at the first {@link #tick} at or after the deadline. Events of a part
+ * after its end, after its recall or after the final result are ignored and counted.
  *
- * <p>For one thread. Events count as of the last time told, so of what is ready at once the events are told first, then
- * the time: a router that stood still itself then blames no part for it. Of a part that is asked again, what the
- * earlier asking still brings is not to be told.
+ * <p>Confined to one thread. An event takes effect at the time of the last tick. When several events are ready at once,
+ * report the events before the time; otherwise a stall of the router would count as lateness of the parts. After a part
+ * has been asked again, the caller must not report events that belong to the previous attempt.
  */
 public final class Gather {
     private final GatherPlan plan;
@@ -25,7 +25,7 @@
     private final GatherActions actions;
     private final MergeStrategy strategy;
     private final AnswerWriter out;
-    /** The most that a row can weigh, and what is read ahead of each part. */
+    /** Upper bound of the memory of one row, in bytes. */
     private final long maxRowWeight;
 
     private final long readAheadBytes;
@@ -33,16 +33,17 @@
     private double now;
     private double deadline;
     private boolean started;
-    /** From when on rows become the answer, and no part is asked again. */
+    /** Whether the merge has started. From then on rows may be emitted and no part is asked again. */
     private boolean mergeStarted;
 
     private boolean finished;
-    /** Whether something is being done, so that an act that calls back is noticed. */
+    /** Whether a call is being processed; detects an action that calls back into the gather. */
     private boolean inCall;
 
     private long ignoredEvents;
     /**
-     * How many streams are so, as of {@link #updateCounts}: that is cheaper than looking at all of them at each row.
+     * Number of streams with each property, kept up to date by {@link #updateCounts}, which costs less than a scan of
+     * all streams for each row.
      */
     private int readyParts;
 
@@ -50,7 +51,7 @@
     private int lostParts;
     private int spareParts;
 
-    /** @param parts in the order of their numbers, which count from 0 */
+    /** @param parts in the order of their numbers, which start at 0 */
     public Gather(GatherPlan plan, List<GatherPart> parts, MemoryPool memoryPool, GatherActions actions) {
         this.plan = plan;
         this.actions = actions;
@@ -82,17 +83,18 @@
     }
 
     /**
-     * What is taken at once: what is read ahead, and of each part the row before, against which its order is checked.
+     * Bytes reserved at the start: the read-ahead buffers and, for each part, its previous row, which is needed to
+     * check the order.
      */
     private long initialReservation() {
         return spec.isStreaming() ? streams.size() * (readAheadBytes + maxRowWeight) : 0;
     }
 
     /**
-     * Asks all parts.
+     * Sends the statement to all parts.
      *
-     * @param time now, seconds since 1970
-     * @param end when the final answer is due at the latest, seconds since 1970
+     * @param time current time, seconds since 1970
+     * @param end deadline of the final result, seconds since 1970
      */
     public void begin(double time, double end) {
         enter();
@@ -127,7 +129,10 @@
         inCall = true;
     }
 
-    /** The part's stream, if it is still heard; then {@link #leave} must follow. */
+    /**
+     * Returns the stream of the part and marks the call as in progress, so that {@link #leave} must follow. Returns
+     * null, without marking, if the part or the gather has already ended.
+     */
     private PartStream enterIfActive(GatherPart part) {
         PartStream stream = streams.get(part.number());
         if (!stream.part.equals(part) || !started) {
@@ -147,7 +152,7 @@
         inCall = false;
     }
 
-    /** A position that the part is known to have reached, told ahead of its end where that is known. */
+    /** Reports a position that the part has reached, if it is available before the end of the part. */
     public void positionReached(GatherPart part, double position) {
         PartStream stream = enterIfActive(part);
         if (stream != null) {
@@ -156,7 +161,7 @@
         }
     }
 
-    /** The part's columns; of a part that cannot be described as text, null. */
+    /** Reports the columns of the part; null if its columns are not in text format. */
     public void described(GatherPart part, List<Column> columns) {
         PartStream stream = enterIfActive(part);
         if (stream != null) {
@@ -185,7 +190,10 @@
         return difference == null ? null : new GatherFault(GatherFault.Kind.MIXED, stream.part, 0, difference);
     }
 
-    /** A row of the part, a whole DataRow message; it is kept as it is and must not change any more. */
+    /**
+     * Reports a row of the part as a complete DataRow message. The array is kept without a copy and must not be
+     * modified.
+     */
     public void row(GatherPart part, byte[] message) {
         PartStream stream = enterIfActive(part);
         if (stream != null) {
@@ -266,9 +274,9 @@
     }
 
     /**
-     * The part came to its end.
+     * Reports that the part has sent its last row.
      *
-     * @param position at which it was read, seconds since 1970; negative infinity where unknown
+     * @param position applied position at which the part was read, seconds since 1970; negative infinity if unknown
      */
     public void ended(GatherPart part, double position) {
         PartStream stream = enterIfActive(part);
@@ -280,9 +288,10 @@
     }
 
     /**
-     * The part broke off.
+     * Reports that the part failed before its end.
      *
-     * @param mayAskAgain what the router decides. A part of which rows may be in the answer already is not asked again
+     * @param mayAskAgain whether the router allows another attempt. It has no effect once the merge has started,
+     *     because rows of the part may be in the answer already
      */
     public void failed(GatherPart part, String reason, boolean mayAskAgain) {
         PartStream stream = enterIfActive(part);
@@ -298,7 +307,7 @@
         }
     }
 
-    /** The receiver of the answer takes that many rows more; at first it takes none. */
+    /** Allows that many more rows to be emitted; the initial number is 0. */
     public void request(int rows) {
         if (!started) {
             out.request(rows);
@@ -310,7 +319,7 @@
         }
     }
 
-    /** Nobody wants the answer any more: ends it at once. */
+    /** Ends the gather at once because the answer is no longer wanted. */
     public void cancel() {
         if (started && !finished) {
             enter();
@@ -320,8 +329,9 @@
     }
 
     /**
-     * It is now that late. @return when the next turn is due at the latest, infinity for none; an earlier one does no
-     * harm
+     * Advances the time, in seconds since 1970.
+     *
+     * @return the latest time of the next tick, positive infinity if none is needed; earlier ticks are harmless
      */
     public double tick(double time) {
         if (finished || !started) {
@@ -340,7 +350,7 @@
             }
         }
         advance();
-        if (expired && !finished) { // its receiver does not take it
+        if (expired && !finished) { // the receiver does not accept the remaining rows
             finish(null, true);
         }
         inCall = false;
@@ -356,17 +366,14 @@
         return next;
     }
 
-    /** Guards against a part whose rows cannot be trusted: those that are not in the answer yet never will be. */
+    /** Excludes a part that has sent invalid data. Its rows that have not been emitted yet are dropped. */
     private void reject(PartStream stream, GatherFault fault) {
         actions.recall(stream.part);
         stream.fail(PartStatus.MISSING, fault.toString(), fault);
         strategy.discard(stream);
     }
 
-    /**
-     * Something has changed about that part: it may be given more credit, and what is counted of it is brought up to
-     * date.
-     */
+    /** Grants the part more credit if there is room, and updates the counts of streams. */
     private void updateStream(PartStream stream) {
         int more = stream.ended
                 ? 0
@@ -382,7 +389,7 @@
 
     private void updateCounts(PartStream stream) {
         if (mergeStarted && !stream.ended) {
-            return; // what counts for the beginning is past
+            return; // the counts only decide when the merge may start
         }
         boolean readyNow = strategy.ready(stream);
         boolean countsNow = stream.ended ? !stream.truncated && !isTooOld(stream) : strategy.countsForQuorum(stream);
@@ -405,7 +412,7 @@
         return stream.position < plan.minPosition();
     }
 
-    /** Does what follows from what was told. */
+    /** Starts, continues or ends the merge as the events so far require. */
     private void advance() {
         if (strategy.fault() != null || (!plan.allowPartial() && cannotComplete())) {
             finish(strategy.fault(), true);
@@ -417,12 +424,13 @@
         boolean done = mergeStarted && strategy.emitAvailable(out);
         if (strategy.fault() != null || done) {
             finish(strategy.fault(), strategy.fault() != null);
-        } else if (!plan.allowPartial() && cannotComplete()) { // the last that came of a part that broke off went out
+        } else if (!plan.allowPartial()
+                && cannotComplete()) { // the last buffered row of a failed part has been emitted
             finish(null, true);
         }
     }
 
-    /** Whether so many parts are lost that what is left cannot be enough. */
+    /** Whether too many parts are lost for the completion policy to be met. */
     private boolean cannotComplete() {
         return !(plan.completion() instanceof CompletionPolicy.Best)
                 && streams.size() - spareParts - lostParts < requiredParts();
@@ -465,9 +473,9 @@
     }
 
     /**
-     * The one place where it ends.
+     * Ends the gather and reports its result; every end goes through this method.
      *
-     * @param broken whether the answer was not at its end
+     * @param broken whether the gather ended before the end of the answer
      */
     private void finish(GatherFault fault, boolean broken) {
         finished = true;
@@ -527,7 +535,10 @@
                 strategy.errors());
     }
 
-    /** A part that broke off is whole all the same where the answer ended before it would have needed more of it. */
+    /**
+     * The status of a part. A failed part still counts as whole if the answer ended before it needed more rows of that
+     * part.
+     */
     private PartStatus status(PartStream stream, boolean broken) {
         if (stream.spare || (!stream.ended && broken)) {
             return PartStatus.SPARE;
@@ -538,27 +549,27 @@
         return isTooOld(stream) ? PartStatus.OLD : PartStatus.WHOLE;
     }
 
-    /** Whether the final answer was given. */
+    /** Whether the final result has been reported. */
     public boolean finished() {
         return finished;
     }
 
-    /** News of parts that came after they, or the whole, had ended. */
+    /** Number of events ignored because their part, or the whole gather, had ended. */
     public long ignoredEvents() {
         return ignoredEvents;
     }
 
-    /** Bytes of memory that rows read ahead take. */
+    /** Bytes of memory of the rows in the read-ahead buffers. */
     long bufferedBytes() {
         return streams.stream().mapToLong(PartStream::bufferedBytes).sum();
     }
 
-    /** Bytes of memory taken from the allowance now. */
+    /** Bytes of memory currently reserved from the memory pool. */
     public long reservedBytes() {
         return reservation.used();
     }
 
-    /** The most that was ever taken. */
+    /** Highest number of bytes that were reserved at one time. */
     public long peakReservedBytes() {
         return reservation.peak();
     }
