--- a/scattergather/src/main/java/clayhook/scattergather/GatherActions.java
+++ b/scattergather/src/main/java/clayhook/scattergather/GatherActions.java
@@ -2,23 +2,29 @@
 
 import java.util.List;
 
-/** What a gather wants done. None of these may call back into it: what follows from them is told to it afterwards. */
+/**
+ * Actions that a gather requests from its owner. They must not call back into the gather; report the resulting events
+ * after the action has returned.
+ */
 public interface GatherActions {
-    /** Send that part its statement; of one asked again, what came for the first time is forgotten. */
+    /** Sends the statement to the part. If the part is asked again, its previous rows have been discarded. */
     void ask(GatherPart part);
 
-    /** What was sent to that part is not wanted any more. */
+    /** Cancels the statement at the part; its rows are no longer needed. */
     void recall(GatherPart part);
 
-    /** That many more rows may be handed in from there. Until then they wait where they are. */
+    /**
+     * Allows that many additional rows of the part to be passed to {@link Gather#row}. Rows beyond the credit stay
+     * unread in the connection.
+     */
     void credit(GatherPart part, int rows);
 
-    /** The columns of the answer, once, ahead of all rows; not at all where no part told any. */
+    /** Reports the columns of the answer once, before all rows; not called if no part described its columns. */
     void columns(List<Column> columns);
 
-    /** The next row of the answer, a whole DataRow message. */
+    /** Emits the next row of the answer, a complete DataRow message. */
     void emit(byte[] row);
 
-    /** The end, once. */
+    /** Reports the final result, exactly once. */
     void finish(GatherResult result);
 }
