--- a/scattergather/src/main/java/clayhook/scattergather/GatherFault.java
+++ b/scattergather/src/main/java/clayhook/scattergather/GatherFault.java
@@ -1,33 +1,33 @@
 package clayhook.scattergather;
 
 /**
- * What is wrong with what came.
+ * A fault in the data of a part or in the merge.
  *
- * @param part null where it is in no single part
- * @param row of that part, counted from 1; 0 for its description, -1 where it is in no single row
+ * @param part part that caused the fault; null if it belongs to no single part
+ * @param row row of that part, starting at 1; 0 for its column description, -1 if it belongs to no single row
  */
 public record GatherFault(Kind kind, GatherPart part, long row, String detail) {
     /** Kinds of faults. */
     public enum Kind {
-        /** Bytes that are no value of their column's type. */
+        /** A value that cannot be parsed as the type of its column. */
         UNREADABLE,
-        /** A row with more or fewer columns than were described, or before any were. */
+        /** A row whose number of columns differs from the description, or a row before the description. */
         WIDTH,
-        /** Columns that differ from those of the part that was described first. */
+        /** Columns that differ from those of the first described part. */
         MIXED,
-        /** A row before the one that it came after. */
+        /** A row that sorts before its predecessor. */
         UNORDERED,
-        /** A result beyond its type. */
+        /** A result that does not fit its type. */
         OVERFLOW,
-        /** More rows than any part may have. */
+        /** More rows than the limit for one part. */
         ENDLESS,
-        /** More rows than were asked for. */
+        /** More rows than the granted credit. */
         OVERRUN,
-        /** A row longer than any may be. */
+        /** A row longer than the maximum row size. */
         TOO_LONG,
-        /** What has to be held is beyond its bound. */
+        /** More buffered data than its limit allows. */
         FULL,
-        /** The columns are not those that the plan is for. */
+        /** Columns that do not suit the plan. */
         UNFIT
     }
 
