--- a/scattergather/src/main/java/clayhook/scattergather/GatherPart.java
+++ b/scattergather/src/main/java/clayhook/scattergather/GatherPart.java
@@ -1,10 +1,10 @@
 package clayhook.scattergather;
 
 /**
- * One of those that an answer is gathered from, such as a group of nodes or a router.
+ * One source of rows of a gather, such as a replica set or a router.
  *
- * @param number its place among the parts of the gather, from 0; of rows with equal keys the one of the lower number is
- *     first
+ * @param number index among the parts of the gather, from 0. Of rows with equal keys, the row of the part with the
+ *     lower number comes first.
  */
 public record GatherPart(String name, int number) {
     @Override
