--- a/scattergather/src/main/java/clayhook/scattergather/GatherPlan.java
+++ b/scattergather/src/main/java/clayhook/scattergather/GatherPlan.java
@@ -1,13 +1,13 @@
 package clayhook.scattergather;
 
 /**
- * How to gather an answer.
+ * Settings of one gather.
  *
- * @param allowPartial whether a partial answer is one too; else the gather ends as soon as enough cannot be had any
- *     more
- * @param partTimeout seconds that a part may take, counted while rows are wanted of it
- * @param minPosition position of the oldest part that is fresh, seconds since 1970; negative infinity for any. A part
- *     of which no position was told is older than any bound.
+ * @param allowPartial whether a partial answer is usable; if not, the gather ends as soon as the completion policy can
+ *     no longer be met
+ * @param partTimeout seconds that a part may take, counted only while it has credit
+ * @param minPosition oldest position of a part that counts as fresh, seconds since 1970; negative infinity accepts any.
+ *     A part that reports no position is older than any other bound.
  */
 public record GatherPlan(
         MergeSpec spec,
@@ -16,7 +16,7 @@
         double partTimeout,
         double minPosition,
         BufferLimits bufferLimits) {
-    /** All parts, of any age, within the deadline of the whole; a partial answer is marked. */
+    /** Requires all parts, of any age, within the deadline of the gather; a partial answer is marked as such. */
     public static GatherPlan of(MergeSpec spec) {
         return new GatherPlan(
                 spec,
@@ -39,7 +39,7 @@
         return new GatherPlan(spec, completion, allowPartial, partTimeout, position, bufferLimits);
     }
 
-    /** A partial answer is an error. */
+    /** Treats a partial answer as an error. */
     public GatherPlan wholeOrError() {
         return new GatherPlan(spec, completion, false, partTimeout, minPosition, bufferLimits);
     }
