--- a/scattergather/src/main/java/clayhook/scattergather/GatherResult.java
+++ b/scattergather/src/main/java/clayhook/scattergather/GatherResult.java
@@ -6,15 +6,16 @@
 import java.util.stream.Collectors;
 
 /**
- * What an answer is worth.
+ * Final result of a gather: how complete and how fresh the answer is.
  *
- * @param usable whether it may be given out: complete, or the plan takes whatever is there
- * @param position of the oldest part that the answer rests on, seconds since 1970; negative infinity where one told
- *     none, positive infinity where it rests on none
- * @param notes on each part, in their order
- * @param fault what ended the whole gather; null for none
- * @param conflicts keys of which copies contradict each other
- * @param errors by figure that is not exact, its standard or greatest error as a share of the value
+ * @param usable whether the answer may be given to the client: it is complete, or the plan accepts whatever is
+ *     available
+ * @param position position of the oldest part that contributed to the answer, seconds since 1970; negative infinity if
+ *     such a part reported none, positive infinity if no part contributed
+ * @param notes one note for each part, in the order of the parts
+ * @param fault fault that ended the whole gather; null if there was none
+ * @param conflicts number of keys whose copies contradict each other
+ * @param errors for each approximate aggregate, by name, its standard or maximum error as a fraction of the value
  */
 public record GatherResult(
         Outcome outcome,
@@ -26,30 +27,32 @@
         GatherFault fault,
         long conflicts,
         Map<String, Double> errors) {
-    /** Kinds of answers. */
+    /** Completeness of the answer. */
     public enum Outcome {
         COMPLETE,
         PARTIAL,
         FAILED
     }
 
-    /** What became of a part. */
+    /** Contribution of one part to the answer. */
     public enum PartStatus {
-        /** All that the answer needs of it is in, read at a position that is fresh enough. */
+        /** All rows that the answer needs are included, read at a position that is fresh enough. */
         WHOLE,
-        /** It was recalled, as others are enough or nothing can be enough any more. */
+        /**
+         * The part was recalled because the other parts suffice or because the completion policy can no longer be met.
+         */
         SPARE,
-        /** It failed, and none of it is in. */
+        /** The part failed, and none of its rows are included. */
         MISSING,
-        /** It took too long, and none of it is in. */
+        /** The part exceeded its time, and none of its rows are included. */
         LATE,
-        /** Not all that the answer needs of it is in. */
+        /** Some rows that the answer needs are not included. */
         CUT,
-        /** It is in, and older than the bound. */
+        /** The rows are included but were read at a position older than the bound. */
         OLD
     }
 
-    /** On one part. */
+    /** Status of one part, with the reason for any status other than WHOLE. */
     public record PartNote(GatherPart part, PartStatus status, String reason, GatherFault fault, double position) {
         @Override
         public String toString() {
@@ -58,14 +61,14 @@
     }
 
     /**
-     * Where the answer ends.
+     * Where and why the answer was truncated.
      *
-     * @param exact whether the rows given are the first of the whole answer, whatever the parts may hold besides; of
-     *     groups and of rows held whole it is only claimed when no part has more
-     * @param partsWithMore parts that were asked for too few rows to know
+     * @param exact whether the emitted rows are the first rows of the whole answer, independent of further rows that
+     *     the parts may have. For groups and for buffered rows it is only true if no part has more rows.
+     * @param partsWithMore parts whose requested depth was too small to decide whether the answer is exact
      */
     public record Truncation(Where where, boolean exact, List<GatherPart> partsWithMore) {
-        /** Kinds of ends. */
+        /** Limit that truncated the answer. */
         public enum Where {
             NONE,
             ROWS,
@@ -74,7 +77,7 @@
         }
     }
 
-    /** The parts with that standing. */
+    /** The parts with the given status. */
     public List<GatherPart> parts(PartStatus status) {
         return notes.stream()
                 .filter(note -> note.status == status)
@@ -82,7 +85,7 @@
                 .toList();
     }
 
-    /** One line for people: what is wrong with which part. */
+    /** One human-readable line: the outcome and the problem of each part. */
     @Override
     public String toString() {
         String parts = notes.stream()
