--- a/scattergather/src/main/java/clayhook/scattergather/MemoryPool.java
+++ b/scattergather/src/main/java/clayhook/scattergather/MemoryPool.java
@@ -1,14 +1,14 @@
 package clayhook.scattergather;
 
-/** Memory that all gathers of a router share. Called from the gathers' own thread. */
+/** Memory shared by all gathers of a router. Called on the thread of the gather. */
 public interface MemoryPool {
-    /** Takes that many bytes, or nothing and returns false. */
+    /** Reserves that many bytes; returns false and reserves nothing if they are not available. */
     boolean tryReserve(long bytes);
 
-    /** Gives back what was taken. */
+    /** Releases reserved bytes. */
     void release(long bytes);
 
-    /** That many bytes in all, for gathers of one thread. */
+    /** A pool of that many bytes for gathers of a single thread. */
     static MemoryPool of(long bytes) {
         return new MemoryPool() {
             private long left = bytes;
