--- a/scattergather/src/main/java/clayhook/scattergather/MemoryReservation.java
+++ b/scattergather/src/main/java/clayhook/scattergather/MemoryReservation.java
@@ -1,6 +1,6 @@
 package clayhook.scattergather;
 
-/** What one gather holds, out of the router's allowance and under its own bound. */
+/** Memory reserved by one gather from the shared pool, up to a limit of its own. */
 final class MemoryReservation {
     private final MemoryPool memoryPool;
     private final long limit;
