--- a/scattergather/src/main/java/clayhook/scattergather/MergeStrategy.java
+++ b/scattergather/src/main/java/clayhook/scattergather/MergeStrategy.java
@@ -3,36 +3,39 @@
 import java.util.List;
 import java.util.Map;
 
-/** The way rows of parts become the answer: as they come, or held to the end. */
+/** Strategy that merges the rows of the parts into the answer, either streaming or after buffering all rows. */
 interface MergeStrategy {
-    /** A row that fits its part's description, for that layout. */
+    /** Adds a valid row of a part, with the layout of its columns. */
     void addRow(PartStream from, Row row, ColumnLayout layout);
 
-    /** What came from there is forgotten: it is asked anew, or cannot be trusted. */
+    /** Discards the rows of a part that is asked again or has sent invalid data. */
     void discard(PartStream from);
 
-    /** Whether enough is known of that part to begin. */
+    /** Whether enough is known of the part to start the merge. */
     boolean ready(PartStream part);
 
-    /** Whether that part counts for a quorum: no fault of it, or only one in rows that are far off, can come now. */
+    /**
+     * Whether the part counts towards a quorum: no fault can occur any more, or only one in rows beyond the read-ahead
+     * buffer.
+     */
     boolean countsForQuorum(PartStream part);
 
-    /** The answer is made of these, in the order of parts. */
+    /** Starts the merge of the given parts, in their order. */
     void begin(List<PartStream> parts, ColumnLayout layout);
 
-    /** Moves on as far as rows and room allow; returns whether all is out. */
+    /** Emits rows as far as input and demand allow; returns whether the answer is complete. */
     boolean emitAvailable(AnswerWriter out);
 
-    /** How many rows of one part can be of use now. */
+    /** Maximum number of rows of one part that the answer can currently use. */
     long usefulRows(AnswerWriter out);
 
-    /** What ends the whole gather; null for nothing. */
+    /** The fault that ends the whole gather; null if there is none. */
     GatherFault fault();
 
     long conflicts();
 
     Map<String, Double> errors();
 
-    /** Gives back what it holds. */
+    /** Releases all reserved memory. */
     void release();
 }
