--- a/scattergather/src/main/java/clayhook/scattergather/PartStream.java
+++ b/scattergather/src/main/java/clayhook/scattergather/PartStream.java
@@ -2,38 +2,41 @@
 
 import java.util.ArrayDeque;
 
-/** One part in one gather: what was asked of it, what came, and how it ended. */
+/** State of one part in a gather: the credit granted to it, the rows received from it and the way it ended. */
 final class PartStream {
     final GatherPart part;
-    /** What came and was not taken yet; emptied by the merge and at the end, bounded by credit. */
+    /** Received rows that have not been merged yet. Bounded by the credit; cleared when the part or the gather ends. */
     final ArrayDeque<Row> buffer = new ArrayDeque<>();
-    /** Rows that may still be handed in. */
+    /** Number of rows that the part may still send. */
     int credit;
-    /** Rows that came. */
+    /** Number of rows received. */
     long rows;
-    /** Rows that are in the answer, or lost there against their copies. */
+    /** Number of rows that have been merged: emitted, or superseded by a duplicate. */
     long usedRows;
-    /** The one that came last, for the order; null for none. */
+    /** Last row received, for the check of the order; null if there is none or order is not checked. */
     Row lastRow;
 
     boolean described;
-    /** Nothing more comes, for whatever reason. */
+    /** Whether no more rows are accepted, for any reason. */
     boolean ended;
-    /** Not all that it may have came. */
+    /** Whether rows of the part may be missing. */
     boolean truncated;
-    /** The answer would have gone on with rows that never came. */
+    /** Whether the merge needed rows of the part that were not received. */
     boolean missingRows;
-    /** It may have more than was asked for. */
+    /** Whether the part reached the requested depth and may have more rows. */
     boolean depthReached;
-    /** Others are enough. */
+    /** Whether the part is not needed because other parts satisfy the completion policy. */
     boolean spare;
-    /** As counted in the gather: enough is known of it to begin, it counts for a quorum, it is lost for the answer. */
+    /**
+     * Properties as last counted by the gather: enough is known of the part to start the merge; it counts towards a
+     * quorum; its rows are lost for the answer.
+     */
     boolean ready;
 
     boolean countsForQuorum;
     boolean lost;
     double position = Double.NEGATIVE_INFINITY;
-    /** Why it did not come to its end. */
+    /** Why the part ended early, MISSING or LATE; null if it did not. */
     GatherResult.PartStatus failure;
 
     String reason = "";
@@ -46,7 +49,7 @@
         this.part = part;
     }
 
-    /** It is asked anew; the time that it took already stays spent. */
+    /** Resets the stream for another attempt. The time already spent stays counted. */
     void reset() {
         buffer.clear();
         bufferedBytes = 0;
@@ -57,7 +60,7 @@
         position = Double.NEGATIVE_INFINITY;
     }
 
-    /** It takes no further part, and what is not in the answer yet never will be. */
+    /** Ends the part early; its rows that have not been merged are not used. */
     void fail(GatherResult.PartStatus status, String message, GatherFault partFault) {
         ended = true;
         truncated = true;
@@ -66,7 +69,7 @@
         fault = partFault;
     }
 
-    /** It ended, or is at the depth that it was asked for. */
+    /** Ends the part after its last row, or at the requested depth. */
     void end(boolean mayHaveMore) {
         ended = true;
         truncated = mayHaveMore;
@@ -90,13 +93,14 @@
         bufferedBytes = 0;
     }
 
-    /** Memory of its buffer. */
+    /** Bytes of memory of the buffered rows. */
     long bufferedBytes() {
         return bufferedBytes;
     }
 
     /**
-     * How many rows more there is room for, if each is as long as any may be; none while half of what could be is out.
+     * Number of additional rows to grant, assuming that each row has the maximum weight. Returns 0 while more than half
+     * of the possible credit is outstanding, so that credit is granted in batches.
      */
     int creditToGrant(int rowsAhead, long bytesAhead, long maxRowWeight, long usefulRows) {
         if (credit > (rowsAhead >> 1) || credit * maxRowWeight > ((bytesAhead - bufferedBytes) >> 1)) {
@@ -113,8 +117,8 @@
     }
 
     /**
-     * Time runs while it owes rows. What came since the clock was told last counts as having come then: in favour of
-     * the part.
+     * Advances the clock of the part, which runs while the part has credit. Events since the previous update count as
+     * if they had occurred at that update, in favor of the part.
      */
     void updateClock(double now) {
         if (!Double.isNaN(runningSince)) {
@@ -123,12 +127,15 @@
         runningSince = owesRows() ? now : Double.NaN;
     }
 
-    /** Its time stops if it owes nothing now; it runs again when the clock is told next. */
+    /**
+     * Stops the clock if the part has no credit left; the next {@link #updateClock} starts it again if the part has
+     * credit.
+     */
     void stopClockIfIdle() {
         runningSince = owesRows() ? runningSince : Double.NaN;
     }
 
-    /** When it will be late if nothing comes. */
+    /** Time at which the part becomes late without further events; positive infinity while its clock is stopped. */
     double due(double partTimeout) {
         return Double.isNaN(runningSince) ? Double.POSITIVE_INFINITY : runningSince + partTimeout - elapsed;
     }
