--- a/scattergather/src/main/java/clayhook/scattergather/SortedMerge.java
+++ b/scattergather/src/main/java/clayhook/scattergather/SortedMerge.java
@@ -4,19 +4,22 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Sorted parts become a sorted answer; only what is read ahead is held, and the copies of the row that is next. */
+/**
+ * Streaming merge of sorted parts into a sorted answer. Memory holds only the read-ahead buffers and the duplicates of
+ * the next row.
+ */
 final class SortedMerge implements MergeStrategy {
     private final MemoryReservation reservation;
     private final BufferLimits bufferLimits;
-    /** Hears of each part of which a row went on. */
+    /** Called with each part from which a row has been taken. */
     private final Consumer<PartStream> onRowTaken;
 
     private List<PartStream> parts = List.of();
     private ColumnLayout layout;
     private LoserTree tree;
-    /** The slot whose next row is not there yet; -1 for none. */
+    /** Slot of the tree whose next row has not been received yet; -1 if there is none. */
     private int awaitedSlot = -1;
-    /** The row that goes out when one with another key is next; null for none. */
+    /** Duplicates of the next row to emit; emitted when a row with another key follows. Null if there are none. */
     private DuplicateGroup pending;
 
     private long heldBytes;
@@ -103,7 +106,10 @@
         return true;
     }
 
-    /** Whether the part whose row went out last has shown its next one, or its end. */
+    /**
+     * Updates the slot of the part from which the last row was taken. Returns false if neither its next row nor its end
+     * is known yet.
+     */
     private boolean resolveAwaitedSlot() {
         PartStream part = parts.get(awaitedSlot);
         Row head = part.buffer.peek();
@@ -153,8 +159,8 @@
     }
 
     /**
-     * Without duplicates the answer needs no more of a part than what it lacks itself; it begins with a row of each,
-     * though.
+     * Without duplicates, no part contributes more rows than the answer still lacks. At least one row is needed of each
+     * part to start the merge.
      */
     @Override
     public long usefulRows(AnswerWriter out) {
