--- a/scattergather/src/main/java/clayhook/scattergather/Aggregate.java
+++ b/scattergather/src/main/java/clayhook/scattergather/Aggregate.java
@@ -58,7 +58,7 @@
                 || (countColumn == null) == (function == Function.MEAN_OF_SUMS)
                 || !(share >= 0 && share <= 1)) {
             throw new IllegalArgumentException(
-                    "no measure: " + function + " of " + column + " by " + countColumn + ", share " + share);
+                    "invalid aggregate: " + function + " of " + column + " by " + countColumn + ", share " + share);
         }
     }
 }
--- a/scattergather/src/main/java/clayhook/scattergather/AggregateGroups.java
+++ b/scattergather/src/main/java/clayhook/scattergather/AggregateGroups.java
@@ -114,7 +114,7 @@
                 part,
                 row,
                 byKey.size() + " groups of " + heldBytes
-                        + " bytes have to be held for the answer, and that is the bound");
+                        + " bytes are buffered, and the next row exceeds the limit");
     }
 
     @Override
@@ -190,8 +190,8 @@
                         -1,
                         name
                                 + (aggregator.fault() == GatherFault.Kind.FULL
-                                        ? " of more than " + QuantileAggregator.EXACT + " values that are no numbers"
-                                        : " is beyond its type"));
+                                        ? " of more than " + QuantileAggregator.EXACT + " non-numeric values"
+                                        : " exceeds the range of its type"));
                 return null;
             }
             if (aggregator.error() > 0) {
--- a/scattergather/src/main/java/clayhook/scattergather/ColumnLayout.java
+++ b/scattergather/src/main/java/clayhook/scattergather/ColumnLayout.java
@@ -48,7 +48,7 @@
                         : negative(groupSlots) ? "group by" : order == null ? "order by" : null;
         problem = purpose == null
                 ? null
-                : "a column to " + purpose + " is missing, there twice, or of a type that does not serve";
+                : "a column to " + purpose + " is missing, ambiguous, or of an unsupported type";
     }
 
     private int slot(String name) {
--- a/scattergather/src/main/java/clayhook/scattergather/Gather.java
+++ b/scattergather/src/main/java/clayhook/scattergather/Gather.java
@@ -99,7 +99,7 @@
     public void begin(double time, double end) {
         enter();
         if (started) {
-            throw new IllegalStateException("begun twice");
+            throw new IllegalStateException("begin was called twice");
         }
         started = true;
         now = time;
@@ -111,7 +111,7 @@
                             GatherFault.Kind.FULL,
                             null,
                             -1,
-                            "no memory is left to read ahead of " + streams.size() + " parts"),
+                            "not enough memory to read ahead from " + streams.size() + " parts"),
                     true);
         } else {
             streams.forEach(stream -> actions.ask(stream.part));
@@ -124,7 +124,7 @@
 
     private void enter() {
         if (inCall) {
-            throw new IllegalStateException("an act calls back into its gather");
+            throw new IllegalStateException("an action called back into its gather");
         }
         inCall = true;
     }
@@ -136,7 +136,7 @@
     private PartStream enterIfActive(GatherPart part) {
         PartStream stream = streams.get(part.number());
         if (!stream.part.equals(part) || !started) {
-            throw new IllegalArgumentException(started ? "no part of this gather: " + part : "not begun");
+            throw new IllegalArgumentException(started ? "not a part of this gather: " + part : "begin has not been called");
         }
         if (finished || stream.ended) {
             ignoredEvents++;
@@ -176,7 +176,7 @@
     private GatherFault acceptColumns(PartStream stream, List<Column> columns) {
         stream.described = true;
         if (columns == null) {
-            return new GatherFault(GatherFault.Kind.MIXED, stream.part, 0, "no columns of text");
+            return new GatherFault(GatherFault.Kind.MIXED, stream.part, 0, "the columns are not in text format");
         }
         if (layout == null) {
             var first = new ColumnLayout(spec, List.copyOf(columns), part -> streams.get(part.number()).position);
@@ -227,7 +227,7 @@
                             GatherFault.Kind.UNREADABLE,
                             stream.part,
                             stream.rows,
-                            "column " + layout.columns().get(column).name() + " is no value of type "
+                            "column " + layout.columns().get(column).name() + " is not a valid value of type "
                                     + layout.columns().get(column).type());
         }
         Row row = new Row(stream.part, stream.rows, message, layout.reader(), cells);
@@ -259,7 +259,7 @@
                 stream.part,
                 stream.rows,
                 switch (kind) {
-                    case OVERRUN -> "it was not asked for";
+                    case OVERRUN -> "the row exceeds the granted credit";
                     case TOO_LONG ->
                         message.length + " bytes, more than "
                                 + plan.bufferLimits().maxRowBytes();
@@ -267,9 +267,9 @@
                         stream.described
                                 ? Row.width(message) + " columns instead of "
                                         + layout.reader().width()
-                                : "no columns told";
-                    case ENDLESS -> "more rows than any part may have";
-                    default -> "belongs before the row before it";
+                                : "the row arrived before the column description";
+                    case ENDLESS -> "more rows than the limit for one part";
+                    default -> "the row sorts before its predecessor";
                 });
     }
 
@@ -345,7 +345,7 @@
             if (!stream.ended && (expired || stream.late(plan.partTimeout()))) {
                 actions.recall(stream.part);
                 stream.fail(
-                        PartStatus.LATE, expired ? "not there by the deadline" : "took longer than a part may", null);
+                        PartStatus.LATE, expired ? "not complete by the deadline" : "exceeded the time limit of a part", null);
                 updateCounts(stream);
             }
         }
@@ -487,7 +487,7 @@
             stream.missingRows = mergeStarted ? stream.missingRows : stream.truncated;
             PartStatus status = status(stream, broken);
             String reason = stream.missingRows && stream.depthReached
-                    ? "has more than the rows that it was asked for"
+                    ? "may have more rows than were requested"
                     : stream.reason;
             notes.add(new PartNote(
                     stream.part, status, status == PartStatus.WHOLE ? "" : reason, stream.fault, stream.position));
--- a/scattergather/src/main/java/clayhook/scattergather/GatherResult.java
+++ b/scattergather/src/main/java/clayhook/scattergather/GatherResult.java
@@ -95,6 +95,6 @@
         return outcome.name().toLowerCase(Locale.ROOT)
                 + (fault == null ? "" : ": " + fault)
                 + (parts.isEmpty() ? "" : ": " + parts)
-                + (truncation.partsWithMore.isEmpty() ? "" : "; ask deeper: " + truncation.partsWithMore);
+                + (truncation.partsWithMore.isEmpty() ? "" : "; may have more rows: " + truncation.partsWithMore);
     }
 }
--- a/scattergather/src/main/java/clayhook/scattergather/RowTable.java
+++ b/scattergather/src/main/java/clayhook/scattergather/RowTable.java
@@ -60,7 +60,7 @@
                 row.part,
                 row.number,
                 byKey.size() + " rows of " + heldBytes
-                        + " bytes have to be held for the answer, and that is the bound");
+                        + " bytes are buffered, and the next one exceeds the limit");
     }
 
     @Override
--- a/scattergather/src/main/java/clayhook/scattergather/SortedMerge.java
+++ b/scattergather/src/main/java/clayhook/scattergather/SortedMerge.java
@@ -144,7 +144,7 @@
             reservation.release(-more);
         } else if (!reservation.tryReserve(more)) {
             fault = new GatherFault(
-                    GatherFault.Kind.FULL, row.part, row.number, "the copies of one row are beyond the memory for it");
+                    GatherFault.Kind.FULL, row.part, row.number, "the duplicates of one row exceed the memory limit");
             return;
         }
         heldBytes += more;
