--- a/scattergather/src/main/java/clayhook/scattergather/Aggregate.java
+++ b/scattergather/src/main/java/clayhook/scattergather/Aggregate.java
@@ -1,37 +1,40 @@
 package clayhook.scattergather;
 
 /**
- * A figure over the rows of a group. Nulls do not count, as in PostgreSQL; without values it is null, and a count 0.
+ * An aggregate over the rows of a group. Nulls are ignored, as in PostgreSQL; without values the result is null, or 0
+ * for a count.
  *
- * @param function the figure
- * @param column what it is over; null for a count of rows
- * @param countColumn for a mean of sums the column of their counts; else null
- * @param share of a quantile, 0 to 1; else 0
- * @param name of its column in the answer
+ * @param function the aggregate function
+ * @param column column to aggregate; null to count rows
+ * @param countColumn for a mean of sums, the column with their counts; otherwise null
+ * @param share for a quantile, the fraction from 0 to 1; otherwise 0
+ * @param name name of the result column in the answer
  */
 public record Aggregate(Function function, String column, String countColumn, double share, String name) {
-    /** Kinds of figures. */
+    /** Aggregate functions. */
     public enum Function {
-        /** Rows, or rows with a value. */
+        /** Number of rows, or of rows with a value in the column. */
         COUNT,
-        /** Sum of counts that parts made themselves. */
+        /** Sum of counts that the parts have computed. */
         COUNTED,
         /**
-         * Exact; of int2 and int4 an int8, of int8 a numeric, as in PostgreSQL. Of doubles it is rounded once, at the
-         * end.
+         * Exact sum. As in PostgreSQL, the result of int2 and int4 is an int8, and that of int8 a numeric. The result
+         * of doubles is rounded once, at the end.
          */
         SUM,
         LEAST,
         MOST,
-        /** A numeric with the digits that PostgreSQL's avg has; of doubles a double. */
+        /** Mean. The result of doubles is a double, otherwise a numeric with as many digits as PostgreSQL's avg. */
         MEAN,
-        /** Mean from sums and counts that parts made themselves. */
+        /** Mean of sums and counts that the parts have computed. */
         MEAN_OF_SUMS,
-        /** How many unlike values: exact up to {@link DistinctAggregator#EXACT}, then a sketch. */
+        /**
+         * Number of distinct values: exact up to {@link DistinctAggregator#EXACT} values, then estimated by a sketch.
+         */
         DISTINCT,
         /**
-         * The least value that has that share of values at or below it: exact up to {@link QuantileAggregator#EXACT},
-         * then a sketch.
+         * Smallest value such that the given fraction of values is at or below it: exact up to
+         * {@link QuantileAggregator#EXACT} values, then estimated by a sketch.
          */
         QUANTILE
     }
@@ -44,7 +47,7 @@
         return new Aggregate(function, column, null, 0, name);
     }
 
-    /** A mean of values of which parts tell the sum and the count. */
+    /** A mean of values whose sum and count the parts report. */
     public static Aggregate mean(String sum, String count, String name) {
         return new Aggregate(Function.MEAN_OF_SUMS, sum, count, 0, name);
     }
