--- a/scattergather/src/main/java/clayhook/scattergather/AggregateColumn.java
+++ b/scattergather/src/main/java/clayhook/scattergather/AggregateColumn.java
@@ -2,9 +2,9 @@
 
 import java.util.List;
 
-/** A measure for certain columns. Slots are -1 where there is no column. */
+/** An aggregate bound to the columns of a layout. A slot is -1 if there is no column. */
 record AggregateColumn(Aggregate aggregate, int slot, int countSlot, Column resultColumn) {
-    /** Null where the columns are not there, or not of types that it can be made of. */
+    /** Binds an aggregate; returns null if its columns are missing or of unsupported types. */
     static AggregateColumn of(Aggregate aggregate, List<Column> columns, ColumnReader reader) {
         Column column = aggregate.column() == null ? null : find(columns, aggregate.column());
         Column by = aggregate.countColumn() == null ? null : find(columns, aggregate.countColumn());
@@ -30,7 +30,7 @@
         return column == null ? -1 : reader.slot(columns.indexOf(column));
     }
 
-    /** The type of the result; 0 where there is none. */
+    /** OID of the result type; 0 if the aggregate does not support the type. */
     private static int result(Aggregate.Function function, int type, Column by) {
         ColumnType kind = ColumnType.of(type);
         return switch (function) {
