--- a/scattergather/src/main/java/clayhook/scattergather/AggregateGroups.java
+++ b/scattergather/src/main/java/clayhook/scattergather/AggregateGroups.java
@@ -7,18 +7,18 @@
 import java.util.List;
 import java.util.Map;
 
-/** Groups of rows with their figures, as far as they have come. */
+/** Groups of rows with the partial state of their aggregates. */
 final class AggregateGroups implements RowStore {
-    /** What groups count as a part of: rows of the answer are of no single one. */
+    /** Nominal part of the rows of groups, which belong to no single part. */
     static final GatherPart ANSWER = new GatherPart("answer", 0);
-    /** Of an entry of the map and what hangs on it, and of the row that is made of it at the end, about. */
+    /** Approximate bytes of a map entry with its group, and of the row that is built from it at the end. */
     private static final int ENTRY_BYTES = 400;
 
-    /** One group. */
+    /** State of one group. */
     private static final class Group {
         /**
-         * The first row with that key, in the order of parts: what shows of equal keys written in two ways, as 1.0 and
-         * 1.00.
+         * Key fields of the first row of the group in the order of parts, which decides between different texts of
+         * equal keys, such as 1.0 and 1.00.
          */
         byte[][] keyFields;
 
@@ -53,7 +53,10 @@
     private final ColumnLayout layout;
     private final MemoryReservation reservation;
     private final long maxGroups;
-    /** Emptied by {@link #merge} into another, or {@link #release}; bounded by groups and by the account. */
+    /**
+     * Groups by key. Bounded by the maximum number of groups and by the reservation; emptied by {@link #merge} into
+     * another store and by {@link #release}.
+     */
     private final Map<List<ColumnValue>, Group> byKey = new HashMap<>();
 
     private final Map<String, Double> errors = new LinkedHashMap<>();
@@ -113,8 +116,7 @@
                 GatherFault.Kind.FULL,
                 part,
                 row,
-                byKey.size() + " groups of " + heldBytes
-                        + " bytes are buffered, and the next row exceeds the limit");
+                byKey.size() + " groups of " + heldBytes + " bytes are buffered, and the next row exceeds the limit");
     }
 
     @Override
@@ -145,7 +147,10 @@
         return null;
     }
 
-    /** Numbered in the order of their keys, so that ties of the answer's own order are the same whatever came first. */
+    /**
+     * Numbers the rows in the order of their keys, so that ties in the order of the answer do not depend on the order
+     * of input.
+     */
     @Override
     public List<Row> rows() {
         if (byKey.isEmpty() && layout.groupSlots().length == 0) {
@@ -208,8 +213,8 @@
     }
 
     /**
-     * By figure, the largest error of any group as a share of the value, where it is not exact; known after
-     * {@link #rows}.
+     * For each approximate aggregate, by name, the largest error of any group as a fraction of the value; available
+     * after {@link #rows}.
      */
     Map<String, Double> errors() {
         return errors;
