--- a/scattergather/src/main/java/clayhook/scattergather/Aggregator.java
+++ b/scattergather/src/main/java/clayhook/scattergather/Aggregator.java
@@ -4,30 +4,28 @@
 
 import java.util.Arrays;
 
-/**
- * The partial state of one figure of one group: takes values in any order, joins in any tree, and comes to the same.
- */
+/** Partial state of one aggregate of one group. The result does not depend on the order of rows and merges. */
 abstract class Aggregator {
-    /** Of an object and its fields, about. */
+    /** Approximate bytes of an object and its fields. */
     static final int OBJECT_BYTES = 64;
 
     abstract void add(Row row, AggregateColumn column);
 
-    /** The other one is of the same figure, and is not used afterwards. */
+    /** Merges the state of the same aggregate, which must not be used afterwards. */
     abstract void merge(Aggregator other);
 
-    /** The result as PostgreSQL writes it; null for no value. */
+    /** The result in PostgreSQL's text format; null is SQL NULL. */
     abstract byte[] text();
 
-    /** Bytes of memory, about. */
+    /** Approximate bytes of memory. */
     abstract long weight();
 
-    /** Why there is no result, or null. */
+    /** The kind of fault that prevents a result; null if there is none. */
     GatherFault.Kind fault() {
         return null;
     }
 
-    /** By how much the result may be off, as a share of it; 0 while it is exact. */
+    /** Error of the result as a fraction of its value; 0 if it is exact. */
     double error() {
         return 0;
     }
@@ -36,7 +34,7 @@
         return text.getBytes(US_ASCII);
     }
 
-    /** Rows, or rows with a value. */
+    /** Counts rows, or rows with a value. */
     static final class CountAggregator extends Aggregator {
         private long count;
 
@@ -61,7 +59,7 @@
         }
     }
 
-    /** The least or the most, as its part wrote it. */
+    /** Minimum or maximum, in the text that its part sent. */
     static final class ExtremeAggregator extends Aggregator {
         private final int sign;
         private ColumnValue cell = ColumnValue.NULL;
@@ -83,7 +81,8 @@
         }
 
         /**
-         * Of values that are equal and yet written in two ways, as 1.0 and 1.00, the same one is taken in any order.
+         * Keeps the better value. Of equal values with different texts, such as 1.0 and 1.00, the choice does not
+         * depend on the order.
          */
         private void take(int compared, ColumnValue other, byte[] bytes) {
             if (compared < 0 || (compared == 0 && Arrays.compareUnsigned(bytes, raw) < 0)) {
