--- a/scattergather/src/main/java/clayhook/scattergather/BufferLimits.java
+++ b/scattergather/src/main/java/clayhook/scattergather/BufferLimits.java
@@ -1,20 +1,21 @@
 package clayhook.scattergather;
 
 /**
- * What one gather may hold.
+ * Limits of the memory of one gather.
  *
- * @param bufferRows read ahead of each part
- * @param bufferBytes read ahead of all parts together; each has an equal share, of at least one row
- * @param maxRowBytes bytes of a row's message
- * @param maxPartRows after so many a part counts as one that never ends
- * @param maxHeldRows rows, or groups, that have to be held until the end
- * @param maxHeldBytes memory for these
+ * @param bufferRows maximum number of rows read ahead from each part
+ * @param bufferBytes maximum bytes read ahead from all parts together; each part has an equal share, which holds at
+ *     least one row
+ * @param maxRowBytes maximum bytes of one row message
+ * @param maxPartRows maximum number of rows of a part; a part with more is treated as endless
+ * @param maxHeldRows maximum number of rows, or groups, buffered until the end
+ * @param maxHeldBytes maximum memory for buffered rows or groups, in bytes
  */
 public record BufferLimits(
         int bufferRows, long bufferBytes, int maxRowBytes, long maxPartRows, long maxHeldRows, long maxHeldBytes) {
     /**
-     * For a heap of 72 MB. What is read ahead of ten parts stays in a processor's caches; to read further ahead gains
-     * nothing, as what is not read yet waits in the sockets.
+     * Limits for a heap of 72 MB. The read-ahead of ten parts stays in the processor caches; reading further ahead
+     * gains nothing, as unread rows wait in the sockets.
      */
     public static final BufferLimits DEFAULT = new BufferLimits(64, 2 << 20, 16 << 10, 10_000_000, 100_000, 8 << 20);
 }
