--- a/scattergather/src/main/java/clayhook/scattergather/Column.java
+++ b/scattergather/src/main/java/clayhook/scattergather/Column.java
@@ -8,28 +8,26 @@
 import java.util.List;
 
 /**
- * A column as PostgreSQL's RowDescription tells it; its values come as text. Which table it is of is not kept: in a
- * merged answer it is of many.
+ * A column as described by PostgreSQL's RowDescription, with values in text format. The source table is not kept
+ * because a merged answer has several.
  *
- * @param type number of its type in pg_type
- * @param size bytes of a value, negative where they differ
- * @param modifier of the type, such as the digits of a numeric; -1 for none
+ * @param type OID of the type in pg_type
+ * @param size bytes of a value; negative if the size varies
+ * @param modifier type modifier, such as the precision of a numeric; -1 if there is none
  */
 public record Column(String name, int type, int size, int modifier) {
     private static final int HEADER = 5;
-    /** Table and number within it, type, size, modifier, format. */
+    /** Bytes after the name: table, column number, type, size, modifier, format. */
     private static final int FIELDS = 18;
 
     private static final int TABLE = 6;
 
-    /** A column of that type, of any size. */
+    /** A column of the type, without a size or modifier. */
     public static Column of(String name, int type) {
         return new Column(name, type, -1, -1);
     }
 
-    /**
-     * The columns in a whole RowDescription message ('T'), or null where it cannot be read or does not announce texts.
-     */
+    /** Decodes a complete RowDescription message ('T'); returns null if it is malformed or announces binary values. */
     public static List<Column> read(byte[] message) {
         try {
             ByteBuffer in = ByteBuffer.wrap(message);
@@ -41,7 +39,7 @@
             boolean texts = true;
             for (int i = 0; i < count; i++) {
                 int from = in.position();
-                while (in.get() != 0) {} // to the end of the name
+                while (in.get() != 0) {} // skips to the end of the name
                 String name = new String(message, from, in.position() - 1 - from, UTF_8);
                 in.position(in.position() + TABLE);
                 columns.add(new Column(name, in.getInt(), in.getShort(), in.getInt()));
@@ -53,7 +51,7 @@
         }
     }
 
-    /** A whole RowDescription message. */
+    /** Encodes a complete RowDescription message. */
     public static byte[] write(List<Column> columns) {
         List<byte[]> names =
                 columns.stream().map(column -> column.name.getBytes(UTF_8)).toList();
@@ -73,7 +71,7 @@
         return out.array();
     }
 
-    /** Where the one column of that name is; negative where there is none, or more than one. */
+    /** Index of the only column with that name; negative if there is none or more than one. */
     static int find(List<Column> columns, String name) {
         int found = -1;
         for (int i = 0; i < columns.size(); i++) {
@@ -87,7 +85,7 @@
         return found;
     }
 
-    /** Whether values of both may stand in one column. */
+    /** Whether the values of both columns can be merged into one column. */
     boolean fits(Column other) {
         return name.equals(other.name) && type == other.type;
     }
