--- a/scattergather/src/main/java/clayhook/scattergather/ColumnLayout.java
+++ b/scattergather/src/main/java/clayhook/scattergather/ColumnLayout.java
@@ -6,7 +6,7 @@
 import java.util.Objects;
 import java.util.function.ToDoubleFunction;
 
-/** A plan for merging, for certain columns. */
+/** A {@link MergeSpec} bound to the columns of the parts. */
 final class ColumnLayout {
     private final List<Column> columns;
     private final ColumnReader reader;
@@ -46,9 +46,8 @@
                 : aggregates.stream().anyMatch(Objects::isNull)
                         ? "measure"
                         : negative(groupSlots) ? "group by" : order == null ? "order by" : null;
-        problem = purpose == null
-                ? null
-                : "a column to " + purpose + " is missing, ambiguous, or of an unsupported type";
+        problem =
+                purpose == null ? null : "a column to " + purpose + " is missing, ambiguous, or of an unsupported type";
     }
 
     private int slot(String name) {
@@ -67,12 +66,15 @@
         return List.copyOf(all);
     }
 
-    /** Why the plan cannot be carried out on these columns, or null. */
+    /** Why the spec does not apply to these columns; null if it does. */
     String problem() {
         return problem;
     }
 
-    /** Columns of parts that differ in size or modifier, such as numeric(8,2) and numeric(9,3), are shown without. */
+    /**
+     * Removes the size and modifier from answer columns whose parts differ in them, such as numeric(8,2) and
+     * numeric(9,3).
+     */
     void relaxModifiers(List<Column> others) {
         for (int i = 0; i < others.size(); i++) {
             int at = answerColumns.indexOf(columns.get(i));
@@ -84,7 +86,7 @@
         }
     }
 
-    /** What is wrong with these columns beside those of the first part, or null. */
+    /** How these columns differ from those of the first part; null if they match. */
     String difference(List<Column> others) {
         if (others.size() != columns.size()) {
             return others.size() + " columns instead of " + columns.size();
@@ -103,27 +105,27 @@
         return columns;
     }
 
-    /** The columns of the answer. */
+    /** Columns of the answer. */
     List<Column> answerColumns() {
         return answerColumns;
     }
 
-    /** Of rows as they come. */
+    /** Reader of the rows of the parts. */
     ColumnReader reader() {
         return reader;
     }
 
-    /** Of rows of the answer. */
+    /** Reader of the rows of the answer. */
     ColumnReader answerReader() {
         return answerReader;
     }
 
-    /** Of rows of the answer; the same as those that come where there are no groups. */
+    /** Order of the rows of the answer, which without groups are the rows of the parts. */
     RowComparator order() {
         return order;
     }
 
-    /** Null where each row counts. */
+    /** Ranking of duplicates; null if duplicates are kept. */
     DuplicateRanking ranking() {
         return ranking;
     }
