--- a/scattergather/src/main/java/clayhook/scattergather/ColumnReader.java
+++ b/scattergather/src/main/java/clayhook/scattergather/ColumnReader.java
@@ -3,19 +3,22 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The columns that merging looks at, each with its slot among the values read; all others are left as bytes. */
+/**
+ * Parses the columns that the merge needs, each into a slot of the values of a row; all other columns stay unparsed
+ * bytes.
+ */
 final class ColumnReader {
     private final List<Column> columns;
     private final List<Integer> readColumns = new ArrayList<>();
     private int[] slots;
-    /** By column like the slots. */
+    /** Column types, by column index like {@code slots}. */
     private ColumnType[] types;
 
     ColumnReader(List<Column> columns) {
         this.columns = columns;
     }
 
-    /** The slot of that column, which is read from now on. */
+    /** Returns the slot of the column, which is parsed from now on. */
     int slot(int column) {
         int known = readColumns.indexOf(column);
         if (known < 0) {
@@ -42,10 +45,15 @@
         return readColumns.size();
     }
 
-    /** What {@link #read} returns where all is well, and where the message is no whole row of that width. */
+    /**
+     * Results of {@link #read}: success, or a message that is not a complete row with the expected number of columns.
+     */
     static final int SUCCESS = -1, MALFORMED = -2;
 
-    /** Reads into {@code cells} in one walk; returns the column that is no value of its type, or one of the above. */
+    /**
+     * Parses the row into {@code cells} in one pass. Returns the index of the column whose value is invalid for its
+     * type, or one of the constants above.
+     */
     int read(byte[] message, ColumnValue[] cells) {
         if (slots == null) {
             prepare();
@@ -76,7 +84,7 @@
         return at == message.length ? SUCCESS : MALFORMED;
     }
 
-    /** By column: its slot, or -1, and its type. */
+    /** Computes the slot, or -1, and the type of each column. */
     private void prepare() {
         slots = new int[columns.size()];
         types = new ColumnType[slots.length];
@@ -86,7 +94,7 @@
         }
     }
 
-    /** A row made here; what it shows was read before or is of its type. */
+    /** Parses a row that the merge itself has built; its values are always valid for their types. */
     Row row(GatherPart part, long number, byte[] message) {
         ColumnValue[] cells = new ColumnValue[size()];
         if (read(message, cells) != SUCCESS) {
