--- a/scattergather/src/main/java/clayhook/scattergather/ColumnType.java
+++ b/scattergather/src/main/java/clayhook/scattergather/ColumnType.java
@@ -5,7 +5,10 @@
 import java.math.BigDecimal;
 import java.util.Arrays;
 
-/** How the text of a column is read, by the number that PostgreSQL gives its type (pg_type.dat, fixed for ever). */
+/**
+ * Parser for the text format of a column, chosen by the OID of its PostgreSQL type (pg_type.dat; these OIDs never
+ * change).
+ */
 enum ColumnType {
     INTEGER,
     DECIMAL,
@@ -17,12 +20,15 @@
     BOOLEAN,
     BYTES,
     UUID,
-    /** Passed on, but no key: its order is not known here. */
+    /** Passed through unread; cannot be used as a key because its order is unknown. */
     OPAQUE;
     static final int INT2 = 21, INT4 = 23, INT8 = 20, NUMERIC = 1700, FLOAT4 = 700, FLOAT8 = 701;
-    /** Longer numerics are legal, but the time to read one grows with the square of its digits. */
+    /**
+     * Maximum length of a number. PostgreSQL allows longer ones, but the time to parse one grows with the square of its
+     * digits.
+     */
     private static final int MAX_NUMBER_DIGITS = 1024;
-    /** This many digits fit into a long whatever they are. */
+    /** Number of decimal digits that always fit into a long. */
     private static final int LONG_SAFE_DIGITS = 18;
 
     private static final int UUID_LENGTH = 36;
@@ -51,7 +57,7 @@
         return this == FLOAT || this == DOUBLE;
     }
 
-    /** The value of those bytes, or null where they are none of this type. */
+    /** Parses the bytes; returns null if they are not a valid value of this type. */
     ColumnValue read(byte[] in, int from, int length) {
         return switch (this) {
             case INTEGER -> whole(in, from, length);
@@ -77,7 +83,7 @@
     }
 
     private static ColumnValue whole(byte[] in, int from, int length) {
-        if (length > LONG_SAFE_DIGITS) { // rare: with a check for overflow
+        if (length > LONG_SAFE_DIGITS) { // rare; parseLong checks for overflow
             try {
                 return new ColumnValue.IntegerValue(Long.parseLong(new String(in, from, length, ISO_8859_1)));
             } catch (NumberFormatException e) {
@@ -106,7 +112,8 @@
             if (in[i] == '.' && pointIndex < 0) {
                 pointIndex = i;
             } else if (digit < 0
-                    || digit > 9) { // no exponents either: PostgreSQL writes none, and "1e999999999" would never end
+                    || digit > 9) { // exponents are rejected too: PostgreSQL writes none, and expanding "1e999999999"
+                // would not terminate
                 return special(new String(in, from, length, ISO_8859_1));
             } else {
                 value = 10 * value + digit;
@@ -126,7 +133,8 @@
         String text = new String(in, from, length, ISO_8859_1);
         for (int i = 0; i < length; i++) {
             char c = text.charAt(i);
-            if ((c < '0' || c > '9') && "+-.eE".indexOf(c) < 0) { // what Java reads besides, such as "1d" or " 1"
+            if ((c < '0' || c > '9')
+                    && "+-.eE".indexOf(c) < 0) { // rejects what only Java accepts, such as "1d" or " 1"
                 return special(text);
             }
         }
@@ -149,7 +157,7 @@
         };
     }
 
-    /** Blanks at the end of a char(n) mean nothing. */
+    /** Parses a char(n), whose trailing blanks are insignificant. */
     private static ColumnValue padded(byte[] in, int from, int length) {
         int end = from + length;
         while (end > from && in[end - 1] == ' ') {
@@ -158,7 +166,10 @@
         return new ColumnValue.TextValue(Arrays.copyOfRange(in, from, end));
     }
 
-    /** Only hexadecimal digits in lower case, or dashes: else the order of the text is not that of what it means. */
+    /**
+     * Whether there are only lower-case hexadecimal digits and dashes; otherwise the order of the texts differs from
+     * the order of the values.
+     */
     private static boolean isHexOrDash(byte[] in, int from, int length) {
         for (int i = from; i < from + length; i++) {
             if ((in[i] < '0' || in[i] > '9') && (in[i] < 'a' || in[i] > 'f') && in[i] != '-') {
