--- a/scattergather/src/main/java/clayhook/scattergather/ColumnValue.java
+++ b/scattergather/src/main/java/clayhook/scattergather/ColumnValue.java
@@ -4,17 +4,19 @@
 import java.util.Arrays;
 
 /**
- * One value of a row, as merging needs it. Cells of one column compare as PostgreSQL orders them, texts by bytes
- * (collation C); those that compare as equal are equal. {@link #NULL} compares with nothing: where nulls go is
- * {@link SortKey}'s.
+ * A parsed value of a row. Values of one column compare in PostgreSQL's order, texts by bytes (collation C); values
+ * that compare as equal are equal. {@link #NULL} must not be compared: {@link SortKey} decides the position of nulls.
  */
 public sealed interface ColumnValue extends Comparable<ColumnValue> {
     ColumnValue NULL = new NullValue();
 
-    /** A number that never contradicts {@link #compareTo}: of unlike ones the lesser has the lesser cell. */
+    /**
+     * A number whose order never contradicts {@link #compareTo}: if two prefixes differ, the value with the smaller
+     * prefix is smaller.
+     */
     long sortPrefix();
 
-    /** No value. */
+    /** SQL NULL. */
     record NullValue() implements ColumnValue {
         @Override
         public long sortPrefix() {
@@ -27,7 +29,7 @@
         }
     }
 
-    /** Of int2, int4, int8 and oid. */
+    /** An int2, int4, int8 or oid. */
     record IntegerValue(long value) implements ColumnValue {
         @Override
         public long sortPrefix() {
@@ -63,10 +65,13 @@
         }
     }
 
-    /** A double, or a numeric that is infinite or NaN. NaN equals itself and is above all others, -0 equals 0. */
+    /**
+     * A float4 or float8, or a numeric that is infinite or NaN. NaN equals itself and is greater than all others; -0
+     * equals 0.
+     */
     record FloatValue(double value) implements ColumnValue {
         public FloatValue {
-            value += 0.0; // no -0
+            value += 0.0; // turns -0 into 0
         }
 
         @Override
@@ -76,7 +81,7 @@
 
         private static long sortPrefix(double value) {
             long bits = Double.doubleToLongBits(value);
-            return bits ^ (bits >> 63 & Long.MAX_VALUE); // negative ones the other way round
+            return bits ^ (bits >> 63 & Long.MAX_VALUE); // reverses the order of negative numbers
         }
 
         @Override
@@ -87,9 +92,12 @@
         }
     }
 
-    /** Text, uuid and bytea, the latter two in their one form of digits, whose order is that of the bytes meant. */
+    /**
+     * A text, uuid or bytea. The accepted text form of the latter two is unique, and its order is that of the bytes it
+     * represents.
+     */
     record TextValue(byte[] bytes) implements ColumnValue {
-        /** The first eight bytes. */
+        /** The first eight bytes, in unsigned order. */
         @Override
         public long sortPrefix() {
             long head = 0;
@@ -116,7 +124,8 @@
     }
 
     /**
-     * Microseconds since 1970 of a date, or of a time with its zone or without; the ends of long are the infinite ones.
+     * A date, or a timestamp with or without time zone, in microseconds since 1970. Long.MIN_VALUE and Long.MAX_VALUE
+     * are the infinities.
      */
     record TimestampValue(long micros) implements ColumnValue {
         @Override
