--- a/scattergather/src/main/java/clayhook/scattergather/DistinctAggregator.java
+++ b/scattergather/src/main/java/clayhook/scattergather/DistinctAggregator.java
@@ -8,23 +8,24 @@
 import java.util.Set;
 
 /**
- * How many unlike values. Those up to a bound are held; beyond it only a sketch, whose registers take the larger of
- * two, so that neither order nor tree shows. Whether it is one depends on all values together alone.
+ * Number of distinct values. Up to a limit the values themselves are held. Beyond it they are replaced by a sketch
+ * whose merge takes the larger of two registers, so that the result does not depend on the order of rows or merges.
+ * Whether a sketch is used depends only on the set of all values.
  */
 public final class DistinctAggregator extends Aggregator {
-    /** So many values are counted exactly, if they are not longer than this many bytes together. */
+    /** Maximum number of values, and of their bytes together, that are counted exactly. */
     public static final int EXACT = 1024, EXACT_BYTES = 1 << 15;
-    /** 4 KiB a sketch. */
+    /** Precision of the sketch, which takes 4 KiB. */
     private static final int PRECISION = 12;
     /**
-     * Standard error of that sketch as a share of the count: 0.782 over the root of the registers (Ertl 2024,
-     * UltraLogLog).
+     * Standard error of the sketch as a fraction of the count: 0.782 divided by the square root of the number of
+     * registers (Ertl 2024, UltraLogLog).
      */
     public static final double ERROR = 0.782 / 64;
-    /** Of an entry of a set, about. */
+    /** Approximate bytes of a set entry. */
     private static final int ENTRY_BYTES = 80;
 
-    /** Null once there are too many. */
+    /** The exact values; null once the sketch is used. */
     private Set<ColumnValue> values = new HashSet<>();
 
     private long length;
@@ -65,7 +66,10 @@
         return Hashing.komihash5_0().hashBytesToLong(hashedBytes(value));
     }
 
-    /** What is hashed of a value. The form is fixed: sketches of it are merged, and their estimates depend on it. */
+    /**
+     * The bytes of a value that are hashed. Their format is fixed because sketches are merged and their estimates
+     * depend on it.
+     */
     static byte[] hashedBytes(ColumnValue value) {
         return value instanceof ColumnValue.TextValue text
                 ? text.bytes()
