--- a/scattergather/src/main/java/clayhook/scattergather/DuplicateGroup.java
+++ b/scattergather/src/main/java/clayhook/scattergather/DuplicateGroup.java
@@ -2,11 +2,11 @@
 
 import java.util.Arrays;
 
-/** Rows with one key, as far as they are needed: joined in any order they come to the same. */
+/** The rows with one key that are needed for the result. The result does not depend on the order of merges. */
 final class DuplicateGroup {
     private final DuplicateRanking ranking;
     private Row best;
-    /** By column, the best copy that has a value there; null where no union is asked for. */
+    /** By column, the best copy that has a value; null if columns are not filled. */
     private final Row[] bestByColumn;
 
     private boolean conflict;
@@ -46,7 +46,7 @@
         return conflict;
     }
 
-    /** Bytes of memory, about: of all rows that are needed for the one. */
+    /** Approximate bytes of memory of all rows that are needed for the result. */
     long weight() {
         long weight = best.weight();
         for (int i = 0; bestByColumn != null && i < bestByColumn.length; i++) {
@@ -60,7 +60,9 @@
         return weight;
     }
 
-    /** The one row that stands for all: the best as it came, unless columns of others or a conflict show in it. */
+    /**
+     * The resulting row: the best copy as received, unless columns are filled from other copies or a conflict is shown.
+     */
     Row row(ColumnReader reader) {
         boolean filled = false;
         for (int i = 0; bestByColumn != null && i < bestByColumn.length; i++) {
