--- a/scattergather/src/main/java/clayhook/scattergather/DuplicateRanking.java
+++ b/scattergather/src/main/java/clayhook/scattergather/DuplicateRanking.java
@@ -11,12 +11,12 @@
 import java.util.Map;
 import java.util.function.ToDoubleFunction;
 
-/** The rules on copies, for certain columns: the better copy is the lesser. No two rows are alike to it. */
+/** Rules for duplicates, bound to the columns of a layout. The better copy sorts first, and no two rows are equal. */
 final class DuplicateRanking implements Comparator<Row> {
     private final int[] key;
     private final List<Comparator<Row>> rules = new ArrayList<>();
     private final boolean fillNulls;
-    /** Where conflicts show; -1 for nowhere. */
+    /** Slot of the column that shows conflicts; -1 if there is none. */
     private int conflictSlot = -1;
 
     private byte[] conflict;
@@ -24,7 +24,7 @@
     private int levelCount;
     private boolean applicable = true;
 
-    /** @param positions of parts, as known when copies are compared */
+    /** @param positions applied positions of the parts, evaluated when copies are compared */
     DuplicateRanking(
             Duplicates duplicates, List<Column> columns, ColumnReader reader, ToDoubleFunction<GatherPart> positions) {
         key = duplicates.key().stream()
@@ -89,7 +89,7 @@
         return raw == null ? last : ranks.getOrDefault(new ColumnValue.TextValue(raw), last);
     }
 
-    /** Whether all columns are there and of types that can be compared. */
+    /** Whether all columns exist and have comparable types. */
     boolean applicable() {
         return applicable;
     }
@@ -134,7 +134,7 @@
         return conflict;
     }
 
-    /** Of two copies, each the best of its kind: both of one named level, and yet they differ. */
+    /** Whether two copies, each the best of its group, have the same named level but different values. */
     boolean isConflict(Row a, Row b) {
         if (conflictSlot < 0) {
             return false;
@@ -145,7 +145,9 @@
                 && !a.cell(conflictSlot).equals(b.cell(conflictSlot));
     }
 
-    /** Whether the first copy is of a better level, so that conflicts among lesser ones mean nothing. */
+    /**
+     * Whether the first copy has a better level than the second, which makes conflicts among lower levels irrelevant.
+     */
     boolean outranks(Row a, Row b) {
         return conflictSlot >= 0
                 && level(a, conflictSlot, levels, levelCount) < level(b, conflictSlot, levels, levelCount);
