--- a/scattergather/src/main/java/clayhook/scattergather/Duplicates.java
+++ b/scattergather/src/main/java/clayhook/scattergather/Duplicates.java
@@ -4,34 +4,35 @@
 import java.util.Set;
 
 /**
- * Which copy of a row stays where several have the same key; nulls are the same, as for DISTINCT.
+ * Removes duplicates: which copy of a row is kept if several rows have the same key. Nulls are equal to each other, as
+ * for DISTINCT.
  *
- * @param key columns that make rows copies of one another
- * @param rules the first that tells two copies apart decides; after all of them the part's number, then the place in
- *     the part
+ * @param key columns whose equal values make rows duplicates
+ * @param rules the first rule that distinguishes two copies decides; if none does, the lower part number, then the
+ *     lower row number
  * @param fillNulls whether columns without a value are filled from the best copy that has one
  */
 public record Duplicates(List<String> key, List<Rule> rules, boolean fillNulls) {
-    /** One way to tell which of two copies is better. */
+    /** A criterion that prefers one of two copies. */
     public sealed interface Rule {
-        /** The larger value in that column; none is the least. */
+        /** Prefers the larger value in the column; null is the smallest. */
         record Newest(String column) implements Rule {}
 
         /**
-         * From the part that was read at the newer position. It is known at a part's end only, so all rows are held
-         * until then.
+         * Prefers the part that was read at the newer applied position. The position is only known at the end of a
+         * part, so all rows are buffered until then.
          */
         record Position() implements Rule {}
 
-        /** From the part that stands first here; parts that are not named come after. */
+        /** Prefers the part that is listed first; unlisted parts come last. */
         record Source(List<String> parts) implements Rule {}
 
         /**
-         * By what a column says: knowledge over doubt.
+         * Prefers definite values of a column over uncertain ones.
          *
-         * @param levels texts, the best level first; any other text, or none, comes after
-         * @param conflict what the column shows when copies at the best level there is differ; null to let the other
-         *     rules decide
+         * @param levels texts by level, best level first; any other text, or null, comes last
+         * @param conflict text shown in the column if copies at the best level present differ; null leaves the decision
+         *     to the other rules
          */
         record Ranking(String column, List<Set<String>> levels, String conflict) implements Rule {
             public Ranking {
@@ -50,7 +51,7 @@
         }
     }
 
-    /** By key alone: the copy of the part with the lowest number stays. */
+    /** Compares by key only and keeps the copy of the part with the lowest number. */
     public static Duplicates of(String... key) {
         return new Duplicates(List.of(key), List.of(), false);
     }
