--- a/scattergather/src/main/java/clayhook/scattergather/ExactSum.java
+++ b/scattergather/src/main/java/clayhook/scattergather/ExactSum.java
@@ -6,23 +6,23 @@
 import java.math.RoundingMode;
 
 /**
- * An exact sum, of doubles too: each is a finite binary fraction, so their sum is known to the last digit and rounded
- * once. Hence it does not depend on the order; a sum of a node itself, which rounds at each step, may end in other
- * digits.
+ * An exact sum, also of doubles. Each double is a finite binary fraction, so the sum is computed exactly and rounded
+ * once. It does not depend on the order, whereas a sum computed by a node, which rounds at each step, may differ in the
+ * last digits.
  */
 final class ExactSum {
     /**
-     * What PostgreSQL's quotients of numerics have at least (numeric.c describes it as significant digits), and at
-     * most.
+     * Minimum significant digits (as numeric.c describes them) and maximum scale of a quotient of numerics in
+     * PostgreSQL.
      */
     private static final int MIN_SIGNIFICANT_DIGITS = 16, MAX_SCALE = 1000;
-    /** PostgreSQL reckons the size of a quotient in digits of that many decimal ones. */
+    /** Decimal digits in one base-10,000 digit, the unit in which PostgreSQL estimates the size of a quotient. */
     private static final int DIGITS_PER_GROUP = 4;
 
     private long longSum;
-    /** What went beyond a long, and all that is not whole; null for none. */
+    /** Sum of everything that overflowed {@code longSum} or is not an integer; null if there is nothing. */
     private BigDecimal decimalSum;
-    /** Sum of infinities and NaNs; 0 for none. */
+    /** Sum of infinities and NaNs; 0 if there are none. */
     private double nonFinite;
 
     private boolean hasValues;
@@ -44,7 +44,7 @@
 
     void add(long value) {
         long sum = longSum + value;
-        if (((longSum ^ sum) & (value ^ sum)) < 0) { // beyond a long
+        if (((longSum ^ sum) & (value ^ sum)) < 0) { // overflow
             add(BigDecimal.valueOf(longSum));
             sum = value;
         }
@@ -76,7 +76,7 @@
         return decimalSum == null ? whole : decimalSum.add(whole);
     }
 
-    /** Whether the result does not fit its type. */
+    /** Whether the result exceeds the range of its type. */
     boolean overflows(int type) {
         return switch (type) {
             case ColumnType.INT8 -> exact().toBigInteger().bitLength() >= Long.SIZE;
@@ -86,7 +86,7 @@
         };
     }
 
-    /** The sum in that type, as PostgreSQL writes it; null for none. */
+    /** The sum in the given type, in PostgreSQL's text format; null if there are no values. */
     byte[] text(int type) {
         if (!hasValues) {
             return null;
@@ -102,7 +102,7 @@
                 });
     }
 
-    /** The mean in that type over that many values. */
+    /** The mean in the given type over the given number of values; null if there are no values. */
     byte[] mean(int type, BigInteger count) {
         if (!hasValues || count.signum() == 0) {
             return null;
@@ -118,7 +118,7 @@
                                 .toPlainString());
     }
 
-    /** Digits after the point of a quotient, as PostgreSQL chooses them. */
+    /** Scale of a quotient, chosen as in PostgreSQL. */
     private static int scale(BigDecimal value, BigDecimal divisor) {
         int size =
                 groupExponent(value) - groupExponent(divisor) - (leadingGroup(value) <= leadingGroup(divisor) ? 1 : 0);
@@ -126,19 +126,19 @@
                 MAX_SCALE, Math.max(Math.max(0, MIN_SIGNIFICANT_DIGITS - size * DIGITS_PER_GROUP), value.scale()));
     }
 
-    /** Which power of 10,000 the first digit of that base stands for. */
+    /** Exponent, to the base 10,000, of the first base-10,000 digit. */
     private static int groupExponent(BigDecimal value) {
         return value.signum() == 0 ? 0 : Math.floorDiv(value.precision() - value.scale() - 1, DIGITS_PER_GROUP);
     }
 
-    /** The first digit to base 10,000. */
+    /** The first base-10,000 digit. */
     private static int leadingGroup(BigDecimal value) {
         return value.abs()
                 .scaleByPowerOfTen(-DIGITS_PER_GROUP * groupExponent(value))
                 .intValue();
     }
 
-    /** Without the zeros that Java puts behind whole numbers. */
+    /** Formats a number without the ".0" that Java appends to integral values. */
     static String text(double value) {
         return trimmed(Double.toString(value));
     }
@@ -158,7 +158,7 @@
                         : Aggregator.OBJECT_BYTES + decimalSum.unscaledValue().bitLength() / 8L);
     }
 
-    /** A sum, or a sum of counts, which is 0 without any. */
+    /** A sum, or a sum of counts, which is 0 without values. */
     static final class SumAggregator extends Aggregator {
         private final ExactSum sum = new ExactSum();
         private final int type;
@@ -195,7 +195,7 @@
         }
     }
 
-    /** A mean, of values or of the parts' own sums and counts. */
+    /** A mean of values, or of sums and counts computed by the parts. */
     static final class MeanAggregator extends Aggregator {
         private final ExactSum sum = new ExactSum();
         private final ExactSum count = new ExactSum();
