--- a/scattergather/src/main/java/clayhook/scattergather/Gather.java
+++ b/scattergather/src/main/java/clayhook/scattergather/Gather.java
@@ -136,7 +136,8 @@
     private PartStream enterIfActive(GatherPart part) {
         PartStream stream = streams.get(part.number());
         if (!stream.part.equals(part) || !started) {
-            throw new IllegalArgumentException(started ? "not a part of this gather: " + part : "begin has not been called");
+            throw new IllegalArgumentException(
+                    started ? "not a part of this gather: " + part : "begin has not been called");
         }
         if (finished || stream.ended) {
             ignoredEvents++;
@@ -345,7 +346,9 @@
             if (!stream.ended && (expired || stream.late(plan.partTimeout()))) {
                 actions.recall(stream.part);
                 stream.fail(
-                        PartStatus.LATE, expired ? "not complete by the deadline" : "exceeded the time limit of a part", null);
+                        PartStatus.LATE,
+                        expired ? "not complete by the deadline" : "exceeded the time limit of a part",
+                        null);
                 updateCounts(stream);
             }
         }
