--- a/scattergather/src/main/java/clayhook/scattergather/Grouping.java
+++ b/scattergather/src/main/java/clayhook/scattergather/Grouping.java
@@ -3,9 +3,10 @@
 import java.util.List;
 
 /**
- * Rows become groups of equal columns, each with its figures. The answer has the columns {@code by}, then the measures.
+ * Groups rows by equal columns and computes aggregates for each group. The answer has the columns {@code by}, followed
+ * by the aggregates.
  *
- * @param by empty for one group of all rows, which is there without any row too, as in PostgreSQL
+ * @param by columns to group by; empty for a single group of all rows, which exists even without rows, as in PostgreSQL
  */
 public record Grouping(List<String> by, List<Aggregate> aggregates) {
     public Grouping {
