--- a/scattergather/src/main/java/clayhook/scattergather/Limit.java
+++ b/scattergather/src/main/java/clayhook/scattergather/Limit.java
@@ -1,11 +1,13 @@
 package clayhook.scattergather;
 
 /**
- * Where an answer is cut.
+ * Limits of an answer.
  *
- * @param rows of the answer
- * @param bytes of the answer's rows as messages; the first row that goes beyond them and all after it are left out
- * @param depth rows of each part: what its statement was limited to. A part that has as many may have more.
+ * @param rows maximum number of rows of the answer
+ * @param bytes maximum bytes of the row messages of the answer; the first row that exceeds it and all later rows are
+ *     left out
+ * @param depth maximum number of rows of each part, the limit in its statement. A part that sends as many may have
+ *     more.
  */
 public record Limit(long rows, long bytes, long depth) {
     public static final Limit NONE = new Limit(Long.MAX_VALUE, Long.MAX_VALUE, Long.MAX_VALUE);
@@ -14,7 +16,7 @@
         return new Limit(rows, Long.MAX_VALUE, Long.MAX_VALUE);
     }
 
-    /** Parts are asked for that many rows. */
+    /** Sets the maximum number of rows requested from each part. */
     public Limit depth(long deep) {
         return new Limit(rows, bytes, deep);
     }
