--- a/scattergather/src/main/java/clayhook/scattergather/LoserTree.java
+++ b/scattergather/src/main/java/clayhook/scattergather/LoserTree.java
@@ -3,15 +3,16 @@
 import java.util.Arrays;
 
 /**
- * A tree of losers over the first rows of many sorted parts: the least of all is at the top, and the next one is found
- * in one comparison a level (Knuth, The Art of Computer Programming 3, 5.4.1). A part without rows loses against all.
+ * A loser tree over the first rows of several sorted parts. The smallest row is at the top, and the next one is found
+ * with one comparison for each level (Knuth, The Art of Computer Programming 3, 5.4.1). A part without rows loses every
+ * comparison.
  */
 final class LoserTree {
     private final RowComparator order;
     private final Row[] heads;
-    /** Of each head: most comparisons look no further. */
+    /** Sort prefix of each head, which decides most comparisons. */
     private final long[] sortPrefixes;
-    /** By inner node, from 1: who lost there. At 0: who won all. */
+    /** Losing slot of each inner node, from index 1; index 0 holds the overall winner. */
     private final int[] losers;
 
     LoserTree(RowComparator order, Row[] heads) {
@@ -36,11 +37,11 @@
         return keyed < 0 || (keyed == 0 && a < b);
     }
 
-    /** All matches anew, from the leaves up. */
+    /** Rebuilds the tree from the leaves up. */
     private void rebuild() {
         int count = heads.length;
         int[] winners = new int[2 * count];
-        Arrays.setAll(winners, node -> node - count); // the leaves; inner nodes are overwritten
+        Arrays.setAll(winners, node -> node - count); // leaves; inner nodes are overwritten below
         for (int node = count - 1; node >= 1; node--) {
             int left = winners[2 * node];
             int right = winners[2 * node + 1];
@@ -51,21 +52,21 @@
         losers[0] = winners[1];
     }
 
-    /** The slot of the least row. */
+    /** Slot of the smallest row. */
     int winner() {
         return losers[0];
     }
 
-    /** The least row; null when there are no more. */
+    /** The smallest row; null if there are no more rows. */
     Row least() {
         return heads[losers[0]];
     }
 
-    /** The first row of that slot is now this one; null for none. */
+    /** Sets the first row of a slot; null if the slot has no more rows. */
     void put(int slot, Row row) {
         heads[slot] = row;
         sortPrefixes[slot] = row == null ? Long.MAX_VALUE : row.sortPrefix;
-        if (slot != losers[0]) { // its path was not the winner's: rare, when a part is dropped
+        if (slot != losers[0]) { // not the winner's path; rare, only when a part is dropped
             rebuild();
             return;
         }
