--- a/scattergather/src/main/java/clayhook/scattergather/MergeSpec.java
+++ b/scattergather/src/main/java/clayhook/scattergather/MergeSpec.java
@@ -3,25 +3,26 @@
 import java.util.List;
 
 /**
- * What becomes of the rows of the parts.
+ * How the rows of the parts are merged.
  *
- * @param order of the answer; of groups it names columns of the groups. Empty: by part, and in it as they came
- * @param sorted whether parts send their rows in that order (of one that does not, the fault is told). Else all rows
- *     are held
- * @param duplicates null where each row counts
- * @param groups null where rows stay rows; else formed of what is left after duplicates
+ * @param order sort order of the answer; with groups, its columns are those of the groups. If empty, rows are ordered
+ *     by part and keep their order within it.
+ * @param sorted whether parts send their rows in that order; a part that does not is reported as a fault. If false, all
+ *     rows are buffered.
+ * @param duplicates removal of duplicates; null to keep them
+ * @param groups grouping of the rows that remain after the removal of duplicates; null for none
  */
 public record MergeSpec(List<SortKey> order, boolean sorted, Duplicates duplicates, Grouping groups, Limit limit) {
     public MergeSpec {
         order = List.copyOf(order);
     }
 
-    /** Parts that are sorted by these. */
+    /** Merges parts that are sorted by the given keys. */
     public static MergeSpec by(SortKey... keys) {
         return new MergeSpec(List.of(keys), true, null, null, Limit.NONE);
     }
 
-    /** Parts come in any order. */
+    /** Accepts parts whose rows are in any order. */
     public MergeSpec unsorted() {
         return new MergeSpec(order, false, duplicates, groups, limit);
     }
@@ -38,13 +39,14 @@
         return new MergeSpec(order, sorted, duplicates, groups, at);
     }
 
-    /** Whether rows go through as they come. Else all of them are held to the end. */
+    /** Whether rows can be emitted while parts are being read; otherwise all rows are buffered. */
     boolean isStreaming() {
         return groups == null && (sorted || order.isEmpty()) && (duplicates == null || duplicatesAreAdjacent());
     }
 
     /**
-     * Copies stand side by side in the order when their key is what the order begins with, and can be judged at once.
+     * Whether duplicates are adjacent in the order, because the order begins with their key, and can be ranked
+     * immediately.
      */
     private boolean duplicatesAreAdjacent() {
         int size = duplicates.key().size();
