--- a/scattergather/src/main/java/clayhook/scattergather/QuantileAggregator.java
+++ b/scattergather/src/main/java/clayhook/scattergather/QuantileAggregator.java
@@ -6,14 +6,17 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** A quantile as percentile_disc has it. Values up to a bound are held; beyond it numbers go into buckets. */
+/**
+ * A quantile with the semantics of percentile_disc. Up to a limit the values themselves are held; beyond it, numbers
+ * are counted in buckets.
+ */
 public final class QuantileAggregator extends Aggregator {
     /**
-     * So many values give an exact quantile; more are told with {@link QuantileBuckets}' error, or not at all where
-     * they are no numbers.
+     * Maximum number of values, and of their bytes together, for an exact quantile. Beyond either limit the result has
+     * the error of {@link QuantileBuckets}; for values that are not numbers it fails.
      */
     public static final int EXACT = 1024, EXACT_BYTES = 1 << 15;
-    /** Of an entry and its bytes, about. */
+    /** Approximate bytes of a list entry and its array. */
     private static final int ENTRY_BYTES = 120;
 
     private record Value(ColumnValue cell, byte[] raw) {
@@ -23,7 +26,7 @@
 
     private final ColumnType type;
     private final double share;
-    /** Null once there are too many. */
+    /** The exact values; null once the buckets are used. */
     private List<Value> values = new ArrayList<>();
 
     private long length;
@@ -103,7 +106,7 @@
         return values.get((int) rank(share, values.size())).raw;
     }
 
-    /** Which of that many sorted values it is, from 0. */
+    /** Index, from 0, of the quantile among that many sorted values. */
     static long rank(double share, long count) {
         return Math.max(0, Math.min(count, (long) Math.ceil(share * count)) - 1);
     }
@@ -117,7 +120,7 @@
                                 : BigDecimal.valueOf(value).toPlainString());
     }
 
-    /** Buckets hold numbers only, and no numeric that is beyond a double. */
+    /** Buckets only support numbers, and no numeric beyond the range of a double. */
     @Override
     GatherFault.Kind fault() {
         return values != null
