--- a/scattergather/src/main/java/clayhook/scattergather/QuantileBuckets.java
+++ b/scattergather/src/main/java/clayhook/scattergather/QuantileBuckets.java
@@ -4,21 +4,21 @@
 import java.util.TreeMap;
 
 /**
- * Counts of numbers by logarithm, so that a quantile is known up to a share of its value (DDSketch, Masson and others
- * 2019). When there are too many buckets, each two become one (UDDSketch, Epicoco and others 2020): that depends on the
- * values alone and not on their order, which is why it stands here and neither t-digest nor KLL do.
+ * Counts of numbers in logarithmic buckets, which give a quantile with a bounded relative error (DDSketch, Masson et
+ * al. 2019). When there are too many buckets, each pair is merged (UDDSketch, Epicoco et al. 2020). Unlike t-digest and
+ * KLL, the result depends only on the values and not on their order.
  */
 final class QuantileBuckets {
     /**
-     * Of the value, while numbers of a sign are within a factor of 25,000 of each other; doubled for each square of
-     * that.
+     * Initial relative error. It holds while numbers of the same sign are within a factor of 25,000 of each other, and
+     * doubles each time that factor is squared.
      */
     private static final double FIRST_ERROR = 0.005;
 
     private static final double LOG_RATIO = Math.log((1 + FIRST_ERROR) / (1 - FIRST_ERROR));
-    /** Of each sign. */
+    /** Maximum number of buckets for each sign. */
     private static final int MAX_BUCKETS = 1024;
-    /** An entry of a tree with its boxed numbers, about. */
+    /** Approximate bytes of a tree entry with its boxed numbers. */
     private static final int ENTRY_BYTES = 88;
 
     private final TreeMap<Integer, Long> positive = new TreeMap<>();
@@ -27,7 +27,7 @@
     private long negativeInfinities;
     private long positiveInfinities;
     private long nans;
-    /** How often two buckets became one. */
+    /** Number of times that pairs of buckets have been merged. */
     private int level;
 
     void add(double value) {
@@ -67,7 +67,7 @@
         buckets.putAll(coarse);
     }
 
-    /** The other one is not used afterwards. */
+    /** Merges the other buckets, which must not be used afterwards. */
     void merge(QuantileBuckets other) {
         for (; level < other.level; level++) {
             coarsen(positive);
@@ -90,7 +90,7 @@
         return buckets.values().stream().mapToLong(Long::longValue).sum();
     }
 
-    /** There is at least one value. */
+    /** The quantile; requires at least one value. */
     double quantile(double share) {
         long remaining = QuantileAggregator.rank(
                         share, negativeInfinities + sum(negative) + zeros + sum(positive) + positiveInfinities + nans)
@@ -121,12 +121,12 @@
         return Math.scalb(LOG_RATIO, level);
     }
 
-    /** What is off by the same share at both ends of the bucket. */
+    /** Value with the same relative error at both ends of the bucket. */
     private double middle(int index) {
         return Math.min(Double.MAX_VALUE, Math.exp(index * logRatio()) * (1 - error()));
     }
 
-    /** As a share of the value: with g the ratio of a bucket's ends, (g - 1) / (g + 1). */
+    /** Relative error: (g - 1) / (g + 1), where g is the ratio of the bounds of a bucket. */
     double error() {
         return Math.tanh(logRatio() / 2);
     }
