--- a/scattergather/src/main/java/clayhook/scattergather/Row.java
+++ b/scattergather/src/main/java/clayhook/scattergather/Row.java
@@ -3,24 +3,24 @@
 import java.nio.ByteBuffer;
 import java.util.Arrays;
 
-/** A row of a part: the bytes as they came, and the values of the columns that merging looks at. */
+/** A row of a part: the received bytes and the parsed values of the columns that the merge needs. */
 final class Row {
-    /** 'D' and the length. */
+    /** Bytes of the message type 'D' and the length. */
     private static final int HEADER_BYTES = 5;
-    /** Of the objects that make a row on a 64-bit machine, and of each value read from it, about. */
+    /** Approximate bytes of the objects of a row on a 64-bit JVM, and of each parsed value. */
     private static final int OBJECT_BYTES = 72, CELL_BYTES = 48;
 
     final GatherPart part;
-    /** Within its part, from 1. */
+    /** Row number within its part, from 1. */
     final long number;
-    /** A whole DataRow message. */
+    /** The complete DataRow message. */
     final byte[] bytes;
 
     private final ColumnReader reader;
     private final ColumnValue[] cells;
-    /** Kept, as by the time that it is asked for the bytes are out of the processor's caches. */
+    /** Stored because the message has left the processor caches by the time the weight is needed. */
     private final long weight;
-    /** Where it stands by the first key, about; set by {@link RowComparator#setSortPrefix}. */
+    /** Order-preserving prefix of the first sort key; set by {@link RowComparator#setSortPrefix}. */
     long sortPrefix;
 
     Row(GatherPart part, long number, byte[] bytes, ColumnReader reader, ColumnValue[] cells) {
@@ -36,7 +36,7 @@
         return cells[slot];
     }
 
-    /** The bytes of what {@link #cell} gives; null for no value. */
+    /** The text of the value in a slot; null is SQL NULL. */
     byte[] raw(int slot) {
         return field(reader.column(slot));
     }
@@ -61,17 +61,17 @@
         return fields;
     }
 
-    /** Bytes of memory, about. */
+    /** Approximate bytes of memory. */
     long weight() {
         return weight;
     }
 
-    /** Keys may be all of the row, and are read into bytes of their own. */
+    /** Approximate bytes of a row. The parsed keys are copies and may be as large as the whole message. */
     static long weight(int length, int cells) {
         return (cells == 0 ? 1L : 2L) * length + OBJECT_BYTES + (long) cells * CELL_BYTES;
     }
 
-    /** How many columns a message has; -1 where it is no whole DataRow. */
+    /** Number of columns of a message; -1 if it is not a complete DataRow message. */
     static int width(byte[] message) {
         if (message.length < HEADER_BYTES + 2 || message[0] != 'D' || readInt(message, 1) != message.length - 1) {
             return -1;
@@ -99,12 +99,12 @@
         return in[at] << 24 | (in[at + 1] & 0xff) << 16 | (in[at + 2] & 0xff) << 8 | (in[at + 3] & 0xff);
     }
 
-    /** Where the first field's length is. */
+    /** Offset of the length of the first field. */
     static int firstFieldOffset() {
         return HEADER_BYTES + 2;
     }
 
-    /** A whole DataRow message; null is no value. */
+    /** Encodes a complete DataRow message; null is SQL NULL. */
     static byte[] message(byte[]... fields) {
         int length = HEADER_BYTES + 2;
         for (byte[] field : fields) {
