--- a/scattergather/src/main/java/clayhook/scattergather/RowComparator.java
+++ b/scattergather/src/main/java/clayhook/scattergather/RowComparator.java
@@ -3,11 +3,14 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Rows by their keys; equal ones by part and place in it, so that no two rows are alike and ties are stable. */
+/**
+ * Orders rows by their sort keys, and rows with equal keys by part and row number. No two rows are equal, so the order
+ * of ties is stable.
+ */
 final class RowComparator implements Comparator<Row> {
     private final int[] slots;
     private final SortKey[] keys;
-    /** Whether the rough place says all of the first key. */
+    /** Whether the sort prefix determines the order of the first key completely. */
     private final boolean prefixIsExact;
 
     private RowComparator(List<SortKey> keys, int[] slots, ColumnReader reader) {
@@ -20,7 +23,7 @@
                 || first.isFloating();
     }
 
-    /** Null where one of the keys is no column that can be ordered. */
+    /** Creates a comparator; returns null if one of the keys is not a column that can be ordered. */
     static RowComparator of(List<SortKey> keys, List<Column> columns, ColumnReader reader) {
         int[] slots = new int[keys.size()];
         for (int i = 0; i < slots.length; i++) {
@@ -42,7 +45,10 @@
         return a.part != b.part ? Integer.compare(a.part.number(), b.part.number()) : Long.compare(a.number, b.number);
     }
 
-    /** Gives a row its rough place, which all rows that are compared must have: most comparisons end there. */
+    /**
+     * Sets the sort prefix of a row, which all compared rows must have. Most comparisons are decided by the prefix
+     * alone.
+     */
     void setSortPrefix(Row row) {
         if (slots.length > 0) {
             ColumnValue cell = row.cell(slots[0]);
@@ -52,14 +58,14 @@
         }
     }
 
-    /** By the keys alone. */
+    /** Compares by the sort keys only. */
     int compareKeys(Row a, Row b) {
         if (a.sortPrefix != b.sortPrefix) {
             return a.sortPrefix < b.sortPrefix ? -1 : 1;
         }
         boolean settled = prefixIsExact
                 && a.sortPrefix != Long.MIN_VALUE
-                && a.sortPrefix != Long.MAX_VALUE; // there nulls stand too
+                && a.sortPrefix != Long.MAX_VALUE; // nulls share the extreme values
         for (int i = settled ? 1 : 0; i < slots.length; i++) {
             int one = compare(keys[i], a.cell(slots[i]), b.cell(slots[i]));
             if (one != 0) {
