--- a/scattergather/src/main/java/clayhook/scattergather/RowSet.java
+++ b/scattergather/src/main/java/clayhook/scattergather/RowSet.java
@@ -6,31 +6,31 @@
 import java.util.List;
 
 /**
- * Rows that are at hand, as one part of an answer.
+ * Rows in memory that serve as one part of an answer.
  *
- * @param messages whole DataRow messages
+ * @param messages complete DataRow messages
  */
 public record RowSet(List<Column> columns, List<byte[]> messages) {
     /**
-     * What one part holds.
+     * Rows of one part.
      *
-     * @param rows null where it is out of reach
-     * @param reason how it is out of reach
-     * @param position as of the gather, seconds since 1970
+     * @param rows rows of the part; null if it is unreachable
+     * @param reason why the part is unreachable
+     * @param position applied position of the rows, seconds since 1970
      */
     public record PartRows(GatherPart part, RowSet rows, String reason, double position) {}
 
     /**
-     * An answer with its verdict.
+     * An answer with its result.
      *
-     * @param columns empty where no part told any
+     * @param columns columns of the answer; empty if no part described its columns
      */
     public record Answer(List<Column> columns, List<byte[]> rows, GatherResult result) {}
 
     /**
      * Encodes rows of text values.
      *
-     * @param rows values as PostgreSQL writes them, null for none
+     * @param rows values in PostgreSQL's text format; null is SQL NULL
      */
     public static RowSet table(List<Column> columns, List<List<String>> rows) {
         var messages = new ArrayList<byte[]>(rows.size());
@@ -40,14 +40,14 @@
         return new RowSet(List.copyOf(columns), messages);
     }
 
-    /** One row as a whole DataRow message. */
+    /** Encodes one row as a complete DataRow message; null is SQL NULL. */
     public static byte[] message(List<String> values) {
         return Row.message(values.stream()
                 .map(value -> value == null ? null : value.getBytes(UTF_8))
                 .toArray(byte[][]::new));
     }
 
-    /** The values of a whole DataRow message, null for none. */
+    /** Decodes the values of a complete DataRow message; null is SQL NULL. */
     public static List<String> values(byte[] message) {
         var values = new ArrayList<String>();
         for (byte[] field : new Row(null, 0, message, null, new ColumnValue[0]).fields()) {
@@ -56,7 +56,7 @@
         return values;
     }
 
-    /** Gathers what is at hand; at once, so that no part is late. */
+    /** Gathers rows that are in memory. All parts are processed at time 0, so none is late. */
     public static Answer gather(GatherPlan plan, List<PartRows> parts, MemoryPool memoryPool) {
         var actions = new CollectingActions(parts.size());
         var gather = new Gather(plan, parts.stream().map(PartRows::part).toList(), memoryPool, actions);
@@ -88,14 +88,14 @@
         return new Answer(actions.columns, actions.rows, actions.result);
     }
 
-    /** Remembers what the gather wants. */
+    /** Records the requested credit and collects the answer. */
     private static final class CollectingActions implements GatherActions {
         final long[] credit;
-        /** Nothing more is to be fed from there. */
+        /** By part, whether no more rows are to be passed to the gather. */
         final boolean[] done;
 
         List<Column> columns = List.of();
-        /** The answer; bounded by what the parts hold. */
+        /** Rows of the answer, bounded by the rows of the parts. */
         final List<byte[]> rows = new ArrayList<>();
 
         GatherResult result;
