--- a/scattergather/src/main/java/clayhook/scattergather/RowStore.java
+++ b/scattergather/src/main/java/clayhook/scattergather/RowStore.java
@@ -3,22 +3,29 @@
 import java.util.List;
 
 /**
- * A partial answer that takes rows in any order and joins with others of its kind in any tree. What it holds is taken
- * from an account; where that refuses, the fault is returned and the pool is good for nothing but {@link #release}.
+ * A partial answer that accepts rows in any order and can be merged with others of its kind in any order. Its memory is
+ * taken from a reservation. If the reservation refuses, the method returns a fault, and then only {@link #release} may
+ * be called.
  */
 interface RowStore {
-    /** Null when it was taken in. */
+    /** Adds a row; returns null on success. */
     GatherFault add(Row row);
 
-    /** Joins a pool of the same account and layout in, which is empty afterwards. */
+    /**
+     * Merges another store with the same reservation and layout into this one and leaves the other empty; returns null
+     * on success.
+     */
     GatherFault merge(RowStore other);
 
-    /** The rows of the answer, in no order; null with {@link #fault} set where there is none. */
+    /**
+     * The rows of the answer in no particular order; null, with {@link #fault} set, if there are none because of a
+     * fault.
+     */
     List<Row> rows();
 
-    /** Why there are no rows. */
+    /** Why {@link #rows} returned null. */
     GatherFault fault();
 
-    /** Gives back what it holds. */
+    /** Releases the reserved memory and all rows. */
     void release();
 }
