--- a/scattergather/src/main/java/clayhook/scattergather/RowTable.java
+++ b/scattergather/src/main/java/clayhook/scattergather/RowTable.java
@@ -5,14 +5,17 @@
 import java.util.List;
 import java.util.Map;
 
-/** Rows held whole, one a key where duplicates are sorted out. */
+/** Buffers whole rows; with duplicate removal, one group of copies for each key. */
 final class RowTable implements RowStore {
-    /** Of an entry of the map, its key and the copies around the row, about. */
+    /** Approximate bytes of a map entry, its key and the group of copies around the row. */
     private static final int ENTRY_BYTES = 200;
 
     private final ColumnLayout layout;
     private final MemoryReservation reservation;
-    /** Emptied by {@link #merge} into another, or {@link #release}; bounded by rows and by the account. */
+    /**
+     * Rows by key. Bounded by the maximum number of rows and by the reservation; emptied by {@link #merge} into another
+     * table and by {@link #release}.
+     */
     private final Map<Object, DuplicateGroup> byKey = new HashMap<>();
 
     private final long maxRows;
@@ -59,8 +62,7 @@
                 GatherFault.Kind.FULL,
                 row.part,
                 row.number,
-                byKey.size() + " rows of " + heldBytes
-                        + " bytes are buffered, and the next one exceeds the limit");
+                byKey.size() + " rows of " + heldBytes + " bytes are buffered, and the next one exceeds the limit");
     }
 
     @Override
@@ -84,7 +86,7 @@
         return rows;
     }
 
-    /** Keys of which copies contradict each other. */
+    /** Number of keys whose copies contradict each other. */
     long conflicts() {
         return byKey.values().stream().filter(DuplicateGroup::conflict).count();
     }
