--- a/scattergather/src/main/java/clayhook/scattergather/SortKey.java
+++ b/scattergather/src/main/java/clayhook/scattergather/SortKey.java
@@ -1,13 +1,13 @@
 package clayhook.scattergather;
 
-/** A column to order by. */
+/** A column of the sort order. */
 public record SortKey(String column, boolean descending, boolean nullsFirst) {
-    /** Nulls last, as PostgreSQL has it. */
+    /** Ascending order with nulls last, as in PostgreSQL. */
     public static SortKey ascending(String column) {
         return new SortKey(column, false, false);
     }
 
-    /** Nulls first, as PostgreSQL has it. */
+    /** Descending order with nulls first, as in PostgreSQL. */
     public static SortKey descending(String column) {
         return new SortKey(column, true, true);
     }
