--- a/scattergather/src/main/java/clayhook/scattergather/TimestampParser.java
+++ b/scattergather/src/main/java/clayhook/scattergather/TimestampParser.java
@@ -5,9 +5,9 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Dates and times in PostgreSQL's style ISO, its default. */
+/** Parses dates and timestamps in PostgreSQL's default date style, ISO. */
 final class TimestampParser {
-    /** Year, month, day; hour, minute, second, fraction; zone as hours, minutes, seconds; before our era. */
+    /** Year, month, day; hour, minute, second, fraction; zone offset in hours, minutes, seconds; BC. */
     private static final Pattern ISO =
             Pattern.compile("(\\d{4,6})-(\\d\\d)-(\\d\\d)(?: (\\d\\d):(\\d\\d):(\\d\\d)(?:\\.(\\d{1,6}))?"
                     + "(?:([+-])(\\d\\d)(?::(\\d\\d))?(?::(\\d\\d))?)?)?( BC)?");
@@ -17,7 +17,7 @@
 
     private TimestampParser() {}
 
-    /** Null where that is none. */
+    /** Parses a date or timestamp; returns null if the text is invalid. */
     static ColumnValue read(String text) {
         if (text.equals("infinity") || text.equals("-infinity")) {
             return new ColumnValue.TimestampValue(text.charAt(0) == '-' ? Long.MIN_VALUE : Long.MAX_VALUE);
@@ -26,7 +26,7 @@
         if (!fields.matches()) {
             return null;
         }
-        int year = fields.group(12) == null ? number(fields, 1) : 1 - number(fields, 1); // there is no year 0
+        int year = fields.group(12) == null ? number(fields, 1) : 1 - number(fields, 1); // PostgreSQL has no year 0
         int month = number(fields, 2);
         int day = number(fields, 3);
         int seconds = number(fields, 4) * 3600 + number(fields, 5) * 60 + number(fields, 6);
@@ -43,8 +43,8 @@
         }
         String fraction = fields.group(7) == null ? "" : fields.group(7);
         long micros = Integer.parseInt((fraction + "000000").substring(0, 6));
-        // at most six digits of years are 3e19 microseconds, beyond a long; PostgreSQL's own end at the year 294276 is
-        // not
+        // up to six digits of a year give 3e19 microseconds, which overflows a long;
+        // PostgreSQL's own maximum, the year 294276, does not
         long since = LocalDate.of(year, month, day).toEpochDay() * DAY + seconds - zone;
         return Math.abs(since) < Long.MAX_VALUE / MICROS - 1
                 ? new ColumnValue.TimestampValue(since * MICROS + micros)
