--- a/scattergather/src/main/java/clayhook/scattergather/AggregateColumn.java
+++ b/scattergather/src/main/java/clayhook/scattergather/AggregateColumn.java
@@ -7,8 +7,8 @@
     /** Binds an aggregate; returns null if its columns are missing or of unsupported types. */
     static AggregateColumn of(Aggregate aggregate, List<Column> columns, ColumnReader reader) {
         Column column = aggregate.column() == null ? null : find(columns, aggregate.column());
-        Column by = aggregate.countColumn() == null ? null : find(columns, aggregate.countColumn());
-        int type = column == null ? 0 : result(aggregate.function(), column.type(), by);
+        Column countColumn = aggregate.countColumn() == null ? null : find(columns, aggregate.countColumn());
+        int type = column == null ? 0 : result(aggregate.function(), column.type(), countColumn);
         if (aggregate.column() != null && type == 0) {
             return null;
         }
@@ -18,7 +18,8 @@
                     case LEAST, MOST, QUANTILE -> Column.of(aggregate.name(), column.type());
                     default -> Column.of(aggregate.name(), type);
                 };
-        return new AggregateColumn(aggregate, slot(column, columns, reader), slot(by, columns, reader), resultColumn);
+        return new AggregateColumn(
+                aggregate, slot(column, columns, reader), slot(countColumn, columns, reader), resultColumn);
     }
 
     private static Column find(List<Column> columns, String name) {
@@ -31,7 +32,7 @@
     }
 
     /** OID of the result type; 0 if the aggregate does not support the type. */
-    private static int result(Aggregate.Function function, int type, Column by) {
+    private static int result(Aggregate.Function function, int type, Column countColumn) {
         ColumnType kind = ColumnType.of(type);
         return switch (function) {
             case SUM ->
@@ -41,7 +42,7 @@
             case COUNTED -> kind == ColumnType.INTEGER ? ColumnType.INT8 : 0;
             case MEAN -> kind.isFloating() ? ColumnType.FLOAT8 : kind.isNumeric() ? ColumnType.NUMERIC : 0;
             case MEAN_OF_SUMS ->
-                by == null || ColumnType.of(by.type()) != ColumnType.INTEGER
+                countColumn == null || ColumnType.of(countColumn.type()) != ColumnType.INTEGER
                         ? 0
                         : result(Aggregate.Function.MEAN, type, null);
             case COUNT, DISTINCT, LEAST, MOST, QUANTILE -> kind == ColumnType.OPAQUE ? 0 : type;
--- a/scattergather/src/main/java/clayhook/scattergather/AggregateGroups.java
+++ b/scattergather/src/main/java/clayhook/scattergather/AggregateGroups.java
@@ -79,7 +79,7 @@
         long before = group == null ? 0 : group.weight();
         if (group == null) {
             if (byKey.size() >= maxGroups) {
-                return full(row.part, row.number);
+                return limitFault(row.part, row.number);
             }
             group = new Group(newAggregators());
             byKey.put(List.copyOf(key), group);
@@ -94,14 +94,14 @@
         for (int i = 0; i < group.aggregators.length; i++) {
             group.aggregators[i].add(row, layout.aggregates().get(i));
         }
-        return take(group.weight() - before) ? null : full(row.part, row.number);
+        return reserve(group.weight() - before) ? null : limitFault(row.part, row.number);
     }
 
     private Aggregator[] newAggregators() {
         return layout.aggregates().stream().map(AggregateColumn::newAggregator).toArray(Aggregator[]::new);
     }
 
-    private boolean take(long bytes) {
+    private boolean reserve(long bytes) {
         if (bytes < 0) {
             reservation.release(-bytes);
         } else if (!reservation.tryReserve(bytes)) {
@@ -111,7 +111,7 @@
         return true;
     }
 
-    private GatherFault full(GatherPart part, long row) {
+    private GatherFault limitFault(GatherPart part, long row) {
         return new GatherFault(
                 GatherFault.Kind.FULL,
                 part,
@@ -129,7 +129,7 @@
             Group more = entry.getValue();
             if (group == null) {
                 if (byKey.size() >= maxGroups) {
-                    return full(more.part, more.number);
+                    return limitFault(more.part, more.number);
                 }
                 byKey.put(entry.getKey(), more);
                 continue;
@@ -139,8 +139,8 @@
             for (int i = 0; i < group.aggregators.length; i++) {
                 group.aggregators[i].merge(more.aggregators[i]);
             }
-            if (!take(group.weight() - before)) {
-                return full(more.part, more.number);
+            if (!reserve(group.weight() - before)) {
+                return limitFault(more.part, more.number);
             }
         }
         other.byKey.clear();
@@ -175,9 +175,10 @@
         for (int i = 0; i < a.size(); i++) {
             boolean none = a.get(i) == ColumnValue.NULL;
             boolean other = b.get(i) == ColumnValue.NULL;
-            int one = none || other ? Boolean.compare(none, other) : a.get(i).compareTo(b.get(i));
-            if (one != 0) {
-                return one;
+            int comparison =
+                    none || other ? Boolean.compare(none, other) : a.get(i).compareTo(b.get(i));
+            if (comparison != 0) {
+                return comparison;
             }
         }
         return 0;
--- a/scattergather/src/main/java/clayhook/scattergather/Aggregator.java
+++ b/scattergather/src/main/java/clayhook/scattergather/Aggregator.java
@@ -75,7 +75,7 @@
             if (other != ColumnValue.NULL) {
                 int compared = cell == ColumnValue.NULL ? -1 : sign * other.compareTo(cell);
                 if (compared <= 0) {
-                    take(compared, other, row.raw(column.slot()));
+                    keepIfBetter(compared, other, row.raw(column.slot()));
                 }
             }
         }
@@ -84,7 +84,7 @@
          * Keeps the better value. Of equal values with different texts, such as 1.0 and 1.00, the choice does not
          * depend on the order.
          */
-        private void take(int compared, ColumnValue other, byte[] bytes) {
+        private void keepIfBetter(int compared, ColumnValue other, byte[] bytes) {
             if (compared < 0 || (compared == 0 && Arrays.compareUnsigned(bytes, raw) < 0)) {
                 cell = other;
                 raw = bytes;
@@ -95,7 +95,7 @@
         void merge(Aggregator aggregator) {
             var other = (ExtremeAggregator) aggregator;
             if (other.cell != ColumnValue.NULL) {
-                take(cell == ColumnValue.NULL ? -1 : sign * other.cell.compareTo(cell), other.cell, other.raw);
+                keepIfBetter(cell == ColumnValue.NULL ? -1 : sign * other.cell.compareTo(cell), other.cell, other.raw);
             }
         }
 
--- a/scattergather/src/main/java/clayhook/scattergather/Column.java
+++ b/scattergather/src/main/java/clayhook/scattergather/Column.java
@@ -86,7 +86,7 @@
     }
 
     /** Whether the values of both columns can be merged into one column. */
-    boolean fits(Column other) {
+    boolean isCompatibleWith(Column other) {
         return name.equals(other.name) && type == other.type;
     }
 }
--- a/scattergather/src/main/java/clayhook/scattergather/ColumnLayout.java
+++ b/scattergather/src/main/java/clayhook/scattergather/ColumnLayout.java
@@ -92,7 +92,7 @@
             return others.size() + " columns instead of " + columns.size();
         }
         for (int i = 0; i < others.size(); i++) {
-            if (!others.get(i).fits(columns.get(i))) {
+            if (!others.get(i).isCompatibleWith(columns.get(i))) {
                 return "column " + (i + 1) + " is " + others.get(i).name() + " of type "
                         + others.get(i).type() + " instead of " + columns.get(i).name() + " of type "
                         + columns.get(i).type();
--- a/scattergather/src/main/java/clayhook/scattergather/ColumnReader.java
+++ b/scattergather/src/main/java/clayhook/scattergather/ColumnReader.java
@@ -37,11 +37,11 @@
         return ColumnType.of(columns.get(column(slot)).type());
     }
 
-    int width() {
+    int columnCount() {
         return columns.size();
     }
 
-    int size() {
+    int slotCount() {
         return readColumns.size();
     }
 
@@ -96,7 +96,7 @@
 
     /** Parses a row that the merge itself has built; its values are always valid for their types. */
     Row row(GatherPart part, long number, byte[] message) {
-        ColumnValue[] cells = new ColumnValue[size()];
+        ColumnValue[] cells = new ColumnValue[slotCount()];
         if (read(message, cells) != SUCCESS) {
             throw new IllegalStateException("a row made here cannot be read");
         }
--- a/scattergather/src/main/java/clayhook/scattergather/DuplicateRanking.java
+++ b/scattergather/src/main/java/clayhook/scattergather/DuplicateRanking.java
@@ -97,9 +97,9 @@
     @Override
     public int compare(Row a, Row b) {
         for (Comparator<Row> rule : rules) {
-            int one = rule.compare(a, b);
-            if (one != 0) {
-                return one;
+            int comparison = rule.compare(a, b);
+            if (comparison != 0) {
+                return comparison;
             }
         }
         return 0;
--- a/scattergather/src/main/java/clayhook/scattergather/ExactSum.java
+++ b/scattergather/src/main/java/clayhook/scattergather/ExactSum.java
@@ -208,10 +208,10 @@
         @Override
         void add(Row row, AggregateColumn column) {
             ColumnValue value = row.cell(column.slot());
-            ColumnValue times = column.countSlot() < 0 ? null : row.cell(column.countSlot());
-            if (value != ColumnValue.NULL && times != ColumnValue.NULL) {
+            ColumnValue valueCount = column.countSlot() < 0 ? null : row.cell(column.countSlot());
+            if (value != ColumnValue.NULL && valueCount != ColumnValue.NULL) {
                 sum.add(value);
-                count.add(times == null ? 1 : ((ColumnValue.IntegerValue) times).value());
+                count.add(valueCount == null ? 1 : ((ColumnValue.IntegerValue) valueCount).value());
             }
         }
 
--- a/scattergather/src/main/java/clayhook/scattergather/Gather.java
+++ b/scattergather/src/main/java/clayhook/scattergather/Gather.java
@@ -209,9 +209,9 @@
     private GatherFault acceptRow(PartStream stream, byte[] message) {
         stream.rows++;
         stream.credit--;
-        GatherFault.Kind unfit = checkLimits(stream, message);
-        if (unfit != null) {
-            return fault(stream, unfit, message);
+        GatherFault.Kind limitFault = checkLimits(stream, message);
+        if (limitFault != null) {
+            return fault(stream, limitFault, message);
         }
         if (stream.rows > spec.limit().depth()) {
             stream.rows--;
@@ -219,7 +219,7 @@
             actions.recall(stream.part);
             return null;
         }
-        ColumnValue[] cells = new ColumnValue[layout.reader().size()];
+        ColumnValue[] cells = new ColumnValue[layout.reader().slotCount()];
         int column = layout.reader().read(message, cells);
         if (column != ColumnReader.SUCCESS) {
             return column == ColumnReader.MALFORMED
@@ -228,7 +228,7 @@
                             GatherFault.Kind.UNREADABLE,
                             stream.part,
                             stream.rows,
-                            "column " + layout.columns().get(column).name() + " is not a valid value of type "
+                            "column " + layout.columns().get(column).name() + " does not hold a valid value of type "
                                     + layout.columns().get(column).type());
         }
         Row row = new Row(stream.part, stream.rows, message, layout.reader(), cells);
@@ -267,7 +267,7 @@
                     case WIDTH ->
                         stream.described
                                 ? Row.width(message) + " columns instead of "
-                                        + layout.reader().width()
+                                        + layout.reader().columnCount()
                                 : "the row arrived before the column description";
                     case ENDLESS -> "more rows than the limit for one part";
                     default -> "the row sorts before its predecessor";
@@ -343,7 +343,7 @@
         boolean expired = now >= deadline;
         for (PartStream stream : streams) {
             stream.updateClock(now);
-            if (!stream.ended && (expired || stream.late(plan.partTimeout()))) {
+            if (!stream.ended && (expired || stream.isLate(plan.partTimeout()))) {
                 actions.recall(stream.part);
                 stream.fail(
                         PartStatus.LATE,
@@ -357,14 +357,14 @@
             finish(null, true);
         }
         inCall = false;
-        return finished ? Double.POSITIVE_INFINITY : due();
+        return finished ? Double.POSITIVE_INFINITY : nextTickTime();
     }
 
-    private double due() {
+    private double nextTickTime() {
         double next = deadline;
         for (PartStream stream : streams) {
             stream.updateClock(now);
-            next = Math.min(next, stream.due(plan.partTimeout()));
+            next = Math.min(next, stream.dueTime(plan.partTimeout()));
         }
         return next;
     }
--- a/scattergather/src/main/java/clayhook/scattergather/LoserTree.java
+++ b/scattergather/src/main/java/clayhook/scattergather/LoserTree.java
@@ -33,8 +33,8 @@
         if (heads[a] == null || heads[b] == null) {
             return heads[a] != null;
         }
-        int keyed = order.compareKeys(heads[a], heads[b]);
-        return keyed < 0 || (keyed == 0 && a < b);
+        int comparison = order.compareKeys(heads[a], heads[b]);
+        return comparison < 0 || (comparison == 0 && a < b);
     }
 
     /** Rebuilds the tree from the leaves up. */
--- a/scattergather/src/main/java/clayhook/scattergather/MergeSpec.java
+++ b/scattergather/src/main/java/clayhook/scattergather/MergeSpec.java
@@ -27,7 +27,7 @@
         return new MergeSpec(order, false, duplicates, groups, limit);
     }
 
-    public MergeSpec without(Duplicates copies) {
+    public MergeSpec deduplicating(Duplicates copies) {
         return new MergeSpec(order, sorted, copies, groups, limit);
     }
 
--- a/scattergather/src/main/java/clayhook/scattergather/PartStream.java
+++ b/scattergather/src/main/java/clayhook/scattergather/PartStream.java
@@ -136,11 +136,11 @@
     }
 
     /** Time at which the part becomes late without further events; positive infinity while its clock is stopped. */
-    double due(double partTimeout) {
+    double dueTime(double partTimeout) {
         return Double.isNaN(runningSince) ? Double.POSITIVE_INFINITY : runningSince + partTimeout - elapsed;
     }
 
-    boolean late(double partTimeout) {
+    boolean isLate(double partTimeout) {
         return !ended && elapsed >= partTimeout;
     }
 }
--- a/scattergather/src/main/java/clayhook/scattergather/RowComparator.java
+++ b/scattergather/src/main/java/clayhook/scattergather/RowComparator.java
@@ -38,9 +38,9 @@
 
     @Override
     public int compare(Row a, Row b) {
-        int keyed = compareKeys(a, b);
-        if (keyed != 0) {
-            return keyed;
+        int comparison = compareKeys(a, b);
+        if (comparison != 0) {
+            return comparison;
         }
         return a.part != b.part ? Integer.compare(a.part.number(), b.part.number()) : Long.compare(a.number, b.number);
     }
@@ -63,13 +63,13 @@
         if (a.sortPrefix != b.sortPrefix) {
             return a.sortPrefix < b.sortPrefix ? -1 : 1;
         }
-        boolean settled = prefixIsExact
+        boolean prefixDecides = prefixIsExact
                 && a.sortPrefix != Long.MIN_VALUE
                 && a.sortPrefix != Long.MAX_VALUE; // nulls share the extreme values
-        for (int i = settled ? 1 : 0; i < slots.length; i++) {
-            int one = compare(keys[i], a.cell(slots[i]), b.cell(slots[i]));
-            if (one != 0) {
-                return one;
+        for (int i = prefixDecides ? 1 : 0; i < slots.length; i++) {
+            int comparison = compare(keys[i], a.cell(slots[i]), b.cell(slots[i]));
+            if (comparison != 0) {
+                return comparison;
             }
         }
         return 0;
--- a/scattergather/src/main/java/clayhook/scattergather/RowSet.java
+++ b/scattergather/src/main/java/clayhook/scattergather/RowSet.java
@@ -62,26 +62,26 @@
         var gather = new Gather(plan, parts.stream().map(PartRows::part).toList(), memoryPool, actions);
         gather.begin(0, Double.POSITIVE_INFINITY);
         gather.request(Integer.MAX_VALUE);
-        int[] given = new int[parts.size()];
-        for (PartRows held : parts) {
-            if (actions.result == null && held.rows == null) {
-                gather.failed(held.part, held.reason, false);
+        int[] nextRow = new int[parts.size()];
+        for (PartRows partRows : parts) {
+            if (actions.result == null && partRows.rows == null) {
+                gather.failed(partRows.part, partRows.reason, false);
             } else if (actions.result == null) {
-                gather.described(held.part, held.rows.columns);
+                gather.described(partRows.part, partRows.rows.columns);
             }
         }
-        List<PartRows> reached =
-                parts.stream().filter(held -> held.rows != null).toList();
+        List<PartRows> reachable =
+                parts.stream().filter(partRows -> partRows.rows != null).toList();
         while (actions.result == null) {
-            for (PartRows held : reached) {
-                int part = held.part.number();
-                while (actions.credit[part] > 0 && given[part] < held.rows.messages.size()) {
+            for (PartRows partRows : reachable) {
+                int part = partRows.part.number();
+                while (actions.credit[part] > 0 && nextRow[part] < partRows.rows.messages.size()) {
                     actions.credit[part]--;
-                    gather.row(held.part, held.rows.messages.get(given[part]++));
+                    gather.row(partRows.part, partRows.rows.messages.get(nextRow[part]++));
                 }
-                if (!actions.done[part] && given[part] == held.rows.messages.size()) {
-                    actions.end(held.part);
-                    gather.ended(held.part, held.position);
+                if (!actions.done[part] && nextRow[part] == partRows.rows.messages.size()) {
+                    actions.end(partRows.part);
+                    gather.ended(partRows.part, partRows.position);
                 }
             }
         }
--- a/scattergather/src/main/java/clayhook/scattergather/RowTable.java
+++ b/scattergather/src/main/java/clayhook/scattergather/RowTable.java
@@ -30,13 +30,13 @@
     @Override
     public GatherFault add(Row row) {
         Object key = layout.ranking() == null ? row : layout.ranking().key(row);
-        return put(key, new DuplicateGroup(layout.ranking(), row), true) ? null : full(row);
+        return put(key, new DuplicateGroup(layout.ranking(), row), true) ? null : limitFault(row);
     }
 
     private boolean put(Object key, DuplicateGroup copies, boolean fresh) {
         DuplicateGroup known = byKey.get(key);
         if (known == null) {
-            if (byKey.size() >= maxRows || (fresh && !take(copies.weight() + ENTRY_BYTES))) {
+            if (byKey.size() >= maxRows || (fresh && !reserve(copies.weight() + ENTRY_BYTES))) {
                 return false;
             }
             byKey.put(key, copies);
@@ -44,10 +44,10 @@
         }
         long before = known.weight() + (fresh ? 0 : copies.weight() + ENTRY_BYTES);
         known.merge(copies);
-        return take(known.weight() - before);
+        return reserve(known.weight() - before);
     }
 
-    private boolean take(long bytes) {
+    private boolean reserve(long bytes) {
         if (bytes < 0) {
             reservation.release(-bytes);
         } else if (!reservation.tryReserve(bytes)) {
@@ -57,7 +57,7 @@
         return true;
     }
 
-    private GatherFault full(Row row) {
+    private GatherFault limitFault(Row row) {
         return new GatherFault(
                 GatherFault.Kind.FULL,
                 row.part,
@@ -72,7 +72,7 @@
         other.heldBytes = 0;
         for (var entry : other.byKey.entrySet()) {
             if (!put(entry.getKey(), entry.getValue(), false)) {
-                return full(entry.getValue().best());
+                return limitFault(entry.getValue().best());
             }
         }
         other.byKey.clear();
--- a/scattergather/src/test/java/clayhook/scattergather/DistinctAggregatorTest.java
+++ b/scattergather/src/test/java/clayhook/scattergather/DistinctAggregatorTest.java
@@ -9,7 +9,10 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Holds what sketches hash of a value: another form would change estimates and would not merge with older sketches. */
+/**
+ * Pins the bytes that sketches hash for a value: another format would change estimates and could not be merged with
+ * older sketches.
+ */
 class DistinctAggregatorTest {
     static Stream<Arguments> recordedForms() {
         return Stream.of(
--- a/scattergather/src/test/java/clayhook/scattergather/Play.java
+++ b/scattergather/src/test/java/clayhook/scattergather/GatherDriver.java
@@ -11,9 +11,15 @@
 import java.util.Random;
 import java.util.Set;
 
-/** Plays parts to a gather in an order of events drawn from a seed, and watches what it may never do. */
-final class Play implements GatherActions {
-    /** What a part does: to its end, never beyond some row, broken off there for good or until asked again. */
+/**
+ * Drives a gather with events of its parts in a random order drawn from a seed, and asserts the invariants of its
+ * actions.
+ */
+final class GatherDriver implements GatherActions {
+    /**
+     * How a part behaves: sends all rows; stalls after half of its rows; fails there for good; or fails there and
+     * succeeds when asked again.
+     */
     enum PartBehavior {
         WHOLE,
         STALLS,
@@ -34,24 +40,24 @@
     final Gather gather;
     List<Column> columns;
     GatherResult result;
-    int asks;
+    int askCount;
     private final int[] credit;
-    private final int[] given;
+    private final int[] sentRows;
     private final boolean[] described;
-    private final List<Column> source;
+    private final List<Column> describedColumns;
     private long freeBytes = POOL_BYTES;
     private int requested;
     private final long maxReserved;
 
-    Play(long seed, GatherPlan plan, List<Column> source, List<List<List<String>>> messages) {
+    GatherDriver(long seed, GatherPlan plan, List<Column> describedColumns, List<List<List<String>>> messages) {
         random = new Random(seed);
-        this.source = source;
+        this.describedColumns = describedColumns;
         this.messages = messages.stream()
                 .map(lines -> lines.stream().map(RowSet::message).toList())
                 .toList();
         positions = random.doubles(messages.size(), 0, 3).map(Math::floor).toArray();
         credit = new int[messages.size()];
-        given = new int[messages.size()];
+        sentRows = new int[messages.size()];
         described = new boolean[messages.size()];
         for (int i = 0; i < messages.size(); i++) {
             parts.add(new GatherPart("p" + i, i));
@@ -67,7 +73,7 @@
                     @Override
                     public boolean tryReserve(long bytes) {
                         freeBytes -= bytes;
-                        assertTrue(POOL_BYTES - freeBytes <= maxReserved, "memory beyond the bound");
+                        assertTrue(POOL_BYTES - freeBytes <= maxReserved, "reserved memory exceeds the limit");
                         return true;
                     }
 
@@ -79,13 +85,13 @@
                 this);
     }
 
-    static List<List<List<String>>> texts(Sample sample) {
+    static List<List<List<String>>> texts(RandomParts sample) {
         return sample.parts.stream()
-                .map(lines -> lines.stream().map(Sample.Line::texts).toList())
+                .map(lines -> lines.stream().map(RandomParts.Line::texts).toList())
                 .toList();
     }
 
-    /** To the end, with time going on; returns the verdict. */
+    /** Runs the gather to its end while time advances; returns the final result. */
     GatherResult run() {
         gather.begin(0, DEADLINE);
         double now = 0;
@@ -96,13 +102,13 @@
             }
             now += random.nextInt(20) == 0 ? 0.01 : 0;
             if (!step() && requested > rows.size()) {
-                now = gather.tick(now) + 0.001; // nothing happens any more: the next thing is a deadline
+                now = gather.tick(now) + 0.001; // no part can proceed: skip to the next deadline
             }
             gather.tick(now);
-            assertTrue(gather.bufferedBytes() <= gather.reservedBytes(), "more read ahead than was taken for it");
+            assertTrue(gather.bufferedBytes() <= gather.reservedBytes(), "buffered bytes exceed the reservation");
         }
-        assertTrue(gather.finished(), "an answer by its deadline");
-        assertEquals(POOL_BYTES, freeBytes, "all memory is given back");
+        assertTrue(gather.finished(), "no result by the deadline");
+        assertEquals(POOL_BYTES, freeBytes, "not all memory was released");
         assertTrue(running.isEmpty(), "still running: " + running);
         sendLateEvents();
         return result;
@@ -119,16 +125,16 @@
         int i = part.number();
         if (!described[i]) {
             described[i] = true;
-            gather.described(part, source);
+            gather.described(part, describedColumns);
         } else if (behaviors.get(i) != PartBehavior.WHOLE
-                && given[i] >= messages.get(i).size() / 2) {
-            boolean again = behaviors.get(i) == PartBehavior.FAILS_ONCE;
-            behaviors.set(i, again ? PartBehavior.WHOLE : PartBehavior.FAILS);
+                && sentRows[i] >= messages.get(i).size() / 2) {
+            boolean mayAskAgain = behaviors.get(i) == PartBehavior.FAILS_ONCE;
+            behaviors.set(i, mayAskAgain ? PartBehavior.WHOLE : PartBehavior.FAILS);
             running.remove(part);
-            gather.failed(part, "gone", again);
-        } else if (given[i] < messages.get(i).size()) {
+            gather.failed(part, "gone", mayAskAgain);
+        } else if (sentRows[i] < messages.get(i).size()) {
             credit[i]--;
-            gather.row(part, messages.get(i).get(given[i]++));
+            gather.row(part, messages.get(i).get(sentRows[i]++));
         } else {
             running.remove(part);
             gather.ended(part, positions[i]);
@@ -137,15 +143,15 @@
     }
 
     private boolean ready(int i) {
-        boolean half = behaviors.get(i) != PartBehavior.WHOLE
-                && given[i] >= messages.get(i).size() / 2;
+        boolean atFailurePoint = behaviors.get(i) != PartBehavior.WHOLE
+                && sentRows[i] >= messages.get(i).size() / 2;
         return !described[i]
-                || (half
+                || (atFailurePoint
                         ? behaviors.get(i) != PartBehavior.STALLS
-                        : given[i] == messages.get(i).size() || credit[i] > 0);
+                        : sentRows[i] == messages.get(i).size() || credit[i] > 0);
     }
 
-    /** News after the end change nothing. */
+    /** Asserts that events after the end change nothing. */
     private void sendLateEvents() {
         long before = gather.ignoredEvents();
         int emitted = rows.size();
@@ -159,16 +165,16 @@
 
     @Override
     public void ask(GatherPart part) {
-        asks++;
+        askCount++;
         running.add(part);
         credit[part.number()] = 0;
-        given[part.number()] = 0;
+        sentRows[part.number()] = 0;
         described[part.number()] = false;
     }
 
     @Override
     public void recall(GatherPart part) {
-        assertTrue(running.remove(part), "recalled what does not run: " + part);
+        assertTrue(running.remove(part), "recalled a part that is not running: " + part);
     }
 
     @Override
@@ -185,13 +191,15 @@
 
     @Override
     public void emit(byte[] row) {
-        assertFalse(columns == null || result != null || rows.size() >= requested, "a row out of turn");
+        assertFalse(
+                columns == null || result != null || rows.size() >= requested,
+                "row before the columns, after the result or without demand");
         rows.add(RowSet.values(row));
     }
 
     @Override
-    public void finish(GatherResult end) {
-        assertNull(result, "two final answers");
-        result = end;
+    public void finish(GatherResult finalResult) {
+        assertNull(result, "more than one final result");
+        result = finalResult;
     }
 }
--- a/scattergather/src/test/java/clayhook/scattergather/GatherTest.java
+++ b/scattergather/src/test/java/clayhook/scattergather/GatherTest.java
@@ -18,12 +18,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The machine step by step, and its faults. */
+/** Tests the state machine of a gather step by step, and its faults. */
 class GatherTest {
     private static final List<Column> COLUMNS = List.of(Column.of("k", 20), Column.of("v", 25));
     private static final GatherPlan SORTED = GatherPlan.of(MergeSpec.by(SortKey.ascending("k")));
 
-    private final List<String> log = new ArrayList<>();
+    private final List<String> events = new ArrayList<>();
     private final List<GatherPart> parts =
             List.of(new GatherPart("a", 0), new GatherPart("b", 1), new GatherPart("c", 2));
     private GatherResult result;
@@ -32,12 +32,12 @@
         var gather = new Gather(plan, parts, memoryPool, new GatherActions() {
             @Override
             public void ask(GatherPart part) {
-                log.add("ask " + part);
+                events.add("ask " + part);
             }
 
             @Override
             public void recall(GatherPart part) {
-                log.add("recall " + part);
+                events.add("recall " + part);
             }
 
             @Override
@@ -48,7 +48,7 @@
 
             @Override
             public void emit(byte[] row) {
-                log.add(String.join(" ", RowSet.values(row)));
+                events.add(String.join(" ", RowSet.values(row)));
             }
 
             @Override
@@ -65,7 +65,7 @@
         return gather(plan, MemoryPool.of(1 << 30));
     }
 
-    private void whole(Gather gather, int part, double position, String... keys) {
+    private void sendWholePart(Gather gather, int part, double position, String... keys) {
         gather.described(parts.get(part), COLUMNS);
         for (String key : keys) {
             gather.row(parts.get(part), RowSet.message(List.of(key, "of " + parts.get(part))));
@@ -73,7 +73,7 @@
         gather.ended(parts.get(part), position);
     }
 
-    /** What is wrong in part b, and in which row. */
+    /** A fault in part b names the part and the row; rows of the part are not merged. */
     @ParameterizedTest
     @CsvSource({
         "UNREADABLE, 2",
@@ -87,7 +87,7 @@
         "FULL, 2"
     })
     void faultsNamePartAndRow(GatherFault.Kind kind, long row) {
-        var bounds = new BufferLimits(
+        var bufferLimits = new BufferLimits(
                 kind == GatherFault.Kind.OVERRUN ? 1 : 256,
                 1 << 20,
                 200,
@@ -97,7 +97,7 @@
         Gather gather = gather((kind == GatherFault.Kind.FULL
                         ? GatherPlan.of(MergeSpec.by(SortKey.ascending("k")).unsorted())
                         : SORTED)
-                .bufferLimits(bounds));
+                .bufferLimits(bufferLimits));
         GatherPart b = parts.get(1);
         if (kind != GatherFault.Kind.UNFIT) {
             gather.described(parts.get(0), COLUMNS);
@@ -115,8 +115,8 @@
             gather.row(b, RowSet.message(List.of("7", "")));
             gather.row(b, RowSet.message(List.of("8", "")));
         }
-        whole(gather, 0, 1, "1");
-        whole(gather, 2, 1, "9");
+        sendWholePart(gather, 0, 1, "1");
+        sendWholePart(gather, 2, 1, "9");
         GatherFault fault = kind == GatherFault.Kind.FULL
                 ? result.fault()
                 : result.notes().get(1).fault();
@@ -127,46 +127,47 @@
                 fault.toString().startsWith("part b: " + (row == 0 ? "its columns: " : "row " + row + ": ")),
                 fault.toString());
         assertEquals(kind == GatherFault.Kind.FULL ? FAILED : PARTIAL, result.outcome());
-        assertEquals(kind == GatherFault.Kind.FULL ? 0 : 2, result.rows(), "nothing of it is merged");
-        assertTrue(log.contains("recall b"));
+        assertEquals(
+                kind == GatherFault.Kind.FULL ? 0 : 2, result.rows(), "rows of the faulty part must not be merged");
+        assertTrue(events.contains("recall b"));
     }
 
     @Test
-    void aLimitThatIsReachedRecallsTheRest() {
+    void recallsRemainingPartsWhenLimitIsReached() {
         Gather gather =
                 gather(GatherPlan.of(MergeSpec.by(SortKey.ascending("k")).limit(Limit.rows(2))));
-        whole(gather, 0, 1, "1", "2");
+        sendWholePart(gather, 0, 1, "1", "2");
         gather.described(parts.get(1), COLUMNS);
         gather.row(parts.get(1), RowSet.message(List.of("1", "of b")));
-        gather.failed(parts.get(1), "gone", true); // nothing of it is out yet
+        gather.failed(parts.get(1), "gone", true); // none of its rows has been emitted
         gather.described(parts.get(1), COLUMNS);
         gather.row(parts.get(1), RowSet.message(List.of("1", "again")));
-        whole(gather, 2, 1, "4");
-        assertEquals(List.of("ask a", "ask b", "ask c", "ask b", "1 of a", "1 again", "recall b", "recall c"), log);
+        sendWholePart(gather, 2, 1, "4");
+        assertEquals(List.of("ask a", "ask b", "ask c", "ask b", "1 of a", "1 again", "recall b", "recall c"), events);
         assertEquals(COMPLETE, result.outcome());
         assertEquals(1, gather.ignoredEvents(), "the end of c");
     }
 
     /**
-     * A part that breaks after rows of it went out is not asked again; what came of it stays, and what is missing is
-     * named.
+     * A part that fails after its rows have been emitted is not asked again. Its rows are kept, and the result names it
+     * as incomplete.
      */
     @Test
-    void aPartThatBreaksHalfWayIsCut() {
+    void reportsPartThatFailsDuringMergeAsCut() {
         Gather gather = gather(SORTED);
-        whole(gather, 0, 7, "1", "8");
-        whole(gather, 1, 5, "2");
+        sendWholePart(gather, 0, 7, "1", "8");
+        sendWholePart(gather, 1, 5, "2");
         gather.described(parts.get(2), COLUMNS);
         gather.row(parts.get(2), RowSet.message(List.of("0", "of c")));
         gather.failed(parts.get(2), "reset", true);
-        assertEquals(List.of("0 of c", "1 of a", "2 of b", "8 of a"), log.subList(3, 7));
+        assertEquals(List.of("0 of c", "1 of a", "2 of b", "8 of a"), events.subList(3, 7));
         assertEquals(List.of(parts.get(2)), result.parts(PartStatus.CUT));
         assertEquals("partial: c cut (reset)", result.toString());
     }
 
     @ParameterizedTest
     @EnumSource(PartStatus.class)
-    void theVerdictTellsWhatBecameOfAPart(PartStatus status) {
+    void reportsStatusOfEachPart(PartStatus status) {
         GatherPlan plan = SORTED.partTimeout(2)
                 .minPosition(5)
                 .completion(status == PartStatus.SPARE ? new CompletionPolicy.Quorum(2) : new CompletionPolicy.Best());
@@ -180,8 +181,8 @@
             gather.ended(parts.get(2), status == PartStatus.OLD ? 4.9 : 5);
         }
         assertEquals(2, gather.tick(0.5));
-        whole(gather, 0, 8, "1");
-        whole(gather, 1, 6, "2");
+        sendWholePart(gather, 0, 8, "1");
+        sendWholePart(gather, 1, 6, "2");
         gather.tick(2);
         assertEquals(status, result.notes().get(2).status());
         assertEquals(status == PartStatus.WHOLE || status == PartStatus.SPARE ? COMPLETE : PARTIAL, result.outcome());
@@ -197,39 +198,40 @@
     }
 
     /**
-     * Half of a part would make every count wrong, so it is left out of groups; of a list what came is true, and stays.
+     * An incomplete part would make aggregates wrong, so it is left out of groups; without groups, its rows are correct
+     * and are kept.
      */
     @ParameterizedTest
     @CsvSource({"true, MISSING, 1", "false, CUT, 3"})
-    void whatCameOfAPartThatBrokeOff(boolean grouped, PartStatus status, int rows) {
+    void excludesFailedPartFromGroupsButKeepsItsRows(boolean grouped, PartStatus status, int rows) {
         MergeSpec spec =
                 MergeSpec.by().grouped(grouped ? new Grouping(List.of(), List.of(Aggregate.count("n"))) : null);
         Gather gather = gather(GatherPlan.of(
                 grouped ? spec : MergeSpec.by(SortKey.ascending("k")).unsorted()));
-        whole(gather, 0, 1, "1");
-        whole(gather, 1, 1, "2");
+        sendWholePart(gather, 0, 1, "1");
+        sendWholePart(gather, 1, 1, "2");
         gather.described(parts.get(2), COLUMNS);
         gather.row(parts.get(2), RowSet.message(List.of("0", "of c")));
         gather.failed(parts.get(2), "reset", false);
         assertEquals(List.of(parts.get(2)), result.parts(status));
         assertEquals(rows, result.rows());
-        assertEquals(grouped ? "2" : "2 of b", log.get(log.size() - 1));
+        assertEquals(grouped ? "2" : "2 of b", events.get(events.size() - 1));
     }
 
-    /** Where a partial answer is an error, nobody waits for the rest of it. */
+    /** If a partial answer is an error, the gather does not wait for the remaining parts. */
     @Test
-    void whatCannotBeEnoughEndsAtOnce() {
+    void endsAtOnceWhenQuorumIsImpossible() {
         Gather gather = gather(SORTED.wholeOrError().completion(new CompletionPolicy.Quorum(2)));
         gather.failed(parts.get(0), "gone", false);
         assertEquals(null, result);
         gather.failed(parts.get(1), "gone", false);
         assertEquals(PARTIAL, result.outcome());
-        assertEquals("recall c", log.get(log.size() - 1));
+        assertEquals("recall c", events.get(events.size() - 1));
     }
 
-    /** A part is not late for rows that nobody asked of it. */
+    /** The time limit of a part only runs while the part has credit. */
     @Test
-    void timeRunsOnlyWhileRowsAreOwed() {
+    void countsPartTimeOnlyWhileRowsAreRequested() {
         Gather gather =
                 gather(SORTED.partTimeout(2).bufferLimits(new BufferLimits(1, 1 << 20, 1000, 1000, 1000, 1000)));
         for (GatherPart part : parts) {
@@ -238,7 +240,8 @@
         gather.row(parts.get(0), RowSet.message(List.of("5", "of a")));
         gather.row(parts.get(1), RowSet.message(List.of("6", "of b")));
         assertEquals(2, gather.tick(1));
-        gather.tick(2); // c owed for two seconds, a for what was told before the first turn only
+        // c had credit for two seconds; a only until the first tick, as its row counts as received before that tick
+        gather.tick(2);
         gather.ended(parts.get(0), 1);
         gather.tick(3.5);
         gather.ended(parts.get(1), 1);
@@ -247,14 +250,14 @@
     }
 
     @Test
-    void withoutMemoryNothingIsAskedAndAllIsTold() {
+    void failsWithoutAskingPartsWhenMemoryIsShort() {
         gather(SORTED, MemoryPool.of(1000));
         assertEquals(FAILED, result.outcome());
-        assertEquals(List.of(), log);
+        assertEquals(List.of(), events);
     }
 
     @Test
-    void anActMayNotCallBack() {
+    void rejectsCallFromAction() {
         var held = new Gather[1];
         held[0] = new Gather(SORTED, List.of(), MemoryPool.of(0), new GatherActions() {
             @Override
@@ -281,13 +284,13 @@
     }
 
     /**
-     * Charges in doubt as routers hold them: by time, one row a key, knowledge over doubt, conflicts shown, who is out
-     * of reach named.
+     * In-doubt charges as listed by several routers: sorted by time, one row for each key, definite outcomes preferred
+     * over unknown ones, conflicts shown, and unreachable routers named.
      */
     @Test
-    void chargesInDoubtOfAllRouters() {
-        List<Column> columns =
-                List.of(Column.of("charge", 25), Column.of("at", 1184), Column.of("fate", 25), Column.of("node", 25));
+    void mergesInDoubtChargesOfAllRouters() {
+        List<Column> columns = List.of(
+                Column.of("charge", 25), Column.of("at", 1184), Column.of("outcome", 25), Column.of("node", 25));
         String early = "2026-03-01 10:00:00+00";
         String late = "2026-03-01 12:00:00.5+01";
         RowSet a = RowSet.table(
@@ -301,11 +304,11 @@
                 List.of(Arrays.asList("k1", late, "not run", "n2"), Arrays.asList("k2", early, "not run", "n2")));
         var duplicates = new Duplicates(
                 List.of("charge"),
-                List.of(new Rule.Ranking("fate", List.of(Set.of("run", "not run"), Set.of("unknown")), "conflict")),
+                List.of(new Rule.Ranking("outcome", List.of(Set.of("run", "not run"), Set.of("unknown")), "conflict")),
                 true);
         GatherPlan plan = GatherPlan.of(MergeSpec.by(SortKey.ascending("at"), SortKey.ascending("charge"))
                 .unsorted()
-                .without(duplicates));
+                .deduplicating(duplicates));
         RowSet.Answer answer = RowSet.gather(
                 plan,
                 List.of(
--- a/scattergather/src/test/java/clayhook/scattergather/GroupsPropertiesTest.java
+++ b/scattergather/src/test/java/clayhook/scattergather/GroupsPropertiesTest.java
@@ -6,8 +6,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import clayhook.scattergather.Aggregate.Function;
-import clayhook.scattergather.Sample.Line;
-import clayhook.scattergather.Sample.Value;
+import clayhook.scattergather.RandomParts.Line;
+import clayhook.scattergather.RandomParts.Value;
 import java.math.BigDecimal;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -25,7 +25,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Figures of groups: joined in any order or tree they are those of plain lists, and sketches keep to their errors. */
+/** Aggregates of groups match the reference for any order of merges, and sketches stay within their reported errors. */
 class GroupsPropertiesTest {
     private static final List<Aggregate> AGGREGATES = List.of(
             Aggregate.count("rows"),
@@ -40,8 +40,8 @@
 
     private static List<Value> present(List<Line> lines, String column) {
         return lines.stream()
-                .map(line -> line.values().get(Sample.column(column)))
-                .filter(value -> value.meant() != null)
+                .map(line -> line.values().get(RandomParts.column(column)))
+                .filter(value -> value.parsed() != null)
                 .toList();
     }
 
@@ -55,31 +55,31 @@
                 .toPlainString();
     }
 
-    /** What a figure should be; a mean in millionths. */
-    private static List<Object> figures(List<Line> lines) {
-        Comparator<Value> order = Sample::compare;
+    /** Reference values of the aggregates; a mean is in millionths. */
+    private static List<Object> referenceAggregates(List<Line> lines) {
+        Comparator<Value> order = RandomParts::compare;
         List<Value> doubles = present(lines, "d").stream().sorted(order).toList();
         var out = new ArrayList<Object>();
         out.add(lines.size());
         out.add(present(lines, "n").size());
         out.add(sum(present(lines, "l")));
         out.add(sum(present(lines, "n")));
-        out.add(present(lines, "at").stream().min(order).map(Value::meant).orElse(null));
+        out.add(present(lines, "at").stream().min(order).map(Value::parsed).orElse(null));
         out.add(present(lines, "t").stream().max(order).map(Value::text).orElse(null));
         List<Value> whole = present(lines, "i");
         out.add(
                 whole.isEmpty()
                         ? null
                         : whole.stream()
-                                        .mapToLong(value -> (Long) value.meant())
+                                        .mapToLong(value -> (Long) value.parsed())
                                         .sum()
                                 * 1_000_000
                                 / whole.size());
-        out.add(present(lines, "n").stream().map(Value::meant).distinct().count());
+        out.add(present(lines, "n").stream().map(Value::parsed).distinct().count());
         out.add(
                 doubles.isEmpty()
                         ? null
-                        : doubles.get((doubles.size() + 1) / 2 - 1).meant());
+                        : doubles.get((doubles.size() + 1) / 2 - 1).parsed());
         return out;
     }
 
@@ -93,7 +93,7 @@
                 : switch (aggregate) {
                     case 0, 1 -> Integer.valueOf(text);
                     case 4 -> (micros(text) - micros("2026-03-01 12:00:00.25+00")) / 3_600_000_000L; // hours
-                    case 6 -> new BigDecimal(text).movePointRight(6).longValue(); // towards zero, as the division
+                    case 6 -> new BigDecimal(text).movePointRight(6).longValue(); // rounds like integer division
                     case 7 -> Long.valueOf(text);
                     case 8 -> Double.valueOf(text) + 0.0;
                     default -> text;
@@ -101,9 +101,9 @@
     }
 
     @Property(tries = 600, seed = "42")
-    void figuresAreThoseOfPlainLists(
+    void aggregatesMatchReference(
             @ForAll long seed, @ForAll @IntRange(min = 1, max = 4) int parts, @ForAll boolean distinct) {
-        Sample sample = new Sample(seed, parts, 20).arranged(false);
+        RandomParts sample = new RandomParts(seed, parts, 20).numberRows(false);
         Duplicates duplicates = distinct ? sample.duplicates(false) : null;
         var spec = new MergeSpec(
                 List.of(SortKey.descending("b")),
@@ -111,38 +111,40 @@
                 duplicates,
                 new Grouping(List.of("b"), AGGREGATES),
                 Limit.NONE);
-        Play play = new Play(seed, GatherPlan.of(spec), Sample.COLUMNS, Play.texts(sample));
-        List<Line> lines = distinct ? sample.distinct(duplicates, part -> play.positions[part]) : sample.all();
-        play.behaviors.set(0, Play.PartBehavior.FAILS_ONCE); // and nothing counts twice
-        assertEquals(GatherResult.Outcome.COMPLETE, play.run().outcome());
+        GatherDriver driver =
+                new GatherDriver(seed, GatherPlan.of(spec), RandomParts.COLUMNS, GatherDriver.texts(sample));
+        List<Line> lines = distinct ? sample.distinct(duplicates, part -> driver.positions[part]) : sample.all();
+        // rows sent before the failure must not count twice
+        driver.behaviors.set(0, GatherDriver.PartBehavior.FAILS_ONCE);
+        assertEquals(GatherResult.Outcome.COMPLETE, driver.run().outcome());
         var expected = new ArrayList<List<Object>>();
         for (Boolean flag : new Boolean[] {null, true, false}) {
-            List<Line> group =
-                    Sample.by(List.of("b"), lines).getOrDefault(Collections.singletonList((Object) flag), List.of());
+            List<Line> group = RandomParts.groupBy(List.of("b"), lines)
+                    .getOrDefault(Collections.singletonList((Object) flag), List.of());
             if (!group.isEmpty()) {
-                List<Object> row = figures(group);
+                List<Object> row = referenceAggregates(group);
                 row.add(0, flag == null ? null : flag ? "t" : "f");
                 expected.add(row);
             }
         }
-        var seen = new ArrayList<List<Object>>();
-        for (List<String> row : play.rows) {
+        var actual = new ArrayList<List<Object>>();
+        for (List<String> row : driver.rows) {
             List<Object> read = new ArrayList<>(List.of());
             read.add(row.get(0));
             for (int i = 1; i < row.size(); i++) {
                 read.add(read(i - 1, row.get(i)));
             }
-            seen.add(read);
+            actual.add(read);
         }
-        assertEquals(expected, seen);
+        assertEquals(expected, actual);
     }
 
     private static Row row(ColumnLayout layout, String... values) {
         return layout.reader().row(new GatherPart("p", 0), 1, RowSet.message(Arrays.asList(values)));
     }
 
-    /** Splits the rows at random, adds and joins them in a random tree. */
-    private static Aggregator tree(AggregateColumn column, List<Row> rows, Random random) {
+    /** Distributes the rows at random over aggregators and merges these in random order. */
+    private static Aggregator mergeRandomly(AggregateColumn column, List<Row> rows, Random random) {
         List<Aggregator> aggregators = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
             aggregators.add(column.newAggregator());
@@ -158,11 +160,11 @@
     }
 
     /**
-     * Many values, over the bounds of what is exact or just below: the same bytes from any tree, and within the error
-     * told.
+     * Numbers of values below and above the limits for exact results: every merge order gives the same bytes, within
+     * the reported error.
      */
     @Property(tries = 60, seed = "42")
-    void anyTreeGivesTheSame(
+    void aggregatesDoNotDependOnMergeOrder(
             @ForAll long seed,
             @ForAll @IntRange(min = 1, max = 3000) int count,
             @ForAll @IntRange(max = 40) int spread) {
@@ -187,29 +189,29 @@
                     layout, Double.toString(value), List.of("1.0", "1.00", "1").get(random.nextInt(3))));
         }
         for (AggregateColumn column : layout.aggregates()) {
-            Aggregator one = tree(column, rows, random);
+            Aggregator one = mergeRandomly(column, rows, random);
             assertArrayEquals(
                     one.text(),
-                    tree(column, rows, random).text(),
+                    mergeRandomly(column, rows, random).text(),
                     column.aggregate().name());
         }
         Arrays.sort(values);
-        Aggregator quantile = tree(layout.aggregates().get(3), rows, random);
+        Aggregator quantile = mergeRandomly(layout.aggregates().get(3), rows, random);
         double exact = values[(int) QuantileAggregator.rank(0.9, count)];
-        double off = Math.abs(Double.parseDouble(new String(quantile.text(), StandardCharsets.UTF_8)) - exact);
-        assertTrue(off <= quantile.error() * Math.abs(exact) * (1 + 1e-9) + 1e-300, off + " of " + exact);
+        double error = Math.abs(Double.parseDouble(new String(quantile.text(), StandardCharsets.UTF_8)) - exact);
+        assertTrue(error <= quantile.error() * Math.abs(exact) * (1 + 1e-9) + 1e-300, error + " of " + exact);
         assertEquals(count <= QuantileAggregator.EXACT, quantile.error() == 0);
-        Aggregator distinct = tree(layout.aggregates().get(2), rows, random);
+        Aggregator distinct = mergeRandomly(layout.aggregates().get(2), rows, random);
         assertTrue(Math.abs(Double.parseDouble(new String(distinct.text(), StandardCharsets.UTF_8)) - count)
                 <= 6 * distinct.error() * count);
         BigDecimal sum = Arrays.stream(values).mapToObj(BigDecimal::new).reduce(BigDecimal.ZERO, BigDecimal::add);
         assertEquals(
                 sum.doubleValue(),
                 Double.parseDouble(new String(
-                        tree(layout.aggregates().get(0), rows, random).text(), StandardCharsets.UTF_8)));
+                        mergeRandomly(layout.aggregates().get(0), rows, random).text(), StandardCharsets.UTF_8)));
     }
 
-    /** As PostgreSQL 16 writes them. */
+    /** Expected texts are those of PostgreSQL 16. */
     @ParameterizedTest
     @CsvSource(
             nullValues = "null",
@@ -236,7 +238,7 @@
                 "MOST, 17, \\x0a \\x0b, \\x0b",
                 "SUM, 700, 0.5 0.25, 0.75"
             })
-    void figuresLookAsPostgresWritesThem(Function function, int type, String values, String expected) {
+    void aggregatesMatchPostgresTextFormat(Function function, int type, String values, String expected) {
         var grouping = new Grouping(List.of(), List.of(Aggregate.of(function, "x", "y")));
         var table = RowSet.table(
                 List.of(Column.of("x", type)),
@@ -253,10 +255,11 @@
     }
 
     /**
-     * Sums and counts of parts make a mean; what is beyond its type is told, and so are quantiles of too many texts.
+     * A mean is computed from sums and counts of parts. Results out of range, and quantiles of too many texts, are
+     * reported as faults.
      */
     @Test
-    void sumsOfPartsMakeAMeanAndOverflowsAreTold() {
+    void computesMeanFromPartSumsAndReportsOverflow() {
         Supplier<List<Column>> columns =
                 () -> List.of(Column.of("s", 1700), Column.of("c", 20), Column.of("x", 700), Column.of("t", 25));
         var rows =
--- a/scattergather/src/test/java/clayhook/scattergather/Sample.java
+++ b/scattergather/src/test/java/clayhook/scattergather/RandomParts.java
@@ -14,12 +14,15 @@
 import java.util.Set;
 import java.util.function.Function;
 
-/** Parts with rows of all types drawn from a seed, and the plain way to an answer: lists, a sort, a map. */
-final class Sample {
-    /** What a text means, and the text; {@code meant} is null for no value. */
-    record Value(Comparable<?> meant, String text) {}
+/**
+ * Random parts with rows of all types, drawn from a seed, and a reference implementation of merging with lists, a sort
+ * and a map.
+ */
+final class RandomParts {
+    /** A value and its text; both are null for SQL NULL. */
+    record Value(Comparable<?> parsed, String text) {}
 
-    /** A row and where it stands. */
+    /** A row with its part and its row number. */
     record Line(int part, int number, List<Value> values) {
         List<String> texts() {
             return values.stream().map(Value::text).toList();
@@ -34,17 +37,17 @@
             Column.of("t", 25),
             Column.of("at", 1184),
             Column.of("b", 16),
-            Column.of("fate", 25),
+            Column.of("outcome", 25),
             Column.of("rest", 114));
     private static final int OPAQUE = 8;
     private static final List<Set<String>> LEVELS = List.of(Set.of("run", "not run"), Set.of("unknown", "?"));
-    private static final List<String> FATES = List.of("run", "not run", "unknown", "?", "other");
+    private static final List<String> OUTCOMES = List.of("run", "not run", "unknown", "?", "other");
 
     final Random random;
     final List<List<Line>> parts = new ArrayList<>();
     final List<SortKey> keys = new ArrayList<>();
 
-    Sample(long seed, int parts, int rows) {
+    RandomParts(long seed, int parts, int rows) {
         random = new Random(seed);
         List<String> names = new ArrayList<>(
                 COLUMNS.subList(0, OPAQUE).stream().map(Column::name).toList());
@@ -69,7 +72,7 @@
         return new Line(part, number, values);
     }
 
-    /** Few unlike ones, so that there are ties and copies. */
+    /** Draws from few distinct values, so that ties and duplicates occur. */
     private Value value(int column) {
         int small = random.nextInt(5) - 2;
         return switch (column) {
@@ -96,8 +99,8 @@
             case 5 -> time(small);
             case 6 -> new Value(small > 0, small > 0 ? "t" : "f");
             case 7 -> {
-                String fate = FATES.get(random.nextInt(5));
-                yield new Value(fate, fate);
+                String outcome = OUTCOMES.get(random.nextInt(5));
+                yield new Value(outcome, outcome);
             }
             default -> new Value("", "{\"x\":" + random.nextInt(100) + "}");
         };
@@ -109,7 +112,7 @@
         return new Value(new Decimal(value), value.toPlainString());
     }
 
-    /** A numeric that may be NaN, above all. */
+    /** A numeric that may be NaN, which is greater than all others. */
     record Decimal(BigDecimal value) implements Comparable<Decimal> {
         static final Decimal NAN = new Decimal(null);
 
@@ -141,28 +144,28 @@
 
     @SuppressWarnings("unchecked")
     static int compare(Value a, Value b) {
-        return ((Comparable<Object>) a.meant).compareTo(b.meant);
+        return ((Comparable<Object>) a.parsed).compareTo(b.parsed);
     }
 
-    /** By the keys alone. */
+    /** Compares by the sort keys only. */
     Comparator<Line> byKeys() {
         return (a, b) -> {
             for (SortKey key : keys) {
                 Value left = a.values.get(column(key.column()));
                 Value right = b.values.get(column(key.column()));
-                int one = left.meant == null || right.meant == null
-                        ? left.meant == right.meant ? 0 : (left.meant == null) == key.nullsFirst() ? -1 : 1
+                int comparison = left.parsed == null || right.parsed == null
+                        ? left.parsed == right.parsed ? 0 : (left.parsed == null) == key.nullsFirst() ? -1 : 1
                         : compare(left, right) * (key.descending() ? -1 : 1);
-                if (one != 0) {
-                    return one;
+                if (comparison != 0) {
+                    return comparison;
                 }
             }
             return 0;
         };
     }
 
-    /** Numbers the rows of each part, sorted or as they are. */
-    Sample arranged(boolean sorted) {
+    /** Numbers the rows of each part after sorting them, or in their existing order. */
+    RandomParts numberRows(boolean sorted) {
         parts.replaceAll(lines -> {
             var copy = new ArrayList<>(lines);
             if (sorted) {
@@ -189,27 +192,30 @@
                 .toList();
     }
 
-    /** Lines by what those columns mean, in the order met. */
-    static Map<List<Object>, List<Line>> by(List<String> columns, List<Line> lines) {
+    /** Groups lines by the values of the given columns, in order of first occurrence. */
+    static Map<List<Object>, List<Line>> groupBy(List<String> columns, List<Line> lines) {
         var groups = new LinkedHashMap<List<Object>, List<Line>>();
         for (Line line : lines) {
             List<Object> key = new ArrayList<>();
-            columns.forEach(name -> key.add(line.values.get(column(name)).meant));
+            columns.forEach(name -> key.add(line.values.get(column(name)).parsed));
             groups.computeIfAbsent(key, any -> new ArrayList<>()).add(line);
         }
         return groups;
     }
 
-    /** One line a key: the best, with its gaps filled in order of merit where asked for, and a conflict shown. */
+    /**
+     * Reference for the removal of duplicates: the best line for each key, with nulls filled from the next best lines
+     * if requested, and conflicts shown.
+     */
     List<Line> distinct(Duplicates duplicates, Function<Integer, Double> positions) {
         var out = new ArrayList<Line>();
-        for (List<Line> copies : by(duplicates.key(), all()).values()) {
-            Comparator<Line> merit = Comparator.comparingInt(unused -> 0);
+        for (List<Line> copies : groupBy(duplicates.key(), all()).values()) {
+            Comparator<Line> ranking = Comparator.comparingInt(unused -> 0);
             for (Duplicates.Rule rule : duplicates.rules()) {
-                merit = merit.thenComparing(merit(rule, positions));
+                ranking = ranking.thenComparing(ranking(rule, positions));
             }
             List<Line> ranked = copies.stream()
-                    .sorted(merit.thenComparingInt(Line::part).thenComparingInt(Line::number))
+                    .sorted(ranking.thenComparingInt(Line::part).thenComparingInt(Line::number))
                     .toList();
             var values = new ArrayList<>(ranked.get(0).values);
             for (Line line : duplicates.fillNulls() ? ranked : List.<Line>of()) {
@@ -236,21 +242,21 @@
     }
 
     private static int level(Line line) {
-        String fate = line.values.get(7).text;
-        return fate != null && LEVELS.get(0).contains(fate)
+        String outcome = line.values.get(7).text;
+        return outcome != null && LEVELS.get(0).contains(outcome)
                 ? 0
-                : fate != null && LEVELS.get(1).contains(fate) ? 1 : 2;
+                : outcome != null && LEVELS.get(1).contains(outcome) ? 1 : 2;
     }
 
-    private static Comparator<Line> merit(Duplicates.Rule rule, Function<Integer, Double> positions) {
+    private static Comparator<Line> ranking(Duplicates.Rule rule, Function<Integer, Double> positions) {
         if (rule instanceof Duplicates.Rule.Ranking) {
-            return Comparator.comparingInt(Sample::level);
+            return Comparator.comparingInt(RandomParts::level);
         } else if (rule instanceof Duplicates.Rule.Newest newest) {
             return (a, b) -> {
                 Value left = a.values.get(column(newest.column()));
                 Value right = b.values.get(column(newest.column()));
-                return left.meant == null || right.meant == null
-                        ? Boolean.compare(left.meant == null, right.meant == null)
+                return left.parsed == null || right.parsed == null
+                        ? Boolean.compare(left.parsed == null, right.parsed == null)
                         : compare(right, left);
             };
         } else if (rule instanceof Duplicates.Rule.Position) {
@@ -259,7 +265,7 @@
         return Comparator.comparingInt(line -> line.part == 1 ? 0 : 1);
     }
 
-    /** Some key and rules; a key that the order begins with where they are to be adjacent. */
+    /** Draws a key and rules. If adjacent, the key is a prefix of the sort order. */
     Duplicates duplicates(boolean adjacent) {
         List<String> key = adjacent
                 ? keys.subList(0, 1 + random.nextInt(keys.size())).stream()
@@ -268,7 +274,7 @@
                 : List.of("i", "b");
         var rules = new ArrayList<Duplicates.Rule>();
         if (random.nextBoolean()) {
-            rules.add(new Duplicates.Rule.Ranking("fate", LEVELS, "conflict"));
+            rules.add(new Duplicates.Rule.Ranking("outcome", LEVELS, "conflict"));
         }
         if (random.nextBoolean()) {
             rules.add(new Duplicates.Rule.Newest(random.nextBoolean() ? "at" : "n"));
--- a/scattergather/src/test/java/clayhook/scattergather/ValuesTest.java
+++ b/scattergather/src/test/java/clayhook/scattergather/ValuesTest.java
@@ -15,14 +15,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Texts of nodes as values. */
+/** Tests the parsing and comparison of values in PostgreSQL's text format. */
 class ValuesTest {
     private static ColumnValue read(int type, String text) {
-        byte[] bytes = ("xx" + text + "9").getBytes(UTF_8); // something before and behind, which is not to be read
+        byte[] bytes = ("xx" + text + "9").getBytes(UTF_8); // surrounding bytes that must not be read
         return ColumnType.of(type).read(bytes, 2, bytes.length - 3);
     }
 
-    /** Each list in PostgreSQL's order, equal ones joined by an equals sign. */
+    /** Each list is in PostgreSQL's order; equal values are joined by an equals sign. */
     @ParameterizedTest
     @CsvSource(
             quoteCharacter = '"',
@@ -39,7 +39,7 @@
                 "1114, -infinity 1969-12-31_23:59:59.999999 1970-01-01_00:00:00 1970-01-01_00:00:00.1=1970-01-01_00:00:00.100000 infinity",
                 "1184, 2026-03-01_12:00:00+05:30 2026-03-01_12:00:00+00=2026-03-01_13:00:00+01=2026-03-01_06:30:00-05:30 2026-03-01_12:00:00.5+00"
             })
-    void orderIsThatOfTheType(int type, String texts) {
+    void ordersValuesLikePostgres(int type, String texts) {
         String[] ranks = texts.split(" ");
         for (int i = 0; i < ranks.length; i++) {
             for (int j = 0; j < ranks.length; j++) {
@@ -86,18 +86,21 @@
                 "1082, 999999-01-01",
                 "114, {}"
             })
-    void whatIsNoneOfItsTypeIsNoValue(int type, String text) {
+    void rejectsInvalidText(int type, String text) {
         assertNull(read(type, text));
     }
 
     @Test
-    void blanksBehindACharMeanNothing() {
+    void ignoresTrailingBlanksOfChar() {
         assertEquals(read(1042, "a"), read(1042, "a   "));
     }
 
-    /** Bytes of any kind are a row, or none, and nothing breaks; whole rows come back as they were. */
+    /**
+     * Garbled messages are either read as a row or rejected, without an exception; complete rows are reproduced
+     * unchanged.
+     */
     @Property(tries = 2000, seed = "42")
-    void garbledMessagesAreNoRows(@ForAll long seed) {
+    void toleratesGarbledMessages(@ForAll long seed) {
         var random = new Random(seed);
         byte[] message = RowSet.message(Arrays.asList("abc", null, "", "x".repeat(random.nextInt(300))));
         assertEquals(4, Row.width(message));
@@ -109,12 +112,12 @@
         if (Row.width(message) >= 0) {
             assertArrayEquals(message, Row.message(new Row(null, 0, message, null, new ColumnValue[0]).fields()));
         }
-        byte[] columns = Column.write(Sample.COLUMNS);
-        assertEquals(Sample.COLUMNS, Column.read(columns));
+        byte[] columns = Column.write(RandomParts.COLUMNS);
+        assertEquals(RandomParts.COLUMNS, Column.read(columns));
         columns[random.nextInt(columns.length)] ^= (byte) (1 << random.nextInt(8));
         columns = random.nextBoolean() ? columns : Arrays.copyOf(columns, random.nextInt(columns.length));
         assertEquals(
-                columns.length == Column.write(Sample.COLUMNS).length || Column.read(columns) != null,
-                columns.length == Column.write(Sample.COLUMNS).length); // read to the end, or not at all
+                columns.length == Column.write(RandomParts.COLUMNS).length || Column.read(columns) != null,
+                columns.length == Column.write(RandomParts.COLUMNS).length); // read completely or rejected
     }
 }
