--- a/scattergather/src/test/java/clayhook/scattergather/GroupsPropertiesTest.java
+++ b/scattergather/src/test/java/clayhook/scattergather/GroupsPropertiesTest.java
@@ -93,7 +93,7 @@
                 : switch (aggregate) {
                     case 0, 1 -> Integer.valueOf(text);
                     case 4 -> (micros(text) - micros("2026-03-01 12:00:00.25+00")) / 3_600_000_000L; // hours
-                    case 6 -> new BigDecimal(text).movePointRight(6).longValue(); // rounds like integer division
+                    case 6 -> new BigDecimal(text).movePointRight(6).longValue(); // truncates like integer division
                     case 7 -> Long.valueOf(text);
                     case 8 -> Double.valueOf(text) + 0.0;
                     default -> text;
