--- a/benchmarks/src/main/java/clayhook/benchmarks/GatherMemory.java
+++ b/benchmarks/src/main/java/clayhook/benchmarks/GatherMemory.java
@@ -51,8 +51,8 @@
         most = 0;
         looks = 0;
         GatherBenchmark.gather(sources, limit, row -> rows++, gather -> {
-            peak = gather.peak();
-            if (looks++ % EVERY == 0 && !gather.over()) {
+            peak = gather.peakReservedBytes();
+            if (looks++ % EVERY == 0 && !gather.finished()) {
                 most = Math.max(most, used() - before);
             }
         });
