--- a/statements/src/main/antlr4/clayhook/statements/Sql.g4
+++ b/statements/src/main/antlr4/clayhook/statements/Sql.g4
@@ -1,21 +1,22 @@
 /**
- * PostgreSQL's statements over the tokens of a shape, after the "SQL Commands" pages of its public documentation.
- * Operators are not ranked: what a statement touches does not depend on precedence, and a flat expression costs one
- * loop instead of a level of recursion for each rank. What this does not describe counts as mutating.
+ * A grammar of PostgreSQL statements over the tokens of a shape, based on the "SQL Commands" pages of the public
+ * documentation. It has no operator precedence: the objects that a statement accesses do not depend on it, and a flat
+ * expression is parsed by one loop instead of one level of recursion for each precedence level. Statements that do not
+ * match the grammar are classified as writes.
  */
 parser grammar Sql;
 
 tokens {
-    // what the lexer tells apart
+    // kinds of tokens that the lexer distinguishes
     WORD, QUOTED, LITERAL, OP, EQ, STAR, LP, RP, LB, RB, COMMA, SEMI, DOT, COLON, COLON_EQ, ARROW, CAST_TO,
-    // reserved words: no names unless quoted
+    // reserved words, which are names only if quoted
     ALL, ANALYSE, ANALYZE, AND, ANY, ARRAY, AS, ASC, ASYMMETRIC, BOTH, CASE, CAST, COLLATE, CROSS, CURRENT_CATALOG,
     CURRENT_DATE, CURRENT_ROLE, CURRENT_SCHEMA, CURRENT_TIME, CURRENT_TIMESTAMP, CURRENT_USER, DEFAULT, DESC, DISTINCT,
     DO, ELSE, END, EXCEPT, FALSE, FETCH, FOR, FROM, FULL, GROUP, HAVING, ILIKE, IN, INNER, INTERSECT, INTO, IS, ISNULL,
     JOIN, LATERAL, LEADING, LEFT, LIKE, LIMIT, LOCALTIME, LOCALTIMESTAMP, NATURAL, NOT, NOTNULL, NULL, OFFSET, ON, ONLY,
     OR, ORDER, OUTER, OVERLAPS, RETURNING, RIGHT, SELECT, SESSION_USER, SIMILAR, SOME, SYMMETRIC, TABLE, TABLESAMPLE,
     THEN, TO, TRAILING, TRUE, UNION, USER, USING, VARIADIC, WHEN, WHERE, WINDOW, WITH,
-    // words that are names elsewhere
+    // keywords that are also valid as names
     AT, BETWEEN, BIT, BY, CHARACTER, CONFLICT, CUBE, CURRENT, DELETE, DOUBLE, ESCAPE, EXCLUDE, EXISTS, EXPLAIN, EXTRACT,
     FILTER, FIRST, FOLLOWING, GROUPING, GROUPS, INSERT, INTERVAL, KEY, LAST, LOCKED, MATERIALIZED, MERGE, NCHAR, NEXT,
     NO, NOTHING, NOWAIT, NULLS, OF, OPERATOR, ORDINALITY, OTHERS, OVER, OVERLAY, OVERRIDING, PARTITION, POSITION,
