--- a/statements/src/main/java/clayhook/statements/Classification.java
+++ b/statements/src/main/java/clayhook/statements/Classification.java
@@ -1,18 +1,20 @@
 package clayhook.statements;
 
 /**
- * What a statement is taken for.
+ * The result of classifying one statement: its verdict, its expected cost, and the request class and replica set that
+ * the operator's rules assign to it.
  *
- * @param shape null where its shape was not read
- * @param group the command group
- * @param nodes the group of nodes
- * @param cost seconds that it is expected to take
- * @param high seconds that all but one in twenty of its shape stay under; the cost where that was not measured
- * @param rule the name of the rule that matched, {@code default} if none did
- * @param why the part that decided the verdict
- * @param timeout seconds that its client waits; 0 where the rule says nothing
- * @param mark the literal by which nodes drop its repeats, or null
- * @param opaque it may leave something behind in the session of the node that ran it
+ * @param shape the shape of the statement; null if the shape was not analyzed
+ * @param group the name of the request class; empty if the statement is refused
+ * @param nodes the id of the replica set
+ * @param cost the expected service time in seconds
+ * @param high the 95th percentile of the service time of the shape in seconds; equal to the cost if not measured
+ * @param rule the name of the rule that matched, {@code default} if none did; empty if the verdict was a refusal before
+ *     any rule was evaluated
+ * @param why the part of the statement that determined the verdict, or the reason of the refusal
+ * @param timeout the client timeout in seconds; 0 if the rule sets none
+ * @param mark the literal that is the outcome key, by which nodes discard duplicates of the statement, or null
+ * @param opaque whether the statement may change the state of the database session in which a node runs it
  */
 public record Classification(
         StatementEffect verdict,
@@ -27,7 +29,7 @@
         String mark,
         boolean opaque) {
 
-    /** The fingerprint of its shape; empty where that was not read. */
+    /** The fingerprint of the shape; empty if the shape was not analyzed. */
     public String fingerprint() {
         return shape == null ? "" : shape.fingerprint();
     }
