--- a/statements/src/main/java/clayhook/statements/Classifier.java
+++ b/statements/src/main/java/clayhook/statements/Classifier.java
@@ -8,13 +8,16 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Classes statements. Not to be shared between threads. */
+/**
+ * Classifies SQL statements as reads or writes and applies the operator's rules to them. Caches the analysis by the
+ * shape of the statement. Not thread-safe.
+ */
 public final class Classifier {
-    /** Every router gives a shape the same name, and a key the same group of nodes. */
+    /** Unseeded, so that all routers compute the same fingerprint for a shape and the same replica set for a key. */
     private static final Hasher128 NAMES = Hashing.murmur3_128(0);
-    /** Seconds for reading one row, until answers have told better. */
+    /** Initial estimate, in seconds, of the time to read one row; used until answers have been measured. */
     private static final double FIRST_UNIT = 0.001;
-    /** The share of one answer in what a unit of work is believed to take. */
+    /** The weight of one answer in the moving average of the seconds that a unit of work takes. */
     private static final double LEARN = 0.01;
 
     private final StatementRules rules;
@@ -29,10 +32,20 @@
     private long read;
     private long unread;
 
-    /** What came since the last call of {@link #counts}. */
+    /**
+     * Numbers of statements since the previous call of {@link #counts}.
+     *
+     * @param hits statements whose shape was in the cache
+     * @param read statements whose shape was parsed
+     * @param unread statements whose shape was not parsed because the parse budget of the tick was used up
+     */
     public record Counts(long hits, long read, long unread) {}
 
-    /** {@code seed}: the instance's own; clients must not know it. */
+    /**
+     * Creates a classifier with an empty cache.
+     *
+     * @param seed the hash seed of the cache, individual to this instance; it must be unknown to clients
+     */
     public Classifier(StatementRules rules, long seed) {
         this.rules = rules;
         lexer = new Lexer(rules.conforming());
@@ -41,33 +54,41 @@
         turn();
     }
 
-    /** A new turn of the loop has a new budget for shapes that were never read. */
+    /** Starts a tick of the event loop, which renews the budget for parsing shapes that are not in the cache. */
     public void turn() {
         budget = rules.parseBudget();
     }
 
-    /** Counts of statements whose shape was known, was read, or was not for want of budget. */
+    /** Returns the counts since the previous call and resets them. */
     public Counts counts() {
         var counts = new Counts(hits, read, unread);
         hits = read = unread = 0;
         return counts;
     }
 
-    /** Shapes held; those that came once and were not let in are no part of it. */
+    /** The number of cached shapes, without those that the cache did not admit after a single occurrence. */
     public long size() {
         return shapes.size();
     }
 
-    /** Bytes that they take, by the cache's own reckoning. */
+    /** The estimated size of the cached shapes in bytes, as computed by the cache's weigher. */
     public long weight() {
         return shapes.weight();
     }
 
-    /** States of lookahead that the parser holds. */
+    /** The number of lookahead states that the parser holds. */
     int states() {
         return reader.states();
     }
 
+    /**
+     * Classifies a statement of a client.
+     *
+     * <p>A statement that cannot be split into tokens or parsed is a write. A statement of a new shape for which the
+     * tick has no parse budget left is refused or a write, depending on the operator's setting.
+     *
+     * @param text the statement in UTF-8
+     */
     public Classification classify(byte[] text, ClientIdentity client) {
         lexer.lex(text, tokens);
         if (tokens.fault != null) {
@@ -80,7 +101,7 @@
             return ruled(shape, client);
         }
         int size = Math.min(shaper.tokens.size, ShapeAnalyzer.LONGEST);
-        // A whole budget always suffices for one: a shape is never too long to be read at all.
+        // An unused budget is always sufficient for one shape, so that no shape is too long to be ever parsed.
         if (size > budget && budget < rules.parseBudget()) {
             unread++;
             ShapeFacts facts = ShapeFacts.unread(
@@ -98,7 +119,7 @@
         return ruled(shape, client);
     }
 
-    /** The shape as text, for people. */
+    /** The shape of a statement as readable text; empty if the statement cannot be split into tokens. */
     public String shape(byte[] text) {
         lexer.lex(text, tokens);
         if (tokens.fault != null) {
@@ -113,7 +134,11 @@
         return String.format("%016x%016x", hash.getMostSignificantBits(), hash.getLeastSignificantBits());
     }
 
-    /** A statement was answered after so many seconds. */
+    /**
+     * Records the service time of an answered statement in the cost estimate of its shape and of a unit of work.
+     *
+     * @param seconds the time until the answer; ignored unless positive
+     */
     public void took(Classification classed, double seconds) {
         Shape shape = classed.shape();
         if (shape != null && seconds > 0) {
@@ -124,7 +149,7 @@
         }
     }
 
-    /** A node refused as a write what was classed as a read: its shape is one from now on. */
+    /** Classifies all statements of this shape as writes from now on, because a node refused to run one as a read. */
     public void wrote(Classification classed) {
         if (classed.shape() != null) {
             classed.shape().facts = classed.shape().facts.butWrites("a node would not run it as a read");
@@ -132,7 +157,7 @@
         }
     }
 
-    // ---- the operator's rules ----
+    // ---- operator rules ----
 
     private Classification ruled(Shape shape, ClientIdentity client) {
         double guess = shape.facts.work() * unit;
@@ -184,7 +209,7 @@
                 facts.opaque());
     }
 
-    /** The mark, if there is exactly one. */
+    /** The text of the outcome key; null unless the statement has exactly one as a plain literal. */
     private String mark(ShapeFacts facts, String column) {
         Place place = facts.keys().get(column);
         return place == null || shaper.rows(place.token()) > 1 ? null : literal(facts, place, 0);
@@ -218,7 +243,7 @@
         return classed.at(found);
     }
 
-    /** The literal of this statement in that place: digits, or the text of a string; null if it is neither. */
+    /** The literal at this position of the current statement: digits or the text of a string; null if it is neither. */
     private String literal(ShapeFacts facts, Place place, int row) {
         if (facts.inserts() && shaper.width(tokens, place.token()) != place.width()) {
             return null;
