--- a/statements/src/main/java/clayhook/statements/ClientIdentity.java
+++ b/statements/src/main/java/clayhook/statements/ClientIdentity.java
@@ -1,6 +1,6 @@
 package clayhook.statements;
 
-/** Who sends a statement, as it told at its start; empty where it told nothing. */
+/** The identity that a client gave when its session started; a value that it did not give is empty. */
 public record ClientIdentity(String user, String database, String application) {
     public static final ClientIdentity UNKNOWN = new ClientIdentity("", "", "");
 }
