--- a/statements/src/main/java/clayhook/statements/HarmlessNames.java
+++ b/statements/src/main/java/clayhook/statements/HarmlessNames.java
@@ -11,21 +11,22 @@
 import java.util.stream.Collectors;
 
 /**
- * Names that are known to change nothing: PostgreSQL's own, from its public documentation, and what the operator adds.
- * A name that is in no list is one that may do anything.
+ * The functions, types, operators and relations whose use has no side effects: those of PostgreSQL, from its public
+ * documentation, and those that the operator configures. Functions, types and operators that are not listed may have
+ * any side effect; relations have none unless listed.
  */
 final class HarmlessNames {
     private static final String CATALOG = "pg_catalog.";
     private static final Set<String> FUNCTIONS = lines("functions.txt");
     private static final Set<String> TYPES = lines("types.txt");
-    /** Operators of the chapter "Functions and Operators". */
+    /** Operators from the chapter "Functions and Operators" of the PostgreSQL documentation. */
     private static final Set<String> OPERATORS = Set.of(
             "+", "-", "*", "/", "%", "^", "=", "<", ">", "<=", ">=", "<>", "!=", "||", "|/", "||/", "@", "&", "|", "#",
             "~", "<<", ">>", "~~", "~~*", "!~~", "!~~*", "~*", "!~", "!~*", "^@", "->", "->>", "#>", "#>>", "@>", "<@",
             "?", "?|", "?&", "#-", "@?", "@@", "@@@", "&&", "-|-", "&<", "&>", "<->", "<<|", "|>>", "&<|", "|&>", "<^",
             ">^", "?#", "?-", "?-|", "?||", "@-@", "##", "<<=", ">>=", "!!", "~=", "*<", "*>", "*=", "*<>", "*<=",
             "*>=");
-    /** They bind what follows to the connection that ran them. */
+    /** Functions that change the state of the connection on which they run, so that later statements depend on it. */
     static final Set<String> BINDING = Set.of(
             "pg_advisory_lock",
             "pg_advisory_lock_shared",
@@ -39,7 +40,7 @@
             "lo_open",
             "dblink_connect",
             "dblink_connect_u");
-    /** They read all rows of their group; for the cost alone. */
+    /** Aggregate functions, which read all rows of their group. Used only for the cost estimate. */
     static final Set<String> AGGREGATES = Set.of(
             "count",
             "sum",
@@ -73,22 +74,24 @@
         this.rules = rules;
     }
 
-    /** It changes data at the most; what is known of no function may change the session that runs it, too. */
+    /** Whether the function at most changes data. An unlisted function may also change the session that runs it. */
     boolean leavesNothingBehind(String name) {
         return function(name) || rules.writes().contains(name);
     }
 
+    /** Whether the function has no side effects. */
     boolean function(String name) {
         String plain = name.startsWith(CATALOG) ? name.substring(CATALOG.length()) : name;
-        // A name with its schema says which one is meant, so that another of the same name does no harm.
+        // A qualified name is unambiguous, so a function of the database with the same name is irrelevant.
         return plain.equals(name) ? functions.contains(name) && !rules.own().contains(name) : FUNCTIONS.contains(plain);
     }
 
-    /** A column in this place may be a function of that name. */
+    /** Whether a column reference with this name may call a function that the database defines. */
     boolean mayBeFunction(String column) {
         return rules.own().contains(column);
     }
 
+    /** Whether the input conversion of the type has no side effects. */
     boolean type(String name) {
         return types.contains(name.startsWith(CATALOG) ? name.substring(CATALOG.length()) : name);
     }
@@ -97,6 +100,7 @@
         return OPERATORS.contains(name);
     }
 
+    /** Whether reading the relation has no side effects. */
     boolean relation(String name) {
         return !rules.relationsThatWrite().contains(name)
                 && !rules.relationsThatWrite().contains(name.substring(name.lastIndexOf('.') + 1));
