--- a/statements/src/main/java/clayhook/statements/IdentifierRules.java
+++ b/statements/src/main/java/clayhook/statements/IdentifierRules.java
@@ -5,14 +5,14 @@
 import java.nio.charset.StandardCharsets;
 import java.util.stream.Collectors;
 
-/** Names as the server knows them: folded to lower case unless quoted, cut at 63 bytes. */
+/** Normalizes identifiers as the server does: folded to lower case unless quoted, and truncated to 63 bytes. */
 final class IdentifierRules {
-    /** One less than NAMEDATALEN of the documentation. */
+    /** The longest identifier in bytes: NAMEDATALEN of the PostgreSQL documentation, minus one. */
     private static final int LONGEST = 63;
 
     private IdentifierRules() {}
 
-    /** Parts joined by dots; a part that holds a dot itself is quoted, so that it is no two parts. */
+    /** The parts of a qualified name joined by dots; a part that contains a dot is quoted to keep it a single part. */
     static String of(QnameContext name) {
         return name.name().stream()
                 .map(IdentifierRules::of)
@@ -20,11 +20,13 @@
                 .collect(Collectors.joining("."));
     }
 
+    /** The normalized form of an unqualified name. */
     static String of(NameContext name) {
         String text = name.getText();
         return name.QUOTED() == null ? cut(fold(text)) : unquote(text);
     }
 
+    /** Folds ASCII letters to lower case. */
     static String fold(String word) {
         StringBuilder folded = null;
         for (int i = 0; i < word.length(); i++) {
@@ -37,14 +39,14 @@
         return folded == null ? word : folded.toString();
     }
 
-    /** A quoted name, with Unicode escapes if it begins with U&amp;. */
+    /** Removes the quotes of a quoted name, and resolves Unicode escapes if it begins with U&amp;. */
     static String unquote(String text) {
         int open = text.indexOf('"');
         String inner = text.substring(open + 1, text.length() - 1).replace("\"\"", "\"");
         return cut(open == 0 ? inner : unescape(inner));
     }
 
-    /** What cannot be read stays as it is: a name with a backslash is that of nothing known. */
+    /** Returns a name with an invalid escape unchanged: no list contains a name with a backslash. */
     private static String unescape(String name) {
         var out = new StringBuilder();
         for (int i = 0; i < name.length(); i++) {
@@ -69,6 +71,7 @@
         return out.toString();
     }
 
+    /** Parses hexadecimal digits as a Unicode code point; -1 if they are invalid. */
     private static int hex(String digits) {
         int value = 0;
         for (int i = 0; i < digits.length(); i++) {
