--- a/statements/src/main/java/clayhook/statements/Lexer.java
+++ b/statements/src/main/java/clayhook/statements/Lexer.java
@@ -3,12 +3,13 @@
 import clayhook.statements.TokenBuffer.Kind;
 
 /**
- * Cuts a statement into tokens by the lexical rules of PostgreSQL's documentation (chapter "Lexical Structure"). Text
- * is UTF-8, whose bytes above 127 all belong to names. What cannot be cut with certainty is a fault.
+ * Splits a statement into tokens by the lexical rules of the PostgreSQL documentation (chapter "Lexical Structure").
+ * The text is UTF-8, in which all bytes above 127 belong to names. Text with ambiguous or invalid token boundaries is
+ * reported as an error in {@link TokenBuffer}.
  */
 final class Lexer {
     private static final String OPERATORS = "~!@#^&|`?+-*/%<>=";
-    /** An operator of several signs may end in + or - only if it holds one of these. */
+    /** An operator of several characters may end in + or - only if it contains one of these. */
     private static final String KEEPS_SIGN = "~!@#^&|`?%";
 
     private static final byte[] CLASS = new byte[256];
@@ -31,11 +32,17 @@
     private byte[] text;
     private int at;
 
-    /** {@code conforming}: a backslash in an ordinary string is just a character (standard_conforming_strings). */
+    /**
+     * Creates a lexer.
+     *
+     * @param conforming whether a backslash in an ordinary string is an ordinary character
+     *     (standard_conforming_strings)
+     */
     Lexer(boolean conforming) {
         this.conforming = conforming;
     }
 
+    /** Replaces the content of the buffer by the tokens of the statement; at an error it stops and reports it there. */
     void lex(byte[] statement, TokenBuffer into) {
         into.clear(statement);
         tokens = into;
@@ -124,7 +131,7 @@
         return CLASS[c] == START || CLASS[c] == DIGIT || c == '$';
     }
 
-    /** A string whose opening quote stands at {@code quote}; those that follow on another line are part of it. */
+    /** Scans a string with its opening quote at {@code quote}, including its continuations on later lines. */
     private void string(int start, int quote, boolean escapes) {
         at = quote;
         do {
@@ -141,7 +148,7 @@
         tokens.add(Kind.LITERAL, start, at);
     }
 
-    /** White space with a line break, comments of a line in it too, and another quote: goes to that quote. */
+    /** Moves to the opening quote of a continuation: white space with a line break and line comments may precede it. */
     private boolean continues() {
         boolean broken = false;
         for (int i = at; i < text.length; i++) {
@@ -174,7 +181,7 @@
         tokens.add(Kind.QUOTED, start, ++at);
     }
 
-    /** A parameter, or a string between dollar signs. */
+    /** Scans a parameter such as $1 or a dollar-quoted string. */
     private void dollar() {
         int start = at;
         int c = peek(1);
@@ -222,7 +229,7 @@
     private void number() {
         int start = at;
         digits();
-        // Two dots are a range of a procedure's loop, never a number's.
+        // Two dots are the range operator of a procedural loop and no part of a number.
         if (peek(0) == '.' && peek(1) != '.') {
             at++;
             digits();
@@ -238,7 +245,7 @@
         literal(start);
     }
 
-    /** Versions differ in where a number ends that is followed by letters. */
+    /** Adds a number. Rejects one directly followed by letters: PostgreSQL versions differ in where it ends. */
     private void literal(int start) {
         if (at < text.length && inWord(text[at] & 0xff)) {
             fault("a number that runs into a word");
