--- a/statements/src/main/java/clayhook/statements/Literals.java
+++ b/statements/src/main/java/clayhook/statements/Literals.java
@@ -2,14 +2,14 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** What literals mean, as far as two forms of one value must give the same text. */
+/** Converts literals to a canonical text, so that different notations of one key give the same text. */
 final class Literals {
-    /** Keys are short; a longer literal is no key. */
+    /** The longest literal, in bytes of the statement, that is accepted as a key; keys are short. */
     private static final int LONGEST = 1024;
 
     private Literals() {}
 
-    /** Whole numbers as digits, strings without escapes as their text; null for all else. */
+    /** The digits of an unsigned integer without leading zeros, or the text of a string without escapes; else null. */
     static String text(byte[] statement, int from, int to) {
         if (to - from > LONGEST) {
             return null;
