--- a/statements/src/main/java/clayhook/statements/Rule.java
+++ b/statements/src/main/java/clayhook/statements/Rule.java
@@ -5,21 +5,25 @@
 import java.util.regex.Pattern;
 
 /**
- * One rule of the operator: which statements it is for, and what they get. An empty set or null asks for nothing.
+ * A rule of the operator: the conditions on a statement and the routing of the statements that meet all of them. An
+ * empty set or null is no condition.
  *
- * @param verdict reads or writes; a rule never changes which of them a statement is
- * @param kinds first words, as {@code select} or {@code insert}
- * @param relations the statement names one of them at least; with a schema only that one, else in any schema
- * @param only the statement names no others
- * @param functions it calls one of them at least
- * @param shape its fingerprint
- * @param user a pattern for the client's user, with * for any text; as are the next two
- * @param costFrom it is expected to take this long at least, in seconds
- * @param costTo and less than this
- * @param group the command group that it gets
- * @param timeout seconds that its client waits; 0 for the command group's own
- * @param mark the column by whose literal nodes drop repeats; the rule is only for statements that have one, once
- * @param nodes where it goes; null for the default
+ * @param verdict the verdict that the rule applies to, read or write; a rule never changes the verdict
+ * @param kinds accepted first words in lower case, for example {@code select} or {@code insert}
+ * @param relations the statement must name at least one of these; a name without a schema matches in any schema
+ * @param only the statement must name at least one relation, and none but these
+ * @param functions the statement must call at least one of these
+ * @param shape the required fingerprint of the shape
+ * @param user a pattern for the user name of the client
+ * @param database a pattern for the database of the client
+ * @param application a pattern for the application_name of the client
+ * @param costFrom the lower bound of the expected cost in seconds, inclusive
+ * @param costTo the upper bound of the expected cost in seconds, exclusive
+ * @param group the request class that the rule assigns
+ * @param timeout the client timeout in seconds; 0 for the timeout of the request class
+ * @param mark the column whose literal is the outcome key, by which nodes discard duplicates; the rule then matches
+ *     only statements with exactly one such literal; null for none
+ * @param nodes the replica set that the rule assigns; null for the default
  */
 public record Rule(
         String name,
@@ -40,18 +44,19 @@
         Placement nodes) {
 
     /**
-     * Which group of nodes.
+     * The replica sets that a rule chooses from.
      *
-     * @param column its literal decides, by hash; null where there is one group only
-     * @param groups the groups of nodes
+     * @param column the column whose literal selects the replica set by its hash; null if there is only one
+     * @param groups the ids of the replica sets
      */
     public record Placement(String column, List<Integer> groups) {}
 
-    /** A pattern in which * stands for any text. */
+    /** Compiles a pattern in which * matches any text. */
     public static Pattern glob(String text) {
         return Pattern.compile(Pattern.quote(text).replace("*", "\\E.*\\Q"), Pattern.DOTALL);
     }
 
+    /** Whether a statement meets all conditions except that for the outcome key. */
     boolean matches(ShapeFacts facts, String fingerprint, double cost, ClientIdentity client) {
         return facts.verdict() == verdict
                 && (kinds.isEmpty() || kinds.contains(facts.kind()))
