--- a/statements/src/main/java/clayhook/statements/ServiceTimes.java
+++ b/statements/src/main/java/clayhook/statements/ServiceTimes.java
@@ -2,19 +2,19 @@
 
 import org.HdrHistogram.ShortCountsHistogram;
 
-/** How long statements of one shape took lately: two histograms take turns, so that what is old leaves with one. */
+/** Recent service times of the statements of one shape, in two rotating histograms that expire old values. */
 final class ServiceTimes {
-    /** Bytes that both histograms take with what is around them; measured with the figures above them. */
+    /** The measured size in bytes of both histograms, with their bounds and precision, including this object. */
     static final int WEIGHT = 2200;
-    /** Microseconds; a shorter time than the first, or a longer than the second, is taken for it. */
+    /** Bounds of recorded times in microseconds; a time beyond a bound is recorded as the bound. */
     private static final long LEAST = 64, MOST = 100_000_000;
-    /** Answers that one histogram counts before the other takes over; their counts stay far within a short. */
+    /** The number of answers after which the histograms are rotated; it keeps counts far below the range of a short. */
     private static final int TURN = 256;
-    /** Answers that weigh as much as the guess they replace. */
+    /** The number of answers that the initial estimate counts for in the mean. */
     private static final int GUESS = 3;
-    /** Quantiles are read anew after so many answers: reading takes some hundred steps. */
+    /** The number of answers between updates of the percentile, because one update takes some hundred steps. */
     private static final int REFRESH = 16;
-    /** The part of answers that the spread covers. */
+    /** The reported percentile. */
     private static final double HIGH = 95;
 
     private ShortCountsHistogram current = new ShortCountsHistogram(LEAST, MOST, 1);
@@ -46,12 +46,12 @@
         return current.getTotalCount() + previous.getTotalCount();
     }
 
-    /** The mean in seconds; {@code guess} counts as much as a few answers. */
+    /** The mean in seconds, in which the initial estimate counts as much as a few answers. */
     double mean(double guess) {
         return (GUESS * guess + currentSum + previousSum) / (GUESS + count());
     }
 
-    /** What all but one in twenty stayed under, in seconds. */
+    /** The 95th percentile in seconds. */
     double high() {
         return high;
     }
