--- a/statements/src/main/java/clayhook/statements/SessionSettings.java
+++ b/statements/src/main/java/clayhook/statements/SessionSettings.java
@@ -8,13 +8,15 @@
 import java.util.TreeMap;
 
 /**
- * The settings of one client's session, as drivers make them when they connect. The router answers for them; each
- * connection that carries the session's statements is given them first. Only settings that change how values look or
- * are logged can be made so: one that changes what a statement does would have to hold for its class as well.
+ * The settings of one client session, such as drivers make when they connect. The router answers SET and RESET itself
+ * and applies the settings to each node connection before it sends a statement of the session on it. Accepts only
+ * settings that affect the presentation of values or logging: a setting that changes the effect of statements would
+ * have to be considered by their classification too.
  */
 public final class SessionSettings {
     /**
-     * Given to nodes: their documentation calls them the client's preferences, and none changes what a statement does.
+     * Settings that are applied to node connections: the PostgreSQL documentation describes them as client preferences,
+     * and none changes the effect of a statement.
      */
     private static final Set<String> REPLAYED = Set.of(
             "application_name",
@@ -26,22 +28,28 @@
             "timezone");
 
     private static final String TIMEOUT = "statement_timeout";
-    /** Far above any value of those; it bounds what a session keeps. */
+    /** The longest value in characters of SQL, far above any valid value; it bounds the memory of a session. */
     private static final int LONGEST = 256;
 
-    /** What to tell the client. */
+    /** The reply to the client. */
     public sealed interface Reply {
-        /** It is done; {@code tag} is the command's, {@code name} the setting that is told anew, or null. */
+        /**
+         * The command was executed.
+         *
+         * @param tag the command tag
+         * @param name the setting whose new value is reported to the client, or null
+         * @param value the reported value as plain text, or null
+         */
         record Done(String tag, String name, String value) implements Reply {}
 
-        /** It cannot be done through the router. */
+        /** The command cannot be executed through the router. */
         record Refused(String why) implements Reply {}
     }
 
     private final Lexer lexer;
     private final boolean conforming;
     private final TokenBuffer tokens = new TokenBuffer();
-    /** Values as text of SQL; bounded by the names above. */
+    /** The values, as SQL text, by name. The map is immutable; the replayed names bound its size. */
     private Map<String, String> values = Map.of();
 
     private double timeout;
@@ -52,17 +60,17 @@
         lexer = new Lexer(conforming);
     }
 
-    /** What a node's connection must have been given: names and values as text of SQL. Never changed afterwards. */
+    /** The settings that a node connection must have: the values, as SQL text, by name, in an immutable map. */
     public Map<String, String> values() {
         return values;
     }
 
-    /** Who the client said that it is. */
+    /** The identity that the client gave; its application_name changes with the setting of that name. */
     public ClientIdentity client() {
         return client;
     }
 
-    /** Takes what a client tells when its session starts; why that cannot be, or null. */
+    /** Applies the startup parameters of a client. Returns the reason why one was refused, or null if none was. */
     public String introduced(Map<String, String> parameters) {
         client = new ClientIdentity(
                 parameters.getOrDefault("user", ""),
@@ -84,12 +92,12 @@
         return null;
     }
 
-    /** Seconds that the client gives each statement; 0 where it set none. */
+    /** The statement timeout in seconds that the client has set; 0 if it has set none. */
     public double timeout() {
         return timeout;
     }
 
-    /** A setting from the message that starts the session; the value is plain text. */
+    /** Applies a setting from the startup message, in which the value is plain text. */
     private Reply started(String name, String value) {
         boolean plain = value.indexOf('\\') < 0;
         return plain
@@ -97,7 +105,7 @@
                 : new Reply.Refused("setting " + name + " has a value that cannot be passed on");
     }
 
-    /** Null if the statement is no SET or RESET, which are all that is answered here. */
+    /** Executes a SET or RESET statement. Returns null for any other statement, which has to be sent to a node. */
     public Reply asked(byte[] statement) {
         if (!mayBe(statement)) {
             return null;
@@ -117,7 +125,10 @@
         return tokens.is(0, "reset") ? reset() : set();
     }
 
-    /** Guards the usual statement against being cut twice: none of those begins so, but for comments. */
+    /**
+     * Whether the statement begins like SET or RESET, or with a comment or semicolon. Avoids splitting other statements
+     * into tokens twice, here and in the classifier.
+     */
     private static boolean mayBe(byte[] statement) {
         int i = 0;
         while (i < statement.length && statement[i] <= ' ' && statement[i] > 0) {
@@ -178,7 +189,7 @@
         return set(name, zone && tokens.kinds[value] == Kind.WORD ? "'" + sql + "'" : sql, plain == null ? sql : plain);
     }
 
-    /** Words, literals and signs, one after the other or with commas between: nothing that could do anything. */
+    /** Whether the rest consists of words, literals, commas and signs, which cannot have side effects. */
     private boolean constants(int from) {
         for (int i = from; i < tokens.size; i++) {
             Kind kind = tokens.kinds[i];
@@ -230,7 +241,7 @@
         return new Reply.Refused("setting " + name + " cannot be made through the router");
     }
 
-    /** A whole number of milliseconds, or of the unit behind it; below 0 if it is neither. */
+    /** Converts an integer with an optional unit, by default milliseconds, to seconds; negative if invalid. */
     private static double seconds(String text) {
         String digits = text.strip();
         double unit = 0.001;
@@ -267,7 +278,7 @@
         return out.toString();
     }
 
-    /** The statements that turn the settings of a connection into others; empty if they are the same. */
+    /** The SQL statements that change the settings of a connection to the given ones; empty if there is no change. */
     public static String change(Map<String, String> from, Map<String, String> to) {
         var out = new StringBuilder();
         from.keySet().stream()
