--- a/statements/src/main/java/clayhook/statements/Shape.java
+++ b/statements/src/main/java/clayhook/statements/Shape.java
@@ -2,18 +2,21 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** A shape, what was read off it, and how long its statements took. */
+/**
+ * A shape: the text that statements differing only in literals and formatting have in common, with the facts found by
+ * its analysis and the service times of its statements.
+ */
 public final class Shape {
-    /** What the cache keeps beside it: node, key, counts, the fingerprint's text. */
+    /** Bytes for what the cache holds in addition to the text: entry, key, counts and the fingerprint. */
     private static final int ENTRY = 400;
 
     final byte[] text;
     final String fingerprint;
-    /** Changes once at the most: where a node shows that the shape writes. */
+    /** Changes at most once: when a node refuses to run the shape as a read. */
     ShapeFacts facts;
-    /** Null until a second answer: most shapes of a flood are seen once. */
+    /** Null until the second answer, because in a flood of new shapes most occur only once. */
     ServiceTimes measure;
-    /** Seconds of the first answer; 0 before it. */
+    /** The service time of the previous answer in seconds, of which only the first is used; 0 before it. */
     private double first;
 
     Shape(byte[] text, String fingerprint, ShapeFacts facts) {
@@ -22,12 +25,12 @@
         this.facts = facts;
     }
 
-    /** 128 bits in hex, the same at every router. */
+    /** The hash of the shape, 128 bits in hexadecimal, which is the same at all routers. */
     public String fingerprint() {
         return fingerprint;
     }
 
-    /** A statement of it was answered; true if it weighs more by that. */
+    /** Records the service time of an answered statement; returns whether the weight of the shape has increased. */
     boolean took(double seconds) {
         boolean second = first > 0 && measure == null;
         if (second) {
@@ -41,6 +44,7 @@
         return second;
     }
 
+    /** The estimated size in bytes. */
     int weight() {
         return ENTRY + text.length + facts.weight() + (measure == null ? 0 : ServiceTimes.WEIGHT);
     }
