--- a/statements/src/main/java/clayhook/statements/ShapeAnalyzer.java
+++ b/statements/src/main/java/clayhook/statements/ShapeAnalyzer.java
@@ -19,16 +19,23 @@
 import org.antlr.v4.runtime.misc.ParseCancellationException;
 import org.antlr.v4.runtime.tree.ParseTreeWalker;
 
-/** Reads a shape: what every statement of it may do. A shape that it cannot understand may do anything. */
+/**
+ * Analyzes shapes: determines which effects the statements of a shape may have. A shape that cannot be parsed may have
+ * any effect and is a write. Not thread-safe.
+ */
 final class ShapeAnalyzer {
     /**
-     * Brackets and CASE within one another. The parser takes some thirty frames a level; no one writes more by hand.
+     * The deepest nesting of brackets and CASE that is parsed. The parser uses about thirty stack frames per level;
+     * statements written by hand have fewer levels.
      */
     private static final int DEEPEST = 40;
-    /** Longer shapes are generated; lists of literals count as one token whatever their length. */
+    /**
+     * The longest shape in tokens that is parsed, where a list of literals counts as one. Longer ones are generated.
+     */
     static final int LONGEST = 4000;
     /**
-     * Lookahead that the parser has learnt, in states: some hundred bytes each. It grows with shapes, so it is dropped.
+     * The most lookahead states that the parser caches, of some hundred bytes each. Their number grows with the number
+     * of shapes, so the cache is discarded above this bound.
      */
     static final int MOST_STATES = 20_000;
 
@@ -53,7 +60,7 @@
             "load");
     private static final Set<String> CHANGING =
             Set.of("insert", "update", "delete", "merge", "into", "truncate", "create", "drop", "alter", "call");
-    /** After these the session of the node may be another. */
+    /** Commands that may change the state of the database session in which they run. */
     private static final Set<String> OPAQUE = Set.of("do", "call");
 
     private final HarmlessNames known;
@@ -77,23 +84,26 @@
         return words;
     }
 
-    /** Tables of its own, which the parser would else share with all others and never empty. */
+    /**
+     * Gives the parser new lookahead tables of its own. By default, all parsers share tables that are never cleared.
+     */
     private void forget() {
         var decisions = new DFA[parser.getATN().getNumberOfDecisions()];
         for (int i = 0; i < decisions.length; i++) {
             decisions[i] = new DFA(parser.getATN().getDecisionState(i), i);
         }
         var simulator = new ParserATNSimulator(parser, parser.getATN(), decisions, new PredictionContextCache());
-        // What the weaker prediction cannot tell apart is not understood, which costs speed at the worst.
+        // Shapes that the weaker SLL prediction cannot parse are classified as writes, which at worst costs speed.
         simulator.setPredictionMode(PredictionMode.SLL);
         parser.setInterpreter(simulator);
     }
 
-    /** States of lookahead held now; for the bound. */
+    /** The number of lookahead states that the parser holds. */
     int states() {
         return states;
     }
 
+    /** Analyzes a shape; never fails. */
     ShapeFacts read(TokenBuffer shape) {
         if (shape.size == 0) {
             return ShapeFacts.unread(StatementEffect.READ, "nothing to do", "", false);
@@ -110,7 +120,7 @@
         }
         ShapeFacts facts = parse(shape, kind);
         String changing = facts.verdict() == StatementEffect.READ ? changing(shape) : null;
-        // Two proofs: the grammar's, and that no word of a change stands anywhere outside quotes.
+        // A read needs two proofs: that of the grammar, and that no word of a change occurs outside quotes.
         return changing == null ? facts : ShapeFacts.unread(StatementEffect.WRITE, "the word " + changing, kind, true);
     }
 
@@ -166,12 +176,12 @@
         return new String(shape.text, shape.from[i], shape.to[i] - shape.from[i], StandardCharsets.UTF_8);
     }
 
-    /** A word that is not quoted, or an empty text. */
+    /** The unquoted word at this index; empty if the token is none. */
     private static String word(TokenBuffer shape, int i) {
         return i < shape.size && shape.kinds[i] == Kind.WORD ? text(shape, i) : "";
     }
 
-    /** Queries may stand in brackets. */
+    /** The index of the first token after opening brackets, because a query may be in brackets. */
     private static int first(TokenBuffer shape) {
         int i = 0;
         while (i < shape.size && shape.kinds[i] == Kind.LP) {
@@ -180,6 +190,7 @@
         return i;
     }
 
+    /** The deepest nesting of brackets and CASE in the shape. */
     private static int depth(TokenBuffer shape) {
         int depth = 0;
         int deepest = 0;
@@ -193,6 +204,7 @@
         return deepest;
     }
 
+    /** The first unquoted word that may belong to a change; null if there is none. */
     private static String changing(TokenBuffer shape) {
         for (int i = 0; i < shape.size; i++) {
             String word = word(shape, i);
@@ -203,9 +215,12 @@
         return null;
     }
 
-    // ---- what no shared connection can run ----
+    // ---- statements that cannot run on a shared connection ----
 
-    /** The refusal of what binds a session to a connection, opens a transaction, or does so in one of several. */
+    /**
+     * Refuses shapes of which any statement binds the session to a connection or controls a transaction; several
+     * statements in one, DO and CALL are writes. Returns null if the shape has to be parsed.
+     */
     private static ShapeFacts refusal(TokenBuffer shape) {
         int statements = 1;
         int start = 0;
@@ -261,6 +276,6 @@
                         : null;
     }
 
-    /** CREATE, OR, REPLACE, LOCAL or GLOBAL may stand before TEMPORARY. */
+    /** The last index at which TEMPORARY may follow CREATE, OR, REPLACE, and LOCAL or GLOBAL. */
     private static final int MODIFIERS = 4;
 }
