--- a/statements/src/main/java/clayhook/statements/ShapeBuilder.java
+++ b/statements/src/main/java/clayhook/statements/ShapeBuilder.java
@@ -4,25 +4,26 @@
 import java.util.Arrays;
 
 /**
- * Makes the shape of a statement from its tokens: words in lower case, {@code $} for each literal, parameter and list
- * of them, one space between tokens. Two statements of one shape differ in nothing else, so whatever is read off a
- * shape holds for both. Reused from statement to statement.
+ * Builds the shape of a statement from its tokens: words in lower case, {@code $} for each literal, parameter or list
+ * of them, and one space between tokens. Two statements of the same shape differ in nothing else, so the analysis of a
+ * shape is valid for both. One instance is reused for all statements and holds the shape of the latest one.
  */
 final class ShapeBuilder {
-    /** What stands for literals: a dollar sign alone is no token of a statement. */
+    /** The placeholder for literals. It is unambiguous, because a single dollar sign is no token of a statement. */
     static final byte PLACE = '$';
-    /** A grown buffer of a long statement is given up after it. */
+    /** The largest buffer in bytes that is reused; a larger one is discarded before the next statement. */
     private static final int KEPT = 1 << 14;
 
     byte[] bytes = new byte[512];
     int length;
-    /** Tokens of the shape: kind, and the token of the statement that it comes from. */
+    /** The tokens of the shape, with their positions in the bytes of the shape. */
     final TokenBuffer tokens = new TokenBuffer();
 
     private int[] source = new int[64];
     private int[] rows = new int[64];
     private TokenBuffer from;
 
+    /** Builds the shape of a statement, without leading and trailing semicolons. */
     void shape(TokenBuffer statement) {
         from = statement;
         bytes = bytes.length > KEPT ? new byte[512] : bytes;
@@ -58,7 +59,7 @@
         from = null;
     }
 
-    /** Where a list of nothing but literals closes that opens at {@code i}; -1 if it is none. */
+    /** The index of the closing token of the list of literals that opens at {@code i}; -1 if it is no such list. */
     private int list(int i, int end, Kind close) {
         int j = i + 1;
         while (j < end) {
@@ -79,7 +80,7 @@
         return -1;
     }
 
-    /** The end of a further list right behind the one that closes at {@code close}; -1 if there is none. */
+    /** The index of the closing token of the list that follows the one closed at {@code close}; -1 if there is none. */
     private int another(int close, int end, Kind open) {
         return close + 2 < end && from.kinds[close + 1] == Kind.COMMA && from.kinds[close + 2] == open
                 ? list(close + 2, end, from.kinds[close])
@@ -125,14 +126,14 @@
         tokens.add(kind, at, length);
     }
 
-    // ---- what stood in the places of a shape ----
+    // ---- literals behind the placeholders of the shape ----
 
-    /** How many lists follow one another in that place; 0 for a literal that stands alone. */
+    /** The number of successive lists behind a placeholder; 0 for a single literal that is in no list. */
     int rows(int place) {
         return rows[place];
     }
 
-    /** Token of {@code statement} that is element {@code element} of row {@code row} in that place; -1 for none. */
+    /** The index of the literal token of a statement at this row and element of a placeholder; -1 if there is none. */
     int element(TokenBuffer statement, int place, int row, int element) {
         int i = source[place];
         if (rows[place] == 0) {
@@ -153,7 +154,7 @@
         return i < statement.size && statement.kinds[i] == Kind.LITERAL ? i : -1;
     }
 
-    /** How many elements the lists of that place have, all alike; -1 if they differ. */
+    /** The number of elements of each list behind a placeholder; -1 if the lists differ in length. */
     int width(TokenBuffer statement, int place) {
         if (rows[place] == 0) {
             return 1;
