--- a/statements/src/main/java/clayhook/statements/ShapeCache.java
+++ b/statements/src/main/java/clayhook/statements/ShapeCache.java
@@ -7,12 +7,12 @@
 import java.util.Arrays;
 
 /**
- * The shapes seen lately, within a bound of bytes. A shape that is new stays only if it comes more often than the one
- * that it would push out, so a flood of shapes that come once leaves those that repeat. A hit compares the whole shape:
- * a collision of hashes, chosen or not, finds nothing.
+ * A cache of recently used shapes with a bound in bytes. A new shape is admitted only if it occurs more often than the
+ * one it would evict, so that a flood of shapes that occur once does not evict those that repeat. A lookup compares the
+ * whole shape, so that a hash collision, deliberate or not, never returns a different shape.
  */
 final class ShapeCache {
-    /** Of the bound: a longer shape is never kept. */
+    /** A shape larger than this fraction of the bound, one part in 16, is not cached. */
     private static final int LARGEST_PART = 16;
 
     private record Key(byte[] bytes, int length, long hash) implements Comparable<Key> {
@@ -28,7 +28,7 @@
                     && Arrays.equals(bytes, 0, length, key.bytes, 0, key.length);
         }
 
-        /** Guards against keys of one hash: the table can order them. */
+        /** Allows the hash table to order keys with the same hash, which keeps lookups fast if hashes collide. */
         @Override
         public int compareTo(Key other) {
             return Arrays.compareUnsigned(bytes, 0, length, other.bytes, 0, other.length);
@@ -39,14 +39,19 @@
     private final Hash hash;
     private final long bound;
 
-    /** {@code seed}: unknown to clients, so that they cannot choose shapes whose hashes are alike. */
+    /**
+     * Creates a cache with a seeded hash function.
+     *
+     * @param bytes the bound in bytes
+     * @param seed must be unknown to clients, so that they cannot choose shapes with colliding hashes
+     */
     static ShapeCache seeded(long bytes, int seed) {
         Hasher128 hasher = Hashing.murmur3_128(seed);
         return new ShapeCache(bytes, (shape, length) -> hasher.hashBytesTo128Bits(shape, 0, length)
                 .getAsLong());
     }
 
-    /** What finds a shape's place in the table. */
+    /** The hash function of the cache. */
     interface Hash {
         long of(byte[] shape, int length);
     }
@@ -61,11 +66,12 @@
                 .build();
     }
 
-    /** Null if it is not kept. */
+    /** The cached shape that equals the built one; null if there is none. */
     Shape get(ShapeBuilder shape) {
         return shapes.getIfPresent(key(shape.bytes, shape.length));
     }
 
+    /** Adds a shape, or updates its weight. A shape that is too large is not cached. */
     void put(Shape shape) {
         if (shape.weight() <= bound / LARGEST_PART) {
             shapes.put(key(shape.text, shape.text.length), shape);
@@ -76,12 +82,13 @@
         return new Key(bytes, length, hash.of(bytes, length));
     }
 
-    /** Takes effect of what was put; for figures. */
+    /** The number of cached shapes. Performs pending evictions first; meant for statistics. */
     long size() {
         shapes.cleanUp();
         return shapes.estimatedSize();
     }
 
+    /** The estimated size of the cached shapes in bytes. Performs pending evictions first; meant for statistics. */
     long weight() {
         shapes.cleanUp();
         return shapes.policy().eviction().orElseThrow().weightedSize().orElse(0);
