--- a/statements/src/main/java/clayhook/statements/ShapeFacts.java
+++ b/statements/src/main/java/clayhook/statements/ShapeFacts.java
@@ -4,18 +4,18 @@
 import java.util.Map;
 
 /**
- * What a shape says of every statement that has it.
+ * The facts that hold for all statements of a shape.
  *
- * @param verdict what it may do, as far as that is proven
- * @param why the part that decided
- * @param kind its first word, in lower case
- * @param relations those it reads or writes, as written, without the names that its own WITH gives
- * @param functions those it calls, as written
- * @param keys where the literal of a column stands, for columns compared with one literal in a conjunction, and for
- *     those that an INSERT gives values
- * @param inserts the values stand in rows, each of which has its own
- * @param work how much more it asks of a node than reading one row; without unit
- * @param opaque it may leave something behind in the session of the node that ran it
+ * @param verdict whether the shape is a proven read, a possible write, or refused
+ * @param why the part of the shape that determined the verdict
+ * @param kind the first word in lower case
+ * @param relations the relations that it reads or writes, as written, without the names defined by its WITH clauses
+ * @param functions the functions that it calls, as written
+ * @param keys the positions of literals by column, for columns compared with one literal in a conjunction and for
+ *     columns to which an INSERT assigns a literal
+ * @param inserts whether it is an INSERT with rows of values, so that each row has its own literals
+ * @param work the estimated work for a node as a multiple of reading one row
+ * @param opaque whether it may change the state of the database session in which a node runs it
  */
 record ShapeFacts(
         StatementEffect verdict,
@@ -28,19 +28,26 @@
         double work,
         boolean opaque) {
 
-    /** An element of the literal, or list of them, that a token of the shape stands for. */
+    /**
+     * The position of a literal in a shape.
+     *
+     * @param token the index of the placeholder token in the shape
+     * @param element the index within the list behind the placeholder; 0 for a single literal
+     * @param width the number of elements that the list must have
+     */
     record Place(int token, int element, int width) {}
 
+    /** The facts of a shape that was not parsed. */
     static ShapeFacts unread(StatementEffect verdict, String why, String kind, boolean opaque) {
         return new ShapeFacts(verdict, why, kind, List.of(), List.of(), Map.of(), false, 1, opaque);
     }
 
-    /** The same of what turned out to write, in a way that is not known. */
+    /** The same facts for a shape that turned out to be a write, with unknown effects on the session. */
     ShapeFacts butWrites(String reason) {
         return new ShapeFacts(StatementEffect.WRITE, reason, kind, relations, functions, keys, inserts, work, true);
     }
 
-    /** Bytes that it takes, roughly: for the bound of the cache. */
+    /** The estimated size in bytes, for the bound of the cache. */
     int weight() {
         int names = relations.stream().mapToInt(String::length).sum()
                 + functions.stream().mapToInt(String::length).sum();
