--- a/statements/src/main/java/clayhook/statements/StatementAnalysis.java
+++ b/statements/src/main/java/clayhook/statements/StatementAnalysis.java
@@ -13,20 +13,23 @@
 import org.antlr.v4.runtime.tree.ParseTree;
 import org.antlr.v4.runtime.tree.TerminalNode;
 
-/** Gathers what the parsed shape says. Anything met that is not known to be harmless is a reason for a write. */
+/**
+ * Collects the facts of a parsed shape while its parse tree is walked. Any part that is not known to be free of side
+ * effects makes the shape a write.
+ */
 final class StatementAnalysis extends SqlBaseListener {
     private final HarmlessNames known;
-    /** The first reason found why this may change something, or null. */
+    /** The first reason found why the shape may change something, or null. */
     private String why;
 
     private final Set<String> relations = new LinkedHashSet<>();
-    /** Names that the statement's own WITH has given so far; within its own query a name is still that of a table. */
+    /** Names defined so far by WITH clauses; within the query that defines it, a name still denotes a table. */
     private final Set<String> given = new HashSet<>();
 
     private final Set<String> functions = new TreeSet<>();
     private final Map<String, Place> keys = new LinkedHashMap<>();
     private boolean inserts;
-    /** It calls what may change the session of the node. */
+    /** Whether the shape may call a function that changes the state of the database session. */
     private boolean opaque;
 
     private int selects;
@@ -53,7 +56,7 @@
                 opaque);
     }
 
-    /** More rows and more passes over them cost more; a limit without a sort ends early. */
+    /** Estimates the work from the number of rows and passes over them; a limit without a sort ends a scan early. */
     private double work() {
         double work = 1 + 2.0 * joins + 3.0 * aggregates + 2.0 * sorts + Math.max(0, selects - 1);
         boolean whole = !relations.isEmpty() && !filtered && !inserts;
@@ -192,7 +195,7 @@
         }
     }
 
-    /** Guards against a function in the notation of a column: {@code row.f} is {@code f(row)}. */
+    /** Checks for a function call in the notation of a column: {@code row.f} is {@code f(row)}. */
     private void column(QnameContext name) {
         mayCall(IdentifierRules.of(name.name(name.name().size() - 1)));
     }
@@ -254,7 +257,7 @@
         }
     }
 
-    /** Columns compared with one literal, where all comparisons are joined by AND alone. */
+    /** Collects the columns compared with one literal, unless the condition contains an OR. */
     private void compared(ExprContext all) {
         if (all.binary().stream().anyMatch(b -> b.OR() != null)) {
             return;
@@ -265,7 +268,7 @@
             if (i < all.binary().size() && all.binary(i).AND() == null) {
                 continue;
             }
-            // What follows the AND of a BETWEEN belongs to that.
+            // The operand after the AND of a BETWEEN is the upper bound and no condition of its own.
             if (i - from == 1
                     && !ranged
                     && all.binary(from).operator() != null
@@ -292,7 +295,7 @@
         }
     }
 
-    /** Columns of an INSERT whose rows are written out. */
+    /** Collects the columns of an INSERT with rows of values. */
     private void inserted(InsertContext ctx) {
         BodyContext body = ctx.query() == null ? null : ctx.query().body();
         OperandContext operand = body == null || body.operand().size() > 1 ? null : body.operand(0);
