--- a/statements/src/main/java/clayhook/statements/StatementEffect.java
+++ b/statements/src/main/java/clayhook/statements/StatementEffect.java
@@ -1,9 +1,11 @@
 package clayhook.statements;
 
-/** What a statement is taken for: a read only where every part of it is known to change nothing. */
+/** The verdict about a statement: it is a read only if every part of it is known to change nothing. */
 public enum StatementEffect {
     READ,
     WRITE,
-    /** It cannot be run through a shared connection, or not yet. */
+    /**
+     * The statement is not sent to a node: it cannot run on a shared connection, or not yet, or the rules refuse it.
+     */
     REFUSED
 }
