--- a/statements/src/main/java/clayhook/statements/StatementRules.java
+++ b/statements/src/main/java/clayhook/statements/StatementRules.java
@@ -4,21 +4,22 @@
 import java.util.Set;
 
 /**
- * What the operator says of statements.
+ * The operator's configuration of statement classification.
  *
- * @param conforming the nodes' standard_conforming_strings
- * @param reads functions of the database that are known to change nothing
- * @param writes those that change data and nothing else: no setting, lock or other trace in the session that runs them
- * @param own the other functions that the database defines
- * @param types types of the database whose input changes nothing
- * @param relationsThatWrite views and foreign tables whose reading may change something
- * @param cacheBytes bound of the shapes kept
- * @param parseBudget tokens of new shapes that are read in one turn of the loop
- * @param refusePast past the budget a statement is turned away; else it is sent on as a write
- * @param rules the first that matches wins
- * @param readGroup command group of reads that no rule matches
- * @param writeGroup the same of writes
- * @param nodes the group of nodes where no rule says otherwise
+ * @param conforming the standard_conforming_strings setting of the nodes
+ * @param reads functions defined by the database that change nothing
+ * @param writes functions defined by the database that change data only: no setting, lock or other state of the session
+ *     that runs them
+ * @param own all other functions defined by the database
+ * @param types types defined by the database whose input conversion changes nothing
+ * @param relationsThatWrite views and foreign tables that may change something when they are read
+ * @param cacheBytes the bound of the shape cache in bytes
+ * @param parseBudget the number of tokens of new shapes that are parsed in one tick of the event loop
+ * @param refusePast whether statements over the parse budget are refused; otherwise they are classified as writes
+ * @param rules the rules, of which the first that matches applies
+ * @param readGroup the request class of reads that no rule matches
+ * @param writeGroup the request class of writes that no rule matches
+ * @param nodes the id of the replica set of statements to which no rule assigns one
  */
 public record StatementRules(
         boolean conforming,
@@ -35,12 +36,13 @@
         String writeGroup,
         int nodes) {
 
-    /** A few megabytes hold some thousand shapes; a turn's budget is some milliseconds of reading. */
+    /** The default bound of the shape cache; a few megabytes hold some thousand shapes. */
     public static final long CACHE_BYTES = 4 << 20;
 
+    /** The default parse budget in tokens; it takes some milliseconds in one tick. */
     public static final int PARSE_BUDGET = 2000;
 
-    /** Without a file: no rules, PostgreSQL's own functions alone. */
+    /** The configuration without a file: no rules, and only PostgreSQL's own functions are known. */
     public static final StatementRules DEFAULT = new StatementRules(
             true,
             Set.of(),
