--- a/statements/src/main/java/clayhook/statements/TokenBuffer.java
+++ b/statements/src/main/java/clayhook/statements/TokenBuffer.java
@@ -2,9 +2,9 @@
 
 import java.util.Arrays;
 
-/** The tokens of one statement: kinds and where each stands in the text. Reused from statement to statement. */
+/** The tokens of one statement: their kinds and positions in the text. Reused for all statements. */
 final class TokenBuffer {
-    /** What the lexer tells apart; words are told apart from keywords only when a shape is parsed. */
+    /** The kinds of tokens. The lexer does not distinguish keywords from other words; the parsing of a shape does. */
     enum Kind {
         WORD,
         QUOTED,
@@ -25,7 +25,7 @@
         CAST_TO
     }
 
-    /** Grown tables of a long statement are given up after it. */
+    /** The largest arrays, in tokens, that are reused; larger ones are discarded before the next statement. */
     private static final int KEPT = 1 << 12;
 
     byte[] text;
@@ -33,7 +33,7 @@
     int[] from = new int[64];
     int[] to = new int[64];
     int size;
-    /** Why the text has no sound tokens, or null. */
+    /** The reason why the text cannot be split into tokens, or null. */
     String fault;
 
     void clear(byte[] next) {
@@ -58,7 +58,7 @@
         to[size++] = end;
     }
 
-    /** Whether token {@code i} is this word, given in lower case. */
+    /** Whether the token is this unquoted word, ignoring case; {@code word} is in lower case. */
     boolean is(int i, String word) {
         if (kinds[i] != Kind.WORD || to[i] - from[i] != word.length()) {
             return false;
