--- a/statements/src/main/java/clayhook/statements/package-info.java
+++ b/statements/src/main/java/clayhook/statements/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Statements as clients write them: their shape, whether they are proven to change nothing, what they cost, and which
- * command group and group of nodes the operator's rules give them. Pure: no I/O, no clock; one thread an instance.
+ * Classification of the SQL statements of clients: their shape, whether they are proven to change nothing, their
+ * expected cost, and the request class and replica set that the operator's rules assign to them. The classes do no I/O
+ * at run time, read no clock, and are not thread-safe.
  */
 package clayhook.statements;
