--- a/statements/src/main/java/clayhook/statements/Classifier.java
+++ b/statements/src/main/java/clayhook/statements/Classifier.java
@@ -1,7 +1,7 @@
 package clayhook.statements;
 
 import clayhook.statements.Rule.Placement;
-import clayhook.statements.ShapeFacts.Place;
+import clayhook.statements.ShapeFacts.LiteralPosition;
 import clayhook.statements.TokenBuffer.Kind;
 import com.dynatrace.hash4j.hashing.Hasher128;
 import com.dynatrace.hash4j.hashing.Hashing;
@@ -14,20 +14,20 @@
  */
 public final class Classifier {
     /** Unseeded, so that all routers compute the same fingerprint for a shape and the same replica set for a key. */
-    private static final Hasher128 NAMES = Hashing.murmur3_128(0);
+    private static final Hasher128 HASHER = Hashing.murmur3_128(0);
     /** Initial estimate, in seconds, of the time to read one row; used until answers have been measured. */
-    private static final double FIRST_UNIT = 0.001;
+    private static final double INITIAL_SECONDS_PER_WORK_UNIT = 0.001;
     /** The weight of one answer in the moving average of the seconds that a unit of work takes. */
-    private static final double LEARN = 0.01;
+    private static final double MOVING_AVERAGE_WEIGHT = 0.01;
 
     private final StatementRules rules;
     private final Lexer lexer;
     private final TokenBuffer tokens = new TokenBuffer();
-    private final ShapeBuilder shaper = new ShapeBuilder();
-    private final ShapeAnalyzer reader;
-    private final ShapeCache shapes;
-    private double unit = FIRST_UNIT;
-    private int budget;
+    private final ShapeBuilder shapeBuilder = new ShapeBuilder();
+    private final ShapeAnalyzer analyzer;
+    private final ShapeCache shapeCache;
+    private double secondsPerWorkUnit = INITIAL_SECONDS_PER_WORK_UNIT;
+    private int remainingBudget;
     private long hits;
     private long read;
     private long unread;
@@ -49,14 +49,14 @@
     public Classifier(StatementRules rules, long seed) {
         this.rules = rules;
         lexer = new Lexer(rules.conforming());
-        reader = new ShapeAnalyzer(new HarmlessNames(rules));
-        shapes = ShapeCache.seeded(rules.cacheBytes(), Long.hashCode(seed));
+        analyzer = new ShapeAnalyzer(new HarmlessNames(rules));
+        shapeCache = ShapeCache.seeded(rules.cacheBytes(), Long.hashCode(seed));
         turn();
     }
 
     /** Starts a tick of the event loop, which renews the budget for parsing shapes that are not in the cache. */
     public void turn() {
-        budget = rules.parseBudget();
+        remainingBudget = rules.parseBudget();
     }
 
     /** Returns the counts since the previous call and resets them. */
@@ -68,17 +68,17 @@
 
     /** The number of cached shapes, without those that the cache did not admit after a single occurrence. */
     public long size() {
-        return shapes.size();
+        return shapeCache.size();
     }
 
     /** The estimated size of the cached shapes in bytes, as computed by the cache's weigher. */
     public long weight() {
-        return shapes.weight();
+        return shapeCache.weight();
     }
 
     /** The number of lookahead states that the parser holds. */
-    int states() {
-        return reader.states();
+    int lookaheadStates() {
+        return analyzer.lookaheadStates();
     }
 
     /**
@@ -91,46 +91,51 @@
      */
     public Classification classify(byte[] text, ClientIdentity client) {
         lexer.lex(text, tokens);
-        if (tokens.fault != null) {
-            return ruled(ShapeFacts.unread(StatementEffect.WRITE, tokens.fault, "", true), null, unit, unit, client);
+        if (tokens.error != null) {
+            return applyRules(
+                    ShapeFacts.unanalyzed(StatementEffect.WRITE, tokens.error, "", true),
+                    null,
+                    secondsPerWorkUnit,
+                    secondsPerWorkUnit,
+                    client);
         }
-        shaper.shape(tokens);
-        Shape shape = shapes.get(shaper);
+        shapeBuilder.build(tokens);
+        Shape shape = shapeCache.get(shapeBuilder);
         if (shape != null) {
             hits++;
-            return ruled(shape, client);
+            return applyRules(shape, client);
         }
-        int size = Math.min(shaper.tokens.size, ShapeAnalyzer.LONGEST);
+        int size = Math.min(shapeBuilder.tokens.size, ShapeAnalyzer.MAX_TOKENS);
         // An unused budget is always sufficient for one shape, so that no shape is too long to be ever parsed.
-        if (size > budget && budget < rules.parseBudget()) {
+        if (size > remainingBudget && remainingBudget < rules.parseBudget()) {
             unread++;
-            ShapeFacts facts = ShapeFacts.unread(
+            ShapeFacts facts = ShapeFacts.unanalyzed(
                     rules.refusePast() ? StatementEffect.REFUSED : StatementEffect.WRITE,
                     "more new shapes in a turn than are read",
                     "",
                     true);
-            return ruled(facts, null, unit, unit, client);
+            return applyRules(facts, null, secondsPerWorkUnit, secondsPerWorkUnit, client);
         }
-        budget -= size;
+        remainingBudget -= size;
         read++;
-        byte[] bytes = Arrays.copyOf(shaper.bytes, shaper.length);
-        shape = new Shape(bytes, fingerprint(bytes), reader.read(shaper.tokens));
-        shapes.put(shape);
-        return ruled(shape, client);
+        byte[] bytes = Arrays.copyOf(shapeBuilder.bytes, shapeBuilder.length);
+        shape = new Shape(bytes, fingerprint(bytes), analyzer.analyze(shapeBuilder.tokens));
+        shapeCache.put(shape);
+        return applyRules(shape, client);
     }
 
     /** The shape of a statement as readable text; empty if the statement cannot be split into tokens. */
     public String shape(byte[] text) {
         lexer.lex(text, tokens);
-        if (tokens.fault != null) {
+        if (tokens.error != null) {
             return "";
         }
-        shaper.shape(tokens);
-        return new String(shaper.bytes, 0, shaper.length, StandardCharsets.UTF_8);
+        shapeBuilder.build(tokens);
+        return new String(shapeBuilder.bytes, 0, shapeBuilder.length, StandardCharsets.UTF_8);
     }
 
     private static String fingerprint(byte[] shape) {
-        var hash = NAMES.hashBytesTo128Bits(shape);
+        var hash = HASHER.hashBytesTo128Bits(shape);
         return String.format("%016x%016x", hash.getMostSignificantBits(), hash.getLeastSignificantBits());
     }
 
@@ -142,9 +147,9 @@
     public void took(Classification classed, double seconds) {
         Shape shape = classed.shape();
         if (shape != null && seconds > 0) {
-            unit += LEARN * (seconds / shape.facts.work() - unit);
-            if (shape.took(seconds)) {
-                shapes.put(shape);
+            secondsPerWorkUnit += MOVING_AVERAGE_WEIGHT * (seconds / shape.facts.work() - secondsPerWorkUnit);
+            if (shape.recordServiceTime(seconds)) {
+                shapeCache.put(shape);
             }
         }
     }
@@ -152,31 +157,31 @@
     /** Classifies all statements of this shape as writes from now on, because a node refused to run one as a read. */
     public void wrote(Classification classed) {
         if (classed.shape() != null) {
-            classed.shape().facts = classed.shape().facts.butWrites("a node would not run it as a read");
-            shapes.put(classed.shape());
+            classed.shape().facts = classed.shape().facts.asWrite("a node would not run it as a read");
+            shapeCache.put(classed.shape());
         }
     }
 
     // ---- operator rules ----
 
-    private Classification ruled(Shape shape, ClientIdentity client) {
-        double guess = shape.facts.work() * unit;
-        double cost = shape.measure == null ? guess : shape.measure.mean(guess);
-        double high = shape.measure == null ? guess : shape.measure.high();
-        return ruled(shape.facts, shape, cost, high, client);
+    private Classification applyRules(Shape shape, ClientIdentity client) {
+        double estimate = shape.facts.work() * secondsPerWorkUnit;
+        double cost = shape.serviceTimes == null ? estimate : shape.serviceTimes.mean(estimate);
+        double high = shape.serviceTimes == null ? estimate : shape.serviceTimes.highPercentile();
+        return applyRules(shape.facts, shape, cost, high, client);
     }
 
-    private Classification ruled(ShapeFacts facts, Shape shape, double cost, double high, ClientIdentity client) {
+    private Classification applyRules(ShapeFacts facts, Shape shape, double cost, double high, ClientIdentity client) {
         if (facts.verdict() == StatementEffect.REFUSED) {
             return new Classification(
-                    StatementEffect.REFUSED, shape, "", 0, cost, high, "", facts.why(), 0, null, false);
+                    StatementEffect.REFUSED, shape, "", 0, cost, high, "", facts.reason(), 0, null, false);
         }
         String fingerprint = shape == null ? "" : shape.fingerprint;
         for (Rule rule : rules.rules()) {
             if (rule.matches(facts, fingerprint, cost, client)) {
-                String mark = rule.mark() == null ? null : mark(facts, rule.mark());
+                String mark = rule.mark() == null ? null : outcomeKey(facts, rule.mark());
                 if (rule.mark() == null || mark != null) {
-                    return placed(
+                    return applyPlacement(
                             facts,
                             new Classification(
                                     facts.verdict(),
@@ -186,10 +191,10 @@
                                     cost,
                                     high,
                                     rule.name(),
-                                    facts.why(),
+                                    facts.reason(),
                                     rule.timeout(),
                                     mark,
-                                    facts.opaque()),
+                                    facts.mayChangeSession()),
                             rule.nodes());
                 }
             }
@@ -203,54 +208,54 @@
                 cost,
                 high,
                 "default",
-                facts.why(),
+                facts.reason(),
                 0,
                 null,
-                facts.opaque());
+                facts.mayChangeSession());
     }
 
     /** The text of the outcome key; null unless the statement has exactly one as a plain literal. */
-    private String mark(ShapeFacts facts, String column) {
-        Place place = facts.keys().get(column);
-        return place == null || shaper.rows(place.token()) > 1 ? null : literal(facts, place, 0);
+    private String outcomeKey(ShapeFacts facts, String column) {
+        LiteralPosition position = facts.literalPositions().get(column);
+        return position == null || shapeBuilder.rowCount(position.token()) > 1 ? null : literalText(facts, position, 0);
     }
 
-    private Classification placed(ShapeFacts facts, Classification classed, Placement nodes) {
+    private Classification applyPlacement(ShapeFacts facts, Classification classed, Placement nodes) {
         if (nodes == null) {
             return classed;
         } else if (nodes.column() == null) {
             return classed.at(nodes.groups().get(0));
         }
-        Place place = facts.keys().get(nodes.column());
-        if (place == null) {
+        LiteralPosition position = facts.literalPositions().get(nodes.column());
+        if (position == null) {
             return classed.refused("no literal for " + nodes.column() + ", which tells the group of nodes");
         }
-        int found = -1;
-        for (int row = 0; row < Math.max(1, shaper.rows(place.token())); row++) {
-            String key = literal(facts, place, row);
+        int chosen = -1;
+        for (int row = 0; row < Math.max(1, shapeBuilder.rowCount(position.token())); row++) {
+            String key = literalText(facts, position, row);
             if (key == null) {
                 return classed.refused("the literal for " + nodes.column() + " is in no plain form");
             }
-            long hash = NAMES.hashBytesTo128Bits(key.getBytes(StandardCharsets.UTF_8))
+            long hash = HASHER.hashBytesTo128Bits(key.getBytes(StandardCharsets.UTF_8))
                     .getAsLong();
             int group = nodes.groups()
                     .get((int) Long.remainderUnsigned(hash, nodes.groups().size()));
-            if (found >= 0 && group != found) {
+            if (chosen >= 0 && group != chosen) {
                 return classed.refused("rows of several groups of nodes");
             }
-            found = group;
+            chosen = group;
         }
-        return classed.at(found);
+        return classed.at(chosen);
     }
 
     /** The literal at this position of the current statement: digits or the text of a string; null if it is neither. */
-    private String literal(ShapeFacts facts, Place place, int row) {
-        if (facts.inserts() && shaper.width(tokens, place.token()) != place.width()) {
+    private String literalText(ShapeFacts facts, LiteralPosition position, int row) {
+        if (facts.insertsRows() && shapeBuilder.rowWidth(tokens, position.token()) != position.width()) {
             return null;
         }
-        int i = shaper.element(tokens, place.token(), row, place.element());
+        int i = shapeBuilder.elementToken(tokens, position.token(), row, position.element());
         return i < 0 || tokens.kinds[i] != Kind.LITERAL
                 ? null
-                : Literals.text(tokens.text, tokens.from[i], tokens.to[i]);
+                : Literals.canonicalText(tokens.text, tokens.starts[i], tokens.ends[i]);
     }
 }
--- a/statements/src/main/java/clayhook/statements/HarmlessNames.java
+++ b/statements/src/main/java/clayhook/statements/HarmlessNames.java
@@ -16,9 +16,9 @@
  * any side effect; relations have none unless listed.
  */
 final class HarmlessNames {
-    private static final String CATALOG = "pg_catalog.";
-    private static final Set<String> FUNCTIONS = lines("functions.txt");
-    private static final Set<String> TYPES = lines("types.txt");
+    private static final String CATALOG_PREFIX = "pg_catalog.";
+    private static final Set<String> FUNCTIONS = readNames("functions.txt");
+    private static final Set<String> TYPES = readNames("types.txt");
     /** Operators from the chapter "Functions and Operators" of the PostgreSQL documentation. */
     private static final Set<String> OPERATORS = Set.of(
             "+", "-", "*", "/", "%", "^", "=", "<", ">", "<=", ">=", "<>", "!=", "||", "|/", "||/", "@", "&", "|", "#",
@@ -27,7 +27,7 @@
             ">^", "?#", "?-", "?-|", "?||", "@-@", "##", "<<=", ">>=", "!!", "~=", "*<", "*>", "*=", "*<>", "*<=",
             "*>=");
     /** Functions that change the state of the connection on which they run, so that later statements depend on it. */
-    static final Set<String> BINDING = Set.of(
+    static final Set<String> CONNECTION_BOUND_FUNCTIONS = Set.of(
             "pg_advisory_lock",
             "pg_advisory_lock_shared",
             "pg_try_advisory_lock",
@@ -75,15 +75,17 @@
     }
 
     /** Whether the function at most changes data. An unlisted function may also change the session that runs it. */
-    boolean leavesNothingBehind(String name) {
-        return function(name) || rules.writes().contains(name);
+    boolean leavesSessionUnchanged(String name) {
+        return isHarmlessFunction(name) || rules.writes().contains(name);
     }
 
     /** Whether the function has no side effects. */
-    boolean function(String name) {
-        String plain = name.startsWith(CATALOG) ? name.substring(CATALOG.length()) : name;
+    boolean isHarmlessFunction(String name) {
+        String unqualified = name.startsWith(CATALOG_PREFIX) ? name.substring(CATALOG_PREFIX.length()) : name;
         // A qualified name is unambiguous, so a function of the database with the same name is irrelevant.
-        return plain.equals(name) ? functions.contains(name) && !rules.own().contains(name) : FUNCTIONS.contains(plain);
+        return unqualified.equals(name)
+                ? functions.contains(name) && !rules.own().contains(name)
+                : FUNCTIONS.contains(unqualified);
     }
 
     /** Whether a column reference with this name may call a function that the database defines. */
@@ -92,21 +94,21 @@
     }
 
     /** Whether the input conversion of the type has no side effects. */
-    boolean type(String name) {
-        return types.contains(name.startsWith(CATALOG) ? name.substring(CATALOG.length()) : name);
+    boolean isHarmlessType(String name) {
+        return types.contains(name.startsWith(CATALOG_PREFIX) ? name.substring(CATALOG_PREFIX.length()) : name);
     }
 
-    boolean operator(String name) {
+    boolean isHarmlessOperator(String name) {
         return OPERATORS.contains(name);
     }
 
     /** Whether reading the relation has no side effects. */
-    boolean relation(String name) {
+    boolean isHarmlessRelation(String name) {
         return !rules.relationsThatWrite().contains(name)
                 && !rules.relationsThatWrite().contains(name.substring(name.lastIndexOf('.') + 1));
     }
 
-    private static Set<String> lines(String resource) {
+    private static Set<String> readNames(String resource) {
         try (var in = new BufferedReader(
                 new InputStreamReader(HarmlessNames.class.getResourceAsStream(resource), StandardCharsets.UTF_8))) {
             return in.lines()
--- a/statements/src/main/java/clayhook/statements/IdentifierRules.java
+++ b/statements/src/main/java/clayhook/statements/IdentifierRules.java
@@ -8,22 +8,22 @@
 /** Normalizes identifiers as the server does: folded to lower case unless quoted, and truncated to 63 bytes. */
 final class IdentifierRules {
     /** The longest identifier in bytes: NAMEDATALEN of the PostgreSQL documentation, minus one. */
-    private static final int LONGEST = 63;
+    private static final int MAX_BYTES = 63;
 
     private IdentifierRules() {}
 
     /** The parts of a qualified name joined by dots; a part that contains a dot is quoted to keep it a single part. */
-    static String of(QnameContext name) {
+    static String normalize(QnameContext name) {
         return name.name().stream()
-                .map(IdentifierRules::of)
+                .map(IdentifierRules::normalize)
                 .map(part -> part.indexOf('.') < 0 ? part : '"' + part + '"')
                 .collect(Collectors.joining("."));
     }
 
     /** The normalized form of an unqualified name. */
-    static String of(NameContext name) {
+    static String normalize(NameContext name) {
         String text = name.getText();
-        return name.QUOTED() == null ? cut(fold(text)) : unquote(text);
+        return name.QUOTED() == null ? truncate(fold(text)) : unquote(text);
     }
 
     /** Folds ASCII letters to lower case. */
@@ -43,7 +43,7 @@
     static String unquote(String text) {
         int open = text.indexOf('"');
         String inner = text.substring(open + 1, text.length() - 1).replace("\"\"", "\"");
-        return cut(open == 0 ? inner : unescape(inner));
+        return truncate(open == 0 ? inner : unescape(inner));
     }
 
     /** Returns a name with an invalid escape unchanged: no list contains a name with a backslash. */
@@ -57,10 +57,10 @@
                 out.append(c);
                 i++;
             } else {
-                boolean six = i + 1 < name.length() && name.charAt(i + 1) == '+';
-                int from = i + (six ? 2 : 1);
-                int to = from + (six ? 6 : 4);
-                int point = to <= name.length() ? hex(name.substring(from, to)) : -1;
+                boolean sixDigits = i + 1 < name.length() && name.charAt(i + 1) == '+';
+                int from = i + (sixDigits ? 2 : 1);
+                int to = from + (sixDigits ? 6 : 4);
+                int point = to <= name.length() ? parseCodePoint(name.substring(from, to)) : -1;
                 if (point < 0) {
                     return name;
                 }
@@ -72,7 +72,7 @@
     }
 
     /** Parses hexadecimal digits as a Unicode code point; -1 if they are invalid. */
-    private static int hex(String digits) {
+    private static int parseCodePoint(String digits) {
         int value = 0;
         for (int i = 0; i < digits.length(); i++) {
             char c = digits.charAt(i);
@@ -85,12 +85,12 @@
         return value <= Character.MAX_CODE_POINT ? value : -1;
     }
 
-    private static String cut(String name) {
-        if (3 * name.length() <= LONGEST) {
+    private static String truncate(String name) {
+        if (3 * name.length() <= MAX_BYTES) {
             return name;
         }
         byte[] bytes = name.getBytes(StandardCharsets.UTF_8);
-        int end = Math.min(bytes.length, LONGEST);
+        int end = Math.min(bytes.length, MAX_BYTES);
         while (end < bytes.length && end > 0 && (bytes[end] & 0xc0) == 0x80) {
             end--;
         }
--- a/statements/src/main/java/clayhook/statements/Lexer.java
+++ b/statements/src/main/java/clayhook/statements/Lexer.java
@@ -10,287 +10,290 @@
 final class Lexer {
     private static final String OPERATORS = "~!@#^&|`?+-*/%<>=";
     /** An operator of several characters may end in + or - only if it contains one of these. */
-    private static final String KEEPS_SIGN = "~!@#^&|`?%";
+    private static final String ALLOWS_TRAILING_SIGN = "~!@#^&|`?%";
 
-    private static final byte[] CLASS = new byte[256];
-    private static final byte OTHER = 0, SPACE = 1, START = 2, DIGIT = 3, OPERATOR = 4, SELF = 5;
+    private static final byte[] CHARACTER_CLASSES = new byte[256];
+    private static final byte OTHER = 0, SPACE = 1, WORD_START = 2, DIGIT = 3, OPERATOR = 4, PUNCTUATION = 5;
 
     static {
         for (int c = 0; c < 256; c++) {
-            CLASS[c] = c == ' ' || c == '\t' || c == '\n' || c == '\r' || c == '\f'
+            CHARACTER_CLASSES[c] = c == ' ' || c == '\t' || c == '\n' || c == '\r' || c == '\f'
                     ? SPACE
                     : (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '_' || c >= 128
-                            ? START
+                            ? WORD_START
                             : c >= '0' && c <= '9'
                                     ? DIGIT
-                                    : OPERATORS.indexOf(c) >= 0 ? OPERATOR : ",()[].;:".indexOf(c) >= 0 ? SELF : OTHER;
+                                    : OPERATORS.indexOf(c) >= 0
+                                            ? OPERATOR
+                                            : ",()[].;:".indexOf(c) >= 0 ? PUNCTUATION : OTHER;
         }
     }
 
-    private final boolean conforming;
+    private final boolean standardConformingStrings;
     private TokenBuffer tokens;
     private byte[] text;
-    private int at;
+    private int position;
 
     /**
      * Creates a lexer.
      *
-     * @param conforming whether a backslash in an ordinary string is an ordinary character
+     * @param standardConformingStrings whether a backslash in an ordinary string is an ordinary character
      *     (standard_conforming_strings)
      */
-    Lexer(boolean conforming) {
-        this.conforming = conforming;
+    Lexer(boolean standardConformingStrings) {
+        this.standardConformingStrings = standardConformingStrings;
     }
 
     /** Replaces the content of the buffer by the tokens of the statement; at an error it stops and reports it there. */
-    void lex(byte[] statement, TokenBuffer into) {
-        into.clear(statement);
-        tokens = into;
+    void lex(byte[] statement, TokenBuffer buffer) {
+        buffer.clear(statement);
+        tokens = buffer;
         text = statement;
-        at = 0;
-        while (at < text.length && tokens.fault == null) {
-            next();
+        position = 0;
+        while (position < text.length && tokens.error == null) {
+            scanToken();
         }
         text = null;
     }
 
     private int peek(int ahead) {
-        return at + ahead < text.length ? text[at + ahead] & 0xff : -1;
+        return position + ahead < text.length ? text[position + ahead] & 0xff : -1;
     }
 
-    private void next() {
-        int c = text[at] & 0xff;
-        switch (CLASS[c]) {
-            case SPACE -> at++;
-            case START -> word(c);
-            case DIGIT -> number();
+    private void scanToken() {
+        int c = text[position] & 0xff;
+        switch (CHARACTER_CLASSES[c]) {
+            case SPACE -> position++;
+            case WORD_START -> scanWord(c);
+            case DIGIT -> scanNumber();
             case OPERATOR -> {
                 if (c == '-' && peek(1) == '-') {
-                    line();
+                    skipLineComment();
                 } else if (c == '/' && peek(1) == '*') {
-                    comment();
+                    skipBlockComment();
                 } else {
-                    operator();
+                    scanOperator();
                 }
             }
-            case SELF -> self(c);
+            case PUNCTUATION -> scanPunctuation(c);
             default -> {
                 switch (c) {
-                    case '\'' -> string(at, at, !conforming);
-                    case '"' -> quoted(at, at);
-                    case '$' -> dollar();
-                    default -> fault("a character that is none of SQL");
+                    case '\'' -> scanString(position, position, !standardConformingStrings);
+                    case '"' -> scanQuotedIdentifier(position, position);
+                    case '$' -> scanDollar();
+                    default -> fail("a character that is none of SQL");
                 }
             }
         }
     }
 
-    private void fault(String why) {
-        tokens.fault = why;
-        at = text.length;
+    private void fail(String why) {
+        tokens.error = why;
+        position = text.length;
     }
 
-    private void word(int c) {
-        int start = at;
+    private void scanWord(int c) {
+        int start = position;
         int second = peek(1);
         if (second == '\'') {
             switch (c) {
                 case 'e', 'E' -> {
-                    string(start, at + 1, true);
+                    scanString(start, position + 1, true);
                     return;
                 }
                 case 'b', 'B', 'x', 'X' -> {
-                    string(start, at + 1, false);
+                    scanString(start, position + 1, false);
                     return;
                 }
                 case 'n', 'N' -> {
-                    string(start, at + 1, !conforming);
+                    scanString(start, position + 1, !standardConformingStrings);
                     return;
                 }
                 default -> {}
             }
         } else if ((c == 'u' || c == 'U') && second == '&' && peek(2) == '\'') {
-            if (conforming) {
-                string(start, at + 2, false);
+            if (standardConformingStrings) {
+                scanString(start, position + 2, false);
             } else {
-                fault("a Unicode string where strings do not conform");
+                fail("a Unicode string where strings do not conform");
             }
             return;
         } else if ((c == 'u' || c == 'U') && second == '&' && peek(2) == '"') {
-            quoted(start, at + 2);
+            scanQuotedIdentifier(start, position + 2);
             return;
         }
-        at++;
-        while (at < text.length && inWord(text[at] & 0xff)) {
-            at++;
+        position++;
+        while (position < text.length && isWordPart(text[position] & 0xff)) {
+            position++;
         }
-        tokens.add(Kind.WORD, start, at);
+        tokens.add(Kind.WORD, start, position);
     }
 
-    private static boolean inWord(int c) {
-        return CLASS[c] == START || CLASS[c] == DIGIT || c == '$';
+    private static boolean isWordPart(int c) {
+        return CHARACTER_CLASSES[c] == WORD_START || CHARACTER_CLASSES[c] == DIGIT || c == '$';
     }
 
     /** Scans a string with its opening quote at {@code quote}, including its continuations on later lines. */
-    private void string(int start, int quote, boolean escapes) {
-        at = quote;
+    private void scanString(int start, int quote, boolean escapes) {
+        position = quote;
         do {
-            at++;
-            while (at < text.length && (text[at] != '\'' || peek(1) == '\'')) {
-                at += text[at] == '\'' || (escapes && text[at] == '\\') ? 2 : 1;
+            position++;
+            while (position < text.length && (text[position] != '\'' || peek(1) == '\'')) {
+                position += text[position] == '\'' || (escapes && text[position] == '\\') ? 2 : 1;
             }
-            if (at >= text.length) {
-                fault("a string without its end");
+            if (position >= text.length) {
+                fail("a string without its end");
                 return;
             }
-            at++;
-        } while (continues());
-        tokens.add(Kind.LITERAL, start, at);
+            position++;
+        } while (skipToContinuation());
+        tokens.add(Kind.LITERAL, start, position);
     }
 
     /** Moves to the opening quote of a continuation: white space with a line break and line comments may precede it. */
-    private boolean continues() {
-        boolean broken = false;
-        for (int i = at; i < text.length; i++) {
+    private boolean skipToContinuation() {
+        boolean lineBreak = false;
+        for (int i = position; i < text.length; i++) {
             int c = text[i];
             if (c == '\n' || c == '\r') {
-                broken = true;
-            } else if (c == '\'' && broken) {
-                at = i;
+                lineBreak = true;
+            } else if (c == '\'' && lineBreak) {
+                position = i;
                 return true;
             } else if (c == '-' && i + 1 < text.length && text[i + 1] == '-') {
                 while (i + 1 < text.length && text[i + 1] != '\n' && text[i + 1] != '\r') {
                     i++;
                 }
-            } else if (CLASS[c & 0xff] != SPACE) {
+            } else if (CHARACTER_CLASSES[c & 0xff] != SPACE) {
                 return false;
             }
         }
         return false;
     }
 
-    private void quoted(int start, int quote) {
-        at = quote + 1;
-        while (at < text.length && (text[at] != '"' || peek(1) == '"')) {
-            at += text[at] == '"' ? 2 : 1;
+    private void scanQuotedIdentifier(int start, int quote) {
+        position = quote + 1;
+        while (position < text.length && (text[position] != '"' || peek(1) == '"')) {
+            position += text[position] == '"' ? 2 : 1;
         }
-        if (at >= text.length || at == quote + 1) {
-            fault("a quoted name without its end, or empty");
+        if (position >= text.length || position == quote + 1) {
+            fail("a quoted name without its end, or empty");
             return;
         }
-        tokens.add(Kind.QUOTED, start, ++at);
+        tokens.add(Kind.QUOTED, start, ++position);
     }
 
     /** Scans a parameter such as $1 or a dollar-quoted string. */
-    private void dollar() {
-        int start = at;
+    private void scanDollar() {
+        int start = position;
         int c = peek(1);
-        if (c >= 0 && CLASS[c] == DIGIT) {
-            at++;
-            digits();
-            literal(start);
+        if (c >= 0 && CHARACTER_CLASSES[c] == DIGIT) {
+            position++;
+            skipDigits();
+            addNumber(start);
             return;
         }
-        int tag = at + 1;
+        int tag = position + 1;
         while (tag < text.length
-                && (CLASS[text[tag] & 0xff] == START || (tag > at + 1 && CLASS[text[tag] & 0xff] == DIGIT))) {
+                && (CHARACTER_CLASSES[text[tag] & 0xff] == WORD_START
+                        || (tag > position + 1 && CHARACTER_CLASSES[text[tag] & 0xff] == DIGIT))) {
             tag++;
         }
         if (tag >= text.length || text[tag] != '$') {
-            fault("a dollar sign that begins nothing");
+            fail("a dollar sign that begins nothing");
             return;
         }
         int length = tag + 1 - start;
         for (int i = tag + 1; i + length <= text.length; i++) {
-            if (text[i] == '$' && text[i + length - 1] == '$' && same(start, i, length)) {
-                at = i + length;
-                tokens.add(Kind.LITERAL, start, at);
+            if (text[i] == '$' && text[i + length - 1] == '$' && regionMatches(start, i, length)) {
+                position = i + length;
+                tokens.add(Kind.LITERAL, start, position);
                 return;
             }
         }
-        fault("a dollar quote without its end");
+        fail("a dollar quote without its end");
     }
 
-    private boolean same(int one, int other, int length) {
+    private boolean regionMatches(int first, int second, int length) {
         for (int i = 0; i < length; i++) {
-            if (text[one + i] != text[other + i]) {
+            if (text[first + i] != text[second + i]) {
                 return false;
             }
         }
         return true;
     }
 
-    private void digits() {
-        while (at < text.length && CLASS[text[at] & 0xff] == DIGIT) {
-            at++;
+    private void skipDigits() {
+        while (position < text.length && CHARACTER_CLASSES[text[position] & 0xff] == DIGIT) {
+            position++;
         }
     }
 
-    private void number() {
-        int start = at;
-        digits();
+    private void scanNumber() {
+        int start = position;
+        skipDigits();
         // Two dots are the range operator of a procedural loop and no part of a number.
         if (peek(0) == '.' && peek(1) != '.') {
-            at++;
-            digits();
+            position++;
+            skipDigits();
         }
         int c = peek(0);
         if (c == 'e' || c == 'E') {
             int sign = peek(1) == '+' || peek(1) == '-' ? 1 : 0;
-            if (peek(1 + sign) >= 0 && CLASS[peek(1 + sign)] == DIGIT) {
-                at += 1 + sign;
-                digits();
+            if (peek(1 + sign) >= 0 && CHARACTER_CLASSES[peek(1 + sign)] == DIGIT) {
+                position += 1 + sign;
+                skipDigits();
             }
         }
-        literal(start);
+        addNumber(start);
     }
 
     /** Adds a number. Rejects one directly followed by letters: PostgreSQL versions differ in where it ends. */
-    private void literal(int start) {
-        if (at < text.length && inWord(text[at] & 0xff)) {
-            fault("a number that runs into a word");
+    private void addNumber(int start) {
+        if (position < text.length && isWordPart(text[position] & 0xff)) {
+            fail("a number that runs into a word");
         } else {
-            tokens.add(Kind.LITERAL, start, at);
+            tokens.add(Kind.LITERAL, start, position);
         }
     }
 
-    private void line() {
-        while (at < text.length && text[at] != '\n' && text[at] != '\r') {
-            at++;
+    private void skipLineComment() {
+        while (position < text.length && text[position] != '\n' && text[position] != '\r') {
+            position++;
         }
     }
 
-    private void comment() {
+    private void skipBlockComment() {
         int depth = 0;
         do {
-            if (at + 1 >= text.length) {
-                fault("a comment without its end");
+            if (position + 1 >= text.length) {
+                fail("a comment without its end");
                 return;
             }
-            boolean opens = text[at] == '/' && text[at + 1] == '*';
-            boolean closes = text[at] == '*' && text[at + 1] == '/';
+            boolean opens = text[position] == '/' && text[position + 1] == '*';
+            boolean closes = text[position] == '*' && text[position + 1] == '/';
             depth += opens ? 1 : closes ? -1 : 0;
-            at += opens || closes ? 2 : 1;
+            position += opens || closes ? 2 : 1;
         } while (depth > 0);
     }
 
-    private void operator() {
-        int start = at;
-        boolean keeps = false;
-        int end = at;
-        while (end < text.length && CLASS[text[end] & 0xff] == OPERATOR) {
+    private void scanOperator() {
+        int start = position;
+        boolean allowsTrailingSign = false;
+        int end = position;
+        while (end < text.length && CHARACTER_CLASSES[text[end] & 0xff] == OPERATOR) {
             int c = text[end];
             int after = end + 1 < text.length ? text[end + 1] : 0;
             if (end > start && ((c == '-' && after == '-') || (c == '/' && after == '*'))) {
                 break;
             }
-            keeps |= KEEPS_SIGN.indexOf(c) >= 0;
+            allowsTrailingSign |= ALLOWS_TRAILING_SIGN.indexOf(c) >= 0;
             end++;
         }
-        while (!keeps && end - start > 1 && (text[end - 1] == '+' || text[end - 1] == '-')) {
+        while (!allowsTrailingSign && end - start > 1 && (text[end - 1] == '+' || text[end - 1] == '-')) {
             end--;
         }
-        at = end;
+        position = end;
         int c = text[start];
         boolean arrow = end - start == 2 && c == '=' && text[start + 1] == '>';
         tokens.add(
@@ -301,17 +304,17 @@
                 end);
     }
 
-    private void self(int c) {
-        int start = at++;
+    private void scanPunctuation(int c) {
+        int start = position++;
         int second = peek(0);
-        if (c == '.' && second >= 0 && CLASS[second] == DIGIT) {
-            at = start;
-            number();
+        if (c == '.' && second >= 0 && CHARACTER_CLASSES[second] == DIGIT) {
+            position = start;
+            scanNumber();
             return;
         }
         if (c == ':' && (second == ':' || second == '=')) {
-            at++;
-            tokens.add(second == ':' ? Kind.CAST_TO : Kind.COLON_EQ, start, at);
+            position++;
+            tokens.add(second == ':' ? Kind.CAST_TO : Kind.COLON_EQ, start, position);
             return;
         }
         tokens.add(
@@ -326,6 +329,6 @@
                     default -> Kind.COLON;
                 },
                 start,
-                at);
+                position);
     }
 }
--- a/statements/src/main/java/clayhook/statements/Rule.java
+++ b/statements/src/main/java/clayhook/statements/Rule.java
@@ -60,24 +60,25 @@
     boolean matches(ShapeFacts facts, String fingerprint, double cost, ClientIdentity client) {
         return facts.verdict() == verdict
                 && (kinds.isEmpty() || kinds.contains(facts.kind()))
-                && (relations.isEmpty() || facts.relations().stream().anyMatch(name -> names(relations, name)))
+                && (relations.isEmpty()
+                        || facts.relations().stream().anyMatch(name -> containsRelation(relations, name)))
                 && (only.isEmpty()
                         || (!facts.relations().isEmpty()
-                                && facts.relations().stream().allMatch(name -> names(only, name))))
+                                && facts.relations().stream().allMatch(name -> containsRelation(only, name))))
                 && (functions.isEmpty() || facts.functions().stream().anyMatch(functions::contains))
                 && (shape == null || shape.equals(fingerprint))
-                && fits(user, client.user())
-                && fits(database, client.database())
-                && fits(application, client.application())
+                && matchesPattern(user, client.user())
+                && matchesPattern(database, client.database())
+                && matchesPattern(application, client.application())
                 && cost >= costFrom
                 && cost < costTo;
     }
 
-    private static boolean fits(Pattern pattern, String text) {
+    private static boolean matchesPattern(Pattern pattern, String text) {
         return pattern == null || pattern.matcher(text).matches();
     }
 
-    private static boolean names(Set<String> listed, String relation) {
+    private static boolean containsRelation(Set<String> listed, String relation) {
         return listed.contains(relation) || listed.contains(relation.substring(relation.lastIndexOf('.') + 1));
     }
 }
--- a/statements/src/main/java/clayhook/statements/ServiceTimes.java
+++ b/statements/src/main/java/clayhook/statements/ServiceTimes.java
@@ -5,27 +5,27 @@
 /** Recent service times of the statements of one shape, in two rotating histograms that expire old values. */
 final class ServiceTimes {
     /** The measured size in bytes of both histograms, with their bounds and precision, including this object. */
-    static final int WEIGHT = 2200;
+    static final int ESTIMATED_BYTES = 2200;
     /** Bounds of recorded times in microseconds; a time beyond a bound is recorded as the bound. */
-    private static final long LEAST = 64, MOST = 100_000_000;
+    private static final long MIN_MICROS = 64, MAX_MICROS = 100_000_000;
     /** The number of answers after which the histograms are rotated; it keeps counts far below the range of a short. */
-    private static final int TURN = 256;
+    private static final int ANSWERS_PER_HISTOGRAM = 256;
     /** The number of answers that the initial estimate counts for in the mean. */
-    private static final int GUESS = 3;
+    private static final int ESTIMATE_WEIGHT = 3;
     /** The number of answers between updates of the percentile, because one update takes some hundred steps. */
-    private static final int REFRESH = 16;
+    private static final int PERCENTILE_UPDATE_INTERVAL = 16;
     /** The reported percentile. */
-    private static final double HIGH = 95;
+    private static final double HIGH_PERCENTILE = 95;
 
-    private ShortCountsHistogram current = new ShortCountsHistogram(LEAST, MOST, 1);
-    private ShortCountsHistogram previous = new ShortCountsHistogram(LEAST, MOST, 1);
+    private ShortCountsHistogram current = new ShortCountsHistogram(MIN_MICROS, MAX_MICROS, 1);
+    private ShortCountsHistogram previous = new ShortCountsHistogram(MIN_MICROS, MAX_MICROS, 1);
     private double currentSum;
     private double previousSum;
-    private double high;
-    private int sinceRefresh;
+    private double highPercentile;
+    private int answersSinceUpdate;
 
     void add(double seconds) {
-        if (current.getTotalCount() >= TURN) {
+        if (current.getTotalCount() >= ANSWERS_PER_HISTOGRAM) {
             ShortCountsHistogram oldest = previous;
             previous = current;
             previousSum = currentSum;
@@ -33,12 +33,12 @@
             current.reset();
             currentSum = 0;
         }
-        current.recordValue(Math.max(LEAST, Math.min(MOST, (long) (seconds * 1e6))));
+        current.recordValue(Math.max(MIN_MICROS, Math.min(MAX_MICROS, (long) (seconds * 1e6))));
         currentSum += seconds;
-        if (++sinceRefresh >= REFRESH || count() < REFRESH) {
-            sinceRefresh = 0;
-            boolean few = current.getTotalCount() < previous.getTotalCount() / 4;
-            high = (few ? previous : current).getValueAtPercentile(HIGH) / 1e6;
+        if (++answersSinceUpdate >= PERCENTILE_UPDATE_INTERVAL || count() < PERCENTILE_UPDATE_INTERVAL) {
+            answersSinceUpdate = 0;
+            boolean currentHasFew = current.getTotalCount() < previous.getTotalCount() / 4;
+            highPercentile = (currentHasFew ? previous : current).getValueAtPercentile(HIGH_PERCENTILE) / 1e6;
         }
     }
 
@@ -47,12 +47,12 @@
     }
 
     /** The mean in seconds, in which the initial estimate counts as much as a few answers. */
-    double mean(double guess) {
-        return (GUESS * guess + currentSum + previousSum) / (GUESS + count());
+    double mean(double estimate) {
+        return (ESTIMATE_WEIGHT * estimate + currentSum + previousSum) / (ESTIMATE_WEIGHT + count());
     }
 
     /** The 95th percentile in seconds. */
-    double high() {
-        return high;
+    double highPercentile() {
+        return highPercentile;
     }
 }
--- a/statements/src/main/java/clayhook/statements/SessionSettings.java
+++ b/statements/src/main/java/clayhook/statements/SessionSettings.java
@@ -27,9 +27,9 @@
             "intervalstyle",
             "timezone");
 
-    private static final String TIMEOUT = "statement_timeout";
+    private static final String STATEMENT_TIMEOUT = "statement_timeout";
     /** The longest value in characters of SQL, far above any valid value; it bounds the memory of a session. */
-    private static final int LONGEST = 256;
+    private static final int MAX_VALUE_LENGTH = 256;
 
     /** The reply to the client. */
     public sealed interface Reply {
@@ -85,7 +85,7 @@
                     || value.isEmpty()
                     || (name.equals("replication")
                             && Set.of("false", "off", "no", "0").contains(value));
-            if (!passed && started(name, value) instanceof Reply.Refused refused) {
+            if (!passed && applyStartupParameter(name, value) instanceof Reply.Refused refused) {
                 return refused.why();
             }
         }
@@ -98,7 +98,7 @@
     }
 
     /** Applies a setting from the startup message, in which the value is plain text. */
-    private Reply started(String name, String value) {
+    private Reply applyStartupParameter(String name, String value) {
         boolean plain = value.indexOf('\\') < 0;
         return plain
                 ? set(IdentifierRules.fold(name), "'" + value.replace("'", "''") + "'", value)
@@ -107,14 +107,14 @@
 
     /** Executes a SET or RESET statement. Returns null for any other statement, which has to be sent to a node. */
     public Reply asked(byte[] statement) {
-        if (!mayBe(statement)) {
+        if (!mayBeSetOrReset(statement)) {
             return null;
         }
         lexer.lex(statement, tokens);
         while (tokens.size > 0 && tokens.kinds[tokens.size - 1] == Kind.SEMI) {
             tokens.size--;
         }
-        if (tokens.fault != null || tokens.size < 2 || (!tokens.is(0, "set") && !tokens.is(0, "reset"))) {
+        if (tokens.error != null || tokens.size < 2 || (!tokens.isWord(0, "set") && !tokens.isWord(0, "reset"))) {
             return null;
         }
         for (int i = 0; i < tokens.size; i++) {
@@ -122,14 +122,14 @@
                 return null;
             }
         }
-        return tokens.is(0, "reset") ? reset() : set();
+        return tokens.isWord(0, "reset") ? reset() : set();
     }
 
     /**
      * Whether the statement begins like SET or RESET, or with a comment or semicolon. Avoids splitting other statements
      * into tokens twice, here and in the classifier.
      */
-    private static boolean mayBe(byte[] statement) {
+    private static boolean mayBeSetOrReset(byte[] statement) {
         int i = 0;
         while (i < statement.length && statement[i] <= ' ' && statement[i] > 0) {
             i++;
@@ -146,56 +146,60 @@
     }
 
     private Reply reset() {
-        boolean all = tokens.is(1, "all");
+        boolean all = tokens.isWord(1, "all");
         String name = all ? "" : name(1);
-        if (tokens.size != 2 || (!all && !REPLAYED.contains(name) && !name.equals(TIMEOUT))) {
+        if (tokens.size != 2 || (!all && !REPLAYED.contains(name) && !name.equals(STATEMENT_TIMEOUT))) {
             return refused(all ? "" : name);
         }
-        timeout = all || name.equals(TIMEOUT) ? 0 : timeout;
-        var left = new TreeMap<>(values);
-        left.remove(name);
-        values = all ? Map.of() : Collections.unmodifiableMap(left);
+        timeout = all || name.equals(STATEMENT_TIMEOUT) ? 0 : timeout;
+        var newValues = new TreeMap<>(values);
+        newValues.remove(name);
+        values = all ? Map.of() : Collections.unmodifiableMap(newValues);
         return new Reply.Done("RESET", null, null);
     }
 
     private Reply set() {
-        int at = tokens.is(1, "session") && tokens.size > 2 ? 2 : 1;
-        if (tokens.is(1, "local") || tokens.is(at, "characteristics") || tokens.is(at, "transaction")) {
+        int at = tokens.isWord(1, "session") && tokens.size > 2 ? 2 : 1;
+        if (tokens.isWord(1, "local") || tokens.isWord(at, "characteristics") || tokens.isWord(at, "transaction")) {
             return refused(text(1, tokens.size));
         }
-        boolean zone = tokens.is(at, "time") && at + 1 < tokens.size && tokens.is(at + 1, "zone");
-        boolean names = tokens.is(at, "names");
-        String name = zone ? "timezone" : names ? "client_encoding" : name(at);
-        int value = zone ? at + 2 : names ? at + 1 : at + 2;
-        boolean sign =
-                zone || names || (at + 1 < tokens.size && (tokens.kinds[at + 1] == Kind.EQ || tokens.is(at + 1, "to")));
-        if (!sign || value >= tokens.size || !constants(value)) {
+        boolean isTimeZone = tokens.isWord(at, "time") && at + 1 < tokens.size && tokens.isWord(at + 1, "zone");
+        boolean isNames = tokens.isWord(at, "names");
+        String name = isTimeZone ? "timezone" : isNames ? "client_encoding" : name(at);
+        int value = isTimeZone ? at + 2 : isNames ? at + 1 : at + 2;
+        boolean sign = isTimeZone
+                || isNames
+                || (at + 1 < tokens.size && (tokens.kinds[at + 1] == Kind.EQ || tokens.isWord(at + 1, "to")));
+        if (!sign || value >= tokens.size || !onlyConstants(value)) {
             return refused(name);
         }
-        if (tokens.size == value + 1 && tokens.is(value, "default")) {
-            var left = new TreeMap<>(values);
-            boolean known = REPLAYED.contains(name) || name.equals(TIMEOUT);
-            left.remove(name);
-            values = Collections.unmodifiableMap(left);
-            timeout = name.equals(TIMEOUT) ? 0 : timeout;
+        if (tokens.size == value + 1 && tokens.isWord(value, "default")) {
+            var newValues = new TreeMap<>(values);
+            boolean known = REPLAYED.contains(name) || name.equals(STATEMENT_TIMEOUT);
+            newValues.remove(name);
+            values = Collections.unmodifiableMap(newValues);
+            timeout = name.equals(STATEMENT_TIMEOUT) ? 0 : timeout;
             return known ? new Reply.Done("SET", null, null) : refused(name);
         }
         String sql = text(value, tokens.size);
         String plain = tokens.size > value + 1
                 ? sql
                 : tokens.kinds[value] == Kind.LITERAL
-                        ? Literals.text(tokens.text, tokens.from[value], tokens.to[value])
+                        ? Literals.canonicalText(tokens.text, tokens.starts[value], tokens.ends[value])
                         : sql;
-        return set(name, zone && tokens.kinds[value] == Kind.WORD ? "'" + sql + "'" : sql, plain == null ? sql : plain);
+        return set(
+                name,
+                isTimeZone && tokens.kinds[value] == Kind.WORD ? "'" + sql + "'" : sql,
+                plain == null ? sql : plain);
     }
 
     /** Whether the rest consists of words, literals, commas and signs, which cannot have side effects. */
-    private boolean constants(int from) {
+    private boolean onlyConstants(int from) {
         for (int i = from; i < tokens.size; i++) {
             Kind kind = tokens.kinds[i];
             boolean sign = kind == Kind.OP
-                    && tokens.to[i] - tokens.from[i] == 1
-                    && (tokens.text[tokens.from[i]] == '-' || tokens.text[tokens.from[i]] == '+');
+                    && tokens.ends[i] - tokens.starts[i] == 1
+                    && (tokens.text[tokens.starts[i]] == '-' || tokens.text[tokens.starts[i]] == '+');
             if (kind != Kind.WORD && kind != Kind.LITERAL && kind != Kind.COMMA && !sign) {
                 return false;
             }
@@ -215,20 +219,20 @@
                 boolean on = Set.of("on", "true", "yes", "1").contains(IdentifierRules.fold(plain));
                 return on == conforming ? new Reply.Done("SET", null, null) : refused(name);
             }
-            case TIMEOUT -> {
-                double seconds = seconds(plain);
+            case STATEMENT_TIMEOUT -> {
+                double seconds = parseSeconds(plain);
                 timeout = seconds < 0 ? timeout : seconds;
                 return seconds < 0
                         ? new Reply.Refused("statement_timeout has no valid time")
                         : new Reply.Done("SET", null, null);
             }
             default -> {
-                if (!REPLAYED.contains(name) || sql.length() > LONGEST) {
+                if (!REPLAYED.contains(name) || sql.length() > MAX_VALUE_LENGTH) {
                     return refused(name);
                 }
-                var more = new TreeMap<>(values);
-                more.put(name, sql);
-                values = Collections.unmodifiableMap(more);
+                var newValues = new TreeMap<>(values);
+                newValues.put(name, sql);
+                values = Collections.unmodifiableMap(newValues);
                 client = name.equals("application_name")
                         ? new ClientIdentity(client.user(), client.database(), plain)
                         : client;
@@ -242,7 +246,7 @@
     }
 
     /** Converts an integer with an optional unit, by default milliseconds, to seconds; negative if invalid. */
-    private static double seconds(String text) {
+    private static double parseSeconds(String text) {
         String digits = text.strip();
         double unit = 0.001;
         for (var known : Map.of("ms", 0.001, "s", 1.0, "min", 60.0, "h", 3600.0).entrySet()) {
@@ -273,7 +277,7 @@
         for (int i = from; i < to; i++) {
             out.append(out.isEmpty() ? "" : " ")
                     .append(new String(
-                            tokens.text, tokens.from[i], tokens.to[i] - tokens.from[i], StandardCharsets.UTF_8));
+                            tokens.text, tokens.starts[i], tokens.ends[i] - tokens.starts[i], StandardCharsets.UTF_8));
         }
         return out.toString();
     }
--- a/statements/src/main/java/clayhook/statements/Shape.java
+++ b/statements/src/main/java/clayhook/statements/Shape.java
@@ -8,16 +8,16 @@
  */
 public final class Shape {
     /** Bytes for what the cache holds in addition to the text: entry, key, counts and the fingerprint. */
-    private static final int ENTRY = 400;
+    private static final int ENTRY_BYTES = 400;
 
     final byte[] text;
     final String fingerprint;
     /** Changes at most once: when a node refuses to run the shape as a read. */
     ShapeFacts facts;
     /** Null until the second answer, because in a flood of new shapes most occur only once. */
-    ServiceTimes measure;
+    ServiceTimes serviceTimes;
     /** The service time of the previous answer in seconds, of which only the first is used; 0 before it. */
-    private double first;
+    private double previousSeconds;
 
     Shape(byte[] text, String fingerprint, ShapeFacts facts) {
         this.text = text;
@@ -31,22 +31,22 @@
     }
 
     /** Records the service time of an answered statement; returns whether the weight of the shape has increased. */
-    boolean took(double seconds) {
-        boolean second = first > 0 && measure == null;
-        if (second) {
-            measure = new ServiceTimes();
-            measure.add(first);
+    boolean recordServiceTime(double seconds) {
+        boolean secondAnswer = previousSeconds > 0 && serviceTimes == null;
+        if (secondAnswer) {
+            serviceTimes = new ServiceTimes();
+            serviceTimes.add(previousSeconds);
         }
-        if (measure != null) {
-            measure.add(seconds);
+        if (serviceTimes != null) {
+            serviceTimes.add(seconds);
         }
-        first = seconds;
-        return second;
+        previousSeconds = seconds;
+        return secondAnswer;
     }
 
     /** The estimated size in bytes. */
     int weight() {
-        return ENTRY + text.length + facts.weight() + (measure == null ? 0 : ServiceTimes.WEIGHT);
+        return ENTRY_BYTES + text.length + facts.weight() + (serviceTimes == null ? 0 : ServiceTimes.ESTIMATED_BYTES);
     }
 
     @Override
--- a/statements/src/main/java/clayhook/statements/ShapeAnalyzer.java
+++ b/statements/src/main/java/clayhook/statements/ShapeAnalyzer.java
@@ -28,21 +28,21 @@
      * The deepest nesting of brackets and CASE that is parsed. The parser uses about thirty stack frames per level;
      * statements written by hand have fewer levels.
      */
-    private static final int DEEPEST = 40;
+    private static final int MAX_DEPTH = 40;
     /**
      * The longest shape in tokens that is parsed, where a list of literals counts as one. Longer ones are generated.
      */
-    static final int LONGEST = 4000;
+    static final int MAX_TOKENS = 4000;
     /**
      * The most lookahead states that the parser caches, of some hundred bytes each. Their number grows with the number
      * of shapes, so the cache is discarded above this bound.
      */
-    static final int MOST_STATES = 20_000;
+    static final int MAX_LOOKAHEAD_STATES = 20_000;
 
-    private static final Map<String, Integer> WORDS = words();
-    private static final Set<String> BLOCKS =
+    private static final Map<String, Integer> KEYWORD_TYPES = keywordTypes();
+    private static final Set<String> TRANSACTION_COMMANDS =
             Set.of("begin", "start", "commit", "end", "rollback", "abort", "savepoint", "release");
-    private static final Set<String> BINDING = Set.of(
+    private static final Set<String> CONNECTION_BOUND_COMMANDS = Set.of(
             "copy",
             "listen",
             "unlisten",
@@ -58,36 +58,36 @@
             "set",
             "reset",
             "load");
-    private static final Set<String> CHANGING =
+    private static final Set<String> CHANGE_WORDS =
             Set.of("insert", "update", "delete", "merge", "into", "truncate", "create", "drop", "alter", "call");
     /** Commands that may change the state of the database session in which they run. */
-    private static final Set<String> OPAQUE = Set.of("do", "call");
+    private static final Set<String> SESSION_CHANGING_COMMANDS = Set.of("do", "call");
 
-    private final HarmlessNames known;
+    private final HarmlessNames harmlessNames;
     private final Sql parser;
-    private int states;
+    private int lookaheadStates;
 
-    ShapeAnalyzer(HarmlessNames known) {
-        this.known = known;
+    ShapeAnalyzer(HarmlessNames harmlessNames) {
+        this.harmlessNames = harmlessNames;
         parser = new Sql(new CommonTokenStream(new ListTokenSource(List.of())));
         parser.removeErrorListeners();
         parser.setErrorHandler(new BailErrorStrategy());
-        forget();
+        resetLookahead();
     }
 
-    private static Map<String, Integer> words() {
-        Map<String, Integer> words = new HashMap<>();
+    private static Map<String, Integer> keywordTypes() {
+        Map<String, Integer> types = new HashMap<>();
         for (int type = Sql.ALL; type <= Sql.VOCABULARY.getMaxTokenType(); type++) {
             String name = Sql.VOCABULARY.getSymbolicName(type);
-            words.put(IdentifierRules.fold(name.endsWith("_") ? name.substring(0, name.length() - 1) : name), type);
+            types.put(IdentifierRules.fold(name.endsWith("_") ? name.substring(0, name.length() - 1) : name), type);
         }
-        return words;
+        return types;
     }
 
     /**
      * Gives the parser new lookahead tables of its own. By default, all parsers share tables that are never cleared.
      */
-    private void forget() {
+    private void resetLookahead() {
         var decisions = new DFA[parser.getATN().getNumberOfDecisions()];
         for (int i = 0; i < decisions.length; i++) {
             decisions[i] = new DFA(parser.getATN().getDecisionState(i), i);
@@ -99,60 +99,62 @@
     }
 
     /** The number of lookahead states that the parser holds. */
-    int states() {
-        return states;
+    int lookaheadStates() {
+        return lookaheadStates;
     }
 
     /** Analyzes a shape; never fails. */
-    ShapeFacts read(TokenBuffer shape) {
+    ShapeFacts analyze(TokenBuffer shape) {
         if (shape.size == 0) {
-            return ShapeFacts.unread(StatementEffect.READ, "nothing to do", "", false);
+            return ShapeFacts.unanalyzed(StatementEffect.READ, "nothing to do", "", false);
         }
-        ShapeFacts refusal = refusal(shape);
+        ShapeFacts refusal = refuseUnsupported(shape);
         if (refusal != null) {
             return refusal;
         }
-        String kind = word(shape, first(shape));
-        if (shape.size > LONGEST) {
-            return ShapeFacts.unread(StatementEffect.WRITE, "longer than is read", kind, true);
-        } else if (depth(shape) > DEEPEST) {
-            return ShapeFacts.unread(StatementEffect.WRITE, "nested deeper than is read", kind, true);
+        String kind = unquotedWord(shape, firstToken(shape));
+        if (shape.size > MAX_TOKENS) {
+            return ShapeFacts.unanalyzed(StatementEffect.WRITE, "longer than is read", kind, true);
+        } else if (depth(shape) > MAX_DEPTH) {
+            return ShapeFacts.unanalyzed(StatementEffect.WRITE, "nested deeper than is read", kind, true);
         }
         ShapeFacts facts = parse(shape, kind);
-        String changing = facts.verdict() == StatementEffect.READ ? changing(shape) : null;
+        String changeWord = facts.verdict() == StatementEffect.READ ? findChangeWord(shape) : null;
         // A read needs two proofs: that of the grammar, and that no word of a change occurs outside quotes.
-        return changing == null ? facts : ShapeFacts.unread(StatementEffect.WRITE, "the word " + changing, kind, true);
+        return changeWord == null
+                ? facts
+                : ShapeFacts.unanalyzed(StatementEffect.WRITE, "the word " + changeWord, kind, true);
     }
 
     private ShapeFacts parse(TokenBuffer shape, String kind) {
         var tokens = new ArrayList<Token>(shape.size);
         for (int i = 0; i < shape.size; i++) {
             String text = text(shape, i);
-            var token = new CommonToken(type(shape.kinds[i], text), text);
+            var token = new CommonToken(tokenType(shape.kinds[i], text), text);
             token.setTokenIndex(i);
             tokens.add(token);
         }
         try {
             parser.setTokenStream(new CommonTokenStream(new ListTokenSource(tokens)));
-            var reading = new StatementAnalysis(known);
-            ParseTreeWalker.DEFAULT.walk(reading, parser.entry());
-            return reading.facts(kind);
+            var analysis = new StatementAnalysis(harmlessNames);
+            ParseTreeWalker.DEFAULT.walk(analysis, parser.entry());
+            return analysis.facts(kind);
         } catch (ParseCancellationException e) {
-            return ShapeFacts.unread(StatementEffect.WRITE, "not understood", kind, true);
+            return ShapeFacts.unanalyzed(StatementEffect.WRITE, "not understood", kind, true);
         } finally {
-            states = 0;
+            lookaheadStates = 0;
             for (DFA decision : parser.getInterpreter().decisionToDFA) {
-                states += decision.states.size();
+                lookaheadStates += decision.states.size();
             }
-            if (states > MOST_STATES) {
-                forget();
+            if (lookaheadStates > MAX_LOOKAHEAD_STATES) {
+                resetLookahead();
             }
         }
     }
 
-    private static int type(Kind kind, String text) {
+    private static int tokenType(Kind kind, String text) {
         return switch (kind) {
-            case WORD -> WORDS.getOrDefault(text, Sql.WORD);
+            case WORD -> KEYWORD_TYPES.getOrDefault(text, Sql.WORD);
             case QUOTED -> Sql.QUOTED;
             case LITERAL -> Sql.LITERAL;
             case OP -> Sql.OP;
@@ -173,16 +175,16 @@
     }
 
     private static String text(TokenBuffer shape, int i) {
-        return new String(shape.text, shape.from[i], shape.to[i] - shape.from[i], StandardCharsets.UTF_8);
+        return new String(shape.text, shape.starts[i], shape.ends[i] - shape.starts[i], StandardCharsets.UTF_8);
     }
 
     /** The unquoted word at this index; empty if the token is none. */
-    private static String word(TokenBuffer shape, int i) {
+    private static String unquotedWord(TokenBuffer shape, int i) {
         return i < shape.size && shape.kinds[i] == Kind.WORD ? text(shape, i) : "";
     }
 
     /** The index of the first token after opening brackets, because a query may be in brackets. */
-    private static int first(TokenBuffer shape) {
+    private static int firstToken(TokenBuffer shape) {
         int i = 0;
         while (i < shape.size && shape.kinds[i] == Kind.LP) {
             i++;
@@ -196,8 +198,8 @@
         int deepest = 0;
         for (int i = 0; i < shape.size; i++) {
             boolean word = shape.kinds[i] == Kind.WORD;
-            boolean opens = shape.kinds[i] == Kind.LP || shape.kinds[i] == Kind.LB || (word && shape.is(i, "case"));
-            boolean closes = shape.kinds[i] == Kind.RP || shape.kinds[i] == Kind.RB || (word && shape.is(i, "end"));
+            boolean opens = shape.kinds[i] == Kind.LP || shape.kinds[i] == Kind.LB || (word && shape.isWord(i, "case"));
+            boolean closes = shape.kinds[i] == Kind.RP || shape.kinds[i] == Kind.RB || (word && shape.isWord(i, "end"));
             depth += opens ? 1 : closes ? -1 : 0;
             deepest = Math.max(deepest, depth);
         }
@@ -205,10 +207,10 @@
     }
 
     /** The first unquoted word that may belong to a change; null if there is none. */
-    private static String changing(TokenBuffer shape) {
+    private static String findChangeWord(TokenBuffer shape) {
         for (int i = 0; i < shape.size; i++) {
-            String word = word(shape, i);
-            if (CHANGING.contains(word)) {
+            String word = unquotedWord(shape, i);
+            if (CHANGE_WORDS.contains(word)) {
                 return word;
             }
         }
@@ -221,7 +223,7 @@
      * Refuses shapes of which any statement binds the session to a connection or controls a transaction; several
      * statements in one, DO and CALL are writes. Returns null if the shape has to be parsed.
      */
-    private static ShapeFacts refusal(TokenBuffer shape) {
+    private static ShapeFacts refuseUnsupported(TokenBuffer shape) {
         int statements = 1;
         int start = 0;
         for (int i = 0; i <= shape.size; i++) {
@@ -232,13 +234,14 @@
                 start = i + 1;
                 continue;
             }
-            String first = word(shape, start);
-            if (BLOCKS.contains(first)
-                    || (first.equals("prepare") && word(shape, start + 1).equals("transaction"))) {
-                return ShapeFacts.unread(
+            String first = unquotedWord(shape, start);
+            if (TRANSACTION_COMMANDS.contains(first)
+                    || (first.equals("prepare")
+                            && unquotedWord(shape, start + 1).equals("transaction"))) {
+                return ShapeFacts.unanalyzed(
                         StatementEffect.REFUSED, "transaction blocks are not taken yet: " + first, first, false);
-            } else if (BINDING.contains(first)) {
-                return ShapeFacts.unread(
+            } else if (CONNECTION_BOUND_COMMANDS.contains(first)) {
+                return ShapeFacts.unanalyzed(
                         StatementEffect.REFUSED, "binds the session to a connection: " + first, first, false);
             }
             statements += start > 0 ? 1 : 0;
@@ -246,13 +249,14 @@
         }
         for (int i = 0; i + 1 < shape.size; i++) {
             if (shape.kinds[i] == Kind.WORD
-                    && (shape.is(i, "temp") || shape.is(i, "temporary"))
-                    && (i <= MODIFIERS || word(shape, i - 1).equals("into"))
-                    && (word(shape, 0).equals("create") || word(shape, i - 1).equals("into"))) {
-                return ShapeFacts.unread(
+                    && (shape.isWord(i, "temp") || shape.isWord(i, "temporary"))
+                    && (i <= MAX_TEMPORARY_INDEX || unquotedWord(shape, i - 1).equals("into"))
+                    && (unquotedWord(shape, 0).equals("create")
+                            || unquotedWord(shape, i - 1).equals("into"))) {
+                return ShapeFacts.unanalyzed(
                         StatementEffect.REFUSED,
                         "binds the session to a connection: a temporary object",
-                        word(shape, 0),
+                        unquotedWord(shape, 0),
                         false);
             }
             String name = shape.kinds[i + 1] != Kind.LP
@@ -260,22 +264,22 @@
                     : shape.kinds[i] == Kind.WORD
                             ? text(shape, i)
                             : shape.kinds[i] == Kind.QUOTED ? IdentifierRules.unquote(text(shape, i)) : "";
-            if (HarmlessNames.BINDING.contains(name)) {
-                return ShapeFacts.unread(
+            if (HarmlessNames.CONNECTION_BOUND_FUNCTIONS.contains(name)) {
+                return ShapeFacts.unanalyzed(
                         StatementEffect.REFUSED,
                         "binds the session to a connection: " + name,
-                        word(shape, first(shape)),
+                        unquotedWord(shape, firstToken(shape)),
                         false);
             }
         }
-        String kind = word(shape, first(shape));
+        String kind = unquotedWord(shape, firstToken(shape));
         return statements > 1
-                ? ShapeFacts.unread(StatementEffect.WRITE, "several statements in one", kind, true)
-                : OPAQUE.contains(kind)
-                        ? ShapeFacts.unread(StatementEffect.WRITE, kind + " may run anything", kind, true)
+                ? ShapeFacts.unanalyzed(StatementEffect.WRITE, "several statements in one", kind, true)
+                : SESSION_CHANGING_COMMANDS.contains(kind)
+                        ? ShapeFacts.unanalyzed(StatementEffect.WRITE, kind + " may run anything", kind, true)
                         : null;
     }
 
     /** The last index at which TEMPORARY may follow CREATE, OR, REPLACE, and LOCAL or GLOBAL. */
-    private static final int MODIFIERS = 4;
+    private static final int MAX_TEMPORARY_INDEX = 4;
 }
--- a/statements/src/main/java/clayhook/statements/ShapeBuilder.java
+++ b/statements/src/main/java/clayhook/statements/ShapeBuilder.java
@@ -10,23 +10,23 @@
  */
 final class ShapeBuilder {
     /** The placeholder for literals. It is unambiguous, because a single dollar sign is no token of a statement. */
-    static final byte PLACE = '$';
+    static final byte PLACEHOLDER = '$';
     /** The largest buffer in bytes that is reused; a larger one is discarded before the next statement. */
-    private static final int KEPT = 1 << 14;
+    private static final int MAX_RETAINED_BYTES = 1 << 14;
 
     byte[] bytes = new byte[512];
     int length;
     /** The tokens of the shape, with their positions in the bytes of the shape. */
     final TokenBuffer tokens = new TokenBuffer();
 
-    private int[] source = new int[64];
-    private int[] rows = new int[64];
-    private TokenBuffer from;
+    private int[] sourceTokens = new int[64];
+    private int[] rowCounts = new int[64];
+    private TokenBuffer input;
 
     /** Builds the shape of a statement, without leading and trailing semicolons. */
-    void shape(TokenBuffer statement) {
-        from = statement;
-        bytes = bytes.length > KEPT ? new byte[512] : bytes;
+    void build(TokenBuffer statement) {
+        input = statement;
+        bytes = bytes.length > MAX_RETAINED_BYTES ? new byte[512] : bytes;
         length = 0;
         tokens.clear(null);
         int i = 0;
@@ -39,40 +39,40 @@
         }
         while (i < end) {
             Kind kind = statement.kinds[i];
-            int close = kind == Kind.LP ? list(i, end, Kind.RP) : kind == Kind.LB ? list(i, end, Kind.RB) : -1;
+            int close = kind == Kind.LP ? listEnd(i, end, Kind.RP) : kind == Kind.LB ? listEnd(i, end, Kind.RB) : -1;
             if (close > 0) {
-                add(kind, i);
-                add(Kind.LITERAL, i + 1);
+                append(kind, i);
+                append(Kind.LITERAL, i + 1);
                 int first = tokens.size - 1;
-                rows[first] = 1;
-                for (int next = another(close, end, kind); next > 0; next = another(close, end, kind)) {
+                rowCounts[first] = 1;
+                for (int next = nextListEnd(close, end, kind); next > 0; next = nextListEnd(close, end, kind)) {
                     close = next;
-                    rows[first]++;
+                    rowCounts[first]++;
                 }
-                add(statement.kinds[close], close);
+                append(statement.kinds[close], close);
                 i = close + 1;
             } else {
-                add(kind, i++);
+                append(kind, i++);
             }
         }
         tokens.text = bytes;
-        from = null;
+        input = null;
     }
 
     /** The index of the closing token of the list of literals that opens at {@code i}; -1 if it is no such list. */
-    private int list(int i, int end, Kind close) {
+    private int listEnd(int i, int end, Kind close) {
         int j = i + 1;
         while (j < end) {
-            if (from.kinds[j] == Kind.OP && sign(j)) {
+            if (input.kinds[j] == Kind.OP && isSign(j)) {
                 j++;
             }
-            if (j + 1 >= end || !constant(j)) {
+            if (j + 1 >= end || !isConstant(j)) {
                 return -1;
             }
             j++;
-            if (from.kinds[j] == close) {
+            if (input.kinds[j] == close) {
                 return j;
-            } else if (from.kinds[j] != Kind.COMMA) {
+            } else if (input.kinds[j] != Kind.COMMA) {
                 return -1;
             }
             j++;
@@ -81,24 +81,27 @@
     }
 
     /** The index of the closing token of the list that follows the one closed at {@code close}; -1 if there is none. */
-    private int another(int close, int end, Kind open) {
-        return close + 2 < end && from.kinds[close + 1] == Kind.COMMA && from.kinds[close + 2] == open
-                ? list(close + 2, end, from.kinds[close])
+    private int nextListEnd(int close, int end, Kind open) {
+        return close + 2 < end && input.kinds[close + 1] == Kind.COMMA && input.kinds[close + 2] == open
+                ? listEnd(close + 2, end, input.kinds[close])
                 : -1;
     }
 
-    private boolean sign(int j) {
-        byte c = from.text[from.from[j]];
-        return from.to[j] - from.from[j] == 1 && (c == '-' || c == '+');
+    private boolean isSign(int j) {
+        byte c = input.text[input.starts[j]];
+        return input.ends[j] - input.starts[j] == 1 && (c == '-' || c == '+');
     }
 
-    private boolean constant(int j) {
-        return from.kinds[j] == Kind.LITERAL || from.is(j, "null") || from.is(j, "true") || from.is(j, "false");
+    private boolean isConstant(int j) {
+        return input.kinds[j] == Kind.LITERAL
+                || input.isWord(j, "null")
+                || input.isWord(j, "true")
+                || input.isWord(j, "false");
     }
 
-    private void add(Kind kind, int i) {
-        int start = from.from[i];
-        int size = kind == Kind.LITERAL ? 1 : from.to[i] - start;
+    private void append(Kind kind, int i) {
+        int start = input.starts[i];
+        int size = kind == Kind.LITERAL ? 1 : input.ends[i] - start;
         if (length + size + 1 > bytes.length) {
             bytes = Arrays.copyOf(bytes, Math.max(2 * bytes.length, length + size + 1));
         }
@@ -107,36 +110,36 @@
         }
         int at = length;
         if (kind == Kind.LITERAL) {
-            bytes[length++] = PLACE;
+            bytes[length++] = PLACEHOLDER;
         } else if (kind == Kind.WORD) {
             for (int j = 0; j < size; j++) {
-                byte b = from.text[start + j];
+                byte b = input.text[start + j];
                 bytes[length++] = b >= 'A' && b <= 'Z' ? (byte) (b | 0x20) : b;
             }
         } else {
-            System.arraycopy(from.text, start, bytes, length, size);
+            System.arraycopy(input.text, start, bytes, length, size);
             length += size;
         }
-        if (tokens.size == source.length) {
-            source = Arrays.copyOf(source, 2 * source.length);
-            rows = Arrays.copyOf(rows, 2 * rows.length);
+        if (tokens.size == sourceTokens.length) {
+            sourceTokens = Arrays.copyOf(sourceTokens, 2 * sourceTokens.length);
+            rowCounts = Arrays.copyOf(rowCounts, 2 * rowCounts.length);
         }
-        source[tokens.size] = i;
-        rows[tokens.size] = 0;
+        sourceTokens[tokens.size] = i;
+        rowCounts[tokens.size] = 0;
         tokens.add(kind, at, length);
     }
 
     // ---- literals behind the placeholders of the shape ----
 
     /** The number of successive lists behind a placeholder; 0 for a single literal that is in no list. */
-    int rows(int place) {
-        return rows[place];
+    int rowCount(int placeholder) {
+        return rowCounts[placeholder];
     }
 
     /** The index of the literal token of a statement at this row and element of a placeholder; -1 if there is none. */
-    int element(TokenBuffer statement, int place, int row, int element) {
-        int i = source[place];
-        if (rows[place] == 0) {
+    int elementToken(TokenBuffer statement, int placeholder, int row, int element) {
+        int i = sourceTokens[placeholder];
+        if (rowCounts[placeholder] == 0) {
             return row == 0 && element == 0 ? i : -1;
         }
         for (int r = 0; r < row; r++) {
@@ -155,13 +158,13 @@
     }
 
     /** The number of elements of each list behind a placeholder; -1 if the lists differ in length. */
-    int width(TokenBuffer statement, int place) {
-        if (rows[place] == 0) {
+    int rowWidth(TokenBuffer statement, int placeholder) {
+        if (rowCounts[placeholder] == 0) {
             return 1;
         }
         int width = -1;
-        int i = source[place];
-        for (int row = 0; row < rows[place]; row++) {
+        int i = sourceTokens[placeholder];
+        for (int row = 0; row < rowCounts[placeholder]; row++) {
             int count = 1;
             for (; statement.kinds[i] != Kind.RP && statement.kinds[i] != Kind.RB; i++) {
                 count += statement.kinds[i] == Kind.COMMA ? 1 : 0;
--- a/statements/src/main/java/clayhook/statements/ShapeCache.java
+++ b/statements/src/main/java/clayhook/statements/ShapeCache.java
@@ -12,8 +12,8 @@
  * whole shape, so that a hash collision, deliberate or not, never returns a different shape.
  */
 final class ShapeCache {
-    /** A shape larger than this fraction of the bound, one part in 16, is not cached. */
-    private static final int LARGEST_PART = 16;
+    /** A shape whose weight exceeds the bound divided by this number is not cached. */
+    private static final int MAX_SHAPE_DIVISOR = 16;
 
     private record Key(byte[] bytes, int length, long hash) implements Comparable<Key> {
         @Override
@@ -37,17 +37,17 @@
 
     private final Cache<Key, Shape> shapes;
     private final Hash hash;
-    private final long bound;
+    private final long maxBytes;
 
     /**
      * Creates a cache with a seeded hash function.
      *
-     * @param bytes the bound in bytes
+     * @param maxBytes the bound in bytes
      * @param seed must be unknown to clients, so that they cannot choose shapes with colliding hashes
      */
-    static ShapeCache seeded(long bytes, int seed) {
+    static ShapeCache seeded(long maxBytes, int seed) {
         Hasher128 hasher = Hashing.murmur3_128(seed);
-        return new ShapeCache(bytes, (shape, length) -> hasher.hashBytesTo128Bits(shape, 0, length)
+        return new ShapeCache(maxBytes, (shape, length) -> hasher.hashBytesTo128Bits(shape, 0, length)
                 .getAsLong());
     }
 
@@ -56,11 +56,11 @@
         long of(byte[] shape, int length);
     }
 
-    ShapeCache(long bytes, Hash hash) {
-        bound = bytes;
+    ShapeCache(long maxBytes, Hash hash) {
+        this.maxBytes = maxBytes;
         this.hash = hash;
         shapes = Caffeine.newBuilder()
-                .maximumWeight(bytes)
+                .maximumWeight(maxBytes)
                 .weigher((Key key, Shape shape) -> shape.weight())
                 .executor(Runnable::run)
                 .build();
@@ -73,7 +73,7 @@
 
     /** Adds a shape, or updates its weight. A shape that is too large is not cached. */
     void put(Shape shape) {
-        if (shape.weight() <= bound / LARGEST_PART) {
+        if (shape.weight() <= maxBytes / MAX_SHAPE_DIVISOR) {
             shapes.put(key(shape.text, shape.text.length), shape);
         }
     }
--- a/statements/src/main/java/clayhook/statements/StatementAnalysis.java
+++ b/statements/src/main/java/clayhook/statements/StatementAnalysis.java
@@ -1,6 +1,6 @@
 package clayhook.statements;
 
-import clayhook.statements.ShapeFacts.Place;
+import clayhook.statements.ShapeFacts.LiteralPosition;
 import clayhook.statements.Sql.*;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -18,144 +18,144 @@
  * effects makes the shape a write.
  */
 final class StatementAnalysis extends SqlBaseListener {
-    private final HarmlessNames known;
+    private final HarmlessNames harmlessNames;
     /** The first reason found why the shape may change something, or null. */
-    private String why;
+    private String writeReason;
 
     private final Set<String> relations = new LinkedHashSet<>();
     /** Names defined so far by WITH clauses; within the query that defines it, a name still denotes a table. */
-    private final Set<String> given = new HashSet<>();
+    private final Set<String> cteNames = new HashSet<>();
 
     private final Set<String> functions = new TreeSet<>();
-    private final Map<String, Place> keys = new LinkedHashMap<>();
-    private boolean inserts;
+    private final Map<String, LiteralPosition> literalPositions = new LinkedHashMap<>();
+    private boolean insertsRows;
     /** Whether the shape may call a function that changes the state of the database session. */
-    private boolean opaque;
+    private boolean mayChangeSession;
 
-    private int selects;
-    private int joins;
-    private int aggregates;
-    private int sorts;
-    private boolean limited;
-    private boolean filtered;
+    private int selectCount;
+    private int joinCount;
+    private int aggregateCount;
+    private int sortCount;
+    private boolean hasLimit;
+    private boolean hasFilter;
 
-    StatementAnalysis(HarmlessNames known) {
-        this.known = known;
+    StatementAnalysis(HarmlessNames harmlessNames) {
+        this.harmlessNames = harmlessNames;
     }
 
     ShapeFacts facts(String kind) {
         return new ShapeFacts(
-                why == null ? StatementEffect.READ : StatementEffect.WRITE,
-                why == null ? "proven to change nothing" : why,
+                writeReason == null ? StatementEffect.READ : StatementEffect.WRITE,
+                writeReason == null ? "proven to change nothing" : writeReason,
                 kind,
                 List.copyOf(relations),
                 List.copyOf(functions),
-                Map.copyOf(keys),
-                inserts,
-                work(),
-                opaque);
+                Map.copyOf(literalPositions),
+                insertsRows,
+                estimateWork(),
+                mayChangeSession);
     }
 
     /** Estimates the work from the number of rows and passes over them; a limit without a sort ends a scan early. */
-    private double work() {
-        double work = 1 + 2.0 * joins + 3.0 * aggregates + 2.0 * sorts + Math.max(0, selects - 1);
-        boolean whole = !relations.isEmpty() && !filtered && !inserts;
-        work *= whole && !limited ? 10 : 1;
-        return limited && sorts == 0 && aggregates == 0 ? Math.max(1, work / 2) : work;
+    private double estimateWork() {
+        double work = 1 + 2.0 * joinCount + 3.0 * aggregateCount + 2.0 * sortCount + Math.max(0, selectCount - 1);
+        boolean scansAll = !relations.isEmpty() && !hasFilter && !insertsRows;
+        work *= scansAll && !hasLimit ? 10 : 1;
+        return hasLimit && sortCount == 0 && aggregateCount == 0 ? Math.max(1, work / 2) : work;
     }
 
-    private void writes(String reason) {
-        why = why == null ? reason : why;
+    private void markAsWrite(String reason) {
+        writeReason = writeReason == null ? reason : writeReason;
     }
 
     // ---- statements ----
 
     @Override
     public void exitCte(CteContext ctx) {
-        given.add(IdentifierRules.of(ctx.name()));
+        cteNames.add(IdentifierRules.normalize(ctx.name()));
     }
 
     @Override
     public void enterSelect(SelectContext ctx) {
-        selects++;
-        filtered |= ctx.where() != null;
-        aggregates += ctx.GROUP() == null ? 0 : 1;
+        selectCount++;
+        hasFilter |= ctx.where() != null;
+        aggregateCount += ctx.GROUP() == null ? 0 : 1;
     }
 
     @Override
     public void enterInto(IntoContext ctx) {
-        writes("SELECT INTO makes a table");
+        markAsWrite("SELECT INTO makes a table");
     }
 
     @Override
     public void enterLock(LockContext ctx) {
-        writes("locks rows");
+        markAsWrite("locks rows");
     }
 
     @Override
     public void enterInsert(InsertContext ctx) {
-        changes("INSERT", ctx);
-        if (outermost(ctx)) {
-            inserted(ctx);
+        markRowChange("INSERT", ctx);
+        if (isOutermost(ctx)) {
+            collectInsertedColumns(ctx);
         }
     }
 
     @Override
     public void enterUpdate(UpdateContext ctx) {
-        changes("UPDATE", ctx);
+        markRowChange("UPDATE", ctx);
     }
 
     @Override
     public void enterDelete(DeleteContext ctx) {
-        changes("DELETE", ctx);
+        markRowChange("DELETE", ctx);
     }
 
-    private void changes(String verb, ParserRuleContext ctx) {
-        writes(verb + (outermost(ctx) ? " changes rows" : " within the statement changes rows"));
-        filtered |= ctx.getRuleContext(WhereContext.class, 0) != null;
+    private void markRowChange(String verb, ParserRuleContext ctx) {
+        markAsWrite(verb + (isOutermost(ctx) ? " changes rows" : " within the statement changes rows"));
+        hasFilter |= ctx.getRuleContext(WhereContext.class, 0) != null;
     }
 
-    private static boolean outermost(ParserRuleContext ctx) {
+    private static boolean isOutermost(ParserRuleContext ctx) {
         return ctx.getParent() instanceof StatementContext statement && !(statement.getParent() instanceof CteContext);
     }
 
     @Override
     public void enterTarget_(Target_Context ctx) {
-        relations.add(IdentifierRules.of(ctx.qname()));
+        relations.add(IdentifierRules.normalize(ctx.qname()));
     }
 
     @Override
     public void enterRelation(RelationContext ctx) {
-        String name = IdentifierRules.of(ctx.qname());
-        if (!given.contains(name)) {
+        String name = IdentifierRules.normalize(ctx.qname());
+        if (!cteNames.contains(name)) {
             relations.add(name);
         }
-        if (!known.relation(name)) {
-            writes("reading " + name + " may change something");
+        if (!harmlessNames.isHarmlessRelation(name)) {
+            markAsWrite("reading " + name + " may change something");
         }
     }
 
     @Override
     public void enterJoin(JoinContext ctx) {
-        joins++;
+        joinCount++;
     }
 
     @Override
     public void enterSources(SourcesContext ctx) {
-        joins += ctx.source().size() - 1;
+        joinCount += ctx.source().size() - 1;
     }
 
     @Override
     public void enterTail(TailContext ctx) {
-        sorts += ctx.ORDER() == null ? 0 : 1;
-        limited |= (ctx.LIMIT() != null && ctx.ALL() == null) || ctx.FETCH() != null;
+        sortCount += ctx.ORDER() == null ? 0 : 1;
+        hasLimit |= (ctx.LIMIT() != null && ctx.ALL() == null) || ctx.FETCH() != null;
     }
 
     @Override
     public void enterSampling(SamplingContext ctx) {
-        String name = IdentifierRules.of(ctx.name());
+        String name = IdentifierRules.normalize(ctx.name());
         if (!name.equals("bernoulli") && !name.equals("system")) {
-            writes("unknown sampling method " + name);
+            markAsWrite("unknown sampling method " + name);
         }
     }
 
@@ -165,18 +165,18 @@
     public void enterCall(CallContext ctx) {
         String name = ctx.function().qname() == null
                 ? IdentifierRules.fold(ctx.function().getText())
-                : IdentifierRules.of(ctx.function().qname());
-        called(name);
+                : IdentifierRules.normalize(ctx.function().qname());
+        recordCall(name);
         if (HarmlessNames.AGGREGATES.contains(name)) {
-            aggregates++;
+            aggregateCount++;
         }
     }
 
-    private void called(String name) {
+    private void recordCall(String name) {
         functions.add(name);
-        opaque |= !known.leavesNothingBehind(name);
-        if (!known.function(name)) {
-            writes("function " + name + " is not known to change nothing");
+        mayChangeSession |= !harmlessNames.leavesSessionUnchanged(name);
+        if (!harmlessNames.isHarmlessFunction(name)) {
+            markAsWrite("function " + name + " is not known to change nothing");
         }
     }
 
@@ -188,57 +188,57 @@
                         ? ctx.SUBSTRING()
                         : ctx.POSITION() != null ? ctx.POSITION() : ctx.OVERLAY() != null ? ctx.OVERLAY() : ctx.TRIM();
         if (special != null) {
-            called(IdentifierRules.fold(special.getText()));
+            recordCall(IdentifierRules.fold(special.getText()));
         }
         if (ctx.qname() != null) {
-            column(ctx.qname());
+            checkColumn(ctx.qname());
         }
     }
 
     /** Checks for a function call in the notation of a column: {@code row.f} is {@code f(row)}. */
-    private void column(QnameContext name) {
-        mayCall(IdentifierRules.of(name.name(name.name().size() - 1)));
+    private void checkColumn(QnameContext name) {
+        checkFunctionNotation(IdentifierRules.normalize(name.name(name.name().size() - 1)));
     }
 
-    private void mayCall(String last) {
-        if (known.mayBeFunction(last)) {
-            opaque = true;
-            writes(last + " may be a function of the database");
+    private void checkFunctionNotation(String last) {
+        if (harmlessNames.mayBeFunction(last)) {
+            mayChangeSession = true;
+            markAsWrite(last + " may be a function of the database");
         }
     }
 
     @Override
     public void enterPostfix(PostfixContext ctx) {
         if (ctx.DOT() != null && ctx.name() != null) {
-            mayCall(IdentifierRules.of(ctx.name()));
+            checkFunctionNotation(IdentifierRules.normalize(ctx.name()));
         }
     }
 
     @Override
     public void enterOperator(OperatorContext ctx) {
-        String schema = ctx.name().isEmpty() ? "" : IdentifierRules.of(ctx.name(0));
+        String schema = ctx.name().isEmpty() ? "" : IdentifierRules.normalize(ctx.name(0));
         ParseTree sign = ctx.OPERATOR() == null ? ctx.getChild(0) : ctx.getChild(ctx.getChildCount() - 2);
-        if (!known.operator(sign.getText())
+        if (!harmlessNames.isHarmlessOperator(sign.getText())
                 || ctx.name().size() > 1
                 || (!schema.isEmpty() && !schema.equals("pg_catalog"))) {
-            writes("operator " + sign.getText() + " is not known to change nothing");
+            markAsWrite("operator " + sign.getText() + " is not known to change nothing");
         }
     }
 
     @Override
     public void enterTerm(TermContext ctx) {
         for (TerminalNode sign : ctx.OP()) {
-            if (!known.operator(sign.getText())) {
-                writes("operator " + sign.getText() + " is not known to change nothing");
+            if (!harmlessNames.isHarmlessOperator(sign.getText())) {
+                markAsWrite("operator " + sign.getText() + " is not known to change nothing");
             }
         }
     }
 
     @Override
     public void enterTypeName(TypeNameContext ctx) {
-        String name = ctx.qname() == null ? "" : IdentifierRules.of(ctx.qname());
-        if (!name.isEmpty() && !known.type(name)) {
-            writes("type " + name + " is not known to change nothing");
+        String name = ctx.qname() == null ? "" : IdentifierRules.normalize(ctx.qname());
+        if (!name.isEmpty() && !harmlessNames.isHarmlessType(name)) {
+            markAsWrite("type " + name + " is not known to change nothing");
         }
     }
 
@@ -247,18 +247,18 @@
     @Override
     public void enterWhere(WhereContext ctx) {
         ParserRuleContext owner = ctx.getParent();
-        boolean plain = owner instanceof SelectContext select
+        boolean isTopLevel = owner instanceof SelectContext select
                 ? select.getParent().getParent() instanceof BodyContext body
                         && body.operand().size() == 1
-                        && outermost(body)
-                : outermost(owner);
-        if (plain) {
-            compared(ctx.expr());
+                        && isOutermost(body)
+                : isOutermost(owner);
+        if (isTopLevel) {
+            collectComparisons(ctx.expr());
         }
     }
 
     /** Collects the columns compared with one literal, unless the condition contains an OR. */
-    private void compared(ExprContext all) {
+    private void collectComparisons(ExprContext all) {
         if (all.binary().stream().anyMatch(b -> b.OR() != null)) {
             return;
         }
@@ -273,8 +273,8 @@
                     && !ranged
                     && all.binary(from).operator() != null
                     && all.binary(from).operator().getText().equals("=")) {
-                compared(all.term(from), all.term(from + 1));
-                compared(all.term(from + 1), all.term(from));
+                collectComparison(all.term(from), all.term(from + 1));
+                collectComparison(all.term(from + 1), all.term(from));
             }
             ranged = false;
             for (int j = from; j < i; j++) {
@@ -284,39 +284,41 @@
         }
     }
 
-    private void compared(TermContext column, TermContext literal) {
+    private void collectComparison(TermContext column, TermContext literal) {
         PrimaryContext name = column.getChildCount() == 1 ? column.primary() : null;
         PrimaryContext value = literal.getChildCount() == 1 ? literal.primary() : null;
         if (name != null && name.qname() != null && value != null && value.literal() != null) {
             QnameContext qname = name.qname();
-            keys.putIfAbsent(
-                    IdentifierRules.of(qname.name(qname.name().size() - 1)),
-                    new Place(value.literal().LITERAL().getSymbol().getTokenIndex(), 0, 1));
+            literalPositions.putIfAbsent(
+                    IdentifierRules.normalize(qname.name(qname.name().size() - 1)),
+                    new LiteralPosition(value.literal().LITERAL().getSymbol().getTokenIndex(), 0, 1));
         }
     }
 
     /** Collects the columns of an INSERT with rows of values. */
-    private void inserted(InsertContext ctx) {
+    private void collectInsertedColumns(InsertContext ctx) {
         BodyContext body = ctx.query() == null ? null : ctx.query().body();
         OperandContext operand = body == null || body.operand().size() > 1 ? null : body.operand(0);
         if (operand == null || operand.VALUES() == null || operand.row().size() != 1) {
             return;
         }
-        inserts = true;
+        insertsRows = true;
         List<ExprContext> values = operand.row(0).exprs().expr();
         List<Into_Context> columns = ctx.into_();
         for (int i = 0; i < columns.size(); i++) {
             boolean listed = values.size() == 1 && columns.size() > 1;
             ExprContext value = listed ? values.get(0) : i < values.size() ? values.get(i) : null;
-            PrimaryContext plain =
+            PrimaryContext plainValue =
                     value != null && value.getChildCount() == 1 && value.term(0).getChildCount() == 1
                             ? value.term(0).primary()
                             : null;
-            if (plain != null && plain.literal() != null && columns.get(i).getChildCount() == 1) {
-                keys.putIfAbsent(
-                        IdentifierRules.of(columns.get(i).name(0)),
-                        new Place(
-                                plain.literal().LITERAL().getSymbol().getTokenIndex(),
+            if (plainValue != null
+                    && plainValue.literal() != null
+                    && columns.get(i).getChildCount() == 1) {
+                literalPositions.putIfAbsent(
+                        IdentifierRules.normalize(columns.get(i).name(0)),
+                        new LiteralPosition(
+                                plainValue.literal().LITERAL().getSymbol().getTokenIndex(),
                                 listed ? i : 0,
                                 listed ? columns.size() : 1));
             }
--- a/statements/src/main/java/clayhook/statements/TokenBuffer.java
+++ b/statements/src/main/java/clayhook/statements/TokenBuffer.java
@@ -26,45 +26,45 @@
     }
 
     /** The largest arrays, in tokens, that are reused; larger ones are discarded before the next statement. */
-    private static final int KEPT = 1 << 12;
+    private static final int MAX_RETAINED_TOKENS = 1 << 12;
 
     byte[] text;
     Kind[] kinds = new Kind[64];
-    int[] from = new int[64];
-    int[] to = new int[64];
+    int[] starts = new int[64];
+    int[] ends = new int[64];
     int size;
     /** The reason why the text cannot be split into tokens, or null. */
-    String fault;
+    String error;
 
-    void clear(byte[] next) {
-        text = next;
+    void clear(byte[] newText) {
+        text = newText;
         size = 0;
-        fault = null;
-        if (kinds.length > KEPT) {
+        error = null;
+        if (kinds.length > MAX_RETAINED_TOKENS) {
             kinds = new Kind[64];
-            from = new int[64];
-            to = new int[64];
+            starts = new int[64];
+            ends = new int[64];
         }
     }
 
     void add(Kind kind, int start, int end) {
         if (size == kinds.length) {
             kinds = Arrays.copyOf(kinds, 2 * size);
-            from = Arrays.copyOf(from, 2 * size);
-            to = Arrays.copyOf(to, 2 * size);
+            starts = Arrays.copyOf(starts, 2 * size);
+            ends = Arrays.copyOf(ends, 2 * size);
         }
         kinds[size] = kind;
-        from[size] = start;
-        to[size++] = end;
+        starts[size] = start;
+        ends[size++] = end;
     }
 
     /** Whether the token is this unquoted word, ignoring case; {@code word} is in lower case. */
-    boolean is(int i, String word) {
-        if (kinds[i] != Kind.WORD || to[i] - from[i] != word.length()) {
+    boolean isWord(int token, String word) {
+        if (kinds[token] != Kind.WORD || ends[token] - starts[token] != word.length()) {
             return false;
         }
         for (int j = 0; j < word.length(); j++) {
-            if ((text[from[i] + j] | 0x20) != word.charAt(j)) {
+            if ((text[starts[token] + j] | 0x20) != word.charAt(j)) {
                 return false;
             }
         }
--- a/statements/src/test/java/clayhook/statements/ClassifierTest.java
+++ b/statements/src/test/java/clayhook/statements/ClassifierTest.java
@@ -205,19 +205,19 @@
     @Test
     void shapesOfOneHashAreNotTakenForOneAnother() {
         var shapes = new ShapeCache(1 << 20, (shape, length) -> 42);
-        var shaper = new ShapeBuilder();
+        var shapeBuilder = new ShapeBuilder();
         var tokens = new TokenBuffer();
         for (int round = 0; round < 2; round++) {
             for (int i = 0; i < 200; i++) {
                 new Lexer(true).lex(("select a" + i).getBytes(UTF_8), tokens);
-                shaper.shape(tokens);
-                Shape found = shapes.get(shaper);
+                shapeBuilder.build(tokens);
+                Shape found = shapes.get(shapeBuilder);
                 assertEquals(round == 0 ? null : "select a" + i, found == null ? null : found.toString());
                 if (round == 0) {
                     shapes.put(new Shape(
                             ("select a" + i).getBytes(UTF_8),
                             "",
-                            ShapeFacts.unread(StatementEffect.READ, "", "", false)));
+                            ShapeFacts.unanalyzed(StatementEffect.READ, "", "", false)));
                 }
             }
         }
@@ -251,9 +251,9 @@
                 text.append(random.nextBoolean() ? ", " : " and ").append(pieces[random.nextInt(pieces.length)]);
             }
             classed(classifier, text.toString());
-            most = Math.max(most, classifier.states());
+            most = Math.max(most, classifier.lookaheadStates());
         }
-        assertTrue(most > 100 && most <= ShapeAnalyzer.MOST_STATES, "" + most);
+        assertTrue(most > 100 && most <= ShapeAnalyzer.MAX_LOOKAHEAD_STATES, "" + most);
     }
 
     @ParameterizedTest
--- a/statements/src/test/java/clayhook/statements/CorpusTest.java
+++ b/statements/src/test/java/clayhook/statements/CorpusTest.java
@@ -109,6 +109,6 @@
     private static boolean closed(String text) {
         var tokens = new TokenBuffer();
         new Lexer(true).lex(text.getBytes(UTF_8), tokens);
-        return tokens.fault == null && tokens.size > 1 && !text.contains("--");
+        return tokens.error == null && tokens.size > 1 && !text.contains("--");
     }
 }
--- a/statements/src/test/java/clayhook/statements/ShapePropertiesTest.java
+++ b/statements/src/test/java/clayhook/statements/ShapePropertiesTest.java
@@ -67,7 +67,7 @@
     void literalsSpacesAndCaseNeverChangeShapeOrClass(@ForAll("statements") CorpusTest.Case given, @ForAll long seed) {
         var random = new Random(seed);
         lexer.lex(given.bytes(), tokens);
-        if (tokens.fault != null) {
+        if (tokens.error != null) {
             return;
         }
         var text = new StringBuilder();
@@ -75,7 +75,7 @@
             if (tokens.kinds[i] == Kind.LITERAL && i > 0 && tokens.kinds[i - 1] == Kind.LITERAL) {
                 return; // white space between two strings may make one of them
             }
-            String token = new String(given.bytes(), tokens.from[i], tokens.to[i] - tokens.from[i], UTF_8);
+            String token = new String(given.bytes(), tokens.starts[i], tokens.ends[i] - tokens.starts[i], UTF_8);
             text.append(
                     tokens.kinds[i] == Kind.LITERAL
                             ? LITERALS[random.nextInt(LITERALS.length)]
@@ -146,9 +146,9 @@
         };
         for (String form : forms) {
             lexer.lex((form + ",b").getBytes(UTF_8), tokens);
-            assertNull(tokens.fault);
+            assertNull(tokens.error);
             assertEquals(3, tokens.size, form);
-            assertEquals(form.getBytes(UTF_8).length, tokens.to[0], form);
+            assertEquals(form.getBytes(UTF_8).length, tokens.ends[0], form);
         }
     }
 }
