--- a/benchmarks/src/main/java/clayhook/benchmarks/ClassifierBenchmark.java
+++ b/benchmarks/src/main/java/clayhook/benchmarks/ClassifierBenchmark.java
@@ -62,7 +62,7 @@
     public void make() {
         for (int i = 0; i < known.length; i++) {
             known[i] = statement(i % HOT % FORMS.length, Integer.toString(i % HOT), i);
-            classifier.took(ask(known[i]), 0.001);
+            classifier.recordServiceTime(ask(known[i]), 0.001);
         }
     }
 
@@ -81,7 +81,7 @@
     }
 
     private Classification ask(byte[] text) {
-        classifier.turn();
+        classifier.beginTick();
         return classifier.classify(text, ClientIdentity.UNKNOWN);
     }
 
--- a/cli/src/main/java/clayhook/cli/ClassifyCommand.java
+++ b/cli/src/main/java/clayhook/cli/ClassifyCommand.java
@@ -84,7 +84,7 @@
                 byte[] text = statement.toByteArray();
                 statement.reset();
                 if (!new String(text, StandardCharsets.UTF_8).isBlank()) {
-                    classifier.turn();
+                    classifier.beginTick();
                     Classification classed = classifier.classify(text, client);
                     out.println(json ? json(classed) : line(classed, classifier.shape(text)));
                 }
@@ -110,9 +110,10 @@
                 refused
                         ? ""
                         : "to command group "
-                                + classed.group() + ", nodes " + classed.nodes() + ", by " + classed.rule() + ", about "
+                                + classed.requestClass() + ", nodes " + classed.replicaSetId() + ", by "
+                                + classed.rule() + ", about "
                                 + Math.round(classed.cost() * 1e4) / 10.0 + " ms",
-                classed.why(),
+                classed.reason(),
                 shown);
     }
 
@@ -127,11 +128,11 @@
             out.writeStartObject();
             out.writeStringField("class", verdict(classed));
             out.writeStringField("shape", classed.fingerprint());
-            out.writeStringField("group", classed.group());
-            out.writeNumberField("nodes", classed.nodes());
+            out.writeStringField("group", classed.requestClass());
+            out.writeNumberField("nodes", classed.replicaSetId());
             out.writeNumberField("cost", classed.cost());
             out.writeStringField("rule", classed.rule());
-            out.writeStringField("why", classed.why());
+            out.writeStringField("why", classed.reason());
             out.writeEndObject();
         }
         return text.toString();
--- a/daemon/src/main/java/clayhook/backend/ConnectionProfile.java
+++ b/daemon/src/main/java/clayhook/backend/ConnectionProfile.java
@@ -30,7 +30,7 @@
         return switch (name) {
             case "client_encoding" -> value.equalsIgnoreCase("UTF8");
             case "standard_conforming_strings" ->
-                value.equals(operator.statements().rules().conforming() ? "on" : "off");
+                value.equals(operator.statements().rules().standardConformingStrings() ? "on" : "off");
             default -> true;
         };
     }
--- a/daemon/src/main/java/clayhook/backend/NodeConnection.java
+++ b/daemon/src/main/java/clayhook/backend/NodeConnection.java
@@ -112,7 +112,7 @@
         requestedSettings = newSettings;
         settingsError = null;
         state = State.CHANGING_SETTINGS;
-        String statements = SessionSettings.change(settings, newSettings);
+        String statements = SessionSettings.changeStatements(settings, newSettings);
         context.writeAndFlush(MessageEncoder.query(statements.getBytes(StandardCharsets.UTF_8)));
     }
 
--- a/daemon/src/main/java/clayhook/config/OperatorConfigurationReader.java
+++ b/daemon/src/main/java/clayhook/config/OperatorConfigurationReader.java
@@ -63,8 +63,8 @@
             TomlSection table, RequestClassValidator validator) throws ConfigurationException {
         StatementRules defaults = StatementRules.DEFAULT;
         TomlSection database = table.getTable("database");
-        String readGroup = table.getString("read_group", defaults.readGroup());
-        String writeGroup = table.getString("write_group", defaults.writeGroup());
+        String readGroup = table.getString("read_group", defaults.readRequestClass());
+        String writeGroup = table.getString("write_group", defaults.writeRequestClass());
         validator.validate(table, "read_group", false, false, readGroup);
         validator.validate(table, "write_group", true, false, writeGroup);
         var rules = new ArrayList<Rule>();
@@ -85,7 +85,7 @@
                 List.copyOf(rules),
                 readGroup,
                 writeGroup,
-                table.getInt("nodes", defaults.nodes(), 0, Integer.MAX_VALUE));
+                table.getInt("nodes", defaults.replicaSetId(), 0, Integer.MAX_VALUE));
         return new OperatorConfiguration.StatementSettings(
                 statementRules,
                 table.getBoolean("trust_comments", false),
--- a/daemon/src/main/java/clayhook/frontend/ClientRequest.java
+++ b/daemon/src/main/java/clayhook/frontend/ClientRequest.java
@@ -78,7 +78,7 @@
         this.classification = classification;
         outboundStatement = statement;
         requestId = null;
-        outcomeKey = classification.mark();
+        outcomeKey = classification.outcomeKey();
     }
 
     private static double deadline(RequestClass requestClass, double now, double timeoutSeconds) {
--- a/daemon/src/main/java/clayhook/frontend/ClientSession.java
+++ b/daemon/src/main/java/clayhook/frontend/ClientSession.java
@@ -256,7 +256,7 @@
 
     private void completeStartup(ClientMessage.Startup startup) {
         state = State.READY;
-        String rejection = settings == null ? null : settings.introduced(startup.parameters());
+        String rejection = settings == null ? null : settings.applyStartupParameters(startup.parameters());
         if (rejection != null) {
             Log.warn("client", rejection);
             closeAfterWriting(EndCause.STARTUP_REJECTED, ClientResponses.startupRejected(rejection));
@@ -344,7 +344,7 @@
     }
 
     private void handleSqlStatement(byte[] text) {
-        SessionSettings.Reply reply = settings.asked(text);
+        SessionSettings.Reply reply = settings.execute(text);
         if (reply instanceof SessionSettings.Reply.Refused refused) {
             writeResponse(ClientResponses.settingRejected(refused.why()));
         } else if (reply instanceof SessionSettings.Reply.Done done) {
--- a/daemon/src/main/java/clayhook/sql/SqlAdmission.java
+++ b/daemon/src/main/java/clayhook/sql/SqlAdmission.java
@@ -67,12 +67,12 @@
 
     /** Starts an event loop iteration and renews the limit on parsing statements of unknown shape. */
     public void beginTick() {
-        classifier.turn();
+        classifier.beginTick();
     }
 
     /** Creates the settings of a new client session. */
     public SessionSettings newSessionSettings() {
-        return new SessionSettings(statementSettings.rules().conforming());
+        return new SessionSettings(statementSettings.rules().standardConformingStrings());
     }
 
     /**
@@ -86,15 +86,15 @@
             byte[] text, ClientIdentity client, double clientTimeout, Map<String, String> settings) {
         Classification classification = classifier.classify(text, client);
         if (classification.verdict() == StatementEffect.REFUSED) {
-            return new AdmissionResult.Rejected(SqlState.FEATURE_NOT_SUPPORTED, classification.why());
+            return new AdmissionResult.Rejected(SqlState.FEATURE_NOT_SUPPORTED, classification.reason());
         }
-        RequestClass requestClass = requestClasses.get(classification.group());
+        RequestClass requestClass = requestClasses.get(classification.requestClass());
         var admitted = new AdmissionResult.Admitted(
                 requestClass,
-                classification.nodes(),
+                classification.replicaSetId(),
                 timeoutSeconds(classification, clientTimeout, requestClass),
                 0,
-                new SqlStatement(text, settings, classification.opaque()),
+                new SqlStatement(text, settings, classification.mayChangeSession()),
                 classification);
         RoutingComment comment = statementSettings.trustComments() ? RoutingComment.parseTrailing(text) : null;
         if (comment == null) {
@@ -109,8 +109,8 @@
 
     /** The client timeout in seconds: the first one set of the matching rule, client, operator and request class. */
     private double timeoutSeconds(Classification classification, double clientTimeout, RequestClass requestClass) {
-        if (classification.timeout() > 0) {
-            return classification.timeout();
+        if (classification.timeoutSeconds() > 0) {
+            return classification.timeoutSeconds();
         }
         if (clientTimeout > 0) {
             return clientTimeout;
@@ -146,7 +146,7 @@
             ClientIdentity client,
             double clientTimeout,
             Map<String, String> settings) {
-        classifier.wrote(refusedClassification);
+        classifier.reclassifyAsWrite(refusedClassification);
         AdmissionResult result = admit(text, client, clientTimeout, settings);
         boolean admittedAsWrite = result instanceof AdmissionResult.Admitted admitted
                 && admitted.classification().verdict() == StatementEffect.WRITE;
@@ -174,14 +174,15 @@
 
     /** Records the time in seconds until a statement was answered, for the cost estimate of its shape. */
     public void recordServiceTime(Classification classification, double seconds) {
-        classifier.took(classification, seconds);
+        classifier.recordServiceTime(classification, seconds);
     }
 
     /** Formats the counters since the previous call as a text for the log. */
     public String summary() {
         Classifier.Counts counts = classifier.counts();
         return "shapes cached " + classifier.size() + " in " + classifier.weight() / BYTES_PER_KIB
-                + " KiB, cache hits " + counts.hits() + ", shapes parsed " + counts.read() + ", over the parse budget "
-                + counts.unread();
+                + " KiB, cache hits " + counts.hits() + ", shapes parsed " + counts.parsed()
+                + ", over the parse budget "
+                + counts.overBudget();
     }
 }
--- a/statements/src/main/java/clayhook/statements/Classification.java
+++ b/statements/src/main/java/clayhook/statements/Classification.java
@@ -5,29 +5,30 @@
  * the operator's rules assign to it.
  *
  * @param shape the shape of the statement; null if the shape was not analyzed
- * @param group the name of the request class; empty if the statement is refused
- * @param nodes the id of the replica set
+ * @param requestClass the name of the request class; empty if the statement is refused
+ * @param replicaSetId the id of the replica set
  * @param cost the expected service time in seconds
  * @param high the 95th percentile of the service time of the shape in seconds; equal to the cost if not measured
  * @param rule the name of the rule that matched, {@code default} if none did; empty if the verdict was a refusal before
  *     any rule was evaluated
- * @param why the part of the statement that determined the verdict, or the reason of the refusal
- * @param timeout the client timeout in seconds; 0 if the rule sets none
- * @param mark the literal that is the outcome key, by which nodes discard duplicates of the statement, or null
- * @param opaque whether the statement may change the state of the database session in which a node runs it
+ * @param reason the part of the statement that determined the verdict, or the reason of the refusal
+ * @param timeoutSeconds the client timeout in seconds; 0 if the rule sets none
+ * @param outcomeKey the outcome key, a literal of the statement, by which nodes discard duplicates of the statement, or
+ *     null
+ * @param mayChangeSession whether the statement may change the state of the database session in which a node runs it
  */
 public record Classification(
         StatementEffect verdict,
         Shape shape,
-        String group,
-        int nodes,
+        String requestClass,
+        int replicaSetId,
         double cost,
         double high,
         String rule,
-        String why,
-        double timeout,
-        String mark,
-        boolean opaque) {
+        String reason,
+        double timeoutSeconds,
+        String outcomeKey,
+        boolean mayChangeSession) {
 
     /** The fingerprint of the shape; empty if the shape was not analyzed. */
     public String fingerprint() {
@@ -38,7 +39,18 @@
         return new Classification(StatementEffect.REFUSED, shape, "", 0, cost, high, rule, reason, 0, null, false);
     }
 
-    Classification at(int group) {
-        return new Classification(verdict, shape, this.group, group, cost, high, rule, why, timeout, mark, opaque);
+    Classification withReplicaSet(int newReplicaSetId) {
+        return new Classification(
+                verdict,
+                shape,
+                requestClass,
+                newReplicaSetId,
+                cost,
+                high,
+                rule,
+                reason,
+                timeoutSeconds,
+                outcomeKey,
+                mayChangeSession);
     }
 }
--- a/statements/src/main/java/clayhook/statements/Classifier.java
+++ b/statements/src/main/java/clayhook/statements/Classifier.java
@@ -29,17 +29,17 @@
     private double secondsPerWorkUnit = INITIAL_SECONDS_PER_WORK_UNIT;
     private int remainingBudget;
     private long hits;
-    private long read;
-    private long unread;
+    private long parsed;
+    private long overBudget;
 
     /**
      * Numbers of statements since the previous call of {@link #counts}.
      *
      * @param hits statements whose shape was in the cache
-     * @param read statements whose shape was parsed
-     * @param unread statements whose shape was not parsed because the parse budget of the tick was used up
+     * @param parsed statements whose shape was parsed
+     * @param overBudget statements whose shape was not parsed because the parse budget of the tick was used up
      */
-    public record Counts(long hits, long read, long unread) {}
+    public record Counts(long hits, long parsed, long overBudget) {}
 
     /**
      * Creates a classifier with an empty cache.
@@ -48,21 +48,21 @@
      */
     public Classifier(StatementRules rules, long seed) {
         this.rules = rules;
-        lexer = new Lexer(rules.conforming());
+        lexer = new Lexer(rules.standardConformingStrings());
         analyzer = new ShapeAnalyzer(new HarmlessNames(rules));
         shapeCache = ShapeCache.seeded(rules.cacheBytes(), Long.hashCode(seed));
-        turn();
+        beginTick();
     }
 
     /** Starts a tick of the event loop, which renews the budget for parsing shapes that are not in the cache. */
-    public void turn() {
+    public void beginTick() {
         remainingBudget = rules.parseBudget();
     }
 
     /** Returns the counts since the previous call and resets them. */
     public Counts counts() {
-        var counts = new Counts(hits, read, unread);
-        hits = read = unread = 0;
+        var counts = new Counts(hits, parsed, overBudget);
+        hits = parsed = overBudget = 0;
         return counts;
     }
 
@@ -108,16 +108,16 @@
         int size = Math.min(shapeBuilder.tokens.size, ShapeAnalyzer.MAX_TOKENS);
         // An unused budget is always sufficient for one shape, so that no shape is too long to be ever parsed.
         if (size > remainingBudget && remainingBudget < rules.parseBudget()) {
-            unread++;
+            overBudget++;
             ShapeFacts facts = ShapeFacts.unanalyzed(
-                    rules.refusePast() ? StatementEffect.REFUSED : StatementEffect.WRITE,
+                    rules.refuseOverBudget() ? StatementEffect.REFUSED : StatementEffect.WRITE,
                     "more new shapes in a turn than are read",
                     "",
                     true);
             return applyRules(facts, null, secondsPerWorkUnit, secondsPerWorkUnit, client);
         }
         remainingBudget -= size;
-        read++;
+        parsed++;
         byte[] bytes = Arrays.copyOf(shapeBuilder.bytes, shapeBuilder.length);
         shape = new Shape(bytes, fingerprint(bytes), analyzer.analyze(shapeBuilder.tokens));
         shapeCache.put(shape);
@@ -144,8 +144,8 @@
      *
      * @param seconds the time until the answer; ignored unless positive
      */
-    public void took(Classification classed, double seconds) {
-        Shape shape = classed.shape();
+    public void recordServiceTime(Classification classification, double seconds) {
+        Shape shape = classification.shape();
         if (shape != null && seconds > 0) {
             secondsPerWorkUnit += MOVING_AVERAGE_WEIGHT * (seconds / shape.facts.work() - secondsPerWorkUnit);
             if (shape.recordServiceTime(seconds)) {
@@ -155,10 +155,10 @@
     }
 
     /** Classifies all statements of this shape as writes from now on, because a node refused to run one as a read. */
-    public void wrote(Classification classed) {
-        if (classed.shape() != null) {
-            classed.shape().facts = classed.shape().facts.asWrite("a node would not run it as a read");
-            shapeCache.put(classed.shape());
+    public void reclassifyAsWrite(Classification classification) {
+        if (classification.shape() != null) {
+            classification.shape().facts = classification.shape().facts.asWrite("a node would not run it as a read");
+            shapeCache.put(classification.shape());
         }
     }
 
@@ -179,32 +179,33 @@
         String fingerprint = shape == null ? "" : shape.fingerprint;
         for (Rule rule : rules.rules()) {
             if (rule.matches(facts, fingerprint, cost, client)) {
-                String mark = rule.mark() == null ? null : outcomeKey(facts, rule.mark());
-                if (rule.mark() == null || mark != null) {
+                String outcomeKey = rule.outcomeKeyColumn() == null ? null : outcomeKey(facts, rule.outcomeKeyColumn());
+                if (rule.outcomeKeyColumn() == null || outcomeKey != null) {
                     return applyPlacement(
                             facts,
                             new Classification(
                                     facts.verdict(),
                                     shape,
-                                    rule.group(),
-                                    rules.nodes(),
+                                    rule.requestClass(),
+                                    rules.replicaSetId(),
                                     cost,
                                     high,
                                     rule.name(),
                                     facts.reason(),
-                                    rule.timeout(),
-                                    mark,
+                                    rule.timeoutSeconds(),
+                                    outcomeKey,
                                     facts.mayChangeSession()),
-                            rule.nodes());
+                            rule.placement());
                 }
             }
         }
-        String group = facts.verdict() == StatementEffect.READ ? rules.readGroup() : rules.writeGroup();
+        String requestClass =
+                facts.verdict() == StatementEffect.READ ? rules.readRequestClass() : rules.writeRequestClass();
         return new Classification(
                 facts.verdict(),
                 shape,
-                group,
-                rules.nodes(),
+                requestClass,
+                rules.replicaSetId(),
                 cost,
                 high,
                 "default",
@@ -220,32 +221,32 @@
         return position == null || shapeBuilder.rowCount(position.token()) > 1 ? null : literalText(facts, position, 0);
     }
 
-    private Classification applyPlacement(ShapeFacts facts, Classification classed, Placement nodes) {
-        if (nodes == null) {
-            return classed;
-        } else if (nodes.column() == null) {
-            return classed.at(nodes.groups().get(0));
+    private Classification applyPlacement(ShapeFacts facts, Classification classification, Placement placement) {
+        if (placement == null) {
+            return classification;
+        } else if (placement.column() == null) {
+            return classification.withReplicaSet(placement.replicaSetIds().get(0));
         }
-        LiteralPosition position = facts.literalPositions().get(nodes.column());
+        LiteralPosition position = facts.literalPositions().get(placement.column());
         if (position == null) {
-            return classed.refused("no literal for " + nodes.column() + ", which tells the group of nodes");
+            return classification.refused("no literal for " + placement.column() + ", which tells the group of nodes");
         }
         int chosen = -1;
         for (int row = 0; row < Math.max(1, shapeBuilder.rowCount(position.token())); row++) {
             String key = literalText(facts, position, row);
             if (key == null) {
-                return classed.refused("the literal for " + nodes.column() + " is in no plain form");
+                return classification.refused("the literal for " + placement.column() + " is in no plain form");
             }
             long hash = HASHER.hashBytesTo128Bits(key.getBytes(StandardCharsets.UTF_8))
                     .getAsLong();
-            int group = nodes.groups()
-                    .get((int) Long.remainderUnsigned(hash, nodes.groups().size()));
-            if (chosen >= 0 && group != chosen) {
-                return classed.refused("rows of several groups of nodes");
+            int replicaSetId = placement.replicaSetIds().get((int)
+                    Long.remainderUnsigned(hash, placement.replicaSetIds().size()));
+            if (chosen >= 0 && replicaSetId != chosen) {
+                return classification.refused("rows of several groups of nodes");
             }
-            chosen = group;
+            chosen = replicaSetId;
         }
-        return classed.at(chosen);
+        return classification.withReplicaSet(chosen);
     }
 
     /** The literal at this position of the current statement: digits or the text of a string; null if it is neither. */
--- a/statements/src/main/java/clayhook/statements/HarmlessNames.java
+++ b/statements/src/main/java/clayhook/statements/HarmlessNames.java
@@ -68,15 +68,15 @@
 
     HarmlessNames(StatementRules rules) {
         functions = new HashSet<>(FUNCTIONS);
-        functions.addAll(rules.reads());
+        functions.addAll(rules.harmlessFunctions());
         types = new HashSet<>(TYPES);
-        types.addAll(rules.types());
+        types.addAll(rules.harmlessTypes());
         this.rules = rules;
     }
 
     /** Whether the function at most changes data. An unlisted function may also change the session that runs it. */
     boolean leavesSessionUnchanged(String name) {
-        return isHarmlessFunction(name) || rules.writes().contains(name);
+        return isHarmlessFunction(name) || rules.dataChangingFunctions().contains(name);
     }
 
     /** Whether the function has no side effects. */
@@ -84,13 +84,13 @@
         String unqualified = name.startsWith(CATALOG_PREFIX) ? name.substring(CATALOG_PREFIX.length()) : name;
         // A qualified name is unambiguous, so a function of the database with the same name is irrelevant.
         return unqualified.equals(name)
-                ? functions.contains(name) && !rules.own().contains(name)
+                ? functions.contains(name) && !rules.otherFunctions().contains(name)
                 : FUNCTIONS.contains(unqualified);
     }
 
     /** Whether a column reference with this name may call a function that the database defines. */
     boolean mayBeFunction(String column) {
-        return rules.own().contains(column);
+        return rules.otherFunctions().contains(column);
     }
 
     /** Whether the input conversion of the type has no side effects. */
--- a/statements/src/main/java/clayhook/statements/SessionSettings.java
+++ b/statements/src/main/java/clayhook/statements/SessionSettings.java
@@ -47,7 +47,7 @@
     }
 
     private final Lexer lexer;
-    private final boolean conforming;
+    private final boolean standardConformingStrings;
     private final TokenBuffer tokens = new TokenBuffer();
     /** The values, as SQL text, by name. The map is immutable; the replayed names bound its size. */
     private Map<String, String> values = Map.of();
@@ -55,9 +55,9 @@
     private double timeout;
     private ClientIdentity client = ClientIdentity.UNKNOWN;
 
-    public SessionSettings(boolean conforming) {
-        this.conforming = conforming;
-        lexer = new Lexer(conforming);
+    public SessionSettings(boolean standardConformingStrings) {
+        this.standardConformingStrings = standardConformingStrings;
+        lexer = new Lexer(standardConformingStrings);
     }
 
     /** The settings that a node connection must have: the values, as SQL text, by name, in an immutable map. */
@@ -71,7 +71,7 @@
     }
 
     /** Applies the startup parameters of a client. Returns the reason why one was refused, or null if none was. */
-    public String introduced(Map<String, String> parameters) {
+    public String applyStartupParameters(Map<String, String> parameters) {
         client = new ClientIdentity(
                 parameters.getOrDefault("user", ""),
                 parameters.getOrDefault("database", parameters.getOrDefault("user", "")),
@@ -106,7 +106,7 @@
     }
 
     /** Executes a SET or RESET statement. Returns null for any other statement, which has to be sent to a node. */
-    public Reply asked(byte[] statement) {
+    public Reply execute(byte[] statement) {
         if (!mayBeSetOrReset(statement)) {
             return null;
         }
@@ -217,7 +217,7 @@
             }
             case "standard_conforming_strings" -> {
                 boolean on = Set.of("on", "true", "yes", "1").contains(IdentifierRules.fold(plain));
-                return on == conforming ? new Reply.Done("SET", null, null) : refused(name);
+                return on == standardConformingStrings ? new Reply.Done("SET", null, null) : refused(name);
             }
             case STATEMENT_TIMEOUT -> {
                 double seconds = parseSeconds(plain);
@@ -283,7 +283,7 @@
     }
 
     /** The SQL statements that change the settings of a connection to the given ones; empty if there is no change. */
-    public static String change(Map<String, String> from, Map<String, String> to) {
+    public static String changeStatements(Map<String, String> from, Map<String, String> to) {
         var out = new StringBuilder();
         from.keySet().stream()
                 .filter(name -> !to.containsKey(name))
--- a/statements/src/main/java/clayhook/statements/StatementRules.java
+++ b/statements/src/main/java/clayhook/statements/StatementRules.java
@@ -6,35 +6,35 @@
 /**
  * The operator's configuration of statement classification.
  *
- * @param conforming the standard_conforming_strings setting of the nodes
- * @param reads functions defined by the database that change nothing
- * @param writes functions defined by the database that change data only: no setting, lock or other state of the session
- *     that runs them
- * @param own all other functions defined by the database
- * @param types types defined by the database whose input conversion changes nothing
+ * @param standardConformingStrings the standard_conforming_strings setting of the nodes
+ * @param harmlessFunctions functions defined by the database that change nothing
+ * @param dataChangingFunctions functions defined by the database that change data only: no setting, lock or other state
+ *     of the session that runs them
+ * @param otherFunctions all other functions defined by the database
+ * @param harmlessTypes types defined by the database whose input conversion changes nothing
  * @param relationsThatWrite views and foreign tables that may change something when they are read
  * @param cacheBytes the bound of the shape cache in bytes
  * @param parseBudget the number of tokens of new shapes that are parsed in one tick of the event loop
- * @param refusePast whether statements over the parse budget are refused; otherwise they are classified as writes
+ * @param refuseOverBudget whether statements over the parse budget are refused; otherwise they are classified as writes
  * @param rules the rules, of which the first that matches applies
- * @param readGroup the request class of reads that no rule matches
- * @param writeGroup the request class of writes that no rule matches
- * @param nodes the id of the replica set of statements to which no rule assigns one
+ * @param readRequestClass the request class of reads that no rule matches
+ * @param writeRequestClass the request class of writes that no rule matches
+ * @param replicaSetId the id of the replica set of statements to which no rule assigns one
  */
 public record StatementRules(
-        boolean conforming,
-        Set<String> reads,
-        Set<String> writes,
-        Set<String> own,
-        Set<String> types,
+        boolean standardConformingStrings,
+        Set<String> harmlessFunctions,
+        Set<String> dataChangingFunctions,
+        Set<String> otherFunctions,
+        Set<String> harmlessTypes,
         Set<String> relationsThatWrite,
         long cacheBytes,
         int parseBudget,
-        boolean refusePast,
+        boolean refuseOverBudget,
         List<Rule> rules,
-        String readGroup,
-        String writeGroup,
-        int nodes) {
+        String readRequestClass,
+        String writeRequestClass,
+        int replicaSetId) {
 
     /** The default bound of the shape cache; a few megabytes hold some thousand shapes. */
     public static final long CACHE_BYTES = 4 << 20;
--- a/statements/src/test/java/clayhook/statements/ClassifierTest.java
+++ b/statements/src/test/java/clayhook/statements/ClassifierTest.java
@@ -64,7 +64,7 @@
     }
 
     private static Classification classed(Classifier classifier, String text) {
-        classifier.turn();
+        classifier.beginTick();
         return classifier.classify(text.getBytes(UTF_8), ClientIdentity.UNKNOWN);
     }
 
@@ -106,7 +106,7 @@
                 "true|create table t ()"
             })
     void whatMayChangeTheSessionOfItsNodeIsMarked(boolean opaque, String text) {
-        assertEquals(opaque, classed(rules(1 << 20, 2000, false), text).opaque());
+        assertEquals(opaque, classed(rules(1 << 20, 2000, false), text).mayChangeSession());
     }
 
     @ParameterizedTest
@@ -277,7 +277,7 @@
                                 ClientIdentity.UNKNOWN)
                         .verdict());
         assertEquals(StatementEffect.READ, classed(classifier, "select 1").verdict());
-        assertEquals(1, classifier.counts().unread());
+        assertEquals(1, classifier.counts().overBudget());
     }
 
     // ---- cost and rules ----
@@ -288,7 +288,7 @@
         String text = "select a from t where b = 1";
         double guess = classed(classifier, text).cost();
         for (int i = 0; i < 2000; i++) {
-            classifier.took(classed(classifier, text), i < 1000 ? 0.5 : i % 10 == 0 ? 0.08 : 0.01);
+            classifier.recordServiceTime(classed(classifier, text), i < 1000 ? 0.5 : i % 10 == 0 ? 0.08 : 0.01);
         }
         Classification measured = classed(classifier, "select a from t where b = 2");
         assertTrue(guess < 0.01);
@@ -319,7 +319,7 @@
     }
 
     private static String told(Classification classed) {
-        return classed.group() + " " + classed.rule() + " " + classed.nodes();
+        return classed.requestClass() + " " + classed.rule() + " " + classed.replicaSetId();
     }
 
     @ParameterizedTest
@@ -342,8 +342,8 @@
     void aWriteIsKeyedOnlyByOneMark(String mark, String text) {
         Classification classed = classed(
                 rules(1 << 20, 2000, false, rule(StatementEffect.WRITE, Set.of("posts"), null, 0, "mark", null)), text);
-        assertEquals(mark, classed.mark());
-        assertEquals(mark == null ? "write" : "special", classed.group());
+        assertEquals(mark, classed.outcomeKey());
+        assertEquals(mark == null ? "write" : "special", classed.requestClass());
     }
 
     @ParameterizedTest
@@ -358,8 +358,8 @@
     void aKeyGoesToOneGroupOfNodesHoweverItIsWritten(String one, String other) {
         StatementRules rules = placed();
         assertEquals(StatementEffect.REFUSED, classed(rules, "select 1 from t").verdict());
-        assertEquals(classed(rules, one).nodes(), classed(rules, other).nodes());
-        assertTrue(classed(rules, one).nodes() > 10);
+        assertEquals(classed(rules, one).replicaSetId(), classed(rules, other).replicaSetId());
+        assertTrue(classed(rules, one).replicaSetId() > 10);
     }
 
     private static StatementRules placed() {
@@ -396,7 +396,7 @@
         var classifier = new Classifier(placed(), 1);
         long groups = java.util.stream.IntStream.range(0, 200)
                 .mapToObj(i ->
-                        classed(classifier, "select 1 from t where key = " + i).nodes())
+                        classed(classifier, "select 1 from t where key = " + i).replicaSetId())
                 .distinct()
                 .count();
         assertEquals(7, groups);
--- a/statements/src/test/java/clayhook/statements/CorpusTest.java
+++ b/statements/src/test/java/clayhook/statements/CorpusTest.java
@@ -42,7 +42,7 @@
     private static final Classifier CLASSIFIER = new Classifier(StatementRules.DEFAULT, 1);
 
     static Classification classed(String text) {
-        CLASSIFIER.turn();
+        CLASSIFIER.beginTick();
         return CLASSIFIER.classify(text.getBytes(UTF_8), ClientIdentity.UNKNOWN);
     }
 
@@ -50,7 +50,7 @@
     @MethodSource("corpus")
     void everyStatementIsWhatItIs(Case given) {
         assertEquals(given.verdict(), classed(given.text()).verdict(), () -> classed(given.text())
-                .why());
+                .reason());
     }
 
     @Test
@@ -58,7 +58,7 @@
         var classifier = new Classifier(StatementRules.DEFAULT, 1);
         for (int round = 0; round < 2; round++) {
             for (Case given : corpus()) {
-                classifier.turn();
+                classifier.beginTick();
                 assertEquals(
                         given.verdict(),
                         classifier
--- a/statements/src/test/java/clayhook/statements/ShapePropertiesTest.java
+++ b/statements/src/test/java/clayhook/statements/ShapePropertiesTest.java
@@ -35,7 +35,7 @@
     }
 
     private Classification classed(String text) {
-        classifier.turn();
+        classifier.beginTick();
         return classifier.classify(text.getBytes(UTF_8), ClientIdentity.UNKNOWN);
     }
 
@@ -129,7 +129,7 @@
 
     @Property(tries = 2000, seed = "42")
     void bytesOfAnyKindNeitherThrowNorHang(@ForAll byte[] bytes) {
-        classifier.turn();
+        classifier.beginTick();
         classifier.classify(bytes, ClientIdentity.UNKNOWN);
     }
 
