--- a/statements/src/test/java/clayhook/statements/ClassifierTest.java
+++ b/statements/src/test/java/clayhook/statements/ClassifierTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class ClassifierTest {
-    private static final StatementRules NONE = StatementRules.DEFAULT;
+    private static final StatementRules DEFAULT_RULES = StatementRules.DEFAULT;
 
     private static StatementRules rules(long cacheBytes, int budget, boolean refuse, Rule... rules) {
         return new StatementRules(
@@ -63,13 +63,13 @@
                 nodes);
     }
 
-    private static Classification classed(Classifier classifier, String text) {
+    private static Classification classify(Classifier classifier, String text) {
         classifier.beginTick();
         return classifier.classify(text.getBytes(UTF_8), ClientIdentity.UNKNOWN);
     }
 
-    private static Classification classed(StatementRules rules, String text) {
-        return classed(new Classifier(rules, 1), text);
+    private static Classification classify(StatementRules rules, String text) {
+        return classify(new Classifier(rules, 1), text);
     }
 
     @ParameterizedTest
@@ -88,8 +88,8 @@
                 "WRITE|select 1 from public.v_next",
                 "WRITE|with v_next as (select 1) select * from v_next"
             })
-    void theOperatorSaysWhatTheDatabaseDefines(StatementEffect verdict, String text) {
-        assertEquals(verdict, classed(rules(1 << 20, 2000, false), text).verdict());
+    void appliesOperatorListsOfDatabaseObjects(StatementEffect verdict, String text) {
+        assertEquals(verdict, classify(rules(1 << 20, 2000, false), text).verdict());
     }
 
     @ParameterizedTest
@@ -105,23 +105,23 @@
                 "true|insert into t select other()",
                 "true|create table t ()"
             })
-    void whatMayChangeTheSessionOfItsNodeIsMarked(boolean opaque, String text) {
-        assertEquals(opaque, classed(rules(1 << 20, 2000, false), text).mayChangeSession());
+    void marksStatementsThatMayChangeSessionState(boolean opaque, String text) {
+        assertEquals(opaque, classify(rules(1 << 20, 2000, false), text).mayChangeSession());
     }
 
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
             value = {"READ|select '\\'", "WRITE|select '\\' , nextval(1) --'"})
-    void backslashesEndNoStringWhereStringsConform(StatementEffect verdict, String text) {
-        assertEquals(verdict, classed(NONE, text).verdict());
+    void treatsBackslashAsOrdinaryOnlyInStandardConformingStrings(StatementEffect verdict, String text) {
+        assertEquals(verdict, classify(DEFAULT_RULES, text).verdict());
         var other = new StatementRules(
                 false, Set.of(), Set.of(), Set.of(), Set.of(), Set.of(), 1 << 20, 2000, false, List.of(), "read",
                 "write", 1);
-        // There the quote after the backslash is part of the string.
+        // Without standard_conforming_strings, the quote after the backslash is part of the string.
         assertEquals(
                 verdict == StatementEffect.READ ? StatementEffect.WRITE : StatementEffect.READ,
-                classed(other, text).verdict());
+                classify(other, text).verdict());
     }
 
     // ---- limits ----
@@ -131,13 +131,13 @@
     }
 
     @Test
-    void deepAndLongStatementsAreAnsweredOnASmallStack() throws Exception {
+    void classifiesDeepAndLongStatementsOnSmallStack() throws Exception {
         var done = new CompletableFuture<Void>();
         new Thread(
                         null,
                         () -> {
                             try {
-                                var classifier = new Classifier(NONE, 1);
+                                var classifier = new Classifier(DEFAULT_RULES, 1);
                                 for (String text : List.of(
                                         nested("(", "1", ")"),
                                         nested("(select ", "1", ")"),
@@ -155,19 +155,19 @@
                                         "select '" + "x".repeat(1 << 20) + "'",
                                         "(".repeat(1 << 20),
                                         "select 1" + ",1".repeat(1 << 18))) {
-                                    classed(classifier, text);
+                                    classify(classifier, text);
                                 }
                                 for (int depth = 1; depth < 60; depth++) {
                                     String text = "select " + "(select a from t where exists (".repeat(depth)
                                             + "select 1" + "))".repeat(depth);
                                     assertEquals(
                                             depth <= 20 ? StatementEffect.READ : StatementEffect.WRITE,
-                                            classed(classifier, text).verdict(),
+                                            classify(classifier, text).verdict(),
                                             text);
                                 }
                                 assertEquals(
                                         StatementEffect.READ,
-                                        classed(classifier, "select 1 where 1 in (0" + ", 1".repeat(1 << 18) + ")")
+                                        classify(classifier, "select 1 where 1 in (0" + ", 1".repeat(1 << 18) + ")")
                                                 .verdict());
                                 done.complete(null);
                             } catch (Throwable e) {
@@ -181,29 +181,29 @@
     }
 
     @Test
-    void shapesThatRepeatStayWhileShapesThatComeOncePass() {
+    void floodOfUniqueShapesDoesNotEvictRepeatedShapes() {
         var classifier = new Classifier(rules(200_000, 2000, false), 1);
         var random = new Random(1);
-        int repeats = 0;
+        int expectedHits = 0;
         for (int i = 0; i < 40_000; i++) {
             if (i % 20 == 0) {
-                classed(classifier, "select a from t where hot" + i / 20 % 50 + " = 1");
-                repeats++;
+                classify(classifier, "select a from t where hot" + i / 20 % 50 + " = 1");
+                expectedHits++;
             } else {
-                classed(classifier, "select a from t where once" + random.nextLong() + " = 1");
+                classify(classifier, "select a from t where once" + random.nextLong() + " = 1");
             }
             if (i == 20_000) {
                 classifier.counts();
-                repeats = 0;
+                expectedHits = 0;
             }
         }
         long hits = classifier.counts().hits();
-        assertTrue(hits > 0.9 * repeats, hits + " of " + repeats);
+        assertTrue(hits > 0.9 * expectedHits, hits + " of " + expectedHits);
         assertTrue(classifier.weight() <= 200_000);
     }
 
     @Test
-    void shapesOfOneHashAreNotTakenForOneAnother() {
+    void distinguishesShapesWithSameHash() {
         var shapes = new ShapeCache(1 << 20, (shape, length) -> 42);
         var shapeBuilder = new ShapeBuilder();
         var tokens = new TokenBuffer();
@@ -224,8 +224,8 @@
     }
 
     @Test
-    void whatTheParserLearnsIsBounded() {
-        var classifier = new Classifier(NONE, 1);
+    void boundsLookaheadStatesOfParser() {
+        var classifier = new Classifier(DEFAULT_RULES, 1);
         var random = new Random(1);
         String[] pieces = {
             "a",
@@ -244,25 +244,25 @@
             "date 'x'",
             "u is null"
         };
-        int most = 0;
+        int maxStates = 0;
         for (int i = 0; i < 4000; i++) {
             var text = new StringBuilder("select a");
             for (int j = 0; j < 12; j++) {
                 text.append(random.nextBoolean() ? ", " : " and ").append(pieces[random.nextInt(pieces.length)]);
             }
-            classed(classifier, text.toString());
-            most = Math.max(most, classifier.lookaheadStates());
+            classify(classifier, text.toString());
+            maxStates = Math.max(maxStates, classifier.lookaheadStates());
         }
-        assertTrue(most > 100 && most <= ShapeAnalyzer.MAX_LOOKAHEAD_STATES, "" + most);
+        assertTrue(maxStates > 100 && maxStates <= ShapeAnalyzer.MAX_LOOKAHEAD_STATES, "" + maxStates);
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void pastTheBudgetOfATurnNewShapesAreNotRead(boolean refuse) {
+    void doesNotParseNewShapesOverTickBudget(boolean refuse) {
         var classifier = new Classifier(rules(1 << 20, 10, refuse), 1);
         assertEquals(
                 StatementEffect.READ,
-                classed(classifier, "select a from t where b = c and d = e and f = g")
+                classify(classifier, "select a from t where b = c and d = e and f = g")
                         .verdict());
         assertEquals(
                 refuse ? StatementEffect.REFUSED : StatementEffect.WRITE,
@@ -276,29 +276,29 @@
                                 "select a from t where b = c and d = e and f = g".getBytes(UTF_8),
                                 ClientIdentity.UNKNOWN)
                         .verdict());
-        assertEquals(StatementEffect.READ, classed(classifier, "select 1").verdict());
+        assertEquals(StatementEffect.READ, classify(classifier, "select 1").verdict());
         assertEquals(1, classifier.counts().overBudget());
     }
 
     // ---- cost and rules ----
 
     @Test
-    void whatAShapeTookReplacesTheGuessAndOldAnswersLeave() {
-        var classifier = new Classifier(NONE, 1);
+    void measuredServiceTimesReplaceEstimateAndExpire() {
+        var classifier = new Classifier(DEFAULT_RULES, 1);
         String text = "select a from t where b = 1";
-        double guess = classed(classifier, text).cost();
+        double guess = classify(classifier, text).cost();
         for (int i = 0; i < 2000; i++) {
-            classifier.recordServiceTime(classed(classifier, text), i < 1000 ? 0.5 : i % 10 == 0 ? 0.08 : 0.01);
+            classifier.recordServiceTime(classify(classifier, text), i < 1000 ? 0.5 : i % 10 == 0 ? 0.08 : 0.01);
         }
-        Classification measured = classed(classifier, "select a from t where b = 2");
+        Classification measured = classify(classifier, "select a from t where b = 2");
         assertTrue(guess < 0.01);
         assertEquals(0.017, measured.cost(), 0.002);
         assertEquals(0.08, measured.high(), 0.01);
-        assertTrue(classed(classifier, "select a from t, u, v order by c").cost() > 5 * guess);
+        assertTrue(classify(classifier, "select a from t, u, v order by c").cost() > 5 * guess);
     }
 
     @Test
-    void theFirstRuleThatMatchesWins() {
+    void appliesFirstMatchingRule() {
         StatementRules rules = rules(
                 1 << 20,
                 2000,
@@ -307,18 +307,18 @@
                 rule(StatementEffect.READ, Set.of("plain"), "re*t", 0, null, new Placement(null, List.of(7))),
                 rule(StatementEffect.READ, Set.of(), null, 0.02, null, new Placement(null, List.of(9))));
         var classifier = new Classifier(rules, 1);
-        assertEquals("read default 1", told(classed(classifier, "select 1 from exact where a = 1")));
-        assertEquals("special r 1", told(classed(classifier, "select 1 from s.exact where a = 1")));
-        assertEquals("read default 1", told(classed(classifier, "select 1 from two.plain where a = 1")));
+        assertEquals("read default 1", describe(classify(classifier, "select 1 from exact where a = 1")));
+        assertEquals("special r 1", describe(classify(classifier, "select 1 from s.exact where a = 1")));
+        assertEquals("read default 1", describe(classify(classifier, "select 1 from two.plain where a = 1")));
         var client = new ClientIdentity("u", "d", "report");
         assertEquals(
                 "special r 7",
-                told(classifier.classify("select 1 from two.plain where a = 1".getBytes(UTF_8), client)));
-        assertEquals("special r 9", told(classed(classifier, "select a from t, u order by 1")));
-        assertEquals("write default 1", told(classed(classifier, "delete from plain")));
+                describe(classifier.classify("select 1 from two.plain where a = 1".getBytes(UTF_8), client)));
+        assertEquals("special r 9", describe(classify(classifier, "select a from t, u order by 1")));
+        assertEquals("write default 1", describe(classify(classifier, "delete from plain")));
     }
 
-    private static String told(Classification classed) {
+    private static String describe(Classification classed) {
         return classed.requestClass() + " " + classed.rule() + " " + classed.replicaSetId();
     }
 
@@ -339,8 +339,8 @@
                 "|insert into posts (mark, b) values ('k1')",
                 "a'b|insert into posts (b, mark) values (-1, 'a''b') on conflict do nothing"
             })
-    void aWriteIsKeyedOnlyByOneMark(String mark, String text) {
-        Classification classed = classed(
+    void writeHasOutcomeKeyOnlyIfExactlyOneLiteral(String mark, String text) {
+        Classification classed = classify(
                 rules(1 << 20, 2000, false, rule(StatementEffect.WRITE, Set.of("posts"), null, 0, "mark", null)), text);
         assertEquals(mark, classed.outcomeKey());
         assertEquals(mark == null ? "write" : "special", classed.requestClass());
@@ -355,14 +355,14 @@
                 "select 1 from t where key = 'a'|delete from t where \"key\" = 'a' and b",
                 "select 1 from t where key = 5|with c as (select 1) select 1 from t where key = '5'"
             })
-    void aKeyGoesToOneGroupOfNodesHoweverItIsWritten(String one, String other) {
-        StatementRules rules = placed();
-        assertEquals(StatementEffect.REFUSED, classed(rules, "select 1 from t").verdict());
-        assertEquals(classed(rules, one).replicaSetId(), classed(rules, other).replicaSetId());
-        assertTrue(classed(rules, one).replicaSetId() > 10);
+    void sameKeySelectsSameReplicaSetInAllNotations(String one, String other) {
+        StatementRules rules = rulesWithPlacement();
+        assertEquals(StatementEffect.REFUSED, classify(rules, "select 1 from t").verdict());
+        assertEquals(classify(rules, one).replicaSetId(), classify(rules, other).replicaSetId());
+        assertTrue(classify(rules, one).replicaSetId() > 10);
     }
 
-    private static StatementRules placed() {
+    private static StatementRules rulesWithPlacement() {
         var nodes = new Placement("key", List.of(11, 12, 13, 14, 15, 16, 17));
         return rules(
                 1 << 20,
@@ -387,29 +387,30 @@
                 "insert into t (key) select 5",
                 "insert into t values (5)"
             })
-    void aStatementWhoseKeyIsNotCertainIsRefused(String text) {
-        assertEquals(StatementEffect.REFUSED, classed(placed(), text).verdict());
+    void refusesStatementWithUncertainKey(String text) {
+        assertEquals(
+                StatementEffect.REFUSED, classify(rulesWithPlacement(), text).verdict());
     }
 
     @Test
-    void keysSpreadOverTheGroups() {
-        var classifier = new Classifier(placed(), 1);
+    void distributesKeysOverAllReplicaSets() {
+        var classifier = new Classifier(rulesWithPlacement(), 1);
         long groups = java.util.stream.IntStream.range(0, 200)
                 .mapToObj(i ->
-                        classed(classifier, "select 1 from t where key = " + i).replicaSetId())
+                        classify(classifier, "select 1 from t where key = " + i).replicaSetId())
                 .distinct()
                 .count();
         assertEquals(7, groups);
     }
 
     @Test
-    void patternsTakeStarsOnly() {
+    void globTreatsOnlyStarAsWildcard() {
         Pattern pattern = Rule.glob("a.*b*");
         assertTrue(pattern.matcher("a.xbc").matches());
         assertTrue(!pattern.matcher("axxb").matches());
         assertNotEquals(
-                classed(NONE, "select 1").fingerprint(),
-                classed(NONE, "select a").fingerprint());
-        assertNull(classed(NONE, "select '").shape());
+                classify(DEFAULT_RULES, "select 1").fingerprint(),
+                classify(DEFAULT_RULES, "select a").fingerprint());
+        assertNull(classify(DEFAULT_RULES, "select '").shape());
     }
 }
--- a/statements/src/test/java/clayhook/statements/CorpusTest.java
+++ b/statements/src/test/java/clayhook/statements/CorpusTest.java
@@ -41,20 +41,20 @@
 
     private static final Classifier CLASSIFIER = new Classifier(StatementRules.DEFAULT, 1);
 
-    static Classification classed(String text) {
+    static Classification classify(String text) {
         CLASSIFIER.beginTick();
         return CLASSIFIER.classify(text.getBytes(UTF_8), ClientIdentity.UNKNOWN);
     }
 
     @ParameterizedTest
     @MethodSource("corpus")
-    void everyStatementIsWhatItIs(Case given) {
-        assertEquals(given.verdict(), classed(given.text()).verdict(), () -> classed(given.text())
+    void classifiesEachStatementAsExpected(Case given) {
+        assertEquals(given.verdict(), classify(given.text()).verdict(), () -> classify(given.text())
                 .reason());
     }
 
     @Test
-    void theSameClassComesFromTheCacheAndForAnyOrder() throws IOException {
+    void cachedAndFirstClassificationAgree() throws IOException {
         var classifier = new Classifier(StatementRules.DEFAULT, 1);
         for (int round = 0; round < 2; round++) {
             for (Case given : corpus()) {
@@ -70,7 +70,7 @@
         assertTrue(classifier.counts().hits() > corpus().size() / 2);
     }
 
-    /** Whatever stands around a write, it stays one. */
+    /** A write inside any enclosing statement is not classified as a read. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -96,17 +96,20 @@
                 "select \"a\"\"b\", (%s)",
                 "select $$'$$, (%s)"
             })
-    void noWriteIsAReadAfterWrapping(String wrapping) throws IOException {
+    void wrappedWriteIsNeverRead(String wrapping) throws IOException {
         for (Case given : corpus()) {
-            if (given.verdict() == StatementEffect.WRITE && closed(given.text())) {
+            if (given.verdict() == StatementEffect.WRITE && canBeEmbedded(given.text())) {
                 String wrapped = wrapping.replace("%s", given.text());
-                assertTrue(classed(wrapped).verdict() != StatementEffect.READ, wrapped);
+                assertTrue(classify(wrapped).verdict() != StatementEffect.READ, wrapped);
             }
         }
     }
 
-    /** It swallows nothing that follows, and is no single word, which would be a name in brackets. */
-    private static boolean closed(String text) {
+    /**
+     * Whether the text can be embedded: it does not comment out what follows, and is no single word, which would be a
+     * name.
+     */
+    private static boolean canBeEmbedded(String text) {
         var tokens = new TokenBuffer();
         new Lexer(true).lex(text.getBytes(UTF_8), tokens);
         return tokens.error == null && tokens.size > 1 && !text.contains("--");
--- a/statements/src/test/java/clayhook/statements/ShapePropertiesTest.java
+++ b/statements/src/test/java/clayhook/statements/ShapePropertiesTest.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** What holds for every statement, over the corpus and over noise. */
+/** Properties of all statements, checked on variations of the corpus and on random input. */
 class ShapePropertiesTest {
     private static final List<CorpusTest.Case> CORPUS = corpus();
     private final Classifier classifier = new Classifier(StatementRules.DEFAULT, 7);
@@ -34,7 +34,7 @@
         return Arbitraries.of(CORPUS);
     }
 
-    private Classification classed(String text) {
+    private Classification classify(String text) {
         classifier.beginTick();
         return classifier.classify(text.getBytes(UTF_8), ClientIdentity.UNKNOWN);
     }
@@ -64,7 +64,8 @@
     private static final String[] SPACES = {" ", "\n", "\t \r\n", " /* a */ ", "/* /* ' */ \" */", " -- '\n", "\f"};
 
     @Property(tries = 3000, seed = "42")
-    void literalsSpacesAndCaseNeverChangeShapeOrClass(@ForAll("statements") CorpusTest.Case given, @ForAll long seed) {
+    void literalsSpacesAndCaseDoNotAffectShapeOrVerdict(
+            @ForAll("statements") CorpusTest.Case given, @ForAll long seed) {
         var random = new Random(seed);
         lexer.lex(given.bytes(), tokens);
         if (tokens.error != null) {
@@ -73,7 +74,7 @@
         var text = new StringBuilder();
         for (int i = 0; i < tokens.size; i++) {
             if (tokens.kinds[i] == Kind.LITERAL && i > 0 && tokens.kinds[i - 1] == Kind.LITERAL) {
-                return; // white space between two strings may make one of them
+                return; // white space between two strings may join them
             }
             String token = new String(given.bytes(), tokens.starts[i], tokens.ends[i] - tokens.starts[i], UTF_8);
             text.append(
@@ -84,14 +85,14 @@
                                     : token);
             text.append(SPACES[random.nextInt(SPACES.length)]);
         }
-        Classification one = classed(given.text());
-        Classification other = classed(text.toString());
+        Classification one = classify(given.text());
+        Classification other = classify(text.toString());
         assertEquals(one.verdict(), other.verdict(), text::toString);
         assertEquals(one.fingerprint(), other.fingerprint(), text::toString);
     }
 
     @Property(tries = 2000, seed = "42")
-    void theLengthOfAListIsNoPartOfTheShape(@ForAll long seed) {
+    void listLengthDoesNotAffectShape(@ForAll long seed) {
         var random = new Random(seed);
         var text = new StringBuilder("insert into t (a, b) values ");
         for (int row = random.nextInt(5); row >= 0; row--) {
@@ -103,8 +104,8 @@
                     .append(row > 0 ? "), " : ")");
         }
         assertEquals(
-                classed("insert into t (a, b) values (1, 2)").fingerprint(),
-                classed(text.toString()).fingerprint());
+                classify("insert into t (a, b) values (1, 2)").fingerprint(),
+                classify(text.toString()).fingerprint());
     }
 
     private static final String[] PIECES = {
@@ -116,7 +117,7 @@
     };
 
     @Property(tries = 4000, seed = "42")
-    void noiseNeitherThrowsNorHangs(@ForAll long seed) {
+    void randomTokensNeitherThrowNorHang(@ForAll long seed) {
         var random = new Random(seed);
         var text = new StringBuilder(
                 random.nextBoolean() ? CORPUS.get(random.nextInt(CORPUS.size())).text() : "");
@@ -124,18 +125,18 @@
             int at = random.nextInt(text.length() + 1);
             text.insert(at, PIECES[random.nextInt(PIECES.length)] + (random.nextBoolean() ? " " : ""));
         }
-        classed(text.toString());
+        classify(text.toString());
     }
 
     @Property(tries = 2000, seed = "42")
-    void bytesOfAnyKindNeitherThrowNorHang(@ForAll byte[] bytes) {
+    void arbitraryBytesNeitherThrowNorHang(@ForAll byte[] bytes) {
         classifier.beginTick();
         classifier.classify(bytes, ClientIdentity.UNKNOWN);
     }
 
-    /** Where a string ends decides what is code: each piece is cut as it was made, whatever it holds. */
+    /** A wrong end of a string would let its content act as SQL: each string is one token, whatever its content. */
     @Property(tries = 3000, seed = "42")
-    void stringsEndWhereTheyEnd(@ForAll String inner, @ForAll long seed) {
+    void lexerFindsEndOfEachString(@ForAll String inner, @ForAll long seed) {
         String plain = inner.replace("\0", "");
         String tag = "$t" + Math.floorMod(seed, 10) + "$";
         String[] forms = {
