--- a/statements/src/main/java/clayhook/statements/Classification.java
+++ b/statements/src/main/java/clayhook/statements/Classification.java
@@ -13,8 +13,7 @@
  *     any rule was evaluated
  * @param reason the part of the statement that determined the verdict, or the reason of the refusal
  * @param timeoutSeconds the client timeout in seconds; 0 if the rule sets none
- * @param outcomeKey the outcome key, a literal of the statement, by which nodes discard duplicates of the statement, or
- *     null
+ * @param outcomeKey the literal by which nodes discard duplicates of the statement, or null
  * @param mayChangeSession whether the statement may change the state of the database session in which a node runs it
  */
 public record Classification(
--- a/statements/src/main/java/clayhook/statements/Rule.java
+++ b/statements/src/main/java/clayhook/statements/Rule.java
@@ -23,7 +23,7 @@
  * @param timeoutSeconds the client timeout in seconds; 0 for the timeout of the request class
  * @param outcomeKeyColumn the column whose literal is the outcome key, by which nodes discard duplicates; the rule then
  *     matches only statements with exactly one such literal; null for none
- * @param placement the replica set that the rule assigns; null for the default
+ * @param placement how the rule selects the replica set; null for the default replica set
  */
 public record Rule(
         String name,
