--- a/lab/src/main/java/clayhook/lab/model/RouterModel.java
+++ b/lab/src/main/java/clayhook/lab/model/RouterModel.java
@@ -24,30 +24,36 @@
 import java.util.Set;
 import java.util.function.BiConsumer;
 
-/** One router in virtual time: the real module and hand; connections and the way to nodes are modelled. */
+/**
+ * A router in virtual time: the production routing policy and in-flight requests, with modelled connections and network
+ * latency.
+ */
 final class RouterModel implements PeerObservationListener {
     private final VirtualScheduler timeline;
     private final SimulatedFleet fleet;
     private final RoutingPolicy decide;
     private final InFlightRequests hand;
     private final RoutingSettings settings;
-    /** Idle connections by node, as the times since when; at most as many as were ever out at once. */
+    /**
+     * Idle connections by node, as the times since which they have been idle; at most as many as were ever open at
+     * once.
+     */
     private final Map<Node, ArrayDeque<Double>> idle = new HashMap<>();
-    /** By id; one a node of the fleet. */
+    /** Nodes of the endpoint list by id; one entry per node of the fleet. */
     private final Map<String, Node> listed = new HashMap<>();
 
     private final Map<Node, Double> drainingSince = new HashMap<>();
-    /** Attempts whose outcome is awaited; each leaves with it. */
+    /** Attempts without an outcome; removed when the outcome arrives. */
     private final Map<Attempt, SimulatedAttempt> attempts = new LinkedHashMap<>();
 
     private final BiConsumer<Request, RoutingAction> answered;
-    /** Those whose client waits; each leaves with its final answer. */
+    /** Requests whose client still waits; removed with the final answer. */
     private final Set<Request> waiting = new HashSet<>();
-    /** The last write of each session that this router answered; a row a session. */
+    /** Position of the last write that this router answered, by session; one entry per session. */
     private final Map<String, Double> wrote = new HashMap<>();
 
     private PeerLink peers = PeerLink.NONE;
-    /** The newest revision of the list that this router heard itself. */
+    /** Newest revision of the endpoint list that this router received from discovery itself. */
     private long revision = -1;
 
     private long told;
@@ -79,7 +85,7 @@
         peers = others;
     }
 
-    /** The list itself told that. */
+    /** Applies endpoint-list entries received from discovery itself and forwards them to the peers. */
     void listed(List<Endpoint> entries, boolean whole, long as) {
         revision = Math.max(revision, as);
         peers.listed(entries, whole, as);
@@ -90,7 +96,10 @@
         return revision;
     }
 
-    /** As on sockets: overtaken by what this router has heard itself, it counts only where it closes a node. */
+    /**
+     * Applies an entry received from a peer. As in the production router, an entry older than the revision received
+     * from discovery only takes effect if it closes the node (draining or gone).
+     */
     @Override
     public void told(Endpoint entry, long as) {
         if (as >= revision || entry.state() != Endpoint.State.READY) {
@@ -106,12 +115,12 @@
         }
     }
 
-    /** How often peers told something of a node. */
+    /** Number of observations of nodes received from peers. */
     long told() {
         return told;
     }
 
-    /** The position that a read of that session must see, as far as this router and its peers know. */
+    /** Minimum position for a read of the session, as far as this router and its peers know. */
     double needs(String session) {
         return Math.max(wrote.getOrDefault(session, 0.0), peers.needs(session));
     }
@@ -135,7 +144,7 @@
         turn();
     }
 
-    /** What has happened at one time is told in one turn. */
+    /** Schedules one tick for all events of the same virtual time. */
     private void turn() {
         if (!turning) {
             turning = true;
@@ -163,7 +172,7 @@
         }
     }
 
-    /** Far below any time that is decided by. */
+    /** Minimum seconds until the next tick; far below any time on which a decision depends. */
     private static final double LEAST_WAKE = 1e-4;
 
     private void wake(double at) {
@@ -185,7 +194,7 @@
             peers.used(0, command.attempts.size() > 1 ? 1 : 0);
             send(choice.attempt());
         } else if (choice.action() != RoutingAction.WAIT && waiting.remove(command)) {
-            // A dispatch that was recalled says once more that all is done.
+            // A cancelled attempt may repeat DONE after the final answer, so only the first one counts.
             if (choice.action() != RoutingAction.DONE
                     && changes(command)
                     && command.attempts.stream().anyMatch(sent -> sent.outcome == null || !sent.outcome.notExecuted)) {
@@ -195,7 +204,7 @@
         }
     }
 
-    // ---- to nodes and back ----
+    // ---- attempts ----
 
     private boolean connects(Node node) {
         ArrayDeque<Double> since = idle.computeIfAbsent(node, any -> new ArrayDeque<>());
@@ -219,7 +228,7 @@
     private void arrive(Attempt dispatch, SimulatedAttempt attempt) {
         NodeModel at = fleet.node(dispatch.node);
         if (attempts.get(dispatch) != attempt || (at.silent() && at.up())) {
-            return; // given up on the way, or nobody reads it: the router's time limit ends it
+            return; // cancelled in transit, or the node is hung: the router's timeout ends the attempt
         }
         if (!at.up()) {
             back(dispatch, attempt, at.life, AttemptResult.withoutReport(AttemptOutcome.CONNECT_FAILED, 0));
@@ -277,7 +286,11 @@
         });
     }
 
-    /** An outcome; {@code lost}: the connection went with it. */
+    /**
+     * Records the outcome of an attempt.
+     *
+     * @param lost whether the connection was closed, so that it does not become idle
+     */
     private void end(Attempt dispatch, AttemptResult reply, boolean lost) {
         SimulatedAttempt attempt = attempts.remove(dispatch);
         if (attempt == null) {
@@ -319,7 +332,7 @@
         }
     }
 
-    /** A node has died: what is out there is reset. */
+    /** Resets all connections and attempts to a crashed node. */
     void reset(Node node) {
         idle.remove(node);
         List.copyOf(attempts.keySet()).stream()
--- a/lab/src/main/java/clayhook/lab/model/SimulatedFleet.java
+++ b/lab/src/main/java/clayhook/lab/model/SimulatedFleet.java
@@ -14,14 +14,15 @@
 import java.util.SplittableRandom;
 
 /**
- * A whole deployment in virtual time: nodes, routers, clients and what befalls them. The same seed gives the same run.
+ * A complete deployment in virtual time: nodes, routers, clients and injected failures. The same seed gives the same
+ * run.
  */
 public final class SimulatedFleet {
-    /** Any time that a clock would tell; far from zero, which stands for never. */
+    /** Start of virtual time in seconds; far from zero, because zero stands for "never". */
     private static final double START = 1_000_000;
-    /** A connection or probe that does not come about within this has failed; far above the way to any node. */
+    /** Seconds after which a connection attempt or health check has failed; far above the latency to any node. */
     private static final double CONNECT_TIMEOUT = 0.25;
-    /** Seconds after a drain is told in which a node may be sent something. */
+    /** Seconds after a router is notified of a drain in which it may still send requests to the node. */
     private static final double GRACE = 0.25;
 
     private static final double OVERLOAD = 3, OVERLOAD_FOR = 3;
@@ -33,15 +34,15 @@
     private final RuleAudit audit = new RuleAudit(GRACE, OVERLOAD, OVERLOAD_FOR);
     private final RunMetrics tally;
     private final Arrivals arrivals;
-    /** The position of the last write of each session. */
+    /** Position of the last answered write, by session. */
     private final double[] wrote;
-    /** When that was answered, and by whom. */
+    /** Time at which the last write was answered, by session; the router that answered it is in the next array. */
     private final double[] wroteWhen;
 
     private final RouterModel[] wroteBy;
     private int nextRouter;
     private long commands;
-    /** What the list says by now, a row a node. */
+    /** The latest published endpoint-list entry of each node; at most one entry per node. */
     private final Map<NodeModel, News> published = new LinkedHashMap<>();
 
     private long revision;
@@ -51,7 +52,7 @@
 
     private static final class Asked extends Request {
         final Arrivals.RequestArrival ask;
-        /** The position of what its session had written when it was asked; 0 where it need not see that. */
+        /** Last-write position of the session when the request was issued; 0 if the read need not see it. */
         final double written;
 
         final String mark;
@@ -122,12 +123,12 @@
         arrivals();
     }
 
-    /** A mark comes with the command, or its router knows it from its peers and itself. */
+    /** Returns whether routers receive last-write positions, either with the request or from peers. */
     private boolean marksReachRouters() {
         return spec.contact().marksCarried() || spec.contact().shares();
     }
 
-    /** Plays so many seconds from the start, then until all that was asked has its answer. */
+    /** Runs the load for the given number of seconds, then until every issued request has its final answer. */
     public RunMetrics run(double seconds) {
         stopAt = START + seconds;
         timeline.run(stopAt);
@@ -147,7 +148,7 @@
 
     private double stopAt = Double.POSITIVE_INFINITY;
 
-    // ---- what is asked ----
+    // ---- load ----
 
     private void arrivals() {
         timeline.in(arrivals.gap(timeline.now() - START), () -> {
@@ -171,7 +172,10 @@
         router.take(command);
     }
 
-    /** Sessions go from router to router, but not right after a write. */
+    /**
+     * Returns the next router in round-robin order; a session stays with one router for {@code roam} seconds after a
+     * write.
+     */
     private RouterModel routerFor(int session) {
         RouterModel next = routers.get(nextRouter++ % routers.size());
         boolean stays = session >= 0
@@ -188,7 +192,7 @@
         tally.answered(command.requestClass, verdict, now - command.arrivedAt, command.arrivedAt);
     }
 
-    // ---- what routers ask of the world ----
+    // ---- environment of the routers ----
 
     RuleAudit audit() {
         return audit;
@@ -226,12 +230,12 @@
         return ((Asked) command).ask.work();
     }
 
-    /** By which anyone may ask whether it has run. */
+    /** Key by which any router can query whether the write has run. */
     String mark(Request command) {
         return ((Asked) command).mark;
     }
 
-    /** The position that a read must see that was sent then. */
+    /** Minimum position that a node must have applied to answer a read sent at {@code sentAt}. */
     double needed(Request command, double sentAt) {
         return switch (command.requestClass.consistency()) {
             case BOUNDED_STALENESS -> sentAt - command.requestClass.maxStalenessSeconds();
@@ -249,7 +253,7 @@
         }
     }
 
-    /** A node has died: what is out there is reset at every router. */
+    /** Resets the connections and attempts to a crashed node at every router. */
     private void died(NodeModel node) {
         routers.forEach(router -> router.reset(node.node));
     }
@@ -263,7 +267,7 @@
         });
     }
 
-    /** A router hears the list: all that it has not heard, as it is by now. */
+    /** Delivers to a router the current state of all entries that changed since the last revision that it received. */
     private void tell(RouterModel router) {
         List<Endpoint> entries = published.values().stream()
                 .filter(news -> news.revision() > router.revision())
