--- a/lab/src/main/java/clayhook/lab/model/CpuModel.java
+++ b/lab/src/main/java/clayhook/lab/model/CpuModel.java
@@ -4,17 +4,17 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The cores of a machine and the queue before them, served in order. Work is conserved whatever the speed does. */
+/** The cores of a machine and the FIFO queue in front of them. Work is conserved across changes of the speed. */
 final class CpuModel {
     private final Scheduler timeline;
     private final int cores;
     private final int limit;
-    /** Bounded by the limit of the queue. */
+    /** Bounded by {@link #limit}. */
     private final ArrayDeque<NodeJob> queue = new ArrayDeque<>();
 
     private final List<NodeJob> running = new ArrayList<>();
     private double speed = 1;
-    /** Seconds of a core that were worked, and when that was reckoned. */
+    /** Core seconds of work done, as of the last {@link #reckon} of each running job. */
     private double worked;
 
     CpuModel(Scheduler timeline, int cores, int limit) {
@@ -23,7 +23,7 @@
         this.limit = limit;
     }
 
-    /** False if the queue is full. */
+    /** Starts or queues the job; returns false if the queue is full. */
     boolean offer(NodeJob job) {
         if (running.size() < cores) {
             begin(job);
@@ -39,7 +39,7 @@
         plan(job);
     }
 
-    /** Where the machine stands still, the end is planned once it moves again. */
+    /** Schedules the end of the job. At speed 0 nothing is scheduled; the next change of the speed schedules it. */
     private void plan(NodeJob job) {
         int plan = ++job.plan;
         if (speed > 0) {
@@ -72,19 +72,19 @@
         job.reckonedAt = timeline.now();
     }
 
-    /** Seconds of work done in a second of a core; 0 while it stands still. */
+    /** Sets the core seconds of work done per second and core; 0 while the machine is stopped. */
     void speed(double now) {
         running.forEach(this::reckon);
         speed = now;
         running.forEach(this::plan);
     }
 
-    /** Its client has gone: what waits is dropped, what runs goes on. */
+    /** Removes a job whose client disconnected from the queue; a running job continues. */
     void cancel(NodeJob job) {
         queue.remove(job);
     }
 
-    /** All is lost. */
+    /** Drops all running and queued jobs without a callback. */
     void clear() {
         running.forEach(job -> job.running = false);
         running.clear();
@@ -99,7 +99,7 @@
         return queue.size();
     }
 
-    /** Seconds of a core that were worked so far. */
+    /** Core seconds of work done so far. */
     double worked() {
         running.forEach(this::reckon);
         running.forEach(this::plan);
--- a/lab/src/main/java/clayhook/lab/model/GroupModel.java
+++ b/lab/src/main/java/clayhook/lab/model/GroupModel.java
@@ -5,14 +5,14 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** A group of nodes that hold the same data: one primary, whose commits its replicas apply, and elections. */
+/** A replica set: one primary, replicas that apply its commits, and elections. */
 final class GroupModel {
     final int id;
     final List<NodeModel> nodes = new ArrayList<>();
     private final Scheduler timeline;
     /** Seconds without a primary before a successor takes over. */
     private final double election;
-    /** The newest commit that was answered. */
+    /** Position of the newest commit. */
     private double head;
 
     GroupModel(Scheduler timeline, int id, double election) {
@@ -21,7 +21,7 @@
         this.election = election;
     }
 
-    /** Null while there is none. */
+    /** The current primary, or null if there is none. */
     NodeModel primary() {
         return nodes.stream()
                 .filter(node -> node.up() && node.role == Role.PRIMARY)
@@ -29,14 +29,17 @@
                 .orElse(null);
     }
 
-    /** A write has run at its primary; returns its position. */
+    /** Commits a write at the primary and returns its position. */
     double commit() {
         head = Math.max(Math.nextUp(head), timeline.now());
         nodes.stream().filter(node -> node.role != Role.PRIMARY && node.up()).forEach(node -> node.log.committed(head));
         return head;
     }
 
-    /** The primary may have gone: the replica that is furthest ahead follows, if none is there by then. */
+    /**
+     * Starts an election if there is no primary: the replica with the highest position takes over unless there is a
+     * primary by then.
+     */
     void maybeElect() {
         if (primary() == null) {
             timeline.in(election, () -> {
@@ -50,7 +53,10 @@
         }
     }
 
-    /** A primary that hangs loses its part, though it does not know. */
+    /**
+     * Demotes a primary that is still hung after the election time, and starts an election. The hung node itself cannot
+     * notice this.
+     */
     void depose(NodeModel old) {
         if (old.role == Role.PRIMARY) {
             timeline.in(election, () -> {
--- a/lab/src/main/java/clayhook/lab/model/NodeJob.java
+++ b/lab/src/main/java/clayhook/lab/model/NodeJob.java
@@ -2,17 +2,17 @@
 
 import java.util.function.Consumer;
 
-/** One command at a node. */
+/** A request at a node. */
 final class NodeJob {
-    /** Seconds of one core at full speed that are left. */
+    /** Remaining work in core seconds at full speed. */
     double work;
 
     final double arrived;
-    /** Hears that it is done; is told nothing where it was dropped. */
+    /** Called when the job is done; not called if it was dropped. */
     final Consumer<NodeJob> done;
-    /** When its work was last reckoned, while it runs. */
+    /** Time at which {@link #work} was last updated while the job runs. */
     double reckonedAt;
-    /** Its end as it is planned now; an older plan is void. */
+    /** Number of the valid scheduled end; ends scheduled under older numbers are ignored. */
     int plan;
 
     boolean running;
--- a/lab/src/main/java/clayhook/lab/model/NodeModel.java
+++ b/lab/src/main/java/clayhook/lab/model/NodeModel.java
@@ -3,9 +3,9 @@
 import clayhook.Node;
 import clayhook.Role;
 
-/** One node: its machine, its place in its group, and what has befallen it. */
+/** A node: its machine, its role in the replica set and the failures in effect. */
 final class NodeModel {
-    /** How often the speed of a node that warms is reckoned; short beside the time that takes. */
+    /** Seconds between two updates of the speed while the node warms up; short compared to the warm-up time. */
     private static final double WARMING_STEP = 0.25;
 
     final Node node;
@@ -17,12 +17,12 @@
     private boolean hung;
     boolean draining;
     private double startedAt;
-    /** The part of the machine that another program takes. */
+    /** Fraction of the machine that another program uses. */
     private double neighbour;
 
     private boolean paused;
     Role role;
-    /** It was turned off and on so often: what was sent to an earlier life is lost. */
+    /** Incarnation: the number of crashes. Requests sent to an earlier incarnation are lost. */
     int life;
 
     NodeModel(Scheduler timeline, Node node, MachineSpec machine, Role role) {
@@ -38,7 +38,7 @@
         return up;
     }
 
-    /** It takes what is sent and answers nothing. */
+    /** Returns whether the node is hung: it accepts requests and answers none. */
     boolean silent() {
         return hung;
     }
@@ -47,12 +47,12 @@
         return startedAt;
     }
 
-    /** Its position as it would tell it. */
+    /** Applied position that the node reports now; of a primary, the current time. */
     double position() {
         return role == Role.PRIMARY ? timeline.now() : log.position(timeline.now());
     }
 
-    /** The part of its full speed that it has by the time since its start; 1 once it is warm. */
+    /** Fraction of full speed that the node has reached since its start; 1 once it is warm. */
     double warmth() {
         double since = timeline.now() - startedAt;
         return startedAt <= 0 || since >= machine.warmAfter()
@@ -68,7 +68,7 @@
         cores.speed(speed());
     }
 
-    // ---- what befalls it ----
+    // ---- failures ----
 
     void crash() {
         up = false;
@@ -76,7 +76,7 @@
         cores.clear();
     }
 
-    /** It comes back cold, as a replica. */
+    /** Restarts the node cold, as a replica. */
     void restart() {
         up = true;
         role = Role.REPLICA;
@@ -101,7 +101,7 @@
         respeed();
     }
 
-    /** Another program takes that part of the machine. */
+    /** Sets the fraction of the machine that another program uses. */
     void share(double part) {
         neighbour = part;
         respeed();
--- a/lab/src/main/java/clayhook/lab/model/ReplicaLog.java
+++ b/lab/src/main/java/clayhook/lab/model/ReplicaLog.java
@@ -3,19 +3,19 @@
 import java.util.ArrayDeque;
 import java.util.List;
 
-/** How far a replica has come with its primary's log: commits arrive after a while and are applied one by one. */
+/** Replication progress of a replica: commits arrive after the shipping delay and are applied one by one. */
 final class ReplicaLog {
     private record Commit(double position, double appliedAt) {}
 
     private final double shipping;
     private final double apply;
-    /** Not applied yet; what is applied leaves when the position is asked for or another commit comes. */
+    /** Commits that are not applied yet; applied ones are removed by {@link #position} and with the next commit. */
     private final ArrayDeque<Commit> pending = new ArrayDeque<>();
 
     private double freeAt;
     private double position;
     private double stalledUntil;
-    /** How many times longer applying takes for now. */
+    /** Current factor by which applying takes longer. */
     private double slowness = 1;
 
     ReplicaLog(double shipping, double apply) {
@@ -29,7 +29,7 @@
         pending.add(new Commit(at, freeAt));
     }
 
-    /** From now on a commit takes so many times as long to apply, those that wait too. */
+    /** Multiplies the time to apply a commit by {@code times}, for pending commits too. */
     void slow(double now, double times) {
         position(now);
         slowness = times;
@@ -42,7 +42,7 @@
         }
     }
 
-    /** Nothing is applied until then. */
+    /** Stops applying until the given time. */
     void stall(double now, double until) {
         position(now);
         var late = new ArrayDeque<Commit>();
@@ -54,12 +54,12 @@
         stalledUntil = Math.max(stalledUntil, until);
     }
 
-    /** The time up to which it has applied all commits; it never goes back. */
+    /** Commit time up to which all commits are applied; never decreases. */
     double position(double now) {
         while (!pending.isEmpty() && pending.peek().appliedAt() <= now) {
             position = Math.max(position, pending.poll().position());
         }
-        // With nothing left to apply it knows of all that its primary did up to the way from there.
+        // Without pending commits the replica is current up to the shipping delay.
         boolean whole = pending.isEmpty() && now >= stalledUntil;
         position = whole ? Math.max(position, now - shipping) : position;
         return position;
--- a/lab/src/main/java/clayhook/lab/model/SimulatedNodes.java
+++ b/lab/src/main/java/clayhook/lab/model/SimulatedNodes.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** The nodes of a fleet and what befalls them; the same whether time is virtual or the machine's. */
+/** The nodes of a fleet and the failures injected into them, in virtual or wall-clock time. */
 final class SimulatedNodes {
     private final Scheduler timeline;
     private final Map<Node, NodeModel> nodes = new HashMap<>();
@@ -19,8 +19,8 @@
     private final Consumer<NodeModel> listChanged;
 
     /**
-     * {@code died} hears of nodes that crashed, {@code listChanged} of those of which the list has to tell something
-     * new.
+     * @param died called with each node that crashed
+     * @param listChanged called with each node whose endpoint-list entry changed
      */
     SimulatedNodes(FleetSpec spec, Scheduler timeline, Consumer<NodeModel> died, Consumer<NodeModel> listChanged) {
         this.timeline = timeline;
@@ -69,7 +69,7 @@
     private List<NodeModel> targets(String target) {
         if (target.endsWith("p")) {
             int group = Integer.parseInt(target.substring(0, target.length() - 1));
-            // A variant may have fewer groups than the failures name.
+            // A variant of the experiment may have fewer replica sets than the failures name.
             NodeModel primary = group > groups.size() ? null : group(group).primary();
             return primary == null ? List.of() : List.of(primary);
         }
@@ -79,7 +79,7 @@
                 .toList();
     }
 
-    /** Lets them happen, counted from that time. */
+    /** Schedules the failures; their times count from {@code start}. */
     void befall(List<Failure> failures, double start) {
         failures.forEach(failure -> timeline.at(start + failure.at(), () -> befall(failure)));
     }
@@ -93,7 +93,7 @@
         }
     }
 
-    /** What ends it again. */
+    /** Starts the failure at the node and returns the action that ends it. */
     private Runnable befall(NodeModel node, Failure failure) {
         GroupModel group = group(node.node.replicaSetId());
         switch (failure.kind()) {
