--- a/lab/src/main/java/clayhook/lab/model/Scheduler.java
+++ b/lab/src/main/java/clayhook/lab/model/Scheduler.java
@@ -1,10 +1,10 @@
 package clayhook.lab.model;
 
-/** What tells the time, in seconds, and lets things happen at one: virtual, or a loop on the machine's own clock. */
+/** A clock in seconds that runs events at given times: virtual, or an event loop on the machine's clock. */
 public interface Scheduler {
     double now();
 
-    /** Never before now. */
+    /** Schedules an event; one with a time in the past runs now. */
     void at(double time, Runnable what);
 
     default void in(double seconds, Runnable what) {
--- a/lab/src/main/java/clayhook/lab/model/VirtualScheduler.java
+++ b/lab/src/main/java/clayhook/lab/model/VirtualScheduler.java
@@ -2,7 +2,10 @@
 
 import java.util.PriorityQueue;
 
-/** Virtual time: what is due, in order of time and then of its making. What has happened leaves. */
+/**
+ * A scheduler in virtual time: runs events in order of time, then in order of scheduling. An event is removed when it
+ * runs.
+ */
 public final class VirtualScheduler implements Scheduler {
     private record Event(double time, long number, Runnable what) implements Comparable<Event> {
         @Override
@@ -15,7 +18,7 @@
     private double now;
     private long made;
 
-    /** {@code start}: a time in seconds, as a clock would tell it. */
+    /** @param start initial time in seconds, in the range of a wall clock */
     public VirtualScheduler(double start) {
         now = start;
     }
@@ -30,7 +33,7 @@
         due.add(new Event(Math.max(now, time), made++, what));
     }
 
-    /** Lets all happen that is due up to then. */
+    /** Runs all events due up to the given time, then sets the clock to it. */
     public void run(double until) {
         while (!due.isEmpty() && due.peek().time() <= until) {
             Event next = due.poll();
@@ -40,7 +43,7 @@
         now = until;
     }
 
-    /** How many events have happened or wait to. */
+    /** Number of events scheduled so far, including those that have run. */
     public long made() {
         return made;
     }
--- a/lab/src/main/java/clayhook/lab/model/WallClockScheduler.java
+++ b/lab/src/main/java/clayhook/lab/model/WallClockScheduler.java
@@ -4,9 +4,12 @@
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.Histogram;
 
-/** The machine's own clock, in seconds since 1970; all happens on one loop. It keeps count of how late that ran. */
+/**
+ * A scheduler on the machine's clock, in seconds since 1970. All events run on one event loop; their lateness is
+ * recorded.
+ */
 final class WallClockScheduler implements Scheduler {
-    /** Microseconds. */
+    /** Upper bound of the recorded lateness in microseconds. */
     private static final long LONGEST = 60_000_000;
 
     private final EventLoop loop;
@@ -19,7 +22,10 @@
         this.loop = loop;
     }
 
-    /** While something happens that was due, the time at which it was: what follows from it is not late for that. */
+    /**
+     * Returns the due time of the running event, if any, else the current time; so events scheduled by a late event do
+     * not inherit its lateness.
+     */
     @Override
     public double now() {
         return due > 0 ? due : real();
@@ -29,7 +35,7 @@
         return start + (System.nanoTime() - steady) / 1e9;
     }
 
-    @SuppressWarnings("FutureReturnValueIgnored") // what runs later reports its own failures
+    @SuppressWarnings("FutureReturnValueIgnored") // a scheduled event reports its own failures
     @Override
     public void at(double time, Runnable what) {
         loop.schedule(
@@ -46,12 +52,12 @@
                 TimeUnit.NANOSECONDS);
     }
 
-    /** What was late so far does not count: everything was cold. */
+    /** Discards the lateness recorded so far, which includes the warm-up of the JVM. */
     void warm() {
         late.reset();
     }
 
-    /** Seconds by which all but one in a hundred of what was due happened late at the most. */
+    /** 99th percentile of the lateness of events, in seconds. */
     double late() {
         return late.getValueAtPercentile(99) / 1e6;
     }
