--- a/lab/src/main/java/clayhook/lab/model/Arrivals.java
+++ b/lab/src/main/java/clayhook/lab/model/Arrivals.java
@@ -4,7 +4,10 @@
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** What is asked and when, from one seed; the same whatever becomes of it, and in either time. */
+/**
+ * The sequence of requests and their arrival times from one seed; independent of their outcomes and of virtual or
+ * wall-clock time.
+ */
 final class Arrivals {
     private final FleetSpec spec;
     private final double shares;
@@ -12,7 +15,12 @@
     private final ZigguratSampler.NormalizedGaussian normal;
     private final ZigguratSampler.Exponential exponential;
 
-    /** One command; {@code session} is below 0 for none, {@code work} seconds of a core. */
+    /**
+     * A request.
+     *
+     * @param session session number; negative for none
+     * @param work core seconds of work
+     */
     record RequestArrival(FleetSpec.Kind kind, int group, int session, double work) {}
 
     Arrivals(FleetSpec spec, long seed) {
@@ -23,7 +31,11 @@
         exponential = ZigguratSampler.Exponential.of(random);
     }
 
-    /** Seconds until the next one: exponential at the rate of that moment, in seconds from the start. */
+    /**
+     * Draws the seconds until the next request, exponentially distributed.
+     *
+     * @param since seconds from the start, which determine the current rate
+     */
     double gap(double since) {
         return exponential.sample() / Math.max(spec.rateAt(since), 1e-9);
     }
@@ -40,7 +52,7 @@
         }
         int group = 1 + random.nextInt(spec.groups());
         int session = spec.sessions() == 0 ? -1 : random.nextInt(spec.sessions());
-        // A mean of the logarithm such that the mean of the work itself is as given.
+        // The mean of the logarithm is chosen so that the mean of the work itself is kind.work().
         double work = kind.spread() == 0
                 ? kind.work()
                 : kind.work() * Math.exp(kind.spread() * normal.sample() - kind.spread() * kind.spread() / 2);
--- a/lab/src/main/java/clayhook/lab/model/FleetSpec.java
+++ b/lab/src/main/java/clayhook/lab/model/FleetSpec.java
@@ -4,19 +4,20 @@
 import java.util.List;
 
 /**
- * A fleet and the load on it. Times are seconds.
+ * A fleet and its load. Times are in seconds.
  *
- * @param groups of nodes, each with one primary and {@code replicas}
- * @param zones over which nodes and routers are laid out by turns
- * @param way of a message between any two, one way
- * @param election without a primary until a successor takes over
- * @param listDelay until routers are told of a change
- * @param reports nodes tell their load with answers
- * @param commands what is asked
- * @param rate commands a second, over all routers
- * @param phases parts of the run in which the rate is a multiple
- * @param sessions that read what they wrote; 0 for none
- * @param contact how routers come to know what others do
+ * @param groups number of replica sets, each with one primary and {@code replicas} replicas
+ * @param zones zones to which nodes and routers are assigned round-robin
+ * @param way one-way network latency between any two processes
+ * @param election time without a primary until a successor takes over
+ * @param listDelay time until routers are notified of a change of the endpoint list
+ * @param reports whether nodes send load reports with their answers
+ * @param replicasCheck whether replicas reject reads that they would answer with stale data
+ * @param commands kinds of requests in the load
+ * @param rate requests per second over all routers
+ * @param phases parts of the run in which the rate is multiplied
+ * @param sessions number of sessions that read their own writes; 0 for none
+ * @param contact how routers learn of changes and of writes at other routers
  */
 public record FleetSpec(
         int groups,
@@ -36,19 +37,19 @@
         Contact contact) {
 
     /**
-     * How routers come to know what others do.
+     * How routers learn of changes and of writes at other routers.
      *
-     * @param shares they are peers
-     * @param marksCarried a session's read tells when it last wrote; otherwise routers must know
-     * @param listSpread seconds over which routers hear of a change of the list, each at a time of its own
-     * @param roam seconds after the answer to its write in which a session stays with the router that gave it
+     * @param shares whether the routers are peers that share state
+     * @param marksCarried whether the read of a session carries its last-write position; otherwise routers must know it
+     * @param listSpread seconds over which routers are notified of a change of the endpoint list, each at a random time
+     * @param roam seconds after the answer to a write in which the session stays with the router that answered it
      */
     public record Contact(boolean shares, boolean marksCarried, double listSpread, double roam) {
-        /** Alone, with clients that carry marks, and told at once. */
+        /** Routers without peers, clients that carry last-write positions, and immediate notification of changes. */
         public static final Contact NONE = new Contact(false, true, 0, 0);
     }
 
-    /** Of routers that share nothing and are told at once. */
+    /** Creates a fleet of routers that share nothing and are notified of changes immediately. */
     public FleetSpec(
             int groups,
             int replicas,
@@ -83,18 +84,20 @@
     }
 
     /**
-     * A command group in the load.
+     * A request class in the load.
      *
-     * @param share of the commands
-     * @param work seconds of a core, on average
-     * @param spread of the work: the sigma of its logarithm; 0 for always the same
+     * @param share weight of the class among all requests
+     * @param work mean core seconds per request
+     * @param spread sigma of the logarithm of the work; 0 for constant work
      */
     public record Kind(RequestClass group, double share, double work, double spread) {}
 
-    /** From then on, in seconds from the start, the rate is that multiple. */
+    /**
+     * A phase that starts {@code from} seconds after the start of the run and multiplies the rate by {@code factor}.
+     */
     public record Phase(double from, double factor) {}
 
-    /** The same with a load that many times as high. */
+    /** Returns the same fleet with the rate multiplied by {@code factor}. */
     public FleetSpec loaded(double factor) {
         return new FleetSpec(
                 groups,
@@ -152,7 +155,7 @@
                 contact);
     }
 
-    /** The highest rate of any phase. */
+    /** Highest rate of any phase, in requests per second. */
     public double peak() {
         return rate
                 * Math.max(
