--- a/lab/src/main/java/clayhook/lab/model/LoopbackFleet.java
+++ b/lab/src/main/java/clayhook/lab/model/LoopbackFleet.java
@@ -34,17 +34,24 @@
 import java.util.function.Consumer;
 
 /**
- * The same fleet, load and failures on loopback sockets and the machine's clock: real routers, and nodes that speak the
- * platform's protocol and take the time that the model says. Nodes and clients share a loop; each router has its own.
- * Routers ask for the list again after ten seconds at the latest, so that changes reach them by then.
+ * Runs the fleet, load and failures of a {@link FleetSpec} on loopback sockets and the machine's clock: production
+ * routers, and nodes that speak the platform's protocol and take the time that the model computes. Nodes and clients
+ * share one event loop; each router has its own. Routers poll the endpoint list again after ten seconds at the latest,
+ * so changes reach them within that time.
  */
-@SuppressWarnings("FutureReturnValueIgnored") // a write or close that fails shows as the end of its channel
+@SuppressWarnings("FutureReturnValueIgnored") // a failed write or close shows as the end of its channel
 public final class LoopbackFleet {
-    /** Where a run's own loop was late by more, its figures are those of the machine, and no verdict is given. */
+    /**
+     * Maximum 99th percentile of event lateness in seconds. Above it the results measure the machine, and no verdict is
+     * given.
+     */
     private static final double MOST_LATE = 0.01;
-    /** Far below what a process may open; a command for which no connection is left fails. */
+    /**
+     * Maximum client connections per router, far below the file descriptor limit of a process; a request without a free
+     * connection fails.
+     */
     private static final int MOST_CONNECTIONS = 256;
-    /** Seconds in which routers look at their nodes before the load begins. */
+    /** Seconds in which routers check the health of their nodes before the load starts. */
     private static final double WARMING = 1;
 
     private static final double CONNECT_TIMEOUT = 0.25;
@@ -86,12 +93,15 @@
         wrote = new double[spec.sessions()];
     }
 
-    /** Plays so many seconds; null if the loop ran too late for a verdict. */
+    /** Runs the load for the given number of seconds; returns null if the event loop ran too late for a verdict. */
     public RunMetrics run(List<Failure> failures, double seconds) throws InterruptedException {
         return run(failures, seconds, so -> {});
     }
 
-    /** The same; {@code watcher} is shown the figures so far each second, on the run's own loop. */
+    /**
+     * Runs the load likewise and passes the results so far to {@code watcher} each second, on the event loop of the
+     * run.
+     */
     public RunMetrics run(List<Failure> failures, double seconds, Consumer<RunMetrics> watcher)
             throws InterruptedException {
         try {
@@ -129,7 +139,7 @@
         }
     }
 
-    /** Seconds by which all but one in a hundred events were late at the most. */
+    /** 99th percentile of the lateness of events, in seconds. */
     public double late() {
         return time.late();
     }
@@ -239,7 +249,7 @@
         open.remove(asked.id);
     }
 
-    /** The connections to one router, each with one command at a time. */
+    /** Client connections to one router, each with at most one request at a time. */
     private final class Clients {
         private final InetSocketAddress router;
         private final ArrayDeque<Connection> idle = new ArrayDeque<>();
@@ -338,7 +348,7 @@
 
     // ---- nodes ----
 
-    /** A node of the model behind a listener. */
+    /** A modelled node behind a listening socket. */
     private final class SocketNode {
         final NodeModel node;
         private final Channel listening;
@@ -355,7 +365,7 @@
             return ((InetSocketAddress) listening.localAddress()).getPort();
         }
 
-        /** Its machine died: all that is open ends. */
+        /** Closes all connections of a crashed node. */
         void reset() {
             List.copyOf(connections).forEach(Channel::close);
         }
@@ -428,7 +438,7 @@
             return node.role == Role.PRIMARY ? "primary" : "replica";
         }
 
-        /** Rounded down: nobody is told of more than there is. */
+        /** Converts to milliseconds, rounded down so that no position beyond the applied one is reported. */
         private long millis(double position) {
             return (long) Math.floor(position * 1000);
         }
