--- a/lab/src/main/java/clayhook/lab/model/RuleAudit.java
+++ b/lab/src/main/java/clayhook/lab/model/RuleAudit.java
@@ -10,11 +10,12 @@
 import java.util.Map;
 
 /**
- * The five rules, from the record of clients and nodes alone. It keeps what is open and, of what has ended, only as
- * long as another run could still break a rule: twice the client timeout or repeat window.
+ * Audits the five rules from the events at clients and nodes alone. It keeps open requests, and finished ones only
+ * while another execution could still violate a rule: until the client timeout and the deduplication window after the
+ * deadline.
  */
 public final class RuleAudit {
-    /** What a router must keep, as the platform's pages number it. */
+    /** Rules that a router must keep, in the order of the platform's documentation. */
     public enum RuleKept {
         ONE_ANSWER,
         NO_DOUBLE_EFFECT,
@@ -23,16 +24,16 @@
         NO_STALE_READ
     }
 
-    /** Seconds after its client timeout in which a final answer still counts as one. */
+    /** Seconds after the client timeout in which a final answer is still accepted. */
     private static final double SLACK = 0.02;
 
     private static final class Entry {
         final RequestClass group;
         final double expires;
         int answers;
-        /** No answer in time can be asked for. */
+        /** Whether no timely answer can be expected. */
         boolean excused;
-        /** Where and when it ran first; null while it did not. */
+        /** Node at which the request ran first; null until then. The next field is the time. */
         Node ranAt;
 
         double ranWhen;
@@ -43,7 +44,7 @@
         }
     }
 
-    /** Of a node that is cold: work that came to it in the windows since its start. */
+    /** Work received by a cold node in the current window. */
     private static final class Cold {
         double since;
         double work;
@@ -58,19 +59,23 @@
     private String first;
     private double sweptAt;
 
-    /** {@code grace}: seconds after being told of a drain in which a node may still be sent something. */
+    /**
+     * @param grace seconds after the notification of a drain in which a node may still receive requests
+     * @param overloadFactor multiple of the capacity of a cold node above which the node is overloaded
+     * @param overloadFor seconds of a window over which the work is summed up
+     */
     public RuleAudit(double grace, double overloadFactor, double overloadFor) {
         this.grace = grace;
         this.overloadFactor = overloadFactor;
         this.overloadFor = overloadFor;
     }
 
-    /** How often each rule was broken; those that were kept are left out. */
+    /** Number of violations by rule; rules without violations are absent. */
     public Map<RuleKept, Integer> broken() {
         return Map.copyOf(broken);
     }
 
-    /** What broke a rule first, or null. */
+    /** Description of the first violation, or null. */
     public String first() {
         return first;
     }
@@ -84,7 +89,7 @@
         entries.put(command, new Entry(group, expires));
     }
 
-    /** A client got a final answer. */
+    /** Records that a client received a final answer. */
     public void answered(Object command, double now) {
         Entry entry = entries.get(command);
         if (entry == null || ++entry.answers > 1) {
@@ -98,7 +103,8 @@
     }
 
     /**
-     * Its router was killed or stopped while it had that command: nobody could have answered. What it did still counts.
+     * Excuses the missing answer of a request whose router was killed or stopped while it held the request. Its
+     * executions still count.
      */
     public void excused(Object command) {
         Entry entry = entries.get(command);
@@ -107,7 +113,7 @@
         }
     }
 
-    /** A router told a client that its command never ran, or will not. */
+    /** Records that a router rejected a request, which promises the client that it has not run and will not run. */
     public void throttled(Object command, double now) {
         Entry entry = entries.get(command);
         if (entry != null && entry.ranAt != null && entry.group.idempotency() == Idempotency.NON_IDEMPOTENT) {
@@ -116,8 +122,10 @@
     }
 
     /**
-     * A node ran a command; {@code needed} is the position that a read must cover, {@code position} where the node
-     * stood.
+     * Records that a node ran a request.
+     *
+     * @param position applied position of the node
+     * @param needed position that a read must cover
      */
     public void ran(Object command, Node node, double position, double needed, double now) {
         Entry entry = entries.get(command);
@@ -142,7 +150,7 @@
         entry.ranWhen = entry.ranWhen == 0 ? now : entry.ranWhen;
     }
 
-    /** Nodes drop a repeat of a keyed command within its scope and window. */
+    /** Returns whether the node drops a repeat of a request with key, within its deduplication scope and window. */
     private static boolean dropped(Entry entry, Node node, double now) {
         DeduplicationScope scope = entry.group.deduplicationScope();
         boolean within = scope == DeduplicationScope.ALL
@@ -154,7 +162,11 @@
                 && now <= entry.ranWhen + entry.group.deduplicationWindowSeconds();
     }
 
-    /** A router sent something to a node that it knows to drain since then. */
+    /**
+     * Records that a router sent a request to a draining node.
+     *
+     * @param toldAt time since which the router knows that the node is draining
+     */
     public void sentToDraining(Node node, double toldAt, double now) {
         if (now > toldAt + grace) {
             broke(
@@ -164,7 +176,12 @@
         }
     }
 
-    /** Work came to a node that is cold; {@code capacity} is the work that it can do in a second now. */
+    /**
+     * Records work received by a cold node.
+     *
+     * @param work core seconds of the request
+     * @param capacity core seconds of work that the node can do per second now
+     */
     public void worked(Node node, double work, double capacity, double now) {
         Cold window = cold.computeIfAbsent(node, any -> new Cold());
         if (now > window.since + overloadFor) {
@@ -178,7 +195,10 @@
         }
     }
 
-    /** Forgets what can break no rule any more; a command that nobody answered breaks the first one. */
+    /**
+     * Removes requests that can violate no rule any more, at most once per second. A request without a final answer
+     * violates {@link RuleKept#ONE_ANSWER}.
+     */
     public void sweep(double now) {
         if (now < sweptAt + 1) {
             return;
@@ -194,7 +214,7 @@
         });
     }
 
-    /** Nothing comes any more: what is past its time must have been answered. */
+    /** Ends the audit: requests past their deadline without a final answer violate {@link RuleKept#ONE_ANSWER}. */
     public void end(double now) {
         entries.values().stream()
                 .filter(entry -> entry.answers == 0 && !entry.excused && now > entry.expires + SLACK)
--- a/lab/src/main/java/clayhook/lab/model/RunMetrics.java
+++ b/lab/src/main/java/clayhook/lab/model/RunMetrics.java
@@ -7,12 +7,12 @@
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
 
-/** What a run came to: by command group, by second, by node. */
+/** Results of a run: by request class, by second and by node. */
 public final class RunMetrics {
-    /** Microseconds; no client waits for longer. */
+    /** Upper bound of the response times in microseconds; no client waits longer. */
     private static final long LONGEST = 3_600_000_000L;
 
-    /** One command group's counts. */
+    /** Counts and response times of one request class. */
     public static final class Totals {
         public long asked;
         public long answered;
@@ -21,13 +21,13 @@
         public long failed;
         public double benefit;
         public double possible;
-        /** Microseconds from arrival to answer. */
+        /** Response times in microseconds, from arrival to final answer. */
         public final Histogram times = new Histogram(LONGEST, 3);
     }
 
     private final double start;
     private final Map<RequestClass, Totals> groups = new LinkedHashMap<>();
-    /** Benefit earned and possible by second of arrival. */
+    /** Earned and possible benefit, by second of arrival from the start. */
     private final TreeMap<Integer, double[]> seconds = new TreeMap<>();
 
     private final Map<String, Double> busy = new LinkedHashMap<>();
@@ -85,7 +85,7 @@
         return groups;
     }
 
-    /** The share of the possible benefit that was earned. */
+    /** Share of the possible benefit that was earned, 0 to 1; 1 if there were no requests. */
     public double service() {
         double possible =
                 groups.values().stream().mapToDouble(of -> of.possible).sum();
@@ -94,14 +94,14 @@
                 : groups.values().stream().mapToDouble(of -> of.benefit).sum() / possible;
     }
 
-    /** The same of each second of arrivals. */
+    /** Share of the possible benefit that was earned, by second of arrival. */
     public Map<Integer, Double> serviceBySecond() {
         var shares = new TreeMap<Integer, Double>();
         seconds.forEach((second, sums) -> shares.put(second, sums[1] == 0 ? 1 : sums[0] / sums[1]));
         return shares;
     }
 
-    /** The part of its cores' time that each node worked. */
+    /** Fraction of the core time that each node spent working, by node id. */
     public Map<String, Double> busy() {
         return busy;
     }
@@ -110,7 +110,7 @@
         return broken;
     }
 
-    /** What broke a rule first, or null. */
+    /** Description of the first violation, or null. */
     public String firstBroken() {
         return firstBroken;
     }
