--- a/lab/src/main/java/clayhook/lab/model/PeerLink.java
+++ b/lab/src/main/java/clayhook/lab/model/PeerLink.java
@@ -7,10 +7,11 @@
 import java.util.List;
 
 /**
- * What a router tells its peers of what it learns, and what it has from them. Times and positions are the timeline's.
+ * A router's link to its peers: publishes what the router learns and returns what the peers know. Times and positions
+ * are those of the scheduler.
  */
 public interface PeerLink {
-    /** Of a router that shares nothing. */
+    /** The link of a router that shares nothing. */
     PeerLink NONE = new PeerLink() {
         @Override
         public void listed(List<Endpoint> entries, boolean whole, long revision) {}
@@ -33,21 +34,34 @@
         }
     };
 
-    /** The list told that in this revision, all of it or what changed. */
+    /**
+     * Publishes endpoint-list entries of the given revision.
+     *
+     * @param whole whether the entries are the complete list; otherwise only those that changed
+     */
     void listed(List<Endpoint> entries, boolean whole, long revision);
 
-    /** A dispatch or a probe came back from that node. */
+    /** Publishes the result of an attempt or health check at a node. */
     void looked(Node node, AttemptResult reply);
 
-    /** A write of a session was answered. */
+    /** Publishes the position of an answered write of a session. */
     void wrote(Request command, double position);
 
-    /** That write has run there; or, with null, has its final answer and it is not known whether it has run. */
+    /**
+     * Publishes the outcome of a write.
+     *
+     * @param ranAt the node where it ran; null if it has its final answer and it is not known whether it ran
+     */
     void written(Request command, String mark, Node ranAt);
 
-    /** So many probes were sent, and dispatches beyond the first of a command. */
+    /**
+     * Publishes the use of quotas.
+     *
+     * @param probes number of health checks sent
+     * @param repeats number of attempts beyond the first of a request
+     */
     void used(int probes, int repeats);
 
-    /** The position that a read of that session must see, as far as is known, on the safe side; 0 for any. */
+    /** Minimum position for a read of the session, rounded up if uncertain; 0 if there is none. */
     double needs(String session);
 }
--- a/lab/src/main/java/clayhook/lab/model/PeerLinkFactory.java
+++ b/lab/src/main/java/clayhook/lab/model/PeerLinkFactory.java
@@ -2,12 +2,12 @@
 
 import java.util.List;
 
-/** Makes routers peers. */
+/** Connects routers as peers. */
 public interface PeerLinkFactory {
-    /** Each of them alone. */
+    /** Connects no routers: each one shares nothing. */
     PeerLinkFactory NONE = (time, routers, seed) ->
             routers.stream().map(router -> PeerLink.NONE).toList();
 
-    /** One end for each router, in their order. */
+    /** Creates one link per router, in the order of the routers. */
     List<PeerLink> among(Scheduler time, List<? extends PeerObservationListener> routers, long seed);
 }
--- a/lab/src/main/java/clayhook/lab/model/PeerObservationListener.java
+++ b/lab/src/main/java/clayhook/lab/model/PeerObservationListener.java
@@ -3,11 +3,11 @@
 import clayhook.Endpoint;
 import clayhook.PeerObservation;
 
-/** A router that can be told what its peers know. */
+/** Receives what the peers of a router know. */
 public interface PeerObservationListener {
-    /** What the list told a peer in that revision. */
+    /** Called with an endpoint-list entry that a peer received in the given revision. */
     void told(Endpoint entry, long revision);
 
-    /** What peers have seen of the node of that id. */
+    /** Called with what peers observed of the node with the given id. */
     void told(String node, PeerObservation told);
 }
