--- a/lab/src/main/java/clayhook/lab/sharing/DriftingClock.java
+++ b/lab/src/main/java/clayhook/lab/sharing/DriftingClock.java
@@ -1,12 +1,19 @@
 package clayhook.lab.sharing;
 
-/** A router's own clock: off by something from its start on, and fast or slow. Within one life it never jumps. */
+/**
+ * A router's own clock: it has an offset from true time and may run fast or slow. Within one incarnation of the router
+ * it never jumps.
+ */
 final class DriftingClock {
     private double since;
     private double told;
     private double gains;
 
-    /** Right at first; {@code now} is the true time, as it is everywhere here. */
+    /**
+     * Creates a clock that shows true time.
+     *
+     * @param now true time, here and in the other methods
+     */
     DriftingClock(double now) {
         set(now, 0);
     }
@@ -15,18 +22,18 @@
         return told + (now - since) * (1 + gains);
     }
 
-    /** The true time at which this clock will tell that, as it goes now. */
+    /** Returns the true time at which this clock will show {@code own}, at its current rate. */
     double when(double own) {
         return since + (own - told) / (1 + gains);
     }
 
-    /** From now on, so many seconds ahead of the true time. */
+    /** Sets the clock to the given number of seconds ahead of true time. */
     void set(double now, double ahead) {
         since = now;
         told = now + ahead;
     }
 
-    /** From now on it gains so many seconds a second. */
+    /** Sets the rate: from now on the clock gains {@code seconds} per second. */
     void gains(double now, double seconds) {
         told = at(now);
         since = now;
--- a/lab/src/main/java/clayhook/lab/sharing/SimulatedNetwork.java
+++ b/lab/src/main/java/clayhook/lab/sharing/SimulatedNetwork.java
@@ -9,18 +9,18 @@
 import java.util.SplittableRandom;
 
 /**
- * Datagrams between routers: they get lost, late, doubled, out of order and spoilt, and do not pass where a link is
- * cut. Several faults at once add up.
+ * A network that carries datagrams between routers: they can be lost, delayed, duplicated, reordered or corrupted, and
+ * are dropped where a link is cut. The effects of simultaneous faults add up.
  */
 public final class SimulatedNetwork {
-    /** The ways' spread: the sigma of their logarithm, as within one site. */
+    /** Spread of the latency: the sigma of its logarithm, as within one data center. */
     private static final double SPREAD = 0.4;
-    /** Seconds by which a packet is held back at the most, so that others overtake it. */
+    /** Maximum seconds for which a packet is held back so that others overtake it. */
     private static final double HELD_BACK = 0.5;
-    /** Seconds of a slow link that its sender queues; what does not fit is lost. */
+    /** Seconds of traffic that the sender queues for a slow link; packets beyond that are lost. */
     private static final double QUEUED = 1;
 
-    /** Who takes what comes to an address. */
+    /** Receives the packets sent to an address. */
     interface Receiver {
         void heard(Address from, byte[] bytes);
     }
@@ -32,16 +32,16 @@
     private final double loss;
     private final SplittableRandom random;
     private final Map<Address, Place> places = new HashMap<>();
-    /** Each leaves when it is over. */
+    /** Active faults; each is removed when it ends. */
     private final List<SharingFault> faults = new ArrayList<>();
-    /** When the slow link of each router is free again. */
+    /** Time at which the slow link of each router has sent its queue, by router number. */
     private final double[] freeAt;
 
     private final TrafficMeter traffic;
 
     /**
-     * @param way seconds that a packet takes, the median
-     * @param loss the part of all packets that is lost at the best of times
+     * @param way median latency of a packet in seconds
+     * @param loss fraction of packets lost without any fault
      */
     SimulatedNetwork(Scheduler time, int routers, double way, double loss, long seed) {
         this.time = time;
@@ -68,7 +68,7 @@
         return traffic;
     }
 
-    /** Takes a packet; it is the network's own from then on. */
+    /** Sends a packet; the network owns the bytes from then on. */
     void send(Address from, Address to, byte[] bytes) {
         int sender = places.get(from).router();
         traffic.sent(sender, bytes.length, time.now());
@@ -106,7 +106,7 @@
         }
     }
 
-    /** Seconds until the slow link has passed it on; infinite where its queue is full. */
+    /** Seconds until the slow link has sent the packet; infinite if its queue is full. */
     private double queued(int sender, int bytes, double rate) {
         double free = Math.max(time.now(), freeAt[sender]) + bytes / rate;
         if (free - time.now() > QUEUED) {
--- a/lab/src/main/java/clayhook/lab/sharing/SimulatedPeerGroup.java
+++ b/lab/src/main/java/clayhook/lab/sharing/SimulatedPeerGroup.java
@@ -13,16 +13,16 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** All routers that share, the network between them, and what befalls them. */
+/** All routers that share state, the network between them, and the faults injected. */
 public final class SimulatedPeerGroup {
-    /** Routers that the operator's file names for the others to find the rest by. */
+    /** Number of seed routers that the configuration names, through which the others join. */
     private static final int SEEDS = 3;
 
     /**
-     * How many there are and how they reach each other.
+     * Size and network of the group.
      *
-     * @param way seconds that a packet takes, the median
-     * @param loss the part of all packets that is lost at the best of times
+     * @param way median latency of a packet in seconds
+     * @param loss fraction of packets lost without any fault
      */
     public record Spec(int routers, double way, double loss) {}
 
@@ -30,7 +30,9 @@
     private final List<PeeredRouter> routers = new ArrayList<>();
 
     /**
-     * They start at once, now; the plan's times count from then. {@code births} tells how each number of them lives.
+     * Starts all routers now; the times of the plan count from now.
+     *
+     * @param births the factory of the incarnations of each router, by router number
      */
     public SimulatedPeerGroup(
             Scheduler time, Spec spec, FaultPlan plan, IntFunction<RouterIncarnation.Factory> births, long seed) {
@@ -80,7 +82,7 @@
         }
     }
 
-    // ---- whether all agree ----
+    // ---- agreement ----
 
     private static Set<Member> seen(PeeredRouter by) {
         var seen = by.roster().livePeers().stream().map(Peer::member).collect(Collectors.toSet());
@@ -88,7 +90,10 @@
         return seen;
     }
 
-    /** Who sees other members than the rest, or has another copy of one of these kinds; null while all agree. */
+    /**
+     * Describes the first router whose live members or whose copy of one of the types differs; null if all routers
+     * agree.
+     */
     public String disagreement(List<ReplicatedType<?>> kinds) {
         List<PeeredRouter> awake = routers.stream().filter(PeeredRouter::awake).toList();
         Set<Member> living =
--- a/lab/src/main/java/clayhook/lab/sharing/TrafficMeter.java
+++ b/lab/src/main/java/clayhook/lab/sharing/TrafficMeter.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.stream.IntStream;
 
-/** What each router sent in each second; grows with the run. */
+/** Counts what each router sent in each second; grows with the duration of the run. */
 public final class TrafficMeter {
     private static final class Second {
         final long[] bytes;
@@ -38,7 +38,7 @@
         return IntStream.range(Math.min(from, seconds.size()), Math.min(until, seconds.size()));
     }
 
-    /** Bytes that a router sent a second, on average over routers and those seconds from the start. */
+    /** Mean bytes sent per router and second in the given seconds from the start. */
     public double bytes(int from, int until) {
         return seconds(from, until)
                         .mapToLong(s -> IntStream.range(0, routers)
@@ -49,7 +49,7 @@
                 / Math.max(1, until - from);
     }
 
-    /** Packets, reckoned likewise. */
+    /** Mean packets sent per router and second in the given seconds from the start. */
     public double packets(int from, int until) {
         return seconds(from, until)
                         .mapToLong(s -> IntStream.range(0, routers)
@@ -60,7 +60,7 @@
                 / Math.max(1, until - from);
     }
 
-    /** The most bytes that any router sent in any of those seconds. */
+    /** Maximum number of bytes that any router sent in any of the given seconds. */
     public long most(int from, int until) {
         return seconds(from, until)
                 .mapToLong(s -> IntStream.range(0, routers)
