--- a/lab/src/main/java/clayhook/lab/sharing/ModelPeer.java
+++ b/lab/src/main/java/clayhook/lab/sharing/ModelPeer.java
@@ -28,14 +28,14 @@
 import java.util.SplittableRandom;
 
 /**
- * One router of the model among its peers: what it learns is put in, and what peers know comes back, by the same code
- * as on sockets. While its peering is dead or stands still it tells nothing and hears nothing; the router itself serves
- * on.
+ * The peer side of a router of the model: publishes what the router learns and delivers what its peers know, with the
+ * production code. While the peer side is dead or frozen it publishes and receives nothing; the router itself continues
+ * to serve.
  */
 final class ModelPeer implements PeerLink, PeerSharing.PeerListener, RouterIncarnation.Factory {
-    /** All routers of the model hear one discovery. */
+    /** Address of the discovery service, which all routers of the model share. */
     private static final String SOURCE = "10.0.0.1:1";
-    /** Of every node: nothing is sent to addresses here. */
+    /** Address of every node; nothing is sent to it. */
     private static final InetSocketAddress ADDRESS = EndpointList.parseAddress("10.0.0.2:1");
 
     private final Scheduler time;
@@ -43,14 +43,14 @@
     private final int routers;
     private final boolean marks;
     private final double roam;
-    /** The list as its router has heard it; what a new life is told first. */
+    /** Endpoint list that the router received; passed first to each new incarnation. */
     private final Map<String, EndpointList.DiscoveredEndpoint> listed = new LinkedHashMap<>();
 
     private long revision;
     private PeeredRouter peer;
     private StateBridge exchange;
 
-    /** {@code marks}: clients carry none, so that routers must share them. */
+    /** @param marks whether clients carry no last-write positions, so that routers must share them */
     ModelPeer(Scheduler time, PeerObservationListener router, int routers, boolean marks, double roam) {
         this.time = time;
         this.router = router;
@@ -145,7 +145,7 @@
         }
     }
 
-    /** Where peers cannot be asked, anything may have been written up to now. */
+    /** If the peer side is down, the session may have written anything up to now, so the required position is now. */
     @Override
     public double needs(String session) {
         return !marks ? 0 : peer.awake() ? exchange.requiredPosition(session, peer.now()) : time.now();
--- a/lab/src/main/java/clayhook/lab/sharing/PeeredFleet.java
+++ b/lab/src/main/java/clayhook/lab/sharing/PeeredFleet.java
@@ -7,7 +7,7 @@
 import clayhook.lab.model.Scheduler;
 import java.util.List;
 
-/** Makes the routers of a modelled fleet peers of one another, on a network with faults. */
+/** Connects the routers of a modelled fleet as peers over a network with faults. */
 public final class PeeredFleet implements PeerLinkFactory {
     private final FleetSpec.Contact contact;
     private final double way;
@@ -16,8 +16,8 @@
     private SimulatedPeerGroup company;
 
     /**
-     * @param way seconds that a packet takes, the median
-     * @param loss the part of all packets that is lost at the best of times
+     * @param way median latency of a packet in seconds
+     * @param loss fraction of packets lost without any fault
      */
     public PeeredFleet(FleetSpec.Contact contact, double way, double loss, FaultPlan plan) {
         this.contact = contact;
@@ -37,7 +37,7 @@
         return List.copyOf(peers);
     }
 
-    /** The routers' ends, once the fleet was made. */
+    /** The peer group of the routers; null until the fleet is created. */
     public SimulatedPeerGroup company() {
         return company;
     }
--- a/lab/src/main/java/clayhook/lab/sharing/PeeredRouter.java
+++ b/lab/src/main/java/clayhook/lab/sharing/PeeredRouter.java
@@ -12,17 +12,24 @@
 import java.util.List;
 import java.util.Queue;
 
-/** One router's end of what routers share: the real machines, told the times of its own clock. */
+/** A router's end of the state sharing: runs the production protocol handlers on the router's own clock. */
 public final class PeeredRouter {
-    /** Packets that wait while it stands still, as a socket's buffer holds them; more are lost. */
+    /**
+     * Maximum number of packets that wait while the router is frozen, as in the buffer of a socket; further ones are
+     * lost.
+     */
     private static final int WAITING = 256;
-    /** Seconds after packets came until the machines have their turn: what comes together is seen together. */
+    /**
+     * Seconds from the arrival of packets until the next tick, so that packets that arrive together are processed
+     * together.
+     */
     private static final double SOON = 0.001;
     /**
-     * Seconds after which what the router itself tells is looked at: its thread wakes a hundred times a second at most.
+     * Seconds until the handlers process events of the router itself: the production thread wakes up at most a hundred
+     * times per second.
      */
     private static final double NAP = 0.01;
-    /** Guards against a machine that wants its next turn at once, for ever. */
+    /** Minimum seconds between two ticks; guards against a handler that always requests an immediate tick. */
     private static final double LEAST_PAUSE = 1e-4;
 
     private record QueuedDatagram(Address from, byte[] bytes) {}
@@ -35,7 +42,7 @@
     private final List<Address> seeds;
     private final long seed;
     private final DriftingClock clock;
-    /** Emptied when it goes on. */
+    /** Packets that arrived while the router was frozen; processed when it resumes. */
     private final Queue<QueuedDatagram> waiting = new ArrayDeque<>();
 
     private RouterIncarnation life;
@@ -43,7 +50,10 @@
     private int lives;
     private long boot;
     private double ahead;
-    /** Faults that hold it still, and that keep it dead; several may at once. */
+    /**
+     * Number of faults that currently freeze the router; the next field counts those that keep it dead. Several can
+     * overlap.
+     */
     private int stands;
 
     private int deaths;
@@ -72,12 +82,13 @@
         return new Address("router-" + number, 7946);
     }
 
-    // ---- what befalls it ----
+    // ---- faults ----
 
     private void live() {
         clock.set(time.now(), ahead);
         lives++;
-        // As the edge does: above the last one, whatever the clock says, else it would count as its own past.
+        // As in the production router: above the last incarnation whatever the clock says, otherwise peers would take
+        // the new one for an earlier one.
         boot = Math.max(boot + 1, (long) (1000 * now()));
         var self = new Member(address.host(), boot);
         life = birth.begin(new Peer(self, address), seeds, seed * 1_000_003 + lives, now());
@@ -99,7 +110,7 @@
         }
     }
 
-    /** It starts again with its clock that much further ahead than before. */
+    /** Restarts the router with its clock shifted ahead by {@code further} seconds. */
     void startWithClock(double further) {
         ahead += further;
         die();
@@ -108,7 +119,7 @@
 
     void drift(double secondsASecond) {
         clock.gains(time.now(), secondsASecond);
-        // What was planned by the old rate of the clock is planned anew.
+        // The pending wake-up was scheduled at the old rate of the clock, so it is scheduled again.
         wakeAt = Double.POSITIVE_INFINITY;
         wake(time.now());
     }
@@ -127,7 +138,7 @@
         }
     }
 
-    // ---- its turns ----
+    // ---- ticks ----
 
     private void heard(Address from, byte[] bytes) {
         if (awake()) {
@@ -159,50 +170,50 @@
         }
     }
 
-    /** Puts a value in and lets the machines say it. */
+    /** Merges a value into the copy and schedules a tick, so that the handlers send it. */
     public <V> V put(ReplicatedType<V> kind, String key, V value) {
         V joined = life.shared().merge(kind, key, value, now());
         wake(time.now());
         return joined;
     }
 
-    /** There is news for the machines, which is seen to as soon as on sockets. */
+    /** Schedules a tick for an event of the router itself, after the same delay as in production. */
     void stir() {
         wake(time.now() + NAP);
     }
 
-    // ---- how it is ----
+    // ---- state ----
 
     public int number() {
         return number;
     }
 
-    /** It lives and does not stand still. */
+    /** Returns whether the router is alive and not frozen. */
     public boolean awake() {
         return life != null && stands == 0;
     }
 
-    /** The time by its own clock. */
+    /** Current time of the router's own clock. */
     public double now() {
         return clock.at(time.now());
     }
 
-    /** How often it began to live. */
+    /** Number of incarnations so far. */
     public int lives() {
         return lives;
     }
 
-    /** Null while it is dead. */
+    /** Null while the router is dead. */
     public ReplicatedStore shared() {
         return life == null ? null : life.shared();
     }
 
-    /** Null while it is dead. */
+    /** Null while the router is dead. */
     public MembershipView roster() {
         return life == null ? null : life.roster();
     }
 
-    /** Of this life. */
+    /** Traffic counters of the current incarnation. */
     public MessageDispatcher.TrafficCounters counts() {
         return fleet.counters();
     }
--- a/lab/src/main/java/clayhook/lab/sharing/RouterIncarnation.java
+++ b/lab/src/main/java/clayhook/lab/sharing/RouterIncarnation.java
@@ -14,19 +14,19 @@
 import java.util.List;
 
 /**
- * What one life of a router runs.
+ * The protocol state of one incarnation of a router.
  *
- * @param machines in the order of their turns
+ * @param machines protocol handlers in the order in which they are ticked
  */
 public record RouterIncarnation(
         MembershipView roster, ReplicatedStore shared, List<? extends ProtocolHandler> machines) {
 
-    /** Begins one; {@code now} is told by the router's own clock. */
+    /** Creates incarnations; {@code now} is the time of the router's own clock. */
     public interface Factory {
         RouterIncarnation begin(Peer self, List<Address> seeds, long seed, double now);
     }
 
-    /** The roster and the copy as routers run them, with nothing beside. */
+    /** Creates incarnations with only the production membership and replicated state. */
     public static Factory sharing(List<ReplicatedType<?>> kinds) {
         return (self, seeds, seed, now) -> {
             var members =
