--- a/lab/src/main/java/clayhook/lab/sharing/FaultPlan.java
+++ b/lab/src/main/java/clayhook/lab/sharing/FaultPlan.java
@@ -11,11 +11,14 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** Faults in order of time. It can be printed, put into an experiment's file and played again. */
+/** Faults in order of time. The printed form can be copied into an experiment file and replayed. */
 public record FaultPlan(List<SharingFault> faults) {
     public static final FaultPlan NONE = new FaultPlan(List.of());
 
-    /** How often each kind is drawn, beside the others: all of them, those more that rosters and copies differ by. */
+    /**
+     * Relative weight with which each kind is drawn; the kinds that make membership lists and replicated copies diverge
+     * weigh more.
+     */
     private static final Map<Kind, Integer> WEIGHTS = Map.ofEntries(
             Map.entry(Kind.LOSS, 3),
             Map.entry(Kind.DELAY, 2),
@@ -29,9 +32,9 @@
             Map.entry(Kind.KILL, 3),
             Map.entry(Kind.CLOCK_OFF, 1),
             Map.entry(Kind.CLOCK_DRIFT, 1));
-    /** Seconds: a hiccup, and a stand or split of minutes. */
+    /** Range of the duration in seconds: from a brief interruption to a freeze or network partition of minutes. */
     private static final double SHORTEST = 0.2, LONGEST = 90;
-    /** Below it a fault is as good as gone, so that shrinking ends. */
+    /** Duration in seconds at or below which a fault is not shortened further, so that shrinking terminates. */
     private static final double LEAST = 0.05;
 
     public FaultPlan {
@@ -40,7 +43,7 @@
                 .toList();
     }
 
-    /** So many faults among so many routers, all of them over by then. */
+    /** Draws {@code count} faults among {@code routers} routers, all of which end by {@code until}. */
     public static FaultPlan drawn(long seed, int count, int routers, double until) {
         var random = new SplittableRandom(seed);
         List<Kind> kinds = WEIGHTS.entrySet().stream()
@@ -51,7 +54,7 @@
         for (int i = 0; i < count; i++) {
             Kind kind = kinds.get(random.nextInt(kinds.size()));
             double at = random.nextDouble() * until;
-            // Most are short, a few last for minutes: even by the logarithm.
+            // The duration is uniform in its logarithm: most faults are short, a few last for minutes.
             double lasts = SHORTEST * Math.pow(LONGEST / SHORTEST, random.nextDouble());
             faults.add(new SharingFault(
                     at, kind, whom(kind, routers, random), Math.min(lasts, until - at), amount(kind, random)));
@@ -66,7 +69,7 @@
                     case SPLIT -> 1 + random.nextInt(Math.max(1, routers / 2));
                     case LOSS, DELAY, DOUBLE, REORDER, GARBLE ->
                         random.nextInt(3) == 0 ? 0 : 1 + random.nextInt(routers);
-                    // Now and then all at once: then nobody is left who remembers.
+                    // Sometimes all routers are killed at once, so that no copy of the state survives.
                     case KILL -> random.nextInt(8) == 0 ? routers : 1 + random.nextInt(Math.max(1, routers / 4));
                     default -> 1 + random.nextInt(Math.max(1, routers / 4));
                 };
@@ -83,22 +86,22 @@
             case LOSS, DOUBLE, REORDER, GARBLE -> 0.05 + 0.55 * part;
             case DELAY -> 0.005 * Math.pow(100, part);
             case SLOW -> 2_000 * Math.pow(20, part);
-            // Within what is allowed for and far beyond it, ahead and behind.
+            // From well within the clock offset allowed to far beyond it, ahead or behind.
             case CLOCK_OFF -> (random.nextBoolean() ? 1 : -1) * 0.05 * Math.pow(1000, part);
-            // The clock of a router is led to the wall's by no more than that.
+            // The clock of a router is slewed towards the wall clock by at most this rate.
             case CLOCK_DRIFT -> (2 * part - 1) / 200;
             default -> 0;
         };
     }
 
-    /** When the last one is over, in seconds from the start; 0 without any. */
+    /** End of the last fault in seconds from the start; 0 without faults. */
     public double over() {
         return faults.stream().mapToDouble(SharingFault::end).max().orElse(0);
     }
 
     /**
-     * As few faults as still fail, each as short as that allows: every one is left out in turn while the failure stays,
-     * then halved.
+     * Shrinks the plan to the fewest and shortest faults that still fail: leaves out each fault in turn while the
+     * failure persists, then halves the durations.
      */
     public FaultPlan shrunk(Predicate<FaultPlan> fails) {
         FaultPlan plan = this;
@@ -134,7 +137,7 @@
         return new FaultPlan(other);
     }
 
-    /** As an experiment's file has it. */
+    /** Returns the plan in the form of an experiment file. */
     @Override
     public String toString() {
         return faults.stream()
--- a/lab/src/main/java/clayhook/lab/sharing/GeneratedValues.java
+++ b/lab/src/main/java/clayhook/lab/sharing/GeneratedValues.java
@@ -11,28 +11,32 @@
 import java.util.SplittableRandom;
 
 /**
- * What routers come to know in a trial: of each kind some values under few keys, so that copies meet. What is so in the
- * world follows from time and the trial's seed; what a router says of it is its own, at its own clock.
+ * Generates what routers learn in a trial: values of each replicated type under few keys, so that several copies are
+ * merged. The true state follows from the time and the seed of the trial; what a router reports of it carries its own
+ * name and clock.
  */
 final class GeneratedValues {
-    /** Few enough that several routers speak of each. */
+    /** Numbers of keys, small enough that several routers report on each key. */
     private static final int NODES = 10, SESSIONS = 100, COMMANDS = 60;
-    /** Seconds between two starts of a node, and between two revisions of the list. */
+    /** Seconds between two starts of a node, and between two revisions of the endpoint list. */
     private static final double NODE_LIVES = 40, REVISION = 2;
 
-    /** One value that a router put in, at the true time. */
+    /** A value that a router merged into its copy, with the true time. */
     record Said<V>(ReplicatedType<V> kind, String key, V value, PeeredRouter by, int life, double at) {}
 
     private final SplittableRandom random;
     private final List<ReplicatedType<?>> kinds;
 
-    /** {@code kinds} as the routers' copies have them, in order of their numbers; their values are the usual ones. */
+    /**
+     * @param kinds the replicated types of the routers' copies, ordered by type number; their values are the standard
+     *     ones
+     */
     GeneratedValues(List<ReplicatedType<?>> kinds, long seed) {
         this.kinds = kinds;
         random = new SplittableRandom(seed);
     }
 
-    /** Some value of some kind; null where that router's clock makes no sense of it. */
+    /** Draws a value of a random type; returns null if the router's clock makes the value invalid. */
     Said<?> next(PeeredRouter by, double now) {
         try {
             return switch (random.nextInt(kinds.size())) {
@@ -57,7 +61,7 @@
         V of(String key);
     }
 
-    @SuppressWarnings("unchecked") // the kinds stand in order of their numbers
+    @SuppressWarnings("unchecked") // the types are ordered by type number
     private <V> Said<V> said(int kind, String key, Maker<V> maker, PeeredRouter by, double now) {
         return new Said<>((ReplicatedType<V>) kinds.get(kind), key, maker.of(key), by, by.lives(), now);
     }
@@ -75,7 +79,7 @@
         };
     }
 
-    /** Routers hear of a revision at different times; of one node and revision all hear the same. */
+    /** Routers receive a revision at different times, but for one node and revision all receive the same entry. */
     private ListedEndpoint listed(String key, PeeredRouter by, double now) {
         long revision = (long) (now / REVISION) - random.nextInt(4);
         var state =
@@ -83,7 +87,7 @@
         return new ListedEndpoint(revision, state, 0, false, "a", 1, "10.0.0.1", 1, by.now());
     }
 
-    /** Each command has run or not; its router may know or be in doubt. */
+    /** Generates the outcome of a write: each write has run or not, and its router knows or is in doubt. */
     private WriteOutcome writeOutcome(String key, PeeredRouter by) {
         String router = by.toString();
         var first = WriteOutcome.SentWrite.of(by.now(), 1, "pay", null);
--- a/lab/src/main/java/clayhook/lab/sharing/SharingFault.java
+++ b/lab/src/main/java/clayhook/lab/sharing/SharingFault.java
@@ -5,42 +5,45 @@
 import java.util.stream.Collectors;
 
 /**
- * What goes wrong among routers.
+ * A fault among routers.
  *
- * @param at seconds from the start
- * @param whom routers by number, from 0 on; none stands for all of them
- * @param lasts seconds until it is over
- * @param amount as the kind says; 0 where it says nothing
+ * @param at start in seconds from the start of the run
+ * @param whom numbers of the affected routers, from 0; empty for all routers
+ * @param lasts duration in seconds
+ * @param amount meaning depends on the kind; 0 if the kind uses none
  */
 public record SharingFault(double at, Kind kind, List<Integer> whom, double lasts, double amount) {
-    /** What befalls them. */
+    /** Kinds of faults. */
     public enum Kind {
-        /** Of the packets that they send, that part is lost. */
+        /** Packets sent by the routers are lost with probability {@code amount}. */
         LOSS,
-        /** What they send takes longer, by so many seconds on average. */
+        /** Packets sent by the routers are delayed by {@code amount} seconds on average. */
         DELAY,
-        /** That part of what they send arrives twice. */
+        /** Packets sent by the routers are delivered twice with probability {@code amount}. */
         DOUBLE,
-        /** That part of what they send is held back, so that later packets overtake it. */
+        /**
+         * Packets sent by the routers are held back with probability {@code amount}, so that later packets overtake
+         * them.
+         */
         REORDER,
-        /** Nothing comes from the first of them to the second; the way back stands. */
+        /** No packet arrives from the first router at the second; the opposite direction works. */
         CUT,
-        /** They hear one another, and so do the others; nothing comes from one side to the other. */
+        /** The listed routers can reach each other, and so can the others; no packet passes between the two sides. */
         SPLIT,
-        /** What they send passes at so many bytes a second, each. */
+        /** Each router sends at most {@code amount} bytes per second. */
         SLOW,
-        /** That part of what they send has a byte spoilt. */
+        /** Packets sent by the routers have one corrupted byte with probability {@code amount}. */
         GARBLE,
-        /** They stand still, then go on as if nothing had been. */
+        /** The routers freeze, then continue from the same state. */
         FREEZE,
-        /** They are killed, and come back in a new life that knows nothing. */
+        /** The routers are killed, and restart in a new incarnation without state. */
         KILL,
         /**
-         * As if killed and back at once, with the clock ahead by so many seconds; at the end the same again with it
-         * right.
+         * The routers restart at once with the clock ahead by {@code amount} seconds; at the end of the fault they
+         * restart again with the clock corrected.
          */
         CLOCK_OFF,
-        /** The clock gains so many seconds a second. */
+        /** The clock gains {@code amount} seconds per second. */
         CLOCK_DRIFT;
 
         String word() {
@@ -52,7 +55,7 @@
         whom = List.copyOf(whom);
     }
 
-    /** Seconds from the start. */
+    /** End of the fault in seconds from the start of the run. */
     public double end() {
         return at + lasts;
     }
@@ -61,7 +64,7 @@
         return whom.isEmpty() || whom.contains(router);
     }
 
-    /** Whether nothing comes from the one to the other. */
+    /** Returns whether this fault drops all packets from one router to the other. */
     boolean parts(int from, int to) {
         return switch (kind) {
             case CUT -> from == whom.get(0) && to == whom.get(1);
@@ -74,7 +77,7 @@
         return new SharingFault(at, kind, whom, seconds, amount);
     }
 
-    /** As an experiment's file has it. */
+    /** Returns the fault in the form of an experiment file. */
     @Override
     public String toString() {
         return String.format(
--- a/lab/src/main/java/clayhook/lab/sharing/SharingSweep.java
+++ b/lab/src/main/java/clayhook/lab/sharing/SharingSweep.java
@@ -7,17 +7,18 @@
 import java.util.stream.IntStream;
 
 /**
- * Many trials, each with faults drawn from its seed; what fails is told by its seed and the fewest faults that show it.
+ * Runs many trials, each with faults drawn from its seed; reports each failure with its seed and the fewest faults that
+ * reproduce it.
  */
 public final class SharingSweep {
-    /** Failures that are shrunk; one is enough to see what is wrong. */
+    /** Maximum number of failures that are shrunk; one is enough to find the cause. */
     private static final int SHRUNK = 3;
 
     /**
-     * A failure.
+     * A failed trial.
      *
-     * @param plan the fewest and shortest faults with which that seed still fails
-     * @param broken what did not hold with them
+     * @param plan the fewest and shortest faults with which the seed still fails
+     * @param broken the condition that was violated with them
      */
     public record Found(int seed, FaultPlan plan, String broken) {
         @Override
@@ -27,9 +28,10 @@
     }
 
     /**
-     * What a sweep came to.
+     * The result of a sweep.
      *
-     * @param healed seconds from the end of faults and news until all agreed, in rising order, of those that did
+     * @param healed seconds from the end of faults and updates until all routers agreed, in ascending order, of the
+     *     trials in which they did
      */
     public record Result(int played, int failed, List<Found> found, double[] healed) {
         @Override
@@ -55,7 +57,7 @@
     private final FaultPlan given;
     private final int faults;
 
-    /** @param given faults of all trials; where there are none, {@code faults} are drawn for each */
+    /** @param given faults of all trials; if empty, {@code faults} faults are drawn for each trial */
     public SharingSweep(SharingTrial.Spec spec, List<ReplicatedType<?>> kinds, FaultPlan given, int faults) {
         this.spec = spec;
         this.kinds = kinds;
@@ -69,7 +71,7 @@
                 : given;
     }
 
-    /** Plays them all, on all cores; the same seeds give the same result. */
+    /** Runs a trial for each seed on all cores; the same seeds give the same result. */
     public Result play(List<Integer> seeds) {
         SharingTrial.Verdict[] verdicts = new SharingTrial.Verdict[seeds.size()];
         IntStream.range(0, seeds.size())
--- a/lab/src/main/java/clayhook/lab/sharing/SharingTrial.java
+++ b/lab/src/main/java/clayhook/lab/sharing/SharingTrial.java
@@ -19,45 +19,47 @@
 import java.util.SplittableRandom;
 
 /**
- * One play of routers that share, under faults, with news put in all along. What must hold: after the last fault all
- * rosters and copies become equal; nothing is in them that nobody put in, and all that was put in by lives that go on;
- * a session that comes to another router no sooner than is asked of it sees its own write there.
+ * One run of routers that share state, under faults, with updates throughout. The conditions checked are: after the
+ * last fault all membership lists and copies become equal; copies contain nothing that no router put in, and everything
+ * put in by incarnations that continue; and a session that moves to another router no sooner than allowed reads its own
+ * write there.
  */
 public final class SharingTrial {
-    /** Any time that a clock would tell; far from zero, which stands for never. */
+    /** Start of virtual time in seconds; far from zero, because zero stands for "never". */
     private static final double START = 1_000_000;
     /**
-     * Seconds between a write's answer and the session's read elsewhere, at least; and how much later it comes at most.
+     * Minimum seconds between the answer to a write and the session's read at another router, and the maximum by which
+     * the read comes later.
      */
     private static final double ROAM = 0.5, ROAMING = 5;
     /**
-     * Seconds by which a clock may be off for what is promised only where clocks agree; delays make the measure that
-     * bad.
+     * Maximum clock offset in seconds for guarantees that hold only if clocks agree; network delays make the offset
+     * measurement that inaccurate.
      */
     private static final double CLOCKS = 0.1;
-    /** Seconds before an entry's end from which it may be gone from copies. */
+    /** Seconds before the end of its retention from which an entry may be missing in copies. */
     private static final double FADING = 8;
-    /** Seconds between two looks whether all agree. */
+    /** Seconds between two checks whether all routers agree. */
     private static final double LOOK = 0.25;
 
-    /** The values that routers share, in order of their numbers. */
+    /** The replicated types that routers share, ordered by type number. */
     public static final List<ReplicatedType<?>> KINDS =
             List.of(NodeObservation.TYPE, ListedEndpoint.TYPE, SessionWrite.TYPE, WriteOutcome.TYPE, QuotaUsage.TYPE);
 
     /**
-     * What is played.
+     * Parameters of a trial.
      *
-     * @param seconds in which news comes and faults befall
-     * @param settle seconds after that in which all must agree
-     * @param rate pieces of news a second, over all routers
+     * @param seconds seconds in which updates and faults occur
+     * @param settle seconds after that within which all routers must agree
+     * @param rate updates per second over all routers
      */
     public record Spec(SimulatedPeerGroup.Spec company, double seconds, double settle, double rate) {}
 
     /**
-     * What came of it.
+     * The result of a trial.
      *
-     * @param broken what did not hold, and when; null for nothing
-     * @param healed seconds from the end of faults and news until all agreed
+     * @param broken the first condition that was violated, and when; null if none
+     * @param healed seconds from the end of faults and updates until all routers agreed
      */
     public record Verdict(String broken, double healed) {}
 
@@ -67,14 +69,14 @@
     private final SimulatedPeerGroup company;
     private final GeneratedValues learning;
     private final SplittableRandom random;
-    /** All that was put in. */
+    /** All values that were put in. */
     private final List<Said<?>> said = new ArrayList<>();
 
     private final Map<ReplicatedStore, SessionConsistency> needs = new HashMap<>();
     private final double end;
     private String broken;
 
-    /** {@code kinds} are {@link #KINDS}, or some of them broken on purpose. */
+    /** @param kinds {@link #KINDS}, possibly with deliberately broken types */
     private SharingTrial(Spec spec, List<ReplicatedType<?>> kinds, FaultPlan plan, long seed) {
         this.spec = spec;
         this.kinds = kinds;
@@ -86,7 +88,7 @@
         news();
     }
 
-    /** The same seed and plan give the same verdict. */
+    /** Runs a trial; the same seed and plan give the same verdict. */
     public static Verdict play(Spec spec, List<ReplicatedType<?>> kinds, FaultPlan plan, long seed) {
         return new SharingTrial(spec, kinds, plan, seed).play();
     }
@@ -109,7 +111,7 @@
         }
     }
 
-    // ---- what routers come to know ----
+    // ---- updates ----
 
     private void news() {
         time.in(random.nextExponential() / spec.rate(), () -> {
@@ -135,7 +137,7 @@
         return taken;
     }
 
-    // ---- a session reads elsewhere what it wrote ----
+    // ---- sessions that read their writes at another router ----
 
     private void roam(Said<?> mark) {
         PeeredRouter to = company.routers().get(random.nextInt(company.routers().size()));
@@ -162,7 +164,10 @@
         }
     }
 
-    /** Not where the life that took the write is over or not known to go on, nor where a clock is off. */
+    /**
+     * Returns whether the session must read its write here: not if the incarnation that took the write has ended or may
+     * have ended, nor if a clock is off.
+     */
     private boolean promised(Said<?> mark, PeeredRouter at) {
         Member writer =
                 mark.by().roster() == null ? null : mark.by().roster().self().member();
@@ -175,7 +180,7 @@
                 && Math.abs(mark.by().now() - time.now()) < CLOCKS;
     }
 
-    // ---- what is in the copies in the end ----
+    // ---- contents of the copies at the end ----
 
     private <V> void compare(ReplicatedType<V> kind) {
         ReplicatedType<V> right = right(kind);
@@ -211,13 +216,16 @@
         }
     }
 
-    /** It may not have gone with its time, and no clock kept it from being heard. */
+    /**
+     * Returns whether copies must still contain the value: its retention has not nearly ended, and no clock offset kept
+     * it from being accepted.
+     */
     private <V> boolean lasts(ReplicatedType<V> kind, Said<V> mine) {
         return kind.timestamp(mine.value()) + kind.retentionSeconds() > time.now() + FADING
                 && (!kind.clockDependent() || Math.abs(mine.by().now() - time.now()) < CLOCKS);
     }
 
-    @SuppressWarnings("unchecked") // of the same number, so of the same values
+    @SuppressWarnings("unchecked") // the same type number implies the same value type
     private static <V> ReplicatedType<V> right(ReplicatedType<V> kind) {
         return (ReplicatedType<V>) KINDS.stream()
                 .filter(one -> one.typeNumber() == kind.typeNumber())
@@ -225,7 +233,7 @@
                 .orElse(kind);
     }
 
-    @SuppressWarnings("unchecked") // its kind was compared
+    @SuppressWarnings("unchecked") // the caller compared the type
     private static <V> Said<V> own(Said<?> each) {
         return (Said<V>) each;
     }
