--- a/lab/src/main/java/clayhook/lab/sharing/SharingMetrics.java
+++ b/lab/src/main/java/clayhook/lab/sharing/SharingMetrics.java
@@ -11,21 +11,24 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 
-/** How fast news is, what it costs, and how long a router that was away is brought up; each a line of figures. */
+/**
+ * Measures how fast updates spread, the traffic and processor time that sharing takes, and how long a router that was
+ * away takes to catch up; each result is one line.
+ */
 public final class SharingMetrics {
     private static final double START = 1_000_000;
-    /** Seconds until all have found each other, as many as a thousand. */
+    /** Seconds until all routers, up to a thousand of them, have joined. */
     private static final double SETTLED = 30;
     /** Seconds over which traffic is counted. */
     private static final int COUNTED = 30;
-    /** Pieces of news, and seconds between two: one is known everywhere before the next. */
+    /** Number of updates; the next constant is the seconds between two, within which an update reaches all routers. */
     private static final int NEWS = 200;
 
     private static final double BETWEEN = 3;
     private static final int[] SIZES = {10, 100, 1000};
-    /** Pieces of news a second over all routers, for what news adds. */
+    /** Updates per second over all routers, for measuring the traffic that updates add. */
     private static final double RATE = 50;
-    /** Seconds away, and until which one must have been brought up. */
+    /** Seconds for which a router is away, and maximum seconds for it to catch up afterwards. */
     private static final double AWAY = 60, GIVEN_UP = 120;
 
     private static final double LOOK = 0.01;
@@ -34,7 +37,7 @@
     private final long seed;
     private final Consumer<String> lines;
 
-    /** @param lines takes each line of figures as it is known */
+    /** @param lines receives each line of results as soon as it is complete */
     public SharingMetrics(SimulatedPeerGroup.Spec spec, long seed, Consumer<String> lines) {
         this.spec = spec;
         this.seed = seed;
@@ -50,9 +53,9 @@
         return new SimulatedPeerGroup(time, spec, plan, number -> RouterIncarnation.sharing(SharingTrial.KINDS), seed);
     }
 
-    // ---- news ----
+    // ---- updates ----
 
-    /** Seconds until news is at 99 of a hundred routers, with nothing lost and with a fifth of all packets lost. */
+    /** Measures the seconds until an update has reached 99% of the routers, without packet loss and with 20% loss. */
     public void news() {
         for (double loss : new double[] {0, 0.2}) {
             var lossy = new SimulatedPeerGroup.Spec(spec.routers(), spec.way(), loss);
@@ -101,9 +104,12 @@
                 name, lossy.routers(), 100 * lossy.loss(), most[NEWS / 2], most[NEWS * 99 / 100], most[NEWS - 1]);
     }
 
-    // ---- what it costs ----
+    // ---- traffic and processor time ----
 
-    /** Bytes, packets and processor time a router a second, by the number of routers, without news and with some. */
+    /**
+     * Measures bytes, packets and processor time per router and second for several numbers of routers, without updates
+     * and with some.
+     */
     public void traffic() {
         for (int size : SIZES) {
             var time = new VirtualScheduler(START);
@@ -146,9 +152,12 @@
         return ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
     }
 
-    // ---- one who was away ----
+    // ---- catching up ----
 
-    /** Seconds from the return of a router after a minute until it has as many marks as all have written meanwhile. */
+    /**
+     * Measures the seconds from the return of a router that was away for a minute until it has all {@code marks}
+     * last-write positions written meanwhile.
+     */
     public void catchUp(int marks) {
         catchUp("cut off", SharingFault.Kind.SPLIT, marks);
         catchUp("frozen", SharingFault.Kind.FREEZE, marks);
--- a/lab/src/main/java/clayhook/lab/sharing/SharingPlay.java
+++ b/lab/src/main/java/clayhook/lab/sharing/SharingPlay.java
@@ -1,14 +1,14 @@
 package clayhook.lab.sharing;
 
 /**
- * What to play with routers that share, instead of service.
+ * What to run with routers that share, instead of measuring service.
  *
- * @param faults drawn for each seed of a sweep, where the file names none
+ * @param faults number of faults drawn for each seed of a sweep, if the file names none
  * @param settle seconds after the last fault within which all routers must agree
- * @param entries marks that a router which was away is brought up with
+ * @param entries number of last-write positions that a router that was away must catch up on
  */
 public record SharingPlay(What what, int faults, double settle, int entries) {
-    /** A sweep over seeds of faults; or the figures of news, of quiet traffic, of one who was away. */
+    /** A sweep over seeds with random faults; or a measurement of update latency, of traffic, or of catching up. */
     public enum What {
         SWEEP,
         NEWS,
