--- a/lab/src/main/java/clayhook/lab/plan/Estimate.java
+++ b/lab/src/main/java/clayhook/lab/plan/Estimate.java
@@ -4,12 +4,12 @@
 import clayhook.lab.model.FleetSpec;
 
 /**
- * What a fleet is asked to do at its peak, by arithmetic alone: parts of what there is of each resource.
+ * Utilization of each resource of a fleet at peak load, by arithmetic alone; 1 is full use.
  *
- * @param replicas of the cores of a group's replicas, if they take all reads that they may
- * @param primary of the cores of a group's primary, for what it alone may take
- * @param all of the cores of a group
- * @param log of a replica's applying thread
+ * @param replicas of the cores of the replicas of a replica set, if they serve all reads that they may
+ * @param primary of the cores of the primary, by requests that only it may serve
+ * @param all of all cores of a replica set
+ * @param log of the apply thread of a replica
  */
 public record Estimate(double replicas, double primary, double all, double log) {
 
@@ -34,7 +34,7 @@
                 writes * fleet.machine().apply());
     }
 
-    /** Not even with every core at work all the time could that part of the work be done. */
+    /** Returns whether the given share of the work exceeds the capacity even with every core busy all the time. */
     boolean hopeless(double part) {
         return all * part > 1 || primary * part > 1;
     }
--- a/lab/src/main/java/clayhook/lab/plan/Planner.java
+++ b/lab/src/main/java/clayhook/lab/plan/Planner.java
@@ -12,19 +12,22 @@
 import java.util.function.Consumer;
 
 /**
- * Answers by playing: arithmetic rules out what cannot be, the model decides the rest. The same file gives the same
- * answers.
+ * Plans capacity by simulation: arithmetic rules out impossible fleets, the model decides on the rest. The same file
+ * gives the same results.
  */
 public final class Planner {
-    /** Growth of the load that is looked for. */
+    /** Maximum factor of load growth that is tried. */
     private static final double MOST_GROWTH = 64;
-    /** The search ends once the bounds of a factor lie so close; what seeds differ by is larger. */
+    /**
+     * The search ends when the upper and lower bound of the factor are within this ratio; results of different seeds
+     * differ by more.
+     */
     private static final double CLOSE = 1.05;
-    /** More replicas a group than any deployment has. */
+    /** Maximum number of replicas tried; more than any deployment has. */
     private static final int MOST_REPLICAS = 40;
-    /** How much of a resource is given to see whether it was what broke. */
+    /** Factor by which a resource is increased to test whether it is the bottleneck. */
     private static final int RELIEF = 2;
-    /** Parts of the time in which a site is there, gone, and back. */
+    /** Fractions of the run after which a zone is lost, and for which it is lost. */
     private static final double LOST_FROM = 1 / 3.0, LOST_FOR = 1 / 3.0;
 
     private final Experiment experiment;
@@ -32,10 +35,10 @@
     private final Consumer<String> progress;
 
     /**
-     * How a fleet did, over all seeds.
+     * Results of a fleet over all seeds.
      *
-     * @param met seeds with which it met the goal
-     * @param broken the first rule that was broken, or null
+     * @param met number of seeds with which it met the goal
+     * @param broken description of the first rule violation, or null
      */
     public record Evaluation(
             int met,
@@ -55,30 +58,33 @@
     }
 
     /**
-     * Where a load that grows meets its end.
+     * The limit of load growth.
      *
-     * @param lastGood the greatest factor tried at which every seed met the goal; 0 if none did
-     * @param firstBad the least at which none did; infinite if that was not found
-     * @param causes what relieves it, the greatest help first
+     * @param lastGood greatest factor tried with which every seed met the goal; 0 if there was none
+     * @param firstBad least factor with which no seed met the goal; infinite if none was found
+     * @param causes resources whose increase helps, the greatest gain first
      */
     public record Breaks(double lastGood, double firstBad, Evaluation at, Estimate estimate, List<Cause> causes) {}
 
-    /** A resource, and how much more of the benefit is earned with twice as much of it. */
+    /** A resource, and the additional share of the benefit that is earned with twice as much of it. */
     public record Cause(String resource, double gain) {}
 
     /**
-     * Replicas a group that the goal needs.
+     * Replicas per replica set that the goal needs.
      *
-     * @param least none fewer met it with any seed
-     * @param enough met with every seed; 0 if not even the most that was tried did
+     * @param least no smaller number met the goal with any seed
+     * @param enough number with which every seed met the goal; 0 if even the maximum tried did not
      */
     public record Need(int now, int least, int enough) {}
 
-    /** What losing a site does: shares of the benefit before, while it is gone and after, and the worst second. */
+    /**
+     * Effect of losing a zone: shares of the benefit before, during and after the loss, and the share of the worst
+     * second.
+     */
     public record Loss(
             String site, double before, double during, double after, double worst, String broken, Need need) {}
 
-    /** The first variant of the experiment is planned for. */
+    /** Creates a planner for the first variant of the experiment. */
     public Planner(Experiment experiment, Consumer<String> progress) {
         this.experiment = experiment;
         fleet = experiment.variants().get(0).fleet();
@@ -126,7 +132,10 @@
                 .orElse(0);
     }
 
-    /** What breaks first as the load grows, with the failures that the experiment has. */
+    /**
+     * Finds the load factor at which the goal is missed, and the limiting resources, under the failures of the
+     * experiment.
+     */
     public Breaks breaks() {
         double good = 0;
         double bad = Double.POSITIVE_INFINITY;
@@ -146,7 +155,8 @@
             }
             double upper = trial.good() || trial.bad() ? bad : Math.min(bad, factor * CLOSE);
             if (!trial.good() && !trial.bad()) {
-                // Between the two: seeds differ. The interval is what is told, it need not get closer.
+                // Seeds differ between the two bounds, so the interval is reported as it is and needs no further
+                // narrowing.
                 Evaluation above = trial(fleet.loaded(upper), experiment.failures());
                 if (above.bad() && upper < bad) {
                     bad = upper;
@@ -166,7 +176,7 @@
                 causes(over, experiment.failures()));
     }
 
-    /** Each resource doubled by itself: what helps most was what broke. */
+    /** Doubles each resource separately; the one with the greatest gain was the bottleneck. */
     private List<Cause> causes(FleetSpec over, List<Failure> failures) {
         double without = trial(over, failures).service();
         MachineSpec m = over.machine();
@@ -229,7 +239,7 @@
         return new Cause(resource, trial(relieved, failures).service() - without);
     }
 
-    /** How many replicas a group the goal needs, with the failures that the experiment has. */
+    /** Finds the number of replicas that the goal needs, under the failures of the experiment. */
     public Need need() {
         return need(experiment.failures());
     }
@@ -238,7 +248,7 @@
         int least = 0;
         for (int count = 0; count <= MOST_REPLICAS; count++) {
             FleetSpec spec = fleet.withReplicas(count);
-            // Arithmetic goes first: work that no core is left for is not done, whatever the routers do.
+            // The estimate is checked first: work that exceeds all cores cannot be done, however it is routed.
             boolean hopeless = Estimate.of(spec).hopeless(experiment.goal().service())
                     && fleet.phases().isEmpty();
             Evaluation trial = hopeless ? null : trial(spec, failures);
@@ -255,7 +265,7 @@
         return new Need(fleet.replicas(), least, 0);
     }
 
-    /** What losing each site does, and the replicas that would bear it. */
+    /** Measures the effect of losing each zone, and the number of replicas that would sustain it. */
     public List<Loss> losses() {
         var losses = new ArrayList<Loss>();
         double from = experiment.seconds() * LOST_FROM;
--- a/lab/src/main/java/clayhook/lab/plan/package-info.java
+++ b/lab/src/main/java/clayhook/lab/plan/package-info.java
@@ -1,4 +1,5 @@
 /**
- * The capacity planner: what breaks first, how many nodes a goal needs, what losing a site does. Pure over the model.
+ * The capacity planner: which resource limits growth, how many nodes a goal needs, and the effect of losing a zone.
+ * Runs only the model, without any input or output.
  */
 package clayhook.lab.plan;
