--- a/lab/src/main/java/clayhook/lab/Comparison.java
+++ b/lab/src/main/java/clayhook/lab/Comparison.java
@@ -11,21 +11,21 @@
 import java.util.function.BiConsumer;
 import org.apache.commons.statistics.distribution.TDistribution;
 
-/** Plays every variant of an experiment with every seed. The same experiment gives the same figures. */
+/** Runs every variant of an experiment with every seed. The same experiment gives the same results. */
 public final class Comparison {
     private static final double CONFIDENCE = 0.95;
 
-    /** What one variant came to. */
+    /** The runs of one variant, one per seed. */
     public record Played(Experiment.Variant variant, List<RunMetrics> runs) {
-        /** Mean share of the benefit. */
+        /** Mean share of the possible benefit that was earned. */
         public double service() {
             return runs.stream().mapToDouble(RunMetrics::service).average().orElse(0);
         }
     }
 
-    /** A mean and how far the true one may lie from it at 95% confidence; infinite where there is one figure only. */
+    /** A mean and the half-width of its 95% confidence interval; the half-width is infinite for a single value. */
     public record Interval(double mean, double reach) {
-        /** Of figures that are drawn alike, or of differences between pairs. */
+        /** Computes the interval of identically distributed values, or of differences between pairs. */
         public static Interval of(double... figures) {
             double mean = 0;
             for (double figure : figures) {
@@ -45,7 +45,11 @@
 
     private Comparison() {}
 
-    /** {@code progress} hears of each run that begins. */
+    /**
+     * Runs the experiment in virtual time.
+     *
+     * @param progress called with variant and seed before each run
+     */
     public static List<Played> play(Experiment experiment, BiConsumer<String, Integer> progress) {
         var played = new ArrayList<Played>();
         for (Experiment.Variant variant : experiment.variants()) {
@@ -67,7 +71,7 @@
                 : PeerLinkFactory.NONE;
     }
 
-    /** The same on loopback sockets, one run after the other; a run without a verdict has null for it. */
+    /** Runs the experiment on loopback sockets, one run after the other; a run without a verdict is null. */
     public static List<Played> playOnSockets(Experiment experiment, BiConsumer<String, Integer> progress)
             throws InterruptedException {
         var played = new ArrayList<Played>();
@@ -82,7 +86,7 @@
         return played;
     }
 
-    /** How much more service the other gives, by pairs of runs with one seed. */
+    /** Computes how much more service the other variant gives, over pairs of runs with the same seed. */
     public static Interval gain(Played base, Played other) {
         double[] gains = new double[base.runs().size()];
         for (int i = 0; i < gains.length; i++) {
--- a/lab/src/main/java/clayhook/lab/Experiment.java
+++ b/lab/src/main/java/clayhook/lab/Experiment.java
@@ -23,13 +23,13 @@
 import java.util.stream.Collectors;
 
 /**
- * What to play: fleets, the load on them, what goes wrong, and with which seeds. Read from a file of TOML;
- * {@code examples/slow-log.toml} shows the form.
+ * An experiment: fleets, their load, failures and seeds. Read from a TOML file; see {@code examples/slow-log.toml} for
+ * the format.
  *
- * @param variants the first is what the others are compared with; each is played with the same seeds
- * @param seconds of load
- * @param goal for the planner
- * @param peers what routers that share are to each other
+ * @param variants fleets, each run with the same seeds; the first is the baseline of the comparison
+ * @param seconds duration of the load
+ * @param goal goal for the planner
+ * @param peers network, faults and task of routers that share state
  */
 public record Experiment(
         List<Variant> variants, List<Failure> failures, double seconds, List<Integer> seeds, Goal goal, Peers peers) {
@@ -37,31 +37,31 @@
     private static final double MANY = 1e6;
 
     /**
-     * What a fleet must do, with all rules kept.
+     * Service that a fleet must reach without violating a rule.
      *
-     * @param service share of the benefit
-     * @param inTime share of each command group that is answered within its target
+     * @param service minimum share of the possible benefit
+     * @param inTime minimum share of each request class that is answered within its latency objective
      */
     public record Goal(double service, double inTime) {}
 
     /**
-     * How routers that share reach one another, and what befalls them.
+     * Network and faults between routers that share state.
      *
-     * @param way seconds that a packet takes, the median
-     * @param loss the part of all packets that is lost at the best of times
-     * @param play what to play with them instead of service, or null
+     * @param way median latency of a packet in seconds
+     * @param loss fraction of packets lost without any fault
+     * @param play what to run with the routers instead of measuring service, or null
      */
     public record Peers(double way, double loss, FaultPlan faults, SharingPlay play) {}
 
-    /** The same with these seeds. */
+    /** Returns the same experiment with other seeds. */
     public Experiment seeded(List<Integer> others) {
         return new Experiment(variants, failures, seconds, others, goal, peers);
     }
 
-    /** One fleet to play. */
+    /** A fleet to run. */
     public record Variant(String name, FleetSpec fleet) {}
 
-    /** Throws BadConfig naming file, line and key. */
+    /** Reads an experiment file; an error names the file, the line and the key. */
     public static Experiment read(Path file) throws ConfigurationException {
         TomlSection toml = TomlSection.read(file);
         Peers peers = peers(toml);
@@ -184,7 +184,10 @@
                 command.getNumber("spread", 0.5, 0, 5));
     }
 
-    /** Words of the experiment file and the values that they stand for; the words do not follow renamed constants. */
+    /**
+     * Values of the experiment file and the constants for which they stand; the file format does not depend on the
+     * names of the constants.
+     */
     private static final Map<String, ConsistencyLevel> LEVELS = Map.of(
             "write", ConsistencyLevel.WRITE,
             "fresh", ConsistencyLevel.STRONG,
@@ -247,7 +250,7 @@
                         base.contact().roam()));
     }
 
-    /** One for each target, in order of their names. */
+    /** Reads the failures of a table, one per target, in order of the target names. */
     private static List<Failure> failures(TomlSection failure, FleetSpec fleet, double seconds)
             throws ConfigurationException {
         Set<String> several = new TreeSet<>(failure.getStringSet("targets"));
--- a/lab/src/main/java/clayhook/lab/Report.java
+++ b/lab/src/main/java/clayhook/lab/Report.java
@@ -20,10 +20,10 @@
 import org.knowm.xchart.internal.chartpart.Chart;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
-/** One page that shows what an experiment came to: a table, and pictures within it. */
+/** Renders the results of an experiment as one HTML page: a table and embedded charts. */
 public final class Report {
     private static final int WIDTH = 900, HEIGHT = 340;
-    /** Nodes in a picture; more cannot be told apart. */
+    /** Maximum number of nodes in a chart; more cannot be told apart. */
     private static final int MOST_NODES = 24;
 
     private static final double[] PERCENTILES = {50, 75, 90, 95, 99, 99.9};
@@ -130,7 +130,7 @@
                 .xAxisTitle("node")
                 .yAxisTitle("part")
                 .build();
-        // Pictures need the same nodes in each: those of the first variant.
+        // All series of a chart need the same nodes: those of the first variant.
         List<String> nodes = played.get(0).runs().get(0).busy().keySet().stream()
                 .limit(MOST_NODES)
                 .toList();
--- a/lab/src/main/java/clayhook/lab/SharingPlays.java
+++ b/lab/src/main/java/clayhook/lab/SharingPlays.java
@@ -8,11 +8,11 @@
 import clayhook.lab.sharing.SimulatedPeerGroup;
 import java.io.PrintStream;
 
-/** Plays what a file asks of routers that share, beside service. */
+/** Runs the part of an experiment that tests or measures state sharing between routers. */
 public final class SharingPlays {
     private SharingPlays() {}
 
-    /** Tells what came of it; returns whether all that must hold did. */
+    /** Runs the task, prints the results, and returns whether all conditions held. */
     public static boolean play(Experiment experiment, PrintStream out) {
         Experiment.Peers peers = experiment.peers();
         SharingPlay play = peers.play();
