--- a/lab/src/test/java/clayhook/lab/model/LawsTest.java
+++ b/lab/src/test/java/clayhook/lab/model/LawsTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What any queue and any log must keep, whatever the seed. */
+/** Checks laws that hold for every queue and replication log, independent of the seed. */
 class LawsTest {
     private static final class Measured {
         double spent;
@@ -22,7 +22,7 @@
         int most;
     }
 
-    /** Poisson arrivals, exponential work. */
+    /** Runs Poisson arrivals with exponentially distributed work, and the given speeds one after the other. */
     private static Measured play(int cores, int queue, double rate, double work, int count, double[] speeds) {
         var timeline = new VirtualScheduler(0);
         var machine = new CpuModel(timeline, cores, queue);
@@ -112,7 +112,7 @@
             assertTrue(next >= position && next <= now - 0.02 + 1e-9, now + ": " + next + " after " + position);
             position = next;
             most = now < 40 ? Math.max(most, now - next) : most;
-            // What had to wait is applied at the usual speed once that is back.
+            // Delayed commits are applied at full speed once the log has recovered.
             assertTrue(now < 33 || now > 45 || now - next < 0.1, now + ": " + (now - next) + " behind");
         }
         assertTrue(most > 5 && log.pending() < 20, "lag " + most);
--- a/lab/src/test/java/clayhook/lab/model/LoopbackTest.java
+++ b/lab/src/test/java/clayhook/lab/model/LoopbackTest.java
@@ -13,10 +13,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The same fleet on sockets: what must hold however fast the machine is. */
+/** Checks conditions of a fleet on loopback sockets that hold on a machine of any speed. */
 class LoopbackTest {
     private static RequestClass group(String name, Idempotency effect, ConsistencyLevel level) {
-        // Targets far beyond what a busy machine takes; the verdict must not hang on its speed.
+        // Latency objectives far beyond what a busy machine needs, so that the verdict does not depend on its speed.
         return new RequestClass(name, effect, level, 5, 10, 1, 1, DeduplicationScope.REPLICA_SET, 20, 5);
     }
 
@@ -50,7 +50,7 @@
         var loopback = new LoopbackFleet(spec, 1);
         RunMetrics tally = loopback.run(List.of(new Failure(kind, "1r1", 0.5, 1, 0.5)), 3);
         if (tally == null) {
-            assertTrue(loopback.late() > 0.01); // it says so instead of a verdict
+            assertTrue(loopback.late() > 0.01); // the run returned no verdict because its event loop ran late
             return;
         }
         assertEquals(Map.of(), tally.broken(), tally::firstBroken);
--- a/lab/src/test/java/clayhook/lab/model/SimulatedFleetTest.java
+++ b/lab/src/test/java/clayhook/lab/model/SimulatedFleetTest.java
@@ -77,7 +77,7 @@
         RunMetrics tally = new SimulatedFleet(fleet(300), List.of(), 1).run(30);
         assertEquals(Map.of(), tally.broken(), tally::firstBroken);
         assertTrue(tally.service() > 0.99, "" + tally.service());
-        // Work asked for in a second over the cores there are.
+        // Expected utilization: the requested work per second over the number of cores.
         double asked = 300 * (4 * 0.004 + 0.004 + 3 * 0.006 + 2 * 0.003) / 10 / (6 * 2);
         double busy = tally.busy().values().stream()
                 .mapToDouble(part -> part)
@@ -126,7 +126,7 @@
         assertTrue(tally.groups().get(ANY).throttled > 1000);
     }
 
-    // ---- the audit catches what is broken on purpose ----
+    // ---- the audit detects deliberate violations ----
 
     private final RuleAudit audit = new RuleAudit(0.25, 3, 3);
     private final Node one = new Node("1p", "a", 1);
--- a/lab/src/test/java/clayhook/lab/plan/PlannerTest.java
+++ b/lab/src/test/java/clayhook/lab/plan/PlannerTest.java
@@ -33,8 +33,8 @@
     }
 
     /**
-     * Three nodes of two cores, one hundredth of a second each: 600 a second is all that there is, 400 without the
-     * primary.
+     * Three nodes with two cores each and 10 ms of work per request: the capacity is 600 requests per second, 400
+     * without the primary.
      */
     @Test
     void theLoadGrowsUpToWhatTheCoresBear() throws Exception {
@@ -69,7 +69,7 @@
 
     @Test
     void replicasAreThoseThatTheWorkNeeds() throws Exception {
-        // Twelve cores' work: six nodes at the very least, of which one is the primary.
+        // Twelve cores' worth of work: at least six nodes, one of which is the primary.
         Planner.Need need =
                 planner(FLEET + READS + "[load]\nrate = 1200.0\nseconds = 10\n").need();
         assertTrue(need.least() >= 5 && need.enough() >= 6 && need.enough() <= 8, need.toString());
--- a/lab/src/test/java/clayhook/lab/sharing/SharingTrialTest.java
+++ b/lab/src/test/java/clayhook/lab/sharing/SharingTrialTest.java
@@ -32,7 +32,7 @@
     private static final SharingTrial.Spec SPEC =
             new SharingTrial.Spec(new SimulatedPeerGroup.Spec(12, 0.0005, 0), 45, 30, 10);
     private static final int FAULTS = 8;
-    /** CI plays so many; a command of {@code lab run} as many as wanted. */
+    /** Number of seeds in CI; {@code lab run} takes any number. */
     private static final int SEEDS = 200;
 
     private static List<Integer> seeds(int count) {
@@ -47,7 +47,7 @@
         assertEquals(0, result.failed());
     }
 
-    /** The later word wins: neither commutative nor anything else. */
+    /** A broken type whose merge keeps the second value, so that it is not commutative. */
     private static final class Broken<V> implements clayhook.fleet.ReplicatedType<V> {
         private final clayhook.fleet.ReplicatedType<V> kind;
 
@@ -137,7 +137,10 @@
                 least::toString);
     }
 
-    /** Of a thousand packets from 0 to 1: how many come, how many of them spoilt, and the latest, in seconds. */
+    /**
+     * Sends a thousand packets from router 0 to router 1. The parameters are the expected number of delivered and of
+     * corrupted packets, and the latest delivery in seconds.
+     */
     @ParameterizedTest
     @CsvSource({
         "LOSS, 0, 0.3, 700, 0, 0.004",
@@ -173,7 +176,7 @@
         }
         time.run(200);
         assertEquals(come, counts[0], 60);
-        assertEquals(spoilt * 2 / 10.0, counts[1], 30); // two bytes of ten are looked at
+        assertEquals(spoilt * 2 / 10.0, counts[1], 30); // only two of ten bytes are checked
         assertTrue(last[0] <= latest && last[0] >= latest / 4, "" + last[0]);
         assertEquals(10_000.0 / 3, network.traffic().bytes(0, 1), 1e-9);
     }
@@ -207,7 +210,10 @@
                 new FleetSpec.Contact(shares, false, 3, 0.5));
     }
 
-    /** Sessions roam without carrying marks; replicas fall seconds behind, routers are split, killed and frozen. */
+    /**
+     * Sessions move between routers without carrying last-write positions, while replicas lag by seconds and routers
+     * are partitioned, killed and frozen.
+     */
     @Test
     void roamingSessionsReadTheirOwnWritesOnlyWithPeers() {
         var failures = List.of(
