--- a/lab/src/main/java/clayhook/lab/model/CpuModel.java
+++ b/lab/src/main/java/clayhook/lab/model/CpuModel.java
@@ -6,7 +6,7 @@
 
 /** The cores of a machine and the FIFO queue in front of them. Work is conserved across changes of the speed. */
 final class CpuModel {
-    private final Scheduler timeline;
+    private final Scheduler scheduler;
     private final int cores;
     private final int limit;
     /** Bounded by {@link #limit}. */
@@ -17,8 +17,8 @@
     /** Core seconds of work done, as of the last {@link #reckon} of each running job. */
     private double worked;
 
-    CpuModel(Scheduler timeline, int cores, int limit) {
-        this.timeline = timeline;
+    CpuModel(Scheduler scheduler, int cores, int limit) {
+        this.scheduler = scheduler;
         this.cores = cores;
         this.limit = limit;
     }
@@ -35,7 +35,7 @@
     private void begin(NodeJob job) {
         job.running = true;
         running.add(job);
-        job.reckonedAt = timeline.now();
+        job.reckonedAt = scheduler.now();
         plan(job);
     }
 
@@ -43,7 +43,7 @@
     private void plan(NodeJob job) {
         int plan = ++job.plan;
         if (speed > 0) {
-            timeline.in(job.work / speed, () -> {
+            scheduler.scheduleAfter(job.work / speed, () -> {
                 if (job.running && job.plan == plan) {
                     end(job);
                 }
@@ -66,10 +66,10 @@
     }
 
     private void reckon(NodeJob job) {
-        double done = Math.min(job.work, Math.max(0, timeline.now() - job.reckonedAt) * speed);
+        double done = Math.min(job.work, Math.max(0, scheduler.now() - job.reckonedAt) * speed);
         worked += done;
         job.work -= done;
-        job.reckonedAt = timeline.now();
+        job.reckonedAt = scheduler.now();
     }
 
     /** Sets the core seconds of work done per second and core; 0 while the machine is stopped. */
--- a/lab/src/main/java/clayhook/lab/model/GroupModel.java
+++ b/lab/src/main/java/clayhook/lab/model/GroupModel.java
@@ -9,14 +9,14 @@
 final class GroupModel {
     final int id;
     final List<NodeModel> nodes = new ArrayList<>();
-    private final Scheduler timeline;
+    private final Scheduler scheduler;
     /** Seconds without a primary before a successor takes over. */
     private final double election;
     /** Position of the newest commit. */
     private double head;
 
-    GroupModel(Scheduler timeline, int id, double election) {
-        this.timeline = timeline;
+    GroupModel(Scheduler scheduler, int id, double election) {
+        this.scheduler = scheduler;
         this.id = id;
         this.election = election;
     }
@@ -31,7 +31,7 @@
 
     /** Commits a write at the primary and returns its position. */
     double commit() {
-        head = Math.max(Math.nextUp(head), timeline.now());
+        head = Math.max(Math.nextUp(head), scheduler.now());
         nodes.stream().filter(node -> node.role != Role.PRIMARY && node.up()).forEach(node -> node.log.committed(head));
         return head;
     }
@@ -42,7 +42,7 @@
      */
     void maybeElect() {
         if (primary() == null) {
-            timeline.in(election, () -> {
+            scheduler.scheduleAfter(election, () -> {
                 if (primary() == null) {
                     nodes.stream()
                             .filter(node -> node.up() && !node.silent())
@@ -59,7 +59,7 @@
      */
     void depose(NodeModel old) {
         if (old.role == Role.PRIMARY) {
-            timeline.in(election, () -> {
+            scheduler.scheduleAfter(election, () -> {
                 if (old.role == Role.PRIMARY && old.silent()) {
                     old.role = Role.REPLICA;
                     maybeElect();
--- a/lab/src/main/java/clayhook/lab/model/LoopbackFleet.java
+++ b/lab/src/main/java/clayhook/lab/model/LoopbackFleet.java
@@ -59,7 +59,7 @@
 
     private final FleetSpec spec;
     private final Transport transport = Transport.tcp();
-    private final WallClockScheduler time = new WallClockScheduler(transport.eventLoop());
+    private final WallClockScheduler scheduler = new WallClockScheduler(transport.eventLoop());
     private final Arrivals arrivals;
     private final RuleAudit audit = new RuleAudit(GRACE, OVERLOAD, OVERLOAD_FOR);
     private final Map<String, Asked> open = new HashMap<>();
@@ -108,20 +108,20 @@
             begin();
             var ended = new CountDownLatch(1);
             transport.eventLoop().execute(() -> {
-                start = time.now() + WARMING;
-                time.at(start, time::warm);
+                start = scheduler.now() + WARMING;
+                scheduler.scheduleAt(start, scheduler::resetLateness);
                 tally = new RunMetrics(start);
                 world.befall(failures, start);
-                time.at(start, () -> arrive(start + seconds));
+                scheduler.scheduleAt(start, () -> arrive(start + seconds));
                 for (int second = 1; second <= seconds; second++) {
-                    time.at(start + second, () -> watcher.accept(tally));
+                    scheduler.scheduleAt(start + second, () -> watcher.accept(tally));
                 }
                 double longest = spec.commands().stream()
                         .mapToDouble(kind -> kind.group().clientTimeoutSeconds())
                         .max()
                         .orElse(0);
-                time.at(start + seconds + longest + 1, () -> {
-                    audit.end(time.now());
+                scheduler.scheduleAt(start + seconds + longest + 1, () -> {
+                    audit.end(scheduler.now());
                     world.nodes()
                             .forEach(node -> tally.worked(
                                     node.node.id(),
@@ -132,7 +132,7 @@
                 });
             });
             ended.await();
-            return time.late() > MOST_LATE ? null : tally;
+            return scheduler.latenessSeconds() > MOST_LATE ? null : tally;
         } finally {
             servers.forEach(Server::close);
             transport.close();
@@ -141,11 +141,11 @@
 
     /** 99th percentile of the lateness of events, in seconds. */
     public double late() {
-        return time.late();
+        return scheduler.latenessSeconds();
     }
 
     private void begin() throws InterruptedException {
-        world = new SimulatedNodes(spec, time, this::died, node -> listVersion++);
+        world = new SimulatedNodes(spec, scheduler, this::died, node -> listVersion++);
         for (NodeModel node : world.nodes()) {
             sockets.add(new SocketNode(node));
         }
@@ -218,15 +218,15 @@
     // ---- clients ----
 
     private void arrive(double until) {
-        time.in(arrivals.gap(time.now() - start), () -> {
-            if (time.now() < until) {
+        scheduler.scheduleAfter(arrivals.gap(scheduler.now() - start), () -> {
+            if (scheduler.now() < until) {
                 Arrivals.RequestArrival ask = arrivals.next();
                 RequestClass group = ask.kind().group();
                 boolean own = group.consistency() == ConsistencyLevel.SESSION && ask.session() >= 0;
-                var asked = new Asked(ask, Long.toString(nextId++), time.now(), own ? wrote[ask.session()] : 0);
-                audit.sweep(time.now());
+                var asked = new Asked(ask, Long.toString(nextId++), scheduler.now(), own ? wrote[ask.session()] : 0);
+                audit.sweep(scheduler.now());
                 audit.sent(asked.id, group, asked.arrived + group.clientTimeoutSeconds());
-                tally.asked(group, time.now());
+                tally.asked(group, scheduler.now());
                 open.put(asked.id, asked);
                 clients.get((int) (nextId % clients.size())).send(asked);
                 arrive(until);
@@ -235,7 +235,7 @@
     }
 
     private void answered(Asked asked, RoutingAction verdict, double position) {
-        double now = time.now();
+        double now = scheduler.now();
         RequestClass group = asked.ask.kind().group();
         audit.answered(asked.id, now);
         if (verdict == RoutingAction.REJECT) {
@@ -395,7 +395,7 @@
                 return;
             }
             if (message instanceof ClientMessage.Startup) {
-                time.in(
+                scheduler.scheduleAfter(
                         spec.machine().connecting(),
                         () -> ctx.writeAndFlush(MessageEncoder.startupResponse(0, Map.of())));
             } else if (message instanceof ClientMessage.UnreadableQuery) {
@@ -415,18 +415,18 @@
             RequestClass group = asked.ask.kind().group();
             double needed =
                     switch (group.consistency()) {
-                        case BOUNDED_STALENESS -> time.now() - group.maxStalenessSeconds();
+                        case BOUNDED_STALENESS -> scheduler.now() - group.maxStalenessSeconds();
                         case SESSION -> asked.wroteAt;
                         default -> 0;
                     };
             if (node.warmth() < 1) {
-                audit.worked(node.node, asked.ask.work(), spec.machine().cores() * node.warmth(), time.now());
+                audit.worked(node.node, asked.ask.work(), spec.machine().cores() * node.warmth(), scheduler.now());
             }
-            job = new NodeJob(asked.ask.work(), time.now(), done -> {
+            job = new NodeJob(asked.ask.work(), scheduler.now(), done -> {
                 double position = statement.isWrite
                         ? world.group(node.node.replicaSetId()).commit()
                         : node.position();
-                audit.ran(asked.id, node.node, position, needed, time.now());
+                audit.ran(asked.id, node.node, position, needed, scheduler.now());
                 ctx.writeAndFlush(StubNode.row(Double.toString(position), role(node), millis(position), load(node)));
             });
             if (!node.cores.offer(job)) {
--- a/lab/src/main/java/clayhook/lab/model/NodeModel.java
+++ b/lab/src/main/java/clayhook/lab/model/NodeModel.java
@@ -12,7 +12,7 @@
     final CpuModel cores;
     final ReplicaLog log;
     private final MachineSpec machine;
-    private final Scheduler timeline;
+    private final Scheduler scheduler;
     private boolean up = true;
     private boolean hung;
     boolean draining;
@@ -25,12 +25,12 @@
     /** Incarnation: the number of crashes. Requests sent to an earlier incarnation are lost. */
     int life;
 
-    NodeModel(Scheduler timeline, Node node, MachineSpec machine, Role role) {
-        this.timeline = timeline;
+    NodeModel(Scheduler scheduler, Node node, MachineSpec machine, Role role) {
+        this.scheduler = scheduler;
         this.node = node;
         this.machine = machine;
         this.role = role;
-        cores = new CpuModel(timeline, machine.cores(), machine.queue());
+        cores = new CpuModel(scheduler, machine.cores(), machine.queue());
         log = new ReplicaLog(machine.shipping(), machine.apply());
     }
 
@@ -49,12 +49,12 @@
 
     /** Applied position that the node reports now; of a primary, the current time. */
     double position() {
-        return role == Role.PRIMARY ? timeline.now() : log.position(timeline.now());
+        return role == Role.PRIMARY ? scheduler.now() : log.position(scheduler.now());
     }
 
     /** Fraction of full speed that the node has reached since its start; 1 once it is warm. */
     double warmth() {
-        double since = timeline.now() - startedAt;
+        double since = scheduler.now() - startedAt;
         return startedAt <= 0 || since >= machine.warmAfter()
                 ? 1
                 : machine.coldShare() + (1 - machine.coldShare()) * since / machine.warmAfter();
@@ -80,14 +80,14 @@
     void restart() {
         up = true;
         role = Role.REPLICA;
-        startedAt = timeline.now();
+        startedAt = scheduler.now();
         warm();
     }
 
     private void warm() {
         respeed();
-        if (up && timeline.now() < startedAt + machine.warmAfter()) {
-            timeline.in(WARMING_STEP, this::warm);
+        if (up && scheduler.now() < startedAt + machine.warmAfter()) {
+            scheduler.scheduleAfter(WARMING_STEP, this::warm);
         }
     }
 
--- a/lab/src/main/java/clayhook/lab/model/PeerLinkFactory.java
+++ b/lab/src/main/java/clayhook/lab/model/PeerLinkFactory.java
@@ -5,9 +5,9 @@
 /** Connects routers as peers. */
 public interface PeerLinkFactory {
     /** Connects no routers: each one shares nothing. */
-    PeerLinkFactory NONE = (time, routers, seed) ->
+    PeerLinkFactory NONE = (scheduler, routers, seed) ->
             routers.stream().map(router -> PeerLink.NONE).toList();
 
     /** Creates one link per router, in the order of the routers. */
-    List<PeerLink> among(Scheduler time, List<? extends PeerObservationListener> routers, long seed);
+    List<PeerLink> among(Scheduler scheduler, List<? extends PeerObservationListener> routers, long seed);
 }
--- a/lab/src/main/java/clayhook/lab/model/RouterModel.java
+++ b/lab/src/main/java/clayhook/lab/model/RouterModel.java
@@ -29,7 +29,7 @@
  * latency.
  */
 final class RouterModel implements PeerObservationListener {
-    private final VirtualScheduler timeline;
+    private final VirtualScheduler scheduler;
     private final SimulatedFleet fleet;
     private final RoutingPolicy decide;
     private final InFlightRequests hand;
@@ -66,12 +66,12 @@
     }
 
     RouterModel(
-            VirtualScheduler timeline,
+            VirtualScheduler scheduler,
             SimulatedFleet fleet,
             RoutingSettings settings,
             long seed,
             BiConsumer<Request, RoutingAction> answered) {
-        this.timeline = timeline;
+        this.scheduler = scheduler;
         this.fleet = fleet;
         this.settings = settings;
         this.answered = answered;
@@ -111,7 +111,7 @@
     public void told(String node, PeerObservation what) {
         told++;
         if (listed.containsKey(node)) {
-            decide.onPeerObservation(listed.get(node), what, timeline.now());
+            decide.onPeerObservation(listed.get(node), what, scheduler.now());
         }
     }
 
@@ -129,18 +129,18 @@
         for (Endpoint entry : entries) {
             listed.put(entry.node().id(), entry.node());
             if (entry.state() == Endpoint.State.DRAINING) {
-                drainingSince.putIfAbsent(entry.node(), timeline.now());
+                drainingSince.putIfAbsent(entry.node(), scheduler.now());
             } else {
                 drainingSince.remove(entry.node());
             }
         }
-        decide.onEndpointList(entries, whole, timeline.now());
+        decide.onEndpointList(entries, whole, scheduler.now());
         turn();
     }
 
     void take(Request command) {
         waiting.add(command);
-        hand.admit(command, timeline.now());
+        hand.admit(command, scheduler.now());
         turn();
     }
 
@@ -148,7 +148,7 @@
     private void turn() {
         if (!turning) {
             turning = true;
-            timeline.at(timeline.now(), () -> {
+            scheduler.scheduleAt(scheduler.now(), () -> {
                 turning = false;
                 settle();
             });
@@ -156,7 +156,7 @@
     }
 
     private void settle() {
-        double now = timeline.now();
+        double now = scheduler.now();
         hand.timedOutAttempts(now)
                 .forEach(dispatch -> end(
                         dispatch, AttemptResult.withoutReport(AttemptOutcome.TIMED_OUT, now - dispatch.sentAt), true));
@@ -177,7 +177,7 @@
 
     private void wake(double at) {
         wakeAt = at;
-        timeline.at(at, () -> {
+        scheduler.scheduleAt(at, () -> {
             if (wakeAt == at) {
                 settle();
             }
@@ -188,7 +188,7 @@
         choice.attemptsToCancel()
                 .forEach(dispatch -> end(
                         dispatch,
-                        AttemptResult.withoutReport(AttemptOutcome.CANCELLED, timeline.now() - dispatch.sentAt),
+                        AttemptResult.withoutReport(AttemptOutcome.CANCELLED, scheduler.now() - dispatch.sentAt),
                         true));
         if (choice.action() == RoutingAction.SEND) {
             peers.used(0, command.attempts.size() > 1 ? 1 : 0);
@@ -208,7 +208,7 @@
 
     private boolean connects(Node node) {
         ArrayDeque<Double> since = idle.computeIfAbsent(node, any -> new ArrayDeque<>());
-        while (!since.isEmpty() && timeline.now() - since.peekLast() > settings.connectionIdleTimeoutSeconds()) {
+        while (!since.isEmpty() && scheduler.now() - since.peekLast() > settings.connectionIdleTimeoutSeconds()) {
             since.pollLast();
         }
         return since.poll() == null;
@@ -217,12 +217,12 @@
     private void send(Attempt dispatch) {
         Double told = drainingSince.get(dispatch.node);
         if (told != null) {
-            fleet.audit().sentToDraining(dispatch.node, told, timeline.now());
+            fleet.audit().sentToDraining(dispatch.node, told, scheduler.now());
         }
         var attempt = new SimulatedAttempt();
         attempts.put(dispatch, attempt);
         double connecting = connects(dispatch.node) ? fleet.connecting() : 0;
-        timeline.in(fleet.way() + connecting, () -> arrive(dispatch, attempt));
+        scheduler.scheduleAfter(fleet.way() + connecting, () -> arrive(dispatch, attempt));
     }
 
     private void arrive(Attempt dispatch, SimulatedAttempt attempt) {
@@ -244,13 +244,13 @@
         int life = at.life;
         double work = fleet.work(dispatch.request);
         attempt.at = at;
-        attempt.job = new NodeJob(work, timeline.now(), done -> {
+        attempt.job = new NodeJob(work, scheduler.now(), done -> {
             double position = writes ? fleet.group(at.node.replicaSetId()).commit() : at.position();
-            fleet.audit().ran(dispatch.request, at.node, position, needed, timeline.now());
+            fleet.audit().ran(dispatch.request, at.node, position, needed, scheduler.now());
             back(dispatch, attempt, life, tell(at, AttemptOutcome.ANSWERED));
         });
         if (at.warmth() < 1) {
-            fleet.audit().worked(at.node, work, fleet.cores() * at.warmth(), timeline.now());
+            fleet.audit().worked(at.node, work, fleet.cores() * at.warmth(), scheduler.now());
         }
         if (!at.cores.offer(attempt.job)) {
             back(dispatch, attempt, life, tell(at, AttemptOutcome.OVERLOADED));
@@ -264,11 +264,11 @@
     }
 
     private void back(Attempt dispatch, SimulatedAttempt attempt, int life, AttemptResult told) {
-        timeline.in(fleet.way(), () -> {
+        scheduler.scheduleAfter(fleet.way(), () -> {
             NodeModel at = fleet.node(dispatch.node);
             if (attempts.get(dispatch) == attempt) {
                 boolean lost = at.life != life;
-                double took = timeline.now() - dispatch.sentAt;
+                double took = scheduler.now() - dispatch.sentAt;
                 end(
                         dispatch,
                         lost
@@ -300,7 +300,7 @@
             attempt.at.cores.cancel(attempt.job);
         }
         if (!lost && reply.outcome() != AttemptOutcome.CONNECT_FAILED) {
-            idle.computeIfAbsent(dispatch.node, any -> new ArrayDeque<>()).push(timeline.now());
+            idle.computeIfAbsent(dispatch.node, any -> new ArrayDeque<>()).push(scheduler.now());
         }
         Request command = dispatch.request;
         if (reply.outcome() == AttemptOutcome.ANSWERED) {
@@ -308,7 +308,7 @@
         }
         tellPeers(dispatch, reply);
         hand.onAttemptFinished(
-                dispatch, reply, reply.outcome() == AttemptOutcome.ANSWERED && !command.completed, timeline.now());
+                dispatch, reply, reply.outcome() == AttemptOutcome.ANSWERED && !command.completed, scheduler.now());
         turn();
     }
 
@@ -339,18 +339,18 @@
                 .filter(dispatch -> dispatch.node.equals(node))
                 .forEach(dispatch -> end(
                         dispatch,
-                        AttemptResult.withoutReport(AttemptOutcome.RESET, timeline.now() - dispatch.sentAt),
+                        AttemptResult.withoutReport(AttemptOutcome.RESET, scheduler.now() - dispatch.sentAt),
                         true));
     }
 
     private void probe(Node node) {
-        double asked = timeline.now();
-        timeline.in(2 * fleet.way(), () -> {
+        double asked = scheduler.now();
+        scheduler.scheduleAfter(2 * fleet.way(), () -> {
             NodeModel at = fleet.node(node);
             if (at.up() && !at.silent()) {
                 probed(node, tell(at, AttemptOutcome.ANSWERED));
             } else {
-                timeline.at(
+                scheduler.scheduleAt(
                         asked + fleet.probeTimeout(),
                         () -> probed(
                                 node,
@@ -362,7 +362,7 @@
 
     private void probed(Node node, AttemptResult reply) {
         peers.looked(node, reply);
-        decide.onHealthCheck(node, reply, timeline.now());
+        decide.onHealthCheck(node, reply, scheduler.now());
         turn();
     }
 }
--- a/lab/src/main/java/clayhook/lab/model/Scheduler.java
+++ b/lab/src/main/java/clayhook/lab/model/Scheduler.java
@@ -5,9 +5,9 @@
     double now();
 
     /** Schedules an event; one with a time in the past runs now. */
-    void at(double time, Runnable what);
+    void scheduleAt(double time, Runnable event);
 
-    default void in(double seconds, Runnable what) {
-        at(now() + seconds, what);
+    default void scheduleAfter(double seconds, Runnable event) {
+        scheduleAt(now() + seconds, event);
     }
 }
--- a/lab/src/main/java/clayhook/lab/model/SimulatedFleet.java
+++ b/lab/src/main/java/clayhook/lab/model/SimulatedFleet.java
@@ -28,7 +28,7 @@
     private static final double OVERLOAD = 3, OVERLOAD_FOR = 3;
 
     private final FleetSpec spec;
-    private final VirtualScheduler timeline = new VirtualScheduler(START);
+    private final VirtualScheduler scheduler = new VirtualScheduler(START);
     private final SimulatedNodes world;
     private final List<RouterModel> routers = new ArrayList<>();
     private final RuleAudit audit = new RuleAudit(GRACE, OVERLOAD, OVERLOAD_FOR);
@@ -87,7 +87,7 @@
         wrote = new double[spec.sessions()];
         wroteWhen = new double[spec.sessions()];
         wroteBy = new RouterModel[spec.sessions()];
-        world = new SimulatedNodes(spec, timeline, this::died, this::listChanged);
+        world = new SimulatedNodes(spec, scheduler, this::died, this::listChanged);
         List<RequestClass> asked =
                 spec.commands().stream().map(FleetSpec.Kind::group).toList();
         for (int r = 0; r < spec.routers(); r++) {
@@ -111,9 +111,9 @@
                     OVERLOAD_FOR,
                     1,
                     15);
-            routers.add(new RouterModel(timeline, this, settings, seed * 31 + r, this::answered));
+            routers.add(new RouterModel(scheduler, this, settings, seed * 31 + r, this::answered));
         }
-        List<PeerLink> peers = sharing.among(timeline, routers, seed);
+        List<PeerLink> peers = sharing.among(scheduler, routers, seed);
         List<Endpoint> all = world.listings();
         for (int r = 0; r < routers.size(); r++) {
             routers.get(r).join(peers.get(r));
@@ -131,18 +131,18 @@
     /** Runs the load for the given number of seconds, then until every issued request has its final answer. */
     public RunMetrics run(double seconds) {
         stopAt = START + seconds;
-        timeline.run(stopAt);
+        scheduler.runUntil(stopAt);
         double longest = spec.commands().stream()
                 .mapToDouble(kind -> kind.group().clientTimeoutSeconds())
                 .max()
                 .orElse(0);
-        timeline.run(stopAt + longest + 1);
-        audit.end(timeline.now());
+        scheduler.runUntil(stopAt + longest + 1);
+        audit.end(scheduler.now());
         world.nodes()
                 .forEach(node -> tally.worked(
                         node.node.id(),
                         node.cores.worked() / (seconds * spec.machine().cores())));
-        tally.ended(audit.broken(), audit.first(), timeline.made());
+        tally.ended(audit.broken(), audit.first(), scheduler.scheduledEvents());
         return tally;
     }
 
@@ -151,8 +151,8 @@
     // ---- load ----
 
     private void arrivals() {
-        timeline.in(arrivals.gap(timeline.now() - START), () -> {
-            if (timeline.now() < stopAt) {
+        scheduler.scheduleAfter(arrivals.gap(scheduler.now() - START), () -> {
+            if (scheduler.now() < stopAt) {
                 ask(arrivals.next());
                 arrivals();
             }
@@ -165,10 +165,10 @@
         RouterModel router = routerFor(ask.session());
         double written = own ? wrote[ask.session()] : 0;
         double mark = own && !spec.contact().marksCarried() ? router.needs(Asked.session(ask)) : written;
-        var command = new Asked(ask, written, mark, timeline.now(), commands++);
-        audit.sweep(timeline.now());
+        var command = new Asked(ask, written, mark, scheduler.now(), commands++);
+        audit.sweep(scheduler.now());
         audit.sent(command, group, command.deadline);
-        tally.asked(group, timeline.now());
+        tally.asked(group, scheduler.now());
         router.take(command);
     }
 
@@ -179,12 +179,12 @@
     private RouterModel routerFor(int session) {
         RouterModel next = routers.get(nextRouter++ % routers.size());
         boolean stays = session >= 0
-                && timeline.now() < wroteWhen[session] + spec.contact().roam();
+                && scheduler.now() < wroteWhen[session] + spec.contact().roam();
         return stays ? wroteBy[session] : next;
     }
 
     private void answered(Request command, RoutingAction verdict) {
-        double now = timeline.now();
+        double now = scheduler.now();
         audit.answered(command, now);
         if (verdict == RoutingAction.REJECT) {
             audit.throttled(command, now);
@@ -248,7 +248,7 @@
         int session = ((Asked) command).ask.session();
         if (command.requestClass.consistency() == ConsistencyLevel.WRITE && session >= 0) {
             wrote[session] = Math.max(wrote[session], position);
-            wroteWhen[session] = timeline.now();
+            wroteWhen[session] = scheduler.now();
             wroteBy[session] = by;
         }
     }
@@ -259,10 +259,10 @@
     }
 
     private void listChanged(NodeModel node) {
-        timeline.in(spec.listDelay(), () -> {
+        scheduler.scheduleAfter(spec.listDelay(), () -> {
             published.put(node, new News(world.listing(node), ++revision));
             for (RouterModel router : routers) {
-                timeline.in(spec.contact().listSpread() * spread.nextDouble(), () -> tell(router));
+                scheduler.scheduleAfter(spec.contact().listSpread() * spread.nextDouble(), () -> tell(router));
             }
         });
     }
--- a/lab/src/main/java/clayhook/lab/model/SimulatedNodes.java
+++ b/lab/src/main/java/clayhook/lab/model/SimulatedNodes.java
@@ -11,7 +11,7 @@
 
 /** The nodes of a fleet and the failures injected into them, in virtual or wall-clock time. */
 final class SimulatedNodes {
-    private final Scheduler timeline;
+    private final Scheduler scheduler;
     private final Map<Node, NodeModel> nodes = new HashMap<>();
     private final List<NodeModel> inOrder = new ArrayList<>();
     private final List<GroupModel> groups = new ArrayList<>();
@@ -22,19 +22,19 @@
      * @param died called with each node that crashed
      * @param listChanged called with each node whose endpoint-list entry changed
      */
-    SimulatedNodes(FleetSpec spec, Scheduler timeline, Consumer<NodeModel> died, Consumer<NodeModel> listChanged) {
-        this.timeline = timeline;
+    SimulatedNodes(FleetSpec spec, Scheduler scheduler, Consumer<NodeModel> died, Consumer<NodeModel> listChanged) {
+        this.scheduler = scheduler;
         this.died = died;
         this.listChanged = listChanged;
         for (int g = 1; g <= spec.groups(); g++) {
-            var group = new GroupModel(timeline, g, spec.election());
+            var group = new GroupModel(scheduler, g, spec.election());
             groups.add(group);
             for (int i = 0; i <= spec.replicas(); i++) {
                 var node = new Node(
                         i == 0 ? g + "p" : g + "r" + i,
                         spec.zones().get((g + i) % spec.zones().size()),
                         g);
-                var model = new NodeModel(timeline, node, spec.machine(), i == 0 ? Role.PRIMARY : Role.REPLICA);
+                var model = new NodeModel(scheduler, node, spec.machine(), i == 0 ? Role.PRIMARY : Role.REPLICA);
                 group.nodes.add(model);
                 nodes.put(node, model);
                 inOrder.add(model);
@@ -81,14 +81,14 @@
 
     /** Schedules the failures; their times count from {@code start}. */
     void befall(List<Failure> failures, double start) {
-        failures.forEach(failure -> timeline.at(start + failure.at(), () -> befall(failure)));
+        failures.forEach(failure -> scheduler.scheduleAt(start + failure.at(), () -> befall(failure)));
     }
 
     private void befall(Failure failure) {
         for (NodeModel node : targets(failure.target())) {
             Runnable back = befall(node, failure);
             if (failure.lasts() > 0) {
-                timeline.in(failure.lasts(), back);
+                scheduler.scheduleAfter(failure.lasts(), back);
             }
         }
     }
@@ -122,11 +122,11 @@
                 return () -> node.share(0);
             }
             case SLOW_LOG -> {
-                node.log.slow(timeline.now(), failure.amount());
-                return () -> node.log.slow(timeline.now(), 1);
+                node.log.slow(scheduler.now(), failure.amount());
+                return () -> node.log.slow(scheduler.now(), 1);
             }
             case STALL_LOG -> {
-                node.log.stall(timeline.now(), timeline.now() + failure.lasts());
+                node.log.stall(scheduler.now(), scheduler.now() + failure.lasts());
                 return () -> {};
             }
             default -> {
--- a/lab/src/main/java/clayhook/lab/model/VirtualScheduler.java
+++ b/lab/src/main/java/clayhook/lab/model/VirtualScheduler.java
@@ -7,16 +7,16 @@
  * runs.
  */
 public final class VirtualScheduler implements Scheduler {
-    private record Event(double time, long number, Runnable what) implements Comparable<Event> {
+    private record Event(double time, long sequence, Runnable task) implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
-            return time != other.time ? Double.compare(time, other.time) : Long.compare(number, other.number);
+            return time != other.time ? Double.compare(time, other.time) : Long.compare(sequence, other.sequence);
         }
     }
 
-    private final PriorityQueue<Event> due = new PriorityQueue<>();
+    private final PriorityQueue<Event> pending = new PriorityQueue<>();
     private double now;
-    private long made;
+    private long scheduledEvents;
 
     /** @param start initial time in seconds, in the range of a wall clock */
     public VirtualScheduler(double start) {
@@ -29,22 +29,22 @@
     }
 
     @Override
-    public void at(double time, Runnable what) {
-        due.add(new Event(Math.max(now, time), made++, what));
+    public void scheduleAt(double time, Runnable task) {
+        pending.add(new Event(Math.max(now, time), scheduledEvents++, task));
     }
 
     /** Runs all events due up to the given time, then sets the clock to it. */
-    public void run(double until) {
-        while (!due.isEmpty() && due.peek().time() <= until) {
-            Event next = due.poll();
+    public void runUntil(double until) {
+        while (!pending.isEmpty() && pending.peek().time() <= until) {
+            Event next = pending.poll();
             now = next.time();
-            next.what().run();
+            next.task().run();
         }
         now = until;
     }
 
     /** Number of events scheduled so far, including those that have run. */
-    public long made() {
-        return made;
+    public long scheduledEvents() {
+        return scheduledEvents;
     }
 }
--- a/lab/src/main/java/clayhook/lab/model/WallClockScheduler.java
+++ b/lab/src/main/java/clayhook/lab/model/WallClockScheduler.java
@@ -10,13 +10,13 @@
  */
 final class WallClockScheduler implements Scheduler {
     /** Upper bound of the recorded lateness in microseconds. */
-    private static final long LONGEST = 60_000_000;
+    private static final long MAX_LATENESS_MICROS = 60_000_000;
 
     private final EventLoop loop;
     private final double start = System.currentTimeMillis() / 1000.0;
-    private final long steady = System.nanoTime();
-    private double due;
-    private final Histogram late = new Histogram(LONGEST, 3);
+    private final long startNanos = System.nanoTime();
+    private double currentDueTime;
+    private final Histogram lateness = new Histogram(MAX_LATENESS_MICROS, 3);
 
     WallClockScheduler(EventLoop loop) {
         this.loop = loop;
@@ -28,37 +28,37 @@
      */
     @Override
     public double now() {
-        return due > 0 ? due : real();
+        return currentDueTime > 0 ? currentDueTime : wallClock();
     }
 
-    private double real() {
-        return start + (System.nanoTime() - steady) / 1e9;
+    private double wallClock() {
+        return start + (System.nanoTime() - startNanos) / 1e9;
     }
 
     @SuppressWarnings("FutureReturnValueIgnored") // a scheduled event reports its own failures
     @Override
-    public void at(double time, Runnable what) {
+    public void scheduleAt(double time, Runnable event) {
         loop.schedule(
                 () -> {
-                    late.recordValue(Math.max(0, Math.min(LONGEST, (long) ((real() - time) * 1e6))));
-                    due = time;
+                    lateness.recordValue(Math.max(0, Math.min(MAX_LATENESS_MICROS, (long) ((wallClock() - time) * 1e6))));
+                    currentDueTime = time;
                     try {
-                        what.run();
+                        event.run();
                     } finally {
-                        due = 0;
+                        currentDueTime = 0;
                     }
                 },
-                (long) (Math.max(0, time - real()) * 1e9),
+                (long) (Math.max(0, time - wallClock()) * 1e9),
                 TimeUnit.NANOSECONDS);
     }
 
     /** Discards the lateness recorded so far, which includes the warm-up of the JVM. */
-    void warm() {
-        late.reset();
+    void resetLateness() {
+        lateness.reset();
     }
 
     /** 99th percentile of the lateness of events, in seconds. */
-    double late() {
-        return late.getValueAtPercentile(99) / 1e6;
+    double latenessSeconds() {
+        return lateness.getValueAtPercentile(99) / 1e6;
     }
 }
--- a/lab/src/main/java/clayhook/lab/sharing/DriftingClock.java
+++ b/lab/src/main/java/clayhook/lab/sharing/DriftingClock.java
@@ -5,38 +5,38 @@
  * it never jumps.
  */
 final class DriftingClock {
-    private double since;
-    private double told;
-    private double gains;
+    private double changedAt;
+    private double shownAtChange;
+    private double drift;
 
     /**
      * Creates a clock that shows true time.
      *
-     * @param now true time, here and in the other methods
+     * @param trueTime true time in seconds, here and in the other methods
      */
-    DriftingClock(double now) {
-        set(now, 0);
+    DriftingClock(double trueTime) {
+        setAhead(trueTime, 0);
     }
 
-    double at(double now) {
-        return told + (now - since) * (1 + gains);
+    double now(double trueTime) {
+        return shownAtChange + (trueTime - changedAt) * (1 + drift);
     }
 
-    /** Returns the true time at which this clock will show {@code own}, at its current rate. */
-    double when(double own) {
-        return since + (own - told) / (1 + gains);
+    /** Returns the true time at which this clock will show {@code ownTime}, at its current rate. */
+    double trueTimeOf(double ownTime) {
+        return changedAt + (ownTime - shownAtChange) / (1 + drift);
     }
 
     /** Sets the clock to the given number of seconds ahead of true time. */
-    void set(double now, double ahead) {
-        since = now;
-        told = now + ahead;
+    void setAhead(double trueTime, double secondsAhead) {
+        changedAt = trueTime;
+        shownAtChange = trueTime + secondsAhead;
     }
 
-    /** Sets the rate: from now on the clock gains {@code seconds} per second. */
-    void gains(double now, double seconds) {
-        told = at(now);
-        since = now;
-        gains = seconds;
+    /** Sets the rate: from now on the clock gains {@code secondsPerSecond}. */
+    void setDrift(double trueTime, double secondsPerSecond) {
+        shownAtChange = now(trueTime);
+        changedAt = trueTime;
+        drift = secondsPerSecond;
     }
 }
--- a/lab/src/main/java/clayhook/lab/sharing/ModelPeer.java
+++ b/lab/src/main/java/clayhook/lab/sharing/ModelPeer.java
@@ -38,7 +38,7 @@
     /** Address of every node; nothing is sent to it. */
     private static final InetSocketAddress ADDRESS = EndpointList.parseAddress("10.0.0.2:1");
 
-    private final Scheduler time;
+    private final Scheduler scheduler;
     private final PeerObservationListener router;
     private final int routers;
     private final boolean marks;
@@ -51,8 +51,8 @@
     private StateBridge exchange;
 
     /** @param marks whether clients carry no last-write positions, so that routers must share them */
-    ModelPeer(Scheduler time, PeerObservationListener router, int routers, boolean marks, double roam) {
-        this.time = time;
+    ModelPeer(Scheduler scheduler, PeerObservationListener router, int routers, boolean marks, double roam) {
+        this.scheduler = scheduler;
         this.router = router;
         this.routers = routers;
         this.marks = marks;
@@ -71,7 +71,7 @@
         var kinds = new StateBridge.EnabledTypes(true, true, marks, WriteOutcome.TYPE, true);
         var state = new ReplicatedState(members, kinds.types(), StateSettings.DEFAULT, chance.nextLong(), now);
         exchange = new StateBridge(
-                kinds, roam, routers, SOURCE, state, members, chance.split(), what -> time.in(0, what), this);
+                kinds, roam, routers, SOURCE, state, members, chance.split(), what -> scheduler.scheduleAfter(0, what), this);
         if (!listed.isEmpty()) {
             exchange.accept(
                     new LocalEvent.EndpointListReceived(
@@ -148,7 +148,7 @@
     /** If the peer side is down, the session may have written anything up to now, so the required position is now. */
     @Override
     public double needs(String session) {
-        return !marks ? 0 : peer.awake() ? exchange.requiredPosition(session, peer.now()) : time.now();
+        return !marks ? 0 : peer.awake() ? exchange.requiredPosition(session, peer.now()) : scheduler.now();
     }
 
     // ---- to the router ----
--- a/lab/src/main/java/clayhook/lab/sharing/PeeredRouter.java
+++ b/lab/src/main/java/clayhook/lab/sharing/PeeredRouter.java
@@ -36,7 +36,7 @@
 
     private final int number;
     private final Address address;
-    private final Scheduler time;
+    private final Scheduler scheduler;
     private final SimulatedNetwork network;
     private final RouterIncarnation.Factory birth;
     private final List<Address> seeds;
@@ -61,19 +61,19 @@
 
     PeeredRouter(
             int number,
-            Scheduler time,
+            Scheduler scheduler,
             SimulatedNetwork network,
             RouterIncarnation.Factory birth,
             List<Address> seeds,
             long seed) {
         this.number = number;
-        this.time = time;
+        this.scheduler = scheduler;
         this.network = network;
         this.birth = birth;
         this.seeds = seeds;
         this.seed = seed;
         address = address(number);
-        clock = new DriftingClock(time.now());
+        clock = new DriftingClock(scheduler.now());
         network.place(address, number, this::heard);
         live();
     }
@@ -85,7 +85,7 @@
     // ---- faults ----
 
     private void live() {
-        clock.set(time.now(), ahead);
+        clock.setAhead(scheduler.now(), ahead);
         lives++;
         // As in the production router: above the last incarnation whatever the clock says, otherwise peers would take
         // the new one for an earlier one.
@@ -94,7 +94,7 @@
         life = birth.begin(new Peer(self, address), seeds, seed * 1_000_003 + lives, now());
         fleet = new MessageDispatcher(self, life.machines(), (to, bytes) -> network.send(address, to, bytes));
         wakeAt = Double.POSITIVE_INFINITY;
-        wake(time.now());
+        wake(scheduler.now());
     }
 
     void die() {
@@ -118,10 +118,10 @@
     }
 
     void drift(double secondsASecond) {
-        clock.gains(time.now(), secondsASecond);
+        clock.setDrift(scheduler.now(), secondsASecond);
         // The pending wake-up was scheduled at the old rate of the clock, so it is scheduled again.
         wakeAt = Double.POSITIVE_INFINITY;
-        wake(time.now());
+        wake(scheduler.now());
     }
 
     void stand() {
@@ -134,7 +134,7 @@
                 QueuedDatagram letter = waiting.poll();
                 fleet.onDatagram(letter.from(), letter.bytes(), now());
             }
-            wake(time.now());
+            wake(scheduler.now());
         }
     }
 
@@ -143,7 +143,7 @@
     private void heard(Address from, byte[] bytes) {
         if (awake()) {
             fleet.onDatagram(from, bytes, now());
-            wake(time.now() + SOON);
+            wake(scheduler.now() + SOON);
         } else if (life != null && waiting.size() < WAITING) {
             waiting.add(new QueuedDatagram(from, bytes));
         }
@@ -155,7 +155,7 @@
         }
         wakeAt = at;
         int planned = lives;
-        time.at(at, () -> {
+        scheduler.scheduleAt(at, () -> {
             if (planned == lives && wakeAt == at) {
                 wakeAt = Double.POSITIVE_INFINITY;
                 turn();
@@ -166,20 +166,20 @@
     private void turn() {
         if (awake()) {
             double next = fleet.tick(now());
-            wake(Math.max(time.now() + LEAST_PAUSE, clock.when(next)));
+            wake(Math.max(scheduler.now() + LEAST_PAUSE, clock.trueTimeOf(next)));
         }
     }
 
     /** Merges a value into the copy and schedules a tick, so that the handlers send it. */
     public <V> V put(ReplicatedType<V> kind, String key, V value) {
         V joined = life.shared().merge(kind, key, value, now());
-        wake(time.now());
+        wake(scheduler.now());
         return joined;
     }
 
     /** Schedules a tick for an event of the router itself, after the same delay as in production. */
     void stir() {
-        wake(time.now() + NAP);
+        wake(scheduler.now() + NAP);
     }
 
     // ---- state ----
@@ -195,7 +195,7 @@
 
     /** Current time of the router's own clock. */
     public double now() {
-        return clock.at(time.now());
+        return clock.now(scheduler.now());
     }
 
     /** Number of incarnations so far. */
--- a/lab/src/main/java/clayhook/lab/sharing/SharingMetrics.java
+++ b/lab/src/main/java/clayhook/lab/sharing/SharingMetrics.java
@@ -49,8 +49,8 @@
     }
 
     private static SimulatedPeerGroup company(
-            VirtualScheduler time, SimulatedPeerGroup.Spec spec, FaultPlan plan, long seed) {
-        return new SimulatedPeerGroup(time, spec, plan, number -> RouterIncarnation.sharing(SharingTrial.KINDS), seed);
+            VirtualScheduler scheduler, SimulatedPeerGroup.Spec spec, FaultPlan plan, long seed) {
+        return new SimulatedPeerGroup(scheduler, spec, plan, number -> RouterIncarnation.sharing(SharingTrial.KINDS), seed);
     }
 
     // ---- updates ----
@@ -74,21 +74,21 @@
     }
 
     private <V> void news(String name, SimulatedPeerGroup.Spec lossy, ReplicatedType<V> kind, Piece<V> piece) {
-        var time = new VirtualScheduler(START);
-        SimulatedPeerGroup company = company(time, lossy, FaultPlan.NONE, seed);
+        var scheduler = new VirtualScheduler(START);
+        SimulatedPeerGroup company = company(scheduler, lossy, FaultPlan.NONE, seed);
         var random = new SplittableRandom(seed);
         double[][] came = new double[NEWS][lossy.routers()];
         company.routers().forEach(router -> router.shared()
-                .addListener(kind, (key, value, now) -> came[Integer.parseInt(key)][router.number()] = time.now()));
+                .addListener(kind, (key, value, now) -> came[Integer.parseInt(key)][router.number()] = scheduler.now()));
         double[] told = new double[NEWS];
         for (int i = 0; i < NEWS; i++) {
             int number = i;
             told[i] = START + SETTLED + BETWEEN * (i + random.nextDouble() / 2);
-            time.at(told[i], () -> company.routers()
+            scheduler.scheduleAt(told[i], () -> company.routers()
                     .get(random.nextInt(lossy.routers()))
                     .put(kind, Integer.toString(number), piece.of(number)));
         }
-        time.run(START + SETTLED + BETWEEN * (NEWS + 2));
+        scheduler.runUntil(START + SETTLED + BETWEEN * (NEWS + 2));
         double[] most = new double[NEWS];
         for (int i = 0; i < NEWS; i++) {
             double[] times = came[i];
@@ -112,17 +112,17 @@
      */
     public void traffic() {
         for (int size : SIZES) {
-            var time = new VirtualScheduler(START);
+            var scheduler = new VirtualScheduler(START);
             SimulatedPeerGroup company =
-                    company(time, new SimulatedPeerGroup.Spec(size, spec.way(), spec.loss()), FaultPlan.NONE, seed);
-            time.run(START + SETTLED);
-            traffic("no news", company, time);
+                    company(scheduler, new SimulatedPeerGroup.Spec(size, spec.way(), spec.loss()), FaultPlan.NONE, seed);
+            scheduler.runUntil(START + SETTLED);
+            traffic("no news", company, scheduler);
             var learning = new GeneratedValues(SharingTrial.KINDS, seed);
             var random = new SplittableRandom(seed);
             for (double at = 0; at < COUNTED; at += random.nextExponential() / RATE) {
-                time.in(at, () -> put(learning.next(company.routers().get(random.nextInt(size)), time.now())));
+                scheduler.scheduleAfter(at, () -> put(learning.next(company.routers().get(random.nextInt(size)), scheduler.now())));
             }
-            traffic("50 pieces of news a second", company, time);
+            traffic("50 pieces of news a second", company, scheduler);
         }
     }
 
@@ -130,11 +130,11 @@
         said.by().put(said.kind(), said.key(), said.value());
     }
 
-    private void traffic(String what, SimulatedPeerGroup company, VirtualScheduler time) {
+    private void traffic(String what, SimulatedPeerGroup company, VirtualScheduler scheduler) {
         int size = company.routers().size();
-        int from = (int) (time.now() - START);
+        int from = (int) (scheduler.now() - START);
         long before = processor();
-        time.run(time.now() + COUNTED);
+        scheduler.runUntil(scheduler.now() + COUNTED);
         double spent = (processor() - before) / 1e9;
         TrafficMeter traffic = company.network().traffic();
         line(
@@ -165,26 +165,26 @@
     }
 
     private void catchUp(String what, SharingFault.Kind kind, int marks) {
-        var time = new VirtualScheduler(START);
+        var scheduler = new VirtualScheduler(START);
         var plan = new FaultPlan(List.of(new SharingFault(SETTLED, kind, List.of(0), AWAY, 0)));
-        SimulatedPeerGroup company = company(time, spec, plan, seed);
+        SimulatedPeerGroup company = company(scheduler, spec, plan, seed);
         for (int i = 0; i < marks; i++) {
             int number = i;
             double at = START + SETTLED + (AWAY - 1) * i / marks;
-            time.at(at, () -> company.routers()
+            scheduler.scheduleAt(at, () -> company.routers()
                     .get(1 + number % (spec.routers() - 1))
                     .put(SessionWrite.TYPE, "s" + number, new SessionWrite(at, 1)));
         }
         double back = START + SETTLED + AWAY;
-        time.run(back);
+        scheduler.runUntil(back);
         PeeredRouter away = company.routers().get(0);
         double full = Double.NaN;
         double certain = Double.NaN;
-        while (Double.isNaN(certain) && time.now() < back + GIVEN_UP) {
-            time.run(time.now() + LOOK);
-            full = Double.isNaN(full) && away.shared().size(SessionWrite.TYPE) >= marks ? time.now() - back : full;
+        while (Double.isNaN(certain) && scheduler.now() < back + GIVEN_UP) {
+            scheduler.runUntil(scheduler.now() + LOOK);
+            full = Double.isNaN(full) && away.shared().size(SessionWrite.TYPE) >= marks ? scheduler.now() - back : full;
             certain = !Double.isNaN(full) && away.shared().completeUpTo(away.now()) > back
-                    ? time.now() - back
+                    ? scheduler.now() - back
                     : Double.NaN;
         }
         int from = (int) (back - START);
--- a/lab/src/main/java/clayhook/lab/sharing/SharingTrial.java
+++ b/lab/src/main/java/clayhook/lab/sharing/SharingTrial.java
@@ -63,7 +63,7 @@
      */
     public record Verdict(String broken, double healed) {}
 
-    private final VirtualScheduler time = new VirtualScheduler(START);
+    private final VirtualScheduler scheduler = new VirtualScheduler(START);
     private final Spec spec;
     private final List<ReplicatedType<?>> kinds;
     private final SimulatedPeerGroup company;
@@ -83,7 +83,7 @@
         random = new SplittableRandom(seed);
         learning = new GeneratedValues(kinds, random.nextLong());
         company = new SimulatedPeerGroup(
-                time, spec.company(), plan, number -> RouterIncarnation.sharing(kinds), random.nextLong());
+                scheduler, spec.company(), plan, number -> RouterIncarnation.sharing(kinds), random.nextLong());
         end = START + Math.max(spec.seconds(), plan.over());
         news();
     }
@@ -94,28 +94,28 @@
     }
 
     private Verdict play() {
-        time.run(end);
+        scheduler.runUntil(end);
         String apart = company.disagreement(kinds);
-        while (apart != null && broken == null && time.now() < end + spec.settle()) {
-            time.run(time.now() + LOOK);
+        while (apart != null && broken == null && scheduler.now() < end + spec.settle()) {
+            scheduler.runUntil(scheduler.now() + LOOK);
             apart = company.disagreement(kinds);
         }
         broke(apart == null ? null : "no agreement: " + apart);
         kinds.forEach(this::compare);
-        return new Verdict(broken, time.now() - end);
+        return new Verdict(broken, scheduler.now() - end);
     }
 
     private void broke(String what) {
         if (broken == null && what != null) {
-            broken = String.format(Locale.ROOT, "%.3f s: %s", time.now() - START, what);
+            broken = String.format(Locale.ROOT, "%.3f s: %s", scheduler.now() - START, what);
         }
     }
 
     // ---- updates ----
 
     private void news() {
-        time.in(random.nextExponential() / spec.rate(), () -> {
-            if (time.now() < end) {
+        scheduler.scheduleAfter(random.nextExponential() / spec.rate(), () -> {
+            if (scheduler.now() < end) {
                 learn(company.routers().get(random.nextInt(company.routers().size())));
                 news();
             }
@@ -123,7 +123,7 @@
     }
 
     private void learn(PeeredRouter by) {
-        Said<?> next = by.awake() ? learning.next(by, time.now()) : null;
+        Said<?> next = by.awake() ? learning.next(by, scheduler.now()) : null;
         if (next != null && put(next) && next.kind() == SessionWrite.TYPE) {
             roam(next);
         }
@@ -141,7 +141,7 @@
 
     private void roam(Said<?> mark) {
         PeeredRouter to = company.routers().get(random.nextInt(company.routers().size()));
-        time.in(ROAM + ROAMING * random.nextDouble(), () -> {
+        scheduler.scheduleAfter(ROAM + ROAMING * random.nextDouble(), () -> {
             if (to.awake()) {
                 read(mark, to);
             }
@@ -159,7 +159,7 @@
                     mark.key(),
                     mark.by(),
                     at,
-                    time.now() - mark.at(),
+                    scheduler.now() - mark.at(),
                     mark.at() - need));
         }
     }
@@ -175,9 +175,9 @@
                 && writer != null
                 && (mark.by() == at || at.roster().possiblyServing(at.now()).contains(writer));
         return lives
-                && Math.abs(at.now() - time.now()) < CLOCKS
-                && time.now() - mark.at() > ROAM + CLOCKS
-                && Math.abs(mark.by().now() - time.now()) < CLOCKS;
+                && Math.abs(at.now() - scheduler.now()) < CLOCKS
+                && scheduler.now() - mark.at() > ROAM + CLOCKS
+                && Math.abs(mark.by().now() - scheduler.now()) < CLOCKS;
     }
 
     // ---- contents of the copies at the end ----
@@ -221,8 +221,8 @@
      * it from being accepted.
      */
     private <V> boolean lasts(ReplicatedType<V> kind, Said<V> mine) {
-        return kind.timestamp(mine.value()) + kind.retentionSeconds() > time.now() + FADING
-                && (!kind.clockDependent() || Math.abs(mine.by().now() - time.now()) < CLOCKS);
+        return kind.timestamp(mine.value()) + kind.retentionSeconds() > scheduler.now() + FADING
+                && (!kind.clockDependent() || Math.abs(mine.by().now() - scheduler.now()) < CLOCKS);
     }
 
     @SuppressWarnings("unchecked") // the same type number implies the same value type
--- a/lab/src/main/java/clayhook/lab/sharing/SimulatedNetwork.java
+++ b/lab/src/main/java/clayhook/lab/sharing/SimulatedNetwork.java
@@ -27,7 +27,7 @@
 
     private record Place(int router, Receiver receiver) {}
 
-    private final Scheduler time;
+    private final Scheduler scheduler;
     private final double way;
     private final double loss;
     private final SplittableRandom random;
@@ -43,13 +43,13 @@
      * @param way median latency of a packet in seconds
      * @param loss fraction of packets lost without any fault
      */
-    SimulatedNetwork(Scheduler time, int routers, double way, double loss, long seed) {
-        this.time = time;
+    SimulatedNetwork(Scheduler scheduler, int routers, double way, double loss, long seed) {
+        this.scheduler = scheduler;
         this.way = way;
         this.loss = loss;
         random = new SplittableRandom(seed);
         freeAt = new double[routers];
-        traffic = new TrafficMeter(routers, time.now());
+        traffic = new TrafficMeter(routers, scheduler.now());
     }
 
     void place(Address address, int router, Receiver receiver) {
@@ -71,7 +71,7 @@
     /** Sends a packet; the network owns the bytes from then on. */
     void send(Address from, Address to, byte[] bytes) {
         int sender = places.get(from).router();
-        traffic.sent(sender, bytes.length, time.now());
+        traffic.sent(sender, bytes.length, scheduler.now());
         Place place = places.get(to);
         if (place == null || random.nextDouble() < loss) {
             return;
@@ -101,19 +101,19 @@
         }
         for (int copies = twice ? 2 : 1; copies > 0 && late < Double.POSITIVE_INFINITY; copies--) {
             byte[] arriving = carried;
-            time.in(late + way * Math.exp(SPREAD * random.nextGaussian()), () -> place.receiver()
+            scheduler.scheduleAfter(late + way * Math.exp(SPREAD * random.nextGaussian()), () -> place.receiver()
                     .heard(from, arriving));
         }
     }
 
     /** Seconds until the slow link has sent the packet; infinite if its queue is full. */
     private double queued(int sender, int bytes, double rate) {
-        double free = Math.max(time.now(), freeAt[sender]) + bytes / rate;
-        if (free - time.now() > QUEUED) {
+        double free = Math.max(scheduler.now(), freeAt[sender]) + bytes / rate;
+        if (free - scheduler.now() > QUEUED) {
             return Double.POSITIVE_INFINITY;
         }
         freeAt[sender] = free;
-        return free - time.now();
+        return free - scheduler.now();
     }
 
     private byte[] spoilt(byte[] bytes) {
--- a/lab/src/main/java/clayhook/lab/sharing/SimulatedPeerGroup.java
+++ b/lab/src/main/java/clayhook/lab/sharing/SimulatedPeerGroup.java
@@ -35,18 +35,18 @@
      * @param births the factory of the incarnations of each router, by router number
      */
     public SimulatedPeerGroup(
-            Scheduler time, Spec spec, FaultPlan plan, IntFunction<RouterIncarnation.Factory> births, long seed) {
-        double start = time.now();
-        network = new SimulatedNetwork(time, spec.routers(), spec.way(), spec.loss(), seed);
+            Scheduler scheduler, Spec spec, FaultPlan plan, IntFunction<RouterIncarnation.Factory> births, long seed) {
+        double start = scheduler.now();
+        network = new SimulatedNetwork(scheduler, spec.routers(), spec.way(), spec.loss(), seed);
         List<Address> seeds = IntStream.range(0, Math.min(SEEDS, spec.routers()))
                 .mapToObj(PeeredRouter::address)
                 .toList();
         for (int i = 0; i < spec.routers(); i++) {
-            routers.add(new PeeredRouter(i, time, network, births.apply(i), seeds, seed * 31 + i));
+            routers.add(new PeeredRouter(i, scheduler, network, births.apply(i), seeds, seed * 31 + i));
         }
         plan.faults().forEach(fault -> {
-            time.at(start + fault.at(), () -> begin(fault));
-            time.at(start + fault.end(), () -> end(fault));
+            scheduler.scheduleAt(start + fault.at(), () -> begin(fault));
+            scheduler.scheduleAt(start + fault.end(), () -> end(fault));
         });
     }
 
--- a/lab/src/test/java/clayhook/lab/model/LawsTest.java
+++ b/lab/src/test/java/clayhook/lab/model/LawsTest.java
@@ -24,8 +24,8 @@
 
     /** Runs Poisson arrivals with exponentially distributed work, and the given speeds one after the other. */
     private static Measured play(int cores, int queue, double rate, double work, int count, double[] speeds) {
-        var timeline = new VirtualScheduler(0);
-        var machine = new CpuModel(timeline, cores, queue);
+        var scheduler = new VirtualScheduler(0);
+        var machine = new CpuModel(scheduler, cores, queue);
         var random = RandomSource.XO_RO_SHI_RO_128_PP.create(9L);
         var exponential = ZigguratSampler.Exponential.of(random);
         var measured = new Measured();
@@ -34,13 +34,13 @@
             at += exponential.sample() / rate;
             double arrived = at;
             double asked = exponential.sample() * work;
-            timeline.at(arrived, () -> {
-                measured.inside += machine.inside() * (timeline.now() - measured.last);
-                measured.last = timeline.now();
+            scheduler.scheduleAt(arrived, () -> {
+                measured.inside += machine.inside() * (scheduler.now() - measured.last);
+                measured.last = scheduler.now();
                 boolean taken = machine.offer(new NodeJob(asked, arrived, job -> {
-                    measured.inside += (machine.inside() + 1) * (timeline.now() - measured.last);
-                    measured.last = timeline.now();
-                    measured.spent += timeline.now() - arrived;
+                    measured.inside += (machine.inside() + 1) * (scheduler.now() - measured.last);
+                    measured.last = scheduler.now();
+                    measured.spent += scheduler.now() - arrived;
                     measured.done++;
                 }));
                 measured.offered += taken ? asked : 0;
@@ -50,9 +50,9 @@
         }
         for (int i = 0; i < speeds.length; i++) {
             double speed = speeds[i];
-            timeline.at(at * i / speeds.length, () -> machine.speed(speed));
+            scheduler.scheduleAt(at * i / speeds.length, () -> machine.speed(speed));
         }
-        timeline.run(at * 10);
+        scheduler.runUntil(at * 10);
         measured.worked = machine.worked();
         return measured;
     }
--- a/lab/src/test/java/clayhook/lab/sharing/SharingTrialTest.java
+++ b/lab/src/test/java/clayhook/lab/sharing/SharingTrialTest.java
@@ -156,15 +156,15 @@
         "FREEZE, 2, 0, 1000, 0, 0.004"
     })
     void theNetworkDoesWhatTheFaultSays(Kind kind, String whom, double amount, int come, int spoilt, double latest) {
-        var time = new VirtualScheduler(100);
-        var network = new SimulatedNetwork(time, 3, 0.0005, 0, 7);
+        var scheduler = new VirtualScheduler(100);
+        var network = new SimulatedNetwork(scheduler, 3, 0.0005, 0, 7);
         int[] counts = new int[2];
         double[] last = new double[1];
         for (int i = 0; i < 3; i++) {
             network.place(PeeredRouter.address(i), i, (from, bytes) -> {
                 counts[0]++;
                 counts[1] += bytes[0] == 1 && bytes[1] == 1 ? 0 : 1;
-                last[0] = Math.max(last[0], time.now() - 100);
+                last[0] = Math.max(last[0], scheduler.now() - 100);
             });
         }
         List<Integer> routers = whom.isEmpty()
@@ -174,7 +174,7 @@
         for (int i = 0; i < 1000; i++) {
             network.send(PeeredRouter.address(0), PeeredRouter.address(1), new byte[] {1, 1, 1, 1, 1, 1, 1, 1, 1, 1});
         }
-        time.run(200);
+        scheduler.runUntil(200);
         assertEquals(come, counts[0], 60);
         assertEquals(spoilt * 2 / 10.0, counts[1], 30); // only two of ten bytes are checked
         assertTrue(last[0] <= latest && last[0] >= latest / 4, "" + last[0]);
