--- a/lab/src/main/java/clayhook/lab/model/Arrivals.java
+++ b/lab/src/main/java/clayhook/lab/model/Arrivals.java
@@ -10,7 +10,7 @@
  */
 final class Arrivals {
     private final FleetSpec spec;
-    private final double shares;
+    private final double totalShare;
     private final UniformRandomProvider random;
     private final ZigguratSampler.NormalizedGaussian normal;
     private final ZigguratSampler.Exponential exponential;
@@ -25,7 +25,7 @@
 
     Arrivals(FleetSpec spec, long seed) {
         this.spec = spec;
-        shares = spec.commands().stream().mapToDouble(FleetSpec.Kind::share).sum();
+        totalShare = spec.commands().stream().mapToDouble(FleetSpec.Kind::share).sum();
         random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         normal = ZigguratSampler.NormalizedGaussian.of(random);
         exponential = ZigguratSampler.Exponential.of(random);
@@ -36,17 +36,17 @@
      *
      * @param since seconds from the start, which determine the current rate
      */
-    double gap(double since) {
+    double nextGapSeconds(double since) {
         return exponential.sample() / Math.max(spec.rateAt(since), 1e-9);
     }
 
     RequestArrival next() {
-        double dice = random.nextDouble() * shares;
+        double draw = random.nextDouble() * totalShare;
         FleetSpec.Kind kind = spec.commands().get(spec.commands().size() - 1);
-        for (FleetSpec.Kind one : spec.commands()) {
-            dice -= one.share();
-            if (dice < 0) {
-                kind = one;
+        for (FleetSpec.Kind candidate : spec.commands()) {
+            draw -= candidate.share();
+            if (draw < 0) {
+                kind = candidate;
                 break;
             }
         }
--- a/lab/src/main/java/clayhook/lab/model/CpuModel.java
+++ b/lab/src/main/java/clayhook/lab/model/CpuModel.java
@@ -8,43 +8,43 @@
 final class CpuModel {
     private final Scheduler scheduler;
     private final int cores;
-    private final int limit;
-    /** Bounded by {@link #limit}. */
+    private final int maxQueued;
+    /** Bounded by {@link #maxQueued}. */
     private final ArrayDeque<NodeJob> queue = new ArrayDeque<>();
 
     private final List<NodeJob> running = new ArrayList<>();
     private double speed = 1;
-    /** Core seconds of work done, as of the last {@link #reckon} of each running job. */
-    private double worked;
+    /** Core seconds of work done, as of the last {@link #updateWork} of each running job. */
+    private double workedSeconds;
 
-    CpuModel(Scheduler scheduler, int cores, int limit) {
+    CpuModel(Scheduler scheduler, int cores, int maxQueued) {
         this.scheduler = scheduler;
         this.cores = cores;
-        this.limit = limit;
+        this.maxQueued = maxQueued;
     }
 
     /** Starts or queues the job; returns false if the queue is full. */
     boolean offer(NodeJob job) {
         if (running.size() < cores) {
-            begin(job);
+            start(job);
             return true;
         }
-        return queue.size() < limit && queue.add(job);
+        return queue.size() < maxQueued && queue.add(job);
     }
 
-    private void begin(NodeJob job) {
+    private void start(NodeJob job) {
         job.running = true;
         running.add(job);
-        job.reckonedAt = scheduler.now();
-        plan(job);
+        job.updatedAt = scheduler.now();
+        scheduleEnd(job);
     }
 
     /** Schedules the end of the job. At speed 0 nothing is scheduled; the next change of the speed schedules it. */
-    private void plan(NodeJob job) {
-        int plan = ++job.plan;
+    private void scheduleEnd(NodeJob job) {
+        int number = ++job.endNumber;
         if (speed > 0) {
             scheduler.scheduleAfter(job.work / speed, () -> {
-                if (job.running && job.plan == plan) {
+                if (job.running && job.endNumber == number) {
                     end(job);
                 }
             });
@@ -52,31 +52,31 @@
     }
 
     private void end(NodeJob job) {
-        reckon(job);
+        updateWork(job);
         job.running = false;
         running.remove(job);
-        next();
+        startQueued();
         job.done.accept(job);
     }
 
-    private void next() {
+    private void startQueued() {
         while (running.size() < cores && !queue.isEmpty()) {
-            begin(queue.poll());
+            start(queue.poll());
         }
     }
 
-    private void reckon(NodeJob job) {
-        double done = Math.min(job.work, Math.max(0, scheduler.now() - job.reckonedAt) * speed);
-        worked += done;
+    private void updateWork(NodeJob job) {
+        double done = Math.min(job.work, Math.max(0, scheduler.now() - job.updatedAt) * speed);
+        workedSeconds += done;
         job.work -= done;
-        job.reckonedAt = scheduler.now();
+        job.updatedAt = scheduler.now();
     }
 
     /** Sets the core seconds of work done per second and core; 0 while the machine is stopped. */
-    void speed(double now) {
-        running.forEach(this::reckon);
-        speed = now;
-        running.forEach(this::plan);
+    void setSpeed(double newSpeed) {
+        running.forEach(this::updateWork);
+        speed = newSpeed;
+        running.forEach(this::scheduleEnd);
     }
 
     /** Removes a job whose client disconnected from the queue; a running job continues. */
@@ -91,18 +91,18 @@
         queue.clear();
     }
 
-    int inside() {
+    int jobs() {
         return running.size() + queue.size();
     }
 
-    int waiting() {
+    int queuedJobs() {
         return queue.size();
     }
 
     /** Core seconds of work done so far. */
-    double worked() {
-        running.forEach(this::reckon);
-        running.forEach(this::plan);
-        return worked;
+    double workedSeconds() {
+        running.forEach(this::updateWork);
+        running.forEach(this::scheduleEnd);
+        return workedSeconds;
     }
 }
--- a/lab/src/main/java/clayhook/lab/model/GroupModel.java
+++ b/lab/src/main/java/clayhook/lab/model/GroupModel.java
@@ -13,7 +13,7 @@
     /** Seconds without a primary before a successor takes over. */
     private final double election;
     /** Position of the newest commit. */
-    private double head;
+    private double lastCommit;
 
     GroupModel(Scheduler scheduler, int id, double election) {
         this.scheduler = scheduler;
@@ -31,21 +31,23 @@
 
     /** Commits a write at the primary and returns its position. */
     double commit() {
-        head = Math.max(Math.nextUp(head), scheduler.now());
-        nodes.stream().filter(node -> node.role != Role.PRIMARY && node.up()).forEach(node -> node.log.committed(head));
-        return head;
+        lastCommit = Math.max(Math.nextUp(lastCommit), scheduler.now());
+        nodes.stream()
+                .filter(node -> node.role != Role.PRIMARY && node.up())
+                .forEach(node -> node.log.committed(lastCommit));
+        return lastCommit;
     }
 
     /**
      * Starts an election if there is no primary: the replica with the highest position takes over unless there is a
      * primary by then.
      */
-    void maybeElect() {
+    void electIfNoPrimary() {
         if (primary() == null) {
             scheduler.scheduleAfter(election, () -> {
                 if (primary() == null) {
                     nodes.stream()
-                            .filter(node -> node.up() && !node.silent())
+                            .filter(node -> node.up() && !node.isHung())
                             .max(Comparator.comparingDouble(NodeModel::position))
                             .ifPresent(node -> node.role = Role.PRIMARY);
                 }
@@ -57,12 +59,12 @@
      * Demotes a primary that is still hung after the election time, and starts an election. The hung node itself cannot
      * notice this.
      */
-    void depose(NodeModel old) {
-        if (old.role == Role.PRIMARY) {
+    void demoteIfHung(NodeModel node) {
+        if (node.role == Role.PRIMARY) {
             scheduler.scheduleAfter(election, () -> {
-                if (old.role == Role.PRIMARY && old.silent()) {
-                    old.role = Role.REPLICA;
-                    maybeElect();
+                if (node.role == Role.PRIMARY && node.isHung()) {
+                    node.role = Role.REPLICA;
+                    electIfNoPrimary();
                 }
             });
         }
--- a/lab/src/main/java/clayhook/lab/model/LoopbackFleet.java
+++ b/lab/src/main/java/clayhook/lab/model/LoopbackFleet.java
@@ -45,57 +45,57 @@
      * Maximum 99th percentile of event lateness in seconds. Above it the results measure the machine, and no verdict is
      * given.
      */
-    private static final double MOST_LATE = 0.01;
+    private static final double MAX_LATENESS_SECONDS = 0.01;
     /**
      * Maximum client connections per router, far below the file descriptor limit of a process; a request without a free
      * connection fails.
      */
-    private static final int MOST_CONNECTIONS = 256;
+    private static final int MAX_CONNECTIONS = 256;
     /** Seconds in which routers check the health of their nodes before the load starts. */
-    private static final double WARMING = 1;
+    private static final double WARM_UP_SECONDS = 1;
 
     private static final double CONNECT_TIMEOUT = 0.25;
-    private static final double GRACE = 0.25, OVERLOAD = 3, OVERLOAD_FOR = 3;
+    private static final double DRAIN_GRACE = 0.25, OVERLOAD_FACTOR = 3, OVERLOAD_FOR = 3;
 
     private final FleetSpec spec;
     private final Transport transport = Transport.tcp();
     private final WallClockScheduler scheduler = new WallClockScheduler(transport.eventLoop());
     private final Arrivals arrivals;
-    private final RuleAudit audit = new RuleAudit(GRACE, OVERLOAD, OVERLOAD_FOR);
-    private final Map<String, Asked> open = new HashMap<>();
+    private final RuleAudit audit = new RuleAudit(DRAIN_GRACE, OVERLOAD_FACTOR, OVERLOAD_FOR);
+    private final Map<String, OpenRequest> openRequests = new HashMap<>();
     private final List<SocketNode> sockets = new ArrayList<>();
     private final List<Server> servers = new ArrayList<>();
-    private final List<Clients> clients = new ArrayList<>();
-    private final double[] wrote;
-    private SimulatedNodes world;
-    private RunMetrics tally;
+    private final List<RouterConnections> routerConnections = new ArrayList<>();
+    private final double[] lastWritePositions;
+    private SimulatedNodes nodes;
+    private RunMetrics metrics;
     private double start;
     private long nextId;
     private int listVersion = 2;
 
-    private static final class Asked {
-        final Arrivals.RequestArrival ask;
+    private static final class OpenRequest {
+        final Arrivals.RequestArrival arrival;
         final String id;
-        final double arrived;
-        final double wroteAt;
+        final double arrivedAt;
+        final double lastWritePosition;
 
-        Asked(Arrivals.RequestArrival ask, String id, double arrived, double wroteAt) {
-            this.ask = ask;
+        OpenRequest(Arrivals.RequestArrival arrival, String id, double arrivedAt, double lastWritePosition) {
+            this.arrival = arrival;
             this.id = id;
-            this.arrived = arrived;
-            this.wroteAt = wroteAt;
+            this.arrivedAt = arrivedAt;
+            this.lastWritePosition = lastWritePosition;
         }
     }
 
     public LoopbackFleet(FleetSpec spec, long seed) {
         this.spec = spec;
         arrivals = new Arrivals(spec, seed);
-        wrote = new double[spec.sessions()];
+        lastWritePositions = new double[spec.sessions()];
     }
 
     /** Runs the load for the given number of seconds; returns null if the event loop ran too late for a verdict. */
     public RunMetrics run(List<Failure> failures, double seconds) throws InterruptedException {
-        return run(failures, seconds, so -> {});
+        return run(failures, seconds, metricsSoFar -> {});
     }
 
     /**
@@ -105,34 +105,34 @@
     public RunMetrics run(List<Failure> failures, double seconds, Consumer<RunMetrics> watcher)
             throws InterruptedException {
         try {
-            begin();
+            startFleet();
             var ended = new CountDownLatch(1);
             transport.eventLoop().execute(() -> {
-                start = scheduler.now() + WARMING;
+                start = scheduler.now() + WARM_UP_SECONDS;
                 scheduler.scheduleAt(start, scheduler::resetLateness);
-                tally = new RunMetrics(start);
-                world.befall(failures, start);
-                scheduler.scheduleAt(start, () -> arrive(start + seconds));
+                metrics = new RunMetrics(start);
+                nodes.scheduleFailures(failures, start);
+                scheduler.scheduleAt(start, () -> scheduleNextArrival(start + seconds));
                 for (int second = 1; second <= seconds; second++) {
-                    scheduler.scheduleAt(start + second, () -> watcher.accept(tally));
+                    scheduler.scheduleAt(start + second, () -> watcher.accept(metrics));
                 }
-                double longest = spec.commands().stream()
+                double maxClientTimeout = spec.commands().stream()
                         .mapToDouble(kind -> kind.group().clientTimeoutSeconds())
                         .max()
                         .orElse(0);
-                scheduler.scheduleAt(start + seconds + longest + 1, () -> {
+                scheduler.scheduleAt(start + seconds + maxClientTimeout + 1, () -> {
                     audit.end(scheduler.now());
-                    world.nodes()
-                            .forEach(node -> tally.worked(
+                    nodes.nodes()
+                            .forEach(node -> metrics.worked(
                                     node.node.id(),
-                                    node.cores.worked()
+                                    node.cores.workedSeconds()
                                             / (seconds * spec.machine().cores())));
-                    tally.ended(audit.broken(), audit.first(), nextId);
+                    metrics.ended(audit.broken(), audit.first(), nextId);
                     ended.countDown();
                 });
             });
             ended.await();
-            return scheduler.latenessSeconds() > MOST_LATE ? null : tally;
+            return scheduler.latenessSeconds() > MAX_LATENESS_SECONDS ? null : metrics;
         } finally {
             servers.forEach(Server::close);
             transport.close();
@@ -140,22 +140,22 @@
     }
 
     /** 99th percentile of the lateness of events, in seconds. */
-    public double late() {
+    public double latenessSeconds() {
         return scheduler.latenessSeconds();
     }
 
-    private void begin() throws InterruptedException {
-        world = new SimulatedNodes(spec, scheduler, this::died, node -> listVersion++);
-        for (NodeModel node : world.nodes()) {
+    private void startFleet() throws InterruptedException {
+        nodes = new SimulatedNodes(spec, scheduler, this::onCrash, node -> listVersion++);
+        for (NodeModel node : nodes.nodes()) {
             sockets.add(new SocketNode(node));
         }
         var discovery = new StubDiscovery(
                 transport,
                 transport.ephemeralAddress(0),
-                call -> call.contains("after=" + listVersion + "&")
-                                || call.endsWith("after=" + listVersion + " HTTP/1.1")
+                httpRequest -> httpRequest.contains("after=" + listVersion + "&")
+                                || httpRequest.endsWith("after=" + listVersion + " HTTP/1.1")
                         ? null
-                        : list());
+                        : listJson());
         List<RequestClass> groups =
                 spec.commands().stream().map(FleetSpec.Kind::group).toList();
         for (int r = 0; r < spec.routers(); r++) {
@@ -175,7 +175,7 @@
                     5,
                     spec.machine().coldShare(),
                     spec.machine().warmAfter(),
-                    OVERLOAD,
+                    OVERLOAD_FACTOR,
                     OVERLOAD_FOR,
                     1,
                     15);
@@ -187,151 +187,160 @@
                             discovery.address(),
                             r + 1,
                             1 << 28,
-                            2 * MOST_CONNECTIONS + 64,
-                            EndpointList.parse(list()),
+                            2 * MAX_CONNECTIONS + 64,
+                            EndpointList.parse(listJson()),
                             settings,
                             CONNECT_TIMEOUT));
             servers.add(server);
-            clients.add(new Clients(server.address()));
+            routerConnections.add(new RouterConnections(server.address()));
         }
     }
 
-    private String list() {
+    private String listJson() {
         var entries = new ArrayList<String>();
         for (int i = 0; i < sockets.size(); i++) {
-            Endpoint listing = world.listings().get(i);
-            entries.add("{\"uid\":\"" + listing.node().id() + "\",\"endpoint\":\"127.0.0.1:"
+            Endpoint endpoint = nodes.endpoints().get(i);
+            entries.add("{\"uid\":\"" + endpoint.node().id() + "\",\"endpoint\":\"127.0.0.1:"
                     + sockets.get(i).port() + "\",\"az\":\""
-                    + listing.node().zone() + "\",\"pod_group\":"
-                    + listing.node().replicaSetId() + ",\"state\":\""
-                    + (listing.state() == Endpoint.State.DRAINING ? "draining" : "up") + "\",\"role\":\""
-                    + (listing.primary() ? "primary" : "replica") + "\",\"boot_ms\":"
-                    + (long) (listing.startedAt() * 1000) + "}");
+                    + endpoint.node().zone() + "\",\"pod_group\":"
+                    + endpoint.node().replicaSetId() + ",\"state\":\""
+                    + (endpoint.state() == Endpoint.State.DRAINING ? "draining" : "up") + "\",\"role\":\""
+                    + (endpoint.primary() ? "primary" : "replica") + "\",\"boot_ms\":"
+                    + (long) (endpoint.startedAt() * 1000) + "}");
         }
         return "{\"rev\":" + listVersion + ",\"all\":true,\"targets\":[" + String.join(",", entries) + "]}";
     }
 
-    private void died(NodeModel node) {
+    private void onCrash(NodeModel node) {
         sockets.stream().filter(socket -> socket.node == node).forEach(SocketNode::reset);
     }
 
     // ---- clients ----
 
-    private void arrive(double until) {
-        scheduler.scheduleAfter(arrivals.gap(scheduler.now() - start), () -> {
+    private void scheduleNextArrival(double until) {
+        scheduler.scheduleAfter(arrivals.nextGapSeconds(scheduler.now() - start), () -> {
             if (scheduler.now() < until) {
-                Arrivals.RequestArrival ask = arrivals.next();
-                RequestClass group = ask.kind().group();
-                boolean own = group.consistency() == ConsistencyLevel.SESSION && ask.session() >= 0;
-                var asked = new Asked(ask, Long.toString(nextId++), scheduler.now(), own ? wrote[ask.session()] : 0);
+                Arrivals.RequestArrival arrival = arrivals.next();
+                RequestClass requestClass = arrival.kind().group();
+                boolean readsOwnWrites =
+                        requestClass.consistency() == ConsistencyLevel.SESSION && arrival.session() >= 0;
+                var request = new OpenRequest(
+                        arrival,
+                        Long.toString(nextId++),
+                        scheduler.now(),
+                        readsOwnWrites ? lastWritePositions[arrival.session()] : 0);
                 audit.sweep(scheduler.now());
-                audit.sent(asked.id, group, asked.arrived + group.clientTimeoutSeconds());
-                tally.asked(group, scheduler.now());
-                open.put(asked.id, asked);
-                clients.get((int) (nextId % clients.size())).send(asked);
-                arrive(until);
+                audit.sent(request.id, requestClass, request.arrivedAt + requestClass.clientTimeoutSeconds());
+                metrics.asked(requestClass, scheduler.now());
+                openRequests.put(request.id, request);
+                routerConnections.get((int) (nextId % routerConnections.size())).send(request);
+                scheduleNextArrival(until);
             }
         });
     }
 
-    private void answered(Asked asked, RoutingAction verdict, double position) {
+    private void answered(OpenRequest request, RoutingAction action, double position) {
         double now = scheduler.now();
-        RequestClass group = asked.ask.kind().group();
-        audit.answered(asked.id, now);
-        if (verdict == RoutingAction.REJECT) {
-            audit.throttled(asked.id, now);
-        } else if (verdict == RoutingAction.DONE
-                && group.consistency() == ConsistencyLevel.WRITE
-                && asked.ask.session() >= 0) {
-            wrote[asked.ask.session()] = Math.max(wrote[asked.ask.session()], position);
+        RequestClass requestClass = request.arrival.kind().group();
+        audit.answered(request.id, now);
+        if (action == RoutingAction.REJECT) {
+            audit.throttled(request.id, now);
+        } else if (action == RoutingAction.DONE
+                && requestClass.consistency() == ConsistencyLevel.WRITE
+                && request.arrival.session() >= 0) {
+            lastWritePositions[request.arrival.session()] =
+                    Math.max(lastWritePositions[request.arrival.session()], position);
         }
-        tally.answered(group, verdict, now - asked.arrived, asked.arrived);
-        open.remove(asked.id);
+        metrics.answered(requestClass, action, now - request.arrivedAt, request.arrivedAt);
+        openRequests.remove(request.id);
     }
 
     /** Client connections to one router, each with at most one request at a time. */
-    private final class Clients {
+    private final class RouterConnections {
         private final InetSocketAddress router;
         private final ArrayDeque<Connection> idle = new ArrayDeque<>();
         private int connections;
 
-        Clients(InetSocketAddress router) {
+        RouterConnections(InetSocketAddress router) {
             this.router = router;
         }
 
-        void send(Asked asked) {
+        void send(OpenRequest request) {
             Connection connection = idle.poll();
-            if (connection == null && connections >= MOST_CONNECTIONS) {
-                answered(asked, RoutingAction.FAIL, 0);
+            if (connection == null && connections >= MAX_CONNECTIONS) {
+                answered(request, RoutingAction.FAIL, 0);
             } else if (connection == null) {
                 connections++;
-                var opened = new Connection(this, asked);
+                var opened = new Connection(this, request);
                 transport.connect(
                         router,
                         CONNECT_TIMEOUT,
                         () -> new ChannelHandler[] {new NodeMessageDecoder(new MemoryBudget(Long.MAX_VALUE)), opened},
                         opened::lost);
             } else {
-                connection.send(asked);
+                connection.send(request);
             }
         }
     }
 
     private final class Connection extends ChannelInboundHandlerAdapter {
-        private final Clients of;
-        private Asked asked;
+        private final RouterConnections owner;
+        private OpenRequest request;
         private Channel channel;
-        private boolean welcomed;
-        private RoutingAction verdict = RoutingAction.DONE;
+        private boolean started;
+        private RoutingAction action = RoutingAction.DONE;
         private double position;
 
-        Connection(Clients of, Asked asked) {
-            this.of = of;
-            this.asked = asked;
+        Connection(RouterConnections owner, OpenRequest request) {
+            this.owner = owner;
+            this.request = request;
         }
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             channel = ctx.channel();
             ctx.write(MessageEncoder.startupMessage("lab", "core"));
-            send(asked);
+            send(request);
         }
 
-        void send(Asked next) {
-            asked = next;
-            verdict = RoutingAction.DONE;
+        void send(OpenRequest newRequest) {
+            request = newRequest;
+            action = RoutingAction.DONE;
             position = 0;
-            RequestClass group = next.ask.kind().group();
-            boolean writes = group.consistency() == ConsistencyLevel.WRITE;
-            String fields = "id=" + next.id + ",c=" + group.name() + ",cluster=" + next.ask.group() + ",d="
-                    + Math.round(group.clientTimeoutSeconds() * 1000) + (writes ? ",k=" + next.id : "")
-                    + (next.wroteAt > 0 ? ",after=" + (long) Math.ceil(next.wroteAt * 1000) : "");
+            RequestClass requestClass = newRequest.arrival.kind().group();
+            boolean writes = requestClass.consistency() == ConsistencyLevel.WRITE;
+            String fields = "id=" + newRequest.id + ",c=" + requestClass.name() + ",cluster="
+                    + newRequest.arrival.group() + ",d="
+                    + Math.round(requestClass.clientTimeoutSeconds() * 1000) + (writes ? ",k=" + newRequest.id : "")
+                    + (newRequest.lastWritePosition > 0
+                            ? ",after=" + (long) Math.ceil(newRequest.lastWritePosition * 1000)
+                            : "");
             channel.writeAndFlush(StubClient.statement(writes, fields));
         }
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             if (message instanceof NodeMessage.ErrorResponse error) {
-                verdict = error.sqlState().equals("53300") ? RoutingAction.REJECT : RoutingAction.FAIL;
+                action = error.sqlState().equals("53300") ? RoutingAction.REJECT : RoutingAction.FAIL;
             } else if (message instanceof NodeMessage.ResultMessage part && part.type() == 'D') {
                 position = Double.parseDouble(part.firstColumn());
-            } else if (message instanceof NodeMessage.ReadyForQuery && !welcomed) {
-                welcomed = true;
-            } else if (message instanceof NodeMessage.ReadyForQuery && asked != null) {
-                Asked done = asked;
-                asked = null;
-                answered(done, verdict, position);
-                of.idle.push(this);
+            } else if (message instanceof NodeMessage.ReadyForQuery && !started) {
+                started = true;
+            } else if (message instanceof NodeMessage.ReadyForQuery && request != null) {
+                OpenRequest finished = request;
+                request = null;
+                answered(finished, action, position);
+                owner.idle.push(this);
             }
         }
 
         void lost() {
-            of.connections--;
-            of.idle.remove(this);
-            if (asked != null) {
-                Asked done = asked;
-                asked = null;
-                answered(done, RoutingAction.FAIL, 0);
+            owner.connections--;
+            owner.idle.remove(this);
+            if (request != null) {
+                OpenRequest finished = request;
+                request = null;
+                answered(finished, RoutingAction.FAIL, 0);
             }
         }
 
@@ -391,7 +400,7 @@
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             NodeModel node = socket.node;
-            if (!node.up() || node.silent()) {
+            if (!node.up() || node.isHung()) {
                 return;
             }
             if (message instanceof ClientMessage.Startup) {
@@ -407,26 +416,27 @@
 
         private void run(ChannelHandlerContext ctx, KeyValueStatement statement) {
             NodeModel node = socket.node;
-            Asked asked = open.get(statement.requestId);
-            if (asked == null || (statement.isWrite && node.role != Role.PRIMARY)) {
-                ctx.writeAndFlush(MessageEncoder.error(false, asked == null ? "53300" : "25006", "not here", null));
+            OpenRequest request = openRequests.get(statement.requestId);
+            if (request == null || (statement.isWrite && node.role != Role.PRIMARY)) {
+                ctx.writeAndFlush(MessageEncoder.error(false, request == null ? "53300" : "25006", "not here", null));
                 return;
             }
-            RequestClass group = asked.ask.kind().group();
-            double needed =
-                    switch (group.consistency()) {
-                        case BOUNDED_STALENESS -> scheduler.now() - group.maxStalenessSeconds();
-                        case SESSION -> asked.wroteAt;
+            RequestClass requestClass = request.arrival.kind().group();
+            double requiredPosition =
+                    switch (requestClass.consistency()) {
+                        case BOUNDED_STALENESS -> scheduler.now() - requestClass.maxStalenessSeconds();
+                        case SESSION -> request.lastWritePosition;
                         default -> 0;
                     };
             if (node.warmth() < 1) {
-                audit.worked(node.node, asked.ask.work(), spec.machine().cores() * node.warmth(), scheduler.now());
+                audit.worked(
+                        node.node, request.arrival.work(), spec.machine().cores() * node.warmth(), scheduler.now());
             }
-            job = new NodeJob(asked.ask.work(), scheduler.now(), done -> {
+            job = new NodeJob(request.arrival.work(), scheduler.now(), finished -> {
                 double position = statement.isWrite
-                        ? world.group(node.node.replicaSetId()).commit()
+                        ? nodes.group(node.node.replicaSetId()).commit()
                         : node.position();
-                audit.ran(asked.id, node.node, position, needed, scheduler.now());
+                audit.ran(request.id, node.node, position, requiredPosition, scheduler.now());
                 ctx.writeAndFlush(StubNode.row(Double.toString(position), role(node), millis(position), load(node)));
             });
             if (!node.cores.offer(job)) {
@@ -444,7 +454,7 @@
         }
 
         private String load(NodeModel node) {
-            return "inflight=" + node.cores.inside() + ",x0=" + node.position() + ",x1="
+            return "inflight=" + node.cores.jobs() + ",x0=" + node.position() + ",x1="
                     + (node.role == Role.PRIMARY ? 1 : 0);
         }
 
--- a/lab/src/main/java/clayhook/lab/model/NodeJob.java
+++ b/lab/src/main/java/clayhook/lab/model/NodeJob.java
@@ -11,9 +11,9 @@
     /** Called when the job is done; not called if it was dropped. */
     final Consumer<NodeJob> done;
     /** Time at which {@link #work} was last updated while the job runs. */
-    double reckonedAt;
+    double updatedAt;
     /** Number of the valid scheduled end; ends scheduled under older numbers are ignored. */
-    int plan;
+    int endNumber;
 
     boolean running;
 
--- a/lab/src/main/java/clayhook/lab/model/NodeModel.java
+++ b/lab/src/main/java/clayhook/lab/model/NodeModel.java
@@ -6,7 +6,7 @@
 /** A node: its machine, its role in the replica set and the failures in effect. */
 final class NodeModel {
     /** Seconds between two updates of the speed while the node warms up; short compared to the warm-up time. */
-    private static final double WARMING_STEP = 0.25;
+    private static final double WARM_UP_STEP = 0.25;
 
     final Node node;
     final CpuModel cores;
@@ -18,12 +18,12 @@
     boolean draining;
     private double startedAt;
     /** Fraction of the machine that another program uses. */
-    private double neighbour;
+    private double neighbourShare;
 
     private boolean paused;
     Role role;
     /** Incarnation: the number of crashes. Requests sent to an earlier incarnation are lost. */
-    int life;
+    int incarnation;
 
     NodeModel(Scheduler scheduler, Node node, MachineSpec machine, Role role) {
         this.scheduler = scheduler;
@@ -39,7 +39,7 @@
     }
 
     /** Returns whether the node is hung: it accepts requests and answers none. */
-    boolean silent() {
+    boolean isHung() {
         return hung;
     }
 
@@ -54,25 +54,25 @@
 
     /** Fraction of full speed that the node has reached since its start; 1 once it is warm. */
     double warmth() {
-        double since = scheduler.now() - startedAt;
-        return startedAt <= 0 || since >= machine.warmAfter()
+        double uptime = scheduler.now() - startedAt;
+        return startedAt <= 0 || uptime >= machine.warmAfter()
                 ? 1
-                : machine.coldShare() + (1 - machine.coldShare()) * since / machine.warmAfter();
+                : machine.coldShare() + (1 - machine.coldShare()) * uptime / machine.warmAfter();
     }
 
-    private double speed() {
-        return paused || hung ? 0 : warmth() * (1 - neighbour);
+    private double currentSpeed() {
+        return paused || hung ? 0 : warmth() * (1 - neighbourShare);
     }
 
-    private void respeed() {
-        cores.speed(speed());
+    private void updateSpeed() {
+        cores.setSpeed(currentSpeed());
     }
 
     // ---- failures ----
 
     void crash() {
         up = false;
-        life++;
+        incarnation++;
         cores.clear();
     }
 
@@ -81,29 +81,29 @@
         up = true;
         role = Role.REPLICA;
         startedAt = scheduler.now();
-        warm();
+        updateWhileWarming();
     }
 
-    private void warm() {
-        respeed();
+    private void updateWhileWarming() {
+        updateSpeed();
         if (up && scheduler.now() < startedAt + machine.warmAfter()) {
-            scheduler.scheduleAfter(WARMING_STEP, this::warm);
+            scheduler.scheduleAfter(WARM_UP_STEP, this::updateWhileWarming);
         }
     }
 
-    void hang(boolean hangs) {
-        hung = hangs;
-        respeed();
+    void setHung(boolean value) {
+        hung = value;
+        updateSpeed();
     }
 
-    void pause(boolean stands) {
-        paused = stands;
-        respeed();
+    void setPaused(boolean value) {
+        paused = value;
+        updateSpeed();
     }
 
     /** Sets the fraction of the machine that another program uses. */
-    void share(double part) {
-        neighbour = part;
-        respeed();
+    void setNeighbour(double fraction) {
+        neighbourShare = fraction;
+        updateSpeed();
     }
 }
--- a/lab/src/main/java/clayhook/lab/model/PeerLink.java
+++ b/lab/src/main/java/clayhook/lab/model/PeerLink.java
@@ -14,22 +14,22 @@
     /** The link of a router that shares nothing. */
     PeerLink NONE = new PeerLink() {
         @Override
-        public void listed(List<Endpoint> entries, boolean whole, long revision) {}
+        public void onEndpointList(List<Endpoint> entries, boolean complete, long revision) {}
 
         @Override
-        public void looked(Node node, AttemptResult reply) {}
+        public void onAttemptResult(Node node, AttemptResult result) {}
 
         @Override
-        public void wrote(Request command, double position) {}
+        public void onSessionWrite(Request request, double position) {}
 
         @Override
-        public void written(Request command, String mark, Node ranAt) {}
+        public void onWriteOutcome(Request request, String writeId, Node ranAt) {}
 
         @Override
-        public void used(int probes, int repeats) {}
+        public void onQuotaUsed(int healthChecks, int furtherAttempts) {}
 
         @Override
-        public double needs(String session) {
+        public double requiredPosition(String session) {
             return 0;
         }
     };
@@ -37,31 +37,31 @@
     /**
      * Publishes endpoint-list entries of the given revision.
      *
-     * @param whole whether the entries are the complete list; otherwise only those that changed
+     * @param complete whether the entries are the complete list; otherwise only those that changed
      */
-    void listed(List<Endpoint> entries, boolean whole, long revision);
+    void onEndpointList(List<Endpoint> entries, boolean complete, long revision);
 
     /** Publishes the result of an attempt or health check at a node. */
-    void looked(Node node, AttemptResult reply);
+    void onAttemptResult(Node node, AttemptResult result);
 
     /** Publishes the position of an answered write of a session. */
-    void wrote(Request command, double position);
+    void onSessionWrite(Request request, double position);
 
     /**
      * Publishes the outcome of a write.
      *
      * @param ranAt the node where it ran; null if it has its final answer and it is not known whether it ran
      */
-    void written(Request command, String mark, Node ranAt);
+    void onWriteOutcome(Request request, String writeId, Node ranAt);
 
     /**
      * Publishes the use of quotas.
      *
-     * @param probes number of health checks sent
-     * @param repeats number of attempts beyond the first of a request
+     * @param healthChecks number of health checks sent
+     * @param furtherAttempts number of attempts beyond the first of a request
      */
-    void used(int probes, int repeats);
+    void onQuotaUsed(int healthChecks, int furtherAttempts);
 
     /** Minimum position for a read of the session, rounded up if uncertain; 0 if there is none. */
-    double needs(String session);
+    double requiredPosition(String session);
 }
--- a/lab/src/main/java/clayhook/lab/model/PeerLinkFactory.java
+++ b/lab/src/main/java/clayhook/lab/model/PeerLinkFactory.java
@@ -9,5 +9,5 @@
             routers.stream().map(router -> PeerLink.NONE).toList();
 
     /** Creates one link per router, in the order of the routers. */
-    List<PeerLink> among(Scheduler scheduler, List<? extends PeerObservationListener> routers, long seed);
+    List<PeerLink> createLinks(Scheduler scheduler, List<? extends PeerObservationListener> routers, long seed);
 }
--- a/lab/src/main/java/clayhook/lab/model/PeerObservationListener.java
+++ b/lab/src/main/java/clayhook/lab/model/PeerObservationListener.java
@@ -6,8 +6,8 @@
 /** Receives what the peers of a router know. */
 public interface PeerObservationListener {
     /** Called with an endpoint-list entry that a peer received in the given revision. */
-    void told(Endpoint entry, long revision);
+    void onPeerEndpoint(Endpoint endpoint, long revision);
 
     /** Called with what peers observed of the node with the given id. */
-    void told(String node, PeerObservation told);
+    void onPeerObservation(String nodeId, PeerObservation observation);
 }
--- a/lab/src/main/java/clayhook/lab/model/ReplicaLog.java
+++ b/lab/src/main/java/clayhook/lab/model/ReplicaLog.java
@@ -29,10 +29,10 @@
         pending.add(new Commit(at, freeAt));
     }
 
-    /** Multiplies the time to apply a commit by {@code times}, for pending commits too. */
-    void slow(double now, double times) {
+    /** Multiplies the time to apply a commit by {@code factor}, for pending commits too. */
+    void setSlowness(double now, double factor) {
         position(now);
-        slowness = times;
+        slowness = factor;
         freeAt = Math.max(now, stalledUntil);
         List<Commit> waiting = List.copyOf(pending);
         pending.clear();
@@ -45,12 +45,12 @@
     /** Stops applying until the given time. */
     void stall(double now, double until) {
         position(now);
-        var late = new ArrayDeque<Commit>();
-        double shift = Math.max(0, until - now);
-        pending.forEach(commit -> late.add(new Commit(commit.position(), commit.appliedAt() + shift)));
+        var delayed = new ArrayDeque<Commit>();
+        double delay = Math.max(0, until - now);
+        pending.forEach(commit -> delayed.add(new Commit(commit.position(), commit.appliedAt() + delay)));
         pending.clear();
-        pending.addAll(late);
-        freeAt = Math.max(freeAt, now) + shift;
+        pending.addAll(delayed);
+        freeAt = Math.max(freeAt, now) + delay;
         stalledUntil = Math.max(stalledUntil, until);
     }
 
@@ -60,8 +60,8 @@
             position = Math.max(position, pending.poll().position());
         }
         // Without pending commits the replica is current up to the shipping delay.
-        boolean whole = pending.isEmpty() && now >= stalledUntil;
-        position = whole ? Math.max(position, now - shipping) : position;
+        boolean upToDate = pending.isEmpty() && now >= stalledUntil;
+        position = upToDate ? Math.max(position, now - shipping) : position;
         return position;
     }
 
--- a/lab/src/main/java/clayhook/lab/model/RouterModel.java
+++ b/lab/src/main/java/clayhook/lab/model/RouterModel.java
@@ -31,38 +31,38 @@
 final class RouterModel implements PeerObservationListener {
     private final VirtualScheduler scheduler;
     private final SimulatedFleet fleet;
-    private final RoutingPolicy decide;
-    private final InFlightRequests hand;
+    private final RoutingPolicy policy;
+    private final InFlightRequests inFlightRequests;
     private final RoutingSettings settings;
     /**
      * Idle connections by node, as the times since which they have been idle; at most as many as were ever open at
      * once.
      */
-    private final Map<Node, ArrayDeque<Double>> idle = new HashMap<>();
+    private final Map<Node, ArrayDeque<Double>> idleConnections = new HashMap<>();
     /** Nodes of the endpoint list by id; one entry per node of the fleet. */
-    private final Map<String, Node> listed = new HashMap<>();
+    private final Map<String, Node> nodesById = new HashMap<>();
 
     private final Map<Node, Double> drainingSince = new HashMap<>();
     /** Attempts without an outcome; removed when the outcome arrives. */
-    private final Map<Attempt, SimulatedAttempt> attempts = new LinkedHashMap<>();
+    private final Map<Attempt, SimulatedAttempt> pendingAttempts = new LinkedHashMap<>();
 
-    private final BiConsumer<Request, RoutingAction> answered;
+    private final BiConsumer<Request, RoutingAction> onFinalAnswer;
     /** Requests whose client still waits; removed with the final answer. */
-    private final Set<Request> waiting = new HashSet<>();
+    private final Set<Request> waitingRequests = new HashSet<>();
     /** Position of the last write that this router answered, by session; one entry per session. */
-    private final Map<String, Double> wrote = new HashMap<>();
+    private final Map<String, Double> lastWritePositions = new HashMap<>();
 
     private PeerLink peers = PeerLink.NONE;
     /** Newest revision of the endpoint list that this router received from discovery itself. */
     private long revision = -1;
 
-    private long told;
-    private double wakeAt = Double.POSITIVE_INFINITY;
-    private boolean turning;
+    private long peerObservations;
+    private double nextWakeAt = Double.POSITIVE_INFINITY;
+    private boolean tickScheduled;
 
     private static final class SimulatedAttempt {
         NodeJob job;
-        NodeModel at;
+        NodeModel target;
     }
 
     RouterModel(
@@ -70,26 +70,26 @@
             SimulatedFleet fleet,
             RoutingSettings settings,
             long seed,
-            BiConsumer<Request, RoutingAction> answered) {
+            BiConsumer<Request, RoutingAction> onFinalAnswer) {
         this.scheduler = scheduler;
         this.fleet = fleet;
         this.settings = settings;
-        this.answered = answered;
-        decide = new RoutingPolicy(settings, seed);
-        hand = new InFlightRequests(decide, fault -> {
+        this.onFinalAnswer = onFinalAnswer;
+        policy = new RoutingPolicy(settings, seed);
+        inFlightRequests = new InFlightRequests(policy, fault -> {
             throw fault;
         });
     }
 
-    void join(PeerLink others) {
-        peers = others;
+    void connectPeers(PeerLink link) {
+        peers = link;
     }
 
     /** Applies endpoint-list entries received from discovery itself and forwards them to the peers. */
-    void listed(List<Endpoint> entries, boolean whole, long as) {
-        revision = Math.max(revision, as);
-        peers.listed(entries, whole, as);
-        listed(entries, whole);
+    void onEndpointList(List<Endpoint> entries, boolean complete, long listRevision) {
+        revision = Math.max(revision, listRevision);
+        peers.onEndpointList(entries, complete, listRevision);
+        onEndpointList(entries, complete);
     }
 
     long revision() {
@@ -101,187 +101,200 @@
      * from discovery only takes effect if it closes the node (draining or gone).
      */
     @Override
-    public void told(Endpoint entry, long as) {
-        if (as >= revision || entry.state() != Endpoint.State.READY) {
-            listed(List.of(entry), false);
+    public void onPeerEndpoint(Endpoint entry, long listRevision) {
+        if (listRevision >= revision || entry.state() != Endpoint.State.READY) {
+            onEndpointList(List.of(entry), false);
         }
     }
 
     @Override
-    public void told(String node, PeerObservation what) {
-        told++;
-        if (listed.containsKey(node)) {
-            decide.onPeerObservation(listed.get(node), what, scheduler.now());
+    public void onPeerObservation(String node, PeerObservation observation) {
+        peerObservations++;
+        if (nodesById.containsKey(node)) {
+            policy.onPeerObservation(nodesById.get(node), observation, scheduler.now());
         }
     }
 
     /** Number of observations of nodes received from peers. */
-    long told() {
-        return told;
+    long peerObservations() {
+        return peerObservations;
     }
 
     /** Minimum position for a read of the session, as far as this router and its peers know. */
-    double needs(String session) {
-        return Math.max(wrote.getOrDefault(session, 0.0), peers.needs(session));
+    double requiredPosition(String session) {
+        return Math.max(lastWritePositions.getOrDefault(session, 0.0), peers.requiredPosition(session));
     }
 
-    private void listed(List<Endpoint> entries, boolean whole) {
+    private void onEndpointList(List<Endpoint> entries, boolean complete) {
         for (Endpoint entry : entries) {
-            listed.put(entry.node().id(), entry.node());
+            nodesById.put(entry.node().id(), entry.node());
             if (entry.state() == Endpoint.State.DRAINING) {
                 drainingSince.putIfAbsent(entry.node(), scheduler.now());
             } else {
                 drainingSince.remove(entry.node());
             }
         }
-        decide.onEndpointList(entries, whole, scheduler.now());
-        turn();
+        policy.onEndpointList(entries, complete, scheduler.now());
+        scheduleTick();
     }
 
-    void take(Request command) {
-        waiting.add(command);
-        hand.admit(command, scheduler.now());
-        turn();
+    void admit(Request request) {
+        waitingRequests.add(request);
+        inFlightRequests.admit(request, scheduler.now());
+        scheduleTick();
     }
 
     /** Schedules one tick for all events of the same virtual time. */
-    private void turn() {
-        if (!turning) {
-            turning = true;
+    private void scheduleTick() {
+        if (!tickScheduled) {
+            tickScheduled = true;
             scheduler.scheduleAt(scheduler.now(), () -> {
-                turning = false;
-                settle();
+                tickScheduled = false;
+                runTick();
             });
         }
     }
 
-    private void settle() {
+    private void runTick() {
         double now = scheduler.now();
-        hand.timedOutAttempts(now)
-                .forEach(dispatch -> end(
-                        dispatch, AttemptResult.withoutReport(AttemptOutcome.TIMED_OUT, now - dispatch.sentAt), true));
-        InFlightRequests.DecisionBatch turn = hand.tick(now);
-        turn.routedRequests().forEach(order -> carryOut(order.request(), order.decision()));
-        turn.tickResult().healthChecks().forEach(this::probe);
-        peers.used(turn.tickResult().healthChecks().size(), 0);
-        if (turn.wakeAfterSeconds() > 0 || wakeAt <= now) {
-            wake(
-                    turn.wakeAfterSeconds() > 0
-                            ? now + turn.wakeAfterSeconds()
-                            : now + Math.max(LEAST_WAKE, hand.secondsUntilNextTick(now)));
+        inFlightRequests
+                .timedOutAttempts(now)
+                .forEach(attempt -> finish(
+                        attempt, AttemptResult.withoutReport(AttemptOutcome.TIMED_OUT, now - attempt.sentAt), true));
+        InFlightRequests.DecisionBatch batch = inFlightRequests.tick(now);
+        batch.routedRequests().forEach(routed -> execute(routed.request(), routed.decision()));
+        batch.tickResult().healthChecks().forEach(this::checkHealth);
+        peers.onQuotaUsed(batch.tickResult().healthChecks().size(), 0);
+        if (batch.wakeAfterSeconds() > 0 || nextWakeAt <= now) {
+            scheduleWake(
+                    batch.wakeAfterSeconds() > 0
+                            ? now + batch.wakeAfterSeconds()
+                            : now + Math.max(MIN_WAKE_SECONDS, inFlightRequests.secondsUntilNextTick(now)));
         }
     }
 
     /** Minimum seconds until the next tick; far below any time on which a decision depends. */
-    private static final double LEAST_WAKE = 1e-4;
+    private static final double MIN_WAKE_SECONDS = 1e-4;
 
-    private void wake(double at) {
-        wakeAt = at;
-        scheduler.scheduleAt(at, () -> {
-            if (wakeAt == at) {
-                settle();
+    private void scheduleWake(double time) {
+        nextWakeAt = time;
+        scheduler.scheduleAt(time, () -> {
+            if (nextWakeAt == time) {
+                runTick();
             }
         });
     }
 
-    private void carryOut(Request command, Decision choice) {
-        choice.attemptsToCancel()
-                .forEach(dispatch -> end(
-                        dispatch,
-                        AttemptResult.withoutReport(AttemptOutcome.CANCELLED, scheduler.now() - dispatch.sentAt),
+    private void execute(Request request, Decision decision) {
+        decision.attemptsToCancel()
+                .forEach(attempt -> finish(
+                        attempt,
+                        AttemptResult.withoutReport(AttemptOutcome.CANCELLED, scheduler.now() - attempt.sentAt),
                         true));
-        if (choice.action() == RoutingAction.SEND) {
-            peers.used(0, command.attempts.size() > 1 ? 1 : 0);
-            send(choice.attempt());
-        } else if (choice.action() != RoutingAction.WAIT && waiting.remove(command)) {
+        if (decision.action() == RoutingAction.SEND) {
+            peers.onQuotaUsed(0, request.attempts.size() > 1 ? 1 : 0);
+            send(decision.attempt());
+        } else if (decision.action() != RoutingAction.WAIT && waitingRequests.remove(request)) {
             // A cancelled attempt may repeat DONE after the final answer, so only the first one counts.
-            if (choice.action() != RoutingAction.DONE
-                    && changes(command)
-                    && command.attempts.stream().anyMatch(sent -> sent.outcome == null || !sent.outcome.notExecuted)) {
-                peers.written(command, fleet.mark(command), null);
+            if (decision.action() != RoutingAction.DONE
+                    && changesData(request)
+                    && request.attempts.stream()
+                            .anyMatch(sentAttempt -> sentAttempt.outcome == null || !sentAttempt.outcome.notExecuted)) {
+                peers.onWriteOutcome(request, fleet.writeId(request), null);
             }
-            answered.accept(command, choice.action());
+            onFinalAnswer.accept(request, decision.action());
         }
     }
 
     // ---- attempts ----
 
-    private boolean connects(Node node) {
-        ArrayDeque<Double> since = idle.computeIfAbsent(node, any -> new ArrayDeque<>());
-        while (!since.isEmpty() && scheduler.now() - since.peekLast() > settings.connectionIdleTimeoutSeconds()) {
-            since.pollLast();
+    private boolean needsConnection(Node node) {
+        ArrayDeque<Double> idleSince = idleConnections.computeIfAbsent(node, any -> new ArrayDeque<>());
+        while (!idleSince.isEmpty()
+                && scheduler.now() - idleSince.peekLast() > settings.connectionIdleTimeoutSeconds()) {
+            idleSince.pollLast();
         }
-        return since.poll() == null;
+        return idleSince.poll() == null;
     }
 
-    private void send(Attempt dispatch) {
-        Double told = drainingSince.get(dispatch.node);
-        if (told != null) {
-            fleet.audit().sentToDraining(dispatch.node, told, scheduler.now());
+    private void send(Attempt attempt) {
+        Double notifiedAt = drainingSince.get(attempt.node);
+        if (notifiedAt != null) {
+            fleet.audit().sentToDraining(attempt.node, notifiedAt, scheduler.now());
         }
-        var attempt = new SimulatedAttempt();
-        attempts.put(dispatch, attempt);
-        double connecting = connects(dispatch.node) ? fleet.connecting() : 0;
-        scheduler.scheduleAfter(fleet.way() + connecting, () -> arrive(dispatch, attempt));
+        var simulated = new SimulatedAttempt();
+        pendingAttempts.put(attempt, simulated);
+        double connecting = needsConnection(attempt.node) ? fleet.connectSeconds() : 0;
+        scheduler.scheduleAfter(fleet.oneWayLatency() + connecting, () -> arrive(attempt, simulated));
     }
 
-    private void arrive(Attempt dispatch, SimulatedAttempt attempt) {
-        NodeModel at = fleet.node(dispatch.node);
-        if (attempts.get(dispatch) != attempt || (at.silent() && at.up())) {
+    private void arrive(Attempt attempt, SimulatedAttempt simulated) {
+        NodeModel target = fleet.node(attempt.node);
+        if (pendingAttempts.get(attempt) != simulated || (target.isHung() && target.up())) {
             return; // cancelled in transit, or the node is hung: the router's timeout ends the attempt
         }
-        if (!at.up()) {
-            back(dispatch, attempt, at.life, AttemptResult.withoutReport(AttemptOutcome.CONNECT_FAILED, 0));
+        if (!target.up()) {
+            respond(
+                    attempt,
+                    simulated,
+                    target.incarnation,
+                    AttemptResult.withoutReport(AttemptOutcome.CONNECT_FAILED, 0));
             return;
         }
-        double needed = fleet.needed(dispatch.request, dispatch.sentAt);
-        boolean writes = dispatch.request.requestClass.consistency() == ConsistencyLevel.WRITE;
-        if ((writes && at.role != Role.PRIMARY)
-                || (!writes && settings.replicasRejectStaleReads() && at.position() < needed)) {
-            back(dispatch, attempt, at.life, tell(at, AttemptOutcome.REJECTED));
+        double requiredPosition = fleet.requiredPosition(attempt.request, attempt.sentAt);
+        boolean isWrite = attempt.request.requestClass.consistency() == ConsistencyLevel.WRITE;
+        if ((isWrite && target.role != Role.PRIMARY)
+                || (!isWrite && settings.replicasRejectStaleReads() && target.position() < requiredPosition)) {
+            respond(attempt, simulated, target.incarnation, report(target, AttemptOutcome.REJECTED));
             return;
         }
-        int life = at.life;
-        double work = fleet.work(dispatch.request);
-        attempt.at = at;
-        attempt.job = new NodeJob(work, scheduler.now(), done -> {
-            double position = writes ? fleet.group(at.node.replicaSetId()).commit() : at.position();
-            fleet.audit().ran(dispatch.request, at.node, position, needed, scheduler.now());
-            back(dispatch, attempt, life, tell(at, AttemptOutcome.ANSWERED));
+        int incarnation = target.incarnation;
+        double workSeconds = fleet.workSeconds(attempt.request);
+        simulated.target = target;
+        simulated.job = new NodeJob(workSeconds, scheduler.now(), done -> {
+            double position = isWrite ? fleet.group(target.node.replicaSetId()).commit() : target.position();
+            fleet.audit().ran(attempt.request, target.node, position, requiredPosition, scheduler.now());
+            respond(attempt, simulated, incarnation, report(target, AttemptOutcome.ANSWERED));
         });
-        if (at.warmth() < 1) {
-            fleet.audit().worked(at.node, work, fleet.cores() * at.warmth(), scheduler.now());
+        if (target.warmth() < 1) {
+            fleet.audit().worked(target.node, workSeconds, fleet.coresPerNode() * target.warmth(), scheduler.now());
         }
-        if (!at.cores.offer(attempt.job)) {
-            back(dispatch, attempt, life, tell(at, AttemptOutcome.OVERLOADED));
+        if (!target.cores.offer(simulated.job)) {
+            respond(attempt, simulated, incarnation, report(target, AttemptOutcome.OVERLOADED));
         }
     }
 
-    private AttemptResult tell(NodeModel node, AttemptOutcome outcome) {
+    private AttemptResult report(NodeModel node, AttemptOutcome outcome) {
         double position = node.position();
         return new AttemptResult(
-                outcome, 0, node.role, position, node.role, position, fleet.reports() ? node.cores.inside() : -1);
+                outcome,
+                0,
+                node.role,
+                position,
+                node.role,
+                position,
+                fleet.sendsLoadReports() ? node.cores.jobs() : -1);
     }
 
-    private void back(Attempt dispatch, SimulatedAttempt attempt, int life, AttemptResult told) {
-        scheduler.scheduleAfter(fleet.way(), () -> {
-            NodeModel at = fleet.node(dispatch.node);
-            if (attempts.get(dispatch) == attempt) {
-                boolean lost = at.life != life;
-                double took = scheduler.now() - dispatch.sentAt;
-                end(
-                        dispatch,
-                        lost
-                                ? AttemptResult.withoutReport(AttemptOutcome.RESET, took)
+    private void respond(Attempt attempt, SimulatedAttempt simulated, int incarnation, AttemptResult result) {
+        scheduler.scheduleAfter(fleet.oneWayLatency(), () -> {
+            NodeModel target = fleet.node(attempt.node);
+            if (pendingAttempts.get(attempt) == simulated) {
+                boolean connectionLost = target.incarnation != incarnation;
+                double seconds = scheduler.now() - attempt.sentAt;
+                finish(
+                        attempt,
+                        connectionLost
+                                ? AttemptResult.withoutReport(AttemptOutcome.RESET, seconds)
                                 : new AttemptResult(
-                                        told.outcome(),
-                                        took,
-                                        told.role(),
-                                        told.appliedPosition(),
-                                        told.reportedRole(),
-                                        told.reportedPosition(),
-                                        told.reportedLoad()),
-                        lost);
+                                        result.outcome(),
+                                        seconds,
+                                        result.role(),
+                                        result.appliedPosition(),
+                                        result.reportedRole(),
+                                        result.reportedPosition(),
+                                        result.reportedLoad()),
+                        connectionLost);
             }
         });
     }
@@ -289,80 +302,82 @@
     /**
      * Records the outcome of an attempt.
      *
-     * @param lost whether the connection was closed, so that it does not become idle
+     * @param connectionLost whether the connection was closed, so that it does not become idle
      */
-    private void end(Attempt dispatch, AttemptResult reply, boolean lost) {
-        SimulatedAttempt attempt = attempts.remove(dispatch);
-        if (attempt == null) {
+    private void finish(Attempt attempt, AttemptResult result, boolean connectionLost) {
+        SimulatedAttempt simulated = pendingAttempts.remove(attempt);
+        if (simulated == null) {
             return;
         }
-        if (attempt.job != null && reply.outcome() != AttemptOutcome.ANSWERED) {
-            attempt.at.cores.cancel(attempt.job);
+        if (simulated.job != null && result.outcome() != AttemptOutcome.ANSWERED) {
+            simulated.target.cores.cancel(simulated.job);
         }
-        if (!lost && reply.outcome() != AttemptOutcome.CONNECT_FAILED) {
-            idle.computeIfAbsent(dispatch.node, any -> new ArrayDeque<>()).push(scheduler.now());
+        if (!connectionLost && result.outcome() != AttemptOutcome.CONNECT_FAILED) {
+            idleConnections
+                    .computeIfAbsent(attempt.node, any -> new ArrayDeque<>())
+                    .push(scheduler.now());
         }
-        Request command = dispatch.request;
-        if (reply.outcome() == AttemptOutcome.ANSWERED) {
-            fleet.wrote(command, reply.appliedPosition(), this);
+        Request request = attempt.request;
+        if (result.outcome() == AttemptOutcome.ANSWERED) {
+            fleet.onWriteAnswered(request, result.appliedPosition(), this);
         }
-        tellPeers(dispatch, reply);
-        hand.onAttemptFinished(
-                dispatch, reply, reply.outcome() == AttemptOutcome.ANSWERED && !command.completed, scheduler.now());
-        turn();
+        publishToPeers(attempt, result);
+        inFlightRequests.onAttemptFinished(
+                attempt, result, result.outcome() == AttemptOutcome.ANSWERED && !request.completed, scheduler.now());
+        scheduleTick();
     }
 
-    private static boolean changes(Request command) {
-        return command.requestClass.consistency() == ConsistencyLevel.WRITE
-                && command.requestClass.idempotency() != Idempotency.IDEMPOTENT;
+    private static boolean changesData(Request request) {
+        return request.requestClass.consistency() == ConsistencyLevel.WRITE
+                && request.requestClass.idempotency() != Idempotency.IDEMPOTENT;
     }
 
-    private void tellPeers(Attempt dispatch, AttemptResult reply) {
-        Request command = dispatch.request;
-        peers.looked(dispatch.node, reply);
-        if (reply.outcome() == AttemptOutcome.ANSWERED
-                && command.requestClass.consistency() == ConsistencyLevel.WRITE) {
-            if (command.sessionId != null) {
-                wrote.merge(command.sessionId, reply.appliedPosition(), Math::max);
-                peers.wrote(command, reply.appliedPosition());
+    private void publishToPeers(Attempt attempt, AttemptResult result) {
+        Request request = attempt.request;
+        peers.onAttemptResult(attempt.node, result);
+        if (result.outcome() == AttemptOutcome.ANSWERED
+                && request.requestClass.consistency() == ConsistencyLevel.WRITE) {
+            if (request.sessionId != null) {
+                lastWritePositions.merge(request.sessionId, result.appliedPosition(), Math::max);
+                peers.onSessionWrite(request, result.appliedPosition());
             }
-            if (changes(command)) {
-                peers.written(command, fleet.mark(command), dispatch.node);
+            if (changesData(request)) {
+                peers.onWriteOutcome(request, fleet.writeId(request), attempt.node);
             }
         }
     }
 
     /** Resets all connections and attempts to a crashed node. */
     void reset(Node node) {
-        idle.remove(node);
-        List.copyOf(attempts.keySet()).stream()
-                .filter(dispatch -> dispatch.node.equals(node))
-                .forEach(dispatch -> end(
-                        dispatch,
-                        AttemptResult.withoutReport(AttemptOutcome.RESET, scheduler.now() - dispatch.sentAt),
+        idleConnections.remove(node);
+        List.copyOf(pendingAttempts.keySet()).stream()
+                .filter(attempt -> attempt.node.equals(node))
+                .forEach(attempt -> finish(
+                        attempt,
+                        AttemptResult.withoutReport(AttemptOutcome.RESET, scheduler.now() - attempt.sentAt),
                         true));
     }
 
-    private void probe(Node node) {
-        double asked = scheduler.now();
-        scheduler.scheduleAfter(2 * fleet.way(), () -> {
-            NodeModel at = fleet.node(node);
-            if (at.up() && !at.silent()) {
-                probed(node, tell(at, AttemptOutcome.ANSWERED));
+    private void checkHealth(Node node) {
+        double sentAt = scheduler.now();
+        scheduler.scheduleAfter(2 * fleet.oneWayLatency(), () -> {
+            NodeModel target = fleet.node(node);
+            if (target.up() && !target.isHung()) {
+                onHealthCheckResult(node, report(target, AttemptOutcome.ANSWERED));
             } else {
                 scheduler.scheduleAt(
-                        asked + fleet.probeTimeout(),
-                        () -> probed(
+                        sentAt + fleet.healthCheckTimeout(),
+                        () -> onHealthCheckResult(
                                 node,
                                 AttemptResult.withoutReport(
-                                        at.up() ? AttemptOutcome.TIMED_OUT : AttemptOutcome.CONNECT_FAILED, 0)));
+                                        target.up() ? AttemptOutcome.TIMED_OUT : AttemptOutcome.CONNECT_FAILED, 0)));
             }
         });
     }
 
-    private void probed(Node node, AttemptResult reply) {
-        peers.looked(node, reply);
-        decide.onHealthCheck(node, reply, scheduler.now());
-        turn();
+    private void onHealthCheckResult(Node node, AttemptResult result) {
+        peers.onAttemptResult(node, result);
+        policy.onHealthCheck(node, result, scheduler.now());
+        scheduleTick();
     }
 }
--- a/lab/src/main/java/clayhook/lab/model/SimulatedFleet.java
+++ b/lab/src/main/java/clayhook/lab/model/SimulatedFleet.java
@@ -23,55 +23,60 @@
     /** Seconds after which a connection attempt or health check has failed; far above the latency to any node. */
     private static final double CONNECT_TIMEOUT = 0.25;
     /** Seconds after a router is notified of a drain in which it may still send requests to the node. */
-    private static final double GRACE = 0.25;
+    private static final double DRAIN_GRACE = 0.25;
 
-    private static final double OVERLOAD = 3, OVERLOAD_FOR = 3;
+    private static final double OVERLOAD_FACTOR = 3, OVERLOAD_FOR = 3;
 
     private final FleetSpec spec;
     private final VirtualScheduler scheduler = new VirtualScheduler(START);
-    private final SimulatedNodes world;
+    private final SimulatedNodes nodes;
     private final List<RouterModel> routers = new ArrayList<>();
-    private final RuleAudit audit = new RuleAudit(GRACE, OVERLOAD, OVERLOAD_FOR);
-    private final RunMetrics tally;
+    private final RuleAudit audit = new RuleAudit(DRAIN_GRACE, OVERLOAD_FACTOR, OVERLOAD_FOR);
+    private final RunMetrics metrics;
     private final Arrivals arrivals;
     /** Position of the last answered write, by session. */
-    private final double[] wrote;
+    private final double[] lastWritePositions;
     /** Time at which the last write was answered, by session; the router that answered it is in the next array. */
-    private final double[] wroteWhen;
+    private final double[] lastWriteTimes;
 
-    private final RouterModel[] wroteBy;
+    private final RouterModel[] lastWriteRouters;
     private int nextRouter;
-    private long commands;
+    private long nextRequestNumber;
     /** The latest published endpoint-list entry of each node; at most one entry per node. */
-    private final Map<NodeModel, News> published = new LinkedHashMap<>();
+    private final Map<NodeModel, PublishedEntry> published = new LinkedHashMap<>();
 
     private long revision;
-    private final SplittableRandom spread;
+    private final SplittableRandom listSpreadRandom;
 
-    private record News(Endpoint entry, long revision) {}
+    private record PublishedEntry(Endpoint endpoint, long revision) {}
 
-    private static final class Asked extends Request {
-        final Arrivals.RequestArrival ask;
+    private static final class SimulatedRequest extends Request {
+        final Arrivals.RequestArrival arrival;
         /** Last-write position of the session when the request was issued; 0 if the read need not see it. */
-        final double written;
+        final double requiredPosition;
 
-        final String mark;
+        final String writeId;
 
-        Asked(Arrivals.RequestArrival ask, double written, double wroteAt, double now, long number) {
+        SimulatedRequest(
+                Arrivals.RequestArrival arrival,
+                double requiredPosition,
+                double lastWritePosition,
+                double now,
+                long number) {
             super(
-                    ask.kind().group(),
-                    ask.group(),
-                    session(ask),
-                    wroteAt,
+                    arrival.kind().group(),
+                    arrival.group(),
+                    session(arrival),
+                    lastWritePosition,
                     now,
-                    now + ask.kind().group().clientTimeoutSeconds());
-            this.ask = ask;
-            this.written = written;
-            this.mark = "c" + number;
+                    now + arrival.kind().group().clientTimeoutSeconds());
+            this.arrival = arrival;
+            this.requiredPosition = requiredPosition;
+            this.writeId = "c" + number;
         }
 
-        static String session(Arrivals.RequestArrival ask) {
-            return ask.session() < 0 ? null : "s" + ask.session();
+        static String session(Arrivals.RequestArrival arrival) {
+            return arrival.session() < 0 ? null : "s" + arrival.session();
         }
     }
 
@@ -79,26 +84,26 @@
         this(spec, failures, seed, PeerLinkFactory.NONE);
     }
 
-    public SimulatedFleet(FleetSpec spec, List<Failure> failures, long seed, PeerLinkFactory sharing) {
+    public SimulatedFleet(FleetSpec spec, List<Failure> failures, long seed, PeerLinkFactory peerLinks) {
         this.spec = spec;
-        spread = new SplittableRandom(seed);
+        listSpreadRandom = new SplittableRandom(seed);
         arrivals = new Arrivals(spec, seed);
-        tally = new RunMetrics(START);
-        wrote = new double[spec.sessions()];
-        wroteWhen = new double[spec.sessions()];
-        wroteBy = new RouterModel[spec.sessions()];
-        world = new SimulatedNodes(spec, scheduler, this::died, this::listChanged);
-        List<RequestClass> asked =
+        metrics = new RunMetrics(START);
+        lastWritePositions = new double[spec.sessions()];
+        lastWriteTimes = new double[spec.sessions()];
+        lastWriteRouters = new RouterModel[spec.sessions()];
+        nodes = new SimulatedNodes(spec, scheduler, this::onCrash, this::onEndpointChange);
+        List<RequestClass> requestClasses =
                 spec.commands().stream().map(FleetSpec.Kind::group).toList();
         for (int r = 0; r < spec.routers(); r++) {
             var settings = new RoutingSettings(
                     spec.routers(),
                     spec.zones().get(r % spec.zones().size()),
-                    asked,
+                    requestClasses,
                     false,
                     true,
                     spec.replicasCheck(),
-                    marksReachRouters(),
+                    routersKnowLastWrites(),
                     true,
                     true,
                     true,
@@ -107,24 +112,24 @@
                     5,
                     spec.machine().coldShare(),
                     spec.machine().warmAfter(),
-                    OVERLOAD,
+                    OVERLOAD_FACTOR,
                     OVERLOAD_FOR,
                     1,
                     15);
-            routers.add(new RouterModel(scheduler, this, settings, seed * 31 + r, this::answered));
+            routers.add(new RouterModel(scheduler, this, settings, seed * 31 + r, this::onFinalAnswer));
         }
-        List<PeerLink> peers = sharing.among(scheduler, routers, seed);
-        List<Endpoint> all = world.listings();
+        List<PeerLink> peers = peerLinks.createLinks(scheduler, routers, seed);
+        List<Endpoint> endpoints = nodes.endpoints();
         for (int r = 0; r < routers.size(); r++) {
-            routers.get(r).join(peers.get(r));
-            routers.get(r).listed(all, true, revision);
+            routers.get(r).connectPeers(peers.get(r));
+            routers.get(r).onEndpointList(endpoints, true, revision);
         }
-        world.befall(failures, START);
-        arrivals();
+        nodes.scheduleFailures(failures, START);
+        scheduleNextArrival();
     }
 
     /** Returns whether routers receive last-write positions, either with the request or from peers. */
-    private boolean marksReachRouters() {
+    private boolean routersKnowLastWrites() {
         return spec.contact().marksCarried() || spec.contact().shares();
     }
 
@@ -132,44 +137,47 @@
     public RunMetrics run(double seconds) {
         stopAt = START + seconds;
         scheduler.runUntil(stopAt);
-        double longest = spec.commands().stream()
+        double maxClientTimeout = spec.commands().stream()
                 .mapToDouble(kind -> kind.group().clientTimeoutSeconds())
                 .max()
                 .orElse(0);
-        scheduler.runUntil(stopAt + longest + 1);
+        scheduler.runUntil(stopAt + maxClientTimeout + 1);
         audit.end(scheduler.now());
-        world.nodes()
-                .forEach(node -> tally.worked(
+        nodes.nodes()
+                .forEach(node -> metrics.worked(
                         node.node.id(),
-                        node.cores.worked() / (seconds * spec.machine().cores())));
-        tally.ended(audit.broken(), audit.first(), scheduler.scheduledEvents());
-        return tally;
+                        node.cores.workedSeconds() / (seconds * spec.machine().cores())));
+        metrics.ended(audit.broken(), audit.first(), scheduler.scheduledEvents());
+        return metrics;
     }
 
     private double stopAt = Double.POSITIVE_INFINITY;
 
     // ---- load ----
 
-    private void arrivals() {
-        scheduler.scheduleAfter(arrivals.gap(scheduler.now() - START), () -> {
+    private void scheduleNextArrival() {
+        scheduler.scheduleAfter(arrivals.nextGapSeconds(scheduler.now() - START), () -> {
             if (scheduler.now() < stopAt) {
-                ask(arrivals.next());
-                arrivals();
+                issue(arrivals.next());
+                scheduleNextArrival();
             }
         });
     }
 
-    private void ask(Arrivals.RequestArrival ask) {
-        RequestClass group = ask.kind().group();
-        boolean own = group.consistency() == ConsistencyLevel.SESSION && ask.session() >= 0;
-        RouterModel router = routerFor(ask.session());
-        double written = own ? wrote[ask.session()] : 0;
-        double mark = own && !spec.contact().marksCarried() ? router.needs(Asked.session(ask)) : written;
-        var command = new Asked(ask, written, mark, scheduler.now(), commands++);
+    private void issue(Arrivals.RequestArrival arrival) {
+        RequestClass requestClass = arrival.kind().group();
+        boolean readsOwnWrites = requestClass.consistency() == ConsistencyLevel.SESSION && arrival.session() >= 0;
+        RouterModel router = routerFor(arrival.session());
+        double requiredPosition = readsOwnWrites ? lastWritePositions[arrival.session()] : 0;
+        double knownWritePosition = readsOwnWrites && !spec.contact().marksCarried()
+                ? router.requiredPosition(SimulatedRequest.session(arrival))
+                : requiredPosition;
+        var request = new SimulatedRequest(
+                arrival, requiredPosition, knownWritePosition, scheduler.now(), nextRequestNumber++);
         audit.sweep(scheduler.now());
-        audit.sent(command, group, command.deadline);
-        tally.asked(group, scheduler.now());
-        router.take(command);
+        audit.sent(request, requestClass, request.deadline);
+        metrics.asked(requestClass, scheduler.now());
+        router.admit(request);
     }
 
     /**
@@ -177,19 +185,19 @@
      * write.
      */
     private RouterModel routerFor(int session) {
-        RouterModel next = routers.get(nextRouter++ % routers.size());
-        boolean stays = session >= 0
-                && scheduler.now() < wroteWhen[session] + spec.contact().roam();
-        return stays ? wroteBy[session] : next;
+        RouterModel nextInTurn = routers.get(nextRouter++ % routers.size());
+        boolean staysWithRouter = session >= 0
+                && scheduler.now() < lastWriteTimes[session] + spec.contact().roam();
+        return staysWithRouter ? lastWriteRouters[session] : nextInTurn;
     }
 
-    private void answered(Request command, RoutingAction verdict) {
+    private void onFinalAnswer(Request request, RoutingAction action) {
         double now = scheduler.now();
-        audit.answered(command, now);
-        if (verdict == RoutingAction.REJECT) {
-            audit.throttled(command, now);
+        audit.answered(request, now);
+        if (action == RoutingAction.REJECT) {
+            audit.throttled(request, now);
         }
-        tally.answered(command.requestClass, verdict, now - command.arrivedAt, command.arrivedAt);
+        metrics.answered(request.requestClass, action, now - request.arrivedAt, request.arrivedAt);
     }
 
     // ---- environment of the routers ----
@@ -198,83 +206,84 @@
         return audit;
     }
 
-    double way() {
+    double oneWayLatency() {
         return spec.way();
     }
 
-    double connecting() {
+    double connectSeconds() {
         return spec.machine().connecting();
     }
 
-    double probeTimeout() {
+    double healthCheckTimeout() {
         return CONNECT_TIMEOUT;
     }
 
-    int cores() {
+    int coresPerNode() {
         return spec.machine().cores();
     }
 
-    boolean reports() {
+    boolean sendsLoadReports() {
         return spec.reports();
     }
 
     NodeModel node(Node node) {
-        return world.node(node);
+        return nodes.node(node);
     }
 
     GroupModel group(int id) {
-        return world.group(id);
+        return nodes.group(id);
     }
 
-    double work(Request command) {
-        return ((Asked) command).ask.work();
+    double workSeconds(Request request) {
+        return ((SimulatedRequest) request).arrival.work();
     }
 
     /** Key by which any router can query whether the write has run. */
-    String mark(Request command) {
-        return ((Asked) command).mark;
+    String writeId(Request request) {
+        return ((SimulatedRequest) request).writeId;
     }
 
     /** Minimum position that a node must have applied to answer a read sent at {@code sentAt}. */
-    double needed(Request command, double sentAt) {
-        return switch (command.requestClass.consistency()) {
-            case BOUNDED_STALENESS -> sentAt - command.requestClass.maxStalenessSeconds();
-            case SESSION -> ((Asked) command).written;
+    double requiredPosition(Request request, double sentAt) {
+        return switch (request.requestClass.consistency()) {
+            case BOUNDED_STALENESS -> sentAt - request.requestClass.maxStalenessSeconds();
+            case SESSION -> ((SimulatedRequest) request).requiredPosition;
             default -> 0;
         };
     }
 
-    void wrote(Request command, double position, RouterModel by) {
-        int session = ((Asked) command).ask.session();
-        if (command.requestClass.consistency() == ConsistencyLevel.WRITE && session >= 0) {
-            wrote[session] = Math.max(wrote[session], position);
-            wroteWhen[session] = scheduler.now();
-            wroteBy[session] = by;
+    void onWriteAnswered(Request request, double position, RouterModel router) {
+        int session = ((SimulatedRequest) request).arrival.session();
+        if (request.requestClass.consistency() == ConsistencyLevel.WRITE && session >= 0) {
+            lastWritePositions[session] = Math.max(lastWritePositions[session], position);
+            lastWriteTimes[session] = scheduler.now();
+            lastWriteRouters[session] = router;
         }
     }
 
     /** Resets the connections and attempts to a crashed node at every router. */
-    private void died(NodeModel node) {
+    private void onCrash(NodeModel node) {
         routers.forEach(router -> router.reset(node.node));
     }
 
-    private void listChanged(NodeModel node) {
+    private void onEndpointChange(NodeModel node) {
         scheduler.scheduleAfter(spec.listDelay(), () -> {
-            published.put(node, new News(world.listing(node), ++revision));
+            published.put(node, new PublishedEntry(nodes.endpoint(node), ++revision));
             for (RouterModel router : routers) {
-                scheduler.scheduleAfter(spec.contact().listSpread() * spread.nextDouble(), () -> tell(router));
+                scheduler.scheduleAfter(
+                        spec.contact().listSpread() * listSpreadRandom.nextDouble(), () -> sendListUpdate(router));
             }
         });
     }
 
     /** Delivers to a router the current state of all entries that changed since the last revision that it received. */
-    private void tell(RouterModel router) {
+    private void sendListUpdate(RouterModel router) {
         List<Endpoint> entries = published.values().stream()
-                .filter(news -> news.revision() > router.revision())
-                .map(News::entry)
+                .filter(published -> published.revision() > router.revision())
+                .map(PublishedEntry::endpoint)
                 .toList();
         if (!entries.isEmpty()) {
-            router.listed(entries, false, revision);
+            router.onEndpointList(entries, false, revision);
         }
     }
 }
--- a/lab/src/main/java/clayhook/lab/model/SimulatedNodes.java
+++ b/lab/src/main/java/clayhook/lab/model/SimulatedNodes.java
@@ -13,19 +13,20 @@
 final class SimulatedNodes {
     private final Scheduler scheduler;
     private final Map<Node, NodeModel> nodes = new HashMap<>();
-    private final List<NodeModel> inOrder = new ArrayList<>();
+    private final List<NodeModel> orderedNodes = new ArrayList<>();
     private final List<GroupModel> groups = new ArrayList<>();
-    private final Consumer<NodeModel> died;
-    private final Consumer<NodeModel> listChanged;
+    private final Consumer<NodeModel> onCrash;
+    private final Consumer<NodeModel> onEndpointChange;
 
     /**
-     * @param died called with each node that crashed
-     * @param listChanged called with each node whose endpoint-list entry changed
+     * @param onCrash called with each node that crashed
+     * @param onEndpointChange called with each node whose endpoint-list entry changed
      */
-    SimulatedNodes(FleetSpec spec, Scheduler scheduler, Consumer<NodeModel> died, Consumer<NodeModel> listChanged) {
+    SimulatedNodes(
+            FleetSpec spec, Scheduler scheduler, Consumer<NodeModel> onCrash, Consumer<NodeModel> onEndpointChange) {
         this.scheduler = scheduler;
-        this.died = died;
-        this.listChanged = listChanged;
+        this.onCrash = onCrash;
+        this.onEndpointChange = onEndpointChange;
         for (int g = 1; g <= spec.groups(); g++) {
             var group = new GroupModel(scheduler, g, spec.election());
             groups.add(group);
@@ -37,13 +38,13 @@
                 var model = new NodeModel(scheduler, node, spec.machine(), i == 0 ? Role.PRIMARY : Role.REPLICA);
                 group.nodes.add(model);
                 nodes.put(node, model);
-                inOrder.add(model);
+                orderedNodes.add(model);
             }
         }
     }
 
     List<NodeModel> nodes() {
-        return inOrder;
+        return orderedNodes;
     }
 
     NodeModel node(Node node) {
@@ -54,11 +55,11 @@
         return groups.get(id - 1);
     }
 
-    List<Endpoint> listings() {
-        return inOrder.stream().map(this::listing).toList();
+    List<Endpoint> endpoints() {
+        return orderedNodes.stream().map(this::endpoint).toList();
     }
 
-    Endpoint listing(NodeModel node) {
+    Endpoint endpoint(NodeModel node) {
         return new Endpoint(
                 node.node,
                 !node.up() ? Endpoint.State.GONE : node.draining ? Endpoint.State.DRAINING : Endpoint.State.READY,
@@ -73,57 +74,57 @@
             NodeModel primary = group > groups.size() ? null : group(group).primary();
             return primary == null ? List.of() : List.of(primary);
         }
-        return inOrder.stream()
+        return orderedNodes.stream()
                 .filter(node ->
                         node.node.id().equals(target) || node.node.zone().equals(target))
                 .toList();
     }
 
     /** Schedules the failures; their times count from {@code start}. */
-    void befall(List<Failure> failures, double start) {
-        failures.forEach(failure -> scheduler.scheduleAt(start + failure.at(), () -> befall(failure)));
+    void scheduleFailures(List<Failure> failures, double start) {
+        failures.forEach(failure -> scheduler.scheduleAt(start + failure.at(), () -> inject(failure)));
     }
 
-    private void befall(Failure failure) {
+    private void inject(Failure failure) {
         for (NodeModel node : targets(failure.target())) {
-            Runnable back = befall(node, failure);
+            Runnable endFailure = startFailure(node, failure);
             if (failure.lasts() > 0) {
-                scheduler.scheduleAfter(failure.lasts(), back);
+                scheduler.scheduleAfter(failure.lasts(), endFailure);
             }
         }
     }
 
     /** Starts the failure at the node and returns the action that ends it. */
-    private Runnable befall(NodeModel node, Failure failure) {
+    private Runnable startFailure(NodeModel node, Failure failure) {
         GroupModel group = group(node.node.replicaSetId());
         switch (failure.kind()) {
             case CRASH, ZONE_LOSS -> {
                 node.crash();
-                died.accept(node);
-                group.maybeElect();
-                listChanged.accept(node);
+                onCrash.accept(node);
+                group.electIfNoPrimary();
+                onEndpointChange.accept(node);
                 return () -> {
                     node.restart();
-                    group.maybeElect();
-                    listChanged.accept(node);
+                    group.electIfNoPrimary();
+                    onEndpointChange.accept(node);
                 };
             }
             case HANG -> {
-                node.hang(true);
-                group.depose(node);
-                return () -> node.hang(false);
+                node.setHung(true);
+                group.demoteIfHung(node);
+                return () -> node.setHung(false);
             }
             case PAUSE -> {
-                node.pause(true);
-                return () -> node.pause(false);
+                node.setPaused(true);
+                return () -> node.setPaused(false);
             }
             case NEIGHBOUR -> {
-                node.share(failure.amount());
-                return () -> node.share(0);
+                node.setNeighbour(failure.amount());
+                return () -> node.setNeighbour(0);
             }
             case SLOW_LOG -> {
-                node.log.slow(scheduler.now(), failure.amount());
-                return () -> node.log.slow(scheduler.now(), 1);
+                node.log.setSlowness(scheduler.now(), failure.amount());
+                return () -> node.log.setSlowness(scheduler.now(), 1);
             }
             case STALL_LOG -> {
                 node.log.stall(scheduler.now(), scheduler.now() + failure.lasts());
@@ -131,10 +132,10 @@
             }
             default -> {
                 node.draining = true;
-                listChanged.accept(node);
+                onEndpointChange.accept(node);
                 return () -> {
                     node.draining = false;
-                    listChanged.accept(node);
+                    onEndpointChange.accept(node);
                 };
             }
         }
--- a/lab/src/main/java/clayhook/lab/model/WallClockScheduler.java
+++ b/lab/src/main/java/clayhook/lab/model/WallClockScheduler.java
@@ -40,7 +40,8 @@
     public void scheduleAt(double time, Runnable event) {
         loop.schedule(
                 () -> {
-                    lateness.recordValue(Math.max(0, Math.min(MAX_LATENESS_MICROS, (long) ((wallClock() - time) * 1e6))));
+                    lateness.recordValue(
+                            Math.max(0, Math.min(MAX_LATENESS_MICROS, (long) ((wallClock() - time) * 1e6))));
                     currentDueTime = time;
                     try {
                         event.run();
--- a/lab/src/main/java/clayhook/lab/sharing/ModelPeer.java
+++ b/lab/src/main/java/clayhook/lab/sharing/ModelPeer.java
@@ -41,49 +41,63 @@
     private final Scheduler scheduler;
     private final PeerObservationListener router;
     private final int routers;
-    private final boolean marks;
+    private final boolean sharesWritePositions;
     private final double roam;
     /** Endpoint list that the router received; passed first to each new incarnation. */
-    private final Map<String, EndpointList.DiscoveredEndpoint> listed = new LinkedHashMap<>();
+    private final Map<String, EndpointList.DiscoveredEndpoint> listedEndpoints = new LinkedHashMap<>();
 
     private long revision;
     private PeeredRouter peer;
-    private StateBridge exchange;
-
-    /** @param marks whether clients carry no last-write positions, so that routers must share them */
-    ModelPeer(Scheduler scheduler, PeerObservationListener router, int routers, boolean marks, double roam) {
+    private StateBridge bridge;
+
+    /** @param sharesWritePositions whether clients carry no last-write positions, so that routers must share them */
+    ModelPeer(
+            Scheduler scheduler,
+            PeerObservationListener router,
+            int routers,
+            boolean sharesWritePositions,
+            double roam) {
         this.scheduler = scheduler;
         this.router = router;
         this.routers = routers;
-        this.marks = marks;
+        this.sharesWritePositions = sharesWritePositions;
         this.roam = roam;
     }
 
-    void at(PeeredRouter place) {
-        peer = place;
+    void attach(PeeredRouter peeredRouter) {
+        peer = peeredRouter;
     }
 
     @Override
     public RouterIncarnation begin(Peer self, List<Address> seeds, long seed, double now) {
-        var chance = new SplittableRandom(seed);
-        var members = new Membership(
-                MembershipSettings.DEFAULT, self, seeds, chance.nextLong(), now, new MembershipListener() {});
-        var kinds = new StateBridge.EnabledTypes(true, true, marks, WriteOutcome.TYPE, true);
-        var state = new ReplicatedState(members, kinds.types(), StateSettings.DEFAULT, chance.nextLong(), now);
-        exchange = new StateBridge(
-                kinds, roam, routers, SOURCE, state, members, chance.split(), what -> scheduler.scheduleAfter(0, what), this);
-        if (!listed.isEmpty()) {
-            exchange.accept(
+        var random = new SplittableRandom(seed);
+        var membership = new Membership(
+                MembershipSettings.DEFAULT, self, seeds, random.nextLong(), now, new MembershipListener() {});
+        var enabledTypes = new StateBridge.EnabledTypes(true, true, sharesWritePositions, WriteOutcome.TYPE, true);
+        var state =
+                new ReplicatedState(membership, enabledTypes.types(), StateSettings.DEFAULT, random.nextLong(), now);
+        bridge = new StateBridge(
+                enabledTypes,
+                roam,
+                routers,
+                SOURCE,
+                state,
+                membership,
+                random.split(),
+                task -> scheduler.scheduleAfter(0, task),
+                this);
+        if (!listedEndpoints.isEmpty()) {
+            bridge.accept(
                     new LocalEvent.EndpointListReceived(
-                            SOURCE, new EndpointList(revision, true, List.copyOf(listed.values()))),
+                            SOURCE, new EndpointList(revision, true, List.copyOf(listedEndpoints.values()))),
                     now);
         }
-        return new RouterIncarnation(members, state, List.of(members, exchange, state));
+        return new RouterIncarnation(membership, state, List.of(membership, bridge, state));
     }
 
-    private void tell(LocalEvent news) {
+    private void publish(LocalEvent event) {
         if (peer.awake()) {
-            exchange.accept(news, peer.now());
+            bridge.accept(event, peer.now());
             peer.stir();
         }
     }
@@ -91,77 +105,79 @@
     // ---- from the router ----
 
     @Override
-    public void listed(List<Endpoint> entries, boolean whole, long as) {
-        List<EndpointList.DiscoveredEndpoint> told =
-                entries.stream().map(ModelPeer::entry).toList();
-        told.forEach(entry -> listed.put(entry.id(), entry));
-        revision = as;
-        tell(new LocalEvent.EndpointListReceived(SOURCE, new EndpointList(as, whole, told)));
+    public void onEndpointList(List<Endpoint> entries, boolean complete, long listRevision) {
+        List<EndpointList.DiscoveredEndpoint> endpoints =
+                entries.stream().map(ModelPeer::toDiscoveredEndpoint).toList();
+        endpoints.forEach(entry -> listedEndpoints.put(entry.id(), entry));
+        revision = listRevision;
+        publish(new LocalEvent.EndpointListReceived(SOURCE, new EndpointList(listRevision, complete, endpoints)));
     }
 
-    private static EndpointList.DiscoveredEndpoint entry(Endpoint listing) {
-        Node node = listing.node();
+    private static EndpointList.DiscoveredEndpoint toDiscoveredEndpoint(Endpoint endpoint) {
+        Node node = endpoint.node();
         return new EndpointList.DiscoveredEndpoint(
                 node.id(),
                 ADDRESS,
                 node.zone(),
                 node.replicaSetId(),
-                listing.state(),
-                listing.primary(),
-                listing.startedAt());
+                endpoint.state(),
+                endpoint.primary(),
+                endpoint.startedAt());
     }
 
     @Override
-    public void looked(Node node, AttemptResult reply) {
-        tell(new LocalEvent.AttemptFinished(node, reply, peer.now()));
+    public void onAttemptResult(Node node, AttemptResult result) {
+        publish(new LocalEvent.AttemptFinished(node, result, peer.now()));
     }
 
     @Override
-    public void wrote(Request command, double position) {
-        if (marks) {
-            tell(new LocalEvent.SessionWriteCommitted(command.sessionId, command.replicaSetId, position));
+    public void onSessionWrite(Request request, double position) {
+        if (sharesWritePositions) {
+            publish(new LocalEvent.SessionWriteCommitted(request.sessionId, request.replicaSetId, position));
         }
     }
 
     @Override
-    public void written(Request command, String mark, Node ranAt) {
-        tell(new LocalEvent.WriteFinished(
-                mark,
-                command.attempts.get(0).sentAt,
-                command.replicaSetId,
-                command.requestClass.name(),
+    public void onWriteOutcome(Request request, String writeId, Node ranAt) {
+        publish(new LocalEvent.WriteFinished(
+                writeId,
+                request.attempts.get(0).sentAt,
+                request.replicaSetId,
+                request.requestClass.name(),
                 ranAt != null,
                 ranAt == null ? "" : ranAt.id(),
                 peer.now()));
     }
 
     @Override
-    public void used(int probes, int repeats) {
-        if (probes > 0) {
-            tell(new LocalEvent.QuotaUsed(PeerSharing.SharedQuota.HEALTH_CHECKS, probes));
+    public void onQuotaUsed(int healthChecks, int furtherAttempts) {
+        if (healthChecks > 0) {
+            publish(new LocalEvent.QuotaUsed(PeerSharing.SharedQuota.HEALTH_CHECKS, healthChecks));
         }
-        if (repeats > 0) {
-            tell(new LocalEvent.QuotaUsed(PeerSharing.SharedQuota.FURTHER_ATTEMPTS, repeats));
+        if (furtherAttempts > 0) {
+            publish(new LocalEvent.QuotaUsed(PeerSharing.SharedQuota.FURTHER_ATTEMPTS, furtherAttempts));
         }
     }
 
     /** If the peer side is down, the session may have written anything up to now, so the required position is now. */
     @Override
-    public double needs(String session) {
-        return !marks ? 0 : peer.awake() ? exchange.requiredPosition(session, peer.now()) : scheduler.now();
+    public double requiredPosition(String session) {
+        return !sharesWritePositions
+                ? 0
+                : peer.awake() ? bridge.requiredPosition(session, peer.now()) : scheduler.now();
     }
 
     // ---- to the router ----
 
     @Override
-    public void onPeerUpdate(Map<String, PeerObservation> told) {
-        told.forEach(router::told);
+    public void onPeerUpdate(Map<String, PeerObservation> observations) {
+        observations.forEach(router::onPeerObservation);
     }
 
     @Override
     public void onPeerUpdate(Collection<EndpointList> changes) {
         changes.forEach(change -> change.endpoints()
-                .forEach(entry -> router.told(
+                .forEach(entry -> router.onPeerEndpoint(
                         new Endpoint(
                                 new Node(entry.id(), entry.zone(), entry.replicaSetId()),
                                 entry.state(),
--- a/lab/src/main/java/clayhook/lab/sharing/PeeredFleet.java
+++ b/lab/src/main/java/clayhook/lab/sharing/PeeredFleet.java
@@ -27,13 +27,14 @@
     }
 
     @Override
-    public List<PeerLink> among(Scheduler scheduler, List<? extends PeerObservationListener> routers, long seed) {
+    public List<PeerLink> createLinks(Scheduler scheduler, List<? extends PeerObservationListener> routers, long seed) {
         List<ModelPeer> peers = routers.stream()
-                .map(router -> new ModelPeer(scheduler, router, routers.size(), !contact.marksCarried(), contact.roam()))
+                .map(router ->
+                        new ModelPeer(scheduler, router, routers.size(), !contact.marksCarried(), contact.roam()))
                 .toList();
         company = new SimulatedPeerGroup(
                 scheduler, new SimulatedPeerGroup.Spec(routers.size(), way, loss), plan, peers::get, seed);
-        company.routers().forEach(place -> peers.get(place.number()).at(place));
+        company.routers().forEach(place -> peers.get(place.number()).attach(place));
         return List.copyOf(peers);
     }
 
--- a/lab/src/main/java/clayhook/lab/sharing/SharingMetrics.java
+++ b/lab/src/main/java/clayhook/lab/sharing/SharingMetrics.java
@@ -50,7 +50,8 @@
 
     private static SimulatedPeerGroup company(
             VirtualScheduler scheduler, SimulatedPeerGroup.Spec spec, FaultPlan plan, long seed) {
-        return new SimulatedPeerGroup(scheduler, spec, plan, number -> RouterIncarnation.sharing(SharingTrial.KINDS), seed);
+        return new SimulatedPeerGroup(
+                scheduler, spec, plan, number -> RouterIncarnation.sharing(SharingTrial.KINDS), seed);
     }
 
     // ---- updates ----
@@ -79,7 +80,8 @@
         var random = new SplittableRandom(seed);
         double[][] came = new double[NEWS][lossy.routers()];
         company.routers().forEach(router -> router.shared()
-                .addListener(kind, (key, value, now) -> came[Integer.parseInt(key)][router.number()] = scheduler.now()));
+                .addListener(
+                        kind, (key, value, now) -> came[Integer.parseInt(key)][router.number()] = scheduler.now()));
         double[] told = new double[NEWS];
         for (int i = 0; i < NEWS; i++) {
             int number = i;
@@ -113,14 +115,15 @@
     public void traffic() {
         for (int size : SIZES) {
             var scheduler = new VirtualScheduler(START);
-            SimulatedPeerGroup company =
-                    company(scheduler, new SimulatedPeerGroup.Spec(size, spec.way(), spec.loss()), FaultPlan.NONE, seed);
+            SimulatedPeerGroup company = company(
+                    scheduler, new SimulatedPeerGroup.Spec(size, spec.way(), spec.loss()), FaultPlan.NONE, seed);
             scheduler.runUntil(START + SETTLED);
             traffic("no news", company, scheduler);
             var learning = new GeneratedValues(SharingTrial.KINDS, seed);
             var random = new SplittableRandom(seed);
             for (double at = 0; at < COUNTED; at += random.nextExponential() / RATE) {
-                scheduler.scheduleAfter(at, () -> put(learning.next(company.routers().get(random.nextInt(size)), scheduler.now())));
+                scheduler.scheduleAfter(
+                        at, () -> put(learning.next(company.routers().get(random.nextInt(size)), scheduler.now())));
             }
             traffic("50 pieces of news a second", company, scheduler);
         }
--- a/lab/src/test/java/clayhook/lab/model/LawsTest.java
+++ b/lab/src/test/java/clayhook/lab/model/LawsTest.java
@@ -35,25 +35,25 @@
             double arrived = at;
             double asked = exponential.sample() * work;
             scheduler.scheduleAt(arrived, () -> {
-                measured.inside += machine.inside() * (scheduler.now() - measured.last);
+                measured.inside += machine.jobs() * (scheduler.now() - measured.last);
                 measured.last = scheduler.now();
                 boolean taken = machine.offer(new NodeJob(asked, arrived, job -> {
-                    measured.inside += (machine.inside() + 1) * (scheduler.now() - measured.last);
+                    measured.inside += (machine.jobs() + 1) * (scheduler.now() - measured.last);
                     measured.last = scheduler.now();
                     measured.spent += scheduler.now() - arrived;
                     measured.done++;
                 }));
                 measured.offered += taken ? asked : 0;
                 measured.refused += taken ? 0 : 1;
-                measured.most = Math.max(measured.most, machine.waiting());
+                measured.most = Math.max(measured.most, machine.queuedJobs());
             });
         }
         for (int i = 0; i < speeds.length; i++) {
             double speed = speeds[i];
-            scheduler.scheduleAt(at * i / speeds.length, () -> machine.speed(speed));
+            scheduler.scheduleAt(at * i / speeds.length, () -> machine.setSpeed(speed));
         }
         scheduler.runUntil(at * 10);
-        measured.worked = machine.worked();
+        measured.worked = machine.workedSeconds();
         return measured;
     }
 
@@ -103,7 +103,7 @@
                 log.committed(now);
             }
             if (Math.abs(now - 20) < 0.001 || Math.abs(now - 30) < 0.001) {
-                log.slow(now, now < 25 ? 20 : 1);
+                log.setSlowness(now, now < 25 ? 20 : 1);
             }
             if (Math.abs(now - 45) < 0.001) {
                 log.stall(now, now + 2);
--- a/lab/src/test/java/clayhook/lab/model/LoopbackTest.java
+++ b/lab/src/test/java/clayhook/lab/model/LoopbackTest.java
@@ -50,7 +50,8 @@
         var loopback = new LoopbackFleet(spec, 1);
         RunMetrics tally = loopback.run(List.of(new Failure(kind, "1r1", 0.5, 1, 0.5)), 3);
         if (tally == null) {
-            assertTrue(loopback.late() > 0.01); // the run returned no verdict because its event loop ran late
+            assertTrue(
+                    loopback.latenessSeconds() > 0.01); // the run returned no verdict because its event loop ran late
             return;
         }
         assertEquals(Map.of(), tally.broken(), tally::firstBroken);
