--- a/lab/src/main/java/clayhook/lab/Comparison.java
+++ b/lab/src/main/java/clayhook/lab/Comparison.java
@@ -67,7 +67,7 @@
 
     private static PeerLinkFactory sharing(FleetSpec.Contact contact, Experiment.Peers peers) {
         return contact.shares()
-                ? new PeeredFleet(contact, peers.way(), peers.loss(), peers.faults())
+                ? new PeeredFleet(contact, peers.medianLatency(), peers.loss(), peers.faults())
                 : PeerLinkFactory.NONE;
     }
 
--- a/lab/src/main/java/clayhook/lab/Experiment.java
+++ b/lab/src/main/java/clayhook/lab/Experiment.java
@@ -47,11 +47,11 @@
     /**
      * Network and faults between routers that share state.
      *
-     * @param way median latency of a packet in seconds
+     * @param medianLatency median latency of a packet in seconds
      * @param loss fraction of packets lost without any fault
      * @param play what to run with the routers instead of measuring service, or null
      */
-    public record Peers(double way, double loss, FaultPlan faults, SharingPlay play) {}
+    public record Peers(double medianLatency, double loss, FaultPlan faults, SharingPlay play) {}
 
     /** Returns the same experiment with other seeds. */
     public Experiment seeded(List<Integer> others) {
@@ -234,7 +234,7 @@
                 variant.getInt("routers", base.routers(), 1, 10_000),
                 base.zones(),
                 machine,
-                base.way(),
+                base.oneWayLatency(),
                 base.election(),
                 base.listDelay(),
                 base.reports(),
--- a/lab/src/main/java/clayhook/lab/SharingPlays.java
+++ b/lab/src/main/java/clayhook/lab/SharingPlays.java
@@ -17,17 +17,17 @@
         Experiment.Peers peers = experiment.peers();
         SharingPlay play = peers.play();
         FleetSpec fleet = experiment.variants().get(0).fleet();
-        var company = new SimulatedPeerGroup.Spec(fleet.routers(), peers.way(), peers.loss());
-        var figures = new SharingMetrics(company, experiment.seeds().get(0), out::println);
-        switch (play.what()) {
-            case NEWS -> figures.news();
-            case TRAFFIC -> figures.traffic();
-            case CATCH_UP -> figures.catchUp(play.entries());
+        var peerGroup = new SimulatedPeerGroup.Spec(fleet.routers(), peers.medianLatency(), peers.loss());
+        var metrics = new SharingMetrics(peerGroup, experiment.seeds().get(0), out::println);
+        switch (play.task()) {
+            case NEWS -> metrics.updateLatency();
+            case TRAFFIC -> metrics.traffic();
+            case CATCH_UP -> metrics.catchUp(play.entries());
             default -> {
-                var spec = new SharingTrial.Spec(company, experiment.seconds(), play.settle(), fleet.rate());
-                SharingSweep.Result result = new SharingSweep(spec, SharingTrial.KINDS, peers.faults(), play.faults())
+                var spec = new SharingTrial.Spec(peerGroup, experiment.seconds(), play.settle(), fleet.rate());
+                SharingSweep.Result result = new SharingSweep(spec, SharingTrial.TYPES, peers.faults(), play.faults())
                         .play(experiment.seeds());
-                result.found().forEach(out::println);
+                result.shrunkFailures().forEach(out::println);
                 out.println(result);
                 return result.failed() == 0;
             }
--- a/lab/src/main/java/clayhook/lab/model/FleetSpec.java
+++ b/lab/src/main/java/clayhook/lab/model/FleetSpec.java
@@ -8,7 +8,7 @@
  *
  * @param groups number of replica sets, each with one primary and {@code replicas} replicas
  * @param zones zones to which nodes and routers are assigned round-robin
- * @param way one-way network latency between any two processes
+ * @param oneWayLatency one-way network latency between any two processes
  * @param election time without a primary until a successor takes over
  * @param listDelay time until routers are notified of a change of the endpoint list
  * @param reports whether nodes send load reports with their answers
@@ -25,7 +25,7 @@
         int routers,
         List<String> zones,
         MachineSpec machine,
-        double way,
+        double oneWayLatency,
         double election,
         double listDelay,
         boolean reports,
@@ -56,7 +56,7 @@
             int routers,
             List<String> zones,
             MachineSpec machine,
-            double way,
+            double oneWayLatency,
             double election,
             double listDelay,
             boolean reports,
@@ -71,7 +71,7 @@
                 routers,
                 zones,
                 machine,
-                way,
+                oneWayLatency,
                 election,
                 listDelay,
                 reports,
@@ -105,7 +105,7 @@
                 routers,
                 zones,
                 machine,
-                way,
+                oneWayLatency,
                 election,
                 listDelay,
                 reports,
@@ -124,7 +124,7 @@
                 routers,
                 zones,
                 other,
-                way,
+                oneWayLatency,
                 election,
                 listDelay,
                 reports,
@@ -143,7 +143,7 @@
                 routers,
                 zones,
                 machine,
-                way,
+                oneWayLatency,
                 election,
                 listDelay,
                 reports,
--- a/lab/src/main/java/clayhook/lab/model/SimulatedFleet.java
+++ b/lab/src/main/java/clayhook/lab/model/SimulatedFleet.java
@@ -207,7 +207,7 @@
     }
 
     double oneWayLatency() {
-        return spec.way();
+        return spec.oneWayLatency();
     }
 
     double connectSeconds() {
--- a/lab/src/main/java/clayhook/lab/sharing/FaultPlan.java
+++ b/lab/src/main/java/clayhook/lab/sharing/FaultPlan.java
@@ -33,9 +33,9 @@
             Map.entry(Kind.CLOCK_OFF, 1),
             Map.entry(Kind.CLOCK_DRIFT, 1));
     /** Range of the duration in seconds: from a brief interruption to a freeze or network partition of minutes. */
-    private static final double SHORTEST = 0.2, LONGEST = 90;
+    private static final double MIN_SECONDS = 0.2, MAX_SECONDS = 90;
     /** Duration in seconds at or below which a fault is not shortened further, so that shrinking terminates. */
-    private static final double LEAST = 0.05;
+    private static final double SHRUNK_SECONDS = 0.05;
 
     public FaultPlan {
         faults = faults.stream()
@@ -44,7 +44,7 @@
     }
 
     /** Draws {@code count} faults among {@code routers} routers, all of which end by {@code until}. */
-    public static FaultPlan drawn(long seed, int count, int routers, double until) {
+    public static FaultPlan draw(long seed, int count, int routers, double until) {
         var random = new SplittableRandom(seed);
         List<Kind> kinds = WEIGHTS.entrySet().stream()
                 .sorted(Map.Entry.comparingByKey())
@@ -55,14 +55,18 @@
             Kind kind = kinds.get(random.nextInt(kinds.size()));
             double at = random.nextDouble() * until;
             // The duration is uniform in its logarithm: most faults are short, a few last for minutes.
-            double lasts = SHORTEST * Math.pow(LONGEST / SHORTEST, random.nextDouble());
+            double lasts = MIN_SECONDS * Math.pow(MAX_SECONDS / MIN_SECONDS, random.nextDouble());
             faults.add(new SharingFault(
-                    at, kind, whom(kind, routers, random), Math.min(lasts, until - at), amount(kind, random)));
+                    at,
+                    kind,
+                    drawRouters(kind, routers, random),
+                    Math.min(lasts, until - at),
+                    drawAmount(kind, random)));
         }
         return new FaultPlan(faults);
     }
 
-    private static List<Integer> whom(Kind kind, int routers, SplittableRandom random) {
+    private static List<Integer> drawRouters(Kind kind, int routers, SplittableRandom random) {
         int count =
                 switch (kind) {
                     case CUT -> 2;
@@ -80,7 +84,7 @@
         return all.subList(0, Math.min(count, routers));
     }
 
-    private static double amount(Kind kind, SplittableRandom random) {
+    private static double drawAmount(Kind kind, SplittableRandom random) {
         double part = random.nextDouble();
         return switch (kind) {
             case LOSS, DOUBLE, REORDER, GARBLE -> 0.05 + 0.55 * part;
@@ -95,7 +99,7 @@
     }
 
     /** End of the last fault in seconds from the start; 0 without faults. */
-    public double over() {
+    public double end() {
         return faults.stream().mapToDouble(SharingFault::end).max().orElse(0);
     }
 
@@ -103,13 +107,13 @@
      * Shrinks the plan to the fewest and shortest faults that still fail: leaves out each fault in turn while the
      * failure persists, then halves the durations.
      */
-    public FaultPlan shrunk(Predicate<FaultPlan> fails) {
+    public FaultPlan shrink(Predicate<FaultPlan> fails) {
         FaultPlan plan = this;
         boolean fewer = true;
         while (fewer) {
             fewer = false;
             for (int i = plan.faults.size() - 1; i >= 0; i--) {
-                FaultPlan without = plan.with(i, null);
+                FaultPlan without = plan.withFault(i, null);
                 if (fails.test(without)) {
                     plan = without;
                     fewer = true;
@@ -117,22 +121,22 @@
             }
         }
         for (int i = 0; i < plan.faults.size(); i++) {
-            FaultPlan shorter = plan;
+            FaultPlan shortened = plan;
             do {
-                plan = shorter;
+                plan = shortened;
                 SharingFault fault = plan.faults.get(i);
-                shorter = plan.with(i, fault.shorter(fault.lasts() / 2));
-            } while (shorter.faults.get(i).lasts() > LEAST && fails.test(shorter));
+                shortened = plan.withFault(i, fault.withDuration(fault.lasts() / 2));
+            } while (shortened.faults.get(i).lasts() > SHRUNK_SECONDS && fails.test(shortened));
         }
         return plan;
     }
 
-    private FaultPlan with(int place, SharingFault fault) {
+    private FaultPlan withFault(int index, SharingFault fault) {
         var other = new ArrayList<>(faults);
         if (fault == null) {
-            other.remove(place);
+            other.remove(index);
         } else {
-            other.set(place, fault);
+            other.set(index, fault);
         }
         return new FaultPlan(other);
     }
--- a/lab/src/main/java/clayhook/lab/sharing/ModelPeer.java
+++ b/lab/src/main/java/clayhook/lab/sharing/ModelPeer.java
@@ -69,7 +69,7 @@
     }
 
     @Override
-    public RouterIncarnation begin(Peer self, List<Address> seeds, long seed, double now) {
+    public RouterIncarnation create(Peer self, List<Address> seeds, long seed, double now) {
         var random = new SplittableRandom(seed);
         var membership = new Membership(
                 MembershipSettings.DEFAULT, self, seeds, random.nextLong(), now, new MembershipListener() {});
@@ -98,7 +98,7 @@
     private void publish(LocalEvent event) {
         if (peer.awake()) {
             bridge.accept(event, peer.now());
-            peer.stir();
+            peer.scheduleEventTick();
         }
     }
 
--- a/lab/src/main/java/clayhook/lab/sharing/PeeredFleet.java
+++ b/lab/src/main/java/clayhook/lab/sharing/PeeredFleet.java
@@ -10,18 +10,18 @@
 /** Connects the routers of a modelled fleet as peers over a network with faults. */
 public final class PeeredFleet implements PeerLinkFactory {
     private final FleetSpec.Contact contact;
-    private final double way;
+    private final double medianLatency;
     private final double loss;
     private final FaultPlan plan;
-    private SimulatedPeerGroup company;
+    private SimulatedPeerGroup peerGroup;
 
     /**
-     * @param way median latency of a packet in seconds
+     * @param medianLatency median latency of a packet in seconds
      * @param loss fraction of packets lost without any fault
      */
-    public PeeredFleet(FleetSpec.Contact contact, double way, double loss, FaultPlan plan) {
+    public PeeredFleet(FleetSpec.Contact contact, double medianLatency, double loss, FaultPlan plan) {
         this.contact = contact;
-        this.way = way;
+        this.medianLatency = medianLatency;
         this.loss = loss;
         this.plan = plan;
     }
@@ -32,14 +32,15 @@
                 .map(router ->
                         new ModelPeer(scheduler, router, routers.size(), !contact.marksCarried(), contact.roam()))
                 .toList();
-        company = new SimulatedPeerGroup(
-                scheduler, new SimulatedPeerGroup.Spec(routers.size(), way, loss), plan, peers::get, seed);
-        company.routers().forEach(place -> peers.get(place.number()).attach(place));
+        peerGroup = new SimulatedPeerGroup(
+                scheduler, new SimulatedPeerGroup.Spec(routers.size(), medianLatency, loss), plan, peers::get, seed);
+        peerGroup.routers().forEach(peeredRouter -> peers.get(peeredRouter.number())
+                .attach(peeredRouter));
         return List.copyOf(peers);
     }
 
     /** The peer group of the routers; null until the fleet is created. */
-    public SimulatedPeerGroup company() {
-        return company;
+    public SimulatedPeerGroup peerGroup() {
+        return peerGroup;
     }
 }
--- a/lab/src/main/java/clayhook/lab/sharing/PeeredRouter.java
+++ b/lab/src/main/java/clayhook/lab/sharing/PeeredRouter.java
@@ -18,19 +18,19 @@
      * Maximum number of packets that wait while the router is frozen, as in the buffer of a socket; further ones are
      * lost.
      */
-    private static final int WAITING = 256;
+    private static final int MAX_WAITING_PACKETS = 256;
     /**
      * Seconds from the arrival of packets until the next tick, so that packets that arrive together are processed
      * together.
      */
-    private static final double SOON = 0.001;
+    private static final double RECEIVE_DELAY = 0.001;
     /**
      * Seconds until the handlers process events of the router itself: the production thread wakes up at most a hundred
      * times per second.
      */
-    private static final double NAP = 0.01;
+    private static final double EVENT_DELAY = 0.01;
     /** Minimum seconds between two ticks; guards against a handler that always requests an immediate tick. */
-    private static final double LEAST_PAUSE = 1e-4;
+    private static final double MIN_TICK_INTERVAL = 1e-4;
 
     private record QueuedDatagram(Address from, byte[] bytes) {}
 
@@ -38,44 +38,44 @@
     private final Address address;
     private final Scheduler scheduler;
     private final SimulatedNetwork network;
-    private final RouterIncarnation.Factory birth;
+    private final RouterIncarnation.Factory incarnationFactory;
     private final List<Address> seeds;
     private final long seed;
     private final DriftingClock clock;
     /** Packets that arrived while the router was frozen; processed when it resumes. */
-    private final Queue<QueuedDatagram> waiting = new ArrayDeque<>();
+    private final Queue<QueuedDatagram> waitingPackets = new ArrayDeque<>();
 
-    private RouterIncarnation life;
-    private MessageDispatcher fleet;
-    private int lives;
-    private long boot;
-    private double ahead;
+    private RouterIncarnation incarnation;
+    private MessageDispatcher dispatcher;
+    private int incarnations;
+    private long incarnationNumber;
+    private double clockOffset;
     /**
      * Number of faults that currently freeze the router; the next field counts those that keep it dead. Several can
      * overlap.
      */
-    private int stands;
+    private int freezes;
 
-    private int deaths;
-    private double wakeAt = Double.POSITIVE_INFINITY;
+    private int kills;
+    private double nextTickAt = Double.POSITIVE_INFINITY;
 
     PeeredRouter(
             int number,
             Scheduler scheduler,
             SimulatedNetwork network,
-            RouterIncarnation.Factory birth,
+            RouterIncarnation.Factory incarnationFactory,
             List<Address> seeds,
             long seed) {
         this.number = number;
         this.scheduler = scheduler;
         this.network = network;
-        this.birth = birth;
+        this.incarnationFactory = incarnationFactory;
         this.seeds = seeds;
         this.seed = seed;
         address = address(number);
         clock = new DriftingClock(scheduler.now());
-        network.place(address, number, this::heard);
-        live();
+        network.register(address, number, this::onDatagram);
+        startIncarnation();
     }
 
     static Address address(int number) {
@@ -84,102 +84,104 @@
 
     // ---- faults ----
 
-    private void live() {
-        clock.setAhead(scheduler.now(), ahead);
-        lives++;
+    private void startIncarnation() {
+        clock.setAhead(scheduler.now(), clockOffset);
+        incarnations++;
         // As in the production router: above the last incarnation whatever the clock says, otherwise peers would take
         // the new one for an earlier one.
-        boot = Math.max(boot + 1, (long) (1000 * now()));
-        var self = new Member(address.host(), boot);
-        life = birth.begin(new Peer(self, address), seeds, seed * 1_000_003 + lives, now());
-        fleet = new MessageDispatcher(self, life.machines(), (to, bytes) -> network.send(address, to, bytes));
-        wakeAt = Double.POSITIVE_INFINITY;
-        wake(scheduler.now());
-    }
-
-    void die() {
-        deaths++;
-        life = null;
-        fleet = null;
-        waiting.clear();
-    }
-
-    void comeBack() {
-        if (--deaths == 0) {
-            live();
+        incarnationNumber = Math.max(incarnationNumber + 1, (long) (1000 * now()));
+        var member = new Member(address.host(), incarnationNumber);
+        incarnation =
+                incarnationFactory.create(new Peer(member, address), seeds, seed * 1_000_003 + incarnations, now());
+        dispatcher =
+                new MessageDispatcher(member, incarnation.handlers(), (to, bytes) -> network.send(address, to, bytes));
+        nextTickAt = Double.POSITIVE_INFINITY;
+        scheduleTick(scheduler.now());
+    }
+
+    void kill() {
+        kills++;
+        incarnation = null;
+        dispatcher = null;
+        waitingPackets.clear();
+    }
+
+    void restart() {
+        if (--kills == 0) {
+            startIncarnation();
         }
     }
 
     /** Restarts the router with its clock shifted ahead by {@code further} seconds. */
-    void startWithClock(double further) {
-        ahead += further;
-        die();
-        comeBack();
+    void startWithClock(double secondsAhead) {
+        clockOffset += secondsAhead;
+        kill();
+        restart();
     }
 
     void drift(double secondsASecond) {
         clock.setDrift(scheduler.now(), secondsASecond);
         // The pending wake-up was scheduled at the old rate of the clock, so it is scheduled again.
-        wakeAt = Double.POSITIVE_INFINITY;
-        wake(scheduler.now());
+        nextTickAt = Double.POSITIVE_INFINITY;
+        scheduleTick(scheduler.now());
     }
 
-    void stand() {
-        stands++;
+    void freeze() {
+        freezes++;
     }
 
-    void goOn() {
-        if (--stands == 0) {
-            while (awake() && !waiting.isEmpty()) {
-                QueuedDatagram letter = waiting.poll();
-                fleet.onDatagram(letter.from(), letter.bytes(), now());
+    void resume() {
+        if (--freezes == 0) {
+            while (awake() && !waitingPackets.isEmpty()) {
+                QueuedDatagram datagram = waitingPackets.poll();
+                dispatcher.onDatagram(datagram.from(), datagram.bytes(), now());
             }
-            wake(scheduler.now());
+            scheduleTick(scheduler.now());
         }
     }
 
     // ---- ticks ----
 
-    private void heard(Address from, byte[] bytes) {
+    private void onDatagram(Address from, byte[] bytes) {
         if (awake()) {
-            fleet.onDatagram(from, bytes, now());
-            wake(scheduler.now() + SOON);
-        } else if (life != null && waiting.size() < WAITING) {
-            waiting.add(new QueuedDatagram(from, bytes));
+            dispatcher.onDatagram(from, bytes, now());
+            scheduleTick(scheduler.now() + RECEIVE_DELAY);
+        } else if (incarnation != null && waitingPackets.size() < MAX_WAITING_PACKETS) {
+            waitingPackets.add(new QueuedDatagram(from, bytes));
         }
     }
 
-    private void wake(double at) {
-        if (life == null || at >= wakeAt) {
+    private void scheduleTick(double time) {
+        if (incarnation == null || time >= nextTickAt) {
             return;
         }
-        wakeAt = at;
-        int planned = lives;
-        scheduler.scheduleAt(at, () -> {
-            if (planned == lives && wakeAt == at) {
-                wakeAt = Double.POSITIVE_INFINITY;
-                turn();
+        nextTickAt = time;
+        int scheduledIn = incarnations;
+        scheduler.scheduleAt(time, () -> {
+            if (scheduledIn == incarnations && nextTickAt == time) {
+                nextTickAt = Double.POSITIVE_INFINITY;
+                tick();
             }
         });
     }
 
-    private void turn() {
+    private void tick() {
         if (awake()) {
-            double next = fleet.tick(now());
-            wake(Math.max(scheduler.now() + LEAST_PAUSE, clock.trueTimeOf(next)));
+            double next = dispatcher.tick(now());
+            scheduleTick(Math.max(scheduler.now() + MIN_TICK_INTERVAL, clock.trueTimeOf(next)));
         }
     }
 
     /** Merges a value into the copy and schedules a tick, so that the handlers send it. */
-    public <V> V put(ReplicatedType<V> kind, String key, V value) {
-        V joined = life.shared().merge(kind, key, value, now());
-        wake(scheduler.now());
-        return joined;
+    public <V> V put(ReplicatedType<V> type, String key, V value) {
+        V merged = incarnation.store().merge(type, key, value, now());
+        scheduleTick(scheduler.now());
+        return merged;
     }
 
     /** Schedules a tick for an event of the router itself, after the same delay as in production. */
-    void stir() {
-        wake(scheduler.now() + NAP);
+    void scheduleEventTick() {
+        scheduleTick(scheduler.now() + EVENT_DELAY);
     }
 
     // ---- state ----
@@ -190,7 +192,7 @@
 
     /** Returns whether the router is alive and not frozen. */
     public boolean awake() {
-        return life != null && stands == 0;
+        return incarnation != null && freezes == 0;
     }
 
     /** Current time of the router's own clock. */
@@ -199,23 +201,23 @@
     }
 
     /** Number of incarnations so far. */
-    public int lives() {
-        return lives;
+    public int incarnations() {
+        return incarnations;
     }
 
     /** Null while the router is dead. */
-    public ReplicatedStore shared() {
-        return life == null ? null : life.shared();
+    public ReplicatedStore store() {
+        return incarnation == null ? null : incarnation.store();
     }
 
     /** Null while the router is dead. */
-    public MembershipView roster() {
-        return life == null ? null : life.roster();
+    public MembershipView membership() {
+        return incarnation == null ? null : incarnation.membership();
     }
 
     /** Traffic counters of the current incarnation. */
-    public MessageDispatcher.TrafficCounters counts() {
-        return fleet.counters();
+    public MessageDispatcher.TrafficCounters trafficCounters() {
+        return dispatcher.counters();
     }
 
     @Override
--- a/lab/src/main/java/clayhook/lab/sharing/RouterIncarnation.java
+++ b/lab/src/main/java/clayhook/lab/sharing/RouterIncarnation.java
@@ -16,23 +16,23 @@
 /**
  * The protocol state of one incarnation of a router.
  *
- * @param machines protocol handlers in the order in which they are ticked
+ * @param handlers protocol handlers in the order in which they are ticked
  */
 public record RouterIncarnation(
-        MembershipView roster, ReplicatedStore shared, List<? extends ProtocolHandler> machines) {
+        MembershipView membership, ReplicatedStore store, List<? extends ProtocolHandler> handlers) {
 
     /** Creates incarnations; {@code now} is the time of the router's own clock. */
     public interface Factory {
-        RouterIncarnation begin(Peer self, List<Address> seeds, long seed, double now);
+        RouterIncarnation create(Peer self, List<Address> seeds, long seed, double now);
     }
 
     /** Creates incarnations with only the production membership and replicated state. */
-    public static Factory sharing(List<ReplicatedType<?>> kinds) {
+    public static Factory sharing(List<ReplicatedType<?>> types) {
         return (self, seeds, seed, now) -> {
-            var members =
+            var membership =
                     new Membership(MembershipSettings.DEFAULT, self, seeds, seed, now, new MembershipListener() {});
-            var state = new ReplicatedState(members, kinds, StateSettings.DEFAULT, seed + 1, now);
-            return new RouterIncarnation(members, state, List.of(members, state));
+            var state = new ReplicatedState(membership, types, StateSettings.DEFAULT, seed + 1, now);
+            return new RouterIncarnation(membership, state, List.of(membership, state));
         };
     }
 }
--- a/lab/src/main/java/clayhook/lab/sharing/SharingFault.java
+++ b/lab/src/main/java/clayhook/lab/sharing/SharingFault.java
@@ -8,11 +8,11 @@
  * A fault among routers.
  *
  * @param at start in seconds from the start of the run
- * @param whom numbers of the affected routers, from 0; empty for all routers
+ * @param routers numbers of the affected routers, from 0; empty for all routers
  * @param lasts duration in seconds
  * @param amount meaning depends on the kind; 0 if the kind uses none
  */
-public record SharingFault(double at, Kind kind, List<Integer> whom, double lasts, double amount) {
+public record SharingFault(double at, Kind kind, List<Integer> routers, double lasts, double amount) {
     /** Kinds of faults. */
     public enum Kind {
         /** Packets sent by the routers are lost with probability {@code amount}. */
@@ -46,13 +46,13 @@
         /** The clock gains {@code amount} seconds per second. */
         CLOCK_DRIFT;
 
-        String word() {
+        String keyword() {
             return name().toLowerCase(Locale.ROOT);
         }
     }
 
     public SharingFault {
-        whom = List.copyOf(whom);
+        routers = List.copyOf(routers);
     }
 
     /** End of the fault in seconds from the start of the run. */
@@ -60,21 +60,21 @@
         return at + lasts;
     }
 
-    boolean strikes(int router) {
-        return whom.isEmpty() || whom.contains(router);
+    boolean affects(int router) {
+        return routers.isEmpty() || routers.contains(router);
     }
 
     /** Returns whether this fault drops all packets from one router to the other. */
-    boolean parts(int from, int to) {
+    boolean separates(int from, int to) {
         return switch (kind) {
-            case CUT -> from == whom.get(0) && to == whom.get(1);
-            case SPLIT -> whom.contains(from) != whom.contains(to);
+            case CUT -> from == routers.get(0) && to == routers.get(1);
+            case SPLIT -> routers.contains(from) != routers.contains(to);
             default -> false;
         };
     }
 
-    SharingFault shorter(double seconds) {
-        return new SharingFault(at, kind, whom, seconds, amount);
+    SharingFault withDuration(double seconds) {
+        return new SharingFault(at, kind, routers, seconds, amount);
     }
 
     /** Returns the fault in the form of an experiment file. */
@@ -84,8 +84,8 @@
                 Locale.ROOT,
                 "{ at = %.3f, kind = \"%s\", whom = [%s], lasts = %.3f, amount = %s }",
                 at,
-                kind.word(),
-                whom.stream().map(String::valueOf).collect(Collectors.joining(", ")),
+                kind.keyword(),
+                routers.stream().map(String::valueOf).collect(Collectors.joining(", ")),
                 lasts,
                 amount);
     }
--- a/lab/src/main/java/clayhook/lab/sharing/SharingMetrics.java
+++ b/lab/src/main/java/clayhook/lab/sharing/SharingMetrics.java
@@ -18,20 +18,20 @@
 public final class SharingMetrics {
     private static final double START = 1_000_000;
     /** Seconds until all routers, up to a thousand of them, have joined. */
-    private static final double SETTLED = 30;
+    private static final double SETTLE_SECONDS = 30;
     /** Seconds over which traffic is counted. */
-    private static final int COUNTED = 30;
+    private static final int COUNT_SECONDS = 30;
     /** Number of updates; the next constant is the seconds between two, within which an update reaches all routers. */
-    private static final int NEWS = 200;
+    private static final int UPDATES = 200;
 
-    private static final double BETWEEN = 3;
+    private static final double UPDATE_INTERVAL = 3;
     private static final int[] SIZES = {10, 100, 1000};
     /** Updates per second over all routers, for measuring the traffic that updates add. */
-    private static final double RATE = 50;
+    private static final double UPDATE_RATE = 50;
     /** Seconds for which a router is away, and maximum seconds for it to catch up afterwards. */
-    private static final double AWAY = 60, GIVEN_UP = 120;
+    private static final double AWAY_SECONDS = 60, MAX_CATCH_UP_SECONDS = 120;
 
-    private static final double LOOK = 0.01;
+    private static final double CHECK_INTERVAL = 0.01;
 
     private final SimulatedPeerGroup.Spec spec;
     private final long seed;
@@ -48,62 +48,71 @@
         lines.accept(String.format(Locale.ROOT, format, figures));
     }
 
-    private static SimulatedPeerGroup company(
+    private static SimulatedPeerGroup peerGroup(
             VirtualScheduler scheduler, SimulatedPeerGroup.Spec spec, FaultPlan plan, long seed) {
         return new SimulatedPeerGroup(
-                scheduler, spec, plan, number -> RouterIncarnation.sharing(SharingTrial.KINDS), seed);
+                scheduler, spec, plan, number -> RouterIncarnation.sharing(SharingTrial.TYPES), seed);
     }
 
     // ---- updates ----
 
     /** Measures the seconds until an update has reached 99% of the routers, without packet loss and with 20% loss. */
-    public void news() {
+    public void updateLatency() {
         for (double loss : new double[] {0, 0.2}) {
-            var lossy = new SimulatedPeerGroup.Spec(spec.routers(), spec.way(), loss);
-            news(
+            var lossy = new SimulatedPeerGroup.Spec(spec.routers(), spec.medianLatency(), loss);
+            updateLatency(
                     "urgent",
                     lossy,
                     ListedEndpoint.TYPE,
                     number -> new ListedEndpoint(
                             number, ListedEndpoint.EndpointState.DRAINING, 0, false, "a", 1, "10.0.0.1", 1, START));
-            news("usual", lossy, SessionWrite.TYPE, number -> new SessionWrite(START + BETWEEN * number, 1));
+            updateLatency(
+                    "usual", lossy, SessionWrite.TYPE, number -> new SessionWrite(START + UPDATE_INTERVAL * number, 1));
         }
     }
 
-    private interface Piece<V> {
+    private interface ValueFactory<V> {
         V of(int number);
     }
 
-    private <V> void news(String name, SimulatedPeerGroup.Spec lossy, ReplicatedType<V> kind, Piece<V> piece) {
+    private <V> void updateLatency(
+            String name, SimulatedPeerGroup.Spec lossy, ReplicatedType<V> type, ValueFactory<V> factory) {
         var scheduler = new VirtualScheduler(START);
-        SimulatedPeerGroup company = company(scheduler, lossy, FaultPlan.NONE, seed);
+        SimulatedPeerGroup peerGroup = peerGroup(scheduler, lossy, FaultPlan.NONE, seed);
         var random = new SplittableRandom(seed);
-        double[][] came = new double[NEWS][lossy.routers()];
-        company.routers().forEach(router -> router.shared()
+        double[][] arrivedAt = new double[UPDATES][lossy.routers()];
+        peerGroup.routers().forEach(router -> router.store()
                 .addListener(
-                        kind, (key, value, now) -> came[Integer.parseInt(key)][router.number()] = scheduler.now()));
-        double[] told = new double[NEWS];
-        for (int i = 0; i < NEWS; i++) {
+                        type,
+                        (key, value, now) -> arrivedAt[Integer.parseInt(key)][router.number()] = scheduler.now()));
+        double[] sentAt = new double[UPDATES];
+        for (int i = 0; i < UPDATES; i++) {
             int number = i;
-            told[i] = START + SETTLED + BETWEEN * (i + random.nextDouble() / 2);
-            scheduler.scheduleAt(told[i], () -> company.routers()
+            sentAt[i] = START + SETTLE_SECONDS + UPDATE_INTERVAL * (i + random.nextDouble() / 2);
+            scheduler.scheduleAt(sentAt[i], () -> peerGroup
+                    .routers()
                     .get(random.nextInt(lossy.routers()))
-                    .put(kind, Integer.toString(number), piece.of(number)));
+                    .put(type, Integer.toString(number), factory.of(number)));
         }
-        scheduler.runUntil(START + SETTLED + BETWEEN * (NEWS + 2));
-        double[] most = new double[NEWS];
-        for (int i = 0; i < NEWS; i++) {
-            double[] times = came[i];
+        scheduler.runUntil(START + SETTLE_SECONDS + UPDATE_INTERVAL * (UPDATES + 2));
+        double[] delays = new double[UPDATES];
+        for (int i = 0; i < UPDATES; i++) {
+            double[] times = arrivedAt[i];
             Arrays.sort(times);
-            most[i] = times[0] == 0
+            delays[i] = times[0] == 0
                     ? Double.POSITIVE_INFINITY
-                    : times[(int) Math.ceil(0.99 * times.length) - 1] - told[i];
+                    : times[(int) Math.ceil(0.99 * times.length) - 1] - sentAt[i];
         }
-        Arrays.sort(most);
+        Arrays.sort(delays);
         line(
                 "%s news, %d routers, %.0f%% lost: at 99%% of them after %.3f s at the median, %.3f s at the 99th percentile, "
                         + "%.3f s at the most",
-                name, lossy.routers(), 100 * lossy.loss(), most[NEWS / 2], most[NEWS * 99 / 100], most[NEWS - 1]);
+                name,
+                lossy.routers(),
+                100 * lossy.loss(),
+                delays[UPDATES / 2],
+                delays[UPDATES * 99 / 100],
+                delays[UPDATES - 1]);
     }
 
     // ---- traffic and processor time ----
@@ -115,43 +124,46 @@
     public void traffic() {
         for (int size : SIZES) {
             var scheduler = new VirtualScheduler(START);
-            SimulatedPeerGroup company = company(
-                    scheduler, new SimulatedPeerGroup.Spec(size, spec.way(), spec.loss()), FaultPlan.NONE, seed);
-            scheduler.runUntil(START + SETTLED);
-            traffic("no news", company, scheduler);
-            var learning = new GeneratedValues(SharingTrial.KINDS, seed);
+            SimulatedPeerGroup peerGroup = peerGroup(
+                    scheduler,
+                    new SimulatedPeerGroup.Spec(size, spec.medianLatency(), spec.loss()),
+                    FaultPlan.NONE,
+                    seed);
+            scheduler.runUntil(START + SETTLE_SECONDS);
+            traffic("no news", peerGroup, scheduler);
+            var generator = new GeneratedValues(SharingTrial.TYPES, seed);
             var random = new SplittableRandom(seed);
-            for (double at = 0; at < COUNTED; at += random.nextExponential() / RATE) {
+            for (double at = 0; at < COUNT_SECONDS; at += random.nextExponential() / UPDATE_RATE) {
                 scheduler.scheduleAfter(
-                        at, () -> put(learning.next(company.routers().get(random.nextInt(size)), scheduler.now())));
+                        at, () -> put(generator.next(peerGroup.routers().get(random.nextInt(size)), scheduler.now())));
             }
-            traffic("50 pieces of news a second", company, scheduler);
+            traffic("50 pieces of news a second", peerGroup, scheduler);
         }
     }
 
-    private static <V> void put(GeneratedValues.Said<V> said) {
-        said.by().put(said.kind(), said.key(), said.value());
+    private static <V> void put(GeneratedValues.GeneratedValue<V> generated) {
+        generated.router().put(generated.type(), generated.key(), generated.value());
     }
 
-    private void traffic(String what, SimulatedPeerGroup company, VirtualScheduler scheduler) {
-        int size = company.routers().size();
+    private void traffic(String label, SimulatedPeerGroup peerGroup, VirtualScheduler scheduler) {
+        int size = peerGroup.routers().size();
         int from = (int) (scheduler.now() - START);
-        long before = processor();
-        scheduler.runUntil(scheduler.now() + COUNTED);
-        double spent = (processor() - before) / 1e9;
-        TrafficMeter traffic = company.network().traffic();
+        long before = cpuNanos();
+        scheduler.runUntil(scheduler.now() + COUNT_SECONDS);
+        double spent = (cpuNanos() - before) / 1e9;
+        TrafficMeter traffic = peerGroup.network().traffic();
         line(
                 "%d routers, %s: %.0f bytes and %.1f packets sent a router a second, %d bytes the most of one in any second, "
                         + "%.3f%% of a core a router, network and all",
                 size,
-                what,
-                traffic.bytes(from, from + COUNTED),
-                traffic.packets(from, from + COUNTED),
-                traffic.most(from, from + COUNTED),
-                100 * spent / COUNTED / size);
+                label,
+                traffic.bytes(from, from + COUNT_SECONDS),
+                traffic.packets(from, from + COUNT_SECONDS),
+                traffic.maxBytes(from, from + COUNT_SECONDS),
+                100 * spent / COUNT_SECONDS / size);
     }
 
-    private static long processor() {
+    private static long cpuNanos() {
         return ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
     }
 
@@ -161,46 +173,49 @@
      * Measures the seconds from the return of a router that was away for a minute until it has all {@code marks}
      * last-write positions written meanwhile.
      */
-    public void catchUp(int marks) {
-        catchUp("cut off", SharingFault.Kind.SPLIT, marks);
-        catchUp("frozen", SharingFault.Kind.FREEZE, marks);
-        catchUp("killed", SharingFault.Kind.KILL, marks);
+    public void catchUp(int writes) {
+        catchUp("cut off", SharingFault.Kind.SPLIT, writes);
+        catchUp("frozen", SharingFault.Kind.FREEZE, writes);
+        catchUp("killed", SharingFault.Kind.KILL, writes);
     }
 
-    private void catchUp(String what, SharingFault.Kind kind, int marks) {
+    private void catchUp(String label, SharingFault.Kind kind, int writes) {
         var scheduler = new VirtualScheduler(START);
-        var plan = new FaultPlan(List.of(new SharingFault(SETTLED, kind, List.of(0), AWAY, 0)));
-        SimulatedPeerGroup company = company(scheduler, spec, plan, seed);
-        for (int i = 0; i < marks; i++) {
+        var plan = new FaultPlan(List.of(new SharingFault(SETTLE_SECONDS, kind, List.of(0), AWAY_SECONDS, 0)));
+        SimulatedPeerGroup peerGroup = peerGroup(scheduler, spec, plan, seed);
+        for (int i = 0; i < writes; i++) {
             int number = i;
-            double at = START + SETTLED + (AWAY - 1) * i / marks;
-            scheduler.scheduleAt(at, () -> company.routers()
+            double at = START + SETTLE_SECONDS + (AWAY_SECONDS - 1) * i / writes;
+            scheduler.scheduleAt(at, () -> peerGroup
+                    .routers()
                     .get(1 + number % (spec.routers() - 1))
                     .put(SessionWrite.TYPE, "s" + number, new SessionWrite(at, 1)));
         }
-        double back = START + SETTLED + AWAY;
-        scheduler.runUntil(back);
-        PeeredRouter away = company.routers().get(0);
-        double full = Double.NaN;
-        double certain = Double.NaN;
-        while (Double.isNaN(certain) && scheduler.now() < back + GIVEN_UP) {
-            scheduler.runUntil(scheduler.now() + LOOK);
-            full = Double.isNaN(full) && away.shared().size(SessionWrite.TYPE) >= marks ? scheduler.now() - back : full;
-            certain = !Double.isNaN(full) && away.shared().completeUpTo(away.now()) > back
-                    ? scheduler.now() - back
+        double returnedAt = START + SETTLE_SECONDS + AWAY_SECONDS;
+        scheduler.runUntil(returnedAt);
+        PeeredRouter away = peerGroup.routers().get(0);
+        double completeAfter = Double.NaN;
+        double certainAfter = Double.NaN;
+        while (Double.isNaN(certainAfter) && scheduler.now() < returnedAt + MAX_CATCH_UP_SECONDS) {
+            scheduler.runUntil(scheduler.now() + CHECK_INTERVAL);
+            completeAfter = Double.isNaN(completeAfter) && away.store().size(SessionWrite.TYPE) >= writes
+                    ? scheduler.now() - returnedAt
+                    : completeAfter;
+            certainAfter = !Double.isNaN(completeAfter) && away.store().completeUpTo(away.now()) > returnedAt
+                    ? scheduler.now() - returnedAt
                     : Double.NaN;
         }
-        int from = (int) (back - START);
-        TrafficMeter traffic = company.network().traffic();
+        int from = (int) (returnedAt - START);
+        TrafficMeter traffic = peerGroup.network().traffic();
         line(
                 "%d routers, one %s for %.0f s: all %d marks after %.2f s, certain of them after %.2f s; %d bytes the most that any "
                         + "sent in a second meanwhile",
                 spec.routers(),
-                what,
-                AWAY,
-                marks,
-                full,
-                certain,
-                traffic.most(from, from + 1 + (int) Math.ceil(certain)));
+                label,
+                AWAY_SECONDS,
+                writes,
+                completeAfter,
+                certainAfter,
+                traffic.maxBytes(from, from + 1 + (int) Math.ceil(certainAfter)));
     }
 }
--- a/lab/src/main/java/clayhook/lab/sharing/SharingPlay.java
+++ b/lab/src/main/java/clayhook/lab/sharing/SharingPlay.java
@@ -7,7 +7,7 @@
  * @param settle seconds after the last fault within which all routers must agree
  * @param entries number of last-write positions that a router that was away must catch up on
  */
-public record SharingPlay(What what, int faults, double settle, int entries) {
+public record SharingPlay(What task, int faults, double settle, int entries) {
     /** A sweep over seeds with random faults; or a measurement of update latency, of traffic, or of catching up. */
     public enum What {
         SWEEP,
--- a/lab/src/main/java/clayhook/lab/sharing/SharingSweep.java
+++ b/lab/src/main/java/clayhook/lab/sharing/SharingSweep.java
@@ -12,28 +12,28 @@
  */
 public final class SharingSweep {
     /** Maximum number of failures that are shrunk; one is enough to find the cause. */
-    private static final int SHRUNK = 3;
+    private static final int MAX_SHRUNK = 3;
 
     /**
      * A failed trial.
      *
      * @param plan the fewest and shortest faults with which the seed still fails
-     * @param broken the condition that was violated with them
+     * @param violation the condition that was violated with them
      */
-    public record Found(int seed, FaultPlan plan, String broken) {
+    public record ShrunkFailure(int seed, FaultPlan plan, String violation) {
         @Override
         public String toString() {
-            return "seed " + seed + ": " + broken + "\n" + plan;
+            return "seed " + seed + ": " + violation + "\n" + plan;
         }
     }
 
     /**
      * The result of a sweep.
      *
-     * @param healed seconds from the end of faults and updates until all routers agreed, in ascending order, of the
-     *     trials in which they did
+     * @param agreementSeconds seconds from the end of faults and updates until all routers agreed, in ascending order,
+     *     of the trials in which they did
      */
-    public record Result(int played, int failed, List<Found> found, double[] healed) {
+    public record Result(int played, int failed, List<ShrunkFailure> shrunkFailures, double[] agreementSeconds) {
         @Override
         public String toString() {
             return String.format(
@@ -42,32 +42,34 @@
                             + "percentile, %.2f s at the most",
                     played,
                     failed,
-                    at(0.5),
-                    at(0.99),
-                    at(1));
+                    percentile(0.5),
+                    percentile(0.99),
+                    percentile(1));
         }
 
-        private double at(double part) {
-            return healed.length == 0 ? Double.NaN : healed[(int) Math.round(part * (healed.length - 1))];
+        private double percentile(double fraction) {
+            return agreementSeconds.length == 0
+                    ? Double.NaN
+                    : agreementSeconds[(int) Math.round(fraction * (agreementSeconds.length - 1))];
         }
     }
 
     private final SharingTrial.Spec spec;
-    private final List<ReplicatedType<?>> kinds;
+    private final List<ReplicatedType<?>> types;
     private final FaultPlan given;
     private final int faults;
 
     /** @param given faults of all trials; if empty, {@code faults} faults are drawn for each trial */
-    public SharingSweep(SharingTrial.Spec spec, List<ReplicatedType<?>> kinds, FaultPlan given, int faults) {
+    public SharingSweep(SharingTrial.Spec spec, List<ReplicatedType<?>> types, FaultPlan given, int faults) {
         this.spec = spec;
-        this.kinds = kinds;
+        this.types = types;
         this.given = given;
         this.faults = faults;
     }
 
     private FaultPlan plan(int seed) {
         return given.faults().isEmpty()
-                ? FaultPlan.drawn(seed, faults, spec.company().routers(), spec.seconds())
+                ? FaultPlan.draw(seed, faults, spec.peerGroup().routers(), spec.seconds())
                 : given;
     }
 
@@ -76,26 +78,26 @@
         SharingTrial.Verdict[] verdicts = new SharingTrial.Verdict[seeds.size()];
         IntStream.range(0, seeds.size())
                 .parallel()
-                .forEach(i -> verdicts[i] = SharingTrial.play(spec, kinds, plan(seeds.get(i)), seeds.get(i)));
+                .forEach(i -> verdicts[i] = SharingTrial.play(spec, types, plan(seeds.get(i)), seeds.get(i)));
         int[] failed = IntStream.range(0, verdicts.length)
-                .filter(i -> verdicts[i].broken() != null)
+                .filter(i -> verdicts[i].violation() != null)
                 .toArray();
-        List<Found> found = Arrays.stream(failed)
-                .limit(SHRUNK)
-                .mapToObj(i -> shrunk(seeds.get(i)))
+        List<ShrunkFailure> shrunkFailures = Arrays.stream(failed)
+                .limit(MAX_SHRUNK)
+                .mapToObj(i -> shrink(seeds.get(i)))
                 .toList();
-        double[] healed = Arrays.stream(verdicts)
-                .filter(verdict -> verdict.broken() == null)
-                .mapToDouble(SharingTrial.Verdict::healed)
+        double[] agreementSeconds = Arrays.stream(verdicts)
+                .filter(verdict -> verdict.violation() == null)
+                .mapToDouble(SharingTrial.Verdict::agreementSeconds)
                 .sorted()
                 .toArray();
-        return new Result(seeds.size(), failed.length, found, healed);
+        return new Result(seeds.size(), failed.length, shrunkFailures, agreementSeconds);
     }
 
-    private Found shrunk(int seed) {
+    private ShrunkFailure shrink(int seed) {
         FaultPlan least = plan(seed)
-                .shrunk(plan -> SharingTrial.play(spec, kinds, plan, seed).broken() != null);
-        return new Found(
-                seed, least, SharingTrial.play(spec, kinds, least, seed).broken());
+                .shrink(plan -> SharingTrial.play(spec, types, plan, seed).violation() != null);
+        return new ShrunkFailure(
+                seed, least, SharingTrial.play(spec, types, least, seed).violation());
     }
 }
--- a/lab/src/main/java/clayhook/lab/sharing/SharingTrial.java
+++ b/lab/src/main/java/clayhook/lab/sharing/SharingTrial.java
@@ -10,7 +10,7 @@
 import clayhook.fleet.types.SessionWrite;
 import clayhook.fleet.types.WriteOutcome;
 import clayhook.lab.model.VirtualScheduler;
-import clayhook.lab.sharing.GeneratedValues.Said;
+import clayhook.lab.sharing.GeneratedValues.GeneratedValue;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -31,19 +31,19 @@
      * Minimum seconds between the answer to a write and the session's read at another router, and the maximum by which
      * the read comes later.
      */
-    private static final double ROAM = 0.5, ROAMING = 5;
+    private static final double MIN_ROAM_SECONDS = 0.5, ROAM_RANGE_SECONDS = 5;
     /**
      * Maximum clock offset in seconds for guarantees that hold only if clocks agree; network delays make the offset
      * measurement that inaccurate.
      */
-    private static final double CLOCKS = 0.1;
+    private static final double MAX_CLOCK_OFFSET = 0.1;
     /** Seconds before the end of its retention from which an entry may be missing in copies. */
-    private static final double FADING = 8;
+    private static final double EXPIRY_MARGIN = 8;
     /** Seconds between two checks whether all routers agree. */
-    private static final double LOOK = 0.25;
+    private static final double CHECK_INTERVAL = 0.25;
 
     /** The replicated types that routers share, ordered by type number. */
-    public static final List<ReplicatedType<?>> KINDS =
+    public static final List<ReplicatedType<?>> TYPES =
             List.of(NodeObservation.TYPE, ListedEndpoint.TYPE, SessionWrite.TYPE, WriteOutcome.TYPE, QuotaUsage.TYPE);
 
     /**
@@ -53,114 +53,118 @@
      * @param settle seconds after that within which all routers must agree
      * @param rate updates per second over all routers
      */
-    public record Spec(SimulatedPeerGroup.Spec company, double seconds, double settle, double rate) {}
+    public record Spec(SimulatedPeerGroup.Spec peerGroup, double seconds, double settle, double rate) {}
 
     /**
      * The result of a trial.
      *
-     * @param broken the first condition that was violated, and when; null if none
-     * @param healed seconds from the end of faults and updates until all routers agreed
+     * @param violation the first condition that was violated, and when; null if none
+     * @param agreementSeconds seconds from the end of faults and updates until all routers agreed
      */
-    public record Verdict(String broken, double healed) {}
+    public record Verdict(String violation, double agreementSeconds) {}
 
     private final VirtualScheduler scheduler = new VirtualScheduler(START);
     private final Spec spec;
-    private final List<ReplicatedType<?>> kinds;
-    private final SimulatedPeerGroup company;
-    private final GeneratedValues learning;
+    private final List<ReplicatedType<?>> types;
+    private final SimulatedPeerGroup peerGroup;
+    private final GeneratedValues generator;
     private final SplittableRandom random;
     /** All values that were put in. */
-    private final List<Said<?>> said = new ArrayList<>();
+    private final List<GeneratedValue<?>> putValues = new ArrayList<>();
 
-    private final Map<ReplicatedStore, SessionConsistency> needs = new HashMap<>();
+    private final Map<ReplicatedStore, SessionConsistency> consistencyByStore = new HashMap<>();
     private final double end;
-    private String broken;
+    private String violation;
 
-    /** @param kinds {@link #KINDS}, possibly with deliberately broken types */
-    private SharingTrial(Spec spec, List<ReplicatedType<?>> kinds, FaultPlan plan, long seed) {
+    /** @param types {@link #KINDS}, possibly with deliberately broken types */
+    private SharingTrial(Spec spec, List<ReplicatedType<?>> types, FaultPlan plan, long seed) {
         this.spec = spec;
-        this.kinds = kinds;
+        this.types = types;
         random = new SplittableRandom(seed);
-        learning = new GeneratedValues(kinds, random.nextLong());
-        company = new SimulatedPeerGroup(
-                scheduler, spec.company(), plan, number -> RouterIncarnation.sharing(kinds), random.nextLong());
-        end = START + Math.max(spec.seconds(), plan.over());
-        news();
+        generator = new GeneratedValues(types, random.nextLong());
+        peerGroup = new SimulatedPeerGroup(
+                scheduler, spec.peerGroup(), plan, number -> RouterIncarnation.sharing(types), random.nextLong());
+        end = START + Math.max(spec.seconds(), plan.end());
+        scheduleNextUpdate();
     }
 
     /** Runs a trial; the same seed and plan give the same verdict. */
-    public static Verdict play(Spec spec, List<ReplicatedType<?>> kinds, FaultPlan plan, long seed) {
-        return new SharingTrial(spec, kinds, plan, seed).play();
+    public static Verdict play(Spec spec, List<ReplicatedType<?>> types, FaultPlan plan, long seed) {
+        return new SharingTrial(spec, types, plan, seed).play();
     }
 
     private Verdict play() {
         scheduler.runUntil(end);
-        String apart = company.disagreement(kinds);
-        while (apart != null && broken == null && scheduler.now() < end + spec.settle()) {
-            scheduler.runUntil(scheduler.now() + LOOK);
-            apart = company.disagreement(kinds);
+        String disagreement = peerGroup.disagreement(types);
+        while (disagreement != null && violation == null && scheduler.now() < end + spec.settle()) {
+            scheduler.runUntil(scheduler.now() + CHECK_INTERVAL);
+            disagreement = peerGroup.disagreement(types);
         }
-        broke(apart == null ? null : "no agreement: " + apart);
-        kinds.forEach(this::compare);
-        return new Verdict(broken, scheduler.now() - end);
+        recordViolation(disagreement == null ? null : "no agreement: " + disagreement);
+        types.forEach(this::checkCopies);
+        return new Verdict(violation, scheduler.now() - end);
     }
 
-    private void broke(String what) {
-        if (broken == null && what != null) {
-            broken = String.format(Locale.ROOT, "%.3f s: %s", scheduler.now() - START, what);
+    private void recordViolation(String what) {
+        if (violation == null && what != null) {
+            violation = String.format(Locale.ROOT, "%.3f s: %s", scheduler.now() - START, what);
         }
     }
 
     // ---- updates ----
 
-    private void news() {
+    private void scheduleNextUpdate() {
         scheduler.scheduleAfter(random.nextExponential() / spec.rate(), () -> {
             if (scheduler.now() < end) {
-                learn(company.routers().get(random.nextInt(company.routers().size())));
-                news();
+                putNextValue(peerGroup
+                        .routers()
+                        .get(random.nextInt(peerGroup.routers().size())));
+                scheduleNextUpdate();
             }
         });
     }
 
-    private void learn(PeeredRouter by) {
-        Said<?> next = by.awake() ? learning.next(by, scheduler.now()) : null;
-        if (next != null && put(next) && next.kind() == SessionWrite.TYPE) {
+    private void putNextValue(PeeredRouter router) {
+        GeneratedValue<?> next = router.awake() ? generator.next(router, scheduler.now()) : null;
+        if (next != null && put(next) && next.type() == SessionWrite.TYPE) {
             roam(next);
         }
     }
 
-    private <V> boolean put(Said<V> next) {
-        boolean taken = next.by().put(next.kind(), next.key(), next.value()) != null;
-        if (taken) {
-            said.add(next);
+    private <V> boolean put(GeneratedValue<V> next) {
+        boolean merged = next.router().put(next.type(), next.key(), next.value()) != null;
+        if (merged) {
+            putValues.add(next);
         }
-        return taken;
+        return merged;
     }
 
     // ---- sessions that read their writes at another router ----
 
-    private void roam(Said<?> mark) {
-        PeeredRouter to = company.routers().get(random.nextInt(company.routers().size()));
-        scheduler.scheduleAfter(ROAM + ROAMING * random.nextDouble(), () -> {
+    private void roam(GeneratedValue<?> write) {
+        PeeredRouter to =
+                peerGroup.routers().get(random.nextInt(peerGroup.routers().size()));
+        scheduler.scheduleAfter(MIN_ROAM_SECONDS + ROAM_RANGE_SECONDS * random.nextDouble(), () -> {
             if (to.awake()) {
-                read(mark, to);
+                read(write, to);
             }
         });
     }
 
-    private void read(Said<?> mark, PeeredRouter at) {
-        SessionConsistency marks = needs.computeIfAbsent(at.shared(), shared -> new SessionConsistency(shared, ROAM));
-        marks.publish(at.now());
-        double need = marks.requiredPosition(SessionWrite.key(mark.key()), at.now());
-        if (need < mark.at() && promised(mark, at)) {
-            broke(String.format(
+    private void read(GeneratedValue<?> write, PeeredRouter at) {
+        SessionConsistency consistency = consistencyByStore.computeIfAbsent(
+                at.store(), shared -> new SessionConsistency(shared, MIN_ROAM_SECONDS));
+        consistency.publish(at.now());
+        double need = consistency.requiredPosition(SessionWrite.key(write.key()), at.now());
+        if (need < write.at() && guaranteed(write, at)) {
+            recordViolation(String.format(
                     Locale.ROOT,
                     "session %s wrote at %s and came to %s %.3f s later, which asks for %.3f s less",
-                    mark.key(),
-                    mark.by(),
+                    write.key(),
+                    write.router(),
                     at,
-                    scheduler.now() - mark.at(),
-                    mark.at() - need));
+                    scheduler.now() - write.at(),
+                    write.at() - need));
         }
     }
 
@@ -168,51 +172,53 @@
      * Returns whether the session must read its write here: not if the incarnation that took the write has ended or may
      * have ended, nor if a clock is off.
      */
-    private boolean promised(Said<?> mark, PeeredRouter at) {
-        Member writer =
-                mark.by().roster() == null ? null : mark.by().roster().self().member();
-        boolean lives = mark.by().lives() == mark.life()
+    private boolean guaranteed(GeneratedValue<?> write, PeeredRouter at) {
+        Member writer = write.router().membership() == null
+                ? null
+                : write.router().membership().self().member();
+        boolean current = write.router().incarnations() == write.incarnation()
                 && writer != null
-                && (mark.by() == at || at.roster().possiblyServing(at.now()).contains(writer));
-        return lives
-                && Math.abs(at.now() - scheduler.now()) < CLOCKS
-                && scheduler.now() - mark.at() > ROAM + CLOCKS
-                && Math.abs(mark.by().now() - scheduler.now()) < CLOCKS;
+                && (write.router() == at
+                        || at.membership().possiblyServing(at.now()).contains(writer));
+        return current
+                && Math.abs(at.now() - scheduler.now()) < MAX_CLOCK_OFFSET
+                && scheduler.now() - write.at() > MIN_ROAM_SECONDS + MAX_CLOCK_OFFSET
+                && Math.abs(write.router().now() - scheduler.now()) < MAX_CLOCK_OFFSET;
     }
 
     // ---- contents of the copies at the end ----
 
-    private <V> void compare(ReplicatedType<V> kind) {
-        ReplicatedType<V> right = right(kind);
-        var must = new HashMap<String, V>();
-        var may = new HashMap<String, V>();
-        for (Said<?> each : said) {
-            if (each.kind() == kind) {
-                Said<V> mine = own(each);
-                may.merge(mine.key(), mine.value(), right::merge);
-                if (mine.life() == mine.by().lives() && lasts(kind, mine)) {
-                    must.merge(mine.key(), mine.value(), right::merge);
+    private <V> void checkCopies(ReplicatedType<V> type) {
+        ReplicatedType<V> standard = standardType(type);
+        var required = new HashMap<String, V>();
+        var allowed = new HashMap<String, V>();
+        for (GeneratedValue<?> value : putValues) {
+            if (value.type() == type) {
+                GeneratedValue<V> own = cast(value);
+                allowed.merge(own.key(), own.value(), standard::merge);
+                if (own.incarnation() == own.router().incarnations() && mustBePresent(type, own)) {
+                    required.merge(own.key(), own.value(), standard::merge);
                 }
             }
         }
-        for (PeeredRouter router : company.routers()) {
-            must.forEach((key, value) -> {
-                V has = router.shared().get(kind, key);
-                broke(
-                        has != null && right.merge(has, value).equals(has)
+        for (PeeredRouter router : peerGroup.routers()) {
+            required.forEach((key, value) -> {
+                V actual = router.store().get(type, key);
+                recordViolation(
+                        actual != null && standard.merge(actual, value).equals(actual)
                                 ? null
-                                : router + " lacks of " + kind.name() + " " + key + ": " + value + ", has " + has);
+                                : router + " lacks of " + type.name() + " " + key + ": " + value + ", has " + actual);
             });
-            router.shared()
+            router.store()
                     .forEach(
-                            kind,
-                            (key, has) -> broke(
-                                    may.containsKey(key)
-                                                    && right.merge(may.get(key), has)
-                                                            .equals(may.get(key))
+                            type,
+                            (key, actual) -> recordViolation(
+                                    allowed.containsKey(key)
+                                                    && standard.merge(allowed.get(key), actual)
+                                                            .equals(allowed.get(key))
                                             ? null
-                                            : router + " has of " + kind.name() + " what nobody put in, under " + key
-                                                    + ": " + has));
+                                            : router + " has of " + type.name() + " what nobody put in, under " + key
+                                                    + ": " + actual));
         }
     }
 
@@ -220,21 +226,21 @@
      * Returns whether copies must still contain the value: its retention has not nearly ended, and no clock offset kept
      * it from being accepted.
      */
-    private <V> boolean lasts(ReplicatedType<V> kind, Said<V> mine) {
-        return kind.timestamp(mine.value()) + kind.retentionSeconds() > scheduler.now() + FADING
-                && (!kind.clockDependent() || Math.abs(mine.by().now() - scheduler.now()) < CLOCKS);
+    private <V> boolean mustBePresent(ReplicatedType<V> type, GeneratedValue<V> own) {
+        return type.timestamp(own.value()) + type.retentionSeconds() > scheduler.now() + EXPIRY_MARGIN
+                && (!type.clockDependent() || Math.abs(own.router().now() - scheduler.now()) < MAX_CLOCK_OFFSET);
     }
 
     @SuppressWarnings("unchecked") // the same type number implies the same value type
-    private static <V> ReplicatedType<V> right(ReplicatedType<V> kind) {
-        return (ReplicatedType<V>) KINDS.stream()
-                .filter(one -> one.typeNumber() == kind.typeNumber())
+    private static <V> ReplicatedType<V> standardType(ReplicatedType<V> type) {
+        return (ReplicatedType<V>) TYPES.stream()
+                .filter(candidate -> candidate.typeNumber() == type.typeNumber())
                 .findFirst()
-                .orElse(kind);
+                .orElse(type);
     }
 
     @SuppressWarnings("unchecked") // the caller compared the type
-    private static <V> Said<V> own(Said<?> each) {
-        return (Said<V>) each;
+    private static <V> GeneratedValue<V> cast(GeneratedValue<?> value) {
+        return (GeneratedValue<V>) value;
     }
 }
--- a/lab/src/main/java/clayhook/lab/sharing/SimulatedNetwork.java
+++ b/lab/src/main/java/clayhook/lab/sharing/SimulatedNetwork.java
@@ -14,24 +14,24 @@
  */
 public final class SimulatedNetwork {
     /** Spread of the latency: the sigma of its logarithm, as within one data center. */
-    private static final double SPREAD = 0.4;
+    private static final double LATENCY_SIGMA = 0.4;
     /** Maximum seconds for which a packet is held back so that others overtake it. */
-    private static final double HELD_BACK = 0.5;
+    private static final double MAX_HOLD_BACK_SECONDS = 0.5;
     /** Seconds of traffic that the sender queues for a slow link; packets beyond that are lost. */
-    private static final double QUEUED = 1;
+    private static final double MAX_QUEUE_SECONDS = 1;
 
     /** Receives the packets sent to an address. */
     interface Receiver {
-        void heard(Address from, byte[] bytes);
+        void onDatagram(Address from, byte[] bytes);
     }
 
-    private record Place(int router, Receiver receiver) {}
+    private record Registration(int router, Receiver receiver) {}
 
     private final Scheduler scheduler;
-    private final double way;
+    private final double medianLatency;
     private final double loss;
     private final SplittableRandom random;
-    private final Map<Address, Place> places = new HashMap<>();
+    private final Map<Address, Registration> registrations = new HashMap<>();
     /** Active faults; each is removed when it ends. */
     private final List<SharingFault> faults = new ArrayList<>();
     /** Time at which the slow link of each router has sent its queue, by router number. */
@@ -40,27 +40,27 @@
     private final TrafficMeter traffic;
 
     /**
-     * @param way median latency of a packet in seconds
+     * @param medianLatency median latency of a packet in seconds
      * @param loss fraction of packets lost without any fault
      */
-    SimulatedNetwork(Scheduler scheduler, int routers, double way, double loss, long seed) {
+    SimulatedNetwork(Scheduler scheduler, int routers, double medianLatency, double loss, long seed) {
         this.scheduler = scheduler;
-        this.way = way;
+        this.medianLatency = medianLatency;
         this.loss = loss;
         random = new SplittableRandom(seed);
         freeAt = new double[routers];
         traffic = new TrafficMeter(routers, scheduler.now());
     }
 
-    void place(Address address, int router, Receiver receiver) {
-        places.put(address, new Place(router, receiver));
+    void register(Address address, int router, Receiver receiver) {
+        registrations.put(address, new Registration(router, receiver));
     }
 
-    void begin(SharingFault fault) {
+    void startFault(SharingFault fault) {
         faults.add(fault);
     }
 
-    void end(SharingFault fault) {
+    void endFault(SharingFault fault) {
         faults.remove(fault);
     }
 
@@ -70,53 +70,54 @@
 
     /** Sends a packet; the network owns the bytes from then on. */
     void send(Address from, Address to, byte[] bytes) {
-        int sender = places.get(from).router();
+        int sender = registrations.get(from).router();
         traffic.sent(sender, bytes.length, scheduler.now());
-        Place place = places.get(to);
-        if (place == null || random.nextDouble() < loss) {
+        Registration destination = registrations.get(to);
+        if (destination == null || random.nextDouble() < loss) {
             return;
         }
-        double late = 0;
-        boolean twice = false;
-        byte[] carried = bytes;
+        double delaySeconds = 0;
+        boolean duplicated = false;
+        byte[] payload = bytes;
         for (SharingFault fault : faults) {
-            if (fault.parts(sender, place.router())) {
+            if (fault.separates(sender, destination.router())) {
                 return;
             }
-            boolean hit = fault.strikes(sender);
-            boolean struck = hit && random.nextDouble() < fault.amount();
+            boolean applies = fault.affects(sender);
+            boolean affected = applies && random.nextDouble() < fault.amount();
             switch (fault.kind()) {
                 case LOSS -> {
-                    if (struck) {
+                    if (affected) {
                         return;
                     }
                 }
-                case DELAY -> late += hit ? fault.amount() * random.nextExponential() : 0;
-                case DOUBLE -> twice |= struck;
-                case REORDER -> late += struck ? HELD_BACK * random.nextDouble() : 0;
-                case GARBLE -> carried = struck ? spoilt(carried) : carried;
-                case SLOW -> late += hit ? queued(sender, bytes.length, fault.amount()) : 0;
+                case DELAY -> delaySeconds += applies ? fault.amount() * random.nextExponential() : 0;
+                case DOUBLE -> duplicated |= affected;
+                case REORDER -> delaySeconds += affected ? MAX_HOLD_BACK_SECONDS * random.nextDouble() : 0;
+                case GARBLE -> payload = affected ? corrupt(payload) : payload;
+                case SLOW -> delaySeconds += applies ? linkDelaySeconds(sender, bytes.length, fault.amount()) : 0;
                 default -> {}
             }
         }
-        for (int copies = twice ? 2 : 1; copies > 0 && late < Double.POSITIVE_INFINITY; copies--) {
-            byte[] arriving = carried;
-            scheduler.scheduleAfter(late + way * Math.exp(SPREAD * random.nextGaussian()), () -> place.receiver()
-                    .heard(from, arriving));
+        for (int copies = duplicated ? 2 : 1; copies > 0 && delaySeconds < Double.POSITIVE_INFINITY; copies--) {
+            byte[] arriving = payload;
+            scheduler.scheduleAfter(
+                    delaySeconds + medianLatency * Math.exp(LATENCY_SIGMA * random.nextGaussian()),
+                    () -> destination.receiver().onDatagram(from, arriving));
         }
     }
 
     /** Seconds until the slow link has sent the packet; infinite if its queue is full. */
-    private double queued(int sender, int bytes, double rate) {
+    private double linkDelaySeconds(int sender, int bytes, double rate) {
         double free = Math.max(scheduler.now(), freeAt[sender]) + bytes / rate;
-        if (free - scheduler.now() > QUEUED) {
+        if (free - scheduler.now() > MAX_QUEUE_SECONDS) {
             return Double.POSITIVE_INFINITY;
         }
         freeAt[sender] = free;
         return free - scheduler.now();
     }
 
-    private byte[] spoilt(byte[] bytes) {
+    private byte[] corrupt(byte[] bytes) {
         byte[] other = bytes.clone();
         other[random.nextInt(other.length)] ^= (byte) (1 + random.nextInt(255));
         return other;
--- a/lab/src/main/java/clayhook/lab/sharing/TrafficMeter.java
+++ b/lab/src/main/java/clayhook/lab/sharing/TrafficMeter.java
@@ -61,7 +61,7 @@
     }
 
     /** Maximum number of bytes that any router sent in any of the given seconds. */
-    public long most(int from, int until) {
+    public long maxBytes(int from, int until) {
         return seconds(from, until)
                 .mapToLong(s -> IntStream.range(0, routers)
                         .mapToLong(r -> seconds.get(s).bytes[r])
--- a/lab/src/test/java/clayhook/lab/ExperimentTest.java
+++ b/lab/src/test/java/clayhook/lab/ExperimentTest.java
@@ -58,7 +58,7 @@
     @Test
     void aPlanOfFaultsIsPrintedAsItIsRead() throws Exception {
         for (int seed = 1; seed <= 50; seed++) {
-            String printed = FaultPlan.drawn(seed, 12, 12, 90).toString();
+            String printed = FaultPlan.draw(seed, 12, 12, 90).toString();
             assertEquals(
                     printed, read(printed + "\n" + COMMAND).peers().faults().toString());
         }
--- a/lab/src/test/java/clayhook/lab/sharing/SharingTrialTest.java
+++ b/lab/src/test/java/clayhook/lab/sharing/SharingTrialTest.java
@@ -42,8 +42,8 @@
     @Test
     void whateverBefallsAllAgreeInTheEnd() {
         SharingSweep.Result result =
-                new SharingSweep(SPEC, SharingTrial.KINDS, FaultPlan.NONE, FAULTS).play(seeds(SEEDS));
-        assertEquals(List.of(), result.found(), result::toString);
+                new SharingSweep(SPEC, SharingTrial.TYPES, FaultPlan.NONE, FAULTS).play(seeds(SEEDS));
+        assertEquals(List.of(), result.shrunkFailures(), result::toString);
         assertEquals(0, result.failed());
     }
 
@@ -109,27 +109,27 @@
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3, 4})
     void aBrokenJoinIsFoundAndToldBySeedAndStep(int which) {
-        var kinds = new ArrayList<>(SharingTrial.KINDS);
+        var kinds = new ArrayList<>(SharingTrial.TYPES);
         kinds.set(which, new Broken<>(kinds.get(which)));
         SharingSweep.Result result = new SharingSweep(SPEC, kinds, FaultPlan.NONE, FAULTS).play(seeds(2));
         assertTrue(result.failed() > 0, result::toString);
-        SharingSweep.Found found = result.found().get(0);
+        SharingSweep.ShrunkFailure found = result.shrunkFailures().get(0);
         assertTrue(
-                found.broken().contains(kinds.get(which).name())
+                found.violation().contains(kinds.get(which).name())
                         && found.plan().faults().size() < FAULTS,
                 found::toString);
         assertEquals(
-                found.broken(),
-                SharingTrial.play(SPEC, kinds, found.plan(), found.seed()).broken());
+                found.violation(),
+                SharingTrial.play(SPEC, kinds, found.plan(), found.seed()).violation());
     }
 
     @Test
     void aFailureIsShrunkToTheFaultsThatItNeeds() {
-        FaultPlan drawn = FaultPlan.drawn(5, 40, 12, 90);
-        assertEquals(drawn, FaultPlan.drawn(5, 40, 12, 90));
-        assertTrue(drawn.over() <= 90);
+        FaultPlan drawn = FaultPlan.draw(5, 40, 12, 90);
+        assertEquals(drawn, FaultPlan.draw(5, 40, 12, 90));
+        assertTrue(drawn.end() <= 90);
         FaultPlan least =
-                drawn.shrunk(plan -> plan.faults().stream().anyMatch(f -> f.kind() == Kind.SPLIT && f.lasts() > 1)
+                drawn.shrink(plan -> plan.faults().stream().anyMatch(f -> f.kind() == Kind.SPLIT && f.lasts() > 1)
                         && plan.faults().stream().anyMatch(f -> f.kind() == Kind.KILL));
         assertEquals(2, least.faults().size(), least::toString);
         assertTrue(
@@ -161,7 +161,7 @@
         int[] counts = new int[2];
         double[] last = new double[1];
         for (int i = 0; i < 3; i++) {
-            network.place(PeeredRouter.address(i), i, (from, bytes) -> {
+            network.register(PeeredRouter.address(i), i, (from, bytes) -> {
                 counts[0]++;
                 counts[1] += bytes[0] == 1 && bytes[1] == 1 ? 0 : 1;
                 last[0] = Math.max(last[0], scheduler.now() - 100);
@@ -232,7 +232,7 @@
         var sharing = new PeeredFleet(spec.contact(), 0.0005, 0, plan);
         RunMetrics shared = new SimulatedFleet(spec, failures, 1, sharing).run(30);
         assertEquals(Map.of(), shared.broken(), shared::firstBroken);
-        assertNotNull(sharing.company());
-        assertEquals(null, sharing.company().disagreement(List.of()));
+        assertNotNull(sharing.peerGroup());
+        assertEquals(null, sharing.peerGroup().disagreement(List.of()));
     }
 }
