--- a/clustertests/src/main/java/clayhook/clustertests/HistoryRecorder.java
+++ b/clustertests/src/main/java/clayhook/clustertests/HistoryRecorder.java
@@ -124,7 +124,7 @@
 
     /** Records that the client of a request has closed its connection; it is owed no answer any more. */
     synchronized void onDisconnected(String id) {
-        audit.excused(id);
+        audit.excuse(id);
         attempts.onDisconnected(id);
     }
 
@@ -142,7 +142,7 @@
     synchronized void onAnswered(String id, boolean rejected, boolean served) {
         audit.answered(id, now());
         if (rejected) {
-            audit.throttled(id, now());
+            audit.rejected(id, now());
         } else if (served) {
             servedByRouter.merge(requests.get(id).router(), 1, Integer::sum);
         }
@@ -159,7 +159,7 @@
         RouterStatus status = routers.get(request.router());
         boolean connectionRefused = status.shuttingDown && StubClient.NO_CONNECTION.equals(instead);
         if (connectionRefused || status.down || status.changes != request.routerChanges()) {
-            audit.excused(id);
+            audit.excuse(id);
         } else if (firstUnansweredRequest == null) {
             firstUnansweredRequest = id + " of " + request.requestClass().name() + " at " + request.router()
                     + ", sent at " + ProcessStalls.format(request.at()) + ", got after " + (now() - request.at())
@@ -180,7 +180,7 @@
     synchronized void onExecuted(String id, Node node, double position) {
         SentRequest request = requests.get(id);
         if (request != null) {
-            audit.ran(id, node, position, requiredPosition(request), now());
+            audit.executed(id, node, position, requiredPosition(request), now());
             executions.merge(node, 1, Integer::sum);
         }
     }
@@ -197,7 +197,7 @@
 
     /** Records work, in seconds, of a node in slow start that completes {@code capacity} seconds of work per second. */
     synchronized void onWork(Node node, double work, double capacity) {
-        audit.worked(node, work, capacity, now());
+        audit.workAtColdNode(node, work, capacity, now());
     }
 
     // ---- results ----
@@ -217,11 +217,11 @@
      */
     public synchronized Map<RuleAudit.RuleKept, Integer> brokenRules() {
         audit.end(Double.POSITIVE_INFINITY);
-        return audit.broken();
+        return audit.violations();
     }
 
     /** Description of the first violation and of the first unanswered request, each null if there is none. */
     public synchronized String firstViolation() {
-        return audit.first() + ", " + firstUnansweredRequest;
+        return audit.firstViolation() + ", " + firstUnansweredRequest;
     }
 }
--- a/lab/src/main/java/clayhook/lab/model/LoopbackFleet.java
+++ b/lab/src/main/java/clayhook/lab/model/LoopbackFleet.java
@@ -127,7 +127,7 @@
                                     node.node.id(),
                                     node.cores.workedSeconds()
                                             / (seconds * spec.machine().cores())));
-                    metrics.ended(audit.broken(), audit.first(), nextId);
+                    metrics.ended(audit.violations(), audit.firstViolation(), nextId);
                     ended.countDown();
                 });
             });
@@ -229,7 +229,7 @@
                         Long.toString(nextId++),
                         scheduler.now(),
                         readsOwnWrites ? lastWritePositions[arrival.session()] : 0);
-                audit.sweep(scheduler.now());
+                audit.evictFinished(scheduler.now());
                 audit.sent(request.id, requestClass, request.arrivedAt + requestClass.clientTimeoutSeconds());
                 metrics.asked(requestClass, scheduler.now());
                 openRequests.put(request.id, request);
@@ -244,7 +244,7 @@
         RequestClass requestClass = request.arrival.kind().group();
         audit.answered(request.id, now);
         if (action == RoutingAction.REJECT) {
-            audit.throttled(request.id, now);
+            audit.rejected(request.id, now);
         } else if (action == RoutingAction.DONE
                 && requestClass.consistency() == ConsistencyLevel.WRITE
                 && request.arrival.session() >= 0) {
@@ -429,14 +429,14 @@
                         default -> 0;
                     };
             if (node.warmth() < 1) {
-                audit.worked(
+                audit.workAtColdNode(
                         node.node, request.arrival.work(), spec.machine().cores() * node.warmth(), scheduler.now());
             }
             job = new NodeJob(request.arrival.work(), scheduler.now(), finished -> {
                 double position = statement.isWrite
                         ? nodes.group(node.node.replicaSetId()).commit()
                         : node.position();
-                audit.ran(request.id, node.node, position, requiredPosition, scheduler.now());
+                audit.executed(request.id, node.node, position, requiredPosition, scheduler.now());
                 ctx.writeAndFlush(StubNode.row(Double.toString(position), role(node), millis(position), load(node)));
             });
             if (!node.cores.offer(job)) {
--- a/lab/src/main/java/clayhook/lab/model/RouterModel.java
+++ b/lab/src/main/java/clayhook/lab/model/RouterModel.java
@@ -253,11 +253,11 @@
         simulated.target = target;
         simulated.job = new NodeJob(workSeconds, scheduler.now(), done -> {
             double position = isWrite ? fleet.group(target.node.replicaSetId()).commit() : target.position();
-            fleet.audit().ran(attempt.request, target.node, position, requiredPosition, scheduler.now());
+            fleet.audit().executed(attempt.request, target.node, position, requiredPosition, scheduler.now());
             respond(attempt, simulated, incarnation, report(target, AttemptOutcome.ANSWERED));
         });
         if (target.warmth() < 1) {
-            fleet.audit().worked(target.node, workSeconds, fleet.coresPerNode() * target.warmth(), scheduler.now());
+            fleet.audit().workAtColdNode(target.node, workSeconds, fleet.coresPerNode() * target.warmth(), scheduler.now());
         }
         if (!target.cores.offer(simulated.job)) {
             respond(attempt, simulated, incarnation, report(target, AttemptOutcome.OVERLOADED));
--- a/lab/src/main/java/clayhook/lab/model/RuleAudit.java
+++ b/lab/src/main/java/clayhook/lab/model/RuleAudit.java
@@ -55,8 +55,8 @@
     private final double overloadFor;
     private final Map<Object, Entry> entries = new HashMap<>();
     private final Map<Node, Cold> cold = new HashMap<>();
-    private final Map<RuleKept, Integer> broken = new EnumMap<>(RuleKept.class);
-    private String first;
+    private final Map<RuleKept, Integer> violations = new EnumMap<>(RuleKept.class);
+    private String firstViolation;
     private double sweptAt;
 
     /**
@@ -71,18 +71,18 @@
     }
 
     /** Number of violations by rule; rules without violations are absent. */
-    public Map<RuleKept, Integer> broken() {
-        return Map.copyOf(broken);
+    public Map<RuleKept, Integer> violations() {
+        return Map.copyOf(violations);
     }
 
     /** Description of the first violation, or null. */
-    public String first() {
-        return first;
+    public String firstViolation() {
+        return firstViolation;
     }
 
     private void broke(RuleKept rule, String what, double now) {
-        broken.merge(rule, 1, Integer::sum);
-        first = first == null ? String.format(java.util.Locale.ROOT, "%.3f s: %s: %s", now, rule, what) : first;
+        violations.merge(rule, 1, Integer::sum);
+        firstViolation = firstViolation == null ? String.format(java.util.Locale.ROOT, "%.3f s: %s: %s", now, rule, what) : firstViolation;
     }
 
     public void sent(Object command, RequestClass group, double expires) {
@@ -106,7 +106,7 @@
      * Excuses the missing answer of a request whose router was killed or stopped while it held the request. Its
      * executions still count.
      */
-    public void excused(Object command) {
+    public void excuse(Object command) {
         Entry entry = entries.get(command);
         if (entry != null) {
             entry.excused = true;
@@ -114,7 +114,7 @@
     }
 
     /** Records that a router rejected a request, which promises the client that it has not run and will not run. */
-    public void throttled(Object command, double now) {
+    public void rejected(Object command, double now) {
         Entry entry = entries.get(command);
         if (entry != null && entry.ranAt != null && entry.group.idempotency() == Idempotency.NON_IDEMPOTENT) {
             broke(RuleKept.NO_DOUBLE_EFFECT, "throttled, but it ran at " + entry.ranAt.id(), now);
@@ -127,7 +127,7 @@
      * @param position applied position of the node
      * @param needed position that a read must cover
      */
-    public void ran(Object command, Node node, double position, double needed, double now) {
+    public void executed(Object command, Node node, double position, double needed, double now) {
         Entry entry = entries.get(command);
         if (entry == null) {
             return;
@@ -182,7 +182,7 @@
      * @param work core seconds of the request
      * @param capacity core seconds of work that the node can do per second now
      */
-    public void worked(Node node, double work, double capacity, double now) {
+    public void workAtColdNode(Node node, double work, double capacity, double now) {
         Cold window = cold.computeIfAbsent(node, any -> new Cold());
         if (now > window.since + overloadFor) {
             window.since = now;
@@ -199,7 +199,7 @@
      * Removes requests that can violate no rule any more, at most once per second. A request without a final answer
      * violates {@link RuleKept#ONE_ANSWER}.
      */
-    public void sweep(double now) {
+    public void evictFinished(double now) {
         if (now < sweptAt + 1) {
             return;
         }
--- a/lab/src/main/java/clayhook/lab/model/SimulatedFleet.java
+++ b/lab/src/main/java/clayhook/lab/model/SimulatedFleet.java
@@ -147,7 +147,7 @@
                 .forEach(node -> metrics.worked(
                         node.node.id(),
                         node.cores.workedSeconds() / (seconds * spec.machine().cores())));
-        metrics.ended(audit.broken(), audit.first(), scheduler.scheduledEvents());
+        metrics.ended(audit.violations(), audit.firstViolation(), scheduler.scheduledEvents());
         return metrics;
     }
 
@@ -174,7 +174,7 @@
                 : requiredPosition;
         var request = new SimulatedRequest(
                 arrival, requiredPosition, knownWritePosition, scheduler.now(), nextRequestNumber++);
-        audit.sweep(scheduler.now());
+        audit.evictFinished(scheduler.now());
         audit.sent(request, requestClass, request.deadline);
         metrics.asked(requestClass, scheduler.now());
         router.admit(request);
@@ -195,7 +195,7 @@
         double now = scheduler.now();
         audit.answered(request, now);
         if (action == RoutingAction.REJECT) {
-            audit.throttled(request, now);
+            audit.rejected(request, now);
         }
         metrics.answered(request.requestClass, action, now - request.arrivedAt, request.arrivedAt);
     }
--- a/lab/src/test/java/clayhook/lab/model/SimulatedFleetTest.java
+++ b/lab/src/test/java/clayhook/lab/model/SimulatedFleetTest.java
@@ -133,7 +133,7 @@
     private final Node other = new Node("2p", "b", 2);
 
     private void caught(RuleKept rule) {
-        assertEquals(Map.of(rule, 1), audit.broken(), audit.first());
+        assertEquals(Map.of(rule, 1), audit.violations(), audit.firstViolation());
     }
 
     @ParameterizedTest
@@ -144,7 +144,7 @@
             audit.answered("c", 9);
         }
         audit.end(20);
-        assertEquals(broken, audit.broken().getOrDefault(RuleKept.ONE_ANSWER, 0));
+        assertEquals(broken, audit.violations().getOrDefault(RuleKept.ONE_ANSWER, 0));
     }
 
     @Test
@@ -165,39 +165,39 @@
     void noEffectTwice(String name, boolean elsewhere, double again, int broken) {
         RequestClass group = name.equals("mutating") ? MUTATING : name.equals("keyed") ? KEYED : ANY;
         audit.sent("c", group, 10);
-        audit.ran("c", one, 1, 0, 1);
-        audit.ran("c", elsewhere ? other : one, 1, 0, again);
-        assertEquals(broken, audit.broken().getOrDefault(RuleKept.NO_DOUBLE_EFFECT, 0));
+        audit.executed("c", one, 1, 0, 1);
+        audit.executed("c", elsewhere ? other : one, 1, 0, again);
+        assertEquals(broken, audit.violations().getOrDefault(RuleKept.NO_DOUBLE_EFFECT, 0));
     }
 
     @Test
     void whatRanIsNotThrottled() {
         audit.sent("c", MUTATING, 10);
-        audit.ran("c", one, 1, 0, 1);
-        audit.throttled("c", 2);
+        audit.executed("c", one, 1, 0, 1);
+        audit.rejected("c", 2);
         caught(RuleKept.NO_DOUBLE_EFFECT);
     }
 
     @Test
     void nothingNewPastTheGrace() {
         audit.sentToDraining(one, 1, 1.2);
-        assertEquals(Map.of(), audit.broken());
+        assertEquals(Map.of(), audit.violations());
         audit.sentToDraining(one, 1, 1.3);
         caught(RuleKept.DRAINS);
     }
 
     @Test
     void noColdNodeIsPushedOver() {
-        audit.worked(one, 2, 0.3, 1);
-        assertEquals(Map.of(), audit.broken());
-        audit.worked(one, 1, 0.3, 2);
+        audit.workAtColdNode(one, 2, 0.3, 1);
+        assertEquals(Map.of(), audit.violations());
+        audit.workAtColdNode(one, 1, 0.3, 2);
         caught(RuleKept.COLD_NODES);
     }
 
     @Test
     void noReadIsStale() {
         audit.sent("c", BOUNDED, 10);
-        audit.ran("c", one, 4.7, 4.8, 5);
+        audit.executed("c", one, 4.7, 4.8, 5);
         caught(RuleKept.NO_STALE_READ);
     }
 }
