--- a/cli/src/main/java/clayhook/cli/LabCommand.java
+++ b/cli/src/main/java/clayhook/cli/LabCommand.java
@@ -114,7 +114,7 @@
                 System.setProperty("java.awt.headless", "true");
                 Files.writeString(report, Report.html(file.getFileName().toString(), experiment, played));
             }
-            return played.stream().flatMap(one -> one.runs().stream()).allMatch(run -> run.broken()
+            return played.stream().flatMap(one -> one.runs().stream()).allMatch(run -> run.violations()
                             .isEmpty())
                     ? Main.DONE
                     : Main.FAILED;
@@ -152,17 +152,17 @@
                     "%-24s %-18s %8s %8s %9s %8s %8s%n",
                     "variant", "command group", "in time", "p50 ms", "p99 ms", "thrott.", "failed");
             for (Played one : played) {
-                for (RequestClass group : one.runs().get(0).groups().keySet()) {
+                for (RequestClass group : one.runs().get(0).totalsByClass().keySet()) {
                     out.printf(
                             Locale.ROOT,
                             "%-24s %-18s %8.4f %8.1f %9.1f %8.4f %8.4f%n",
                             one.variant().name(),
                             group.name(),
-                            mean(one, group, of -> (double) of.inTime / of.asked),
+                            mean(one, group, of -> (double) of.inTime / of.requests),
                             mean(one, group, of -> of.times.getValueAtPercentile(50) / 1e3),
                             mean(one, group, of -> of.times.getValueAtPercentile(99) / 1e3),
-                            mean(one, group, of -> (double) of.throttled / of.asked),
-                            mean(one, group, of -> (double) of.failed / of.asked));
+                            mean(one, group, of -> (double) of.rejected / of.requests),
+                            mean(one, group, of -> (double) of.failed / of.requests));
                 }
             }
             out.println();
@@ -185,8 +185,8 @@
                                 .max()
                                 .orElse(0),
                         one.runs().stream()
-                                .filter(run -> run.firstBroken() != null)
-                                .map(RunMetrics::firstBroken)
+                                .filter(run -> run.firstViolation() != null)
+                                .map(RunMetrics::firstViolation)
                                 .findFirst()
                                 .orElse("kept"));
             }
@@ -198,8 +198,8 @@
 
         private static double mean(Played one, RequestClass group, Figure figure) {
             return one.runs().stream()
-                    .map(run -> run.groups().get(group))
-                    .filter(of -> of != null && of.asked > 0)
+                    .map(run -> run.totalsByClass().get(group))
+                    .filter(of -> of != null && of.requests > 0)
                     .mapToDouble(figure::of)
                     .average()
                     .orElse(0);
@@ -214,12 +214,12 @@
                 out.writeNumberField("service", run.service());
                 out.writeNumberField("events", run.events());
                 out.writeObjectFieldStart("groups");
-                for (var entry : run.groups().entrySet()) {
+                for (var entry : run.totalsByClass().entrySet()) {
                     RunMetrics.Totals of = entry.getValue();
                     out.writeObjectFieldStart(entry.getKey().name());
-                    out.writeNumberField("asked", of.asked);
+                    out.writeNumberField("asked", of.requests);
                     out.writeNumberField("in_time", of.inTime);
-                    out.writeNumberField("throttled", of.throttled);
+                    out.writeNumberField("throttled", of.rejected);
                     out.writeNumberField("failed", of.failed);
                     out.writeNumberField("p50_ms", of.times.getValueAtPercentile(50) / 1e3);
                     out.writeNumberField("p99_ms", of.times.getValueAtPercentile(99) / 1e3);
@@ -232,7 +232,7 @@
                 }
                 out.writeEndObject();
                 out.writeObjectFieldStart("broken");
-                for (var entry : run.broken().entrySet()) {
+                for (var entry : run.violations().entrySet()) {
                     out.writeNumberField(entry.getKey().name().toLowerCase(Locale.ROOT), entry.getValue());
                 }
                 out.writeEndObject();
--- a/cli/src/main/java/clayhook/cli/TryCommand.java
+++ b/cli/src/main/java/clayhook/cli/TryCommand.java
@@ -50,17 +50,17 @@
                 Locale.ROOT,
                 "Service %.4f of 1; rules %s.%n",
                 tally.service(),
-                tally.firstBroken() == null ? "kept" : "broken: " + tally.firstBroken());
-        return tally.broken().isEmpty() ? Main.DONE : Main.FAILED;
+                tally.firstViolation() == null ? "kept" : "broken: " + tally.firstViolation());
+        return tally.violations().isEmpty() ? Main.DONE : Main.FAILED;
     }
 
     /** What came in the last second. */
     private static void show(RunMetrics so, long[] before) {
         long[] now = new long[4];
-        for (RunMetrics.Totals of : so.groups().values()) {
-            now[0] += of.asked;
+        for (RunMetrics.Totals of : so.totalsByClass().values()) {
+            now[0] += of.requests;
             now[1] += of.answered;
-            now[2] += of.throttled;
+            now[2] += of.rejected;
             now[3] += of.failed;
         }
         var seconds = new TreeMap<>(so.serviceBySecond());
--- a/lab/src/main/java/clayhook/lab/Report.java
+++ b/lab/src/main/java/clayhook/lab/Report.java
@@ -50,7 +50,7 @@
                     failure.lasts()));
         }
         picture(page, "Service by second of arrival, mean over seeds", service(played));
-        for (RequestClass group : played.get(0).runs().get(0).groups().keySet()) {
+        for (RequestClass group : played.get(0).runs().get(0).totalsByClass().keySet()) {
             picture(page, "Time to answer by percentile: " + group.name(), times(played, group));
         }
         picture(page, "Part of its cores' time that each node worked", busy(played));
@@ -64,7 +64,7 @@
             Played one = played.get(i);
             Interval gain = Comparison.gain(baseline, one);
             String broken = one.runs().stream()
-                    .map(RunMetrics::firstBroken)
+                    .map(RunMetrics::firstViolation)
                     .filter(first -> first != null)
                     .findFirst()
                     .orElse("kept");
@@ -101,9 +101,9 @@
                 double percentile = PERCENTILES[i];
                 ms[i] = mean(
                         one,
-                        run -> run.groups().get(group) == null
+                        run -> run.totalsByClass().get(group) == null
                                 ? 0
-                                : run.groups().get(group).times.getValueAtPercentile(percentile) / 1e3);
+                                : run.totalsByClass().get(group).times.getValueAtPercentile(percentile) / 1e3);
             }
             chart.addSeries(one.variant().name(), PERCENTILES, ms).setMarker(SeriesMarkers.CIRCLE);
         }
--- a/lab/src/main/java/clayhook/lab/model/RunMetrics.java
+++ b/lab/src/main/java/clayhook/lab/model/RunMetrics.java
@@ -14,10 +14,10 @@
 
     /** Counts and response times of one request class. */
     public static final class Totals {
-        public long asked;
+        public long requests;
         public long answered;
         public long inTime;
-        public long throttled;
+        public long rejected;
         public long failed;
         public double benefit;
         public double possible;
@@ -26,13 +26,13 @@
     }
 
     private final double start;
-    private final Map<RequestClass, Totals> groups = new LinkedHashMap<>();
+    private final Map<RequestClass, Totals> totalsByClass = new LinkedHashMap<>();
     /** Earned and possible benefit, by second of arrival from the start. */
     private final TreeMap<Integer, double[]> seconds = new TreeMap<>();
 
     private final Map<String, Double> busy = new LinkedHashMap<>();
-    private Map<RuleAudit.RuleKept, Integer> broken = Map.of();
-    private String firstBroken;
+    private Map<RuleAudit.RuleKept, Integer> violations = Map.of();
+    private String firstViolation;
     private long events;
 
     RunMetrics(double start) {
@@ -40,7 +40,7 @@
     }
 
     private Totals of(RequestClass group) {
-        return groups.computeIfAbsent(group, any -> new Totals());
+        return totalsByClass.computeIfAbsent(group, any -> new Totals());
     }
 
     private double[] second(double arrived) {
@@ -49,7 +49,7 @@
 
     void asked(RequestClass group, double now) {
         Totals of = of(group);
-        of.asked++;
+        of.requests++;
         of.possible += group.priorityWeight();
         second(now)[1] += group.priorityWeight();
     }
@@ -57,7 +57,7 @@
     void answered(RequestClass group, RoutingAction verdict, double took, double arrived) {
         Totals of = of(group);
         if (verdict == RoutingAction.REJECT) {
-            of.throttled++;
+            of.rejected++;
         } else if (verdict == RoutingAction.FAIL) {
             of.failed++;
         } else {
@@ -76,22 +76,22 @@
     }
 
     void ended(Map<RuleAudit.RuleKept, Integer> rules, String first, long made) {
-        broken = rules;
-        firstBroken = first;
+        violations = rules;
+        firstViolation = first;
         events = made;
     }
 
-    public Map<RequestClass, Totals> groups() {
-        return groups;
+    public Map<RequestClass, Totals> totalsByClass() {
+        return totalsByClass;
     }
 
     /** Share of the possible benefit that was earned, 0 to 1; 1 if there were no requests. */
     public double service() {
         double possible =
-                groups.values().stream().mapToDouble(of -> of.possible).sum();
+                totalsByClass.values().stream().mapToDouble(of -> of.possible).sum();
         return possible == 0
                 ? 1
-                : groups.values().stream().mapToDouble(of -> of.benefit).sum() / possible;
+                : totalsByClass.values().stream().mapToDouble(of -> of.benefit).sum() / possible;
     }
 
     /** Share of the possible benefit that was earned, by second of arrival. */
@@ -106,13 +106,13 @@
         return busy;
     }
 
-    public Map<RuleAudit.RuleKept, Integer> broken() {
-        return broken;
+    public Map<RuleAudit.RuleKept, Integer> violations() {
+        return violations;
     }
 
     /** Description of the first violation, or null. */
-    public String firstBroken() {
-        return firstBroken;
+    public String firstViolation() {
+        return firstViolation;
     }
 
     public long events() {
--- a/lab/src/main/java/clayhook/lab/plan/Planner.java
+++ b/lab/src/main/java/clayhook/lab/plan/Planner.java
@@ -103,22 +103,22 @@
                 busiest(runs, true),
                 busiest(runs, false),
                 runs.stream()
-                        .map(RunMetrics::firstBroken)
+                        .map(RunMetrics::firstViolation)
                         .filter(first -> first != null)
                         .findFirst()
                         .orElse(null));
     }
 
     private boolean meets(RunMetrics run) {
-        return run.broken().isEmpty()
+        return run.violations().isEmpty()
                 && run.service() >= experiment.goal().service()
                 && worstInTime(run) >= experiment.goal().inTime();
     }
 
     private static double worstInTime(RunMetrics run) {
-        return run.groups().values().stream()
-                .filter(of -> of.asked > 0)
-                .mapToDouble(of -> (double) of.inTime / of.asked)
+        return run.totalsByClass().values().stream()
+                .filter(of -> of.requests > 0)
+                .mapToDouble(of -> (double) of.inTime / of.requests)
                 .min()
                 .orElse(1);
     }
@@ -288,7 +288,7 @@
                             .min()
                             .orElse(0),
                     runs.stream()
-                            .map(RunMetrics::firstBroken)
+                            .map(RunMetrics::firstViolation)
                             .filter(first -> first != null)
                             .findFirst()
                             .orElse(null),
--- a/lab/src/test/java/clayhook/lab/model/LoopbackTest.java
+++ b/lab/src/test/java/clayhook/lab/model/LoopbackTest.java
@@ -54,10 +54,10 @@
                     loopback.latenessSeconds() > 0.01); // the run returned no verdict because its event loop ran late
             return;
         }
-        assertEquals(Map.of(), tally.broken(), tally::firstBroken);
-        for (RunMetrics.Totals of : tally.groups().values()) {
-            assertEquals(of.asked, of.answered + of.throttled + of.failed);
-            assertTrue(of.answered > 0.8 * of.asked, of.answered + " of " + of.asked);
+        assertEquals(Map.of(), tally.violations(), tally::firstViolation);
+        for (RunMetrics.Totals of : tally.totalsByClass().values()) {
+            assertEquals(of.requests, of.answered + of.rejected + of.failed);
+            assertTrue(of.answered > 0.8 * of.requests, of.answered + " of " + of.requests);
         }
         assertTrue(
                 tally.busy().get("1p") > 0 && tally.busy().get("1r2") > 0,
--- a/lab/src/test/java/clayhook/lab/model/SimulatedFleetTest.java
+++ b/lab/src/test/java/clayhook/lab/model/SimulatedFleetTest.java
@@ -56,10 +56,10 @@
 
     private static String told(RunMetrics tally) {
         var counts = new TreeMap<String, String>();
-        tally.groups()
+        tally.totalsByClass()
                 .forEach((group, of) -> counts.put(
                         group.name(),
-                        of.asked + " " + of.inTime + " " + of.throttled + " " + of.failed + " "
+                        of.requests + " " + of.inTime + " " + of.rejected + " " + of.failed + " "
                                 + of.times.getValueAtPercentile(99)));
         return counts + " " + tally.serviceBySecond() + " " + tally.busy() + " " + tally.events();
     }
@@ -75,7 +75,7 @@
     @Test
     void aCalmFleetServesAllKeepsTheRulesAndWorksWhatWasAsked() {
         RunMetrics tally = new SimulatedFleet(fleet(300), List.of(), 1).run(30);
-        assertEquals(Map.of(), tally.broken(), tally::firstBroken);
+        assertEquals(Map.of(), tally.violations(), tally::firstViolation);
         assertTrue(tally.service() > 0.99, "" + tally.service());
         // Expected utilization: the requested work per second over the number of cores.
         double asked = 300 * (4 * 0.004 + 0.004 + 3 * 0.006 + 2 * 0.003) / 10 / (6 * 2);
@@ -92,7 +92,7 @@
         String target = kind == Kind.ZONE_LOSS ? "b" : kind == Kind.SLOW_LOG || kind == Kind.STALL_LOG ? "1r1" : "1p";
         var failure = new Failure(kind, target, 5, 6, kind == Kind.NEIGHBOUR ? 0.8 : 50);
         RunMetrics tally = new SimulatedFleet(fleet(300), List.of(failure), 1).run(30);
-        assertEquals(Map.of(), tally.broken(), tally::firstBroken);
+        assertEquals(Map.of(), tally.violations(), tally::firstViolation);
         Map<Integer, Double> seconds = tally.serviceBySecond();
         double late = seconds.entrySet().stream()
                 .filter(s -> s.getKey() >= 20)
@@ -121,9 +121,9 @@
     @Test
     void tooMuchIsTurnedAwayNotServedLate() {
         RunMetrics tally = new SimulatedFleet(fleet(6000), List.of(), 1).run(10);
-        assertEquals(Map.of(), tally.broken(), tally::firstBroken);
+        assertEquals(Map.of(), tally.violations(), tally::firstViolation);
         assertTrue(tally.service() < 0.9 && tally.service() > 0.3, "" + tally.service());
-        assertTrue(tally.groups().get(ANY).throttled > 1000);
+        assertTrue(tally.totalsByClass().get(ANY).rejected > 1000);
     }
 
     // ---- the audit detects deliberate violations ----
--- a/lab/src/test/java/clayhook/lab/sharing/SharingTrialTest.java
+++ b/lab/src/test/java/clayhook/lab/sharing/SharingTrialTest.java
@@ -227,11 +227,11 @@
                 new SharingFault(17, Kind.KILL, List.of(1), 2, 0),
                 new SharingFault(19, Kind.FREEZE, List.of(4), 3, 0)));
         RunMetrics alone = new SimulatedFleet(fleet(false), failures, 1, PeerLinkFactory.NONE).run(30);
-        assertTrue(alone.broken().getOrDefault(RuleKept.NO_STALE_READ, 0) > 10, alone::firstBroken);
+        assertTrue(alone.violations().getOrDefault(RuleKept.NO_STALE_READ, 0) > 10, alone::firstViolation);
         FleetSpec spec = fleet(true);
         var sharing = new PeeredFleet(spec.contact(), 0.0005, 0, plan);
         RunMetrics shared = new SimulatedFleet(spec, failures, 1, sharing).run(30);
-        assertEquals(Map.of(), shared.broken(), shared::firstBroken);
+        assertEquals(Map.of(), shared.violations(), shared::firstViolation);
         assertNotNull(sharing.peerGroup());
         assertEquals(null, sharing.peerGroup().disagreement(List.of()));
     }
