--- a/cli/src/main/java/clayhook/cli/PlanCommand.java
+++ b/cli/src/main/java/clayhook/cli/PlanCommand.java
@@ -43,9 +43,9 @@
                 System.err.println(step);
             }
         });
-        Planner.Breaks breaks = planner.breaks();
+        Planner.GrowthLimit breaks = planner.growthLimit();
         Planner.Need need = planner.need();
-        List<Planner.Loss> losses = planner.losses();
+        List<Planner.ZoneLoss> losses = planner.zoneLosses();
         if (json) {
             System.out.println(json(breaks, need, losses));
         } else {
@@ -62,9 +62,9 @@
 
     private static void tell(
             Experiment experiment,
-            Planner.Breaks breaks,
+            Planner.GrowthLimit breaks,
             Planner.Need need,
-            List<Planner.Loss> losses,
+            List<Planner.ZoneLoss> losses,
             PrintStream out) {
         out.printf(
                 Locale.ROOT,
@@ -116,7 +116,7 @@
         out.writeEndObject();
     }
 
-    private static String json(Planner.Breaks breaks, Planner.Need need, List<Planner.Loss> losses) throws IOException {
+    private static String json(Planner.GrowthLimit breaks, Planner.Need need, List<Planner.ZoneLoss> losses) throws IOException {
         var text = new StringWriter();
         try (JsonGenerator out = new JsonFactory().createGenerator(text)) {
             out.writeStartObject();
@@ -135,7 +135,7 @@
             out.writeEndObject();
             write(out, "replicas", need);
             out.writeArrayFieldStart("losses");
-            for (Planner.Loss loss : losses) {
+            for (Planner.ZoneLoss loss : losses) {
                 out.writeStartObject();
                 out.writeStringField("site", loss.site());
                 out.writeNumberField("before", loss.before());
--- a/lab/src/main/java/clayhook/lab/plan/Planner.java
+++ b/lab/src/main/java/clayhook/lab/plan/Planner.java
@@ -64,7 +64,7 @@
      * @param firstBad least factor with which no seed met the goal; infinite if none was found
      * @param causes resources whose increase helps, the greatest gain first
      */
-    public record Breaks(double lastGood, double firstBad, Evaluation at, Estimate estimate, List<Cause> causes) {}
+    public record GrowthLimit(double lastGood, double firstBad, Evaluation at, Estimate estimate, List<Cause> causes) {}
 
     /** A resource, and the additional share of the benefit that is earned with twice as much of it. */
     public record Cause(String resource, double gain) {}
@@ -81,7 +81,7 @@
      * Effect of losing a zone: shares of the benefit before, during and after the loss, and the share of the worst
      * second.
      */
-    public record Loss(
+    public record ZoneLoss(
             String site, double before, double during, double after, double worst, String broken, Need need) {}
 
     /** Creates a planner for the first variant of the experiment. */
@@ -136,7 +136,7 @@
      * Finds the load factor at which the goal is missed, and the limiting resources, under the failures of the
      * experiment.
      */
-    public Breaks breaks() {
+    public GrowthLimit growthLimit() {
         double good = 0;
         double bad = Double.POSITIVE_INFINITY;
         Evaluation atBad = null;
@@ -168,7 +168,7 @@
         }
         double broken = bad < Double.POSITIVE_INFINITY ? bad : factor;
         FleetSpec over = fleet.loaded(broken);
-        return new Breaks(
+        return new GrowthLimit(
                 good,
                 bad,
                 atBad == null ? trial(over, experiment.failures()) : atBad,
@@ -266,8 +266,8 @@
     }
 
     /** Measures the effect of losing each zone, and the number of replicas that would sustain it. */
-    public List<Loss> losses() {
-        var losses = new ArrayList<Loss>();
+    public List<ZoneLoss> zoneLosses() {
+        var losses = new ArrayList<ZoneLoss>();
         double from = experiment.seconds() * LOST_FROM;
         double lasts = experiment.seconds() * LOST_FOR;
         for (String site : fleet.zones()) {
@@ -277,7 +277,7 @@
                     .map(seed -> new SimulatedFleet(fleet, failures, seed).run(experiment.seconds()))
                     .toList();
             progress.accept("without " + site);
-            losses.add(new Loss(
+            losses.add(new ZoneLoss(
                     site,
                     share(runs, 0, from),
                     share(runs, from, from + lasts),
--- a/lab/src/test/java/clayhook/lab/plan/PlannerTest.java
+++ b/lab/src/test/java/clayhook/lab/plan/PlannerTest.java
@@ -38,8 +38,8 @@
      */
     @Test
     void theLoadGrowsUpToWhatTheCoresBear() throws Exception {
-        Planner.Breaks breaks =
-                planner(FLEET + READS + "[load]\nrate = 100.0\nseconds = 15\n").breaks();
+        Planner.GrowthLimit breaks =
+                planner(FLEET + READS + "[load]\nrate = 100.0\nseconds = 15\n").growthLimit();
         assertTrue(
                 breaks.lastGood() > 3 && breaks.firstBad() < 6.3 && breaks.lastGood() < breaks.firstBad(),
                 breaks.toString());
@@ -62,7 +62,7 @@
                 work = 0.001
                 share = 2
                 """;
-        Planner.Breaks breaks = planner(text).breaks();
+        Planner.GrowthLimit breaks = planner(text).growthLimit();
         assertEquals("speed of applying the log", breaks.causes().get(0).resource(), breaks.toString());
         assertTrue(breaks.estimate().log() > 0.8 && breaks.estimate().replicas() < 0.9, breaks.toString());
     }
@@ -79,9 +79,9 @@
     @Test
     void losingASiteTellsBeforeDuringAndAfter() throws Exception {
         var losses =
-                planner(FLEET + READS + "[load]\nrate = 450.0\nseconds = 30\n").losses();
+                planner(FLEET + READS + "[load]\nrate = 450.0\nseconds = 30\n").zoneLosses();
         assertEquals(3, losses.size());
-        for (Planner.Loss loss : losses) {
+        for (Planner.ZoneLoss loss : losses) {
             assertTrue(
                     loss.before() > 0.95 && loss.during() < loss.before() && loss.worst() <= loss.during(),
                     loss.toString());
