--- a/cli/src/main/java/clayhook/cli/PlanCommand.java
+++ b/cli/src/main/java/clayhook/cli/PlanCommand.java
@@ -116,7 +116,8 @@
         out.writeEndObject();
     }
 
-    private static String json(Planner.GrowthLimit breaks, Planner.Need need, List<Planner.ZoneLoss> losses) throws IOException {
+    private static String json(Planner.GrowthLimit breaks, Planner.Need need, List<Planner.ZoneLoss> losses)
+            throws IOException {
         var text = new StringWriter();
         try (JsonGenerator out = new JsonFactory().createGenerator(text)) {
             out.writeStartObject();
