--- a/lab/src/main/java/clayhook/lab/Experiment.java
+++ b/lab/src/main/java/clayhook/lab/Experiment.java
@@ -33,8 +33,8 @@
  */
 public record Experiment(
         List<Variant> variants, List<Failure> failures, double seconds, List<Integer> seeds, Goal goal, Peers peers) {
-    private static final double HOUR = 3600;
-    private static final double MANY = 1e6;
+    private static final double HOUR_SECONDS = 3600;
+    private static final double MAX_NUMBER = 1e6;
 
     /**
      * Service that a fleet must reach without violating a rule.
@@ -68,25 +68,25 @@
         FleetSpec base = fleet(toml, peers.play() != null);
         var variants = new ArrayList<Variant>();
         for (TomlSection variant : toml.getTables("variant")) {
-            variants.add(new Variant(variant.getRequiredString("name"), varied(base, variant)));
+            variants.add(new Variant(variant.getRequiredString("name"), applyVariant(base, variant)));
         }
         if (variants.isEmpty()) {
             variants.add(new Variant("as it is", base));
         }
         TomlSection load = toml.getTable("load");
-        double seconds = load.getNumber("seconds", 60, 1, HOUR);
+        double seconds = load.getNumber("seconds", 60, 1, HOUR_SECONDS);
         var failures = new ArrayList<Failure>();
         for (TomlSection failure : toml.getTables("failure")) {
             failures.addAll(failures(failure, base, seconds));
         }
         List<Integer> seeds = toml.getIntList("seeds");
         TomlSection goal = toml.getTable("goal");
-        var wanted = new Goal(goal.getNumber("service", 0.99, 0, 1), goal.getNumber("in_time", 0, 0, 1));
+        var goalSpec = new Goal(goal.getNumber("service", 0.99, 0, 1), goal.getNumber("in_time", 0, 0, 1));
         toml.rejectUnknownKeys();
-        return new Experiment(variants, failures, seconds, seeds.isEmpty() ? List.of(1) : seeds, wanted, peers);
+        return new Experiment(variants, failures, seconds, seeds.isEmpty() ? List.of(1) : seeds, goalSpec, peers);
     }
 
-    private static FleetSpec fleet(TomlSection toml, boolean unasked) throws ConfigurationException {
+    private static FleetSpec fleet(TomlSection toml, boolean requestsOptional) throws ConfigurationException {
         TomlSection fleet = toml.getTable("fleet");
         TomlSection machine = toml.getTable("machine");
         TomlSection load = toml.getTable("load");
@@ -94,12 +94,13 @@
         for (TomlSection command : toml.getTables("command")) {
             commands.add(command(command));
         }
-        if (commands.isEmpty() && !unasked) {
+        if (commands.isEmpty() && !requestsOptional) {
             throw toml.invalid("command", "is missing: what is asked of the fleet");
         }
         var phases = new ArrayList<FleetSpec.Phase>();
         for (TomlSection phase : toml.getTables("phase")) {
-            phases.add(new FleetSpec.Phase(phase.getNumber("from", 0, 0, HOUR), phase.getNumber("factor", 1, 0, MANY)));
+            phases.add(new FleetSpec.Phase(
+                    phase.getNumber("from", 0, 0, HOUR_SECONDS), phase.getNumber("factor", 1, 0, MAX_NUMBER)));
         }
         var zones = new TreeSet<>(fleet.getStringSet("zones"));
         return new FleetSpec(
@@ -110,25 +111,25 @@
                 new MachineSpec(
                         machine.getInt("cores", 2, 1, 1024),
                         machine.getInt("queue", 100, 0, 1_000_000),
-                        machine.getNumber("shipping", 0.02, 0, HOUR),
-                        machine.getNumber("apply", 0.0005, 0, HOUR),
-                        machine.getNumber("connecting", 0.005, 0, HOUR),
+                        machine.getNumber("shipping", 0.02, 0, HOUR_SECONDS),
+                        machine.getNumber("apply", 0.0005, 0, HOUR_SECONDS),
+                        machine.getNumber("connecting", 0.005, 0, HOUR_SECONDS),
                         machine.getNumber("cold_share", 0.3, 0.001, 1),
-                        machine.getNumber("warm_after", 10, 0, HOUR)),
+                        machine.getNumber("warm_after", 10, 0, HOUR_SECONDS)),
                 fleet.getNumber("way", 0.0005, 0, 10),
-                fleet.getNumber("election", 3, 0, HOUR),
-                fleet.getNumber("list_delay", 0.5, 0, HOUR),
+                fleet.getNumber("election", 3, 0, HOUR_SECONDS),
+                fleet.getNumber("list_delay", 0.5, 0, HOUR_SECONDS),
                 fleet.getBoolean("reports", true),
                 fleet.getBoolean("replicas_check", false),
                 commands,
-                load.getNumber("rate", 100, 0, MANY),
+                load.getNumber("rate", 100, 0, MAX_NUMBER),
                 phases,
                 load.getInt("sessions", 0, 0, 1_000_000),
                 new FleetSpec.Contact(
                         fleet.getBoolean("sharing", false),
                         fleet.getBoolean("marks_carried", true),
-                        fleet.getNumber("list_spread", 0, 0, HOUR),
-                        fleet.getNumber("roam", 0, 0, HOUR)));
+                        fleet.getNumber("list_spread", 0, 0, HOUR_SECONDS),
+                        fleet.getNumber("roam", 0, 0, HOUR_SECONDS)));
     }
 
     private static Peers peers(TomlSection toml) throws ConfigurationException {
@@ -136,51 +137,51 @@
         var faults = new ArrayList<SharingFault>();
         for (TomlSection fault : toml.getTables("fault")) {
             fault.getRequiredString("kind");
-            SharingFault.Kind kind = one(fault, "kind", SharingFault.Kind.class, null);
+            SharingFault.Kind kind = choice(fault, "kind", SharingFault.Kind.class, null);
             List<Integer> whom = fault.getIntList("whom");
             if (kind == SharingFault.Kind.CUT && whom.size() != 2) {
                 throw fault.invalid("whom", "is no pair: from whom to whom nothing comes");
             }
             faults.add(new SharingFault(
-                    fault.getNumber("at", 0, 0, HOUR),
+                    fault.getNumber("at", 0, 0, HOUR_SECONDS),
                     kind,
                     whom,
-                    fault.getNumber("lasts", 1, 0, HOUR),
-                    fault.getNumber("amount", 0, -HOUR, MANY)));
+                    fault.getNumber("lasts", 1, 0, HOUR_SECONDS),
+                    fault.getNumber("amount", 0, -HOUR_SECONDS, MAX_NUMBER)));
         }
         SharingPlay play = peers.getString("play", null) == null
                 ? null
                 : new SharingPlay(
-                        one(peers, "play", SharingPlay.What.class, null),
+                        choice(peers, "play", SharingPlay.What.class, null),
                         peers.getInt("faults", 12, 0, 10_000),
-                        peers.getNumber("settle", 30, 0, HOUR),
+                        peers.getNumber("settle", 30, 0, HOUR_SECONDS),
                         peers.getInt("entries", 100_000, 1, 1_000_000));
         return new Peers(
                 peers.getNumber("way", 0.0005, 0, 10), peers.getNumber("loss", 0, 0, 1), new FaultPlan(faults), play);
     }
 
     private static FleetSpec.Kind command(TomlSection command) throws ConfigurationException {
-        ConsistencyLevel level = one(command, "level", LEVELS, "any");
+        ConsistencyLevel level = choice(command, "level", LEVELS, "any");
         boolean writes = level == ConsistencyLevel.WRITE;
-        Idempotency effect = one(command, "effect", EFFECTS, writes ? "mutating" : "replayable");
+        Idempotency effect = choice(command, "effect", EFFECTS, writes ? "mutating" : "replayable");
         if (!writes && effect != Idempotency.IDEMPOTENT) {
             throw command.invalid("effect", "a read is replayable");
         }
-        double target = command.getNumber("target", 0.25, 0.001, HOUR);
+        double target = command.getNumber("target", 0.25, 0.001, HOUR_SECONDS);
         return new FleetSpec.Kind(
                 new RequestClass(
                         command.getRequiredString("name"),
                         effect,
                         level,
                         target,
-                        command.getNumber("timeout", 4 * target, target, HOUR),
-                        command.getNumber("benefit", 1, 0, MANY),
+                        command.getNumber("timeout", 4 * target, target, HOUR_SECONDS),
+                        command.getNumber("benefit", 1, 0, MAX_NUMBER),
                         command.getNumber("late_share", 0, 0, 1),
-                        one(command, "scope", SCOPES, "group"),
-                        command.getNumber("window", 5, 0, HOUR),
-                        command.getNumber("bound", 0.2, 0, HOUR)),
-                command.getNumber("share", 1, 0, MANY),
-                command.getNumber("work", 0.005, 0.000001, HOUR),
+                        choice(command, "scope", SCOPES, "group"),
+                        command.getNumber("window", 5, 0, HOUR_SECONDS),
+                        command.getNumber("bound", 0.2, 0, HOUR_SECONDS)),
+                command.getNumber("share", 1, 0, MAX_NUMBER),
+                command.getNumber("work", 0.005, 0.000001, HOUR_SECONDS),
                 command.getNumber("spread", 0.5, 0, 5));
     }
 
@@ -205,29 +206,29 @@
     private static final Map<String, DeduplicationScope> SCOPES = Map.of(
             "all", DeduplicationScope.ALL, "zone", DeduplicationScope.ZONE, "group", DeduplicationScope.REPLICA_SET);
 
-    private static <T> T one(TomlSection toml, String key, Map<String, T> words, String absent)
+    private static <T> T choice(TomlSection toml, String key, Map<String, T> choices, String defaultValue)
             throws ConfigurationException {
-        return words.get(toml.getChoice(key, absent, words.keySet()));
+        return choices.get(toml.getChoice(key, defaultValue, choices.keySet()));
     }
 
-    private static <T extends Enum<T>> T one(TomlSection toml, String key, Class<T> of, String absent)
+    private static <T extends Enum<T>> T choice(TomlSection toml, String key, Class<T> type, String defaultValue)
             throws ConfigurationException {
-        Set<String> words = Arrays.stream(of.getEnumConstants())
+        Set<String> choices = Arrays.stream(type.getEnumConstants())
                 .map(one -> one.name().toLowerCase(Locale.ROOT))
                 .collect(Collectors.toSet());
-        return Enum.valueOf(of, toml.getChoice(key, absent, words).toUpperCase(Locale.ROOT));
+        return Enum.valueOf(type, toml.getChoice(key, defaultValue, choices).toUpperCase(Locale.ROOT));
     }
 
-    private static FleetSpec varied(FleetSpec base, TomlSection variant) throws ConfigurationException {
-        MachineSpec was = base.machine();
+    private static FleetSpec applyVariant(FleetSpec base, TomlSection variant) throws ConfigurationException {
+        MachineSpec baseMachine = base.machine();
         var machine = new MachineSpec(
-                variant.getInt("cores", was.cores(), 1, 1024),
-                variant.getInt("queue", was.queue(), 0, 1_000_000),
-                was.shipping(),
-                variant.getNumber("apply", was.apply(), 0, HOUR),
-                was.connecting(),
-                was.coldShare(),
-                was.warmAfter());
+                variant.getInt("cores", baseMachine.cores(), 1, 1024),
+                variant.getInt("queue", baseMachine.queue(), 0, 1_000_000),
+                baseMachine.shipping(),
+                variant.getNumber("apply", baseMachine.apply(), 0, HOUR_SECONDS),
+                baseMachine.connecting(),
+                baseMachine.coldShare(),
+                baseMachine.warmAfter());
         return new FleetSpec(
                 variant.getInt("groups", base.groups(), 1, 10_000),
                 variant.getInt("replicas", base.replicas(), 0, 100),
@@ -240,7 +241,7 @@
                 base.reports(),
                 base.replicasCheck(),
                 base.commands(),
-                variant.getNumber("rate", base.rate(), 0, MANY),
+                variant.getNumber("rate", base.rate(), 0, MAX_NUMBER),
                 base.phases(),
                 base.sessions(),
                 new FleetSpec.Contact(
@@ -253,9 +254,9 @@
     /** Reads the failures of a table, one per target, in order of the target names. */
     private static List<Failure> failures(TomlSection failure, FleetSpec fleet, double seconds)
             throws ConfigurationException {
-        Set<String> several = new TreeSet<>(failure.getStringSet("targets"));
+        Set<String> targets = new TreeSet<>(failure.getStringSet("targets"));
         var failures = new ArrayList<Failure>();
-        for (String target : several.isEmpty() ? Set.of(failure.getRequiredString("target")) : several) {
+        for (String target : targets.isEmpty() ? Set.of(failure.getRequiredString("target")) : targets) {
             failures.add(failure(failure, target, fleet, seconds));
         }
         return failures;
@@ -264,7 +265,7 @@
     private static Failure failure(TomlSection failure, String target, FleetSpec fleet, double seconds)
             throws ConfigurationException {
         failure.getRequiredString("kind");
-        Failure.Kind kind = one(failure, "kind", Failure.Kind.class, null);
+        Failure.Kind kind = choice(failure, "kind", Failure.Kind.class, null);
         boolean zone = kind == Failure.Kind.ZONE_LOSS;
         if (zone
                 ? !fleet.zones().contains(target)
@@ -276,8 +277,12 @@
         }
         double amount = kind == Failure.Kind.NEIGHBOUR
                 ? failure.getNumber("amount", 0.5, 0, 1)
-                : failure.getNumber("amount", 10, 0, MANY);
+                : failure.getNumber("amount", 10, 0, MAX_NUMBER);
         return new Failure(
-                kind, target, failure.getNumber("at", 0, 0, seconds), failure.getNumber("lasts", 0, 0, HOUR), amount);
+                kind,
+                target,
+                failure.getNumber("at", 0, 0, seconds),
+                failure.getNumber("lasts", 0, 0, HOUR_SECONDS),
+                amount);
     }
 }
--- a/lab/src/main/java/clayhook/lab/Report.java
+++ b/lab/src/main/java/clayhook/lab/Report.java
@@ -24,7 +24,7 @@
 public final class Report {
     private static final int WIDTH = 900, HEIGHT = 340;
     /** Maximum number of nodes in a chart; more cannot be told apart. */
-    private static final int MOST_NODES = 24;
+    private static final int MAX_NODES = 24;
 
     private static final double[] PERCENTILES = {50, 75, 90, 95, 99, 99.9};
 
@@ -32,38 +32,38 @@
 
     public static String html(String title, Experiment experiment, List<Played> played) throws IOException {
         var page = new StringBuilder("<!doctype html><html><head><meta charset=\"utf-8\"><title>")
-                .append(text(title))
+                .append(escape(title))
                 .append(
                         "</title><style>body{font:15px sans-serif;max-width:60em;margin:2em auto}table{border-collapse:collapse}"
                                 + "td,th{padding:.2em .7em;text-align:right;border-bottom:1px solid #ccc}td:first-child,th:first-child"
                                 + "{text-align:left}img{max-width:100%}</style></head><body><h1>")
-                .append(text(title))
+                .append(escape(title))
                 .append("</h1>");
-        table(page, played);
+        appendTable(page, played);
         for (Failure failure : experiment.failures()) {
             page.append(String.format(
                     Locale.ROOT,
                     "<p>%s of %s after %.0f s, for %.0f s</p>",
                     failure.kind().name().toLowerCase(Locale.ROOT).replace('_', ' '),
-                    text(failure.target()),
+                    escape(failure.target()),
                     failure.at(),
                     failure.lasts()));
         }
-        picture(page, "Service by second of arrival, mean over seeds", service(played));
+        appendChart(page, "Service by second of arrival, mean over seeds", serviceChart(played));
         for (RequestClass group : played.get(0).runs().get(0).totalsByClass().keySet()) {
-            picture(page, "Time to answer by percentile: " + group.name(), times(played, group));
+            appendChart(page, "Time to answer by percentile: " + group.name(), responseTimeChart(played, group));
         }
-        picture(page, "Part of its cores' time that each node worked", busy(played));
+        appendChart(page, "Part of its cores' time that each node worked", utilizationChart(played));
         return page.append("</body></html>\n").toString();
     }
 
-    private static void table(StringBuilder page, List<Played> played) {
+    private static void appendTable(StringBuilder page, List<Played> played) {
         page.append("<table><tr><th>variant<th>service<th>to the first, 95%<th>rules</tr>");
         Played baseline = played.get(0);
         for (int i = 0; i < played.size(); i++) {
-            Played one = played.get(i);
-            Interval gain = Comparison.gain(baseline, one);
-            String broken = one.runs().stream()
+            Played variantRuns = played.get(i);
+            Interval gain = Comparison.gain(baseline, variantRuns);
+            String firstViolation = variantRuns.runs().stream()
                     .map(RunMetrics::firstViolation)
                     .filter(first -> first != null)
                     .findFirst()
@@ -71,47 +71,50 @@
             page.append(String.format(
                     Locale.ROOT,
                     "<tr><td>%s<td>%.4f<td>%s<td>%s</tr>",
-                    text(one.variant().name()),
-                    one.service(),
+                    escape(variantRuns.variant().name()),
+                    variantRuns.service(),
                     i == 0 ? "" : String.format(Locale.ROOT, "%+.4f &plusmn; %.4f", gain.mean(), gain.reach()),
-                    text(broken)));
+                    escape(firstViolation)));
         }
         page.append("</table>");
     }
 
-    private static XYChart service(List<Played> played) {
+    private static XYChart serviceChart(List<Played> played) {
         XYChart chart = chart("second", "share of the benefit");
         chart.getStyler().setYAxisMin(0.0).setYAxisMax(1.0);
-        for (Played one : played) {
+        for (Played variantRuns : played) {
             var seconds = new TreeMap<Integer, Double>();
-            one.runs().forEach(run -> run.serviceBySecond()
+            variantRuns.runs().forEach(run -> run.serviceBySecond()
                     .forEach((second, share) ->
-                            seconds.merge(second, share / one.runs().size(), Double::sum)));
-            chart.addSeries(one.variant().name(), new ArrayList<>(seconds.keySet()), new ArrayList<>(seconds.values()))
+                            seconds.merge(second, share / variantRuns.runs().size(), Double::sum)));
+            chart.addSeries(
+                            variantRuns.variant().name(),
+                            new ArrayList<>(seconds.keySet()),
+                            new ArrayList<>(seconds.values()))
                     .setMarker(SeriesMarkers.NONE);
         }
         return chart;
     }
 
-    private static XYChart times(List<Played> played, RequestClass group) {
+    private static XYChart responseTimeChart(List<Played> played, RequestClass group) {
         XYChart chart = chart("percentile", "ms");
-        for (Played one : played) {
+        for (Played variantRuns : played) {
             double[] ms = new double[PERCENTILES.length];
             for (int i = 0; i < ms.length; i++) {
                 double percentile = PERCENTILES[i];
                 ms[i] = mean(
-                        one,
+                        variantRuns,
                         run -> run.totalsByClass().get(group) == null
                                 ? 0
                                 : run.totalsByClass().get(group).times.getValueAtPercentile(percentile) / 1e3);
             }
-            chart.addSeries(one.variant().name(), PERCENTILES, ms).setMarker(SeriesMarkers.CIRCLE);
+            chart.addSeries(variantRuns.variant().name(), PERCENTILES, ms).setMarker(SeriesMarkers.CIRCLE);
         }
         return chart;
     }
 
-    private static double mean(Played one, ToDoubleFunction<RunMetrics> figure) {
-        return one.runs().stream().mapToDouble(figure).average().orElse(0);
+    private static double mean(Played variantRuns, ToDoubleFunction<RunMetrics> metric) {
+        return variantRuns.runs().stream().mapToDouble(metric).average().orElse(0);
     }
 
     private static XYChart chart(String x, String y) {
@@ -123,7 +126,7 @@
                 .build();
     }
 
-    private static CategoryChart busy(List<Played> played) {
+    private static CategoryChart utilizationChart(List<Played> played) {
         CategoryChart chart = new CategoryChartBuilder()
                 .width(WIDTH)
                 .height(HEIGHT)
@@ -132,31 +135,31 @@
                 .build();
         // All series of a chart need the same nodes: those of the first variant.
         List<String> nodes = played.get(0).runs().get(0).busy().keySet().stream()
-                .limit(MOST_NODES)
+                .limit(MAX_NODES)
                 .toList();
-        for (Played one : played) {
+        for (Played variantRuns : played) {
             chart.addSeries(
-                    one.variant().name(),
+                    variantRuns.variant().name(),
                     nodes,
                     nodes.stream()
-                            .map(node -> mean(one, run -> run.busy().getOrDefault(node, 0.0)))
+                            .map(node -> mean(variantRuns, run -> run.busy().getOrDefault(node, 0.0)))
                             .toList());
         }
         return chart;
     }
 
-    private static void picture(StringBuilder page, String title, Chart<?, ?> chart) throws IOException {
+    private static void appendChart(StringBuilder page, String title, Chart<?, ?> chart) throws IOException {
         byte[] png = BitmapEncoder.getBitmapBytes(chart, BitmapEncoder.BitmapFormat.PNG);
         page.append("<h2>")
-                .append(text(title))
+                .append(escape(title))
                 .append("</h2><img alt=\"")
-                .append(text(title))
+                .append(escape(title))
                 .append("\" src=\"data:image/png;base64,")
                 .append(Base64.getEncoder().encodeToString(png))
                 .append("\">");
     }
 
-    private static String text(String text) {
+    private static String escape(String text) {
         return text.replace("&", "&amp;").replace("<", "&lt;").replace("\"", "&quot;");
     }
 }
--- a/lab/src/main/java/clayhook/lab/model/LoopbackFleet.java
+++ b/lab/src/main/java/clayhook/lab/model/LoopbackFleet.java
@@ -123,11 +123,11 @@
                 scheduler.scheduleAt(start + seconds + maxClientTimeout + 1, () -> {
                     audit.end(scheduler.now());
                     nodes.nodes()
-                            .forEach(node -> metrics.worked(
+                            .forEach(node -> metrics.recordUtilization(
                                     node.node.id(),
                                     node.cores.workedSeconds()
                                             / (seconds * spec.machine().cores())));
-                    metrics.ended(audit.violations(), audit.firstViolation(), nextId);
+                    metrics.finish(audit.violations(), audit.firstViolation(), nextId);
                     ended.countDown();
                 });
             });
@@ -231,7 +231,7 @@
                         readsOwnWrites ? lastWritePositions[arrival.session()] : 0);
                 audit.evictFinished(scheduler.now());
                 audit.sent(request.id, requestClass, request.arrivedAt + requestClass.clientTimeoutSeconds());
-                metrics.asked(requestClass, scheduler.now());
+                metrics.recordArrival(requestClass, scheduler.now());
                 openRequests.put(request.id, request);
                 routerConnections.get((int) (nextId % routerConnections.size())).send(request);
                 scheduleNextArrival(until);
@@ -239,7 +239,7 @@
         });
     }
 
-    private void answered(OpenRequest request, RoutingAction action, double position) {
+    private void onFinalAnswer(OpenRequest request, RoutingAction action, double position) {
         double now = scheduler.now();
         RequestClass requestClass = request.arrival.kind().group();
         audit.answered(request.id, now);
@@ -251,7 +251,7 @@
             lastWritePositions[request.arrival.session()] =
                     Math.max(lastWritePositions[request.arrival.session()], position);
         }
-        metrics.answered(requestClass, action, now - request.arrivedAt, request.arrivedAt);
+        metrics.recordAnswer(requestClass, action, now - request.arrivedAt, request.arrivedAt);
         openRequests.remove(request.id);
     }
 
@@ -268,7 +268,7 @@
         void send(OpenRequest request) {
             Connection connection = idle.poll();
             if (connection == null && connections >= MAX_CONNECTIONS) {
-                answered(request, RoutingAction.FAIL, 0);
+                onFinalAnswer(request, RoutingAction.FAIL, 0);
             } else if (connection == null) {
                 connections++;
                 var opened = new Connection(this, request);
@@ -329,7 +329,7 @@
             } else if (message instanceof NodeMessage.ReadyForQuery && request != null) {
                 OpenRequest finished = request;
                 request = null;
-                answered(finished, action, position);
+                onFinalAnswer(finished, action, position);
                 owner.idle.push(this);
             }
         }
@@ -340,7 +340,7 @@
             if (request != null) {
                 OpenRequest finished = request;
                 request = null;
-                answered(finished, RoutingAction.FAIL, 0);
+                onFinalAnswer(finished, RoutingAction.FAIL, 0);
             }
         }
 
--- a/lab/src/main/java/clayhook/lab/model/RouterModel.java
+++ b/lab/src/main/java/clayhook/lab/model/RouterModel.java
@@ -257,7 +257,8 @@
             respond(attempt, simulated, incarnation, report(target, AttemptOutcome.ANSWERED));
         });
         if (target.warmth() < 1) {
-            fleet.audit().workAtColdNode(target.node, workSeconds, fleet.coresPerNode() * target.warmth(), scheduler.now());
+            fleet.audit()
+                    .workAtColdNode(target.node, workSeconds, fleet.coresPerNode() * target.warmth(), scheduler.now());
         }
         if (!target.cores.offer(simulated.job)) {
             respond(attempt, simulated, incarnation, report(target, AttemptOutcome.OVERLOADED));
--- a/lab/src/main/java/clayhook/lab/model/RuleAudit.java
+++ b/lab/src/main/java/clayhook/lab/model/RuleAudit.java
@@ -25,47 +25,47 @@
     }
 
     /** Seconds after the client timeout in which a final answer is still accepted. */
-    private static final double SLACK = 0.02;
+    private static final double ANSWER_TOLERANCE = 0.02;
 
     private static final class Entry {
-        final RequestClass group;
-        final double expires;
+        final RequestClass requestClass;
+        final double deadline;
         int answers;
         /** Whether no timely answer can be expected. */
         boolean excused;
         /** Node at which the request ran first; null until then. The next field is the time. */
-        Node ranAt;
+        Node ranAtNode;
 
-        double ranWhen;
+        double ranAtTime;
 
-        Entry(RequestClass group, double expires) {
-            this.group = group;
-            this.expires = expires;
+        Entry(RequestClass requestClass, double deadline) {
+            this.requestClass = requestClass;
+            this.deadline = deadline;
         }
     }
 
     /** Work received by a cold node in the current window. */
-    private static final class Cold {
+    private static final class ColdWindow {
         double since;
         double work;
     }
 
-    private final double grace;
+    private final double drainGrace;
     private final double overloadFactor;
     private final double overloadFor;
     private final Map<Object, Entry> entries = new HashMap<>();
-    private final Map<Node, Cold> cold = new HashMap<>();
+    private final Map<Node, ColdWindow> coldWindows = new HashMap<>();
     private final Map<RuleKept, Integer> violations = new EnumMap<>(RuleKept.class);
     private String firstViolation;
-    private double sweptAt;
+    private double lastEvictionAt;
 
     /**
-     * @param grace seconds after the notification of a drain in which a node may still receive requests
+     * @param drainGrace seconds after the notification of a drain in which a node may still receive requests
      * @param overloadFactor multiple of the capacity of a cold node above which the node is overloaded
      * @param overloadFor seconds of a window over which the work is summed up
      */
-    public RuleAudit(double grace, double overloadFactor, double overloadFor) {
-        this.grace = grace;
+    public RuleAudit(double drainGrace, double overloadFactor, double overloadFor) {
+        this.drainGrace = drainGrace;
         this.overloadFactor = overloadFactor;
         this.overloadFor = overloadFor;
     }
@@ -80,24 +80,26 @@
         return firstViolation;
     }
 
-    private void broke(RuleKept rule, String what, double now) {
+    private void recordViolation(RuleKept rule, String description, double now) {
         violations.merge(rule, 1, Integer::sum);
-        firstViolation = firstViolation == null ? String.format(java.util.Locale.ROOT, "%.3f s: %s: %s", now, rule, what) : firstViolation;
+        firstViolation = firstViolation == null
+                ? String.format(java.util.Locale.ROOT, "%.3f s: %s: %s", now, rule, description)
+                : firstViolation;
     }
 
-    public void sent(Object command, RequestClass group, double expires) {
-        entries.put(command, new Entry(group, expires));
+    public void sent(Object request, RequestClass requestClass, double deadline) {
+        entries.put(request, new Entry(requestClass, deadline));
     }
 
     /** Records that a client received a final answer. */
-    public void answered(Object command, double now) {
-        Entry entry = entries.get(command);
+    public void answered(Object request, double now) {
+        Entry entry = entries.get(request);
         if (entry == null || ++entry.answers > 1) {
-            broke(RuleKept.ONE_ANSWER, "answered twice", now);
-        } else if (now > entry.expires + SLACK && !entry.excused) {
-            broke(
+            recordViolation(RuleKept.ONE_ANSWER, "answered twice", now);
+        } else if (now > entry.deadline + ANSWER_TOLERANCE && !entry.excused) {
+            recordViolation(
                     RuleKept.ONE_ANSWER,
-                    "answered " + Math.round(1000 * (now - entry.expires)) + " ms after its time",
+                    "answered " + Math.round(1000 * (now - entry.deadline)) + " ms after its time",
                     now);
         }
     }
@@ -106,18 +108,20 @@
      * Excuses the missing answer of a request whose router was killed or stopped while it held the request. Its
      * executions still count.
      */
-    public void excuse(Object command) {
-        Entry entry = entries.get(command);
+    public void excuse(Object request) {
+        Entry entry = entries.get(request);
         if (entry != null) {
             entry.excused = true;
         }
     }
 
     /** Records that a router rejected a request, which promises the client that it has not run and will not run. */
-    public void rejected(Object command, double now) {
-        Entry entry = entries.get(command);
-        if (entry != null && entry.ranAt != null && entry.group.idempotency() == Idempotency.NON_IDEMPOTENT) {
-            broke(RuleKept.NO_DOUBLE_EFFECT, "throttled, but it ran at " + entry.ranAt.id(), now);
+    public void rejected(Object request, double now) {
+        Entry entry = entries.get(request);
+        if (entry != null
+                && entry.ranAtNode != null
+                && entry.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT) {
+            recordViolation(RuleKept.NO_DOUBLE_EFFECT, "throttled, but it ran at " + entry.ranAtNode.id(), now);
         }
     }
 
@@ -125,53 +129,55 @@
      * Records that a node ran a request.
      *
      * @param position applied position of the node
-     * @param needed position that a read must cover
+     * @param requiredPosition position that a read must cover
      */
-    public void executed(Object command, Node node, double position, double needed, double now) {
-        Entry entry = entries.get(command);
+    public void executed(Object request, Node node, double position, double requiredPosition, double now) {
+        Entry entry = entries.get(request);
         if (entry == null) {
             return;
         }
-        boolean writes = entry.group.consistency() == ConsistencyLevel.WRITE;
-        if (!writes && position < needed - 1e-6) {
-            broke(
+        boolean writes = entry.requestClass.consistency() == ConsistencyLevel.WRITE;
+        if (!writes && position < requiredPosition - 1e-6) {
+            recordViolation(
                     RuleKept.NO_STALE_READ,
-                    entry.group.name() + " at " + node.id() + " was " + Math.round(1000 * (needed - position))
-                            + " ms behind",
+                    entry.requestClass.name() + " at " + node.id() + " was "
+                            + Math.round(1000 * (requiredPosition - position)) + " ms behind",
                     now);
         }
-        if (entry.ranAt != null && entry.group.idempotency() != Idempotency.IDEMPOTENT && !dropped(entry, node, now)) {
-            broke(
+        if (entry.ranAtNode != null
+                && entry.requestClass.idempotency() != Idempotency.IDEMPOTENT
+                && !deduplicated(entry, node, now)) {
+            recordViolation(
                     RuleKept.NO_DOUBLE_EFFECT,
-                    entry.group.name() + " ran at " + entry.ranAt.id() + " and at " + node.id(),
+                    entry.requestClass.name() + " ran at " + entry.ranAtNode.id() + " and at " + node.id(),
                     now);
         }
-        entry.ranAt = entry.ranAt == null ? node : entry.ranAt;
-        entry.ranWhen = entry.ranWhen == 0 ? now : entry.ranWhen;
+        entry.ranAtNode = entry.ranAtNode == null ? node : entry.ranAtNode;
+        entry.ranAtTime = entry.ranAtTime == 0 ? now : entry.ranAtTime;
     }
 
     /** Returns whether the node drops a repeat of a request with key, within its deduplication scope and window. */
-    private static boolean dropped(Entry entry, Node node, double now) {
-        DeduplicationScope scope = entry.group.deduplicationScope();
-        boolean within = scope == DeduplicationScope.ALL
+    private static boolean deduplicated(Entry entry, Node node, double now) {
+        DeduplicationScope scope = entry.requestClass.deduplicationScope();
+        boolean inScope = scope == DeduplicationScope.ALL
                 || (scope == DeduplicationScope.REPLICA_SET
-                        ? entry.ranAt.replicaSetId() == node.replicaSetId()
-                        : entry.ranAt.zone().equals(node.zone()));
-        return entry.group.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
-                && within
-                && now <= entry.ranWhen + entry.group.deduplicationWindowSeconds();
+                        ? entry.ranAtNode.replicaSetId() == node.replicaSetId()
+                        : entry.ranAtNode.zone().equals(node.zone()));
+        return entry.requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                && inScope
+                && now <= entry.ranAtTime + entry.requestClass.deduplicationWindowSeconds();
     }
 
     /**
      * Records that a router sent a request to a draining node.
      *
-     * @param toldAt time since which the router knows that the node is draining
+     * @param notifiedAt time since which the router knows that the node is draining
      */
-    public void sentToDraining(Node node, double toldAt, double now) {
-        if (now > toldAt + grace) {
-            broke(
+    public void sentToDraining(Node node, double notifiedAt, double now) {
+        if (now > notifiedAt + drainGrace) {
+            recordViolation(
                     RuleKept.DRAINS,
-                    "sent to " + node.id() + " " + Math.round(1000 * (now - toldAt)) + " ms after it was told",
+                    "sent to " + node.id() + " " + Math.round(1000 * (now - notifiedAt)) + " ms after it was told",
                     now);
         }
     }
@@ -183,14 +189,14 @@
      * @param capacity core seconds of work that the node can do per second now
      */
     public void workAtColdNode(Node node, double work, double capacity, double now) {
-        Cold window = cold.computeIfAbsent(node, any -> new Cold());
+        ColdWindow window = coldWindows.computeIfAbsent(node, any -> new ColdWindow());
         if (now > window.since + overloadFor) {
             window.since = now;
             window.work = 0;
         }
         window.work += work;
         if (window.work > overloadFactor * capacity * overloadFor) {
-            broke(RuleKept.COLD_NODES, node.id() + " was pushed over", now);
+            recordViolation(RuleKept.COLD_NODES, node.id() + " was pushed over", now);
             window.work = 0;
         }
     }
@@ -200,24 +206,27 @@
      * violates {@link RuleKept#ONE_ANSWER}.
      */
     public void evictFinished(double now) {
-        if (now < sweptAt + 1) {
+        if (now < lastEvictionAt + 1) {
             return;
         }
-        sweptAt = now;
+        lastEvictionAt = now;
         entries.values().removeIf(entry -> {
-            boolean over =
-                    now > entry.expires + entry.group.clientTimeoutSeconds() + entry.group.deduplicationWindowSeconds();
-            if (over && entry.answers == 0 && !entry.excused) {
-                broke(RuleKept.ONE_ANSWER, entry.group.name() + " was never answered", now);
+            boolean finished = now
+                    > entry.deadline
+                            + entry.requestClass.clientTimeoutSeconds()
+                            + entry.requestClass.deduplicationWindowSeconds();
+            if (finished && entry.answers == 0 && !entry.excused) {
+                recordViolation(RuleKept.ONE_ANSWER, entry.requestClass.name() + " was never answered", now);
             }
-            return over;
+            return finished;
         });
     }
 
     /** Ends the audit: requests past their deadline without a final answer violate {@link RuleKept#ONE_ANSWER}. */
     public void end(double now) {
         entries.values().stream()
-                .filter(entry -> entry.answers == 0 && !entry.excused && now > entry.expires + SLACK)
-                .forEach(entry -> broke(RuleKept.ONE_ANSWER, entry.group.name() + " was never answered", now));
+                .filter(entry -> entry.answers == 0 && !entry.excused && now > entry.deadline + ANSWER_TOLERANCE)
+                .forEach(entry ->
+                        recordViolation(RuleKept.ONE_ANSWER, entry.requestClass.name() + " was never answered", now));
     }
 }
--- a/lab/src/main/java/clayhook/lab/model/SimulatedFleet.java
+++ b/lab/src/main/java/clayhook/lab/model/SimulatedFleet.java
@@ -144,10 +144,10 @@
         scheduler.runUntil(stopAt + maxClientTimeout + 1);
         audit.end(scheduler.now());
         nodes.nodes()
-                .forEach(node -> metrics.worked(
+                .forEach(node -> metrics.recordUtilization(
                         node.node.id(),
                         node.cores.workedSeconds() / (seconds * spec.machine().cores())));
-        metrics.ended(audit.violations(), audit.firstViolation(), scheduler.scheduledEvents());
+        metrics.finish(audit.violations(), audit.firstViolation(), scheduler.scheduledEvents());
         return metrics;
     }
 
@@ -176,7 +176,7 @@
                 arrival, requiredPosition, knownWritePosition, scheduler.now(), nextRequestNumber++);
         audit.evictFinished(scheduler.now());
         audit.sent(request, requestClass, request.deadline);
-        metrics.asked(requestClass, scheduler.now());
+        metrics.recordArrival(requestClass, scheduler.now());
         router.admit(request);
     }
 
@@ -197,7 +197,7 @@
         if (action == RoutingAction.REJECT) {
             audit.rejected(request, now);
         }
-        metrics.answered(request.requestClass, action, now - request.arrivedAt, request.arrivedAt);
+        metrics.recordAnswer(request.requestClass, action, now - request.arrivedAt, request.arrivedAt);
     }
 
     // ---- environment of the routers ----
--- a/lab/src/main/java/clayhook/lab/plan/Estimate.java
+++ b/lab/src/main/java/clayhook/lab/plan/Estimate.java
@@ -14,28 +14,28 @@
 public record Estimate(double replicas, double primary, double all, double log) {
 
     public static Estimate of(FleetSpec fleet) {
-        double shares =
+        double totalShare =
                 fleet.commands().stream().mapToDouble(FleetSpec.Kind::share).sum();
         double rate = fleet.peak() / fleet.groups();
-        double reads = 0;
-        double own = 0;
+        double replicaWork = 0;
+        double primaryWork = 0;
         double writes = 0;
         for (FleetSpec.Kind kind : fleet.commands()) {
-            double of = rate * kind.share() / shares;
-            reads += kind.group().requiresPrimary() ? 0 : of * kind.work();
-            own += kind.group().requiresPrimary() ? of * kind.work() : 0;
-            writes += kind.group().consistency() == ConsistencyLevel.WRITE ? of : 0;
+            double classRate = rate * kind.share() / totalShare;
+            replicaWork += kind.group().requiresPrimary() ? 0 : classRate * kind.work();
+            primaryWork += kind.group().requiresPrimary() ? classRate * kind.work() : 0;
+            writes += kind.group().consistency() == ConsistencyLevel.WRITE ? classRate : 0;
         }
         int cores = fleet.machine().cores();
         return new Estimate(
-                fleet.replicas() == 0 ? 0 : reads / (cores * fleet.replicas()),
-                own / cores,
-                (reads + own) / (cores * (fleet.replicas() + 1)),
+                fleet.replicas() == 0 ? 0 : replicaWork / (cores * fleet.replicas()),
+                primaryWork / cores,
+                (replicaWork + primaryWork) / (cores * (fleet.replicas() + 1)),
                 writes * fleet.machine().apply());
     }
 
     /** Returns whether the given share of the work exceeds the capacity even with every core busy all the time. */
-    boolean hopeless(double part) {
-        return all * part > 1 || primary * part > 1;
+    boolean exceedsCapacity(double fraction) {
+        return all * fraction > 1 || primary * fraction > 1;
     }
 }
--- a/lab/src/main/java/clayhook/lab/plan/Planner.java
+++ b/lab/src/main/java/clayhook/lab/plan/Planner.java
@@ -17,16 +17,16 @@
  */
 public final class Planner {
     /** Maximum factor of load growth that is tried. */
-    private static final double MOST_GROWTH = 64;
+    private static final double MAX_GROWTH = 64;
     /**
      * The search ends when the upper and lower bound of the factor are within this ratio; results of different seeds
      * differ by more.
      */
-    private static final double CLOSE = 1.05;
+    private static final double MAX_BOUND_RATIO = 1.05;
     /** Maximum number of replicas tried; more than any deployment has. */
-    private static final int MOST_REPLICAS = 40;
+    private static final int MAX_REPLICAS = 40;
     /** Factor by which a resource is increased to test whether it is the bottleneck. */
-    private static final int RELIEF = 2;
+    private static final int INCREASE_FACTOR = 2;
     /** Fractions of the run after which a zone is lost, and for which it is lost. */
     private static final double LOST_FROM = 1 / 3.0, LOST_FOR = 1 / 3.0;
 
@@ -38,7 +38,7 @@
      * Results of a fleet over all seeds.
      *
      * @param met number of seeds with which it met the goal
-     * @param broken description of the first rule violation, or null
+     * @param firstViolation description of the first rule violation, or null
      */
     public record Evaluation(
             int met,
@@ -47,12 +47,12 @@
             double inTime,
             double busiestPrimary,
             double busiestReplica,
-            String broken) {
-        public boolean good() {
+            String firstViolation) {
+        public boolean metByAllSeeds() {
             return met == seeds;
         }
 
-        public boolean bad() {
+        public boolean metByNoSeed() {
             return met == 0;
         }
     }
@@ -82,7 +82,7 @@
      * second.
      */
     public record ZoneLoss(
-            String site, double before, double during, double after, double worst, String broken, Need need) {}
+            String zone, double before, double during, double after, double worst, String firstViolation, Need need) {}
 
     /** Creates a planner for the first variant of the experiment. */
     public Planner(Experiment experiment, Consumer<String> progress) {
@@ -91,7 +91,7 @@
         this.progress = progress;
     }
 
-    private Evaluation trial(FleetSpec spec, List<Failure> failures) {
+    private Evaluation evaluate(FleetSpec spec, List<Failure> failures) {
         List<RunMetrics> runs = experiment.seeds().parallelStream()
                 .map(seed -> new SimulatedFleet(spec, failures, seed).run(experiment.seconds()))
                 .toList();
@@ -117,8 +117,8 @@
 
     private static double worstInTime(RunMetrics run) {
         return run.totalsByClass().values().stream()
-                .filter(of -> of.requests > 0)
-                .mapToDouble(of -> (double) of.inTime / of.requests)
+                .filter(totals -> totals.requests > 0)
+                .mapToDouble(totals -> (double) totals.inTime / totals.requests)
                 .min()
                 .orElse(1);
     }
@@ -141,24 +141,26 @@
         double bad = Double.POSITIVE_INFINITY;
         Evaluation atBad = null;
         double factor = 1;
-        while (factor <= MOST_GROWTH
-                && factor >= 1 / MOST_GROWTH
-                && (good == 0 || bad == Double.POSITIVE_INFINITY || bad / good > CLOSE)) {
-            Evaluation trial = trial(fleet.loaded(factor), experiment.failures());
-            progress.accept(
-                    String.format(java.util.Locale.ROOT, "load times %.2f: service %.4f", factor, trial.service()));
-            if (trial.good()) {
+        while (factor <= MAX_GROWTH
+                && factor >= 1 / MAX_GROWTH
+                && (good == 0 || bad == Double.POSITIVE_INFINITY || bad / good > MAX_BOUND_RATIO)) {
+            Evaluation evaluation = evaluate(fleet.loaded(factor), experiment.failures());
+            progress.accept(String.format(
+                    java.util.Locale.ROOT, "load times %.2f: service %.4f", factor, evaluation.service()));
+            if (evaluation.metByAllSeeds()) {
                 good = Math.max(good, factor);
-            } else if (trial.bad() && factor < bad) {
+            } else if (evaluation.metByNoSeed() && factor < bad) {
                 bad = factor;
-                atBad = trial;
+                atBad = evaluation;
             }
-            double upper = trial.good() || trial.bad() ? bad : Math.min(bad, factor * CLOSE);
-            if (!trial.good() && !trial.bad()) {
+            double upper = evaluation.metByAllSeeds() || evaluation.metByNoSeed()
+                    ? bad
+                    : Math.min(bad, factor * MAX_BOUND_RATIO);
+            if (!evaluation.metByAllSeeds() && !evaluation.metByNoSeed()) {
                 // Seeds differ between the two bounds, so the interval is reported as it is and needs no further
                 // narrowing.
-                Evaluation above = trial(fleet.loaded(upper), experiment.failures());
-                if (above.bad() && upper < bad) {
+                Evaluation above = evaluate(fleet.loaded(upper), experiment.failures());
+                if (above.metByNoSeed() && upper < bad) {
                     bad = upper;
                     atBad = above;
                 }
@@ -166,25 +168,25 @@
             }
             factor = good == 0 ? factor / 2 : upper == Double.POSITIVE_INFINITY ? factor * 2 : Math.sqrt(good * upper);
         }
-        double broken = bad < Double.POSITIVE_INFINITY ? bad : factor;
-        FleetSpec over = fleet.loaded(broken);
+        double badFactor = bad < Double.POSITIVE_INFINITY ? bad : factor;
+        FleetSpec overloaded = fleet.loaded(badFactor);
         return new GrowthLimit(
                 good,
                 bad,
-                atBad == null ? trial(over, experiment.failures()) : atBad,
-                Estimate.of(over),
-                causes(over, experiment.failures()));
+                atBad == null ? evaluate(overloaded, experiment.failures()) : atBad,
+                Estimate.of(overloaded),
+                causes(overloaded, experiment.failures()));
     }
 
     /** Doubles each resource separately; the one with the greatest gain was the bottleneck. */
-    private List<Cause> causes(FleetSpec over, List<Failure> failures) {
-        double without = trial(over, failures).service();
-        MachineSpec m = over.machine();
+    private List<Cause> causes(FleetSpec overloaded, List<Failure> failures) {
+        double baselineService = evaluate(overloaded, failures).service();
+        MachineSpec m = overloaded.machine();
         var causes = new ArrayList<Cause>();
         causes.add(cause(
                 "cores of every node",
-                over.with(new MachineSpec(
-                        m.cores() * RELIEF,
+                overloaded.with(new MachineSpec(
+                        m.cores() * INCREASE_FACTOR,
                         m.queue(),
                         m.shipping(),
                         m.apply(),
@@ -192,51 +194,55 @@
                         m.coldShare(),
                         m.warmAfter())),
                 failures,
-                without));
+                baselineService));
         causes.add(cause(
                 "speed of applying the log",
-                over.with(new MachineSpec(
+                overloaded.with(new MachineSpec(
                         m.cores(),
                         m.queue(),
                         m.shipping(),
-                        m.apply() / RELIEF,
+                        m.apply() / INCREASE_FACTOR,
                         m.connecting(),
                         m.coldShare(),
                         m.warmAfter())),
                 failures,
-                without));
+                baselineService));
         causes.add(cause(
                 "length of the nodes' queues",
-                over.with(new MachineSpec(
+                overloaded.with(new MachineSpec(
                         m.cores(),
-                        m.queue() * RELIEF,
+                        m.queue() * INCREASE_FACTOR,
                         m.shipping(),
                         m.apply(),
                         m.connecting(),
                         m.coldShare(),
                         m.warmAfter())),
                 failures,
-                without));
+                baselineService));
         causes.add(cause(
                 "speed of opening connections",
-                over.with(new MachineSpec(
+                overloaded.with(new MachineSpec(
                         m.cores(),
                         m.queue(),
                         m.shipping(),
                         m.apply(),
-                        m.connecting() / RELIEF,
+                        m.connecting() / INCREASE_FACTOR,
                         m.coldShare(),
                         m.warmAfter())),
                 failures,
-                without));
-        causes.add(cause("replicas", over.withReplicas(Math.max(1, over.replicas() * RELIEF)), failures, without));
+                baselineService));
+        causes.add(cause(
+                "replicas",
+                overloaded.withReplicas(Math.max(1, overloaded.replicas() * INCREASE_FACTOR)),
+                failures,
+                baselineService));
         causes.sort(Comparator.comparingDouble(Cause::gain).reversed());
         return causes;
     }
 
-    private Cause cause(String resource, FleetSpec relieved, List<Failure> failures, double without) {
+    private Cause cause(String resource, FleetSpec increased, List<Failure> failures, double baselineService) {
         progress.accept("with twice the " + resource);
-        return new Cause(resource, trial(relieved, failures).service() - without);
+        return new Cause(resource, evaluate(increased, failures).service() - baselineService);
     }
 
     /** Finds the number of replicas that the goal needs, under the failures of the experiment. */
@@ -246,19 +252,20 @@
 
     private Need need(List<Failure> failures) {
         int least = 0;
-        for (int count = 0; count <= MOST_REPLICAS; count++) {
+        for (int count = 0; count <= MAX_REPLICAS; count++) {
             FleetSpec spec = fleet.withReplicas(count);
             // The estimate is checked first: work that exceeds all cores cannot be done, however it is routed.
-            boolean hopeless = Estimate.of(spec).hopeless(experiment.goal().service())
-                    && fleet.phases().isEmpty();
-            Evaluation trial = hopeless ? null : trial(spec, failures);
-            if (trial != null) {
+            boolean impossible =
+                    Estimate.of(spec).exceedsCapacity(experiment.goal().service())
+                            && fleet.phases().isEmpty();
+            Evaluation evaluation = impossible ? null : evaluate(spec, failures);
+            if (evaluation != null) {
                 progress.accept(
-                        String.format(java.util.Locale.ROOT, "%d replicas: service %.4f", count, trial.service()));
+                        String.format(java.util.Locale.ROOT, "%d replicas: service %.4f", count, evaluation.service()));
             }
-            if (trial == null || trial.bad()) {
+            if (evaluation == null || evaluation.metByNoSeed()) {
                 least = count + 1;
-            } else if (trial.good()) {
+            } else if (evaluation.metByAllSeeds()) {
                 return new Need(fleet.replicas(), least, count);
             }
         }
@@ -269,19 +276,19 @@
     public List<ZoneLoss> zoneLosses() {
         var losses = new ArrayList<ZoneLoss>();
         double from = experiment.seconds() * LOST_FROM;
-        double lasts = experiment.seconds() * LOST_FOR;
-        for (String site : fleet.zones()) {
+        double duration = experiment.seconds() * LOST_FOR;
+        for (String zone : fleet.zones()) {
             var failures = new ArrayList<>(experiment.failures());
-            failures.add(new Failure(Failure.Kind.ZONE_LOSS, site, from, lasts, 0));
+            failures.add(new Failure(Failure.Kind.ZONE_LOSS, zone, from, duration, 0));
             List<RunMetrics> runs = experiment.seeds().parallelStream()
                     .map(seed -> new SimulatedFleet(fleet, failures, seed).run(experiment.seconds()))
                     .toList();
-            progress.accept("without " + site);
+            progress.accept("without " + zone);
             losses.add(new ZoneLoss(
-                    site,
-                    share(runs, 0, from),
-                    share(runs, from, from + lasts),
-                    share(runs, from + lasts, experiment.seconds()),
+                    zone,
+                    meanService(runs, 0, from),
+                    meanService(runs, from, from + duration),
+                    meanService(runs, from + duration, experiment.seconds()),
                     runs.stream()
                             .flatMap(run -> run.serviceBySecond().values().stream())
                             .mapToDouble(share -> share)
@@ -297,7 +304,7 @@
         return losses;
     }
 
-    private static double share(List<RunMetrics> runs, double from, double to) {
+    private static double meanService(List<RunMetrics> runs, double from, double to) {
         return runs.stream()
                 .flatMap(run -> run.serviceBySecond().entrySet().stream())
                 .filter(second -> second.getKey() >= from && second.getKey() + 1 <= to)
