--- a/lab/src/test/java/clayhook/lab/ExperimentTest.java
+++ b/lab/src/test/java/clayhook/lab/ExperimentTest.java
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void everyExampleIsUnderstood() throws Exception {
+    void everyExampleIsRead() throws Exception {
         try (var examples = Files.list(Path.of("..", "examples"))) {
             for (Path example : examples.toList()) {
                 assertTrue(Experiment.read(example).variants().size() > 0);
@@ -50,13 +50,13 @@
                 "[peers]\\nplay = \"none\"|:2: peers.play: 'none' is none of catch_up,",
                 COMMAND + "[peers]\\nsettle = 3|:4: peers.settle: is no key"
             })
-    void aFaultNamesFileLineAndKey(String text, String fault) {
-        ConfigurationException told = assertThrows(ConfigurationException.class, () -> read(text));
-        assertTrue(told.getMessage().startsWith(folder.resolve("e.toml") + fault), told.getMessage());
+    void errorNamesFileLineAndKey(String text, String expected) {
+        ConfigurationException error = assertThrows(ConfigurationException.class, () -> read(text));
+        assertTrue(error.getMessage().startsWith(folder.resolve("e.toml") + expected), error.getMessage());
     }
 
     @Test
-    void aPlanOfFaultsIsPrintedAsItIsRead() throws Exception {
+    void printedFaultPlanIsReadBackUnchanged() throws Exception {
         for (int seed = 1; seed <= 50; seed++) {
             String printed = FaultPlan.draw(seed, 12, 12, 90).toString();
             assertEquals(
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void anIntervalIsStudents() {
+    void intervalFollowsStudentsDistribution() {
         Comparison.Interval interval = Comparison.Interval.of(1, 2, 3);
         assertEquals(2, interval.mean());
         assertEquals(4.303 / Math.sqrt(3), interval.reach(), 0.001);
--- a/lab/src/test/java/clayhook/lab/model/LawsTest.java
+++ b/lab/src/test/java/clayhook/lab/model/LawsTest.java
@@ -11,41 +11,42 @@
 
 /** Checks laws that hold for every queue and replication log, independent of the seed. */
 class LawsTest {
-    private static final class Measured {
-        double spent;
+    private static final class QueueStatistics {
+        double totalResponseTime;
         double worked;
         double offered;
         long done;
         long refused;
-        double inside;
-        double last;
-        int most;
+        double jobSeconds;
+        double lastChangeAt;
+        int maxQueued;
     }
 
     /** Runs Poisson arrivals with exponentially distributed work, and the given speeds one after the other. */
-    private static Measured play(int cores, int queue, double rate, double work, int count, double[] speeds) {
+    private static QueueStatistics simulate(
+            int cores, int queue, double rate, double work, int count, double[] speeds) {
         var scheduler = new VirtualScheduler(0);
         var machine = new CpuModel(scheduler, cores, queue);
         var random = RandomSource.XO_RO_SHI_RO_128_PP.create(9L);
         var exponential = ZigguratSampler.Exponential.of(random);
-        var measured = new Measured();
+        var statistics = new QueueStatistics();
         double at = 0;
         for (int i = 0; i < count; i++) {
             at += exponential.sample() / rate;
             double arrived = at;
-            double asked = exponential.sample() * work;
+            double workSeconds = exponential.sample() * work;
             scheduler.scheduleAt(arrived, () -> {
-                measured.inside += machine.jobs() * (scheduler.now() - measured.last);
-                measured.last = scheduler.now();
-                boolean taken = machine.offer(new NodeJob(asked, arrived, job -> {
-                    measured.inside += (machine.jobs() + 1) * (scheduler.now() - measured.last);
-                    measured.last = scheduler.now();
-                    measured.spent += scheduler.now() - arrived;
-                    measured.done++;
+                statistics.jobSeconds += machine.jobs() * (scheduler.now() - statistics.lastChangeAt);
+                statistics.lastChangeAt = scheduler.now();
+                boolean accepted = machine.offer(new NodeJob(workSeconds, arrived, job -> {
+                    statistics.jobSeconds += (machine.jobs() + 1) * (scheduler.now() - statistics.lastChangeAt);
+                    statistics.lastChangeAt = scheduler.now();
+                    statistics.totalResponseTime += scheduler.now() - arrived;
+                    statistics.done++;
                 }));
-                measured.offered += taken ? asked : 0;
-                measured.refused += taken ? 0 : 1;
-                measured.most = Math.max(measured.most, machine.queuedJobs());
+                statistics.offered += accepted ? workSeconds : 0;
+                statistics.refused += accepted ? 0 : 1;
+                statistics.maxQueued = Math.max(statistics.maxQueued, machine.queuedJobs());
             });
         }
         for (int i = 0; i < speeds.length; i++) {
@@ -53,8 +54,8 @@
             scheduler.scheduleAt(at * i / speeds.length, () -> machine.setSpeed(speed));
         }
         scheduler.runUntil(at * 10);
-        measured.worked = machine.workedSeconds();
-        return measured;
+        statistics.worked = machine.workedSeconds();
+        return statistics;
     }
 
     private static double erlangC(int servers, double load) {
@@ -64,40 +65,41 @@
             sum += term;
             term *= load / (k + 1);
         }
-        double last = term * servers / (servers - load);
-        return last / (sum + last);
+        double lastTerm = term * servers / (servers - load);
+        return lastTerm / (sum + lastTerm);
     }
 
     @ParameterizedTest
     @CsvSource({"1, 0.5", "1, 0.8", "2, 0.7", "4, 0.6", "8, 0.85"})
-    void timesAreThoseOfTheClosedFormAndLittlesLawHolds(int cores, double used) {
+    void responseTimesMatchErlangCAndLittlesLaw(int cores, double utilization) {
         double work = 0.01;
-        double rate = used * cores / work;
-        Measured measured = play(cores, Integer.MAX_VALUE, rate, work, 400_000, new double[0]);
-        double expected = work + erlangC(cores, used * cores) * work / (cores * (1 - used));
-        double mean = measured.spent / measured.done;
+        double rate = utilization * cores / work;
+        QueueStatistics statistics = simulate(cores, Integer.MAX_VALUE, rate, work, 400_000, new double[0]);
+        double expected = work + erlangC(cores, utilization * cores) * work / (cores * (1 - utilization));
+        double mean = statistics.totalResponseTime / statistics.done;
         assertEquals(expected, mean, 0.04 * expected);
         assertEquals(
-                measured.done / measured.last * mean,
-                measured.inside / measured.last,
-                0.001 * measured.inside / measured.last);
+                statistics.done / statistics.lastChangeAt * mean,
+                statistics.jobSeconds / statistics.lastChangeAt,
+                0.001 * statistics.jobSeconds / statistics.lastChangeAt);
     }
 
     @ParameterizedTest
     @CsvSource({"1, 5", "3, 0", "2, 50"})
-    void workIsConservedAndTheQueueIsBoundedWhateverTheSpeed(int cores, int queue) {
-        Measured measured = play(cores, queue, 150, 0.02, 20_000, new double[] {1, 0.3, 0, 0.7, 1, 0.1, 1});
-        assertEquals(20_000, measured.done + measured.refused);
-        assertEquals(measured.offered, measured.worked, 1e-6 * measured.offered);
-        assertTrue(measured.refused > 0 && measured.most == queue);
+    void workIsConservedAndQueueIsBoundedAtAnySpeed(int cores, int queue) {
+        QueueStatistics statistics =
+                simulate(cores, queue, 150, 0.02, 20_000, new double[] {1, 0.3, 0, 0.7, 1, 0.1, 1});
+        assertEquals(20_000, statistics.done + statistics.refused);
+        assertEquals(statistics.offered, statistics.worked, 1e-6 * statistics.offered);
+        assertTrue(statistics.refused > 0 && statistics.maxQueued == queue);
     }
 
     @Test
-    void aPositionNeverGoesBackAndASlowLogLags() {
+    void positionNeverDecreasesAndSlowLogLags() {
         var random = RandomSource.XO_RO_SHI_RO_128_PP.create(3L);
         var log = new ReplicaLog(0.02, 0.001);
         double position = 0;
-        double most = 0;
+        double maxLag = 0;
         for (double now = 1; now < 60; now += 0.002) {
             if (random.nextDouble() < 0.3) {
                 log.committed(now);
@@ -111,10 +113,10 @@
             double next = log.position(now);
             assertTrue(next >= position && next <= now - 0.02 + 1e-9, now + ": " + next + " after " + position);
             position = next;
-            most = now < 40 ? Math.max(most, now - next) : most;
+            maxLag = now < 40 ? Math.max(maxLag, now - next) : maxLag;
             // Delayed commits are applied at full speed once the log has recovered.
             assertTrue(now < 33 || now > 45 || now - next < 0.1, now + ": " + (now - next) + " behind");
         }
-        assertTrue(most > 5 && log.pending() < 20, "lag " + most);
+        assertTrue(maxLag > 5 && log.pending() < 20, "lag " + maxLag);
     }
 }
--- a/lab/src/test/java/clayhook/lab/model/LoopbackTest.java
+++ b/lab/src/test/java/clayhook/lab/model/LoopbackTest.java
@@ -15,7 +15,7 @@
 
 /** Checks conditions of a fleet on loopback sockets that hold on a machine of any speed. */
 class LoopbackTest {
-    private static RequestClass group(String name, Idempotency effect, ConsistencyLevel level) {
+    private static RequestClass requestClass(String name, Idempotency effect, ConsistencyLevel level) {
         // Latency objectives far beyond what a busy machine needs, so that the verdict does not depend on its speed.
         return new RequestClass(name, effect, level, 5, 10, 1, 1, DeduplicationScope.REPLICA_SET, 20, 5);
     }
@@ -24,7 +24,7 @@
     @EnumSource(
             value = Kind.class,
             names = {"NEIGHBOUR", "CRASH"})
-    void everyCommandIsAnsweredOnceTheRulesAreKeptAndAllThatWasAskedIsCounted(Kind kind) throws Exception {
+    void everyRequestIsAnsweredOnceAndCountedAndTheRulesAreKept(Kind kind) throws Exception {
         var spec = new FleetSpec(
                 1,
                 2,
@@ -38,9 +38,9 @@
                 false,
                 List.of(
                         new FleetSpec.Kind(
-                                group("read", Idempotency.IDEMPOTENT, ConsistencyLevel.EVENTUAL), 4, 0.002, 0.5),
+                                requestClass("read", Idempotency.IDEMPOTENT, ConsistencyLevel.EVENTUAL), 4, 0.002, 0.5),
                         new FleetSpec.Kind(
-                                group("write", Idempotency.IDEMPOTENT_WITH_KEY, ConsistencyLevel.WRITE),
+                                requestClass("write", Idempotency.IDEMPOTENT_WITH_KEY, ConsistencyLevel.WRITE),
                                 1,
                                 0.002,
                                 0.5)),
@@ -48,19 +48,19 @@
                 List.of(),
                 10);
         var loopback = new LoopbackFleet(spec, 1);
-        RunMetrics tally = loopback.run(List.of(new Failure(kind, "1r1", 0.5, 1, 0.5)), 3);
-        if (tally == null) {
+        RunMetrics metrics = loopback.run(List.of(new Failure(kind, "1r1", 0.5, 1, 0.5)), 3);
+        if (metrics == null) {
             assertTrue(
                     loopback.latenessSeconds() > 0.01); // the run returned no verdict because its event loop ran late
             return;
         }
-        assertEquals(Map.of(), tally.violations(), tally::firstViolation);
-        for (RunMetrics.Totals of : tally.totalsByClass().values()) {
-            assertEquals(of.requests, of.answered + of.rejected + of.failed);
-            assertTrue(of.answered > 0.8 * of.requests, of.answered + " of " + of.requests);
+        assertEquals(Map.of(), metrics.violations(), metrics::firstViolation);
+        for (RunMetrics.Totals totals : metrics.totalsByClass().values()) {
+            assertEquals(totals.requests, totals.answered + totals.rejected + totals.failed);
+            assertTrue(totals.answered > 0.8 * totals.requests, totals.answered + " of " + totals.requests);
         }
         assertTrue(
-                tally.busy().get("1p") > 0 && tally.busy().get("1r2") > 0,
-                tally.busy().toString());
+                metrics.busy().get("1p") > 0 && metrics.busy().get("1r2") > 0,
+                metrics.busy().toString());
     }
 }
--- a/lab/src/test/java/clayhook/lab/plan/PlannerTest.java
+++ b/lab/src/test/java/clayhook/lab/plan/PlannerTest.java
@@ -37,18 +37,18 @@
      * without the primary.
      */
     @Test
-    void theLoadGrowsUpToWhatTheCoresBear() throws Exception {
-        Planner.GrowthLimit breaks =
+    void loadGrowsUpToTheCapacityOfTheCores() throws Exception {
+        Planner.GrowthLimit limit =
                 planner(FLEET + READS + "[load]\nrate = 100.0\nseconds = 15\n").growthLimit();
         assertTrue(
-                breaks.lastGood() > 3 && breaks.firstBad() < 6.3 && breaks.lastGood() < breaks.firstBad(),
-                breaks.toString());
-        assertTrue(breaks.causes().get(0).resource().matches("cores.*|replicas"), breaks.toString());
-        assertTrue(breaks.at().busiestReplica() > 0.7);
+                limit.lastGood() > 3 && limit.firstBad() < 6.3 && limit.lastGood() < limit.firstBad(),
+                limit.toString());
+        assertTrue(limit.causes().get(0).resource().matches("cores.*|replicas"), limit.toString());
+        assertTrue(limit.at().busiestReplica() > 0.7);
     }
 
     @Test
-    void aSlowLogIsNamedWhereCoresAreIdle() throws Exception {
+    void slowLogIsNamedAsBottleneckWhenCoresAreIdle() throws Exception {
         String text = FLEET + "[machine]\napply = 0.015\n[load]\nrate = 100.0\nseconds = 15\n"
                 + """
                 [[command]]
@@ -62,13 +62,13 @@
                 work = 0.001
                 share = 2
                 """;
-        Planner.GrowthLimit breaks = planner(text).growthLimit();
-        assertEquals("speed of applying the log", breaks.causes().get(0).resource(), breaks.toString());
-        assertTrue(breaks.estimate().log() > 0.8 && breaks.estimate().replicas() < 0.9, breaks.toString());
+        Planner.GrowthLimit limit = planner(text).growthLimit();
+        assertEquals("speed of applying the log", limit.causes().get(0).resource(), limit.toString());
+        assertTrue(limit.estimate().log() > 0.8 && limit.estimate().replicas() < 0.9, limit.toString());
     }
 
     @Test
-    void replicasAreThoseThatTheWorkNeeds() throws Exception {
+    void replicaNeedMatchesTheWork() throws Exception {
         // Twelve cores' worth of work: at least six nodes, one of which is the primary.
         Planner.Need need =
                 planner(FLEET + READS + "[load]\nrate = 1200.0\nseconds = 10\n").need();
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void losingASiteTellsBeforeDuringAndAfter() throws Exception {
+    void zoneLossReportsServiceBeforeDuringAndAfter() throws Exception {
         var losses =
                 planner(FLEET + READS + "[load]\nrate = 450.0\nseconds = 30\n").zoneLosses();
         assertEquals(3, losses.size());
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void arithmeticIsThatOfTheLoad() throws Exception {
+    void estimateIsTheUtilizationUnderTheLoad() throws Exception {
         Experiment experiment = Experiment.read(
                 Files.writeString(
                         folder.resolve("e.toml"),
--- a/lab/src/test/java/clayhook/lab/sharing/SharingTrialTest.java
+++ b/lab/src/test/java/clayhook/lab/sharing/SharingTrialTest.java
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void whateverBefallsAllAgreeInTheEnd() {
+    void routersAgreeAfterAnyFaults() {
         SharingSweep.Result result =
                 new SharingSweep(SPEC, SharingTrial.TYPES, FaultPlan.NONE, FAULTS).play(seeds(SEEDS));
         assertEquals(List.of(), result.shrunkFailures(), result::toString);
@@ -48,21 +48,21 @@
     }
 
     /** A broken type whose merge keeps the second value, so that it is not commutative. */
-    private static final class Broken<V> implements clayhook.fleet.ReplicatedType<V> {
-        private final clayhook.fleet.ReplicatedType<V> kind;
+    private static final class LastValueWins<V> implements clayhook.fleet.ReplicatedType<V> {
+        private final clayhook.fleet.ReplicatedType<V> type;
 
-        Broken(clayhook.fleet.ReplicatedType<V> kind) {
-            this.kind = kind;
+        LastValueWins(clayhook.fleet.ReplicatedType<V> type) {
+            this.type = type;
         }
 
         @Override
         public int typeNumber() {
-            return kind.typeNumber();
+            return type.typeNumber();
         }
 
         @Override
         public String name() {
-            return kind.name();
+            return type.name();
         }
 
         @Override
@@ -72,59 +72,59 @@
 
         @Override
         public double timestamp(V value) {
-            return kind.timestamp(value);
+            return type.timestamp(value);
         }
 
         @Override
         public double retentionSeconds() {
-            return kind.retentionSeconds();
+            return type.retentionSeconds();
         }
 
         @Override
         public int maxEntries() {
-            return kind.maxEntries();
+            return type.maxEntries();
         }
 
         @Override
         public boolean urgent() {
-            return kind.urgent();
+            return type.urgent();
         }
 
         @Override
         public boolean clockDependent() {
-            return kind.clockDependent();
+            return type.clockDependent();
         }
 
         @Override
         public void write(V value, FieldWriter out) {
-            kind.write(value, out);
+            type.write(value, out);
         }
 
         @Override
         public V read(FieldReader in) {
-            return kind.read(in);
+            return type.read(in);
         }
     }
 
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3, 4})
-    void aBrokenJoinIsFoundAndToldBySeedAndStep(int which) {
-        var kinds = new ArrayList<>(SharingTrial.TYPES);
-        kinds.set(which, new Broken<>(kinds.get(which)));
-        SharingSweep.Result result = new SharingSweep(SPEC, kinds, FaultPlan.NONE, FAULTS).play(seeds(2));
+    void nonCommutativeMergeIsFoundAndShrunkReproducibly(int typeIndex) {
+        var types = new ArrayList<>(SharingTrial.TYPES);
+        types.set(typeIndex, new LastValueWins<>(types.get(typeIndex)));
+        SharingSweep.Result result = new SharingSweep(SPEC, types, FaultPlan.NONE, FAULTS).play(seeds(2));
         assertTrue(result.failed() > 0, result::toString);
         SharingSweep.ShrunkFailure found = result.shrunkFailures().get(0);
         assertTrue(
-                found.violation().contains(kinds.get(which).name())
+                found.violation().contains(types.get(typeIndex).name())
                         && found.plan().faults().size() < FAULTS,
                 found::toString);
         assertEquals(
                 found.violation(),
-                SharingTrial.play(SPEC, kinds, found.plan(), found.seed()).violation());
+                SharingTrial.play(SPEC, types, found.plan(), found.seed()).violation());
     }
 
     @Test
-    void aFailureIsShrunkToTheFaultsThatItNeeds() {
+    void planIsShrunkToTheFaultsThatTheFailureNeeds() {
         FaultPlan drawn = FaultPlan.draw(5, 40, 12, 90);
         assertEquals(drawn, FaultPlan.draw(5, 40, 12, 90));
         assertTrue(drawn.end() <= 90);
@@ -155,7 +155,8 @@
         "SLOW, 0, 10000, 1000, 0, 1.1",
         "FREEZE, 2, 0, 1000, 0, 0.004"
     })
-    void theNetworkDoesWhatTheFaultSays(Kind kind, String whom, double amount, int come, int spoilt, double latest) {
+    void networkAppliesTheFault(
+            Kind kind, String routerNumbers, double amount, int delivered, int corrupted, double latest) {
         var scheduler = new VirtualScheduler(100);
         var network = new SimulatedNetwork(scheduler, 3, 0.0005, 0, 7);
         int[] counts = new int[2];
@@ -167,23 +168,25 @@
                 last[0] = Math.max(last[0], scheduler.now() - 100);
             });
         }
-        List<Integer> routers = whom.isEmpty()
+        List<Integer> routers = routerNumbers.isEmpty()
                 ? List.of()
-                : java.util.Arrays.stream(whom.split(" ")).map(Integer::valueOf).toList();
+                : java.util.Arrays.stream(routerNumbers.split(" "))
+                        .map(Integer::valueOf)
+                        .toList();
         network.begin(new SharingFault(0, kind, routers, 10, amount));
         for (int i = 0; i < 1000; i++) {
             network.send(PeeredRouter.address(0), PeeredRouter.address(1), new byte[] {1, 1, 1, 1, 1, 1, 1, 1, 1, 1});
         }
         scheduler.runUntil(200);
-        assertEquals(come, counts[0], 60);
-        assertEquals(spoilt * 2 / 10.0, counts[1], 30); // only two of ten bytes are checked
+        assertEquals(delivered, counts[0], 60);
+        assertEquals(corrupted * 2 / 10.0, counts[1], 30); // only two of ten bytes are checked
         assertTrue(last[0] <= latest && last[0] >= latest / 4, "" + last[0]);
         assertEquals(10_000.0 / 3, network.traffic().bytes(0, 1), 1e-9);
     }
 
     // ---- a modelled fleet whose routers are peers ----
 
-    private static RequestClass group(String name, Idempotency effect, ConsistencyLevel level) {
+    private static RequestClass requestClass(String name, Idempotency effect, ConsistencyLevel level) {
         return new RequestClass(name, effect, level, 0.25, 2, 1, 0, DeduplicationScope.REPLICA_SET, 1, 0.2);
     }
 
@@ -201,9 +204,12 @@
                 false,
                 List.of(
                         new FleetSpec.Kind(
-                                group("own", Idempotency.IDEMPOTENT, ConsistencyLevel.SESSION), 4, 0.004, 0.5),
+                                requestClass("own", Idempotency.IDEMPOTENT, ConsistencyLevel.SESSION), 4, 0.004, 0.5),
                         new FleetSpec.Kind(
-                                group("pay", Idempotency.IDEMPOTENT_WITH_KEY, ConsistencyLevel.WRITE), 1, 0.003, 0.5)),
+                                requestClass("pay", Idempotency.IDEMPOTENT_WITH_KEY, ConsistencyLevel.WRITE),
+                                1,
+                                0.003,
+                                0.5)),
                 300,
                 List.of(),
                 50,
