--- a/lab/src/main/java/clayhook/lab/sharing/PeeredRouter.java
+++ b/lab/src/main/java/clayhook/lab/sharing/PeeredRouter.java
@@ -112,7 +112,7 @@
         }
     }
 
-    /** Restarts the router with its clock shifted ahead by {@code further} seconds. */
+    /** Restarts the router with its clock shifted ahead by {@code secondsAhead} seconds. */
     void startWithClock(double secondsAhead) {
         clockOffset += secondsAhead;
         kill();
--- a/lab/src/main/java/clayhook/lab/sharing/SharingMetrics.java
+++ b/lab/src/main/java/clayhook/lab/sharing/SharingMetrics.java
@@ -170,7 +170,7 @@
     // ---- catching up ----
 
     /**
-     * Measures the seconds from the return of a router that was away for a minute until it has all {@code marks}
+     * Measures the seconds from the return of a router that was away for a minute until it has all {@code writes}
      * last-write positions written meanwhile.
      */
     public void catchUp(int writes) {
--- a/lab/src/main/java/clayhook/lab/sharing/SharingTrial.java
+++ b/lab/src/main/java/clayhook/lab/sharing/SharingTrial.java
@@ -76,7 +76,7 @@
     private final double end;
     private String violation;
 
-    /** @param types {@link #KINDS}, possibly with deliberately broken types */
+    /** @param types {@link #TYPES}, possibly with deliberately broken types */
     private SharingTrial(Spec spec, List<ReplicatedType<?>> types, FaultPlan plan, long seed) {
         this.spec = spec;
         this.types = types;
