--- a/lab/src/test/java/clayhook/lab/sharing/SharingTrialTest.java
+++ b/lab/src/test/java/clayhook/lab/sharing/SharingTrialTest.java
@@ -173,7 +173,7 @@
                 : java.util.Arrays.stream(routerNumbers.split(" "))
                         .map(Integer::valueOf)
                         .toList();
-        network.begin(new SharingFault(0, kind, routers, 10, amount));
+        network.startFault(new SharingFault(0, kind, routers, 10, amount));
         for (int i = 0; i < 1000; i++) {
             network.send(PeeredRouter.address(0), PeeredRouter.address(1), new byte[] {1, 1, 1, 1, 1, 1, 1, 1, 1, 1});
         }
