--- a/cli/src/main/java/clayhook/cli/PlanCommand.java
+++ b/cli/src/main/java/clayhook/cli/PlanCommand.java
@@ -99,13 +99,13 @@
                 Locale.ROOT,
                 "   %s: service %.4f before, %.4f while it is gone, %.4f after, %.4f in the worst"
                         + " second; replicas that bear it: %s%s%n",
-                loss.site(),
+                loss.zone(),
                 loss.before(),
                 loss.during(),
                 loss.after(),
                 loss.worst(),
                 enough(loss.need()),
-                loss.broken() == null ? "" : "; a rule was broken: " + loss.broken()));
+                loss.firstViolation() == null ? "" : "; a rule was broken: " + loss.firstViolation()));
     }
 
     private static void write(JsonGenerator out, String name, Planner.Need need) throws IOException {
@@ -138,7 +138,7 @@
             out.writeArrayFieldStart("losses");
             for (Planner.ZoneLoss loss : losses) {
                 out.writeStartObject();
-                out.writeStringField("site", loss.site());
+                out.writeStringField("site", loss.zone());
                 out.writeNumberField("before", loss.before());
                 out.writeNumberField("during", loss.during());
                 out.writeNumberField("after", loss.after());
