--- a/cli/src/main/java/clayhook/cli/AdapterCommand.java
+++ b/cli/src/main/java/clayhook/cli/AdapterCommand.java
@@ -26,10 +26,10 @@
         var out = new PrintWriter(System.out, false, StandardCharsets.UTF_8);
         try {
             new SimulatorAdapter(in, out).run();
-            return Main.DONE;
+            return Main.EXIT_SUCCESS;
         } catch (SimulatorProtocolException | IOException e) {
             System.err.println("clayhook: " + e.getMessage());
-            return Main.FAILED;
+            return Main.EXIT_FAILURE;
         }
     }
 }
--- a/cli/src/main/java/clayhook/cli/ClassifyCommand.java
+++ b/cli/src/main/java/clayhook/cli/ClassifyCommand.java
@@ -67,7 +67,7 @@
                     ? StatementRules.DEFAULT
                     : OperatorConfigurationReader.readStatements(config).rules();
         } catch (ConfigurationException e) {
-            return Main.wrong(e);
+            return Main.reportInvalidConfiguration(e);
         }
         var classifier = new Classifier(rules, 1);
         var client = new ClientIdentity(user, database, application);
@@ -89,10 +89,10 @@
                     out.println(json ? json(classed) : line(classed, classifier.shape(text)));
                 }
             }
-            return out.checkError() ? Main.FAILED : Main.DONE;
+            return out.checkError() ? Main.EXIT_FAILURE : Main.EXIT_SUCCESS;
         } catch (java.nio.file.NoSuchFileException | java.nio.file.AccessDeniedException e) {
             System.err.println("clayhook: " + file + ": cannot be read");
-            return Main.WRONG;
+            return Main.EXIT_INVALID_USAGE;
         }
     }
 
--- a/cli/src/main/java/clayhook/cli/Commands.java
+++ b/cli/src/main/java/clayhook/cli/Commands.java
@@ -39,14 +39,14 @@
     @Override
     public Integer call() {
         spec.commandLine().usage(System.err);
-        return Main.WRONG;
+        return Main.EXIT_INVALID_USAGE;
     }
 
     static int run(String[] args) {
         return new CommandLine(new Commands())
                 .setExecutionExceptionHandler((fault, line, parsed) -> {
                     System.err.println("clayhook: " + (fault.getMessage() == null ? fault : fault.getMessage()));
-                    return Main.FAILED;
+                    return Main.EXIT_FAILURE;
                 })
                 .execute(args);
     }
--- a/cli/src/main/java/clayhook/cli/LabCommand.java
+++ b/cli/src/main/java/clayhook/cli/LabCommand.java
@@ -42,7 +42,7 @@
     @Override
     public Integer call() {
         spec.commandLine().usage(System.err);
-        return Main.WRONG;
+        return Main.EXIT_INVALID_USAGE;
     }
 
     @Command(
@@ -79,13 +79,13 @@
             try {
                 experiment = Experiment.read(file);
             } catch (ConfigurationException e) {
-                return Main.wrong(e);
+                return Main.reportInvalidConfiguration(e);
             }
             if (seeds != null) {
                 experiment = experiment.seeded(seeds.all());
             }
             if (experiment.peers().play() != null) {
-                return SharingPlays.play(experiment, System.out) ? Main.DONE : Main.FAILED;
+                return SharingPlays.play(experiment, System.out) ? Main.EXIT_SUCCESS : Main.EXIT_FAILURE;
             }
             boolean terminal = System.console() != null;
             BiConsumer<String, Integer> progress = (name, number) -> {
@@ -97,7 +97,7 @@
                     sockets ? Comparison.playOnSockets(experiment, progress) : Comparison.play(experiment, progress);
             if (played.stream().anyMatch(one -> one.runs().contains(null))) {
                 System.err.println("clayhook: no verdict: this machine played late");
-                return Main.FAILED;
+                return Main.EXIT_FAILURE;
             }
             for (Played one : played) {
                 for (int i = 0; json && i < one.runs().size(); i++) {
@@ -116,8 +116,8 @@
             }
             return played.stream().flatMap(one -> one.runs().stream()).allMatch(run -> run.violations()
                             .isEmpty())
-                    ? Main.DONE
-                    : Main.FAILED;
+                    ? Main.EXIT_SUCCESS
+                    : Main.EXIT_FAILURE;
         }
 
         /** Reads one seed or a range of them. */
--- a/cli/src/main/java/clayhook/cli/Main.java
+++ b/cli/src/main/java/clayhook/cli/Main.java
@@ -4,7 +4,7 @@
 
 /** Where the program starts. */
 public final class Main {
-    static final int DONE = 0, FAILED = 1, WRONG = 2;
+    static final int EXIT_SUCCESS = 0, EXIT_FAILURE = 1, EXIT_INVALID_USAGE = 2;
 
     private Main() {}
 
@@ -22,13 +22,13 @@
     /** Ends only by a signal, or where it cannot start. */
     private static void serve() {
         int exit = ServeCommand.run(null);
-        if (exit != DONE) {
+        if (exit != EXIT_SUCCESS) {
             System.exit(exit);
         }
     }
 
-    static int wrong(ConfigurationException fault) {
+    static int reportInvalidConfiguration(ConfigurationException fault) {
         System.err.println("clayhook: " + fault.getMessage());
-        return WRONG;
+        return EXIT_INVALID_USAGE;
     }
 }
--- a/cli/src/main/java/clayhook/cli/PlanCommand.java
+++ b/cli/src/main/java/clayhook/cli/PlanCommand.java
@@ -35,7 +35,7 @@
         try {
             experiment = Experiment.read(file);
         } catch (ConfigurationException e) {
-            return Main.wrong(e);
+            return Main.reportInvalidConfiguration(e);
         }
         boolean terminal = System.console() != null;
         var planner = new Planner(experiment, step -> {
@@ -51,7 +51,7 @@
         } else {
             tell(experiment, breaks, need, losses, System.out);
         }
-        return Main.DONE;
+        return Main.EXIT_SUCCESS;
     }
 
     private static String enough(Planner.Need need) {
--- a/cli/src/main/java/clayhook/cli/RehearseCommand.java
+++ b/cli/src/main/java/clayhook/cli/RehearseCommand.java
@@ -44,10 +44,10 @@
             WarmUp.run(settings, Transport.unixSockets(), false);
             WarmUp.run(settings, Transport.tcp(), false);
             WarmUp.run(settings, Transport.inProcess(), false);
-            return Main.DONE;
+            return Main.EXIT_SUCCESS;
         } catch (Exception e) {
             System.err.println("clayhook: " + e);
-            return Main.FAILED;
+            return Main.EXIT_FAILURE;
         }
     }
 }
--- a/cli/src/main/java/clayhook/cli/ServeCommand.java
+++ b/cli/src/main/java/clayhook/cli/ServeCommand.java
@@ -61,7 +61,7 @@
             Server server = lifecycle.start(
                     () -> new Server(Transport.tcp(), configuration, operator, secondsSinceStart(startNanos)));
             if (server == null) {
-                return Main.DONE;
+                return Main.EXIT_SUCCESS;
             }
             while (true) {
                 reloads.acquire();
@@ -69,10 +69,10 @@
                 reload(server, config);
             }
         } catch (ConfigurationException e) {
-            return Main.wrong(e);
+            return Main.reportInvalidConfiguration(e);
         } catch (Exception e) {
             System.err.println("clayhook: cannot start: " + e);
-            return Main.FAILED;
+            return Main.EXIT_FAILURE;
         }
     }
 
--- a/cli/src/main/java/clayhook/cli/TryCommand.java
+++ b/cli/src/main/java/clayhook/cli/TryCommand.java
@@ -44,14 +44,14 @@
                 .run(experiment.failures(), experiment.seconds(), so -> show(so, before));
         if (tally == null) {
             System.err.println("clayhook: no verdict: this machine played late");
-            return Main.FAILED;
+            return Main.EXIT_FAILURE;
         }
         System.out.printf(
                 Locale.ROOT,
                 "Service %.4f of 1; rules %s.%n",
                 tally.service(),
-                tally.firstViolation() == null ? "kept" : "broken: " + tally.firstViolation());
-        return tally.violations().isEmpty() ? Main.DONE : Main.FAILED;
+                tally.firstBroken() == null ? "kept" : "broken: " + tally.firstBroken());
+        return tally.broken().isEmpty() ? Main.EXIT_SUCCESS : Main.EXIT_FAILURE;
     }
 
     /** What came in the last second. */
