--- a/benchmarks/src/main/java/clayhook/benchmarks/GatherBenchmark.java
+++ b/benchmarks/src/main/java/clayhook/benchmarks/GatherBenchmark.java
@@ -34,7 +34,8 @@
 import org.openjdk.jmh.infra.Blackhole;
 
 /**
- * Ten sorted parts of 10,000 rows become one answer of 100 or of all, by a gather and the naive way: collect all, sort.
+ * Merges ten sorted parts of 10,000 rows into one answer of 100 or of all rows: by a gather, and by the naive
+ * algorithm, which collects and sorts all rows.
  */
 @State(Scope.Thread)
 @Fork(
@@ -55,13 +56,13 @@
 
     private List<IntFunction<byte[]>> sources;
 
-    /** Row of a part, sorted by amount, which many rows share, then by plate. */
+    /** Returns a row of a part. Rows are sorted by amount, which several rows share, then by plate. */
     static byte[] row(int part, int number) {
         return RowSet.message(List.of(Integer.toString(number / 3 * 10), "KS" + (1_000_000 + number * 7 + part), REST));
     }
 
     @Setup
-    public void make() {
+    public void generateRows() {
         sources = new ArrayList<>();
         for (int part = 0; part < PARTS; part++) {
             byte[][] rows = new byte[ROWS][];
@@ -72,65 +73,65 @@
         }
     }
 
-    /** Feeds parts as far as they have credit, in turns, as connections that are all ready would. */
+    /** Feeds the parts in turn, each up to its credit, like connections that all have input available. */
     static GatherResult gather(
-            List<IntFunction<byte[]>> sources, int limit, Consumer<byte[]> out, Consumer<Gather> look) {
-        var feed = new Feed(out);
+            List<IntFunction<byte[]>> sources, int limit, Consumer<byte[]> out, Consumer<Gather> onProgress) {
+        var feeder = new PartFeeder(out);
         List<GatherPart> parts = new ArrayList<>();
         for (int i = 0; i < PARTS; i++) {
             parts.add(new GatherPart("p" + i, i));
         }
         GatherPlan plan = GatherPlan.of(MergeSpec.by(SortKey.ascending("amount"), SortKey.ascending("plate"))
-                .limit(Limit.rows(limit)));
-        var gather = new Gather(plan, parts, MemoryPool.of(64 << 20), feed);
+                .cut(Limit.rows(limit)));
+        var gather = new Gather(plan, parts, MemoryPool.of(64 << 20), feeder);
         gather.begin(0, 1);
         gather.request(Integer.MAX_VALUE);
         parts.forEach(part -> gather.described(part, COLUMNS));
-        int[] given = new int[PARTS];
-        while (feed.verdict == null) {
+        int[] rowsFed = new int[PARTS];
+        while (feeder.result == null) {
             for (int i = 0; i < PARTS; i++) {
-                while (feed.credit[i] > 0 && given[i] < ROWS) {
-                    feed.credit[i]--;
-                    gather.row(parts.get(i), sources.get(i).apply(given[i]++));
+                while (feeder.credit[i] > 0 && rowsFed[i] < ROWS) {
+                    feeder.credit[i]--;
+                    gather.row(parts.get(i), sources.get(i).apply(rowsFed[i]++));
                 }
-                if (given[i] == ROWS) {
-                    given[i]++;
+                if (rowsFed[i] == ROWS) {
+                    rowsFed[i]++;
                     gather.ended(parts.get(i), 1);
                 }
-                look.accept(gather);
+                onProgress.accept(gather);
             }
         }
-        return feed.verdict;
+        return feeder.result;
     }
 
-    /** A row with its keys as the naive way reads them. */
-    private record Kept(long amount, String plate, byte[] message) {
-        private static final Comparator<Kept> ORDER =
-                Comparator.comparingLong(Kept::amount).thenComparing(Kept::plate);
+    /** A row with the sort keys that the naive algorithm reads from it. */
+    private record ParsedRow(long amount, String plate, byte[] message) {
+        private static final Comparator<ParsedRow> ORDER =
+                Comparator.comparingLong(ParsedRow::amount).thenComparing(ParsedRow::plate);
 
-        static Kept of(byte[] message) {
+        static ParsedRow of(byte[] message) {
             ByteBuffer in = ByteBuffer.wrap(message);
             int first = in.getInt(7);
             int second = in.getInt(11 + first);
-            return new Kept(
+            return new ParsedRow(
                     Long.parseLong(new String(message, 11, first, ISO_8859_1)),
                     new String(message, 15 + first, second, ISO_8859_1),
                     message);
         }
     }
 
-    /** Collects all, sorts, gives out what is wanted. */
-    static void naive(List<IntFunction<byte[]>> sources, int limit, Consumer<byte[]> out, Runnable look) {
-        var all = new ArrayList<Kept>();
+    /** Collects all rows, sorts them and emits the first {@code limit} of them. */
+    static void mergeNaively(List<IntFunction<byte[]>> sources, int limit, Consumer<byte[]> out, Runnable onProgress) {
+        var all = new ArrayList<ParsedRow>();
         for (IntFunction<byte[]> source : sources) {
             for (int i = 0; i < ROWS; i++) {
-                all.add(Kept.of(source.apply(i)));
+                all.add(ParsedRow.of(source.apply(i)));
             }
         }
-        look.run();
-        all.sort(Kept.ORDER);
-        for (Kept kept : all.subList(0, limit)) {
-            out.accept(kept.message);
+        onProgress.run();
+        all.sort(ParsedRow.ORDER);
+        for (ParsedRow parsedRow : all.subList(0, limit)) {
+            out.accept(parsedRow.message);
         }
     }
 
@@ -141,15 +142,15 @@
 
     @Benchmark
     public void naive(Blackhole out) {
-        naive(sources, limit, out::consume, () -> {});
+        mergeNaively(sources, limit, out::consume, () -> {});
     }
 
-    private static final class Feed implements GatherActions {
+    private static final class PartFeeder implements GatherActions {
         final int[] credit = new int[PARTS];
         private final Consumer<byte[]> out;
-        GatherResult verdict;
+        GatherResult result;
 
-        Feed(Consumer<byte[]> out) {
+        PartFeeder(Consumer<byte[]> out) {
             this.out = out;
         }
 
@@ -176,7 +177,7 @@
 
         @Override
         public void finish(GatherResult end) {
-            verdict = end;
+            result = end;
         }
     }
 }
--- a/benchmarks/src/main/java/clayhook/benchmarks/GatherMemory.java
+++ b/benchmarks/src/main/java/clayhook/benchmarks/GatherMemory.java
@@ -8,76 +8,77 @@
 import java.util.function.IntFunction;
 
 /**
- * A gather of ten parts beside the naive way, in turns: the most live heap, rows being made as they are read, and the
- * processor time, which unlike the time on the clock hardly depends on what else runs.
+ * Compares a gather of ten parts with the naive algorithm in alternation: the maximum live heap, with rows generated
+ * when they are read, and the processor time, which unlike elapsed time hardly depends on other load of the machine.
  */
 public final class GatherMemory {
-    /** Every so many looks one is taken: each is a whole collection. */
-    private static final int EVERY = 3;
+    /** The number of progress callbacks per heap sample; each sample costs a full garbage collection. */
+    private static final int CALLBACKS_PER_SAMPLE = 3;
 
-    private static final int ROUNDS = 101, WARMUP = 60;
+    private static final int ROUNDS = 101, WARMUP_ROUNDS = 60;
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
-    private static long most;
-    private static long peak;
+    private static long maxLiveHeap;
+    private static long peakAllowance;
     private static long rows;
-    private static int looks;
+    private static int callbacks;
 
     private GatherMemory() {}
 
-    private static long used() {
+    private static long usedHeapAfterGc() {
         System.gc();
         return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
     }
 
     public static void main(String[] args) {
-        List<IntFunction<byte[]>> made = new ArrayList<>();
-        List<IntFunction<byte[]>> held = new ArrayList<>();
+        List<IntFunction<byte[]>> generatedRows = new ArrayList<>();
+        List<IntFunction<byte[]>> storedRows = new ArrayList<>();
         for (int part = 0; part < GatherBenchmark.PARTS; part++) {
             int number = part;
             byte[][] all = new byte[GatherBenchmark.ROWS][];
             Arrays.setAll(all, i -> GatherBenchmark.row(number, i));
-            made.add(i -> GatherBenchmark.row(number, i));
-            held.add(i -> all[i]);
+            generatedRows.add(i -> GatherBenchmark.row(number, i));
+            storedRows.add(i -> all[i]);
         }
         for (int limit : new int[] {100, 1000, GatherBenchmark.PARTS * GatherBenchmark.ROWS}) {
-            weigh(made, limit); // loads classes
-            weigh(made, limit);
-            time(held, limit);
+            compareHeap(generatedRows, limit); // loads classes
+            compareHeap(generatedRows, limit);
+            compareCpuTime(storedRows, limit);
         }
     }
 
-    private static void weigh(List<IntFunction<byte[]>> sources, int limit) {
-        long before = used();
-        most = 0;
-        looks = 0;
+    private static void compareHeap(List<IntFunction<byte[]>> sources, int limit) {
+        long before = usedHeapAfterGc();
+        maxLiveHeap = 0;
+        callbacks = 0;
         GatherBenchmark.gather(sources, limit, row -> rows++, gather -> {
-            peak = gather.peakReservedBytes();
-            if (looks++ % EVERY == 0 && !gather.finished()) {
-                most = Math.max(most, used() - before);
+            peakAllowance = gather.peak();
+            if (callbacks++ % CALLBACKS_PER_SAMPLE == 0 && !gather.over()) {
+                maxLiveHeap = Math.max(maxLiveHeap, usedHeapAfterGc() - before);
             }
         });
-        long gathered = most;
-        long base = used();
-        GatherBenchmark.naive(sources, limit, row -> rows++, () -> most = used() - base);
+        long gathered = maxLiveHeap;
+        long heapBeforeNaive = usedHeapAfterGc();
+        GatherBenchmark.mergeNaively(
+                sources, limit, row -> rows++, () -> maxLiveHeap = usedHeapAfterGc() - heapBeforeNaive);
         System.out.println("to " + limit + " rows: live heap of a gather " + gathered / 1024
-                + " KiB (taken of its allowance " + peak / 1024 + "), naive " + most / 1024 + " KiB");
+                + " KiB (taken of its allowance " + peakAllowance / 1024 + "), naive " + maxLiveHeap / 1024 + " KiB");
     }
 
-    private static long cpu(Runnable work) {
+    private static long cpuNanos(Runnable work) {
         long before = THREADS.getCurrentThreadCpuTime();
         work.run();
         return THREADS.getCurrentThreadCpuTime() - before;
     }
 
-    private static void time(List<IntFunction<byte[]>> sources, int limit) {
+    private static void compareCpuTime(List<IntFunction<byte[]>> sources, int limit) {
         long[] gathered = new long[ROUNDS];
         long[] naive = new long[ROUNDS];
-        for (int round = -WARMUP; round < ROUNDS; round++) {
-            long one = cpu(() -> GatherBenchmark.gather(sources, limit, row -> rows++, any -> {}));
-            long other = cpu(() -> GatherBenchmark.naive(sources, limit, row -> rows++, () -> {}));
+        for (int round = -WARMUP_ROUNDS; round < ROUNDS; round++) {
+            long gatherNanos = cpuNanos(() -> GatherBenchmark.gather(sources, limit, row -> rows++, any -> {}));
+            long naiveNanos = cpuNanos(() -> GatherBenchmark.mergeNaively(sources, limit, row -> rows++, () -> {}));
             if (round >= 0) {
-                gathered[round] = one;
-                naive[round] = other;
+                gathered[round] = gatherNanos;
+                naive[round] = naiveNanos;
             }
         }
         Arrays.sort(gathered);
