--- a/benchmarks/src/main/java/clayhook/benchmarks/ClassifierBenchmark.java
+++ b/benchmarks/src/main/java/clayhook/benchmarks/ClassifierBenchmark.java
@@ -21,8 +21,9 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * What it costs to class a statement, from its bytes. {@code known}: its shape is held. {@code read}: it is new each
- * time. {@code inFlood}: the same known ones while 19 of 20 statements have shapes that never come again.
+ * Measures the time to classify a statement from its bytes. {@code known}: its shape is cached. {@code read}: its shape
+ * is new each time. {@code inFlood}: the statements of {@code known}, while 19 of 20 statements have shapes that never
+ * repeat.
  */
 @State(Scope.Thread)
 @Fork(
@@ -32,115 +33,120 @@
 @Measurement(iterations = 5, time = 1)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
 public class ClassifierBenchmark {
-    private static final String[] FORMS = {
+    private static final String[] TEMPLATES = {
         "SELECT val FROM state%t WHERE uid = 'k%d'",
         "INSERT INTO posts%t (id, account, amount) VALUES (%d, 'acct-kd6b5sum7ecwe', 12.50) ON CONFLICT (id) DO NOTHING",
         "select t.id, t.name, count(*) from tags%t t join accounts a on a.id = t.account where a.region in (1, 2, 3)"
                 + " and t.seen > now() - interval '1 day' group by t.id, t.name order by 3 desc limit 20 -- %d",
         "with recent as (select * from passes%t where plate = 'A%d' order by at desc limit 5) select max(at) from recent"
     };
-    private static final int MANY = 20_000;
-    /** Shapes that repeat. */
-    private static final int HOT = 200;
+    private static final int FRESH_STATEMENTS = 20_000;
+    /** The number of shapes that repeat. */
+    private static final int HOT_SHAPES = 200;
 
     private final Classifier classifier = new Classifier(StatementRules.DEFAULT, 1);
     private final byte[][] known = new byte[1024][];
-    private byte[][] once;
-    private int next;
-    private int nextOnce;
-    private long hits;
-    private long asked;
-
-    private static byte[] statement(int form, String table, int literal) {
-        return FORMS[form]
+    private byte[][] freshStatements;
+    private int nextKnown;
+    private int nextFresh;
+    private long hitCount;
+    private long classifiedCount;
+
+    private static byte[] statement(int template, String table, int literal) {
+        return TEMPLATES[template]
                 .replace("%t", table)
                 .replace("%d", Integer.toString(literal))
                 .getBytes(UTF_8);
     }
 
     @Setup
-    public void make() {
+    public void prepareKnownStatements() {
         for (int i = 0; i < known.length; i++) {
-            known[i] = statement(i % HOT % FORMS.length, Integer.toString(i % HOT), i);
-            classifier.recordServiceTime(ask(known[i]), 0.001);
+            known[i] = statement(i % HOT_SHAPES % TEMPLATES.length, Integer.toString(i % HOT_SHAPES), i);
+            classifier.took(classify(known[i]), 0.001);
         }
     }
 
-    /** New shapes for the next iteration, so that none was ever read. */
+    /** Generates new shapes for the next iteration, so that none has been classified before. */
     @Setup(Level.Iteration)
-    public void freshShapes() {
+    public void prepareFreshStatements() {
         long seed = System.nanoTime();
-        once = new byte[MANY][];
-        for (int i = 0; i < MANY; i++) {
-            once[i] = statement(i % FORMS.length, "_" + Long.toHexString(seed + i), 1);
+        freshStatements = new byte[FRESH_STATEMENTS][];
+        for (int i = 0; i < FRESH_STATEMENTS; i++) {
+            freshStatements[i] = statement(i % TEMPLATES.length, "_" + Long.toHexString(seed + i), 1);
         }
-        nextOnce = 0;
+        nextFresh = 0;
         classifier.counts();
-        asked = 0;
-        hits = 0;
+        classifiedCount = 0;
+        hitCount = 0;
     }
 
-    private Classification ask(byte[] text) {
-        classifier.beginTick();
+    private Classification classify(byte[] text) {
+        classifier.turn();
         return classifier.classify(text, ClientIdentity.UNKNOWN);
     }
 
-    private Classification askOnce() {
-        return ask(once[nextOnce++ % MANY]);
+    private Classification classifyFresh() {
+        return classify(freshStatements[nextFresh++ % FRESH_STATEMENTS]);
     }
 
     @Benchmark
     @BenchmarkMode(Mode.AverageTime)
     public Classification known() {
-        return ask(known[next++ & 1023]);
+        return classify(known[nextKnown++ & 1023]);
     }
 
     @Benchmark
     @BenchmarkMode(Mode.SampleTime)
     public Classification read() {
-        return askOnce();
+        return classifyFresh();
     }
 
-    /** A classifier of its own under a flood: 19 statements that come once before each one that repeats, not timed. */
+    /**
+     * A separate classifier under a flood of new shapes: before each statement with a repeated shape, it classifies 19
+     * statements with new shapes, which are not timed.
+     */
     @State(Scope.Thread)
     public static class Flood {
-        private final ClassifierBenchmark all = new ClassifierBenchmark();
+        private final ClassifierBenchmark benchmark = new ClassifierBenchmark();
 
         @Setup
-        public void make() {
-            all.make();
+        public void prepareKnownStatements() {
+            benchmark.prepareKnownStatements();
         }
 
         @Setup(Level.Iteration)
-        public void freshShapes() {
-            all.freshShapes();
+        public void prepareFreshStatements() {
+            benchmark.prepareFreshStatements();
         }
 
         @Setup(Level.Invocation)
         public void flood() {
             for (int i = 0; i < 19; i++) {
-                all.askOnce();
+                benchmark.classifyFresh();
             }
-            all.classifier.counts();
+            benchmark.classifier.counts();
         }
 
         @TearDown(Level.Invocation)
-        public void count() {
-            all.hits += all.classifier.counts().hits();
-            all.asked++;
+        public void recordHit() {
+            benchmark.hitCount += benchmark.classifier.counts().hits();
+            benchmark.classifiedCount++;
         }
 
         @TearDown(Level.Iteration)
-        public void tell() {
+        public void printHitRate() {
             System.out.printf(
                     "%nhot shapes found: %.4f; held %d shapes in %d KiB%n",
-                    (double) all.hits / all.asked, all.classifier.size(), all.classifier.weight() / 1024);
+                    (double) benchmark.hitCount / benchmark.classifiedCount,
+                    benchmark.classifier.size(),
+                    benchmark.classifier.weight() / 1024);
         }
     }
 
     @Benchmark
     @BenchmarkMode(Mode.SampleTime)
     public Classification inFlood(Flood flood) {
-        return flood.all.known();
+        return flood.benchmark.known();
     }
 }
