--- a/benchmarks/src/main/java/clayhook/benchmarks/RoutingBenchmark.java
+++ b/benchmarks/src/main/java/clayhook/benchmarks/RoutingBenchmark.java
@@ -31,7 +31,8 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * One client's read through a router on loopback, there and back: the same text, with and without reading statements.
+ * Measures the round trip of one client's read through a router on loopback, with the same statement text, with and
+ * without statement classification.
  */
 @State(Scope.Thread)
 @Fork(
@@ -45,41 +46,41 @@
     @Param({"false", "true"})
     public boolean statements;
 
-    private Transport transport;
-    private Transport own;
+    private Transport stubTransport;
+    private Transport routerTransport;
     private Server server;
     private StubClient client;
     private int id;
 
     @Setup
     public void start() throws Exception {
-        transport = Transport.tcp();
-        own = Transport.tcp();
-        var node =
-                new StubNode(transport, transport.ephemeralAddress(0), "replica", any -> StubResponse.answer("value"));
-        var primary =
-                new StubNode(transport, transport.ephemeralAddress(0), "primary", any -> StubResponse.answer("value"));
-        var discovery = new StubDiscovery(transport, transport.ephemeralAddress(0), call -> null);
-        var groups = List.of(
-                group("read", Idempotency.IDEMPOTENT, ConsistencyLevel.EVENTUAL),
-                group("write", Idempotency.NON_IDEMPOTENT, ConsistencyLevel.WRITE));
+        stubTransport = Transport.tcp();
+        routerTransport = Transport.tcp();
+        var replica = new StubNode(
+                stubTransport, stubTransport.ephemeralAddress(0), "replica", any -> StubResponse.answer("value"));
+        var primary = new StubNode(
+                stubTransport, stubTransport.ephemeralAddress(0), "primary", any -> StubResponse.answer("value"));
+        var discovery = new StubDiscovery(stubTransport, stubTransport.ephemeralAddress(0), call -> null);
+        var requestClasses = List.of(
+                requestClass("read", Idempotency.IDEMPOTENT, ConsistencyLevel.EVENTUAL),
+                requestClass("write", Idempotency.NON_IDEMPOTENT, ConsistencyLevel.WRITE));
         var settings = new RoutingSettings(
-                1, "a", groups, true, true, false, true, true, true, true, true, 1, 9, 0.2, 10, 3, 3, 1, 15);
-        String list = "{\"rev\":2,\"all\":true,\"targets\":[" + entry("p", primary, "primary") + ","
-                + entry("r", node, "replica") + "]}";
+                1, "a", requestClasses, true, true, false, true, true, true, true, true, 1, 9, 0.2, 10, 3, 3, 1, 15);
+        String endpointList = "{\"rev\":2,\"all\":true,\"targets\":[" + endpointJson("p", primary, "primary") + ","
+                + endpointJson("r", replica, "replica") + "]}";
         var rules = new StatementRules(
                 true, Set.of(), Set.of(), Set.of(), Set.of(), Set.of(), 4 << 20, 2000, false, List.of(), "read",
                 "write", 1);
         server = new Server(
-                own,
+                routerTransport,
                 new RouterConfiguration(
                         "bench",
-                        transport.ephemeralAddress(0),
+                        stubTransport.ephemeralAddress(0),
                         discovery.address(),
                         1,
                         1 << 27,
                         1024,
-                        EndpointList.parse(list),
+                        EndpointList.parse(endpointList),
                         settings,
                         2),
                 new OperatorConfiguration(
@@ -87,35 +88,36 @@
                         "clayhook",
                         "core",
                         null));
-        client = new StubClient(transport, server.address());
-        client.send(StubClient.startupAndFirst(statement()));
+        client = new StubClient(stubTransport, server.address());
+        client.send(StubClient.startupAndFirst(nextStatement()));
         client.nextAnswer();
         client.nextAnswer();
     }
 
-    private static RequestClass group(String name, Idempotency effect, ConsistencyLevel level) {
-        return new RequestClass(name, effect, level, 1, 5, 1, 0, RequestClass.DeduplicationScope.REPLICA_SET, 1, 0);
+    private static RequestClass requestClass(String name, Idempotency idempotency, ConsistencyLevel level) {
+        return new RequestClass(
+                name, idempotency, level, 1, 5, 1, 0, RequestClass.DeduplicationScope.REPLICA_SET, 1, 0);
     }
 
-    private static String entry(String id, StubNode node, String role) {
+    private static String endpointJson(String id, StubNode node, String role) {
         return "{\"uid\":\"" + id + "\",\"endpoint\":\"127.0.0.1:"
                 + node.address().getPort() + "\",\"az\":\"a\",\"pod_group\":1,\"state\":\"up\",\"role\":\"" + role
                 + "\",\"boot_ms\":0}";
     }
 
-    private io.netty.buffer.ByteBuf statement() {
+    private io.netty.buffer.ByteBuf nextStatement() {
         return StubClient.statement(false, "id=" + id++ + ",c=read,d=4000,cluster=1");
     }
 
     @Benchmark
     public String read() throws InterruptedException {
-        client.send(statement());
+        client.send(nextStatement());
         return client.nextAnswer();
     }
 
     @TearDown
     public void end() {
         server.close();
-        transport.close();
+        stubTransport.close();
     }
 }
