--- a/cli/src/main/java/clayhook/cli/ClassifyCommand.java
+++ b/cli/src/main/java/clayhook/cli/ClassifyCommand.java
@@ -57,7 +57,7 @@
             description = "statements; standard input if left out")
     private Path file;
 
-    /** Ends the program: nothing is printed after standard output is closed. */
+    /** Closes standard output, because the program ends after this call and prints nothing more. */
     @SuppressWarnings("ClosingStandardOutputStreams")
     @Override
     public Integer call() throws IOException {
@@ -84,9 +84,9 @@
                 byte[] text = statement.toByteArray();
                 statement.reset();
                 if (!new String(text, StandardCharsets.UTF_8).isBlank()) {
-                    classifier.beginTick();
-                    Classification classed = classifier.classify(text, client);
-                    out.println(json ? json(classed) : line(classed, classifier.shape(text)));
+                    classifier.turn();
+                    Classification classification = classifier.classify(text, client);
+                    out.println(json ? toJson(classification) : formatLine(classification, classifier.shape(text)));
                 }
             }
             return out.checkError() ? Main.EXIT_FAILURE : Main.EXIT_SUCCESS;
@@ -96,43 +96,44 @@
         }
     }
 
-    private static String verdict(Classification classed) {
-        return classed.verdict().name().toLowerCase(Locale.ROOT);
+    private static String verdictName(Classification classification) {
+        return classification.verdict().name().toLowerCase(Locale.ROOT);
     }
 
-    private static String line(Classification classed, String shape) {
-        boolean refused = classed.verdict() == StatementEffect.REFUSED;
-        String shown = shape.length() > SHOWN ? shape.substring(0, SHOWN) + " ..." : shape;
+    private static String formatLine(Classification classification, String shape) {
+        boolean refused = classification.verdict() == StatementEffect.REFUSED;
+        String shortenedShape =
+                shape.length() > MAX_SHAPE_CHARACTERS ? shape.substring(0, MAX_SHAPE_CHARACTERS) + " ..." : shape;
         return String.format(
                 Locale.ROOT,
                 "%-7s %s  (%s)%n        %s",
-                verdict(classed),
+                verdictName(classification),
                 refused
                         ? ""
                         : "to command group "
-                                + classed.requestClass() + ", nodes " + classed.replicaSetId() + ", by "
-                                + classed.rule() + ", about "
-                                + Math.round(classed.cost() * 1e4) / 10.0 + " ms",
-                classed.reason(),
-                shown);
+                                + classification.group() + ", nodes " + classification.nodes() + ", by "
+                                + classification.rule() + ", about "
+                                + Math.round(classification.cost() * 1e4) / 10.0 + " ms",
+                classification.why(),
+                shortenedShape);
     }
 
-    /** Characters of a shape that are shown to people. */
-    private static final int SHOWN = 160;
+    /** The maximum number of characters of a shape in a line of text output. */
+    private static final int MAX_SHAPE_CHARACTERS = 160;
 
     private static final JsonFactory JSON = new JsonFactory();
 
-    private static String json(Classification classed) throws IOException {
+    private static String toJson(Classification classification) throws IOException {
         var text = new StringWriter();
         try (JsonGenerator out = JSON.createGenerator(text)) {
             out.writeStartObject();
-            out.writeStringField("class", verdict(classed));
-            out.writeStringField("shape", classed.fingerprint());
-            out.writeStringField("group", classed.requestClass());
-            out.writeNumberField("nodes", classed.replicaSetId());
-            out.writeNumberField("cost", classed.cost());
-            out.writeStringField("rule", classed.rule());
-            out.writeStringField("why", classed.reason());
+            out.writeStringField("class", verdictName(classification));
+            out.writeStringField("shape", classification.fingerprint());
+            out.writeStringField("group", classification.group());
+            out.writeNumberField("nodes", classification.nodes());
+            out.writeNumberField("cost", classification.cost());
+            out.writeStringField("rule", classification.rule());
+            out.writeStringField("why", classification.why());
             out.writeEndObject();
         }
         return text.toString();
