--- a/cli/src/main/java/clayhook/cli/Commands.java
+++ b/cli/src/main/java/clayhook/cli/Commands.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** All sub-commands and their options. */
+/** The top-level command, which declares all sub-commands; prints the usage when called without one. */
 @Command(
         name = "clayhook",
         mixinStandardHelpOptions = true,
@@ -44,8 +44,9 @@
 
     static int run(String[] args) {
         return new CommandLine(new Commands())
-                .setExecutionExceptionHandler((fault, line, parsed) -> {
-                    System.err.println("clayhook: " + (fault.getMessage() == null ? fault : fault.getMessage()));
+                .setExecutionExceptionHandler((exception, commandLine, parseResult) -> {
+                    System.err.println(
+                            "clayhook: " + (exception.getMessage() == null ? exception : exception.getMessage()));
                     return Main.EXIT_FAILURE;
                 })
                 .execute(args);
