--- a/cli/src/main/java/clayhook/cli/LabCommand.java
+++ b/cli/src/main/java/clayhook/cli/LabCommand.java
@@ -67,8 +67,8 @@
                 names = "--seed",
                 paramLabel = "N[-M]",
                 description = "play with this seed alone, or with those from N to M",
-                converter = Seeds.class)
-        private Seeds.Range seeds;
+                converter = SeedRangeConverter.class)
+        private SeedRangeConverter.Range seeds;
 
         @Parameters(paramLabel = "FILE", description = "the experiment; examples/ has some")
         private Path file;
@@ -95,35 +95,38 @@
             };
             List<Played> played =
                     sockets ? Comparison.playOnSockets(experiment, progress) : Comparison.play(experiment, progress);
-            if (played.stream().anyMatch(one -> one.runs().contains(null))) {
+            if (played.stream().anyMatch(variantRuns -> variantRuns.runs().contains(null))) {
                 System.err.println("clayhook: no verdict: this machine played late");
                 return Main.EXIT_FAILURE;
             }
-            for (Played one : played) {
-                for (int i = 0; json && i < one.runs().size(); i++) {
-                    System.out.println(json(
-                            one.variant().name(),
+            for (Played variantRuns : played) {
+                for (int i = 0; json && i < variantRuns.runs().size(); i++) {
+                    System.out.println(toJson(
+                            variantRuns.variant().name(),
                             experiment.seeds().get(i),
-                            one.runs().get(i)));
+                            variantRuns.runs().get(i)));
                 }
             }
             if (!json) {
-                table(played, System.out);
+                printTable(played, System.out);
             }
             if (report != null) {
                 System.setProperty("java.awt.headless", "true");
                 Files.writeString(report, Report.html(file.getFileName().toString(), experiment, played));
             }
-            return played.stream().flatMap(one -> one.runs().stream()).allMatch(run -> run.violations()
-                            .isEmpty())
+            return played.stream()
+                            .flatMap(variantRuns -> variantRuns.runs().stream())
+                            .allMatch(run -> run.broken().isEmpty())
                     ? Main.EXIT_SUCCESS
                     : Main.EXIT_FAILURE;
         }
 
-        /** Reads one seed or a range of them. */
-        static final class Seeds implements ITypeConverter<Seeds.Range> {
-            /** A few hours' worth, and far more than any sweep needs. */
-            private static final int MOST = 10_000_000;
+        /** Parses the value of {@code --seed}: one seed or an inclusive range of seeds. */
+        static final class SeedRangeConverter implements ITypeConverter<SeedRangeConverter.Range> {
+            /**
+             * The maximum number of seeds in a range: a few hours of runs, and far more than any sweep of seeds needs.
+             */
+            private static final int MAX_SEEDS = 10_000_000;
 
             record Range(int from, int to) {
                 List<Integer> all() {
@@ -133,79 +136,79 @@
 
             @Override
             public Range convert(String text) {
-                String[] ends = text.split("-", 2);
+                String[] bounds = text.split("-", 2);
                 try {
-                    int from = Integer.parseInt(ends[0]);
-                    int to = Integer.parseInt(ends[ends.length - 1]);
-                    if (from >= 0 && from <= to && to - from < MOST) {
+                    int from = Integer.parseInt(bounds[0]);
+                    int to = Integer.parseInt(bounds[bounds.length - 1]);
+                    if (from >= 0 && from <= to && to - from < MAX_SEEDS) {
                         return new Range(from, to);
                     }
                 } catch (NumberFormatException e) {
-                    // told below
+                    // reported by the exception below
                 }
                 throw new TypeConversionException("'" + text + "' is no seed, nor a range as 1-300");
             }
         }
 
-        private static void table(List<Played> played, PrintStream out) {
+        private static void printTable(List<Played> played, PrintStream out) {
             out.printf(
                     "%-24s %-18s %8s %8s %9s %8s %8s%n",
                     "variant", "command group", "in time", "p50 ms", "p99 ms", "thrott.", "failed");
-            for (Played one : played) {
-                for (RequestClass group : one.runs().get(0).totalsByClass().keySet()) {
+            for (Played variantRuns : played) {
+                for (RequestClass group : variantRuns.runs().get(0).groups().keySet()) {
                     out.printf(
                             Locale.ROOT,
                             "%-24s %-18s %8.4f %8.1f %9.1f %8.4f %8.4f%n",
-                            one.variant().name(),
+                            variantRuns.variant().name(),
                             group.name(),
-                            mean(one, group, of -> (double) of.inTime / of.requests),
-                            mean(one, group, of -> of.times.getValueAtPercentile(50) / 1e3),
-                            mean(one, group, of -> of.times.getValueAtPercentile(99) / 1e3),
-                            mean(one, group, of -> (double) of.rejected / of.requests),
-                            mean(one, group, of -> (double) of.failed / of.requests));
+                            meanOfRuns(variantRuns, group, totals -> (double) totals.inTime / totals.asked),
+                            meanOfRuns(variantRuns, group, totals -> totals.times.getValueAtPercentile(50) / 1e3),
+                            meanOfRuns(variantRuns, group, totals -> totals.times.getValueAtPercentile(99) / 1e3),
+                            meanOfRuns(variantRuns, group, totals -> (double) totals.throttled / totals.asked),
+                            meanOfRuns(variantRuns, group, totals -> (double) totals.failed / totals.asked));
                 }
             }
             out.println();
             Played baseline = played.get(0);
             for (int i = 0; i < played.size(); i++) {
-                Played one = played.get(i);
-                Interval gain = Comparison.gain(baseline, one);
+                Played variantRuns = played.get(i);
+                Interval gain = Comparison.gain(baseline, variantRuns);
                 out.printf(
                         Locale.ROOT,
                         "%-24s service %.4f%s, busiest node %.2f, rules %s%n",
-                        one.variant().name(),
-                        one.service(),
+                        variantRuns.variant().name(),
+                        variantRuns.service(),
                         i == 0
                                 ? ""
                                 : String.format(
                                         Locale.ROOT, ", %+.4f to the first (95%%: +-%.4f)", gain.mean(), gain.reach()),
-                        one.runs().stream()
+                        variantRuns.runs().stream()
                                 .flatMap(run -> run.busy().values().stream())
                                 .mapToDouble(d -> d)
                                 .max()
                                 .orElse(0),
-                        one.runs().stream()
-                                .filter(run -> run.firstViolation() != null)
-                                .map(RunMetrics::firstViolation)
+                        variantRuns.runs().stream()
+                                .filter(run -> run.firstBroken() != null)
+                                .map(RunMetrics::firstBroken)
                                 .findFirst()
                                 .orElse("kept"));
             }
         }
 
-        private interface Figure {
+        private interface Statistic {
             double of(RunMetrics.Totals counts);
         }
 
-        private static double mean(Played one, RequestClass group, Figure figure) {
-            return one.runs().stream()
-                    .map(run -> run.totalsByClass().get(group))
-                    .filter(of -> of != null && of.requests > 0)
-                    .mapToDouble(figure::of)
+        private static double meanOfRuns(Played variantRuns, RequestClass group, Statistic statistic) {
+            return variantRuns.runs().stream()
+                    .map(run -> run.groups().get(group))
+                    .filter(totals -> totals != null && totals.asked > 0)
+                    .mapToDouble(statistic::of)
                     .average()
                     .orElse(0);
         }
 
-        private static String json(String variant, int seed, RunMetrics run) throws IOException {
+        private static String toJson(String variant, int seed, RunMetrics run) throws IOException {
             var text = new StringWriter();
             try (JsonGenerator out = new JsonFactory().createGenerator(text)) {
                 out.writeStartObject();
@@ -214,15 +217,15 @@
                 out.writeNumberField("service", run.service());
                 out.writeNumberField("events", run.events());
                 out.writeObjectFieldStart("groups");
-                for (var entry : run.totalsByClass().entrySet()) {
-                    RunMetrics.Totals of = entry.getValue();
+                for (var entry : run.groups().entrySet()) {
+                    RunMetrics.Totals totals = entry.getValue();
                     out.writeObjectFieldStart(entry.getKey().name());
-                    out.writeNumberField("asked", of.requests);
-                    out.writeNumberField("in_time", of.inTime);
-                    out.writeNumberField("throttled", of.rejected);
-                    out.writeNumberField("failed", of.failed);
-                    out.writeNumberField("p50_ms", of.times.getValueAtPercentile(50) / 1e3);
-                    out.writeNumberField("p99_ms", of.times.getValueAtPercentile(99) / 1e3);
+                    out.writeNumberField("asked", totals.asked);
+                    out.writeNumberField("in_time", totals.inTime);
+                    out.writeNumberField("throttled", totals.throttled);
+                    out.writeNumberField("failed", totals.failed);
+                    out.writeNumberField("p50_ms", totals.times.getValueAtPercentile(50) / 1e3);
+                    out.writeNumberField("p99_ms", totals.times.getValueAtPercentile(99) / 1e3);
                     out.writeEndObject();
                 }
                 out.writeEndObject();
