--- a/cli/src/main/java/clayhook/cli/PlanCommand.java
+++ b/cli/src/main/java/clayhook/cli/PlanCommand.java
@@ -47,20 +47,20 @@
         Planner.Need need = planner.need();
         List<Planner.ZoneLoss> losses = planner.zoneLosses();
         if (json) {
-            System.out.println(json(breaks, need, losses));
+            System.out.println(toJson(breaks, need, losses));
         } else {
-            tell(experiment, breaks, need, losses, System.out);
+            printText(experiment, breaks, need, losses, System.out);
         }
         return Main.EXIT_SUCCESS;
     }
 
-    private static String enough(Planner.Need need) {
+    private static String formatReplicas(Planner.Need need) {
         return need.enough() == 0
                 ? "more than were tried"
                 : need.least() == need.enough() ? "" + need.enough() : need.least() + " to " + need.enough();
     }
 
-    private static void tell(
+    private static void printText(
             Experiment experiment,
             Planner.GrowthLimit breaks,
             Planner.Need need,
@@ -94,7 +94,7 @@
                         out.printf(Locale.ROOT, "   With twice the %s: %+.4f%n", cause.resource(), cause.gain()));
         out.printf(
                 "%n2. Replicas a group that the goal needs: %s (now %d).%n%n3. Losing a site:%n",
-                enough(need), need.now());
+                formatReplicas(need), need.now());
         losses.forEach(loss -> out.printf(
                 Locale.ROOT,
                 "   %s: service %.4f before, %.4f while it is gone, %.4f after, %.4f in the worst"
@@ -104,11 +104,11 @@
                 loss.during(),
                 loss.after(),
                 loss.worst(),
-                enough(loss.need()),
-                loss.firstViolation() == null ? "" : "; a rule was broken: " + loss.firstViolation()));
+                formatReplicas(loss.need()),
+                loss.broken() == null ? "" : "; a rule was broken: " + loss.broken()));
     }
 
-    private static void write(JsonGenerator out, String name, Planner.Need need) throws IOException {
+    private static void writeNeed(JsonGenerator out, String name, Planner.Need need) throws IOException {
         out.writeObjectFieldStart(name);
         out.writeNumberField("now", need.now());
         out.writeNumberField("least", need.least());
@@ -116,7 +116,7 @@
         out.writeEndObject();
     }
 
-    private static String json(Planner.GrowthLimit breaks, Planner.Need need, List<Planner.ZoneLoss> losses)
+    private static String toJson(Planner.Breaks breaks, Planner.Need need, List<Planner.Loss> losses)
             throws IOException {
         var text = new StringWriter();
         try (JsonGenerator out = new JsonFactory().createGenerator(text)) {
@@ -134,7 +134,7 @@
             }
             out.writeEndObject();
             out.writeEndObject();
-            write(out, "replicas", need);
+            writeNeed(out, "replicas", need);
             out.writeArrayFieldStart("losses");
             for (Planner.ZoneLoss loss : losses) {
                 out.writeStartObject();
@@ -143,7 +143,7 @@
                 out.writeNumberField("during", loss.during());
                 out.writeNumberField("after", loss.after());
                 out.writeNumberField("worst", loss.worst());
-                write(out, "replicas", loss.need());
+                writeNeed(out, "replicas", loss.need());
                 out.writeEndObject();
             }
             out.writeEndArray();
