--- a/cli/src/main/java/clayhook/cli/RehearseCommand.java
+++ b/cli/src/main/java/clayhook/cli/RehearseCommand.java
@@ -16,8 +16,8 @@
         versionProvider = Commands.Version.class,
         description = "Serves stand-ins for a moment; the build keeps the classes that this loads.")
 final class RehearseCommand implements Callable<Integer> {
-    /** Settings of every kind of command group. */
-    private static final String REHEARSED =
+    /** A configuration with command groups of every kind. */
+    private static final String CONFIGURATION =
             """
             {"name": "rehearsal", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "seed": "1", "settings": {
             "balancers": 1, "zone": "a", "discovery": "subscribe", "report": {"how": "inline"},
@@ -35,11 +35,13 @@
         return run();
     }
 
-    /** Not for service: the build makes the archive of classes from what this loads. */
+    /**
+     * Runs the warm-up once per transport. The build creates the class data archive from the classes that this loads.
+     */
     static int run() {
         try {
             ReloadSignal.install(() -> {});
-            RoutingSettings settings = RouterConfiguration.fromJson(Json.parse(REHEARSED), Map.of())
+            RoutingSettings settings = RouterConfiguration.fromJson(Json.parse(CONFIGURATION), Map.of())
                     .settings();
             WarmUp.run(settings, Transport.unixSockets(), false);
             WarmUp.run(settings, Transport.tcp(), false);
