--- a/cli/src/main/java/clayhook/cli/ServeCommand.java
+++ b/cli/src/main/java/clayhook/cli/ServeCommand.java
@@ -24,7 +24,7 @@
         versionProvider = Commands.Version.class,
         description = "Routes on sockets, as the file named by LB_CONFIG says and the operator's own file.")
 final class ServeCommand implements Callable<Integer> {
-    /** What the virtual machine takes at least before it runs this class, on half a core. */
+    /** The minimum time that the virtual machine takes, on half a core, before it runs this class. */
     private static final double MIN_MACHINE_START_SECONDS = 1;
 
     private static final double NANOS_PER_SECOND = 1e9;
@@ -41,17 +41,18 @@
     }
 
     /**
-     * Serves until the process is told to end; the shutdown hook then ends it, and this never returns.
+     * Serves until the process receives a termination signal. The shutdown hook then ends the process, and this method
+     * does not return.
      *
-     * @param config the operator's file; null for none
-     * @return the exit code where it could not start, or shutdown was requested first
+     * @param config the operator's configuration file; null for the defaults
+     * @return the exit code if the router cannot start, or if shutdown is requested before it has started
      */
     static int run(Path config) {
         long startNanos = System.nanoTime();
-        var reloads = new Semaphore(0);
+        var reloadRequests = new Semaphore(0);
         var lifecycle = new ServerLifecycle();
         try {
-            ReloadSignal.install(reloads::release);
+            ReloadSignal.install(reloadRequests::release);
             Runtime.getRuntime().addShutdownHook(new Thread(() -> shutDown(lifecycle)));
             RouterConfiguration configuration = RouterConfiguration.fromEnvironment(System.getenv());
             OperatorConfiguration operator = readOperatorConfiguration(config, configuration);
@@ -59,13 +60,14 @@
             Log.info("serving as " + configuration.name() + " at " + configuration.listen()
                     + (operator.statements() == null ? "" : ", statements of any kind"));
             Server server = lifecycle.start(
-                    () -> new Server(Transport.tcp(), configuration, operator, secondsSinceStart(startNanos)));
+                    () -> new Server(Transport.tcp(), configuration, operator, processAgeSeconds(startNanos)));
             if (server == null) {
                 return Main.EXIT_SUCCESS;
             }
             while (true) {
-                reloads.acquire();
-                reloads.drainPermits(); // one reload serves all requests before it, as it reads the files after them
+                reloadRequests.acquire();
+                // One reload covers all earlier signals because it reads the files after them.
+                reloadRequests.drainPermits();
                 reload(server, config);
             }
         } catch (ConfigurationException e) {
@@ -77,13 +79,15 @@
     }
 
     /**
-     * How old the process is, which the list of its configuration is as well. Where many processes start at once, the
-     * virtual machine alone takes seconds; a list that counted as younger than it is would be relied on too long.
+     * Returns the age of the process in seconds, which is also used as the age of the endpoint list in its
+     * configuration. If many processes start at once, the start of the virtual machine alone takes seconds. Without
+     * that time, the endpoint list would count as newer than it is and be used for too long.
      */
-    private static double secondsSinceStart(long startNanos) {
-        double sinceMain = (System.nanoTime() - startNanos) / NANOS_PER_SECOND;
+    private static double processAgeSeconds(long startNanos) {
+        double secondsSinceRun = (System.nanoTime() - startNanos) / NANOS_PER_SECOND;
         return Math.max(
-                MIN_MACHINE_START_SECONDS + sinceMain, ProcessAge.seconds().orElse(0));
+                MIN_MACHINE_START_SECONDS + secondsSinceRun,
+                ProcessAge.seconds().orElse(0));
     }
 
     private static void shutDown(ServerLifecycle lifecycle) {
@@ -102,7 +106,10 @@
                         config, configuration.settings().requestClasses());
     }
 
-    /** Warms up, on Unix domain sockets where possible; a failure only makes the first requests slower. */
+    /**
+     * Warms up on Unix domain sockets if available, else in process. After a failure, only the first requests are
+     * slower.
+     */
     private static void warmUp(RouterConfiguration configuration) throws InterruptedException {
         boolean connected = false;
         try {
