--- a/cli/src/main/java/clayhook/cli/TryCommand.java
+++ b/cli/src/main/java/clayhook/cli/TryCommand.java
@@ -29,8 +29,8 @@
     public Integer call() throws IOException, ConfigurationException, InterruptedException {
         Path file = Files.createTempFile("clayhook-try", ".toml");
         Experiment experiment;
-        try (InputStream own = TryCommand.class.getResourceAsStream("try.toml")) {
-            Files.copy(own, file, StandardCopyOption.REPLACE_EXISTING);
+        try (InputStream resource = TryCommand.class.getResourceAsStream("try.toml")) {
+            Files.copy(resource, file, StandardCopyOption.REPLACE_EXISTING);
             experiment = Experiment.read(file);
         } finally {
             Files.delete(file);
@@ -39,42 +39,42 @@
                 "Two groups of three nodes on loopback, two routers, 300 commands a second. After 8 s the primary of group 1"
                         + " dies; it is back, cold, after 5 s more.");
         System.out.printf("%6s %9s %9s %9s %9s %9s%n", "second", "asked", "answered", "throttled", "failed", "before");
-        var before = new long[4];
-        RunMetrics tally = new LoopbackFleet(experiment.variants().get(0).fleet(), seed)
-                .run(experiment.failures(), experiment.seconds(), so -> show(so, before));
-        if (tally == null) {
+        var previousCounts = new long[4];
+        RunMetrics result = new LoopbackFleet(experiment.variants().get(0).fleet(), seed)
+                .run(experiment.failures(), experiment.seconds(), metrics -> printSecond(metrics, previousCounts));
+        if (result == null) {
             System.err.println("clayhook: no verdict: this machine played late");
             return Main.EXIT_FAILURE;
         }
         System.out.printf(
                 Locale.ROOT,
                 "Service %.4f of 1; rules %s.%n",
-                tally.service(),
-                tally.firstBroken() == null ? "kept" : "broken: " + tally.firstBroken());
-        return tally.broken().isEmpty() ? Main.EXIT_SUCCESS : Main.EXIT_FAILURE;
+                result.service(),
+                result.firstBroken() == null ? "kept" : "broken: " + result.firstBroken());
+        return result.broken().isEmpty() ? Main.EXIT_SUCCESS : Main.EXIT_FAILURE;
     }
 
-    /** What came in the last second. */
-    private static void show(RunMetrics so, long[] before) {
-        long[] now = new long[4];
-        for (RunMetrics.Totals of : so.totalsByClass().values()) {
-            now[0] += of.requests;
-            now[1] += of.answered;
-            now[2] += of.rejected;
-            now[3] += of.failed;
+    /** Prints the requests of the last second by outcome, and the service of the second before. */
+    private static void printSecond(RunMetrics metrics, long[] previousCounts) {
+        long[] counts = new long[4];
+        for (RunMetrics.Totals totals : metrics.groups().values()) {
+            counts[0] += totals.asked;
+            counts[1] += totals.answered;
+            counts[2] += totals.throttled;
+            counts[3] += totals.failed;
         }
-        var seconds = new TreeMap<>(so.serviceBySecond());
+        var seconds = new TreeMap<>(metrics.serviceBySecond());
         int second = seconds.isEmpty() ? 0 : seconds.lastKey();
-        // Of the second before: what came in the last one may still get its answer.
+        // The service is that of the second before, because requests of the last second may still be in flight.
         System.out.printf(
                 Locale.ROOT,
                 "%6d %9d %9d %9d %9d %9.3f%n",
                 second + 1,
-                now[0] - before[0],
-                now[1] - before[1],
-                now[2] - before[2],
-                now[3] - before[3],
+                counts[0] - previousCounts[0],
+                counts[1] - previousCounts[1],
+                counts[2] - previousCounts[2],
+                counts[3] - previousCounts[3],
                 seconds.getOrDefault(second - 1, 1.0));
-        System.arraycopy(now, 0, before, 0, now.length);
+        System.arraycopy(counts, 0, previousCounts, 0, counts.length);
     }
 }
