--- a/cli/src/test/java/clayhook/architecture/ArchitectureTest.java
+++ b/cli/src/test/java/clayhook/architecture/ArchitectureTest.java
@@ -9,16 +9,16 @@
 import com.tngtech.archunit.junit.ArchTest;
 import com.tngtech.archunit.lang.ArchRule;
 
-/** The rules of {@code docs/ARCHITECTURE.md} that the compiler does not check. */
+/** Checks the rules of {@code docs/ARCHITECTURE.md} that the compiler does not enforce. */
 @AnalyzeClasses(packages = "clayhook", importOptions = ImportOption.DoNotIncludeTests.class)
 class ArchitectureTest {
-    /** Packages without I/O, threads and clocks: time and random seeds are handed in. */
-    private static final String[] PURE = {
+    /** Packages without I/O, threads and clocks; they receive times and random seeds as arguments. */
+    private static final String[] PURE_PACKAGES = {
         "clayhook", "clayhook.inflight", "clayhook.statements..", "clayhook.fleet..", "clayhook.rollout.."
     };
 
-    /** Packages of the serving path: what {@code serve} loads. */
-    private static final String[] SERVING = {
+    /** Packages of the serving path, which the sub-command {@code serve} loads. */
+    private static final String[] SERVING_PACKAGES = {
         "clayhook.serve..",
         "clayhook.sharing..",
         "clayhook.json..",
@@ -43,7 +43,7 @@
             .layer("fleet")
             .definedBy("clayhook.fleet..", "clayhook.rollout..")
             .layer("serving")
-            .definedBy(SERVING)
+            .definedBy(SERVING_PACKAGES)
             .layer("peers")
             .definedBy("clayhook.peers..")
             .layer("simulator")
@@ -72,7 +72,7 @@
     @ArchTest
     static final ArchRule pureModulesUseNoNetwork = noClasses()
             .that()
-            .resideInAnyPackage(PURE)
+            .resideInAnyPackage(PURE_PACKAGES)
             .should()
             .dependOnClassesThat()
             .resideInAnyPackage("io.netty..", "java.net..", "java.nio.channels..", "java.util.concurrent..");
@@ -80,7 +80,7 @@
     @ArchTest
     static final ArchRule pureModulesReadNoClock = noClasses()
             .that()
-            .resideInAnyPackage(PURE)
+            .resideInAnyPackage(PURE_PACKAGES)
             .should()
             .callMethod(System.class, "nanoTime")
             .orShould()
