--- a/cli/src/test/java/clayhook/cli/CommandsTest.java
+++ b/cli/src/test/java/clayhook/cli/CommandsTest.java
@@ -15,12 +15,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class CommandsTest {
-    private record Ran(int exit, String out, String err) {}
+    private record CommandResult(int exitCode, String out, String err) {}
 
-    private static Ran run(String in, String... args) {
+    private static CommandResult run(String in, String... args) {
         var out = new ByteArrayOutputStream();
         var err = new ByteArrayOutputStream();
-        var streams = new Object() {
+        var savedStreams = new Object() {
             final java.io.InputStream in = System.in;
             final PrintStream out = System.out;
             final PrintStream err = System.err;
@@ -29,11 +29,11 @@
         System.setOut(new PrintStream(out, true, UTF_8));
         System.setErr(new PrintStream(err, true, UTF_8));
         try {
-            return new Ran(Commands.run(args), out.toString(UTF_8), err.toString(UTF_8));
+            return new CommandResult(Commands.run(args), out.toString(UTF_8), err.toString(UTF_8));
         } finally {
-            System.setIn(streams.in);
-            System.setOut(streams.out);
-            System.setErr(streams.err);
+            System.setIn(savedStreams.in);
+            System.setOut(savedStreams.out);
+            System.setErr(savedStreams.err);
         }
     }
 
@@ -52,17 +52,17 @@
         "classify --config /no/such/file, 2",
         "serve --config, 2"
     })
-    void exitCodesTellDoneFromWrongUse(String line, int exit) {
-        Ran ran = run("", line.isEmpty() ? new String[0] : line.split(" "));
-        assertEquals(exit, ran.exit(), ran::err);
-        assertEquals(exit == 0, ran.err().isEmpty());
+    void exitCodesTellDoneFromWrongUse(String arguments, int exitCode) {
+        CommandResult result = run("", arguments.isEmpty() ? new String[0] : arguments.split(" "));
+        assertEquals(exitCode, result.exitCode(), result::err);
+        assertEquals(exitCode == 0, result.err().isEmpty());
     }
 
     @Test
     void classifyTellsOneObjectAStatement() {
-        Ran ran = run("select 1\n\ndelete from t\nbegin", "classify", "--json");
-        assertEquals(0, ran.exit());
-        String[] lines = ran.out().split("\n");
+        CommandResult result = run("select 1\n\ndelete from t\nbegin", "classify", "--json");
+        assertEquals(0, result.exitCode());
+        String[] lines = result.out().split("\n");
         assertEquals(3, lines.length);
         assertTrue(
                 lines[0].matches(
