--- a/cli/src/test/java/clayhook/cli/ProcessAgeTest.java
+++ b/cli/src/test/java/clayhook/cli/ProcessAgeTest.java
@@ -12,25 +12,25 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class ProcessAgeTest {
-    private static final String UP_TO_START_TIME = " S 1 2 3 0 -1 4194304 100 0 0 0 0 0 0 0 20 0 1 0 ";
+    private static final String FIELDS_BEFORE_START_TIME = " S 1 2 3 0 -1 4194304 100 0 0 0 0 0 0 0 20 0 1 0 ";
     private static final double MILLIS_PER_SECOND = 1000;
-    /** Of the two files. */
+    /** The sum of the resolutions of the two {@code /proc} files, 0.01 s each. */
     private static final double RESOLUTION_SECONDS = 0.02;
 
     @ParameterizedTest
     @CsvSource({"(java)", "(a b)", "(x) S 1 (y)"})
     void ageIsWhatTheSystemRanSinceTheStartOfTheProcess(String name) {
-        String stat = "8744 " + name + UP_TO_START_TIME + "131453 3133440 417\n";
+        String stat = "8744 " + name + FIELDS_BEFORE_START_TIME + "131453 3133440 417\n";
         assertEquals(0.11, ProcessAge.seconds(stat, "1314.64 4980.52\n").orElseThrow(), 1e-9);
     }
 
     @ParameterizedTest
     @CsvSource({
-        "'8744 (java) S 1 2', 1314.64", // too short
+        "'8744 (java) S 1 2', 1314.64", // too few fields
         "'', 1314.64",
         "'8744 (java) S 1 2 3 0 -1 4194304 100 0 0 0 0 0 0 0 20 0 1 0 soon 0', 1314.64",
         "'8744 (java) S 1 2 3 0 -1 4194304 100 0 0 0 0 0 0 0 20 0 1 0 131453 0', since",
-        "'8744 (java) S 1 2 3 0 -1 4194304 100 0 0 0 0 0 0 0 20 0 1 0 131453 0', 12.5" // another system's
+        "'8744 (java) S 1 2 3 0 -1 4194304 100 0 0 0 0 0 0 0 20 0 1 0 131453 0', 12.5" // from another system
     })
     void thatOfOtherTextsIsNotKnown(String stat, String uptime) {
         assertEquals(OptionalDouble.empty(), ProcessAge.seconds(stat, uptime));
@@ -39,8 +39,10 @@
     @Test
     @EnabledOnOs(OS.LINUX)
     void thisProcessIsOlderThanItsVirtualMachine() {
-        double virtualMachine = ManagementFactory.getRuntimeMXBean().getUptime() / MILLIS_PER_SECOND;
-        double process = ProcessAge.seconds().orElseThrow();
-        assertTrue(process > virtualMachine - RESOLUTION_SECONDS, process + " s, " + virtualMachine + " s");
+        double virtualMachineSeconds = ManagementFactory.getRuntimeMXBean().getUptime() / MILLIS_PER_SECOND;
+        double processSeconds = ProcessAge.seconds().orElseThrow();
+        assertTrue(
+                processSeconds > virtualMachineSeconds - RESOLUTION_SECONDS,
+                processSeconds + " s, " + virtualMachineSeconds + " s");
     }
 }
