--- a/cli/src/test/java/clayhook/cli/ServeProcessTest.java
+++ b/cli/src/test/java/clayhook/cli/ServeProcessTest.java
@@ -41,22 +41,22 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The program as a process of its own, with signals and a limit of descriptors. */
+/** Tests the router as a separate process, with signals and a limit of open file descriptors. */
 class ServeProcessTest {
-    /** Far more than any step here takes. */
+    /** The timeout of each step, far longer than any step takes. */
     private static final int TIMEOUT_SECONDS = 60;
 
     private static final int FIRST_PORT = 14_000;
-    private static final int PORTS = 5_000;
+    private static final int PORT_COUNT = 5_000;
 
     private static final String SERVICE_UNAVAILABLE = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
-    /** 128 + SIGTERM. */
+    /** The exit code after SIGTERM: 128 + 15. */
     private static final int SIGTERM_EXIT_CODE = 143;
-    /** Jars of the class path that belong to the program; modules are among them once they are packaged. */
+    /** Jars of the class path that belong to the program, including its own modules if they are packaged as jars. */
     private static final Pattern PROGRAM_JARS = Pattern.compile("^(netty|picocli|jackson|clayhook)");
 
     private final Transport transport = Transport.tcp();
-    private final LinkedBlockingQueue<String> calls = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<String> discoveryCalls = new LinkedBlockingQueue<>();
     private final List<Socket> floodSockets = new ArrayList<>();
     private InetSocketAddress listen;
     private Process process;
@@ -67,7 +67,7 @@
 
     @BeforeEach
     void choosePort() throws IOException {
-        // Below the ports that the system gives to connections, one of which may take the port during the warm-up.
+        // The port is below the ephemeral range, so that no outgoing connection takes it during the warm-up.
         try (var free = new ServerSocket(unusedPort(), 1, InetAddress.getLoopbackAddress())) {
             listen = (InetSocketAddress) free.getLocalSocketAddress();
         }
@@ -82,33 +82,38 @@
         transport.close();
     }
 
-    private InetSocketAddress node(StubResponse deed) throws InterruptedException {
-        return new StubNode(transport, transport.ephemeralAddress(0), "primary", any -> deed).address();
+    private InetSocketAddress node(StubResponse response) throws InterruptedException {
+        return new StubNode(transport, transport.ephemeralAddress(0), "primary", any -> response).address();
     }
 
     private InetSocketAddress discovery(Function<String, String> answers) throws InterruptedException {
         return new StubDiscovery(transport, transport.ephemeralAddress(0), call -> {
-                    calls.add(call);
+                    discoveryCalls.add(call);
                     return answers.apply(call);
                 })
                 .address();
     }
 
-    private static String list(int version, InetSocketAddress node) {
+    private static String endpointList(int version, InetSocketAddress node) {
         return "{\"rev\":" + version + ",\"all\":true,\"targets\":[{\"uid\":\"n" + version
                 + "\",\"endpoint\":\"127.0.0.1:" + node.getPort()
                 + "\",\"az\":\"a\",\"pod_group\":1,\"state\":\"up\",\"role\":\"primary\",\"boot_ms\":0}]}";
     }
 
     /**
-     * {@code machine}: the process's limit of descriptors; {@code sockets}: the limit that its configuration states.
+     * Starts the router as a separate process.
+     *
+     * @param known the endpoint list in its configuration
+     * @param descriptorLimit the limit of open file descriptors of the process
+     * @param configuredLimit the limit of sockets in its configuration
      */
-    private void start(InetSocketAddress discovery, String known, int machine, int sockets) throws Exception {
+    private void start(InetSocketAddress discovery, String known, int descriptorLimit, int configuredLimit)
+            throws Exception {
         Path config = Files.writeString(
                 folder.resolve("config.json"),
                 "{\"name\":\"t\",\"listen\":\"127.0.0.1:" + listen.getPort()
                         + "\",\"discovery\":\"127.0.0.1:" + discovery.getPort()
-                        + "\",\"seed\":\"1\",\"limits\":{\"sockets\":" + sockets
+                        + "\",\"seed\":\"1\",\"limits\":{\"sockets\":" + configuredLimit
                         + "},\"known\":" + known
                         + ",\"settings\":{\"discovery\":\"subscribe\",\"limits\":{\"most_tries\":3},"
                         + "\"domain\":{\"read_level\":[\"any\",\"write\"]},\"grades\":[{\"name\":\"any\",\"effect\":\"idempotent\","
@@ -118,7 +123,7 @@
         var builder = new ProcessBuilder(
                 "sh",
                 "-c",
-                "ulimit -n " + machine + " && exec \"$0\" \"$@\"",
+                "ulimit -n " + descriptorLimit + " && exec \"$0\" \"$@\"",
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:+UseSerialGC",
                 "-Xmx72m",
@@ -126,26 +131,26 @@
                 "-XX:TieredStopAtLevel=1",
                 "-Djava.io.tmpdir=" + folder,
                 "-cp",
-                jar().toString(),
+                packJar().toString(),
                 "clayhook.cli.Main",
                 "serve");
         builder.environment().put("LB_CONFIG", config.toString());
         process = builder.redirectErrorStream(true).redirectOutput(log.toFile()).start();
     }
 
-    /** Packs the program into one jar, as it is deployed: each entry of a class path takes a descriptor of its own. */
-    private Path jar() throws IOException {
+    /** Packs the program into one jar, as in a deployment, because each class path entry takes a file descriptor. */
+    private Path packJar() throws IOException {
         Path jar = folder.resolve("serve.jar");
-        var taken = new HashSet<String>();
+        var entryNames = new HashSet<String>();
         try (var out = new ZipOutputStream(Files.newOutputStream(jar))) {
             out.setLevel(Deflater.NO_COMPRESSION);
             for (String part : System.getProperty("java.class.path").split(File.pathSeparator)) {
                 Path path = Path.of(part);
                 if (Files.isDirectory(path)) {
-                    copy(path, taken, out);
+                    copyEntries(path, entryNames, out);
                 } else if (PROGRAM_JARS.matcher(path.getFileName().toString()).find()) {
                     try (FileSystem in = FileSystems.newFileSystem(path)) {
-                        copy(in.getPath("/"), taken, out);
+                        copyEntries(in.getPath("/"), entryNames, out);
                     }
                 }
             }
@@ -153,14 +158,14 @@
         return jar;
     }
 
-    private static void copy(Path from, Set<String> taken, ZipOutputStream out) throws IOException {
+    private static void copyEntries(Path from, Set<String> entryNames, ZipOutputStream out) throws IOException {
         List<Path> files;
         try (Stream<Path> all = Files.walk(from)) {
             files = all.filter(Files::isRegularFile).toList();
         }
         for (Path file : files) {
             String name = from.relativize(file).toString();
-            if (taken.add(name)) {
+            if (entryNames.add(name)) {
                 out.putNextEntry(new ZipEntry(name));
                 Files.copy(file, out);
                 out.closeEntry();
@@ -172,17 +177,17 @@
         return new String(Files.readAllBytes(log), UTF_8);
     }
 
-    /** Sends a statement on new connections until one is answered, and returns the answer. */
-    private String asked(ByteBuf statement) throws Exception {
-        double until = System.nanoTime() / 1e9 + TIMEOUT_SECONDS;
-        while (System.nanoTime() / 1e9 < until && process.isAlive()) {
+    /** Sends a statement, each time on a new connection, until an answer arrives, and returns that answer. */
+    private String awaitAnswer(ByteBuf statement) throws Exception {
+        double deadlineSeconds = System.nanoTime() / 1e9 + TIMEOUT_SECONDS;
+        while (System.nanoTime() / 1e9 < deadlineSeconds && process.isAlive()) {
             var client = new StubClient(transport, listen);
             client.send(StubClient.startupAndFirst(statement.retainedDuplicate()));
-            String word = client.nextAnswer(5);
-            word = "ready".equals(word) ? client.nextAnswer(5) : null;
+            String answer = client.nextAnswer(5);
+            answer = "ready".equals(answer) ? client.nextAnswer(5) : null;
             client.close();
-            if (word != null) {
-                return word;
+            if (answer != null) {
+                return answer;
             }
             TimeUnit.MILLISECONDS.sleep(20);
         }
@@ -197,83 +202,88 @@
         return Unpooled.buffer().writeByte('Q').writeInt(5).writeByte(0);
     }
 
-    /** Descriptors that the process has open; 0 where the machine does not report them. */
-    private int descriptors() {
-        String[] held =
+    /** Returns the number of file descriptors that the process has open; 0 if the system does not report it. */
+    private int countOpenDescriptors() {
+        String[] openDescriptors =
                 Path.of("/proc", Long.toString(process.pid()), "fd").toFile().list();
-        return held == null ? 0 : held.length;
+        return openDescriptors == null ? 0 : openDescriptors.length;
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"refuses", "is silent", "answers 503"})
-    void becomesReadyWhateverDiscoveryDoes(String what) throws Exception {
-        InetSocketAddress discovery = what.equals("refuses")
+    void becomesReadyWhateverDiscoveryDoes(String discoveryBehavior) throws Exception {
+        InetSocketAddress discovery = discoveryBehavior.equals("refuses")
                 ? new InetSocketAddress("127.0.0.1", 1)
-                : discovery(call -> what.equals("is silent") ? null : SERVICE_UNAVAILABLE);
-        start(discovery, list(2, node(StubResponse.answer("served"))), 1024, 1024);
-        assertEquals("ready", asked(emptyQuery()));
-        assertEquals("served", asked(read()));
+                : discovery(call -> discoveryBehavior.equals("is silent") ? null : SERVICE_UNAVAILABLE);
+        start(discovery, endpointList(2, node(StubResponse.answer("served"))), 1024, 1024);
+        assertEquals("ready", awaitAnswer(emptyQuery()));
+        assertEquals("served", awaitAnswer(read()));
     }
 
     /**
-     * Idle clients come without end and hold on; meanwhile discovery returns, and the list has moved to another node.
+     * Idle clients connect continuously and never disconnect. Meanwhile discovery becomes available again and sends an
+     * endpoint list with another node.
      */
     @Test
     void idleClientsBeyondTheDescriptorLimitBlockNeitherRequestsNorTheEndpointList() throws Exception {
-        int most = 128;
-        var lists = new LinkedBlockingQueue<String>();
-        InetSocketAddress discovery = discovery(
-                call -> lists.isEmpty() ? SERVICE_UNAVAILABLE : call.contains("after=3&") ? null : lists.peek());
-        start(discovery, list(2, node(StubResponse.answer("old"))), most, most);
-        assertEquals("ready", asked(emptyQuery()));
-        int held = 0;
-        for (int i = 0; i < 4 * most; i++) {
+        int limit = 128;
+        var endpointLists = new LinkedBlockingQueue<String>();
+        InetSocketAddress discovery = discovery(call -> endpointLists.isEmpty()
+                ? SERVICE_UNAVAILABLE
+                : call.contains("after=3&") ? null : endpointLists.peek());
+        start(discovery, endpointList(2, node(StubResponse.answer("old"))), limit, limit);
+        assertEquals("ready", awaitAnswer(emptyQuery()));
+        int openDescriptors = 0;
+        for (int i = 0; i < 4 * limit; i++) {
             floodSockets.add(new Socket(listen.getAddress(), listen.getPort()));
-            held = Math.max(held, descriptors());
-            if (i % most == most - 1) {
-                assertEquals("old", asked(read()));
+            openDescriptors = Math.max(openDescriptors, countOpenDescriptors());
+            if (i % limit == limit - 1) {
+                assertEquals("old", awaitAnswer(read()));
             }
         }
-        lists.add(list(3, node(StubResponse.answer("new"))));
-        double until = System.nanoTime() / 1e9 + TIMEOUT_SECONDS;
-        while (!asked(read()).equals("new")) {
-            assertTrue(System.nanoTime() / 1e9 < until, "it did not recover its endpoint list; " + log());
+        endpointLists.add(endpointList(3, node(StubResponse.answer("new"))));
+        double deadlineSeconds = System.nanoTime() / 1e9 + TIMEOUT_SECONDS;
+        while (!awaitAnswer(read()).equals("new")) {
+            assertTrue(System.nanoTime() / 1e9 < deadlineSeconds, "it did not recover its endpoint list; " + log());
             floodSockets.add(new Socket(listen.getAddress(), listen.getPort()));
-            held = Math.max(held, descriptors());
+            openDescriptors = Math.max(openDescriptors, countOpenDescriptors());
         }
-        assertTrue(held < most, "the reserve is used up: " + held);
+        assertTrue(openDescriptors < limit, "the reserve is used up: " + openDescriptors);
         assertTrue(!log().contains("Too many open files"), log());
     }
 
-    /** The configuration allows more descriptors than the machine: accepting and connecting fail for a while. */
+    /**
+     * The configured limit exceeds the descriptor limit of the process, so accepting and connecting fail for a while.
+     */
     @Test
     void acceptsAndConnectsAgainAfterTheProcessRanOutOfDescriptors() throws Exception {
-        var lists = new LinkedBlockingQueue<String>();
-        InetSocketAddress discovery = discovery(
-                call -> lists.isEmpty() ? SERVICE_UNAVAILABLE : call.contains("after=3&") ? null : lists.peek());
-        start(discovery, list(2, node(StubResponse.answer("old"))), 64, 1024);
-        assertEquals("ready", asked(emptyQuery()));
+        var endpointLists = new LinkedBlockingQueue<String>();
+        InetSocketAddress discovery = discovery(call -> endpointLists.isEmpty()
+                ? SERVICE_UNAVAILABLE
+                : call.contains("after=3&") ? null : endpointLists.peek());
+        start(discovery, endpointList(2, node(StubResponse.answer("old"))), 64, 1024);
+        assertEquals("ready", awaitAnswer(emptyQuery()));
         for (int i = 0; i < 100; i++) {
             floodSockets.add(new Socket(listen.getAddress(), listen.getPort()));
         }
-        double until = System.nanoTime() / 1e9 + TIMEOUT_SECONDS;
+        double deadlineSeconds = System.nanoTime() / 1e9 + TIMEOUT_SECONDS;
         while (!log().contains("Too many open files")) {
-            assertTrue(System.nanoTime() / 1e9 < until && process.isAlive(), "it never ran out; " + log());
+            assertTrue(System.nanoTime() / 1e9 < deadlineSeconds && process.isAlive(), "it never ran out; " + log());
             TimeUnit.MILLISECONDS.sleep(20);
         }
-        lists.add(list(3, node(StubResponse.answer("new"))));
-        while (!asked(read()).equals("new")) {
-            assertTrue(System.nanoTime() / 1e9 < until, "it did not recover its endpoint list; " + log());
+        endpointLists.add(endpointList(3, node(StubResponse.answer("new"))));
+        while (!awaitAnswer(read()).equals("new")) {
+            assertTrue(System.nanoTime() / 1e9 < deadlineSeconds, "it did not recover its endpoint list; " + log());
         }
         assertTrue(!log().contains("ERROR"), log());
     }
 
-    /** A request is in flight; SIGTERM is sent twice, with SIGHUP in between. */
+    /** SIGTERM is sent twice, with SIGHUP in between, while a request is in flight. */
     @ParameterizedTest
     @CsvSource({"any, 53300", "mutating, 40003"})
-    void inFlightRequestsAreAnsweredBeforeExitWhateverSignalsFollow(String group, String word) throws Exception {
-        start(discovery(call -> null), list(2, node(StubResponse.silence())), 1024, 1024);
-        assertEquals("ready", asked(emptyQuery()));
+    void inFlightRequestsAreAnsweredBeforeExitWhateverSignalsFollow(String group, String answer) throws Exception {
+        start(discovery(call -> null), endpointList(2, node(StubResponse.silence())), 1024, 1024);
+        assertEquals("ready", awaitAnswer(emptyQuery()));
         var client = new StubClient(transport, listen);
         client.send(StubClient.startupAndFirst(
                 StubClient.statement(!group.equals("any"), "id=1,c=" + group + ",d=1000,cluster=1")));
@@ -281,7 +291,7 @@
         process.destroy();
         signal("HUP");
         process.destroy();
-        assertEquals(word, client.nextAnswer());
+        assertEquals(answer, client.nextAnswer());
         assertEquals("57P03 closed", client.nextAnswer());
         assertTrue(process.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS));
         assertEquals(SIGTERM_EXIT_CODE, process.exitValue());
@@ -289,11 +299,11 @@
     }
 
     private static int unusedPort() {
-        for (int port = FIRST_PORT + (int) (ProcessHandle.current().pid() * 31 % PORTS); ; port++) {
+        for (int port = FIRST_PORT + (int) (ProcessHandle.current().pid() * 31 % PORT_COUNT); ; port++) {
             try (var probe = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
                 return probe.getLocalPort();
             } catch (IOException e) {
-                // taken; the next one
+                // the port is in use; try the next one
             }
         }
     }
@@ -306,10 +316,10 @@
                         .waitFor());
     }
 
-    /** During the warm-up, which a folder for its sockets shows. */
+    /** Sends SIGTERM during the warm-up, whose start is detected by the folder that it creates for its sockets. */
     @Test
     void sigtermDuringStartupEndsTheProcessAndLeavesNoRequestUnanswered() throws Exception {
-        start(discovery(call -> null), list(2, node(StubResponse.silence())), 1024, 1024);
+        start(discovery(call -> null), endpointList(2, node(StubResponse.silence())), 1024, 1024);
         while (process.isAlive() && folder.toFile().list((in, name) -> name.startsWith("clayhook")).length == 0) {
             TimeUnit.MILLISECONDS.sleep(5);
         }
