--- a/cli/src/test/java/clayhook/cli/SharingDisabledTest.java
+++ b/cli/src/test/java/clayhook/cli/SharingDisabledTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Sharing costs a router nothing where it is disabled, as observed on a process of its own. */
+/** Tests on a separate process that a router with sharing disabled loads and opens nothing for sharing. */
 class SharingDisabledTest {
     private static final String CONFIG =
             """
@@ -47,10 +47,13 @@
         }
     }
 
-    /** The sharing packages of which the process has loaded classes, and whether it has the thread and the socket. */
-    private List<Object> seen(Process process, Path classes, int port) throws Exception {
-        String loaded = Files.readString(classes);
-        boolean thread = threads(process).contains("clayhook-peers");
+    /**
+     * Returns the sharing packages of which the process has loaded classes, whether it has the sharing thread, and
+     * whether it has the sharing socket.
+     */
+    private List<Object> observeSharing(Process process, Path classLoadLog, int port) throws Exception {
+        String loaded = Files.readString(classLoadLog);
+        boolean thread = threadNames(process).contains("clayhook-peers");
         boolean socket =
                 Files.readString(Path.of("/proc/" + process.pid() + "/net/udp")).contains(":%04X ".formatted(port));
         return List.of(
@@ -61,7 +64,7 @@
                 socket);
     }
 
-    private static List<String> threads(Process process) throws Exception {
+    private static List<String> threadNames(Process process) throws Exception {
         try (var tasks = Files.list(Path.of("/proc/" + process.pid() + "/task"))) {
             var names = new ArrayList<String>();
             for (Path task : tasks.toList()) {
@@ -73,9 +76,10 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void aRouterWithSharingDisabledLoadsNoClassStartsNoThreadAndOpensNoSocketForIt(boolean shares) throws Exception {
+    void aRouterWithSharingDisabledLoadsNoClassStartsNoThreadAndOpensNoSocketForIt(boolean sharingEnabled)
+            throws Exception {
         int port = freePort();
-        int peers = freeUdpPort();
+        int sharingPort = freeUdpPort();
         Path config = Files.writeString(folder.resolve("config.json"), CONFIG.formatted(port, freePort()));
         Path operator = Files.writeString(
                 folder.resolve("c.toml"),
@@ -85,12 +89,12 @@
                 listen = "127.0.0.1:%d"
                 seeds = ["127.0.0.1:%d"]
                 """
-                        .formatted(shares, peers, freeUdpPort()));
-        Path classes = folder.resolve("classes");
+                        .formatted(sharingEnabled, sharingPort, freeUdpPort()));
+        Path classLoadLog = folder.resolve("classes");
         var builder = new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:TieredStopAtLevel=1",
-                "-Xlog:class+load:file=" + classes,
+                "-Xlog:class+load:file=" + classLoadLog,
                 "-cp",
                 System.getProperty("java.class.path"),
                 "clayhook.cli.Main",
@@ -103,23 +107,28 @@
                 .start();
         Transport transport = Transport.tcp();
         try {
-            String word = StubClient.NO_CONNECTION;
-            for (int tries = 0; tries < 300 && word.equals(StubClient.NO_CONNECTION); tries++) {
+            String answer = StubClient.NO_CONNECTION;
+            for (int tries = 0; tries < 300 && answer.equals(StubClient.NO_CONNECTION); tries++) {
                 var client = new StubClient(transport, new InetSocketAddress("127.0.0.1", port));
                 client.send(StubClient.startupAndFirst(StubClient.statement(false, "id=1,c=any,d=30000,cluster=1")));
-                word = client.nextAnswer();
-                Thread.sleep(word.equals(StubClient.NO_CONNECTION) ? 100 : 0);
+                answer = client.nextAnswer();
+                Thread.sleep(answer.equals(StubClient.NO_CONNECTION) ? 100 : 0);
             }
-            assertEquals("ready", word);
-            List<Object> expected = shares ? List.of(SHARING_PACKAGES, true, true) : List.of(List.of(), false, false);
-            for (int tries = 0; tries < 200 && shares && !expected.equals(seen(process, classes, peers)); tries++) {
-                Thread.sleep(50); // clients are served shortly before sharing starts
+            assertEquals("ready", answer);
+            List<Object> expected =
+                    sharingEnabled ? List.of(SHARING_PACKAGES, true, true) : List.of(List.of(), false, false);
+            for (int tries = 0;
+                    tries < 200
+                            && sharingEnabled
+                            && !expected.equals(observeSharing(process, classLoadLog, sharingPort));
+                    tries++) {
+                Thread.sleep(50); // sharing starts shortly after the router accepts clients
             }
-            assertEquals(expected, seen(process, classes, peers));
+            assertEquals(expected, observeSharing(process, classLoadLog, sharingPort));
             process.destroy();
             assertTrue(process.waitFor(20, TimeUnit.SECONDS));
             String log = Files.readString(folder.resolve("log"));
-            assertEquals(shares, log.contains("sharing as n at 127.0.0.1:" + peers), log);
+            assertEquals(sharingEnabled, log.contains("sharing as n at 127.0.0.1:" + sharingPort), log);
         } finally {
             process.destroyForcibly();
             transport.close();
