--- a/benchmarks/src/main/java/clayhook/benchmarks/ClassifierBenchmark.java
+++ b/benchmarks/src/main/java/clayhook/benchmarks/ClassifierBenchmark.java
@@ -63,7 +63,7 @@
     public void prepareKnownStatements() {
         for (int i = 0; i < known.length; i++) {
             known[i] = statement(i % HOT_SHAPES % TEMPLATES.length, Integer.toString(i % HOT_SHAPES), i);
-            classifier.took(classify(known[i]), 0.001);
+            classifier.recordServiceTime(classify(known[i]), 0.001);
         }
     }
 
@@ -82,7 +82,7 @@
     }
 
     private Classification classify(byte[] text) {
-        classifier.turn();
+        classifier.beginTick();
         return classifier.classify(text, ClientIdentity.UNKNOWN);
     }
 
--- a/benchmarks/src/main/java/clayhook/benchmarks/ClassifierMemory.java
+++ b/benchmarks/src/main/java/clayhook/benchmarks/ClassifierMemory.java
@@ -24,7 +24,7 @@
     private static Classifier filledClassifier(int statements) {
         var classifier = new Classifier(StatementRules.DEFAULT, 1);
         for (int i = 0; i < statements; i++) {
-            classifier.turn();
+            classifier.beginTick();
             String table = i % 20 == 0 ? "hot" + i / 20 % HOT_SHAPES : "once" + i;
             String text = "select t.id, t.name, count(*) from " + table + " t join accounts a on a.id = t.account where"
                     + " a.region in (1, 2, 3) and t.seen > now() - interval '1 day' group by t.id, t.name order by 3 desc limit 20";
--- a/benchmarks/src/main/java/clayhook/benchmarks/GatherBenchmark.java
+++ b/benchmarks/src/main/java/clayhook/benchmarks/GatherBenchmark.java
@@ -82,7 +82,7 @@
             parts.add(new GatherPart("p" + i, i));
         }
         GatherPlan plan = GatherPlan.of(MergeSpec.by(SortKey.ascending("amount"), SortKey.ascending("plate"))
-                .cut(Limit.rows(limit)));
+                .limit(Limit.rows(limit)));
         var gather = new Gather(plan, parts, MemoryPool.of(64 << 20), feeder);
         gather.begin(0, 1);
         gather.request(Integer.MAX_VALUE);
--- a/benchmarks/src/main/java/clayhook/benchmarks/GatherMemory.java
+++ b/benchmarks/src/main/java/clayhook/benchmarks/GatherMemory.java
@@ -51,8 +51,8 @@
         maxLiveHeap = 0;
         callbacks = 0;
         GatherBenchmark.gather(sources, limit, row -> rows++, gather -> {
-            peakAllowance = gather.peak();
-            if (callbacks++ % CALLBACKS_PER_SAMPLE == 0 && !gather.over()) {
+            peakAllowance = gather.peakReservedBytes();
+            if (callbacks++ % CALLBACKS_PER_SAMPLE == 0 && !gather.finished()) {
                 maxLiveHeap = Math.max(maxLiveHeap, usedHeapAfterGc() - before);
             }
         });
--- a/cli/src/main/java/clayhook/cli/ClassifyCommand.java
+++ b/cli/src/main/java/clayhook/cli/ClassifyCommand.java
@@ -84,7 +84,7 @@
                 byte[] text = statement.toByteArray();
                 statement.reset();
                 if (!new String(text, StandardCharsets.UTF_8).isBlank()) {
-                    classifier.turn();
+                    classifier.beginTick();
                     Classification classification = classifier.classify(text, client);
                     out.println(json ? toJson(classification) : formatLine(classification, classifier.shape(text)));
                 }
@@ -111,10 +111,10 @@
                 refused
                         ? ""
                         : "to command group "
-                                + classification.group() + ", nodes " + classification.nodes() + ", by "
+                                + classification.requestClass() + ", nodes " + classification.replicaSetId() + ", by "
                                 + classification.rule() + ", about "
                                 + Math.round(classification.cost() * 1e4) / 10.0 + " ms",
-                classification.why(),
+                classification.reason(),
                 shortenedShape);
     }
 
@@ -129,11 +129,11 @@
             out.writeStartObject();
             out.writeStringField("class", verdictName(classification));
             out.writeStringField("shape", classification.fingerprint());
-            out.writeStringField("group", classification.group());
-            out.writeNumberField("nodes", classification.nodes());
+            out.writeStringField("group", classification.requestClass());
+            out.writeNumberField("nodes", classification.replicaSetId());
             out.writeNumberField("cost", classification.cost());
             out.writeStringField("rule", classification.rule());
-            out.writeStringField("why", classification.why());
+            out.writeStringField("why", classification.reason());
             out.writeEndObject();
         }
         return text.toString();
--- a/cli/src/main/java/clayhook/cli/LabCommand.java
+++ b/cli/src/main/java/clayhook/cli/LabCommand.java
@@ -116,7 +116,7 @@
             }
             return played.stream()
                             .flatMap(variantRuns -> variantRuns.runs().stream())
-                            .allMatch(run -> run.broken().isEmpty())
+                            .allMatch(run -> run.violations().isEmpty())
                     ? Main.EXIT_SUCCESS
                     : Main.EXIT_FAILURE;
         }
@@ -155,17 +155,18 @@
                     "%-24s %-18s %8s %8s %9s %8s %8s%n",
                     "variant", "command group", "in time", "p50 ms", "p99 ms", "thrott.", "failed");
             for (Played variantRuns : played) {
-                for (RequestClass group : variantRuns.runs().get(0).groups().keySet()) {
+                for (RequestClass group :
+                        variantRuns.runs().get(0).totalsByClass().keySet()) {
                     out.printf(
                             Locale.ROOT,
                             "%-24s %-18s %8.4f %8.1f %9.1f %8.4f %8.4f%n",
                             variantRuns.variant().name(),
                             group.name(),
-                            meanOfRuns(variantRuns, group, totals -> (double) totals.inTime / totals.asked),
+                            meanOfRuns(variantRuns, group, totals -> (double) totals.inTime / totals.requests),
                             meanOfRuns(variantRuns, group, totals -> totals.times.getValueAtPercentile(50) / 1e3),
                             meanOfRuns(variantRuns, group, totals -> totals.times.getValueAtPercentile(99) / 1e3),
-                            meanOfRuns(variantRuns, group, totals -> (double) totals.throttled / totals.asked),
-                            meanOfRuns(variantRuns, group, totals -> (double) totals.failed / totals.asked));
+                            meanOfRuns(variantRuns, group, totals -> (double) totals.rejected / totals.requests),
+                            meanOfRuns(variantRuns, group, totals -> (double) totals.failed / totals.requests));
                 }
             }
             out.println();
@@ -188,8 +189,8 @@
                                 .max()
                                 .orElse(0),
                         variantRuns.runs().stream()
-                                .filter(run -> run.firstBroken() != null)
-                                .map(RunMetrics::firstBroken)
+                                .filter(run -> run.firstViolation() != null)
+                                .map(RunMetrics::firstViolation)
                                 .findFirst()
                                 .orElse("kept"));
             }
@@ -201,8 +202,8 @@
 
         private static double meanOfRuns(Played variantRuns, RequestClass group, Statistic statistic) {
             return variantRuns.runs().stream()
-                    .map(run -> run.groups().get(group))
-                    .filter(totals -> totals != null && totals.asked > 0)
+                    .map(run -> run.totalsByClass().get(group))
+                    .filter(totals -> totals != null && totals.requests > 0)
                     .mapToDouble(statistic::of)
                     .average()
                     .orElse(0);
@@ -217,12 +218,12 @@
                 out.writeNumberField("service", run.service());
                 out.writeNumberField("events", run.events());
                 out.writeObjectFieldStart("groups");
-                for (var entry : run.groups().entrySet()) {
+                for (var entry : run.totalsByClass().entrySet()) {
                     RunMetrics.Totals totals = entry.getValue();
                     out.writeObjectFieldStart(entry.getKey().name());
-                    out.writeNumberField("asked", totals.asked);
+                    out.writeNumberField("asked", totals.requests);
                     out.writeNumberField("in_time", totals.inTime);
-                    out.writeNumberField("throttled", totals.throttled);
+                    out.writeNumberField("throttled", totals.rejected);
                     out.writeNumberField("failed", totals.failed);
                     out.writeNumberField("p50_ms", totals.times.getValueAtPercentile(50) / 1e3);
                     out.writeNumberField("p99_ms", totals.times.getValueAtPercentile(99) / 1e3);
--- a/cli/src/main/java/clayhook/cli/PlanCommand.java
+++ b/cli/src/main/java/clayhook/cli/PlanCommand.java
@@ -105,7 +105,7 @@
                 loss.after(),
                 loss.worst(),
                 formatReplicas(loss.need()),
-                loss.broken() == null ? "" : "; a rule was broken: " + loss.broken()));
+                loss.firstViolation() == null ? "" : "; a rule was broken: " + loss.firstViolation()));
     }
 
     private static void writeNeed(JsonGenerator out, String name, Planner.Need need) throws IOException {
@@ -116,7 +116,7 @@
         out.writeEndObject();
     }
 
-    private static String toJson(Planner.Breaks breaks, Planner.Need need, List<Planner.Loss> losses)
+    private static String toJson(Planner.GrowthLimit breaks, Planner.Need need, List<Planner.ZoneLoss> losses)
             throws IOException {
         var text = new StringWriter();
         try (JsonGenerator out = new JsonFactory().createGenerator(text)) {
--- a/cli/src/main/java/clayhook/cli/TryCommand.java
+++ b/cli/src/main/java/clayhook/cli/TryCommand.java
@@ -50,17 +50,17 @@
                 Locale.ROOT,
                 "Service %.4f of 1; rules %s.%n",
                 result.service(),
-                result.firstBroken() == null ? "kept" : "broken: " + result.firstBroken());
-        return result.broken().isEmpty() ? Main.EXIT_SUCCESS : Main.EXIT_FAILURE;
+                result.firstViolation() == null ? "kept" : "broken: " + result.firstViolation());
+        return result.violations().isEmpty() ? Main.EXIT_SUCCESS : Main.EXIT_FAILURE;
     }
 
     /** Prints the requests of the last second by outcome, and the service of the second before. */
     private static void printSecond(RunMetrics metrics, long[] previousCounts) {
         long[] counts = new long[4];
-        for (RunMetrics.Totals totals : metrics.groups().values()) {
-            counts[0] += totals.asked;
+        for (RunMetrics.Totals totals : metrics.totalsByClass().values()) {
+            counts[0] += totals.requests;
             counts[1] += totals.answered;
-            counts[2] += totals.throttled;
+            counts[2] += totals.rejected;
             counts[3] += totals.failed;
         }
         var seconds = new TreeMap<>(metrics.serviceBySecond());
